--- /dev/null
+++ b/internal/platform/activity_test.go
@@ -0,0 +1,69 @@
+package platform
+
+import (
+	"slices"
+	"testing"
+
+	"sloetrestle/brain"
+	"sloetrestle/internal/reach"
+)
+
+// namedPools returns a pool for each name, and a function that lists the names of pools in order.
+func namedPools(names ...string) (pools map[string]*reach.Host, namesOf func([]*reach.Host) []string) {
+	pools = map[string]*reach.Host{}
+	for _, name := range names {
+		pools[name] = &reach.Host{Name: name}
+	}
+	return pools, func(order []*reach.Host) (names []string) {
+		for _, pool := range order {
+			names = append(names, pool.Name)
+		}
+		return names
+	}
+}
+
+func TestBackendsAreOrderedByRecentActivity(t *testing.T) {
+	pools, namesOf := namedPools("r1", "r2", "r3", "w1", "w2")
+	var activity activityList
+	for _, name := range []string{"r1", "r2", "r3"} {
+		activity.add(pools[name], failureDomain{brain.Reads, 0})
+	}
+	for _, name := range []string{"w1", "w2"} {
+		activity.add(pools[name], failureDomain{brain.Writes, 0})
+	}
+	for _, c := range []struct {
+		name   string
+		change func()
+		want   []string
+	}{
+		{"no activity: one of each role in turn", func() {}, []string{"r1", "w1", "r2", "w2", "r3"}},
+		{"activity", func() { activity.recordActivity(pools["r3"]) }, []string{"r3", "w1", "r1", "w2", "r2"}},
+		{"later activity of the other role", func() { activity.recordActivity(pools["w2"]) }, []string{"w2", "r3", "w1", "r1", "r2"}},
+		{"called without an answer", func() { activity.recordSilence(pools["r3"]) }, []string{"w2", "r1", "w1", "r2", "r3"}},
+		{
+			"removed", func() { activity.remove(pools["w2"]); activity.recordActivity(pools["w2"]) },
+			[]string{"r1", "w1", "r2", "r3"},
+		},
+	} {
+		c.change()
+		if got := namesOf(activity.byRecency()); !slices.Equal(got, c.want) {
+			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+		}
+	}
+}
+
+// The backend that may hold the KV cache is called second, active or not: it is the one whose cache has to be released.
+func TestReleaseOrderPutsTheHolderSecond(t *testing.T) {
+	pools, namesOf := namedPools("r1", "r2", "w1", "unknown")
+	transport := &transport{}
+	transport.activity.add(pools["r1"], failureDomain{brain.Reads, 0})
+	transport.activity.add(pools["r2"], failureDomain{brain.Reads, 0})
+	transport.activity.add(pools["w1"], failureDomain{brain.Writes, 0})
+	for holder, want := range map[string][]string{
+		"r1": {"r1", "w1", "r2"}, "r2": {"r1", "r2", "w1"}, "unknown": {"r1", "unknown", "w1", "r2"},
+	} {
+		if got := namesOf(transport.releaseOrder(pools[holder])); !slices.Equal(got, want) {
+			t.Errorf("%s: %v, want %v", holder, got, want)
+		}
+	}
+}
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -20,134 +20,143 @@
 	"sloetrestle/internal/system"
 )
 
-// hostsDial opens a connection and closes it again.
-func hostsDial(at string) (net.Conn, error) {
-	c, err := net.Dial("tcp", at)
+// dialAndClose opens a connection and closes it again.
+func dialAndClose(address string) (net.Conn, error) {
+	conn, err := net.Dial("tcp", address)
 	if err == nil {
-		c.Close()
+		conn.Close()
 	}
-	return c, err
+	return conn, err
 }
 
-// standing is what the dispatcher takes a backend to be.
-func (h *house) standing(name string) (s brain.BackendState) {
-	h.node.loop.Call(context.Background(), func() {
-		if known := h.node.loop.HostOf(name); known != nil {
-			s = known.Standing
+// standing returns the state of a backend as the scheduler knows it.
+func (c *house) standing(name string) (state brain.BackendState) {
+	c.node.loop.Call(context.Background(), func() {
+		if backend := c.node.loop.HostOf(name); backend != nil {
+			state = backend.Standing
 		}
 	})
-	return s
+	return state
 }
 
-// submit hands the loop a request, and in the same turn of the loop what crosses its first attempt: the attempt has been decided on by
-// then, and its first byte has not been written.
-func (h *house) submit(id string, class int, crossing func(a *dispatch.ClientRequest)) *dispatch.ClientRequest {
-	h.t.Helper()
-	a := &dispatch.ClientRequest{Ask: kserve.Ask{ID: id, Tokens: 400, Most: 50}, Matter: &payload{id: id, body: []byte("{}"), head: func(wait time.Duration) []byte {
-		return fmt.Appendf(nil, "POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\nContent-Length: 2\r\n\r\n", id, wait.Milliseconds())
-	}}}
-	h.node.loop.Call(context.Background(), func() {
-		h.node.loop.Submit(a, class, 0, 3*time.Second)
-		crossing(a)
+// submit hands the event loop a request and runs meanwhile in the same turn of the loop: the first attempt has been
+// decided on by then, and its first byte has not been written.
+func (c *house) submit(id string, class int, meanwhile func(request *dispatch.ClientRequest)) *dispatch.ClientRequest {
+	c.t.Helper()
+	request := &dispatch.ClientRequest{
+		Ask: kserve.Ask{ID: id, Tokens: 400, Most: 50},
+		Matter: &payload{id: id, body: []byte("{}"), head: func(wait time.Duration) []byte {
+			return fmt.Appendf(nil, "POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\nContent-Length: 2\r\n\r\n",
+				id, wait.Milliseconds())
+		}},
+	}
+	c.node.loop.Call(context.Background(), func() {
+		c.node.loop.Submit(request, class, 0, 3*time.Second)
+		meanwhile(request)
 	})
-	return a
+	return request
 }
 
-// A drain that is learned between the choice of a backend and the first byte keeps the attempt back; the request goes elsewhere.
-func TestADrainBetweenChoiceAndSendIsKept(t *testing.T) {
-	h := enter(t, nil)
-	a := h.submit("q1", 0, func(*dispatch.ClientRequest) {
-		h.node.loop.HostOf("r1").Standing = brain.Draining
+// A backend that starts draining after it was chosen and before the first byte gets no attempt; the request goes to
+// another backend.
+func TestDrainLearnedBeforeSendStopsTheAttempt(t *testing.T) {
+	cluster := enter(t, nil)
+	request := cluster.submit("q1", 0, func(*dispatch.ClientRequest) {
+		cluster.node.loop.HostOf("r1").Standing = brain.Draining
 	})
-	h.until("it is over", func() bool { return len(a.Final()) == 1 })
-	if n := len(h.site.Seen("r1", "POST")); n != 0 {
-		t.Errorf("%d attempts to a backend that drains", n)
+	cluster.until("the request is finished", func() bool { return len(request.Final()) == 1 })
+	if n := len(cluster.site.Seen("r1", "POST")); n != 0 {
+		t.Errorf("%d attempts to a draining backend", n)
 	}
-	h.node.loop.Call(context.Background(), func() {
-		if b := h.node.loop.Believes(); b.Cold != 0 || h.node.loop.Tally.Outcomes[brain.NotSent] != 1 {
-			t.Errorf("an attempt that was not sent speaks against its backend: %+v, outcomes %v", b, h.node.loop.Tally.Outcomes)
+	cluster.node.loop.Call(context.Background(), func() {
+		if b := cluster.node.loop.Believes(); b.Cold != 0 || cluster.node.loop.Tally.Outcomes[brain.NotSent] != 1 {
+			t.Errorf("an attempt that was not sent counts against its backend: %+v, outcomes %v", b, cluster.node.loop.Tally.Outcomes)
 		}
-		h.node.loop.HostOf("r1").Standing = brain.Ready
+		cluster.node.loop.HostOf("r1").Standing = brain.Ready
 	})
-	h.settled()
+	cluster.settled()
 }
 
-// A client that goes between the choice and the first byte has nothing sent for it, also where attempts are not cancelled.
-func TestAClientThatGoesBetweenChoiceAndSendHasNothingSent(t *testing.T) {
+// For a client that leaves after its backend was chosen and before the first byte nothing is sent, whether attempts
+// are cancelled or not.
+func TestClientLeavingBeforeSendStopsTheAttempt(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancelling %t", cancelling), func(t *testing.T) {
-			h := enter(t, func(h *house, p *Place) { p.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling })
-			h.submit("q1", 0, func(a *dispatch.ClientRequest) { h.node.loop.Left(a) })
-			h.settled()
-			if n := len(h.site.Seen("", "POST")); n != 0 {
-				t.Errorf("%d attempts for a client that has gone", n)
+			cluster := enter(t, func(_ *house, p *Place) { p.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling })
+			cluster.submit("q1", 0, func(request *dispatch.ClientRequest) { cluster.node.loop.Left(request) })
+			cluster.settled()
+			if n := len(cluster.site.Seen("", "POST")); n != 0 {
+				t.Errorf("%d attempts for a client that has left", n)
 			}
 		})
 	}
 }
 
-// The time that an attempt tells its backend is what is left when it is sent, not when it was decided on.
-func TestAnAttemptTellsWhatIsLeftWhenItIsSent(t *testing.T) {
-	h := enter(t, nil)
-	const stuck = 300 * time.Millisecond
-	h.submit("q1", 1, func(*dispatch.ClientRequest) { time.Sleep(stuck) }) // the loop is busy
-	h.until("it is out", func() bool { return len(h.site.Seen("r1", "POST")) == 1 })
-	told, err := time.ParseDuration(h.site.Seen("r1", "POST")[0].Head.Get("X-Timeout-Ms") + "ms")
-	if err != nil || told > 3*time.Second-stuck {
-		t.Errorf("told %v, %v", told, err)
+// The timeout that an attempt states to its backend is the time remaining when it is sent, not when it was decided on.
+func TestAttemptStatesTheTimeRemainingAtSend(t *testing.T) {
+	cluster := enter(t, nil)
+	const blocked = 300 * time.Millisecond
+	cluster.submit("q1", 1, func(*dispatch.ClientRequest) { time.Sleep(blocked) }) // blocks the event loop
+	cluster.until("the attempt is sent", func() bool { return len(cluster.site.Seen("r1", "POST")) == 1 })
+	stated, err := time.ParseDuration(cluster.site.Seen("r1", "POST")[0].Head.Get("X-Timeout-Ms") + "ms")
+	if err != nil || stated > 3*time.Second-blocked {
+		t.Errorf("stated %v, %v", stated, err)
 	}
-	h.until("all is over", func() bool { return h.site.Out() == 0 })
+	cluster.until("no request is in flight", func() bool { return cluster.site.Out() == 0 })
 }
 
-// A connection that breaks within the request proves that it never ran: also what must not be repeated is sent again.
-func TestARequestThatIsCutOffInTheMiddleIsSentAgain(t *testing.T) {
-	h := enter(t, nil)
-	var tries atomic.Int64
-	h.reader.Greet(func(c net.Conn) bool {
-		if tries.Add(1) > 1 {
+// A connection that breaks while the request is being written proves that the request never ran: a non-idempotent one
+// is retried too.
+func TestRequestBrokenOffWhileWritingIsRetried(t *testing.T) {
+	cluster := enter(t, nil)
+	var connections atomic.Int64
+	cluster.reader.Greet(func(conn net.Conn) bool {
+		if connections.Add(1) > 1 {
 			return true
 		}
-		c.(*net.TCPConn).SetReadBuffer(1 << 10)
-		io.ReadFull(c, make([]byte, 100))
-		c.(*net.TCPConn).SetLinger(0)
+		conn.(*net.TCPConn).SetReadBuffer(1 << 10)
+		io.ReadFull(conn, make([]byte, 100))
+		conn.(*net.TCPConn).SetLinger(0)
 		return false
 	})
-	big := make([]byte, 250_000)
-	for i := range big {
-		big[i] = 'x'
+	body := make([]byte, 250_000)
+	for i := range body {
+		body[i] = 'x'
 	}
-	got := h.says(h.ask("hut-booking", "Content-Length: 12", "Content-Length: 250000", `{"model":""}`, string(big)))
+	got := cluster.says(cluster.ask("hut-booking", "Content-Length: 12", "Content-Length: 250000", `{"model":""}`, string(body)))
 	if got.status != 200 || !got.whole {
 		t.Errorf("%+v", got)
 	}
-	h.settled()
+	cluster.settled()
 }
 
-// A request that is called off while it is being written is not called harmless to repeat; one of which nothing went out is.
-func TestARequestCutOffByItsDeadlineIsNotCalledHarmless(t *testing.T) {
+// A request that is cancelled while it is being written counts as one that may have run; one of which no byte was
+// sent does not.
+func TestPartlyWrittenRequestMayHaveRun(t *testing.T) {
 	for sent, want := range map[int]brain.Outcome{0: brain.Unreachable, 10: brain.TimedOut} {
-		ours, far := net.Pipe()
-		ctx, off := context.WithCancelCause(context.Background())
+		local, remote := net.Pipe()
+		ctx, cancel := context.WithCancelCause(context.Background())
 		go func() {
-			io.ReadFull(far, make([]byte, sent))
-			off(dispatch.ErrLate)
+			io.ReadFull(remote, make([]byte, sent))
+			cancel(dispatch.ErrLate)
 		}()
-		_, err := write(ctx, &reach.Conn{Conn: ours}, []byte("POST / HTTP/1.1\r\n\r\n"), []byte("{}"))
+		_, err := write(ctx, &reach.Conn{Conn: local}, []byte("POST / HTTP/1.1\r\n\r\n"), []byte("{}"))
 		if err == nil {
-			t.Fatal("a request that was cut off counts as sent")
+			t.Fatal("a request that was broken off counts as sent")
 		}
 		if got := notSent(ctx, err); got.Outcome != want {
-			t.Errorf("with %d bytes out: %v", sent, got.Outcome)
+			t.Errorf("with %d bytes sent: %v", sent, got.Outcome)
 		}
-		far.Close()
+		remote.Close()
 	}
 }
 
-// Answers in front of the answer are read up to a bound, and an answer that comes before the request's last byte counts.
-func TestAnswersThatComeTooEarlyOrWithoutEnd(t *testing.T) {
-	t.Run("1xx without end", func(t *testing.T) {
-		h := enter(t, nil)
-		h.first(func(e *hosts.Exchange) bool {
+// The number of 1xx responses before the final one is bounded, and a response that comes before the request's last
+// byte counts.
+func TestEarlyAndEndlessResponses(t *testing.T) {
+	t.Run("endless 1xx", func(t *testing.T) {
+		cluster := enter(t, nil)
+		cluster.first(func(e *hosts.Exchange) bool {
 			for e.Write("HTTP/1.1 103 Early Hints\r\n\r\n") {
 				select {
 				case <-e.Left:
@@ -157,176 +166,176 @@
 			}
 			return false
 		})
-		if got := h.says(h.ask("hut-booking")); got.status != 502 {
+		if got := cluster.says(cluster.ask("hut-booking")); got.status != 502 {
 			t.Errorf("%+v", got)
 		}
-		h.settled()
+		cluster.settled()
 	})
-	t.Run("a refusal before the last byte", func(t *testing.T) {
-		h := enter(t, nil)
-		var tries atomic.Int64
-		h.reader.Greet(func(c net.Conn) bool {
-			if tries.Add(1) > 1 {
+	t.Run("rejection before the last byte", func(t *testing.T) {
+		cluster := enter(t, nil)
+		var connections atomic.Int64
+		cluster.reader.Greet(func(conn net.Conn) bool {
+			if connections.Add(1) > 1 {
 				return true
 			}
-			io.ReadFull(c, make([]byte, 50))
-			io.WriteString(c, hosts.Refuse(503, true))
+			io.ReadFull(conn, make([]byte, 50))
+			io.WriteString(conn, hosts.Refuse(503, true))
 			return false
 		})
-		if got := h.says(h.ask("hut-booking")); got.status != 200 {
+		if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 {
 			t.Errorf("%+v", got)
 		}
-		h.settled()
+		cluster.settled()
 	})
 }
 
-// A read that ends just as its client leaves has its state released, whether attempts are cancelled or not.
-func TestAReadThatEndsAsItsClientLeavesIsReleased(t *testing.T) {
+// The KV cache of a prefill that ends just as its client leaves is released, whether attempts are cancelled or not.
+func TestPrefillEndingAsItsClientLeavesIsReleased(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancelling %t", cancelling), func(t *testing.T) {
-			h := enter(t, func(h *house, p *Place) { p.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling })
-			c := h.client()
-			h.reader.Do = func(e *hosts.Exchange) bool {
+			cluster := enter(t, func(_ *house, p *Place) { p.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling })
+			client := cluster.client()
+			cluster.reader.Do = func(e *hosts.Exchange) bool {
 				if e.Method != "POST" {
 					return e.Serve()
 				}
 				e.Hold()
-				c.Close()
-				h.until("the client is seen to go", func() bool { return h.node.frontend.asked.Load() == 0 })
+				client.Close()
+				cluster.until("the dispatcher notices that the client left", func() bool { return cluster.node.frontend.asked.Load() == 0 })
 				e.Write("HTTP/1.1 202 Accepted\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
 				return true
 			}
-			io.WriteString(c, h.ask("trail-info"))
-			h.until("it was read", func() bool { return len(h.site.Seen("r1", "POST")) == 1 })
-			h.settled()
-			if n := len(h.site.Seen("w1", "POST")) + len(h.site.Seen("w2", "POST")); n != 0 {
-				t.Errorf("%d attempts after the client has gone", n)
+			io.WriteString(client, cluster.ask("trail-info"))
+			cluster.until("the prefill is sent", func() bool { return len(cluster.site.Seen("r1", "POST")) == 1 })
+			cluster.settled()
+			if n := len(cluster.site.Seen("w1", "POST")) + len(cluster.site.Seen("w2", "POST")); n != 0 {
+				t.Errorf("%d attempts after the client left", n)
 			}
 		})
 	}
 }
 
-// Releases do not queue behind calls to backends that are cut off, however few descriptors there are.
-func TestReleasesDoNotWaitForBackendsThatAreCutOff(t *testing.T) {
-	h := enter(t, func(h *house, p *Place) { p.Limits.Sockets = 64 })
-	const requests = 8 // more than there are descriptors for calls at a time
-	there := make(chan bool, requests)
-	h.reader.Do = func(e *hosts.Exchange) bool {
+// Releases do not queue behind calls to partitioned backends, however few descriptors there are.
+func TestReleasesDoNotWaitForPartitionedBackends(t *testing.T) {
+	cluster := enter(t, func(_ *house, p *Place) { p.Limits.Sockets = 64 })
+	const requests = 8 // more than there are descriptors for concurrent release calls
+	received := make(chan bool, requests)
+	cluster.reader.Do = func(e *hosts.Exchange) bool {
 		e.Hold()
-		there <- true
+		received <- true
 		<-e.Left
 		return false
 	}
 	var clients []*client
 	for range requests {
-		c := h.client()
-		io.WriteString(c, h.ask("trail-info"))
-		clients = append(clients, c)
+		client := cluster.client()
+		io.WriteString(client, cluster.ask("trail-info"))
+		clients = append(clients, client)
 	}
 	for range requests {
 		select {
-		case <-there:
+		case <-received:
 		case <-time.After(5 * time.Second):
-			t.Fatal("not all are read")
+			t.Fatal("not all prefills were sent")
 		}
 	}
-	h.reader.Vanish()
-	h.writers[0].Vanish()
-	for _, c := range clients {
-		c.Close()
+	cluster.reader.Vanish()
+	cluster.writers[0].Vanish()
+	for _, client := range clients {
+		client.Close()
 	}
-	h.until("all attempts are over", func() bool { return h.site.Out() == 0 })
+	cluster.until("all attempts have ended", func() bool { return cluster.site.Out() == 0 })
 	began := time.Now()
-	h.until("all states are released", func() bool { return h.site.Held() == 0 })
-	if took := time.Since(began); took > h.site.Pin {
-		t.Errorf("the last state is released after %v", took)
+	cluster.until("all KV caches are released", func() bool { return cluster.site.Held() == 0 })
+	if took := time.Since(began); took > cluster.site.Pin {
+		t.Errorf("the last KV cache was released after %v", took)
 	}
-	h.settled()
+	cluster.settled()
 }
 
-// The id of a request that is open, or whose client has left, is refused without inviting a retry, also while the dispatcher stops: the
-// request that it belongs to may have run.
-func TestAKnownIDIsRefusedWithoutInvitingARetry(t *testing.T) {
-	h := enter(t, nil)
-	there, hold := make(chan bool, 1), make(chan struct{})
-	h.write(func(e *hosts.Exchange) bool {
+// A copy of a request that is open, or whose client has left, is refused without a Retry-After, also during shutdown:
+// the original may have run.
+func TestKnownRequestIDIsRefusedWithoutRetryAfter(t *testing.T) {
+	cluster := enter(t, nil)
+	received, hold := make(chan bool, 1), make(chan struct{})
+	cluster.write(func(e *hosts.Exchange) bool {
 		if e.Method != "POST" {
 			return e.Serve()
 		}
-		there <- true
+		received <- true
 		select {
 		case <-hold:
 		case <-e.Left:
 		}
 		return e.Serve()
 	})
-	raw := h.ask("hut-booking")
-	c := h.client()
-	io.WriteString(c, raw)
-	<-there
-	c.Close()
-	h.until("its client is seen to go", func() bool { return h.node.frontend.asked.Load() == 0 })
-	if got := h.says(raw); got.status != 409 || got.after != "" {
-		t.Errorf("after its client has left: %+v", got)
+	raw := cluster.ask("hut-booking")
+	client := cluster.client()
+	io.WriteString(client, raw)
+	<-received
+	client.Close()
+	cluster.until("the dispatcher notices that the client left", func() bool { return cluster.node.frontend.asked.Load() == 0 })
+	if got := cluster.says(raw); got.status != 409 || got.after != "" {
+		t.Errorf("after its client left: %+v", got)
 	}
-	raw = h.ask("hut-booking")
-	c = h.client()
-	io.WriteString(c, raw)
-	<-there
-	h.node.frontend.over.Store(true)
-	if got := h.says(raw); got.status != 409 || got.after != "" {
-		t.Errorf("while it stops: %+v", got)
+	raw = cluster.ask("hut-booking")
+	client = cluster.client()
+	io.WriteString(client, raw)
+	<-received
+	cluster.node.frontend.over.Store(true)
+	if got := cluster.says(raw); got.status != 409 || got.after != "" {
+		t.Errorf("during shutdown: %+v", got)
 	}
-	h.node.frontend.open = 0
-	if got := h.says(raw); got.status != 409 || got.after != "" {
-		t.Errorf("while too many are open: %+v", got)
+	cluster.node.frontend.open = 0
+	if got := cluster.says(raw); got.status != 409 || got.after != "" {
+		t.Errorf("while too many requests are open: %+v", got)
 	}
 	close(hold)
-	if got := c.said(); got.status != 200 {
-		t.Errorf("the open one: %+v", got)
+	if got := client.said(); got.status != 200 {
+		t.Errorf("the open request: %+v", got)
 	}
-	h.settled()
-	if n := len(h.site.Seen("r1", "POST")); n != 2 {
-		t.Errorf("%d requests were taken", n)
+	cluster.settled()
+	if n := len(cluster.site.Seen("r1", "POST")); n != 2 {
+		t.Errorf("%d requests were admitted", n)
 	}
 }
 
-// Ids are remembered for their span, and not without bound.
-func TestIDsAreForgotten(t *testing.T) {
-	r := newIDRegister(time.Hour)
-	for i := range 3 * idsMost {
+// Ids are remembered for the retention time, and their number is bounded.
+func TestRequestIDsAreForgotten(t *testing.T) {
+	ids := newIDRegister(time.Hour)
+	for i := range 3 * maxGenerationIDs {
 		id := fmt.Sprint(i)
-		if !r.claim(id) || r.claim(id) {
-			t.Fatalf("%s is not claimed once", id)
+		if !ids.claim(id) || ids.claim(id) {
+			t.Fatalf("%s is not claimed exactly once", id)
 		}
-		r.release(id, true)
-		if !r.known(id) {
+		ids.release(id, true)
+		if !ids.known(id) {
 			t.Fatalf("%s is forgotten at once", id)
 		}
 	}
-	if n := len(r.recent) + len(r.earlier); n > 2*idsMost+1 || r.known("0") {
-		t.Errorf("%d are remembered", n)
+	if n := len(ids.current) + len(ids.previous); n > 2*maxGenerationIDs+1 || ids.known("0") {
+		t.Errorf("%d ids are remembered", n)
 	}
-	r.claim("x")
-	r.release("x", false)
-	if r.known("x") {
-		t.Error("one that was not taken is remembered")
+	ids.claim("x")
+	ids.release("x", false)
+	if ids.known("x") {
+		t.Error("an id whose request was not admitted is remembered")
 	}
-	r.span = 0
+	ids.retention = 0
 	for _, id := range []string{"y", "z", "a"} {
-		r.claim(id)
-		r.release(id, true)
+		ids.claim(id)
+		ids.release(id, true)
 	}
-	if r.known("y") || !r.known("z") {
-		t.Error("the span does not count")
+	if ids.known("y") || !ids.known("z") {
+		t.Error("the retention time has no effect")
 	}
 }
 
-// localFailures has connecting to backends fail on this machine, with the error that is set.
-func localFailures(h *house) *atomic.Pointer[syscall.Errno] {
+// failDials makes connecting to backends fail on this machine, with the error that the result holds.
+func failDials(cluster *house) *atomic.Pointer[syscall.Errno] {
 	failing := new(atomic.Pointer[syscall.Errno])
-	h.system.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-		if errno := failing.Load(); errno != nil && address != h.agent.At {
+	cluster.system.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
+		if errno := failing.Load(); errno != nil && address != cluster.agent.At {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", *errno)}
 		}
 		return system.Real().Dial(ctx, network, address)
@@ -334,52 +343,53 @@
 	return failing
 }
 
-// What this machine lacks for a moment is no word from a backend: nothing is held against the fleet, a short moment is waited out, and
-// what a longer one keeps from being sent is rejected with the promise that it did not run.
-func TestALocalFailureIsNotHeldAgainstBackends(t *testing.T) {
+// A resource that this machine lacks for a moment says nothing about backends: none is suspected. A short lack is
+// waited out, and requests that a longer one keeps from being sent are rejected with the statement that they did not
+// run.
+func TestLocalDialFailuresDoNotCountAgainstBackends(t *testing.T) {
 	var failing *atomic.Pointer[syscall.Errno]
-	h := enter(t, func(h *house, _ *Place) { failing = localFailures(h) })
+	cluster := enter(t, func(cluster *house, _ *Place) { failing = failDials(cluster) })
 	for _, errno := range []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN,
 	} {
 		failing.Store(&errno)
 		time.AfterFunc(100*time.Millisecond, func() { failing.Store(nil) })
-		if got := h.says(h.ask("hut-booking")); got.status != 200 {
+		if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 {
 			t.Errorf("%v for 100 ms: %+v", errno, got)
 		}
 		failing.Store(&errno)
-		if got := h.says(h.ask("hut-booking")); got.status != 503 {
+		if got := cluster.says(cluster.ask("hut-booking")); got.status != 503 {
 			t.Errorf("%v for longer: %+v", errno, got)
 		}
 		failing.Store(nil)
-		h.node.loop.Call(context.Background(), func() {
-			if b := h.node.loop.Believes(); b.Cold != 0 || b.Doubted != 0 {
-				t.Errorf("%v: %d backends are taken for restarting, %d for failing", errno, b.Cold, b.Doubted)
+		cluster.node.loop.Call(context.Background(), func() {
+			if b := cluster.node.loop.Believes(); b.Cold != 0 || b.Doubted != 0 {
+				t.Errorf("%v: %d backends count as restarting, %d as failing", errno, b.Cold, b.Doubted)
 			}
 		})
-		if got := h.says(h.ask("hut-booking")); got.status != 200 {
+		if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 {
 			t.Errorf("after %v: %+v", errno, got)
 		}
 	}
-	h.settled()
+	cluster.settled()
 }
 
-// A state that waits is released in its time also where no descriptor for a decode attempt comes free, or the backend takes the
-// connection but not the request.
-func TestAStateIsLetGoWhereNothingCanBeSent(t *testing.T) {
+// A waiting KV cache is released in time also if no descriptor for a decode attempt becomes free, or if the backend
+// accepts the connection but does not read the request.
+func TestKVCacheIsReleasedIfDecodeCannotBeSent(t *testing.T) {
 	t.Run("no descriptor", func(t *testing.T) {
-		h := enter(t, nil)
-		done, hogged := make(chan struct{}), make(chan struct{})
-		h.reader.Do = func(e *hosts.Exchange) bool {
-			if e.Method == "POST" { // while it reads, others take all descriptors, and wait for the last
+		cluster := enter(t, nil)
+		done, returned := make(chan struct{}), make(chan struct{})
+		cluster.reader.Do = func(e *hosts.Exchange) bool {
+			if e.Method == "POST" { // during the prefill all descriptors are taken, the last one as soon as it is free
 				go func() {
-					defer close(hogged)
+					defer close(returned)
 					for taken := 0; ; taken++ {
 						select {
-						case h.node.transport.slots <- struct{}{}:
+						case cluster.node.transport.slots <- struct{}{}:
 						case <-done:
 							for range taken {
-								<-h.node.transport.slots
+								<-cluster.node.transport.slots
 							}
 							return
 						}
@@ -389,23 +399,23 @@
 			}
 			return e.Serve()
 		}
-		if got := h.says(h.ask("hut-booking")); got.status != 503 {
+		if got := cluster.says(cluster.ask("hut-booking")); got.status != 503 {
 			t.Errorf("%+v", got)
 		}
 		close(done)
-		<-hogged
-		h.settled()
+		<-returned
+		cluster.settled()
 	})
-	t.Run("the request is not taken", func(t *testing.T) {
-		h := enter(t, nil)
-		for _, w := range h.writers {
-			w.Greet(func(c net.Conn) bool {
-				c.(*net.TCPConn).SetReadBuffer(1 << 10)
-				raw, err := c.(*net.TCPConn).SyscallConn()
+	t.Run("request not read", func(t *testing.T) {
+		cluster := enter(t, nil)
+		for _, decoder := range cluster.writers {
+			decoder.Greet(func(conn net.Conn) bool {
+				conn.(*net.TCPConn).SetReadBuffer(1 << 10)
+				raw, err := conn.(*net.TCPConn).SyscallConn()
 				if err != nil {
 					t.Error(err)
 				}
-				// Calls that release are read; of a request nothing is, so that it never goes out whole.
+				// Release calls are read. Of a request nothing is read, so that it is never sent completely.
 				var first [1]byte
 				raw.Read(func(fd uintptr) bool {
 					_, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -419,9 +429,10 @@
 			})
 		}
 		body := `{"model":"` + strings.Repeat("a", 250<<10) + `"}`
-		if got := h.says(h.ask("hut-booking", "Content-Length: 12", fmt.Sprintf("Content-Length: %d", len(body)), `{"model":""}`, body)); got.status == 200 {
+		if got := cluster.says(cluster.ask("hut-booking", "Content-Length: 12", fmt.Sprintf("Content-Length: %d", len(body)),
+			`{"model":""}`, body)); got.status == 200 {
 			t.Errorf("%+v", got)
 		}
-		h.until("the state is released", func() bool { return h.site.Held() == 0 })
+		cluster.until("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
 	})
 }
--- /dev/null
+++ b/internal/platform/config.go
@@ -0,0 +1,126 @@
+// Package platform runs one dispatcher in the users' platform: it reads the platform's configuration, accepts client
+// requests, sends attempts to backends and follows service discovery. Scheduling decisions are made by package brain
+// behind the event loop of package dispatch, and the wire protocols are those of packages chat and endpoints. Begin
+// with Run.
+package platform
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"strconv"
+	"strings"
+
+	"github.com/cespare/xxhash/v2"
+
+	"sloetrestle/brain"
+)
+
+// Place is the configuration that the platform hands to a dispatcher.
+type Place struct {
+	Name      string `json:"name"`
+	Listen    string `json:"listen"`    // address for clients, host:port
+	Discovery string `json:"discovery"` // address of service discovery, host:port
+	Seed      string `json:"seed"`      // of random decisions, in hexadecimal
+	Limits    struct {
+		Cores    float64 `json:"cores"`
+		MemoryMB int     `json:"memory_mb"` // in MiB; 0: not stated
+		Sockets  int     `json:"sockets"`   // descriptors; 0: not stated
+	} `json:"limits"`
+	PeerListen string          `json:"peer_listen"` // UDP address for peer updates; empty: none
+	Peers      []string        `json:"peers"`       // addresses of the other dispatchers
+	Known      json.RawMessage `json:"known"`       // last-known endpoints, in discovery's format
+	Settings   map[string]any  `json:"settings"`
+}
+
+// maxConfigBytes bounds the size of a configuration file.
+const maxConfigBytes = 16 << 20
+
+// Load reads a configuration file. A name, listen or discovery address that the file lacks is taken from the
+// environment.
+func Load(file string, getenv func(string) string) (Place, error) {
+	var config Place
+	info, err := os.Stat(file)
+	if err != nil {
+		return config, err
+	}
+	if info.Size() > maxConfigBytes {
+		return config, fmt.Errorf("configuration file %s has %d bytes, the limit is %d", file, info.Size(), maxConfigBytes)
+	}
+	raw, err := os.ReadFile(file)
+	if err != nil {
+		return config, err
+	}
+	if err := json.Unmarshal(raw, &config); err != nil {
+		return config, fmt.Errorf("parsing configuration file %s: %w", file, err)
+	}
+	for _, fallback := range []struct {
+		field    *string
+		variable string
+	}{{&config.Name, "BALANCER_NAME"}, {&config.Listen, "BALANCER_LISTEN"}, {&config.Discovery, "BALANCER_DISCOVERY"}} {
+		if *fallback.field == "" {
+			*fallback.field = getenv(fallback.variable)
+		}
+	}
+	config.Discovery = strings.TrimSuffix(strings.TrimPrefix(config.Discovery, "http://"), "/")
+	return config, config.validate()
+}
+
+func (p Place) validate() error {
+	switch {
+	case p.Listen == "":
+		return errors.New("configuration: listen is missing")
+	case p.Discovery == "":
+		return errors.New("configuration: discovery is missing")
+	case len(p.Settings) == 0:
+		return errors.New("configuration: settings are missing")
+	case p.Limits.MemoryMB < 0 || p.Limits.Sockets < 0:
+		return fmt.Errorf("configuration: limits must not be negative: memory_mb %d, sockets %d", p.Limits.MemoryMB, p.Limits.Sockets)
+	}
+	return brain.Flat(p.Settings).Sound()
+}
+
+// randomSeed returns the seed of the scheduler's random decisions.
+func (p Place) randomSeed() uint64 {
+	if n, err := strconv.ParseUint(p.Seed, 16, 64); err == nil {
+		return n
+	}
+	return xxhash.Sum64String(p.Seed)
+}
+
+// How descriptors and memory are divided.
+const (
+	reservedSockets  = 24   // for the listener, discovery, peers and the process itself
+	clientShare      = 0.55 // of the other descriptors, for client connections
+	attemptShare     = 0.35 // of the other descriptors, for attempts
+	releaseShare     = 0.08 // of the other descriptors, for release calls
+	heapShare        = 0.6  // of the memory; above it the garbage collector works harder
+	bodyShare        = 0.2  // of the memory, for request bodies
+	defaultSockets   = 1024 // where the limits state none
+	defaultMemoryMiB = 192  // where the limits state none
+)
+
+// resources is what the limits leave to each use.
+type resources struct {
+	clients, attempts int   // connections
+	releases          int   // concurrent release calls
+	heap, bodies      int64 // bytes
+}
+
+func (p Place) resources() resources {
+	sockets, memory := p.Limits.Sockets, int64(p.Limits.MemoryMB)<<20
+	if sockets == 0 {
+		sockets = defaultSockets
+	}
+	if memory == 0 {
+		memory = defaultMemoryMiB << 20
+	}
+	// Each use gets a few descriptors however low the limit is, so that the dispatcher still works.
+	free := max(sockets-reservedSockets, 16)
+	share := func(part float64, least int) int { return max(int(part*float64(free)), least) }
+	return resources{
+		clients: share(clientShare, 8), attempts: share(attemptShare, 4), releases: share(releaseShare, 2),
+		heap: int64(heapShare * float64(memory)), bodies: int64(bodyShare * float64(memory)),
+	}
+}
--- a/internal/platform/ids.go
+++ b/internal/platform/ids.go
@@ -8,26 +8,32 @@
 )
 
 const (
-	idsMost = 1 << 15          // ids of one generation, 8 bytes each: over 1,000 requests a second are remembered for their span
-	idsSpan = 10 * time.Second // beyond the longest deadline, that an id is remembered for
+	// maxGenerationIDs bounds the ids of one generation, at 8 bytes each. It covers over 1,000 requests a second for
+	// the whole retention time.
+	maxGenerationIDs = 1 << 15
+	// idsSpan is how long an id is remembered beyond the longest deadline.
+	idsSpan = 10 * time.Second
 )
 
-// idRegister knows the ids of requests that are open or were so lately. Each request has an id of its own, a client's retry too, so one
-// that comes again is not the client's: its own request may have run, and a refusal of the copy would say that it has not.
+// idRegister knows the ids of requests that are open or were admitted recently. Every request has its own id, and so
+// has a client's retry. A request with a known id is therefore a copy that the client did not make: the original may
+// have run, so a rejection of the copy would wrongly state that it has not.
 type idRegister struct {
-	span time.Duration // for which an id is remembered at least
+	retention time.Duration // for which an id is remembered at least
 
-	mu              sync.Mutex
-	open            map[string]bool
-	recent, earlier map[uint64]bool // hashes of those taken in the present span, and in the one before
-	turned          time.Time       // when the present span began
+	mu                sync.Mutex
+	open              map[string]bool
+	current, previous map[uint64]bool // hashes of the ids admitted in the current generation and in the one before
+	generationStart   time.Time
 }
 
-func newIDRegister(span time.Duration) *idRegister {
-	return &idRegister{span: span, open: map[string]bool{}, recent: map[uint64]bool{}, earlier: map[uint64]bool{}, turned: time.Now()}
+func newIDRegister(retention time.Duration) *idRegister {
+	return &idRegister{
+		retention: retention, open: map[string]bool{}, current: map[uint64]bool{}, previous: map[uint64]bool{}, generationStart: time.Now(),
+	}
 }
 
-// known tells whether an id is open or was taken lately.
+// known reports whether an id is open or was admitted recently.
 func (r *idRegister) known(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -36,10 +42,10 @@
 
 func (r *idRegister) knownLocked(id string) bool {
 	hash := xxhash.Sum64String(id)
-	return r.open[id] || r.recent[hash] || r.earlier[hash]
+	return r.open[id] || r.current[hash] || r.previous[hash]
 }
 
-// claim opens an id; false: it is known.
+// claim opens an id. It returns false if the id is known.
 func (r *idRegister) claim(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -50,16 +56,16 @@
 	return true
 }
 
-// release closes an id. One that was taken is remembered.
-func (r *idRegister) release(id string, taken bool) {
+// release closes an id, and remembers it if its request was admitted.
+func (r *idRegister) release(id string, admitted bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.open, id)
-	if !taken {
+	if !admitted {
 		return
 	}
-	if now := time.Now(); now.Sub(r.turned) >= r.span || len(r.recent) >= idsMost {
-		r.earlier, r.recent, r.turned = r.recent, map[uint64]bool{}, now
+	if now := time.Now(); now.Sub(r.generationStart) >= r.retention || len(r.current) >= maxGenerationIDs {
+		r.previous, r.current, r.generationStart = r.current, map[uint64]bool{}, now
 	}
-	r.recent[xxhash.Sum64String(id)] = true
+	r.current[xxhash.Sum64String(id)] = true
 }
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -22,52 +22,55 @@
 	"sloetrestle/internal/system"
 )
 
-// quiet is a log that nobody reads.
+// quiet discards its lines.
 var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// house is a dispatcher in this process with a prefill backend and two decode backends.
+// house is a dispatcher in this process with one prefill backend and two decode backends.
 type house struct {
 	t       *testing.T
 	site    *hosts.Site
-	agent   *hosts.Agent
+	agent   *hosts.Agent // of service discovery
 	reader  *hosts.Box
 	writers []*hosts.Box
 	node    *node
-	at      string
+	at      string // of the dispatcher's listener
 	again   chan os.Signal
 	read    func() (Place, error)
-	quit    context.CancelFunc
-	ended   chan error
-	ids     int
+	quit    context.CancelFunc // begins the graceful shutdown
+	ended   chan error         // the result of the node's run
+	ids     int                // requests made
 	system  system.System
 }
 
-// open starts everything; all of it has ended when the test has, and the backends saw no rule broken.
-func enter(t *testing.T, change func(h *house, p *Place)) *house {
+// enter starts everything, with the given change to the configuration. When the test ends, everything must have
+// ended, and neither the backends nor the monitor must have seen a violation.
+func enter(t *testing.T, change func(cluster *house, config *Place)) *house {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	h := &house{t: t, site: hosts.New(), again: make(chan os.Signal, 1), ended: make(chan error, 1), system: system.Real()}
-	h.reader = h.site.Box("r1", hosts.Reader)
-	h.writers = []*hosts.Box{h.site.Box("w1", hosts.Writer), h.site.Box("w2", hosts.Writer)}
-	h.agent = h.site.Agent()
-	p := Place{Name: "n1", Listen: "127.0.0.1:0", Discovery: h.agent.At, Seed: "8c1f30d27a5be964"}
-	if err := json.Unmarshal([]byte(hosts.Settings), &p.Settings); err != nil {
+	cluster := &house{t: t, site: hosts.New(), again: make(chan os.Signal, 1), ended: make(chan error, 1), system: system.Real()}
+	cluster.reader = cluster.site.Box("r1", hosts.Reader)
+	cluster.writers = []*hosts.Box{cluster.site.Box("w1", hosts.Writer), cluster.site.Box("w2", hosts.Writer)}
+	cluster.agent = cluster.site.Agent()
+	config := Place{Name: "n1", Listen: "127.0.0.1:0", Discovery: cluster.agent.At, Seed: "8c1f30d27a5be964"}
+	if err := json.Unmarshal([]byte(hosts.Settings), &config.Settings); err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
-		change(h, &p)
+		change(cluster, &config)
 	}
 	var err error
-	if h.node, err = open(context.Background(), p, h.system, quiet); err != nil {
+	if cluster.node, err = newNode(context.Background(), config, cluster.system, quiet); err != nil {
 		t.Fatal(err)
 	}
-	h.at = h.node.limiter.Addr().String()
-	h.read = func() (Place, error) { return p, nil }
-	ctx, quit := context.WithCancel(context.Background())
-	h.quit = quit
-	go func() { h.ended <- h.node.run(ctx, h.again, func() (Place, error) { return h.read() }) }()
-	h.until("the dispatcher is ready", func() bool {
-		resp, err := http.Get("http://" + h.at + "/ready")
+	cluster.at = cluster.node.limiter.Addr().String()
+	cluster.read = func() (Place, error) { return config, nil }
+	ctx, cancel := context.WithCancel(context.Background())
+	cluster.quit = cancel
+	go func() {
+		cluster.ended <- cluster.node.run(ctx, cluster.again, func() (Place, error) { return cluster.read() })
+	}()
+	cluster.until("the dispatcher is ready", func() bool {
+		resp, err := http.Get("http://" + cluster.at + "/ready")
 		if err != nil {
 			return false
 		}
@@ -76,121 +79,126 @@
 	})
 	http.DefaultClient.CloseIdleConnections()
 	t.Cleanup(func() {
-		h.quit()
+		cluster.quit()
 		select {
-		case err := <-h.ended:
+		case err := <-cluster.ended:
 			if err != nil {
 				t.Error(err)
 			}
 		case <-time.After(15 * time.Second):
-			t.Error("it does not end")
+			t.Error("the dispatcher does not end")
 		}
-		for _, f := range h.site.Faults {
-			t.Error("rule broken: " + f)
+		for _, violation := range cluster.site.Faults {
+			t.Error("violation seen by the backends: " + violation)
 		}
-		if broken := h.node.monitor.Counts(); broken != "" {
-			t.Error("rules broken, as the monitor counts: " + broken)
+		if violations := cluster.node.monitor.Counts(); violations != "" {
+			t.Error("violations counted by the monitor: " + violations)
 		}
-		h.site.Close()
+		cluster.site.Close()
 		goleak.VerifyNone(t, before)
 	})
-	return h
+	return cluster
 }
 
-// until waits for something to become true.
-func (h *house) until(what string, is func() bool) {
-	h.t.Helper()
-	for end := time.Now().Add(8 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
+// until waits for a condition and fails the test after 8 s.
+func (c *house) until(condition string, holds func() bool) {
+	c.t.Helper()
+	for end := time.Now().Add(8 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			h.t.Fatal("it never came to be that " + what)
+			c.t.Fatal("timed out waiting until " + condition)
 		}
 	}
 }
 
-// write has both decode backends answer so; first only the first attempt to either, and the others well.
-func (h *house) write(do func(e *hosts.Exchange) bool) {
-	for _, w := range h.writers {
-		w.Do = do
+// write sets how both decode backends respond.
+func (c *house) write(do func(e *hosts.Exchange) bool) {
+	for _, decoder := range c.writers {
+		decoder.Do = do
 	}
 }
 
-func (h *house) first(do func(e *hosts.Exchange) bool) {
-	h.write(func(e *hosts.Exchange) bool {
-		if e.Method == "POST" && len(h.site.Seen("w1", "POST"))+len(h.site.Seen("w2", "POST")) == 1 {
+// first sets how the decode backends respond to the first attempt; further ones are served normally.
+func (c *house) first(do func(e *hosts.Exchange) bool) {
+	c.write(func(e *hosts.Exchange) bool {
+		if e.Method == "POST" && len(c.site.Seen("w1", "POST"))+len(c.site.Seen("w2", "POST")) == 1 {
 			return do(e)
 		}
 		return e.Serve()
 	})
 }
 
-// holdReads has the prefill backend hold a state for each request and answer none; what comes is handed over.
-func (h *house) holdReads() <-chan *hosts.Exchange {
-	there := make(chan *hosts.Exchange, 1)
-	h.reader.Do = func(e *hosts.Exchange) bool {
+// holdReads makes the prefill backend hold a KV cache for each request and respond to none. The requests are sent to
+// the channel.
+func (c *house) holdReads() <-chan *hosts.Exchange {
+	received := make(chan *hosts.Exchange, 1)
+	c.reader.Do = func(e *hosts.Exchange) bool {
 		if e.Method != "POST" {
 			return e.Serve()
 		}
 		e.Hold()
-		there <- e
+		received <- e
 		<-e.Left
 		return false
 	}
-	return there
+	return received
 }
 
-// settled waits until nothing is out, held or open, at the dispatcher as at the backends: rule 5, and every count back at nought.
-func (h *house) settled() {
-	h.t.Helper()
-	h.until("nothing is left of the questions", func() bool {
-		still := h.site.Out() + h.site.Held() + int(h.node.frontend.asked.Load()) + int(h.node.frontend.held.Load()) + int(h.node.transport.releasing.Load())
-		h.node.loop.Call(context.Background(), func() {
-			for _, b := range []*hosts.Box{h.reader, h.writers[0], h.writers[1]} {
-				if m := h.node.loop.HostOf(b.UID); m != nil && (m.Streams != 0 || m.Tokens != 0 || m.Unread != 0) {
-					still++
+// settled waits until nothing is in flight, held or open, at the dispatcher or at the backends, and every count is
+// back at zero.
+func (c *house) settled() {
+	c.t.Helper()
+	c.until("nothing of the requests remains", func() bool {
+		remaining := c.site.Out() + c.site.Held() + int(c.node.frontend.asked.Load()) + int(c.node.frontend.held.Load()) +
+			int(c.node.transport.pending.Load())
+		c.node.loop.Call(context.Background(), func() {
+			for _, b := range []*hosts.Box{c.reader, c.writers[0], c.writers[1]} {
+				if known := c.node.loop.HostOf(b.UID); known != nil && (known.Streams != 0 || known.Tokens != 0 || known.Unread != 0) {
+					remaining++
 				}
 			}
 		})
-		return still == 0
+		return remaining == 0
 	})
 }
 
-// ask is a client's request as text.
-func (h *house) ask(class string, change ...string) string {
-	h.ids++
-	raw := fmt.Sprintf("POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: q%d\r\nX-Priority-Class: %s\r\nX-Tenant-Id: web-app\r\n"+
-		"X-Route-Key: s%d\r\nX-Timeout-Ms: 3000\r\nX-Attrs: prefix=ab,prompt_len=400,prefix_len=100,max_out=50\r\nContent-Length: 12\r\n\r\n{\"model\":\"\"}", h.ids, class, h.ids)
+// ask returns a client's request as text, with the given pairs of old and new strings replaced.
+func (c *house) ask(class string, change ...string) string {
+	c.ids++
+	raw := fmt.Sprintf("POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: q%d\r\nX-Priority-Class: %s\r\n"+
+		"X-Tenant-Id: web-app\r\nX-Route-Key: s%d\r\nX-Timeout-Ms: 3000\r\nX-Attrs: prefix=ab,prompt_len=400,prefix_len=100,max_out=50\r\n"+
+		"Content-Length: 12\r\n\r\n{\"model\":\"\"}", c.ids, class, c.ids)
 	return strings.NewReplacer(change...).Replace(raw)
 }
 
-// chunked is a client's request whose body comes in chunks.
-func (h *house) chunked(class, body string) string {
-	return h.ask(class, "Content-Length: 12", "Transfer-Encoding: chunked", `{"model":""}`, body)
+// chunked returns a client's request with chunked transfer encoding.
+func (c *house) chunked(class, body string) string {
+	return c.ask(class, "Content-Length: 12", "Transfer-Encoding: chunked", `{"model":""}`, body)
 }
 
-// client is one connection.
+// client is one client connection.
 type client struct {
 	net.Conn
 	from *bufio.Reader
 }
 
-func (h *house) client() *client {
-	h.t.Helper()
-	c, err := net.Dial("tcp", h.at)
+func (c *house) client() *client {
+	c.t.Helper()
+	conn, err := net.Dial("tcp", c.at)
 	if err != nil {
-		h.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	h.t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	return &client{c, bufio.NewReader(c)}
+	c.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	return &client{conn, bufio.NewReader(conn)}
 }
 
-// said is what came back: a status of 0 is a close without an answer, whole tells whether the answer ended in good order.
+// said is the response to a client's request. A status of 0 means that the connection was closed without one.
 type said struct {
 	status int
-	after  string
-	closes bool
+	after  string // the Retry-After header
+	closes bool   // it announces that the connection is closed
 	text   string
-	whole  bool
+	whole  bool // it ended properly
 }
 
 func (c *client) said() said {
@@ -202,52 +210,54 @@
 	return said{resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close, string(text), err == nil}
 }
 
-func (h *house) says(raw string) said {
-	h.t.Helper()
-	c := h.client()
-	io.WriteString(c, raw)
-	return c.said()
+// says sends a request over a new connection and returns the response.
+func (c *house) says(raw string) said {
+	c.t.Helper()
+	client := c.client()
+	io.WriteString(client, raw)
+	return client.said()
 }
 
-func TestAQuestionGoesThroughByteForByte(t *testing.T) {
-	h := enter(t, nil)
-	got := h.says(h.ask("hut-booking"))
+func TestRequestAndResponsePassThroughByteForByte(t *testing.T) {
+	cluster := enter(t, nil)
+	got := cluster.says(cluster.ask("hut-booking"))
 	if got.status != 200 || got.text != hosts.Event("a")+hosts.Event("b")+hosts.Usage+hosts.Done || !got.whole {
 		t.Errorf("%+v", got)
 	}
-	for _, e := range h.site.Seen("", "POST") {
+	for _, e := range cluster.site.Seen("", "POST") {
 		if e.Target != "/v1/chat/completions?x=1" || e.Body != `{"model":""}` || e.ID != "q1" || e.Head.Get("X-Timeout-Ms") == "" {
 			t.Errorf("%s %s %q as %s, %v", e.Box.UID, e.Target, e.Body, e.ID, e.Head)
 		}
 	}
-	h.settled()
-	h.node.loop.Call(context.Background(), func() {
-		if r := h.node.loop.HostOf("r1"); r.Util != 0.5 || r.Queue != 2 {
-			t.Errorf("the reader's report is taken for %g, %g", r.Util, r.Queue)
+	cluster.settled()
+	cluster.node.loop.Call(context.Background(), func() {
+		if prefill := cluster.node.loop.HostOf("r1"); prefill.Util != 0.5 || prefill.Queue != 2 {
+			t.Errorf("the prefill backend's load report is read as util %g, queue %g", prefill.Util, prefill.Queue)
 		}
 	})
 }
 
-// A body may come in chunks of any size, with extensions and trailers; it goes on byte for byte. Requests behind it are served too.
-func TestABodyInChunksGoesThrough(t *testing.T) {
-	h := enter(t, nil)
+// A body may come in chunks of any size, with extensions and trailers, and is passed on byte for byte. A request that
+// follows on the same connection is served too.
+func TestChunkedBodyPassesThrough(t *testing.T) {
+	cluster := enter(t, nil)
 	for name, body := range map[string]string{
 		"one chunk":     "c\r\n{\"model\":\"\"}\r\n0\r\n\r\n",
 		"many chunks":   "1\r\n{\r\n7;a=b\r\n\"model\"\r\n0004\r\n:\"\"}\r\n0\r\n\r\n",
 		"with trailers": "c\r\n{\"model\":\"\"}\r\n0\r\nA: b\r\nC: d\r\n\r\n",
 	} {
-		before := len(h.site.Seen("", "POST"))
-		c := h.client()
-		for _, b := range []byte(h.chunked("hut-booking", body)) { // in pieces of a byte
-			c.Write([]byte{b})
+		before := len(cluster.site.Seen("", "POST"))
+		client := cluster.client()
+		for _, b := range []byte(cluster.chunked("hut-booking", body)) { // one byte per write
+			client.Write([]byte{b})
 		}
-		io.WriteString(c, h.ask("hut-booking"))
+		io.WriteString(client, cluster.ask("hut-booking"))
 		for range 2 {
-			if got := c.said(); got.status != 200 || !got.whole || got.closes {
+			if got := client.said(); got.status != 200 || !got.whole || got.closes {
 				t.Errorf("%s: %+v", name, got)
 			}
 		}
-		seen := h.site.Seen("", "POST")
+		seen := cluster.site.Seen("", "POST")
 		if len(seen) != before+4 {
 			t.Errorf("%s: %d attempts", name, len(seen)-before)
 		}
@@ -256,372 +266,381 @@
 				t.Errorf("%s: %q, %v", name, e.Body, e.Head)
 			}
 		}
-		c.Close()
+		client.Close()
 	}
-	h.settled()
+	cluster.settled()
 }
 
-// What ends an attempt at the decode backend, and what the client of an unrepeatable and of an idempotent request gets then. Where the attempt is
-// proven not to have run, another may follow for both.
-func TestEachEndOfATripIsTakenForWhatItProves(t *testing.T) {
-	spoilt := func(raw string) func(e *hosts.Exchange) bool {
+// Every way in which a decode attempt can end, and what the client of a non-idempotent and of an idempotent request
+// gets then. If the attempt provably did not run, both may be retried.
+func TestAttemptEndsAreRetriedOnlyIfProvenNotRun(t *testing.T) {
+	malformed := func(raw string) func(e *hosts.Exchange) bool {
 		return func(e *hosts.Exchange) bool { e.Write(raw); <-e.Left; return false }
 	}
-	says := func(raw string) func(e *hosts.Exchange) bool {
+	responds := func(raw string) func(e *hosts.Exchange) bool {
 		return func(e *hosts.Exchange) bool { return e.Write(raw) }
 	}
 	for _, c := range []struct {
-		name string
-		do   func(e *hosts.Exchange) bool
-		once int // the status that the client of an unrepeatable request gets
+		name       string
+		do         func(e *hosts.Exchange) bool
+		wantStatus int // for the client of a non-idempotent request
 	}{
-		{"turned away", says(hosts.Refuse(503, true)), 200},
-		{"over at the box", says(hosts.Refuse(504, true)), 200},
-		{"state gone", says(hosts.Refuse(410, true)), 200},
-		{"503 of somebody", says(hosts.Refuse(503, false)), 502},
-		{"error", says(hosts.Refuse(500, false)), 502},
+		{"rejected by the backend", responds(hosts.Refuse(503, true)), 200},
+		{"deadline passed at the backend", responds(hosts.Refuse(504, true)), 200},
+		{"KV cache gone", responds(hosts.Refuse(410, true)), 200},
+		{"503 that proves nothing", responds(hosts.Refuse(503, false)), 502},
+		{"error", responds(hosts.Refuse(500, false)), 502},
 		{"reset", func(*hosts.Exchange) bool { return false }, 502},
-		{"noise", spoilt("\x00\x01\x02\x03 noise\r\n\r\n"), 502},
-		{"endless head", spoilt("HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 9000)), 502},
-		{"a head that stops", spoilt("HTTP/1.1 200 OK\r\nX-"), 502},
-		{"no chunk", spoilt(hosts.Opening + "zz\r\n"), 502},
-		{"a chunk of 3 GB", spoilt(hosts.Opening + "c0000000\r\n" + hosts.Event("a")), 502},
-		{"length and no chunks", spoilt("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" + hosts.Event("a")), 502},
-		{"a 1xx in front", func(e *hosts.Exchange) bool { e.Write("HTTP/1.1 103 Early Hints\r\n\r\n"); return e.Serve() }, 200},
-		{"a second answer behind", func(e *hosts.Exchange) bool { return e.Serve() && e.Write(hosts.Opening+hosts.Chunk(hosts.Event("z"))) }, 200},
+		{"garbage", malformed("\x00\x01\x02\x03 noise\r\n\r\n"), 502},
+		{"endless head", malformed("HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 9000)), 502},
+		{"incomplete head", malformed("HTTP/1.1 200 OK\r\nX-"), 502},
+		{"malformed chunk", malformed(hosts.Opening + "zz\r\n"), 502},
+		{"chunk of 3 GB", malformed(hosts.Opening + "c0000000\r\n" + hosts.Event("a")), 502},
+		{"length instead of chunks", malformed("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" + hosts.Event("a")), 502},
+		{"1xx first", func(e *hosts.Exchange) bool { e.Write("HTTP/1.1 103 Early Hints\r\n\r\n"); return e.Serve() }, 200},
+		{"second response behind the first", func(e *hosts.Exchange) bool {
+			return e.Serve() && e.Write(hosts.Opening+hosts.Chunk(hosts.Event("z")))
+		}, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			h := enter(t, nil)
-			h.first(c.do)
-			if got := h.says(h.ask("hut-booking")); got.status != c.once || got.status == 200 && !got.whole {
-				t.Errorf("unrepeatable: %+v", got)
+			cluster := enter(t, nil)
+			cluster.first(c.do)
+			if got := cluster.says(cluster.ask("hut-booking")); got.status != c.wantStatus || got.status == 200 && !got.whole {
+				t.Errorf("non-idempotent: %+v", got)
 			}
-			h.settled()
-			if got := h.says(h.ask("trail-info")); got.status != 200 || strings.Contains(got.text, `"z"`) || !got.whole {
-				t.Errorf("the next one: %+v", got)
+			cluster.settled()
+			if got := cluster.says(cluster.ask("trail-info")); got.status != 200 || strings.Contains(got.text, `"z"`) || !got.whole {
+				t.Errorf("the next request: %+v", got)
 			}
-			h.settled()
+			cluster.settled()
 		})
 	}
 }
 
-// An unrepeatable request must not be asked again while its first attempt may have run; an idempotent one may.
-func TestAnIdempotentQuestionOutlivesASpoiltAnswer(t *testing.T) {
-	h := enter(t, nil)
-	h.first(func(e *hosts.Exchange) bool { return e.Write("HTTP/1.1 200 OK\r\n\x01\x02\r\n") && false })
-	if got := h.says(h.ask("trail-info")); got.status != 200 || !got.whole {
+// An idempotent request is retried although its first attempt may have run, unlike a non-idempotent one.
+func TestIdempotentRequestSurvivesAMalformedResponse(t *testing.T) {
+	cluster := enter(t, nil)
+	cluster.first(func(e *hosts.Exchange) bool { return e.Write("HTTP/1.1 200 OK\r\n\x01\x02\r\n") && false })
+	if got := cluster.says(cluster.ask("trail-info")); got.status != 200 || !got.whole {
 		t.Errorf("%+v", got)
 	}
-	h.settled()
+	cluster.settled()
 }
 
-// A stream that breaks after its first event ends the client's connection without the last chunk, soon.
-func TestABrokenStreamIsNotEndedAsWhole(t *testing.T) {
-	for name, tail := range map[string]string{"between chunks": "", "in a chunk": "20\r\ndata", "a chunk's size": "zz\r\n", "early end": hosts.Last} {
+// A stream that breaks after its first event ends the client's connection without the last chunk, so that the client
+// does not take the response for complete.
+func TestBrokenStreamIsNotEndedAsComplete(t *testing.T) {
+	for name, tail := range map[string]string{
+		"between chunks": "", "in a chunk": "20\r\ndata", "in a chunk's size": "zz\r\n", "early last chunk": hosts.Last,
+	} {
 		t.Run(name, func(t *testing.T) {
-			h := enter(t, nil)
-			h.write(func(e *hosts.Exchange) bool {
+			cluster := enter(t, nil)
+			cluster.write(func(e *hosts.Exchange) bool {
 				e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")) + tail)
 				return false
 			})
-			if got := h.says(h.ask("trail-info")); got.status != 200 || got.text != hosts.Event("a") || got.whole {
+			if got := cluster.says(cluster.ask("trail-info")); got.status != 200 || got.text != hosts.Event("a") || got.whole {
 				t.Errorf("%+v", got)
 			}
-			h.settled()
+			cluster.settled()
 		})
 	}
 }
 
-// A state that no decode backend can be reached for is released in its time, also where the backend that holds it can't be reached either.
-func TestAStateIsLetGoWhereNoConnectionComesUp(t *testing.T) {
-	h := enter(t, func(h *house, p *Place) {
-		p.Settings["familyInfo"].(map[string]any)["pinLimitUs"] = 300_000.0
-		h.site.Pin = 500 * time.Millisecond
-		h.site.Box("r2", hosts.Writer).State = "terminating" // it takes no requests, but that call
+// A KV cache is released in time also if neither a decode backend nor the backend that holds it can be reached.
+func TestKVCacheIsReleasedIfNoConnectionIsEstablished(t *testing.T) {
+	cluster := enter(t, func(cluster *house, config *Place) {
+		config.Settings["familyInfo"].(map[string]any)["pinLimitUs"] = 300_000.0
+		cluster.site.Pin = 500 * time.Millisecond
+		cluster.site.Box("r2", hosts.Writer).State = "terminating" // it accepts no requests, but release calls
 	})
-	h.reader.Do = func(e *hosts.Exchange) bool {
+	cluster.reader.Do = func(e *hosts.Exchange) bool {
 		if e.Method == "POST" {
-			for _, b := range append(h.writers, h.reader) {
+			for _, b := range append(cluster.writers, cluster.reader) {
 				b.Vanish()
 			}
 		}
 		return e.Serve()
 	}
-	c := h.client()
-	io.WriteString(c, h.ask("trail-info"))
-	h.until("it is read", func() bool { return h.site.Held() == 1 })
-	h.until("it is released", func() bool { return h.site.Held() == 0 })
-	c.Close()
-	h.settled()
+	client := cluster.client()
+	io.WriteString(client, cluster.ask("trail-info"))
+	cluster.until("the KV cache is held", func() bool { return cluster.site.Held() == 1 })
+	cluster.until("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
+	client.Close()
+	cluster.settled()
 }
 
-// A backend that goes silent in a stream is given up within 5 s.
-func TestASilentStreamIsGivenUp(t *testing.T) {
-	h := enter(t, nil)
-	h.write(func(e *hosts.Exchange) bool {
+// A stream whose backend sends nothing more is given up within 5 s.
+func TestStalledStreamIsGivenUp(t *testing.T) {
+	cluster := enter(t, nil)
+	cluster.write(func(e *hosts.Exchange) bool {
 		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
 		<-e.Left
 		return false
 	})
 	began := time.Now()
-	if got := h.says(h.ask("trail-info")); got.whole || time.Since(began) > 5*time.Second {
+	if got := cluster.says(cluster.ask("trail-info")); got.whole || time.Since(began) > 5*time.Second {
 		t.Errorf("%+v after %v", got, time.Since(began))
 	}
-	h.settled()
+	cluster.settled()
 }
 
-func TestWhatIsNoQuestionIsRefusedAtOnce(t *testing.T) {
-	h := enter(t, nil)
+func TestInvalidRequestsAreRefusedAtOnce(t *testing.T) {
+	cluster := enter(t, nil)
 	huge := strings.Repeat("A", 40<<10)
 	for name, raw := range map[string]string{
-		"noise":             "\x16\x03\x01 what\r\n\r\n",
+		"garbage":           "\x16\x03\x01 what\r\n\r\n",
 		"endless head":      "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-A: " + huge,
-		"no id":             h.ask("trail-info", "X-Request-ID", "X-Other"),
-		"id of a path":      h.ask("trail-info", "X-Request-ID: q", "X-Request-ID: ../q"),
-		"class":             h.ask("no-such"),
-		"tenant":            h.ask("trail-info", "web-app", "nobody"),
-		"deadline no word":  h.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: soon"),
-		"deadline missing":  h.ask("trail-info", "X-Timeout-Ms", "X-Other"),
-		"deadline negative": h.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: -1"),
-		"deadline huge":     h.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 99999999999999999999"),
-		"length negative":   h.ask("trail-info", "Content-Length: 12", "Content-Length: -12"),
-		"length huge":       h.ask("trail-info", "Content-Length: 12", "Content-Length: 60000000"),
-		"length twice":      h.ask("trail-info", "Content-Length: 12", "Content-Length: 12\r\nContent-Length: 13"),
-		"length no number":  h.ask("trail-info", "Content-Length: 12", "Content-Length: x"),
-		"tokens negative":   h.ask("trail-info", "prompt_len=400", "prompt_len=-400"),
-		"tokens not finite": h.ask("trail-info", "prompt_len=400", "prompt_len=NaN"),
-		"tokens huge":       h.ask("trail-info", "prompt_len=400", "prompt_len=1e300"),
-		"hidden": h.ask("trail-info", "Content-Length: 12", "Content-Length: 200\r\nTransfer-Encoding: chunked",
-			`{"model":""}`, "0\r\n\r\n"+h.ask("hut-booking")),
-		"hidden the other way round": h.ask("trail-info", "Content-Length: 12", "Transfer-Encoding: chunked\r\nContent-Length: 12",
-			`{"model":""}`, "c\r\n{\"model\":\"\"}\r\n0\r\n\r\n"+h.ask("hut-booking")),
-		"a chunk of no size":   h.chunked("trail-info", "zz\r\n{}\r\n0\r\n\r\n"),
-		"a chunk of 3 GB":      h.chunked("trail-info", "c0000000\r\n{}"),
-		"a chunk that is long": h.chunked("trail-info", "1\r\n{}\r\n0\r\n\r\n"),
-		"chunks of too much":   h.chunked("trail-info", strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 9)+"0\r\n\r\n"),
-		"half the chunks":      h.chunked("trail-info", "c\r\n{\"model\""),
-		"no last chunk":        h.chunked("trail-info", "c\r\n{\"model\":\"\"}\r\n"),
-		"another path":         h.ask("trail-info", "/v1/chat/completions", "/v1/other"),
-		"another method":       h.ask("trail-info", "POST", "PUT"),
-		"half a body":          h.ask("trail-info", `{"model":""}`, `{"mod`),
-		"half a head":          "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n",
-		"nothing":              "",
+		"no id":             cluster.ask("trail-info", "X-Request-ID", "X-Other"),
+		"id with a path":    cluster.ask("trail-info", "X-Request-ID: q", "X-Request-ID: ../q"),
+		"unknown class":     cluster.ask("no-such"),
+		"unknown tenant":    cluster.ask("trail-info", "web-app", "nobody"),
+		"deadline no word":  cluster.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: soon"),
+		"deadline missing":  cluster.ask("trail-info", "X-Timeout-Ms", "X-Other"),
+		"deadline negative": cluster.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: -1"),
+		"deadline huge":     cluster.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 99999999999999999999"),
+		"length negative":   cluster.ask("trail-info", "Content-Length: 12", "Content-Length: -12"),
+		"length huge":       cluster.ask("trail-info", "Content-Length: 12", "Content-Length: 60000000"),
+		"length twice":      cluster.ask("trail-info", "Content-Length: 12", "Content-Length: 12\r\nContent-Length: 13"),
+		"length no number":  cluster.ask("trail-info", "Content-Length: 12", "Content-Length: x"),
+		"tokens negative":   cluster.ask("trail-info", "prompt_len=400", "prompt_len=-400"),
+		"tokens not finite": cluster.ask("trail-info", "prompt_len=400", "prompt_len=NaN"),
+		"tokens huge":       cluster.ask("trail-info", "prompt_len=400", "prompt_len=1e300"),
+		"smuggled by length and chunks": cluster.ask("trail-info", "Content-Length: 12",
+			"Content-Length: 200\r\nTransfer-Encoding: chunked", `{"model":""}`, "0\r\n\r\n"+cluster.ask("hut-booking")),
+		"smuggled by chunks and length": cluster.ask("trail-info", "Content-Length: 12",
+			"Transfer-Encoding: chunked\r\nContent-Length: 12", `{"model":""}`,
+			"c\r\n{\"model\":\"\"}\r\n0\r\n\r\n"+cluster.ask("hut-booking")),
+		"chunk without size":  cluster.chunked("trail-info", "zz\r\n{}\r\n0\r\n\r\n"),
+		"chunk of 3 GB":       cluster.chunked("trail-info", "c0000000\r\n{}"),
+		"chunk over its size": cluster.chunked("trail-info", "1\r\n{}\r\n0\r\n\r\n"),
+		"too many chunks": cluster.chunked("trail-info",
+			strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 9)+"0\r\n\r\n"),
+		"incomplete chunk": cluster.chunked("trail-info", "c\r\n{\"model\""),
+		"no last chunk":    cluster.chunked("trail-info", "c\r\n{\"model\":\"\"}\r\n"),
+		"another path":     cluster.ask("trail-info", "/v1/chat/completions", "/v1/other"),
+		"another method":   cluster.ask("trail-info", "POST", "PUT"),
+		"incomplete body":  cluster.ask("trail-info", `{"model":""}`, `{"mod`),
+		"incomplete head":  "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n",
+		"nothing":          "",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := h.client()
+			client := cluster.client()
 			began := time.Now()
-			io.WriteString(c, raw)
-			if got := c.said(); got.status != 0 && got.status/100 != 4 || time.Since(began) > 3*time.Second {
+			io.WriteString(client, raw)
+			if got := client.said(); got.status != 0 && got.status/100 != 4 || time.Since(began) > 3*time.Second {
 				t.Errorf("%+v after %v", got, time.Since(began))
 			}
-			c.SetReadDeadline(time.Now().Add(time.Second))
-			if n, err := io.Copy(io.Discard, c.from); err != nil && os.IsTimeout(err) || n > 0 {
+			client.SetReadDeadline(time.Now().Add(time.Second))
+			if n, err := io.Copy(io.Discard, client.from); err != nil && os.IsTimeout(err) || n > 0 {
 				t.Errorf("the connection stays open, %d bytes more, %v", n, err)
 			}
 		})
 	}
 	t.Cleanup(func() {
-		if n := h.node.loop.Tally.Taken; n != 0 {
-			t.Errorf("%d reached the module", n)
+		if n := cluster.node.loop.Tally.Taken; n != 0 {
+			t.Errorf("%d requests reached the scheduler", n)
 		}
 	})
 }
 
-// The id of a request that is open is refused, and the open one goes on.
-func TestTheIDOfAnOpenQuestionIsRefused(t *testing.T) {
-	h := enter(t, nil)
+// A request with the id of an open one is refused, and the open one is served.
+func TestIDOfAnOpenRequestIsRefused(t *testing.T) {
+	cluster := enter(t, nil)
 	hold := make(chan struct{})
-	h.reader.Do = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
-	raw := h.ask("hut-booking")
-	c := h.client()
-	io.WriteString(c, raw)
-	h.until("it is read", func() bool { return len(h.site.Seen("r1", "POST")) == 1 })
-	if got := h.says(raw); got.status != 409 || !got.closes {
+	cluster.reader.Do = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
+	raw := cluster.ask("hut-booking")
+	client := cluster.client()
+	io.WriteString(client, raw)
+	cluster.until("the prefill is sent", func() bool { return len(cluster.site.Seen("r1", "POST")) == 1 })
+	if got := cluster.says(raw); got.status != 409 || !got.closes {
 		t.Errorf("%+v", got)
 	}
 	close(hold)
-	if got := c.said(); got.status != 200 {
+	if got := client.said(); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
-	h.settled()
+	cluster.settled()
 }
 
-// A client that goes away ends its attempt, and nothing stays held, wherever its request was.
-func TestAClientThatLeavesLeavesNothingBehind(t *testing.T) {
-	for _, at := range []string{"reading", "writing", "streaming"} {
-		t.Run(at, func(t *testing.T) {
-			h := enter(t, nil)
-			there := make(chan *hosts.Exchange, 1)
-			stay := func(e *hosts.Exchange) bool {
-				if e.Method != "POST" {
-					return e.Serve()
+// A client that leaves ends its attempt, and nothing stays held, whichever phase its request was in.
+func TestLeavingClientEndsItsAttempt(t *testing.T) {
+	for _, phase := range []string{"prefill", "decode", "streaming"} {
+		t.Run(phase, func(t *testing.T) {
+			cluster := enter(t, nil)
+			received := make(chan *hosts.Exchange, 1)
+			stay := func(exchange *hosts.Exchange) bool {
+				if exchange.Method != "POST" {
+					return exchange.Serve()
 				}
-				switch at {
-				case "reading":
-					e.Hold() // it ends well just as the attempt is called off
+				switch phase {
+				case "prefill":
+					exchange.Hold() // the prefill succeeds just as the attempt is cancelled
 				case "streaming":
-					e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
+					exchange.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
 				}
-				there <- e
-				<-e.Left
+				received <- exchange
+				<-exchange.Left
 				return false
 			}
-			if at == "reading" {
-				h.reader.Do = stay
+			if phase == "prefill" {
+				cluster.reader.Do = stay
 			} else {
-				h.write(stay)
+				cluster.write(stay)
 			}
-			c := h.client()
-			io.WriteString(c, h.ask("trail-info"))
-			<-there
-			c.Close()
-			h.settled()
+			client := cluster.client()
+			io.WriteString(client, cluster.ask("trail-info"))
+			<-received
+			client.Close()
+			cluster.settled()
 		})
 	}
 }
 
-// A client that has sent a further request behind its open one is seen to go all the same; while it stays, both are answered.
-func TestAClientThatPipelinesIsSeenToGo(t *testing.T) {
-	h := enter(t, nil)
-	there := h.holdReads()
-	c := h.client()
-	io.WriteString(c, h.ask("trail-info"))
-	e := <-there
-	io.WriteString(c, h.ask("hut-booking"))
+// A client with a pipelined request is noticed to leave as any other. If it stays, both requests are answered.
+func TestPipeliningClientIsNoticedToLeave(t *testing.T) {
+	cluster := enter(t, nil)
+	received := cluster.holdReads()
+	client := cluster.client()
+	io.WriteString(client, cluster.ask("trail-info"))
+	prefill := <-received
+	io.WriteString(client, cluster.ask("hut-booking"))
 	time.Sleep(20 * time.Millisecond)
-	c.Close()
+	client.Close()
 	select {
-	case <-e.Left:
+	case <-prefill.Left:
 	case <-time.After(100 * time.Millisecond):
-		t.Error("its trip goes on")
+		t.Error("the attempt goes on")
 	}
-	h.settled()
-	if n := len(h.site.Seen("", "POST")); n != 1 {
-		t.Errorf("%d trips", n)
+	cluster.settled()
+	if n := len(cluster.site.Seen("", "POST")); n != 1 {
+		t.Errorf("%d attempts", n)
 	}
-	h.reader.Do = nil
-	c = h.client()
-	io.WriteString(c, h.ask("trail-info"))
-	io.WriteString(c, h.ask("hut-booking")+h.ask("trail-info"))
+	cluster.reader.Do = nil
+	client = cluster.client()
+	io.WriteString(client, cluster.ask("trail-info"))
+	io.WriteString(client, cluster.ask("hut-booking")+cluster.ask("trail-info"))
 	for range 3 {
-		if got := c.said(); got.status != 200 || !got.whole {
+		if got := client.said(); got.status != 200 || !got.whole {
 			t.Errorf("%+v", got)
 		}
 	}
-	h.settled()
+	cluster.settled()
 }
 
-// A state is released also where the backend that may hold it can't be reached: any backend takes the call.
-func TestAStateIsReleasedThroughAnotherBox(t *testing.T) {
-	h := enter(t, nil)
-	h.reader.Do = func(e *hosts.Exchange) bool {
+// A KV cache is released also if the backend that may hold it can't be reached: any backend accepts the call.
+func TestKVCacheIsReleasedThroughAnotherBackend(t *testing.T) {
+	cluster := enter(t, nil)
+	cluster.reader.Do = func(e *hosts.Exchange) bool {
 		if e.Method != "POST" {
 			return e.Serve()
 		}
 		e.Hold()
-		h.reader.Do = nil
+		cluster.reader.Do = nil
 		<-e.Left
 		return false
 	}
-	c := h.client()
-	io.WriteString(c, h.ask("trail-info"))
-	h.until("it is read", func() bool { return h.site.Held() == 1 })
-	h.reader.CloseListener()
-	c.Close()
-	h.until("a box was told", func() bool { return len(h.site.Seen("", "DELETE")) > 0 })
-	h.settled()
+	client := cluster.client()
+	io.WriteString(client, cluster.ask("trail-info"))
+	cluster.until("the KV cache is held", func() bool { return cluster.site.Held() == 1 })
+	cluster.reader.CloseListener()
+	client.Close()
+	cluster.until("a backend received the release", func() bool { return len(cluster.site.Seen("", "DELETE")) > 0 })
+	cluster.settled()
 }
 
-// A connection that its backend has closed while it rested is not written to: for an unrepeatable request that would be a loss.
-func TestAClosedConnectionIsNotUsed(t *testing.T) {
-	h := enter(t, nil)
+// An idle connection that its backend has closed gets no request: a non-idempotent one would be lost.
+func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
+	cluster := enter(t, nil)
 	for range 3 {
-		if got := h.says(h.ask("hut-booking")); got.status != 200 {
+		if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
-		h.settled()
-		for _, b := range append(h.writers, h.reader) {
+		cluster.settled()
+		for _, b := range append(cluster.writers, cluster.reader) {
 			b.Rest()
 		}
 	}
 }
 
-// Connections that are refused in a rash of resets must not have the module take a backend for restarting, and so for cold: a whole fleet
-// was shut out by that.
-func TestARefusedConnectionAloneIsNoRestart(t *testing.T) {
-	h := enter(t, nil)
-	h.reader.CloseListener()
-	time.AfterFunc(dialWait*3/2, h.reader.Reopen)
-	if got := h.says(h.ask("hut-booking")); got.status != 200 {
+// A single refused connection does not count as a restart of its backend. During a burst of connection resets every
+// backend would otherwise be put into slow start, and the whole fleet be left without work.
+func TestRefusedConnectionAloneIsNoRestart(t *testing.T) {
+	cluster := enter(t, nil)
+	cluster.reader.CloseListener()
+	time.AfterFunc(dialWait*3/2, cluster.reader.Reopen)
+	if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
-	h.node.loop.Call(context.Background(), func() {
-		if b := h.node.loop.Believes(); b.Cold != 0 || h.node.loop.Tally.Outcomes[brain.Unreachable] != 0 {
-			t.Errorf("%+v, outcomes %v", b, h.node.loop.Tally.Outcomes)
+	cluster.node.loop.Call(context.Background(), func() {
+		if b := cluster.node.loop.Believes(); b.Cold != 0 || cluster.node.loop.Tally.Outcomes[brain.Unreachable] != 0 {
+			t.Errorf("%+v, outcomes %v", b, cluster.node.loop.Tally.Outcomes)
 		}
 	})
-	h.settled()
+	cluster.settled()
 }
 
-// What a backend says of the request itself is passed on, and speaks neither against the backend nor for an attempt elsewhere.
-func TestAQuestionThatNoBoxCanUseIsNotRepeated(t *testing.T) {
-	h := enter(t, nil)
-	h.reader.Do = func(e *hosts.Exchange) bool { return e.Write(hosts.Refuse(400, false)) }
-	if got := h.says(h.ask("trail-info")); got.status != 502 || len(h.site.Seen("", "POST")) != 1 {
-		t.Errorf("%+v after %d trips", got, len(h.site.Seen("", "POST")))
+// A 400 of a backend is about the request itself: it neither counts against the backend nor leads to an attempt
+// elsewhere.
+func TestRequestThatABackendFindsInvalidIsNotRetried(t *testing.T) {
+	cluster := enter(t, nil)
+	cluster.reader.Do = func(e *hosts.Exchange) bool { return e.Write(hosts.Refuse(400, false)) }
+	if got := cluster.says(cluster.ask("trail-info")); got.status != 502 || len(cluster.site.Seen("", "POST")) != 1 {
+		t.Errorf("%+v after %d attempts", got, len(cluster.site.Seen("", "POST")))
 	}
-	h.node.loop.Call(context.Background(), func() {
-		if r := h.node.loop.HostOf("r1").Records[0]; r.Missed != 0 {
-			t.Error("it speaks against the box")
+	cluster.node.loop.Call(context.Background(), func() {
+		if prefill := cluster.node.loop.HostOf("r1").Records[0]; prefill.Missed != 0 {
+			t.Error("the response counts against the backend")
 		}
 	})
-	h.settled()
+	cluster.settled()
 }
 
-// Where connections run short, those that say nothing make room, and answers end theirs.
-func TestSilentConnectionsMakeRoom(t *testing.T) {
-	h := enter(t, func(h *house, p *Place) { p.Limits.Sockets = 64 })
+// When connections run short, silent ones are closed for others, and responses announce that their connection is
+// closed.
+func TestSilentConnectionsMakeRoomForOthers(t *testing.T) {
+	cluster := enter(t, func(_ *house, config *Place) { config.Limits.Sockets = 64 })
 	for range 200 {
-		c, err := net.Dial("tcp", h.at)
+		conn, err := net.Dial("tcp", cluster.at)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer conn.Close()
 	}
-	c := h.client()
-	io.WriteString(c, h.ask("hut-booking"))
-	if got := c.said(); got.status != 200 || !got.closes {
+	client := cluster.client()
+	io.WriteString(client, cluster.ask("hut-booking"))
+	if got := client.said(); got.status != 200 || !got.closes {
 		t.Errorf("%+v", got)
 	}
-	if n, most := h.node.limiter.count(), h.node.place.room().clients; n > most+1 {
-		t.Errorf("%d connections are open, %d may be", n, most)
+	if n, limit := cluster.node.limiter.count(), cluster.node.config.resources().clients; n > limit+1 {
+		t.Errorf("%d connections are open, the limit is %d", n, limit)
 	}
 }
 
-// Bodies of more than there is room for are declined; the others go on.
-func TestBodiesHaveABound(t *testing.T) {
-	h := enter(t, func(h *house, p *Place) { p.Limits.MemoryMB = 1 })
-	big := h.ask("trail-info", "Content-Length: 12", "Content-Length: 250000", `{"model":""}`, strings.Repeat("x", 250000))
-	if got := h.says(big); got.status != 503 || got.after == "" {
+// A request whose body exceeds the memory for bodies is rejected; others are served.
+func TestMemoryForBodiesIsBounded(t *testing.T) {
+	cluster := enter(t, func(_ *house, config *Place) { config.Limits.MemoryMB = 1 })
+	raw := cluster.ask("trail-info", "Content-Length: 12", "Content-Length: 250000", `{"model":""}`, strings.Repeat("x", 250000))
+	if got := cluster.says(raw); got.status != 503 || got.after == "" {
 		t.Errorf("%+v", got)
 	}
-	if got := h.says(h.ask("trail-info")); got.status != 200 {
+	if got := cluster.says(cluster.ask("trail-info")); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
-	h.settled()
+	cluster.settled()
 }
 
-// A new configuration moves discovery; one that is torn or absent changes nothing. No request notices.
-// A configuration that is still being written when its signal comes is read once it is whole, also while the dispatcher stops.
-func TestAHalfWrittenConfigurationIsReadOnceItIsWhole(t *testing.T) {
+// A configuration that is half written when its signal comes is read once it is complete, also during a graceful
+// shutdown.
+func TestHalfWrittenConfigurationIsReadOnceComplete(t *testing.T) {
 	for _, stopping := range []bool{false, true} {
 		t.Run(fmt.Sprintf("stopping %t", stopping), func(t *testing.T) {
-			h := enter(t, nil)
-			other := h.site.Agent()
-			p := h.node.place
-			p.Discovery = other.At
-			raw, err := json.Marshal(p)
+			cluster := enter(t, nil)
+			other := cluster.site.Agent()
+			config := cluster.node.config
+			config.Discovery = other.At
+			raw, err := json.Marshal(config)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -632,165 +651,174 @@
 				}
 			}
 			write(raw[:len(raw)/2])
-			h.read = func() (Place, error) { return Load(file, os.Getenv) }
+			cluster.read = func() (Place, error) { return Load(file, os.Getenv) }
 			if stopping {
-				there := h.holdReads()
-				io.WriteString(h.client(), h.ask("trail-info"))
-				<-there
-				h.quit()
+				received := cluster.holdReads()
+				io.WriteString(cluster.client(), cluster.ask("trail-info"))
+				<-received
+				cluster.quit()
 			}
-			h.again <- syscall.SIGHUP
+			cluster.again <- syscall.SIGHUP
 			time.Sleep(100 * time.Millisecond)
 			write(raw)
-			h.until("discovery is followed at its new address", func() bool { return other.Watched() == 1 })
+			cluster.until("discovery is watched at its new address", func() bool { return other.Watched() == 1 })
 		})
 	}
 }
 
-func TestTheConfigurationIsReadAnew(t *testing.T) {
-	h := enter(t, nil)
-	other := h.site.Agent()
-	h.read = func() (Place, error) { return Load(t.TempDir()+"/absent.json", os.Getenv) }
-	h.again <- syscall.SIGHUP
-	torn := t.TempDir() + "/torn.json"
-	if err := os.WriteFile(torn, []byte(`{"name":"n1","listen`), 0o600); err != nil {
+// A reload moves discovery to the new address. A configuration file that is absent or incomplete changes nothing, and
+// no request notices.
+func TestConfigurationIsReloaded(t *testing.T) {
+	cluster := enter(t, nil)
+	other := cluster.site.Agent()
+	cluster.read = func() (Place, error) { return Load(t.TempDir()+"/absent.json", os.Getenv) }
+	cluster.again <- syscall.SIGHUP
+	incomplete := t.TempDir() + "/torn.json"
+	if err := os.WriteFile(incomplete, []byte(`{"name":"n1","listen`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	h.until("the absent one was looked for", func() bool { return len(h.again) == 0 })
-	h.read = func() (Place, error) { return Load(torn, os.Getenv) }
-	h.again <- syscall.SIGHUP
-	if got := h.says(h.ask("hut-booking")); got.status != 200 || other.Watched() != 0 {
-		t.Errorf("%+v, %d watches on the new address", got, other.Watched())
+	cluster.until("the reload of the absent file began", func() bool { return len(cluster.again) == 0 })
+	cluster.read = func() (Place, error) { return Load(incomplete, os.Getenv) }
+	cluster.again <- syscall.SIGHUP
+	if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 || other.Watched() != 0 {
+		t.Errorf("%+v, %d watches at the new address", got, other.Watched())
 	}
-	h.until("the torn one was read", func() bool { return len(h.again) == 0 })
-	p := h.node.place
-	p.Discovery = other.At
-	raw, err := json.Marshal(p)
+	cluster.until("the reload of the incomplete file began", func() bool { return len(cluster.again) == 0 })
+	config := cluster.node.config
+	config.Discovery = other.At
+	raw, err := json.Marshal(config)
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := t.TempDir() + "/whole.json"
-	if err := os.WriteFile(whole, raw, 0o600); err != nil {
+	complete := t.TempDir() + "/whole.json"
+	if err := os.WriteFile(complete, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	h.read = func() (Place, error) { return Load(whole, os.Getenv) }
-	h.again <- syscall.SIGHUP
-	h.until("discovery was followed", func() bool { return other.Watched() == 1 && h.agent.Watched() == 0 })
-	h.site.Change(func() { h.reader.State = "terminating" })
-	h.until("the change is known", func() bool {
-		standing := brain.Ready
-		h.node.loop.Call(context.Background(), func() { standing = h.node.loop.HostOf("r1").Standing })
-		return standing == brain.Draining
+	cluster.read = func() (Place, error) { return Load(complete, os.Getenv) }
+	cluster.again <- syscall.SIGHUP
+	cluster.until("discovery is watched only at its new address", func() bool {
+		return other.Watched() == 1 && cluster.agent.Watched() == 0
+	})
+	cluster.site.Change(func() { cluster.reader.State = "terminating" })
+	cluster.until("the drain is known", func() bool {
+		state := brain.Ready
+		cluster.node.loop.Call(context.Background(), func() { state = cluster.node.loop.HostOf("r1").Standing })
+		return state == brain.Draining
 	})
 }
 
-// At a stop every request that was taken gets its answer, streams that still run are cut, and new clients are sent elsewhere.
-func TestAStopAnswersWhatWasTaken(t *testing.T) {
-	h := enter(t, nil)
-	h.write(func(e *hosts.Exchange) bool {
-		if e.Method != "POST" || e.ID != "q1" && e.ID != "q2" {
-			return e.Serve()
+// During a graceful shutdown every admitted request is answered, streams that still run are cut, and responses close
+// their connections.
+func TestShutdownAnswersAdmittedRequests(t *testing.T) {
+	cluster := enter(t, nil)
+	cluster.write(func(exchange *hosts.Exchange) bool {
+		if exchange.Method != "POST" || exchange.ID != "q1" && exchange.ID != "q2" {
+			return exchange.Serve()
 		}
-		if e.ID == "q2" {
-			<-e.Left // never begins
+		if exchange.ID == "q2" {
+			<-exchange.Left // its response never starts
 			return false
 		}
-		e.Write(hosts.Opening)
-		for e.Write(hosts.Chunk(hosts.Event("a"))) {
+		exchange.Write(hosts.Opening)
+		for exchange.Write(hosts.Chunk(hosts.Event("a"))) {
 			select {
-			case <-e.Left:
+			case <-exchange.Left:
 				return false
 			case <-time.After(20 * time.Millisecond):
 			}
 		}
 		return false
 	})
-	long, never, late := h.client(), h.client(), h.client()
-	io.WriteString(long, h.ask("trail-info"))
-	io.WriteString(never, h.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
-	h.until("both are out", func() bool { return len(h.site.Seen("w1", "POST"))+len(h.site.Seen("w2", "POST")) == 2 })
-	h.quit()
-	h.until("it wants no new clients", func() bool { return h.node.frontend.stopping.Load() })
-	io.WriteString(late, h.ask("trail-info"))
+	streaming, unstarted, late := cluster.client(), cluster.client(), cluster.client()
+	io.WriteString(streaming, cluster.ask("trail-info"))
+	io.WriteString(unstarted, cluster.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
+	cluster.until("both attempts are in flight", func() bool {
+		return len(cluster.site.Seen("w1", "POST"))+len(cluster.site.Seen("w2", "POST")) == 2
+	})
+	cluster.quit()
+	cluster.until("the shutdown has begun", func() bool { return cluster.node.frontend.stopping.Load() })
+	io.WriteString(late, cluster.ask("trail-info"))
 	if got := late.said(); got.status != 200 || !got.closes {
-		t.Errorf("asked after the stop: %+v", got)
+		t.Errorf("request during the shutdown: %+v", got)
 	}
-	if got := long.said(); got.status != 200 || got.whole {
-		t.Errorf("a long stream: %+v", got.status)
+	if got := streaming.said(); got.status != 200 || got.whole {
+		t.Errorf("endless stream: %+v", got.status)
 	}
-	if got := never.said(); got.status != 503 {
-		t.Errorf("one that never began: %+v", got)
+	if got := unstarted.said(); got.status != 503 {
+		t.Errorf("request whose response never starts: %+v", got)
 	}
 }
 
-// A request that begins when streams are cut already has its first event all the same: a client without one has had no answer.
-func TestAStreamIsNotCutBeforeItsFirstEvent(t *testing.T) {
-	h := enter(t, nil)
-	h.write(func(e *hosts.Exchange) bool {
+// A stream that starts once streams are being cut still passes on its first event: a client without one has had no
+// answer.
+func TestStreamIsNotCutBeforeItsFirstEvent(t *testing.T) {
+	cluster := enter(t, nil)
+	cluster.write(func(e *hosts.Exchange) bool {
 		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
 		<-e.Left
 		return false
 	})
-	close(h.node.frontend.cut)
+	close(cluster.node.frontend.cut)
 	for range 20 {
-		if got := h.says(h.ask("trail-info")); got.status != 200 || got.text != hosts.Event("a") || got.whole {
+		if got := cluster.says(cluster.ask("trail-info")); got.status != 200 || got.text != hosts.Event("a") || got.whole {
 			t.Fatalf("%+v", got)
 		}
 	}
-	h.settled()
-	h.node.frontend.cut = make(chan struct{}) // for the stop
+	cluster.settled()
+	cluster.node.frontend.cut = make(chan struct{}) // which the shutdown closes again
 }
 
-// Ids of backends and of clients that are always new leave nothing behind.
+// Backends and clients with ever new names leave nothing behind: pools, ids and counters do not grow.
 func TestChurnLeavesNothingBehind(t *testing.T) {
-	h := enter(t, nil)
+	cluster := enter(t, nil)
 	for i := range 40 {
-		var fresh *hosts.Box
-		h.site.Change(func() {})
-		fresh = h.site.Box(fmt.Sprintf("n%d", i), hosts.Writer)
-		h.site.Change(func() {})
-		if got := h.says(h.ask("trail-info")); got.status != 200 {
+		var added *hosts.Box
+		cluster.site.Change(func() {})
+		added = cluster.site.Box(fmt.Sprintf("n%d", i), hosts.Writer)
+		cluster.site.Change(func() {})
+		if got := cluster.says(cluster.ask("trail-info")); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
-		h.site.Change(func() { fresh.State = "terminated" })
-		h.until("it is forgotten as a way", func() bool {
+		cluster.site.Change(func() { added.State = "terminated" })
+		cluster.until("the transport has forgotten it", func() bool {
 			known := 0
-			h.node.loop.Call(context.Background(), func() { known = len(h.node.transport.hosts) })
+			cluster.node.loop.Call(context.Background(), func() { known = len(cluster.node.transport.poolOf) })
 			return known == 3
 		})
-		fresh.Kill()
+		added.Kill()
 	}
-	h.settled()
-	h.until("no connection to them is left", func() bool { return h.node.transport.boxes.Known() == 3 })
-	if len(h.node.frontend.ids.open) != 0 || len(h.node.frontend.refused) != 0 {
-		t.Errorf("%d ids, %d reasons", len(h.node.frontend.ids.open), len(h.node.frontend.refused))
+	cluster.settled()
+	cluster.until("no pool for a removed backend remains", func() bool { return cluster.node.transport.boxes.Known() == 3 })
+	if len(cluster.node.frontend.ids.open) != 0 || len(cluster.node.frontend.refused) != 0 {
+		t.Errorf("%d ids, %d reasons", len(cluster.node.frontend.ids.open), len(cluster.node.frontend.refused))
 	}
 }
 
-// News of peers count by where they come from; a stranger's are dropped.
-func TestNewsOfStrangersAreDropped(t *testing.T) {
-	sibling, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+// Peer updates are identified by the address that they come from; those from an unknown address, or of a wrong size,
+// are dropped.
+func TestPeerUpdatesFromUnknownAddressesAreDropped(t *testing.T) {
+	peer, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer sibling.Close()
-	stranger, err := net.Dial("udp", "127.0.0.1:9")
+	defer peer.Close()
+	unused, err := net.Dial("udp", "127.0.0.1:9")
 	if err != nil {
 		t.Fatal(err)
 	}
-	stranger.Close()
-	h := enter(t, func(h *house, p *Place) {
-		p.PeerListen, p.Peers = "127.0.0.1:0", []string{"127.0.0.1:1", sibling.LocalAddr().String()}
+	unused.Close()
+	cluster := enter(t, func(_ *house, config *Place) {
+		config.PeerListen, config.Peers = "127.0.0.1:0", []string{"127.0.0.1:1", peer.LocalAddr().String()}
 	})
-	to := h.node.peers.Conn.LocalAddr().(*net.UDPAddr)
-	other, err := net.DialUDP("udp", nil, to)
+	to := cluster.node.peers.Conn.LocalAddr().(*net.UDPAddr)
+	unknown, err := net.DialUDP("udp", nil, to)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer other.Close()
-	other.Write(make([]byte, 8))
-	h.until("the stranger is counted", func() bool { return h.node.peers.Dropped.Load() == 1 })
-	sibling.WriteToUDP(make([]byte, 8), to)
-	sibling.WriteToUDP(make([]byte, 3), to)
-	h.until("what is no news is counted", func() bool { return h.node.peers.Dropped.Load() == 2 })
+	defer unknown.Close()
+	unknown.Write(make([]byte, 8))
+	cluster.until("the unknown sender is counted", func() bool { return cluster.node.peers.Dropped.Load() == 1 })
+	peer.WriteToUDP(make([]byte, 8), to)
+	peer.WriteToUDP(make([]byte, 3), to)
+	cluster.until("the update of a wrong size is counted", func() bool { return cluster.node.peers.Dropped.Load() == 2 })
 }
--- a/internal/platform/observe.go
+++ b/internal/platform/observe.go
@@ -12,102 +12,105 @@
 	"sloetrestle/internal/monitor"
 )
 
-// The terms of the rules that the settings do not state.
+// Bounds of the monitored rules that the settings do not state.
 const (
-	goneSlack      = 100 * time.Millisecond // in which an attempt may still begin once its client has closed
-	toldSlack      = 150 * time.Millisecond // by which a told deadline may be over what the client has left
-	holdSlack      = 300 * time.Millisecond // that a state may wait beyond its limit
-	drainGraceElse = 250 * time.Millisecond // for attempts to a backend that drains, where the settings state none
+	clientGoneSlack   = 100 * time.Millisecond // for which an attempt may still begin once its client has closed
+	toldDeadlineSlack = 150 * time.Millisecond // by which the timeout sent to a backend may exceed what the client has left
+	kvHoldSlack       = 300 * time.Millisecond // for which a KV cache may wait beyond its limit
+	defaultDrainGrace = 250 * time.Millisecond // for attempts to a draining backend, if the settings state none
 )
 
 const (
-	// notableEach and notableMost bound the lines on single requests that an operator sees without asking for more: so many in each.
-	notableEach = time.Second
-	notableMost = 20
+	// At most maxNotableLines lines on single requests are logged per notableInterval without a debug level.
+	notableInterval = time.Second
+	maxNotableLines = 20
 )
 
-// notableLog logs what happened to single requests, by their ids, as far as it is out of the ordinary: an attempt that failed or had no
-// answer, a state that was due, a release that nobody heard. A rash of them is counted.
+// notableLog logs unusual events of single requests with their ids: an attempt that failed or had no answer, a KV
+// cache that was due for release, a release that no backend answered. It is rate limited, and counts the lines that
+// it drops.
 type notableLog struct {
 	log     *slog.Logger
 	dropped atomic.Int64
 
-	mu    sync.Mutex
-	began time.Time
-	lines int
+	mu            sync.Mutex
+	intervalStart time.Time
+	lines         int // in the current interval
 }
 
-// Info logs a line, unless there were too many just now.
+// Info logs a line unless the current interval has had maxNotableLines.
 func (n *notableLog) Info(text string, args ...any) {
 	n.mu.Lock()
 	now := time.Now()
-	if now.Sub(n.began) >= notableEach {
-		n.began, n.lines = now, 0
+	if now.Sub(n.intervalStart) >= notableInterval {
+		n.intervalStart, n.lines = now, 0
 	}
 	n.lines++
-	many := n.lines > notableMost
+	exceeded := n.lines > maxNotableLines
 	n.mu.Unlock()
-	if many {
+	if exceeded {
 		n.dropped.Add(1)
 		return
 	}
 	n.log.Info(text, args...)
 }
 
-// monitorTerms are the rules' bounds by the settings.
-func monitorTerms(facts brain.Facts) monitor.Terms {
-	terms := monitor.Terms{Gone: goneSlack, Told: toldSlack, DrainGrace: facts.Span("rules.drainGraceUs")}
+// monitorTerms returns the bounds of the monitored rules under the given settings.
+func monitorTerms(settings brain.Facts) monitor.Terms {
+	terms := monitor.Terms{Gone: clientGoneSlack, Told: toldDeadlineSlack, DrainGrace: settings.Span("rules.drainGraceUs")}
 	if terms.DrainGrace == 0 {
-		terms.DrainGrace = drainGraceElse
+		terms.DrainGrace = defaultDrainGrace
 	}
-	if limit := facts.Span("familyInfo.pinLimitUs"); limit > 0 {
-		terms.Hold = limit + holdSlack
+	if limit := settings.Span("familyInfo.pinLimitUs"); limit > 0 {
+		terms.Hold = limit + kvHoldSlack
 	}
 	return terms
 }
 
-// monitorClasses are the requests' classes by their numbers, as far as running again matters.
-func monitorClasses(facts brain.Facts) (classes []monitor.Class) {
-	grades, err := facts.Grades()
+// monitorClasses returns the monitor's classes of requests by class number: whether and how a request may run again.
+func monitorClasses(settings brain.Facts) (monitored []monitor.Class) {
+	classes, err := settings.Grades()
 	if err != nil {
-		return nil // the loop, which needs them, says so
+		return nil // the event loop needs the classes too, and reports the error
 	}
-	for _, g := range grades {
-		classes = append(classes, map[brain.Effect]monitor.Class{
+	for _, class := range classes {
+		monitored = append(monitored, map[brain.Effect]monitor.Class{
 			brain.Idempotent: monitor.Idempotent, brain.Deduplicated: monitor.Deduplicated, brain.Unrepeatable: monitor.NonIdempotent,
-		}[g.Effect])
+		}[class.Effect])
 	}
-	return classes
+	return monitored
 }
 
-// hasEffect tells whether an attempt has one that must not come twice: at a prefill backend it has none, however it ends.
-func hasEffect(f *dispatch.Attempt) bool { return f.Planned.Stage != brain.ToRead }
+// hasEffect reports whether an attempt may have an effect that must not happen twice. A prefill has none, however it
+// ends.
+func hasEffect(attempt *dispatch.Attempt) bool { return attempt.Planned.Stage != brain.ToRead }
 
-// proves is what the end of an attempt proves.
-func proves(o brain.Outcome) monitor.End {
+// provenEnd returns what the outcome of an attempt proves about whether it ran.
+func provenEnd(outcome brain.Outcome) monitor.End {
 	switch {
-	case o == brain.Read:
+	case outcome == brain.Read:
 		return monitor.StateKept
-	case o.NeverRan():
+	case outcome.NeverRan():
 		return monitor.NeverRan
 	}
 	return monitor.MayHaveRun
 }
 
-// listedObserver tells the monitor what lists say of backends: those that a whole list leaves out are gone.
-type listedObserver struct {
+// discoveryObserver reports to the monitor what service discovery lists. A backend that a full list leaves out was
+// removed.
+type discoveryObserver struct {
 	monitor *monitor.Monitor
-	known   map[string]bool
+	known   map[string]bool // backends by name
 }
 
-func (o *listedObserver) listed(lines []boxlist.Box, whole bool) {
+func (o *discoveryObserver) listed(endpoints []boxlist.Box, full bool) {
 	named := map[string]bool{}
-	for _, line := range lines {
-		named[line.Name] = true
-		o.known[line.Name] = true
-		o.monitor.Changed(line.Name, line.Standing == boxlist.Ready)
+	for _, endpoint := range endpoints {
+		named[endpoint.Name] = true
+		o.known[endpoint.Name] = true
+		o.monitor.Changed(endpoint.Name, endpoint.Standing == boxlist.Ready)
 	}
-	if !whole {
+	if !full {
 		return
 	}
 	for name := range o.known {
--- a/internal/platform/releases.go
+++ b/internal/platform/releases.go
@@ -14,147 +14,151 @@
 )
 
 const (
-	releaseTry  = 150 * time.Millisecond // for one call that releases
-	releaseNext = 30 * time.Millisecond  // without an answer, after which another backend is called too; doubled from the ninth on
-	releaseMost = 3 * time.Second        // for all calls of one release
-	releaseFew  = 8                      // calls that begin one soon after the other
+	releaseCallTimeout = 150 * time.Millisecond // for one release call
+	// releaseHedgeDelay is the wait for an answer before a further backend is called too. It doubles after
+	// fastReleaseCalls calls, up to releaseCallTimeout.
+	releaseHedgeDelay = 30 * time.Millisecond
+	fastReleaseCalls  = 8
+	releaseTimeout    = 3 * time.Second // for all calls of one release
 )
 
-// releaser counts releases and bounds their calls.
+// releaser counts releases of KV caches and bounds their concurrent calls.
 type releaser struct {
-	calls     chan struct{} // one for each call, which has a connection
-	heard     heardList
-	releasing atomic.Int64 // releases that are not over
-	Calls     atomic.Int64 // releases that a backend answered
-	Unheard   atomic.Int64 // releases that no backend answered
-	Due       atomic.Int64 // releases of states that were due with an attempt out
+	callSlots   chan struct{} // holds one element per call, each of which has a connection
+	activity    activityList
+	pending     atomic.Int64 // releases in progress
+	Delivered   atomic.Int64 // releases that a backend answered
+	Undelivered atomic.Int64 // releases that no backend answered
+	Due         atomic.Int64 // releases of KV caches that were due while an attempt was in flight
 }
 
-// Release has what is held for a request released. Any backend takes that call: the one that was heard last is asked first, then another
-// beside it each time that none has answered for a while, as a backend that is cut off keeps its caller waiting.
-func (c *transport) Release(b *dispatch.Backend, a *dispatch.ClientRequest) {
-	m, _ := a.Matter.(*payload)
-	if m == nil {
+// Release has the KV cache of a request released. Any backend accepts that call. The most recently active one is
+// called first, and further ones are called in parallel whenever none has answered for a while, because a partitioned
+// backend gives no answer at all.
+func (c *transport) Release(backend *dispatch.Backend, request *dispatch.ClientRequest) {
+	outgoing, _ := request.Matter.(*payload)
+	if outgoing == nil {
 		return
 	}
-	call, targets := chat.LetGo(service, m.id), c.releaseOrder(c.hosts[b])
-	if a.AttemptOut() {
+	call, targets := chat.LetGo(service, outgoing.id), c.releaseOrder(c.poolOf[backend])
+	if request.AttemptOut() {
 		c.Due.Add(1)
-		c.notable.Info("a state is due: released beside an attempt that has no answer", "id", m.id, "backend", b.Name)
+		c.notable.Info("releasing a KV cache that is due while its attempt is in flight", "id", outgoing.id, "backend", backend.Name)
 	}
-	c.releasing.Add(1)
-	c.group.Go(func() error {
-		defer c.releasing.Add(-1)
+	c.pending.Add(1)
+	c.tasks.Go(func() error {
+		defer c.pending.Add(-1)
 		began := time.Now()
 		if c.releaseAny(targets, call) {
-			c.Calls.Add(1)
-			c.monitor.Released(m.id, "released")
+			c.Delivered.Add(1)
+			c.monitor.Released(outgoing.id, "released")
 		} else {
-			c.Unheard.Add(1)
-			c.notable.Info("no backend has heard a release", "id", m.id, "backend", b.Name)
+			c.Undelivered.Add(1)
+			c.notable.Info("no backend answered a release", "id", outgoing.id, "backend", backend.Name)
 		}
-		c.log.Debug("release over", "id", m.id, "box", b.Name, "took", time.Since(began), "asked", len(targets))
+		c.log.Debug("release finished", "id", outgoing.id, "box", backend.Name, "took", time.Since(began), "asked", len(targets))
 		return nil
 	})
 }
 
-// releaseOrder is the order in which backends are called: those heard last, and second the one that may hold the state. Where many
-// backends are cut off, calls to them would else take all descriptors, and the time that is left.
+// releaseOrder returns the order in which backends are called: by recency of activity, with the backend that may hold
+// the KV cache second at the latest. If many backends are partitioned, calls to those would otherwise take all
+// descriptors and the remaining time.
 func (c *transport) releaseOrder(holder *reach.Host) []*reach.Host {
-	order := c.heard.lastHeard()
+	order := c.activity.byRecency()
 	if holder == nil || len(order) > 0 && order[0] == holder {
 		return order
 	}
-	order = slices.DeleteFunc(order, func(h *reach.Host) bool { return h == holder })
+	order = slices.DeleteFunc(order, func(pool *reach.Host) bool { return pool == holder })
 	return slices.Insert(order, min(1, len(order)), holder)
 }
 
-// releaseAny calls backends until one answers.
+// releaseAny calls backends until one answers, and reports whether one did.
 func (c *transport) releaseAny(targets []*reach.Host, call []byte) bool {
-	ctx, end := context.WithTimeout(c.life, releaseMost)
-	defer end()
-	heard := make(chan releaseResult)
+	ctx, cancel := context.WithTimeout(c.lifetime, releaseTimeout)
+	defer cancel()
+	results := make(chan releaseResult)
 	next := time.NewTimer(0)
 	defer next.Stop()
-	for asked, wait := 0, releaseNext; len(targets) > 0; {
+	for called, delay := 0, releaseHedgeDelay; len(targets) > 0; {
 		select {
 		case <-ctx.Done():
 			return false
-		case result := <-heard:
-			if result == releaseHeard {
+		case result := <-results:
+			if result == releaseDelivered {
 				return true
 			}
-			if result == releaseNotBegun {
-				asked, wait = max(asked-1, 0), releaseNext // nobody was asked
+			if result == releaseNotStarted {
+				called, delay = max(called-1, 0), releaseHedgeDelay // no backend was called
 			}
 			next.Reset(dialWait)
 		case <-next.C:
-			host := targets[asked%len(targets)]
-			c.group.Go(func() error {
+			pool := targets[called%len(targets)]
+			c.tasks.Go(func() error {
 				select {
-				case heard <- c.release(ctx, host, call):
+				case results <- c.release(ctx, pool, call):
 				case <-ctx.Done():
 				}
 				return nil
 			})
-			next.Reset(wait)
-			if asked++; asked >= releaseFew {
-				wait = min(2*wait, releaseTry)
+			next.Reset(delay)
+			if called++; called >= fastReleaseCalls {
+				delay = min(2*delay, releaseCallTimeout)
 			}
 		}
 	}
 	return false
 }
 
-// releaseResult is what came of one call that releases.
+// releaseResult is the result of one release call.
 type releaseResult int
 
 const (
-	releaseHeard    releaseResult = iota
-	releaseUnheard                // the backend did not answer it
-	releaseNotBegun               // this machine could not begin to connect, which says nothing of the backend
+	releaseDelivered   releaseResult = iota
+	releaseUndelivered               // the backend did not answer
+	releaseNotStarted                // this machine could not begin to connect, which says nothing about the backend
 )
 
-// release calls one backend. Its time begins when there is a descriptor for the call.
-func (c *transport) release(ctx context.Context, host *reach.Host, call []byte) releaseResult {
+// release calls one backend. The call's timeout starts once there is a descriptor for it.
+func (c *transport) release(ctx context.Context, pool *reach.Host, call []byte) releaseResult {
 	select {
-	case c.calls <- struct{}{}:
+	case c.callSlots <- struct{}{}:
 	case <-ctx.Done():
-		return releaseNotBegun
+		return releaseNotStarted
 	}
-	defer func() { <-c.calls }()
-	result := c.callRelease(ctx, host, call)
+	defer func() { <-c.callSlots }()
+	result := c.callRelease(ctx, pool, call)
 	switch result {
-	case releaseHeard:
-		c.heard.heard(host)
-	case releaseUnheard:
-		c.heard.silent(host)
+	case releaseDelivered:
+		c.activity.recordActivity(pool)
+	case releaseUndelivered:
+		c.activity.recordSilence(pool)
 	}
 	return result
 }
 
-func (c *transport) callRelease(ctx context.Context, host *reach.Host, call []byte) releaseResult {
-	ctx, cancel := context.WithTimeout(ctx, releaseTry)
+func (c *transport) callRelease(ctx context.Context, pool *reach.Host, call []byte) releaseResult {
+	ctx, cancel := context.WithTimeout(ctx, releaseCallTimeout)
 	defer cancel()
-	conn, err := host.Get(ctx)
+	conn, err := pool.Get(ctx)
 	if errors.Is(err, reach.ErrLocal) {
-		return releaseNotBegun
+		return releaseNotStarted
 	}
 	if err != nil {
-		return releaseUnheard
+		return releaseUndelivered
 	}
 	defer conn.Drop()
-	conn.SetDeadline(time.Now().Add(releaseTry))
+	conn.SetDeadline(time.Now().Add(releaseCallTimeout))
 	if whole, _ := conn.Put(call); !whole {
-		return releaseUnheard
+		return releaseUndelivered
 	}
 	resp, err := conn.Head(nil)
 	if err != nil {
-		return releaseUnheard
+		return releaseUndelivered
 	}
-	io.Copy(io.Discard, io.LimitReader(resp.Body, shortMost))
+	io.Copy(io.Discard, io.LimitReader(resp.Body, maxShortBody))
 	if resp.StatusCode/100 != 2 {
-		return releaseUnheard
+		return releaseUndelivered
 	}
-	return releaseHeard
+	return releaseDelivered
 }
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -7,44 +7,47 @@
 )
 
 const (
-	reloadAgain = 20 * time.Millisecond // between two tries to read a configuration that can't be read
-	reloadMost  = 5 * time.Second       // for all of them: the file may be half written, or the system short of something, just now
+	reloadRetryInterval = 20 * time.Millisecond // between two attempts to read a configuration that can't be read
+	// reloadTimeout bounds all attempts of one reload. The file may be half written, or the system short of a
+	// resource for a moment.
+	reloadTimeout = 5 * time.Second
 )
 
-// reload reads the configuration anew whenever it is told to, until the context ends; also while the dispatcher stops.
-func (n *node) reload(ctx context.Context, again <-chan os.Signal, read func() (Place, error)) {
+// watchReloads reads the configuration again on every signal until the context ends, also during a graceful shutdown.
+func (n *node) watchReloads(ctx context.Context, signals <-chan os.Signal, load func() (Place, error)) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-again:
+		case <-signals:
 		}
-		n.readAnew(ctx, again, read)
+		n.reload(ctx, signals, load)
 	}
 }
 
-// readAnew reads the configuration until it can be read. A further signal begins the time for that anew.
-func (n *node) readAnew(ctx context.Context, again <-chan os.Signal, read func() (Place, error)) {
-	for began, tries := time.Now(), 1; ; tries++ {
-		next, err := read()
+// reload reads the configuration, and retries until it can be read or reloadTimeout has passed. A further signal
+// restarts the timeout.
+func (n *node) reload(ctx context.Context, signals <-chan os.Signal, load func() (Place, error)) {
+	for began, attempts := time.Now(), 1; ; attempts++ {
+		config, err := load()
 		if err == nil {
-			n.log.Info("configuration read anew", "discovery", next.Discovery, "tries", tries)
-			n.follower.Move(next.Discovery)
+			n.log.Info("configuration reloaded", "discovery", config.Discovery, "tries", attempts)
+			n.follower.Move(config.Discovery)
 			return
 		}
-		if tries == 1 {
-			n.log.Warn("the new configuration can't be read yet", "error", err)
+		if attempts == 1 {
+			n.log.Warn("cannot read the new configuration yet, retrying", "error", err)
 		}
-		if time.Since(began) >= reloadMost {
-			n.log.Warn("the new configuration is left out", "error", err, "tries", tries)
+		if time.Since(began) >= reloadTimeout {
+			n.log.Warn("giving up on the new configuration, the previous one stays in use", "error", err, "tries", attempts)
 			return
 		}
 		select {
 		case <-ctx.Done():
 			return
-		case <-again:
+		case <-signals:
 			began = time.Now()
-		case <-time.After(reloadAgain):
+		case <-time.After(reloadRetryInterval):
 		}
 	}
 }
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -24,78 +24,88 @@
 )
 
 const (
-	service  = "backend.local"
-	tellEach = 5 * time.Second // between two lines on how things stand
-	// firstListWait is how long a dispatcher that knows an old list waits for discovery's before it takes clients: what discovery has
-	// counts as known from the start.
-	firstListWait = time.Second
+	service          = "backend.local" // the Host header of requests to backends
+	stateLogInterval = 5 * time.Second
+	// discoveryWait is how long a dispatcher that starts with last-known endpoints waits for those of service
+	// discovery before it accepts requests: what discovery knows counts as known to the dispatcher from its start.
+	discoveryWait = time.Second
 )
 
-// node is one dispatcher with its ways in and out.
+// node is one dispatcher with its listeners, its connections to backends and its background goroutines.
 type node struct {
-	place     Place
-	facts     brain.Facts
-	log       *slog.Logger
-	life      context.Context // of attempts, which outlive the wish to stop
-	end       context.CancelFunc
-	trips     errgroup.Group
-	group     errgroup.Group
-	loop      *dispatch.Loop
-	transport *transport
-	frontend  *frontend
-	limiter   *limiter
-	served    chan struct{}   // closed when no further connection is accepted
-	peers     *dispatch.Peers // none that listens where the configuration has no address
-	follower  *endpoints.Follower
-	monitor   *monitor.Monitor
-	pulse     *pulse
+	config         Place
+	settings       brain.Facts
+	log            *slog.Logger
+	lifetime       context.Context // of attempts, which continue during a graceful shutdown
+	cancel         context.CancelFunc
+	transportTasks errgroup.Group
+	tasks          errgroup.Group
+	loop           *dispatch.Loop
+	transport      *transport
+	frontend       *frontend
+	limiter        *limiter
+	acceptingDone  chan struct{}   // closed when no further connection is accepted
+	peers          *dispatch.Peers // does not listen if the configuration has no address for it
+	follower       *endpoints.Follower
+	monitor        *monitor.Monitor
+	pulse          *pulse
 }
 
-// Run serves until the context ends; then it answers what it has and returns. again says when the configuration is to be read anew.
-func Run(ctx context.Context, p Place, sys system.System, again <-chan os.Signal, read func() (Place, error), log *slog.Logger) error {
+// Run serves until the context ends, then answers all admitted requests and returns. On every signal from reloads it
+// calls load for a new configuration.
+func Run(
+	ctx context.Context, config Place, sys system.System, reloads <-chan os.Signal, load func() (Place, error), log *slog.Logger,
+) error {
 	runtime.GOMAXPROCS(1)
-	debug.SetMemoryLimit(p.room().heap)
-	n, err := open(context.WithoutCancel(ctx), p, sys, log)
+	debug.SetMemoryLimit(config.resources().heap)
+	n, err := newNode(context.WithoutCancel(ctx), config, sys, log)
 	if err != nil {
 		return err
 	}
-	return n.run(ctx, again, read)
+	return n.run(ctx, reloads, load)
 }
 
-// open makes a dispatcher that listens, and knows the list that it was started with.
-func open(ctx context.Context, p Place, sys system.System, log *slog.Logger) (*node, error) {
-	room, facts := p.room(), brain.Flat(p.Settings)
+// newNode opens the listeners and sets up a dispatcher with the last-known endpoints of its configuration. It starts
+// no goroutine.
+func newNode(ctx context.Context, config Place, sys system.System, log *slog.Logger) (*node, error) {
+	shares, settings := config.resources(), brain.Flat(config.Settings)
 	began := time.Now()
 	since := func() time.Duration { return time.Since(began) }
-	n := &node{place: p, facts: facts, log: log, served: make(chan struct{})}
-	n.life, n.end = context.WithCancel(ctx)
+	n := &node{config: config, settings: settings, log: log, acceptingDone: make(chan struct{})}
+	n.lifetime, n.cancel = context.WithCancel(ctx)
 	n.pulse = newPulse(time.Now())
-	n.monitor = monitor.New(monitorTerms(facts), since, log)
-	boxes := &reach.Boxes{
-		Limit: max(facts.Span("policyLimits.dialTimeoutUs"), 10*time.Millisecond), Most: room.boxes, Since: since, Life: n.life, Group: &n.trips, Dial: sys.Dial, Bare: true,
+	n.monitor = monitor.New(monitorTerms(settings), since, log)
+	pools := &reach.Boxes{
+		Limit: max(settings.Span("policyLimits.dialTimeoutUs"), 10*time.Millisecond), Most: shares.attempts, Since: since,
+		Life: n.lifetime, Group: &n.transportTasks, Dial: sys.Dial, Bare: true,
 	}
 	n.transport = &transport{
-		fields: facts.Names("report.fields"), boxes: boxes, life: n.life, group: &n.trips, log: log, notable: &notableLog{log: log}, monitor: n.monitor, pulse: n.pulse, passed: map[string]*passed{},
-		hosts: map[*dispatch.Backend]*reach.Host{}, releaser: releaser{calls: make(chan struct{}, room.releases)}, since: since,
-		slots: make(chan struct{}, room.boxes),
+		loadFields: settings.Names("report.fields"), boxes: pools, lifetime: n.lifetime, tasks: &n.transportTasks, log: log,
+		notable: &notableLog{log: log}, monitor: n.monitor, pulse: n.pulse, traffic: map[string]*backendTraffic{},
+		poolOf: map[*dispatch.Backend]*reach.Host{}, releaser: releaser{callSlots: make(chan struct{}, shares.releases)}, since: since,
+		slots: make(chan struct{}, shares.attempts),
 	}
 	places := dispatch.Places{
-		Zone: func(name string) int { return zoneNumber(facts, name) },
-		Kind: func(name string) int { return facts.Index("kinds", name) },
+		Zone: func(name string) int { return zoneNumber(settings, name) },
+		Kind: func(name string) int { return settings.Index("kinds", name) },
 	}
-	listener, err := system.Open(func() (system.Listener, error) { return sys.Listen(p.Listen) })
+	listener, err := system.Open(func() (system.Listener, error) { return sys.Listen(config.Listen) })
 	if err != nil {
 		return nil, err
 	}
-	if n.peers = (&dispatch.Peers{}); p.PeerListen != "" {
-		if n.peers, err = dispatch.ListenPeers(int(facts.Num("slotNo", 0)), p.PeerListen, p.Peers, sys.ListenUDP); err != nil {
+	if n.peers = (&dispatch.Peers{}); config.PeerListen != "" {
+		if n.peers, err = dispatch.ListenPeers(
+			int(settings.Num("slotNo", 0)), config.PeerListen, config.Peers, sys.ListenUDP,
+		); err != nil {
 			listener.Close()
-			return nil, fmt.Errorf("siblings: %w", err)
+			return nil, fmt.Errorf("listening for peer updates on %s: %w", config.PeerListen, err)
 		}
 		n.peers.Plain = true
 	}
-	n.transport.tell = n.peers.Tell
-	if n.loop, err = dispatch.NewLoop(facts, p.chance(), places, n.transport, since, p.Name, log); err != nil {
+	n.transport.sendToPeer = n.peers.Tell
+	if n.loop, err = dispatch.NewLoop(
+		settings, config.randomSeed(), places, n.transport, since, config.Name, log,
+	); err != nil {
 		listener.Close()
 		if n.peers.Conn != nil {
 			n.peers.Conn.Close()
@@ -103,109 +113,123 @@
 		return nil, err
 	}
 	n.transport.loop = n.loop
-	observer := &listedObserver{n.monitor, map[string]bool{}}
-	n.follower = &endpoints.Follower{Log: log, Since: since, Wall: sys.Wall, Dial: sys.Dial, Listed: func(lines []boxlist.Box, whole bool) {
-		observer.listed(lines, whole)
-		n.loop.Post(func() { n.loop.Listed(lines, whole) })
-	}}
-	if len(p.Known) > 0 {
-		if err := n.follower.Take(p.Known); err != nil {
-			log.Warn("the known list is left out", "error", err)
+	observer := &discoveryObserver{n.monitor, map[string]bool{}}
+	n.follower = &endpoints.Follower{
+		Log: log, Since: since, Wall: sys.Wall, Dial: sys.Dial,
+		Listed: func(listed []boxlist.Box, full bool) {
+			observer.listed(listed, full)
+			n.loop.Post(func() { n.loop.Listed(listed, full) })
+		},
+	}
+	if len(config.Known) > 0 {
+		if err := n.follower.Take(config.Known); err != nil {
+			log.Warn("cannot read the last-known endpoints of the configuration, ignoring them", "error", err)
 		}
 	}
-	n.follower.Move(p.Discovery)
-	n.limiter = newLimiter(listener, int(float64(room.clients)/(1+closingShare)), log)
-	n.frontend = newFrontend(n.loop, facts, room.bodies, n.monitor, n.pulse, log)
+	n.follower.Move(config.Discovery)
+	n.limiter = newLimiter(listener, int(float64(shares.clients)/(1+closingShare)), log)
+	n.frontend = newFrontend(n.loop, settings, shares.bodies, n.monitor, n.pulse, log)
 	n.frontend.crowded = n.limiter.Crowded
 	n.frontend.fleetKnown = func() bool {
-		if !n.follower.Heard() && since() < firstListWait {
+		if !n.follower.Heard() && since() < discoveryWait {
 			return false
 		}
 		ready := false
-		n.loop.Call(n.life, func() { ready = n.loop.Answers() })
+		n.loop.Call(n.lifetime, func() { ready = n.loop.Answers() })
 		return ready
 	}
 	return n, nil
 }
 
-// zoneNumber is a zone's number in the settings. One that they do not name gets a number of its own, as it is not the first of those
-// that they do: what drops repeats in one zone knows nothing of another's.
-func zoneNumber(facts brain.Facts, name string) int {
-	if i := facts.Index("dcs", name); i >= 0 || name == "" {
+// zoneNumber returns the number of a zone: its index in the settings or, for a zone that they do not name, a number
+// that none of the named zones has. Backends deduplicate requests per zone, so an unnamed zone must not be taken for
+// a named one.
+func zoneNumber(settings brain.Facts, name string) int {
+	if i := settings.Index("dcs", name); i >= 0 || name == "" {
 		return max(i, 0)
 	}
-	return int(facts.Num("dcs", 0)) + 1 + int(dispatch.HostID(name))
+	return int(settings.Num("dcs", 0)) + 1 + int(dispatch.HostID(name))
 }
 
-func (n *node) run(ctx context.Context, again <-chan os.Signal, read func() (Place, error)) (err error) {
-	n.trips.Go(n.transport.boxes.Tend)
-	n.group.Go(func() error { return n.loop.Run(n.life) })
-	n.group.Go(func() error { return n.follower.Follow(n.life) })
-	n.group.Go(func() error { n.pulse.run(n.life); return nil })
-	n.group.Go(func() error { n.reload(n.life, again, read); return nil })
+func (n *node) run(ctx context.Context, reloads <-chan os.Signal, load func() (Place, error)) (err error) {
+	n.transportTasks.Go(n.transport.boxes.Tend)
+	n.tasks.Go(func() error { return n.loop.Run(n.lifetime) })
+	n.tasks.Go(func() error { return n.follower.Follow(n.lifetime) })
+	n.tasks.Go(func() error { n.pulse.run(n.lifetime); return nil })
+	n.tasks.Go(func() error { n.watchReloads(n.lifetime, reloads, load); return nil })
 	if n.peers.Conn != nil {
-		n.group.Go(func() error { return n.peers.Listen(n.life, n.loop) })
+		n.tasks.Go(func() error { return n.peers.Listen(n.lifetime, n.loop) })
 	}
-	web := &http.Server{
-		Handler: n.frontend, ReadHeaderTimeout: headWait, IdleTimeout: restMost, MaxHeaderBytes: chat.HeadMost, ConnState: n.limiter.moved, ConnContext: withConn,
-		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
+	server := &http.Server{
+		Handler: n.frontend, ReadHeaderTimeout: headWait, IdleTimeout: restMost, MaxHeaderBytes: chat.HeadMost,
+		ConnState: n.limiter.moved, ConnContext: withConn, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
 	failed := make(chan error, 1)
-	n.group.Go(func() error {
-		defer close(n.served)
-		if err := web.Serve(n.limiter); !errors.Is(err, http.ErrServerClosed) {
+	n.tasks.Go(func() error {
+		defer close(n.acceptingDone)
+		if err := server.Serve(n.limiter); !errors.Is(err, http.ErrServerClosed) {
 			failed <- err
 		}
 		return nil
 	})
-	p := n.place
-	n.log.Info("serving", "listen", n.limiter.Addr().String(), "discovery", p.Discovery, "cores", p.Limits.Cores, "memory_mb", p.Limits.MemoryMB,
-		"sockets", p.Limits.Sockets, "clients", n.limiter.most, "boxes", n.transport.boxes.Most)
-	tick := time.NewTicker(tellEach)
+	config := n.config
+	n.log.Info("serving", "listen", n.limiter.Addr().String(), "discovery", config.Discovery, "cores", config.Limits.Cores,
+		"memory_mb", config.Limits.MemoryMB, "sockets", config.Limits.Sockets, "clients", n.limiter.most,
+		"boxes", n.transport.boxes.Most)
+	tick := time.NewTicker(stateLogInterval)
 	defer tick.Stop()
-	for run := true; run; {
+	for running := true; running; {
 		select {
 		case <-ctx.Done():
-			run = false
+			running = false
 		case err = <-failed:
-			run = false
+			running = false
 		case <-tick.C:
-			n.tell()
+			n.logState()
 		}
 	}
-	n.stop(web)
+	n.shutdown(server)
 	return err
 }
 
-// tell logs how things stand.
-func (n *node) tell() {
-	var m runtime.MemStats
-	runtime.ReadMemStats(&m)
-	c, f, g := n.transport, n.frontend, n.limiter
-	n.loop.Call(n.life, func() {
-		t := n.loop.Tally
+// logState logs the counters of all components.
+func (n *node) logState() {
+	var memory runtime.MemStats
+	runtime.ReadMemStats(&memory)
+	transport, frontend, limiter := n.transport, n.frontend, n.limiter
+	n.loop.Call(n.lifetime, func() {
+		tally := n.loop.Tally
 		turn, wait, timer := n.loop.Lag.Period()
-		n.log.Info("state", "taken", t.Taken, "again", f.Again.Load(), "rest", f.Rest.Load(), "moved", f.Moved.Load(), "satisfied", t.Satisfied,
-			"declined", t.Declined, "forfeited", t.Forfeited, "left", t.Left, "overdue", t.Overdue, "trips", t.Trips, "outcomes", fmt.Sprint(t.Outcomes),
-			"prefills", fmt.Sprint(t.Prefills), "began", t.Began, "in_time", t.InTime, "held_ms", t.Held.Milliseconds(), "first_ms", t.First.Milliseconds(),
-			"believes", fmt.Sprintf("%+v", n.loop.Believes()), "open", f.asked.Load(), "bodies", f.held.Load(), "clients", g.count(), "pushed", g.Pushed.Load(), "waited", g.Waited.Load(), "accept_failed", g.Failed.Load(), "shut", g.Shut.Load(), "refused", f.state(),
-			"released", c.Calls.Load(), "unheard", c.Unheard.Load(), "stale", c.Stale.Load(), "local", c.Local.Load(), "unarrived", c.Unarrived.Load(), "spoilt", c.Spoilt.Load(), "strange", c.Strange.Load(),
-			"watch_lost", n.follower.Lost(), "strangers", n.peers.Dropped.Load(), "broken", n.monitor.Counts(), "due", c.Due.Load(), "too_late", f.Late.Load(), "turn_ms", turn.Milliseconds(),
-			"queued_ms", wait.Milliseconds(), "timer_ms", timer.Milliseconds(), "long_turns", n.loop.Lag.LongTurns, "unlogged", c.notable.dropped.Load(), "heap_kb", m.HeapAlloc>>10, "sys_kb", m.Sys>>10, "goroutines", runtime.NumGoroutine())
-		n.compare()
+		n.log.Info("state", "taken", tally.Taken, "again", frontend.Again.Load(), "rest", frontend.Rest.Load(),
+			"moved", frontend.Moved.Load(), "satisfied", tally.Satisfied, "declined", tally.Declined, "forfeited", tally.Forfeited,
+			"left", tally.Left, "overdue", tally.Overdue, "trips", tally.Trips, "outcomes", fmt.Sprint(tally.Outcomes),
+			"prefills", fmt.Sprint(tally.Prefills), "began", tally.Began, "in_time", tally.InTime, "held_ms", tally.Held.Milliseconds(),
+			"first_ms", tally.First.Milliseconds(), "believes", fmt.Sprintf("%+v", n.loop.Believes()), "open", frontend.asked.Load(),
+			"bodies", frontend.held.Load(), "clients", limiter.count(), "pushed", limiter.Pushed.Load(), "waited", limiter.Waited.Load(),
+			"accept_failed", limiter.Failed.Load(), "shut", limiter.Shut.Load(), "refused", frontend.state(),
+			"released", transport.Delivered.Load(), "unheard", transport.Undelivered.Load(), "stale", transport.Stale.Load(),
+			"local", transport.Local.Load(), "unarrived", transport.Unarrived.Load(), "spoilt", transport.Malformed.Load(),
+			"strange", transport.BadRequest.Load(), "watch_lost", n.follower.Lost(), "strangers", n.peers.Dropped.Load(),
+			"broken", n.monitor.Counts(), "due", transport.Due.Load(), "too_late", frontend.Late.Load(), "turn_ms", turn.Milliseconds(),
+			"queued_ms", wait.Milliseconds(), "timer_ms", timer.Milliseconds(), "long_turns", n.loop.Lag.LongTurns,
+			"unlogged", transport.notable.dropped.Load(), "heap_kb", memory.HeapAlloc>>10, "sys_kb", memory.Sys>>10,
+			"goroutines", runtime.NumGoroutine())
+		n.logBackends()
 	})
 }
 
-// compare logs what the module believes of each backend beside what passed on its connections, and forgets backends that are gone.
-func (n *node) compare() {
+// logBackends logs the scheduler's estimates of each backend beside the traffic on its connections, and forgets the
+// traffic of backends that were removed. The event loop calls it.
+func (n *node) logBackends() {
 	n.transport.mu.Lock()
 	defer n.transport.mu.Unlock()
-	for name, p := range n.transport.passed {
-		if h := n.loop.HostOf(name); h == nil && p.reads+p.writes == 0 {
-			delete(n.transport.passed, name)
-		} else if h != nil {
-			n.log.Debug("box", "name", name, "role", h.Role, "standing", h.Standing, "streams", h.Streams, "writes", p.writes, "unread", h.Unread, "reads", p.reads,
-				"tokens", h.Tokens, "room", h.Room, "util", h.Util, "queue", h.Queue, "said", p.load, "sent", p.sent)
+	for name, traffic := range n.transport.traffic {
+		if backend := n.loop.HostOf(name); backend == nil && traffic.prefills+traffic.decodes == 0 {
+			delete(n.transport.traffic, name)
+		} else if backend != nil {
+			n.log.Debug("backend", "name", name, "role", backend.Role, "standing", backend.Standing, "streams", backend.Streams,
+				"writes", traffic.decodes, "unread", backend.Unread, "reads", traffic.prefills, "tokens", backend.Tokens,
+				"room", backend.Room, "util", backend.Util, "queue", backend.Queue, "said", traffic.load, "sent", traffic.sent)
 		}
 	}
 }
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -8,55 +8,57 @@
 	"sloetrestle/brain"
 )
 
-// What the platform says of a planned restart.
+// What the platform guarantees about a planned restart.
 const (
-	acceptTime    = 450 * time.Millisecond // after SIGTERM the front still opens connections for up to 400 ms
-	killAfterMost = 3 * time.Second        // of the longest deadline, that SIGKILL waits for at least
-	killAfterElse = 700 * time.Millisecond // that it waits for beyond that
+	acceptAfterStop = 450 * time.Millisecond // the platform's front opens connections for up to 400 ms after SIGTERM
+	// SIGKILL comes no sooner after SIGTERM than the longest deadline, of which at most maxDeadlineBeforeKill counts,
+	// plus killAfterDeadline.
+	maxDeadlineBeforeKill = 3 * time.Second
+	killAfterDeadline     = 700 * time.Millisecond
 )
 
 const (
-	// moveBefore is how long before SIGKILL streams are left to be continued elsewhere: their clients come again within 250 ms, and
-	// in a rolling restart the next dispatcher stops about then.
-	moveBefore = 1300 * time.Millisecond
-	// answerBefore is how long before SIGKILL all requests without a first event are answered.
-	answerBefore = 500 * time.Millisecond
-	// silentMost is how long a connection that came before the last one may say nothing.
+	// cutStreamsBeforeKill is how long before SIGKILL streams are cut for their clients to continue elsewhere.
+	// Clients reconnect within 250 ms, and in a rolling restart the next dispatcher stops at about that time.
+	cutStreamsBeforeKill = 1300 * time.Millisecond
+	// answerBeforeKill is how long before SIGKILL all requests without a first event are answered.
+	answerBeforeKill = 500 * time.Millisecond
+	// silentMost is how long a connection may send nothing during shutdown before it is closed.
 	silentMost = 300 * time.Millisecond
 
-	stopStep     = 5 * time.Millisecond // between two looks at what is still open
-	releasesMost = time.Second          // for the releases of what abandoned attempts may have left
+	shutdownPollInterval = 5 * time.Millisecond // between two checks of what is still open
+	finalReleaseTimeout  = time.Second          // for the releases of KV caches that abandoned attempts may have left
 )
 
-// stopTimes says when the steps of a shutdown are due, counted from SIGTERM.
-type stopTimes struct {
-	accept time.Duration // the listener closes
-	move   time.Duration // streams that may be continued elsewhere are cut
-	answer time.Duration // requests without a first event are answered
-	kill   time.Duration // SIGKILL may come
+// shutdownTimes says when the steps of a graceful shutdown are due, counted from SIGTERM.
+type shutdownTimes struct {
+	closeListener time.Duration
+	cutStreams    time.Duration // streams that can be continued elsewhere are cut
+	answer        time.Duration // requests without a first event are answered
+	kill          time.Duration // the earliest SIGKILL
 }
 
-// stopTimesOf derives the times of a shutdown from the settings: SIGKILL comes no sooner than the longest deadline, counted as 3 s
-// where it is longer, and 0.7 s more.
-func stopTimesOf(facts brain.Facts) stopTimes {
-	longest := longestDeadline(facts)
+// shutdownTimesFor derives the times of a graceful shutdown from the settings: SIGKILL comes no sooner than the
+// longest deadline, counted as 3 s where it is longer, plus 0.7 s.
+func shutdownTimesFor(settings brain.Facts) shutdownTimes {
+	longest := longestDeadline(settings)
 	if longest == 0 {
-		longest = killAfterMost
+		longest = maxDeadlineBeforeKill
 	}
-	kill := min(longest, killAfterMost) + killAfterElse
-	return stopTimes{
-		accept: min(acceptTime, kill/2),
-		move:   max(kill-moveBefore, min(acceptTime, kill/2)),
-		answer: max(kill-answerBefore, kill/2),
-		kill:   kill,
+	kill := min(longest, maxDeadlineBeforeKill) + killAfterDeadline
+	return shutdownTimes{
+		closeListener: min(acceptAfterStop, kill/2),
+		cutStreams:    max(kill-cutStreamsBeforeKill, min(acceptAfterStop, kill/2)),
+		answer:        max(kill-answerBeforeKill, kill/2),
+		kill:          kill,
 	}
 }
 
-// longestDeadline is that of the class which waits longest; 0: one states none.
-func longestDeadline(facts brain.Facts) time.Duration {
+// longestDeadline returns the longest deadline of all classes, or 0 if a class states none.
+func longestDeadline(settings brain.Facts) time.Duration {
 	longest := time.Duration(0)
-	for i := range facts.Names("requestClasses") {
-		deadline := facts.Span(fmt.Sprintf("requestClasses.%d.giveUpUs", i))
+	for i := range settings.Names("requestClasses") {
+		deadline := settings.Span(fmt.Sprintf("requestClasses.%d.giveUpUs", i))
 		if deadline <= 0 {
 			return 0
 		}
@@ -65,46 +67,47 @@
 	return longest
 }
 
-// stop answers what was taken, releases what is held, and ends all of it.
-func (n *node) stop(web *http.Server) {
-	began, times := time.Now(), stopTimesOf(n.facts)
-	n.log.Info("stopping", "open", n.frontend.asked.Load(), "accept", times.accept, "move", times.move, "answer", times.answer)
+// shutdown answers all admitted requests, releases KV caches that backends may hold, and ends all goroutines of the
+// node.
+func (n *node) shutdown(server *http.Server) {
+	began, times := time.Now(), shutdownTimesFor(n.settings)
+	n.log.Info("stopping", "open", n.frontend.asked.Load(), "accept", times.closeListener, "move", times.cutStreams, "answer", times.answer)
 	n.frontend.stopping.Store(true)
 	n.limiter.drain()
-	if n.facts.Yes("familyInfo.resume") {
-		defer time.AfterFunc(times.move, func() { close(n.frontend.cut) }).Stop()
+	if n.settings.Yes("familyInfo.resume") {
+		defer time.AfterFunc(times.cutStreams, func() { close(n.frontend.cut) }).Stop()
 	}
 	defer time.AfterFunc(times.answer, n.answerAll).Stop()
-	time.Sleep(times.accept)
+	time.Sleep(times.closeListener)
 	n.limiter.acceptLast()
-	<-n.served
+	<-n.acceptingDone
 	for !mayEnd(n.limiter.count()) {
-		time.Sleep(stopStep)
+		time.Sleep(shutdownPollInterval)
 		n.limiter.closeSilent()
 	}
-	web.Close()
+	server.Close()
 	n.releaseAll()
 	n.log.Info("stopped", "took", time.Since(began))
-	n.tell()
-	n.end()
-	n.trips.Wait()
-	n.group.Wait()
+	n.logState()
+	n.cancel()
+	n.transportTasks.Wait()
+	n.tasks.Wait()
 }
 
-// answerAll has every request without a first event answered, those that are still to come among them.
+// answerAll has every request without a first event answered, and every further request rejected.
 func (n *node) answerAll() {
 	n.frontend.over.Store(true)
 	n.loop.Post(n.loop.Yield)
 }
 
-// releaseAll calls off the attempts whose clients have gone, and waits until backends were told of all that they may hold.
+// releaseAll cancels the attempts that no client waits for, and waits until all releases of KV caches have finished.
 func (n *node) releaseAll() {
-	for end := time.Now().Add(releasesMost); time.Now().Before(end); time.Sleep(stopStep) {
+	for end := time.Now().Add(finalReleaseTimeout); time.Now().Before(end); time.Sleep(shutdownPollInterval) {
 		open := 0
-		n.loop.Call(n.life, func() { open = n.loop.CallOff() })
-		if open == 0 && n.transport.releasing.Load() == 0 {
+		n.loop.Call(n.lifetime, func() { open = n.loop.CallOff() })
+		if open == 0 && n.transport.pending.Load() == 0 {
 			return
 		}
 	}
-	n.log.Warn("not all releases were heard", "waiting", n.transport.releasing.Load())
+	n.log.Warn("not all releases were answered before the shutdown ended", "waiting", n.transport.pending.Load())
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -12,279 +12,288 @@
 	"sloetrestle/internal/hosts"
 )
 
-func TestTheTimesOfAShutdownFollowFromTheDeadlines(t *testing.T) {
+func TestShutdownTimesFollowFromTheDeadlines(t *testing.T) {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	for name, c := range map[string]struct {
 		deadlinesUs []any
-		want        stopTimes
+		want        shutdownTimes
 	}{
-		"long deadlines count as 3 s":  {[]any{4e6, 8e6}, stopTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
-		"3 s":                          {[]any{3e6}, stopTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
-		"the longest counts":           {[]any{5e5, 1.2e6}, stopTimes{ms(450), ms(600), ms(1400), ms(1900)}},
-		"a second":                     {[]any{1e6}, stopTimes{ms(450), ms(450), ms(1200), ms(1700)}},
-		"next to none":                 {[]any{1e4}, stopTimes{ms(355), ms(355), ms(355), ms(710)}},
-		"none stated":                  {[]any{nil}, stopTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
-		"one stated, one not, so long": {[]any{1e6, nil}, stopTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
+		"long deadlines count as 3 s":    {[]any{4e6, 8e6}, shutdownTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
+		"3 s":                            {[]any{3e6}, shutdownTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
+		"the longest counts":             {[]any{5e5, 1.2e6}, shutdownTimes{ms(450), ms(600), ms(1400), ms(1900)}},
+		"1 s":                            {[]any{1e6}, shutdownTimes{ms(450), ms(450), ms(1200), ms(1700)}},
+		"10 ms":                          {[]any{1e4}, shutdownTimes{ms(355), ms(355), ms(355), ms(710)}},
+		"none stated":                    {[]any{nil}, shutdownTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
+		"one of two stated: counted 3 s": {[]any{1e6, nil}, shutdownTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
 	} {
 		var classes []any
-		for _, d := range c.deadlinesUs {
-			classes = append(classes, map[string]any{"name": "a", "giveUpUs": d})
+		for _, deadline := range c.deadlinesUs {
+			classes = append(classes, map[string]any{"name": "a", "giveUpUs": deadline})
 		}
-		got := stopTimesOf(brain.Flat(map[string]any{"requestClasses": classes}))
+		got := shutdownTimesFor(brain.Flat(map[string]any{"requestClasses": classes}))
 		if got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
-		if !(got.accept <= got.move && got.move <= got.answer && got.answer < got.kill) {
+		if !(got.closeListener <= got.cutStreams && got.cutStreams <= got.answer && got.answer < got.kill) {
 			t.Errorf("%s: out of order: %+v", name, got)
 		}
 	}
 }
 
-// shortDeadlines has all classes wait for so long.
-func shortDeadlines(p *Place, us float64) {
-	for _, class := range p.Settings["requestClasses"].([]any) {
+// setDeadlines sets the deadline of all classes, in microseconds.
+func setDeadlines(config *Place, us float64) {
+	for _, class := range config.Settings["requestClasses"].([]any) {
 		class.(map[string]any)["giveUpUs"] = us
 	}
 }
 
-// With short deadlines SIGKILL comes soon after SIGTERM: what has not begun is answered before, and streams are left to others.
-func TestAStopIsOverBeforeTheKillOfShortDeadlines(t *testing.T) {
-	h := enter(t, func(h *house, p *Place) { shortDeadlines(p, 1e6) })
-	h.write(func(e *hosts.Exchange) bool {
-		if e.Method != "POST" || e.ID == "q1" {
-			<-e.Left // it never begins
+// With short deadlines SIGKILL comes soon after SIGTERM. Requests without a first event are answered before it, and
+// streams are cut.
+func TestShutdownEndsBeforeTheKillForShortDeadlines(t *testing.T) {
+	cluster := enter(t, func(_ *house, config *Place) { setDeadlines(config, 1e6) })
+	cluster.write(func(exchange *hosts.Exchange) bool {
+		if exchange.Method != "POST" || exchange.ID == "q1" {
+			<-exchange.Left // its response never starts
 			return false
 		}
-		e.Write(hosts.Opening)
-		for e.Write(hosts.Chunk(hosts.Event("a"))) {
+		exchange.Write(hosts.Opening)
+		for exchange.Write(hosts.Chunk(hosts.Event("a"))) {
 			select {
-			case <-e.Left:
+			case <-exchange.Left:
 				return false
 			case <-time.After(20 * time.Millisecond):
 			}
 		}
 		return false
 	})
-	never, long := h.client(), h.client()
-	io.WriteString(never, h.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
-	io.WriteString(long, h.ask("trail-info"))
-	h.until("both are out", func() bool { return len(h.site.Seen("w1", "POST"))+len(h.site.Seen("w2", "POST")) == 2 })
+	unstarted, streaming := cluster.client(), cluster.client()
+	io.WriteString(unstarted, cluster.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
+	io.WriteString(streaming, cluster.ask("trail-info"))
+	cluster.until("both attempts are in flight", func() bool {
+		return len(cluster.site.Seen("w1", "POST"))+len(cluster.site.Seen("w2", "POST")) == 2
+	})
 	const kill = 1700 * time.Millisecond
 	began := time.Now()
-	h.quit()
-	if got := long.said(); got.status != 200 || got.whole {
-		t.Errorf("a long stream: %+v", got.status)
+	cluster.quit()
+	if got := streaming.said(); got.status != 200 || got.whole {
+		t.Errorf("endless stream: %+v", got.status)
 	}
-	if got := never.said(); got.status != 503 {
-		t.Errorf("one that never began: %+v", got)
+	if got := unstarted.said(); got.status != 503 {
+		t.Errorf("request whose response never starts: %+v", got)
 	}
 	if took := time.Since(began); took > kill {
 		t.Errorf("the last answer came %v after SIGTERM, SIGKILL comes after %v", took, kill)
 	}
 }
 
-// A request whose first half was read before the stop is served: its connection is not idle, and what was read must not be dropped.
-func TestARequestThatIsHalfReadAtAStopIsServed(t *testing.T) {
-	for _, kind := range []string{"a new connection", "a connection that was used before"} {
+// A request whose first half was read before the shutdown is served: its connection is not idle, and what was read
+// must not be dropped.
+func TestHalfReadRequestIsServedDuringShutdown(t *testing.T) {
+	for _, kind := range []string{"new connection", "reused connection"} {
 		t.Run(kind, func(t *testing.T) {
-			h := enter(t, nil)
-			c := h.client()
-			if kind != "a new connection" {
-				io.WriteString(c, h.ask("trail-info"))
-				if got := c.said(); got.status != 200 {
+			cluster := enter(t, nil)
+			client := cluster.client()
+			if kind != "new connection" {
+				io.WriteString(client, cluster.ask("trail-info"))
+				if got := client.said(); got.status != 200 {
 					t.Fatalf("%+v", got)
 				}
 			}
-			raw := h.ask("hut-booking")
-			io.WriteString(c, raw[:40])
+			raw := cluster.ask("hut-booking")
+			io.WriteString(client, raw[:40])
 			time.Sleep(20 * time.Millisecond) // for the dispatcher to read it
-			h.quit()
-			h.until("the listener is closed", func() bool {
-				_, err := hostsDial(h.at)
+			cluster.quit()
+			cluster.until("the listener is closed", func() bool {
+				_, err := dialAndClose(cluster.at)
 				return errors.Is(err, syscall.ECONNREFUSED)
 			})
-			time.Sleep(2 * stopStep)
-			io.WriteString(c, raw[40:])
-			if got := c.said(); got.status != 200 || !got.whole || !got.closes {
+			time.Sleep(2 * shutdownPollInterval)
+			io.WriteString(client, raw[40:])
+			if got := client.said(); got.status != 200 || !got.whole || !got.closes {
 				t.Errorf("%+v", got)
 			}
 		})
 	}
 }
 
-// A connection at rest is closed at once, so that its client goes elsewhere; what it sends in that moment is not taken.
-func TestARequestThatCrossesAStopIsNotTaken(t *testing.T) {
-	h := enter(t, nil)
-	c := h.client()
-	io.WriteString(c, h.ask("trail-info"))
-	if got := c.said(); got.status != 200 || got.closes {
+// An idle connection is closed at once, so that its client connects elsewhere. A request that it sends at that moment
+// is not admitted.
+func TestRequestThatCrossesAShutdownIsNotAdmitted(t *testing.T) {
+	cluster := enter(t, nil)
+	client := cluster.client()
+	io.WriteString(client, cluster.ask("trail-info"))
+	if got := client.said(); got.status != 200 || got.closes {
 		t.Fatalf("%+v", got)
 	}
-	before := len(h.site.Seen("r1", "POST"))
-	h.until("its connection is idle", func() bool {
+	before := len(cluster.site.Seen("r1", "POST"))
+	cluster.until("its connection is idle", func() bool {
 		idle := 0
-		h.node.limiter.mu.Lock()
-		for conn := range h.node.limiter.conns {
+		cluster.node.limiter.mu.Lock()
+		for conn := range cluster.node.limiter.conns {
 			if state, _ := conn.status(time.Now()); state == connIdle {
 				idle++
 			}
 		}
-		h.node.limiter.mu.Unlock()
+		cluster.node.limiter.mu.Unlock()
 		return idle == 1
 	})
-	h.node.limiter.drain()
-	io.WriteString(c, h.ask("hut-booking"))
-	if _, err := c.from.ReadByte(); err != io.EOF {
+	cluster.node.limiter.drain()
+	io.WriteString(client, cluster.ask("hut-booking"))
+	if _, err := client.from.ReadByte(); err != io.EOF {
 		t.Errorf("the client sees %v", err)
 	}
-	h.quit()
-	h.until("it has ended", func() bool { return h.node.limiter.count() == 0 })
-	if n := len(h.site.Seen("r1", "POST")); n != before {
-		t.Error("the request was taken all the same")
+	cluster.quit()
+	cluster.until("no connection is open", func() bool { return cluster.node.limiter.count() == 0 })
+	if n := len(cluster.site.Seen("r1", "POST")); n != before {
+		t.Error("the request was admitted")
 	}
 }
 
-// An answer that began before the stop and says that its connection stays open ends with its connection all the same.
-func TestAnAnswerThatBeganBeforeAStopEndsItsConnection(t *testing.T) {
-	h := enter(t, nil)
-	there, finish := make(chan bool), make(chan bool)
-	h.write(func(e *hosts.Exchange) bool {
+// A response that began before the shutdown, without announcing a close, still ends its connection.
+func TestResponseBegunBeforeAShutdownEndsItsConnection(t *testing.T) {
+	cluster := enter(t, nil)
+	received, finish := make(chan bool), make(chan bool)
+	cluster.write(func(e *hosts.Exchange) bool {
 		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
-		there <- true
+		received <- true
 		<-finish
 		return e.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
 	})
-	c := h.client()
-	io.WriteString(c, h.ask("trail-info"))
-	<-there
-	h.quit()
-	h.until("it stops", func() bool { return h.node.frontend.stopping.Load() })
+	client := cluster.client()
+	io.WriteString(client, cluster.ask("trail-info"))
+	<-received
+	cluster.quit()
+	cluster.until("the shutdown has begun", func() bool { return cluster.node.frontend.stopping.Load() })
 	finish <- true
-	if got := c.said(); got.status != 200 || !got.whole {
+	if got := client.said(); got.status != 200 || !got.whole {
 		t.Errorf("%+v", got)
 	}
-	if _, err := c.from.ReadByte(); err != io.EOF {
+	if _, err := client.from.ReadByte(); err != io.EOF {
 		t.Errorf("then the client sees %v", err)
 	}
 }
 
-// A stream is not cut once its last token has been passed on: its end is near, and its client has nothing to come back for.
-func TestAStreamAtItsEndIsNotCut(t *testing.T) {
-	h := enter(t, nil)
-	passed, finish := make(chan bool), make(chan bool)
+// A stream is not cut once its last token has been passed on: its end is near, and its client has nothing left to
+// continue.
+func TestStreamIsNotCutAfterItsLastToken(t *testing.T) {
+	cluster := enter(t, nil)
+	sent, finish := make(chan bool), make(chan bool)
 	final := strings.Replace(hosts.Event("z"), "null", `"stop"`, 1)
-	h.write(func(e *hosts.Exchange) bool {
+	cluster.write(func(e *hosts.Exchange) bool {
 		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")) + hosts.Chunk(final))
-		passed <- true
+		sent <- true
 		<-finish
 		return e.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
 	})
-	c := h.client()
-	io.WriteString(c, h.ask("trail-info"))
-	<-passed
+	client := cluster.client()
+	io.WriteString(client, cluster.ask("trail-info"))
+	<-sent
 	first := make([]byte, 1)
-	if _, err := c.from.Peek(1); err != nil {
+	if _, err := client.from.Peek(1); err != nil {
 		t.Fatal(err, first)
 	}
 	time.Sleep(20 * time.Millisecond) // for the last token to be passed on
-	close(h.node.frontend.cut)
+	close(cluster.node.frontend.cut)
 	time.Sleep(cutWait + 50*time.Millisecond)
 	finish <- true
-	if got := c.said(); !got.whole || !strings.Contains(got.text, "[DONE]") {
+	if got := client.said(); !got.whole || !strings.Contains(got.text, "[DONE]") {
 		t.Errorf("%+v", got)
 	}
-	h.settled()
-	h.node.frontend.cut = make(chan struct{}) // for the stop
+	cluster.settled()
+	cluster.node.frontend.cut = make(chan struct{}) // which the shutdown closes again
 }
 
-// What an attempt of a client that has gone may have left at its backend is released before the dispatcher ends.
-func TestAStopReleasesWhatAbandonedAttemptsHold(t *testing.T) {
-	h := enter(t, func(h *house, p *Place) { p.Settings["policyLimits"].(map[string]any)["cancelling"] = false })
-	there := h.holdReads()
-	c := h.client()
-	io.WriteString(c, h.ask("trail-info"))
-	<-there
-	c.Close()
-	h.until("it is seen to go", func() bool { return h.node.frontend.asked.Load() == 0 })
-	h.quit()
+// The KV cache that the attempt of a departed client may have left at its backend is released before the dispatcher
+// ends.
+func TestShutdownReleasesKVCachesOfAbandonedAttempts(t *testing.T) {
+	cluster := enter(t, func(_ *house, config *Place) { config.Settings["policyLimits"].(map[string]any)["cancelling"] = false })
+	received := cluster.holdReads()
+	client := cluster.client()
+	io.WriteString(client, cluster.ask("trail-info"))
+	<-received
+	client.Close()
+	cluster.until("the dispatcher notices that the client left", func() bool { return cluster.node.frontend.asked.Load() == 0 })
+	cluster.quit()
 	select {
-	case err := <-h.ended:
-		h.ended <- err
+	case err := <-cluster.ended:
+		cluster.ended <- err
 	case <-time.After(5 * time.Second):
-		t.Fatal("it does not end")
+		t.Fatal("the dispatcher does not end")
 	}
-	if n := h.site.Held(); n != 0 {
-		t.Errorf("%d states are held after the end", n)
+	if n := cluster.site.Held(); n != 0 {
+		t.Errorf("%d KV caches are held after the end", n)
 	}
 }
 
-// The same where a stream that goes on keeps the process up until SIGKILL: what nobody waits for is released before that.
-func TestWhatAbandonedAttemptsHoldIsReleasedBeforeTheKill(t *testing.T) {
-	h := enter(t, func(h *house, p *Place) {
-		shortDeadlines(p, 1e6)
-		p.Settings["policyLimits"].(map[string]any)["cancelling"] = false
-		p.Settings["familyInfo"].(map[string]any)["resume"] = false
+// If a running stream keeps the process up until SIGKILL, the KV caches of abandoned attempts are released before that.
+func TestKVCachesOfAbandonedAttemptsAreReleasedBeforeTheKill(t *testing.T) {
+	cluster := enter(t, func(_ *house, config *Place) {
+		setDeadlines(config, 1e6)
+		config.Settings["policyLimits"].(map[string]any)["cancelling"] = false
+		config.Settings["familyInfo"].(map[string]any)["resume"] = false
 	})
-	ends := make(chan struct{})
-	h.write(func(e *hosts.Exchange) bool {
-		if e.Method != "POST" {
-			return e.Serve()
+	finish := make(chan struct{})
+	cluster.write(func(exchange *hosts.Exchange) bool {
+		if exchange.Method != "POST" {
+			return exchange.Serve()
 		}
-		e.Write(hosts.Opening)
+		exchange.Write(hosts.Opening)
 		for {
 			select {
-			case <-ends:
-				return e.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
+			case <-finish:
+				return exchange.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
 			case <-time.After(20 * time.Millisecond):
-				e.Write(hosts.Chunk(hosts.Event("a")))
+				exchange.Write(hosts.Chunk(hosts.Event("a")))
 			}
 		}
 	})
-	long := h.client()
-	io.WriteString(long, h.ask("trail-info"))
-	h.until("the stream has begun", func() bool { return len(h.site.Seen("w1", "POST"))+len(h.site.Seen("w2", "POST")) == 1 })
-	there := h.holdReads()
-	c := h.client()
-	io.WriteString(c, h.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
-	<-there
-	c.Close()
-	h.until("it is seen to go", func() bool { return h.node.frontend.asked.Load() == 1 })
+	streaming := cluster.client()
+	io.WriteString(streaming, cluster.ask("trail-info"))
+	cluster.until("the stream has begun", func() bool {
+		return len(cluster.site.Seen("w1", "POST"))+len(cluster.site.Seen("w2", "POST")) == 1
+	})
+	received := cluster.holdReads()
+	client := cluster.client()
+	io.WriteString(client, cluster.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
+	<-received
+	client.Close()
+	cluster.until("the dispatcher notices that the client left", func() bool { return cluster.node.frontend.asked.Load() == 1 })
 	began := time.Now()
-	h.quit()
-	h.until("the state is released", func() bool { return h.site.Held() == 0 })
+	cluster.quit()
+	cluster.until("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
 	if took := time.Since(began); took > 1700*time.Millisecond {
-		t.Errorf("it is released %v after SIGTERM, SIGKILL may come after 1.7 s", took)
+		t.Errorf("released %v after SIGTERM, SIGKILL may come after 1.7 s", took)
 	}
-	close(ends)
-	if got := long.said(); !got.whole {
+	close(finish)
+	if got := streaming.said(); !got.whole {
 		t.Errorf("%+v", got.status)
 	}
 }
 
-// A new process does not take clients by an old list while discovery may still say more; where discovery says nothing, the old list
-// serves.
-func TestAnOldListWaitsForDiscoverys(t *testing.T) {
+// A new process does not accept requests on last-known endpoints while discovery may still answer. If it doesn't, the
+// last-known endpoints are used.
+func TestLastKnownEndpointsWaitForDiscovery(t *testing.T) {
 	t.Run("discovery answers", func(t *testing.T) {
-		h := enter(t, func(h *house, p *Place) {
-			p.Known = h.site.List()
-			h.site.Change(func() { h.writers[0].State = "terminating" })
+		cluster := enter(t, func(cluster *house, config *Place) {
+			config.Known = cluster.site.List()
+			cluster.site.Change(func() { cluster.writers[0].State = "terminating" })
 		})
-		if h.standing("w1") != brain.Draining {
-			t.Error("it is ready before it has discovery's list")
+		if cluster.standing("w1") != brain.Draining {
+			t.Error("the dispatcher is ready before it has the endpoints of discovery")
 		}
 	})
 	t.Run("discovery is down", func(t *testing.T) {
 		began := time.Now()
-		h := enter(t, func(h *house, p *Place) {
-			p.Known = h.site.List()
-			h.agent.SetMute(true)
+		cluster := enter(t, func(cluster *house, config *Place) {
+			config.Known = cluster.site.List()
+			cluster.agent.SetMute(true)
 		})
-		if took := time.Since(began); took < firstListWait || took > 2*firstListWait {
-			t.Errorf("it is ready after %v", took)
+		if took := time.Since(began); took < discoveryWait || took > 2*discoveryWait {
+			t.Errorf("the dispatcher is ready after %v", took)
 		}
-		if got := h.says(h.ask("hut-booking")); got.status != 200 {
+		if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 {
 			t.Errorf("%+v", got)
 		}
-		h.settled()
+		cluster.settled()
 	})
 }
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -21,138 +21,145 @@
 )
 
 const (
-	headTime  = 400 * time.Millisecond  // for an answer's head, and its first events, once its first byte has come
-	dialTries = 4                       // connections that are refused before a backend counts as away
-	dialWait  = 10 * time.Millisecond   // between them
-	stallTime = 4200 * time.Millisecond // without an event, after which a stream is taken for dead
-	shortMost = 64 << 10                // bytes of an answer that is no stream
+	responseHeadTimeout = 400 * time.Millisecond  // from a response's first byte to the end of its head and its first event
+	dialTries           = 4                       // refused connections before a backend counts as unreachable
+	dialWait            = 10 * time.Millisecond   // between two of them
+	streamStallTimeout  = 4200 * time.Millisecond // without an event, after which a stream counts as broken
+	maxShortBody        = 64 << 10                // bytes of a response body that is not streamed
 
-	// arrivalTimes is how many times as long as for its connection a request is given to arrive, where a state waits for it.
-	arrivalTimes = 2
+	// ackTimeoutFactor times the connect timeout is how long the backend's machine has to acknowledge a request while
+	// a KV cache waits.
+	ackTimeoutFactor = 2
 )
 
-// payload is what is sent of a request.
+// payload is what is sent to a backend for a client's request.
 type payload struct {
-	head func(wait time.Duration) []byte
+	head func(wait time.Duration) []byte // the request head, which states the remaining time
 	id   string
 	body []byte
 }
 
-// transport takes attempts to backends.
+// transport sends attempts and releases to backends.
 type transport struct {
-	fields  []string // of load reports
-	boxes   *reach.Boxes
-	loop    *dispatch.Loop
-	life    context.Context
-	group   *errgroup.Group
-	tell    func(peer int, n brain.PeerUpdate)
-	hosts   map[*dispatch.Backend]*reach.Host // the loop's
-	log     *slog.Logger
-	notable *notableLog
-	monitor *monitor.Monitor
-	pulse   *pulse
-	mu      sync.Mutex
-	passed  map[string]*passed // by backend: what went over its connections
+	loadFields []string // of load reports
+	boxes      *reach.Boxes
+	loop       *dispatch.Loop
+	lifetime   context.Context
+	tasks      *errgroup.Group
+	sendToPeer func(peer int, update brain.PeerUpdate)
+	poolOf     map[*dispatch.Backend]*reach.Host // used by the event loop only
+	log        *slog.Logger
+	notable    *notableLog
+	monitor    *monitor.Monitor
+	pulse      *pulse
+	mu         sync.Mutex
+	traffic    map[string]*backendTraffic // by backend name
 
-	slots chan struct{}        // one for each attempt that has or makes a connection
-	since func() time.Duration // the loop's clock
+	slots chan struct{}        // holds one element per attempt that has or makes a connection
+	since func() time.Duration // the event loop's clock
 	releaser
-	Local     atomic.Int64 // connections that this machine could not begin
-	Unarrived atomic.Int64 // attempts called off, as their requests did not arrive
-	Stale     atomic.Int64 // attempts that were not wanted any more when their connection was there
-	Spoilt    atomic.Int64 // answers that could not be read
-	Strange   atomic.Int64 // answers that tell of a fault of this program: 400 and 404
+	Local      atomic.Int64 // connections that this machine could not begin
+	Unarrived  atomic.Int64 // attempts cancelled because their requests were not acknowledged
+	Stale      atomic.Int64 // attempts that were no longer wanted when their connection was established
+	Malformed  atomic.Int64 // responses that could not be parsed
+	BadRequest atomic.Int64 // 400 and 404 responses, which point at a fault of this program
 }
 
-func (c *transport) Reach(b *dispatch.Backend, at []addresses.Spec) {
-	h := c.boxes.Set(b.Name, at, uint64(b.Known.ID))
-	if len(at) == 0 {
-		delete(c.hosts, b)
-		c.heard.remove(h)
+// Reach sets the addresses of a backend. None means that it was removed.
+func (c *transport) Reach(backend *dispatch.Backend, specs []addresses.Spec) {
+	pool := c.boxes.Set(backend.Name, specs, uint64(backend.Known.ID))
+	if len(specs) == 0 {
+		delete(c.poolOf, backend)
+		c.activity.remove(pool)
 		return
 	}
-	c.hosts[b] = h
-	c.heard.add(h, failureDomain{b.Known.Role, b.Known.Zone})
+	c.poolOf[backend] = pool
+	c.activity.add(pool, failureDomain{backend.Known.Role, backend.Known.Zone})
 }
 
-func (c *transport) Tell(peer int, n brain.PeerUpdate) { c.tell(peer, n) }
+// Tell sends an update to a peer.
+func (c *transport) Tell(peer int, update brain.PeerUpdate) { c.sendToPeer(peer, update) }
 
-// passed is what went over a backend's connections.
-type passed struct {
-	reads, writes int // requests that are out, since their last byte
-	sent          int64
-	load          string // its last report
+// backendTraffic counts the requests sent to one backend.
+type backendTraffic struct {
+	prefills, decodes int // requests in flight, from their last byte on
+	sent              int64
+	load              string // the last load report
 }
 
-// pass takes note of a request that went out whole, or of its end.
-func (c *transport) pass(f *dispatch.Attempt, out int, load string) {
+// recordTraffic counts a request that was sent completely, or the end of one.
+func (c *transport) recordTraffic(attempt *dispatch.Attempt, delta int, load string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	p := c.passed[f.Backend.Name]
-	if p == nil {
-		p = &passed{}
-		c.passed[f.Backend.Name] = p
+	traffic := c.traffic[attempt.Backend.Name]
+	if traffic == nil {
+		traffic = &backendTraffic{}
+		c.traffic[attempt.Backend.Name] = traffic
 	}
-	if f.Planned.Stage == brain.ToRead {
-		p.reads += out
+	if attempt.Planned.Stage == brain.ToRead {
+		traffic.prefills += delta
 	} else {
-		p.writes += out
+		traffic.decodes += delta
 	}
-	if out > 0 {
-		p.sent++
+	if delta > 0 {
+		traffic.sent++
 	}
 	if load != "" {
-		p.load = load
+		traffic.load = load
 	}
 }
 
 // Start starts an attempt.
-func (c *transport) Start(f *dispatch.Attempt) {
-	ctx, off := context.WithCancelCause(c.life)
-	f.Off = off
-	m, host := f.Request.Matter.(*payload), c.hosts[f.Backend]
-	c.group.Go(func() error {
-		r := c.fly(ctx, f, host, m)
-		off(nil)
-		close(f.Tokens)
-		c.tellEnd(f, m.id, r)
+func (c *transport) Start(attempt *dispatch.Attempt) {
+	ctx, cancel := context.WithCancelCause(c.lifetime)
+	attempt.Off = cancel
+	outgoing, pool := attempt.Request.Matter.(*payload), c.poolOf[attempt.Backend]
+	c.tasks.Go(func() error {
+		result := c.perform(ctx, attempt, pool, outgoing)
+		cancel(nil)
+		close(attempt.Tokens)
+		c.reportEnd(attempt, outgoing.id, result)
 		return nil
 	})
 }
 
-// tellEnd tells the loop of an attempt's end, and how long ago that was once it is its turn.
-func (c *transport) tellEnd(f *dispatch.Attempt, id string, r brain.Result) {
+// reportEnd posts the end of an attempt to the event loop, with how long ago it was by the time that the loop handles
+// it.
+func (c *transport) reportEnd(attempt *dispatch.Attempt, id string, result brain.Result) {
 	ended := c.since()
-	switch r.Outcome {
+	switch result.Outcome {
 	case brain.TimedOut, brain.Broken, brain.Unreachable:
-		c.notable.Info("an attempt has failed", "id", id, "backend", f.Backend.Name, "stage", f.Stage(), "number", f.Planned.Number,
-			"outcome", dispatch.OutcomeName(r.Outcome), "arrived", f.Arrived.Load(), "wait", f.Wait)
+		c.notable.Info("attempt failed", "id", id, "backend", attempt.Backend.Name, "stage", attempt.Stage(), "number", attempt.Planned.Number,
+			"outcome", dispatch.OutcomeName(result.Outcome), "arrived", attempt.Arrived.Load(), "wait", attempt.Wait)
 	}
 	c.loop.Post(func() {
-		r.Ago = c.since() - ended
-		c.loop.Ended(f, r)
+		result.Ago = c.since() - ended
+		c.loop.Ended(attempt, result)
 	})
 }
 
-// fly is one attempt. Its connection is closed before its end is told.
-func (c *transport) fly(ctx context.Context, f *dispatch.Attempt, host *reach.Host, m *payload) (r brain.Result) {
-	conn, stop, err := c.open(ctx, f, host, m)
+// perform carries out one attempt. Its connection is closed before its end is reported.
+func (c *transport) perform(
+	ctx context.Context, attempt *dispatch.Attempt, pool *reach.Host, outgoing *payload,
+) (result brain.Result) {
+	conn, stop, err := c.open(ctx, attempt, pool, outgoing)
 	if err != nil {
 		return notSent(ctx, err)
 	}
 	load := ""
-	c.pass(f, 1, "")
-	if limit := f.Planned.Connect; limit > 0 {
-		defer time.AfterFunc(arrivalTimes*limit, func() { c.checkArrival(f, conn) }).Stop()
+	c.recordTraffic(attempt, 1, "")
+	if limit := attempt.Planned.Connect; limit > 0 {
+		defer time.AfterFunc(ackTimeoutFactor*limit, func() { c.checkArrival(attempt, conn) }).Stop()
 	}
 	defer func() {
-		c.pass(f, -1, load)
+		c.recordTraffic(attempt, -1, load)
 		stop()
 		conn.Drop()
 		<-c.slots
-		c.monitor.AttemptEnds(m.id, f.Planned.Number, hasEffect(f), proves(r.Outcome), dispatch.OutcomeName(r.Outcome))
+		c.monitor.AttemptEnds(
+			outgoing.id, attempt.Planned.Number, hasEffect(attempt), provenEnd(result.Outcome), dispatch.OutcomeName(result.Outcome))
 	}()
-	broken := func() brain.Result {
+	interrupted := func() brain.Result {
 		switch cause := context.Cause(ctx); {
 		case errors.Is(cause, dispatch.ErrLate):
 			return brain.Result{Outcome: brain.TimedOut}
@@ -162,44 +169,45 @@
 		return brain.Result{Outcome: brain.Broken}
 	}
 	if _, err := conn.Bytes().Peek(1); err != nil {
-		c.heard.silent(host)
-		return broken()
+		c.activity.recordSilence(pool)
+		return interrupted()
 	}
-	f.Arrived.Store(true) // nothing else shows that the request has come to a running backend
-	c.heard.heard(host)
-	c.monitor.AttemptArrived(m.id, f.Planned.Number)
-	conn.SetReadDeadline(time.Now().Add(headTime))
+	attempt.Arrived.Store(true) // only a response shows that the request has reached a running backend
+	c.activity.recordActivity(pool)
+	c.monitor.AttemptArrived(outgoing.id, attempt.Planned.Number)
+	conn.SetReadDeadline(time.Now().Add(responseHeadTimeout))
 	var resp *http.Response
 	for range chat.InformMost {
 		var err error
 		if resp, err = conn.Head(nil); err != nil {
-			c.Spoilt.Add(1)
-			return broken()
+			c.Malformed.Add(1)
+			return interrupted()
 		}
 		if resp.StatusCode >= 200 || resp.StatusCode == http.StatusSwitchingProtocols {
 			break
 		}
 	}
-	if resp.StatusCode != http.StatusOK || f.Planned.Stage == brain.ToRead {
-		body, err := io.ReadAll(io.LimitReader(resp.Body, shortMost+1))
-		if err != nil || len(body) > shortMost {
-			c.Spoilt.Add(1)
-			return broken()
+	if resp.StatusCode != http.StatusOK || attempt.Planned.Stage == brain.ToRead {
+		body, err := io.ReadAll(io.LimitReader(resp.Body, maxShortBody+1))
+		if err != nil || len(body) > maxShortBody {
+			c.Malformed.Add(1)
+			return interrupted()
 		}
 		if resp.StatusCode == http.StatusBadRequest || resp.StatusCode == http.StatusNotFound {
-			// The request is at fault, not the backend: it must not speak against the backend, and no other would take it either.
-			c.Strange.Add(1)
-			f.Unfit = true
+			// The request is at fault: this must not count against the backend, and no other backend would accept the
+			// request either.
+			c.BadRequest.Add(1)
+			attempt.Unfit = true
 			return brain.Result{Outcome: brain.Cancelled}
 		}
-		r.Outcome, r.Note = chat.Outcome(f.Planned.Stage, resp, body)
+		result.Outcome, result.Note = chat.Outcome(attempt.Planned.Stage, resp, body)
 		load = resp.Header.Get("X-Server-Load")
-		r.Load = chat.Load(load, c.fields)
-		return r
+		result.Load = chat.Load(load, c.loadFields)
+		return result
 	}
 	if len(resp.TransferEncoding) != 1 || resp.TransferEncoding[0] != "chunked" {
-		c.Spoilt.Add(1)
-		return broken()
+		c.Malformed.Add(1)
+		return interrupted()
 	}
 	stream := chat.NewStream(conn.Bytes())
 	for begun := false; ; {
@@ -208,25 +216,25 @@
 			if load = stream.Report; load == "" {
 				load = resp.Header.Get("X-Server-Load")
 			}
-			return brain.Result{Outcome: brain.Served, Note: stream.Kept, Load: chat.Load(load, c.fields)}
+			return brain.Result{Outcome: brain.Served, Note: stream.Kept, Load: chat.Load(load, c.loadFields)}
 		}
 		if err != nil {
 			if errors.Is(err, chat.ErrSpoilt) {
-				c.Spoilt.Add(1)
+				c.Malformed.Add(1)
 			}
-			return broken()
+			return interrupted()
 		}
 		if !begun {
 			begun = true
-			c.monitor.Released(m.id, "its answer begins")
-			c.loop.Post(func() { c.loop.Began(f) })
+			c.monitor.Released(outgoing.id, "response started")
+			c.loop.Post(func() { c.loop.Began(attempt) })
 		}
-		c.heard.heard(host)
-		conn.SetReadDeadline(time.Now().Add(stallTime))
+		c.activity.recordActivity(pool)
+		conn.SetReadDeadline(time.Now().Add(streamStallTimeout))
 		select {
-		case f.Tokens <- piece:
+		case attempt.Tokens <- piece:
 		case <-ctx.Done():
-			return broken()
+			return interrupted()
 		}
 	}
 }
