--- a/internal/platform/activity.go
+++ b/internal/platform/activity.go
@@ -80,8 +80,8 @@
 	defer l.mu.Unlock()
 	var domains []failureDomain
 	byDomain := map[failureDomain][]*reach.Host{}
-	for element, scanned := l.order.Front(), 0; element != nil && scanned < maxActivityScan; element, scanned = element.Next(), scanned+1 {
-		entry := element.Value.(activityEntry)
+	for e, scanned := l.order.Front(), 0; e != nil && scanned < maxActivityScan; e, scanned = e.Next(), scanned+1 {
+		entry := e.Value.(activityEntry)
 		if byDomain[entry.domain] == nil {
 			domains = append(domains, entry.domain)
 		}
--- a/internal/platform/activity_test.go
+++ b/internal/platform/activity_test.go
@@ -31,23 +31,26 @@
 	for _, name := range []string{"w1", "w2"} {
 		activity.add(pools[name], failureDomain{brain.Writes, 0})
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name   string
 		change func()
 		want   []string
 	}{
 		{"no activity: one of each role in turn", func() {}, []string{"r1", "w1", "r2", "w2", "r3"}},
 		{"activity", func() { activity.recordActivity(pools["r3"]) }, []string{"r3", "w1", "r1", "w2", "r2"}},
-		{"later activity of the other role", func() { activity.recordActivity(pools["w2"]) }, []string{"w2", "r3", "w1", "r1", "r2"}},
+		{
+			"later activity of the other role", func() { activity.recordActivity(pools["w2"]) },
+			[]string{"w2", "r3", "w1", "r1", "r2"},
+		},
 		{"called without an answer", func() { activity.recordSilence(pools["r3"]) }, []string{"w2", "r1", "w1", "r2", "r3"}},
 		{
 			"removed", func() { activity.remove(pools["w2"]); activity.recordActivity(pools["w2"]) },
 			[]string{"r1", "w1", "r2", "r3"},
 		},
 	} {
-		c.change()
-		if got := namesOf(activity.byRecency()); !slices.Equal(got, c.want) {
-			t.Errorf("%s: %v, want %v", c.name, got, c.want)
+		test.change()
+		if got := namesOf(activity.byRecency()); !slices.Equal(got, test.want) {
+			t.Errorf("%s: %v, want %v", test.name, got, test.want)
 		}
 	}
 }
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -46,8 +46,8 @@
 	request := &dispatch.ClientRequest{
 		Ask: kserve.Ask{ID: id, Tokens: 400, Most: 50},
 		Matter: &payload{id: id, body: []byte("{}"), head: func(wait time.Duration) []byte {
-			return fmt.Appendf(nil, "POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\nContent-Length: 2\r\n\r\n",
-				id, wait.Milliseconds())
+			return fmt.Appendf(nil, "POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\n"+
+				"Content-Length: 2\r\n\r\n", id, wait.Milliseconds())
 		}},
 	}
 	c.node.loop.Call(context.Background(), func() {
@@ -70,7 +70,8 @@
 	}
 	cluster.node.loop.Call(context.Background(), func() {
 		if b := cluster.node.loop.Believes(); b.Cold != 0 || cluster.node.loop.Tally.Outcomes[brain.NotSent] != 1 {
-			t.Errorf("an attempt that was not sent counts against its backend: %+v, outcomes %v", b, cluster.node.loop.Tally.Outcomes)
+			t.Errorf("an attempt that was not sent counts against its backend: %+v, outcomes %v",
+				b, cluster.node.loop.Tally.Outcomes)
 		}
 		cluster.node.loop.HostOf("r1").Standing = brain.Ready
 	})
@@ -82,7 +83,9 @@
 func TestClientLeavingBeforeSendStopsTheAttempt(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancelling %t", cancelling), func(t *testing.T) {
-			cluster := enter(t, func(_ *house, p *Place) { p.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling })
+			cluster := enter(t, func(_ *house, config *Place) {
+				config.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling
+			})
 			cluster.submit("q1", 0, func(request *dispatch.ClientRequest) { cluster.node.loop.Left(request) })
 			cluster.settled()
 			if n := len(cluster.site.Seen("", "POST")); n != 0 {
@@ -123,7 +126,8 @@
 	for i := range body {
 		body[i] = 'x'
 	}
-	got := cluster.says(cluster.ask("hut-booking", "Content-Length: 12", "Content-Length: 250000", `{"model":""}`, string(body)))
+	got := cluster.says(cluster.ask("hut-booking",
+		"Content-Length: 12", "Content-Length: 250000", `{"model":""}`, string(body)))
 	if got.status != 200 || !got.whole {
 		t.Errorf("%+v", got)
 	}
@@ -156,7 +160,7 @@
 func TestEarlyAndEndlessResponses(t *testing.T) {
 	t.Run("endless 1xx", func(t *testing.T) {
 		cluster := enter(t, nil)
-		cluster.first(func(e *hosts.Exchange) bool {
+		cluster.onFirstDecode(func(e *hosts.Exchange) bool {
 			for e.Write("HTTP/1.1 103 Early Hints\r\n\r\n") {
 				select {
 				case <-e.Left:
@@ -193,7 +197,9 @@
 func TestPrefillEndingAsItsClientLeavesIsReleased(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancelling %t", cancelling), func(t *testing.T) {
-			cluster := enter(t, func(_ *house, p *Place) { p.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling })
+			cluster := enter(t, func(_ *house, config *Place) {
+				config.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling
+			})
 			client := cluster.client()
 			cluster.reader.Do = func(e *hosts.Exchange) bool {
 				if e.Method != "POST" {
@@ -201,7 +207,9 @@
 				}
 				e.Hold()
 				client.Close()
-				cluster.until("the dispatcher notices that the client left", func() bool { return cluster.node.frontend.asked.Load() == 0 })
+				cluster.until("the dispatcher notices that the client left", func() bool {
+					return cluster.node.frontend.asked.Load() == 0
+				})
 				e.Write("HTTP/1.1 202 Accepted\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
 				return true
 			}
@@ -217,7 +225,7 @@
 
 // Releases do not queue behind calls to partitioned backends, however few descriptors there are.
 func TestReleasesDoNotWaitForPartitionedBackends(t *testing.T) {
-	cluster := enter(t, func(_ *house, p *Place) { p.Limits.Sockets = 64 })
+	cluster := enter(t, func(_ *house, config *Place) { config.Limits.Sockets = 64 })
 	const requests = 8 // more than there are descriptors for concurrent release calls
 	received := make(chan bool, requests)
 	cluster.reader.Do = func(e *hosts.Exchange) bool {
@@ -274,8 +282,10 @@
 	io.WriteString(client, raw)
 	<-received
 	client.Close()
-	cluster.until("the dispatcher notices that the client left", func() bool { return cluster.node.frontend.asked.Load() == 0 })
-	if got := cluster.says(raw); got.status != 409 || got.after != "" {
+	cluster.until("the dispatcher notices that the client left", func() bool {
+		return cluster.node.frontend.asked.Load() == 0
+	})
+	if got := cluster.says(raw); got.status != 409 || got.retryAfter != "" {
 		t.Errorf("after its client left: %+v", got)
 	}
 	raw = cluster.ask("hut-booking")
@@ -283,11 +293,11 @@
 	io.WriteString(client, raw)
 	<-received
 	cluster.node.frontend.over.Store(true)
-	if got := cluster.says(raw); got.status != 409 || got.after != "" {
+	if got := cluster.says(raw); got.status != 409 || got.retryAfter != "" {
 		t.Errorf("during shutdown: %+v", got)
 	}
 	cluster.node.frontend.open = 0
-	if got := cluster.says(raw); got.status != 409 || got.after != "" {
+	if got := cluster.says(raw); got.status != 409 || got.retryAfter != "" {
 		t.Errorf("while too many requests are open: %+v", got)
 	}
 	close(hold)
@@ -350,7 +360,8 @@
 	var failing *atomic.Pointer[syscall.Errno]
 	cluster := enter(t, func(cluster *house, _ *Place) { failing = failDials(cluster) })
 	for _, errno := range []syscall.Errno{
-		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN,
+		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL,
+		syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN,
 	} {
 		failing.Store(&errno)
 		time.AfterFunc(100*time.Millisecond, func() { failing.Store(nil) })
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -30,7 +30,7 @@
 	} `json:"limits"`
 	PeerListen string          `json:"peer_listen"` // UDP address for peer updates; empty: none
 	Peers      []string        `json:"peers"`       // addresses of the other dispatchers
-	Known      json.RawMessage `json:"known"`       // last-known endpoints, in discovery's format
+	LastKnown  json.RawMessage `json:"known"`       // last-known endpoints, in discovery's format
 	Settings   map[string]any  `json:"settings"`
 }
 
@@ -76,7 +76,8 @@
 	case len(p.Settings) == 0:
 		return errors.New("configuration: settings are missing")
 	case p.Limits.MemoryMB < 0 || p.Limits.Sockets < 0:
-		return fmt.Errorf("configuration: limits must not be negative: memory_mb %d, sockets %d", p.Limits.MemoryMB, p.Limits.Sockets)
+		return fmt.Errorf("configuration: limits must not be negative: memory_mb %d, sockets %d",
+			p.Limits.MemoryMB, p.Limits.Sockets)
 	}
 	return brain.Flat(p.Settings).Sound()
 }
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -11,8 +11,8 @@
 
 // A configuration is either rejected or leaves every use a share of its limits.
 func FuzzConfiguration(f *testing.F) {
-	f.Add([]byte(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","limits":{"memory_mb":64,"sockets":256},"settings":` +
-		hosts.Settings + `}`))
+	f.Add([]byte(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2",` +
+		`"limits":{"memory_mb":64,"sockets":256},"settings":` + hosts.Settings + `}`))
 	f.Add([]byte(`{"listen":"a","discovery":"b","limits":{"memory_mb":1,"sockets":1},"settings":{"siblings":"x"}}`))
 	f.Add([]byte(`{"limits":{"sockets":-1}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -25,8 +25,8 @@
 			return
 		}
 		shares := config.resources()
-		if config.Listen == "" || config.Discovery == "" || shares.clients < 1 || shares.attempts < 1 || shares.releases < 1 ||
-			shares.heap < 1 || shares.bodies < 1 {
+		if config.Listen == "" || config.Discovery == "" || shares.clients < 1 || shares.attempts < 1 ||
+			shares.releases < 1 || shares.heap < 1 || shares.bodies < 1 {
 			t.Errorf("%+v leaves %+v", config, shares)
 		}
 	})
--- a/internal/platform/ids.go
+++ b/internal/platform/ids.go
@@ -29,7 +29,8 @@
 
 func newIDRegister(retention time.Duration) *idRegister {
 	return &idRegister{
-		retention: retention, open: map[string]bool{}, current: map[uint64]bool{}, previous: map[uint64]bool{}, generationStart: time.Now(),
+		retention: retention, open: map[string]bool{},
+		current: map[uint64]bool{}, previous: map[uint64]bool{}, generationStart: time.Now(),
 	}
 }
 
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -34,11 +34,11 @@
 	writers []*hosts.Box
 	node    *node
 	at      string // of the dispatcher's listener
-	again   chan os.Signal
-	read    func() (Place, error)
+	reloads chan os.Signal
+	load    func() (Place, error)
 	quit    context.CancelFunc // begins the graceful shutdown
-	ended   chan error         // the result of the node's run
-	ids     int                // requests made
+	exited  chan error         // the result of the node's run
+	lastID  int                // of the requests made
 	system  system.System
 }
 
@@ -47,7 +47,9 @@
 func enter(t *testing.T, change func(cluster *house, config *Place)) *house {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	cluster := &house{t: t, site: hosts.New(), again: make(chan os.Signal, 1), ended: make(chan error, 1), system: system.Real()}
+	cluster := &house{
+		t: t, site: hosts.New(), reloads: make(chan os.Signal, 1), exited: make(chan error, 1), system: system.Real(),
+	}
 	cluster.reader = cluster.site.Box("r1", hosts.Reader)
 	cluster.writers = []*hosts.Box{cluster.site.Box("w1", hosts.Writer), cluster.site.Box("w2", hosts.Writer)}
 	cluster.agent = cluster.site.Agent()
@@ -63,11 +65,11 @@
 		t.Fatal(err)
 	}
 	cluster.at = cluster.node.limiter.Addr().String()
-	cluster.read = func() (Place, error) { return config, nil }
+	cluster.load = func() (Place, error) { return config, nil }
 	ctx, cancel := context.WithCancel(context.Background())
 	cluster.quit = cancel
 	go func() {
-		cluster.ended <- cluster.node.run(ctx, cluster.again, func() (Place, error) { return cluster.read() })
+		cluster.exited <- cluster.node.run(ctx, cluster.reloads, func() (Place, error) { return cluster.load() })
 	}()
 	cluster.until("the dispatcher is ready", func() bool {
 		resp, err := http.Get("http://" + cluster.at + "/ready")
@@ -81,7 +83,7 @@
 	t.Cleanup(func() {
 		cluster.quit()
 		select {
-		case err := <-cluster.ended:
+		case err := <-cluster.exited:
 			if err != nil {
 				t.Error(err)
 			}
@@ -117,8 +119,8 @@
 	}
 }
 
-// first sets how the decode backends respond to the first attempt; further ones are served normally.
-func (c *house) first(do func(e *hosts.Exchange) bool) {
+// onFirstDecode sets how the decode backends respond to the first attempt; further ones are served normally.
+func (c *house) onFirstDecode(do func(e *hosts.Exchange) bool) {
 	c.write(func(e *hosts.Exchange) bool {
 		if e.Method == "POST" && len(c.site.Seen("w1", "POST"))+len(c.site.Seen("w2", "POST")) == 1 {
 			return do(e)
@@ -152,7 +154,8 @@
 			int(c.node.transport.pending.Load())
 		c.node.loop.Call(context.Background(), func() {
 			for _, b := range []*hosts.Box{c.reader, c.writers[0], c.writers[1]} {
-				if known := c.node.loop.HostOf(b.UID); known != nil && (known.Streams != 0 || known.Tokens != 0 || known.Unread != 0) {
+				if known := c.node.loop.HostOf(b.UID); known != nil &&
+					(known.Streams != 0 || known.Tokens != 0 || known.Unread != 0) {
 					remaining++
 				}
 			}
@@ -163,10 +166,11 @@
 
 // ask returns a client's request as text, with the given pairs of old and new strings replaced.
 func (c *house) ask(class string, change ...string) string {
-	c.ids++
-	raw := fmt.Sprintf("POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: q%d\r\nX-Priority-Class: %s\r\n"+
-		"X-Tenant-Id: web-app\r\nX-Route-Key: s%d\r\nX-Timeout-Ms: 3000\r\nX-Attrs: prefix=ab,prompt_len=400,prefix_len=100,max_out=50\r\n"+
-		"Content-Length: 12\r\n\r\n{\"model\":\"\"}", c.ids, class, c.ids)
+	c.lastID++
+	raw := fmt.Sprintf("POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: q%d\r\n"+
+		"X-Priority-Class: %s\r\nX-Tenant-Id: web-app\r\nX-Route-Key: s%d\r\nX-Timeout-Ms: 3000\r\n"+
+		"X-Attrs: prefix=ab,prompt_len=400,prefix_len=100,max_out=50\r\nContent-Length: 12\r\n\r\n{\"model\":\"\"}",
+		c.lastID, class, c.lastID)
 	return strings.NewReplacer(change...).Replace(raw)
 }
 
@@ -194,11 +198,11 @@
 
 // said is the response to a client's request. A status of 0 means that the connection was closed without one.
 type said struct {
-	status int
-	after  string // the Retry-After header
-	closes bool   // it announces that the connection is closed
-	text   string
-	whole  bool // it ended properly
+	status     int
+	retryAfter string // the Retry-After header
+	closes     bool   // it announces that the connection is closed
+	body       string
+	whole      bool // it ended properly
 }
 
 func (c *client) said() said {
@@ -206,8 +210,8 @@
 	if err != nil {
 		return said{}
 	}
-	text, err := io.ReadAll(resp.Body)
-	return said{resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close, string(text), err == nil}
+	body, err := io.ReadAll(resp.Body)
+	return said{resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close, string(body), err == nil}
 }
 
 // says sends a request over a new connection and returns the response.
@@ -221,11 +225,12 @@
 func TestRequestAndResponsePassThroughByteForByte(t *testing.T) {
 	cluster := enter(t, nil)
 	got := cluster.says(cluster.ask("hut-booking"))
-	if got.status != 200 || got.text != hosts.Event("a")+hosts.Event("b")+hosts.Usage+hosts.Done || !got.whole {
+	if got.status != 200 || got.body != hosts.Event("a")+hosts.Event("b")+hosts.Usage+hosts.Done || !got.whole {
 		t.Errorf("%+v", got)
 	}
 	for _, e := range cluster.site.Seen("", "POST") {
-		if e.Target != "/v1/chat/completions?x=1" || e.Body != `{"model":""}` || e.ID != "q1" || e.Head.Get("X-Timeout-Ms") == "" {
+		if e.Target != "/v1/chat/completions?x=1" || e.Body != `{"model":""}` || e.ID != "q1" ||
+			e.Head.Get("X-Timeout-Ms") == "" {
 			t.Errorf("%s %s %q as %s, %v", e.Box.UID, e.Target, e.Body, e.ID, e.Head)
 		}
 	}
@@ -280,7 +285,7 @@
 	responds := func(raw string) func(e *hosts.Exchange) bool {
 		return func(e *hosts.Exchange) bool { return e.Write(raw) }
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name       string
 		do         func(e *hosts.Exchange) bool
 		wantStatus int // for the client of a non-idempotent request
@@ -302,14 +307,15 @@
 			return e.Serve() && e.Write(hosts.Opening+hosts.Chunk(hosts.Event("z")))
 		}, 200},
 	} {
-		t.Run(c.name, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			cluster := enter(t, nil)
-			cluster.first(c.do)
-			if got := cluster.says(cluster.ask("hut-booking")); got.status != c.wantStatus || got.status == 200 && !got.whole {
+			cluster.onFirstDecode(test.do)
+			if got := cluster.says(cluster.ask("hut-booking")); got.status != test.wantStatus || got.status == 200 && !got.whole {
 				t.Errorf("non-idempotent: %+v", got)
 			}
 			cluster.settled()
-			if got := cluster.says(cluster.ask("trail-info")); got.status != 200 || strings.Contains(got.text, `"z"`) || !got.whole {
+			if got := cluster.says(cluster.ask("trail-info")); got.status != 200 ||
+				strings.Contains(got.body, `"z"`) || !got.whole {
 				t.Errorf("the next request: %+v", got)
 			}
 			cluster.settled()
@@ -320,7 +326,7 @@
 // An idempotent request is retried although its first attempt may have run, unlike a non-idempotent one.
 func TestIdempotentRequestSurvivesAMalformedResponse(t *testing.T) {
 	cluster := enter(t, nil)
-	cluster.first(func(e *hosts.Exchange) bool { return e.Write("HTTP/1.1 200 OK\r\n\x01\x02\r\n") && false })
+	cluster.onFirstDecode(func(e *hosts.Exchange) bool { return e.Write("HTTP/1.1 200 OK\r\n\x01\x02\r\n") && false })
 	if got := cluster.says(cluster.ask("trail-info")); got.status != 200 || !got.whole {
 		t.Errorf("%+v", got)
 	}
@@ -339,7 +345,7 @@
 				e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")) + tail)
 				return false
 			})
-			if got := cluster.says(cluster.ask("trail-info")); got.status != 200 || got.text != hosts.Event("a") || got.whole {
+			if got := cluster.says(cluster.ask("trail-info")); got.status != 200 || got.body != hosts.Event("a") || got.whole {
 				t.Errorf("%+v", got)
 			}
 			cluster.settled()
@@ -621,8 +627,9 @@
 // A request whose body exceeds the memory for bodies is rejected; others are served.
 func TestMemoryForBodiesIsBounded(t *testing.T) {
 	cluster := enter(t, func(_ *house, config *Place) { config.Limits.MemoryMB = 1 })
-	raw := cluster.ask("trail-info", "Content-Length: 12", "Content-Length: 250000", `{"model":""}`, strings.Repeat("x", 250000))
-	if got := cluster.says(raw); got.status != 503 || got.after == "" {
+	raw := cluster.ask("trail-info",
+		"Content-Length: 12", "Content-Length: 250000", `{"model":""}`, strings.Repeat("x", 250000))
+	if got := cluster.says(raw); got.status != 503 || got.retryAfter == "" {
 		t.Errorf("%+v", got)
 	}
 	if got := cluster.says(cluster.ask("trail-info")); got.status != 200 {
@@ -651,14 +658,14 @@
 				}
 			}
 			write(raw[:len(raw)/2])
-			cluster.read = func() (Place, error) { return Load(file, os.Getenv) }
+			cluster.load = func() (Place, error) { return Load(file, os.Getenv) }
 			if stopping {
 				received := cluster.holdReads()
 				io.WriteString(cluster.client(), cluster.ask("trail-info"))
 				<-received
 				cluster.quit()
 			}
-			cluster.again <- syscall.SIGHUP
+			cluster.reloads <- syscall.SIGHUP
 			time.Sleep(100 * time.Millisecond)
 			write(raw)
 			cluster.until("discovery is watched at its new address", func() bool { return other.Watched() == 1 })
@@ -671,19 +678,19 @@
 func TestConfigurationIsReloaded(t *testing.T) {
 	cluster := enter(t, nil)
 	other := cluster.site.Agent()
-	cluster.read = func() (Place, error) { return Load(t.TempDir()+"/absent.json", os.Getenv) }
-	cluster.again <- syscall.SIGHUP
+	cluster.load = func() (Place, error) { return Load(t.TempDir()+"/absent.json", os.Getenv) }
+	cluster.reloads <- syscall.SIGHUP
 	incomplete := t.TempDir() + "/torn.json"
 	if err := os.WriteFile(incomplete, []byte(`{"name":"n1","listen`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cluster.until("the reload of the absent file began", func() bool { return len(cluster.again) == 0 })
-	cluster.read = func() (Place, error) { return Load(incomplete, os.Getenv) }
-	cluster.again <- syscall.SIGHUP
+	cluster.until("the reload of the absent file began", func() bool { return len(cluster.reloads) == 0 })
+	cluster.load = func() (Place, error) { return Load(incomplete, os.Getenv) }
+	cluster.reloads <- syscall.SIGHUP
 	if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 || other.Watched() != 0 {
 		t.Errorf("%+v, %d watches at the new address", got, other.Watched())
 	}
-	cluster.until("the reload of the incomplete file began", func() bool { return len(cluster.again) == 0 })
+	cluster.until("the reload of the incomplete file began", func() bool { return len(cluster.reloads) == 0 })
 	config := cluster.node.config
 	config.Discovery = other.At
 	raw, err := json.Marshal(config)
@@ -694,8 +701,8 @@
 	if err := os.WriteFile(complete, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cluster.read = func() (Place, error) { return Load(complete, os.Getenv) }
-	cluster.again <- syscall.SIGHUP
+	cluster.load = func() (Place, error) { return Load(complete, os.Getenv) }
+	cluster.reloads <- syscall.SIGHUP
 	cluster.until("discovery is watched only at its new address", func() bool {
 		return other.Watched() == 1 && cluster.agent.Watched() == 0
 	})
@@ -760,7 +767,7 @@
 	})
 	close(cluster.node.frontend.cut)
 	for range 20 {
-		if got := cluster.says(cluster.ask("trail-info")); got.status != 200 || got.text != hosts.Event("a") || got.whole {
+		if got := cluster.says(cluster.ask("trail-info")); got.status != 200 || got.body != hosts.Event("a") || got.whole {
 			t.Fatalf("%+v", got)
 		}
 	}
@@ -788,7 +795,9 @@
 		added.Kill()
 	}
 	cluster.settled()
-	cluster.until("no pool for a removed backend remains", func() bool { return cluster.node.transport.boxes.Known() == 3 })
+	cluster.until("no pool for a removed backend remains", func() bool {
+		return cluster.node.transport.boxes.Known() == 3
+	})
 	if len(cluster.node.frontend.ids.open) != 0 || len(cluster.node.frontend.refused) != 0 {
 		t.Errorf("%d ids, %d reasons", len(cluster.node.frontend.ids.open), len(cluster.node.frontend.refused))
 	}
--- a/internal/platform/observe.go
+++ b/internal/platform/observe.go
@@ -15,7 +15,7 @@
 // Bounds of the monitored rules that the settings do not state.
 const (
 	clientGoneSlack   = 100 * time.Millisecond // for which an attempt may still begin once its client has closed
-	toldDeadlineSlack = 150 * time.Millisecond // by which the timeout sent to a backend may exceed what the client has left
+	toldDeadlineSlack = 150 * time.Millisecond // by which the stated timeout may exceed what the client has left
 	kvHoldSlack       = 300 * time.Millisecond // for which a KV cache may wait beyond its limit
 	defaultDrainGrace = 250 * time.Millisecond // for attempts to a draining backend, if the settings state none
 )
@@ -75,7 +75,9 @@
 	}
 	for _, class := range classes {
 		monitored = append(monitored, map[brain.Effect]monitor.Class{
-			brain.Idempotent: monitor.Idempotent, brain.Deduplicated: monitor.Deduplicated, brain.Unrepeatable: monitor.NonIdempotent,
+			brain.Idempotent:   monitor.Idempotent,
+			brain.Deduplicated: monitor.Deduplicated,
+			brain.Unrepeatable: monitor.NonIdempotent,
 		}[class.Effect])
 	}
 	return monitored
--- a/internal/platform/releases.go
+++ b/internal/platform/releases.go
@@ -43,7 +43,8 @@
 	call, targets := chat.LetGo(service, outgoing.id), c.releaseOrder(c.poolOf[backend])
 	if request.AttemptOut() {
 		c.Due.Add(1)
-		c.notable.Info("releasing a KV cache that is due while its attempt is in flight", "id", outgoing.id, "backend", backend.Name)
+		c.notable.Info("releasing a KV cache that is due while its attempt is in flight",
+			"id", outgoing.id, "backend", backend.Name)
 	}
 	c.pending.Add(1)
 	c.tasks.Go(func() error {
@@ -56,7 +57,8 @@
 			c.Undelivered.Add(1)
 			c.notable.Info("no backend answered a release", "id", outgoing.id, "backend", backend.Name)
 		}
-		c.log.Debug("release finished", "id", outgoing.id, "box", backend.Name, "took", time.Since(began), "asked", len(targets))
+		c.log.Debug("release finished",
+			"id", outgoing.id, "box", backend.Name, "took", time.Since(began), "asked", len(targets))
 		return nil
 	})
 }
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -54,7 +54,8 @@
 // Run serves until the context ends, then answers all admitted requests and returns. On every signal from reloads it
 // calls load for a new configuration.
 func Run(
-	ctx context.Context, config Place, sys system.System, reloads <-chan os.Signal, load func() (Place, error), log *slog.Logger,
+	ctx context.Context, config Place, sys system.System,
+	reloads <-chan os.Signal, load func() (Place, error), log *slog.Logger,
 ) error {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(config.resources().heap)
@@ -71,19 +72,20 @@
 	shares, settings := config.resources(), brain.Flat(config.Settings)
 	began := time.Now()
 	since := func() time.Duration { return time.Since(began) }
-	n := &node{config: config, settings: settings, log: log, acceptingDone: make(chan struct{})}
-	n.lifetime, n.cancel = context.WithCancel(ctx)
-	n.pulse = newPulse(time.Now())
-	n.monitor = monitor.New(monitorTerms(settings), since, log)
+	dispatcher := &node{config: config, settings: settings, log: log, acceptingDone: make(chan struct{})}
+	dispatcher.lifetime, dispatcher.cancel = context.WithCancel(ctx)
+	dispatcher.pulse = newPulse(time.Now())
+	dispatcher.monitor = monitor.New(monitorTerms(settings), since, log)
 	pools := &reach.Boxes{
 		Limit: max(settings.Span("policyLimits.dialTimeoutUs"), 10*time.Millisecond), Most: shares.attempts, Since: since,
-		Life: n.lifetime, Group: &n.transportTasks, Dial: sys.Dial, Bare: true,
+		Life: dispatcher.lifetime, Group: &dispatcher.transportTasks, Dial: sys.Dial, Bare: true,
 	}
-	n.transport = &transport{
-		loadFields: settings.Names("report.fields"), boxes: pools, lifetime: n.lifetime, tasks: &n.transportTasks, log: log,
-		notable: &notableLog{log: log}, monitor: n.monitor, pulse: n.pulse, traffic: map[string]*backendTraffic{},
-		poolOf: map[*dispatch.Backend]*reach.Host{}, releaser: releaser{callSlots: make(chan struct{}, shares.releases)}, since: since,
-		slots: make(chan struct{}, shares.attempts),
+	dispatcher.transport = &transport{
+		loadFields: settings.Names("report.fields"), boxes: pools, lifetime: dispatcher.lifetime,
+		tasks: &dispatcher.transportTasks, log: log, notable: &notableLog{log: log}, monitor: dispatcher.monitor,
+		pulse: dispatcher.pulse, traffic: map[string]*backendTraffic{},
+		poolOf: map[*dispatch.Backend]*reach.Host{}, releaser: releaser{callSlots: make(chan struct{}, shares.releases)},
+		since: since, slots: make(chan struct{}, shares.attempts),
 	}
 	places := dispatch.Places{
 		Zone: func(name string) int { return zoneNumber(settings, name) },
@@ -93,52 +95,52 @@
 	if err != nil {
 		return nil, err
 	}
-	if n.peers = (&dispatch.Peers{}); config.PeerListen != "" {
-		if n.peers, err = dispatch.ListenPeers(
+	if dispatcher.peers = (&dispatch.Peers{}); config.PeerListen != "" {
+		if dispatcher.peers, err = dispatch.ListenPeers(
 			int(settings.Num("slotNo", 0)), config.PeerListen, config.Peers, sys.ListenUDP,
 		); err != nil {
 			listener.Close()
 			return nil, fmt.Errorf("listening for peer updates on %s: %w", config.PeerListen, err)
 		}
-		n.peers.Plain = true
+		dispatcher.peers.Plain = true
 	}
-	n.transport.sendToPeer = n.peers.Tell
-	if n.loop, err = dispatch.NewLoop(
-		settings, config.randomSeed(), places, n.transport, since, config.Name, log,
+	dispatcher.transport.sendToPeer = dispatcher.peers.Tell
+	if dispatcher.loop, err = dispatch.NewLoop(
+		settings, config.randomSeed(), places, dispatcher.transport, since, config.Name, log,
 	); err != nil {
 		listener.Close()
-		if n.peers.Conn != nil {
-			n.peers.Conn.Close()
+		if dispatcher.peers.Conn != nil {
+			dispatcher.peers.Conn.Close()
 		}
 		return nil, err
 	}
-	n.transport.loop = n.loop
-	observer := &discoveryObserver{n.monitor, map[string]bool{}}
-	n.follower = &endpoints.Follower{
+	dispatcher.transport.loop = dispatcher.loop
+	observer := &discoveryObserver{dispatcher.monitor, map[string]bool{}}
+	dispatcher.follower = &endpoints.Follower{
 		Log: log, Since: since, Wall: sys.Wall, Dial: sys.Dial,
 		Listed: func(listed []boxlist.Box, full bool) {
 			observer.listed(listed, full)
-			n.loop.Post(func() { n.loop.Listed(listed, full) })
+			dispatcher.loop.Post(func() { dispatcher.loop.Listed(listed, full) })
 		},
 	}
-	if len(config.Known) > 0 {
-		if err := n.follower.Take(config.Known); err != nil {
+	if len(config.LastKnown) > 0 {
+		if err := dispatcher.follower.Take(config.LastKnown); err != nil {
 			log.Warn("cannot read the last-known endpoints of the configuration, ignoring them", "error", err)
 		}
 	}
-	n.follower.Move(config.Discovery)
-	n.limiter = newLimiter(listener, int(float64(shares.clients)/(1+closingShare)), log)
-	n.frontend = newFrontend(n.loop, settings, shares.bodies, n.monitor, n.pulse, log)
-	n.frontend.crowded = n.limiter.Crowded
-	n.frontend.fleetKnown = func() bool {
-		if !n.follower.Heard() && since() < discoveryWait {
+	dispatcher.follower.Move(config.Discovery)
+	dispatcher.limiter = newLimiter(listener, int(float64(shares.clients)/(1+closingShare)), log)
+	dispatcher.frontend = newFrontend(dispatcher.loop, settings, shares.bodies, dispatcher.monitor, dispatcher.pulse, log)
+	dispatcher.frontend.crowded = dispatcher.limiter.Crowded
+	dispatcher.frontend.fleetKnown = func() bool {
+		if !dispatcher.follower.Heard() && since() < discoveryWait {
 			return false
 		}
 		ready := false
-		n.loop.Call(n.lifetime, func() { ready = n.loop.Answers() })
+		dispatcher.loop.Call(dispatcher.lifetime, func() { ready = dispatcher.loop.Answers() })
 		return ready
 	}
-	return n, nil
+	return dispatcher, nil
 }
 
 // zoneNumber returns the number of a zone: its index in the settings or, for a zone that they do not name, a number
@@ -201,19 +203,20 @@
 		tally := n.loop.Tally
 		turn, wait, timer := n.loop.Lag.Period()
 		n.log.Info("state", "taken", tally.Taken, "again", frontend.Again.Load(), "rest", frontend.Rest.Load(),
-			"moved", frontend.Moved.Load(), "satisfied", tally.Satisfied, "declined", tally.Declined, "forfeited", tally.Forfeited,
-			"left", tally.Left, "overdue", tally.Overdue, "trips", tally.Trips, "outcomes", fmt.Sprint(tally.Outcomes),
-			"prefills", fmt.Sprint(tally.Prefills), "began", tally.Began, "in_time", tally.InTime, "held_ms", tally.Held.Milliseconds(),
-			"first_ms", tally.First.Milliseconds(), "believes", fmt.Sprintf("%+v", n.loop.Believes()), "open", frontend.asked.Load(),
-			"bodies", frontend.held.Load(), "clients", limiter.count(), "pushed", limiter.Pushed.Load(), "waited", limiter.Waited.Load(),
+			"moved", frontend.Moved.Load(), "satisfied", tally.Satisfied, "declined", tally.Declined,
+			"forfeited", tally.Forfeited, "left", tally.Left, "overdue", tally.Overdue, "trips", tally.Trips,
+			"outcomes", fmt.Sprint(tally.Outcomes), "prefills", fmt.Sprint(tally.Prefills), "began", tally.Began,
+			"in_time", tally.InTime, "held_ms", tally.Held.Milliseconds(), "first_ms", tally.First.Milliseconds(),
+			"believes", fmt.Sprintf("%+v", n.loop.Believes()), "open", frontend.asked.Load(), "bodies", frontend.held.Load(),
+			"clients", limiter.count(), "pushed", limiter.Pushed.Load(), "waited", limiter.Waited.Load(),
 			"accept_failed", limiter.Failed.Load(), "shut", limiter.Shut.Load(), "refused", frontend.state(),
 			"released", transport.Delivered.Load(), "unheard", transport.Undelivered.Load(), "stale", transport.Stale.Load(),
 			"local", transport.Local.Load(), "unarrived", transport.Unarrived.Load(), "spoilt", transport.Malformed.Load(),
 			"strange", transport.BadRequest.Load(), "watch_lost", n.follower.Lost(), "strangers", n.peers.Dropped.Load(),
-			"broken", n.monitor.Counts(), "due", transport.Due.Load(), "too_late", frontend.Late.Load(), "turn_ms", turn.Milliseconds(),
-			"queued_ms", wait.Milliseconds(), "timer_ms", timer.Milliseconds(), "long_turns", n.loop.Lag.LongTurns,
-			"unlogged", transport.notable.dropped.Load(), "heap_kb", memory.HeapAlloc>>10, "sys_kb", memory.Sys>>10,
-			"goroutines", runtime.NumGoroutine())
+			"broken", n.monitor.Counts(), "due", transport.Due.Load(), "too_late", frontend.Late.Load(),
+			"turn_ms", turn.Milliseconds(), "queued_ms", wait.Milliseconds(), "timer_ms", timer.Milliseconds(),
+			"long_turns", n.loop.Lag.LongTurns, "unlogged", transport.notable.dropped.Load(),
+			"heap_kb", memory.HeapAlloc>>10, "sys_kb", memory.Sys>>10, "goroutines", runtime.NumGoroutine())
 		n.logBackends()
 	})
 }
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -71,7 +71,8 @@
 // node.
 func (n *node) shutdown(server *http.Server) {
 	began, times := time.Now(), shutdownTimesFor(n.settings)
-	n.log.Info("stopping", "open", n.frontend.asked.Load(), "accept", times.closeListener, "move", times.cutStreams, "answer", times.answer)
+	n.log.Info("stopping", "open", n.frontend.asked.Load(),
+		"accept", times.closeListener, "move", times.cutStreams, "answer", times.answer)
 	n.frontend.stopping.Store(true)
 	n.limiter.drain()
 	if n.settings.Yes("familyInfo.resume") {
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -14,7 +14,7 @@
 
 func TestShutdownTimesFollowFromTheDeadlines(t *testing.T) {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		deadlinesUs []any
 		want        shutdownTimes
 	}{
@@ -27,12 +27,12 @@
 		"one of two stated: counted 3 s": {[]any{1e6, nil}, shutdownTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
 	} {
 		var classes []any
-		for _, deadline := range c.deadlinesUs {
+		for _, deadline := range test.deadlinesUs {
 			classes = append(classes, map[string]any{"name": "a", "giveUpUs": deadline})
 		}
 		got := shutdownTimesFor(brain.Flat(map[string]any{"requestClasses": classes}))
-		if got != c.want {
-			t.Errorf("%s: %+v, want %+v", name, got, c.want)
+		if got != test.want {
+			t.Errorf("%s: %+v, want %+v", name, got, test.want)
 		}
 		if !(got.closeListener <= got.cutStreams && got.cutStreams <= got.answer && got.answer < got.kill) {
 			t.Errorf("%s: out of order: %+v", name, got)
@@ -196,7 +196,7 @@
 	close(cluster.node.frontend.cut)
 	time.Sleep(cutWait + 50*time.Millisecond)
 	finish <- true
-	if got := client.said(); !got.whole || !strings.Contains(got.text, "[DONE]") {
+	if got := client.said(); !got.whole || !strings.Contains(got.body, "[DONE]") {
 		t.Errorf("%+v", got)
 	}
 	cluster.settled()
@@ -206,17 +206,21 @@
 // The KV cache that the attempt of a departed client may have left at its backend is released before the dispatcher
 // ends.
 func TestShutdownReleasesKVCachesOfAbandonedAttempts(t *testing.T) {
-	cluster := enter(t, func(_ *house, config *Place) { config.Settings["policyLimits"].(map[string]any)["cancelling"] = false })
+	cluster := enter(t, func(_ *house, config *Place) {
+		config.Settings["policyLimits"].(map[string]any)["cancelling"] = false
+	})
 	received := cluster.holdReads()
 	client := cluster.client()
 	io.WriteString(client, cluster.ask("trail-info"))
 	<-received
 	client.Close()
-	cluster.until("the dispatcher notices that the client left", func() bool { return cluster.node.frontend.asked.Load() == 0 })
+	cluster.until("the dispatcher notices that the client left", func() bool {
+		return cluster.node.frontend.asked.Load() == 0
+	})
 	cluster.quit()
 	select {
-	case err := <-cluster.ended:
-		cluster.ended <- err
+	case err := <-cluster.exited:
+		cluster.exited <- err
 	case <-time.After(5 * time.Second):
 		t.Fatal("the dispatcher does not end")
 	}
@@ -257,7 +261,9 @@
 	io.WriteString(client, cluster.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
 	<-received
 	client.Close()
-	cluster.until("the dispatcher notices that the client left", func() bool { return cluster.node.frontend.asked.Load() == 1 })
+	cluster.until("the dispatcher notices that the client left", func() bool {
+		return cluster.node.frontend.asked.Load() == 1
+	})
 	began := time.Now()
 	cluster.quit()
 	cluster.until("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
@@ -275,7 +281,7 @@
 func TestLastKnownEndpointsWaitForDiscovery(t *testing.T) {
 	t.Run("discovery answers", func(t *testing.T) {
 		cluster := enter(t, func(cluster *house, config *Place) {
-			config.Known = cluster.site.List()
+			config.LastKnown = cluster.site.List()
 			cluster.site.Change(func() { cluster.writers[0].State = "terminating" })
 		})
 		if cluster.standing("w1") != brain.Draining {
@@ -285,7 +291,7 @@
 	t.Run("discovery is down", func(t *testing.T) {
 		began := time.Now()
 		cluster := enter(t, func(cluster *house, config *Place) {
-			config.Known = cluster.site.List()
+			config.LastKnown = cluster.site.List()
 			cluster.agent.SetMute(true)
 		})
 		if took := time.Since(began); took < discoveryWait || took > 2*discoveryWait {
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	responseHeadTimeout = 400 * time.Millisecond  // from a response's first byte to the end of its head and its first event
+	responseHeadTimeout = 400 * time.Millisecond  // from a response's first byte to its first event or the end of its body
 	dialTries           = 4                       // refused connections before a backend counts as unreachable
 	dialWait            = 10 * time.Millisecond   // between two of them
 	streamStallTimeout  = 4200 * time.Millisecond // without an event, after which a stream counts as broken
@@ -129,8 +129,9 @@
 	ended := c.since()
 	switch result.Outcome {
 	case brain.TimedOut, brain.Broken, brain.Unreachable:
-		c.notable.Info("attempt failed", "id", id, "backend", attempt.Backend.Name, "stage", attempt.Stage(), "number", attempt.Planned.Number,
-			"outcome", dispatch.OutcomeName(result.Outcome), "arrived", attempt.Arrived.Load(), "wait", attempt.Wait)
+		c.notable.Info("attempt failed", "id", id, "backend", attempt.Backend.Name, "stage", attempt.Stage(),
+			"number", attempt.Planned.Number, "outcome", dispatch.OutcomeName(result.Outcome),
+			"arrived", attempt.Arrived.Load(), "wait", attempt.Wait)
 	}
 	c.loop.Post(func() {
 		result.Ago = c.since() - ended
@@ -156,8 +157,8 @@
 		stop()
 		conn.Drop()
 		<-c.slots
-		c.monitor.AttemptEnds(
-			outgoing.id, attempt.Planned.Number, hasEffect(attempt), provenEnd(result.Outcome), dispatch.OutcomeName(result.Outcome))
+		c.monitor.AttemptEnds(outgoing.id, attempt.Planned.Number, hasEffect(attempt),
+			provenEnd(result.Outcome), dispatch.OutcomeName(result.Outcome))
 	}()
 	interrupted := func() brain.Result {
 		switch cause := context.Cause(ctx); {
