--- a/internal/platform/activity.go
+++ b/internal/platform/activity.go
@@ -11,7 +11,7 @@
 // maxActivityScan is how many backends byRecency looks at. In a fleet of thousands the most recent ones are enough.
 const maxActivityScan = 48
 
-// failureDomain groups backends that may fail together: those of one role, or of one zone.
+// failureDomain groups backends that may fail together: those of one role in one zone.
 type failureDomain struct {
 	role brain.Role
 	zone int
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -67,27 +67,27 @@
 	return config, config.validate()
 }
 
-func (p Place) validate() error {
+func (c Place) validate() error {
 	switch {
-	case p.Listen == "":
+	case c.Listen == "":
 		return errors.New("configuration: listen is missing")
-	case p.Discovery == "":
+	case c.Discovery == "":
 		return errors.New("configuration: discovery is missing")
-	case len(p.Settings) == 0:
+	case len(c.Settings) == 0:
 		return errors.New("configuration: settings are missing")
-	case p.Limits.MemoryMB < 0 || p.Limits.Sockets < 0:
+	case c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0:
 		return fmt.Errorf("configuration: limits must not be negative: memory_mb %d, sockets %d",
-			p.Limits.MemoryMB, p.Limits.Sockets)
+			c.Limits.MemoryMB, c.Limits.Sockets)
 	}
-	return brain.Flat(p.Settings).Sound()
+	return brain.Flat(c.Settings).Sound()
 }
 
 // randomSeed returns the seed of the scheduler's random decisions.
-func (p Place) randomSeed() uint64 {
-	if n, err := strconv.ParseUint(p.Seed, 16, 64); err == nil {
+func (c Place) randomSeed() uint64 {
+	if n, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
 		return n
 	}
-	return xxhash.Sum64String(p.Seed)
+	return xxhash.Sum64String(c.Seed)
 }
 
 // How descriptors and memory are divided.
@@ -109,8 +109,8 @@
 	heap, bodies      int64 // bytes
 }
 
-func (p Place) resources() resources {
-	sockets, memory := p.Limits.Sockets, int64(p.Limits.MemoryMB)<<20
+func (c Place) resources() resources {
+	sockets, memory := c.Limits.Sockets, int64(c.Limits.MemoryMB)<<20
 	if sockets == 0 {
 		sockets = defaultSockets
 	}
--- a/internal/platform/observe.go
+++ b/internal/platform/observe.go
@@ -14,14 +14,14 @@
 
 // Bounds of the monitored rules that the settings do not state.
 const (
-	clientGoneSlack   = 100 * time.Millisecond // for which an attempt may still begin once its client has closed
-	toldDeadlineSlack = 150 * time.Millisecond // by which the stated timeout may exceed what the client has left
-	kvHoldSlack       = 300 * time.Millisecond // for which a KV cache may wait beyond its limit
-	defaultDrainGrace = 250 * time.Millisecond // for attempts to a draining backend, if the settings state none
+	clientGoneSlack    = 100 * time.Millisecond // for which an attempt may still begin once its client has closed
+	statedTimeoutSlack = 150 * time.Millisecond // by which the stated timeout may exceed what the client has left
+	kvHoldSlack        = 300 * time.Millisecond // for which a KV cache may wait beyond its limit
+	defaultDrainGrace  = 250 * time.Millisecond // for attempts to a draining backend, if the settings state none
 )
 
 const (
-	// At most maxNotableLines lines on single requests are logged per notableInterval without a debug level.
+	// At most maxNotableLines lines on single requests are logged per notableInterval at the info level.
 	notableInterval = time.Second
 	maxNotableLines = 20
 )
@@ -57,7 +57,9 @@
 
 // monitorTerms returns the bounds of the monitored rules under the given settings.
 func monitorTerms(settings brain.Facts) monitor.Terms {
-	terms := monitor.Terms{Gone: clientGoneSlack, Told: toldDeadlineSlack, DrainGrace: settings.Span("rules.drainGraceUs")}
+	terms := monitor.Terms{
+		Gone: clientGoneSlack, Told: statedTimeoutSlack, DrainGrace: settings.Span("rules.drainGraceUs"),
+	}
 	if terms.DrainGrace == 0 {
 		terms.DrainGrace = defaultDrainGrace
 	}
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -27,7 +27,7 @@
 	service          = "backend.local" // the Host header of requests to backends
 	stateLogInterval = 5 * time.Second
 	// discoveryWait is how long a dispatcher that starts with last-known endpoints waits for those of service
-	// discovery before it accepts requests: what discovery knows counts as known to the dispatcher from its start.
+	// discovery before it is ready: what discovery lists counts as known to the dispatcher from its start.
 	discoveryWait = time.Second
 )
 
@@ -66,8 +66,7 @@
 	return n.run(ctx, reloads, load)
 }
 
-// newNode opens the listeners and sets up a dispatcher with the last-known endpoints of its configuration. It starts
-// no goroutine.
+// newNode opens the listeners and sets up a dispatcher with the last-known endpoints of its configuration.
 func newNode(ctx context.Context, config Place, sys system.System, log *slog.Logger) (*node, error) {
 	shares, settings := config.resources(), brain.Flat(config.Settings)
 	began := time.Now()
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -10,7 +10,7 @@
 
 // What the platform guarantees about a planned restart.
 const (
-	acceptAfterStop = 450 * time.Millisecond // the platform's front opens connections for up to 400 ms after SIGTERM
+	acceptAfterStop = 450 * time.Millisecond // the platform opens connections for up to 400 ms after SIGTERM
 	// SIGKILL comes no sooner after SIGTERM than the longest deadline, of which at most maxDeadlineBeforeKill counts,
 	// plus killAfterDeadline.
 	maxDeadlineBeforeKill = 3 * time.Second
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -34,7 +34,7 @@
 
 // payload is what is sent to a backend for a client's request.
 type payload struct {
-	head func(wait time.Duration) []byte // the request head, which states the remaining time
+	head func(timeout time.Duration) []byte // the request head, which states the time remaining
 	id   string
 	body []byte
 }
