--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -41,7 +41,9 @@
 
 // submit hands the event loop a request and runs meanwhile in the same turn of the loop: the first attempt has been
 // decided on by then, and its first byte has not been written.
-func (c *house) submit(id string, class int, meanwhile func(request *dispatch.ClientRequest)) *dispatch.ClientRequest {
+func (c *house) submit(
+	id string, class int, meanwhile func(request *dispatch.ClientRequest),
+) *dispatch.ClientRequest {
 	c.t.Helper()
 	request := &dispatch.ClientRequest{
 		Ask: kserve.Ask{ID: id, Tokens: 400, Most: 50},
@@ -440,8 +442,8 @@
 			})
 		}
 		body := `{"model":"` + strings.Repeat("a", 250<<10) + `"}`
-		if got := cluster.says(cluster.ask("hut-booking", "Content-Length: 12", fmt.Sprintf("Content-Length: %d", len(body)),
-			`{"model":""}`, body)); got.status == 200 {
+		if got := cluster.says(cluster.ask("hut-booking",
+			"Content-Length: 12", fmt.Sprintf("Content-Length: %d", len(body)), `{"model":""}`, body)); got.status == 200 {
 			t.Errorf("%+v", got)
 		}
 		cluster.until("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -310,7 +310,8 @@
 		t.Run(test.name, func(t *testing.T) {
 			cluster := enter(t, nil)
 			cluster.onFirstDecode(test.do)
-			if got := cluster.says(cluster.ask("hut-booking")); got.status != test.wantStatus || got.status == 200 && !got.whole {
+			if got := cluster.says(cluster.ask("hut-booking")); got.status != test.wantStatus ||
+				got.status == 200 && !got.whole {
 				t.Errorf("non-idempotent: %+v", got)
 			}
 			cluster.settled()
@@ -345,7 +346,8 @@
 				e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")) + tail)
 				return false
 			})
-			if got := cluster.says(cluster.ask("trail-info")); got.status != 200 || got.body != hosts.Event("a") || got.whole {
+			if got := cluster.says(cluster.ask("trail-info")); got.status != 200 ||
+				got.body != hosts.Event("a") || got.whole {
 				t.Errorf("%+v", got)
 			}
 			cluster.settled()
@@ -767,7 +769,8 @@
 	})
 	close(cluster.node.frontend.cut)
 	for range 20 {
-		if got := cluster.says(cluster.ask("trail-info")); got.status != 200 || got.body != hosts.Event("a") || got.whole {
+		if got := cluster.says(cluster.ask("trail-info")); got.status != 200 ||
+			got.body != hosts.Event("a") || got.whole {
 			t.Fatalf("%+v", got)
 		}
 	}
