--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -29,8 +29,8 @@
 	return conn, err
 }
 
-// standing returns the state of a backend as the scheduler knows it.
-func (c *house) standing(name string) (state brain.BackendState) {
+// backendState returns the state of a backend as the scheduler knows it.
+func (c *testCluster) backendState(name string) (state brain.BackendState) {
 	c.node.loop.Call(context.Background(), func() {
 		if backend := c.node.loop.HostOf(name); backend != nil {
 			state = backend.Standing
@@ -41,13 +41,13 @@
 
 // submit hands the event loop a request and runs meanwhile in the same turn of the loop: the first attempt has been
 // decided on by then, and its first byte has not been written.
-func (c *house) submit(
+func (c *testCluster) submit(
 	id string, class int, meanwhile func(request *dispatch.ClientRequest),
 ) *dispatch.ClientRequest {
 	c.t.Helper()
 	request := &dispatch.ClientRequest{
 		Ask: kserve.Ask{ID: id, Tokens: 400, Most: 50},
-		Matter: &payload{id: id, body: []byte("{}"), head: func(wait time.Duration) []byte {
+		Matter: &outgoingRequest{id: id, body: []byte("{}"), head: func(wait time.Duration) []byte {
 			return fmt.Appendf(nil, "POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\n"+
 				"Content-Length: 2\r\n\r\n", id, wait.Milliseconds())
 		}},
@@ -62,11 +62,11 @@
 // A backend that starts draining after it was chosen and before the first byte gets no attempt; the request goes to
 // another backend.
 func TestDrainLearnedBeforeSendStopsTheAttempt(t *testing.T) {
-	cluster := enter(t, nil)
+	cluster := startCluster(t, nil)
 	request := cluster.submit("q1", 0, func(*dispatch.ClientRequest) {
 		cluster.node.loop.HostOf("r1").Standing = brain.Draining
 	})
-	cluster.until("the request is finished", func() bool { return len(request.Final()) == 1 })
+	cluster.await("the request is finished", func() bool { return len(request.Final()) == 1 })
 	if n := len(cluster.site.Seen("r1", "POST")); n != 0 {
 		t.Errorf("%d attempts to a draining backend", n)
 	}
@@ -77,7 +77,7 @@
 		}
 		cluster.node.loop.HostOf("r1").Standing = brain.Ready
 	})
-	cluster.settled()
+	cluster.awaitIdle()
 }
 
 // For a client that leaves after its backend was chosen and before the first byte nothing is sent, whether attempts
@@ -85,11 +85,11 @@
 func TestClientLeavingBeforeSendStopsTheAttempt(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancelling %t", cancelling), func(t *testing.T) {
-			cluster := enter(t, func(_ *house, config *Place) {
+			cluster := startCluster(t, func(_ *testCluster, config *Config) {
 				config.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling
 			})
 			cluster.submit("q1", 0, func(request *dispatch.ClientRequest) { cluster.node.loop.Left(request) })
-			cluster.settled()
+			cluster.awaitIdle()
 			if n := len(cluster.site.Seen("", "POST")); n != 0 {
 				t.Errorf("%d attempts for a client that has left", n)
 			}
@@ -99,23 +99,23 @@
 
 // The timeout that an attempt states to its backend is the time remaining when it is sent, not when it was decided on.
 func TestAttemptStatesTheTimeRemainingAtSend(t *testing.T) {
-	cluster := enter(t, nil)
+	cluster := startCluster(t, nil)
 	const blocked = 300 * time.Millisecond
 	cluster.submit("q1", 1, func(*dispatch.ClientRequest) { time.Sleep(blocked) }) // blocks the event loop
-	cluster.until("the attempt is sent", func() bool { return len(cluster.site.Seen("r1", "POST")) == 1 })
+	cluster.await("the attempt is sent", func() bool { return len(cluster.site.Seen("r1", "POST")) == 1 })
 	stated, err := time.ParseDuration(cluster.site.Seen("r1", "POST")[0].Head.Get("X-Timeout-Ms") + "ms")
 	if err != nil || stated > 3*time.Second-blocked {
 		t.Errorf("stated %v, %v", stated, err)
 	}
-	cluster.until("no request is in flight", func() bool { return cluster.site.Out() == 0 })
+	cluster.await("no request is in flight", func() bool { return cluster.site.Out() == 0 })
 }
 
 // A connection that breaks while the request is being written proves that the request never ran: a non-idempotent one
 // is retried too.
 func TestRequestBrokenOffWhileWritingIsRetried(t *testing.T) {
-	cluster := enter(t, nil)
+	cluster := startCluster(t, nil)
 	var connections atomic.Int64
-	cluster.reader.Greet(func(conn net.Conn) bool {
+	cluster.prefill.Greet(func(conn net.Conn) bool {
 		if connections.Add(1) > 1 {
 			return true
 		}
@@ -128,12 +128,12 @@
 	for i := range body {
 		body[i] = 'x'
 	}
-	got := cluster.says(cluster.ask("hut-booking",
+	got := cluster.send(cluster.request("hut-booking",
 		"Content-Length: 12", "Content-Length: 250000", `{"model":""}`, string(body)))
-	if got.status != 200 || !got.whole {
+	if got.status != 200 || !got.complete {
 		t.Errorf("%+v", got)
 	}
-	cluster.settled()
+	cluster.awaitIdle()
 }
 
 // A request that is cancelled while it is being written counts as one that may have run; one of which no byte was
@@ -161,7 +161,7 @@
 // byte counts.
 func TestEarlyAndEndlessResponses(t *testing.T) {
 	t.Run("endless 1xx", func(t *testing.T) {
-		cluster := enter(t, nil)
+		cluster := startCluster(t, nil)
 		cluster.onFirstDecode(func(e *hosts.Exchange) bool {
 			for e.Write("HTTP/1.1 103 Early Hints\r\n\r\n") {
 				select {
@@ -172,15 +172,15 @@
 			}
 			return false
 		})
-		if got := cluster.says(cluster.ask("hut-booking")); got.status != 502 {
+		if got := cluster.send(cluster.request("hut-booking")); got.status != 502 {
 			t.Errorf("%+v", got)
 		}
-		cluster.settled()
+		cluster.awaitIdle()
 	})
 	t.Run("rejection before the last byte", func(t *testing.T) {
-		cluster := enter(t, nil)
+		cluster := startCluster(t, nil)
 		var connections atomic.Int64
-		cluster.reader.Greet(func(conn net.Conn) bool {
+		cluster.prefill.Greet(func(conn net.Conn) bool {
 			if connections.Add(1) > 1 {
 				return true
 			}
@@ -188,10 +188,10 @@
 			io.WriteString(conn, hosts.Refuse(503, true))
 			return false
 		})
-		if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 {
+		if got := cluster.send(cluster.request("hut-booking")); got.status != 200 {
 			t.Errorf("%+v", got)
 		}
-		cluster.settled()
+		cluster.awaitIdle()
 	})
 }
 
@@ -199,25 +199,25 @@
 func TestPrefillEndingAsItsClientLeavesIsReleased(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancelling %t", cancelling), func(t *testing.T) {
-			cluster := enter(t, func(_ *house, config *Place) {
+			cluster := startCluster(t, func(_ *testCluster, config *Config) {
 				config.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling
 			})
-			client := cluster.client()
-			cluster.reader.Do = func(e *hosts.Exchange) bool {
+			client := cluster.dial()
+			cluster.prefill.Do = func(e *hosts.Exchange) bool {
 				if e.Method != "POST" {
 					return e.Serve()
 				}
 				e.Hold()
 				client.Close()
-				cluster.until("the dispatcher notices that the client left", func() bool {
+				cluster.await("the dispatcher notices that the client left", func() bool {
 					return cluster.node.frontend.asked.Load() == 0
 				})
 				e.Write("HTTP/1.1 202 Accepted\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
 				return true
 			}
-			io.WriteString(client, cluster.ask("trail-info"))
-			cluster.until("the prefill is sent", func() bool { return len(cluster.site.Seen("r1", "POST")) == 1 })
-			cluster.settled()
+			io.WriteString(client, cluster.request("trail-info"))
+			cluster.await("the prefill is sent", func() bool { return len(cluster.site.Seen("r1", "POST")) == 1 })
+			cluster.awaitIdle()
 			if n := len(cluster.site.Seen("w1", "POST")) + len(cluster.site.Seen("w2", "POST")); n != 0 {
 				t.Errorf("%d attempts after the client left", n)
 			}
@@ -227,19 +227,19 @@
 
 // Releases do not queue behind calls to partitioned backends, however few descriptors there are.
 func TestReleasesDoNotWaitForPartitionedBackends(t *testing.T) {
-	cluster := enter(t, func(_ *house, config *Place) { config.Limits.Sockets = 64 })
+	cluster := startCluster(t, func(_ *testCluster, config *Config) { config.Limits.Sockets = 64 })
 	const requests = 8 // more than there are descriptors for concurrent release calls
 	received := make(chan bool, requests)
-	cluster.reader.Do = func(e *hosts.Exchange) bool {
+	cluster.prefill.Do = func(e *hosts.Exchange) bool {
 		e.Hold()
 		received <- true
 		<-e.Left
 		return false
 	}
-	var clients []*client
+	var clients []*testClient
 	for range requests {
-		client := cluster.client()
-		io.WriteString(client, cluster.ask("trail-info"))
+		client := cluster.dial()
+		io.WriteString(client, cluster.request("trail-info"))
 		clients = append(clients, client)
 	}
 	for range requests {
@@ -249,26 +249,26 @@
 			t.Fatal("not all prefills were sent")
 		}
 	}
-	cluster.reader.Vanish()
-	cluster.writers[0].Vanish()
+	cluster.prefill.Vanish()
+	cluster.decoders[0].Vanish()
 	for _, client := range clients {
 		client.Close()
 	}
-	cluster.until("all attempts have ended", func() bool { return cluster.site.Out() == 0 })
+	cluster.await("all attempts have ended", func() bool { return cluster.site.Out() == 0 })
 	began := time.Now()
-	cluster.until("all KV caches are released", func() bool { return cluster.site.Held() == 0 })
+	cluster.await("all KV caches are released", func() bool { return cluster.site.Held() == 0 })
 	if took := time.Since(began); took > cluster.site.Pin {
 		t.Errorf("the last KV cache was released after %v", took)
 	}
-	cluster.settled()
+	cluster.awaitIdle()
 }
 
 // A copy of a request that is open, or whose client has left, is refused without a Retry-After, also during shutdown:
 // the original may have run.
 func TestKnownRequestIDIsRefusedWithoutRetryAfter(t *testing.T) {
-	cluster := enter(t, nil)
+	cluster := startCluster(t, nil)
 	received, hold := make(chan bool, 1), make(chan struct{})
-	cluster.write(func(e *hosts.Exchange) bool {
+	cluster.onDecode(func(e *hosts.Exchange) bool {
 		if e.Method != "POST" {
 			return e.Serve()
 		}
@@ -279,34 +279,34 @@
 		}
 		return e.Serve()
 	})
-	raw := cluster.ask("hut-booking")
-	client := cluster.client()
+	raw := cluster.request("hut-booking")
+	client := cluster.dial()
 	io.WriteString(client, raw)
 	<-received
 	client.Close()
-	cluster.until("the dispatcher notices that the client left", func() bool {
+	cluster.await("the dispatcher notices that the client left", func() bool {
 		return cluster.node.frontend.asked.Load() == 0
 	})
-	if got := cluster.says(raw); got.status != 409 || got.retryAfter != "" {
+	if got := cluster.send(raw); got.status != 409 || got.retryAfter != "" {
 		t.Errorf("after its client left: %+v", got)
 	}
-	raw = cluster.ask("hut-booking")
-	client = cluster.client()
+	raw = cluster.request("hut-booking")
+	client = cluster.dial()
 	io.WriteString(client, raw)
 	<-received
 	cluster.node.frontend.over.Store(true)
-	if got := cluster.says(raw); got.status != 409 || got.retryAfter != "" {
+	if got := cluster.send(raw); got.status != 409 || got.retryAfter != "" {
 		t.Errorf("during shutdown: %+v", got)
 	}
 	cluster.node.frontend.open = 0
-	if got := cluster.says(raw); got.status != 409 || got.retryAfter != "" {
+	if got := cluster.send(raw); got.status != 409 || got.retryAfter != "" {
 		t.Errorf("while too many requests are open: %+v", got)
 	}
 	close(hold)
-	if got := client.said(); got.status != 200 {
+	if got := client.readResponse(); got.status != 200 {
 		t.Errorf("the open request: %+v", got)
 	}
-	cluster.settled()
+	cluster.awaitIdle()
 	if n := len(cluster.site.Seen("r1", "POST")); n != 2 {
 		t.Errorf("%d requests were admitted", n)
 	}
@@ -314,7 +314,7 @@
 
 // Ids are remembered for the retention time, and their number is bounded.
 func TestRequestIDsAreForgotten(t *testing.T) {
-	ids := newIDRegister(time.Hour)
+	ids := newIDRegistry(time.Hour)
 	for i := range 3 * maxGenerationIDs {
 		id := fmt.Sprint(i)
 		if !ids.claim(id) || ids.claim(id) {
@@ -344,7 +344,7 @@
 }
 
 // failDials makes connecting to backends fail on this machine, with the error that the result holds.
-func failDials(cluster *house) *atomic.Pointer[syscall.Errno] {
+func failDials(cluster *testCluster) *atomic.Pointer[syscall.Errno] {
 	failing := new(atomic.Pointer[syscall.Errno])
 	cluster.system.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
 		if errno := failing.Load(); errno != nil && address != cluster.agent.At {
@@ -360,18 +360,18 @@
 // run.
 func TestLocalDialFailuresDoNotCountAgainstBackends(t *testing.T) {
 	var failing *atomic.Pointer[syscall.Errno]
-	cluster := enter(t, func(cluster *house, _ *Place) { failing = failDials(cluster) })
+	cluster := startCluster(t, func(cluster *testCluster, _ *Config) { failing = failDials(cluster) })
 	for _, errno := range []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL,
 		syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN,
 	} {
 		failing.Store(&errno)
 		time.AfterFunc(100*time.Millisecond, func() { failing.Store(nil) })
-		if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 {
+		if got := cluster.send(cluster.request("hut-booking")); got.status != 200 {
 			t.Errorf("%v for 100 ms: %+v", errno, got)
 		}
 		failing.Store(&errno)
-		if got := cluster.says(cluster.ask("hut-booking")); got.status != 503 {
+		if got := cluster.send(cluster.request("hut-booking")); got.status != 503 {
 			t.Errorf("%v for longer: %+v", errno, got)
 		}
 		failing.Store(nil)
@@ -380,29 +380,29 @@
 				t.Errorf("%v: %d backends count as restarting, %d as failing", errno, b.Cold, b.Doubted)
 			}
 		})
-		if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 {
+		if got := cluster.send(cluster.request("hut-booking")); got.status != 200 {
 			t.Errorf("after %v: %+v", errno, got)
 		}
 	}
-	cluster.settled()
+	cluster.awaitIdle()
 }
 
 // A waiting KV cache is released in time also if no descriptor for a decode attempt becomes free, or if the backend
 // accepts the connection but does not read the request.
 func TestKVCacheIsReleasedIfDecodeCannotBeSent(t *testing.T) {
 	t.Run("no descriptor", func(t *testing.T) {
-		cluster := enter(t, nil)
+		cluster := startCluster(t, nil)
 		done, returned := make(chan struct{}), make(chan struct{})
-		cluster.reader.Do = func(e *hosts.Exchange) bool {
+		cluster.prefill.Do = func(e *hosts.Exchange) bool {
 			if e.Method == "POST" { // during the prefill all descriptors are taken, the last one as soon as it is free
 				go func() {
 					defer close(returned)
 					for taken := 0; ; taken++ {
 						select {
-						case cluster.node.transport.slots <- struct{}{}:
+						case cluster.node.transport.attemptSlots <- struct{}{}:
 						case <-done:
 							for range taken {
-								<-cluster.node.transport.slots
+								<-cluster.node.transport.attemptSlots
 							}
 							return
 						}
@@ -412,16 +412,16 @@
 			}
 			return e.Serve()
 		}
-		if got := cluster.says(cluster.ask("hut-booking")); got.status != 503 {
+		if got := cluster.send(cluster.request("hut-booking")); got.status != 503 {
 			t.Errorf("%+v", got)
 		}
 		close(done)
 		<-returned
-		cluster.settled()
+		cluster.awaitIdle()
 	})
 	t.Run("request not read", func(t *testing.T) {
-		cluster := enter(t, nil)
-		for _, decoder := range cluster.writers {
+		cluster := startCluster(t, nil)
+		for _, decoder := range cluster.decoders {
 			decoder.Greet(func(conn net.Conn) bool {
 				conn.(*net.TCPConn).SetReadBuffer(1 << 10)
 				raw, err := conn.(*net.TCPConn).SyscallConn()
@@ -442,10 +442,10 @@
 			})
 		}
 		body := `{"model":"` + strings.Repeat("a", 250<<10) + `"}`
-		if got := cluster.says(cluster.ask("hut-booking",
+		if got := cluster.send(cluster.request("hut-booking",
 			"Content-Length: 12", fmt.Sprintf("Content-Length: %d", len(body)), `{"model":""}`, body)); got.status == 200 {
 			t.Errorf("%+v", got)
 		}
-		cluster.until("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
+		cluster.await("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
 	})
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -17,8 +17,8 @@
 	"sloetrestle/brain"
 )
 
-// Place is the configuration that the platform hands to a dispatcher.
-type Place struct {
+// Config is the configuration that the platform hands to a dispatcher.
+type Config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`    // address for clients, host:port
 	Discovery string `json:"discovery"` // address of service discovery, host:port
@@ -39,8 +39,8 @@
 
 // Load reads a configuration file. A name, listen or discovery address that the file lacks is taken from the
 // environment.
-func Load(file string, getenv func(string) string) (Place, error) {
-	var config Place
+func Load(file string, getenv func(string) string) (Config, error) {
+	var config Config
 	info, err := os.Stat(file)
 	if err != nil {
 		return config, err
@@ -67,7 +67,7 @@
 	return config, config.validate()
 }
 
-func (c Place) validate() error {
+func (c Config) validate() error {
 	switch {
 	case c.Listen == "":
 		return errors.New("configuration: listen is missing")
@@ -83,7 +83,7 @@
 }
 
 // randomSeed returns the seed of the scheduler's random decisions.
-func (c Place) randomSeed() uint64 {
+func (c Config) randomSeed() uint64 {
 	if n, err := strconv.ParseUint(c.Seed, 16, 64); err == nil {
 		return n
 	}
@@ -109,7 +109,7 @@
 	heap, bodies      int64 // bytes
 }
 
-func (c Place) resources() resources {
+func (c Config) resources() resources {
 	sockets, memory := c.Limits.Sockets, int64(c.Limits.MemoryMB)<<20
 	if sockets == 0 {
 		sockets = defaultSockets
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -36,7 +36,7 @@
 // leaves any.
 func TestDescriptorSharesFitTheLimit(t *testing.T) {
 	for sockets := 64; sockets <= 4096; sockets++ {
-		config := Place{}
+		config := Config{}
 		config.Limits.Sockets = sockets
 		if shares := config.resources(); shares.clients+shares.attempts+shares.releases+reservedSockets > sockets {
 			t.Fatalf("limit of %d descriptors: %+v and %d reserved", sockets, shares, reservedSockets)
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -22,38 +22,38 @@
 	"sloetrestle/internal/system"
 )
 
-// quiet discards its lines.
-var quiet = slog.New(slog.NewTextHandler(io.Discard, nil))
-
-// house is a dispatcher in this process with one prefill backend and two decode backends.
-type house struct {
-	t       *testing.T
-	site    *hosts.Site
-	agent   *hosts.Agent // of service discovery
-	reader  *hosts.Box
-	writers []*hosts.Box
-	node    *node
-	at      string // of the dispatcher's listener
-	reloads chan os.Signal
-	load    func() (Place, error)
-	quit    context.CancelFunc // begins the graceful shutdown
-	exited  chan error         // the result of the node's run
-	lastID  int                // of the requests made
-	system  system.System
-}
-
-// enter starts everything, with the given change to the configuration. When the test ends, everything must have
+// discardLog discards its lines.
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
+
+// testCluster is a dispatcher in this process with one prefill backend and two decode backends.
+type testCluster struct {
+	t        *testing.T
+	site     *hosts.Site
+	agent    *hosts.Agent // of service discovery
+	prefill  *hosts.Box
+	decoders []*hosts.Box
+	node     *node
+	address  string // of the dispatcher's listener
+	reloads  chan os.Signal
+	load     func() (Config, error)
+	quit     context.CancelFunc // begins the graceful shutdown
+	exited   chan error         // the result of the node's run
+	lastID   int                // of the requests made
+	system   system.System
+}
+
+// startCluster starts everything, with the given change to the configuration. When the test ends, everything must have
 // ended, and neither the backends nor the monitor must have seen a violation.
-func enter(t *testing.T, change func(cluster *house, config *Place)) *house {
+func startCluster(t *testing.T, change func(cluster *testCluster, config *Config)) *testCluster {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	cluster := &house{
+	cluster := &testCluster{
 		t: t, site: hosts.New(), reloads: make(chan os.Signal, 1), exited: make(chan error, 1), system: system.Real(),
 	}
-	cluster.reader = cluster.site.Box("r1", hosts.Reader)
-	cluster.writers = []*hosts.Box{cluster.site.Box("w1", hosts.Writer), cluster.site.Box("w2", hosts.Writer)}
+	cluster.prefill = cluster.site.Box("r1", hosts.Reader)
+	cluster.decoders = []*hosts.Box{cluster.site.Box("w1", hosts.Writer), cluster.site.Box("w2", hosts.Writer)}
 	cluster.agent = cluster.site.Agent()
-	config := Place{Name: "n1", Listen: "127.0.0.1:0", Discovery: cluster.agent.At, Seed: "8c1f30d27a5be964"}
+	config := Config{Name: "n1", Listen: "127.0.0.1:0", Discovery: cluster.agent.At, Seed: "8c1f30d27a5be964"}
 	if err := json.Unmarshal([]byte(hosts.Settings), &config.Settings); err != nil {
 		t.Fatal(err)
 	}
@@ -61,18 +61,18 @@
 		change(cluster, &config)
 	}
 	var err error
-	if cluster.node, err = newNode(context.Background(), config, cluster.system, quiet); err != nil {
+	if cluster.node, err = newNode(context.Background(), config, cluster.system, discardLog); err != nil {
 		t.Fatal(err)
 	}
-	cluster.at = cluster.node.limiter.Addr().String()
-	cluster.load = func() (Place, error) { return config, nil }
+	cluster.address = cluster.node.limiter.Addr().String()
+	cluster.load = func() (Config, error) { return config, nil }
 	ctx, cancel := context.WithCancel(context.Background())
 	cluster.quit = cancel
 	go func() {
-		cluster.exited <- cluster.node.run(ctx, cluster.reloads, func() (Place, error) { return cluster.load() })
+		cluster.exited <- cluster.node.run(ctx, cluster.reloads, func() (Config, error) { return cluster.load() })
 	}()
-	cluster.until("the dispatcher is ready", func() bool {
-		resp, err := http.Get("http://" + cluster.at + "/ready")
+	cluster.await("the dispatcher is ready", func() bool {
+		resp, err := http.Get("http://" + cluster.address + "/ready")
 		if err != nil {
 			return false
 		}
@@ -102,8 +102,8 @@
 	return cluster
 }
 
-// until waits for a condition and fails the test after 8 s.
-func (c *house) until(condition string, holds func() bool) {
+// await waits for a condition and fails the test after 8 s.
+func (c *testCluster) await(condition string, holds func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(8 * time.Second); !holds(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -112,16 +112,16 @@
 	}
 }
 
-// write sets how both decode backends respond.
-func (c *house) write(do func(e *hosts.Exchange) bool) {
-	for _, decoder := range c.writers {
+// onDecode sets how both decode backends respond.
+func (c *testCluster) onDecode(do func(e *hosts.Exchange) bool) {
+	for _, decoder := range c.decoders {
 		decoder.Do = do
 	}
 }
 
 // onFirstDecode sets how the decode backends respond to the first attempt; further ones are served normally.
-func (c *house) onFirstDecode(do func(e *hosts.Exchange) bool) {
-	c.write(func(e *hosts.Exchange) bool {
+func (c *testCluster) onFirstDecode(do func(e *hosts.Exchange) bool) {
+	c.onDecode(func(e *hosts.Exchange) bool {
 		if e.Method == "POST" && len(c.site.Seen("w1", "POST"))+len(c.site.Seen("w2", "POST")) == 1 {
 			return do(e)
 		}
@@ -129,11 +129,11 @@
 	})
 }
 
-// holdReads makes the prefill backend hold a KV cache for each request and respond to none. The requests are sent to
+// holdPrefills makes the prefill backend hold a KV cache for each request and respond to none. The requests are sent to
 // the channel.
-func (c *house) holdReads() <-chan *hosts.Exchange {
+func (c *testCluster) holdPrefills() <-chan *hosts.Exchange {
 	received := make(chan *hosts.Exchange, 1)
-	c.reader.Do = func(e *hosts.Exchange) bool {
+	c.prefill.Do = func(e *hosts.Exchange) bool {
 		if e.Method != "POST" {
 			return e.Serve()
 		}
@@ -145,15 +145,15 @@
 	return received
 }
 
-// settled waits until nothing is in flight, held or open, at the dispatcher or at the backends, and every count is
+// awaitIdle waits until nothing is in flight, held or open, at the dispatcher or at the backends, and every count is
 // back at zero.
-func (c *house) settled() {
+func (c *testCluster) awaitIdle() {
 	c.t.Helper()
-	c.until("nothing of the requests remains", func() bool {
+	c.await("nothing of the requests remains", func() bool {
 		remaining := c.site.Out() + c.site.Held() + int(c.node.frontend.asked.Load()) + int(c.node.frontend.held.Load()) +
 			int(c.node.transport.pending.Load())
 		c.node.loop.Call(context.Background(), func() {
-			for _, b := range []*hosts.Box{c.reader, c.writers[0], c.writers[1]} {
+			for _, b := range []*hosts.Box{c.prefill, c.decoders[0], c.decoders[1]} {
 				if known := c.node.loop.HostOf(b.UID); known != nil &&
 					(known.Streams != 0 || known.Tokens != 0 || known.Unread != 0) {
 					remaining++
@@ -164,8 +164,8 @@
 	})
 }
 
-// ask returns a client's request as text, with the given pairs of old and new strings replaced.
-func (c *house) ask(class string, change ...string) string {
+// request returns a client's request as text, with the given pairs of old and new strings replaced.
+func (c *testCluster) request(class string, change ...string) string {
 	c.lastID++
 	raw := fmt.Sprintf("POST /v1/chat/completions?x=1 HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: q%d\r\n"+
 		"X-Priority-Class: %s\r\nX-Tenant-Id: web-app\r\nX-Route-Key: s%d\r\nX-Timeout-Ms: 3000\r\n"+
@@ -174,58 +174,58 @@
 	return strings.NewReplacer(change...).Replace(raw)
 }
 
-// chunked returns a client's request with chunked transfer encoding.
-func (c *house) chunked(class, body string) string {
-	return c.ask(class, "Content-Length: 12", "Transfer-Encoding: chunked", `{"model":""}`, body)
+// chunkedRequest returns a client's request with chunkedRequest transfer encoding.
+func (c *testCluster) chunkedRequest(class, body string) string {
+	return c.request(class, "Content-Length: 12", "Transfer-Encoding: chunked", `{"model":""}`, body)
 }
 
-// client is one client connection.
-type client struct {
+// testClient is one testClient connection.
+type testClient struct {
 	net.Conn
-	from *bufio.Reader
+	reader *bufio.Reader
 }
 
-func (c *house) client() *client {
+func (c *testCluster) dial() *testClient {
 	c.t.Helper()
-	conn, err := net.Dial("tcp", c.at)
+	conn, err := net.Dial("tcp", c.address)
 	if err != nil {
 		c.t.Fatal(err)
 	}
 	c.t.Cleanup(func() { conn.Close() })
 	conn.SetDeadline(time.Now().Add(10 * time.Second))
-	return &client{conn, bufio.NewReader(conn)}
+	return &testClient{conn, bufio.NewReader(conn)}
 }
 
-// said is the response to a client's request. A status of 0 means that the connection was closed without one.
-type said struct {
+// response is the response to a client's request. A status of 0 means that the connection was closed without one.
+type response struct {
 	status     int
 	retryAfter string // the Retry-After header
 	closes     bool   // it announces that the connection is closed
 	body       string
-	whole      bool // it ended properly
+	complete   bool // it ended properly
 }
 
-func (c *client) said() said {
-	resp, err := http.ReadResponse(c.from, nil)
+func (c *testClient) readResponse() response {
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		return said{}
+		return response{}
 	}
 	body, err := io.ReadAll(resp.Body)
-	return said{resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close, string(body), err == nil}
+	return response{resp.StatusCode, resp.Header.Get("Retry-After"), resp.Close, string(body), err == nil}
 }
 
-// says sends a request over a new connection and returns the response.
-func (c *house) says(raw string) said {
+// send sends a request over a new connection and returns the response.
+func (c *testCluster) send(raw string) response {
 	c.t.Helper()
-	client := c.client()
+	client := c.dial()
 	io.WriteString(client, raw)
-	return client.said()
+	return client.readResponse()
 }
 
 func TestRequestAndResponsePassThroughByteForByte(t *testing.T) {
-	cluster := enter(t, nil)
-	got := cluster.says(cluster.ask("hut-booking"))
-	if got.status != 200 || got.body != hosts.Event("a")+hosts.Event("b")+hosts.Usage+hosts.Done || !got.whole {
+	cluster := startCluster(t, nil)
+	got := cluster.send(cluster.request("hut-booking"))
+	if got.status != 200 || got.body != hosts.Event("a")+hosts.Event("b")+hosts.Usage+hosts.Done || !got.complete {
 		t.Errorf("%+v", got)
 	}
 	for _, e := range cluster.site.Seen("", "POST") {
@@ -234,7 +234,7 @@
 			t.Errorf("%s %s %q as %s, %v", e.Box.UID, e.Target, e.Body, e.ID, e.Head)
 		}
 	}
-	cluster.settled()
+	cluster.awaitIdle()
 	cluster.node.loop.Call(context.Background(), func() {
 		if prefill := cluster.node.loop.HostOf("r1"); prefill.Util != 0.5 || prefill.Queue != 2 {
 			t.Errorf("the prefill backend's load report is read as util %g, queue %g", prefill.Util, prefill.Queue)
@@ -245,20 +245,20 @@
 // A body may come in chunks of any size, with extensions and trailers, and is passed on byte for byte. A request that
 // follows on the same connection is served too.
 func TestChunkedBodyPassesThrough(t *testing.T) {
-	cluster := enter(t, nil)
+	cluster := startCluster(t, nil)
 	for name, body := range map[string]string{
 		"one chunk":     "c\r\n{\"model\":\"\"}\r\n0\r\n\r\n",
 		"many chunks":   "1\r\n{\r\n7;a=b\r\n\"model\"\r\n0004\r\n:\"\"}\r\n0\r\n\r\n",
 		"with trailers": "c\r\n{\"model\":\"\"}\r\n0\r\nA: b\r\nC: d\r\n\r\n",
 	} {
 		before := len(cluster.site.Seen("", "POST"))
-		client := cluster.client()
-		for _, b := range []byte(cluster.chunked("hut-booking", body)) { // one byte per write
+		client := cluster.dial()
+		for _, b := range []byte(cluster.chunkedRequest("hut-booking", body)) { // one byte per write
 			client.Write([]byte{b})
 		}
-		io.WriteString(client, cluster.ask("hut-booking"))
+		io.WriteString(client, cluster.request("hut-booking"))
 		for range 2 {
-			if got := client.said(); got.status != 200 || !got.whole || got.closes {
+			if got := client.readResponse(); got.status != 200 || !got.complete || got.closes {
 				t.Errorf("%s: %+v", name, got)
 			}
 		}
@@ -273,7 +273,7 @@
 		}
 		client.Close()
 	}
-	cluster.settled()
+	cluster.awaitIdle()
 }
 
 // Every way in which a decode attempt can end, and what the client of a non-idempotent and of an idempotent request
@@ -308,30 +308,30 @@
 		}, 200},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			cluster := enter(t, nil)
+			cluster := startCluster(t, nil)
 			cluster.onFirstDecode(test.do)
-			if got := cluster.says(cluster.ask("hut-booking")); got.status != test.wantStatus ||
-				got.status == 200 && !got.whole {
+			if got := cluster.send(cluster.request("hut-booking")); got.status != test.wantStatus ||
+				got.status == 200 && !got.complete {
 				t.Errorf("non-idempotent: %+v", got)
 			}
-			cluster.settled()
-			if got := cluster.says(cluster.ask("trail-info")); got.status != 200 ||
-				strings.Contains(got.body, `"z"`) || !got.whole {
+			cluster.awaitIdle()
+			if got := cluster.send(cluster.request("trail-info")); got.status != 200 ||
+				strings.Contains(got.body, `"z"`) || !got.complete {
 				t.Errorf("the next request: %+v", got)
 			}
-			cluster.settled()
+			cluster.awaitIdle()
 		})
 	}
 }
 
 // An idempotent request is retried although its first attempt may have run, unlike a non-idempotent one.
 func TestIdempotentRequestSurvivesAMalformedResponse(t *testing.T) {
-	cluster := enter(t, nil)
+	cluster := startCluster(t, nil)
 	cluster.onFirstDecode(func(e *hosts.Exchange) bool { return e.Write("HTTP/1.1 200 OK\r\n\x01\x02\r\n") && false })
-	if got := cluster.says(cluster.ask("trail-info")); got.status != 200 || !got.whole {
+	if got := cluster.send(cluster.request("trail-info")); got.status != 200 || !got.complete {
 		t.Errorf("%+v", got)
 	}
-	cluster.settled()
+	cluster.awaitIdle()
 }
 
 // A stream that breaks after its first event ends the client's connection without the last chunk, so that the client
@@ -341,107 +341,107 @@
 		"between chunks": "", "in a chunk": "20\r\ndata", "in a chunk's size": "zz\r\n", "early last chunk": hosts.Last,
 	} {
 		t.Run(name, func(t *testing.T) {
-			cluster := enter(t, nil)
-			cluster.write(func(e *hosts.Exchange) bool {
+			cluster := startCluster(t, nil)
+			cluster.onDecode(func(e *hosts.Exchange) bool {
 				e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")) + tail)
 				return false
 			})
-			if got := cluster.says(cluster.ask("trail-info")); got.status != 200 ||
-				got.body != hosts.Event("a") || got.whole {
+			if got := cluster.send(cluster.request("trail-info")); got.status != 200 ||
+				got.body != hosts.Event("a") || got.complete {
 				t.Errorf("%+v", got)
 			}
-			cluster.settled()
+			cluster.awaitIdle()
 		})
 	}
 }
 
 // A KV cache is released in time also if neither a decode backend nor the backend that holds it can be reached.
 func TestKVCacheIsReleasedIfNoConnectionIsEstablished(t *testing.T) {
-	cluster := enter(t, func(cluster *house, config *Place) {
+	cluster := startCluster(t, func(cluster *testCluster, config *Config) {
 		config.Settings["familyInfo"].(map[string]any)["pinLimitUs"] = 300_000.0
 		cluster.site.Pin = 500 * time.Millisecond
 		cluster.site.Box("r2", hosts.Writer).State = "terminating" // it accepts no requests, but release calls
 	})
-	cluster.reader.Do = func(e *hosts.Exchange) bool {
+	cluster.prefill.Do = func(e *hosts.Exchange) bool {
 		if e.Method == "POST" {
-			for _, b := range append(cluster.writers, cluster.reader) {
+			for _, b := range append(cluster.decoders, cluster.prefill) {
 				b.Vanish()
 			}
 		}
 		return e.Serve()
 	}
-	client := cluster.client()
-	io.WriteString(client, cluster.ask("trail-info"))
-	cluster.until("the KV cache is held", func() bool { return cluster.site.Held() == 1 })
-	cluster.until("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
+	client := cluster.dial()
+	io.WriteString(client, cluster.request("trail-info"))
+	cluster.await("the KV cache is held", func() bool { return cluster.site.Held() == 1 })
+	cluster.await("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
 	client.Close()
-	cluster.settled()
+	cluster.awaitIdle()
 }
 
 // A stream whose backend sends nothing more is given up within 5 s.
 func TestStalledStreamIsGivenUp(t *testing.T) {
-	cluster := enter(t, nil)
-	cluster.write(func(e *hosts.Exchange) bool {
+	cluster := startCluster(t, nil)
+	cluster.onDecode(func(e *hosts.Exchange) bool {
 		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
 		<-e.Left
 		return false
 	})
 	began := time.Now()
-	if got := cluster.says(cluster.ask("trail-info")); got.whole || time.Since(began) > 5*time.Second {
+	if got := cluster.send(cluster.request("trail-info")); got.complete || time.Since(began) > 5*time.Second {
 		t.Errorf("%+v after %v", got, time.Since(began))
 	}
-	cluster.settled()
+	cluster.awaitIdle()
 }
 
 func TestInvalidRequestsAreRefusedAtOnce(t *testing.T) {
-	cluster := enter(t, nil)
+	cluster := startCluster(t, nil)
 	huge := strings.Repeat("A", 40<<10)
 	for name, raw := range map[string]string{
 		"garbage":           "\x16\x03\x01 what\r\n\r\n",
 		"endless head":      "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nX-A: " + huge,
-		"no id":             cluster.ask("trail-info", "X-Request-ID", "X-Other"),
-		"id with a path":    cluster.ask("trail-info", "X-Request-ID: q", "X-Request-ID: ../q"),
-		"unknown class":     cluster.ask("no-such"),
-		"unknown tenant":    cluster.ask("trail-info", "web-app", "nobody"),
-		"deadline no word":  cluster.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: soon"),
-		"deadline missing":  cluster.ask("trail-info", "X-Timeout-Ms", "X-Other"),
-		"deadline negative": cluster.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: -1"),
-		"deadline huge":     cluster.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 99999999999999999999"),
-		"length negative":   cluster.ask("trail-info", "Content-Length: 12", "Content-Length: -12"),
-		"length huge":       cluster.ask("trail-info", "Content-Length: 12", "Content-Length: 60000000"),
-		"length twice":      cluster.ask("trail-info", "Content-Length: 12", "Content-Length: 12\r\nContent-Length: 13"),
-		"length no number":  cluster.ask("trail-info", "Content-Length: 12", "Content-Length: x"),
-		"tokens negative":   cluster.ask("trail-info", "prompt_len=400", "prompt_len=-400"),
-		"tokens not finite": cluster.ask("trail-info", "prompt_len=400", "prompt_len=NaN"),
-		"tokens huge":       cluster.ask("trail-info", "prompt_len=400", "prompt_len=1e300"),
-		"smuggled by length and chunks": cluster.ask("trail-info", "Content-Length: 12",
-			"Content-Length: 200\r\nTransfer-Encoding: chunked", `{"model":""}`, "0\r\n\r\n"+cluster.ask("hut-booking")),
-		"smuggled by chunks and length": cluster.ask("trail-info", "Content-Length: 12",
+		"no id":             cluster.request("trail-info", "X-Request-ID", "X-Other"),
+		"id with a path":    cluster.request("trail-info", "X-Request-ID: q", "X-Request-ID: ../q"),
+		"unknown class":     cluster.request("no-such"),
+		"unknown tenant":    cluster.request("trail-info", "web-app", "nobody"),
+		"deadline no word":  cluster.request("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: soon"),
+		"deadline missing":  cluster.request("trail-info", "X-Timeout-Ms", "X-Other"),
+		"deadline negative": cluster.request("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: -1"),
+		"deadline huge":     cluster.request("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 99999999999999999999"),
+		"length negative":   cluster.request("trail-info", "Content-Length: 12", "Content-Length: -12"),
+		"length huge":       cluster.request("trail-info", "Content-Length: 12", "Content-Length: 60000000"),
+		"length twice":      cluster.request("trail-info", "Content-Length: 12", "Content-Length: 12\r\nContent-Length: 13"),
+		"length no number":  cluster.request("trail-info", "Content-Length: 12", "Content-Length: x"),
+		"tokens negative":   cluster.request("trail-info", "prompt_len=400", "prompt_len=-400"),
+		"tokens not finite": cluster.request("trail-info", "prompt_len=400", "prompt_len=NaN"),
+		"tokens huge":       cluster.request("trail-info", "prompt_len=400", "prompt_len=1e300"),
+		"smuggled by length and chunks": cluster.request("trail-info", "Content-Length: 12",
+			"Content-Length: 200\r\nTransfer-Encoding: chunked", `{"model":""}`, "0\r\n\r\n"+cluster.request("hut-booking")),
+		"smuggled by chunks and length": cluster.request("trail-info", "Content-Length: 12",
 			"Transfer-Encoding: chunked\r\nContent-Length: 12", `{"model":""}`,
-			"c\r\n{\"model\":\"\"}\r\n0\r\n\r\n"+cluster.ask("hut-booking")),
-		"chunk without size":  cluster.chunked("trail-info", "zz\r\n{}\r\n0\r\n\r\n"),
-		"chunk of 3 GB":       cluster.chunked("trail-info", "c0000000\r\n{}"),
-		"chunk over its size": cluster.chunked("trail-info", "1\r\n{}\r\n0\r\n\r\n"),
-		"too many chunks": cluster.chunked("trail-info",
+			"c\r\n{\"model\":\"\"}\r\n0\r\n\r\n"+cluster.request("hut-booking")),
+		"chunk without size":  cluster.chunkedRequest("trail-info", "zz\r\n{}\r\n0\r\n\r\n"),
+		"chunk of 3 GB":       cluster.chunkedRequest("trail-info", "c0000000\r\n{}"),
+		"chunk over its size": cluster.chunkedRequest("trail-info", "1\r\n{}\r\n0\r\n\r\n"),
+		"too many chunks": cluster.chunkedRequest("trail-info",
 			strings.Repeat("8000\r\n"+strings.Repeat("x", 0x8000)+"\r\n", 9)+"0\r\n\r\n"),
-		"incomplete chunk": cluster.chunked("trail-info", "c\r\n{\"model\""),
-		"no last chunk":    cluster.chunked("trail-info", "c\r\n{\"model\":\"\"}\r\n"),
-		"another path":     cluster.ask("trail-info", "/v1/chat/completions", "/v1/other"),
-		"another method":   cluster.ask("trail-info", "POST", "PUT"),
-		"incomplete body":  cluster.ask("trail-info", `{"model":""}`, `{"mod`),
+		"incomplete chunk": cluster.chunkedRequest("trail-info", "c\r\n{\"model\""),
+		"no last chunk":    cluster.chunkedRequest("trail-info", "c\r\n{\"model\":\"\"}\r\n"),
+		"another path":     cluster.request("trail-info", "/v1/chat/completions", "/v1/other"),
+		"another method":   cluster.request("trail-info", "POST", "PUT"),
+		"incomplete body":  cluster.request("trail-info", `{"model":""}`, `{"mod`),
 		"incomplete head":  "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\n",
 		"nothing":          "",
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			client := cluster.client()
+			client := cluster.dial()
 			began := time.Now()
 			io.WriteString(client, raw)
-			if got := client.said(); got.status != 0 && got.status/100 != 4 || time.Since(began) > 3*time.Second {
+			if got := client.readResponse(); got.status != 0 && got.status/100 != 4 || time.Since(began) > 3*time.Second {
 				t.Errorf("%+v after %v", got, time.Since(began))
 			}
 			client.SetReadDeadline(time.Now().Add(time.Second))
-			if n, err := io.Copy(io.Discard, client.from); err != nil && os.IsTimeout(err) || n > 0 {
+			if n, err := io.Copy(io.Discard, client.reader); err != nil && os.IsTimeout(err) || n > 0 {
 				t.Errorf("the connection stays open, %d bytes more, %v", n, err)
 			}
 		})
@@ -455,28 +455,28 @@
 
 // A request with the id of an open one is refused, and the open one is served.
 func TestIDOfAnOpenRequestIsRefused(t *testing.T) {
-	cluster := enter(t, nil)
+	cluster := startCluster(t, nil)
 	hold := make(chan struct{})
-	cluster.reader.Do = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
-	raw := cluster.ask("hut-booking")
-	client := cluster.client()
+	cluster.prefill.Do = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
+	raw := cluster.request("hut-booking")
+	client := cluster.dial()
 	io.WriteString(client, raw)
-	cluster.until("the prefill is sent", func() bool { return len(cluster.site.Seen("r1", "POST")) == 1 })
-	if got := cluster.says(raw); got.status != 409 || !got.closes {
+	cluster.await("the prefill is sent", func() bool { return len(cluster.site.Seen("r1", "POST")) == 1 })
+	if got := cluster.send(raw); got.status != 409 || !got.closes {
 		t.Errorf("%+v", got)
 	}
 	close(hold)
-	if got := client.said(); got.status != 200 {
+	if got := client.readResponse(); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
-	cluster.settled()
+	cluster.awaitIdle()
 }
 
 // A client that leaves ends its attempt, and nothing stays held, whichever phase its request was in.
 func TestLeavingClientEndsItsAttempt(t *testing.T) {
 	for _, phase := range []string{"prefill", "decode", "streaming"} {
 		t.Run(phase, func(t *testing.T) {
-			cluster := enter(t, nil)
+			cluster := startCluster(t, nil)
 			received := make(chan *hosts.Exchange, 1)
 			stay := func(exchange *hosts.Exchange) bool {
 				if exchange.Method != "POST" {
@@ -493,27 +493,27 @@
 				return false
 			}
 			if phase == "prefill" {
-				cluster.reader.Do = stay
+				cluster.prefill.Do = stay
 			} else {
-				cluster.write(stay)
+				cluster.onDecode(stay)
 			}
-			client := cluster.client()
-			io.WriteString(client, cluster.ask("trail-info"))
+			client := cluster.dial()
+			io.WriteString(client, cluster.request("trail-info"))
 			<-received
 			client.Close()
-			cluster.settled()
+			cluster.awaitIdle()
 		})
 	}
 }
 
 // A client with a pipelined request is noticed to leave as any other. If it stays, both requests are answered.
 func TestPipeliningClientIsNoticedToLeave(t *testing.T) {
-	cluster := enter(t, nil)
-	received := cluster.holdReads()
-	client := cluster.client()
-	io.WriteString(client, cluster.ask("trail-info"))
+	cluster := startCluster(t, nil)
+	received := cluster.holdPrefills()
+	client := cluster.dial()
+	io.WriteString(client, cluster.request("trail-info"))
 	prefill := <-received
-	io.WriteString(client, cluster.ask("hut-booking"))
+	io.WriteString(client, cluster.request("hut-booking"))
 	time.Sleep(20 * time.Millisecond)
 	client.Close()
 	select {
@@ -521,52 +521,52 @@
 	case <-time.After(100 * time.Millisecond):
 		t.Error("the attempt goes on")
 	}
-	cluster.settled()
+	cluster.awaitIdle()
 	if n := len(cluster.site.Seen("", "POST")); n != 1 {
 		t.Errorf("%d attempts", n)
 	}
-	cluster.reader.Do = nil
-	client = cluster.client()
-	io.WriteString(client, cluster.ask("trail-info"))
-	io.WriteString(client, cluster.ask("hut-booking")+cluster.ask("trail-info"))
+	cluster.prefill.Do = nil
+	client = cluster.dial()
+	io.WriteString(client, cluster.request("trail-info"))
+	io.WriteString(client, cluster.request("hut-booking")+cluster.request("trail-info"))
 	for range 3 {
-		if got := client.said(); got.status != 200 || !got.whole {
+		if got := client.readResponse(); got.status != 200 || !got.complete {
 			t.Errorf("%+v", got)
 		}
 	}
-	cluster.settled()
+	cluster.awaitIdle()
 }
 
 // A KV cache is released also if the backend that may hold it can't be reached: any backend accepts the call.
 func TestKVCacheIsReleasedThroughAnotherBackend(t *testing.T) {
-	cluster := enter(t, nil)
-	cluster.reader.Do = func(e *hosts.Exchange) bool {
+	cluster := startCluster(t, nil)
+	cluster.prefill.Do = func(e *hosts.Exchange) bool {
 		if e.Method != "POST" {
 			return e.Serve()
 		}
 		e.Hold()
-		cluster.reader.Do = nil
+		cluster.prefill.Do = nil
 		<-e.Left
 		return false
 	}
-	client := cluster.client()
-	io.WriteString(client, cluster.ask("trail-info"))
-	cluster.until("the KV cache is held", func() bool { return cluster.site.Held() == 1 })
-	cluster.reader.CloseListener()
+	client := cluster.dial()
+	io.WriteString(client, cluster.request("trail-info"))
+	cluster.await("the KV cache is held", func() bool { return cluster.site.Held() == 1 })
+	cluster.prefill.CloseListener()
 	client.Close()
-	cluster.until("a backend received the release", func() bool { return len(cluster.site.Seen("", "DELETE")) > 0 })
-	cluster.settled()
+	cluster.await("a backend received the release", func() bool { return len(cluster.site.Seen("", "DELETE")) > 0 })
+	cluster.awaitIdle()
 }
 
 // An idle connection that its backend has closed gets no request: a non-idempotent one would be lost.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	cluster := enter(t, nil)
+	cluster := startCluster(t, nil)
 	for range 3 {
-		if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 {
+		if got := cluster.send(cluster.request("hut-booking")); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
-		cluster.settled()
-		for _, b := range append(cluster.writers, cluster.reader) {
+		cluster.awaitIdle()
+		for _, b := range append(cluster.decoders, cluster.prefill) {
 			b.Rest()
 		}
 	}
@@ -575,10 +575,10 @@
 // A single refused connection does not count as a restart of its backend. During a burst of connection resets every
 // backend would otherwise be put into slow start, and the whole fleet be left without work.
 func TestRefusedConnectionAloneIsNoRestart(t *testing.T) {
-	cluster := enter(t, nil)
-	cluster.reader.CloseListener()
-	time.AfterFunc(dialWait*3/2, cluster.reader.Reopen)
-	if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 {
+	cluster := startCluster(t, nil)
+	cluster.prefill.CloseListener()
+	time.AfterFunc(dialRetryDelay*3/2, cluster.prefill.Reopen)
+	if got := cluster.send(cluster.request("hut-booking")); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
 	cluster.node.loop.Call(context.Background(), func() {
@@ -586,15 +586,15 @@
 			t.Errorf("%+v, outcomes %v", b, cluster.node.loop.Tally.Outcomes)
 		}
 	})
-	cluster.settled()
+	cluster.awaitIdle()
 }
 
 // A 400 of a backend is about the request itself: it neither counts against the backend nor leads to an attempt
 // elsewhere.
 func TestRequestThatABackendFindsInvalidIsNotRetried(t *testing.T) {
-	cluster := enter(t, nil)
-	cluster.reader.Do = func(e *hosts.Exchange) bool { return e.Write(hosts.Refuse(400, false)) }
-	if got := cluster.says(cluster.ask("trail-info")); got.status != 502 || len(cluster.site.Seen("", "POST")) != 1 {
+	cluster := startCluster(t, nil)
+	cluster.prefill.Do = func(e *hosts.Exchange) bool { return e.Write(hosts.Refuse(400, false)) }
+	if got := cluster.send(cluster.request("trail-info")); got.status != 502 || len(cluster.site.Seen("", "POST")) != 1 {
 		t.Errorf("%+v after %d attempts", got, len(cluster.site.Seen("", "POST")))
 	}
 	cluster.node.loop.Call(context.Background(), func() {
@@ -602,23 +602,23 @@
 			t.Error("the response counts against the backend")
 		}
 	})
-	cluster.settled()
+	cluster.awaitIdle()
 }
 
 // When connections run short, silent ones are closed for others, and responses announce that their connection is
 // closed.
 func TestSilentConnectionsMakeRoomForOthers(t *testing.T) {
-	cluster := enter(t, func(_ *house, config *Place) { config.Limits.Sockets = 64 })
+	cluster := startCluster(t, func(_ *testCluster, config *Config) { config.Limits.Sockets = 64 })
 	for range 200 {
-		conn, err := net.Dial("tcp", cluster.at)
+		conn, err := net.Dial("tcp", cluster.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 	}
-	client := cluster.client()
-	io.WriteString(client, cluster.ask("hut-booking"))
-	if got := client.said(); got.status != 200 || !got.closes {
+	client := cluster.dial()
+	io.WriteString(client, cluster.request("hut-booking"))
+	if got := client.readResponse(); got.status != 200 || !got.closes {
 		t.Errorf("%+v", got)
 	}
 	if n, limit := cluster.node.limiter.count(), cluster.node.config.resources().clients; n > limit+1 {
@@ -628,16 +628,16 @@
 
 // A request whose body exceeds the memory for bodies is rejected; others are served.
 func TestMemoryForBodiesIsBounded(t *testing.T) {
-	cluster := enter(t, func(_ *house, config *Place) { config.Limits.MemoryMB = 1 })
-	raw := cluster.ask("trail-info",
+	cluster := startCluster(t, func(_ *testCluster, config *Config) { config.Limits.MemoryMB = 1 })
+	raw := cluster.request("trail-info",
 		"Content-Length: 12", "Content-Length: 250000", `{"model":""}`, strings.Repeat("x", 250000))
-	if got := cluster.says(raw); got.status != 503 || got.retryAfter == "" {
+	if got := cluster.send(raw); got.status != 503 || got.retryAfter == "" {
 		t.Errorf("%+v", got)
 	}
-	if got := cluster.says(cluster.ask("trail-info")); got.status != 200 {
+	if got := cluster.send(cluster.request("trail-info")); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
-	cluster.settled()
+	cluster.awaitIdle()
 }
 
 // A configuration that is half written when its signal comes is read once it is complete, also during a graceful
@@ -645,7 +645,7 @@
 func TestHalfWrittenConfigurationIsReadOnceComplete(t *testing.T) {
 	for _, stopping := range []bool{false, true} {
 		t.Run(fmt.Sprintf("stopping %t", stopping), func(t *testing.T) {
-			cluster := enter(t, nil)
+			cluster := startCluster(t, nil)
 			other := cluster.site.Agent()
 			config := cluster.node.config
 			config.Discovery = other.At
@@ -660,17 +660,17 @@
 				}
 			}
 			write(raw[:len(raw)/2])
-			cluster.load = func() (Place, error) { return Load(file, os.Getenv) }
+			cluster.load = func() (Config, error) { return Load(file, os.Getenv) }
 			if stopping {
-				received := cluster.holdReads()
-				io.WriteString(cluster.client(), cluster.ask("trail-info"))
+				received := cluster.holdPrefills()
+				io.WriteString(cluster.dial(), cluster.request("trail-info"))
 				<-received
 				cluster.quit()
 			}
 			cluster.reloads <- syscall.SIGHUP
 			time.Sleep(100 * time.Millisecond)
 			write(raw)
-			cluster.until("discovery is watched at its new address", func() bool { return other.Watched() == 1 })
+			cluster.await("discovery is watched at its new address", func() bool { return other.Watched() == 1 })
 		})
 	}
 }
@@ -678,21 +678,21 @@
 // A reload moves discovery to the new address. A configuration file that is absent or incomplete changes nothing, and
 // no request notices.
 func TestConfigurationIsReloaded(t *testing.T) {
-	cluster := enter(t, nil)
+	cluster := startCluster(t, nil)
 	other := cluster.site.Agent()
-	cluster.load = func() (Place, error) { return Load(t.TempDir()+"/absent.json", os.Getenv) }
+	cluster.load = func() (Config, error) { return Load(t.TempDir()+"/absent.json", os.Getenv) }
 	cluster.reloads <- syscall.SIGHUP
 	incomplete := t.TempDir() + "/torn.json"
 	if err := os.WriteFile(incomplete, []byte(`{"name":"n1","listen`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cluster.until("the reload of the absent file began", func() bool { return len(cluster.reloads) == 0 })
-	cluster.load = func() (Place, error) { return Load(incomplete, os.Getenv) }
+	cluster.await("the reload of the absent file began", func() bool { return len(cluster.reloads) == 0 })
+	cluster.load = func() (Config, error) { return Load(incomplete, os.Getenv) }
 	cluster.reloads <- syscall.SIGHUP
-	if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 || other.Watched() != 0 {
+	if got := cluster.send(cluster.request("hut-booking")); got.status != 200 || other.Watched() != 0 {
 		t.Errorf("%+v, %d watches at the new address", got, other.Watched())
 	}
-	cluster.until("the reload of the incomplete file began", func() bool { return len(cluster.reloads) == 0 })
+	cluster.await("the reload of the incomplete file began", func() bool { return len(cluster.reloads) == 0 })
 	config := cluster.node.config
 	config.Discovery = other.At
 	raw, err := json.Marshal(config)
@@ -703,13 +703,13 @@
 	if err := os.WriteFile(complete, raw, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cluster.load = func() (Place, error) { return Load(complete, os.Getenv) }
+	cluster.load = func() (Config, error) { return Load(complete, os.Getenv) }
 	cluster.reloads <- syscall.SIGHUP
-	cluster.until("discovery is watched only at its new address", func() bool {
+	cluster.await("discovery is watched only at its new address", func() bool {
 		return other.Watched() == 1 && cluster.agent.Watched() == 0
 	})
-	cluster.site.Change(func() { cluster.reader.State = "terminating" })
-	cluster.until("the drain is known", func() bool {
+	cluster.site.Change(func() { cluster.prefill.State = "terminating" })
+	cluster.await("the drain is known", func() bool {
 		state := brain.Ready
 		cluster.node.loop.Call(context.Background(), func() { state = cluster.node.loop.HostOf("r1").Standing })
 		return state == brain.Draining
@@ -719,8 +719,8 @@
 // During a graceful shutdown every admitted request is answered, streams that still run are cut, and responses close
 // their connections.
 func TestShutdownAnswersAdmittedRequests(t *testing.T) {
-	cluster := enter(t, nil)
-	cluster.write(func(exchange *hosts.Exchange) bool {
+	cluster := startCluster(t, nil)
+	cluster.onDecode(func(exchange *hosts.Exchange) bool {
 		if exchange.Method != "POST" || exchange.ID != "q1" && exchange.ID != "q2" {
 			return exchange.Serve()
 		}
@@ -738,22 +738,22 @@
 		}
 		return false
 	})
-	streaming, unstarted, late := cluster.client(), cluster.client(), cluster.client()
-	io.WriteString(streaming, cluster.ask("trail-info"))
-	io.WriteString(unstarted, cluster.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
-	cluster.until("both attempts are in flight", func() bool {
+	streaming, unstarted, late := cluster.dial(), cluster.dial(), cluster.dial()
+	io.WriteString(streaming, cluster.request("trail-info"))
+	io.WriteString(unstarted, cluster.request("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
+	cluster.await("both attempts are in flight", func() bool {
 		return len(cluster.site.Seen("w1", "POST"))+len(cluster.site.Seen("w2", "POST")) == 2
 	})
 	cluster.quit()
-	cluster.until("the shutdown has begun", func() bool { return cluster.node.frontend.stopping.Load() })
-	io.WriteString(late, cluster.ask("trail-info"))
-	if got := late.said(); got.status != 200 || !got.closes {
+	cluster.await("the shutdown has begun", func() bool { return cluster.node.frontend.stopping.Load() })
+	io.WriteString(late, cluster.request("trail-info"))
+	if got := late.readResponse(); got.status != 200 || !got.closes {
 		t.Errorf("request during the shutdown: %+v", got)
 	}
-	if got := streaming.said(); got.status != 200 || got.whole {
+	if got := streaming.readResponse(); got.status != 200 || got.complete {
 		t.Errorf("endless stream: %+v", got.status)
 	}
-	if got := unstarted.said(); got.status != 503 {
+	if got := unstarted.readResponse(); got.status != 503 {
 		t.Errorf("request whose response never starts: %+v", got)
 	}
 }
@@ -761,45 +761,45 @@
 // A stream that starts once streams are being cut still passes on its first event: a client without one has had no
 // answer.
 func TestStreamIsNotCutBeforeItsFirstEvent(t *testing.T) {
-	cluster := enter(t, nil)
-	cluster.write(func(e *hosts.Exchange) bool {
+	cluster := startCluster(t, nil)
+	cluster.onDecode(func(e *hosts.Exchange) bool {
 		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
 		<-e.Left
 		return false
 	})
 	close(cluster.node.frontend.cut)
 	for range 20 {
-		if got := cluster.says(cluster.ask("trail-info")); got.status != 200 ||
-			got.body != hosts.Event("a") || got.whole {
+		if got := cluster.send(cluster.request("trail-info")); got.status != 200 ||
+			got.body != hosts.Event("a") || got.complete {
 			t.Fatalf("%+v", got)
 		}
 	}
-	cluster.settled()
+	cluster.awaitIdle()
 	cluster.node.frontend.cut = make(chan struct{}) // which the shutdown closes again
 }
 
 // Backends and clients with ever new names leave nothing behind: pools, ids and counters do not grow.
 func TestChurnLeavesNothingBehind(t *testing.T) {
-	cluster := enter(t, nil)
+	cluster := startCluster(t, nil)
 	for i := range 40 {
 		var added *hosts.Box
 		cluster.site.Change(func() {})
 		added = cluster.site.Box(fmt.Sprintf("n%d", i), hosts.Writer)
 		cluster.site.Change(func() {})
-		if got := cluster.says(cluster.ask("trail-info")); got.status != 200 {
+		if got := cluster.send(cluster.request("trail-info")); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
 		cluster.site.Change(func() { added.State = "terminated" })
-		cluster.until("the transport has forgotten it", func() bool {
+		cluster.await("the transport has forgotten it", func() bool {
 			known := 0
 			cluster.node.loop.Call(context.Background(), func() { known = len(cluster.node.transport.poolOf) })
 			return known == 3
 		})
 		added.Kill()
 	}
-	cluster.settled()
-	cluster.until("no pool for a removed backend remains", func() bool {
-		return cluster.node.transport.boxes.Known() == 3
+	cluster.awaitIdle()
+	cluster.await("no pool for a removed backend remains", func() bool {
+		return cluster.node.transport.pools.Known() == 3
 	})
 	if len(cluster.node.frontend.ids.open) != 0 || len(cluster.node.frontend.refused) != 0 {
 		t.Errorf("%d ids, %d reasons", len(cluster.node.frontend.ids.open), len(cluster.node.frontend.refused))
@@ -819,7 +819,7 @@
 		t.Fatal(err)
 	}
 	unused.Close()
-	cluster := enter(t, func(_ *house, config *Place) {
+	cluster := startCluster(t, func(_ *testCluster, config *Config) {
 		config.PeerListen, config.Peers = "127.0.0.1:0", []string{"127.0.0.1:1", peer.LocalAddr().String()}
 	})
 	to := cluster.node.peers.Conn.LocalAddr().(*net.UDPAddr)
@@ -829,8 +829,8 @@
 	}
 	defer unknown.Close()
 	unknown.Write(make([]byte, 8))
-	cluster.until("the unknown sender is counted", func() bool { return cluster.node.peers.Dropped.Load() == 1 })
+	cluster.await("the unknown sender is counted", func() bool { return cluster.node.peers.Dropped.Load() == 1 })
 	peer.WriteToUDP(make([]byte, 8), to)
 	peer.WriteToUDP(make([]byte, 3), to)
-	cluster.until("the update of a wrong size is counted", func() bool { return cluster.node.peers.Dropped.Load() == 2 })
+	cluster.await("the update of a wrong size is counted", func() bool { return cluster.node.peers.Dropped.Load() == 2 })
 }
--- a/internal/platform/releases.go
+++ b/internal/platform/releases.go
@@ -36,11 +36,11 @@
 // called first, and further ones are called in parallel whenever none has answered for a while, because a partitioned
 // backend gives no answer at all.
 func (c *transport) Release(backend *dispatch.Backend, request *dispatch.ClientRequest) {
-	outgoing, _ := request.Matter.(*payload)
+	outgoing, _ := request.Matter.(*outgoingRequest)
 	if outgoing == nil {
 		return
 	}
-	call, targets := chat.LetGo(service, outgoing.id), c.releaseOrder(c.poolOf[backend])
+	call, targets := chat.LetGo(serviceHost, outgoing.id), c.releaseOrder(c.poolOf[backend])
 	if request.AttemptOut() {
 		c.Due.Add(1)
 		c.notable.Info("releasing a KV cache that is due while its attempt is in flight",
@@ -93,7 +93,7 @@
 			if result == releaseNotStarted {
 				called, delay = max(called-1, 0), releaseHedgeDelay // no backend was called
 			}
-			next.Reset(dialWait)
+			next.Reset(dialRetryDelay)
 		case <-next.C:
 			pool := targets[called%len(targets)]
 			c.tasks.Go(func() error {
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -14,7 +14,7 @@
 )
 
 // watchReloads reads the configuration again on every signal until the context ends, also during a graceful shutdown.
-func (n *node) watchReloads(ctx context.Context, signals <-chan os.Signal, load func() (Place, error)) {
+func (n *node) watchReloads(ctx context.Context, signals <-chan os.Signal, load func() (Config, error)) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -27,7 +27,7 @@
 
 // reload reads the configuration, and retries until it can be read or reloadTimeout has passed. A further signal
 // restarts the timeout.
-func (n *node) reload(ctx context.Context, signals <-chan os.Signal, load func() (Place, error)) {
+func (n *node) reload(ctx context.Context, signals <-chan os.Signal, load func() (Config, error)) {
 	for began, attempts := time.Now(), 1; ; attempts++ {
 		config, err := load()
 		if err == nil {
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	service          = "backend.local" // the Host header of requests to backends
+	serviceHost      = "backend.local" // the Host header of requests to backends
 	stateLogInterval = 5 * time.Second
 	// discoveryWait is how long a dispatcher that starts with last-known endpoints waits for those of service
 	// discovery before it is ready: what discovery lists counts as known to the dispatcher from its start.
@@ -33,7 +33,7 @@
 
 // node is one dispatcher with its listeners, its connections to backends and its background goroutines.
 type node struct {
-	config         Place
+	config         Config
 	settings       brain.Facts
 	log            *slog.Logger
 	lifetime       context.Context // of attempts, which continue during a graceful shutdown
@@ -54,8 +54,8 @@
 // Run serves until the context ends, then answers all admitted requests and returns. On every signal from reloads it
 // calls load for a new configuration.
 func Run(
-	ctx context.Context, config Place, sys system.System,
-	reloads <-chan os.Signal, load func() (Place, error), log *slog.Logger,
+	ctx context.Context, config Config, sys system.System,
+	reloads <-chan os.Signal, load func() (Config, error), log *slog.Logger,
 ) error {
 	runtime.GOMAXPROCS(1)
 	debug.SetMemoryLimit(config.resources().heap)
@@ -67,7 +67,7 @@
 }
 
 // newNode opens the listeners and sets up a dispatcher with the last-known endpoints of its configuration.
-func newNode(ctx context.Context, config Place, sys system.System, log *slog.Logger) (*node, error) {
+func newNode(ctx context.Context, config Config, sys system.System, log *slog.Logger) (*node, error) {
 	shares, settings := config.resources(), brain.Flat(config.Settings)
 	began := time.Now()
 	since := func() time.Duration { return time.Since(began) }
@@ -80,11 +80,11 @@
 		Life: dispatcher.lifetime, Group: &dispatcher.transportTasks, Dial: sys.Dial, Bare: true,
 	}
 	dispatcher.transport = &transport{
-		loadFields: settings.Names("report.fields"), boxes: pools, lifetime: dispatcher.lifetime,
+		loadFields: settings.Names("report.fields"), pools: pools, lifetime: dispatcher.lifetime,
 		tasks: &dispatcher.transportTasks, log: log, notable: &notableLog{log: log}, monitor: dispatcher.monitor,
 		pulse: dispatcher.pulse, traffic: map[string]*backendTraffic{},
 		poolOf: map[*dispatch.Backend]*reach.Host{}, releaser: releaser{callSlots: make(chan struct{}, shares.releases)},
-		since: since, slots: make(chan struct{}, shares.attempts),
+		clock: since, attemptSlots: make(chan struct{}, shares.attempts),
 	}
 	places := dispatch.Places{
 		Zone: func(name string) int { return zoneNumber(settings, name) },
@@ -152,8 +152,8 @@
 	return int(settings.Num("dcs", 0)) + 1 + int(dispatch.HostID(name))
 }
 
-func (n *node) run(ctx context.Context, reloads <-chan os.Signal, load func() (Place, error)) (err error) {
-	n.transportTasks.Go(n.transport.boxes.Tend)
+func (n *node) run(ctx context.Context, reloads <-chan os.Signal, load func() (Config, error)) (err error) {
+	n.transportTasks.Go(n.transport.pools.Tend)
 	n.tasks.Go(func() error { return n.loop.Run(n.lifetime) })
 	n.tasks.Go(func() error { return n.follower.Follow(n.lifetime) })
 	n.tasks.Go(func() error { n.pulse.run(n.lifetime); return nil })
@@ -176,7 +176,7 @@
 	config := n.config
 	n.log.Info("serving", "listen", n.limiter.Addr().String(), "discovery", config.Discovery, "cores", config.Limits.Cores,
 		"memory_mb", config.Limits.MemoryMB, "sockets", config.Limits.Sockets, "clients", n.limiter.most,
-		"boxes", n.transport.boxes.Most)
+		"boxes", n.transport.pools.Most)
 	tick := time.NewTicker(stateLogInterval)
 	defer tick.Stop()
 	for running := true; running; {
@@ -210,7 +210,7 @@
 			"clients", limiter.count(), "pushed", limiter.Pushed.Load(), "waited", limiter.Waited.Load(),
 			"accept_failed", limiter.Failed.Load(), "shut", limiter.Shut.Load(), "refused", frontend.state(),
 			"released", transport.Delivered.Load(), "unheard", transport.Undelivered.Load(), "stale", transport.Stale.Load(),
-			"local", transport.Local.Load(), "unarrived", transport.Unarrived.Load(), "spoilt", transport.Malformed.Load(),
+			"local", transport.LocalFailures.Load(), "unarrived", transport.Unacknowledged.Load(), "spoilt", transport.Malformed.Load(),
 			"strange", transport.BadRequest.Load(), "watch_lost", n.follower.Lost(), "strangers", n.peers.Dropped.Load(),
 			"broken", n.monitor.Counts(), "due", transport.Due.Load(), "too_late", frontend.Late.Load(),
 			"turn_ms", turn.Milliseconds(), "queued_ms", wait.Milliseconds(), "timer_ms", timer.Milliseconds(),
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -23,8 +23,8 @@
 	cutStreamsBeforeKill = 1300 * time.Millisecond
 	// answerBeforeKill is how long before SIGKILL all requests without a first event are answered.
 	answerBeforeKill = 500 * time.Millisecond
-	// silentMost is how long a connection may send nothing during shutdown before it is closed.
-	silentMost = 300 * time.Millisecond
+	// maxConnSilence is how long a connection may send nothing during shutdown before it is closed.
+	maxConnSilence = 300 * time.Millisecond
 
 	shutdownPollInterval = 5 * time.Millisecond // between two checks of what is still open
 	finalReleaseTimeout  = time.Second          // for the releases of KV caches that abandoned attempts may have left
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -41,7 +41,7 @@
 }
 
 // setDeadlines sets the deadline of all classes, in microseconds.
-func setDeadlines(config *Place, us float64) {
+func setDeadlines(config *Config, us float64) {
 	for _, class := range config.Settings["requestClasses"].([]any) {
 		class.(map[string]any)["giveUpUs"] = us
 	}
@@ -50,8 +50,8 @@
 // With short deadlines SIGKILL comes soon after SIGTERM. Requests without a first event are answered before it, and
 // streams are cut.
 func TestShutdownEndsBeforeTheKillForShortDeadlines(t *testing.T) {
-	cluster := enter(t, func(_ *house, config *Place) { setDeadlines(config, 1e6) })
-	cluster.write(func(exchange *hosts.Exchange) bool {
+	cluster := startCluster(t, func(_ *testCluster, config *Config) { setDeadlines(config, 1e6) })
+	cluster.onDecode(func(exchange *hosts.Exchange) bool {
 		if exchange.Method != "POST" || exchange.ID == "q1" {
 			<-exchange.Left // its response never starts
 			return false
@@ -66,19 +66,19 @@
 		}
 		return false
 	})
-	unstarted, streaming := cluster.client(), cluster.client()
-	io.WriteString(unstarted, cluster.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
-	io.WriteString(streaming, cluster.ask("trail-info"))
-	cluster.until("both attempts are in flight", func() bool {
+	unstarted, streaming := cluster.dial(), cluster.dial()
+	io.WriteString(unstarted, cluster.request("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
+	io.WriteString(streaming, cluster.request("trail-info"))
+	cluster.await("both attempts are in flight", func() bool {
 		return len(cluster.site.Seen("w1", "POST"))+len(cluster.site.Seen("w2", "POST")) == 2
 	})
 	const kill = 1700 * time.Millisecond
 	began := time.Now()
 	cluster.quit()
-	if got := streaming.said(); got.status != 200 || got.whole {
+	if got := streaming.readResponse(); got.status != 200 || got.complete {
 		t.Errorf("endless stream: %+v", got.status)
 	}
-	if got := unstarted.said(); got.status != 503 {
+	if got := unstarted.readResponse(); got.status != 503 {
 		t.Errorf("request whose response never starts: %+v", got)
 	}
 	if took := time.Since(began); took > kill {
@@ -91,25 +91,25 @@
 func TestHalfReadRequestIsServedDuringShutdown(t *testing.T) {
 	for _, kind := range []string{"new connection", "reused connection"} {
 		t.Run(kind, func(t *testing.T) {
-			cluster := enter(t, nil)
-			client := cluster.client()
+			cluster := startCluster(t, nil)
+			client := cluster.dial()
 			if kind != "new connection" {
-				io.WriteString(client, cluster.ask("trail-info"))
-				if got := client.said(); got.status != 200 {
+				io.WriteString(client, cluster.request("trail-info"))
+				if got := client.readResponse(); got.status != 200 {
 					t.Fatalf("%+v", got)
 				}
 			}
-			raw := cluster.ask("hut-booking")
+			raw := cluster.request("hut-booking")
 			io.WriteString(client, raw[:40])
 			time.Sleep(20 * time.Millisecond) // for the dispatcher to read it
 			cluster.quit()
-			cluster.until("the listener is closed", func() bool {
-				_, err := dialAndClose(cluster.at)
+			cluster.await("the listener is closed", func() bool {
+				_, err := dialAndClose(cluster.address)
 				return errors.Is(err, syscall.ECONNREFUSED)
 			})
 			time.Sleep(2 * shutdownPollInterval)
 			io.WriteString(client, raw[40:])
-			if got := client.said(); got.status != 200 || !got.whole || !got.closes {
+			if got := client.readResponse(); got.status != 200 || !got.complete || !got.closes {
 				t.Errorf("%+v", got)
 			}
 		})
@@ -119,14 +119,14 @@
 // An idle connection is closed at once, so that its client connects elsewhere. A request that it sends at that moment
 // is not admitted.
 func TestRequestThatCrossesAShutdownIsNotAdmitted(t *testing.T) {
-	cluster := enter(t, nil)
-	client := cluster.client()
-	io.WriteString(client, cluster.ask("trail-info"))
-	if got := client.said(); got.status != 200 || got.closes {
+	cluster := startCluster(t, nil)
+	client := cluster.dial()
+	io.WriteString(client, cluster.request("trail-info"))
+	if got := client.readResponse(); got.status != 200 || got.closes {
 		t.Fatalf("%+v", got)
 	}
 	before := len(cluster.site.Seen("r1", "POST"))
-	cluster.until("its connection is idle", func() bool {
+	cluster.await("its connection is idle", func() bool {
 		idle := 0
 		cluster.node.limiter.mu.Lock()
 		for conn := range cluster.node.limiter.conns {
@@ -138,12 +138,12 @@
 		return idle == 1
 	})
 	cluster.node.limiter.drain()
-	io.WriteString(client, cluster.ask("hut-booking"))
-	if _, err := client.from.ReadByte(); err != io.EOF {
+	io.WriteString(client, cluster.request("hut-booking"))
+	if _, err := client.reader.ReadByte(); err != io.EOF {
 		t.Errorf("the client sees %v", err)
 	}
 	cluster.quit()
-	cluster.until("no connection is open", func() bool { return cluster.node.limiter.count() == 0 })
+	cluster.await("no connection is open", func() bool { return cluster.node.limiter.count() == 0 })
 	if n := len(cluster.site.Seen("r1", "POST")); n != before {
 		t.Error("the request was admitted")
 	}
@@ -151,24 +151,24 @@
 
 // A response that began before the shutdown, without announcing a close, still ends its connection.
 func TestResponseBegunBeforeAShutdownEndsItsConnection(t *testing.T) {
-	cluster := enter(t, nil)
+	cluster := startCluster(t, nil)
 	received, finish := make(chan bool), make(chan bool)
-	cluster.write(func(e *hosts.Exchange) bool {
+	cluster.onDecode(func(e *hosts.Exchange) bool {
 		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
 		received <- true
 		<-finish
 		return e.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
 	})
-	client := cluster.client()
-	io.WriteString(client, cluster.ask("trail-info"))
+	client := cluster.dial()
+	io.WriteString(client, cluster.request("trail-info"))
 	<-received
 	cluster.quit()
-	cluster.until("the shutdown has begun", func() bool { return cluster.node.frontend.stopping.Load() })
+	cluster.await("the shutdown has begun", func() bool { return cluster.node.frontend.stopping.Load() })
 	finish <- true
-	if got := client.said(); got.status != 200 || !got.whole {
+	if got := client.readResponse(); got.status != 200 || !got.complete {
 		t.Errorf("%+v", got)
 	}
-	if _, err := client.from.ReadByte(); err != io.EOF {
+	if _, err := client.reader.ReadByte(); err != io.EOF {
 		t.Errorf("then the client sees %v", err)
 	}
 }
@@ -176,45 +176,45 @@
 // A stream is not cut once its last token has been passed on: its end is near, and its client has nothing left to
 // continue.
 func TestStreamIsNotCutAfterItsLastToken(t *testing.T) {
-	cluster := enter(t, nil)
+	cluster := startCluster(t, nil)
 	sent, finish := make(chan bool), make(chan bool)
 	final := strings.Replace(hosts.Event("z"), "null", `"stop"`, 1)
-	cluster.write(func(e *hosts.Exchange) bool {
+	cluster.onDecode(func(e *hosts.Exchange) bool {
 		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")) + hosts.Chunk(final))
 		sent <- true
 		<-finish
 		return e.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
 	})
-	client := cluster.client()
-	io.WriteString(client, cluster.ask("trail-info"))
+	client := cluster.dial()
+	io.WriteString(client, cluster.request("trail-info"))
 	<-sent
 	first := make([]byte, 1)
-	if _, err := client.from.Peek(1); err != nil {
+	if _, err := client.reader.Peek(1); err != nil {
 		t.Fatal(err, first)
 	}
 	time.Sleep(20 * time.Millisecond) // for the last token to be passed on
 	close(cluster.node.frontend.cut)
 	time.Sleep(cutWait + 50*time.Millisecond)
 	finish <- true
-	if got := client.said(); !got.whole || !strings.Contains(got.body, "[DONE]") {
+	if got := client.readResponse(); !got.complete || !strings.Contains(got.body, "[DONE]") {
 		t.Errorf("%+v", got)
 	}
-	cluster.settled()
+	cluster.awaitIdle()
 	cluster.node.frontend.cut = make(chan struct{}) // which the shutdown closes again
 }
 
 // The KV cache that the attempt of a departed client may have left at its backend is released before the dispatcher
 // ends.
 func TestShutdownReleasesKVCachesOfAbandonedAttempts(t *testing.T) {
-	cluster := enter(t, func(_ *house, config *Place) {
+	cluster := startCluster(t, func(_ *testCluster, config *Config) {
 		config.Settings["policyLimits"].(map[string]any)["cancelling"] = false
 	})
-	received := cluster.holdReads()
-	client := cluster.client()
-	io.WriteString(client, cluster.ask("trail-info"))
+	received := cluster.holdPrefills()
+	client := cluster.dial()
+	io.WriteString(client, cluster.request("trail-info"))
 	<-received
 	client.Close()
-	cluster.until("the dispatcher notices that the client left", func() bool {
+	cluster.await("the dispatcher notices that the client left", func() bool {
 		return cluster.node.frontend.asked.Load() == 0
 	})
 	cluster.quit()
@@ -231,13 +231,13 @@
 
 // If a running stream keeps the process up until SIGKILL, the KV caches of abandoned attempts are released before that.
 func TestKVCachesOfAbandonedAttemptsAreReleasedBeforeTheKill(t *testing.T) {
-	cluster := enter(t, func(_ *house, config *Place) {
+	cluster := startCluster(t, func(_ *testCluster, config *Config) {
 		setDeadlines(config, 1e6)
 		config.Settings["policyLimits"].(map[string]any)["cancelling"] = false
 		config.Settings["familyInfo"].(map[string]any)["resume"] = false
 	})
 	finish := make(chan struct{})
-	cluster.write(func(exchange *hosts.Exchange) bool {
+	cluster.onDecode(func(exchange *hosts.Exchange) bool {
 		if exchange.Method != "POST" {
 			return exchange.Serve()
 		}
@@ -251,27 +251,27 @@
 			}
 		}
 	})
-	streaming := cluster.client()
-	io.WriteString(streaming, cluster.ask("trail-info"))
-	cluster.until("the stream has begun", func() bool {
+	streaming := cluster.dial()
+	io.WriteString(streaming, cluster.request("trail-info"))
+	cluster.await("the stream has begun", func() bool {
 		return len(cluster.site.Seen("w1", "POST"))+len(cluster.site.Seen("w2", "POST")) == 1
 	})
-	received := cluster.holdReads()
-	client := cluster.client()
-	io.WriteString(client, cluster.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
+	received := cluster.holdPrefills()
+	client := cluster.dial()
+	io.WriteString(client, cluster.request("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
 	<-received
 	client.Close()
-	cluster.until("the dispatcher notices that the client left", func() bool {
+	cluster.await("the dispatcher notices that the client left", func() bool {
 		return cluster.node.frontend.asked.Load() == 1
 	})
 	began := time.Now()
 	cluster.quit()
-	cluster.until("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
+	cluster.await("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
 	if took := time.Since(began); took > 1700*time.Millisecond {
 		t.Errorf("released %v after SIGTERM, SIGKILL may come after 1.7 s", took)
 	}
 	close(finish)
-	if got := streaming.said(); !got.whole {
+	if got := streaming.readResponse(); !got.complete {
 		t.Errorf("%+v", got.status)
 	}
 }
@@ -280,26 +280,26 @@
 // last-known endpoints are used.
 func TestLastKnownEndpointsWaitForDiscovery(t *testing.T) {
 	t.Run("discovery answers", func(t *testing.T) {
-		cluster := enter(t, func(cluster *house, config *Place) {
+		cluster := startCluster(t, func(cluster *testCluster, config *Config) {
 			config.LastKnown = cluster.site.List()
-			cluster.site.Change(func() { cluster.writers[0].State = "terminating" })
+			cluster.site.Change(func() { cluster.decoders[0].State = "terminating" })
 		})
-		if cluster.standing("w1") != brain.Draining {
+		if cluster.backendState("w1") != brain.Draining {
 			t.Error("the dispatcher is ready before it has the endpoints of discovery")
 		}
 	})
 	t.Run("discovery is down", func(t *testing.T) {
 		began := time.Now()
-		cluster := enter(t, func(cluster *house, config *Place) {
+		cluster := startCluster(t, func(cluster *testCluster, config *Config) {
 			config.LastKnown = cluster.site.List()
 			cluster.agent.SetMute(true)
 		})
 		if took := time.Since(began); took < discoveryWait || took > 2*discoveryWait {
 			t.Errorf("the dispatcher is ready after %v", took)
 		}
-		if got := cluster.says(cluster.ask("hut-booking")); got.status != 200 {
+		if got := cluster.send(cluster.request("hut-booking")); got.status != 200 {
 			t.Errorf("%+v", got)
 		}
-		cluster.settled()
+		cluster.awaitIdle()
 	})
 }
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -22,8 +22,8 @@
 
 const (
 	responseHeadTimeout = 400 * time.Millisecond  // from a response's first byte to its first event or the end of its body
-	dialTries           = 4                       // refused connections before a backend counts as unreachable
-	dialWait            = 10 * time.Millisecond   // between two of them
+	maxDialAttempts     = 4                       // refused connections before a backend counts as unreachable
+	dialRetryDelay      = 10 * time.Millisecond   // between two of them
 	streamStallTimeout  = 4200 * time.Millisecond // without an event, after which a stream counts as broken
 	maxShortBody        = 64 << 10                // bytes of a response body that is not streamed
 
@@ -32,8 +32,8 @@
 	ackTimeoutFactor = 2
 )
 
-// payload is what is sent to a backend for a client's request.
-type payload struct {
+// outgoingRequest is what is sent to a backend for a client's request.
+type outgoingRequest struct {
 	head func(timeout time.Duration) []byte // the request head, which states the time remaining
 	id   string
 	body []byte
@@ -42,7 +42,7 @@
 // transport sends attempts and releases to backends.
 type transport struct {
 	loadFields []string // of load reports
-	boxes      *reach.Boxes
+	pools      *reach.Boxes
 	loop       *dispatch.Loop
 	lifetime   context.Context
 	tasks      *errgroup.Group
@@ -55,19 +55,19 @@
 	mu         sync.Mutex
 	traffic    map[string]*backendTraffic // by backend name
 
-	slots chan struct{}        // holds one element per attempt that has or makes a connection
-	since func() time.Duration // the event loop's clock
+	attemptSlots chan struct{}        // holds one element per attempt that has or makes a connection
+	clock        func() time.Duration // the event loop's clock
 	releaser
-	Local      atomic.Int64 // connections that this machine could not begin
-	Unarrived  atomic.Int64 // attempts cancelled because their requests were not acknowledged
-	Stale      atomic.Int64 // attempts that were no longer wanted when their connection was established
-	Malformed  atomic.Int64 // responses that could not be parsed
-	BadRequest atomic.Int64 // 400 and 404 responses, which point at a fault of this program
+	LocalFailures  atomic.Int64 // connections that this machine could not begin
+	Unacknowledged atomic.Int64 // attempts cancelled because their requests were not acknowledged
+	Stale          atomic.Int64 // attempts that were no longer wanted when their connection was established
+	Malformed      atomic.Int64 // responses that could not be parsed
+	BadRequest     atomic.Int64 // 400 and 404 responses, which point at a fault of this program
 }
 
 // Reach sets the addresses of a backend. None means that it was removed.
 func (c *transport) Reach(backend *dispatch.Backend, specs []addresses.Spec) {
-	pool := c.boxes.Set(backend.Name, specs, uint64(backend.Known.ID))
+	pool := c.pools.Set(backend.Name, specs, uint64(backend.Known.ID))
 	if len(specs) == 0 {
 		delete(c.poolOf, backend)
 		c.activity.remove(pool)
@@ -113,7 +113,7 @@
 func (c *transport) Start(attempt *dispatch.Attempt) {
 	ctx, cancel := context.WithCancelCause(c.lifetime)
 	attempt.Off = cancel
-	outgoing, pool := attempt.Request.Matter.(*payload), c.poolOf[attempt.Backend]
+	outgoing, pool := attempt.Request.Matter.(*outgoingRequest), c.poolOf[attempt.Backend]
 	c.tasks.Go(func() error {
 		result := c.perform(ctx, attempt, pool, outgoing)
 		cancel(nil)
@@ -126,7 +126,7 @@
 // reportEnd posts the end of an attempt to the event loop, with how long ago it was by the time that the loop handles
 // it.
 func (c *transport) reportEnd(attempt *dispatch.Attempt, id string, result brain.Result) {
-	ended := c.since()
+	ended := c.clock()
 	switch result.Outcome {
 	case brain.TimedOut, brain.Broken, brain.Unreachable:
 		c.notable.Info("attempt failed", "id", id, "backend", attempt.Backend.Name, "stage", attempt.Stage(),
@@ -134,14 +134,14 @@
 			"arrived", attempt.Arrived.Load(), "wait", attempt.Wait)
 	}
 	c.loop.Post(func() {
-		result.Ago = c.since() - ended
+		result.Ago = c.clock() - ended
 		c.loop.Ended(attempt, result)
 	})
 }
 
 // perform carries out one attempt. Its connection is closed before its end is reported.
 func (c *transport) perform(
-	ctx context.Context, attempt *dispatch.Attempt, pool *reach.Host, outgoing *payload,
+	ctx context.Context, attempt *dispatch.Attempt, pool *reach.Host, outgoing *outgoingRequest,
 ) (result brain.Result) {
 	conn, stop, err := c.open(ctx, attempt, pool, outgoing)
 	if err != nil {
@@ -156,7 +156,7 @@
 		c.recordTraffic(attempt, -1, load)
 		stop()
 		conn.Drop()
-		<-c.slots
+		<-c.attemptSlots
 		c.monitor.AttemptEnds(outgoing.id, attempt.Planned.Number, hasEffect(attempt),
 			provenEnd(result.Outcome), dispatch.OutcomeName(result.Outcome))
 	}()
