--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -174,17 +174,18 @@
 	return strings.NewReplacer(change...).Replace(raw)
 }
 
-// chunkedRequest returns a client's request with chunkedRequest transfer encoding.
+// chunkedRequest returns a client's request with chunked transfer encoding.
 func (c *testCluster) chunkedRequest(class, body string) string {
 	return c.request(class, "Content-Length: 12", "Transfer-Encoding: chunked", `{"model":""}`, body)
 }
 
-// testClient is one testClient connection.
+// testClient is one client connection.
 type testClient struct {
 	net.Conn
 	reader *bufio.Reader
 }
 
+// dial opens a client connection with a deadline of 10 s.
 func (c *testCluster) dial() *testClient {
 	c.t.Helper()
 	conn, err := net.Dial("tcp", c.address)
@@ -196,7 +197,7 @@
 	return &testClient{conn, bufio.NewReader(conn)}
 }
 
-// response is the response to a client's request. A status of 0 means that the connection was closed without one.
+// response is what a client reads in answer to a request. Status 0 means that the connection was closed without one.
 type response struct {
 	status     int
 	retryAfter string // the Retry-After header
@@ -205,6 +206,7 @@
 	complete   bool // it ended properly
 }
 
+// readResponse reads the response to the earliest request without one.
 func (c *testClient) readResponse() response {
 	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -210,9 +210,10 @@
 			"clients", limiter.count(), "pushed", limiter.Pushed.Load(), "waited", limiter.Waited.Load(),
 			"accept_failed", limiter.Failed.Load(), "shut", limiter.Shut.Load(), "refused", frontend.state(),
 			"released", transport.Delivered.Load(), "unheard", transport.Undelivered.Load(), "stale", transport.Stale.Load(),
-			"local", transport.LocalFailures.Load(), "unarrived", transport.Unacknowledged.Load(), "spoilt", transport.Malformed.Load(),
-			"strange", transport.BadRequest.Load(), "watch_lost", n.follower.Lost(), "strangers", n.peers.Dropped.Load(),
-			"broken", n.monitor.Counts(), "due", transport.Due.Load(), "too_late", frontend.Late.Load(),
+			"local", transport.LocalFailures.Load(), "unarrived", transport.Unacknowledged.Load(),
+			"spoilt", transport.Malformed.Load(), "strange", transport.BadRequest.Load(), "watch_lost", n.follower.Lost(),
+			"strangers", n.peers.Dropped.Load(), "broken", n.monitor.Counts(), "due", transport.Due.Load(),
+			"too_late", frontend.Late.Load(),
 			"turn_ms", turn.Milliseconds(), "queued_ms", wait.Milliseconds(), "timer_ms", timer.Milliseconds(),
 			"long_turns", n.loop.Lag.LongTurns, "unlogged", transport.notable.dropped.Load(),
 			"heap_kb", memory.HeapAlloc>>10, "sys_kb", memory.Sys>>10, "goroutines", runtime.NumGoroutine())
