--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -12,279 +12,294 @@
 	"sloetrestle/internal/hosts"
 )
 
-func TestTheTimesOfAShutdownFollowFromTheDeadlines(t *testing.T) {
+func TestShutdownTimesFollowFromTheDeadlines(t *testing.T) {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		deadlinesUs []any
-		want        stopTimes
+		want        shutdownTimes
 	}{
-		"long deadlines count as 3 s":  {[]any{4e6, 8e6}, stopTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
-		"3 s":                          {[]any{3e6}, stopTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
-		"the longest counts":           {[]any{5e5, 1.2e6}, stopTimes{ms(450), ms(600), ms(1400), ms(1900)}},
-		"a second":                     {[]any{1e6}, stopTimes{ms(450), ms(450), ms(1200), ms(1700)}},
-		"next to none":                 {[]any{1e4}, stopTimes{ms(355), ms(355), ms(355), ms(710)}},
-		"none stated":                  {[]any{nil}, stopTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
-		"one stated, one not, so long": {[]any{1e6, nil}, stopTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
+		"long deadlines count as 3 s":    {[]any{4e6, 8e6}, shutdownTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
+		"3 s":                            {[]any{3e6}, shutdownTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
+		"the longest counts":             {[]any{5e5, 1.2e6}, shutdownTimes{ms(450), ms(600), ms(1400), ms(1900)}},
+		"1 s":                            {[]any{1e6}, shutdownTimes{ms(450), ms(450), ms(1200), ms(1700)}},
+		"10 ms":                          {[]any{1e4}, shutdownTimes{ms(355), ms(355), ms(355), ms(710)}},
+		"none stated":                    {[]any{nil}, shutdownTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
+		"one of two stated: counted 3 s": {[]any{1e6, nil}, shutdownTimes{ms(450), ms(2400), ms(3200), ms(3700)}},
 	} {
 		var classes []any
-		for _, d := range c.deadlinesUs {
-			classes = append(classes, map[string]any{"name": "a", "giveUpUs": d})
+		for _, deadline := range test.deadlinesUs {
+			classes = append(classes, map[string]any{"name": "a", "giveUpUs": deadline})
 		}
-		got := stopTimesOf(brain.Flat(map[string]any{"requestClasses": classes}))
-		if got != c.want {
-			t.Errorf("%s: %+v, want %+v", name, got, c.want)
+		got := shutdownTimesFor(brain.Flat(map[string]any{"requestClasses": classes}))
+		if got != test.want {
+			t.Errorf("%s: %+v, want %+v", name, got, test.want)
 		}
-		if !(got.accept <= got.move && got.move <= got.answer && got.answer < got.kill) {
+		if !(got.closeListener <= got.cutStreams && got.cutStreams <= got.answer && got.answer < got.kill) {
 			t.Errorf("%s: out of order: %+v", name, got)
 		}
 	}
 }
 
-// shortDeadlines has all classes wait for so long.
-func shortDeadlines(p *Config, us float64) {
-	for _, class := range p.Settings["requestClasses"].([]any) {
+// setDeadlines sets the deadline of all classes, in microseconds.
+func setDeadlines(config *Config, us float64) {
+	for _, class := range config.Settings["requestClasses"].([]any) {
 		class.(map[string]any)["giveUpUs"] = us
 	}
 }
 
-// With short deadlines SIGKILL comes soon after SIGTERM: what has not begun is answered before, and streams are left to others.
-func TestAStopIsOverBeforeTheKillOfShortDeadlines(t *testing.T) {
-	h := startCluster(t, func(h *testCluster, p *Config) { shortDeadlines(p, 1e6) })
-	h.onDecode(func(e *hosts.Exchange) bool {
-		if e.Method != "POST" || e.ID == "q1" {
-			<-e.Left // it never begins
+// With short deadlines SIGKILL comes soon after SIGTERM. Requests without a first event are answered before it, and
+// streams are cut.
+func TestShutdownEndsBeforeTheKillForShortDeadlines(t *testing.T) {
+	cluster := startCluster(t, func(_ *testCluster, config *Config) { setDeadlines(config, 1e6) })
+	cluster.onDecode(func(exchange *hosts.Exchange) bool {
+		if exchange.Method != "POST" || exchange.ID == "q1" {
+			<-exchange.Left // its response never starts
 			return false
 		}
-		e.Write(hosts.Opening)
-		for e.Write(hosts.Chunk(hosts.Event("a"))) {
+		exchange.Write(hosts.Opening)
+		for exchange.Write(hosts.Chunk(hosts.Event("a"))) {
 			select {
-			case <-e.Left:
+			case <-exchange.Left:
 				return false
 			case <-time.After(20 * time.Millisecond):
 			}
 		}
 		return false
 	})
-	never, long := h.dial(), h.dial()
-	io.WriteString(never, h.request("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
-	io.WriteString(long, h.request("trail-info"))
-	h.await("both are out", func() bool { return len(h.site.Seen("w1", "POST"))+len(h.site.Seen("w2", "POST")) == 2 })
+	unstarted, streaming := cluster.dial(), cluster.dial()
+	io.WriteString(unstarted, cluster.request("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
+	io.WriteString(streaming, cluster.request("trail-info"))
+	cluster.await("both attempts are in flight", func() bool {
+		return len(cluster.site.Seen("w1", "POST"))+len(cluster.site.Seen("w2", "POST")) == 2
+	})
 	const kill = 1700 * time.Millisecond
 	began := time.Now()
-	h.quit()
-	if got := long.readResponse(); got.status != 200 || got.complete {
-		t.Errorf("a long stream: %+v", got.status)
+	cluster.quit()
+	if got := streaming.readResponse(); got.status != 200 || got.complete {
+		t.Errorf("endless stream: %+v", got.status)
 	}
-	if got := never.readResponse(); got.status != 503 {
-		t.Errorf("one that never began: %+v", got)
+	if got := unstarted.readResponse(); got.status != 503 {
+		t.Errorf("request whose response never starts: %+v", got)
 	}
 	if took := time.Since(began); took > kill {
 		t.Errorf("the last answer came %v after SIGTERM, SIGKILL comes after %v", took, kill)
 	}
 }
 
-// A request whose first half was read before the stop is served: its connection is not idle, and what was read must not be dropped.
-func TestARequestThatIsHalfReadAtAStopIsServed(t *testing.T) {
-	for _, kind := range []string{"a new connection", "a connection that was used before"} {
+// A request whose first half was read before the shutdown is served: its connection is not idle, and what was read
+// must not be dropped.
+func TestHalfReadRequestIsServedDuringShutdown(t *testing.T) {
+	for _, kind := range []string{"new connection", "reused connection"} {
 		t.Run(kind, func(t *testing.T) {
-			h := startCluster(t, nil)
-			c := h.dial()
-			if kind != "a new connection" {
-				io.WriteString(c, h.request("trail-info"))
-				if got := c.readResponse(); got.status != 200 {
+			cluster := startCluster(t, nil)
+			client := cluster.dial()
+			if kind != "new connection" {
+				io.WriteString(client, cluster.request("trail-info"))
+				if got := client.readResponse(); got.status != 200 {
 					t.Fatalf("%+v", got)
 				}
 			}
-			raw := h.request("hut-booking")
-			io.WriteString(c, raw[:40])
+			raw := cluster.request("hut-booking")
+			io.WriteString(client, raw[:40])
 			time.Sleep(20 * time.Millisecond) // for the dispatcher to read it
-			h.quit()
-			h.await("the listener is closed", func() bool {
-				_, err := hostsDial(h.address)
+			cluster.quit()
+			cluster.await("the listener is closed", func() bool {
+				_, err := dialAndClose(cluster.address)
 				return errors.Is(err, syscall.ECONNREFUSED)
 			})
-			time.Sleep(2 * stopStep)
-			io.WriteString(c, raw[40:])
-			if got := c.readResponse(); got.status != 200 || !got.complete || !got.closes {
+			time.Sleep(2 * shutdownPollInterval)
+			io.WriteString(client, raw[40:])
+			if got := client.readResponse(); got.status != 200 || !got.complete || !got.closes {
 				t.Errorf("%+v", got)
 			}
 		})
 	}
 }
 
-// A connection at rest is closed at once, so that its client goes elsewhere; what it sends in that moment is not taken.
-func TestARequestThatCrossesAStopIsNotTaken(t *testing.T) {
-	h := startCluster(t, nil)
-	c := h.dial()
-	io.WriteString(c, h.request("trail-info"))
-	if got := c.readResponse(); got.status != 200 || got.closes {
+// An idle connection is closed at once, so that its client connects elsewhere. A request that it sends at that moment
+// is not admitted.
+func TestRequestThatCrossesAShutdownIsNotAdmitted(t *testing.T) {
+	cluster := startCluster(t, nil)
+	client := cluster.dial()
+	io.WriteString(client, cluster.request("trail-info"))
+	if got := client.readResponse(); got.status != 200 || got.closes {
 		t.Fatalf("%+v", got)
 	}
-	before := len(h.site.Seen("r1", "POST"))
-	h.await("its connection is idle", func() bool {
+	before := len(cluster.site.Seen("r1", "POST"))
+	cluster.await("its connection is idle", func() bool {
 		idle := 0
-		h.node.limiter.mu.Lock()
-		for conn := range h.node.limiter.conns {
+		cluster.node.limiter.mu.Lock()
+		for conn := range cluster.node.limiter.conns {
 			if state, _ := conn.status(time.Now()); state == connIdle {
 				idle++
 			}
 		}
-		h.node.limiter.mu.Unlock()
+		cluster.node.limiter.mu.Unlock()
 		return idle == 1
 	})
-	h.node.limiter.drain()
-	io.WriteString(c, h.request("hut-booking"))
-	if _, err := c.reader.ReadByte(); err != io.EOF {
+	cluster.node.limiter.drain()
+	io.WriteString(client, cluster.request("hut-booking"))
+	if _, err := client.reader.ReadByte(); err != io.EOF {
 		t.Errorf("the client sees %v", err)
 	}
-	h.quit()
-	h.await("it has ended", func() bool { return h.node.limiter.count() == 0 })
-	if n := len(h.site.Seen("r1", "POST")); n != before {
-		t.Error("the request was taken all the same")
+	cluster.quit()
+	cluster.await("no connection is open", func() bool { return cluster.node.limiter.count() == 0 })
+	if n := len(cluster.site.Seen("r1", "POST")); n != before {
+		t.Error("the request was admitted")
 	}
 }
 
-// An answer that began before the stop and says that its connection stays open ends with its connection all the same.
-func TestAnAnswerThatBeganBeforeAStopEndsItsConnection(t *testing.T) {
-	h := startCluster(t, nil)
-	there, finish := make(chan bool), make(chan bool)
-	h.onDecode(func(e *hosts.Exchange) bool {
+// A response that began before the shutdown, without announcing a close, still ends its connection.
+func TestResponseBegunBeforeAShutdownEndsItsConnection(t *testing.T) {
+	cluster := startCluster(t, nil)
+	received, finish := make(chan bool), make(chan bool)
+	cluster.onDecode(func(e *hosts.Exchange) bool {
 		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
-		there <- true
+		received <- true
 		<-finish
 		return e.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
 	})
-	c := h.dial()
-	io.WriteString(c, h.request("trail-info"))
-	<-there
-	h.quit()
-	h.await("it stops", func() bool { return h.node.frontend.stopping.Load() })
+	client := cluster.dial()
+	io.WriteString(client, cluster.request("trail-info"))
+	<-received
+	cluster.quit()
+	cluster.await("the shutdown has begun", func() bool { return cluster.node.frontend.stopping.Load() })
 	finish <- true
-	if got := c.readResponse(); got.status != 200 || !got.complete {
+	if got := client.readResponse(); got.status != 200 || !got.complete {
 		t.Errorf("%+v", got)
 	}
-	if _, err := c.reader.ReadByte(); err != io.EOF {
+	if _, err := client.reader.ReadByte(); err != io.EOF {
 		t.Errorf("then the client sees %v", err)
 	}
 }
 
-// A stream is not cut once its last token has been passed on: its end is near, and its client has nothing to come back for.
-func TestAStreamAtItsEndIsNotCut(t *testing.T) {
-	h := startCluster(t, nil)
-	passed, finish := make(chan bool), make(chan bool)
+// A stream is not cut once its last token has been passed on: its end is near, and its client has nothing left to
+// continue.
+func TestStreamIsNotCutAfterItsLastToken(t *testing.T) {
+	cluster := startCluster(t, nil)
+	sent, finish := make(chan bool), make(chan bool)
 	final := strings.Replace(hosts.Event("z"), "null", `"stop"`, 1)
-	h.onDecode(func(e *hosts.Exchange) bool {
+	cluster.onDecode(func(e *hosts.Exchange) bool {
 		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")) + hosts.Chunk(final))
-		passed <- true
+		sent <- true
 		<-finish
 		return e.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
 	})
-	c := h.dial()
-	io.WriteString(c, h.request("trail-info"))
-	<-passed
+	client := cluster.dial()
+	io.WriteString(client, cluster.request("trail-info"))
+	<-sent
 	first := make([]byte, 1)
-	if _, err := c.reader.Peek(1); err != nil {
+	if _, err := client.reader.Peek(1); err != nil {
 		t.Fatal(err, first)
 	}
 	time.Sleep(20 * time.Millisecond) // for the last token to be passed on
-	close(h.node.frontend.cut)
+	close(cluster.node.frontend.cut)
 	time.Sleep(cutWait + 50*time.Millisecond)
 	finish <- true
-	if got := c.readResponse(); !got.complete || !strings.Contains(got.text, "[DONE]") {
+	if got := client.readResponse(); !got.complete || !strings.Contains(got.body, "[DONE]") {
 		t.Errorf("%+v", got)
 	}
-	h.awaitIdle()
-	h.node.frontend.cut = make(chan struct{}) // for the stop
+	cluster.awaitIdle()
+	cluster.node.frontend.cut = make(chan struct{}) // which the shutdown closes again
 }
 
-// What an attempt of a client that has gone may have left at its backend is released before the dispatcher ends.
-func TestAStopReleasesWhatAbandonedAttemptsHold(t *testing.T) {
-	h := startCluster(t, func(h *testCluster, p *Config) { p.Settings["policyLimits"].(map[string]any)["cancelling"] = false })
-	there := h.holdPrefills()
-	c := h.dial()
-	io.WriteString(c, h.request("trail-info"))
-	<-there
-	c.Close()
-	h.await("it is seen to go", func() bool { return h.node.frontend.asked.Load() == 0 })
-	h.quit()
+// The KV cache that the attempt of a departed client may have left at its backend is released before the dispatcher
+// ends.
+func TestShutdownReleasesKVCachesOfAbandonedAttempts(t *testing.T) {
+	cluster := startCluster(t, func(_ *testCluster, config *Config) {
+		config.Settings["policyLimits"].(map[string]any)["cancelling"] = false
+	})
+	received := cluster.holdPrefills()
+	client := cluster.dial()
+	io.WriteString(client, cluster.request("trail-info"))
+	<-received
+	client.Close()
+	cluster.await("the dispatcher notices that the client left", func() bool {
+		return cluster.node.frontend.asked.Load() == 0
+	})
+	cluster.quit()
 	select {
-	case err := <-h.ended:
-		h.ended <- err
+	case err := <-cluster.exited:
+		cluster.exited <- err
 	case <-time.After(5 * time.Second):
-		t.Fatal("it does not end")
+		t.Fatal("the dispatcher does not end")
 	}
-	if n := h.site.Held(); n != 0 {
-		t.Errorf("%d states are held after the end", n)
+	if n := cluster.site.Held(); n != 0 {
+		t.Errorf("%d KV caches are held after the end", n)
 	}
 }
 
-// The same where a stream that goes on keeps the process up until SIGKILL: what nobody waits for is released before that.
-func TestWhatAbandonedAttemptsHoldIsReleasedBeforeTheKill(t *testing.T) {
-	h := startCluster(t, func(h *testCluster, p *Config) {
-		shortDeadlines(p, 1e6)
-		p.Settings["policyLimits"].(map[string]any)["cancelling"] = false
-		p.Settings["familyInfo"].(map[string]any)["resume"] = false
+// If a running stream keeps the process up until SIGKILL, the KV caches of abandoned attempts are released before that.
+func TestKVCachesOfAbandonedAttemptsAreReleasedBeforeTheKill(t *testing.T) {
+	cluster := startCluster(t, func(_ *testCluster, config *Config) {
+		setDeadlines(config, 1e6)
+		config.Settings["policyLimits"].(map[string]any)["cancelling"] = false
+		config.Settings["familyInfo"].(map[string]any)["resume"] = false
 	})
-	ends := make(chan struct{})
-	h.onDecode(func(e *hosts.Exchange) bool {
-		if e.Method != "POST" {
-			return e.Serve()
+	finish := make(chan struct{})
+	cluster.onDecode(func(exchange *hosts.Exchange) bool {
+		if exchange.Method != "POST" {
+			return exchange.Serve()
 		}
-		e.Write(hosts.Opening)
+		exchange.Write(hosts.Opening)
 		for {
 			select {
-			case <-ends:
-				return e.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
+			case <-finish:
+				return exchange.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
 			case <-time.After(20 * time.Millisecond):
-				e.Write(hosts.Chunk(hosts.Event("a")))
+				exchange.Write(hosts.Chunk(hosts.Event("a")))
 			}
 		}
 	})
-	long := h.dial()
-	io.WriteString(long, h.request("trail-info"))
-	h.await("the stream has begun", func() bool { return len(h.site.Seen("w1", "POST"))+len(h.site.Seen("w2", "POST")) == 1 })
-	there := h.holdPrefills()
-	c := h.dial()
-	io.WriteString(c, h.request("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
-	<-there
-	c.Close()
-	h.await("it is seen to go", func() bool { return h.node.frontend.asked.Load() == 1 })
+	streaming := cluster.dial()
+	io.WriteString(streaming, cluster.request("trail-info"))
+	cluster.await("the stream has begun", func() bool {
+		return len(cluster.site.Seen("w1", "POST"))+len(cluster.site.Seen("w2", "POST")) == 1
+	})
+	received := cluster.holdPrefills()
+	client := cluster.dial()
+	io.WriteString(client, cluster.request("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
+	<-received
+	client.Close()
+	cluster.await("the dispatcher notices that the client left", func() bool {
+		return cluster.node.frontend.asked.Load() == 1
+	})
 	began := time.Now()
-	h.quit()
-	h.await("the state is released", func() bool { return h.site.Held() == 0 })
+	cluster.quit()
+	cluster.await("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
 	if took := time.Since(began); took > 1700*time.Millisecond {
-		t.Errorf("it is released %v after SIGTERM, SIGKILL may come after 1.7 s", took)
+		t.Errorf("released %v after SIGTERM, SIGKILL may come after 1.7 s", took)
 	}
-	close(ends)
-	if got := long.readResponse(); !got.complete {
+	close(finish)
+	if got := streaming.readResponse(); !got.complete {
 		t.Errorf("%+v", got.status)
 	}
 }
 
-// A new process does not take clients by an old list while discovery may still say more; where discovery says nothing, the old list
-// serves.
-func TestAnOldListWaitsForDiscoverys(t *testing.T) {
+// A new process does not accept requests on last-known endpoints while discovery may still answer. If it doesn't, the
+// last-known endpoints are used.
+func TestLastKnownEndpointsWaitForDiscovery(t *testing.T) {
 	t.Run("discovery answers", func(t *testing.T) {
-		h := startCluster(t, func(h *testCluster, p *Config) {
-			p.Known = h.site.List()
-			h.site.Change(func() { h.decoders[0].State = "terminating" })
+		cluster := startCluster(t, func(cluster *testCluster, config *Config) {
+			config.LastKnown = cluster.site.List()
+			cluster.site.Change(func() { cluster.decoders[0].State = "terminating" })
 		})
-		if h.backendState("w1") != brain.Draining {
-			t.Error("it is ready before it has discovery's list")
+		if cluster.backendState("w1") != brain.Draining {
+			t.Error("the dispatcher is ready before it has the endpoints of discovery")
 		}
 	})
 	t.Run("discovery is down", func(t *testing.T) {
 		began := time.Now()
-		h := startCluster(t, func(h *testCluster, p *Config) {
-			p.Known = h.site.List()
-			h.agent.SetMute(true)
+		cluster := startCluster(t, func(cluster *testCluster, config *Config) {
+			config.LastKnown = cluster.site.List()
+			cluster.agent.SetMute(true)
 		})
-		if took := time.Since(began); took < firstListWait || took > 2*firstListWait {
-			t.Errorf("it is ready after %v", took)
+		if took := time.Since(began); took < discoveryWait || took > 2*discoveryWait {
+			t.Errorf("the dispatcher is ready after %v", took)
 		}
-		if got := h.send(h.request("hut-booking")); got.status != 200 {
+		if got := cluster.send(cluster.request("hut-booking")); got.status != 200 {
 			t.Errorf("%+v", got)
 		}
-		h.awaitIdle()
+		cluster.awaitIdle()
 	})
 }
