--- a/internal/platform/activity_test.go
+++ b/internal/platform/activity_test.go
@@ -9,12 +9,12 @@
 )
 
 // namedPools returns a pool for each name, and a function that lists the names of pools in order.
-func namedPools(names ...string) (pools map[string]*reach.Host, namesOf func([]*reach.Host) []string) {
-	pools = map[string]*reach.Host{}
+func namedPools(names ...string) (pools map[string]*reach.Pool, namesOf func([]*reach.Pool) []string) {
+	pools = map[string]*reach.Pool{}
 	for _, name := range names {
-		pools[name] = &reach.Host{Name: name}
+		pools[name] = &reach.Pool{Name: name}
 	}
-	return pools, func(order []*reach.Host) (names []string) {
+	return pools, func(order []*reach.Pool) (names []string) {
 		for _, pool := range order {
 			names = append(names, pool.Name)
 		}
--- a/internal/platform/releases.go
+++ b/internal/platform/releases.go
@@ -66,17 +66,17 @@
 // releaseOrder returns the order in which backends are called: by recency of activity, with the backend that may hold
 // the KV cache second at the latest. If many backends are partitioned, calls to those would otherwise take all
 // descriptors and the remaining time.
-func (c *transport) releaseOrder(holder *reach.Host) []*reach.Host {
+func (c *transport) releaseOrder(holder *reach.Pool) []*reach.Pool {
 	order := c.activity.byRecency()
 	if holder == nil || len(order) > 0 && order[0] == holder {
 		return order
 	}
-	order = slices.DeleteFunc(order, func(pool *reach.Host) bool { return pool == holder })
+	order = slices.DeleteFunc(order, func(pool *reach.Pool) bool { return pool == holder })
 	return slices.Insert(order, min(1, len(order)), holder)
 }
 
 // releaseAny calls backends until one answers, and reports whether one did.
-func (c *transport) releaseAny(targets []*reach.Host, call []byte) bool {
+func (c *transport) releaseAny(targets []*reach.Pool, call []byte) bool {
 	ctx, cancel := context.WithTimeout(c.lifetime, releaseTimeout)
 	defer cancel()
 	results := make(chan releaseResult)
@@ -122,7 +122,7 @@
 )
 
 // release calls one backend. The call's timeout starts once there is a descriptor for it.
-func (c *transport) release(ctx context.Context, pool *reach.Host, call []byte) releaseResult {
+func (c *transport) release(ctx context.Context, pool *reach.Pool, call []byte) releaseResult {
 	select {
 	case c.callSlots <- struct{}{}:
 	case <-ctx.Done():
@@ -139,7 +139,7 @@
 	return result
 }
 
-func (c *transport) callRelease(ctx context.Context, pool *reach.Host, call []byte) releaseResult {
+func (c *transport) callRelease(ctx context.Context, pool *reach.Pool, call []byte) releaseResult {
 	ctx, cancel := context.WithTimeout(ctx, releaseCallTimeout)
 	defer cancel()
 	conn, err := pool.Get(ctx)
@@ -149,12 +149,12 @@
 	if err != nil {
 		return releaseUndelivered
 	}
-	defer conn.Drop()
+	defer conn.Discard()
 	conn.SetDeadline(time.Now().Add(releaseCallTimeout))
-	if whole, _ := conn.Put(call); !whole {
+	if whole, _ := conn.WriteRequest(call); !whole {
 		return releaseUndelivered
 	}
-	resp, err := conn.Head(nil)
+	resp, err := conn.ReadResponse(nil)
 	if err != nil {
 		return releaseUndelivered
 	}
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -75,15 +75,15 @@
 	dispatcher.lifetime, dispatcher.cancel = context.WithCancel(ctx)
 	dispatcher.pulse = newPulse(time.Now())
 	dispatcher.monitor = monitor.New(monitorTerms(settings), since, log)
-	pools := &reach.Boxes{
-		Limit: max(settings.Span("policyLimits.dialTimeoutUs"), 10*time.Millisecond), Most: shares.attempts, Since: since,
-		Life: dispatcher.lifetime, Group: &dispatcher.transportTasks, Dial: sys.Dial, Bare: true,
+	pools := &reach.Manager{
+		DialTimeout: max(settings.Span("policyLimits.dialTimeoutUs"), 10*time.Millisecond), MaxConnsPerBackend: shares.attempts, Now: since,
+		Context: dispatcher.lifetime, Group: &dispatcher.transportTasks, Dial: sys.Dial, SkipVerify: true,
 	}
 	dispatcher.transport = &transport{
 		loadFields: settings.Names("report.fields"), pools: pools, lifetime: dispatcher.lifetime,
 		tasks: &dispatcher.transportTasks, log: log, notable: &notableLog{log: log}, monitor: dispatcher.monitor,
 		pulse: dispatcher.pulse, traffic: map[string]*backendTraffic{},
-		poolOf: map[*dispatch.Backend]*reach.Host{}, releaser: releaser{callSlots: make(chan struct{}, shares.releases)},
+		poolOf: map[*dispatch.Backend]*reach.Pool{}, releaser: releaser{callSlots: make(chan struct{}, shares.releases)},
 		clock: since, attemptSlots: make(chan struct{}, shares.attempts),
 	}
 	places := dispatch.Places{
@@ -153,7 +153,7 @@
 }
 
 func (n *node) run(ctx context.Context, reloads <-chan os.Signal, load func() (Config, error)) (err error) {
-	n.transportTasks.Go(n.transport.pools.Tend)
+	n.transportTasks.Go(n.transport.pools.Run)
 	n.tasks.Go(func() error { return n.loop.Run(n.lifetime) })
 	n.tasks.Go(func() error { return n.follower.Follow(n.lifetime) })
 	n.tasks.Go(func() error { n.pulse.run(n.lifetime); return nil })
@@ -176,7 +176,7 @@
 	config := n.config
 	n.log.Info("serving", "listen", n.limiter.Addr().String(), "discovery", config.Discovery, "cores", config.Limits.Cores,
 		"memory_mb", config.Limits.MemoryMB, "sockets", config.Limits.Sockets, "clients", n.limiter.most,
-		"boxes", n.transport.pools.Most)
+		"boxes", n.transport.pools.MaxConnsPerBackend)
 	tick := time.NewTicker(stateLogInterval)
 	defer tick.Stop()
 	for running := true; running; {
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -42,12 +42,12 @@
 // transport sends attempts and releases to backends.
 type transport struct {
 	loadFields []string // of load reports
-	pools      *reach.Boxes
+	pools      *reach.Manager
 	loop       *dispatch.Loop
 	lifetime   context.Context
 	tasks      *errgroup.Group
 	sendToPeer func(peer int, update brain.PeerUpdate)
-	poolOf     map[*dispatch.Backend]*reach.Host // used by the event loop only
+	poolOf     map[*dispatch.Backend]*reach.Pool // used by the event loop only
 	log        *slog.Logger
 	notable    *notableLog
 	monitor    *monitor.Monitor
@@ -67,7 +67,7 @@
 
 // Reach sets the addresses of a backend. None means that it was removed.
 func (c *transport) Reach(backend *dispatch.Backend, specs []addresses.Spec) {
-	pool := c.pools.Set(backend.Name, specs, uint64(backend.Known.ID))
+	pool := c.pools.SetAddresses(backend.Name, specs, uint64(backend.Known.ID))
 	if len(specs) == 0 {
 		delete(c.poolOf, backend)
 		c.activity.remove(pool)
@@ -141,7 +141,7 @@
 
 // perform carries out one attempt. Its connection is closed before its end is reported.
 func (c *transport) perform(
-	ctx context.Context, attempt *dispatch.Attempt, pool *reach.Host, outgoing *outgoingRequest,
+	ctx context.Context, attempt *dispatch.Attempt, pool *reach.Pool, outgoing *outgoingRequest,
 ) (result brain.Result) {
 	conn, stop, err := c.open(ctx, attempt, pool, outgoing)
 	if err != nil {
@@ -155,7 +155,7 @@
 	defer func() {
 		c.recordTraffic(attempt, -1, load)
 		stop()
-		conn.Drop()
+		conn.Discard()
 		<-c.attemptSlots
 		c.monitor.AttemptEnds(outgoing.id, attempt.Planned.Number, hasEffect(attempt),
 			provenEnd(result.Outcome), dispatch.OutcomeName(result.Outcome))
@@ -169,7 +169,7 @@
 		}
 		return brain.Result{Outcome: brain.Broken}
 	}
-	if _, err := conn.Bytes().Peek(1); err != nil {
+	if _, err := conn.Reader().Peek(1); err != nil {
 		c.activity.recordSilence(pool)
 		return interrupted()
 	}
@@ -180,7 +180,7 @@
 	var resp *http.Response
 	for range chat.InformMost {
 		var err error
-		if resp, err = conn.Head(nil); err != nil {
+		if resp, err = conn.ReadResponse(nil); err != nil {
 			c.Malformed.Add(1)
 			return interrupted()
 		}
@@ -210,7 +210,7 @@
 		c.Malformed.Add(1)
 		return interrupted()
 	}
-	stream := chat.NewStream(conn.Bytes())
+	stream := chat.NewStream(conn.Reader())
 	for begun := false; ; {
 		piece, err := stream.Next()
 		if err == io.EOF {
