--- a/cmd/benchlink/instance.go
+++ b/cmd/benchlink/instance.go
@@ -10,20 +10,21 @@
 	"sloetrestle/internal/wire"
 )
 
-// instance is one dispatcher: the module and the ids by which the wire knows what the module holds.
+// instance is one simulated dispatcher: its scheduler, and the backends, requests and timers by the identifiers that
+// the simulator gives them.
 type instance struct {
-	who       uint16
-	clock     uint64
-	began     uint64
+	number    uint16
+	clockUs   uint64 // of the current batch
+	startedUs uint64
 	reply     *wire.Reply
-	module    *brain.Dispatcher
-	hosts     map[uint32]*brain.Backend
-	questions map[uint64]*brain.Request
-	wakes     map[uint32]func()
-	lastWake  uint32
+	scheduler *brain.Dispatcher
+	backends  map[uint32]*brain.Backend
+	requests  map[uint64]*brain.Request
+	timers    map[uint32]func()
+	lastTimer uint32
 }
 
-// outcomes gives the module's word for each status code of the wire.
+// outcomes maps the status codes of the simulator's protocol to outcomes of attempts.
 var outcomes = map[uint16]brain.Outcome{
 	200: brain.Served,
 	210: brain.Read,
@@ -36,35 +37,37 @@
 	598: brain.Broken,
 }
 
-// outcomeOf is the module's word for a status; one that is unknown proves nothing.
+// outcomeOf returns the outcome for a status code. An unknown code counts as a failure, since it proves nothing.
 func outcomeOf(status uint16) brain.Outcome {
-	if o, known := outcomes[status]; known {
-		return o
+	if outcome, known := outcomes[status]; known {
+		return outcome
 	}
 	return brain.Failed
 }
 
-func start(e wire.Event, clock uint64, reply *wire.Reply) *instance {
+// newInstance starts a dispatcher. If the parameters are wrong it reports the error to the simulator and returns nil.
+func newInstance(e wire.Event, clockUs uint64, reply *wire.Reply) *instance {
 	in := &instance{
-		who: e.Who(), clock: clock, began: clock, reply: reply,
-		hosts: map[uint32]*brain.Backend{}, questions: map[uint64]*brain.Request{}, wakes: map[uint32]func(){},
+		number: e.Instance(), clockUs: clockUs, startedUs: clockUs, reply: reply,
+		backends: map[uint32]*brain.Backend{}, requests: map[uint64]*brain.Request{}, timers: map[uint32]func(){},
 	}
 	var info map[string]any
 	if err := json.Unmarshal(e.Span(11), &info); err != nil {
-		reply.BailOut(in.who, "bootInfo: "+err.Error())
+		reply.Abort(in.number, "bootInfo: "+err.Error())
 		return nil
 	}
-	module, err := brain.New(brain.Flat(info), e.U64(3), in)
+	scheduler, err := brain.New(brain.Flat(info), e.U64(3), in)
 	if err != nil {
-		reply.BailOut(in.who, "bootInfo: "+err.Error())
+		reply.Abort(in.number, "bootInfo: "+err.Error())
 		return nil
 	}
-	in.module = module
+	in.scheduler = scheduler
 	return in
 }
 
-// figure is a number off the wire that can only be from 0 up: what is none is taken for nought.
-func figure(v float64) float64 {
+// nonNegative returns a number from the simulator within 0 and 1e9. A NaN counts as 0: the scheduler's averages would
+// never recover from it.
+func nonNegative(v float64) float64 {
 	if !(v >= 0) {
 		return 0
 	}
@@ -73,117 +76,136 @@
 
 func micros(us uint32) time.Duration { return time.Duration(us) * time.Microsecond }
 
-func (in *instance) take(e wire.Event, clock uint64) {
-	in.clock = clock
+// handle passes one event to the scheduler. Events about unknown requests, attempts and timers are ignored.
+func (in *instance) handle(e wire.Event, clockUs uint64) {
+	in.clockUs = clockUs
 	switch e.Code() {
-	case wire.Announce:
+	case wire.EventEndpoints:
 		if e.U8(11) == 3 {
-			in.module.ListFailed()
+			in.scheduler.ListFailed()
 			return
 		}
-		in.module.Listed(in.listings(e.Entries()), e.U8(11) != 0)
-	case wire.Incoming:
-		q := &brain.Request{
-			ID: e.U64(3), Session: e.U64(11), Shared: e.U64(24), Prompt: figure(e.F32(32)), Prefix: figure(e.F32(45)), Most: figure(e.F32(20)),
+		in.scheduler.Listed(in.listings(e.Entries()), e.U8(11) != 0)
+	case wire.EventRequest:
+		request := &brain.Request{
+			ID: e.U64(3), Session: e.U64(11), Shared: e.U64(24),
+			Prompt: nonNegative(e.F32(32)), Prefix: nonNegative(e.F32(45)), Most: nonNegative(e.F32(20)),
 			Again: e.U8(19)&2 != 0, Left: micros(e.U32(41)),
 		}
-		in.questions[q.ID] = q
-		in.module.Submit(q, int(e.U8(36)), int(e.U16(49)))
-	case wire.First:
-		if t := in.trip(e); t != nil {
-			in.module.Began(t, micros(e.U32(16)))
+		in.requests[request.ID] = request
+		in.scheduler.Submit(request, int(e.U8(36)), int(e.U16(49)))
+	case wire.EventFirstByte:
+		if attempt := in.attempt(e); attempt != nil {
+			in.scheduler.Began(attempt, micros(e.U32(16)))
 		}
-	case wire.Resolved:
-		if t := in.trip(e); t != nil && !t.Ended {
+	case wire.EventOutcome:
+		if attempt := in.attempt(e); attempt != nil && !attempt.Ended {
 			load := e.Load(27)
 			for i, v := range load {
-				load[i] = figure(v)
+				load[i] = nonNegative(v)
 			}
-			in.module.Ended(t, brain.Result{
+			in.scheduler.Ended(attempt, brain.Result{
 				Outcome: outcomeOf(e.U16(16)), Took: micros(e.U32(18)), Over: e.U8(22) != 0,
 				Note: int(e.U32(23)), Load: load,
 			})
-			in.forget(t.Request)
+			in.forgetEnded(attempt.Request)
 		}
-	case wire.Aborted:
-		if q := in.questions[e.U64(3)]; q != nil {
-			in.module.Left(q)
-			in.forget(q)
+	case wire.EventClientGone:
+		if request := in.requests[e.U64(3)]; request != nil {
+			in.scheduler.Left(request)
+			in.forgetEnded(request)
 		}
-	case wire.Datagram:
-		if n, err := news.Decode(e.Span(7), in.hosts); err != nil {
+	case wire.EventPeerMessage:
+		if update, err := news.Decode(e.Span(7), in.backends); err != nil {
 			in.Note(fmt.Sprintf("message of %d dropped: %v", e.U32(3), err))
-		} else if n.Host != nil {
-			in.module.Heard(n)
+		} else if update.Host != nil {
+			in.scheduler.Heard(update)
 		}
-	case wire.Due:
-		if do := in.wakes[e.U32(3)]; do != nil {
-			delete(in.wakes, e.U32(3))
-			do()
+	case wire.EventTimer:
+		if callback := in.timers[e.U32(3)]; callback != nil {
+			delete(in.timers, e.U32(3))
+			callback()
 		}
 	}
 }
 
-func (in *instance) trip(e wire.Event) *brain.Attempt {
-	q := in.questions[e.U64(3)]
-	if q == nil || int(e.U8(11)) >= len(q.Attempts) {
+// attempt returns the attempt that an event is about, or nil if it is unknown.
+func (in *instance) attempt(e wire.Event) *brain.Attempt {
+	request := in.requests[e.U64(3)]
+	if request == nil || int(e.U8(11)) >= len(request.Attempts) {
 		return nil
 	}
-	return q.Attempts[e.U8(11)]
+	return request.Attempts[e.U8(11)]
 }
 
-func (in *instance) forget(q *brain.Request) {
-	if q.Over && q.Out() == nil {
-		delete(in.questions, q.ID)
+// forgetEnded drops a request that is over and has no attempt in flight.
+func (in *instance) forgetEnded(request *brain.Request) {
+	if request.Over && request.Out() == nil {
+		delete(in.requests, request.ID)
 	}
 }
 
+// listings converts entries of the endpoint list; a backend keeps its identity from one list to the next.
 func (in *instance) listings(entries []wire.Entry) []brain.Listing {
-	lines := make([]brain.Listing, len(entries))
+	listings := make([]brain.Listing, len(entries))
 	for i, e := range entries {
-		h := in.hosts[e.Host]
-		if h == nil {
-			h = &brain.Backend{ID: e.Host, Zone: int(e.Zone), Rack: int(e.Rack), Kind: int(e.Machine)}
-			in.hosts[e.Host] = h
+		backend := in.backends[e.Backend]
+		if backend == nil {
+			backend = &brain.Backend{ID: e.Backend, Zone: int(e.Zone), Rack: int(e.Rack), Kind: int(e.Kind)}
+			in.backends[e.Backend] = backend
 		}
-		lines[i] = brain.Listing{
-			Host: h, Standing: brain.BackendState(e.Readiness), Units: figure(e.Units), Restart: e.BootUs != 0,
-			Booted: time.Duration(int64(e.BootUs)-int64(in.began)) * time.Microsecond,
+		listings[i] = brain.Listing{
+			Host: backend, Standing: brain.BackendState(e.State), Units: nonNegative(e.Units), Restart: e.BootUs != 0,
+			Booted: time.Duration(int64(e.BootUs)-int64(in.startedUs)) * time.Microsecond,
 		}
 	}
-	return lines
+	return listings
 }
 
-func (in *instance) Now() time.Duration { return time.Duration(in.clock-in.began) * time.Microsecond }
+// Now returns the time since the instance started.
+func (in *instance) Now() time.Duration {
+	return time.Duration(in.clockUs-in.startedUs) * time.Microsecond
+}
 
-func (in *instance) Send(t *brain.Attempt, wait time.Duration) {
-	in.reply.PassOn(in.who, t.Request.ID, t.Backend.ID, uint32(max(wait.Microseconds(), 0)))
+// Send sends an attempt to its backend; a negative wait is sent as 0.
+func (in *instance) Send(attempt *brain.Attempt, wait time.Duration) {
+	in.reply.Send(in.number, attempt.Request.ID, attempt.Backend.ID, uint32(max(wait.Microseconds(), 0)))
 }
 
-func (in *instance) Cancel(t *brain.Attempt) { in.reply.Retract(in.who, t.Request.ID, uint8(t.Number)) }
+// Cancel cancels an attempt.
+func (in *instance) Cancel(attempt *brain.Attempt) {
+	in.reply.Cancel(in.number, attempt.Request.ID, uint8(attempt.Number))
+}
 
-func (in *instance) Release(q *brain.Request) { in.reply.Discard(in.who, q.ID) }
+// Release lets the prefill backend release the request's KV cache.
+func (in *instance) Release(request *brain.Request) { in.reply.Release(in.number, request.ID) }
 
-func (in *instance) Reject(q *brain.Request, after time.Duration) {
-	in.reply.TurnAway(in.who, q.ID, uint32(after.Microseconds()))
-	in.forget(q)
+// Reject tells the client to retry later.
+func (in *instance) Reject(request *brain.Request, after time.Duration) {
+	in.reply.Reject(in.number, request.ID, uint32(after.Microseconds()))
+	in.forgetEnded(request)
 }
 
-func (in *instance) Fail(q *brain.Request) {
-	in.reply.Lose(in.who, q.ID)
-	in.forget(q)
+// Fail ends a request without a response.
+func (in *instance) Fail(request *brain.Request) {
+	in.reply.Fail(in.number, request.ID)
+	in.forgetEnded(request)
 }
 
-func (in *instance) Wake(after time.Duration, do func()) {
-	in.lastWake++
-	in.wakes[in.lastWake] = do
-	in.reply.WakeAt(in.who, uint32(after.Microseconds()), in.lastWake)
+// Wake calls a function after a time.
+func (in *instance) Wake(after time.Duration, callback func()) {
+	in.lastTimer++
+	in.timers[in.lastTimer] = callback
+	in.reply.SetTimer(in.number, uint32(after.Microseconds()), in.lastTimer)
 }
 
-func (in *instance) Watch(on bool) { in.reply.Tail(in.who, on) }
+// Watch subscribes to pushed endpoint lists or ends the subscription.
+func (in *instance) Watch(on bool) { in.reply.Watch(in.number, on) }
 
-func (in *instance) Tell(peer int, n brain.PeerUpdate) {
-	in.reply.Post(in.who, uint32(peer), news.Encode(n))
+// Tell sends an update to a peer.
+func (in *instance) Tell(peer int, update brain.PeerUpdate) {
+	in.reply.SendPeer(in.number, uint32(peer), news.Encode(update))
 }
 
-func (in *instance) Note(text string) { in.reply.NoteDown(in.who, text) }
+// Note writes a line to the simulator's log.
+func (in *instance) Note(text string) { in.reply.Log(in.number, text) }
--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,5 +1,6 @@
-// Benchlink lets the simulator drive the decision module: frames on standard input, replies on standard
-// output.
+// Benchlink connects the scheduler to the simulator: it reads batches of events from standard input and writes the
+// scheduler's actions to standard output. It holds the dispatcher instances by number and decides nothing itself.
+// Start with serve.
 package main
 
 import (
@@ -18,8 +19,9 @@
 	}
 }
 
-func serve(in io.Reader, out io.Writer) error {
-	batches := wire.NewReader(in)
+// serve answers each batch with one reply until the input ends.
+func serve(input io.Reader, output io.Writer) error {
+	batches := wire.NewReader(input)
 	instances := map[uint16]*instance{}
 	reply := &wire.Reply{}
 	for {
@@ -32,17 +34,17 @@
 		}
 		for _, e := range batch.Events {
 			switch e.Code() {
-			case wire.Start:
-				instances[e.Who()] = start(e, batch.Clock, reply)
-			case wire.Halt:
-				delete(instances, e.Who())
+			case wire.EventStart:
+				instances[e.Instance()] = newInstance(e, batch.Clock, reply)
+			case wire.EventStop:
+				delete(instances, e.Instance())
 			default:
-				if in := instances[e.Who()]; in != nil {
-					in.take(e, batch.Clock)
+				if in := instances[e.Instance()]; in != nil {
+					in.handle(e, batch.Clock)
 				}
 			}
 		}
-		if _, err := reply.WriteTo(out); err != nil {
+		if _, err := reply.WriteTo(output); err != nil {
 			return fmt.Errorf("writing a reply: %w", err)
 		}
 	}
--- /dev/null
+++ b/cmd/benchlink/parity_test.go
@@ -0,0 +1,415 @@
+package main
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+
+	"sloetrestle/brain"
+	"sloetrestle/internal/addresses"
+	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/dispatch"
+	"sloetrestle/internal/kserve"
+	"sloetrestle/internal/setup"
+	"sloetrestle/internal/wire"
+)
+
+// eventRecord is one record of a batch, whose fields are set by offset.
+type eventRecord [56]byte
+
+func (r *eventRecord) u32(offset int, v uint32) { binary.BigEndian.PutUint32(r[offset:], v) }
+func (r *eventRecord) u64(offset int, v uint64) { binary.BigEndian.PutUint64(r[offset:], v) }
+func (r *eventRecord) f32(offset int, v float64) {
+	binary.BigEndian.PutUint32(r[offset:], math.Float32bits(float32(v)))
+}
+
+func event(t *testing.T, r eventRecord, tail []byte) wire.Event {
+	t.Helper()
+	raw := binary.BigEndian.AppendUint32(nil, 1)
+	raw = binary.BigEndian.AppendUint32(raw, uint32(8+len(r)+len(tail)))
+	raw = binary.BigEndian.AppendUint64(raw, 0)
+	batch, err := wire.NewReader(bytes.NewReader(append(append(raw, r[:]...), tail...))).Next()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return batch.Events[0]
+}
+
+// simulation drives the scheduler through the frames of the simulator.
+type simulation struct {
+	t       *testing.T
+	in      *instance
+	reply   *wire.Reply
+	clockUs uint64
+	timers  []timer
+	actions []string
+	sent    map[uint64]uint32 // the backend of each request's last attempt
+}
+
+type timer struct {
+	dueUs uint64
+	token uint32
+}
+
+func (s *simulation) handle(r eventRecord, tail []byte) {
+	s.in.handle(event(s.t, r, tail), s.clockUs)
+	s.collect()
+}
+
+// collect decodes the actions of the reply.
+func (s *simulation) collect() {
+	var out bytes.Buffer
+	if _, err := s.reply.WriteTo(&out); err != nil {
+		s.t.Fatal(err)
+	}
+	raw := out.Bytes()[8:]
+	for ; len(raw) >= 24; raw = raw[24:] {
+		u32 := func(offset int) uint32 { return binary.BigEndian.Uint32(raw[offset:]) }
+		id := binary.BigEndian.Uint64(raw[3:])
+		switch raw[0] {
+		case 10:
+			s.sent[id] = u32(11)
+			s.actions = append(s.actions, fmt.Sprintf("%d send %d to %d for %d", s.clockUs, id, u32(11), u32(15)))
+		case 20:
+			s.actions = append(s.actions, fmt.Sprintf("%d reject %d for %d", s.clockUs, id, u32(11)/1000))
+		case 30:
+			s.actions = append(s.actions, fmt.Sprintf("%d fail %d", s.clockUs, id))
+		case 40:
+			s.actions = append(s.actions, fmt.Sprintf("%d cancel %d", s.clockUs, id))
+		case 50:
+			s.timers = append(s.timers, timer{s.clockUs + uint64(u32(3)), u32(7)})
+		}
+	}
+}
+
+// fireDue fires the timers that are due, in the order of their times.
+func (s *simulation) fireDue() {
+	for {
+		i := -1
+		for j, w := range s.timers {
+			if w.dueUs <= s.clockUs && (i < 0 || w.dueUs < s.timers[i].dueUs) {
+				i = j
+			}
+		}
+		if i < 0 {
+			return
+		}
+		var r eventRecord
+		r[0] = wire.EventTimer
+		r.u32(3, s.timers[i].token)
+		s.timers = slices.Delete(s.timers, i, i+1)
+		s.handle(r, nil)
+	}
+}
+
+// recorder records the attempts that the dispatcher's event loop sends.
+type recorder struct {
+	now      time.Duration
+	actions  []string
+	inFlight map[uint64]*dispatch.Attempt
+}
+
+func (r *recorder) note(format string, args ...any) {
+	r.actions = append(r.actions, fmt.Sprintf("%d ", r.now.Microseconds())+fmt.Sprintf(format, args...))
+}
+
+func (r *recorder) Start(attempt *dispatch.Attempt) {
+	r.inFlight[attempt.Planned.Request.ID] = attempt
+	attempt.Off = func(error) {}
+	r.note("send %d to %d for %d",
+		attempt.Planned.Request.ID, attempt.Planned.Backend.ID, attempt.Wait.Microseconds())
+}
+func (r *recorder) Release(*dispatch.Backend, *dispatch.ClientRequest) {}
+func (r *recorder) Tell(int, brain.PeerUpdate)                         {}
+func (r *recorder) Reach(*dispatch.Backend, []addresses.Spec)          {}
+
+// The simulator tests the scheduler of the running dispatcher only as long as this adapter and the dispatcher's event
+// loop get the same decisions from the same sequence of events.
+func TestAdapterAndEventLoopMakeTheSameDecisions(t *testing.T) {
+	config := setup.DefaultDispatcher()
+	for i, effect := range []string{"idempotent", "deduplicated", "unrepeatable"} {
+		config.Grades = append(config.Grades, setup.Grade{
+			Name: effect, Effect: effect, Reach: "all", Window: setup.Span(2 * time.Second),
+			Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second),
+			Benefit: float64(i + 1), Late: 0.2, Most: 60,
+		})
+	}
+	config.Kinds = []setup.Kind{
+		{Name: "reader", Role: "reader", Memory: 2e5},
+		{Name: "writer", Role: "writer", Memory: 1e5},
+		{Name: "mixed", Role: "mixed", Memory: 1e5},
+	}
+	config.Report = []string{"util", "queue"}
+	info, err := json.Marshal(config.Facts())
+	if err != nil {
+		t.Fatal(err)
+	}
+	const seed = 99
+	recorded := &recorder{inFlight: map[uint64]*dispatch.Attempt{}}
+	loop, err := dispatch.NewLoop(config.Facts(), seed,
+		dispatch.Places{Zone: config.ZoneNumber, Kind: config.KindNumber}, recorded,
+		func() time.Duration { return recorded.now }, "d", slog.New(slog.NewTextHandler(io.Discard, nil)))
+	if err != nil {
+		t.Fatal(err)
+	}
+	sim := &simulation{t: t, reply: &wire.Reply{}, sent: map[uint64]uint32{}}
+	var startRecord eventRecord
+	startRecord[0] = wire.EventStart
+	startRecord.u64(3, seed)
+	startRecord.u32(15, uint32(len(info)))
+	sim.in = newInstance(event(t, startRecord, info), 0, sim.reply)
+	sim.collect()
+
+	kinds := []string{"reader", "reader", "reader", "writer", "writer", "writer", "mixed"}
+	list := func(stateOf func(i int) int) {
+		var lines []boxlist.Box
+		var tail []byte
+		for i, kind := range kinds {
+			name, rack, state := fmt.Sprintf("%s-%d", kind, i), fmt.Sprintf("rack-%d", i%2), stateOf(i)
+			line := boxlist.Box{
+				Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "10.0.0.1:1"}},
+				Kind: kind, Zone: "here", Rack: rack, Standing: [...]string{"draining", "ready", "gone"}[state],
+				Units: 2, UpMs: -1,
+			}
+			entry := make([]byte, 22)
+			binary.BigEndian.PutUint32(entry, dispatch.HostID(name))
+			binary.BigEndian.PutUint16(entry[5:], uint16(config.KindNumber(kind)))
+			binary.BigEndian.PutUint16(entry[7:], uint16(i%2))
+			entry[9] = byte(state)
+			binary.BigEndian.PutUint32(entry[10:], math.Float32bits(2))
+			if i == 4 { // a backend that has just started
+				line.Start, line.UpMs = 5, 1
+				binary.BigEndian.PutUint64(entry[14:], sim.clockUs-1000)
+			}
+			lines, tail = append(lines, line), append(tail, entry...)
+		}
+		var r eventRecord
+		r[0], r[11] = wire.EventEndpoints, 1
+		r.u32(16, uint32(len(lines)))
+		sim.handle(r, tail)
+		loop.Do(func() { loop.Listed(lines, true) })
+	}
+	tick := func() {
+		sim.clockUs += 2000
+		recorded.now += 2 * time.Millisecond
+		sim.fireDue()
+		loop.Due()
+	}
+	rng := rand.New(rand.NewPCG(seed, 1))
+	submitted := map[uint64]*dispatch.ClientRequest{}
+	codes := map[brain.Outcome]uint16{
+		brain.Served: 200, brain.Read: 210, brain.Failed: 500, brain.Rejected: 503, brain.TimedOut: 504,
+		brain.Unreachable: 502, brain.Broken: 598,
+	}
+	end := func(id uint64, attempt *dispatch.Attempt, outcome brain.Outcome, note int) {
+		took := (recorded.now - attempt.Planned.Sent).Microseconds()
+		over := outcome == brain.Served || attempt.Planned.Began > 0
+		load := []float64{0.5, 3}
+		var r eventRecord
+		r[0], r[11] = wire.EventOutcome, byte(attempt.Planned.Number)
+		r.u64(3, id)
+		r.u32(12, attempt.Planned.Backend.ID)
+		binary.BigEndian.PutUint16(r[16:], codes[outcome])
+		r.u32(18, uint32(took))
+		if over || attempt.Planned.Request.Over {
+			r[22] = 1
+		}
+		r.u32(23, uint32(note))
+		r[27] = 2
+		r.f32(28, load[0])
+		r.f32(32, load[1])
+		sim.handle(r, nil)
+		delete(recorded.inFlight, id)
+		loop.Do(func() { loop.Ended(attempt, brain.Result{Outcome: outcome, Note: note, Load: load}) })
+	}
+	tick()
+	list(func(int) int { return 1 })
+	for step := range 15000 {
+		tick()
+		if step%15 == 0 {
+			id := uint64(len(submitted) + 1)
+			class, tokens := rng.IntN(3), 200+rng.IntN(4000)
+			session, prefix := fmt.Sprint("s", rng.IntN(200)), fmt.Sprint("b", rng.IntN(9))
+			request := &dispatch.ClientRequest{
+				Ask: kserve.Ask{Tokens: tokens, Prefix: 100, Most: 60, Session: session, Shared: prefix},
+			}
+			submitted[id] = request
+			var r eventRecord
+			r[0], r[36] = wire.EventRequest, byte(class)
+			r.u64(3, id)
+			r.u64(11, dispatch.Number(session))
+			r.f32(20, 60)
+			r.u64(24, dispatch.Number(prefix))
+			r.f32(32, float64(tokens))
+			r.u32(41, 3_000_000)
+			r.f32(45, 100)
+			sim.handle(r, nil)
+			loop.Do(func() { loop.Submit(request, class, 0, 3*time.Second) })
+		}
+		if step == 7000 {
+			list(func(i int) int { return []int{1, 0, 1, 1, 2, 1, 1}[i] })
+		}
+		var ids []uint64
+		for id := range recorded.inFlight {
+			ids = append(ids, id)
+		}
+		slices.Sort(ids)
+		for _, id := range ids {
+			attempt := recorded.inFlight[id]
+			age := recorded.now - attempt.Planned.Sent
+			switch draw := rng.Float64(); {
+			case age >= attempt.Wait && attempt.Planned.Began == 0:
+				end(id, attempt, brain.TimedOut, 0)
+			case draw < 0.001:
+				end(id, attempt, brain.Failed, 0)
+			case draw < 0.002:
+				end(id, attempt, brain.Broken, 0)
+			case attempt.Planned.Began > 0 && draw < 0.05:
+				end(id, attempt, brain.Served, 40)
+			case attempt.Planned.Began > 0:
+			case draw < 0.0021:
+				end(id, attempt, brain.Unreachable, 0)
+			case draw < 0.003:
+				end(id, attempt, brain.Rejected, 0)
+			case draw < 0.12 && attempt.Planned.Stage == brain.ToRead:
+				end(id, attempt, brain.Read, 100)
+			case draw < 0.12:
+				var r eventRecord
+				r[0], r[11] = wire.EventFirstByte, byte(attempt.Planned.Number)
+				r.u64(3, id)
+				r.u32(12, attempt.Planned.Backend.ID)
+				r.u32(16, uint32(age.Microseconds()))
+				sim.handle(r, nil)
+				loop.Do(func() { loop.Began(attempt) })
+			case draw < 0.122 && !attempt.Planned.Request.Over:
+				var r eventRecord
+				r[0] = wire.EventClientGone
+				r.u64(3, id)
+				sim.handle(r, nil)
+				request := submitted[id]
+				loop.Do(func() { loop.Left(request) })
+			}
+		}
+	}
+	// The event loop stores a final answer with its request; the adapter sends it as an action.
+	var sends []string
+	finals := map[string]int{}
+	for _, action := range sim.actions {
+		switch {
+		case bytes.Contains([]byte(action), []byte("send")):
+			sends = append(sends, action)
+		case bytes.Contains([]byte(action), []byte("reject")):
+			finals[kserve.Declined]++
+		case bytes.Contains([]byte(action), []byte("fail")):
+			finals[kserve.Forfeited]++
+		}
+	}
+	if len(sends) < 800 || finals[kserve.Forfeited] == 0 {
+		t.Fatalf("the sequence has too few attempts or no failed request: %d sends, final answers %v", len(sends), finals)
+	}
+	for i := range min(len(sends), len(recorded.actions)) {
+		if sends[i] != recorded.actions[i] {
+			t.Fatalf("action %d: adapter %q, event loop %q", i, sends[i], recorded.actions[i])
+		}
+	}
+	if len(sends) != len(recorded.actions) {
+		t.Errorf("the adapter sends %d attempts, the event loop %d", len(sends), len(recorded.actions))
+	}
+	if l := loop.Tally; int(l.Declined) != finals[kserve.Declined] || int(l.Forfeited) < finals[kserve.Forfeited] {
+		t.Errorf("the adapter rejects %d and fails %d, the event loop %d and %d",
+			finals[kserve.Declined], finals[kserve.Forfeited], l.Declined, l.Forfeited)
+	}
+}
+
+// A status code that the protocol does not define proves nothing, least of all that the request was served.
+func TestUnknownStatusCountsAsFailure(t *testing.T) {
+	if got := outcomeOf(777); got != brain.Failed {
+		t.Errorf("status 777 gives outcome %d", got)
+	}
+	if got := outcomeOf(200); got != brain.Served {
+		t.Errorf("status 200 gives outcome %d", got)
+	}
+}
+
+// Numbers from a frame enter averages that last for the rest of the run: no NaN or negative number may get there.
+func FuzzFramesLeaveNoNaNOrNegativeState(f *testing.F) {
+	config := setup.DefaultDispatcher()
+	config.Grades = []setup.Grade{{
+		Name: "g", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second),
+		Benefit: 1, Most: 60,
+	}}
+	config.Kinds = []setup.Kind{
+		{Name: "reader", Role: "reader", Memory: 2e5},
+		{Name: "writer", Role: "writer", Memory: 1e5},
+	}
+	config.Report = []string{"util", "queue"}
+	info, err := json.Marshal(config.Facts())
+	if err != nil {
+		f.Fatal(err)
+	}
+	entry := func(id uint32, kind byte, units uint32) []byte {
+		e := make([]byte, 22)
+		binary.BigEndian.PutUint32(e, id)
+		e[6], e[9] = kind, 1
+		binary.BigEndian.PutUint32(e[10:], units)
+		return e
+	}
+	one, nan, inf, minus := math.Float32bits(1), math.Float32bits(float32(math.NaN())),
+		math.Float32bits(float32(math.Inf(1))), math.Float32bits(-1)
+	f.Add([]byte{10, 50, 40, 50}, one, one)
+	f.Add([]byte{10, 50, 40, 50}, nan, inf)
+	f.Add([]byte{50, 60, 90, 40, 20, 100}, inf, minus)
+	f.Fuzz(func(t *testing.T, codes []byte, value1, value2 uint32) {
+		reply := &wire.Reply{}
+		var startRecord eventRecord
+		startRecord[0] = wire.EventStart
+		startRecord.u32(15, uint32(len(info)))
+		in := newInstance(event(t, startRecord, info), 0, reply)
+		tail := slices.Concat(entry(1, 0, value1), entry(2, 1, value2), entry(3, 1, one))
+		var r eventRecord
+		r[0], r[11] = wire.EventEndpoints, 1
+		r.u32(16, 3)
+		in.handle(event(t, r, tail), 0)
+		for i, code := range codes[:min(len(codes), 40)] {
+			request := eventRecord{}
+			request[0] = wire.EventRequest
+			request.u64(3, uint64(i+1))
+			request.u32(20, value1)
+			request.u32(32, value2)
+			request.u32(41, 3_000_000)
+			in.handle(event(t, request, nil), uint64(i)*1000)
+			result := eventRecord{}
+			result[0] = code
+			result.u64(3, uint64(i+1))
+			switch code {
+			case wire.EventOutcome:
+				result.u32(18, 1000)
+				binary.BigEndian.PutUint16(result[16:], 210)
+				result.u32(23, value1)
+				result[27] = 2
+				result.u32(28, value1)
+				result.u32(32, value2)
+			case wire.EventFirstByte, wire.EventClientGone, wire.EventTimer:
+			default:
+				continue
+			}
+			in.handle(event(t, result, nil), uint64(i)*1000+500)
+		}
+		for _, h := range in.backends {
+			for _, v := range []float64{h.Units, h.Size, h.Util, h.Queue, h.Tokens, h.Unread, h.Room, h.Taken} {
+				if math.IsNaN(v) || v < 0 {
+					t.Fatalf("state of backend %d: %v", h.ID,
+						[]float64{h.Units, h.Size, h.Util, h.Queue, h.Tokens, h.Unread, h.Room, h.Taken})
+				}
+			}
+		}
+	})
+}
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -1,5 +1,5 @@
-// Package news is the form in which one dispatcher tells another of a trip: eight bytes for the module's
-// brain.News, alike on the bench's wire and between processes. It never sends or receives; begin with Encode.
+// Package news encodes and decodes the peer protocol: eight bytes in which a dispatcher tells its peers how an attempt
+// went, the same between processes and in the simulator. It does not send or receive. Start with Encode.
 package news
 
 import (
@@ -9,40 +9,43 @@
 	"sloetrestle/brain"
 )
 
-// Encode writes news of an attempt: backend, class, verdict with a bit for a load report, and the report. Where there is no
-// report, its place has the share of the latency target that the first token took; dispatchers that don't know of that pass
-// over those two bytes.
-func Encode(n brain.PeerUpdate) []byte {
-	raw := binary.BigEndian.AppendUint32(nil, n.Host.ID)
-	raw = append(raw, byte(n.Grade), byte(n.Verdict)<<1)
+// Encode encodes a peer update: four bytes of the backend's ID, one of the class, one of the verdict with a bit that
+// tells whether a load report follows, and two of the load report. Without a load report those two bytes hold the
+// share of the latency target that the first token took; older dispatchers, which do not know the share, ignore them.
+func Encode(update brain.PeerUpdate) []byte {
+	raw := binary.BigEndian.AppendUint32(nil, update.Host.ID)
+	raw = append(raw, byte(update.Grade), byte(update.Verdict)<<1)
 	switch {
-	case n.Loaded:
+	case update.Loaded:
 		raw[5] |= 1
-		return append(raw, inByte(n.Util*units), inByte(n.Queue))
-	case n.Share > 0:
-		return append(raw, max(inByte(n.Share*units), 1), shareFollows)
+		return append(raw, clampToByte(update.Util*fractionSteps), clampToByte(update.Queue))
+	case update.Share > 0:
+		return append(raw, max(clampToByte(update.Share*fractionSteps), 1), shareMarker)
 	}
 	return append(raw, 0, 0)
 }
 
 const (
-	units        = 200 // of the wire, in a share of one
-	shareFollows = 255 // in the last byte of news with no report: the byte before it is a share of the latency target
+	fractionSteps = 200 // steps in which the byte of a fraction counts up to 1
+	shareMarker   = 255 // last byte without a load report: the byte before it is a share of the latency target
 )
 
-func inByte(value float64) byte { return byte(min(max(value, 0), 255)) }
+func clampToByte(value float64) byte { return byte(min(max(value, 0), 255)) }
 
-// Decode reads what Encode wrote; a host that is not on the own list stays nil.
-func Decode(raw []byte, hosts map[uint32]*brain.Backend) (brain.PeerUpdate, error) {
+// Decode decodes a peer update and looks up its backend. The backend is nil if this dispatcher does not know it. An
+// error means that the bytes are not a peer update.
+func Decode(raw []byte, backends map[uint32]*brain.Backend) (brain.PeerUpdate, error) {
 	if len(raw) != 8 || raw[5]>>1 > byte(brain.Unmet) {
-		return brain.PeerUpdate{}, fmt.Errorf("%d bytes are no news of a trip: %x", len(raw), raw[:min(len(raw), 16)])
+		return brain.PeerUpdate{}, fmt.Errorf("%d bytes are not a peer update: %x", len(raw), raw[:min(len(raw), 16)])
+	}
+	update := brain.PeerUpdate{
+		Host: backends[binary.BigEndian.Uint32(raw)], Grade: int(raw[4]), Verdict: brain.Verdict(raw[5] >> 1),
 	}
-	n := brain.PeerUpdate{Host: hosts[binary.BigEndian.Uint32(raw)], Grade: int(raw[4]), Verdict: brain.Verdict(raw[5] >> 1)}
 	switch {
 	case raw[5]&1 == 1:
-		n.Loaded, n.Util, n.Queue = true, float64(raw[6])/units, float64(raw[7])
-	case raw[7] == shareFollows:
-		n.Share = min(float64(raw[6])/units, 1)
+		update.Loaded, update.Util, update.Queue = true, float64(raw[6])/fractionSteps, float64(raw[7])
+	case raw[7] == shareMarker:
+		update.Share = min(float64(raw[6])/fractionSteps, 1)
 	}
-	return n, nil
+	return update, nil
 }
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -6,42 +6,42 @@
 	"sloetrestle/brain"
 )
 
-func TestDecodeReadsWhatEncodeWroteAndDropsTheRest(t *testing.T) {
-	h := &brain.Backend{ID: 77}
-	hosts := map[uint32]*brain.Backend{77: h}
-	said := brain.PeerUpdate{Host: h, Grade: 2, Verdict: brain.Badly, Loaded: true, Util: 0.5, Queue: 3}
-	raw := Encode(said)
-	if got, err := Decode(raw, hosts); err != nil || got != said {
-		t.Errorf("heard %+v, %v", got, err)
+func TestDecodeReadsEncodedUpdatesAndRejectsOtherBytes(t *testing.T) {
+	backend := &brain.Backend{ID: 77}
+	backends := map[uint32]*brain.Backend{77: backend}
+	sent := brain.PeerUpdate{Host: backend, Grade: 2, Verdict: brain.Badly, Loaded: true, Util: 0.5, Queue: 3}
+	raw := Encode(sent)
+	if got, err := Decode(raw, backends); err != nil || got != sent {
+		t.Errorf("decoded %+v, %v", got, err)
 	}
 	for _, bad := range [][]byte{nil, raw[:7], append(raw, 0), {0, 0, 0, 77, 2, 255, 0, 0}} {
-		if _, err := Decode(bad, hosts); err == nil {
-			t.Errorf("took %x", bad)
+		if _, err := Decode(bad, backends); err == nil {
+			t.Errorf("accepted %x", bad)
 		}
 	}
-	if got, err := Decode([]byte{0, 0, 0, 1, 2, 4, 0, 0}, hosts); err != nil || got.Host != nil {
-		t.Errorf("an unknown host: %+v, %v", got, err)
+	if got, err := Decode([]byte{0, 0, 0, 1, 2, 4, 0, 0}, backends); err != nil || got.Host != nil {
+		t.Errorf("an unknown backend: %+v, %v", got, err)
 	}
 }
 
-// Without a load report the last two bytes have the share of the latency target, which older dispatchers pass over; theirs have
-// an old report there, which is no share.
-func TestNewsWithoutAReportTellTheShareOfTheTarget(t *testing.T) {
-	h := &brain.Backend{ID: 77}
-	hosts := map[uint32]*brain.Backend{77: h}
+// Without a load report the last two bytes hold the share of the latency target, which older dispatchers must ignore.
+// Older dispatchers may send an outdated load report in those bytes, which must not be read as a share.
+func TestUpdatesWithoutALoadReportHoldTheShareOfTheTarget(t *testing.T) {
+	backend := &brain.Backend{ID: 77}
+	backends := map[uint32]*brain.Backend{77: backend}
 	for _, share := range []float64{0.005, 0.5, 1} {
-		raw := Encode(brain.PeerUpdate{Host: h, Verdict: brain.Well, Share: share})
-		if got, err := Decode(raw, hosts); err != nil || got.Share != share || got.Loaded {
-			t.Errorf("%g: heard %+v, %v", share, got, err)
+		raw := Encode(brain.PeerUpdate{Host: backend, Verdict: brain.Well, Share: share})
+		if got, err := Decode(raw, backends); err != nil || got.Share != share || got.Loaded {
+			t.Errorf("share %g: decoded %+v, %v", share, got, err)
 		}
 		if raw[5]&1 != 0 {
-			t.Errorf("%g: an older dispatcher takes %x for a load report", share, raw)
+			t.Errorf("share %g: an older dispatcher takes %x for a load report", share, raw)
 		}
 	}
-	if got, err := Decode([]byte{0, 0, 0, 77, 2, 2, 100, 30}, hosts); err != nil || got.Share != 0 || got.Loaded {
+	if got, err := Decode([]byte{0, 0, 0, 77, 2, 2, 100, 30}, backends); err != nil || got.Share != 0 || got.Loaded {
 		t.Errorf("from an older dispatcher: %+v, %v", got, err)
 	}
-	if got, _ := Decode([]byte{0, 0, 0, 77, 2, 2, 255, 255}, hosts); got.Share != 1 {
-		t.Errorf("a share beyond one: %+v", got)
+	if got, _ := Decode([]byte{0, 0, 0, 77, 2, 2, 255, 255}, backends); got.Share != 1 {
+		t.Errorf("a share above 1: %+v", got)
 	}
 }
--- a/internal/wire/reply.go
+++ b/internal/wire/reply.go
@@ -5,88 +5,108 @@
 	"io"
 )
 
-const actionSize = 24
+const actionSize = 24 // bytes of an action record
 
-// Reply gathers the actions that answer one batch.
+// Reply collects the actions that answer one batch. Each method that adds an action names the action's word in the
+// simulator's protocol; instance is the number of the dispatcher that acts, and durations are in microseconds.
 type Reply struct {
 	records []byte
 	tail    []byte
 }
 
-func (r *Reply) action(code uint8, who uint16) []byte {
-	at := len(r.records)
+func (r *Reply) action(code uint8, instance uint16) []byte {
+	offset := len(r.records)
 	r.records = append(r.records, make([]byte, actionSize)...)
-	rec := r.records[at:]
+	rec := r.records[offset:]
 	rec[0] = code
-	binary.BigEndian.PutUint16(rec[1:], who)
+	binary.BigEndian.PutUint16(rec[1:], instance)
 	return rec
 }
 
-func (r *Reply) question(code uint8, who uint16, corr uint64) []byte {
-	rec := r.action(code, who)
-	binary.BigEndian.PutUint64(rec[3:], corr)
+func (r *Reply) requestAction(code uint8, instance uint16, request uint64) []byte {
+	rec := r.action(code, instance)
+	binary.BigEndian.PutUint64(rec[3:], request)
 	return rec
 }
 
-func (r *Reply) server(code uint8, who uint16, host uint32) {
-	binary.BigEndian.PutUint32(r.action(code, who)[3:], host)
+func (r *Reply) backendAction(code uint8, instance uint16, backend uint32) {
+	binary.BigEndian.PutUint32(r.action(code, instance)[3:], backend)
 }
 
-func (r *Reply) span(rec []byte, at int, raw []byte) {
-	binary.BigEndian.PutUint32(rec[at:], uint32(len(r.tail)))
-	binary.BigEndian.PutUint32(rec[at+4:], uint32(len(raw)))
+// span appends bytes to the tail and writes the reference to them into a record.
+func (r *Reply) span(rec []byte, offset int, raw []byte) {
+	binary.BigEndian.PutUint32(rec[offset:], uint32(len(r.tail)))
+	binary.BigEndian.PutUint32(rec[offset+4:], uint32(len(raw)))
 	r.tail = append(r.tail, raw...)
 }
 
-func (r *Reply) PassOn(who uint16, corr uint64, host, maxWaitUs uint32) {
-	rec := r.question(10, who, corr)
-	binary.BigEndian.PutUint32(rec[11:], host)
-	binary.BigEndian.PutUint32(rec[15:], maxWaitUs)
+// Send adds pass_on: an attempt of a request goes to a backend, which has timeoutUs to begin its response.
+func (r *Reply) Send(instance uint16, request uint64, backend, timeoutUs uint32) {
+	rec := r.requestAction(10, instance, request)
+	binary.BigEndian.PutUint32(rec[11:], backend)
+	binary.BigEndian.PutUint32(rec[15:], timeoutUs)
 }
 
-func (r *Reply) TurnAway(who uint16, corr uint64, retryAfterUs uint32) {
-	binary.BigEndian.PutUint32(r.question(20, who, corr)[11:], retryAfterUs)
+// Reject adds turn_away: the client is told to retry after retryAfterUs.
+func (r *Reply) Reject(instance uint16, request uint64, retryAfterUs uint32) {
+	binary.BigEndian.PutUint32(r.requestAction(20, instance, request)[11:], retryAfterUs)
 }
 
-func (r *Reply) Lose(who uint16, corr uint64) { r.question(30, who, corr) }
+// Fail adds lose: the request fails for good.
+func (r *Reply) Fail(instance uint16, request uint64) { r.requestAction(30, instance, request) }
 
-func (r *Reply) Retract(who uint16, corr uint64, trip uint8) { r.question(40, who, corr)[11] = trip }
+// Cancel adds retract: an attempt of a request is cancelled.
+func (r *Reply) Cancel(instance uint16, request uint64, attempt uint8) {
+	r.requestAction(40, instance, request)[11] = attempt
+}
 
-func (r *Reply) WakeAt(who uint16, delayUs, ctx uint32) {
-	rec := r.action(50, who)
+// SetTimer adds wake_at: an EventTimer with the token is due after delayUs.
+func (r *Reply) SetTimer(instance uint16, delayUs, token uint32) {
+	rec := r.action(50, instance)
 	binary.BigEndian.PutUint32(rec[3:], delayUs)
-	binary.BigEndian.PutUint32(rec[7:], ctx)
+	binary.BigEndian.PutUint32(rec[7:], token)
 }
 
-func (r *Reply) SoundOut(who uint16, host uint32) { r.server(60, who, host) }
+// Probe adds sound_out: a backend is probed.
+func (r *Reply) Probe(instance uint16, backend uint32) { r.backendAction(60, instance, backend) }
 
-func (r *Reply) DropConns(who uint16, host uint32) { r.server(70, who, host) }
+// CloseConnections adds drop_conns: the connections to a backend are closed.
+func (r *Reply) CloseConnections(instance uint16, backend uint32) {
+	r.backendAction(70, instance, backend)
+}
 
-func (r *Reply) Post(who uint16, recipient uint32, raw []byte) {
-	rec := r.action(80, who)
-	binary.BigEndian.PutUint32(rec[3:], recipient)
+// SendPeer adds post: a message goes to a peer.
+func (r *Reply) SendPeer(instance uint16, peer uint32, raw []byte) {
+	rec := r.action(80, instance)
+	binary.BigEndian.PutUint32(rec[3:], peer)
 	r.span(rec, 7, raw)
 }
 
-func (r *Reply) NoteDown(who uint16, words string) { r.span(r.action(90, who), 3, []byte(words)) }
+// Log adds note_down: a line for the simulator's log.
+func (r *Reply) Log(instance uint16, text string) { r.span(r.action(90, instance), 3, []byte(text)) }
 
-func (r *Reply) BailOut(who uint16, words string) { r.span(r.action(100, who), 3, []byte(words)) }
+// Abort adds bail_out: the dispatcher can't go on.
+func (r *Reply) Abort(instance uint16, text string) { r.span(r.action(100, instance), 3, []byte(text)) }
 
-func (r *Reply) Tail(who uint16, want bool) {
-	if rec := r.action(110, who); want {
+// Watch adds tail: pushed endpoint lists are subscribed to or not.
+func (r *Reply) Watch(instance uint16, on bool) {
+	if rec := r.action(110, instance); on {
 		rec[3] = 1
 	}
 }
 
-func (r *Reply) Refresh(who uint16) { r.action(120, who) }
+// FetchEndpoints adds refresh: the endpoint list is requested.
+func (r *Reply) FetchEndpoints(instance uint16) { r.action(120, instance) }
 
-func (r *Reply) HoldPlace(who uint16, corr uint64, host uint32) {
-	binary.BigEndian.PutUint32(r.question(140, who, corr)[11:], host)
+// Reserve adds hold_place: capacity for a request is reserved at a backend.
+func (r *Reply) Reserve(instance uint16, request uint64, backend uint32) {
+	binary.BigEndian.PutUint32(r.requestAction(140, instance, request)[11:], backend)
 }
 
-func (r *Reply) Discard(who uint16, corr uint64) { r.question(150, who, corr) }
+// Release adds discard: the prefill backend may release the request's KV cache.
+func (r *Reply) Release(instance uint16, request uint64) { r.requestAction(150, instance, request) }
 
-// WriteTo writes the frame and empties the reply for the next batch.
+// WriteTo writes the reply as one frame and empties it for the next batch.
 func (r *Reply) WriteTo(w io.Writer) (int64, error) {
 	frame := make([]byte, 8, 8+len(r.records)+len(r.tail))
 	binary.BigEndian.PutUint32(frame, uint32(len(r.records)/actionSize))
