--- a/internal/addresses/addresses.go
+++ b/internal/addresses/addresses.go
@@ -1,7 +1,7 @@
-// Package addresses decides, for one box, which of its addresses to connect to, when to begin with the next beside
-// it, when to give up and what to look at again. It is free of I/O: what each address did, the time and chance are
-// handed in. It knows only of connections; a trip is bound to one connection by whoever sends it. Begin with Book,
-// then Race.
+// Package addresses decides which addresses of a backend to connect to: in which order, when to start the next
+// connection attempt alongside (Happy Eyeballs, RFC 8305), when to give up and which addresses to recheck. It does no
+// I/O: results, time and the random seed are passed in, and requests are bound to connections elsewhere. Start with
+// Tracker, then Race.
 package addresses
 
 import (
@@ -16,82 +16,87 @@
 )
 
 const (
-	// RFC 8305 staggers attempts by 250 ms across the Internet, and by no less than 10 ms. Boxes are a rack or a hall
-	// away: five times what proofs take lately, within these bounds, leaves room for two addresses that stall before
-	// a third within the dial limit of 250 ms.
-	staggerTimes = 5
-	staggerLeast = 10 * time.Millisecond
-	staggerMost  = 60 * time.Millisecond
-	staggerFirst = 40 * time.Millisecond // before any proof was seen
-
-	evidence = 2 * time.Second // a tenth of how long what an address did speaks for or against it
-	believe  = 0.5             // a doubtful one keeps its place if its draw is above this
-	missed   = 4               // failures since the last success that stay, so that rare tries don't absolve it
-	pace     = 0.2             // of the running mean of proof times
-
-	// A doubtful address that nothing goes to is looked at again in the background, longest unseen first. Over 160
-	// dispatchers and 79 boxes of 3 addresses that is at most 0.7 a second for each address, were all in doubt.
-	recheckPerS  = 1.0
-	recheckBurst = 3.0
-	recheckAfter = time.Second // no sooner than so long after its last try
-
-	// MostRaces bounds the races for one box at a time: after a rack's restart every held question would else open a
-	// connection of its own, and a cold box be pushed over by proofs. Those who wait take what a race leaves.
-	MostRaces = 8
-
-	// FreshFor is how long a connection's proof is believed while it is idle. One that has rested longer proves itself
-	// anew before a trip is bound to it, which costs a round trip; a busy box's connections hardly ever rest.
-	FreshFor = 100 * time.Millisecond
-
-	// Connections that are kept ready: one proven connection at the best two addresses.
-	warmAddresses = 2
+	// RFC 8305 recommends 250 ms between connection attempts across the Internet, and at least 10 ms. Backends are in
+	// the same rack or data center: five times the recent verification time, within these bounds, allows two addresses
+	// to stall before a third is tried within the dial timeout of 250 ms.
+	staggerFactor  = 5
+	minStagger     = 10 * time.Millisecond
+	maxStagger     = 60 * time.Millisecond
+	initialStagger = 40 * time.Millisecond // before the first verified connection
+
+	evidenceBucket = 2 * time.Second // results count for ten buckets of this width
+	trustThreshold = 0.5             // a suspected address keeps its place if its random draw is above this
+	// Up to this many failures since the last success never expire. Otherwise an address that is rarely tried would be
+	// cleared of its suspicion by time alone.
+	maxFailuresInARow = 4
+	verifyTimeDecay   = 0.2 // weight of a new value in the running mean of verification times
+
+	// A suspected address without traffic is rechecked in the background, the one not tried for the longest time
+	// first. 160 dispatchers with 79 backends of 3 addresses together recheck each address at most 0.7 times a second,
+	// even if all are suspected.
+	rechecksPerSecond  = 1.0
+	recheckBurst       = 3.0
+	minRecheckInterval = time.Second // since the last attempt at the address
+
+	// MaxRaces bounds the concurrent races for one backend. Without it, after a rack has restarted, every queued
+	// request would open a connection of its own, and the verifications would overload a backend that is warming up.
+	// Requests that wait take connections that the races leave over.
+	MaxRaces = 8
+
+	// VerificationTTL is how long an idle connection counts as verified. After that it is verified again before a
+	// request is bound to it, which costs a round trip; connections of a busy backend are rarely idle for so long.
+	VerificationTTL = 100 * time.Millisecond
+
+	// One verified connection is kept ready at each of the best addresses, this many at most.
+	maxWarmAddresses = 2
 )
 
-// Families, in the order in which they are tried where nothing else tells them apart: a socket on the same machine
-// crosses no network; IPv6 comes before IPv4 as in the policy table of RFC 6724, 2.1.
+// Networks of addresses, in the order in which they are tried if nothing else distinguishes them: a socket on the same
+// machine crosses no network, and IPv6 comes before IPv4 as in the policy table of RFC 6724, section 2.1.
 const (
 	Unix = "unix"
 	TCP6 = "tcp6"
 	TCP4 = "tcp4"
 )
 
-// Spec is an address as the list or a file names it.
+// Spec is an address as service discovery or a configuration file gives it.
 type Spec struct {
 	Network string `json:"network" toml:"network"`
 	At      string `json:"at" toml:"at"`                             // host:port, or the path of a socket
-	Prefer  int    `json:"prefer,omitempty" toml:"prefer,omitempty"` // the lower the sooner, before all else
+	Prefer  int    `json:"prefer,omitempty" toml:"prefer,omitempty"` // lower values are tried first
 }
 
+// String returns the network and the address with a colon between them.
 func (s Spec) String() string { return s.Network + ":" + s.At }
 
-// Check tells what is wrong with a spec.
+// Check returns an error if the network is unknown or the address is not valid for it.
 func (s Spec) Check() error {
 	switch s.Network {
 	case Unix:
 		if !strings.HasPrefix(s.At, "/") || len(s.At) > 100 {
-			return fmt.Errorf("%q is no absolute path of a socket of at most 100 bytes", s.At)
+			return fmt.Errorf("%q is not an absolute socket path of at most 100 bytes", s.At)
 		}
 		return nil
 	case TCP4, TCP6:
-		at, err := netip.ParseAddrPort(s.At)
+		addrPort, err := netip.ParseAddrPort(s.At)
 		if err != nil {
-			return fmt.Errorf("%q is no address with a port: %w", s.At, err)
+			return fmt.Errorf("%q is not an IP address with a port: %w", s.At, err)
 		}
-		if at.Addr().Unmap().Is4() != (s.Network == TCP4) || at.Port() == 0 {
-			return fmt.Errorf("%q is not of %s, or has no port", s.At, s.Network)
+		if addrPort.Addr().Unmap().Is4() != (s.Network == TCP4) || addrPort.Port() == 0 {
+			return fmt.Errorf("%q is not an address of network %s, or its port is 0", s.At, s.Network)
 		}
 		return nil
 	}
-	return fmt.Errorf("network %q is none of tcp4, tcp6 and unix", s.Network)
+	return fmt.Errorf("network %q is not one of tcp4, tcp6 and unix", s.Network)
 }
 
-// precedence is that of RFC 6724, 2.1, for the prefixes that boxes can have.
+// precedence returns the precedence of RFC 6724, section 2.1, for the prefixes that backends can have.
 func (s Spec) precedence() int {
-	at, err := netip.ParseAddrPort(s.At)
+	addrPort, err := netip.ParseAddrPort(s.At)
 	if s.Network == Unix || err != nil {
-		return 60 // above the loopback's 50
+		return 60 // before the loopback with its 50
 	}
-	switch ip := at.Addr(); {
+	switch ip := addrPort.Addr(); {
 	case ip.Is4() || ip.Is4In6():
 		return 35
 	case ip.IsLoopback():
@@ -102,289 +107,303 @@
 	return 40
 }
 
-// What an address did.
+// Result is how a connection attempt, or a request over a connection, ended. A connection is verified when the far
+// side has read a request and responded with the name of the backend.
 type Result int
 
 const (
-	Proven     Result = iota // it connected, and the far side read and answered with the box's name
-	Refused                  // at once
-	Silent                   // no connection, or no proof, in time
-	Broke                    // it connected and broke before the proof
-	OtherOwner               // it answered with another box's name
-	Served                   // a trip went well over it
-	Lost                     // a trip stalled or broke on it
-	NotTried                 // this machine could not begin to connect, which says nothing of the address
+	Verified      Result = iota // connected and verified
+	Refused                     // refused at once
+	TimedOut                    // no connection, or no verification, in time
+	Disconnected                // connected, but broken before it was verified
+	WrongBackend                // the far side responded with another backend's name
+	Served                      // a request was served over a connection
+	RequestFailed               // a request stalled or broke on a connection
+	LocalError                  // this machine could not start to connect, which says nothing of the address
 )
 
+// String returns the text that operators see for a result.
 func (r Result) String() string {
-	return [...]string{"proven", "refused", "silent", "broke", "another box answers", "served", "a trip was lost", "not tried"}[r]
+	return [...]string{
+		"proven", "refused", "silent", "broke", "another box answers", "served", "a trip was lost", "not tried",
+	}[r]
 }
 
-func (r Result) good() bool { return r == Proven || r == Served }
+func (r Result) success() bool { return r == Verified || r == Served }
 
-// Address is one address with what is known of it.
+// Address is one address of a backend with its recent history.
 type Address struct {
 	Spec
-	good, bad brain.Ring
-	missed    float64
-	took      brain.Mean // seconds to a proof
-	LastTry   time.Duration
-	tried     bool
-	Last      Result
-	LastAt    time.Duration
-	seen      bool
-	trying    int
-	Dropped   bool // the list names it no more
+	successes, failures brain.Ring
+	failuresInARow      float64
+	verifyTime          brain.Mean // seconds from the start of an attempt until the connection was verified
+	LastAttempt         time.Duration
+	attempted           bool
+	LastResult          Result
+	LastResultTime      time.Duration
+	hasResult           bool
+	attemptsInFlight    int
+	Removed             bool // the endpoint list no longer has it
 }
 
-// chance is the posterior of an address's success, with a prior of two good connections and one bad.
-func (a *Address) chance(now time.Duration) (well, badly float64) {
-	return 2 + a.good.Sum(now), 1 + a.bad.Sum(now) + min(a.missed, missed)
+// posterior returns the parameters of the Beta distribution of the address's chance of success. They are the counts of
+// recent successes and failures, with a prior of two successes and one failure.
+func (a *Address) posterior(now time.Duration) (success, failure float64) {
+	return 2 + a.successes.Sum(now), 1 + a.failures.Sum(now) + min(a.failuresInARow, maxFailuresInARow)
 }
 
-// Doubtful tells whether it is more likely to fail than to serve.
+// Doubtful tells whether the address is more likely to fail than to serve.
 func (a *Address) Doubtful(now time.Duration) bool {
-	well, badly := a.chance(now)
-	return badly > well
+	success, failure := a.posterior(now)
+	return failure > success
 }
 
-// Why tells an operator how it stands.
+// Why describes the state of the address for operators.
 func (a *Address) Why(now time.Duration) string {
-	if !a.seen {
+	if !a.hasResult {
 		return "not tried yet"
 	}
-	well, badly := a.chance(now)
-	return fmt.Sprintf("%s %.1f s ago; chance %.2f; proof %.1f ms", a.Last, (now - a.LastAt).Seconds(), well/(well+badly), 1000*a.took.Or(0))
+	success, failure := a.posterior(now)
+	return fmt.Sprintf("%s %.1f s ago; chance %.2f; proof %.1f ms",
+		a.LastResult, (now - a.LastResultTime).Seconds(), success/(success+failure), 1000*a.verifyTime.Or(0))
 }
 
-// Book is what a dispatcher knows of one box's addresses.
+// Book holds the addresses of one backend with their history, and orders them.
 type Book struct {
-	list   []*Address
-	chance *brain.PCG
-	proofs brain.Mean // seconds, over all of them
+	addresses  []*Address // in the order of the endpoint list
+	rng        *brain.PCG
+	verifyTime brain.Mean // seconds, over all addresses
 }
 
-// NewBook starts a book; seed is that of its draws.
-func NewBook(seed uint64) *Book { return &Book{chance: brain.NewPCG(seed)} }
+// NewTracker returns a Tracker without addresses; the seed is that of the random draws in Order.
+func NewTracker(seed uint64) *Book { return &Book{rng: brain.NewPCG(seed)} }
 
-// Set takes the addresses that are named now. Those that were known before keep what is known of them; those that
-// are gone are returned, marked as dropped.
-func (b *Book) Set(specs []Spec) (dropped []*Address) {
+// Set replaces the addresses. Addresses that stay keep their history; those that are no longer named are marked as
+// removed and returned. A duplicate of an address is ignored.
+func (t *Book) Set(specs []Spec) (removed []*Address) {
 	var next []*Address
 	for _, s := range specs {
 		same := func(a *Address) bool { return a.Network == s.Network && a.At == s.At }
 		if slices.ContainsFunc(next, same) {
 			continue
 		}
-		i := slices.IndexFunc(b.list, same)
+		i := slices.IndexFunc(t.addresses, same)
 		if i < 0 {
-			next = append(next, &Address{Spec: s, good: brain.Ring{Width: evidence}, bad: brain.Ring{Width: evidence}})
+			next = append(next, &Address{
+				Spec: s, successes: brain.Ring{Width: evidenceBucket}, failures: brain.Ring{Width: evidenceBucket},
+			})
 			continue
 		}
-		b.list[i].Prefer = s.Prefer
-		next = append(next, b.list[i])
+		t.addresses[i].Prefer = s.Prefer
+		next = append(next, t.addresses[i])
 	}
-	for _, a := range b.list {
+	for _, a := range t.addresses {
 		if !slices.Contains(next, a) {
-			a.Dropped = true
-			dropped = append(dropped, a)
+			a.Removed = true
+			removed = append(removed, a)
 		}
 	}
-	b.list = next
-	return dropped
+	t.addresses = next
+	return removed
 }
 
-// Addresses lists them in the order in which they were named.
-func (b *Book) Addresses() []*Address { return b.list }
+// Addresses returns the addresses in the order in which the endpoint list names them.
+func (t *Book) Addresses() []*Address { return t.addresses }
 
-// Did takes note of what an address did; took is the time to a proof.
-func (b *Book) Did(now time.Duration, a *Address, r Result, took time.Duration) {
-	a.Last, a.LastAt, a.seen = r, now, true
-	if r.good() {
-		a.good.Add(now, 1)
-		a.missed = 0
+// Record adds a result to the history of an address; took is the time until a connection was verified.
+func (t *Book) Record(now time.Duration, a *Address, result Result, took time.Duration) {
+	a.LastResult, a.LastResultTime, a.hasResult = result, now, true
+	if result.success() {
+		a.successes.Add(now, 1)
+		a.failuresInARow = 0
 	} else {
-		a.bad.Add(now, 1)
-		a.missed++
+		a.failures.Add(now, 1)
+		a.failuresInARow++
 	}
-	if r == Proven {
-		a.took.Add(took.Seconds(), pace)
-		b.proofs.Add(took.Seconds(), pace)
+	if result == Verified {
+		a.verifyTime.Add(took.Seconds(), verifyTimeDecay)
+		t.verifyTime.Add(took.Seconds(), verifyTimeDecay)
 	}
 }
 
-// Order is the order in which the addresses are tried now: first those that a draw from their posterior trusts; the
-// preference that was stated; sockets, IPv6, IPv4; of one kind the one quicker to prove. As RFC 8305 has it, what
-// follows the first of a family is one of another.
-func (b *Book) Order(now time.Duration) []*Address {
-	type drawn struct {
+// Order returns the addresses in the order in which to try them now. A suspected address moves behind the others if a
+// draw from its posterior is low. Then come, in this order, the stated preference, the precedence of the network and
+// the verification time. As in RFC 8305, the first address of a family is followed by one of another family.
+func (t *Book) Order(now time.Duration) []*Address {
+	type candidate struct {
 		*Address
-		late int
+		distrusted int
 	}
-	var all []drawn
-	for _, a := range b.list {
-		d := drawn{a, 0}
-		if well, badly := a.chance(now); badly > 1 && b.chance.Beta(well, badly) <= believe {
-			d.late = 1
+	var candidates []candidate
+	for _, a := range t.addresses {
+		c := candidate{a, 0}
+		if success, failure := a.posterior(now); failure > 1 && t.rng.Beta(success, failure) <= trustThreshold {
+			c.distrusted = 1
 		}
-		all = append(all, d)
+		candidates = append(candidates, c)
 	}
-	slices.SortStableFunc(all, func(x, y drawn) int {
-		return cmp.Or(cmp.Compare(x.late, y.late), cmp.Compare(x.Prefer, y.Prefer), cmp.Compare(y.precedence(), x.precedence()),
-			cmp.Compare(x.took.Or(0), y.took.Or(0)))
+	slices.SortStableFunc(candidates, func(x, y candidate) int {
+		return cmp.Or(
+			cmp.Compare(x.distrusted, y.distrusted), cmp.Compare(x.Prefer, y.Prefer),
+			cmp.Compare(y.precedence(), x.precedence()), cmp.Compare(x.verifyTime.Or(0), y.verifyTime.Or(0)))
 	})
-	var out []*Address
-	for len(all) > 0 {
+	var ordered []*Address
+	for len(candidates) > 0 {
 		i := 0
-		if n := len(out); n > 0 {
-			// Only among those alike in trust and preference: a family's turn does not overrule either.
-			for j, d := range all {
-				if d.late != all[0].late || d.Prefer != all[0].Prefer {
+		if n := len(ordered); n > 0 {
+			// Families alternate only among addresses of equal trust and preference.
+			for j, c := range candidates {
+				if c.distrusted != candidates[0].distrusted || c.Prefer != candidates[0].Prefer {
 					break
 				}
-				if d.Network != out[n-1].Network {
+				if c.Network != ordered[n-1].Network {
 					i = j
 					break
 				}
 			}
 		}
-		out = append(out, all[i].Address)
-		all = slices.Delete(all, i, i+1)
+		ordered = append(ordered, candidates[i].Address)
+		candidates = slices.Delete(candidates, i, i+1)
 	}
-	return out
+	return ordered
 }
 
-// Stagger is how long one attempt is given before the next begins beside it, and an idle connection to prove itself.
-func (b *Book) Stagger() time.Duration {
-	s := time.Duration(staggerTimes * b.proofs.Or(staggerFirst.Seconds()/staggerTimes) * float64(time.Second))
-	return min(max(s, staggerLeast), staggerMost)
+// Stagger returns how long a connection attempt is given before the next one starts alongside, and how long an idle
+// connection may take to be verified again.
+func (t *Book) Stagger() time.Duration {
+	stagger := time.Duration(
+		staggerFactor * t.verifyTime.Or(initialStagger.Seconds()/staggerFactor) * float64(time.Second))
+	return min(max(stagger, minStagger), maxStagger)
 }
 
-// Race is the search for one connection.
+// Race is the search for one connection to a backend: staggered connection attempts, of which the first verified one
+// wins.
 type Race struct {
-	book  *Book
-	left  []*Address
-	out   []*Address
-	until time.Duration
-	next  time.Duration // when the next may begin
-	won   *Address
+	tracker   *Book
+	pending   []*Address
+	inFlight  []*Address
+	deadline  time.Duration
+	nextStart time.Duration // when the next attempt may start
+	winner    *Address
 }
 
-// Race starts a search that ends at until.
-func (b *Book) Race(now, until time.Duration) *Race {
-	return &Race{book: b, left: b.Order(now), until: until, next: now}
+// Race starts a search that ends at the deadline.
+func (t *Book) Race(now, deadline time.Duration) *Race {
+	return &Race{tracker: t, pending: t.Order(now), deadline: deadline, nextStart: now}
 }
 
-// Next returns the address to begin with now, if any, and until when nothing else is to be done. Over means that
-// nothing is left to wait for: the box can't be reached.
-func (r *Race) Next(now time.Duration) (begin *Address, wait time.Duration, over bool) {
-	r.left = slices.DeleteFunc(r.left, func(a *Address) bool { return a.Dropped })
+// Next returns the address to try now, if there is one, and otherwise how long to wait before the next call. Over
+// means that the race is won, out of time, or has nothing left to wait for.
+func (r *Race) Next(now time.Duration) (start *Address, wait time.Duration, over bool) {
+	r.pending = slices.DeleteFunc(r.pending, func(a *Address) bool { return a.Removed })
 	switch {
-	case r.won != nil || now >= r.until:
+	case r.winner != nil || now >= r.deadline:
 		return nil, 0, true
-	case len(r.left) > 0 && now >= r.next:
-		a := r.left[0]
-		r.left = r.left[1:]
-		r.out = append(r.out, a)
-		r.next = now + r.book.Stagger()
-		a.LastTry, a.tried = now, true
-		a.trying++
+	case len(r.pending) > 0 && now >= r.nextStart:
+		a := r.pending[0]
+		r.pending = r.pending[1:]
+		r.inFlight = append(r.inFlight, a)
+		r.nextStart = now + r.tracker.Stagger()
+		a.LastAttempt, a.attempted = now, true
+		a.attemptsInFlight++
 		return a, 0, false
-	case len(r.left) == 0 && len(r.out) == 0:
+	case len(r.pending) == 0 && len(r.inFlight) == 0:
 		return nil, 0, true
-	case len(r.left) > 0:
-		return nil, min(r.next, r.until) - now, false
+	case len(r.pending) > 0:
+		return nil, min(r.nextStart, r.deadline) - now, false
 	}
-	return nil, r.until - now, false
+	return nil, r.deadline - now, false
 }
 
-// Did takes the end of an attempt of this race. True: this connection is the one; whatever else connects is not.
-func (r *Race) Did(now time.Duration, a *Address, res Result, took time.Duration) bool {
-	i := slices.Index(r.out, a)
+// Record adds the result of an attempt of this race. It returns true if this connection wins; at most one does.
+func (r *Race) Record(now time.Duration, a *Address, result Result, took time.Duration) bool {
+	i := slices.Index(r.inFlight, a)
 	if i < 0 {
 		return false
 	}
-	r.out = slices.Delete(r.out, i, i+1)
-	a.trying--
-	if res == NotTried {
+	r.inFlight = slices.Delete(r.inFlight, i, i+1)
+	a.attemptsInFlight--
+	if result == LocalError {
 		return false
 	}
-	r.book.Did(now, a, res, took)
-	if res != Proven || a.Dropped {
-		r.next = now // the next need not wait for one that has failed
+	r.tracker.Record(now, a, result, took)
+	if result != Verified || a.Removed {
+		r.nextStart = now // no need to wait for an attempt that has failed
 		return false
 	}
-	if r.won != nil || now >= r.until {
+	if r.winner != nil || now >= r.deadline {
 		return false
 	}
-	r.won = a
+	r.winner = a
 	return true
 }
 
-// End ends the race. What was still out and had its stagger for itself speaks against its address; what had begun
-// a moment ago says nothing.
+// End ends the race. An attempt still in flight counts as timed out if it has had its stagger time; one that has only
+// just started says nothing of its address.
 func (r *Race) End(now time.Duration) {
-	for _, a := range r.out {
-		a.trying--
-		if now-a.LastTry >= r.book.Stagger() {
-			r.book.Did(now, a, Silent, 0)
+	for _, a := range r.inFlight {
+		a.attemptsInFlight--
+		if now-a.LastAttempt >= r.tracker.Stagger() {
+			r.tracker.Record(now, a, TimedOut, 0)
 		}
 	}
-	r.out = nil
+	r.inFlight = nil
 }
 
-// Warm lists the addresses at which a proven connection should be kept ready: the best two that are not in doubt.
-func (b *Book) Warm(now time.Duration) []*Address {
+// WarmAddresses returns the addresses at which a verified connection should be kept ready: the best ones that are not
+// suspected.
+func (t *Book) WarmAddresses(now time.Duration) []*Address {
 	var warm []*Address
-	for _, a := range b.Order(now) {
-		if len(warm) < warmAddresses && !a.Doubtful(now) {
+	for _, a := range t.Order(now) {
+		if len(warm) < maxWarmAddresses && !a.Doubtful(now) {
 			warm = append(warm, a)
 		}
 	}
 	return warm
 }
 
-// Budget bounds the background tries of one dispatcher over all of its boxes.
-type Budget struct {
-	have  float64
-	at    time.Duration
-	begun bool
+// RecheckBudget is the token bucket that bounds the background rechecks of one dispatcher over all backends.
+type RecheckBudget struct {
+	tokens     float64
+	refilledAt time.Duration
+	started    bool
 }
 
-// Recheck picks one doubtful address of all the books to look at again, longest unseen first; none: nothing is due or
-// the budget is spent. The books come in an order of the caller's that does not change.
-func (g *Budget) Recheck(now time.Duration, books []*Book) (*Book, *Address) {
-	if !g.begun {
-		g.have, g.begun = recheckBurst, true
+// Next picks a suspected address of any backend to recheck, the one not tried for the longest time first, and spends a
+// token on it. It returns nil if none is due or the budget is spent. The caller passes the trackers in a stable order.
+func (b *RecheckBudget) Next(now time.Duration, trackers []*Book) (*Book, *Address) {
+	if !b.started {
+		b.tokens, b.started = recheckBurst, true
 	} else {
-		g.have = min(recheckBurst, g.have+recheckPerS*(now-g.at).Seconds())
+		b.tokens = min(recheckBurst, b.tokens+rechecksPerSecond*(now-b.refilledAt).Seconds())
 	}
-	g.at = now
-	if g.have < 1 {
+	b.refilledAt = now
+	if b.tokens < 1 {
 		return nil, nil
 	}
-	var of *Book
+	var owner *Book
 	var pick *Address
-	for _, b := range books {
-		for _, a := range b.list {
-			due := a.tried && a.Doubtful(now) && a.trying == 0 && now-a.LastTry >= recheckAfter
-			if due && (pick == nil || a.LastTry < pick.LastTry) {
-				of, pick = b, a
+	for _, t := range trackers {
+		for _, a := range t.addresses {
+			due := a.attempted && a.Doubtful(now) && a.attemptsInFlight == 0 &&
+				now-a.LastAttempt >= minRecheckInterval
+			if due && (pick == nil || a.LastAttempt < pick.LastAttempt) {
+				owner, pick = t, a
 			}
 		}
 	}
 	if pick != nil {
-		g.have--
-		pick.LastTry = now
-		pick.trying++
+		b.tokens--
+		pick.LastAttempt = now
+		pick.attemptsInFlight++
 	}
-	return of, pick
+	return owner, pick
 }
 
-// Rechecked takes the end of a background try.
-func (b *Book) Rechecked(now time.Duration, a *Address, res Result, took time.Duration) {
-	a.trying--
-	if res != NotTried {
-		b.Did(now, a, res, took)
+// RecordRecheck adds the result of a recheck.
+func (t *Book) RecordRecheck(now time.Duration, a *Address, result Result, took time.Duration) {
+	a.attemptsInFlight--
+	if result != LocalError {
+		t.Record(now, a, result, took)
 	}
 }
--- a/internal/addresses/addresses_test.go
+++ b/internal/addresses/addresses_test.go
@@ -11,179 +11,187 @@
 )
 
 var (
-	sock  = Spec{Network: Unix, At: "/run/b.sock"}
-	local = Spec{Network: TCP6, At: "[::1]:80"}
-	six   = Spec{Network: TCP6, At: "[2001:db8::1]:80"}
-	four  = Spec{Network: TCP4, At: "10.0.0.1:80"}
-	four2 = Spec{Network: TCP4, At: "10.0.0.2:80"}
-	ula   = Spec{Network: TCP6, At: "[fd00::1]:80"}
+	socket       = Spec{Network: Unix, At: "/run/b.sock"}
+	loopback     = Spec{Network: TCP6, At: "[::1]:80"}
+	ipv6         = Spec{Network: TCP6, At: "[2001:db8::1]:80"}
+	ipv4         = Spec{Network: TCP4, At: "10.0.0.1:80"}
+	otherIPv4    = Spec{Network: TCP4, At: "10.0.0.2:80"}
+	uniqueLocal6 = Spec{Network: TCP6, At: "[fd00::1]:80"}
 )
 
-func book(specs ...Spec) *Book {
-	b := NewBook(1)
+func newTracker(specs ...Spec) *Book {
+	b := NewTracker(1)
 	b.Set(specs)
 	return b
 }
 
-func names(list []*Address) string {
-	var out []string
+func join(list []*Address) string {
+	var texts []string
 	for _, a := range list {
-		out = append(out, a.At)
+		texts = append(texts, a.At)
 	}
-	return strings.Join(out, " ")
+	return strings.Join(texts, " ")
 }
 
-func prefer(s Spec, n int) Spec { s.Prefer = n; return s }
+func withPreference(s Spec, n int) Spec { s.Prefer = n; return s }
 
-func TestTheOrderIsTheStatedOne(t *testing.T) {
+func TestOrderByPreferenceAndPrecedenceWithAlternatingFamilies(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		in   []Spec
 		want []Spec
 	}{
-		{"a socket, the loopback, IPv6, IPv4", []Spec{four, six, local, sock}, []Spec{sock, local, four, six}},
-		{"families take turns", []Spec{four, four2, six}, []Spec{six, four, four2}},
-		{"unique local addresses come last", []Spec{ula, four}, []Spec{four, ula}},
-		{"what is preferred comes before all else", []Spec{sock, prefer(four, -1), local}, []Spec{four, sock, local}},
-		{"a named address counts once", []Spec{four, four}, []Spec{four}},
+		{"socket, loopback, IPv6, IPv4", []Spec{ipv4, ipv6, loopback, socket}, []Spec{socket, loopback, ipv4, ipv6}},
+		{"families alternate", []Spec{ipv4, otherIPv4, ipv6}, []Spec{ipv6, ipv4, otherIPv4}},
+		{"unique local addresses come last", []Spec{uniqueLocal6, ipv4}, []Spec{ipv4, uniqueLocal6}},
+		{"a preferred address comes first",
+			[]Spec{socket, withPreference(ipv4, -1), loopback}, []Spec{ipv4, socket, loopback}},
+		{"a duplicate is ignored", []Spec{ipv4, ipv4}, []Spec{ipv4}},
 	} {
-		if got, want := names(book(c.in...).Order(0)), names(book(c.want...).list); got != want {
+		if got, want := join(newTracker(c.in...).Order(0)), join(newTracker(c.want...).addresses); got != want {
 			t.Errorf("%s: %s, not %s", c.name, got, want)
 		}
 	}
 }
 
-func TestADoubtfulAddressMovesBackAndIsNeverForgotten(t *testing.T) {
-	b := book(sock, four)
+func TestSuspectedAddressMovesBackButIsStillTried(t *testing.T) {
+	tracker := newTracker(socket, ipv4)
 	for range 6 {
-		b.Did(time.Second, b.list[0], Silent, 0)
+		tracker.Record(time.Second, tracker.addresses[0], TimedOut, 0)
 	}
 	first := 0
 	for range 2000 {
-		if b.Order(time.Second)[0].At == sock.At {
+		if tracker.Order(time.Second)[0].At == socket.At {
 			first++
 		}
 	}
 	if first == 0 || first > 200 {
-		t.Errorf("it came first %d times of 2000", first)
+		t.Errorf("the suspected address came first %d times of 2000", first)
 	}
-	b.Did(2*time.Second, b.list[0], Proven, time.Millisecond)
-	b.Did(2*time.Second, b.list[0], Served, 0)
-	if later := 60 * time.Second; b.Order(later)[0].At != sock.At {
-		t.Error("a minute after it was proved again it is still in doubt")
+	tracker.Record(2*time.Second, tracker.addresses[0], Verified, time.Millisecond)
+	tracker.Record(2*time.Second, tracker.addresses[0], Served, 0)
+	if later := 60 * time.Second; tracker.Order(later)[0].At != socket.At {
+		t.Error("a minute after it was verified again the address is still suspected")
 	}
 }
 
-// run plays a race in virtual time: after gives, for each address, when it ends and how.
-func run(b *Book, start, limit time.Duration, after func(a *Address) (time.Duration, Result)) (won *Address, took time.Duration, begun []*Address) {
+// run simulates a race in virtual time: outcome gives, for each address, how long its attempt takes and its result.
+func run(
+	tracker *Book, start, limit time.Duration, outcome func(a *Address) (time.Duration, Result),
+) (winner *Address, took time.Duration, started []*Address) {
 	type attempt struct {
-		a   *Address
-		at  time.Duration
-		res Result
+		address *Address
+		endsAt  time.Duration
+		result  Result
 	}
-	var out []attempt
+	var inFlight []attempt
 	now := start
-	r := b.Race(now, now+limit)
+	race := tracker.Race(now, now+limit)
 	for steps := 0; steps < 1000; steps++ {
-		a, wait, over := r.Next(now)
+		a, wait, over := race.Next(now)
 		if a != nil {
-			begun = append(begun, a)
-			d, res := after(a)
-			out = append(out, attempt{a, now + d, res})
+			started = append(started, a)
+			d, result := outcome(a)
+			inFlight = append(inFlight, attempt{a, now + d, result})
 			continue
 		}
 		if over {
 			break
 		}
 		next := now + wait
-		slices.SortStableFunc(out, func(x, y attempt) int { return int(x.at - y.at) })
-		if len(out) > 0 && out[0].at <= next {
-			x := out[0]
-			out = out[1:]
-			now = max(now, x.at)
-			if r.Did(now, x.a, x.res, now-start) {
-				won = x.a
+		slices.SortStableFunc(inFlight, func(x, y attempt) int { return int(x.endsAt - y.endsAt) })
+		if len(inFlight) > 0 && inFlight[0].endsAt <= next {
+			x := inFlight[0]
+			inFlight = inFlight[1:]
+			now = max(now, x.endsAt)
+			if race.Record(now, x.address, x.result, now-start) {
+				winner = x.address
 				break
 			}
 			continue
 		}
 		now = next
 	}
-	r.End(now)
-	return won, now - start, begun
+	race.End(now)
+	return winner, now - start, started
 }
 
-func TestFailOverTakesAsLongAsIsStated(t *testing.T) {
+func TestFailoverTimeIsBounded(t *testing.T) {
 	const never = time.Hour
-	quick := func(a *Address) (time.Duration, Result) { return time.Millisecond, Proven }
+	fast := func(a *Address) (time.Duration, Result) { return time.Millisecond, Verified }
 	for _, c := range []struct {
-		name  string
-		after func(*Address) (time.Duration, Result)
-		want  string
-		most  time.Duration
-		begun int
+		name     string
+		outcome  func(*Address) (time.Duration, Result)
+		want     string
+		maxTime  time.Duration
+		attempts int
 	}{
-		{"all is well", quick, sock.At, time.Millisecond, 1},
+		{"all addresses work", fast, socket.At, time.Millisecond, 1},
 		{"the first refuses", func(a *Address) (time.Duration, Result) {
 			if a.Network == Unix {
 				return time.Millisecond, Refused
 			}
-			return quick(a)
-		}, local.At, 3 * time.Millisecond, 2},
+			return fast(a)
+		}, loopback.At, 3 * time.Millisecond, 2},
 		{"the first stalls", func(a *Address) (time.Duration, Result) {
 			if a.Network == Unix {
-				return never, Silent
+				return never, TimedOut
 			}
-			return quick(a)
-		}, local.At, staggerMost + time.Millisecond, 2},
+			return fast(a)
+		}, loopback.At, maxStagger + time.Millisecond, 2},
 		{"two stall", func(a *Address) (time.Duration, Result) {
 			if a.Network != TCP4 {
-				return never, Silent
+				return never, TimedOut
 			}
-			return quick(a)
-		}, four.At, 2*staggerMost + time.Millisecond, 3},
-		{"all refuse", func(a *Address) (time.Duration, Result) { return time.Millisecond, Refused }, "", 4 * time.Millisecond, 3},
-		{"all stall", func(a *Address) (time.Duration, Result) { return never, Silent }, "", 250 * time.Millisecond, 3},
-		{"another box answers at the first", func(a *Address) (time.Duration, Result) {
+			return fast(a)
+		}, ipv4.At, 2*maxStagger + time.Millisecond, 3},
+		{"all refuse", func(a *Address) (time.Duration, Result) {
+			return time.Millisecond, Refused
+		}, "", 4 * time.Millisecond, 3},
+		{"all stall", func(a *Address) (time.Duration, Result) {
+			return never, TimedOut
+		}, "", 250 * time.Millisecond, 3},
+		{"another backend responds at the first", func(a *Address) (time.Duration, Result) {
 			if a.Network == Unix {
-				return time.Millisecond, OtherOwner
+				return time.Millisecond, WrongBackend
 			}
-			return quick(a)
-		}, local.At, 3 * time.Millisecond, 2},
+			return fast(a)
+		}, loopback.At, 3 * time.Millisecond, 2},
 	} {
-		won, took, begun := run(book(sock, local, four), time.Second, 250*time.Millisecond, c.after)
-		at := ""
-		if won != nil {
-			at = won.At
+		winner, took, started := run(newTracker(socket, loopback, ipv4), time.Second, 250*time.Millisecond, c.outcome)
+		got := ""
+		if winner != nil {
+			got = winner.At
 		}
-		if at != c.want || took > c.most || len(begun) != c.begun {
-			t.Errorf("%s: %q after %v with %d attempts, not %q within %v with %d", c.name, at, took, len(begun), c.want, c.most, c.begun)
+		if got != c.want || took > c.maxTime || len(started) != c.attempts {
+			t.Errorf("%s: %q after %v with %d attempts, want %q within %v with %d",
+				c.name, got, took, len(started), c.want, c.maxTime, c.attempts)
 		}
 	}
 }
 
-func TestAnAddressDroppedWhileItIsTriedDoesNotWin(t *testing.T) {
-	b := book(sock, four)
-	r := b.Race(0, time.Second)
-	a, _, _ := r.Next(0)
-	if dropped := b.Set([]Spec{four}); len(dropped) != 1 || dropped[0] != a {
-		t.Fatalf("dropped %v", names(dropped))
+func TestAddressRemovedDuringItsAttemptDoesNotWin(t *testing.T) {
+	tracker := newTracker(socket, ipv4)
+	race := tracker.Race(0, time.Second)
+	a, _, _ := race.Next(0)
+	if removed := tracker.Set([]Spec{ipv4}); len(removed) != 1 || removed[0] != a {
+		t.Fatalf("removed %v", join(removed))
 	}
-	if r.Did(time.Millisecond, a, Proven, time.Millisecond) {
-		t.Error("it won")
+	if race.Record(time.Millisecond, a, Verified, time.Millisecond) {
+		t.Error("the removed address won")
 	}
-	if next, _, _ := r.Next(time.Millisecond); next == nil || next.At != four.At {
-		t.Errorf("then %v", next)
+	if next, _, _ := race.Next(time.Millisecond); next == nil || next.At != ipv4.At {
+		t.Errorf("the next attempt is at %v", next)
 	}
 }
 
-// Whatever addresses do and in whatever order: one race binds one address at most, begins each at most once, never
-// outlasts its limit, and finds one that proves in time if all others end or stall.
-func TestRacesUnderRandomFaults(t *testing.T) {
+// Whatever the results and their order, a race has at most one winner, tries each address at most once, ends by its
+// deadline, and finds an address that verifies in time while the others fail or stall.
+func TestRaceInvariantsUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(1, 6).Draw(t, "addresses")
+		count := rapid.IntRange(1, 6).Draw(t, "addresses")
 		var specs []Spec
-		for i := range n {
+		for i := range count {
 			switch rapid.IntRange(0, 2).Draw(t, "family") {
 			case 0:
 				specs = append(specs, Spec{Network: Unix, At: fmt.Sprintf("/s%d", i)})
@@ -194,38 +202,40 @@
 			}
 			specs[i].Prefer = rapid.IntRange(0, 1).Draw(t, "prefer")
 		}
-		b := NewBook(rapid.Uint64().Draw(t, "seed"))
-		b.Set(specs)
+		tracker := NewTracker(rapid.Uint64().Draw(t, "seed"))
+		tracker.Set(specs)
 		now := time.Second
 		const limit = 250 * time.Millisecond
 		for range rapid.IntRange(1, 30).Draw(t, "races") {
-			ends := map[*Address]time.Duration{}
-			how := map[*Address]Result{}
-			live := false
-			for _, a := range b.list {
-				ends[a] = time.Duration(rapid.IntRange(0, 400).Draw(t, "ends")) * time.Millisecond
-				how[a] = Result(rapid.IntRange(int(Proven), int(OtherOwner)).Draw(t, "how"))
-				live = live || how[a] == Proven && ends[a] < time.Millisecond
+			durations := map[*Address]time.Duration{}
+			results := map[*Address]Result{}
+			working := false
+			for _, a := range tracker.addresses {
+				durations[a] = time.Duration(rapid.IntRange(0, 400).Draw(t, "ends")) * time.Millisecond
+				results[a] = Result(rapid.IntRange(int(Verified), int(WrongBackend)).Draw(t, "how"))
+				working = working || results[a] == Verified && durations[a] < time.Millisecond
 			}
-			won, took, begun := run(b, now, limit, func(a *Address) (time.Duration, Result) { return ends[a], how[a] })
-			if took > limit || len(begun) > n {
-				t.Fatalf("took %v with %d attempts at %d addresses", took, len(begun), n)
+			winner, took, started := run(tracker, now, limit, func(a *Address) (time.Duration, Result) {
+				return durations[a], results[a]
+			})
+			if took > limit || len(started) > count {
+				t.Fatalf("took %v with %d attempts at %d addresses", took, len(started), count)
 			}
-			for i, a := range begun {
-				if slices.Contains(begun[:i], a) {
-					t.Fatalf("%v was begun twice in one race", a)
+			for i, a := range started {
+				if slices.Contains(started[:i], a) {
+					t.Fatalf("%v was tried twice in one race", a)
 				}
 			}
-			if won != nil && how[won] != Proven {
-				t.Fatalf("%v won, which ended %v", won, how[won])
+			if winner != nil && results[winner] != Verified {
+				t.Fatalf("%v won with result %v", winner, results[winner])
 			}
-			// The last address begins after n-1 staggers at most, which the limit leaves room for up to four addresses.
-			if live && won == nil && time.Duration(n-1)*staggerMost < limit {
-				t.Fatalf("a live address was not found")
+			// The last attempt starts after at most count-1 staggers, which is within the limit for up to four addresses.
+			if working && winner == nil && time.Duration(count-1)*maxStagger < limit {
+				t.Fatalf("a working address was not found")
 			}
-			for _, a := range b.list {
-				if a.trying != 0 {
-					t.Fatalf("%v counts as being tried after its race", a)
+			for _, a := range tracker.addresses {
+				if a.attemptsInFlight != 0 {
+					t.Fatalf("%v has an attempt in flight after the race", a)
 				}
 			}
 			now += took + time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest"))*time.Millisecond
@@ -233,45 +243,52 @@
 	})
 }
 
-func TestBackgroundTriesKeepToTheBudgetAndReachEveryDoubtfulAddress(t *testing.T) {
-	var books []*Book
+func TestRechecksStayWithinBudgetAndReachEverySuspectedAddress(t *testing.T) {
+	var trackers []*Book
 	for i := range 79 {
-		b := NewBook(uint64(i))
-		b.Set([]Spec{{Network: TCP4, At: fmt.Sprintf("10.0.%d.1:1", i)}, {Network: TCP4, At: fmt.Sprintf("10.0.%d.2:1", i)}, {Network: Unix, At: fmt.Sprintf("/%d", i)}})
-		for _, a := range b.list {
+		tracker := NewTracker(uint64(i))
+		tracker.Set([]Spec{
+			{Network: TCP4, At: fmt.Sprintf("10.0.%d.1:1", i)},
+			{Network: TCP4, At: fmt.Sprintf("10.0.%d.2:1", i)},
+			{Network: Unix, At: fmt.Sprintf("/%d", i)},
+		})
+		for _, a := range tracker.addresses {
 			for range 5 {
-				a.tried = true
-				b.Did(0, a, Refused, 0)
+				a.attempted = true
+				tracker.Record(0, a, Refused, 0)
 			}
 		}
-		books = append(books, b)
+		trackers = append(trackers, tracker)
 	}
-	var budget Budget
-	tries := map[*Address]int{}
+	var budget RecheckBudget
+	rechecks := map[*Address]int{}
 	total := 0
 	const span = 300 * time.Second
 	for now := time.Second; now < span; now += 50 * time.Millisecond {
-		if b, a := budget.Recheck(now, books); a != nil {
-			tries[a]++
+		if tracker, a := budget.Next(now, trackers); a != nil {
+			rechecks[a]++
 			total++
-			b.Rechecked(now, a, Refused, 0)
+			tracker.RecordRecheck(now, a, Refused, 0)
 		}
 	}
-	if most := int(recheckBurst + recheckPerS*span.Seconds()); total > most || total < most/2 {
-		t.Errorf("%d tries in %v, at most %d are allowed", total, span, most)
+	if limit := int(recheckBurst + rechecksPerSecond*span.Seconds()); total > limit || total < limit/2 {
+		t.Errorf("%d rechecks in %v, at most %d are allowed", total, span, limit)
 	}
-	if len(tries) != 79*3 {
-		t.Errorf("%d of %d addresses were looked at again", len(tries), 79*3)
+	if len(rechecks) != 79*3 {
+		t.Errorf("%d of %d addresses were rechecked", len(rechecks), 79*3)
 	}
 }
 
-func TestSpecsAreChecked(t *testing.T) {
-	for _, s := range []Spec{{Unix, "b.sock", 0}, {TCP4, "[::1]:80", 0}, {TCP6, "10.0.0.1:80", 0}, {TCP4, "10.0.0.1:0", 0}, {TCP4, "box-7:80", 0}, {"udp", "10.0.0.1:80", 0}, {Unix, "/" + strings.Repeat("x", 120), 0}} {
+func TestCheckRejectsInvalidSpecs(t *testing.T) {
+	for _, s := range []Spec{
+		{Unix, "b.sock", 0}, {TCP4, "[::1]:80", 0}, {TCP6, "10.0.0.1:80", 0}, {TCP4, "10.0.0.1:0", 0},
+		{TCP4, "backend-7:80", 0}, {"udp", "10.0.0.1:80", 0}, {Unix, "/" + strings.Repeat("x", 120), 0},
+	} {
 		if s.Check() == nil {
 			t.Errorf("%v passes", s)
 		}
 	}
-	for _, s := range []Spec{sock, local, six, four, ula} {
+	for _, s := range []Spec{socket, loopback, ipv6, ipv4, uniqueLocal6} {
 		if err := s.Check(); err != nil {
 			t.Errorf("%v: %v", s, err)
 		}
--- a/internal/reach/listen.go
+++ b/internal/reach/listen.go
@@ -12,25 +12,27 @@
 	"sloetrestle/internal/addresses"
 )
 
-// ParseListen reads where to listen: host:port, or a network before it, as in tcp6:[::1]:8100 or unix:/run/d0.sock.
+// ParseListen parses an address to listen on: host:port, or with a network before it, as in tcp6:[::1]:8100 or
+// unix:/run/d0.sock.
 func ParseListen(text string) (addresses.Spec, error) {
 	for _, network := range []string{addresses.Unix, addresses.TCP4, addresses.TCP6} {
-		if at, ok := strings.CutPrefix(text, network+":"); ok {
-			s := addresses.Spec{Network: network, At: at}
-			if network == addresses.Unix && !strings.HasPrefix(at, "/") {
-				return s, fmt.Errorf("%q is no absolute path", at)
+		if address, ok := strings.CutPrefix(text, network+":"); ok {
+			s := addresses.Spec{Network: network, At: address}
+			if network == addresses.Unix && !strings.HasPrefix(address, "/") {
+				return s, fmt.Errorf("%q is not an absolute path", address)
 			}
 			return s, nil
 		}
 	}
 	if _, _, err := net.SplitHostPort(text); err != nil {
-		return addresses.Spec{}, fmt.Errorf("%q is no address such as 127.0.0.1:8100, tcp6:[::1]:8100 or unix:/run/d0.sock", text)
+		return addresses.Spec{}, fmt.Errorf(
+			"%q is not an address such as 127.0.0.1:8100, tcp6:[::1]:8100 or unix:/run/d0.sock", text)
 	}
 	return addresses.Spec{Network: "tcp", At: text}, nil
 }
 
-// Listen opens an address for clients. A socket file that nobody listens at any more is replaced; one at which
-// somebody does, or a file that is no socket, is left alone.
+// Listen listens for clients on an address. It replaces a stale socket file, on which no process listens. It returns an
+// error, and leaves the file as it is, if a process listens on the socket or if the file is not a socket.
 func Listen(s addresses.Spec) (net.Listener, error) {
 	if s.Network != addresses.Unix {
 		return net.Listen(s.Network, s.At)
@@ -39,18 +41,18 @@
 	if err == nil || !errors.Is(err, syscall.EADDRINUSE) {
 		return l, err
 	}
-	info, stat := os.Lstat(s.At)
-	if stat != nil {
+	info, statErr := os.Lstat(s.At)
+	if statErr != nil {
 		return nil, err
 	}
 	if info.Mode()&os.ModeSocket == 0 {
-		return nil, fmt.Errorf("%s is no socket, and is left alone", s.At)
+		return nil, fmt.Errorf("%s exists and is not a socket", s.At)
 	}
-	if c, dial := net.DialTimeout("unix", s.At, time.Second); dial == nil {
-		c.Close()
-		return nil, fmt.Errorf("%s: somebody listens there", s.At)
-	} else if !errors.Is(dial, syscall.ECONNREFUSED) {
-		return nil, fmt.Errorf("%s may be in use: %w", s.At, dial)
+	if conn, dialErr := net.DialTimeout("unix", s.At, time.Second); dialErr == nil {
+		conn.Close()
+		return nil, fmt.Errorf("%s: another process listens on this socket", s.At)
+	} else if !errors.Is(dialErr, syscall.ECONNREFUSED) {
+		return nil, fmt.Errorf("%s may be in use: %w", s.At, dialErr)
 	}
 	if err := os.Remove(s.At); err != nil {
 		return nil, err
