--- a/internal/addresses/addresses_test.go
+++ b/internal/addresses/addresses_test.go
@@ -229,7 +229,7 @@
 			if winner != nil && results[winner] != Verified {
 				t.Fatalf("%v won with result %v", winner, results[winner])
 			}
-			// The last attempt starts after at most count-1 staggers, which is within the limit for up to four addresses.
+			// The last attempt starts after at most count-1 staggers, within the limit for up to four addresses.
 			if working && winner == nil && time.Duration(count-1)*maxStagger < limit {
 				t.Fatalf("a working address was not found")
 			}
--- a/internal/reach/pool.go
+++ b/internal/reach/pool.go
@@ -629,7 +629,7 @@
 	}
 }
 
-// Tend rechecks suspected addresses, keeps connections ready and closes idle ones, until the context Life ends.
+// Tend rechecks suspected addresses, keeps connections ready and closes idle ones until the manager's context ends.
 func (m *Boxes) Tend() error {
 	const interval = 250 * time.Millisecond
 	ticker := time.NewTicker(interval)
