--- a/cmd/benchlink/parity_test.go
+++ b/cmd/benchlink/parity_test.go
@@ -313,7 +313,7 @@
 		}
 	}
 	if len(sends) < 800 || finals[kserve.Forfeited] == 0 {
-		t.Fatalf("too few attempts or no failed request in the sequence: %d sends, final answers %v", len(sends), finals)
+		t.Fatalf("too few attempts or no failed request in the sequence: %d sent, final answers %v", len(sends), finals)
 	}
 	for i := range min(len(sends), len(recorded.actions)) {
 		if sends[i] != recorded.actions[i] {
