--- a/cmd/benchlink/parity_test.go
+++ b/cmd/benchlink/parity_test.go
@@ -175,7 +175,7 @@
 		for i, kind := range kinds {
 			name, rack, state := fmt.Sprintf("%s-%d", kind, i), fmt.Sprintf("rack-%d", i%2), stateOf(i)
 			line := boxlist.Box{
-				Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "10.0.0.1:1"}},
+				Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}},
 				Kind: kind, Zone: "here", Rack: rack, Standing: [...]string{"draining", "ready", "gone"}[state],
 				Units: 2, UpMs: -1,
 			}
--- a/internal/addresses/addresses.go
+++ b/internal/addresses/addresses.go
@@ -62,28 +62,28 @@
 // Spec is an address as service discovery or a configuration file gives it.
 type Spec struct {
 	Network string `json:"network" toml:"network"`
-	At      string `json:"at" toml:"at"`                             // host:port, or the path of a socket
-	Prefer  int    `json:"prefer,omitempty" toml:"prefer,omitempty"` // lower values are tried first
+	Addr      string `json:"at" toml:"at"`                             // host:port, or the path of a socket
+	Preference  int    `json:"prefer,omitempty" toml:"prefer,omitempty"` // lower values are tried first
 }
 
 // String returns the network and the address with a colon between them.
-func (s Spec) String() string { return s.Network + ":" + s.At }
+func (s Spec) String() string { return s.Network + ":" + s.Addr }
 
 // Check returns an error if the network is unknown or the address is not valid for it.
 func (s Spec) Check() error {
 	switch s.Network {
 	case Unix:
-		if !strings.HasPrefix(s.At, "/") || len(s.At) > 100 {
-			return fmt.Errorf("%q is not an absolute socket path of at most 100 bytes", s.At)
+		if !strings.HasPrefix(s.Addr, "/") || len(s.Addr) > 100 {
+			return fmt.Errorf("%q is not an absolute socket path of at most 100 bytes", s.Addr)
 		}
 		return nil
 	case TCP4, TCP6:
-		addrPort, err := netip.ParseAddrPort(s.At)
+		addrPort, err := netip.ParseAddrPort(s.Addr)
 		if err != nil {
-			return fmt.Errorf("%q is not an IP address with a port: %w", s.At, err)
+			return fmt.Errorf("%q is not an IP address with a port: %w", s.Addr, err)
 		}
 		if addrPort.Addr().Unmap().Is4() != (s.Network == TCP4) || addrPort.Port() == 0 {
-			return fmt.Errorf("%q is not an address of network %s, or its port is 0", s.At, s.Network)
+			return fmt.Errorf("%q is not an address of network %s, or its port is 0", s.Addr, s.Network)
 		}
 		return nil
 	}
@@ -92,7 +92,7 @@
 
 // precedence returns the precedence of RFC 6724, section 2.1, for the prefixes that backends can have.
 func (s Spec) precedence() int {
-	addrPort, err := netip.ParseAddrPort(s.At)
+	addrPort, err := netip.ParseAddrPort(s.Addr)
 	if s.Network == Unix || err != nil {
 		return 60 // before the loopback with its 50
 	}
@@ -152,14 +152,14 @@
 	return 2 + a.successes.Sum(now), 1 + a.failures.Sum(now) + min(a.failuresInARow, maxFailuresInARow)
 }
 
-// Doubtful tells whether the address is more likely to fail than to serve.
-func (a *Address) Doubtful(now time.Duration) bool {
+// Suspected tells whether the address is more likely to fail than to serve.
+func (a *Address) Suspected(now time.Duration) bool {
 	success, failure := a.posterior(now)
 	return failure > success
 }
 
-// Why describes the state of the address for operators.
-func (a *Address) Why(now time.Duration) string {
+// Summary describes the state of the address for operators.
+func (a *Address) Summary(now time.Duration) string {
 	if !a.hasResult {
 		return "not tried yet"
 	}
@@ -168,22 +168,22 @@
 		a.LastResult, (now - a.LastResultTime).Seconds(), success/(success+failure), 1000*a.verifyTime.Or(0))
 }
 
-// Book holds the addresses of one backend with their history, and orders them.
-type Book struct {
+// Tracker holds the addresses of one backend with their history, and orders them.
+type Tracker struct {
 	addresses  []*Address // in the order of the endpoint list
 	rng        *brain.PCG
 	verifyTime brain.Mean // seconds, over all addresses
 }
 
 // NewTracker returns a Tracker without addresses; the seed is that of the random draws in Order.
-func NewTracker(seed uint64) *Book { return &Book{rng: brain.NewPCG(seed)} }
+func NewTracker(seed uint64) *Tracker { return &Tracker{rng: brain.NewPCG(seed)} }
 
 // Set replaces the addresses. Addresses that stay keep their history; those that are no longer named are marked as
 // removed and returned. A duplicate of an address is ignored.
-func (t *Book) Set(specs []Spec) (removed []*Address) {
+func (t *Tracker) Set(specs []Spec) (removed []*Address) {
 	var next []*Address
 	for _, s := range specs {
-		same := func(a *Address) bool { return a.Network == s.Network && a.At == s.At }
+		same := func(a *Address) bool { return a.Network == s.Network && a.Addr == s.Addr }
 		if slices.ContainsFunc(next, same) {
 			continue
 		}
@@ -194,7 +194,7 @@
 			})
 			continue
 		}
-		t.addresses[i].Prefer = s.Prefer
+		t.addresses[i].Preference = s.Preference
 		next = append(next, t.addresses[i])
 	}
 	for _, a := range t.addresses {
@@ -208,10 +208,10 @@
 }
 
 // Addresses returns the addresses in the order in which the endpoint list names them.
-func (t *Book) Addresses() []*Address { return t.addresses }
+func (t *Tracker) Addresses() []*Address { return t.addresses }
 
 // Record adds a result to the history of an address; took is the time until a connection was verified.
-func (t *Book) Record(now time.Duration, a *Address, result Result, took time.Duration) {
+func (t *Tracker) Record(now time.Duration, a *Address, result Result, took time.Duration) {
 	a.LastResult, a.LastResultTime, a.hasResult = result, now, true
 	if result.success() {
 		a.successes.Add(now, 1)
@@ -229,7 +229,7 @@
 // Order returns the addresses in the order in which to try them now. A suspected address moves behind the others if a
 // draw from its posterior is low. Then come, in this order, the stated preference, the precedence of the network and
 // the verification time. As in RFC 8305, the first address of a family is followed by one of another family.
-func (t *Book) Order(now time.Duration) []*Address {
+func (t *Tracker) Order(now time.Duration) []*Address {
 	type candidate struct {
 		*Address
 		distrusted int
@@ -244,7 +244,7 @@
 	}
 	slices.SortStableFunc(candidates, func(x, y candidate) int {
 		return cmp.Or(
-			cmp.Compare(x.distrusted, y.distrusted), cmp.Compare(x.Prefer, y.Prefer),
+			cmp.Compare(x.distrusted, y.distrusted), cmp.Compare(x.Preference, y.Preference),
 			cmp.Compare(y.precedence(), x.precedence()), cmp.Compare(x.verifyTime.Or(0), y.verifyTime.Or(0)))
 	})
 	var ordered []*Address
@@ -253,7 +253,7 @@
 		if n := len(ordered); n > 0 {
 			// Families alternate only among addresses of equal trust and preference.
 			for j, c := range candidates {
-				if c.distrusted != candidates[0].distrusted || c.Prefer != candidates[0].Prefer {
+				if c.distrusted != candidates[0].distrusted || c.Preference != candidates[0].Preference {
 					break
 				}
 				if c.Network != ordered[n-1].Network {
@@ -270,7 +270,7 @@
 
 // Stagger returns how long a connection attempt is given before the next one starts alongside, and how long an idle
 // connection may take to be verified again.
-func (t *Book) Stagger() time.Duration {
+func (t *Tracker) Stagger() time.Duration {
 	stagger := time.Duration(
 		staggerFactor * t.verifyTime.Or(initialStagger.Seconds()/staggerFactor) * float64(time.Second))
 	return min(max(stagger, minStagger), maxStagger)
@@ -279,7 +279,7 @@
 // Race is the search for one connection to a backend: staggered connection attempts, of which the first verified one
 // wins.
 type Race struct {
-	tracker   *Book
+	tracker   *Tracker
 	pending   []*Address
 	inFlight  []*Address
 	deadline  time.Duration
@@ -288,7 +288,7 @@
 }
 
 // Race starts a search that ends at the deadline.
-func (t *Book) Race(now, deadline time.Duration) *Race {
+func (t *Tracker) Race(now, deadline time.Duration) *Race {
 	return &Race{tracker: t, pending: t.Order(now), deadline: deadline, nextStart: now}
 }
 
@@ -352,10 +352,10 @@
 
 // WarmAddresses returns the addresses at which a verified connection should be kept ready: the best ones that are not
 // suspected.
-func (t *Book) WarmAddresses(now time.Duration) []*Address {
+func (t *Tracker) WarmAddresses(now time.Duration) []*Address {
 	var warm []*Address
 	for _, a := range t.Order(now) {
-		if len(warm) < maxWarmAddresses && !a.Doubtful(now) {
+		if len(warm) < maxWarmAddresses && !a.Suspected(now) {
 			warm = append(warm, a)
 		}
 	}
@@ -371,7 +371,7 @@
 
 // Next picks a suspected address of any backend to recheck, the one not tried for the longest time first, and spends a
 // token on it. It returns nil if none is due or the budget is spent. The caller passes the trackers in a stable order.
-func (b *RecheckBudget) Next(now time.Duration, trackers []*Book) (*Book, *Address) {
+func (b *RecheckBudget) Next(now time.Duration, trackers []*Tracker) (*Tracker, *Address) {
 	if !b.started {
 		b.tokens, b.started = recheckBurst, true
 	} else {
@@ -381,11 +381,11 @@
 	if b.tokens < 1 {
 		return nil, nil
 	}
-	var owner *Book
+	var owner *Tracker
 	var pick *Address
 	for _, t := range trackers {
 		for _, a := range t.addresses {
-			due := a.attempted && a.Doubtful(now) && a.attemptsInFlight == 0 &&
+			due := a.attempted && a.Suspected(now) && a.attemptsInFlight == 0 &&
 				now-a.LastAttempt >= minRecheckInterval
 			if due && (pick == nil || a.LastAttempt < pick.LastAttempt) {
 				owner, pick = t, a
@@ -401,7 +401,7 @@
 }
 
 // RecordRecheck adds the result of a recheck.
-func (t *Book) RecordRecheck(now time.Duration, a *Address, result Result, took time.Duration) {
+func (t *Tracker) RecordRecheck(now time.Duration, a *Address, result Result, took time.Duration) {
 	a.attemptsInFlight--
 	if result != LocalError {
 		t.Record(now, a, result, took)
--- a/internal/addresses/addresses_test.go
+++ b/internal/addresses/addresses_test.go
@@ -11,15 +11,15 @@
 )
 
 var (
-	socket       = Spec{Network: Unix, At: "/run/b.sock"}
-	loopback     = Spec{Network: TCP6, At: "[::1]:80"}
-	ipv6         = Spec{Network: TCP6, At: "[2001:db8::1]:80"}
-	ipv4         = Spec{Network: TCP4, At: "10.0.0.1:80"}
-	otherIPv4    = Spec{Network: TCP4, At: "10.0.0.2:80"}
-	uniqueLocal6 = Spec{Network: TCP6, At: "[fd00::1]:80"}
+	socket       = Spec{Network: Unix, Addr: "/run/b.sock"}
+	loopback     = Spec{Network: TCP6, Addr: "[::1]:80"}
+	ipv6         = Spec{Network: TCP6, Addr: "[2001:db8::1]:80"}
+	ipv4         = Spec{Network: TCP4, Addr: "10.0.0.1:80"}
+	otherIPv4    = Spec{Network: TCP4, Addr: "10.0.0.2:80"}
+	uniqueLocal6 = Spec{Network: TCP6, Addr: "[fd00::1]:80"}
 )
 
-func newTracker(specs ...Spec) *Book {
+func newTracker(specs ...Spec) *Tracker {
 	b := NewTracker(1)
 	b.Set(specs)
 	return b
@@ -28,12 +28,12 @@
 func join(list []*Address) string {
 	var texts []string
 	for _, a := range list {
-		texts = append(texts, a.At)
+		texts = append(texts, a.Addr)
 	}
 	return strings.Join(texts, " ")
 }
 
-func withPreference(s Spec, n int) Spec { s.Prefer = n; return s }
+func withPreference(s Spec, n int) Spec { s.Preference = n; return s }
 
 func TestOrderByPreferenceAndPrecedenceWithAlternatingFamilies(t *testing.T) {
 	for _, c := range []struct {
@@ -61,7 +61,7 @@
 	}
 	first := 0
 	for range 2000 {
-		if tracker.Order(time.Second)[0].At == socket.At {
+		if tracker.Order(time.Second)[0].Addr == socket.Addr {
 			first++
 		}
 	}
@@ -70,14 +70,14 @@
 	}
 	tracker.Record(2*time.Second, tracker.addresses[0], Verified, time.Millisecond)
 	tracker.Record(2*time.Second, tracker.addresses[0], Served, 0)
-	if later := 60 * time.Second; tracker.Order(later)[0].At != socket.At {
+	if later := 60 * time.Second; tracker.Order(later)[0].Addr != socket.Addr {
 		t.Error("a minute after it was verified again the address is still suspected")
 	}
 }
 
 // run simulates a race in virtual time: outcome gives, for each address, how long its attempt takes and its result.
 func run(
-	tracker *Book, start, limit time.Duration, outcome func(a *Address) (time.Duration, Result),
+	tracker *Tracker, start, limit time.Duration, outcome func(a *Address) (time.Duration, Result),
 ) (winner *Address, took time.Duration, started []*Address) {
 	type attempt struct {
 		address *Address
@@ -126,25 +126,25 @@
 		maxTime  time.Duration
 		attempts int
 	}{
-		{"all addresses work", fast, socket.At, time.Millisecond, 1},
+		{"all addresses work", fast, socket.Addr, time.Millisecond, 1},
 		{"the first refuses", func(a *Address) (time.Duration, Result) {
 			if a.Network == Unix {
 				return time.Millisecond, Refused
 			}
 			return fast(a)
-		}, loopback.At, 3 * time.Millisecond, 2},
+		}, loopback.Addr, 3 * time.Millisecond, 2},
 		{"the first stalls", func(a *Address) (time.Duration, Result) {
 			if a.Network == Unix {
 				return never, TimedOut
 			}
 			return fast(a)
-		}, loopback.At, maxStagger + time.Millisecond, 2},
+		}, loopback.Addr, maxStagger + time.Millisecond, 2},
 		{"two stall", func(a *Address) (time.Duration, Result) {
 			if a.Network != TCP4 {
 				return never, TimedOut
 			}
 			return fast(a)
-		}, ipv4.At, 2*maxStagger + time.Millisecond, 3},
+		}, ipv4.Addr, 2*maxStagger + time.Millisecond, 3},
 		{"all refuse", func(a *Address) (time.Duration, Result) {
 			return time.Millisecond, Refused
 		}, "", 4 * time.Millisecond, 3},
@@ -156,12 +156,12 @@
 				return time.Millisecond, WrongBackend
 			}
 			return fast(a)
-		}, loopback.At, 3 * time.Millisecond, 2},
+		}, loopback.Addr, 3 * time.Millisecond, 2},
 	} {
 		winner, took, started := run(newTracker(socket, loopback, ipv4), time.Second, 250*time.Millisecond, c.outcome)
 		got := ""
 		if winner != nil {
-			got = winner.At
+			got = winner.Addr
 		}
 		if got != c.want || took > c.maxTime || len(started) != c.attempts {
 			t.Errorf("%s: %q after %v with %d attempts, want %q within %v with %d",
@@ -180,7 +180,7 @@
 	if race.Record(time.Millisecond, a, Verified, time.Millisecond) {
 		t.Error("the removed address won")
 	}
-	if next, _, _ := race.Next(time.Millisecond); next == nil || next.At != ipv4.At {
+	if next, _, _ := race.Next(time.Millisecond); next == nil || next.Addr != ipv4.Addr {
 		t.Errorf("the next attempt is at %v", next)
 	}
 }
@@ -194,13 +194,13 @@
 		for i := range count {
 			switch rapid.IntRange(0, 2).Draw(t, "family") {
 			case 0:
-				specs = append(specs, Spec{Network: Unix, At: fmt.Sprintf("/s%d", i)})
+				specs = append(specs, Spec{Network: Unix, Addr: fmt.Sprintf("/s%d", i)})
 			case 1:
-				specs = append(specs, Spec{Network: TCP4, At: fmt.Sprintf("10.0.0.%d:1", i+1)})
+				specs = append(specs, Spec{Network: TCP4, Addr: fmt.Sprintf("10.0.0.%d:1", i+1)})
 			default:
-				specs = append(specs, Spec{Network: TCP6, At: fmt.Sprintf("[2001:db8::%d]:1", i+1)})
+				specs = append(specs, Spec{Network: TCP6, Addr: fmt.Sprintf("[2001:db8::%d]:1", i+1)})
 			}
-			specs[i].Prefer = rapid.IntRange(0, 1).Draw(t, "prefer")
+			specs[i].Preference = rapid.IntRange(0, 1).Draw(t, "prefer")
 		}
 		tracker := NewTracker(rapid.Uint64().Draw(t, "seed"))
 		tracker.Set(specs)
@@ -244,13 +244,13 @@
 }
 
 func TestRechecksStayWithinBudgetAndReachEverySuspectedAddress(t *testing.T) {
-	var trackers []*Book
+	var trackers []*Tracker
 	for i := range 79 {
 		tracker := NewTracker(uint64(i))
 		tracker.Set([]Spec{
-			{Network: TCP4, At: fmt.Sprintf("10.0.%d.1:1", i)},
-			{Network: TCP4, At: fmt.Sprintf("10.0.%d.2:1", i)},
-			{Network: Unix, At: fmt.Sprintf("/%d", i)},
+			{Network: TCP4, Addr: fmt.Sprintf("10.0.%d.1:1", i)},
+			{Network: TCP4, Addr: fmt.Sprintf("10.0.%d.2:1", i)},
+			{Network: Unix, Addr: fmt.Sprintf("/%d", i)},
 		})
 		for _, a := range tracker.addresses {
 			for range 5 {
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -24,7 +24,7 @@
 )
 
 // connect gets a connection for an attempt, over which all of the request has gone out; until then it can't have run.
-func (c *transport) connect(ctx, within context.Context, f *dispatch.Attempt, host *reach.Host, m *payload) (*reach.Conn, func() bool, error) {
+func (c *transport) connect(ctx, within context.Context, f *dispatch.Attempt, host *reach.Pool, m *payload) (*reach.Conn, func() bool, error) {
 	limit := c.connectLimit(f)
 	var local error // why this machine could not begin the last connection
 	for began, refused := time.Now(), 0; ; {
@@ -58,7 +58,7 @@
 		if err == nil {
 			return conn, stop, nil
 		}
-		conn.Drop()
+		conn.Discard()
 		if errors.Is(err, errStale) || errors.Is(err, errCutOff) || within.Err() != nil {
 			return nil, nil, err
 		}
@@ -68,9 +68,9 @@
 // connectLimit is how long an attempt's connection may take.
 func (c *transport) connectLimit(f *dispatch.Attempt) time.Duration {
 	if t := f.Planned.Connect; t > 0 {
-		return min(t, c.boxes.Limit)
+		return min(t, c.boxes.DialTimeout)
 	}
-	return c.boxes.Limit
+	return c.boxes.DialTimeout
 }
 
 // put sends a request over a new connection, if it may still go out. Nothing but the loop can tell: a drain, the client's going or
@@ -118,7 +118,7 @@
 // write sends a request, and has its connection closed when it is called off.
 func write(ctx context.Context, conn *reach.Conn, head, body []byte) (stop func() bool, err error) {
 	stop = context.AfterFunc(ctx, func() { conn.Conn.Close() })
-	whole, err := conn.Put(head, body)
+	whole, err := conn.WriteRequest(head, body)
 	if whole {
 		return stop, nil
 	}
@@ -130,7 +130,7 @@
 }
 
 // open gets a connection for an attempt within the descriptors that attempts may have.
-func (c *transport) open(ctx context.Context, f *dispatch.Attempt, host *reach.Host, m *payload) (conn *reach.Conn, stop func() bool, err error) {
+func (c *transport) open(ctx context.Context, f *dispatch.Attempt, host *reach.Pool, m *payload) (conn *reach.Conn, stop func() bool, err error) {
 	if host == nil {
 		return nil, nil, errStale // its backend is gone
 	}
--- a/internal/platform/releases.go
+++ b/internal/platform/releases.go
@@ -60,17 +60,17 @@
 
 // releaseOrder is the order in which backends are called: those heard last, and second the one that may hold the state. Where many
 // backends are cut off, calls to them would else take all descriptors, and the time that is left.
-func (c *transport) releaseOrder(holder *reach.Host) []*reach.Host {
+func (c *transport) releaseOrder(holder *reach.Pool) []*reach.Pool {
 	order := c.heard.lastHeard()
 	if holder == nil || len(order) > 0 && order[0] == holder {
 		return order
 	}
-	order = slices.DeleteFunc(order, func(h *reach.Host) bool { return h == holder })
+	order = slices.DeleteFunc(order, func(h *reach.Pool) bool { return h == holder })
 	return slices.Insert(order, min(1, len(order)), holder)
 }
 
 // releaseAny calls backends until one answers.
-func (c *transport) releaseAny(targets []*reach.Host, call []byte) bool {
+func (c *transport) releaseAny(targets []*reach.Pool, call []byte) bool {
 	ctx, end := context.WithTimeout(c.life, releaseMost)
 	defer end()
 	heard := make(chan releaseResult)
@@ -116,7 +116,7 @@
 )
 
 // release calls one backend. Its time begins when there is a descriptor for the call.
-func (c *transport) release(ctx context.Context, host *reach.Host, call []byte) releaseResult {
+func (c *transport) release(ctx context.Context, host *reach.Pool, call []byte) releaseResult {
 	select {
 	case c.calls <- struct{}{}:
 	case <-ctx.Done():
@@ -133,7 +133,7 @@
 	return result
 }
 
-func (c *transport) callRelease(ctx context.Context, host *reach.Host, call []byte) releaseResult {
+func (c *transport) callRelease(ctx context.Context, host *reach.Pool, call []byte) releaseResult {
 	ctx, cancel := context.WithTimeout(ctx, releaseTry)
 	defer cancel()
 	conn, err := host.Get(ctx)
@@ -143,12 +143,12 @@
 	if err != nil {
 		return releaseUnheard
 	}
-	defer conn.Drop()
+	defer conn.Discard()
 	conn.SetDeadline(time.Now().Add(releaseTry))
-	if whole, _ := conn.Put(call); !whole {
+	if whole, _ := conn.WriteRequest(call); !whole {
 		return releaseUnheard
 	}
-	resp, err := conn.Head(nil)
+	resp, err := conn.ReadResponse(nil)
 	if err != nil {
 		return releaseUnheard
 	}
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -71,12 +71,12 @@
 	n.life, n.end = context.WithCancel(ctx)
 	n.pulse = newPulse(time.Now())
 	n.monitor = monitor.New(monitorTerms(facts), since, log)
-	boxes := &reach.Boxes{
-		Limit: max(facts.Span("policyLimits.dialTimeoutUs"), 10*time.Millisecond), Most: room.boxes, Since: since, Life: n.life, Group: &n.trips, Dial: sys.Dial, Bare: true,
+	boxes := &reach.Manager{
+		DialTimeout: max(facts.Span("policyLimits.dialTimeoutUs"), 10*time.Millisecond), MaxConnsPerBackend: room.boxes, Now: since, Context: n.life, Group: &n.trips, Dial: sys.Dial, SkipVerify: true,
 	}
 	n.transport = &transport{
 		fields: facts.Names("report.fields"), boxes: boxes, life: n.life, group: &n.trips, log: log, notable: &notableLog{log: log}, monitor: n.monitor, pulse: n.pulse, passed: map[string]*passed{},
-		hosts: map[*dispatch.Backend]*reach.Host{}, releaser: releaser{calls: make(chan struct{}, room.releases)}, since: since,
+		hosts: map[*dispatch.Backend]*reach.Pool{}, releaser: releaser{calls: make(chan struct{}, room.releases)}, since: since,
 		slots: make(chan struct{}, room.boxes),
 	}
 	places := dispatch.Places{
@@ -138,7 +138,7 @@
 }
 
 func (n *node) run(ctx context.Context, again <-chan os.Signal, read func() (Place, error)) (err error) {
-	n.trips.Go(n.transport.boxes.Tend)
+	n.trips.Go(n.transport.boxes.Run)
 	n.group.Go(func() error { return n.loop.Run(n.life) })
 	n.group.Go(func() error { return n.follower.Follow(n.life) })
 	n.group.Go(func() error { n.pulse.run(n.life); return nil })
@@ -160,7 +160,7 @@
 	})
 	p := n.place
 	n.log.Info("serving", "listen", n.limiter.Addr().String(), "discovery", p.Discovery, "cores", p.Limits.Cores, "memory_mb", p.Limits.MemoryMB,
-		"sockets", p.Limits.Sockets, "clients", n.limiter.most, "boxes", n.transport.boxes.Most)
+		"sockets", p.Limits.Sockets, "clients", n.limiter.most, "boxes", n.transport.boxes.MaxConnsPerBackend)
 	tick := time.NewTicker(tellEach)
 	defer tick.Stop()
 	for run := true; run; {
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -41,12 +41,12 @@
 // transport takes attempts to backends.
 type transport struct {
 	fields  []string // of load reports
-	boxes   *reach.Boxes
+	boxes   *reach.Manager
 	loop    *dispatch.Loop
 	life    context.Context
 	group   *errgroup.Group
 	tell    func(peer int, n brain.PeerUpdate)
-	hosts   map[*dispatch.Backend]*reach.Host // the loop's
+	hosts   map[*dispatch.Backend]*reach.Pool // the loop's
 	log     *slog.Logger
 	notable *notableLog
 	monitor *monitor.Monitor
@@ -65,7 +65,7 @@
 }
 
 func (c *transport) Reach(b *dispatch.Backend, at []addresses.Spec) {
-	h := c.boxes.Set(b.Name, at, uint64(b.Known.ID))
+	h := c.boxes.SetAddresses(b.Name, at, uint64(b.Known.ID))
 	if len(at) == 0 {
 		delete(c.hosts, b)
 		c.heard.remove(h)
@@ -135,7 +135,7 @@
 }
 
 // fly is one attempt. Its connection is closed before its end is told.
-func (c *transport) fly(ctx context.Context, f *dispatch.Attempt, host *reach.Host, m *payload) (r brain.Result) {
+func (c *transport) fly(ctx context.Context, f *dispatch.Attempt, host *reach.Pool, m *payload) (r brain.Result) {
 	conn, stop, err := c.open(ctx, f, host, m)
 	if err != nil {
 		return notSent(ctx, err)
@@ -148,7 +148,7 @@
 	defer func() {
 		c.pass(f, -1, load)
 		stop()
-		conn.Drop()
+		conn.Discard()
 		<-c.slots
 		c.monitor.AttemptEnds(m.id, f.Planned.Number, hasEffect(f), proves(r.Outcome), dispatch.OutcomeName(r.Outcome))
 	}()
@@ -161,7 +161,7 @@
 		}
 		return brain.Result{Outcome: brain.Broken}
 	}
-	if _, err := conn.Bytes().Peek(1); err != nil {
+	if _, err := conn.Reader().Peek(1); err != nil {
 		c.heard.silent(host)
 		return broken()
 	}
@@ -172,7 +172,7 @@
 	var resp *http.Response
 	for range chat.InformMost {
 		var err error
-		if resp, err = conn.Head(nil); err != nil {
+		if resp, err = conn.ReadResponse(nil); err != nil {
 			c.Spoilt.Add(1)
 			return broken()
 		}
@@ -201,7 +201,7 @@
 		c.Spoilt.Add(1)
 		return broken()
 	}
-	stream := chat.NewStream(conn.Bytes())
+	stream := chat.NewStream(conn.Reader())
 	for begun := false; ; {
 		piece, err := stream.Next()
 		if err == io.EOF {
--- a/internal/reach/allowlist.go
+++ b/internal/reach/allowlist.go
@@ -10,17 +10,17 @@
 	"sloetrestle/internal/addresses"
 )
 
-// Allowed is the set of addresses that backends may have.
-type Allowed struct {
+// AllowList is the set of addresses that backends may have.
+type AllowList struct {
 	set        *netipx.IPSet
 	socketDirs []string
 	all        bool
 }
 
-// NewAllowed parses IP ranges (10.0.0.0/8, 10.0.0.1-10.0.0.9, a single address) and directories of sockets
+// NewAllowList parses IP ranges (10.0.0.0/8, 10.0.0.1-10.0.0.9, a single address) and directories of sockets
 // (unix:/run/backends/). An empty list allows every address.
-func NewAllowed(ranges []string) (*Allowed, error) {
-	a := &Allowed{all: len(ranges) == 0}
+func NewAllowList(ranges []string) (*AllowList, error) {
+	a := &AllowList{all: len(ranges) == 0}
 	var set netipx.IPSetBuilder
 	for _, r := range ranges {
 		if dir, ok := strings.CutPrefix(r, "unix:"); ok {
@@ -45,19 +45,19 @@
 	return a, err
 }
 
-// Has tells whether a backend may have an address.
-func (a *Allowed) Has(s addresses.Spec) bool {
+// Contains tells whether a backend may have an address.
+func (a *AllowList) Contains(s addresses.Spec) bool {
 	if a.all {
 		return true
 	}
 	if s.Network == addresses.Unix {
 		for _, dir := range a.socketDirs {
-			if strings.HasPrefix(s.At, dir) && !strings.Contains(s.At, "/../") {
+			if strings.HasPrefix(s.Addr, dir) && !strings.Contains(s.Addr, "/../") {
 				return true
 			}
 		}
 		return false
 	}
-	addrPort, err := netip.ParseAddrPort(s.At)
+	addrPort, err := netip.ParseAddrPort(s.Addr)
 	return err == nil && a.set.Contains(addrPort.Addr().Unmap())
 }
--- a/internal/reach/listen.go
+++ b/internal/reach/listen.go
@@ -17,7 +17,7 @@
 func ParseListen(text string) (addresses.Spec, error) {
 	for _, network := range []string{addresses.Unix, addresses.TCP4, addresses.TCP6} {
 		if address, ok := strings.CutPrefix(text, network+":"); ok {
-			s := addresses.Spec{Network: network, At: address}
+			s := addresses.Spec{Network: network, Addr: address}
 			if network == addresses.Unix && !strings.HasPrefix(address, "/") {
 				return s, fmt.Errorf("%q is not an absolute path", address)
 			}
@@ -28,34 +28,34 @@
 		return addresses.Spec{}, fmt.Errorf(
 			"%q is not an address such as 127.0.0.1:8100, tcp6:[::1]:8100 or unix:/run/d0.sock", text)
 	}
-	return addresses.Spec{Network: "tcp", At: text}, nil
+	return addresses.Spec{Network: "tcp", Addr: text}, nil
 }
 
 // Listen listens for clients on an address. It replaces a stale socket file, on which no process listens. It returns an
 // error, and leaves the file as it is, if a process listens on the socket or if the file is not a socket.
 func Listen(s addresses.Spec) (net.Listener, error) {
 	if s.Network != addresses.Unix {
-		return net.Listen(s.Network, s.At)
+		return net.Listen(s.Network, s.Addr)
 	}
-	l, err := net.Listen("unix", s.At)
+	l, err := net.Listen("unix", s.Addr)
 	if err == nil || !errors.Is(err, syscall.EADDRINUSE) {
 		return l, err
 	}
-	info, statErr := os.Lstat(s.At)
+	info, statErr := os.Lstat(s.Addr)
 	if statErr != nil {
 		return nil, err
 	}
 	if info.Mode()&os.ModeSocket == 0 {
-		return nil, fmt.Errorf("%s exists and is not a socket", s.At)
+		return nil, fmt.Errorf("%s exists and is not a socket", s.Addr)
 	}
-	if conn, dialErr := net.DialTimeout("unix", s.At, time.Second); dialErr == nil {
+	if conn, dialErr := net.DialTimeout("unix", s.Addr, time.Second); dialErr == nil {
 		conn.Close()
-		return nil, fmt.Errorf("%s: another process listens on this socket", s.At)
+		return nil, fmt.Errorf("%s: another process listens on this socket", s.Addr)
 	} else if !errors.Is(dialErr, syscall.ECONNREFUSED) {
-		return nil, fmt.Errorf("%s may be in use: %w", s.At, dialErr)
+		return nil, fmt.Errorf("%s may be in use: %w", s.Addr, dialErr)
 	}
-	if err := os.Remove(s.At); err != nil {
+	if err := os.Remove(s.Addr); err != nil {
 		return nil, err
 	}
-	return net.Listen("unix", s.At)
+	return net.Listen("unix", s.Addr)
 }
--- a/internal/reach/pool.go
+++ b/internal/reach/pool.go
@@ -26,36 +26,36 @@
 	"sloetrestle/internal/system"
 )
 
-// Boxes holds the connection pools of all backends that a dispatcher connects to. The exported fields must not change
+// Manager holds the connection pools of all backends that a dispatcher connects to. The exported fields must not change
 // after the first use.
-type Boxes struct {
-	Limit time.Duration        // for getting a connection, all addresses together
-	Most  int                  // open connections to one backend
-	Since func() time.Duration // the time on a monotonic clock
-	Life  context.Context      // when it ends, idle connections are closed and none are opened in the background
+type Manager struct {
+	DialTimeout time.Duration        // for getting a connection, all addresses together
+	MaxConnsPerBackend  int                  // open connections to one backend
+	Now func() time.Duration // the time on a monotonic clock
+	Context  context.Context      // when it ends, idle connections are closed and none are opened in the background
 	Group *errgroup.Group      // runs the connection attempts
 
 	// Dial opens a connection; nil means the operating system's.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	// Bare is for backends that cannot verify a connection: it counts as verified once it is established, takes one
+	// SkipVerify is for backends that cannot verify a connection: it counts as verified once it is established, takes one
 	// request, and none is opened in the background.
-	Bare bool
+	SkipVerify bool
 
 	mu            sync.Mutex
-	pools         map[string]*Host
-	ordered       []*Host // in the order in which they were added
+	pools         map[string]*Pool
+	ordered       []*Pool // in the order in which they were added
 	hasRemoved    bool    // some of the pools belong to removed backends
 	recheckBudget addresses.RecheckBudget
 }
 
-// Host is the connection pool of one backend.
-type Host struct {
+// Pool is the connection pool of one backend.
+type Pool struct {
 	Name    string
-	manager *Boxes
+	manager *Manager
 
 	mu       sync.Mutex
-	tracker  *addresses.Book
+	tracker  *addresses.Tracker
 	idle     []*Conn
 	open     int // connections, with the idle ones and one for each race that is under way
 	dialing  int // races and background attempts under way
@@ -68,7 +68,7 @@
 type Conn struct {
 	net.Conn
 	Address   *addresses.Address
-	pool      *Host
+	pool      *Pool
 	reader    *responseReader
 	idleSince time.Duration
 	written   int64 // bytes of the current request
@@ -98,9 +98,9 @@
 }
 
 var (
-	// ErrUnreached means that no address of the backend gave a verified connection in time, or that the backend was
+	// ErrUnreachable means that no address of the backend gave a verified connection in time, or that the backend was
 	// removed.
-	ErrUnreached = errors.New("no address of the backend accepts and verifies a connection")
+	ErrUnreachable = errors.New("no address of the backend accepts and verifies a connection")
 	// ErrLocal means that this machine could not start to connect, which says nothing of the backend.
 	ErrLocal = errors.New("this machine cannot open a connection at present")
 	// ErrNotSent means that the request may be sent over another connection.
@@ -117,17 +117,17 @@
 	maxDrainBytes  = 64 << 10 // that may follow the last event of a response
 )
 
-// Set sets the addresses of a backend and returns its pool; no addresses means that the backend was removed.
+// SetAddresses sets the addresses of a backend and returns its pool; no addresses means that the backend was removed.
 // Connections to addresses that it no longer has are closed if they are idle, and otherwise when their request ends.
 // The seed is that of the random draws in the order of addresses.
-func (m *Boxes) Set(name string, specs []addresses.Spec, seed uint64) *Host {
+func (m *Manager) SetAddresses(name string, specs []addresses.Spec, seed uint64) *Pool {
 	m.mu.Lock()
 	if m.pools == nil {
-		m.pools = map[string]*Host{}
+		m.pools = map[string]*Pool{}
 	}
 	p := m.pools[name]
 	if p == nil {
-		p = &Host{Name: name, manager: m, tracker: addresses.NewTracker(seed), changed: make(chan struct{})}
+		p = &Pool{Name: name, manager: m, tracker: addresses.NewTracker(seed), changed: make(chan struct{})}
 		m.pools[name] = p
 		m.ordered = append(m.ordered, p)
 	}
@@ -141,20 +141,20 @@
 	return p
 }
 
-// Best returns the backend's addresses as text, in the order in which they would be tried now.
-func (p *Host) Best() []string {
+// Addresses returns the backend's addresses as text, in the order in which they would be tried now.
+func (p *Pool) Addresses() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var texts []string
-	for _, a := range p.tracker.Order(p.manager.Since()) {
+	for _, a := range p.tracker.Order(p.manager.Now()) {
 		texts = append(texts, a.Spec.String())
 	}
 	return texts
 }
 
-// Look calls visit for each backend, with its address tracker and its numbers of open and idle connections. The
+// ForEach calls visit for each backend, with its address tracker and its numbers of open and idle connections. The
 // tracker must not be used after visit returns.
-func (m *Boxes) Look(visit func(name string, tracker *addresses.Book, open, idle int)) {
+func (m *Manager) ForEach(visit func(name string, tracker *addresses.Tracker, open, idle int)) {
 	for _, p := range m.snapshot() {
 		p.mu.Lock()
 		visit(p.Name, p.tracker, p.open, len(p.idle))
@@ -162,17 +162,17 @@
 	}
 }
 
-// Known returns the number of pools.
-func (m *Boxes) Known() int { return len(m.snapshot()) }
+// Len returns the number of pools.
+func (m *Manager) Len() int { return len(m.snapshot()) }
 
-func (m *Boxes) snapshot() []*Host {
+func (m *Manager) snapshot() []*Pool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.ordered)
 }
 
 // closeIdle closes the idle connections that a condition holds for. The pool must be locked.
-func (p *Host) closeIdle(condition func(*Conn) bool) {
+func (p *Pool) closeIdle(condition func(*Conn) bool) {
 	if len(p.idle) == 0 {
 		return
 	}
@@ -188,35 +188,35 @@
 }
 
 // notify wakes the goroutines that wait for a connection. The pool must be locked.
-func (p *Host) notify() {
+func (p *Pool) notify() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
 // Get returns a verified connection: an idle one, or the first that a race of the addresses gives.
-func (p *Host) Get(ctx context.Context) (*Conn, error) {
-	return p.getUntil(ctx, p.manager.Since()+p.manager.Limit)
+func (p *Pool) Get(ctx context.Context) (*Conn, error) {
+	return p.getUntil(ctx, p.manager.Now()+p.manager.DialTimeout)
 }
 
 // getUntil is Get with a deadline.
-func (p *Host) getUntil(ctx context.Context, deadline time.Duration) (*Conn, error) {
-	timer := time.NewTimer(deadline - p.manager.Since())
+func (p *Pool) getUntil(ctx context.Context, deadline time.Duration) (*Conn, error) {
+	timer := time.NewTimer(deadline - p.manager.Now())
 	defer timer.Stop()
 	for {
 		p.mu.Lock()
 		if p.removed {
 			p.mu.Unlock()
-			return nil, ErrUnreached
+			return nil, ErrUnreachable
 		}
-		if p.manager.Since() >= deadline {
+		if p.manager.Now() >= deadline {
 			p.mu.Unlock()
-			return nil, ErrUnreached
+			return nil, ErrUnreachable
 		}
 		if err := ctx.Err(); err != nil {
 			p.mu.Unlock()
 			return nil, err
 		}
-		p.lastUsed = p.manager.Since()
+		p.lastUsed = p.manager.Now()
 		if c := p.takeIdle(); c != nil {
 			fresh, timeout := p.lastUsed-c.idleSince < addresses.VerificationTTL, p.tracker.Stagger()
 			p.mu.Unlock()
@@ -225,10 +225,10 @@
 			}
 			continue
 		}
-		if p.open < p.manager.Most && p.dialing < addresses.MaxRaces {
+		if p.open < p.manager.MaxConnsPerBackend && p.dialing < addresses.MaxRaces {
 			p.open++
 			p.dialing++
-			race := p.tracker.Race(p.manager.Since(), deadline)
+			race := p.tracker.Race(p.manager.Now(), deadline)
 			p.mu.Unlock()
 			return p.race(ctx, race)
 		}
@@ -246,8 +246,8 @@
 
 // takeIdle returns the most recently used idle connection that is still alive, at the best address that has one. It
 // returns nil if there is none. The pool must be locked.
-func (p *Host) takeIdle() *Conn {
-	now := p.manager.Since()
+func (p *Pool) takeIdle() *Conn {
+	now := p.manager.Now()
 	for _, a := range p.tracker.Order(now) {
 		for i := len(p.idle) - 1; i >= 0; i-- {
 			c := p.idle[i]
@@ -262,7 +262,7 @@
 			c.Conn.Close()
 			p.open--
 		}
-		if a.Doubtful(now) {
+		if a.Suspected(now) {
 			break // a race is preferred to idle connections at the addresses after a suspected one
 		}
 	}
@@ -293,15 +293,15 @@
 }
 
 // race runs one race. The caller has counted its connection as open.
-func (p *Host) race(ctx context.Context, race *addresses.Race) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.manager.Limit)
+func (p *Pool) race(ctx context.Context, race *addresses.Race) (*Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, p.manager.DialTimeout)
 	defer cancel()
 	winner, ended := make(chan *Conn, 1), make(chan struct{}, 16)
 	var localErr error // of the last attempt, if this machine could not start it; guarded by the pool's lock
 	finish := func(c *Conn) (*Conn, error) {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		race.End(p.manager.Since())
+		race.End(p.manager.Now())
 		p.dialing--
 		if c == nil {
 			select {
@@ -312,7 +312,7 @@
 				if localErr != nil {
 					return nil, fmt.Errorf("%w: %w", ErrLocal, localErr)
 				}
-				return nil, ErrUnreached
+				return nil, ErrUnreachable
 			}
 		}
 		p.notify()
@@ -320,7 +320,7 @@
 	}
 	for {
 		p.mu.Lock()
-		a, wait, over := race.Next(p.manager.Since())
+		a, wait, over := race.Next(p.manager.Now())
 		var spec addresses.Spec
 		if a != nil {
 			spec = a.Spec
@@ -328,7 +328,7 @@
 		p.mu.Unlock()
 		if a != nil {
 			p.manager.Group.Go(func() error {
-				startedAt := p.manager.Since()
+				startedAt := p.manager.Now()
 				conn, reader, result, err := p.connect(ctx, spec)
 				p.mu.Lock()
 				defer p.mu.Unlock()
@@ -336,7 +336,7 @@
 				if result == addresses.LocalError {
 					localErr = err
 				}
-				now := p.manager.Since()
+				now := p.manager.Now()
 				won := race.Record(now, a, result, now-startedAt)
 				switch {
 				case won:
@@ -372,8 +372,8 @@
 
 // putIdle puts a verified connection among the idle ones, or closes it if there is no use for it. A new connection is
 // one that is not counted as open yet. The pool must be locked.
-func (p *Host) putIdle(c *Conn, isNew bool) {
-	if c.Address.Removed || p.removed || p.manager.Life.Err() != nil || isNew && p.open >= p.manager.Most {
+func (p *Pool) putIdle(c *Conn, isNew bool) {
+	if c.Address.Removed || p.removed || p.manager.Context.Err() != nil || isNew && p.open >= p.manager.MaxConnsPerBackend {
 		c.Conn.Close()
 		if !isNew {
 			p.open--
@@ -384,28 +384,28 @@
 	if isNew {
 		p.open++
 	}
-	c.idleSince = p.manager.Since()
+	c.idleSince = p.manager.Now()
 	p.idle = append(p.idle, c)
 	p.notify()
 }
 
 // connect opens a connection and verifies it: the far side must read a request and respond with the backend's name.
 // The error is that of dialing.
-func (p *Host) connect(
+func (p *Pool) connect(
 	ctx context.Context, spec addresses.Spec,
 ) (net.Conn, *responseReader, addresses.Result, error) {
 	dial := p.manager.Dial
 	if dial == nil {
 		dial = system.Real().Dial
 	}
-	conn, err := dial(ctx, spec.Network, spec.At)
+	conn, err := dial(ctx, spec.Network, spec.Addr)
 	if err != nil {
 		return nil, nil, dialFailure(ctx, err), err
 	}
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	reader := newResponseReader(conn)
 	result := addresses.Verified
-	if !p.manager.Bare {
+	if !p.manager.SkipVerify {
 		result = verify(conn, reader, p.Name)
 	}
 	if !stop() && result != addresses.WrongBackend {
@@ -455,7 +455,7 @@
 // reverify verifies a connection that was idle again. A failure counts against the address, whose other idle
 // connections are closed too.
 func (c *Conn) reverify(ctx context.Context, timeout time.Duration) bool {
-	startedAt := c.pool.manager.Since()
+	startedAt := c.pool.manager.Now()
 	stop := context.AfterFunc(ctx, func() { c.Conn.Close() })
 	c.Conn.SetDeadline(time.Now().Add(timeout))
 	result := verify(c.Conn, c.reader, c.pool.Name)
@@ -466,7 +466,7 @@
 	}
 	p := c.pool
 	p.mu.Lock()
-	now := p.manager.Since()
+	now := p.manager.Now()
 	if result == addresses.Disconnected && now-startedAt >= timeout {
 		result = addresses.TimedOut
 	}
@@ -522,10 +522,10 @@
 // Send sends a request over a connection of the pool. It tries connections until a byte of the request was sent over
 // one, for as long as getting one connection may take; newRequest is called for each. Without an error the body of
 // the response must be closed.
-func (p *Host) Send(
+func (p *Pool) Send(
 	ctx context.Context, newRequest func() (*http.Request, error),
 ) (*Conn, *http.Response, error) {
-	for deadline := p.manager.Since() + p.manager.Limit; ; {
+	for deadline := p.manager.Now() + p.manager.DialTimeout; ; {
 		conn, err := p.getUntil(ctx, deadline)
 		if err != nil {
 			return nil, nil, err
@@ -582,8 +582,8 @@
 	return nil
 }
 
-// Put sends the bytes of a request and tells whether all of them were sent. Until then the request cannot have run.
-func (c *Conn) Put(parts ...[]byte) (complete bool, err error) {
+// WriteRequest sends the bytes of a request and tells whether all of them were sent. Until then the request cannot have run.
+func (c *Conn) WriteRequest(parts ...[]byte) (complete bool, err error) {
 	total := int64(0)
 	for _, part := range parts {
 		total += int64(len(part))
@@ -594,14 +594,14 @@
 	return n == total, err
 }
 
-// Head reads the head of a response; what follows it is read from Bytes.
-func (c *Conn) Head(request *http.Request) (*http.Response, error) { return c.reader.readHead(request) }
+// ReadResponse reads the head of a response; what follows it is read from Bytes.
+func (c *Conn) ReadResponse(request *http.Request) (*http.Response, error) { return c.reader.readHead(request) }
 
-// Bytes returns the buffered reader of the connection.
-func (c *Conn) Bytes() *bufio.Reader { return c.reader.Reader }
+// Reader returns the buffered reader of the connection.
+func (c *Conn) Reader() *bufio.Reader { return c.reader.Reader }
 
-// Drop closes the connection and frees its place in the pool. It must be called at most once.
-func (c *Conn) Drop() { c.discard() }
+// Discard closes the connection and frees its place in the pool. It must be called at most once.
+func (c *Conn) Discard() { c.discard() }
 
 func (c *Conn) discard() {
 	c.Conn.Close()
@@ -612,31 +612,31 @@
 	p.mu.Unlock()
 }
 
-// Served records that a request over the connection was served.
-func (c *Conn) Served() { c.record(addresses.Served) }
+// ReportServed records that a request over the connection was served.
+func (c *Conn) ReportServed() { c.record(addresses.Served) }
 
-// Lost records that a request over the connection failed. The idle connections to the address are closed, so that the
+// ReportFailed records that a request over the connection failed. The idle connections to the address are closed, so that the
 // next request to it goes over a newly verified one.
-func (c *Conn) Lost() { c.record(addresses.RequestFailed) }
+func (c *Conn) ReportFailed() { c.record(addresses.RequestFailed) }
 
 func (c *Conn) record(result addresses.Result) {
 	p := c.pool
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.tracker.Record(p.manager.Since(), c.Address, result, 0)
+	p.tracker.Record(p.manager.Now(), c.Address, result, 0)
 	if result == addresses.RequestFailed {
 		p.closeIdle(func(other *Conn) bool { return other.Address == c.Address })
 	}
 }
 
-// Tend rechecks suspected addresses, keeps connections ready and closes idle ones until the manager's context ends.
-func (m *Boxes) Tend() error {
+// Run rechecks suspected addresses, keeps connections ready and closes idle ones until the manager's context ends.
+func (m *Manager) Run() error {
 	const interval = 250 * time.Millisecond
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
-		case <-m.Life.Done():
+		case <-m.Context.Done():
 			for _, p := range m.snapshot() {
 				p.mu.Lock()
 				p.closeIdle(func(*Conn) bool { return true })
@@ -646,7 +646,7 @@
 		case <-ticker.C:
 		}
 		m.pruneRemoved()
-		if !m.Bare {
+		if !m.SkipVerify {
 			m.recheck()
 		}
 		for _, p := range m.snapshot() {
@@ -656,14 +656,14 @@
 }
 
 // pruneRemoved forgets removed backends that have no connection left.
-func (m *Boxes) pruneRemoved() {
+func (m *Manager) pruneRemoved() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.hasRemoved {
 		return
 	}
 	m.hasRemoved = false
-	m.ordered = slices.DeleteFunc(m.ordered, func(p *Host) bool {
+	m.ordered = slices.DeleteFunc(m.ordered, func(p *Pool) bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		if !p.removed || p.open > 0 || p.dialing > 0 {
@@ -676,14 +676,14 @@
 }
 
 // recheck connects to one suspected address, if one is due and the budget allows it.
-func (m *Boxes) recheck() {
+func (m *Manager) recheck() {
 	pools := m.snapshot()
-	var trackers []*addresses.Book
+	var trackers []*addresses.Tracker
 	for _, p := range pools {
 		p.mu.Lock()
 		trackers = append(trackers, p.tracker)
 	}
-	tracker, a := m.recheckBudget.Next(m.Since(), trackers)
+	tracker, a := m.recheckBudget.Next(m.Now(), trackers)
 	for _, p := range pools {
 		p.mu.Unlock()
 	}
@@ -697,13 +697,13 @@
 }
 
 // maintainIdle closes connections that were idle for too long, and opens one connection if one should be kept ready.
-func (p *Host) maintainIdle() {
+func (p *Pool) maintainIdle() {
 	p.mu.Lock()
-	now := p.manager.Since()
+	now := p.manager.Now()
 	p.closeIdle(func(c *Conn) bool { return now-c.idleSince >= maxIdleTime })
 	var target *addresses.Address
-	if !p.manager.Bare && p.lastUsed > 0 && now-p.lastUsed < keepWarmTime && !p.removed && p.dialing == 0 &&
-		p.open < p.manager.Most {
+	if !p.manager.SkipVerify && p.lastUsed > 0 && now-p.lastUsed < keepWarmTime && !p.removed && p.dialing == 0 &&
+		p.open < p.manager.MaxConnsPerBackend {
 		for _, a := range p.tracker.WarmAddresses(now) {
 			if !slices.ContainsFunc(p.idle, func(c *Conn) bool { return c.Address == a }) {
 				target = a
@@ -720,22 +720,22 @@
 }
 
 // dialInBackground opens one connection, passes its result to record and puts the connection among the idle ones.
-func (m *Boxes) dialInBackground(
-	p *Host, a *addresses.Address, record func(time.Duration, addresses.Result, time.Duration),
+func (m *Manager) dialInBackground(
+	p *Pool, a *addresses.Address, record func(time.Duration, addresses.Result, time.Duration),
 ) {
 	p.mu.Lock()
 	p.dialing++
 	spec := a.Spec
 	p.mu.Unlock()
 	m.Group.Go(func() error {
-		ctx, cancel := context.WithTimeout(m.Life, m.Limit)
+		ctx, cancel := context.WithTimeout(m.Context, m.DialTimeout)
 		defer cancel()
-		startedAt := m.Since()
+		startedAt := m.Now()
 		conn, reader, result, _ := p.connect(ctx, spec)
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.dialing--
-		record(m.Since(), result, m.Since()-startedAt)
+		record(m.Now(), result, m.Now()-startedAt)
 		if result == addresses.Verified {
 			p.putIdle(&Conn{Conn: conn, Address: a, pool: p, reader: reader}, true)
 		}
--- a/internal/reach/pool_test.go
+++ b/internal/reach/pool_test.go
@@ -31,7 +31,7 @@
 	t           *testing.T
 	book        *record.Book
 	fleet       *standin.Fleet
-	pools       *reach.Boxes
+	pools       *reach.Manager
 	lastRequest atomic.Int64
 }
 
@@ -49,8 +49,8 @@
 	)}
 	life, end := context.WithCancel(context.Background())
 	group := &errgroup.Group{}
-	s.pools = &reach.Boxes{Limit: 250 * time.Millisecond, Most: 64, Since: book.Since, Life: life, Group: group}
-	group.Go(s.pools.Tend)
+	s.pools = &reach.Manager{DialTimeout: 250 * time.Millisecond, MaxConnsPerBackend: 64, Now: book.Since, Context: life, Group: group}
+	group.Go(s.pools.Run)
 	t.Cleanup(func() {
 		end()
 		group.Wait()
@@ -72,27 +72,27 @@
 }
 
 // backend starts a test backend and returns its pool. Its addresses are, in order: a socket, IPv6, IPv4.
-func (s *fixture) backend(name string) (*standin.Box, *reach.Host) {
+func (s *fixture) backend(name string) (*standin.Box, *reach.Pool) {
 	s.t.Helper()
 	dir, err := os.MkdirTemp("", "r") // a socket's path must be short
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	specs := []addresses.Spec{
-		{Network: addresses.Unix, At: filepath.Join(dir, name)},
-		{Network: addresses.TCP6, At: freePort(s.t, "tcp6", "[::1]:0")},
-		{Network: addresses.TCP4, At: freePort(s.t, "tcp4", "127.0.0.1:0")},
+		{Network: addresses.Unix, Addr: filepath.Join(dir, name)},
+		{Network: addresses.TCP6, Addr: freePort(s.t, "tcp6", "[::1]:0")},
+		{Network: addresses.TCP4, Addr: freePort(s.t, "tcp4", "127.0.0.1:0")},
 	}
 	b := s.fleet.NewBox(standin.Make{Name: name, Kind: "writer", Addresses: specs, Engine: standin.Instant})
 	if err := b.Boot(false); err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { b.Kill("end"); os.RemoveAll(dir) })
-	return b, s.pools.Set(name, specs, 3)
+	return b, s.pools.SetAddresses(name, specs, 3)
 }
 
 // attempt sends one request. It returns whether a byte of it was sent, and the error.
-func (s *fixture) attempt(pool *reach.Host, timeout time.Duration) (sent bool, err error) {
+func (s *fixture) attempt(pool *reach.Pool, timeout time.Duration) (sent bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	e := kserve.Errand{
@@ -109,9 +109,9 @@
 		resp.Body.Close()
 	}
 	if err != nil {
-		conn.Lost()
+		conn.ReportFailed()
 	} else {
-		conn.Served()
+		conn.ReportServed()
 	}
 	return conn.Sent(), err
 }
@@ -166,7 +166,7 @@
 		}
 		startedAt := time.Now()
 		sent, err := s.attempt(pool, 2*time.Second)
-		if took := time.Since(startedAt); !errors.Is(err, reach.ErrUnreached) || sent || took > limit {
+		if took := time.Since(startedAt); !errors.Is(err, reach.ErrUnreachable) || sent || took > limit {
 			t.Errorf("%s: sent %v, %v after %v", mode, sent, err, took)
 		}
 	}
@@ -234,7 +234,7 @@
 	before, _ := s.received()
 	sent, err := s.attempt(firstPool, time.Second)
 	after, _ := s.received()
-	if !errors.Is(err, reach.ErrUnreached) || sent || len(after) != len(before) {
+	if !errors.Is(err, reach.ErrUnreachable) || sent || len(after) != len(before) {
 		t.Errorf("sent %v, %v; %d attempts received before and %d after", sent, err, len(before), len(after))
 	}
 }
@@ -260,7 +260,7 @@
 			conn.Close()
 		}
 	}()
-	pool := s.pools.Set("b", []addresses.Spec{{Network: addresses.TCP4, At: l.Addr().String()}}, 3)
+	pool := s.pools.SetAddresses("b", []addresses.Spec{{Network: addresses.TCP4, Addr: l.Addr().String()}}, 3)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	tries := 0
@@ -269,7 +269,7 @@
 		time.Sleep(30 * time.Millisecond) // the reset has arrived
 		return http.NewRequestWithContext(ctx, http.MethodPost, "http://b/", strings.NewReader("x"))
 	})
-	if ctx.Err() != nil || !errors.Is(err, reach.ErrUnreached) || tries == 0 {
+	if ctx.Err() != nil || !errors.Is(err, reach.ErrUnreachable) || tries == 0 {
 		t.Errorf("%v after %d tries; the request's context: %v", err, tries, ctx.Err())
 	}
 }
@@ -282,11 +282,11 @@
 		t.Fatal(err)
 	}
 	for _, name := range []string{"b", "never-reached"} {
-		s.pools.Set(name, nil, 1)
+		s.pools.SetAddresses(name, nil, 1)
 	}
 	for range 100 {
 		pools := 0
-		s.pools.Look(func(string, *addresses.Book, int, int) { pools++ })
+		s.pools.ForEach(func(string, *addresses.Tracker, int, int) { pools++ })
 		if pools == 0 {
 			return
 		}
@@ -299,15 +299,15 @@
 	s := newFixture(t)
 	backend, pool := s.backend("w1")
 	s.attempt(pool, time.Second)
-	s.pools.Set("w1", backend.Addresses[2:], 3)
+	s.pools.SetAddresses("w1", backend.Addresses[2:], 3)
 	if _, err := s.attempt(pool, time.Second); err != nil {
 		t.Error(err)
 	}
 	if _, byAddress := s.received(); byAddress["w1 unix"] != 1 || byAddress["w1 tcp4"] != 1 {
 		t.Errorf("attempts received: %v", byAddress)
 	}
-	s.pools.Set("w1", nil, 3)
-	if _, err := s.attempt(pool, time.Second); !errors.Is(err, reach.ErrUnreached) {
+	s.pools.SetAddresses("w1", nil, 3)
+	if _, err := s.attempt(pool, time.Second); !errors.Is(err, reach.ErrUnreachable) {
 		t.Errorf("a removed backend: %v", err)
 	}
 }
@@ -425,7 +425,7 @@
 }
 
 func TestAllowListMatchesRangesAndSocketDirectories(t *testing.T) {
-	allowed, err := reach.NewAllowed([]string{
+	allowed, err := reach.NewAllowList([]string{
 		"10.0.0.0/8", "fd00::/8", "192.168.1.5", "172.16.0.1-172.16.0.9", "unix:/run/backends/",
 	})
 	if err != nil {
@@ -438,12 +438,12 @@
 		"unix /run/backends/a": true, "unix /run/a": false, "unix /run/backends/../a": false,
 	} {
 		network, address, _ := strings.Cut(text, " ")
-		if got := allowed.Has(addresses.Spec{Network: network, At: address}); got != want {
+		if got := allowed.Contains(addresses.Spec{Network: network, Addr: address}); got != want {
 			t.Errorf("%s: allowed is %v", text, got)
 		}
 	}
 	for _, bad := range []string{"10.0.0.0/99", "backend-7", "unix:run"} {
-		if _, err := reach.NewAllowed([]string{bad}); err == nil {
+		if _, err := reach.NewAllowList([]string{bad}); err == nil {
 			t.Errorf("%s is accepted", bad)
 		}
 	}
