--- a/internal/addresses/addresses.go
+++ b/internal/addresses/addresses.go
@@ -61,9 +61,9 @@
 
 // Spec is an address as service discovery or a configuration file gives it.
 type Spec struct {
-	Network string `json:"network" toml:"network"`
-	Addr      string `json:"at" toml:"at"`                             // host:port, or the path of a socket
-	Preference  int    `json:"prefer,omitempty" toml:"prefer,omitempty"` // lower values are tried first
+	Network    string `json:"network" toml:"network"`
+	Addr       string `json:"at" toml:"at"`                             // host:port, or the path of a socket
+	Preference int    `json:"prefer,omitempty" toml:"prefer,omitempty"` // lower values are tried first
 }
 
 // String returns the network and the address with a colon between them.
--- a/internal/reach/pool.go
+++ b/internal/reach/pool.go
@@ -29,17 +29,17 @@
 // Manager holds the connection pools of all backends that a dispatcher connects to. The exported fields must not change
 // after the first use.
 type Manager struct {
-	DialTimeout time.Duration        // for getting a connection, all addresses together
-	MaxConnsPerBackend  int                  // open connections to one backend
-	Now func() time.Duration // the time on a monotonic clock
-	Context  context.Context      // when it ends, idle connections are closed and none are opened in the background
-	Group *errgroup.Group      // runs the connection attempts
+	DialTimeout        time.Duration        // for getting a connection, all addresses together
+	MaxConnsPerBackend int                  // open connections to one backend
+	Now                func() time.Duration // the time on a monotonic clock
+	Context            context.Context      // when it ends, idle connections are closed and none are opened in the background
+	Group              *errgroup.Group      // runs the connection attempts
 
 	// Dial opens a connection; nil means the operating system's.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-	// SkipVerify is for backends that cannot verify a connection: it counts as verified once it is established, takes one
-	// request, and none is opened in the background.
+	// SkipVerify is for backends that cannot verify a connection: it counts as verified once it is established, takes
+	// one request, and none is opened in the background.
 	SkipVerify bool
 
 	mu            sync.Mutex
@@ -582,7 +582,8 @@
 	return nil
 }
 
-// WriteRequest sends the bytes of a request and tells whether all of them were sent. Until then the request cannot have run.
+// WriteRequest sends the bytes of a request and tells whether all of them were sent. Until then the request cannot
+// have run.
 func (c *Conn) WriteRequest(parts ...[]byte) (complete bool, err error) {
 	total := int64(0)
 	for _, part := range parts {
@@ -594,8 +595,10 @@
 	return n == total, err
 }
 
-// ReadResponse reads the head of a response; what follows it is read from Bytes.
-func (c *Conn) ReadResponse(request *http.Request) (*http.Response, error) { return c.reader.readHead(request) }
+// ReadResponse reads the head of a response; what follows it is read from Reader.
+func (c *Conn) ReadResponse(request *http.Request) (*http.Response, error) {
+	return c.reader.readHead(request)
+}
 
 // Reader returns the buffered reader of the connection.
 func (c *Conn) Reader() *bufio.Reader { return c.reader.Reader }
@@ -615,8 +618,8 @@
 // ReportServed records that a request over the connection was served.
 func (c *Conn) ReportServed() { c.record(addresses.Served) }
 
-// ReportFailed records that a request over the connection failed. The idle connections to the address are closed, so that the
-// next request to it goes over a newly verified one.
+// ReportFailed records that a request over the connection failed. The idle connections to the address are closed, so
+// that the next request to it goes over a newly verified one.
 func (c *Conn) ReportFailed() { c.record(addresses.RequestFailed) }
 
 func (c *Conn) record(result addresses.Result) {
