--- a/internal/reach/pool.go
+++ b/internal/reach/pool.go
@@ -32,7 +32,7 @@
 	DialTimeout        time.Duration        // for getting a connection, all addresses together
 	MaxConnsPerBackend int                  // open connections to one backend
 	Now                func() time.Duration // the time on a monotonic clock
-	Context            context.Context      // when it ends, idle connections are closed and none are opened in the background
+	Context            context.Context      // its end closes idle connections and stops background attempts
 	Group              *errgroup.Group      // runs the connection attempts
 
 	// Dial opens a connection; nil means the operating system's.
@@ -373,7 +373,8 @@
 // putIdle puts a verified connection among the idle ones, or closes it if there is no use for it. A new connection is
 // one that is not counted as open yet. The pool must be locked.
 func (p *Pool) putIdle(c *Conn, isNew bool) {
-	if c.Address.Removed || p.removed || p.manager.Context.Err() != nil || isNew && p.open >= p.manager.MaxConnsPerBackend {
+	if c.Address.Removed || p.removed || p.manager.Context.Err() != nil ||
+		isNew && p.open >= p.manager.MaxConnsPerBackend {
 		c.Conn.Close()
 		if !isNew {
 			p.open--
--- a/internal/reach/pool_test.go
+++ b/internal/reach/pool_test.go
@@ -49,7 +49,9 @@
 	)}
 	life, end := context.WithCancel(context.Background())
 	group := &errgroup.Group{}
-	s.pools = &reach.Manager{DialTimeout: 250 * time.Millisecond, MaxConnsPerBackend: 64, Now: book.Since, Context: life, Group: group}
+	s.pools = &reach.Manager{
+		DialTimeout: 250 * time.Millisecond, MaxConnsPerBackend: 64, Now: book.Since, Context: life, Group: group,
+	}
 	group.Go(s.pools.Run)
 	t.Cleanup(func() {
 		end()
