--- a/internal/platform/accept_test.go
+++ b/internal/platform/accept_test.go
@@ -51,10 +51,10 @@
 }
 
 // enterFailing starts a dispatcher whose accept can fail.
-func enterFailing(t *testing.T, errno syscall.Errno) (*house, *failingListener) {
+func enterFailing(t *testing.T, errno syscall.Errno) (*testCluster, *failingListener) {
 	t.Helper()
 	flaky := &failingListener{errno: errno}
-	h := enter(t, func(h *house, _ *Place) {
+	h := startCluster(t, func(h *testCluster, _ *Config) {
 		h.system.Listen = func(address string) (system.Listener, error) {
 			l, err := system.Real().Listen(address)
 			flaky.Listener = l
@@ -75,7 +75,7 @@
 func TestAMomentaryErrorOfAcceptEndsNothing(t *testing.T) {
 	for _, errno := range momentaryErrors {
 		flaky, dial := failing(t, errno, 3)
-		l := newLimiter(flaky, 100, quiet)
+		l := newLimiter(flaky, 100, discardLog)
 		dial()
 		if _, err := l.Accept(); err != nil {
 			t.Errorf("%v: %v", errno, err)
@@ -89,8 +89,8 @@
 func TestADispatcherOutlivesAMomentWithoutMemory(t *testing.T) {
 	h, flaky := enterFailing(t, syscall.ENOBUFS)
 	flaky.left.Store(3)
-	h.client()
-	if got := h.says(h.ask("hut-booking")); got.status != 200 {
+	h.dial()
+	if got := h.send(h.request("hut-booking")); got.status != 200 {
 		t.Errorf("after the error: %+v", got)
 	}
 }
@@ -107,7 +107,7 @@
 func checkLastAccept(t *testing.T, name string, errno syscall.Errno, failures int64, heldUp time.Duration) {
 	t.Helper()
 	flaky, dial := failing(t, errno, failures)
-	l := newLimiter(flaky, 100, quiet)
+	l := newLimiter(flaky, 100, discardLog)
 	dial()
 	l.acceptLast()
 	time.Sleep(heldUp)
@@ -125,16 +125,16 @@
 func TestARequestThatWaitedForAcceptHasLessTime(t *testing.T) {
 	h, flaky := enterFailing(t, syscall.ENFILE)
 	flaky.left.Store(10) // some 0.7 s with the waits between
-	h.client()           // ends the accept that waits
-	var waiting []*client
+	h.dial()             // ends the accept that waits
+	var waiting []*testClient
 	began := time.Now()
 	for range 3 {
-		c := h.client()
-		io.WriteString(c, h.ask("hut-booking"))
+		c := h.dial()
+		io.WriteString(c, h.request("hut-booking"))
 		waiting = append(waiting, c)
 	}
 	for _, c := range waiting {
-		if got := c.said(); got.status != 200 {
+		if got := c.readResponse(); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
 	}
@@ -196,14 +196,14 @@
 func TestAClientThatWaitedForAcceptHasItsEndInTime(t *testing.T) {
 	const owed, failed = 3 * time.Second, 600 * time.Millisecond
 	h, flaky := enterFailing(t, syscall.ENOBUFS)
-	for name, raw := range map[string]string{"half a request": "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Le", "half a body": strings.TrimSuffix(h.ask("hut-booking"), "}"), "nothing": ""} {
+	for name, raw := range map[string]string{"half a request": "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Le", "half a body": strings.TrimSuffix(h.request("hut-booking"), "}"), "nothing": ""} {
 		t.Run(name, func(t *testing.T) {
 			flaky.left.Store(1e6)
 			time.AfterFunc(failed, func() { flaky.left.Store(0) })
-			h.client() // the call of accept that waits already takes it
+			h.dial() // the call of accept that waits already takes it
 			time.Sleep(20 * time.Millisecond)
 			began := time.Now()
-			c, err := net.Dial("tcp", h.at)
+			c, err := net.Dial("tcp", h.address)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -24,7 +24,7 @@
 )
 
 // connect gets a connection for an attempt, over which all of the request has gone out; until then it can't have run.
-func (c *transport) connect(ctx, within context.Context, f *dispatch.Attempt, host *reach.Pool, m *payload) (*reach.Conn, func() bool, error) {
+func (c *transport) connect(ctx, within context.Context, f *dispatch.Attempt, host *reach.Pool, m *outgoingRequest) (*reach.Conn, func() bool, error) {
 	limit := c.connectLimit(f)
 	var local error // why this machine could not begin the last connection
 	for began, refused := time.Now(), 0; ; {
@@ -35,20 +35,20 @@
 		if local = nil; errors.Is(err, reach.ErrLocal) {
 			// No descriptors or ports for a moment say nothing of the backend. Taken for its refusals, they had the module take a whole
 			// fleet for restarting.
-			c.Local.Add(1)
+			c.LocalFailures.Add(1)
 			c.log.Warn("not connected", "backend", host.Name, "error", err)
 			local = err
-			system.Sleep(within, dialWait)
+			system.Sleep(within, dialRetryDelay)
 			continue
 		}
 		if err != nil {
 			// One that is refused or reset while it is made says little: a backend that is really away refuses the next too. Told at
 			// once, a rash of resets had the module take a whole fleet for restarting.
 			refused++
-			if refused == dialTries || ctx.Err() != nil || time.Since(began) >= limit/2 {
+			if refused == maxDialAttempts || ctx.Err() != nil || time.Since(began) >= limit/2 {
 				return nil, nil, err
 			}
-			system.Sleep(within, dialWait)
+			system.Sleep(within, dialRetryDelay)
 			continue
 		}
 		if until, bounded := within.Deadline(); bounded && f.Planned.Connect > 0 {
@@ -68,21 +68,21 @@
 // connectLimit is how long an attempt's connection may take.
 func (c *transport) connectLimit(f *dispatch.Attempt) time.Duration {
 	if t := f.Planned.Connect; t > 0 {
-		return min(t, c.boxes.DialTimeout)
+		return min(t, c.pools.DialTimeout)
 	}
-	return c.boxes.DialTimeout
+	return c.pools.DialTimeout
 }
 
 // put sends a request over a new connection, if it may still go out. Nothing but the loop can tell: a drain, the client's going or
 // the end of the window for repeats may have come while the connection was made.
-func (c *transport) put(ctx context.Context, f *dispatch.Attempt, conn *reach.Conn, m *payload) (stop func() bool, err error) {
+func (c *transport) put(ctx context.Context, f *dispatch.Attempt, conn *reach.Conn, m *outgoingRequest) (stop func() bool, err error) {
 	may := c.maySend(ctx, f)
 	if may != brain.Allowed {
 		c.Stale.Add(1)
 		c.log.Debug("attempt not sent", "id", m.id, "backend", f.Backend.Name, "number", f.Planned.Number, "why", may)
 		return nil, errStale
 	}
-	told := f.Until - c.since()
+	told := f.Until - c.clock()
 	if told <= 0 || f.Request.Over() {
 		// What ends a request is looked at right here: word of it may still wait for its turn in the loop.
 		c.Stale.Add(1)
@@ -111,7 +111,7 @@
 		if may != brain.Allowed || !c.pulse.stalledSince(asked, time.Now()) {
 			return may
 		}
-		system.Sleep(ctx, dialWait)
+		system.Sleep(ctx, dialRetryDelay)
 	}
 }
 
@@ -130,7 +130,7 @@
 }
 
 // open gets a connection for an attempt within the descriptors that attempts may have.
-func (c *transport) open(ctx context.Context, f *dispatch.Attempt, host *reach.Pool, m *payload) (conn *reach.Conn, stop func() bool, err error) {
+func (c *transport) open(ctx context.Context, f *dispatch.Attempt, host *reach.Pool, m *outgoingRequest) (conn *reach.Conn, stop func() bool, err error) {
 	if host == nil {
 		return nil, nil, errStale // its backend is gone
 	}
@@ -141,14 +141,14 @@
 		waits = bounded
 	}
 	select {
-	case c.slots <- struct{}{}:
+	case c.attemptSlots <- struct{}{}:
 	case <-waits.Done():
 		return nil, nil, errStale
 	}
 	within, done := context.WithTimeout(waits, c.connectLimit(f))
 	defer done()
 	if conn, stop, err = c.connect(ctx, within, f, host, m); err != nil {
-		<-c.slots
+		<-c.attemptSlots
 	}
 	return conn, stop, err
 }
@@ -174,7 +174,7 @@
 // meanwhile. Whether it may yet run only the backend knows.
 func (c *transport) checkArrival(f *dispatch.Attempt, conn *reach.Conn) {
 	if system.Unacknowledged(conn.Conn) > 0 {
-		c.Unarrived.Add(1)
+		c.Unacknowledged.Add(1)
 		f.Off(errNotArrived)
 	}
 }
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -52,7 +52,7 @@
 	held       atomic.Int64
 	Late       atomic.Int64 // requests that were answered here, as the loop had no answer in time
 
-	ids     *idRegister
+	ids     *idRegistry
 	monitor *monitor.Monitor
 	pulse   *pulse
 	classes []monitor.Class // by the number of a request's class
@@ -63,7 +63,7 @@
 
 func newFrontend(loop *dispatch.Loop, facts brain.Facts, bodies int64, observed *monitor.Monitor, beating *pulse, log *slog.Logger) *frontend {
 	f := &frontend{
-		loop: loop, grades: map[string]int{}, tenants: map[string]int{}, ids: newIDRegister(longestDeadline(facts) + idsSpan), refused: map[string]int64{},
+		loop: loop, grades: map[string]int{}, tenants: map[string]int{}, ids: newIDRegistry(longestDeadline(facts) + idRetentionSlack), refused: map[string]int64{},
 		cut: make(chan struct{}), after: facts.Span("policyLimits.maxRetryAfterUs"), open: int64(facts.Num("policyLimits.maxOpen", 1e4)), bodies: bodies,
 		monitor: observed, pulse: beating, classes: monitorClasses(facts), log: log,
 	}
@@ -183,7 +183,7 @@
 	if ask.Rest {
 		f.Rest.Add(1)
 	}
-	m := &payload{id: ask.ID, body: body, head: func(wait time.Duration) []byte { return chat.Errand(r, service, ask, length, wait) }}
+	m := &outgoingRequest{id: ask.ID, body: body, head: func(wait time.Duration) []byte { return chat.Errand(r, serviceHost, ask, length, wait) }}
 	a := &dispatch.ClientRequest{
 		Ask:   kserve.Ask{ID: ask.ID, Session: ask.Session, Shared: ask.Shared, Tokens: ask.Tokens, Prefix: ask.Prefix, Most: ask.Most, Again: ask.Again},
 		Grade: ask.Grade, Channel: ask.Channel, Matter: m,
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -27,7 +27,7 @@
 	case closedByStop:
 		return state == connIdle
 	case closedAsSilent:
-		return state == connIdle || state == connNew && since >= silentMost
+		return state == connIdle || state == connNew && since >= maxConnSilence
 	}
 	return unread(state)
 }
