--- a/internal/monitor/monitor.go
+++ b/internal/monitor/monitor.go
@@ -30,11 +30,11 @@
 }
 
 // Terms are the bounds of the rules.
-type Terms struct {
-	Gone       time.Duration // from a client's close, in which an attempt may still begin
-	DrainGrace time.Duration // from a change of a backend, in which an attempt may still begin
-	Hold       time.Duration // for which a state may wait with no attempt out; 0: not checked
-	Told       time.Duration // by which a told deadline may be over what the client has left
+type Bounds struct {
+	ClientGoneGrace time.Duration // from a client's close, in which an attempt may still begin
+	DrainGrace      time.Duration // from a change of a backend, in which an attempt may still begin
+	MaxCacheWait    time.Duration // for which a state may wait with no attempt out; 0: not checked
+	TimeoutSlack    time.Duration // by which a told deadline may be over what the client has left
 }
 
 // Class is what a request's class says of running it again.
@@ -47,12 +47,12 @@
 )
 
 // End is what an attempt's end proves.
-type End int
+type AttemptEnd int
 
 const (
-	NeverRan End = iota
+	NeverRan AttemptEnd = iota
 	MayHaveRun
-	StateKept // a prefill that ended well: its state waits
+	CacheHeld // a prefill that ended well: its state waits
 )
 
 const (
@@ -83,7 +83,7 @@
 
 // Monitor counts violations.
 type Monitor struct {
-	Terms Terms
+	Terms Bounds
 	Since func() time.Duration
 	Log   *slog.Logger
 
@@ -97,7 +97,7 @@
 }
 
 // New makes a monitor.
-func New(terms Terms, since func() time.Duration, log *slog.Logger) *Monitor {
+func New(terms Bounds, since func() time.Duration, log *slog.Logger) *Monitor {
 	return &Monitor{Terms: terms, Since: since, Log: log, requests: map[string]*request{}, changed: map[string]time.Duration{}}
 }
 
@@ -158,7 +158,7 @@
 func (m *Monitor) known(id string) *request { return m.requests[id] }
 
 // Taken is told of a request and of the time that its client has left.
-func (m *Monitor) Taken(id string, class Class, left time.Duration) {
+func (m *Monitor) RequestAccepted(id string, class Class, left time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.note(id, fmt.Sprintf("taken with %v left", left))
@@ -186,7 +186,7 @@
 }
 
 // Changed is told what discovery says of a backend: whether it may be sent requests.
-func (m *Monitor) Changed(backend string, ready bool) {
+func (m *Monitor) BackendChanged(backend string, ready bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, known := m.changed[backend]
@@ -210,7 +210,7 @@
 	if r == nil {
 		return
 	}
-	if r.gone > 0 && now-r.gone > m.Terms.Gone {
+	if r.gone > 0 && now-r.gone > m.Terms.ClientGoneGrace {
 		m.broke(Lost, id, fmt.Sprintf("its client has gone since %v", now-r.gone))
 	}
 	if r.answered {
@@ -222,7 +222,7 @@
 	if effect && r.mayRun && r.class == NonIdempotent {
 		m.broke(Duplicate, id, "an earlier attempt may have run")
 	}
-	if left := r.until - now; told > left+m.Terms.Told {
+	if left := r.until - now; told > left+m.Terms.TimeoutSlack {
 		m.broke(Deadline, id, fmt.Sprintf("its client has %v left", left))
 	}
 	r.out++
@@ -251,7 +251,7 @@
 }
 
 // AttemptEnds is told of the end of an attempt that had begun, and what it proves.
-func (m *Monitor) AttemptEnds(id string, number int, effect bool, end End, how string) {
+func (m *Monitor) AttemptEnds(id string, number int, effect bool, end AttemptEnd, how string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.note(id, fmt.Sprintf("attempt %d ends, %s", number, how))
@@ -263,7 +263,7 @@
 	if effect {
 		r.mayRun = end == MayHaveRun
 	}
-	if end == StateKept {
+	if end == CacheHeld {
 		r.held = true
 	}
 	if r.held && r.out == 0 && r.waits == 0 {
@@ -273,13 +273,13 @@
 
 // checkHeld looks whether a state has waited too long. The lock is held.
 func (m *Monitor) checkHeld(id string, r *request, now time.Duration) {
-	if r.held && r.waits > 0 && m.Terms.Hold > 0 && now-r.waits > m.Terms.Hold {
+	if r.held && r.waits > 0 && m.Terms.MaxCacheWait > 0 && now-r.waits > m.Terms.MaxCacheWait {
 		m.broke(Held, id, fmt.Sprintf("a state waited for %v", now-r.waits))
 	}
 }
 
 // Released is told that a backend has released, or another has taken, what was held for a request.
-func (m *Monitor) Released(id, how string) {
+func (m *Monitor) CacheReleased(id, how string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.note(id, how)
@@ -313,7 +313,7 @@
 }
 
 // Closed is told that a request's handler has ended. A client that is still there has to have had its answer.
-func (m *Monitor) Closed(id, why string) {
+func (m *Monitor) RequestClosed(id, why string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.note(id, "closed: "+why)
--- a/internal/monitor/monitor_test.go
+++ b/internal/monitor/monitor_test.go
@@ -17,7 +17,7 @@
 
 func watch() *watched {
 	w := &watched{now: time.Second}
-	terms := Terms{Gone: 100 * time.Millisecond, DrainGrace: 250 * time.Millisecond, Hold: 800 * time.Millisecond, Told: 150 * time.Millisecond}
+	terms := Bounds{ClientGoneGrace: 100 * time.Millisecond, DrainGrace: 250 * time.Millisecond, MaxCacheWait: 800 * time.Millisecond, TimeoutSlack: 150 * time.Millisecond}
 	w.Monitor = New(terms, func() time.Duration { return w.now }, slog.New(slog.NewTextHandler(&w.log, nil)))
 	return w
 }
@@ -25,13 +25,13 @@
 // taken is one with a request of four seconds that is out at w1.
 func taken(class Class) *watched {
 	w := watch()
-	w.Taken("q1", class, 4*time.Second)
+	w.RequestAccepted("q1", class, 4*time.Second)
 	w.AttemptBegins("q1", "w1", 0, true, 4*time.Second)
 	w.AttemptSent("q1", 0, true)
 	return w
 }
 
-func (w *watched) ended(end End) *watched {
+func (w *watched) ended(end AttemptEnd) *watched {
 	w.AttemptEnds("q1", 0, true, end, "ended")
 	return w
 }
@@ -72,13 +72,13 @@
 		}},
 		"no answer": {Lost, true, func() *watched {
 			w := taken(Idempotent).ended(NeverRan)
-			w.Closed("q1", "returned")
+			w.RequestClosed("q1", "returned")
 			return w
 		}},
 		"no answer, but nobody waits for one": {Lost, false, func() *watched {
 			w := taken(Idempotent).ended(NeverRan)
 			w.ClientGone("q1")
-			w.Closed("q1", "returned")
+			w.RequestClosed("q1", "returned")
 			return w
 		}},
 		"two attempts out": {Duplicate, true, func() *watched {
@@ -113,27 +113,27 @@
 		}},
 		"an attempt to one that drains": {Drain, true, func() *watched {
 			w := watch()
-			w.Changed("w1", false)
+			w.BackendChanged("w1", false)
 			w.now += 251 * ms
 			w.AttemptBegins("q1", "w1", 0, true, time.Second)
 			return w
 		}},
 		"an attempt to one that has come back": {Drain, false, func() *watched {
 			w := watch()
-			w.Changed("w1", false)
+			w.BackendChanged("w1", false)
 			w.now += time.Second
-			w.Changed("w1", true)
+			w.BackendChanged("w1", true)
 			w.AttemptBegins("q1", "w1", 0, true, time.Second)
 			return w
 		}},
 		"a state that waits": {Held, true, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+			w := taken(Idempotent).ended(CacheHeld)
 			w.now += 801 * ms
-			w.Released("q1", "released")
+			w.CacheReleased("q1", "released")
 			return w
 		}},
 		"a state that waits for a send": {Held, true, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+			w := taken(Idempotent).ended(CacheHeld)
 			w.now += 801 * ms
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			w.AttemptSent("q1", 1, true)
@@ -141,43 +141,43 @@
 			return w
 		}},
 		"a send that does not arrive": {Held, true, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+			w := taken(Idempotent).ended(CacheHeld)
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			w.AttemptSent("q1", 1, true)
 			w.now += 801 * ms
-			w.Released("q1", "released")
+			w.CacheReleased("q1", "released")
 			return w
 		}},
 		"a send that does not arrive, and a release in time": {Held, false, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+			w := taken(Idempotent).ended(CacheHeld)
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			w.AttemptSent("q1", 1, true)
 			w.now += 799 * ms
-			w.Released("q1", "released")
+			w.CacheReleased("q1", "released")
 			w.now += time.Minute
-			w.Released("q1", "released")
+			w.CacheReleased("q1", "released")
 			return w
 		}},
 		"a state that is taken in time": {Held, false, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+			w := taken(Idempotent).ended(CacheHeld)
 			w.now += 799 * ms
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			w.AttemptSent("q1", 1, true)
 			w.AttemptArrived("q1", 1)
 			w.now += time.Minute
-			w.Released("q1", "taken")
+			w.CacheReleased("q1", "taken")
 			return w
 		}},
 		"too much time told": {Deadline, true, func() *watched {
 			w := watch()
-			w.Taken("q1", Idempotent, time.Second)
+			w.RequestAccepted("q1", Idempotent, time.Second)
 			w.now += 500 * ms
 			w.AttemptBegins("q1", "w1", 0, true, 651*ms)
 			return w
 		}},
 		"as much time told as is left": {Deadline, false, func() *watched {
 			w := watch()
-			w.Taken("q1", Idempotent, time.Second)
+			w.RequestAccepted("q1", Idempotent, time.Second)
 			w.now += 500 * ms
 			w.AttemptBegins("q1", "w1", 0, true, 649*ms)
 			return w
@@ -201,7 +201,7 @@
 	w := watch()
 	for i := range 3 * requestsMost {
 		id := strings.Repeat("q", i%7+1) + string(rune('a'+i%26)) + time.Duration(i).String()
-		w.Taken(id, Idempotent, time.Second)
+		w.RequestAccepted(id, Idempotent, time.Second)
 		w.Answered(id, 503, true, nil)
 		w.now += time.Millisecond
 	}
@@ -213,12 +213,12 @@
 func BenchmarkOneRequest(b *testing.B) {
 	w := watch()
 	for b.Loop() {
-		w.Taken("q1", NonIdempotent, time.Second)
+		w.RequestAccepted("q1", NonIdempotent, time.Second)
 		w.AttemptBegins("q1", "w1", 0, true, time.Second)
 		w.AttemptSent("q1", 0, true)
 		w.AttemptEnds("q1", 0, true, MayHaveRun, "answered")
 		w.Answered("q1", 200, false, nil)
-		w.Closed("q1", "served")
+		w.RequestClosed("q1", "served")
 		w.now += time.Millisecond
 	}
 }
--- a/internal/platform/accept_test.go
+++ b/internal/platform/accept_test.go
@@ -109,7 +109,7 @@
 	flaky, dial := failing(t, errno, failures)
 	l := newLimiter(flaky, 100, discardLog)
 	dial()
-	l.acceptLast()
+	l.acceptBacklogOnly()
 	time.Sleep(heldUp)
 	if _, err := l.Accept(); err != nil {
 		t.Errorf("%s: the completed connection is lost: %v", name, err)
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -150,7 +150,7 @@
 		if err == nil {
 			t.Fatal("a request that was broken off counts as sent")
 		}
-		if got := notSent(ctx, err); got.Outcome != want {
+		if got := notSentResult(ctx, err); got.Outcome != want {
 			t.Errorf("with %d bytes sent: %v", sent, got.Outcome)
 		}
 		remote.Close()
@@ -210,7 +210,7 @@
 				e.Hold()
 				client.Close()
 				cluster.await("the dispatcher notices that the client left", func() bool {
-					return cluster.node.frontend.asked.Load() == 0
+					return cluster.node.frontend.openRequests.Load() == 0
 				})
 				e.Write("HTTP/1.1 202 Accepted\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
 				return true
@@ -285,7 +285,7 @@
 	<-received
 	client.Close()
 	cluster.await("the dispatcher notices that the client left", func() bool {
-		return cluster.node.frontend.asked.Load() == 0
+		return cluster.node.frontend.openRequests.Load() == 0
 	})
 	if got := cluster.send(raw); got.status != 409 || got.retryAfter != "" {
 		t.Errorf("after its client left: %+v", got)
@@ -294,11 +294,11 @@
 	client = cluster.dial()
 	io.WriteString(client, raw)
 	<-received
-	cluster.node.frontend.over.Store(true)
+	cluster.node.frontend.rejectAll.Store(true)
 	if got := cluster.send(raw); got.status != 409 || got.retryAfter != "" {
 		t.Errorf("during shutdown: %+v", got)
 	}
-	cluster.node.frontend.open = 0
+	cluster.node.frontend.maxOpen = 0
 	if got := cluster.send(raw); got.status != 409 || got.retryAfter != "" {
 		t.Errorf("while too many requests are open: %+v", got)
 	}
--- a/internal/platform/behind_test.go
+++ b/internal/platform/behind_test.go
@@ -24,7 +24,7 @@
 	if seen := h.site.Seen("", "POST"); len(seen) != 0 {
 		t.Errorf("%d attempts were made", len(seen))
 	}
-	if late := h.node.frontend.Late.Load(); late != 1 {
+	if late := h.node.frontend.LateAnswers.Load(); late != 1 {
 		t.Errorf("%d requests are counted as late", late)
 	}
 }
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -227,7 +227,7 @@
 // firstCame is when the first bytes of the connection came that are read now; zero: they are coming now. They may have waited for as long
 // as the connection did to be accepted, and then for their turn. The lock is held.
 func (c *clientConn) firstCame(fd uintptr) time.Time {
-	if ago, told := system.ReceivedAgo(fd); told && ago >= receivedLeast {
+	if ago, told := system.SinceLastReceive(fd); told && ago >= receivedLeast {
 		if came := c.lastRead.Add(-ago); came.After(c.earliest) {
 			return came
 		}
--- a/internal/platform/conn_test.go
+++ b/internal/platform/conn_test.go
@@ -216,7 +216,7 @@
 		}
 		defer c.Close()
 	}
-	l.acceptLast()
+	l.acceptBacklogOnly()
 	for range waiting {
 		if _, err := l.Accept(); err != nil {
 			t.Fatalf("a completed connection is not accepted: %v", err)
@@ -242,7 +242,7 @@
 	_, silent, _ := pair(t)
 	l.conns[silent] = true
 	silent.since = time.Now().Add(-time.Hour)
-	l.most = 2
+	l.maxConns = 2
 	if !l.makeRoom(time.Now()) {
 		t.Error("a silent connection made no room")
 	}
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -130,7 +130,7 @@
 }
 
 // open gets a connection for an attempt within the descriptors that attempts may have.
-func (c *transport) open(ctx context.Context, f *dispatch.Attempt, host *reach.Pool, m *outgoingRequest) (conn *reach.Conn, stop func() bool, err error) {
+func (c *transport) openConn(ctx context.Context, f *dispatch.Attempt, host *reach.Pool, m *outgoingRequest) (conn *reach.Conn, stop func() bool, err error) {
 	if host == nil {
 		return nil, nil, errStale // its backend is gone
 	}
@@ -155,7 +155,7 @@
 
 // notSent is the result of an attempt of which no backend got the last byte. Where the dispatcher itself cut the request off, it does not
 // call the attempt harmless: what the backend had of it by then only the backend knows.
-func notSent(ctx context.Context, err error) brain.Result {
+func notSentResult(ctx context.Context, err error) brain.Result {
 	switch {
 	case errors.Is(context.Cause(ctx), dispatch.ErrLeft):
 		return brain.Result{Outcome: brain.Cancelled}
@@ -172,8 +172,8 @@
 
 // checkArrival calls an attempt off whose request, though written whole, has not arrived: the state that it is to take goes on waiting
 // meanwhile. Whether it may yet run only the backend knows.
-func (c *transport) checkArrival(f *dispatch.Attempt, conn *reach.Conn) {
-	if system.Unacknowledged(conn.Conn) > 0 {
+func (c *transport) checkAcknowledged(f *dispatch.Attempt, conn *reach.Conn) {
+	if system.UnacknowledgedBytes(conn.Conn) > 0 {
 		c.Unacknowledged.Add(1)
 		f.Off(errNotArrived)
 	}
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	headWait  = 2300 * time.Millisecond // for a request's head, from when the connection came or the request began
-	writeWait = 20 * time.Second        // for one piece to a client that does not read
-	restMost  = 10 * time.Minute        // that a client's connection may rest while there is room
-	bodyStep  = 16 << 10                // of a body, as it comes
+	headTimeout       = 2300 * time.Millisecond // for a request's head, from when the connection came or the request began
+	writeWait         = 20 * time.Second        // for one piece to a client that does not read
+	clientIdleTimeout = 10 * time.Minute        // that a client's connection may rest while there is room
+	bodyStep          = 16 << 10                // of a body, as it comes
 
 	// answerLate is how long after its client's time a request is answered here, if the loop has not done so: over half a second
 	// late it would be lost.
@@ -36,35 +36,35 @@
 	grades  map[string]int
 	tenants map[string]int
 	after   time.Duration // told to clients that find no room
-	open    int64         // requests that may be open
+	maxOpen int64         // requests that may be open
 	bodies  int64         // bytes that all bodies may have
 
-	fleetKnown func() bool // there is a backend that answers
-	crowded    func() bool // clients' connections run short
-	ready      atomic.Bool
-	stopping   atomic.Bool   // it wants no new requests
-	over       atomic.Bool   // it takes none any more
-	cut        chan struct{} // closed when streams are to be gone on with elsewhere
-	asked      atomic.Int64
-	Again      atomic.Int64 // requests asked before
-	Rest       atomic.Int64 // requests for the rest of a stream
-	Moved      atomic.Int64 // streams cut for that
-	held       atomic.Int64
-	Late       atomic.Int64 // requests that were answered here, as the loop had no answer in time
+	hasBackends   func() bool // there is a backend that answers
+	nearConnLimit func() bool // clients' connections run short
+	ready         atomic.Bool
+	stopping      atomic.Bool   // it wants no new requests
+	rejectAll     atomic.Bool   // it takes none any more
+	moveStreams   chan struct{} // closed when streams are to be gone on with elsewhere
+	openRequests  atomic.Int64
+	Resubmitted   atomic.Int64 // requests asked before
+	Continuations atomic.Int64 // requests for the rest of a stream
+	MovedStreams  atomic.Int64 // streams cut for that
+	bodyBytes     atomic.Int64
+	LateAnswers   atomic.Int64 // requests that were answered here, as the loop had no answer in time
 
 	ids     *idRegistry
 	monitor *monitor.Monitor
-	pulse   *pulse
+	pulse   *stallDetector
 	classes []monitor.Class // by the number of a request's class
 	log     *slog.Logger
 	mu      sync.Mutex
 	refused map[string]int64
 }
 
-func newFrontend(loop *dispatch.Loop, facts brain.Facts, bodies int64, observed *monitor.Monitor, beating *pulse, log *slog.Logger) *frontend {
+func newFrontend(loop *dispatch.Loop, facts brain.Facts, bodies int64, observed *monitor.Monitor, beating *stallDetector, log *slog.Logger) *frontend {
 	f := &frontend{
 		loop: loop, grades: map[string]int{}, tenants: map[string]int{}, ids: newIDRegistry(longestDeadline(facts) + idRetentionSlack), refused: map[string]int64{},
-		cut: make(chan struct{}), after: facts.Span("policyLimits.maxRetryAfterUs"), open: int64(facts.Num("policyLimits.maxOpen", 1e4)), bodies: bodies,
+		moveStreams: make(chan struct{}), after: facts.Span("policyLimits.maxRetryAfterUs"), maxOpen: int64(facts.Num("policyLimits.maxOpen", 1e4)), bodies: bodies,
 		monitor: observed, pulse: beating, classes: monitorClasses(facts), log: log,
 	}
 	for i, name := range facts.Names("requestClasses") {
@@ -79,7 +79,7 @@
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := connOf(r.Context())
 	conn.begin(r.ContentLength)
-	if f.stopping.Load() || f.crowded() || !conn.reusable() {
+	if f.stopping.Load() || f.nearConnLimit() || !conn.reusable() {
 		w.Header().Set("Connection", "close")
 	}
 	if r.URL.Path == chat.Ready && (r.Method == http.MethodGet || r.Method == http.MethodHead) {
@@ -110,8 +110,8 @@
 		f.refuse(w, r, errKnownID) // before any answer that would invite a retry
 		return
 	}
-	defer f.asked.Add(-1)
-	if why := mayTake(f.over.Load(), f.asked.Add(1), f.open, f.loop.Behind()); why != taken {
+	defer f.openRequests.Add(-1)
+	if why := mayTake(f.rejectAll.Load(), f.openRequests.Add(1), f.maxOpen, f.loop.Behind()); why != taken {
 		f.full(w, r, why)
 		return
 	}
@@ -123,7 +123,7 @@
 
 // answering tells whether there are backends to serve with; once there were, that stays.
 func (f *frontend) answering() bool {
-	if !f.ready.Load() && f.fleetKnown() {
+	if !f.ready.Load() && f.hasBackends() {
 		f.ready.Store(true)
 	}
 	return f.ready.Load()
@@ -161,7 +161,7 @@
 	submitted := false
 	defer func() { f.ids.release(ask.ID, submitted) }()
 	took := int64(0)
-	giveBack := func() { f.held.Add(-took); took = 0 }
+	giveBack := func() { f.bodyBytes.Add(-took); took = 0 }
 	defer giveBack()
 	body, err := f.body(r, w, &took)
 	switch {
@@ -178,10 +178,10 @@
 	length := len(body)
 	ask.Sized(length)
 	if ask.Again {
-		f.Again.Add(1)
+		f.Resubmitted.Add(1)
 	}
 	if ask.Rest {
-		f.Rest.Add(1)
+		f.Continuations.Add(1)
 	}
 	m := &outgoingRequest{id: ask.ID, body: body, head: func(wait time.Duration) []byte { return chat.Errand(r, serviceHost, ask, length, wait) }}
 	a := &dispatch.ClientRequest{
@@ -189,8 +189,8 @@
 		Grade: ask.Grade, Channel: ask.Channel, Matter: m,
 	}
 	submitted = true
-	f.monitor.Taken(ask.ID, f.classes[grade], ask.Left-time.Since(came))
-	defer f.monitor.Closed(ask.ID, "its handler ends")
+	f.monitor.RequestAccepted(ask.ID, f.classes[grade], ask.Left-time.Since(came))
+	defer f.monitor.RequestClosed(ask.ID, "its handler ends")
 	defer context.AfterFunc(r.Context(), func() {
 		a.End()
 		f.monitor.ClientGone(ask.ID)
@@ -226,7 +226,7 @@
 	case r.Context().Err() != nil:
 		f.monitor.ClientGone(a.Ask.ID)
 	case ctx.Err() != nil:
-		f.Late.Add(1)
+		f.LateAnswers.Add(1)
 		f.log.Error("the event loop gave no answer in time", "id", a.Ask.ID, "behind", f.loop.Behind())
 		f.answer(w, a.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
 	default:
@@ -246,7 +246,7 @@
 		if len(body) == cap(body) {
 			step := bodyRoom(r.ContentLength, len(body))
 			*took += int64(step)
-			if f.held.Add(int64(step)) > f.bodies {
+			if f.bodyBytes.Add(int64(step)) > f.bodies {
 				return nil, errNoRoom
 			}
 			body = append(make([]byte, 0, len(body)+step), body...)
@@ -288,7 +288,7 @@
 }
 
 // state is what operators see.
-func (f *frontend) state() string {
+func (f *frontend) refusalCounts() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return fmt.Sprint(f.refused)
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -64,4 +64,4 @@
 }
 
 // mayEnd tells whether a process that stops may end: each connection has had its answer and is closed.
-func mayEnd(connections int) bool { return connections == 0 }
+func mayExit(connections int) bool { return connections == 0 }
--- a/internal/platform/limiter.go
+++ b/internal/platform/limiter.go
@@ -46,24 +46,24 @@
 // limiter accepts clients' connections and bounds how many are open. Where as many are open as may be, the oldest that is silent or
 // idle makes room; where there is none, the next waits outside until one is.
 type limiter struct {
-	listener system.Listener
-	most     int
-	mu       sync.Mutex
-	conns    map[*clientConn]bool
-	draining bool         // connections without an open request are closed
-	failures timeSpan     // in which accept failed last; the accepting goroutine's
-	opened   time.Time    // since when connections may have come
-	ending   time.Time    // when acceptLast was called; set before last is
-	last     atomic.Bool  // what is completed already is accepted, and no more
-	Pushed   atomic.Int64 // connections that made room
-	Waited   atomic.Int64 // looks that found none
-	Failed   atomic.Int64 // errors of accept that were passed over
-	Shut     atomic.Int64 // connections that were shut unread at a stop, as there was no room
-	log      *slog.Logger
+	listener      system.Listener
+	maxConns      int
+	mu            sync.Mutex
+	conns         map[*clientConn]bool
+	draining      bool         // connections without an open request are closed
+	failures      timeSpan     // in which accept failed last; the accepting goroutine's
+	opened        time.Time    // since when connections may have come
+	ending        time.Time    // when acceptLast was called; set before last is
+	last          atomic.Bool  // what is completed already is accepted, and no more
+	Evicted       atomic.Int64 // connections that made room
+	CapacityWaits atomic.Int64 // looks that found none
+	AcceptErrors  atomic.Int64 // errors of accept that were passed over
+	ClosedUnread  atomic.Int64 // connections that were shut unread at a stop, as there was no room
+	log           *slog.Logger
 }
 
 func newLimiter(listener system.Listener, most int, log *slog.Logger) *limiter {
-	return &limiter{listener: listener, most: most, log: log, conns: map[*clientConn]bool{}, opened: time.Now()}
+	return &limiter{listener: listener, maxConns: most, log: log, conns: map[*clientConn]bool{}, opened: time.Now()}
 }
 
 // Addr is where the limiter listens.
@@ -75,7 +75,7 @@
 // Accept returns the next connection. It fails only once the listener is closed: whatever else the system says passes. After acceptLast
 // it returns http.ErrServerClosed once no completed connection is left.
 func (l *limiter) Accept() (net.Conn, error) {
-	var retry system.Retry
+	var retry system.Backoff
 	for {
 		noRoom := l.awaitRoom()
 		called := time.Now()
@@ -128,7 +128,7 @@
 		if since.IsZero() {
 			since = time.Now()
 		}
-		l.Waited.Add(1)
+		l.CapacityWaits.Add(1)
 		time.Sleep(roomWait)
 	}
 	return since
@@ -138,7 +138,7 @@
 // closed. A closed listener resets those that wait, and loses their requests, so it is closed only after a look that found none:
 // neither an error that passes nor a deadline that went by before the look says that.
 func (l *limiter) acceptCompleted() (system.Conn, error) {
-	var retry system.Retry
+	var retry system.Backoff
 	for round := 0; round < lastRounds; round++ {
 		l.awaitLastRoom()
 		began := time.Now()
@@ -164,7 +164,7 @@
 
 // awaitLastRoom waits for a while until one more connection may be open: at a stop, connections at rest are being closed.
 func (l *limiter) awaitLastRoom() {
-	for end := time.Now().Add(lastRoomWait); l.count() >= l.most+l.closingMost() && time.Now().Before(end); {
+	for end := time.Now().Add(lastRoomWait); l.count() >= l.maxConns+l.closingMost() && time.Now().Before(end); {
 		time.Sleep(roomWait)
 	}
 }
@@ -174,8 +174,8 @@
 
 // admit takes a connection on that may have been complete for a while, and was not before earliest.
 func (l *limiter) admit(raw system.Conn, complete, earliest time.Time) (net.Conn, error) {
-	if l.last.Load() && l.count() >= l.most+l.closingMost() {
-		l.Shut.Add(1)
+	if l.last.Load() && l.count() >= l.maxConns+l.closingMost() {
+		l.ClosedUnread.Add(1)
 		return nil, errNoPlace
 	}
 	c, err := newClientConn(raw, l.forget)
@@ -197,15 +197,15 @@
 		l.failures.from = called
 	}
 	l.failures.to = now
-	l.Failed.Add(1)
+	l.AcceptErrors.Add(1)
 	l.log.Warn("accept failed", "error", err)
 }
 
 // closingMost is how many connections that are being closed may be open beside the others.
-func (l *limiter) closingMost() int { return max(int(closingShare*float64(l.most)), 1) }
+func (l *limiter) closingMost() int { return max(int(closingShare*float64(l.maxConns)), 1) }
 
 // acceptLast has Accept take the connections that are completed already, and then end.
-func (l *limiter) acceptLast() {
+func (l *limiter) acceptBacklogOnly() {
 	l.ending = time.Now()
 	l.last.Store(true)
 	l.listener.SetDeadline(l.ending) // ends an Accept that waits; the looks of acceptCompleted follow
@@ -213,7 +213,7 @@
 
 // makeRoom tells whether there is room for a connection.
 func (l *limiter) makeRoom(now time.Time) bool {
-	if l.count() < l.most {
+	if l.count() < l.maxConns {
 		return true
 	}
 	open, closing := 0, 0
@@ -235,13 +235,13 @@
 	if closing >= l.closingMost() {
 		lingering.conn.abort()
 	}
-	if open < l.most {
+	if open < l.maxConns {
 		return true
 	}
 	if victim.conn == nil || !victim.conn.closeIdle(closedForRoom) {
 		return false
 	}
-	l.Pushed.Add(1)
+	l.Evicted.Add(1)
 	return true
 }
 
@@ -274,7 +274,7 @@
 }
 
 // moved is told by net/http of a connection's state.
-func (l *limiter) moved(conn net.Conn, state http.ConnState) {
+func (l *limiter) connStateChanged(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok || state != http.StateIdle {
 		return
@@ -317,7 +317,7 @@
 }
 
 // Crowded tells whether answers should end their connections.
-func (l *limiter) Crowded() bool { return float64(l.count()) > crowdedShare*float64(l.most) }
+func (l *limiter) NearLimit() bool { return float64(l.count()) > crowdedShare*float64(l.maxConns) }
 
 // count is how many connections are open, those that are being closed among them.
 func (l *limiter) count() int {
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -150,7 +150,7 @@
 func (c *testCluster) awaitIdle() {
 	c.t.Helper()
 	c.await("nothing of the requests remains", func() bool {
-		remaining := c.site.Out() + c.site.Held() + int(c.node.frontend.asked.Load()) + int(c.node.frontend.held.Load()) +
+		remaining := c.site.Out() + c.site.Held() + int(c.node.frontend.openRequests.Load()) + int(c.node.frontend.bodyBytes.Load()) +
 			int(c.node.transport.pending.Load())
 		c.node.loop.Call(context.Background(), func() {
 			for _, b := range []*hosts.Box{c.prefill, c.decoders[0], c.decoders[1]} {
@@ -769,7 +769,7 @@
 		<-e.Left
 		return false
 	})
-	close(cluster.node.frontend.cut)
+	close(cluster.node.frontend.moveStreams)
 	for range 20 {
 		if got := cluster.send(cluster.request("trail-info")); got.status != 200 ||
 			got.body != hosts.Event("a") || got.complete {
@@ -777,7 +777,7 @@
 		}
 	}
 	cluster.awaitIdle()
-	cluster.node.frontend.cut = make(chan struct{}) // which the shutdown closes again
+	cluster.node.frontend.moveStreams = make(chan struct{}) // which the shutdown closes again
 }
 
 // Backends and clients with ever new names leave nothing behind: pools, ids and counters do not grow.
--- a/internal/platform/observe.go
+++ b/internal/platform/observe.go
@@ -56,15 +56,15 @@
 }
 
 // monitorTerms returns the bounds of the monitored rules under the given settings.
-func monitorTerms(settings brain.Facts) monitor.Terms {
-	terms := monitor.Terms{
-		Gone: clientGoneSlack, Told: statedTimeoutSlack, DrainGrace: settings.Span("rules.drainGraceUs"),
+func monitorTerms(settings brain.Facts) monitor.Bounds {
+	terms := monitor.Bounds{
+		ClientGoneGrace: clientGoneSlack, TimeoutSlack: statedTimeoutSlack, DrainGrace: settings.Span("rules.drainGraceUs"),
 	}
 	if terms.DrainGrace == 0 {
 		terms.DrainGrace = defaultDrainGrace
 	}
 	if limit := settings.Span("familyInfo.pinLimitUs"); limit > 0 {
-		terms.Hold = limit + kvHoldSlack
+		terms.MaxCacheWait = limit + kvHoldSlack
 	}
 	return terms
 }
@@ -90,10 +90,10 @@
 func hasEffect(attempt *dispatch.Attempt) bool { return attempt.Planned.Stage != brain.ToRead }
 
 // provenEnd returns what the outcome of an attempt proves about whether it ran.
-func provenEnd(outcome brain.Outcome) monitor.End {
+func provenEnd(outcome brain.Outcome) monitor.AttemptEnd {
 	switch {
 	case outcome == brain.Read:
-		return monitor.StateKept
+		return monitor.CacheHeld
 	case outcome.NeverRan():
 		return monitor.NeverRan
 	}
@@ -112,14 +112,14 @@
 	for _, endpoint := range endpoints {
 		named[endpoint.Name] = true
 		o.known[endpoint.Name] = true
-		o.monitor.Changed(endpoint.Name, endpoint.Standing == boxlist.Ready)
+		o.monitor.BackendChanged(endpoint.Name, endpoint.Standing == boxlist.Ready)
 	}
 	if !full {
 		return
 	}
 	for name := range o.known {
 		if !named[name] {
-			o.monitor.Changed(name, false)
+			o.monitor.BackendChanged(name, false)
 			delete(o.known, name)
 		}
 	}
--- a/internal/platform/pulse.go
+++ b/internal/platform/pulse.go
@@ -14,16 +14,16 @@
 
 // pulse notices when the process stood still, as when it is stopped by a signal or gets no processor. What is read right after that may
 // have come at any time since it began.
-type pulse struct {
+type stallDetector struct {
 	mu       sync.Mutex
 	last     time.Time
 	from, to time.Time // the last stall
 }
 
-func newPulse(now time.Time) *pulse { return &pulse{last: now} }
+func newStallDetector(now time.Time) *stallDetector { return &stallDetector{last: now} }
 
 // run looks at the clock until the context ends.
-func (p *pulse) run(ctx context.Context) {
+func (p *stallDetector) run(ctx context.Context) {
 	tick := time.NewTicker(pulseEach)
 	defer tick.Stop()
 	for {
@@ -37,7 +37,7 @@
 }
 
 // beat takes note of a time at which the process runs.
-func (p *pulse) beat(now time.Time) {
+func (p *stallDetector) beat(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Sub(p.last) >= stallLeast {
@@ -49,7 +49,7 @@
 }
 
 // came is when at the earliest something had come that is read now.
-func (p *pulse) came(now time.Time) time.Time {
+func (p *stallDetector) came(now time.Time) time.Time {
 	p.beat(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -60,7 +60,7 @@
 }
 
 // stalledSince tells whether the process stood still after a time: what was found out before it may not hold any more.
-func (p *pulse) stalledSince(then, now time.Time) bool {
+func (p *stallDetector) stalledSince(then, now time.Time) bool {
 	p.beat(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/platform/pulse_test.go
+++ b/internal/platform/pulse_test.go
@@ -9,7 +9,7 @@
 func TestAPulseNoticesAStall(t *testing.T) {
 	const ms = time.Millisecond
 	at := func(span time.Duration) time.Time { return time.Unix(1000, 0).Add(span) }
-	p := newPulse(at(0))
+	p := newStallDetector(at(0))
 	for now := pulseEach; now <= 500*ms; now += pulseEach {
 		p.beat(at(now))
 	}
--- a/internal/platform/releases.go
+++ b/internal/platform/releases.go
@@ -52,7 +52,7 @@
 		began := time.Now()
 		if c.releaseAny(targets, call) {
 			c.Delivered.Add(1)
-			c.monitor.Released(outgoing.id, "released")
+			c.monitor.CacheReleased(outgoing.id, "released")
 		} else {
 			c.Undelivered.Add(1)
 			c.notable.Info("no backend answered a release", "id", outgoing.id, "backend", backend.Name)
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -48,7 +48,7 @@
 	peers          *dispatch.Peers // does not listen if the configuration has no address for it
 	follower       *endpoints.Follower
 	monitor        *monitor.Monitor
-	pulse          *pulse
+	pulse          *stallDetector
 }
 
 // Run serves until the context ends, then answers all admitted requests and returns. On every signal from reloads it
@@ -73,7 +73,7 @@
 	since := func() time.Duration { return time.Since(began) }
 	dispatcher := &node{config: config, settings: settings, log: log, acceptingDone: make(chan struct{})}
 	dispatcher.lifetime, dispatcher.cancel = context.WithCancel(ctx)
-	dispatcher.pulse = newPulse(time.Now())
+	dispatcher.pulse = newStallDetector(time.Now())
 	dispatcher.monitor = monitor.New(monitorTerms(settings), since, log)
 	pools := &reach.Manager{
 		DialTimeout: max(settings.Span("policyLimits.dialTimeoutUs"), 10*time.Millisecond), MaxConnsPerBackend: shares.attempts, Now: since,
@@ -90,7 +90,7 @@
 		Zone: func(name string) int { return zoneNumber(settings, name) },
 		Kind: func(name string) int { return settings.Index("kinds", name) },
 	}
-	listener, err := system.Open(func() (system.Listener, error) { return sys.Listen(config.Listen) })
+	listener, err := system.OpenWithRetry(func() (system.Listener, error) { return sys.Listen(config.Listen) })
 	if err != nil {
 		return nil, err
 	}
@@ -130,8 +130,8 @@
 	dispatcher.follower.Move(config.Discovery)
 	dispatcher.limiter = newLimiter(listener, int(float64(shares.clients)/(1+closingShare)), log)
 	dispatcher.frontend = newFrontend(dispatcher.loop, settings, shares.bodies, dispatcher.monitor, dispatcher.pulse, log)
-	dispatcher.frontend.crowded = dispatcher.limiter.Crowded
-	dispatcher.frontend.fleetKnown = func() bool {
+	dispatcher.frontend.nearConnLimit = dispatcher.limiter.NearLimit
+	dispatcher.frontend.hasBackends = func() bool {
 		if !dispatcher.follower.Heard() && since() < discoveryWait {
 			return false
 		}
@@ -162,8 +162,8 @@
 		n.tasks.Go(func() error { return n.peers.Listen(n.lifetime, n.loop) })
 	}
 	server := &http.Server{
-		Handler: n.frontend, ReadHeaderTimeout: headWait, IdleTimeout: restMost, MaxHeaderBytes: chat.HeadMost,
-		ConnState: n.limiter.moved, ConnContext: withConn, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
+		Handler: n.frontend, ReadHeaderTimeout: headTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: chat.HeadMost,
+		ConnState: n.limiter.connStateChanged, ConnContext: withConn, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
 	failed := make(chan error, 1)
 	n.tasks.Go(func() error {
@@ -175,7 +175,7 @@
 	})
 	config := n.config
 	n.log.Info("serving", "listen", n.limiter.Addr().String(), "discovery", config.Discovery, "cores", config.Limits.Cores,
-		"memory_mb", config.Limits.MemoryMB, "sockets", config.Limits.Sockets, "clients", n.limiter.most,
+		"memory_mb", config.Limits.MemoryMB, "sockets", config.Limits.Sockets, "clients", n.limiter.maxConns,
 		"boxes", n.transport.pools.MaxConnsPerBackend)
 	tick := time.NewTicker(stateLogInterval)
 	defer tick.Stop()
@@ -201,19 +201,19 @@
 	n.loop.Call(n.lifetime, func() {
 		tally := n.loop.Tally
 		turn, wait, timer := n.loop.Lag.Period()
-		n.log.Info("state", "taken", tally.Taken, "again", frontend.Again.Load(), "rest", frontend.Rest.Load(),
-			"moved", frontend.Moved.Load(), "satisfied", tally.Satisfied, "declined", tally.Declined,
+		n.log.Info("state", "taken", tally.Taken, "again", frontend.Resubmitted.Load(), "rest", frontend.Continuations.Load(),
+			"moved", frontend.MovedStreams.Load(), "satisfied", tally.Satisfied, "declined", tally.Declined,
 			"forfeited", tally.Forfeited, "left", tally.Left, "overdue", tally.Overdue, "trips", tally.Trips,
 			"outcomes", fmt.Sprint(tally.Outcomes), "prefills", fmt.Sprint(tally.Prefills), "began", tally.Began,
 			"in_time", tally.InTime, "held_ms", tally.Held.Milliseconds(), "first_ms", tally.First.Milliseconds(),
-			"believes", fmt.Sprintf("%+v", n.loop.Believes()), "open", frontend.asked.Load(), "bodies", frontend.held.Load(),
-			"clients", limiter.count(), "pushed", limiter.Pushed.Load(), "waited", limiter.Waited.Load(),
-			"accept_failed", limiter.Failed.Load(), "shut", limiter.Shut.Load(), "refused", frontend.state(),
+			"believes", fmt.Sprintf("%+v", n.loop.Believes()), "open", frontend.openRequests.Load(), "bodies", frontend.bodyBytes.Load(),
+			"clients", limiter.count(), "pushed", limiter.Evicted.Load(), "waited", limiter.CapacityWaits.Load(),
+			"accept_failed", limiter.AcceptErrors.Load(), "shut", limiter.ClosedUnread.Load(), "refused", frontend.refusalCounts(),
 			"released", transport.Delivered.Load(), "unheard", transport.Undelivered.Load(), "stale", transport.Stale.Load(),
 			"local", transport.LocalFailures.Load(), "unarrived", transport.Unacknowledged.Load(),
 			"spoilt", transport.Malformed.Load(), "strange", transport.BadRequest.Load(), "watch_lost", n.follower.Lost(),
 			"strangers", n.peers.Dropped.Load(), "broken", n.monitor.Counts(), "due", transport.Due.Load(),
-			"too_late", frontend.Late.Load(),
+			"too_late", frontend.LateAnswers.Load(),
 			"turn_ms", turn.Milliseconds(), "queued_ms", wait.Milliseconds(), "timer_ms", timer.Milliseconds(),
 			"long_turns", n.loop.Lag.LongTurns, "unlogged", transport.notable.dropped.Load(),
 			"heap_kb", memory.HeapAlloc>>10, "sys_kb", memory.Sys>>10, "goroutines", runtime.NumGoroutine())
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -71,18 +71,18 @@
 // node.
 func (n *node) shutdown(server *http.Server) {
 	began, times := time.Now(), shutdownTimesFor(n.settings)
-	n.log.Info("stopping", "open", n.frontend.asked.Load(),
+	n.log.Info("stopping", "open", n.frontend.openRequests.Load(),
 		"accept", times.closeListener, "move", times.cutStreams, "answer", times.answer)
 	n.frontend.stopping.Store(true)
 	n.limiter.drain()
 	if n.settings.Yes("familyInfo.resume") {
-		defer time.AfterFunc(times.cutStreams, func() { close(n.frontend.cut) }).Stop()
+		defer time.AfterFunc(times.cutStreams, func() { close(n.frontend.moveStreams) }).Stop()
 	}
 	defer time.AfterFunc(times.answer, n.answerAll).Stop()
 	time.Sleep(times.closeListener)
-	n.limiter.acceptLast()
+	n.limiter.acceptBacklogOnly()
 	<-n.acceptingDone
-	for !mayEnd(n.limiter.count()) {
+	for !mayExit(n.limiter.count()) {
 		time.Sleep(shutdownPollInterval)
 		n.limiter.closeSilent()
 	}
@@ -97,7 +97,7 @@
 
 // answerAll has every request without a first event answered, and every further request rejected.
 func (n *node) answerAll() {
-	n.frontend.over.Store(true)
+	n.frontend.rejectAll.Store(true)
 	n.loop.Post(n.loop.Yield)
 }
 
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -193,14 +193,14 @@
 		t.Fatal(err, first)
 	}
 	time.Sleep(20 * time.Millisecond) // for the last token to be passed on
-	close(cluster.node.frontend.cut)
+	close(cluster.node.frontend.moveStreams)
 	time.Sleep(cutWait + 50*time.Millisecond)
 	finish <- true
 	if got := client.readResponse(); !got.complete || !strings.Contains(got.body, "[DONE]") {
 		t.Errorf("%+v", got)
 	}
 	cluster.awaitIdle()
-	cluster.node.frontend.cut = make(chan struct{}) // which the shutdown closes again
+	cluster.node.frontend.moveStreams = make(chan struct{}) // which the shutdown closes again
 }
 
 // The KV cache that the attempt of a departed client may have left at its backend is released before the dispatcher
@@ -215,7 +215,7 @@
 	<-received
 	client.Close()
 	cluster.await("the dispatcher notices that the client left", func() bool {
-		return cluster.node.frontend.asked.Load() == 0
+		return cluster.node.frontend.openRequests.Load() == 0
 	})
 	cluster.quit()
 	select {
@@ -262,7 +262,7 @@
 	<-received
 	client.Close()
 	cluster.await("the dispatcher notices that the client left", func() bool {
-		return cluster.node.frontend.asked.Load() == 1
+		return cluster.node.frontend.openRequests.Load() == 1
 	})
 	began := time.Now()
 	cluster.quit()
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -34,7 +34,7 @@
 	p.frontend.monitor.Answered(p.asked.Ask.ID, http.StatusOK, false, nil)
 	p.w.Header().Set("Content-Type", "text/event-stream")
 	p.w.Header()["Date"] = nil
-	cut := p.frontend.cut
+	cut := p.frontend.moveStreams
 	var overdue <-chan time.Time
 	for {
 		select {
@@ -97,7 +97,7 @@
 
 // move cuts the stream for its client to continue elsewhere.
 func (p *passing) move() {
-	p.frontend.Moved.Add(1)
+	p.frontend.MovedStreams.Add(1)
 	p.abort()
 }
 
@@ -110,7 +110,7 @@
 // cutting tells whether streams are cut to be continued elsewhere.
 func (f *frontend) cutting() bool {
 	select {
-	case <-f.cut:
+	case <-f.moveStreams:
 		return true
 	default:
 		return false
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -51,7 +51,7 @@
 	log        *slog.Logger
 	notable    *notableLog
 	monitor    *monitor.Monitor
-	pulse      *pulse
+	pulse      *stallDetector
 	mu         sync.Mutex
 	traffic    map[string]*backendTraffic // by backend name
 
@@ -143,14 +143,14 @@
 func (c *transport) perform(
 	ctx context.Context, attempt *dispatch.Attempt, pool *reach.Pool, outgoing *outgoingRequest,
 ) (result brain.Result) {
-	conn, stop, err := c.open(ctx, attempt, pool, outgoing)
+	conn, stop, err := c.openConn(ctx, attempt, pool, outgoing)
 	if err != nil {
-		return notSent(ctx, err)
+		return notSentResult(ctx, err)
 	}
 	load := ""
 	c.recordTraffic(attempt, 1, "")
 	if limit := attempt.Planned.Connect; limit > 0 {
-		defer time.AfterFunc(ackTimeoutFactor*limit, func() { c.checkArrival(attempt, conn) }).Stop()
+		defer time.AfterFunc(ackTimeoutFactor*limit, func() { c.checkAcknowledged(attempt, conn) }).Stop()
 	}
 	defer func() {
 		c.recordTraffic(attempt, -1, load)
@@ -227,7 +227,7 @@
 		}
 		if !begun {
 			begun = true
-			c.monitor.Released(outgoing.id, "response started")
+			c.monitor.CacheReleased(outgoing.id, "response started")
 			c.loop.Post(func() { c.loop.Began(attempt) })
 		}
 		c.activity.recordActivity(pool)
--- a/internal/reach/pool.go
+++ b/internal/reach/pool.go
@@ -422,7 +422,7 @@
 // dialFailure returns the result that an error of dialing means for the address.
 func dialFailure(ctx context.Context, err error) addresses.Result {
 	switch {
-	case system.Local(err):
+	case system.IsLocalError(err):
 		return addresses.LocalError
 	case ctx.Err() != nil, errors.Is(err, syscall.ETIMEDOUT), errors.Is(err, syscall.EHOSTUNREACH):
 		return addresses.TimedOut
--- a/internal/system/replace.go
+++ b/internal/system/replace.go
@@ -11,7 +11,7 @@
 
 // Replace puts a file with new contents in the place of one. It is on the disk when Replace returns; a kill, a full disk or one that
 // fails leaves the old one as it was.
-func Replace(path string, raw []byte, mode os.FileMode) error {
+func ReplaceFile(path string, raw []byte, mode os.FileMode) error {
 	written := path + newSuffix
 	if err := writeSynced(written, raw, mode); err != nil {
 		os.Remove(written)
