--- a/internal/platform/behind_test.go
+++ b/internal/platform/behind_test.go
@@ -36,7 +36,7 @@
 	done := make(chan struct{})
 	h.node.loop.Post(func() { <-done })
 	h.node.loop.Post(func() {})
-	time.Sleep(behindMost + 50*time.Millisecond)
+	time.Sleep(maxLoopLag + 50*time.Millisecond)
 	if got := h.send(h.request("hut-booking")); got.status != 503 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/platform/conn_test.go
+++ b/internal/platform/conn_test.go
@@ -19,7 +19,7 @@
 )
 
 // pair is a client's connection and the dispatcher's end of it.
-func pair(t *testing.T) (client *net.TCPConn, conn *clientConn, closed <-chan struct{}) {
+func newConnPair(t *testing.T) (client *net.TCPConn, conn *clientConn, closed <-chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,7 @@
 // A request that arrives as its connection is closed is either left unread, and its client sees an end in good order, or read, and
 // then the connection is not closed.
 func TestAnIdleConnectionIsClosedOrReadNotBoth(t *testing.T) {
-	client, conn, closed := pair(t)
+	client, conn, closed := newConnPair(t)
 	if !conn.closeIdle(closedByServer) {
 		t.Fatal("a connection on which nothing came is not closed")
 	}
@@ -63,7 +63,7 @@
 	}
 	<-closed
 
-	client, conn, _ = pair(t)
+	client, conn, _ = newConnPair(t)
 	io.WriteString(client, "P")
 	if n, err := conn.Read(make([]byte, 100)); n != 1 || err != nil {
 		t.Fatalf("%d, %v", n, err)
@@ -75,7 +75,7 @@
 
 // Bytes of a further request that have been read make a connection busy, though net/http takes it for idle.
 func TestAConnectionWithAPipelinedRequestIsNotIdle(t *testing.T) {
-	client, conn, _ := pair(t)
+	client, conn, _ := newConnPair(t)
 	one := "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
 	io.WriteString(client, one+"POST /next")
 	head := make([]byte, 4096)
@@ -83,11 +83,11 @@
 	if err != nil || string(head[:n]) != one[:len(one)-3] {
 		t.Fatalf("%q, %v", head[:n], err)
 	}
-	conn.begin(3)
+	conn.setBodyLength(3)
 	if n, err = conn.Read(head); err != nil || string(head[:n]) != "abc" {
 		t.Fatalf("%q, %v", head[:n], err)
 	}
-	conn.answered()
+	conn.responseDone()
 	if conn.closeIdle(closedByServer) {
 		t.Error("it is closed over a request that has been read")
 	}
@@ -100,15 +100,15 @@
 func TestAHeadIsFramedInAnyPieces(t *testing.T) {
 	for _, head := range []string{"GET / HTTP/1.1\r\nA: b\r\n\r\n", "GET / HTTP/1.1\nA: b\n\n", "GET / HTTP/1.1\r\nA: b\n\r\n"} {
 		for cut := range head {
-			_, conn, _ := pair(t)
+			_, conn, _ := newConnPair(t)
 			conn.pending = []byte(head + "rest")
 			got := ""
 			for _, size := range []int{cut, len(head) + 4} {
 				into := make([]byte, size)
-				n, _ := conn.take(into)
+				n, _ := conn.readPending(into)
 				got += string(into[:n])
 			}
-			if got != head || conn.frame.at != afterHead {
+			if got != head || conn.framer.position != afterHead {
 				t.Errorf("%q cut at %d: %q", head, cut, got)
 			}
 			conn.abort()
@@ -123,7 +123,7 @@
 	c := h.dial()
 	io.WriteString(c, h.request("trail-info"))
 	e := <-there
-	more := strings.Repeat(h.request("hut-booking"), 4*aheadMost/300)
+	more := strings.Repeat(h.request("hut-booking"), 4*maxPipelinedBytes/300)
 	if _, err := io.WriteString(c, more); err != nil {
 		t.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 	c := h.dial()
 	io.WriteString(c, h.request("trail-info"))
 	h.await("it is out", func() bool { return len(h.site.Seen("r1", "POST")) == 1 })
-	io.WriteString(c, strings.Repeat(h.request("hut-booking"), 4*aheadMost/300))
+	io.WriteString(c, strings.Repeat(h.request("hut-booking"), 4*maxPipelinedBytes/300))
 	close(hold)
 	if got := c.readResponse(); got.status != 200 || !got.complete {
 		t.Errorf("%+v", got)
@@ -231,19 +231,19 @@
 // A connection that became busy after it was looked at is not closed for room; the next one is.
 func TestRoomIsNotMadeByABusyConnection(t *testing.T) {
 	l := newLimiter(nil, 1, discardLog)
-	client, busy, _ := pair(t)
+	client, busy, _ := newConnPair(t)
 	l.conns[busy] = true
-	busy.since = time.Now().Add(-time.Hour)
+	busy.stateSince = time.Now().Add(-time.Hour)
 	io.WriteString(client, "P")
 	busy.Read(make([]byte, 10))
-	if l.makeRoom(time.Now()) {
+	if l.ensureCapacity(time.Now()) {
 		t.Error("a connection whose request is being read made room")
 	}
-	_, silent, _ := pair(t)
+	_, silent, _ := newConnPair(t)
 	l.conns[silent] = true
-	silent.since = time.Now().Add(-time.Hour)
+	silent.stateSince = time.Now().Add(-time.Hour)
 	l.maxConns = 2
-	if !l.makeRoom(time.Now()) {
+	if !l.ensureCapacity(time.Now()) {
 		t.Error("a silent connection made no room")
 	}
 	if state, _ := busy.status(time.Now()); state != connReading {
@@ -284,19 +284,19 @@
 // countedConn counts the bytes that are read of a connection.
 type countedConn struct {
 	system.Conn
-	read atomic.Int64
+	bytesRead atomic.Int64
 }
 
 func (c *countedConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
-	c.read.Add(int64(max(n, 0)))
+	c.bytesRead.Add(int64(max(n, 0)))
 	return n, err
 }
 
 // A connection between two requests that net/http closes, as nothing came for long, is not read any more: a request that crosses that
 // must stay unread, for its client to send it elsewhere.
 func TestARequestThatCrossesTheEndOfARestIsNotRead(t *testing.T) {
-	client, conn, closed := pair(t)
+	client, conn, closed := newConnPair(t)
 	counted := &countedConn{Conn: conn.Conn}
 	conn.Conn = counted
 	conn.Close() // as net/http does when a read's deadline has passed
@@ -305,7 +305,7 @@
 		t.Errorf("its client sees %v", err)
 	}
 	<-closed
-	if n := counted.read.Load(); n != 0 {
+	if n := counted.bytesRead.Load(); n != 0 {
 		t.Errorf("%d bytes were read and dropped", n)
 	}
 }
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -18,14 +18,14 @@
 
 var (
 	// errStale ends an attempt that was not sent, as it might not go out any more or had no descriptor.
-	errStale = errors.New("not sent")
+	errNotSent = errors.New("not sent")
 	// errCutOff ends an attempt that was called off while its request was being written.
-	errCutOff = errors.New("called off with part of the request sent")
+	errCutMidRequest = errors.New("called off with part of the request sent")
 )
 
 // connect gets a connection for an attempt, over which all of the request has gone out; until then it can't have run.
 func (c *transport) connect(ctx, within context.Context, f *dispatch.Attempt, host *reach.Pool, m *outgoingRequest) (*reach.Conn, func() bool, error) {
-	limit := c.connectLimit(f)
+	limit := c.connectTimeout(f)
 	var local error // why this machine could not begin the last connection
 	for began, refused := time.Now(), 0; ; {
 		conn, err := host.Get(within)
@@ -54,19 +54,19 @@
 		if until, bounded := within.Deadline(); bounded && f.Planned.Connect > 0 {
 			conn.SetWriteDeadline(until) // a request that is not taken leaves a state waiting as no connection does
 		}
-		stop, err := c.put(ctx, f, conn, m)
+		stop, err := c.send(ctx, f, conn, m)
 		if err == nil {
 			return conn, stop, nil
 		}
 		conn.Discard()
-		if errors.Is(err, errStale) || errors.Is(err, errCutOff) || within.Err() != nil {
+		if errors.Is(err, errNotSent) || errors.Is(err, errCutMidRequest) || within.Err() != nil {
 			return nil, nil, err
 		}
 	}
 }
 
 // connectLimit is how long an attempt's connection may take.
-func (c *transport) connectLimit(f *dispatch.Attempt) time.Duration {
+func (c *transport) connectTimeout(f *dispatch.Attempt) time.Duration {
 	if t := f.Planned.Connect; t > 0 {
 		return min(t, c.pools.DialTimeout)
 	}
@@ -75,25 +75,25 @@
 
 // put sends a request over a new connection, if it may still go out. Nothing but the loop can tell: a drain, the client's going or
 // the end of the window for repeats may have come while the connection was made.
-func (c *transport) put(ctx context.Context, f *dispatch.Attempt, conn *reach.Conn, m *outgoingRequest) (stop func() bool, err error) {
+func (c *transport) send(ctx context.Context, f *dispatch.Attempt, conn *reach.Conn, m *outgoingRequest) (stop func() bool, err error) {
 	may := c.maySend(ctx, f)
 	if may != brain.Allowed {
 		c.Stale.Add(1)
 		c.log.Debug("attempt not sent", "id", m.id, "backend", f.Backend.Name, "number", f.Planned.Number, "why", may)
-		return nil, errStale
+		return nil, errNotSent
 	}
 	told := f.Until - c.clock()
 	if told <= 0 || f.Request.Over() {
 		// What ends a request is looked at right here: word of it may still wait for its turn in the loop.
 		c.Stale.Add(1)
-		return nil, errStale
+		return nil, errNotSent
 	}
 	c.monitor.AttemptBegins(m.id, f.Backend.Name, f.Planned.Number, hasEffect(f), told)
 	stop, err = write(ctx, conn, m.head(told), m.body)
 	switch {
 	case err == nil:
 		c.monitor.AttemptSent(m.id, f.Planned.Number, hasEffect(f))
-	case errors.Is(err, errCutOff):
+	case errors.Is(err, errCutMidRequest):
 		c.monitor.AttemptEnds(m.id, f.Planned.Number, hasEffect(f), monitor.MayHaveRun, err.Error())
 	default:
 		c.monitor.AttemptEnds(m.id, f.Planned.Number, hasEffect(f), monitor.NeverRan, err.Error())
@@ -124,7 +124,7 @@
 	}
 	stop()
 	if ctx.Err() != nil && conn.Sent() {
-		return nil, errCutOff
+		return nil, errCutMidRequest
 	}
 	return nil, cmp.Or(err, io.ErrShortWrite)
 }
@@ -132,20 +132,20 @@
 // open gets a connection for an attempt within the descriptors that attempts may have.
 func (c *transport) openConn(ctx context.Context, f *dispatch.Attempt, host *reach.Pool, m *outgoingRequest) (conn *reach.Conn, stop func() bool, err error) {
 	if host == nil {
-		return nil, nil, errStale // its backend is gone
+		return nil, nil, errNotSent // its backend is gone
 	}
 	waits := ctx
 	if f.Planned.Connect > 0 { // a state waits, for which no descriptor may be free in time
-		bounded, done := context.WithTimeout(ctx, c.connectLimit(f))
+		bounded, done := context.WithTimeout(ctx, c.connectTimeout(f))
 		defer done()
 		waits = bounded
 	}
 	select {
 	case c.attemptSlots <- struct{}{}:
 	case <-waits.Done():
-		return nil, nil, errStale
+		return nil, nil, errNotSent
 	}
-	within, done := context.WithTimeout(waits, c.connectLimit(f))
+	within, done := context.WithTimeout(waits, c.connectTimeout(f))
 	defer done()
 	if conn, stop, err = c.connect(ctx, within, f, host, m); err != nil {
 		<-c.attemptSlots
@@ -159,22 +159,22 @@
 	switch {
 	case errors.Is(context.Cause(ctx), dispatch.ErrLeft):
 		return brain.Result{Outcome: brain.Cancelled}
-	case errors.Is(err, errCutOff):
+	case errors.Is(err, errCutMidRequest):
 		return brain.Result{Outcome: brain.TimedOut}
-	case errors.Is(err, errStale), errors.Is(err, reach.ErrLocal):
+	case errors.Is(err, errNotSent), errors.Is(err, reach.ErrLocal):
 		return brain.Result{Outcome: brain.NotSent}
 	}
 	return brain.Result{Outcome: brain.Unreachable}
 }
 
 // errNotArrived ends an attempt whose request the far machine does not acknowledge.
-var errNotArrived = errors.New("the request is not acknowledged")
+var errUnacknowledged = errors.New("the request is not acknowledged")
 
 // checkArrival calls an attempt off whose request, though written whole, has not arrived: the state that it is to take goes on waiting
 // meanwhile. Whether it may yet run only the backend knows.
 func (c *transport) checkAcknowledged(f *dispatch.Attempt, conn *reach.Conn) {
 	if system.UnacknowledgedBytes(conn.Conn) > 0 {
 		c.Unacknowledged.Add(1)
-		f.Off(errNotArrived)
+		f.Off(errUnacknowledged)
 	}
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -194,7 +194,7 @@
 	}
 	time.Sleep(20 * time.Millisecond) // for the last token to be passed on
 	close(cluster.node.frontend.moveStreams)
-	time.Sleep(cutWait + 50*time.Millisecond)
+	time.Sleep(moveGrace + 50*time.Millisecond)
 	finish <- true
 	if got := client.readResponse(); !got.complete || !strings.Contains(got.body, "[DONE]") {
 		t.Errorf("%+v", got)
--- a/internal/system/retry.go
+++ b/internal/system/retry.go
@@ -9,8 +9,8 @@
 
 // Bounds of the wait between two calls that failed for a moment.
 const (
-	retryFirst = time.Millisecond
-	retryMost  = 100 * time.Millisecond
+	minBackoff = time.Millisecond
+	maxBackoff = 100 * time.Millisecond
 )
 
 // Retry spaces the repeats of a call that failed for a moment: each wait is twice as long as the one before, up to a bound.
@@ -18,7 +18,7 @@
 
 // Wait sleeps before the next call.
 func (r *Backoff) Wait() {
-	r.wait = min(max(2*r.wait, retryFirst), retryMost)
+	r.wait = min(max(2*r.wait, minBackoff), maxBackoff)
 	time.Sleep(r.wait)
 }
 
@@ -49,7 +49,7 @@
 }
 
 // startTime bounds the repeats of Open. A process that ends for want of a socket has failed; one that waits may yet start.
-const startTime = 25 * time.Second
+const openTimeout = 25 * time.Second
 
 // Open repeats a call that opens a socket until it goes well or startTime is over: a process that has just ended may still hold the
 // address, and descriptors may run short for a moment.
@@ -58,7 +58,7 @@
 	for began := time.Now(); ; {
 		opened, err := open()
 		var never *net.AddrError
-		if err == nil || errors.As(err, &never) || time.Since(began) >= startTime {
+		if err == nil || errors.As(err, &never) || time.Since(began) >= openTimeout {
 			return opened, err
 		}
 		retry.Wait()
