--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -15,59 +15,65 @@
 
 const (
 	readChunk  = 16 << 10               // bytes read from a socket at a time
-	aheadMost  = 64 << 10               // bytes kept of what a client sends behind its open request
-	lingerTime = 500 * time.Millisecond // from the end of sending to the close, if the client does not close before
-	lingerIdle = 100 * time.Millisecond // the same for a connection between two requests, which is not read meanwhile
-	lingerMost = 1 << 20                // bytes read and dropped in that time
-
-	// requestMost is for a whole request, from its first byte, or from the connection's beginning: a client that stops in the middle of
-	// one and stays is owed an error or a close within 3 s.
+	aheadMost  = 64 << 10               // bytes buffered of what a client pipelines behind its open request
+	lingerTime = 500 * time.Millisecond // from the shutdown of the write side to the close, unless the client closes first
+	lingerIdle = 100 * time.Millisecond // the same for a connection between requests, which is not read meanwhile
+	lingerMost = 1 << 20                // bytes read and discarded while a connection lingers
+
+	// requestMost bounds the time to receive a whole request, counted from its first byte or, for the first request,
+	// from the connection's start. A client that stops in the middle of a request must get an error or a close within
+	// 3 s.
 	requestMost = 2700 * time.Millisecond
 )
 
-// receivedLeast is from when on the system's word counts of how long ago bytes came: it is told in steps of some milliseconds.
+// minReportedAge is the least age of received data that is relied on: the operating system reports it in steps of some
+// milliseconds.
 const receivedLeast = 10 * time.Millisecond
 
-// requestLeast is for a first request whose connection waited to be accepted for most of requestMost.
+// minFirstRequestTimeout is the time that a first request still has if its connection spent most of
+// requestReadTimeout waiting to be accepted.
 const requestLeast = 500 * time.Millisecond
 
-// firstUntil is when the first request of a connection has to be whole that is accepted now and may have been complete for a while.
+// firstRequestDeadline returns the time by which the first request of a connection that is accepted now must have been
+// received. The connection may have been complete since the given time.
 func firstUntil(now, complete time.Time) time.Time {
-	until, least := complete.Add(requestMost), now.Add(requestLeast)
-	if until.Before(least) {
-		return least
+	deadline, earliest := complete.Add(requestMost), now.Add(requestLeast)
+	if deadline.Before(earliest) {
+		return earliest
 	}
-	return until
+	return deadline
 }
 
-// atOnce is how soon after its connection a request may come that was there before it.
+// immediateThreshold tells what was already waiting from what has just arrived: a request or connection that is
+// returned sooner than this may have been waiting before.
 const atOnce = 10 * time.Millisecond
 
-// chunks are buffers for one read.
+// readBuffers holds buffers for one read each.
 var chunks = sync.Pool{New: func() any { return new([readChunk]byte) }}
 
 // connState is what a client's connection is doing.
 type connState int
 
+// String returns the name of the state in logs.
 func (s connState) String() string {
 	return [...]string{"new", "idle", "reading", "answering", "closing"}[s]
 }
 
 const (
-	connNew       connState = iota // accepted, nothing has come
+	connNew       connState = iota // accepted, nothing received yet
 	connIdle                       // between two requests, no byte of the next one was read
 	connReading                    // part of a request was read
-	connAnswering                  // a request was read whole, its answer is not finished
+	connAnswering                  // a request was read whole, its response is not finished
 	connClosing                    // no further request is read
 )
 
-// clientConn is a client's connection. It hands net/http one request at a time and keeps what comes behind it, which gives two
-// properties that net/http alone does not have. First, a connection is closed between two requests without a race: closing and
-// reading exclude each other, so a request is either left unread or answered. Second, a client that has sent further requests
-// behind its open one is still seen to go, as its connection is read to its end.
+// clientConn is a client's connection. It hands net/http one request at a time and buffers what follows, which gives
+// two properties that net/http alone does not have. First, a connection is closed between two requests without a race:
+// closing and reading exclude each other, so a request is either left unread or answered. Second, a client that has
+// pipelined further requests behind its open one is still noticed when it closes, as its connection is read to the end.
 //
-// Every close ends sending first, and closes the socket when the client has closed too or a bounded time is over: closing a socket
-// with unread bytes resets the connection, and the end of the last answer may be lost with it.
+// Every close shuts down the write side first, and closes the socket when the client has closed too or after a bounded
+// time: closing a socket with unread bytes resets the connection, which can lose the end of the last response.
 type clientConn struct {
 	system.Conn
 	raw      syscall.RawConn
@@ -75,23 +81,23 @@
 
 	mu        sync.Mutex
 	state     connState
-	since     time.Time // when the state began
+	since     time.Time // when the state was entered
 	waited    time.Time // since when the connection may have waited to be accepted
-	earliest  time.Time // before which it was not complete
-	lastRead  time.Time // when bytes last came from the socket
-	came      time.Time // when the present request had come at the latest; zero: it is coming now
-	until     time.Time // when the present request has to be whole
-	deadline  time.Time // for reads, as net/http wants it
-	pending   []byte    // read from the socket, not handed on yet
+	earliest  time.Time // the connection was not complete before this
+	lastRead  time.Time // when bytes were last received from the socket
+	came      time.Time // latest time at which the current request arrived; zero: it is arriving now
+	until     time.Time // when the current request must have been received
+	deadline  time.Time // for reads, as set by net/http
+	pending   []byte    // read from the socket, not yet returned by Read
 	frame     requestFrame
-	overrun   bool  // more came behind the open request than is kept
+	overrun   bool  // more was pipelined behind the open request than is buffered
 	readErr   error // that ended reading for good
 	lingering bool
-	wasIdle   bool // it was closed between two requests: what comes now is left unread
+	wasIdle   bool // closed between two requests: what still arrives is left unread
 	closed    bool
-	cause     closeCause // of its close
-	closedIn  connState  // in which it was closed
-	writeErr  error      // of an answer that could not be written
+	cause     closeCause // of the close
+	closedIn  connState  // state in which the connection was closed
+	writeErr  error      // of a response that could not be written
 }
 
 // newClientConn wraps an accepted connection.
@@ -101,10 +107,13 @@
 		return nil, err
 	}
 	now := time.Now()
-	return &clientConn{Conn: conn, raw: raw, released: released, since: now, waited: now, earliest: now, until: now.Add(requestMost)}, nil
+	return &clientConn{
+		Conn: conn, raw: raw, released: released, since: now, waited: now, earliest: now, until: now.Add(requestMost),
+	}, nil
 }
 
-// Read hands on bytes of the present request. Once that is whole, it returns only when the client has gone or a deadline passes.
+// Read returns bytes of the current request. After the end of the request it returns only when the client has closed or
+// a deadline passes.
 func (c *clientConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.take(p)
@@ -117,12 +126,12 @@
 	}
 }
 
-// take hands on what is pending of the present request. Nothing and no error: more has to be read.
+// readPending returns buffered bytes of the current request. Zero bytes and no error mean that the socket must be read.
 func (c *clientConn) take(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.frame.at == afterHead && len(p) > 1 {
-		c.frame.at = unframed // net/http looks for a gone client one byte at a time; this is a read of something else
+		c.frame.at = unframed // net/http watches for a closed client byte by byte; this read is for something else
 	}
 	switch {
 	case c.frame.at == afterHead || c.frame.at == afterBody:
@@ -141,14 +150,14 @@
 	return n, nil
 }
 
-// look takes note of whether the present request was read to its end. The lock is held.
+// checkRequestEnd updates the state once the current request has been read whole. The caller holds the lock.
 func (c *clientConn) look() {
 	if c.frame.at == afterBody && c.state != connAnswering {
 		c.enter(connAnswering)
 	}
 }
 
-// enter has a state begin. The lock is held.
+// setState enters a state. The caller holds the lock.
 func (c *clientConn) enter(state connState) {
 	now := time.Now()
 	if state == connReading && c.state != connNew {
@@ -158,8 +167,8 @@
 	c.limitRead()
 }
 
-// limitRead sets the deadline for reads: the one that net/http wants or, in the middle of a request, that of the request if it is
-// earlier. The lock is held.
+// updateReadDeadline sets the read deadline of the socket: the one that net/http has set or, within a request, the
+// request's own if it is earlier. The caller holds the lock.
 func (c *clientConn) limitRead() error {
 	if c.lingering {
 		return nil
@@ -171,8 +180,8 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// fill reads from the socket once, waiting for bytes. Reading and closing exclude each other: nothing is read of a connection that
-// is being closed.
+// readSocket reads from the socket once, waiting for bytes. Reading and closing exclude each other: nothing is read
+// from a connection that is being closed.
 func (c *clientConn) fill() error {
 	err := c.raw.Read(func(fd uintptr) (done bool) {
 		c.mu.Lock()
@@ -205,8 +214,8 @@
 	return err
 }
 
-// keep takes what was read from the socket. The lock is held.
-func (c *clientConn) keep(fd uintptr, bytes []byte) {
+// bufferBytes buffers what was read from the socket. The caller holds the lock.
+func (c *clientConn) keep(fd uintptr, received []byte) {
 	c.lastRead = time.Now()
 	switch c.state {
 	case connNew:
@@ -216,20 +225,21 @@
 		c.came = time.Time{}
 		c.enter(connReading)
 	}
-	if (c.frame.at == afterHead || c.frame.at == afterBody) && len(c.pending)+len(bytes) > aheadMost {
+	if (c.frame.at == afterHead || c.frame.at == afterBody) && len(c.pending)+len(received) > aheadMost {
 		c.overrun, c.pending = true, nil
 	}
 	if !c.overrun {
-		c.pending = append(c.pending, bytes...)
+		c.pending = append(c.pending, received...)
 	}
 }
 
-// firstCame is when the first bytes of the connection came that are read now; zero: they are coming now. They may have waited for as long
-// as the connection did to be accepted, and then for their turn. The lock is held.
+// firstArrival returns when the connection's first bytes, which have just been read, arrived; zero means just now. They
+// may have waited as long as the connection waited to be accepted, and then until they were read. The caller holds the
+// lock.
 func (c *clientConn) firstCame(fd uintptr) time.Time {
-	if ago, told := system.ReceivedAgo(fd); told && ago >= receivedLeast {
-		if came := c.lastRead.Add(-ago); came.After(c.earliest) {
-			return came
+	if age, known := system.ReceivedAgo(fd); known && age >= receivedLeast {
+		if arrival := c.lastRead.Add(-age); arrival.After(c.earliest) {
+			return arrival
 		}
 		return c.earliest
 	}
@@ -239,7 +249,7 @@
 	return time.Time{}
 }
 
-// begin says how the present request's body is framed: by its length, or in chunks.
+// setBodyLength sets how the body of the current request is framed: by its length in bytes, or in chunks.
 func (c *clientConn) begin(bodyLength int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -247,22 +257,22 @@
 	c.look()
 }
 
-// ambiguous tells whether the present request states the end of its body in two ways: what one takes for its body may hide a second
-// request for another.
+// ambiguous reports whether the current request states the end of its body in two ways. What one server takes for the
+// body may then hide a second request from another (request smuggling).
 func (c *clientConn) ambiguous() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.frame.lengths && c.frame.encoded
 }
 
-// reusable tells whether a further request can be read after the present one.
+// reusable reports whether a further request can be read after the current one.
 func (c *clientConn) reusable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !c.overrun && c.frame.at != unframed
 }
 
-// answered takes note that the present request's answer is finished.
+// responseDone records that the response to the current request is finished.
 func (c *clientConn) answered() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -270,7 +280,7 @@
 	case c.overrun || c.frame.at == unframed:
 		c.enter(connClosing)
 	case len(c.pending) > 0:
-		c.came = c.lastRead // it waited behind the one that was answered
+		c.came = c.lastRead // it waited behind the request that was just answered
 		c.enter(connReading)
 	default:
 		c.enter(connIdle)
@@ -278,7 +288,8 @@
 	c.frame.next()
 }
 
-// requestCame is when the present request had come, if it was not just now: behind another one, or before the connection was accepted.
+// requestArrival returns when the current request arrived if it waited behind another one or for its connection to be
+// accepted, and now otherwise.
 func (c *clientConn) requestCame(now time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -288,14 +299,14 @@
 	return c.came
 }
 
-// status is what the connection does, and for how long.
+// status returns the state of the connection and how long it has been in it.
 func (c *clientConn) status(now time.Time) (connState, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state, now.Sub(c.since)
 }
 
-// closeIdle closes a connection of which no byte of a request has been read, and tells whether it was one.
+// closeIdle closes a connection of which no byte of a request has been read, and reports whether it did.
 func (c *clientConn) closeIdle(cause closeCause) bool {
 	c.mu.Lock()
 	idle := unread(c.state)
@@ -311,10 +322,10 @@
 	return idle
 }
 
-// Write writes part of an answer, and keeps the error: whoever wrote it can't act on it, but a client without its answer has to be
-// told apart from one that left.
-func (c *clientConn) Write(p []byte) (int, error) {
-	n, err := c.Conn.Write(p)
+// Write writes part of a response and records the error. The handler cannot act on it, but the log has to distinguish a
+// client whose response was not delivered from one that left.
+func (c *clientConn) Write(data []byte) (int, error) {
+	n, err := c.Conn.Write(data)
 	if err != nil {
 		c.mu.Lock()
 		c.writeErr = err
@@ -323,27 +334,27 @@
 	return n, err
 }
 
-// Close ends sending; the socket is closed soon after.
+// Close shuts down the write side; the socket is closed soon after.
 func (c *clientConn) Close() error {
 	c.linger()
 	return nil
 }
 
-// CloseWrite is what net/http ends a connection with whose client may still be sending.
+// CloseWrite is how net/http ends a connection whose client may still be sending.
 func (c *clientConn) CloseWrite() error {
 	c.linger()
 	return nil
 }
 
 // SetReadDeadline has no effect on a connection that is being closed, which has a deadline of its own.
-func (c *clientConn) SetReadDeadline(t time.Time) error {
+func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deadline = t
+	c.deadline = deadline
 	return c.limitRead()
 }
 
-// SetDeadline sets both deadlines.
+// SetDeadline sets the read and the write deadline.
 func (c *clientConn) SetDeadline(t time.Time) error {
 	if err := c.SetReadDeadline(t); err != nil {
 		return err
@@ -351,16 +362,17 @@
 	return c.Conn.SetWriteDeadline(t)
 }
 
-// linger ends sending and has the socket closed when the client has closed too, or in lingerTime. Only the first call does anything.
+// linger shuts down the write side and has the socket closed when the client has closed too, or after lingerTimeout.
+// Only the first call has an effect.
 func (c *clientConn) linger() {
 	if !c.endSending() {
 		return
 	}
 	c.mu.Lock()
-	gone, wasIdle := c.readErr != nil, c.wasIdle
+	readEnded, wasIdle := c.readErr != nil, c.wasIdle
 	c.mu.Unlock()
 	switch {
-	case gone:
+	case readEnded:
 		c.abort()
 	case wasIdle:
 		time.AfterFunc(lingerIdle, c.abort)
@@ -369,14 +381,14 @@
 	}
 }
 
-// endSending sends the end of the connection, and tells whether it had not been sent before.
+// shutdownWrite shuts down the write side, and reports whether this call did it.
 func (c *clientConn) endSending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lingering {
 		return false
 	}
-	// Between two requests what still comes is left unread, whoever closes: a request that was read has to be answered.
+	// Between two requests, whoever closes, what still arrives is left unread: a request that was read must be answered.
 	c.wasIdle = c.wasIdle || unread(c.state)
 	if c.state != connClosing {
 		c.closedIn = c.state
@@ -388,17 +400,17 @@
 	return true
 }
 
-// drain reads and drops what the client still sends, and closes the socket at its end.
+// discardInput reads and discards what the client still sends, and closes the socket at its end.
 func (c *clientConn) drain() {
 	defer c.abort()
 	chunk := chunks.Get().(*[readChunk]byte)
 	defer chunks.Put(chunk)
 	for dropped := 0; dropped < lingerMost; {
-		n, err := c.Conn.Read(chunk[:])
+		read, err := c.Conn.Read(chunk[:])
 		if err != nil {
 			return
 		}
-		dropped += n
+		dropped += read
 	}
 }
 
@@ -414,21 +426,23 @@
 	}
 }
 
-// logClose logs why and how the connection was closed.
+// logClose logs why and in which state the connection was closed.
 func (c *clientConn) logClose(log *slog.Logger) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	log.Debug("connection closed", "client", c.RemoteAddr(), "cause", c.cause, "state", c.closedIn, "unanswered_bytes", len(c.pending), "write_error", c.writeErr)
+	log.Debug("connection closed", "client", c.RemoteAddr(), "cause", c.cause, "state", c.closedIn,
+		"unanswered_bytes", len(c.pending), "write_error", c.writeErr)
 }
 
-// connKey is under which a request's context has its connection.
+// connContextKey is the context key of a request's connection.
 type connKey struct{}
 
+// withConn returns a context that holds a request's connection.
 func withConn(ctx context.Context, c net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, c)
 }
 
-// connOf is the connection of a request.
+// connFromContext returns the connection of a request, or nil if the context has none.
 func connOf(ctx context.Context) *clientConn {
 	c, _ := ctx.Value(connKey{}).(*clientConn)
 	return c
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -14,112 +14,123 @@
 	"sloetrestle/internal/system"
 )
 
-// How an attempt gets from its choice to a request that has gone out whole: a descriptor, a connection, the last permission, the bytes.
+// This file takes an attempt from the choice of a backend to a fully written request: it gets a descriptor, opens a
+// connection, obtains the final permission to send, and writes the request.
 
 var (
-	// errStale ends an attempt that was not sent, as it might not go out any more or had no descriptor.
-	errStale = errors.New("not sent")
-	// errCutOff ends an attempt that was called off while its request was being written.
-	errCutOff = errors.New("called off with part of the request sent")
+	// errStale ends an attempt that was not sent because it was no longer permitted or no descriptor was free.
+	errStale = errors.New("attempt not sent")
+	// errCutOff ends an attempt that was cancelled while its request was being written.
+	errCutOff = errors.New("cancelled with part of the request sent")
 )
 
-// connect gets a connection for an attempt, over which all of the request has gone out; until then it can't have run.
-func (c *transport) connect(ctx, within context.Context, f *dispatch.Attempt, host *reach.Host, m *payload) (*reach.Conn, func() bool, error) {
-	limit := c.connectLimit(f)
-	var local error // why this machine could not begin the last connection
-	for began, refused := time.Now(), 0; ; {
-		conn, err := host.Get(within)
-		if err != nil && local != nil && within.Err() != nil {
+// connect opens a connection for an attempt and writes the whole request to it. A request that was not written whole
+// cannot have run.
+func (c *transport) connect(
+	ctx, dialCtx context.Context, attempt *dispatch.Attempt, backend *reach.Host, request *payload,
+) (*reach.Conn, func() bool, error) {
+	limit := c.connectLimit(attempt)
+	var local error // why this machine could not open the previous connection
+	for start, failures := time.Now(), 0; ; {
+		conn, err := backend.Get(dialCtx)
+		if err != nil && local != nil && dialCtx.Err() != nil {
 			return nil, nil, local
 		}
 		if local = nil; errors.Is(err, reach.ErrLocal) {
-			// No descriptors or ports for a moment say nothing of the backend. Taken for its refusals, they had the module take a whole
-			// fleet for restarting.
+			// A momentary shortage of descriptors or ports on this machine says nothing about the backend. Counted as
+			// refused connections, such errors made the scheduler treat a whole fleet as restarting.
 			c.Local.Add(1)
-			c.log.Warn("not connected", "backend", host.Name, "error", err)
+			c.log.Warn("cannot open a connection: local error", "backend", backend.Name, "error", err)
 			local = err
-			system.Sleep(within, dialWait)
+			system.Sleep(dialCtx, dialWait)
 			continue
 		}
 		if err != nil {
-			// One that is refused or reset while it is made says little: a backend that is really away refuses the next too. Told at
-			// once, a rash of resets had the module take a whole fleet for restarting.
-			refused++
-			if refused == dialTries || ctx.Err() != nil || time.Since(began) >= limit/2 {
+			// A single connection that is refused or reset while it is opened says little: a backend that is really
+			// down refuses the next one too. Reported at once, a burst of resets made the scheduler treat a whole fleet
+			// as restarting.
+			failures++
+			if failures == dialTries || ctx.Err() != nil || time.Since(start) >= limit/2 {
 				return nil, nil, err
 			}
-			system.Sleep(within, dialWait)
+			system.Sleep(dialCtx, dialWait)
 			continue
 		}
-		if until, bounded := within.Deadline(); bounded && f.Planned.Connect > 0 {
-			conn.SetWriteDeadline(until) // a request that is not taken leaves a state waiting as no connection does
+		if deadline, bounded := dialCtx.Deadline(); bounded && attempt.Planned.Connect > 0 {
+			// While a backend does not read the request a KV cache keeps waiting, as it would without a connection.
+			conn.SetWriteDeadline(deadline)
 		}
-		stop, err := c.put(ctx, f, conn, m)
+		stop, err := c.put(ctx, attempt, conn, request)
 		if err == nil {
 			return conn, stop, nil
 		}
 		conn.Drop()
-		if errors.Is(err, errStale) || errors.Is(err, errCutOff) || within.Err() != nil {
+		if errors.Is(err, errStale) || errors.Is(err, errCutOff) || dialCtx.Err() != nil {
 			return nil, nil, err
 		}
 	}
 }
 
-// connectLimit is how long an attempt's connection may take.
-func (c *transport) connectLimit(f *dispatch.Attempt) time.Duration {
-	if t := f.Planned.Connect; t > 0 {
-		return min(t, c.boxes.Limit)
+// connectTimeout returns how long opening a connection for an attempt may take.
+func (c *transport) connectLimit(attempt *dispatch.Attempt) time.Duration {
+	if timeout := attempt.Planned.Connect; timeout > 0 {
+		return min(timeout, c.boxes.Limit)
 	}
 	return c.boxes.Limit
 }
 
-// put sends a request over a new connection, if it may still go out. Nothing but the loop can tell: a drain, the client's going or
-// the end of the window for repeats may have come while the connection was made.
-func (c *transport) put(ctx context.Context, f *dispatch.Attempt, conn *reach.Conn, m *payload) (stop func() bool, err error) {
-	may := c.maySend(ctx, f)
-	if may != brain.Allowed {
+// send writes a request to a new connection if the attempt may still be sent. Only the event loop can tell: the backend
+// may have begun to drain, the client may have gone or the window for repeats may have ended while the connection was
+// being opened.
+func (c *transport) put(
+	ctx context.Context, attempt *dispatch.Attempt, conn *reach.Conn, request *payload,
+) (stop func() bool, err error) {
+	permission := c.maySend(ctx, attempt)
+	if permission != brain.Allowed {
 		c.Stale.Add(1)
-		c.log.Debug("attempt not sent", "id", m.id, "backend", f.Backend.Name, "number", f.Planned.Number, "why", may)
+		c.log.Debug("attempt not sent", "id", request.id, "backend", attempt.Backend.Name,
+			"number", attempt.Planned.Number, "why", permission)
 		return nil, errStale
 	}
-	told := f.Until - c.since()
-	if told <= 0 || f.Request.Over() {
-		// What ends a request is looked at right here: word of it may still wait for its turn in the loop.
+	timeout := attempt.Until - c.since()
+	if timeout <= 0 || attempt.Request.Over() {
+		// The end of a request is checked right here, as the event loop may not have processed it yet.
 		c.Stale.Add(1)
 		return nil, errStale
 	}
-	c.monitor.AttemptBegins(m.id, f.Backend.Name, f.Planned.Number, hasEffect(f), told)
-	stop, err = write(ctx, conn, m.head(told), m.body)
+	c.monitor.AttemptBegins(request.id, attempt.Backend.Name, attempt.Planned.Number, hasEffect(attempt), timeout)
+	stop, err = write(ctx, conn, request.head(timeout), request.body)
 	switch {
 	case err == nil:
-		c.monitor.AttemptSent(m.id, f.Planned.Number, hasEffect(f))
+		c.monitor.AttemptSent(request.id, attempt.Planned.Number, hasEffect(attempt))
 	case errors.Is(err, errCutOff):
-		c.monitor.AttemptEnds(m.id, f.Planned.Number, hasEffect(f), monitor.MayHaveRun, err.Error())
+		c.monitor.AttemptEnds(request.id, attempt.Planned.Number, hasEffect(attempt), monitor.MayHaveRun, err.Error())
 	default:
-		c.monitor.AttemptEnds(m.id, f.Planned.Number, hasEffect(f), monitor.NeverRan, err.Error())
+		c.monitor.AttemptEnds(request.id, attempt.Planned.Number, hasEffect(attempt), monitor.NeverRan, err.Error())
 	}
 	return stop, err
 }
 
-// maySend asks the loop, again where the process stood still meanwhile: what came by then has to be read before the answer counts.
-func (c *transport) maySend(ctx context.Context, f *dispatch.Attempt) brain.Permission {
+// maySend asks the event loop for permission to send, again if the process stalled meanwhile: events that arrived
+// during the stall must be processed before the answer counts.
+func (c *transport) maySend(ctx context.Context, attempt *dispatch.Attempt) brain.Permission {
 	for {
-		asked, may := time.Now(), brain.RequestOver
-		if !c.loop.Call(ctx, func() { may = c.loop.MaySend(f) }) {
+		start, permission := time.Now(), brain.RequestOver
+		if !c.loop.Call(ctx, func() { permission = c.loop.MaySend(attempt) }) {
 			return brain.RequestOver
 		}
-		if may != brain.Allowed || !c.pulse.stalledSince(asked, time.Now()) {
-			return may
+		if permission != brain.Allowed || !c.pulse.stalledSince(start, time.Now()) {
+			return permission
 		}
 		system.Sleep(ctx, dialWait)
 	}
 }
 
-// write sends a request, and has its connection closed when it is called off.
+// write writes a request, and closes its connection when the context is cancelled.
 func write(ctx context.Context, conn *reach.Conn, head, body []byte) (stop func() bool, err error) {
 	stop = context.AfterFunc(ctx, func() { conn.Conn.Close() })
-	whole, err := conn.Put(head, body)
-	if whole {
+	complete, err := conn.Put(head, body)
+	if complete {
 		return stop, nil
 	}
 	stop()
@@ -129,32 +140,36 @@
 	return nil, cmp.Or(err, io.ErrShortWrite)
 }
 
-// open gets a connection for an attempt within the descriptors that attempts may have.
-func (c *transport) open(ctx context.Context, f *dispatch.Attempt, host *reach.Host, m *payload) (conn *reach.Conn, stop func() bool, err error) {
-	if host == nil {
-		return nil, nil, errStale // its backend is gone
+// openConn opens a connection for an attempt within the limit on descriptors for attempts, and writes the request to
+// it.
+func (c *transport) open(
+	ctx context.Context, attempt *dispatch.Attempt, backend *reach.Host, request *payload,
+) (conn *reach.Conn, stop func() bool, err error) {
+	if backend == nil {
+		return nil, nil, errStale // its backend has been removed
 	}
-	waits := ctx
-	if f.Planned.Connect > 0 { // a state waits, for which no descriptor may be free in time
-		bounded, done := context.WithTimeout(ctx, c.connectLimit(f))
-		defer done()
-		waits = bounded
+	waitCtx := ctx
+	if attempt.Planned.Connect > 0 { // a KV cache is waiting, and a descriptor may not become free in time
+		bounded, cancel := context.WithTimeout(ctx, c.connectLimit(attempt))
+		defer cancel()
+		waitCtx = bounded
 	}
 	select {
 	case c.slots <- struct{}{}:
-	case <-waits.Done():
+	case <-waitCtx.Done():
 		return nil, nil, errStale
 	}
-	within, done := context.WithTimeout(waits, c.connectLimit(f))
-	defer done()
-	if conn, stop, err = c.connect(ctx, within, f, host, m); err != nil {
+	dialCtx, cancel := context.WithTimeout(waitCtx, c.connectLimit(attempt))
+	defer cancel()
+	if conn, stop, err = c.connect(ctx, dialCtx, attempt, backend, request); err != nil {
 		<-c.slots
 	}
 	return conn, stop, err
 }
 
-// notSent is the result of an attempt of which no backend got the last byte. Where the dispatcher itself cut the request off, it does not
-// call the attempt harmless: what the backend had of it by then only the backend knows.
+// notSentResult returns the result of an attempt whose request was not written to its last byte. If the dispatcher
+// itself cut the request off, the attempt is not reported as harmless: only the backend knows what it had received by
+// then.
 func notSent(ctx context.Context, err error) brain.Result {
 	switch {
 	case errors.Is(context.Cause(ctx), dispatch.ErrLeft):
@@ -167,14 +182,14 @@
 	return brain.Result{Outcome: brain.Unreachable}
 }
 
-// errNotArrived ends an attempt whose request the far machine does not acknowledge.
-var errNotArrived = errors.New("the request is not acknowledged")
+// errNotArrived ends an attempt whose request the backend's host has not acknowledged.
+var errNotArrived = errors.New("the backend has not acknowledged the request")
 
-// checkArrival calls an attempt off whose request, though written whole, has not arrived: the state that it is to take goes on waiting
-// meanwhile. Whether it may yet run only the backend knows.
-func (c *transport) checkArrival(f *dispatch.Attempt, conn *reach.Conn) {
+// checkAcknowledged cancels an attempt whose request was written whole but has not been acknowledged: the KV cache that
+// it is to take keeps waiting. Only the backend knows whether the request may still run.
+func (c *transport) checkArrival(attempt *dispatch.Attempt, conn *reach.Conn) {
 	if system.Unacknowledged(conn.Conn) > 0 {
 		c.Unarrived.Add(1)
-		f.Off(errNotArrived)
+		attempt.Off(errNotArrived)
 	}
 }
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -5,41 +5,41 @@
 	"strconv"
 )
 
-// framing is how far the present request has been handed to net/http.
+// framing is how far the current request has been handed to net/http.
 type framing int
 
 const (
 	inHead      framing = iota
-	afterHead           // how its body is framed has not been said yet
+	afterHead           // the framing of the body has not been set yet
 	inBody              // of a stated length
-	inChunkSize         // in the line that states a chunk's length
-	inChunkData         // in a chunk and the end of its line
+	inChunkSize         // in the line that states a chunk's size
+	inChunkData         // in a chunk's data or the line end behind it
 	inTrailer           // behind the last chunk
-	afterBody           // it is whole
-	unframed            // its end can't be told: the connection is closed after it
+	afterBody           // the request is complete
+	unframed            // its end is unknown: the connection is closed after it
 )
 
 const (
-	chunkSizeMost = 256 // bytes of the line that states a chunk's length
-	chunkEnd      = 2   // bytes behind a chunk
-	nameMost      = 32  // bytes of a header's name that are looked at
+	chunkSizeMost = 256 // bytes of the line that states a chunk's size
+	chunkEnd      = 2   // bytes of the line end behind a chunk's data
+	nameMost      = 32  // bytes of a header's name that are compared
 )
 
-// chunked is a body's length that stands for one in chunks.
+// chunkedLength is the body length that stands for a chunked body, as in http.Request.
 const chunked = -1
 
-// requestFrame finds the end of a request in the bytes of a connection. It only frames: what the bytes say is for net/http to judge,
-// and where the two may disagree the rest of the connection is of no use.
+// requestFramer finds the end of a request in the bytes of a connection. It leaves parsing and validation to net/http;
+// where the two could disagree, nothing further is read from the connection.
 type requestFrame struct {
 	at       framing
-	line     []byte // of the present line, as far as it matters
-	length   int    // of the present line, without its end
-	bodyLeft int64  // of the body, or of the present chunk and its end
-	lengths  bool   // the head states a length
-	encoded  bool   // the head states an encoding
+	line     []byte // the start of the current line, as far as it is needed
+	length   int    // bytes of the current line, without its end
+	bodyLeft int64  // bytes left of the body, or of the current chunk and its end
+	lengths  bool   // the head has a Content-Length
+	encoded  bool   // the head has a Transfer-Encoding
 }
 
-// advance tells how many of the bytes belong to the present request, and takes note of the end of its head or body.
+// advance returns how many of the bytes belong to the current request, and moves on at the end of its head or body.
 func (f *requestFrame) advance(raw []byte) int {
 	switch f.at {
 	case inHead:
@@ -54,7 +54,7 @@
 	return len(raw)
 }
 
-// advanceLines counts the bytes up to and with the next empty line, at which end is called.
+// advanceLines counts the bytes up to and including the next empty line, at which it calls end.
 func (f *requestFrame) advanceLines(raw []byte, end func()) int {
 	for i, b := range raw {
 		switch {
@@ -77,7 +77,7 @@
 	return len(raw)
 }
 
-// name looks at a header's name.
+// checkHeaderName records whether the current header states a length or an encoding.
 func (f *requestFrame) name() {
 	if f.length != len(f.line) {
 		return // a later colon of the line, or a name too long to matter
@@ -97,7 +97,7 @@
 	return int(n)
 }
 
-// advanceChunks counts the bytes up to the end of a body in chunks.
+// advanceChunks counts the bytes up to the end of a chunked body.
 func (f *requestFrame) advanceChunks(raw []byte) int {
 	for i := 0; i < len(raw); {
 		switch f.at {
@@ -119,7 +119,7 @@
 	return len(raw)
 }
 
-// chunkSize takes a byte of the line that states a chunk's length.
+// parseChunkSize takes one byte of the line that states a chunk's size.
 func (f *requestFrame) chunkSize(b byte) {
 	if b != '\n' {
 		if f.line = append(f.line, b); len(f.line) > chunkSizeMost {
@@ -140,7 +140,7 @@
 	}
 }
 
-// begin says how the present request's body is framed: by its length, or in chunks.
+// beginBody sets how the body of the current request is framed: by its length in bytes, or in chunks.
 func (f *requestFrame) begin(length int64) {
 	switch {
 	case f.at != afterHead || f.lengths && f.encoded:
@@ -154,5 +154,5 @@
 	}
 }
 
-// next makes ready for the next request.
+// reset prepares for the next request.
 func (f *requestFrame) next() { *f = requestFrame{line: f.line[:0]} }
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -20,52 +20,57 @@
 )
 
 const (
-	headWait  = 2300 * time.Millisecond // for a request's head, from when the connection came or the request began
-	writeWait = 20 * time.Second        // for one piece to a client that does not read
-	restMost  = 10 * time.Minute        // that a client's connection may rest while there is room
-	bodyStep  = 16 << 10                // of a body, as it comes
+	headWait  = 2300 * time.Millisecond // for a request's head, from the connection's start or the request's first byte
+	writeWait = 20 * time.Second        // for one write to a client that does not read
+	restMost  = 10 * time.Minute        // that a client's connection may be idle while there is free capacity
+	bodyStep  = 16 << 10                // least growth of a body's buffer, in bytes
 
-	// answerLate is how long after its client's time a request is answered here, if the loop has not done so: over half a second
-	// late it would be lost.
+	// answerLate is how long after its deadline a request is answered by the handler if the event loop has not answered
+	// it. A response more than half a second late would count as lost.
 	answerLate = 200 * time.Millisecond
 )
 
-// frontend takes requests from clients.
+// frontend is the HTTP frontend: it receives requests from clients and writes their responses.
 type frontend struct {
 	loop    *dispatch.Loop
-	grades  map[string]int
-	tenants map[string]int
-	after   time.Duration // told to clients that find no room
-	open    int64         // requests that may be open
-	bodies  int64         // bytes that all bodies may have
+	grades  map[string]int // class indices by name
+	tenants map[string]int // tenant indices by name
+	after   time.Duration  // Retry-After of a rejection for lack of capacity
+	open    int64          // bound on open requests
+	bodies  int64          // bound on the bytes of all buffered bodies
 
-	fleetKnown func() bool // there is a backend that answers
-	crowded    func() bool // clients' connections run short
+	fleetKnown func() bool // reports whether some backend can serve
+	crowded    func() bool // reports whether the connection limit is near
 	ready      atomic.Bool
-	stopping   atomic.Bool   // it wants no new requests
-	over       atomic.Bool   // it takes none any more
-	cut        chan struct{} // closed when streams are to be gone on with elsewhere
-	asked      atomic.Int64
-	Again      atomic.Int64 // requests asked before
-	Rest       atomic.Int64 // requests for the rest of a stream
-	Moved      atomic.Int64 // streams cut for that
-	held       atomic.Int64
-	Late       atomic.Int64 // requests that were answered here, as the loop had no answer in time
+	stopping   atomic.Bool   // connections are closed after their responses
+	over       atomic.Bool   // every further request is rejected
+	cut        chan struct{} // closed when streams are to be continued at another dispatcher
+	asked      atomic.Int64  // requests that are open
+	Again      atomic.Int64  // requests that their clients sent before
+	Rest       atomic.Int64  // requests for the rest of a stream
+	Moved      atomic.Int64  // streams cut to be continued at another dispatcher
+	held       atomic.Int64  // bytes of buffered bodies
+	Late       atomic.Int64  // requests answered by the handler, as the event loop gave no answer in time
 
 	ids     *idRegister
 	monitor *monitor.Monitor
 	pulse   *pulse
-	classes []monitor.Class // by the number of a request's class
+	classes []monitor.Class // by class index
 	log     *slog.Logger
 	mu      sync.Mutex
-	refused map[string]int64
+	refused map[string]int64 // by reason
 }
 
-func newFrontend(loop *dispatch.Loop, facts brain.Facts, bodies int64, observed *monitor.Monitor, beating *pulse, log *slog.Logger) *frontend {
+func newFrontend(
+	loop *dispatch.Loop, facts brain.Facts, maxBodyBytes int64, observer *monitor.Monitor, stalls *pulse,
+	log *slog.Logger,
+) *frontend {
 	f := &frontend{
-		loop: loop, grades: map[string]int{}, tenants: map[string]int{}, ids: newIDRegister(longestDeadline(facts) + idsSpan), refused: map[string]int64{},
-		cut: make(chan struct{}), after: facts.Span("policyLimits.maxRetryAfterUs"), open: int64(facts.Num("policyLimits.maxOpen", 1e4)), bodies: bodies,
-		monitor: observed, pulse: beating, classes: monitorClasses(facts), log: log,
+		loop: loop, grades: map[string]int{}, tenants: map[string]int{},
+		ids: newIDRegister(longestDeadline(facts) + idsSpan), refused: map[string]int64{}, cut: make(chan struct{}),
+		after: facts.Span("policyLimits.maxRetryAfterUs"), open: int64(facts.Num("policyLimits.maxOpen", 1e4)),
+		bodies:  maxBodyBytes,
+		monitor: observer, pulse: stalls, classes: monitorClasses(facts), log: log,
 	}
 	for i, name := range facts.Names("requestClasses") {
 		f.grades[name] = i
@@ -76,6 +81,7 @@
 	return f
 }
 
+// ServeHTTP serves readiness checks and chat completion requests.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := connOf(r.Context())
 	conn.begin(r.ContentLength)
@@ -88,40 +94,40 @@
 		}
 		return
 	}
-	came := conn.requestCame(f.pulse.came(time.Now()))
-	ask, no := chat.Read(r)
+	arrival := conn.requestCame(f.pulse.came(time.Now()))
+	request, refusal := chat.Read(r)
 	if conn.ambiguous() {
-		no = &chat.Refusal{Status: http.StatusBadRequest, Why: "length twice"}
+		refusal = &chat.Refusal{Status: http.StatusBadRequest, Why: "length twice"}
 	}
-	grade, known := f.grades[ask.Grade]
-	channel, one := f.tenants[ask.Channel]
+	class, classKnown := f.grades[request.Grade]
+	tenant, tenantKnown := f.tenants[request.Channel]
 	switch {
-	case no != nil:
-	case !known:
-		no = &chat.Refusal{Status: http.StatusBadRequest, Why: "class"}
-	case !one && len(f.tenants) > 0:
-		no = &chat.Refusal{Status: http.StatusBadRequest, Why: "tenant"}
+	case refusal != nil:
+	case !classKnown:
+		refusal = &chat.Refusal{Status: http.StatusBadRequest, Why: "class"}
+	case !tenantKnown && len(f.tenants) > 0:
+		refusal = &chat.Refusal{Status: http.StatusBadRequest, Why: "tenant"}
 	}
-	if no != nil {
-		f.refuse(w, r, no)
+	if refusal != nil {
+		f.refuse(w, r, refusal)
 		return
 	}
-	if f.ids.known(ask.ID) {
-		f.refuse(w, r, errKnownID) // before any answer that would invite a retry
+	if f.ids.known(request.ID) {
+		f.refuse(w, r, errKnownID) // before any response that would invite a retry
 		return
 	}
 	defer f.asked.Add(-1)
-	if why := mayTake(f.over.Load(), f.asked.Add(1), f.open, f.loop.Behind()); why != taken {
-		f.full(w, r, why)
+	if reason := mayTake(f.over.Load(), f.asked.Add(1), f.open, f.loop.Behind()); reason != taken {
+		f.full(w, r, reason)
 		return
 	}
-	f.submit(w, r, ask, grade, channel, came)
+	f.submit(w, r, request, class, tenant, arrival)
 }
 
-// errKnownID refuses a request with the id of another one.
+// errKnownID refuses a request whose id another request has.
 var errKnownID = &chat.Refusal{Status: http.StatusConflict, Why: "open id"}
 
-// answering tells whether there are backends to serve with; once there were, that stays.
+// isReady reports whether there are backends that can serve. Once there were, it stays true.
 func (f *frontend) answering() bool {
 	if !f.ready.Load() && f.fleetKnown() {
 		f.ready.Store(true)
@@ -129,41 +135,48 @@
 	return f.ready.Load()
 }
 
-// refuse answers what is no request, and ends the connection: what else waits on it may be no request either.
-func (f *frontend) refuse(w http.ResponseWriter, r *http.Request, no *chat.Refusal) {
-	f.count(no.Why)
-	f.log.Debug("request not taken", "id", r.Header.Get("X-Request-Id"), "status", no.Status, "why", no.Why, "client", r.RemoteAddr)
+// refuse answers an invalid request and ends the connection: what follows on it may not be a request either.
+func (f *frontend) refuse(w http.ResponseWriter, r *http.Request, refusal *chat.Refusal) {
+	f.count(refusal.Why)
+	f.log.Debug("request refused", "id", r.Header.Get("X-Request-Id"), "status", refusal.Status, "why", refusal.Why,
+		"client", r.RemoteAddr)
 	w.Header().Set("Connection", "close")
-	// What the server reads of a body that nobody wants is bounded in time.
+	// The time that net/http spends on reading the rest of an unwanted body is bounded.
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	http.Error(w, no.Why, no.Status)
+	http.Error(w, refusal.Why, refusal.Status)
 }
 
-func (f *frontend) full(w http.ResponseWriter, r *http.Request, why rejection) {
-	f.count("full " + string(why))
+// reject answers a request that there is no capacity for, and invites a retry.
+func (f *frontend) full(w http.ResponseWriter, r *http.Request, reason rejection) {
+	f.count("full " + string(reason))
 	w.Header().Set("Retry-After", seconds(f.after))
-	f.refuse(w, r, &chat.Refusal{Status: http.StatusServiceUnavailable, Why: string(why)})
+	f.refuse(w, r, &chat.Refusal{Status: http.StatusServiceUnavailable, Why: string(reason)})
 }
 
+// formatSeconds formats a duration as decimal seconds, as in Retry-After.
 func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-func (f *frontend) count(why string) {
+// countRefusal counts a refused request by its reason.
+func (f *frontend) count(reason string) {
 	f.mu.Lock()
-	f.refused[why]++
+	f.refused[reason]++
 	f.mu.Unlock()
 }
 
-func (f *frontend) submit(w http.ResponseWriter, r *http.Request, ask chat.Ask, grade, channel int, came time.Time) {
-	if !f.ids.claim(ask.ID) {
+// submit reads a request's body, hands the request to the event loop and writes the response.
+func (f *frontend) submit(
+	w http.ResponseWriter, r *http.Request, request chat.Ask, class, tenant int, arrival time.Time,
+) {
+	if !f.ids.claim(request.ID) {
 		f.refuse(w, r, errKnownID)
 		return
 	}
 	submitted := false
-	defer func() { f.ids.release(ask.ID, submitted) }()
-	took := int64(0)
-	giveBack := func() { f.held.Add(-took); took = 0 }
-	defer giveBack()
-	body, err := f.body(r, w, &took)
+	defer func() { f.ids.release(request.ID, submitted) }()
+	reserved := int64(0)
+	unreserve := func() { f.held.Add(-reserved); reserved = 0 }
+	defer unreserve()
+	body, err := f.body(r, w, &reserved)
 	switch {
 	case errors.Is(err, errNoRoom):
 		f.full(w, r, tooMuchBytes)
@@ -176,76 +189,87 @@
 		return
 	}
 	length := len(body)
-	ask.Sized(length)
-	if ask.Again {
+	request.Sized(length)
+	if request.Again {
 		f.Again.Add(1)
 	}
-	if ask.Rest {
+	if request.Rest {
 		f.Rest.Add(1)
 	}
-	m := &payload{id: ask.ID, body: body, head: func(wait time.Duration) []byte { return chat.Errand(r, service, ask, length, wait) }}
-	a := &dispatch.ClientRequest{
-		Ask:   kserve.Ask{ID: ask.ID, Session: ask.Session, Shared: ask.Shared, Tokens: ask.Tokens, Prefix: ask.Prefix, Most: ask.Most, Again: ask.Again},
-		Grade: ask.Grade, Channel: ask.Channel, Matter: m,
+	outgoing := &payload{id: request.ID, body: body, head: func(timeout time.Duration) []byte {
+		return chat.Errand(r, service, request, length, timeout)
+	}}
+	clientRequest := &dispatch.ClientRequest{
+		Ask: kserve.Ask{
+			ID: request.ID, Session: request.Session, Shared: request.Shared, Tokens: request.Tokens,
+			Prefix: request.Prefix, Most: request.Most, Again: request.Again,
+		},
+		Grade: request.Grade, Channel: request.Channel, Matter: outgoing,
 	}
 	submitted = true
-	f.monitor.Taken(ask.ID, f.classes[grade], ask.Left-time.Since(came))
-	defer f.monitor.Closed(ask.ID, "its handler ends")
+	f.monitor.Taken(request.ID, f.classes[class], request.Left-time.Since(arrival))
+	defer f.monitor.Closed(request.ID, "its handler ends")
 	defer context.AfterFunc(r.Context(), func() {
-		a.End()
-		f.monitor.ClientGone(ask.ID)
+		clientRequest.End()
+		f.monitor.ClientGone(request.ID)
 	})()
-	ctx, done := context.WithDeadline(r.Context(), came.Add(ask.Left+answerLate))
-	defer done()
+	ctx, cancel := context.WithDeadline(r.Context(), arrival.Add(request.Left+answerLate))
+	defer cancel()
 	if !f.loop.Call(ctx, func() {
-		f.loop.Submit(a, grade, channel, ask.Left-time.Since(came))
+		f.loop.Submit(clientRequest, class, tenant, request.Left-time.Since(arrival))
 	}) {
-		f.giveUp(w, r, a, ctx)
+		f.giveUp(w, r, clientRequest, ctx)
 		return
 	}
-	trip, end, there := a.Start(ctx)
+	attempt, final, answered := clientRequest.Start(ctx)
 	switch {
-	case !there:
-		f.giveUp(w, r, a, ctx)
+	case !answered:
+		f.giveUp(w, r, clientRequest, ctx)
 		return
-	case trip == nil:
-		f.answer(w, ask.ID, end)
+	case attempt == nil:
+		f.answer(w, request.ID, final)
 		return
 	}
-	m.body, body = nil, nil
-	giveBack()
-	f.newPassing(w, r, a, trip).run()
+	outgoing.body, body = nil, nil
+	unreserve()
+	f.newPassing(w, r, clientRequest, attempt).run()
 }
 
-// giveUp ends a request of which the loop gave no answer: its client has gone, the loop has ended, or it is far behind. The loop may have
-// taken it, or may yet, so nothing is promised; from here on nothing more is sent for it.
-func (f *frontend) giveUp(w http.ResponseWriter, r *http.Request, a *dispatch.ClientRequest, ctx context.Context) {
-	a.End()
-	f.loop.Post(func() { f.loop.Left(a) })
+// answerWithoutLoop ends a request that the event loop has not answered: its client has gone, or the loop has ended or
+// is far behind. The loop may have submitted the request, or may yet, so the response must not call a retry harmless;
+// after this call nothing more is sent for the request.
+func (f *frontend) giveUp(
+	w http.ResponseWriter, r *http.Request, clientRequest *dispatch.ClientRequest, ctx context.Context,
+) {
+	clientRequest.End()
+	f.loop.Post(func() { f.loop.Left(clientRequest) })
 	switch {
 	case r.Context().Err() != nil:
-		f.monitor.ClientGone(a.Ask.ID)
+		f.monitor.ClientGone(clientRequest.Ask.ID)
 	case ctx.Err() != nil:
 		f.Late.Add(1)
-		f.log.Error("the event loop gave no answer in time", "id", a.Ask.ID, "behind", f.loop.Behind())
-		f.answer(w, a.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
+		f.log.Error("no answer from the event loop by the request's deadline", "id", clientRequest.Ask.ID,
+			"behind", f.loop.Behind())
+		f.answer(w, clientRequest.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
 	default:
-		f.answer(w, a.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: string(stoppedNow)})
+		f.answer(w, clientRequest.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: string(stoppedNow)})
 	}
 }
 
-var errNoRoom = errors.New("too many bodies are held")
+// errNoRoom ends reading a body that would exceed the memory for all bodies.
+var errNoRoom = errors.New("buffered request bodies exceed their limit")
 
-var errTooLong = errors.New("the body is too long")
+// errTooLong ends reading a body that is longer than any request's may be.
+var errTooLong = errors.New("request body is too long")
 
-// body reads a request's body. Room is taken as it comes, not as it is announced.
-func (f *frontend) body(r *http.Request, w http.ResponseWriter, took *int64) (body []byte, err error) {
+// readBody reads a request's body. Memory is reserved as bytes arrive, not by the announced length.
+func (f *frontend) body(r *http.Request, w http.ResponseWriter, reserved *int64) (body []byte, err error) {
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Now().Add(requestMost)) // the connection knows when the request has to be whole
+	control.SetReadDeadline(time.Now().Add(requestMost)) // the connection applies the earlier deadline of the request
 	for err == nil {
 		if len(body) == cap(body) {
 			step := bodyRoom(r.ContentLength, len(body))
-			*took += int64(step)
+			*reserved += int64(step)
 			if f.held.Add(int64(step)) > f.bodies {
 				return nil, errNoRoom
 			}
@@ -264,30 +288,31 @@
 	return body, nil
 }
 
-// bodyRoom is how much more room a body gets of which so much has come; its length may be unknown.
-func bodyRoom(length int64, come int) int {
-	step := max(bodyStep, come)
+// bodyGrowth returns by how many bytes to grow the buffer of a body of which so much has arrived. A negative length is
+// unknown.
+func bodyRoom(length int64, received int) int {
+	step := max(bodyStep, received)
 	if length >= 0 {
-		step = min(step, int(length)-come)
+		step = min(step, int(length)-received)
 	}
 	return max(step, 1)
 }
 
-// answer gives a final answer of which nothing was streamed.
-func (f *frontend) answer(w http.ResponseWriter, id string, end kserve.Final) {
-	if end.Final != kserve.Declined {
+// writeFinal writes the final response of a request of which nothing was streamed.
+func (f *frontend) answer(w http.ResponseWriter, id string, final kserve.Final) {
+	if final.Final != kserve.Declined {
 		f.monitor.Answered(id, http.StatusBadGateway, false, nil)
-		http.Error(w, end.Error, http.StatusBadGateway)
+		http.Error(w, final.Error, http.StatusBadGateway)
 		return
 	}
-	if end.AfterMs > 0 {
-		w.Header().Set("Retry-After", seconds(time.Duration(end.AfterMs)*time.Millisecond))
+	if final.AfterMs > 0 {
+		w.Header().Set("Retry-After", seconds(time.Duration(final.AfterMs)*time.Millisecond))
 	}
 	f.monitor.Answered(id, http.StatusServiceUnavailable, true, nil)
-	http.Error(w, end.Error, http.StatusServiceUnavailable)
+	http.Error(w, final.Error, http.StatusServiceUnavailable)
 }
 
-// state is what operators see.
+// refusalCounts returns the number of refused requests by reason, as text for the log.
 func (f *frontend) state() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -2,40 +2,42 @@
 
 import "time"
 
-// What may be closed, taken or ended now: the one place for connections and the process, as brain/policy.go is for attempts.
+// This file holds the rules on what may be closed, accepted or ended now, for connections and for the process, as the
+// scheduler's policy holds them for attempts.
 
 // closeCause is why a client's connection is closed.
 type closeCause int
 
 const (
-	closedByServer closeCause = iota // net/http: behind an answer that said so, an unreadable request, or a deadline
-	closedForRoom                    // others wait for its descriptor
-	closedByStop                     // the dispatcher stops
-	closedAsSilent                   // the dispatcher stops, and nothing came on it for long
+	closedByServer closeCause = iota // by net/http: after a response that said so, an unreadable request or a deadline
+	closedForRoom                    // another connection needs its descriptor
+	closedByStop                     // the dispatcher is shutting down
+	closedAsSilent                   // the dispatcher is shutting down, and the connection has sent nothing for long
 )
 
+// String returns the name of the cause in logs.
 func (c closeCause) String() string {
 	return [...]string{"server", "room", "stop", "silent at the stop"}[c]
 }
 
-// mayClose tells whether a connection in that state for so long may be closed for that cause. Only connections of which no byte of a
-// request was read are: what was read has to be answered.
-func mayClose(cause closeCause, state connState, since time.Duration) bool {
+// mayClose reports whether a connection that has been in a state for so long may be closed for a cause. Only
+// connections of which no byte of a request has been read may be: what was read must be answered.
+func mayClose(cause closeCause, state connState, age time.Duration) bool {
 	switch cause {
 	case closedForRoom:
-		return state == connNew && since > silentFor || state == connIdle && since > idleFor
+		return state == connNew && age > silentFor || state == connIdle && age > idleFor
 	case closedByStop:
 		return state == connIdle
 	case closedAsSilent:
-		return state == connIdle || state == connNew && since >= silentMost
+		return state == connIdle || state == connNew && age >= silentMost
 	}
 	return unread(state)
 }
 
-// unread tells whether nothing of a request was read in that state.
+// unread reports whether no byte of a request has been read in a state.
 func unread(state connState) bool { return state == connNew || state == connIdle }
 
-// rejection is why a request is not taken, though it is one.
+// rejection is why a valid request is not accepted. Its text is sent to the client.
 type rejection string
 
 const (
@@ -46,22 +48,23 @@
 	loopBehind   rejection = "event loop"
 )
 
-// behindMost is how far behind the event loop may be for a further request to be taken: it would wait for as long before it is looked at,
-// and so would all that is due for the others.
+// behindMost is the event loop's lag up to which a further request is accepted. The request would wait as long before
+// it is processed, and so would everything that is due for the others.
 const behindMost = 250 * time.Millisecond
 
-// mayTake tells whether a further request may be taken with so many open, itself among them, and with the event loop so far behind.
-func mayTake(over bool, open, most int64, behind time.Duration) rejection {
+// mayAccept reports whether a further request may be accepted, or why not, given the number of open requests including
+// it, and the event loop's lag.
+func mayTake(stopped bool, open, limit int64, lag time.Duration) rejection {
 	switch {
-	case over:
+	case stopped:
 		return stoppedNow
-	case open > most:
+	case open > limit:
 		return tooManyOpen
-	case behind > behindMost:
+	case lag > behindMost:
 		return loopBehind
 	}
 	return taken
 }
 
-// mayEnd tells whether a process that stops may end: each connection has had its answer and is closed.
+// mayExit reports whether a process that is shutting down may exit: each connection has had its response and is closed.
 func mayEnd(connections int) bool { return connections == 0 }
--- a/internal/platform/limiter.go
+++ b/internal/platform/limiter.go
@@ -14,107 +14,111 @@
 )
 
 const (
-	silentFor = 50 * time.Millisecond // a connection on which no request came by then makes room before others
-	idleFor   = 2 * time.Second       // one without an open request may be closed by then
-	roomWait  = 10 * time.Millisecond // until another look, where none makes room
+	silentFor = 50 * time.Millisecond // after which a connection that has sent nothing may be closed for another
+	idleFor   = 2 * time.Second       // after which a connection between two requests may be closed for another
+	roomWait  = 10 * time.Millisecond // between two checks for free capacity
 
-	// waitMost is how long a connection is taken to have waited to be accepted at most.
+	// waitMost is the longest time that a connection is assumed to have waited to be accepted.
 	waitMost = 3 * time.Second
 
-	// At the end of accepting, for connections that the system has completed already: how long a look waits for one, until
-	// drainMost is over and after that.
+	// At the end of accepting, connections that the operating system has already completed are still accepted. Each
+	// call of Accept waits drainTime for one, and drainLeast once drainMost has passed.
 	drainTime  = 20 * time.Millisecond
 	drainLeast = time.Millisecond
 	drainMost  = 100 * time.Millisecond
 
-	backlogTime  = 200 * time.Millisecond // after accept failed, until connections from before are accepted
-	lastRounds   = 50                     // looks for completed connections at the end of accepting, if errors or stalls spoil them
-	lastRoomWait = 200 * time.Millisecond // at the end of accepting, for a place for a completed connection
+	backlogTime  = 200 * time.Millisecond // after an accept error, within which older connections may be accepted
+	lastRounds   = 50                     // calls of Accept at the end of accepting, as errors or stalls may spoil some
+	lastRoomWait = 200 * time.Millisecond // at the end of accepting, for capacity for a completed connection
 )
 
 const (
-	// crowdedShare is the share of the connections that may be open, above which answers end theirs: one that has just had its
-	// answer may else not be closed for idleFor, and clients that ask once and stay would shut out the others.
+	// crowdedShare is the share of the connection limit above which responses end their connections. A connection that
+	// has just had its response could otherwise not be closed for idleEvictAfter, and clients that send one request and
+	// stay connected would shut out the others.
 	crowdedShare = 0.5
-	// closingShare is how many connections that are being closed may be open beside the others.
+	// closingShare is how many connections that are being closed may be open beside the others, as a share of the
+	// limit.
 	closingShare = 0.1
 )
 
-// timeSpan is a stretch of time.
+// timeSpan is the time between two instants.
 type timeSpan struct{ from, to time.Time }
 
-// limiter accepts clients' connections and bounds how many are open. Where as many are open as may be, the oldest that is silent or
-// idle makes room; where there is none, the next waits outside until one is.
+// limiter accepts clients' connections and bounds how many are open. At the limit, the oldest connection that is silent
+// or idle is closed for the next one; if there is none, the next one waits in the listener's backlog.
 type limiter struct {
 	listener system.Listener
-	most     int
+	most     int // connections that may be open
 	mu       sync.Mutex
 	conns    map[*clientConn]bool
 	draining bool         // connections without an open request are closed
-	failures timeSpan     // in which accept failed last; the accepting goroutine's
-	opened   time.Time    // since when connections may have come
-	ending   time.Time    // when acceptLast was called; set before last is
-	last     atomic.Bool  // what is completed already is accepted, and no more
-	Pushed   atomic.Int64 // connections that made room
-	Waited   atomic.Int64 // looks that found none
-	Failed   atomic.Int64 // errors of accept that were passed over
-	Shut     atomic.Int64 // connections that were shut unread at a stop, as there was no room
+	failures timeSpan     // of the latest accept errors; used by the accepting goroutine only
+	opened   time.Time    // since when connections may have been completed
+	ending   time.Time    // when acceptBacklogOnly was called; set before backlogOnly
+	last     atomic.Bool  // completed connections are still accepted, and no others
+	Pushed   atomic.Int64 // connections closed for others
+	Waited   atomic.Int64 // checks that found no capacity
+	Failed   atomic.Int64 // accept errors that were retried
+	Shut     atomic.Int64 // connections closed unread at shutdown for lack of capacity
 	log      *slog.Logger
 }
 
-func newLimiter(listener system.Listener, most int, log *slog.Logger) *limiter {
-	return &limiter{listener: listener, most: most, log: log, conns: map[*clientConn]bool{}, opened: time.Now()}
+// newLimiter returns a limiter of the connections of a listener.
+func newLimiter(listener system.Listener, maxConns int, log *slog.Logger) *limiter {
+	return &limiter{listener: listener, most: maxConns, log: log, conns: map[*clientConn]bool{}, opened: time.Now()}
 }
 
-// Addr is where the limiter listens.
+// Addr returns the listener's address.
 func (l *limiter) Addr() net.Addr { return l.listener.Addr() }
 
-// Close ends listening.
+// Close closes the listener.
 func (l *limiter) Close() error { return l.listener.Close() }
 
-// Accept returns the next connection. It fails only once the listener is closed: whatever else the system says passes. After acceptLast
-// it returns http.ErrServerClosed once no completed connection is left.
+// Accept returns the next connection. It fails only once the listener is closed: every other error of accept is
+// transient. After acceptBacklogOnly it returns http.ErrServerClosed once no completed connection is left.
 func (l *limiter) Accept() (net.Conn, error) {
 	var retry system.Retry
 	for {
-		noRoom := l.awaitRoom()
-		called := time.Now()
-		raw, err := l.listener.Accept()
+		waitedSince := l.awaitRoom()
+		start := time.Now()
+		conn, err := l.listener.Accept()
 		if err != nil && l.last.Load() {
-			raw, err = l.acceptCompleted()
+			conn, err = l.acceptCompleted()
 		}
 		switch {
 		case err == nil:
-			if c, err := l.admit(raw, l.completedAt(noRoom, called), l.waitingSince(time.Now())); err == nil {
+			if c, err := l.admit(conn, l.completedAt(waitedSince, start), l.waitingSince(time.Now())); err == nil {
 				return c, nil
 			}
-			raw.Close()
+			conn.Close()
 		case errors.Is(err, net.ErrClosed), errors.Is(err, http.ErrServerClosed):
 			return nil, err
 		default:
-			l.failed(called, err)
+			l.failed(start, err)
 			retry.Wait()
 		}
 	}
 }
 
-// completedAt is since when a connection that was accepted now may have been complete: for as long as there was no room, or accept
-// failed, if the call that returned it found it there.
-func (l *limiter) completedAt(noRoom, called time.Time) time.Time {
+// completeSince returns since when a connection that was accepted now may have been complete. If the call of accept
+// found it waiting, that is for as long as there was no capacity or accept failed.
+func (l *limiter) completedAt(waitedSince, start time.Time) time.Time {
 	now := time.Now()
 	switch {
-	case now.Sub(called) > atOnce:
-		return now // it was waited for
+	case now.Sub(start) > atOnce:
+		return now // accept waited for it
 	case now.Sub(l.failures.to) < backlogTime:
 		return l.failures.from
-	case !noRoom.IsZero():
-		return noRoom
+	case !waitedSince.IsZero():
+		return waitedSince
 	}
 	return now
 }
 
-// waitingSince is since when at the earliest a connection that was accepted now was complete. How long the call took shows nothing: on a
-// busy machine a call that finds a connection there takes as long as one that waits for it.
+// earliestCompletion returns the earliest time at which a connection that was accepted now was complete. The duration
+// of the call shows nothing: on a busy machine a call that finds a connection waiting takes as long as one that waits
+// for it.
 func (l *limiter) waitingSince(now time.Time) time.Time {
 	if earliest := now.Add(-waitMost); earliest.After(l.opened) {
 		return earliest
@@ -122,7 +126,8 @@
 	return l.opened
 }
 
-// awaitRoom waits until one more connection may be open, or accepting ends, and tells since when; zero: there was room at once.
+// awaitCapacity waits until one more connection may be open or accepting ends. It returns when it began to wait, or
+// zero if there was capacity at once.
 func (l *limiter) awaitRoom() (since time.Time) {
 	for !l.last.Load() && !l.makeRoom(time.Now()) {
 		if since.IsZero() {
@@ -134,84 +139,86 @@
 	return since
 }
 
-// acceptCompleted returns a connection that the system has completed; http.ErrServerClosed: there is none any more, and the listener is
-// closed. A closed listener resets those that wait, and loses their requests, so it is closed only after a look that found none:
-// neither an error that passes nor a deadline that went by before the look says that.
+// nextFromBacklog returns a connection that the operating system has completed, or http.ErrServerClosed after closing
+// the listener if none is left. Closing a listener resets the connections that wait in it and loses their requests, so
+// it is closed only after a call that found none: neither a transient error nor a deadline that passed before the call
+// shows that.
 func (l *limiter) acceptCompleted() (system.Conn, error) {
 	var retry system.Retry
 	for round := 0; round < lastRounds; round++ {
 		l.awaitLastRoom()
-		began := time.Now()
+		start := time.Now()
 		wait := drainTime
-		if began.Sub(l.ending) > drainMost {
-			wait = drainLeast // connections that come one by one must not keep it open
+		if start.Sub(l.ending) > drainMost {
+			wait = drainLeast // a trickle of connections must not keep the listener open
 		}
-		l.listener.SetDeadline(began.Add(wait))
-		raw, err := l.listener.Accept()
+		l.listener.SetDeadline(start.Add(wait))
+		conn, err := l.listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
-			return raw, err
+			return conn, err
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			l.failed(began, err)
+			l.failed(start, err)
 			retry.Wait()
-		} else if time.Since(began) < 2*wait {
-			break // it looked at once, and nothing came while it waited
+		} else if time.Since(start) < 2*wait {
+			break // the call began at once, and nothing arrived while it waited
 		}
 	}
 	l.listener.Close()
 	return nil, http.ErrServerClosed
 }
 
-// awaitLastRoom waits for a while until one more connection may be open: at a stop, connections at rest are being closed.
+// awaitFinalCapacity waits for a bounded time until one more connection may be open: at shutdown, idle connections are
+// being closed.
 func (l *limiter) awaitLastRoom() {
-	for end := time.Now().Add(lastRoomWait); l.count() >= l.most+l.closingMost() && time.Now().Before(end); {
+	for deadline := time.Now().Add(lastRoomWait); l.count() >= l.most+l.closingMost() && time.Now().Before(deadline); {
 		time.Sleep(roomWait)
 	}
 }
 
-// errNoPlace says that a connection can't be held.
+// errNoPlace refuses a connection over the limit.
 var errNoPlace = errors.New("too many connections are open")
 
-// admit takes a connection on that may have been complete for a while, and was not before earliest.
-func (l *limiter) admit(raw system.Conn, complete, earliest time.Time) (net.Conn, error) {
+// admit wraps and registers a connection that may have been complete since complete, and was not before earliest.
+func (l *limiter) admit(conn system.Conn, complete, earliest time.Time) (net.Conn, error) {
 	if l.last.Load() && l.count() >= l.most+l.closingMost() {
 		l.Shut.Add(1)
 		return nil, errNoPlace
 	}
-	c, err := newClientConn(raw, l.forget)
+	client, err := newClientConn(conn, l.forget)
 	if err != nil {
 		return nil, err
 	}
-	c.waited, c.earliest = complete, earliest
-	c.until = firstUntil(time.Now(), complete)
+	client.waited, client.earliest = complete, earliest
+	client.until = firstUntil(time.Now(), complete)
 	l.mu.Lock()
-	l.conns[c] = true
+	l.conns[client] = true
 	l.mu.Unlock()
-	return c, nil
+	return client, nil
 }
 
-// failed takes note of an error of accept that is passed over.
-func (l *limiter) failed(called time.Time, err error) {
+// recordAcceptError records an accept error that is retried.
+func (l *limiter) failed(start time.Time, err error) {
 	now := time.Now()
 	if now.Sub(l.failures.to) > backlogTime {
-		l.failures.from = called
+		l.failures.from = start
 	}
 	l.failures.to = now
 	l.Failed.Add(1)
 	l.log.Warn("accept failed", "error", err)
 }
 
-// closingMost is how many connections that are being closed may be open beside the others.
+// maxClosing returns how many connections that are being closed may be open beside the others.
 func (l *limiter) closingMost() int { return max(int(closingShare*float64(l.most)), 1) }
 
-// acceptLast has Accept take the connections that are completed already, and then end.
+// acceptBacklogOnly has Accept return the connections that are already complete, and then end.
 func (l *limiter) acceptLast() {
 	l.ending = time.Now()
 	l.last.Store(true)
-	l.listener.SetDeadline(l.ending) // ends an Accept that waits; the looks of acceptCompleted follow
+	l.listener.SetDeadline(l.ending) // ends an Accept that is waiting; nextFromBacklog takes over
 }
 
-// makeRoom tells whether there is room for a connection.
+// ensureCapacity reports whether there is capacity for a connection, closing another one for it if necessary.
 func (l *limiter) makeRoom(now time.Time) bool {
 	if l.count() < l.most {
 		return true
@@ -220,15 +227,15 @@
 	var victim, lingering oldest
 	l.mu.Lock()
 	for c := range l.conns {
-		state, since := c.status(now)
+		state, age := c.status(now)
 		if state == connClosing {
 			closing++
-			lingering.consider(c, state, since)
+			lingering.consider(c, state, age)
 			continue
 		}
 		open++
-		if mayClose(closedForRoom, state, since) {
-			victim.consider(c, state, since)
+		if mayClose(closedForRoom, state, age) {
+			victim.consider(c, state, age)
 		}
 	}
 	l.mu.Unlock()
@@ -245,27 +252,28 @@
 	return true
 }
 
-// oldest is the connection that is longest in its state. Those on which nothing has come yet go before the others.
+// evictionCandidate is the connection that has been longest in its state. Connections that have sent nothing yet go
+// before the others.
 type oldest struct {
 	conn  *clientConn
 	state connState
 	since time.Duration
 }
 
-func (o *oldest) consider(c *clientConn, state connState, since time.Duration) {
+func (o *oldest) consider(c *clientConn, state connState, age time.Duration) {
 	switch {
 	case o.conn == nil:
 	case o.state != state:
 		if state != connNew {
 			return
 		}
-	case since <= o.since:
+	case age <= o.since:
 		return
 	}
-	*o = oldest{c, state, since}
+	*o = oldest{c, state, age}
 }
 
-// forget is told that a connection's socket is closed.
+// remove is called when a connection's socket has been closed.
 func (l *limiter) forget(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -273,7 +281,7 @@
 	c.logClose(l.log)
 }
 
-// moved is told by net/http of a connection's state.
+// connStateChanged is called by net/http with a connection's state.
 func (l *limiter) moved(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok || state != http.StateIdle {
@@ -288,8 +296,8 @@
 	}
 }
 
-// drain closes the connections without an open request, now and as their answers end. Those on which nothing came yet are left for
-// closeSilent: their clients may just be about to send.
+// drain closes the connections without an open request, now and as their responses end. Those that have sent nothing
+// yet are left for closeSilent: their clients may be just about to send.
 func (l *limiter) drain() {
 	l.mu.Lock()
 	l.draining = true
@@ -297,29 +305,29 @@
 	l.closeEach(closedByStop)
 }
 
-// closeSilent closes connections on which nothing came for long, and those between two requests.
+// closeSilent closes connections that have sent nothing for long, and those between two requests.
 func (l *limiter) closeSilent() { l.closeEach(closedAsSilent) }
 
-// closeEach closes the connections that may be closed for that cause.
+// closeEligible closes the connections that may be closed for the given cause.
 func (l *limiter) closeEach(cause closeCause) {
 	l.mu.Lock()
 	now := time.Now()
-	var chosen []*clientConn
+	var eligible []*clientConn
 	for c := range l.conns {
-		if state, since := c.status(now); mayClose(cause, state, since) {
-			chosen = append(chosen, c)
+		if state, age := c.status(now); mayClose(cause, state, age) {
+			eligible = append(eligible, c)
 		}
 	}
 	l.mu.Unlock()
-	for _, c := range chosen {
+	for _, c := range eligible {
 		c.closeIdle(cause)
 	}
 }
 
-// Crowded tells whether answers should end their connections.
+// NearLimit reports whether responses should end their connections.
 func (l *limiter) Crowded() bool { return float64(l.count()) > crowdedShare*float64(l.most) }
 
-// count is how many connections are open, those that are being closed among them.
+// count returns how many connections are open, including those that are being closed.
 func (l *limiter) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/platform/pulse.go
+++ b/internal/platform/pulse.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	pulseEach  = 50 * time.Millisecond  // between two looks at the clock
-	stallLeast = 100 * time.Millisecond // between two looks, that shows that the process stood still
-	settleTime = 50 * time.Millisecond  // after a stall, until what came meanwhile has been read
+	pulseEach  = 50 * time.Millisecond  // between two checks of the clock
+	stallLeast = 100 * time.Millisecond // between two checks, from which on the process is taken to have stalled
+	settleTime = 50 * time.Millisecond  // after a stall, until what arrived during it has been read
 )
 
-// pulse notices when the process stood still, as when it is stopped by a signal or gets no processor. What is read right after that may
-// have come at any time since it began.
+// stallDetector notices when the process has stalled, as when it is stopped by a signal or gets no processor. What is
+// read right after a stall may have arrived at any time since the stall began.
 type pulse struct {
 	mu       sync.Mutex
 	last     time.Time
-	from, to time.Time // the last stall
+	from, to time.Time // bounds of the last stall
 }
 
+// newStallDetector returns a detector that starts at a time at which the process runs.
 func newPulse(now time.Time) *pulse { return &pulse{last: now} }
 
-// run looks at the clock until the context ends.
+// run checks the clock until the context ends.
 func (p *pulse) run(ctx context.Context) {
 	tick := time.NewTicker(pulseEach)
 	defer tick.Stop()
@@ -36,7 +37,7 @@
 	}
 }
 
-// beat takes note of a time at which the process runs.
+// tick records a time at which the process runs.
 func (p *pulse) beat(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -48,7 +49,7 @@
 	}
 }
 
-// came is when at the earliest something had come that is read now.
+// earliestArrival returns the earliest time at which something that is read now may have arrived.
 func (p *pulse) came(now time.Time) time.Time {
 	p.beat(now)
 	p.mu.Lock()
@@ -59,7 +60,7 @@
 	return now
 }
 
-// stalledSince tells whether the process stood still after a time: what was found out before it may not hold any more.
+// stalledSince reports whether the process has stalled after a time. What was found out before may no longer hold.
 func (p *pulse) stalledSince(then, now time.Time) bool {
 	p.beat(now)
 	p.mu.Lock()
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -10,10 +10,11 @@
 	"sloetrestle/internal/kserve"
 )
 
-// cutWait is how long a stream that is to be continued elsewhere is given for a further event, after which its end is not near.
+// cutWait is how long a stream that is to be continued at another dispatcher may take to send a further event, after
+// which its end is not near.
 const cutWait = 200 * time.Millisecond
 
-// passing is one backend's stream on its way to a client.
+// streamRelay relays one backend's stream to a client.
 type passing struct {
 	frontend *frontend
 	w        http.ResponseWriter
@@ -21,15 +22,20 @@
 	ctx      context.Context
 	asked    *dispatch.ClientRequest
 	trip     *dispatch.Attempt
-	last     []byte // what was passed on last
+	last     []byte // the events that were written last
 }
 
-func (f *frontend) newPassing(w http.ResponseWriter, r *http.Request, a *dispatch.ClientRequest, trip *dispatch.Attempt) *passing {
-	return &passing{frontend: f, w: w, control: http.NewResponseController(w), ctx: r.Context(), asked: a, trip: trip}
+// newStreamRelay returns a relay of an attempt's stream to the client of its request.
+func (f *frontend) newPassing(
+	w http.ResponseWriter, r *http.Request, clientRequest *dispatch.ClientRequest, attempt *dispatch.Attempt,
+) *passing {
+	return &passing{
+		frontend: f, w: w, control: http.NewResponseController(w), ctx: r.Context(), asked: clientRequest, trip: attempt,
+	}
 }
 
-// run passes events on as they come. A stream that breaks ends the client's connection without the last chunk: a plain return would
-// end it as whole.
+// run relays events as they arrive. A stream that breaks ends the client's connection without the last chunk, as a
+// plain return would mark the response as complete.
 func (p *passing) run() {
 	p.frontend.monitor.Answered(p.asked.Ask.ID, http.StatusOK, false, nil)
 	p.w.Header().Set("Content-Type", "text/event-stream")
@@ -38,8 +44,8 @@
 	var overdue <-chan time.Time
 	for {
 		select {
-		case piece, more := <-p.trip.Tokens:
-			if !more || !p.pass(piece) {
+		case events, more := <-p.trip.Tokens:
+			if !more || !p.pass(events) {
 				p.end()
 				return
 			}
@@ -59,18 +65,18 @@
 	}
 }
 
-// pass writes a piece and all that wait behind it; false: the last one was among them.
-func (p *passing) pass(piece []byte) (more bool) {
+// write writes events and all that are queued behind them, and reports whether the stream goes on.
+func (p *passing) pass(events []byte) (more bool) {
 	p.control.SetWriteDeadline(time.Now().Add(writeWait))
 	for more = true; more; {
-		if _, err := p.w.Write(piece); err != nil {
+		if _, err := p.w.Write(events); err != nil {
 			p.abort()
 		}
-		p.last = piece
+		p.last = events
 		if len(p.trip.Tokens) == 0 {
 			break
 		}
-		piece, more = <-p.trip.Tokens
+		events, more = <-p.trip.Tokens
 	}
 	if p.control.Flush() != nil {
 		p.abort()
@@ -78,11 +84,11 @@
 	return more
 }
 
-// end ends the client's answer as the attempt ended.
+// finish ends the client's response as the attempt ended.
 func (p *passing) end() {
 	select {
-	case end := <-p.asked.Final():
-		if end.Final != kserve.Satisfied {
+	case final := <-p.asked.Final():
+		if final.Final != kserve.Satisfied {
 			panic(http.ErrAbortHandler)
 		}
 	case <-p.ctx.Done():
@@ -90,12 +96,12 @@
 	}
 }
 
-// midway tells whether a further token has to follow what was passed on last. Before the first event the client has had no answer,
-// and after the last token it has nothing to come back for. Right behind an event that is followed by another, the backend can't
-// have finished.
+// midway reports whether a further token must follow what was written last. Before the first event the client has had no
+// response, and after the last token it has nothing to come back for. Right behind an event that is followed by another,
+// the backend cannot have finished.
 func (p *passing) midway() bool { return chat.Midway(p.last) }
 
-// move cuts the stream for its client to continue elsewhere.
+// moveStream cuts the stream, for its client to continue it at another dispatcher.
 func (p *passing) move() {
 	p.frontend.Moved.Add(1)
 	p.abort()
@@ -107,7 +113,7 @@
 	panic(http.ErrAbortHandler)
 }
 
-// cutting tells whether streams are cut to be continued elsewhere.
+// movingStreams reports whether streams are being cut for their clients to continue them at another dispatcher.
 func (f *frontend) cutting() bool {
 	select {
 	case <-f.cut:
