--- a/internal/monitor/monitor.go
+++ b/internal/monitor/monitor.go
@@ -1,7 +1,6 @@
-// Package monitor checks the rules at run time: it is told of each event as it happens on the wire (an attempt's first and last byte and
-// its end, answers, clients that go, what discovery tells, states that are held and released), counts violations by rule and logs each
-// with the last events of its request. It never changes what is done, and takes nothing from what the program believes. Begin with
-// Monitor.
+// Package monitor checks the dispatcher's rules at run time. It is notified of each event on the wire, counts
+// violations by rule and logs each one with the last events of its request. It changes nothing and relies on nothing
+// that the scheduler believes. Begin with Monitor.
 package monitor
 
 import (
@@ -12,96 +11,98 @@
 	"time"
 )
 
-// Rule is one that an event can break.
+// Rule is a rule whose violations are counted.
 type Rule int
 
 const (
-	Lost      Rule = iota // an attempt for a client that has gone, an answer too many, or a request closed without one
-	Duplicate             // two attempts out, a second run, or a rejection after one that may have run
-	Drain                 // an attempt to a backend that drains or is gone
-	Held                  // a state that waits too long
-	Deadline              // an attempt is told more time than its client has left
+	Lost      Rule = iota // an attempt for a client that has gone, a second response, or a request closed without one
+	Duplicate             // two attempts in flight, a second run, or a rejection after an attempt that may have run
+	Drain                 // an attempt at a backend that is draining or removed
+	Held                  // a KV cache that waits too long
+	Deadline              // an attempt with a longer timeout than its client's deadline leaves
 	rules
 )
 
-// String is how logs and counters name it.
+// String returns the name of the rule in logs and counters.
 func (r Rule) String() string {
 	return [...]string{"lost", "duplicate", "drain", "held", "deadline"}[r]
 }
 
-// Terms are the bounds of the rules.
+// Terms holds the bounds of the rules.
 type Terms struct {
-	Gone       time.Duration // from a client's close, in which an attempt may still begin
-	DrainGrace time.Duration // from a change of a backend, in which an attempt may still begin
-	Hold       time.Duration // for which a state may wait with no attempt out; 0: not checked
-	Told       time.Duration // by which a told deadline may be over what the client has left
+	Gone       time.Duration // after a client's close, within which an attempt may still begin
+	DrainGrace time.Duration // after a backend begins to drain or is removed, within which an attempt may still begin
+	Hold       time.Duration // that a KV cache may wait for an attempt to arrive or for its release; 0: not checked
+	Told       time.Duration // by which an attempt's timeout may exceed the time that its client has left
 }
 
-// Class is what a request's class says of running it again.
+// Class says whether a request may run more than once.
 type Class int
 
 const (
 	Idempotent   Class = iota
-	Deduplicated       // repeats are dropped within a group and a window, which the module knows
+	Deduplicated       // repeats are recognised and dropped within a group of backends and a window of time
 	NonIdempotent
 )
 
-// End is what an attempt's end proves.
+// End is what the end of an attempt proves.
 type End int
 
 const (
 	NeverRan End = iota
 	MayHaveRun
-	StateKept // a prefill that ended well: its state waits
+	StateKept // a prefill that succeeded: the backend holds the request's KV cache
 )
 
 const (
-	eventsMost   = 2048            // in the ring
-	requestsMost = 8192            // that are remembered
-	forgetAfter  = 5 * time.Second // from a request's end, if nothing is held for it
+	eventsMost   = 2048            // events in the ring
+	requestsMost = 8192            // requests that are tracked
+	forgetAfter  = 5 * time.Second // from a request's end until it is dropped, if no KV cache is held for it
 )
 
-// event is one line of the ring.
+// event is an entry of the ring.
 type event struct {
 	at   time.Duration
 	id   string
 	text string
 }
 
-// request is what is known of one.
+// request is what the monitor knows of a request. Its times count from the start of the monitor's clock.
 type request struct {
 	class    Class
-	until    time.Duration // when its client's time is up
-	out      int           // attempts that are out
-	mayRun   bool          // an attempt that has an effect may have run
+	until    time.Duration // its client's deadline
+	out      int           // attempts in flight
+	mayRun   bool          // an attempt with an effect may have run
 	answered bool
-	gone     time.Duration // since when its client has gone; 0: it has not
-	held     bool
-	waits    time.Duration // since when a state waits with no attempt out
-	over     time.Duration // since when it is
+	gone     time.Duration // when its client went; 0: it is still there
+	held     bool          // a backend holds its KV cache
+	waits    time.Duration // since when the KV cache waits for an attempt to arrive or for its release; 0: it does not
+	over     time.Duration // when it ended; 0: it has not
 }
 
-// Monitor counts violations.
+// Monitor counts violations. It is safe for concurrent use.
 type Monitor struct {
 	Terms Terms
-	Since func() time.Duration
+	Since func() time.Duration // the clock: the time since some fixed instant
 	Log   *slog.Logger
 
 	mu       sync.Mutex
-	requests map[string]*request
-	changed  map[string]time.Duration // since when a backend drains or is gone
+	requests map[string]*request      // by id
+	changed  map[string]time.Duration // since when a backend has been draining or removed, by name
 	ring     [eventsMost]event
-	next     int
+	next     int // number of events recorded
 	counts   [rules]int64
-	swept    time.Duration
+	swept    time.Duration // when ended requests were last dropped
 }
 
-// New makes a monitor.
-func New(terms Terms, since func() time.Duration, log *slog.Logger) *Monitor {
-	return &Monitor{Terms: terms, Since: since, Log: log, requests: map[string]*request{}, changed: map[string]time.Duration{}}
+// New returns a monitor that reads its time from the given clock.
+func New(terms Terms, clock func() time.Duration, log *slog.Logger) *Monitor {
+	return &Monitor{
+		Terms: terms, Since: clock, Log: log, requests: map[string]*request{}, changed: map[string]time.Duration{},
+	}
 }
 
-// Counts is how often each rule was broken, as text.
+// Counts returns the number of violations by rule, as text. Rules without violations are left out.
 func (m *Monitor) Counts() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -114,14 +115,14 @@
 	return strings.Join(parts, " ")
 }
 
-// Count is how often a rule was broken.
+// Count returns the number of violations of a rule.
 func (m *Monitor) Count(rule Rule) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.counts[rule]
 }
 
-// note puts an event into the ring. The lock is held.
+// record adds an event to the ring and returns its time. The caller holds the lock.
 func (m *Monitor) note(id, text string) time.Duration {
 	now := m.Since()
 	m.ring[m.next%eventsMost] = event{now, id, text}
@@ -132,8 +133,8 @@
 	return now
 }
 
-// broke counts a violation and logs it with the request's last events. The lock is held.
-func (m *Monitor) broke(rule Rule, id, why string) {
+// recordViolation counts a violation and logs it with the request's last events. The caller holds the lock.
+func (m *Monitor) broke(rule Rule, id, reason string) {
 	m.counts[rule]++
 	var events []string
 	for i := max(m.next-eventsMost, 0); i < m.next; i++ {
@@ -141,10 +142,10 @@
 			events = append(events, fmt.Sprintf("%.3f %s", e.at.Seconds(), e.text))
 		}
 	}
-	m.Log.Error("rule broken", "rule", rule, "id", id, "why", why, "events", strings.Join(events, "; "))
+	m.Log.Error("rule broken", "rule", rule, "id", id, "why", reason, "events", strings.Join(events, "; "))
 }
 
-// forget drops requests that are over. The lock is held.
+// dropEnded drops requests that have ended. The caller holds the lock.
 func (m *Monitor) forget(now time.Duration) {
 	m.swept = now
 	for id, r := range m.requests {
@@ -154,20 +155,20 @@
 	}
 }
 
-// known is a request that was taken. The lock is held.
+// find returns a tracked request, or nil. The caller holds the lock.
 func (m *Monitor) known(id string) *request { return m.requests[id] }
 
-// Taken is told of a request and of the time that its client has left.
+// RequestAccepted records a request and the time that its client has left.
 func (m *Monitor) Taken(id string, class Class, left time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, fmt.Sprintf("taken with %v left", left))
+	now := m.note(id, fmt.Sprintf("accepted with %v left", left))
 	if len(m.requests) < requestsMost {
 		m.requests[id] = &request{class: class, until: now + left}
 	}
 }
 
-// ClientGone is told that a request's client has closed.
+// ClientGone records that a request's client has closed.
 func (m *Monitor) ClientGone(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -178,58 +179,61 @@
 	}
 }
 
-// finished takes note that nobody waits for a request any more. The lock is held.
+// markEnded records that nobody waits for a request any more. The caller holds the lock.
 func (m *Monitor) finished(r *request, now time.Duration) {
 	if r.over == 0 {
 		r.over = max(now, 1)
 	}
 }
 
-// Changed is told what discovery says of a backend: whether it may be sent requests.
+// BackendChanged records what discovery reports of a backend: whether it may be sent requests.
 func (m *Monitor) Changed(backend string, ready bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_, known := m.changed[backend]
+	_, unavailable := m.changed[backend]
 	switch {
-	case ready && known:
+	case ready && unavailable:
 		delete(m.changed, backend)
-	case !ready && !known:
-		m.changed[backend] = m.note("", backend+" drains or is gone")
+	case !ready && !unavailable:
+		m.changed[backend] = m.note("", backend+" is draining or removed")
 	}
 }
 
-// AttemptBegins is told right before an attempt's first byte. effect: it is not at a prefill backend; told is the deadline that it states.
-func (m *Monitor) AttemptBegins(id, backend string, number int, effect bool, told time.Duration) {
+// AttemptBegins records an attempt; it is called right before the attempt's first byte is written. An attempt has an
+// effect unless it is at a prefill backend; timeout is the one that it states to its backend.
+func (m *Monitor) AttemptBegins(id, backend string, number int, effect bool, timeout time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, fmt.Sprintf("attempt %d begins at %s, told %v", number, backend, told))
-	if since, drains := m.changed[backend]; drains && now-since > m.Terms.DrainGrace {
-		m.broke(Drain, id, fmt.Sprintf("%s drains or is gone since %v", backend, now-since))
+	now := m.note(id, fmt.Sprintf("attempt %d begins at %s, timeout %v", number, backend, timeout))
+	if unavailableSince, unavailable := m.changed[backend]; unavailable && now-unavailableSince > m.Terms.DrainGrace {
+		m.broke(Drain, id, fmt.Sprintf("%s has been draining or removed for %v, allowed %v", backend, now-unavailableSince,
+			m.Terms.DrainGrace))
 	}
 	r := m.known(id)
 	if r == nil {
 		return
 	}
 	if r.gone > 0 && now-r.gone > m.Terms.Gone {
-		m.broke(Lost, id, fmt.Sprintf("its client has gone since %v", now-r.gone))
+		m.broke(Lost, id, fmt.Sprintf("its client has been gone for %v, allowed %v", now-r.gone, m.Terms.Gone))
 	}
 	if r.answered {
-		m.broke(Lost, id, "it has its answer")
+		m.broke(Lost, id, "an attempt begins after the response")
 	}
 	if r.out > 0 {
-		m.broke(Duplicate, id, "another attempt is out")
+		m.broke(Duplicate, id, "another attempt is in flight")
 	}
 	if effect && r.mayRun && r.class == NonIdempotent {
 		m.broke(Duplicate, id, "an earlier attempt may have run")
 	}
-	if left := r.until - now; told > left+m.Terms.Told {
-		m.broke(Deadline, id, fmt.Sprintf("its client has %v left", left))
+	if left := r.until - now; timeout > left+m.Terms.Told {
+		m.broke(Deadline, id, fmt.Sprintf("the timeout is %v, its client has %v left, allowed excess %v", timeout, left,
+			m.Terms.Told))
 	}
 	r.out++
 }
 
-// AttemptSent is told that an attempt's last byte was written. Whether it has arrived is another matter: the state that it is to take
-// goes on waiting.
+// AttemptSent records that an attempt's last byte was written. The request may not have arrived yet, so the KV cache
+// that it is to take keeps waiting.
 func (m *Monitor) AttemptSent(id string, number int, effect bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -239,7 +243,7 @@
 	}
 }
 
-// AttemptArrived is told that a backend has begun to answer an attempt: the state that it takes does not wait any more.
+// AttemptArrived records that a backend has begun to answer an attempt: the KV cache that it takes no longer waits.
 func (m *Monitor) AttemptArrived(id string, number int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -250,11 +254,11 @@
 	}
 }
 
-// AttemptEnds is told of the end of an attempt that had begun, and what it proves.
-func (m *Monitor) AttemptEnds(id string, number int, effect bool, end End, how string) {
+// AttemptEnds records the end of an attempt that had begun, and what the end proves.
+func (m *Monitor) AttemptEnds(id string, number int, effect bool, end End, reason string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, fmt.Sprintf("attempt %d ends, %s", number, how))
+	now := m.note(id, fmt.Sprintf("attempt %d ends, %s", number, reason))
 	r := m.known(id)
 	if r == nil {
 		return
@@ -271,25 +275,25 @@
 	}
 }
 
-// checkHeld looks whether a state has waited too long. The lock is held.
+// checkHeld checks how long a KV cache has waited. The caller holds the lock.
 func (m *Monitor) checkHeld(id string, r *request, now time.Duration) {
 	if r.held && r.waits > 0 && m.Terms.Hold > 0 && now-r.waits > m.Terms.Hold {
-		m.broke(Held, id, fmt.Sprintf("a state waited for %v", now-r.waits))
+		m.broke(Held, id, fmt.Sprintf("a KV cache has waited for %v, allowed %v", now-r.waits, m.Terms.Hold))
 	}
 }
 
-// Released is told that a backend has released, or another has taken, what was held for a request.
-func (m *Monitor) Released(id, how string) {
+// CacheReleased records that a request's KV cache has been released or taken by another backend.
+func (m *Monitor) Released(id, event string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, how)
+	now := m.note(id, event)
 	if r := m.known(id); r != nil {
 		m.checkHeld(id, r, now)
 		r.held, r.waits = false, 0
 	}
 }
 
-// Answered is told of the final answer that was written. rejection: it promises that trying again is harmless.
+// Answered records the final response to a request. A rejection tells the client that a retry is harmless.
 func (m *Monitor) Answered(id string, status int, rejection bool, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -303,23 +307,23 @@
 		return
 	}
 	if r.answered {
-		m.broke(Lost, id, "it has an answer already")
+		m.broke(Lost, id, "it has been answered already")
 	}
 	if rejection && r.class == NonIdempotent && (r.mayRun || r.out > 0) {
-		m.broke(Duplicate, id, "it was rejected after an attempt that may have run")
+		m.broke(Duplicate, id, "rejected after an attempt that may have run")
 	}
 	r.answered = true
 	m.finished(r, now)
 }
 
-// Closed is told that a request's handler has ended. A client that is still there has to have had its answer.
-func (m *Monitor) Closed(id, why string) {
+// RequestClosed records that a request's handler has ended. A client that is still there must have had its response.
+func (m *Monitor) Closed(id, reason string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, "closed: "+why)
+	now := m.note(id, "closed: "+reason)
 	if r := m.known(id); r != nil {
 		if !r.answered && r.gone == 0 {
-			m.broke(Lost, id, "its connection is closed without an answer")
+			m.broke(Lost, id, "closed without a response")
 		}
 		m.finished(r, now)
 	}
--- a/internal/system/arrival.go
+++ b/internal/system/arrival.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Unacknowledged is how many bytes that were written to a TCP connection the far machine has not acknowledged yet; 0 where the
-// operating system does not tell.
+// UnacknowledgedBytes returns how many bytes written to a TCP connection the peer has not acknowledged yet, or 0 if the
+// operating system does not report it.
 func Unacknowledged(conn net.Conn) (bytes int) {
 	sys, ok := conn.(syscall.Conn)
 	if !ok {
@@ -20,15 +20,15 @@
 		return 0
 	}
 	raw.Control(func(fd uintptr) {
-		if n, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ); err == nil {
-			bytes = n
+		if count, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ); err == nil {
+			bytes = count
 		}
 	})
 	return bytes
 }
 
-// ReceivedAgo is how long ago the last bytes came to a TCP connection, whenever they are read; false where the operating system does not
-// tell.
+// SinceLastReceive returns how long ago the last bytes arrived on a TCP connection, whether or not they have been read.
+// It returns false if the operating system does not report it.
 func ReceivedAgo(fd uintptr) (time.Duration, bool) {
 	info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
--- a/internal/system/errors.go
+++ b/internal/system/errors.go
@@ -6,14 +6,14 @@
 	"syscall"
 )
 
-// localErrors are what socket(2) and connect(2) fail with where this machine lacks what it needs to begin: descriptors, memory, ports,
-// a network. They say nothing of the far side, and pass.
+// localErrors are the errors of socket(2) and connect(2) when this machine lacks what it needs: descriptors, memory,
+// ports or a network. They are transient and say nothing about the peer.
 var localErrors = []syscall.Errno{
-	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE, syscall.ENETUNREACH,
-	syscall.ENETDOWN, syscall.EPERM, syscall.EACCES, syscall.EINTR,
+	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EADDRNOTAVAIL,
+	syscall.EADDRINUSE, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPERM, syscall.EACCES, syscall.EINTR,
 }
 
-// Local tells whether an error of connecting comes from this machine alone.
+// IsLocalError reports whether an error of connecting was caused by this machine alone.
 func Local(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(localErrors, errno)
--- a/internal/system/replace.go
+++ b/internal/system/replace.go
@@ -6,42 +6,42 @@
 	"path/filepath"
 )
 
-// newSuffix is what the name of a file has while it is being written.
+// tempSuffix is appended to a file's name while the new file is being written.
 const newSuffix = ".new"
 
-// Replace puts a file with new contents in the place of one. It is on the disk when Replace returns; a kill, a full disk or one that
-// fails leaves the old one as it was.
-func Replace(path string, raw []byte, mode os.FileMode) error {
-	written := path + newSuffix
-	if err := writeSynced(written, raw, mode); err != nil {
-		os.Remove(written)
+// ReplaceFile replaces a file by one with the given contents. When it returns nil the new file has been synced to disk;
+// if the process is killed, or the disk is full or fails, the old file stays as it was.
+func Replace(path string, contents []byte, mode os.FileMode) error {
+	temp := path + newSuffix
+	if err := writeSynced(temp, contents, mode); err != nil {
+		os.Remove(temp)
 		return err
 	}
-	if err := os.Rename(written, path); err != nil {
-		os.Remove(written)
+	if err := os.Rename(temp, path); err != nil {
+		os.Remove(temp)
 		return err
 	}
 	return syncFolder(filepath.Dir(path))
 }
 
-// writeSynced writes a file and has it on the disk.
-func writeSynced(path string, raw []byte, mode os.FileMode) error {
+// writeAndSync writes a file and syncs it to disk.
+func writeSynced(path string, contents []byte, mode os.FileMode) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, mode)
 	if err != nil {
 		return err
 	}
-	if _, err = file.Write(raw); err == nil {
+	if _, err = file.Write(contents); err == nil {
 		err = file.Sync()
 	}
 	return cmp.Or(err, file.Close())
 }
 
-// syncFolder has a folder's names on the disk.
+// syncDir syncs a directory's entries to disk.
 func syncFolder(path string) error {
-	folder, err := os.Open(path)
+	dir, err := os.Open(path)
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	return folder.Sync()
+	defer dir.Close()
+	return dir.Sync()
 }
--- a/internal/system/retry.go
+++ b/internal/system/retry.go
@@ -7,13 +7,14 @@
 	"time"
 )
 
-// Bounds of the wait between two calls that failed for a moment.
+// Bounds of the wait between two calls that failed with a transient error.
 const (
 	retryFirst = time.Millisecond
 	retryMost  = 100 * time.Millisecond
 )
 
-// Retry spaces the repeats of a call that failed for a moment: each wait is twice as long as the one before, up to a bound.
+// Backoff spaces the retries of a call that fails with transient errors: each wait is twice as long as the one before,
+// up to a bound. Its zero value is ready to use.
 type Retry struct{ wait time.Duration }
 
 // Wait sleeps before the next call.
@@ -22,24 +23,24 @@
 	time.Sleep(r.wait)
 }
 
-// Reset takes note that a call went well.
+// Reset records that a call succeeded.
 func (r *Retry) Reset() { r.wait = 0 }
 
-// Persistent is a listener whose Accept fails only once it is closed. accept(2) fails for a moment when descriptors, buffers or memory
-// run short, and with whatever error of the network is pending on a new connection; none of that is a reason to stop serving, as a
-// server does that is handed the error.
+// RetryingListener is a listener whose Accept fails only once it is closed. accept(2) fails for a moment when
+// descriptors, buffers or memory run short, and reports any network error that is pending on a new connection. None of
+// that is a reason to stop serving, as a server does when Accept returns an error.
 type Persistent struct {
 	net.Listener
-	Failed func(err error) // told of each error that is passed over; may be nil
+	Failed func(err error) // called with each error that is retried; may be nil
 }
 
-// Accept returns the next connection.
+// Accept returns the next connection, or an error once the listener is closed.
 func (p Persistent) Accept() (net.Conn, error) {
 	var retry Retry
 	for {
-		c, err := p.Listener.Accept()
+		conn, err := p.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
-			return c, err
+			return conn, err
 		}
 		if p.Failed != nil {
 			p.Failed(err)
@@ -48,24 +49,25 @@
 	}
 }
 
-// startTime bounds the repeats of Open. A process that ends for want of a socket has failed; one that waits may yet start.
+// openTimeout bounds the retries of OpenWithRetry. A process that exits for want of a socket has failed; one that waits
+// may still start.
 const startTime = 25 * time.Second
 
-// Open repeats a call that opens a socket until it goes well or startTime is over: a process that has just ended may still hold the
-// address, and descriptors may run short for a moment.
+// OpenWithRetry calls a function that opens a socket until it succeeds or openTimeout has passed: a process that has
+// just ended may still hold the address, and descriptors may run short for a moment. An invalid address is not retried.
 func Open[T any](open func() (T, error)) (T, error) {
 	var retry Retry
-	for began := time.Now(); ; {
+	for start := time.Now(); ; {
 		opened, err := open()
-		var never *net.AddrError
-		if err == nil || errors.As(err, &never) || time.Since(began) >= startTime {
+		var addressError *net.AddrError
+		if err == nil || errors.As(err, &addressError) || time.Since(start) >= startTime {
 			return opened, err
 		}
 		retry.Wait()
 	}
 }
 
-// Sleep waits; false: the context ended before.
+// Sleep waits, and returns false if the context ends first.
 func Sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/system/system.go
+++ b/internal/system/system.go
@@ -1,6 +1,6 @@
-// Package system is where a dispatcher meets the operating system: its sockets and its wall clock. The program takes them from a
-// System that is handed in at construction, so that a test or a soak can put a failing one in the place of Real. Nothing here
-// decides anything. Begin with System.
+// Package system gives a dispatcher access to the operating system: sockets, files and clocks. A System is passed in at
+// construction, so that tests can replace Real by one that fails; the package makes no decisions of its own. Begin with
+// System.
 package system
 
 import (
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// System is what a dispatcher takes from the operating system.
+// System is the set of operating system functions that a dispatcher uses.
 type System struct {
 	// Listen opens a TCP listener.
 	Listen func(address string) (Listener, error)
 	// ListenUDP opens a UDP socket.
 	ListenUDP func(address string) (*net.UDPConn, error)
-	// Dial connects.
+	// Dial opens a connection.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// Wall is the wall clock, which may step. Spans of time are never taken from it.
+	// Wall returns the wall clock, which may step. Durations are never measured with it.
 	Wall func() time.Time
 }
 
-// Listener accepts TCP connections. A deadline bounds Accept.
+// Listener accepts TCP connections. Its deadline bounds Accept.
 type Listener interface {
 	Accept() (Conn, error)
 	SetDeadline(t time.Time) error
@@ -34,12 +34,12 @@
 type Conn interface {
 	net.Conn
 	CloseWrite() error
-	// TryRead reads once without waiting. EAGAIN: nothing has come.
+	// TryRead reads once without waiting. It returns EAGAIN if nothing has arrived.
 	TryRead(fd uintptr, into []byte) (int, error)
 	SyscallConn() (syscall.RawConn, error)
 }
 
-// Real is the operating system itself.
+// Real returns the operating system itself.
 func Real() System {
 	return System{Listen: listen, ListenUDP: listenUDP, Dial: dial, Wall: time.Now}
 }
@@ -53,11 +53,11 @@
 }
 
 func listenUDP(address string) (*net.UDPConn, error) {
-	at, err := net.ResolveUDPAddr("udp", address)
+	resolved, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, err
 	}
-	return net.ListenUDP("udp", at)
+	return net.ListenUDP("udp", resolved)
 }
 
 func dial(ctx context.Context, network, address string) (net.Conn, error) {
@@ -74,7 +74,7 @@
 	return TCPConn{c}, nil
 }
 
-// TCPConn is a TCP connection as a Conn.
+// TCPConn wraps a TCP connection as a Conn.
 type TCPConn struct{ *net.TCPConn }
 
 // TryRead reads from the socket once.
