--- a/internal/monitor/monitor_test.go
+++ b/internal/monitor/monitor_test.go
@@ -8,21 +8,25 @@
 	"time"
 )
 
-// watched is a monitor with a clock of its own and its log.
+// watched is a monitor with a clock of its own and a captured log.
 type watched struct {
 	*Monitor
 	now time.Duration
 	log bytes.Buffer
 }
 
+// watch returns a monitor without requests.
 func watch() *watched {
 	w := &watched{now: time.Second}
-	terms := Terms{Gone: 100 * time.Millisecond, DrainGrace: 250 * time.Millisecond, Hold: 800 * time.Millisecond, Told: 150 * time.Millisecond}
+	terms := Terms{
+		Gone: 100 * time.Millisecond, DrainGrace: 250 * time.Millisecond, Hold: 800 * time.Millisecond,
+		Told: 150 * time.Millisecond,
+	}
 	w.Monitor = New(terms, func() time.Duration { return w.now }, slog.New(slog.NewTextHandler(&w.log, nil)))
 	return w
 }
 
-// taken is one with a request of four seconds that is out at w1.
+// taken returns a monitor with a request that has four seconds left and whose first attempt is in flight at w1.
 func taken(class Class) *watched {
 	w := watch()
 	w.Taken("q1", class, 4*time.Second)
@@ -31,57 +35,58 @@
 	return w
 }
 
+// ended records the end of the first attempt.
 func (w *watched) ended(end End) *watched {
 	w.AttemptEnds("q1", 0, true, end, "ended")
 	return w
 }
 
-// Each way to break a rule is counted, and what is next to it is not.
-func TestEachBrokenRuleIsCounted(t *testing.T) {
+// Each way to break a rule is counted and logged, and the nearest permitted case is not.
+func TestViolationsAreCounted(t *testing.T) {
 	const ms = time.Millisecond
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		rule   Rule
 		breaks bool
 		do     func() *watched
 	}{
-		"an attempt long after its client went": {Lost, true, func() *watched {
+		"an attempt long after its client has gone": {Lost, true, func() *watched {
 			w := taken(Idempotent).ended(NeverRan)
 			w.ClientGone("q1")
 			w.now += 101 * ms
 			w.AttemptBegins("q1", "w1", 1, true, time.Second)
 			return w
 		}},
-		"an attempt as its client goes": {Lost, false, func() *watched {
+		"an attempt just after its client has gone": {Lost, false, func() *watched {
 			w := taken(Idempotent).ended(NeverRan)
 			w.ClientGone("q1")
 			w.now += 99 * ms
 			w.AttemptBegins("q1", "w1", 1, true, time.Second)
 			return w
 		}},
-		"an attempt after the answer": {Lost, true, func() *watched {
+		"an attempt after the response": {Lost, true, func() *watched {
 			w := taken(Idempotent).ended(NeverRan)
 			w.Answered("q1", 502, false, nil)
 			w.AttemptBegins("q1", "w1", 1, true, time.Second)
 			return w
 		}},
-		"two answers": {Lost, true, func() *watched {
+		"two responses": {Lost, true, func() *watched {
 			w := taken(Idempotent).ended(NeverRan)
 			w.Answered("q1", 502, false, nil)
 			w.Answered("q1", 502, false, nil)
 			return w
 		}},
-		"no answer": {Lost, true, func() *watched {
+		"no response": {Lost, true, func() *watched {
 			w := taken(Idempotent).ended(NeverRan)
 			w.Closed("q1", "returned")
 			return w
 		}},
-		"no answer, but nobody waits for one": {Lost, false, func() *watched {
+		"no response, but the client has gone": {Lost, false, func() *watched {
 			w := taken(Idempotent).ended(NeverRan)
 			w.ClientGone("q1")
 			w.Closed("q1", "returned")
 			return w
 		}},
-		"two attempts out": {Duplicate, true, func() *watched {
+		"two attempts in flight": {Duplicate, true, func() *watched {
 			w := taken(Idempotent)
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			return w
@@ -91,34 +96,34 @@
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			return w
 		}},
-		"a second run of what is idempotent": {Duplicate, false, func() *watched {
+		"a second run of an idempotent request": {Duplicate, false, func() *watched {
 			w := taken(Idempotent).ended(MayHaveRun)
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			return w
 		}},
-		"a rejection after one that may have run": {Duplicate, true, func() *watched {
+		"a rejection after an attempt that may have run": {Duplicate, true, func() *watched {
 			w := taken(NonIdempotent).ended(MayHaveRun)
 			w.Answered("q1", 503, true, nil)
 			return w
 		}},
-		"a rejection with one out": {Duplicate, true, func() *watched {
+		"a rejection with an attempt in flight": {Duplicate, true, func() *watched {
 			w := taken(NonIdempotent)
 			w.Answered("q1", 503, true, nil)
 			return w
 		}},
-		"a rejection after one that never ran": {Duplicate, false, func() *watched {
+		"a rejection after an attempt that never ran": {Duplicate, false, func() *watched {
 			w := taken(NonIdempotent).ended(NeverRan)
 			w.Answered("q1", 503, true, nil)
 			return w
 		}},
-		"an attempt to one that drains": {Drain, true, func() *watched {
+		"an attempt at a draining backend": {Drain, true, func() *watched {
 			w := watch()
 			w.Changed("w1", false)
 			w.now += 251 * ms
 			w.AttemptBegins("q1", "w1", 0, true, time.Second)
 			return w
 		}},
-		"an attempt to one that has come back": {Drain, false, func() *watched {
+		"an attempt at a backend that is ready again": {Drain, false, func() *watched {
 			w := watch()
 			w.Changed("w1", false)
 			w.now += time.Second
@@ -126,13 +131,13 @@
 			w.AttemptBegins("q1", "w1", 0, true, time.Second)
 			return w
 		}},
-		"a state that waits": {Held, true, func() *watched {
+		"a KV cache that waits too long": {Held, true, func() *watched {
 			w := taken(Idempotent).ended(StateKept)
 			w.now += 801 * ms
 			w.Released("q1", "released")
 			return w
 		}},
-		"a state that waits for a send": {Held, true, func() *watched {
+		"a KV cache that waits too long for an attempt": {Held, true, func() *watched {
 			w := taken(Idempotent).ended(StateKept)
 			w.now += 801 * ms
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
@@ -140,7 +145,7 @@
 			w.AttemptArrived("q1", 1)
 			return w
 		}},
-		"a send that does not arrive": {Held, true, func() *watched {
+		"an attempt that does not arrive": {Held, true, func() *watched {
 			w := taken(Idempotent).ended(StateKept)
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			w.AttemptSent("q1", 1, true)
@@ -148,7 +153,7 @@
 			w.Released("q1", "released")
 			return w
 		}},
-		"a send that does not arrive, and a release in time": {Held, false, func() *watched {
+		"an attempt that does not arrive, and a release in time": {Held, false, func() *watched {
 			w := taken(Idempotent).ended(StateKept)
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			w.AttemptSent("q1", 1, true)
@@ -158,7 +163,7 @@
 			w.Released("q1", "released")
 			return w
 		}},
-		"a state that is taken in time": {Held, false, func() *watched {
+		"a KV cache that is taken in time": {Held, false, func() *watched {
 			w := taken(Idempotent).ended(StateKept)
 			w.now += 799 * ms
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
@@ -168,14 +173,14 @@
 			w.Released("q1", "taken")
 			return w
 		}},
-		"too much time told": {Deadline, true, func() *watched {
+		"a timeout beyond the deadline": {Deadline, true, func() *watched {
 			w := watch()
 			w.Taken("q1", Idempotent, time.Second)
 			w.now += 500 * ms
 			w.AttemptBegins("q1", "w1", 0, true, 651*ms)
 			return w
 		}},
-		"as much time told as is left": {Deadline, false, func() *watched {
+		"a timeout within the deadline": {Deadline, false, func() *watched {
 			w := watch()
 			w.Taken("q1", Idempotent, time.Second)
 			w.now += 500 * ms
@@ -183,21 +188,22 @@
 			return w
 		}},
 	} {
-		w := c.do()
-		if broken := w.Count(c.rule) > 0; broken != c.breaks {
-			t.Errorf("%s: %v counted is %t", name, c.rule, broken)
+		w := test.do()
+		if broken := w.Count(test.rule) > 0; broken != test.breaks {
+			t.Errorf("%s: a violation of %v is counted: %t", name, test.rule, broken)
 		}
-		if c.breaks && (!strings.Contains(w.log.String(), "rule="+c.rule.String()) || !strings.Contains(w.log.String(), "begins at")) {
-			t.Errorf("%s: the log has not the request's events: %s", name, w.log.String())
+		if test.breaks && (!strings.Contains(w.log.String(), "rule="+test.rule.String()) ||
+			!strings.Contains(w.log.String(), "begins at")) {
+			t.Errorf("%s: the log lacks the request's events: %s", name, w.log.String())
 		}
-		if !c.breaks && w.Counts() != "" {
+		if !test.breaks && w.Counts() != "" {
 			t.Errorf("%s: %s", name, w.Counts())
 		}
 	}
 }
 
-// What is over is forgotten, so that a monitor does not grow.
-func TestWhatIsOverIsForgotten(t *testing.T) {
+// Requests that have ended are dropped, so that a monitor does not grow without bound.
+func TestEndedRequestsAreDropped(t *testing.T) {
 	w := watch()
 	for i := range 3 * requestsMost {
 		id := strings.Repeat("q", i%7+1) + string(rune('a'+i%26)) + time.Duration(i).String()
@@ -206,7 +212,7 @@
 		w.now += time.Millisecond
 	}
 	if n := len(w.requests); n > requestsMost {
-		t.Errorf("%d requests are known", n)
+		t.Errorf("%d requests are tracked", n)
 	}
 }
 
--- a/internal/platform/accept_test.go
+++ b/internal/platform/accept_test.go
@@ -16,12 +16,12 @@
 	"sloetrestle/internal/system"
 )
 
-// failingListener fails to accept so many times, as accept(2) documents, before the next connection.
+// failingListener fails to accept a number of times, as accept(2) documents, before the next connection.
 type failingListener struct {
 	system.Listener
 	errno syscall.Errno
-	left  atomic.Int64
-	busy  time.Duration // for which a call does not get the processor
+	left  atomic.Int64  // failures still to come
+	busy  time.Duration // delay before a call accepts, as on a busy machine
 }
 
 func (l *failingListener) Accept() (system.Conn, error) {
@@ -32,17 +32,17 @@
 	return l.Listener.Accept()
 }
 
-// failing is a listener that fails so often, and how to connect to it.
-func failing(t *testing.T, errno syscall.Errno, times int64) (l *failingListener, dial func()) {
+// failing returns a listener that fails a number of times, and a function that connects to it.
+func failing(t *testing.T, errno syscall.Errno, times int64) (flaky *failingListener, dial func()) {
 	t.Helper()
-	sound, err := system.Real().Listen("127.0.0.1:0")
+	listener, err := system.Real().Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l = &failingListener{Listener: sound, errno: errno}
-	l.left.Store(times)
-	return l, func() {
-		c, err := net.Dial("tcp", sound.Addr().String())
+	flaky = &failingListener{Listener: listener, errno: errno}
+	flaky.left.Store(times)
+	return flaky, func() {
+		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -50,121 +50,127 @@
 	}
 }
 
-// enterFailing starts a dispatcher whose accept can fail.
+// enterFailing starts a dispatcher whose listener can fail to accept.
 func enterFailing(t *testing.T, errno syscall.Errno) (*house, *failingListener) {
 	t.Helper()
 	flaky := &failingListener{errno: errno}
-	h := enter(t, func(h *house, _ *Place) {
-		h.system.Listen = func(address string) (system.Listener, error) {
+	env := enter(t, func(env *house, _ *Place) {
+		env.system.Listen = func(address string) (system.Listener, error) {
 			l, err := system.Real().Listen(address)
 			flaky.Listener = l
 			return flaky, err
 		}
 	})
-	return h, flaky
+	return env, flaky
 }
 
-// momentaryErrors are what accept(2) may fail with for a moment: descriptors or memory run short, a firewall says no, or an error of
-// the network that was pending on the new connection.
+// momentaryErrors are the transient errors of accept(2): descriptors or memory run short, a firewall refuses the
+// connection, or a network error was pending on it.
 var momentaryErrors = []syscall.Errno{
-	syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM, syscall.ENETDOWN,
-	syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP, syscall.ENETUNREACH, syscall.ETIMEDOUT,
+	syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM,
+	syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP,
+	syscall.ENETUNREACH, syscall.ETIMEDOUT,
 }
 
-// An error of accept that passes ends nothing: the next connection is accepted.
-func TestAMomentaryErrorOfAcceptEndsNothing(t *testing.T) {
+// After a transient accept error the next connection is still accepted.
+func TestAcceptRetriesTransientErrors(t *testing.T) {
 	for _, errno := range momentaryErrors {
 		flaky, dial := failing(t, errno, 3)
-		l := newLimiter(flaky, 100, quiet)
+		limited := newLimiter(flaky, 100, quiet)
 		dial()
-		if _, err := l.Accept(); err != nil {
+		if _, err := limited.Accept(); err != nil {
 			t.Errorf("%v: %v", errno, err)
 		}
-		l.Close()
-		l.closeSilent()
+		limited.Close()
+		limited.closeSilent()
 	}
 }
 
-// The same of the whole dispatcher, which is serving then.
-func TestADispatcherOutlivesAMomentWithoutMemory(t *testing.T) {
-	h, flaky := enterFailing(t, syscall.ENOBUFS)
+// A dispatcher goes on serving after transient accept errors.
+func TestDispatcherServesAfterTransientAcceptErrors(t *testing.T) {
+	env, flaky := enterFailing(t, syscall.ENOBUFS)
 	flaky.left.Store(3)
-	h.client()
-	if got := h.says(h.ask("hut-booking")); got.status != 200 {
-		t.Errorf("after the error: %+v", got)
+	env.client()
+	if got := env.says(env.ask("hut-booking")); got.status != 200 {
+		t.Errorf("response after the accept errors: %+v", got)
 	}
 }
 
-// At a stop, neither an error of accept nor a dispatcher that is held up leaves completed connections to be reset with the listener.
-func TestTheLastAcceptLosesNoConnection(t *testing.T) {
+// At shutdown, neither an accept error nor a stalled dispatcher leaves completed connections to be reset when the
+// listener closes.
+func TestFinalAcceptLosesNoCompletedConnection(t *testing.T) {
 	for _, errno := range momentaryErrors {
 		checkLastAccept(t, errno.Error(), errno, 2, 0)
 	}
-	checkLastAccept(t, "held up", 0, 0, 10*drainTime)
+	checkLastAccept(t, "stalled", 0, 0, 10*drainTime)
 }
 
-// checkLastAccept has a connection completed and accepting end, with a listener that fails so often and a dispatcher held up for so long.
-func checkLastAccept(t *testing.T, name string, errno syscall.Errno, failures int64, heldUp time.Duration) {
+// checkLastAccept completes a connection and then stops accepting, with a listener that fails a number of times and a
+// dispatcher that stalls for a time.
+func checkLastAccept(t *testing.T, name string, errno syscall.Errno, failures int64, stall time.Duration) {
 	t.Helper()
 	flaky, dial := failing(t, errno, failures)
-	l := newLimiter(flaky, 100, quiet)
+	limited := newLimiter(flaky, 100, quiet)
 	dial()
-	l.acceptLast()
-	time.Sleep(heldUp)
-	if _, err := l.Accept(); err != nil {
+	limited.acceptLast()
+	time.Sleep(stall)
+	if _, err := limited.Accept(); err != nil {
 		t.Errorf("%s: the completed connection is lost: %v", name, err)
 		return
 	}
-	if _, err := l.Accept(); err != http.ErrServerClosed {
-		t.Errorf("%s: then %v", name, err)
+	if _, err := limited.Accept(); err != http.ErrServerClosed {
+		t.Errorf("%s: after the last completed connection: %v, want http.ErrServerClosed", name, err)
 	}
-	l.closeSilent()
+	limited.closeSilent()
 }
 
-// A request whose connection waited while accept failed is as old as that: what its backend is told is at most what its client has left.
-func TestARequestThatWaitedForAcceptHasLessTime(t *testing.T) {
-	h, flaky := enterFailing(t, syscall.ENFILE)
-	flaky.left.Store(10) // some 0.7 s with the waits between
-	h.client()           // ends the accept that waits
+// The time that a connection waits while accept fails counts against its request's deadline: the timeout stated to the
+// backend is at most what the client has left.
+func TestAcceptDelayCountsAgainstDeadline(t *testing.T) {
+	env, flaky := enterFailing(t, syscall.ENFILE)
+	flaky.left.Store(10) // about 0.7 s with the waits between retries
+	env.client()         // ends the pending call of accept
 	var waiting []*client
-	began := time.Now()
+	start := time.Now()
 	for range 3 {
-		c := h.client()
-		io.WriteString(c, h.ask("hut-booking"))
-		waiting = append(waiting, c)
+		conn := env.client()
+		io.WriteString(conn, env.ask("hut-booking"))
+		waiting = append(waiting, conn)
 	}
-	for _, c := range waiting {
-		if got := c.said(); got.status != 200 {
+	for _, conn := range waiting {
+		if got := conn.said(); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
 	}
-	waited := time.Since(began)
-	for _, e := range h.site.Seen("", "POST") {
-		if left, _ := strconv.Atoi(e.Head.Get("X-Timeout-Ms")); time.Duration(left)*time.Millisecond > 3*time.Second-waited+300*time.Millisecond {
-			t.Errorf("%s is told %d ms for %s, which waited for some %v", e.Box.UID, left, e.ID, waited)
+	waited := time.Since(start)
+	for _, exchange := range env.site.Seen("", "POST") {
+		if left, _ := strconv.Atoi(exchange.Head.Get("X-Timeout-Ms")); time.Duration(left)*time.Millisecond >
+			3*time.Second-waited+300*time.Millisecond {
+			t.Errorf("%s gets a timeout of %d ms for %s, which waited for about %v", exchange.Box.UID, left, exchange.ID,
+				waited)
 		}
 	}
 	if waited < 400*time.Millisecond {
-		t.Errorf("they waited for %v: this shows nothing", waited)
+		t.Errorf("the connections waited for only %v, too short to show anything", waited)
 	}
 }
 
-// A busy process reads a request some time after it has accepted its connection. How long it had waited before is not forgotten by that,
-// neither behind errors of accept nor behind others that had no room.
-func TestARequestThatWaitedIsAsOldAsItIsHoweverLateItIsRead(t *testing.T) {
-	const clients, busy, observed = 4, 40 * time.Millisecond, 60 * time.Millisecond
-	for name, c := range map[string]struct {
-		most   int
-		errors int64
-		busy   time.Duration
+// A busy process reads a request some time after it has accepted its connection. The time that the connection had
+// waited before, while accept failed or for free capacity, must not be lost by that.
+func TestRequestAgeIncludesAcceptDelayWhenReadLate(t *testing.T) {
+	const clients, readDelay, tolerance = 4, 40 * time.Millisecond, 60 * time.Millisecond
+	for name, test := range map[string]struct {
+		maxConns    int
+		errors      int64
+		acceptDelay time.Duration
 	}{
 		"accept fails":        {100, 8, 0},
-		"there's no room":     {2, 0, 0},
+		"no free capacity":    {2, 0, 0},
 		"the machine is busy": {100, 8, 30 * time.Millisecond},
 	} {
-		listener, _ := failing(t, syscall.ENOBUFS, c.errors)
-		listener.busy = c.busy
-		l := newLimiter(listener, c.most, slog.New(slog.DiscardHandler))
+		listener, _ := failing(t, syscall.ENOBUFS, test.errors)
+		listener.busy = test.acceptDelay
+		limited := newLimiter(listener, test.maxConns, slog.New(slog.DiscardHandler))
 		var sent []time.Time
 		for range clients {
 			conn, err := net.Dial("tcp", listener.Addr().String())
@@ -176,43 +182,47 @@
 			sent = append(sent, time.Now())
 		}
 		for i := range clients {
-			accepted, err := l.Accept()
+			accepted, err := limited.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(busy)
+			time.Sleep(readDelay)
 			accepted.Read(make([]byte, 1000))
-			if came := accepted.(*clientConn).requestCame(time.Now()); came.Sub(sent[i]) > observed {
-				t.Errorf("%s: request %d is taken to have come %v after it was sent", name, i, came.Sub(sent[i]))
+			if arrival := accepted.(*clientConn).requestCame(time.Now()); arrival.Sub(sent[i]) > tolerance {
+				t.Errorf("%s: request %d is recorded as arriving %v after it was sent", name, i, arrival.Sub(sent[i]))
 			}
-			time.AfterFunc(2*busy, func() { accepted.Close() })
+			time.AfterFunc(2*readDelay, func() { accepted.Close() })
 		}
 		listener.Close()
 	}
 }
 
-// A client that stops in the middle of a request, or says nothing, is owed its end within 3 s of connecting, also where accept failed for
-// a part of them.
-func TestAClientThatWaitedForAcceptHasItsEndInTime(t *testing.T) {
-	const owed, failed = 3 * time.Second, 600 * time.Millisecond
-	h, flaky := enterFailing(t, syscall.ENOBUFS)
-	for name, raw := range map[string]string{"half a request": "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Le", "half a body": strings.TrimSuffix(h.ask("hut-booking"), "}"), "nothing": ""} {
+// A client that stops in the middle of a request, or sends nothing, must be answered or disconnected within 3 s of
+// connecting, also if accept failed for part of that time.
+func TestIncompleteRequestTimesOutDespiteAcceptErrors(t *testing.T) {
+	const limit, failed = 3 * time.Second, 600 * time.Millisecond
+	env, flaky := enterFailing(t, syscall.ENOBUFS)
+	for name, raw := range map[string]string{
+		"half a request": "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Le",
+		"half a body":    strings.TrimSuffix(env.ask("hut-booking"), "}"),
+		"nothing":        "",
+	} {
 		t.Run(name, func(t *testing.T) {
 			flaky.left.Store(1e6)
 			time.AfterFunc(failed, func() { flaky.left.Store(0) })
-			h.client() // the call of accept that waits already takes it
+			env.client() // accepted by the call that is already pending
 			time.Sleep(20 * time.Millisecond)
-			began := time.Now()
-			c, err := net.Dial("tcp", h.at)
+			start := time.Now()
+			conn, err := net.Dial("tcp", env.at)
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer c.Close()
-			io.WriteString(c, raw)
-			c.SetReadDeadline(time.Now().Add(2 * owed))
-			io.Copy(io.Discard, c)
-			if took := time.Since(began); took > owed || took < time.Second {
-				t.Errorf("its end came after %v", took)
+			defer conn.Close()
+			io.WriteString(conn, raw)
+			conn.SetReadDeadline(time.Now().Add(2 * limit))
+			io.Copy(io.Discard, conn)
+			if took := time.Since(start); took > limit || took < time.Second {
+				t.Errorf("the connection ended after %v", took)
 			}
 		})
 	}
--- a/internal/platform/behind_test.go
+++ b/internal/platform/behind_test.go
@@ -7,41 +7,42 @@
 	"sloetrestle/internal/hosts"
 )
 
-// A request has its answer in time even where the event loop has none, as it is far behind; and nothing is sent for it afterwards.
-func TestARequestIsAnsweredInTimeWhereTheLoopIsBehind(t *testing.T) {
-	h := enter(t, nil)
-	h.write((*hosts.Exchange).Serve)
-	const held, left, most = 2 * time.Second, 400 * time.Millisecond, 900 * time.Millisecond
-	h.node.loop.Post(func() { time.Sleep(held) })
-	began := time.Now()
-	if got := h.says(h.ask("hut-booking", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 400")); got.status != 502 {
+// A request is answered in time even if the event loop is far behind and gives no answer, and nothing is sent for it
+// afterwards.
+func TestRequestIsAnsweredInTimeWhenEventLoopLags(t *testing.T) {
+	env := enter(t, nil)
+	env.write((*hosts.Exchange).Serve)
+	const blocked, timeout, latest = 2 * time.Second, 400 * time.Millisecond, 900 * time.Millisecond
+	env.node.loop.Post(func() { time.Sleep(blocked) })
+	start := time.Now()
+	if got := env.says(env.ask("hut-booking", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 400")); got.status != 502 {
 		t.Errorf("%+v", got)
 	}
-	if took := time.Since(began); took < left || took > most {
-		t.Errorf("the answer came after %v", took)
+	if took := time.Since(start); took < timeout || took > latest {
+		t.Errorf("the response came after %v", took)
 	}
-	time.Sleep(time.Until(began.Add(held + 200*time.Millisecond)))
-	if seen := h.site.Seen("", "POST"); len(seen) != 0 {
-		t.Errorf("%d attempts were made", len(seen))
+	time.Sleep(time.Until(start.Add(blocked + 200*time.Millisecond)))
+	if seen := env.site.Seen("", "POST"); len(seen) != 0 {
+		t.Errorf("%d attempts were made, want none", len(seen))
 	}
-	if late := h.node.frontend.Late.Load(); late != 1 {
-		t.Errorf("%d requests are counted as late", late)
+	if late := env.node.frontend.Late.Load(); late != 1 {
+		t.Errorf("%d requests are counted as late, want 1", late)
 	}
 }
 
-// While the event loop is behind, nothing new is taken; once it has caught up, it is.
-func TestNothingIsTakenWhileTheLoopIsBehind(t *testing.T) {
-	h := enter(t, nil)
-	h.write((*hosts.Exchange).Serve)
+// While the event loop is behind, new requests are rejected; once it has caught up, they are accepted.
+func TestRequestsAreRejectedWhileEventLoopLags(t *testing.T) {
+	env := enter(t, nil)
+	env.write((*hosts.Exchange).Serve)
 	done := make(chan struct{})
-	h.node.loop.Post(func() { <-done })
-	h.node.loop.Post(func() {})
+	env.node.loop.Post(func() { <-done })
+	env.node.loop.Post(func() {})
 	time.Sleep(behindMost + 50*time.Millisecond)
-	if got := h.says(h.ask("hut-booking")); got.status != 503 {
+	if got := env.says(env.ask("hut-booking")); got.status != 503 {
 		t.Errorf("%+v", got)
 	}
 	close(done)
-	if got := h.says(h.ask("hut-booking")); got.status != 200 {
+	if got := env.says(env.ask("hut-booking")); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/platform/conn_test.go
+++ b/internal/platform/conn_test.go
@@ -18,7 +18,8 @@
 	"sloetrestle/internal/system"
 )
 
-// pair is a client's connection and the dispatcher's end of it.
+// pair returns a client's connection and the dispatcher's end of it. The channel is closed with the dispatcher's
+// socket.
 func pair(t *testing.T) (client *net.TCPConn, conn *clientConn, closed <-chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,19 +48,19 @@
 	return dialed.(*net.TCPConn), conn, done
 }
 
-// A request that arrives as its connection is closed is either left unread, and its client sees an end in good order, or read, and
-// then the connection is not closed.
-func TestAnIdleConnectionIsClosedOrReadNotBoth(t *testing.T) {
+// A request that arrives while its connection is being closed is either left unread, and its client sees a graceful
+// close, or read, and then the connection is not closed.
+func TestIdleCloseExcludesRead(t *testing.T) {
 	client, conn, closed := pair(t)
 	if !conn.closeIdle(closedByServer) {
-		t.Fatal("a connection on which nothing came is not closed")
+		t.Fatal("a connection on which nothing arrived is not closed")
 	}
 	io.WriteString(client, "POST / HTTP/1.1\r\n\r\n")
 	if n, err := conn.Read(make([]byte, 100)); n != 0 || err != io.EOF {
-		t.Errorf("%d bytes are read of a connection that is closed, %v", n, err)
+		t.Errorf("%d bytes are read from a closed connection, %v", n, err)
 	}
 	if _, err := client.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("its client sees %v", err)
+		t.Errorf("the client reads: %v, want EOF", err)
 	}
 	<-closed
 
@@ -69,12 +70,12 @@
 		t.Fatalf("%d, %v", n, err)
 	}
 	if conn.closeIdle(closedByServer) {
-		t.Error("a connection is closed of whose request a byte was read")
+		t.Error("a connection is closed after a byte of its request was read")
 	}
 }
 
-// Bytes of a further request that have been read make a connection busy, though net/http takes it for idle.
-func TestAConnectionWithAPipelinedRequestIsNotIdle(t *testing.T) {
+// Bytes of a pipelined request that have been read make a connection busy, though net/http takes it for idle.
+func TestConnectionWithPipelinedRequestIsNotIdle(t *testing.T) {
 	client, conn, _ := pair(t)
 	one := "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
 	io.WriteString(client, one+"POST /next")
@@ -89,16 +90,18 @@
 	}
 	conn.answered()
 	if conn.closeIdle(closedByServer) {
-		t.Error("it is closed over a request that has been read")
+		t.Error("the connection is closed although a request has been read from it")
 	}
 	if n, err = conn.Read(head); err != nil || string(head[:n]) != "POST /next" {
 		t.Errorf("the next request is read as %q, %v", head[:n], err)
 	}
 }
 
-// A head is handed on up to its end however it is cut, and whichever line ends it has.
-func TestAHeadIsFramedInAnyPieces(t *testing.T) {
-	for _, head := range []string{"GET / HTTP/1.1\r\nA: b\r\n\r\n", "GET / HTTP/1.1\nA: b\n\n", "GET / HTTP/1.1\r\nA: b\n\r\n"} {
+// A request head is returned up to its end however the reads divide it, with either kind of line end.
+func TestHeadIsFramedAcrossReads(t *testing.T) {
+	for _, head := range []string{
+		"GET / HTTP/1.1\r\nA: b\r\n\r\n", "GET / HTTP/1.1\nA: b\n\n", "GET / HTTP/1.1\r\nA: b\n\r\n",
+	} {
 		for cut := range head {
 			_, conn, _ := pair(t)
 			conn.pending = []byte(head + "rest")
@@ -116,172 +119,177 @@
 	}
 }
 
-// A client that has sent more behind its open request than is kept is seen to go, and what it sent is not taken for a request.
-func TestAClientThatSendsMuchAndGoesIsSeen(t *testing.T) {
-	h := enter(t, nil)
-	there := h.holdReads()
-	c := h.client()
-	io.WriteString(c, h.ask("trail-info"))
-	e := <-there
-	more := strings.Repeat(h.ask("hut-booking"), 4*aheadMost/300)
-	if _, err := io.WriteString(c, more); err != nil {
+// A client that has pipelined more than is buffered behind its open request is still noticed when it closes, and what
+// it pipelined is not served.
+func TestClientCloseIsDetectedBehindPipelinedData(t *testing.T) {
+	env := enter(t, nil)
+	prefills := env.holdReads()
+	conn := env.client()
+	io.WriteString(conn, env.ask("trail-info"))
+	exchange := <-prefills
+	more := strings.Repeat(env.ask("hut-booking"), 4*aheadMost/300)
+	if _, err := io.WriteString(conn, more); err != nil {
 		t.Fatal(err)
 	}
-	c.Close()
+	conn.Close()
 	select {
-	case <-e.Left:
+	case <-exchange.Left:
 	case <-time.After(100 * time.Millisecond):
-		t.Error("its attempt goes on")
+		t.Error("the attempt goes on after its client has closed")
 	}
-	h.settled()
-	if n := len(h.site.Seen("", "POST")); n != 1 {
-		t.Errorf("%d attempts", n)
+	env.settled()
+	if n := len(env.site.Seen("", "POST")); n != 1 {
+		t.Errorf("%d attempts, want 1", n)
 	}
 }
 
-// One that stays has its open request answered, and the connection is closed in good order before the others are taken.
-func TestAConnectionThatOverrunsIsClosedAfterItsAnswer(t *testing.T) {
-	h := enter(t, nil)
+// If a client pipelines more than is buffered and stays, its open request is answered, and the connection is closed
+// gracefully without serving the others.
+func TestPipelineOverrunClosesAfterResponse(t *testing.T) {
+	env := enter(t, nil)
 	hold := make(chan struct{})
-	h.reader.Do = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
-	c := h.client()
-	io.WriteString(c, h.ask("trail-info"))
-	h.until("it is out", func() bool { return len(h.site.Seen("r1", "POST")) == 1 })
-	io.WriteString(c, strings.Repeat(h.ask("hut-booking"), 4*aheadMost/300))
+	env.reader.Do = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
+	conn := env.client()
+	io.WriteString(conn, env.ask("trail-info"))
+	env.until("the attempt is in flight", func() bool { return len(env.site.Seen("r1", "POST")) == 1 })
+	io.WriteString(conn, strings.Repeat(env.ask("hut-booking"), 4*aheadMost/300))
 	close(hold)
-	if got := c.said(); got.status != 200 || !got.whole {
+	if got := conn.said(); got.status != 200 || !got.whole {
 		t.Errorf("%+v", got)
 	}
-	if _, err := c.from.ReadByte(); err != io.EOF {
-		t.Errorf("then %v", err)
+	if _, err := conn.from.ReadByte(); err != io.EOF {
+		t.Errorf("after the response: %v, want EOF", err)
 	}
-	h.settled()
-	if n := len(h.site.Seen("r1", "POST")); n != 1 {
-		t.Errorf("%d requests are taken", n)
+	env.settled()
+	if n := len(env.site.Seen("r1", "POST")); n != 1 {
+		t.Errorf("%d requests are served, want 1", n)
 	}
 }
 
-// A close over bytes that the client has sent must not reset the connection: the end of the last answer may be lost with it.
-func TestNoCloseResetsAConnection(t *testing.T) {
-	for name, change := range map[string]func(h *house){
-		"a stream that breaks": func(h *house) {
-			h.write(func(e *hosts.Exchange) bool { e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a"))); return false })
+// A close with unread bytes from the client must not reset the connection, as that can lose the end of the last
+// response.
+func TestCloseDoesNotResetConnection(t *testing.T) {
+	for name, change := range map[string]func(env *house){
+		"a stream that breaks": func(env *house) {
+			env.write(func(e *hosts.Exchange) bool { e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a"))); return false })
 		},
-		"an answer at a stop": func(h *house) { h.node.frontend.stopping.Store(true) },
-		"an answer of failure": func(h *house) {
-			h.reader.Do = func(e *hosts.Exchange) bool { return e.Write(hosts.Refuse(400, false)) }
-			h.node.frontend.stopping.Store(true)
+		"an answer at a stop": func(env *house) { env.node.frontend.stopping.Store(true) },
+		"an answer of failure": func(env *house) {
+			env.reader.Do = func(e *hosts.Exchange) bool { return e.Write(hosts.Refuse(400, false)) }
+			env.node.frontend.stopping.Store(true)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := enter(t, nil)
-			change(h)
-			c := h.client()
-			io.WriteString(c, h.ask("trail-info")+h.ask("trail-info"))
-			if got := c.said(); got.status == 0 {
-				t.Error("there is no answer")
+			env := enter(t, nil)
+			change(env)
+			conn := env.client()
+			io.WriteString(conn, env.ask("trail-info")+env.ask("trail-info"))
+			if got := conn.said(); got.status == 0 {
+				t.Error("there is no response")
 			}
-			if _, err := io.Copy(io.Discard, c.from); errors.Is(err, syscall.ECONNRESET) {
+			if _, err := io.Copy(io.Discard, conn.from); errors.Is(err, syscall.ECONNRESET) {
 				t.Error("the connection is reset")
 			}
 		})
 	}
 	t.Run("a request that is refused over its body", func(t *testing.T) {
-		h := enter(t, nil)
-		c := h.client()
-		head, body, _ := strings.Cut(h.ask("no-such", "Content-Length: 12", "Content-Length: 200000"), "\r\n\r\n")
-		io.WriteString(c, head+"\r\n\r\n")
-		if got := c.said(); got.status != 400 {
+		env := enter(t, nil)
+		conn := env.client()
+		head, body, _ := strings.Cut(env.ask("no-such", "Content-Length: 12", "Content-Length: 200000"), "\r\n\r\n")
+		io.WriteString(conn, head+"\r\n\r\n")
+		if got := conn.said(); got.status != 400 {
 			t.Errorf("%+v", got)
 		}
-		io.WriteString(c, body+strings.Repeat("x", 199_988)) // it crosses the answer
-		if _, err := io.Copy(io.Discard, c.from); errors.Is(err, syscall.ECONNRESET) {
+		io.WriteString(conn, body+strings.Repeat("x", 199_988)) // it crosses the response
+		if _, err := io.Copy(io.Discard, conn.from); errors.Is(err, syscall.ECONNRESET) {
 			t.Error("the connection is reset")
 		}
 	})
 }
 
-// Connections that the system has completed are accepted before the listener closes.
-func TestCompletedConnectionsAreAcceptedAtAStop(t *testing.T) {
+// At shutdown, connections that the operating system has completed are accepted before the listener closes.
+func TestShutdownAcceptsCompletedConnections(t *testing.T) {
 	listener, err := system.Real().Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newLimiter(listener, 100, quiet)
+	limited := newLimiter(listener, 100, quiet)
 	const waiting = 20
-	for range waiting { // nobody accepts yet
-		c, err := net.Dial("tcp", listener.Addr().String())
+	for range waiting { // nothing accepts them yet
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
+		defer conn.Close()
 	}
-	l.acceptLast()
+	limited.acceptLast()
 	for range waiting {
-		if _, err := l.Accept(); err != nil {
+		if _, err := limited.Accept(); err != nil {
 			t.Fatalf("a completed connection is not accepted: %v", err)
 		}
 	}
-	if _, err := l.Accept(); err != http.ErrServerClosed {
-		t.Errorf("then %v", err)
+	if _, err := limited.Accept(); err != http.ErrServerClosed {
+		t.Errorf("after the last completed connection: %v, want http.ErrServerClosed", err)
 	}
-	l.closeSilent()
+	limited.closeSilent()
 }
 
-// A connection that became busy after it was looked at is not closed for room; the next one is.
-func TestRoomIsNotMadeByABusyConnection(t *testing.T) {
-	l := newLimiter(nil, 1, quiet)
+// A connection that becomes busy after it was looked at is not closed for another one; the next candidate is.
+func TestBusyConnectionIsNotEvicted(t *testing.T) {
+	limited := newLimiter(nil, 1, quiet)
 	client, busy, _ := pair(t)
-	l.conns[busy] = true
+	limited.conns[busy] = true
 	busy.since = time.Now().Add(-time.Hour)
 	io.WriteString(client, "P")
 	busy.Read(make([]byte, 10))
-	if l.makeRoom(time.Now()) {
-		t.Error("a connection whose request is being read made room")
+	if limited.makeRoom(time.Now()) {
+		t.Error("a connection whose request is being read was closed for another")
 	}
 	_, silent, _ := pair(t)
-	l.conns[silent] = true
+	limited.conns[silent] = true
 	silent.since = time.Now().Add(-time.Hour)
-	l.most = 2
-	if !l.makeRoom(time.Now()) {
-		t.Error("a silent connection made no room")
+	limited.most = 2
+	if !limited.makeRoom(time.Now()) {
+		t.Error("a silent connection was not closed for another")
 	}
 	if state, _ := busy.status(time.Now()); state != connReading {
-		t.Errorf("the busy one is in state %d", state)
+		t.Errorf("the busy connection is in state %d", state)
 	}
 }
 
-// Descriptors run full of clients that say nothing while discovery is down: the dispatcher stays ready, follows discovery as soon as it
-// is back, and serves.
-func TestFullDescriptorsLeaveRoomForDiscovery(t *testing.T) {
-	h := enter(t, func(h *house, p *Place) { p.Limits.Sockets = 64 })
-	h.agent.SetMute(true)
-	h.agent.Cut()
+// Clients that send nothing use up the descriptors while discovery is down. The dispatcher must stay ready, follow
+// discovery as soon as it is back, and serve.
+func TestDiscoverySurvivesExhaustedDescriptors(t *testing.T) {
+	env := enter(t, func(env *house, place *Place) { place.Limits.Sockets = 64 })
+	env.agent.SetMute(true)
+	env.agent.Cut()
 	for range 150 {
-		c, err := net.Dial("tcp", h.at)
+		conn, err := net.Dial("tcp", env.at)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer c.Close()
-		io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-	}
-	h.site.Change(func() { h.writers[0].State = "terminating" })
-	h.agent.SetMute(false)
-	h.until("the drain is known", func() bool { return h.standing("w1") == brain.Draining && h.agent.Watched() == 1 })
-	c := h.client()
-	io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusOK {
+		defer conn.Close()
+		io.WriteString(conn, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+	}
+	env.site.Change(func() { env.writers[0].State = "terminating" })
+	env.agent.SetMute(false)
+	env.until("the drain is observed", func() bool {
+		return env.standing("w1") == brain.Draining && env.agent.Watched() == 1
+	})
+	conn := env.client()
+	io.WriteString(conn, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("not ready: %v", err)
 	}
-	if got := h.says(h.ask("hut-booking")); got.status != 200 {
+	if got := env.says(env.ask("hut-booking")); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
-	if n := len(h.site.Seen("w1", "POST")); n != 0 {
-		t.Errorf("%d attempts to a backend that drains", n)
+	if n := len(env.site.Seen("w1", "POST")); n != 0 {
+		t.Errorf("%d attempts at a draining backend", n)
 	}
 }
 
-// countedConn counts the bytes that are read of a connection.
+// countedConn counts the bytes that are read from a connection.
 type countedConn struct {
 	system.Conn
 	read atomic.Int64
@@ -293,29 +301,29 @@
 	return n, err
 }
 
-// A connection between two requests that net/http closes, as nothing came for long, is not read any more: a request that crosses that
-// must stay unread, for its client to send it elsewhere.
-func TestARequestThatCrossesTheEndOfARestIsNotRead(t *testing.T) {
+// A connection that net/http closes between two requests, because nothing arrived for long, is not read any more: a
+// request that crosses the close must stay unread, so that its client can send it elsewhere.
+func TestRequestCrossingIdleCloseIsNotRead(t *testing.T) {
 	client, conn, closed := pair(t)
 	counted := &countedConn{Conn: conn.Conn}
 	conn.Conn = counted
-	conn.Close() // as net/http does when a read's deadline has passed
+	conn.Close() // as net/http does when a read deadline has passed
 	io.WriteString(client, "POST / HTTP/1.1\r\n\r\n")
 	if _, err := client.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("its client sees %v", err)
+		t.Errorf("the client reads: %v, want EOF", err)
 	}
 	<-closed
 	if n := counted.read.Load(); n != 0 {
-		t.Errorf("%d bytes were read and dropped", n)
+		t.Errorf("%d bytes were read and discarded", n)
 	}
 }
 
-// A client that stops in the middle of a request and stays gets an error or a close within 3 s of its connection, however it divides
-// that time, and on a connection that was used before within 3 s of the request's first byte.
-func TestAClientThatStopsInARequestIsLetGo(t *testing.T) {
-	h := enter(t, nil)
+// A client that stops in the middle of a request and stays must get an error or a close within 3 s of connecting,
+// however it divides that time, or, on a connection that was used before, within 3 s of the request's first byte.
+func TestStalledRequestTimesOut(t *testing.T) {
+	env := enter(t, nil)
 	const inHead, wholeHead = 40, -1 // where a request is cut
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		used    bool
 		cuts    []int
 		chunked bool
@@ -327,13 +335,13 @@
 		"in the body of a further request":          {used: true, cuts: []int{wholeHead}},
 		"in the middle of a chunk":                  {cuts: []int{wholeHead}, chunked: true},
 	} {
-		raw := h.ask("trail-info")
-		if c.chunked {
-			raw = h.chunked("trail-info", "c\r\n{\"mo")
+		raw := env.ask("trail-info")
+		if test.chunked {
+			raw = env.chunked("trail-info", "c\r\n{\"mo")
 		}
 		var pieces []string
 		from := 0
-		for _, cut := range c.cuts {
+		for _, cut := range test.cuts {
 			if cut == wholeHead {
 				cut = strings.Index(raw, "\r\n\r\n") + len("\r\n\r\n{")
 			}
@@ -341,51 +349,52 @@
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			k := h.client()
-			if c.used {
-				io.WriteString(k, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-				if got := k.said(); got.status != 200 {
+			conn := env.client()
+			if test.used {
+				io.WriteString(conn, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+				if got := conn.said(); got.status != 200 {
 					t.Fatalf("%+v", got)
 				}
 			}
-			began := time.Now()
+			start := time.Now()
 			for i, piece := range pieces {
 				if i > 0 {
 					time.Sleep(1500 * time.Millisecond)
 				}
-				io.WriteString(k, piece)
+				io.WriteString(conn, piece)
 			}
-			if got := k.said(); got.status/100 == 2 {
+			if got := conn.said(); got.status/100 == 2 {
 				t.Errorf("%+v", got)
 			}
-			if took := time.Since(began); took > 3*time.Second {
-				t.Errorf("its end came after %v", took)
+			if took := time.Since(start); took > 3*time.Second {
+				t.Errorf("the connection ended after %v", took)
 			}
 		})
 	}
 }
 
-// What an attempt tells its backend is at most what its client has left: a request that waited behind another one has less.
-func TestARequestThatWaitedBehindAnotherHasLessTime(t *testing.T) {
-	h := enter(t, nil)
-	const answer = 600 * time.Millisecond
-	h.write(func(e *hosts.Exchange) bool {
-		if e.ID == "q1" {
-			time.Sleep(answer)
+// The timeout stated to a backend is at most what the client has left: a request that waited behind a pipelined one has
+// less.
+func TestPipelinedRequestDeadlineIncludesQueueing(t *testing.T) {
+	env := enter(t, nil)
+	const delay = 600 * time.Millisecond
+	env.write(func(exchange *hosts.Exchange) bool {
+		if exchange.ID == "q1" {
+			time.Sleep(delay)
 		}
-		return e.Serve()
+		return exchange.Serve()
 	})
-	c := h.client()
-	io.WriteString(c, h.ask("hut-booking")+h.ask("hut-booking"))
+	conn := env.client()
+	io.WriteString(conn, env.ask("hut-booking")+env.ask("hut-booking"))
 	for range 2 {
-		if got := c.said(); got.status != 200 {
+		if got := conn.said(); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
 	}
-	for _, e := range h.site.Seen("", "POST") {
-		left, _ := strconv.Atoi(e.Head.Get("X-Timeout-Ms"))
-		if e.ID == "q2" && time.Duration(left)*time.Millisecond > 3*time.Second-answer+100*time.Millisecond {
-			t.Errorf("%s is told %d ms", e.Box.UID, left)
+	for _, exchange := range env.site.Seen("", "POST") {
+		left, _ := strconv.Atoi(exchange.Head.Get("X-Timeout-Ms"))
+		if exchange.ID == "q2" && time.Duration(left)*time.Millisecond > 3*time.Second-delay+100*time.Millisecond {
+			t.Errorf("%s gets a timeout of %d ms", exchange.Box.UID, left)
 		}
 	}
 }
--- a/internal/platform/framing_test.go
+++ b/internal/platform/framing_test.go
@@ -8,26 +8,28 @@
 	"testing"
 )
 
-// framed is how many bytes of raw belong to its first request, handed over in pieces of so many bytes; false: its end can't be told.
-func framed(raw string, piece int, r *http.Request) (int, bool) {
-	f := requestFrame{}
-	at, begun := 0, false
-	for at < len(raw) && f.at != afterBody && f.at != unframed {
-		at += f.advance([]byte(raw[at:min(at+piece, len(raw))]))
-		if f.at == afterHead && !begun {
-			begun = true
-			f.begin(r.ContentLength)
+// framed returns how many bytes of raw belong to its first request, which is framed in pieces of the given size, and
+// whether its end was found.
+func framed(raw string, size int, r *http.Request) (int, bool) {
+	framer := requestFrame{}
+	offset, bodyBegun := 0, false
+	for offset < len(raw) && framer.at != afterBody && framer.at != unframed {
+		offset += framer.advance([]byte(raw[offset:min(offset+size, len(raw))]))
+		if framer.at == afterHead && !bodyBegun {
+			bodyBegun = true
+			framer.begin(r.ContentLength)
 		}
 	}
-	return at, f.at == afterBody
+	return offset, framer.at == afterBody
 }
 
 const (
 	plainRequest   = "POST /a HTTP/1.1\r\nHost: b\r\nContent-Length: 3\r\n\r\nabc"
-	chunkedRequest = "POST /a HTTP/1.1\r\nHost: b\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nab\r\n01\r\nc\r\n0\r\nT: u\r\n\r\n"
+	chunkedRequest = "POST /a HTTP/1.1\r\nHost: b\r\nTransfer-Encoding: chunked\r\n\r\n" +
+		"2;x=y\r\nab\r\n01\r\nc\r\n0\r\nT: u\r\n\r\n"
 )
 
-func TestARequestEndsWhereNetHTTPEndsIt(t *testing.T) {
+func TestRequestEndMatchesNetHTTP(t *testing.T) {
 	for name, raw := range map[string]string{
 		"no body":      "GET /ready HTTP/1.1\r\nHost: b\r\n\r\n",
 		"a length":     plainRequest,
@@ -39,16 +41,16 @@
 		if err != nil {
 			t.Fatal(name, err)
 		}
-		for piece := 1; piece <= len(raw); piece++ {
-			if n, whole := framed(raw+"POST /next", piece, r); !whole || n != len(raw) {
-				t.Errorf("%s in pieces of %d: %d of %d bytes, whole %t", name, piece, n, len(raw), whole)
+		for size := 1; size <= len(raw); size++ {
+			if end, whole := framed(raw+"POST /next", size, r); !whole || end != len(raw) {
+				t.Errorf("%s in pieces of %d: %d of %d bytes, whole %t", name, size, end, len(raw), whole)
 			}
 		}
 	}
 }
 
-// Where a head states both a length and an encoding, nothing behind it is read as a request.
-func TestAnAmbiguousHeadHasNoEnd(t *testing.T) {
+// If a head states both a length and an encoding, nothing behind it is read as a request.
+func TestAmbiguousHeadIsUnframed(t *testing.T) {
 	for _, raw := range []string{
 		strings.Replace(chunkedRequest, "Host: b", "Host: b\r\nContent-Length: 3", 1),
 		strings.Replace(chunkedRequest, "Host: b", "Host: b\r\ncontent-LENGTH: 3", 1),
@@ -63,14 +65,14 @@
 	}
 }
 
-// Whatever comes, the end of a request is the one that net/http finds, or none.
-func FuzzFraming(f *testing.F) {
-	f.Add(plainRequest+"POST", 3)
-	f.Add(chunkedRequest+"POST", 5)
-	f.Add("POST / HTTP/1.1\r\nHost: b\r\nTransfer-Encoding: chunked\r\n\r\n0\n\n", 1)
-	f.Add("POST / HTTP/1.1\r\nHost: b\r\nTransfer-Encoding: chunked\r\n\r\n1 \r\na\r\n0\r\n\r\n", 9)
-	f.Add("GET / HTTP/1.1\r\nHost: b\r\n \r\n\r\n", 2)
-	f.Fuzz(func(t *testing.T, raw string, piece int) {
+// For any input, the end of a request is the one that net/http finds, or none.
+func FuzzFraming(fuzz *testing.F) {
+	fuzz.Add(plainRequest+"POST", 3)
+	fuzz.Add(chunkedRequest+"POST", 5)
+	fuzz.Add("POST / HTTP/1.1\r\nHost: b\r\nTransfer-Encoding: chunked\r\n\r\n0\n\n", 1)
+	fuzz.Add("POST / HTTP/1.1\r\nHost: b\r\nTransfer-Encoding: chunked\r\n\r\n1 \r\na\r\n0\r\n\r\n", 9)
+	fuzz.Add("GET / HTTP/1.1\r\nHost: b\r\n \r\n\r\n", 2)
+	fuzz.Fuzz(func(t *testing.T, raw string, piece int) {
 		from := strings.NewReader(raw)
 		buffered := bufio.NewReader(from)
 		r, err := http.ReadRequest(buffered)
@@ -81,8 +83,8 @@
 			return
 		}
 		end := len(raw) - from.Len() - buffered.Buffered()
-		if n, whole := framed(raw, max(piece%100, 1), r); whole && n != end {
-			t.Errorf("it ends at %d, net/http ends it at %d: %q", n, end, raw)
+		if framedEnd, whole := framed(raw, max(piece%100, 1), r); whole && framedEnd != end {
+			t.Errorf("the request ends at %d, for net/http at %d: %q", framedEnd, end, raw)
 		}
 	})
 }
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -208,7 +208,7 @@
 	}
 	submitted = true
 	f.monitor.Taken(request.ID, f.classes[class], request.Left-time.Since(arrival))
-	defer f.monitor.Closed(request.ID, "its handler ends")
+	defer f.monitor.Closed(request.ID, "its handler has returned")
 	defer context.AfterFunc(r.Context(), func() {
 		clientRequest.End()
 		f.monitor.ClientGone(request.ID)
--- a/internal/platform/pulse_test.go
+++ b/internal/platform/pulse_test.go
@@ -5,27 +5,28 @@
 	"time"
 )
 
-// What is read right after a stall may have come since it began; before and some time after it, what is read has come just now.
-func TestAPulseNoticesAStall(t *testing.T) {
+// What is read right after a stall may have arrived since the stall began. Before a stall, and some time after it, what
+// is read has just arrived.
+func TestStallDetector(t *testing.T) {
 	const ms = time.Millisecond
 	at := func(span time.Duration) time.Time { return time.Unix(1000, 0).Add(span) }
-	p := newPulse(at(0))
+	detector := newPulse(at(0))
 	for now := pulseEach; now <= 500*ms; now += pulseEach {
-		p.beat(at(now))
+		detector.beat(at(now))
 	}
-	if got := p.came(at(530 * ms)); got != at(530*ms) {
+	if got := detector.came(at(530 * ms)); got != at(530*ms) {
 		t.Errorf("without a stall: %v", got)
 	}
-	if p.stalledSince(at(0), at(540*ms)) {
-		t.Error("a stall is seen where none was")
+	if detector.stalledSince(at(0), at(540*ms)) {
+		t.Error("a stall is reported where there was none")
 	}
-	if got := p.came(at(1540 * ms)); got != at(540*ms) { // nobody looked for a second
+	if got := detector.came(at(1540 * ms)); got != at(540*ms) { // one second without a tick
 		t.Errorf("right after a stall: %v", got)
 	}
-	if !p.stalledSince(at(500*ms), at(1541*ms)) || p.stalledSince(at(1541*ms), at(1542*ms)) {
-		t.Error("a stall is not seen, or is seen by who began after it")
+	if !detector.stalledSince(at(500*ms), at(1541*ms)) || detector.stalledSince(at(1541*ms), at(1542*ms)) {
+		t.Error("a stall is not reported, or is reported for a time after it")
 	}
-	if got := p.came(at(1540*ms + settleTime)); got != at(1540*ms+settleTime) {
+	if got := detector.came(at(1540*ms + settleTime)); got != at(1540*ms+settleTime) {
 		t.Errorf("some time after a stall: %v", got)
 	}
 }
--- a/internal/system/replace_test.go
+++ b/internal/system/replace_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// A file is replaced whole or not at all: a disk that is full leaves the old one, and nothing half.
-func TestAFileIsReplacedWholeOrNotAtAll(t *testing.T) {
+// A file is replaced whole or not at all: if the disk is full, the old file stays and nothing is left behind.
+func TestReplaceFileIsAtomic(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.json")
 	if err := Replace(path, []byte("old"), 0o644); err != nil {
 		t.Fatal(err)
@@ -18,24 +18,24 @@
 		t.Fatal(err)
 	}
 	if err := Replace(path, []byte("new"), 0o644); !errors.Is(err, syscall.ENOSPC) {
-		t.Errorf("%v", err)
+		t.Errorf("on a full disk: %v, want ENOSPC", err)
 	}
 	if raw, _ := os.ReadFile(path); string(raw) != "old" {
-		t.Errorf("it has %q", raw)
+		t.Errorf("the file holds %q", raw)
 	}
 	if err := Replace(path, []byte("new"), 0o644); err != nil {
-		t.Errorf("the next try: %v", err)
+		t.Errorf("the next attempt: %v", err)
 	}
 	if raw, _ := os.ReadFile(path); string(raw) != "new" {
-		t.Errorf("it has %q", raw)
+		t.Errorf("the file holds %q", raw)
 	}
 	if names, _ := os.ReadDir(filepath.Dir(path)); len(names) != 1 {
 		t.Errorf("left behind: %v", names)
 	}
 }
 
-func TestAFolderThatIsGoneIsAnError(t *testing.T) {
+func TestReplaceFileInMissingDirectoryFails(t *testing.T) {
 	if err := Replace(filepath.Join(t.TempDir(), "gone", "list.json"), nil, 0o644); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("%v", err)
+		t.Errorf("%v, want ErrNotExist", err)
 	}
 }
--- a/internal/system/retry_test.go
+++ b/internal/system/retry_test.go
@@ -8,41 +8,43 @@
 	"time"
 )
 
-// flaky is a listener whose Accept fails so often before it is closed.
+// flaky is a listener whose Accept fails a number of times before it is closed.
 type flaky struct {
 	net.Listener
-	left int
+	failures int // still to come
 }
 
 func (f *flaky) Accept() (net.Conn, error) {
-	if f.left--; f.left >= 0 {
+	if f.failures--; f.failures >= 0 {
 		return nil, &net.OpError{Op: "accept", Err: syscall.EPROTO}
 	}
 	return nil, net.ErrClosed
 }
 
-func TestAPersistentListenerFailsOnlyOnceItIsClosed(t *testing.T) {
+func TestRetryingListenerFailsOnlyWhenClosed(t *testing.T) {
 	failures := 0
-	p := Persistent{Listener: &flaky{left: 3}, Failed: func(error) { failures++ }}
-	if _, err := p.Accept(); !errors.Is(err, net.ErrClosed) || failures != 3 {
+	listener := Persistent{Listener: &flaky{failures: 3}, Failed: func(error) { failures++ }}
+	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) || failures != 3 {
 		t.Errorf("%v after %d failures", err, failures)
 	}
 }
 
-func TestOpenWaitsForAnAddressThatIsInUse(t *testing.T) {
+func TestOpenWithRetryWaitsForAddressInUse(t *testing.T) {
 	first, err := Real().Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	at := first.Addr().String()
+	address := first.Addr().String()
 	time.AfterFunc(50*time.Millisecond, func() { first.Close() })
-	second, err := Open(func() (Listener, error) { return Real().Listen(at) })
+	second, err := Open(func() (Listener, error) { return Real().Listen(address) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	second.Close()
-	began := time.Now()
-	if _, err := Open(func() (Listener, error) { return Real().Listen("nowhere") }); err == nil || time.Since(began) > time.Second {
-		t.Errorf("an address that makes no sense: %v after %v", err, time.Since(began))
+	start := time.Now()
+	if _, err := Open(func() (Listener, error) {
+		return Real().Listen("nowhere")
+	}); err == nil || time.Since(start) > time.Second {
+		t.Errorf("an invalid address: %v after %v", err, time.Since(start))
 	}
 }
