--- a/internal/platform/limiter.go
+++ b/internal/platform/limiter.go
@@ -78,7 +78,7 @@
 // Accept returns the next connection. It fails only once the listener is closed: every other error of accept is
 // transient. After acceptBacklogOnly it returns http.ErrServerClosed once no completed connection is left.
 func (l *limiter) Accept() (net.Conn, error) {
-	var retry system.Retry
+	var backoff system.Retry
 	for {
 		waitedSince := l.awaitRoom()
 		start := time.Now()
@@ -96,7 +96,7 @@
 			return nil, err
 		default:
 			l.failed(start, err)
-			retry.Wait()
+			backoff.Wait()
 		}
 	}
 }
@@ -144,7 +144,7 @@
 // it is closed only after a call that found none: neither a transient error nor a deadline that passed before the call
 // shows that.
 func (l *limiter) acceptCompleted() (system.Conn, error) {
-	var retry system.Retry
+	var backoff system.Retry
 	for round := 0; round < lastRounds; round++ {
 		l.awaitLastRoom()
 		start := time.Now()
@@ -159,7 +159,7 @@
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			l.failed(start, err)
-			retry.Wait()
+			backoff.Wait()
 		} else if time.Since(start) < 2*wait {
 			break // the call began at once, and nothing arrived while it waited
 		}
--- a/internal/system/retry.go
+++ b/internal/system/retry.go
@@ -36,7 +36,7 @@
 
 // Accept returns the next connection, or an error once the listener is closed.
 func (p Persistent) Accept() (net.Conn, error) {
-	var retry Retry
+	var backoff Retry
 	for {
 		conn, err := p.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
@@ -45,7 +45,7 @@
 		if p.Failed != nil {
 			p.Failed(err)
 		}
-		retry.Wait()
+		backoff.Wait()
 	}
 }
 
@@ -56,14 +56,14 @@
 // OpenWithRetry calls a function that opens a socket until it succeeds or openTimeout has passed: a process that has
 // just ended may still hold the address, and descriptors may run short for a moment. An invalid address is not retried.
 func Open[T any](open func() (T, error)) (T, error) {
-	var retry Retry
+	var backoff Retry
 	for start := time.Now(); ; {
 		opened, err := open()
 		var addressError *net.AddrError
 		if err == nil || errors.As(err, &addressError) || time.Since(start) >= startTime {
 			return opened, err
 		}
-		retry.Wait()
+		backoff.Wait()
 	}
 }
 
