--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -90,7 +90,7 @@
 			return fmt.Errorf("dispatcher.listen: %w", err)
 		}
 		defer l.Close()
-		l = system.Persistent{Listener: l, Failed: func(err error) { log.Warn("accept failed", "error", err) }}
+		l = system.RetryingListener{Listener: l, OnError: func(err error) { log.Warn("accept failed", "error", err) }}
 		if i < len(d.Place.Listen) && d.Place.ConnPerS > 0 {
 			l = &guarded{l, doorMu, door, since}
 		}
--- a/internal/monitor/monitor.go
+++ b/internal/monitor/monitor.go
@@ -28,12 +28,12 @@
 	return [...]string{"lost", "duplicate", "drain", "held", "deadline"}[r]
 }
 
-// Terms holds the bounds of the rules.
-type Terms struct {
-	Gone       time.Duration // after a client's close, within which an attempt may still begin
+// Bounds holds the bounds of the rules.
+type Bounds struct {
+	ClientGoneGrace       time.Duration // after a client's close, within which an attempt may still begin
 	DrainGrace time.Duration // after a backend begins to drain or is removed, within which an attempt may still begin
-	Hold       time.Duration // that a KV cache may wait for an attempt to arrive or for its release; 0: not checked
-	Told       time.Duration // by which an attempt's timeout may exceed the time that its client has left
+	MaxCacheWait       time.Duration // that a KV cache may wait for an attempt to arrive or for its release; 0: not checked
+	TimeoutSlack       time.Duration // by which an attempt's timeout may exceed the time that its client has left
 }
 
 // Class says whether a request may run more than once.
@@ -45,13 +45,13 @@
 	NonIdempotent
 )
 
-// End is what the end of an attempt proves.
-type End int
+// AttemptEnd is what the end of an attempt proves.
+type AttemptEnd int
 
 const (
-	NeverRan End = iota
+	NeverRan AttemptEnd = iota
 	MayHaveRun
-	StateKept // a prefill that succeeded: the backend holds the request's KV cache
+	CacheHeld // a prefill that succeeded: the backend holds the request's KV cache
 )
 
 const (
@@ -82,7 +82,7 @@
 
 // Monitor counts violations. It is safe for concurrent use.
 type Monitor struct {
-	Terms Terms
+	Terms Bounds
 	Since func() time.Duration // the clock: the time since some fixed instant
 	Log   *slog.Logger
 
@@ -96,7 +96,7 @@
 }
 
 // New returns a monitor that reads its time from the given clock.
-func New(terms Terms, clock func() time.Duration, log *slog.Logger) *Monitor {
+func New(terms Bounds, clock func() time.Duration, log *slog.Logger) *Monitor {
 	return &Monitor{
 		Terms: terms, Since: clock, Log: log, requests: map[string]*request{}, changed: map[string]time.Duration{},
 	}
@@ -159,7 +159,7 @@
 func (m *Monitor) known(id string) *request { return m.requests[id] }
 
 // RequestAccepted records a request and the time that its client has left.
-func (m *Monitor) Taken(id string, class Class, left time.Duration) {
+func (m *Monitor) RequestAccepted(id string, class Class, left time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.note(id, fmt.Sprintf("accepted with %v left", left))
@@ -187,7 +187,7 @@
 }
 
 // BackendChanged records what discovery reports of a backend: whether it may be sent requests.
-func (m *Monitor) Changed(backend string, ready bool) {
+func (m *Monitor) BackendChanged(backend string, ready bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, unavailable := m.changed[backend]
@@ -213,8 +213,8 @@
 	if r == nil {
 		return
 	}
-	if r.gone > 0 && now-r.gone > m.Terms.Gone {
-		m.broke(Lost, id, fmt.Sprintf("its client has been gone for %v, allowed %v", now-r.gone, m.Terms.Gone))
+	if r.gone > 0 && now-r.gone > m.Terms.ClientGoneGrace {
+		m.broke(Lost, id, fmt.Sprintf("its client has been gone for %v, allowed %v", now-r.gone, m.Terms.ClientGoneGrace))
 	}
 	if r.answered {
 		m.broke(Lost, id, "an attempt begins after the response")
@@ -225,9 +225,9 @@
 	if effect && r.mayRun && r.class == NonIdempotent {
 		m.broke(Duplicate, id, "an earlier attempt may have run")
 	}
-	if left := r.until - now; timeout > left+m.Terms.Told {
+	if left := r.until - now; timeout > left+m.Terms.TimeoutSlack {
 		m.broke(Deadline, id, fmt.Sprintf("the timeout is %v, its client has %v left, allowed excess %v", timeout, left,
-			m.Terms.Told))
+			m.Terms.TimeoutSlack))
 	}
 	r.out++
 }
@@ -255,7 +255,7 @@
 }
 
 // AttemptEnds records the end of an attempt that had begun, and what the end proves.
-func (m *Monitor) AttemptEnds(id string, number int, effect bool, end End, reason string) {
+func (m *Monitor) AttemptEnds(id string, number int, effect bool, end AttemptEnd, reason string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.note(id, fmt.Sprintf("attempt %d ends, %s", number, reason))
@@ -267,7 +267,7 @@
 	if effect {
 		r.mayRun = end == MayHaveRun
 	}
-	if end == StateKept {
+	if end == CacheHeld {
 		r.held = true
 	}
 	if r.held && r.out == 0 && r.waits == 0 {
@@ -277,13 +277,13 @@
 
 // checkHeld checks how long a KV cache has waited. The caller holds the lock.
 func (m *Monitor) checkHeld(id string, r *request, now time.Duration) {
-	if r.held && r.waits > 0 && m.Terms.Hold > 0 && now-r.waits > m.Terms.Hold {
-		m.broke(Held, id, fmt.Sprintf("a KV cache has waited for %v, allowed %v", now-r.waits, m.Terms.Hold))
+	if r.held && r.waits > 0 && m.Terms.MaxCacheWait > 0 && now-r.waits > m.Terms.MaxCacheWait {
+		m.broke(Held, id, fmt.Sprintf("a KV cache has waited for %v, allowed %v", now-r.waits, m.Terms.MaxCacheWait))
 	}
 }
 
 // CacheReleased records that a request's KV cache has been released or taken by another backend.
-func (m *Monitor) Released(id, event string) {
+func (m *Monitor) CacheReleased(id, event string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.note(id, event)
@@ -317,7 +317,7 @@
 }
 
 // RequestClosed records that a request's handler has ended. A client that is still there must have had its response.
-func (m *Monitor) Closed(id, reason string) {
+func (m *Monitor) RequestClosed(id, reason string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := m.note(id, "closed: "+reason)
--- a/internal/monitor/monitor_test.go
+++ b/internal/monitor/monitor_test.go
@@ -18,9 +18,9 @@
 // watch returns a monitor without requests.
 func watch() *watched {
 	w := &watched{now: time.Second}
-	terms := Terms{
-		Gone: 100 * time.Millisecond, DrainGrace: 250 * time.Millisecond, Hold: 800 * time.Millisecond,
-		Told: 150 * time.Millisecond,
+	terms := Bounds{
+		ClientGoneGrace: 100 * time.Millisecond, DrainGrace: 250 * time.Millisecond, MaxCacheWait: 800 * time.Millisecond,
+		TimeoutSlack: 150 * time.Millisecond,
 	}
 	w.Monitor = New(terms, func() time.Duration { return w.now }, slog.New(slog.NewTextHandler(&w.log, nil)))
 	return w
@@ -29,14 +29,14 @@
 // taken returns a monitor with a request that has four seconds left and whose first attempt is in flight at w1.
 func taken(class Class) *watched {
 	w := watch()
-	w.Taken("q1", class, 4*time.Second)
+	w.RequestAccepted("q1", class, 4*time.Second)
 	w.AttemptBegins("q1", "w1", 0, true, 4*time.Second)
 	w.AttemptSent("q1", 0, true)
 	return w
 }
 
 // ended records the end of the first attempt.
-func (w *watched) ended(end End) *watched {
+func (w *watched) ended(end AttemptEnd) *watched {
 	w.AttemptEnds("q1", 0, true, end, "ended")
 	return w
 }
@@ -77,13 +77,13 @@
 		}},
 		"no response": {Lost, true, func() *watched {
 			w := taken(Idempotent).ended(NeverRan)
-			w.Closed("q1", "returned")
+			w.RequestClosed("q1", "returned")
 			return w
 		}},
 		"no response, but the client has gone": {Lost, false, func() *watched {
 			w := taken(Idempotent).ended(NeverRan)
 			w.ClientGone("q1")
-			w.Closed("q1", "returned")
+			w.RequestClosed("q1", "returned")
 			return w
 		}},
 		"two attempts in flight": {Duplicate, true, func() *watched {
@@ -118,27 +118,27 @@
 		}},
 		"an attempt at a draining backend": {Drain, true, func() *watched {
 			w := watch()
-			w.Changed("w1", false)
+			w.BackendChanged("w1", false)
 			w.now += 251 * ms
 			w.AttemptBegins("q1", "w1", 0, true, time.Second)
 			return w
 		}},
 		"an attempt at a backend that is ready again": {Drain, false, func() *watched {
 			w := watch()
-			w.Changed("w1", false)
+			w.BackendChanged("w1", false)
 			w.now += time.Second
-			w.Changed("w1", true)
+			w.BackendChanged("w1", true)
 			w.AttemptBegins("q1", "w1", 0, true, time.Second)
 			return w
 		}},
 		"a KV cache that waits too long": {Held, true, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+			w := taken(Idempotent).ended(CacheHeld)
 			w.now += 801 * ms
-			w.Released("q1", "released")
+			w.CacheReleased("q1", "released")
 			return w
 		}},
 		"a KV cache that waits too long for an attempt": {Held, true, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+			w := taken(Idempotent).ended(CacheHeld)
 			w.now += 801 * ms
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			w.AttemptSent("q1", 1, true)
@@ -146,43 +146,43 @@
 			return w
 		}},
 		"an attempt that does not arrive": {Held, true, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+			w := taken(Idempotent).ended(CacheHeld)
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			w.AttemptSent("q1", 1, true)
 			w.now += 801 * ms
-			w.Released("q1", "released")
+			w.CacheReleased("q1", "released")
 			return w
 		}},
 		"an attempt that does not arrive, and a release in time": {Held, false, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+			w := taken(Idempotent).ended(CacheHeld)
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			w.AttemptSent("q1", 1, true)
 			w.now += 799 * ms
-			w.Released("q1", "released")
+			w.CacheReleased("q1", "released")
 			w.now += time.Minute
-			w.Released("q1", "released")
+			w.CacheReleased("q1", "released")
 			return w
 		}},
 		"a KV cache that is taken in time": {Held, false, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+			w := taken(Idempotent).ended(CacheHeld)
 			w.now += 799 * ms
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			w.AttemptSent("q1", 1, true)
 			w.AttemptArrived("q1", 1)
 			w.now += time.Minute
-			w.Released("q1", "taken")
+			w.CacheReleased("q1", "taken")
 			return w
 		}},
 		"a timeout beyond the deadline": {Deadline, true, func() *watched {
 			w := watch()
-			w.Taken("q1", Idempotent, time.Second)
+			w.RequestAccepted("q1", Idempotent, time.Second)
 			w.now += 500 * ms
 			w.AttemptBegins("q1", "w1", 0, true, 651*ms)
 			return w
 		}},
 		"a timeout within the deadline": {Deadline, false, func() *watched {
 			w := watch()
-			w.Taken("q1", Idempotent, time.Second)
+			w.RequestAccepted("q1", Idempotent, time.Second)
 			w.now += 500 * ms
 			w.AttemptBegins("q1", "w1", 0, true, 649*ms)
 			return w
@@ -207,7 +207,7 @@
 	w := watch()
 	for i := range 3 * requestsMost {
 		id := strings.Repeat("q", i%7+1) + string(rune('a'+i%26)) + time.Duration(i).String()
-		w.Taken(id, Idempotent, time.Second)
+		w.RequestAccepted(id, Idempotent, time.Second)
 		w.Answered(id, 503, true, nil)
 		w.now += time.Millisecond
 	}
@@ -219,12 +219,12 @@
 func BenchmarkOneRequest(b *testing.B) {
 	w := watch()
 	for b.Loop() {
-		w.Taken("q1", NonIdempotent, time.Second)
+		w.RequestAccepted("q1", NonIdempotent, time.Second)
 		w.AttemptBegins("q1", "w1", 0, true, time.Second)
 		w.AttemptSent("q1", 0, true)
 		w.AttemptEnds("q1", 0, true, MayHaveRun, "answered")
 		w.Answered("q1", 200, false, nil)
-		w.Closed("q1", "served")
+		w.RequestClosed("q1", "served")
 		w.now += time.Millisecond
 	}
 }
--- a/internal/platform/accept_test.go
+++ b/internal/platform/accept_test.go
@@ -112,7 +112,7 @@
 	flaky, dial := failing(t, errno, failures)
 	limited := newLimiter(flaky, 100, quiet)
 	dial()
-	limited.acceptLast()
+	limited.acceptBacklogOnly()
 	time.Sleep(stall)
 	if _, err := limited.Accept(); err != nil {
 		t.Errorf("%s: the completed connection is lost: %v", name, err)
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -136,7 +136,7 @@
 		if err == nil {
 			t.Fatal("a request that was cut off counts as sent")
 		}
-		if got := notSent(ctx, err); got.Outcome != want {
+		if got := notSentResult(ctx, err); got.Outcome != want {
 			t.Errorf("with %d bytes out: %v", sent, got.Outcome)
 		}
 		far.Close()
@@ -192,7 +192,7 @@
 				}
 				e.Hold()
 				c.Close()
-				h.until("the client is seen to go", func() bool { return h.node.frontend.asked.Load() == 0 })
+				h.until("the client is seen to go", func() bool { return h.node.frontend.openRequests.Load() == 0 })
 				e.Write("HTTP/1.1 202 Accepted\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
 				return true
 			}
@@ -265,7 +265,7 @@
 	io.WriteString(c, raw)
 	<-there
 	c.Close()
-	h.until("its client is seen to go", func() bool { return h.node.frontend.asked.Load() == 0 })
+	h.until("its client is seen to go", func() bool { return h.node.frontend.openRequests.Load() == 0 })
 	if got := h.says(raw); got.status != 409 || got.after != "" {
 		t.Errorf("after its client has left: %+v", got)
 	}
@@ -273,11 +273,11 @@
 	c = h.client()
 	io.WriteString(c, raw)
 	<-there
-	h.node.frontend.over.Store(true)
+	h.node.frontend.rejectAll.Store(true)
 	if got := h.says(raw); got.status != 409 || got.after != "" {
 		t.Errorf("while it stops: %+v", got)
 	}
-	h.node.frontend.open = 0
+	h.node.frontend.maxOpen = 0
 	if got := h.says(raw); got.status != 409 || got.after != "" {
 		t.Errorf("while too many are open: %+v", got)
 	}
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -237,7 +237,7 @@
 // may have waited as long as the connection waited to be accepted, and then until they were read. The caller holds the
 // lock.
 func (c *clientConn) firstCame(fd uintptr) time.Time {
-	if age, known := system.ReceivedAgo(fd); known && age >= receivedLeast {
+	if age, known := system.SinceLastReceive(fd); known && age >= receivedLeast {
 		if arrival := c.lastRead.Add(-age); arrival.After(c.earliest) {
 			return arrival
 		}
--- a/internal/platform/conn_test.go
+++ b/internal/platform/conn_test.go
@@ -222,7 +222,7 @@
 		}
 		defer conn.Close()
 	}
-	limited.acceptLast()
+	limited.acceptBacklogOnly()
 	for range waiting {
 		if _, err := limited.Accept(); err != nil {
 			t.Fatalf("a completed connection is not accepted: %v", err)
@@ -248,7 +248,7 @@
 	_, silent, _ := pair(t)
 	limited.conns[silent] = true
 	silent.since = time.Now().Add(-time.Hour)
-	limited.most = 2
+	limited.maxConns = 2
 	if !limited.makeRoom(time.Now()) {
 		t.Error("a silent connection was not closed for another")
 	}
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -142,7 +142,7 @@
 
 // openConn opens a connection for an attempt within the limit on descriptors for attempts, and writes the request to
 // it.
-func (c *transport) open(
+func (c *transport) openConn(
 	ctx context.Context, attempt *dispatch.Attempt, backend *reach.Host, request *payload,
 ) (conn *reach.Conn, stop func() bool, err error) {
 	if backend == nil {
@@ -170,7 +170,7 @@
 // notSentResult returns the result of an attempt whose request was not written to its last byte. If the dispatcher
 // itself cut the request off, the attempt is not reported as harmless: only the backend knows what it had received by
 // then.
-func notSent(ctx context.Context, err error) brain.Result {
+func notSentResult(ctx context.Context, err error) brain.Result {
 	switch {
 	case errors.Is(context.Cause(ctx), dispatch.ErrLeft):
 		return brain.Result{Outcome: brain.Cancelled}
@@ -187,8 +187,8 @@
 
 // checkAcknowledged cancels an attempt whose request was written whole but has not been acknowledged: the KV cache that
 // it is to take keeps waiting. Only the backend knows whether the request may still run.
-func (c *transport) checkArrival(attempt *dispatch.Attempt, conn *reach.Conn) {
-	if system.Unacknowledged(conn.Conn) > 0 {
+func (c *transport) checkAcknowledged(attempt *dispatch.Attempt, conn *reach.Conn) {
+	if system.UnacknowledgedBytes(conn.Conn) > 0 {
 		c.Unarrived.Add(1)
 		attempt.Off(errNotArrived)
 	}
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	headWait  = 2300 * time.Millisecond // for a request's head, from the connection's start or the request's first byte
+	headTimeout  = 2300 * time.Millisecond // for a request's head, from the connection's start or the request's first byte
 	writeWait = 20 * time.Second        // for one write to a client that does not read
-	restMost  = 10 * time.Minute        // that a client's connection may be idle while there is free capacity
+	clientIdleTimeout  = 10 * time.Minute        // that a client's connection may be idle while there is free capacity
 	bodyStep  = 16 << 10                // least growth of a body's buffer, in bytes
 
 	// answerLate is how long after its deadline a request is answered by the handler if the event loop has not answered
@@ -36,25 +36,25 @@
 	grades  map[string]int // class indices by name
 	tenants map[string]int // tenant indices by name
 	after   time.Duration  // Retry-After of a rejection for lack of capacity
-	open    int64          // bound on open requests
+	maxOpen    int64          // bound on open requests
 	bodies  int64          // bound on the bytes of all buffered bodies
 
-	fleetKnown func() bool // reports whether some backend can serve
-	crowded    func() bool // reports whether the connection limit is near
+	hasBackends func() bool // reports whether some backend can serve
+	nearConnLimit    func() bool // reports whether the connection limit is near
 	ready      atomic.Bool
 	stopping   atomic.Bool   // connections are closed after their responses
-	over       atomic.Bool   // every further request is rejected
-	cut        chan struct{} // closed when streams are to be continued at another dispatcher
-	asked      atomic.Int64  // requests that are open
-	Again      atomic.Int64  // requests that their clients sent before
-	Rest       atomic.Int64  // requests for the rest of a stream
-	Moved      atomic.Int64  // streams cut to be continued at another dispatcher
-	held       atomic.Int64  // bytes of buffered bodies
-	Late       atomic.Int64  // requests answered by the handler, as the event loop gave no answer in time
+	rejectAll       atomic.Bool   // every further request is rejected
+	moveStreams        chan struct{} // closed when streams are to be continued at another dispatcher
+	openRequests      atomic.Int64  // requests that are open
+	Resubmitted      atomic.Int64  // requests that their clients sent before
+	Continuations       atomic.Int64  // requests for the rest of a stream
+	MovedStreams      atomic.Int64  // streams cut to be continued at another dispatcher
+	bodyBytes       atomic.Int64  // bytes of buffered bodies
+	LateAnswers       atomic.Int64  // requests answered by the handler, as the event loop gave no answer in time
 
 	ids     *idRegister
 	monitor *monitor.Monitor
-	pulse   *pulse
+	pulse   *stallDetector
 	classes []monitor.Class // by class index
 	log     *slog.Logger
 	mu      sync.Mutex
@@ -62,13 +62,13 @@
 }
 
 func newFrontend(
-	loop *dispatch.Loop, facts brain.Facts, maxBodyBytes int64, observer *monitor.Monitor, stalls *pulse,
+	loop *dispatch.Loop, facts brain.Facts, maxBodyBytes int64, observer *monitor.Monitor, stalls *stallDetector,
 	log *slog.Logger,
 ) *frontend {
 	f := &frontend{
 		loop: loop, grades: map[string]int{}, tenants: map[string]int{},
-		ids: newIDRegister(longestDeadline(facts) + idsSpan), refused: map[string]int64{}, cut: make(chan struct{}),
-		after: facts.Span("policyLimits.maxRetryAfterUs"), open: int64(facts.Num("policyLimits.maxOpen", 1e4)),
+		ids: newIDRegister(longestDeadline(facts) + idsSpan), refused: map[string]int64{}, moveStreams: make(chan struct{}),
+		after: facts.Span("policyLimits.maxRetryAfterUs"), maxOpen: int64(facts.Num("policyLimits.maxOpen", 1e4)),
 		bodies:  maxBodyBytes,
 		monitor: observer, pulse: stalls, classes: monitorClasses(facts), log: log,
 	}
@@ -85,7 +85,7 @@
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	conn := connOf(r.Context())
 	conn.begin(r.ContentLength)
-	if f.stopping.Load() || f.crowded() || !conn.reusable() {
+	if f.stopping.Load() || f.nearConnLimit() || !conn.reusable() {
 		w.Header().Set("Connection", "close")
 	}
 	if r.URL.Path == chat.Ready && (r.Method == http.MethodGet || r.Method == http.MethodHead) {
@@ -116,8 +116,8 @@
 		f.refuse(w, r, errKnownID) // before any response that would invite a retry
 		return
 	}
-	defer f.asked.Add(-1)
-	if reason := mayTake(f.over.Load(), f.asked.Add(1), f.open, f.loop.Behind()); reason != taken {
+	defer f.openRequests.Add(-1)
+	if reason := mayTake(f.rejectAll.Load(), f.openRequests.Add(1), f.maxOpen, f.loop.Behind()); reason != taken {
 		f.full(w, r, reason)
 		return
 	}
@@ -129,7 +129,7 @@
 
 // isReady reports whether there are backends that can serve. Once there were, it stays true.
 func (f *frontend) answering() bool {
-	if !f.ready.Load() && f.fleetKnown() {
+	if !f.ready.Load() && f.hasBackends() {
 		f.ready.Store(true)
 	}
 	return f.ready.Load()
@@ -174,7 +174,7 @@
 	submitted := false
 	defer func() { f.ids.release(request.ID, submitted) }()
 	reserved := int64(0)
-	unreserve := func() { f.held.Add(-reserved); reserved = 0 }
+	unreserve := func() { f.bodyBytes.Add(-reserved); reserved = 0 }
 	defer unreserve()
 	body, err := f.body(r, w, &reserved)
 	switch {
@@ -191,10 +191,10 @@
 	length := len(body)
 	request.Sized(length)
 	if request.Again {
-		f.Again.Add(1)
+		f.Resubmitted.Add(1)
 	}
 	if request.Rest {
-		f.Rest.Add(1)
+		f.Continuations.Add(1)
 	}
 	outgoing := &payload{id: request.ID, body: body, head: func(timeout time.Duration) []byte {
 		return chat.Errand(r, service, request, length, timeout)
@@ -207,8 +207,8 @@
 		Grade: request.Grade, Channel: request.Channel, Matter: outgoing,
 	}
 	submitted = true
-	f.monitor.Taken(request.ID, f.classes[class], request.Left-time.Since(arrival))
-	defer f.monitor.Closed(request.ID, "its handler has returned")
+	f.monitor.RequestAccepted(request.ID, f.classes[class], request.Left-time.Since(arrival))
+	defer f.monitor.RequestClosed(request.ID, "its handler has returned")
 	defer context.AfterFunc(r.Context(), func() {
 		clientRequest.End()
 		f.monitor.ClientGone(request.ID)
@@ -247,7 +247,7 @@
 	case r.Context().Err() != nil:
 		f.monitor.ClientGone(clientRequest.Ask.ID)
 	case ctx.Err() != nil:
-		f.Late.Add(1)
+		f.LateAnswers.Add(1)
 		f.log.Error("no answer from the event loop by the request's deadline", "id", clientRequest.Ask.ID,
 			"behind", f.loop.Behind())
 		f.answer(w, clientRequest.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
@@ -270,7 +270,7 @@
 		if len(body) == cap(body) {
 			step := bodyRoom(r.ContentLength, len(body))
 			*reserved += int64(step)
-			if f.held.Add(int64(step)) > f.bodies {
+			if f.bodyBytes.Add(int64(step)) > f.bodies {
 				return nil, errNoRoom
 			}
 			body = append(make([]byte, 0, len(body)+step), body...)
@@ -313,7 +313,7 @@
 }
 
 // refusalCounts returns the number of refused requests by reason, as text for the log.
-func (f *frontend) state() string {
+func (f *frontend) refusalCounts() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return fmt.Sprint(f.refused)
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -67,4 +67,4 @@
 }
 
 // mayExit reports whether a process that is shutting down may exit: each connection has had its response and is closed.
-func mayEnd(connections int) bool { return connections == 0 }
+func mayExit(connections int) bool { return connections == 0 }
--- a/internal/platform/limiter.go
+++ b/internal/platform/limiter.go
@@ -49,7 +49,7 @@
 // or idle is closed for the next one; if there is none, the next one waits in the listener's backlog.
 type limiter struct {
 	listener system.Listener
-	most     int // connections that may be open
+	maxConns     int // connections that may be open
 	mu       sync.Mutex
 	conns    map[*clientConn]bool
 	draining bool         // connections without an open request are closed
@@ -57,16 +57,16 @@
 	opened   time.Time    // since when connections may have been completed
 	ending   time.Time    // when acceptBacklogOnly was called; set before backlogOnly
 	last     atomic.Bool  // completed connections are still accepted, and no others
-	Pushed   atomic.Int64 // connections closed for others
-	Waited   atomic.Int64 // checks that found no capacity
-	Failed   atomic.Int64 // accept errors that were retried
-	Shut     atomic.Int64 // connections closed unread at shutdown for lack of capacity
+	Evicted   atomic.Int64 // connections closed for others
+	CapacityWaits   atomic.Int64 // checks that found no capacity
+	AcceptErrors   atomic.Int64 // accept errors that were retried
+	ClosedUnread     atomic.Int64 // connections closed unread at shutdown for lack of capacity
 	log      *slog.Logger
 }
 
 // newLimiter returns a limiter of the connections of a listener.
 func newLimiter(listener system.Listener, maxConns int, log *slog.Logger) *limiter {
-	return &limiter{listener: listener, most: maxConns, log: log, conns: map[*clientConn]bool{}, opened: time.Now()}
+	return &limiter{listener: listener, maxConns: maxConns, log: log, conns: map[*clientConn]bool{}, opened: time.Now()}
 }
 
 // Addr returns the listener's address.
@@ -78,7 +78,7 @@
 // Accept returns the next connection. It fails only once the listener is closed: every other error of accept is
 // transient. After acceptBacklogOnly it returns http.ErrServerClosed once no completed connection is left.
 func (l *limiter) Accept() (net.Conn, error) {
-	var backoff system.Retry
+	var backoff system.Backoff
 	for {
 		waitedSince := l.awaitRoom()
 		start := time.Now()
@@ -133,7 +133,7 @@
 		if since.IsZero() {
 			since = time.Now()
 		}
-		l.Waited.Add(1)
+		l.CapacityWaits.Add(1)
 		time.Sleep(roomWait)
 	}
 	return since
@@ -144,7 +144,7 @@
 // it is closed only after a call that found none: neither a transient error nor a deadline that passed before the call
 // shows that.
 func (l *limiter) acceptCompleted() (system.Conn, error) {
-	var backoff system.Retry
+	var backoff system.Backoff
 	for round := 0; round < lastRounds; round++ {
 		l.awaitLastRoom()
 		start := time.Now()
@@ -171,7 +171,7 @@
 // awaitFinalCapacity waits for a bounded time until one more connection may be open: at shutdown, idle connections are
 // being closed.
 func (l *limiter) awaitLastRoom() {
-	for deadline := time.Now().Add(lastRoomWait); l.count() >= l.most+l.closingMost() && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(lastRoomWait); l.count() >= l.maxConns+l.closingMost() && time.Now().Before(deadline); {
 		time.Sleep(roomWait)
 	}
 }
@@ -181,8 +181,8 @@
 
 // admit wraps and registers a connection that may have been complete since complete, and was not before earliest.
 func (l *limiter) admit(conn system.Conn, complete, earliest time.Time) (net.Conn, error) {
-	if l.last.Load() && l.count() >= l.most+l.closingMost() {
-		l.Shut.Add(1)
+	if l.last.Load() && l.count() >= l.maxConns+l.closingMost() {
+		l.ClosedUnread.Add(1)
 		return nil, errNoPlace
 	}
 	client, err := newClientConn(conn, l.forget)
@@ -204,15 +204,15 @@
 		l.failures.from = start
 	}
 	l.failures.to = now
-	l.Failed.Add(1)
+	l.AcceptErrors.Add(1)
 	l.log.Warn("accept failed", "error", err)
 }
 
 // maxClosing returns how many connections that are being closed may be open beside the others.
-func (l *limiter) closingMost() int { return max(int(closingShare*float64(l.most)), 1) }
+func (l *limiter) closingMost() int { return max(int(closingShare*float64(l.maxConns)), 1) }
 
 // acceptBacklogOnly has Accept return the connections that are already complete, and then end.
-func (l *limiter) acceptLast() {
+func (l *limiter) acceptBacklogOnly() {
 	l.ending = time.Now()
 	l.last.Store(true)
 	l.listener.SetDeadline(l.ending) // ends an Accept that is waiting; nextFromBacklog takes over
@@ -220,7 +220,7 @@
 
 // ensureCapacity reports whether there is capacity for a connection, closing another one for it if necessary.
 func (l *limiter) makeRoom(now time.Time) bool {
-	if l.count() < l.most {
+	if l.count() < l.maxConns {
 		return true
 	}
 	open, closing := 0, 0
@@ -242,13 +242,13 @@
 	if closing >= l.closingMost() {
 		lingering.conn.abort()
 	}
-	if open < l.most {
+	if open < l.maxConns {
 		return true
 	}
 	if victim.conn == nil || !victim.conn.closeIdle(closedForRoom) {
 		return false
 	}
-	l.Pushed.Add(1)
+	l.Evicted.Add(1)
 	return true
 }
 
@@ -282,7 +282,7 @@
 }
 
 // connStateChanged is called by net/http with a connection's state.
-func (l *limiter) moved(conn net.Conn, state http.ConnState) {
+func (l *limiter) connStateChanged(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*clientConn)
 	if !ok || state != http.StateIdle {
 		return
@@ -325,7 +325,7 @@
 }
 
 // NearLimit reports whether responses should end their connections.
-func (l *limiter) Crowded() bool { return float64(l.count()) > crowdedShare*float64(l.most) }
+func (l *limiter) NearLimit() bool { return float64(l.count()) > crowdedShare*float64(l.maxConns) }
 
 // count returns how many connections are open, including those that are being closed.
 func (l *limiter) count() int {
--- a/internal/platform/loop_lag_test.go
+++ b/internal/platform/loop_lag_test.go
@@ -25,7 +25,7 @@
 	if seen := env.site.Seen("", "POST"); len(seen) != 0 {
 		t.Errorf("%d attempts were made, want none", len(seen))
 	}
-	if late := env.node.frontend.Late.Load(); late != 1 {
+	if late := env.node.frontend.LateAnswers.Load(); late != 1 {
 		t.Errorf("%d requests are counted as late, want 1", late)
 	}
 }
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -142,7 +142,7 @@
 func (h *house) settled() {
 	h.t.Helper()
 	h.until("nothing is left of the questions", func() bool {
-		still := h.site.Out() + h.site.Held() + int(h.node.frontend.asked.Load()) + int(h.node.frontend.held.Load()) + int(h.node.transport.releasing.Load())
+		still := h.site.Out() + h.site.Held() + int(h.node.frontend.openRequests.Load()) + int(h.node.frontend.bodyBytes.Load()) + int(h.node.transport.releasing.Load())
 		h.node.loop.Call(context.Background(), func() {
 			for _, b := range []*hosts.Box{h.reader, h.writers[0], h.writers[1]} {
 				if m := h.node.loop.HostOf(b.UID); m != nil && (m.Streams != 0 || m.Tokens != 0 || m.Unread != 0) {
@@ -731,14 +731,14 @@
 		<-e.Left
 		return false
 	})
-	close(h.node.frontend.cut)
+	close(h.node.frontend.moveStreams)
 	for range 20 {
 		if got := h.says(h.ask("trail-info")); got.status != 200 || got.text != hosts.Event("a") || got.whole {
 			t.Fatalf("%+v", got)
 		}
 	}
 	h.settled()
-	h.node.frontend.cut = make(chan struct{}) // for the stop
+	h.node.frontend.moveStreams = make(chan struct{}) // for the stop
 }
 
 // Ids of backends and of clients that are always new leave nothing behind.
--- a/internal/platform/releases.go
+++ b/internal/platform/releases.go
@@ -48,7 +48,7 @@
 		began := time.Now()
 		if c.releaseAny(targets, call) {
 			c.Calls.Add(1)
-			c.monitor.Released(m.id, "released")
+			c.monitor.CacheReleased(m.id, "released")
 		} else {
 			c.Unheard.Add(1)
 			c.notable.Info("no backend has heard a release", "id", m.id, "backend", b.Name)
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -48,7 +48,7 @@
 	peers     *dispatch.Peers // none that listens where the configuration has no address
 	follower  *endpoints.Follower
 	monitor   *monitor.Monitor
-	pulse     *pulse
+	pulse     *stallDetector
 }
 
 // Run serves until the context ends; then it answers what it has and returns. again says when the configuration is to be read anew.
@@ -69,7 +69,7 @@
 	since := func() time.Duration { return time.Since(began) }
 	n := &node{place: p, facts: facts, log: log, served: make(chan struct{})}
 	n.life, n.end = context.WithCancel(ctx)
-	n.pulse = newPulse(time.Now())
+	n.pulse = newStallDetector(time.Now())
 	n.monitor = monitor.New(monitorTerms(facts), since, log)
 	boxes := &reach.Boxes{
 		Limit: max(facts.Span("policyLimits.dialTimeoutUs"), 10*time.Millisecond), Most: room.boxes, Since: since, Life: n.life, Group: &n.trips, Dial: sys.Dial, Bare: true,
@@ -83,7 +83,7 @@
 		Zone: func(name string) int { return zoneNumber(facts, name) },
 		Kind: func(name string) int { return facts.Index("kinds", name) },
 	}
-	listener, err := system.Open(func() (system.Listener, error) { return sys.Listen(p.Listen) })
+	listener, err := system.OpenWithRetry(func() (system.Listener, error) { return sys.Listen(p.Listen) })
 	if err != nil {
 		return nil, err
 	}
@@ -116,8 +116,8 @@
 	n.follower.Move(p.Discovery)
 	n.limiter = newLimiter(listener, int(float64(room.clients)/(1+closingShare)), log)
 	n.frontend = newFrontend(n.loop, facts, room.bodies, n.monitor, n.pulse, log)
-	n.frontend.crowded = n.limiter.Crowded
-	n.frontend.fleetKnown = func() bool {
+	n.frontend.nearConnLimit = n.limiter.NearLimit
+	n.frontend.hasBackends = func() bool {
 		if !n.follower.Heard() && since() < firstListWait {
 			return false
 		}
@@ -147,7 +147,7 @@
 		n.group.Go(func() error { return n.peers.Listen(n.life, n.loop) })
 	}
 	web := &http.Server{
-		Handler: n.frontend, ReadHeaderTimeout: headWait, IdleTimeout: restMost, MaxHeaderBytes: chat.HeadMost, ConnState: n.limiter.moved, ConnContext: withConn,
+		Handler: n.frontend, ReadHeaderTimeout: headTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: chat.HeadMost, ConnState: n.limiter.connStateChanged, ConnContext: withConn,
 		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
 	failed := make(chan error, 1)
@@ -160,7 +160,7 @@
 	})
 	p := n.place
 	n.log.Info("serving", "listen", n.limiter.Addr().String(), "discovery", p.Discovery, "cores", p.Limits.Cores, "memory_mb", p.Limits.MemoryMB,
-		"sockets", p.Limits.Sockets, "clients", n.limiter.most, "boxes", n.transport.boxes.Most)
+		"sockets", p.Limits.Sockets, "clients", n.limiter.maxConns, "boxes", n.transport.boxes.Most)
 	tick := time.NewTicker(tellEach)
 	defer tick.Stop()
 	for run := true; run; {
@@ -185,12 +185,12 @@
 	n.loop.Call(n.life, func() {
 		t := n.loop.Tally
 		turn, wait, timer := n.loop.Lag.Period()
-		n.log.Info("state", "taken", t.Taken, "again", f.Again.Load(), "rest", f.Rest.Load(), "moved", f.Moved.Load(), "satisfied", t.Satisfied,
+		n.log.Info("state", "taken", t.Taken, "again", f.Resubmitted.Load(), "rest", f.Continuations.Load(), "moved", f.MovedStreams.Load(), "satisfied", t.Satisfied,
 			"declined", t.Declined, "forfeited", t.Forfeited, "left", t.Left, "overdue", t.Overdue, "trips", t.Trips, "outcomes", fmt.Sprint(t.Outcomes),
 			"prefills", fmt.Sprint(t.Prefills), "began", t.Began, "in_time", t.InTime, "held_ms", t.Held.Milliseconds(), "first_ms", t.First.Milliseconds(),
-			"believes", fmt.Sprintf("%+v", n.loop.Believes()), "open", f.asked.Load(), "bodies", f.held.Load(), "clients", g.count(), "pushed", g.Pushed.Load(), "waited", g.Waited.Load(), "accept_failed", g.Failed.Load(), "shut", g.Shut.Load(), "refused", f.state(),
+			"believes", fmt.Sprintf("%+v", n.loop.Believes()), "open", f.openRequests.Load(), "bodies", f.bodyBytes.Load(), "clients", g.count(), "pushed", g.Evicted.Load(), "waited", g.CapacityWaits.Load(), "accept_failed", g.AcceptErrors.Load(), "shut", g.ClosedUnread.Load(), "refused", f.refusalCounts(),
 			"released", c.Calls.Load(), "unheard", c.Unheard.Load(), "stale", c.Stale.Load(), "local", c.Local.Load(), "unarrived", c.Unarrived.Load(), "spoilt", c.Spoilt.Load(), "strange", c.Strange.Load(),
-			"watch_lost", n.follower.Lost(), "strangers", n.peers.Dropped.Load(), "broken", n.monitor.Counts(), "due", c.Due.Load(), "too_late", f.Late.Load(), "turn_ms", turn.Milliseconds(),
+			"watch_lost", n.follower.Lost(), "strangers", n.peers.Dropped.Load(), "broken", n.monitor.Counts(), "due", c.Due.Load(), "too_late", f.LateAnswers.Load(), "turn_ms", turn.Milliseconds(),
 			"queued_ms", wait.Milliseconds(), "timer_ms", timer.Milliseconds(), "long_turns", n.loop.Lag.LongTurns, "unlogged", c.notable.dropped.Load(), "heap_kb", m.HeapAlloc>>10, "sys_kb", m.Sys>>10, "goroutines", runtime.NumGoroutine())
 		n.compare()
 	})
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -187,14 +187,14 @@
 		t.Fatal(err, first)
 	}
 	time.Sleep(20 * time.Millisecond) // for the last token to be passed on
-	close(h.node.frontend.cut)
+	close(h.node.frontend.moveStreams)
 	time.Sleep(cutWait + 50*time.Millisecond)
 	finish <- true
 	if got := c.said(); !got.whole || !strings.Contains(got.text, "[DONE]") {
 		t.Errorf("%+v", got)
 	}
 	h.settled()
-	h.node.frontend.cut = make(chan struct{}) // for the stop
+	h.node.frontend.moveStreams = make(chan struct{}) // for the stop
 }
 
 // What an attempt of a client that has gone may have left at its backend is released before the dispatcher ends.
@@ -205,7 +205,7 @@
 	io.WriteString(c, h.ask("trail-info"))
 	<-there
 	c.Close()
-	h.until("it is seen to go", func() bool { return h.node.frontend.asked.Load() == 0 })
+	h.until("it is seen to go", func() bool { return h.node.frontend.openRequests.Load() == 0 })
 	h.quit()
 	select {
 	case err := <-h.ended:
@@ -248,7 +248,7 @@
 	io.WriteString(c, h.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
 	<-there
 	c.Close()
-	h.until("it is seen to go", func() bool { return h.node.frontend.asked.Load() == 1 })
+	h.until("it is seen to go", func() bool { return h.node.frontend.openRequests.Load() == 1 })
 	began := time.Now()
 	h.quit()
 	h.until("the state is released", func() bool { return h.site.Held() == 0 })
--- a/internal/platform/stall.go
+++ b/internal/platform/stall.go
@@ -14,17 +14,17 @@
 
 // stallDetector notices when the process has stalled, as when it is stopped by a signal or gets no processor. What is
 // read right after a stall may have arrived at any time since the stall began.
-type pulse struct {
+type stallDetector struct {
 	mu       sync.Mutex
 	last     time.Time
 	from, to time.Time // bounds of the last stall
 }
 
 // newStallDetector returns a detector that starts at a time at which the process runs.
-func newPulse(now time.Time) *pulse { return &pulse{last: now} }
+func newStallDetector(now time.Time) *stallDetector { return &stallDetector{last: now} }
 
 // run checks the clock until the context ends.
-func (p *pulse) run(ctx context.Context) {
+func (p *stallDetector) run(ctx context.Context) {
 	tick := time.NewTicker(pulseEach)
 	defer tick.Stop()
 	for {
@@ -38,7 +38,7 @@
 }
 
 // tick records a time at which the process runs.
-func (p *pulse) beat(now time.Time) {
+func (p *stallDetector) beat(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Sub(p.last) >= stallLeast {
@@ -50,7 +50,7 @@
 }
 
 // earliestArrival returns the earliest time at which something that is read now may have arrived.
-func (p *pulse) came(now time.Time) time.Time {
+func (p *stallDetector) came(now time.Time) time.Time {
 	p.beat(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +61,7 @@
 }
 
 // stalledSince reports whether the process has stalled after a time. What was found out before may no longer hold.
-func (p *pulse) stalledSince(then, now time.Time) bool {
+func (p *stallDetector) stalledSince(then, now time.Time) bool {
 	p.beat(now)
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/platform/stall_test.go
+++ b/internal/platform/stall_test.go
@@ -10,7 +10,7 @@
 func TestStallDetector(t *testing.T) {
 	const ms = time.Millisecond
 	at := func(span time.Duration) time.Time { return time.Unix(1000, 0).Add(span) }
-	detector := newPulse(at(0))
+	detector := newStallDetector(at(0))
 	for now := pulseEach; now <= 500*ms; now += pulseEach {
 		detector.beat(at(now))
 	}
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -40,7 +40,7 @@
 	p.frontend.monitor.Answered(p.asked.Ask.ID, http.StatusOK, false, nil)
 	p.w.Header().Set("Content-Type", "text/event-stream")
 	p.w.Header()["Date"] = nil
-	cut := p.frontend.cut
+	cut := p.frontend.moveStreams
 	var overdue <-chan time.Time
 	for {
 		select {
@@ -103,7 +103,7 @@
 
 // moveStream cuts the stream, for its client to continue it at another dispatcher.
 func (p *passing) move() {
-	p.frontend.Moved.Add(1)
+	p.frontend.MovedStreams.Add(1)
 	p.abort()
 }
 
@@ -116,7 +116,7 @@
 // movingStreams reports whether streams are being cut for their clients to continue them at another dispatcher.
 func (f *frontend) cutting() bool {
 	select {
-	case <-f.cut:
+	case <-f.moveStreams:
 		return true
 	default:
 		return false
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -50,7 +50,7 @@
 	log     *slog.Logger
 	notable *notableLog
 	monitor *monitor.Monitor
-	pulse   *pulse
+	pulse   *stallDetector
 	mu      sync.Mutex
 	passed  map[string]*passed // by backend: what went over its connections
 
@@ -136,14 +136,14 @@
 
 // fly is one attempt. Its connection is closed before its end is told.
 func (c *transport) fly(ctx context.Context, f *dispatch.Attempt, host *reach.Host, m *payload) (r brain.Result) {
-	conn, stop, err := c.open(ctx, f, host, m)
+	conn, stop, err := c.openConn(ctx, f, host, m)
 	if err != nil {
-		return notSent(ctx, err)
+		return notSentResult(ctx, err)
 	}
 	load := ""
 	c.pass(f, 1, "")
 	if limit := f.Planned.Connect; limit > 0 {
-		defer time.AfterFunc(arrivalTimes*limit, func() { c.checkArrival(f, conn) }).Stop()
+		defer time.AfterFunc(arrivalTimes*limit, func() { c.checkAcknowledged(f, conn) }).Stop()
 	}
 	defer func() {
 		c.pass(f, -1, load)
@@ -218,7 +218,7 @@
 		}
 		if !begun {
 			begun = true
-			c.monitor.Released(m.id, "its answer begins")
+			c.monitor.CacheReleased(m.id, "its answer begins")
 			c.loop.Post(func() { c.loop.Began(f) })
 		}
 		c.heard.heard(host)
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -406,7 +406,7 @@
 // refusal is what an error of connecting says of the address.
 func refusal(ctx context.Context, err error) addresses.Result {
 	switch {
-	case system.Local(err):
+	case system.IsLocalError(err):
 		return addresses.NotTried
 	case ctx.Err() != nil, errors.Is(err, syscall.ETIMEDOUT), errors.Is(err, syscall.EHOSTUNREACH):
 		return addresses.Silent
--- a/internal/system/replace.go
+++ b/internal/system/replace.go
@@ -11,7 +11,7 @@
 
 // ReplaceFile replaces a file by one with the given contents. When it returns nil the new file has been synced to disk;
 // if the process is killed, or the disk is full or fails, the old file stays as it was.
-func Replace(path string, contents []byte, mode os.FileMode) error {
+func ReplaceFile(path string, contents []byte, mode os.FileMode) error {
 	temp := path + newSuffix
 	if err := writeSynced(temp, contents, mode); err != nil {
 		os.Remove(temp)
--- a/internal/system/retry.go
+++ b/internal/system/retry.go
@@ -15,35 +15,35 @@
 
 // Backoff spaces the retries of a call that fails with transient errors: each wait is twice as long as the one before,
 // up to a bound. Its zero value is ready to use.
-type Retry struct{ wait time.Duration }
+type Backoff struct{ wait time.Duration }
 
 // Wait sleeps before the next call.
-func (r *Retry) Wait() {
+func (r *Backoff) Wait() {
 	r.wait = min(max(2*r.wait, retryFirst), retryMost)
 	time.Sleep(r.wait)
 }
 
 // Reset records that a call succeeded.
-func (r *Retry) Reset() { r.wait = 0 }
+func (r *Backoff) Reset() { r.wait = 0 }
 
 // RetryingListener is a listener whose Accept fails only once it is closed. accept(2) fails for a moment when
 // descriptors, buffers or memory run short, and reports any network error that is pending on a new connection. None of
 // that is a reason to stop serving, as a server does when Accept returns an error.
-type Persistent struct {
+type RetryingListener struct {
 	net.Listener
-	Failed func(err error) // called with each error that is retried; may be nil
+	OnError func(err error) // called with each error that is retried; may be nil
 }
 
 // Accept returns the next connection, or an error once the listener is closed.
-func (p Persistent) Accept() (net.Conn, error) {
-	var backoff Retry
+func (p RetryingListener) Accept() (net.Conn, error) {
+	var backoff Backoff
 	for {
 		conn, err := p.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return conn, err
 		}
-		if p.Failed != nil {
-			p.Failed(err)
+		if p.OnError != nil {
+			p.OnError(err)
 		}
 		backoff.Wait()
 	}
@@ -55,8 +55,8 @@
 
 // OpenWithRetry calls a function that opens a socket until it succeeds or openTimeout has passed: a process that has
 // just ended may still hold the address, and descriptors may run short for a moment. An invalid address is not retried.
-func Open[T any](open func() (T, error)) (T, error) {
-	var backoff Retry
+func OpenWithRetry[T any](open func() (T, error)) (T, error) {
+	var backoff Backoff
 	for start := time.Now(); ; {
 		opened, err := open()
 		var addressError *net.AddrError
--- a/internal/system/retry_test.go
+++ b/internal/system/retry_test.go
@@ -23,7 +23,7 @@
 
 func TestRetryingListenerFailsOnlyWhenClosed(t *testing.T) {
 	failures := 0
-	listener := Persistent{Listener: &flaky{failures: 3}, Failed: func(error) { failures++ }}
+	listener := RetryingListener{Listener: &flaky{failures: 3}, OnError: func(error) { failures++ }}
 	if _, err := listener.Accept(); !errors.Is(err, net.ErrClosed) || failures != 3 {
 		t.Errorf("%v after %d failures", err, failures)
 	}
@@ -36,13 +36,13 @@
 	}
 	address := first.Addr().String()
 	time.AfterFunc(50*time.Millisecond, func() { first.Close() })
-	second, err := Open(func() (Listener, error) { return Real().Listen(address) })
+	second, err := OpenWithRetry(func() (Listener, error) { return Real().Listen(address) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	second.Close()
 	start := time.Now()
-	if _, err := Open(func() (Listener, error) {
+	if _, err := OpenWithRetry(func() (Listener, error) {
 		return Real().Listen("nowhere")
 	}); err == nil || time.Since(start) > time.Second {
 		t.Errorf("an invalid address: %v after %v", err, time.Since(start))
--- a/internal/system/tcpinfo.go
+++ b/internal/system/tcpinfo.go
@@ -10,7 +10,7 @@
 
 // UnacknowledgedBytes returns how many bytes written to a TCP connection the peer has not acknowledged yet, or 0 if the
 // operating system does not report it.
-func Unacknowledged(conn net.Conn) (bytes int) {
+func UnacknowledgedBytes(conn net.Conn) (bytes int) {
 	sys, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0
@@ -29,7 +29,7 @@
 
 // SinceLastReceive returns how long ago the last bytes arrived on a TCP connection, whether or not they have been read.
 // It returns false if the operating system does not report it.
-func ReceivedAgo(fd uintptr) (time.Duration, bool) {
+func SinceLastReceive(fd uintptr) (time.Duration, bool) {
 	info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return 0, false
