--- a/internal/monitor/monitor.go
+++ b/internal/monitor/monitor.go
@@ -18,9 +18,9 @@
 	Lost      Rule = iota // an attempt for a client that has gone, a second response, or a request closed without one
 	Duplicate             // two attempts in flight, a second run, or a rejection after an attempt that may have run
 	Drain                 // an attempt at a backend that is draining or removed
-	Held                  // a KV cache that waits too long
+	CacheWait             // a KV cache that waits too long
 	Deadline              // an attempt with a longer timeout than its client's deadline leaves
-	rules
+	ruleCount
 )
 
 // String returns the name of the rule in logs and counters.
@@ -30,75 +30,75 @@
 
 // Bounds holds the bounds of the rules.
 type Bounds struct {
-	ClientGoneGrace       time.Duration // after a client's close, within which an attempt may still begin
-	DrainGrace time.Duration // after a backend begins to drain or is removed, within which an attempt may still begin
-	MaxCacheWait       time.Duration // that a KV cache may wait for an attempt to arrive or for its release; 0: not checked
-	TimeoutSlack       time.Duration // by which an attempt's timeout may exceed the time that its client has left
+	ClientGoneGrace time.Duration // after a client's close, within which an attempt may still begin
+	DrainGrace      time.Duration // after a backend begins to drain or is removed, within which an attempt may still begin
+	MaxCacheWait    time.Duration // that a KV cache may wait for an attempt to arrive or for its release; 0: not checked
+	TimeoutSlack    time.Duration // by which an attempt's timeout may exceed the time that its client has left
 }
 
 // Class says whether a request may run more than once.
 type Class int
 
 const (
-	Idempotent   Class = iota
-	Deduplicated       // repeats are recognised and dropped within a group of backends and a window of time
-	NonIdempotent
+	Idempotent    Class = iota // may run any number of times
+	Deduplicated               // repeats are recognised and dropped within a group of backends and a window of time
+	NonIdempotent              // must run at most once
 )
 
 // AttemptEnd is what the end of an attempt proves.
 type AttemptEnd int
 
 const (
-	NeverRan AttemptEnd = iota
-	MayHaveRun
-	CacheHeld // a prefill that succeeded: the backend holds the request's KV cache
+	NeverRan   AttemptEnd = iota // the backend did not run the attempt
+	MayHaveRun                   // the backend may have run it, whole or in part
+	CacheHeld                    // a prefill that succeeded: the backend holds the request's KV cache
 )
 
 const (
-	eventsMost   = 2048            // events in the ring
-	requestsMost = 8192            // requests that are tracked
-	forgetAfter  = 5 * time.Second // from a request's end until it is dropped, if no KV cache is held for it
+	maxEvents      = 2048            // events in the ring
+	maxRequests    = 8192            // requests that are tracked
+	endedRetention = 5 * time.Second // from a request's end until it is dropped, if no KV cache is held for it
 )
 
 // event is an entry of the ring.
 type event struct {
-	at   time.Duration
+	time time.Duration
 	id   string
 	text string
 }
 
 // request is what the monitor knows of a request. Its times count from the start of the monitor's clock.
 type request struct {
-	class    Class
-	until    time.Duration // its client's deadline
-	out      int           // attempts in flight
-	mayRun   bool          // an attempt with an effect may have run
-	answered bool
-	gone     time.Duration // when its client went; 0: it is still there
-	held     bool          // a backend holds its KV cache
-	waits    time.Duration // since when the KV cache waits for an attempt to arrive or for its release; 0: it does not
-	over     time.Duration // when it ended; 0: it has not
+	class           Class
+	deadline        time.Duration // its client's deadline
+	inFlight        int           // attempts in flight
+	mayHaveRun      bool          // an attempt with an effect may have run
+	answered        bool
+	clientGoneAt    time.Duration // when its client went; 0: it is still there
+	cacheHeld       bool          // a backend holds its KV cache
+	cacheWaitsSince time.Duration // since when the KV cache waits for an arrival or release; 0: it does not
+	endedAt         time.Duration // when it ended; 0: it has not
 }
 
 // Monitor counts violations. It is safe for concurrent use.
 type Monitor struct {
-	Terms Bounds
-	Since func() time.Duration // the clock: the time since some fixed instant
-	Log   *slog.Logger
-
-	mu       sync.Mutex
-	requests map[string]*request      // by id
-	changed  map[string]time.Duration // since when a backend has been draining or removed, by name
-	ring     [eventsMost]event
-	next     int // number of events recorded
-	counts   [rules]int64
-	swept    time.Duration // when ended requests were last dropped
+	Bounds Bounds
+	Clock  func() time.Duration // the clock: the time since some fixed instant
+	Log    *slog.Logger
+
+	mu               sync.Mutex
+	requests         map[string]*request      // by id
+	unavailableSince map[string]time.Duration // since when a backend has been draining or removed, by name
+	ring             [maxEvents]event
+	next             int // number of events recorded
+	counts           [ruleCount]int64
+	lastSweep        time.Duration // when ended requests were last dropped
 }
 
 // New returns a monitor that reads its time from the given clock.
-func New(terms Bounds, clock func() time.Duration, log *slog.Logger) *Monitor {
+func New(bounds Bounds, clock func() time.Duration, log *slog.Logger) *Monitor {
 	return &Monitor{
-		Terms: terms, Since: clock, Log: log, requests: map[string]*request{}, changed: map[string]time.Duration{},
+		Bounds: bounds, Clock: clock, Log: log, requests: map[string]*request{}, unavailableSince: map[string]time.Duration{},
 	}
 }
 
@@ -123,48 +123,48 @@
 }
 
 // record adds an event to the ring and returns its time. The caller holds the lock.
-func (m *Monitor) note(id, text string) time.Duration {
-	now := m.Since()
-	m.ring[m.next%eventsMost] = event{now, id, text}
+func (m *Monitor) record(id, text string) time.Duration {
+	now := m.Clock()
+	m.ring[m.next%maxEvents] = event{now, id, text}
 	m.next++
-	if now-m.swept >= forgetAfter {
-		m.forget(now)
+	if now-m.lastSweep >= endedRetention {
+		m.dropEnded(now)
 	}
 	return now
 }
 
 // recordViolation counts a violation and logs it with the request's last events. The caller holds the lock.
-func (m *Monitor) broke(rule Rule, id, reason string) {
+func (m *Monitor) recordViolation(rule Rule, id, reason string) {
 	m.counts[rule]++
 	var events []string
-	for i := max(m.next-eventsMost, 0); i < m.next; i++ {
-		if e := m.ring[i%eventsMost]; e.id == id {
-			events = append(events, fmt.Sprintf("%.3f %s", e.at.Seconds(), e.text))
+	for i := max(m.next-maxEvents, 0); i < m.next; i++ {
+		if e := m.ring[i%maxEvents]; e.id == id {
+			events = append(events, fmt.Sprintf("%.3f %s", e.time.Seconds(), e.text))
 		}
 	}
 	m.Log.Error("rule broken", "rule", rule, "id", id, "why", reason, "events", strings.Join(events, "; "))
 }
 
 // dropEnded drops requests that have ended. The caller holds the lock.
-func (m *Monitor) forget(now time.Duration) {
-	m.swept = now
+func (m *Monitor) dropEnded(now time.Duration) {
+	m.lastSweep = now
 	for id, r := range m.requests {
-		if r.over > 0 && now-r.over >= forgetAfter && !r.held && r.out == 0 {
+		if r.endedAt > 0 && now-r.endedAt >= endedRetention && !r.cacheHeld && r.inFlight == 0 {
 			delete(m.requests, id)
 		}
 	}
 }
 
 // find returns a tracked request, or nil. The caller holds the lock.
-func (m *Monitor) known(id string) *request { return m.requests[id] }
+func (m *Monitor) find(id string) *request { return m.requests[id] }
 
 // RequestAccepted records a request and the time that its client has left.
 func (m *Monitor) RequestAccepted(id string, class Class, left time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, fmt.Sprintf("accepted with %v left", left))
-	if len(m.requests) < requestsMost {
-		m.requests[id] = &request{class: class, until: now + left}
+	now := m.record(id, fmt.Sprintf("accepted with %v left", left))
+	if len(m.requests) < maxRequests {
+		m.requests[id] = &request{class: class, deadline: now + left}
 	}
 }
 
@@ -172,17 +172,17 @@
 func (m *Monitor) ClientGone(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, "client gone")
-	if r := m.known(id); r != nil && r.gone == 0 {
-		r.gone = now
-		m.finished(r, now)
+	now := m.record(id, "client gone")
+	if r := m.find(id); r != nil && r.clientGoneAt == 0 {
+		r.clientGoneAt = now
+		m.markEnded(r, now)
 	}
 }
 
 // markEnded records that nobody waits for a request any more. The caller holds the lock.
-func (m *Monitor) finished(r *request, now time.Duration) {
-	if r.over == 0 {
-		r.over = max(now, 1)
+func (m *Monitor) markEnded(r *request, now time.Duration) {
+	if r.endedAt == 0 {
+		r.endedAt = max(now, 1)
 	}
 }
 
@@ -190,12 +190,12 @@
 func (m *Monitor) BackendChanged(backend string, ready bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_, unavailable := m.changed[backend]
+	_, unavailable := m.unavailableSince[backend]
 	switch {
 	case ready && unavailable:
-		delete(m.changed, backend)
+		delete(m.unavailableSince, backend)
 	case !ready && !unavailable:
-		m.changed[backend] = m.note("", backend+" is draining or removed")
+		m.unavailableSince[backend] = m.record("", backend+" is draining or removed")
 	}
 }
 
@@ -204,32 +204,33 @@
 func (m *Monitor) AttemptBegins(id, backend string, number int, effect bool, timeout time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, fmt.Sprintf("attempt %d begins at %s, timeout %v", number, backend, timeout))
-	if unavailableSince, unavailable := m.changed[backend]; unavailable && now-unavailableSince > m.Terms.DrainGrace {
-		m.broke(Drain, id, fmt.Sprintf("%s has been draining or removed for %v, allowed %v", backend, now-unavailableSince,
-			m.Terms.DrainGrace))
+	now := m.record(id, fmt.Sprintf("attempt %d begins at %s, timeout %v", number, backend, timeout))
+	if since, unavailable := m.unavailableSince[backend]; unavailable && now-since > m.Bounds.DrainGrace {
+		m.recordViolation(Drain, id, fmt.Sprintf("%s has been draining or removed for %v, allowed %v", backend,
+			now-since, m.Bounds.DrainGrace))
 	}
-	r := m.known(id)
+	r := m.find(id)
 	if r == nil {
 		return
 	}
-	if r.gone > 0 && now-r.gone > m.Terms.ClientGoneGrace {
-		m.broke(Lost, id, fmt.Sprintf("its client has been gone for %v, allowed %v", now-r.gone, m.Terms.ClientGoneGrace))
+	if r.clientGoneAt > 0 && now-r.clientGoneAt > m.Bounds.ClientGoneGrace {
+		m.recordViolation(Lost, id, fmt.Sprintf("its client has been gone for %v, allowed %v", now-r.clientGoneAt,
+			m.Bounds.ClientGoneGrace))
 	}
 	if r.answered {
-		m.broke(Lost, id, "an attempt begins after the response")
+		m.recordViolation(Lost, id, "an attempt begins after the response")
 	}
-	if r.out > 0 {
-		m.broke(Duplicate, id, "another attempt is in flight")
+	if r.inFlight > 0 {
+		m.recordViolation(Duplicate, id, "another attempt is in flight")
 	}
-	if effect && r.mayRun && r.class == NonIdempotent {
-		m.broke(Duplicate, id, "an earlier attempt may have run")
+	if effect && r.mayHaveRun && r.class == NonIdempotent {
+		m.recordViolation(Duplicate, id, "an earlier attempt may have run")
 	}
-	if left := r.until - now; timeout > left+m.Terms.TimeoutSlack {
-		m.broke(Deadline, id, fmt.Sprintf("the timeout is %v, its client has %v left, allowed excess %v", timeout, left,
-			m.Terms.TimeoutSlack))
+	if left := r.deadline - now; timeout > left+m.Bounds.TimeoutSlack {
+		m.recordViolation(Deadline, id, fmt.Sprintf("the timeout is %v, its client has %v left, allowed excess %v",
+			timeout, left, m.Bounds.TimeoutSlack))
 	}
-	r.out++
+	r.inFlight++
 }
 
 // AttemptSent records that an attempt's last byte was written. The request may not have arrived yet, so the KV cache
@@ -237,9 +238,9 @@
 func (m *Monitor) AttemptSent(id string, number int, effect bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.note(id, fmt.Sprintf("attempt %d sent", number))
-	if r := m.known(id); r != nil {
-		r.mayRun = r.mayRun || effect
+	m.record(id, fmt.Sprintf("attempt %d sent", number))
+	if r := m.find(id); r != nil {
+		r.mayHaveRun = r.mayHaveRun || effect
 	}
 }
 
@@ -247,10 +248,10 @@
 func (m *Monitor) AttemptArrived(id string, number int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, fmt.Sprintf("attempt %d has arrived", number))
-	if r := m.known(id); r != nil {
-		m.checkHeld(id, r, now)
-		r.waits = 0
+	now := m.record(id, fmt.Sprintf("attempt %d has arrived", number))
+	if r := m.find(id); r != nil {
+		m.checkCacheWait(id, r, now)
+		r.cacheWaitsSince = 0
 	}
 }
 
@@ -258,27 +259,28 @@
 func (m *Monitor) AttemptEnds(id string, number int, effect bool, end AttemptEnd, reason string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, fmt.Sprintf("attempt %d ends, %s", number, reason))
-	r := m.known(id)
+	now := m.record(id, fmt.Sprintf("attempt %d ends, %s", number, reason))
+	r := m.find(id)
 	if r == nil {
 		return
 	}
-	r.out = max(r.out-1, 0)
+	r.inFlight = max(r.inFlight-1, 0)
 	if effect {
-		r.mayRun = end == MayHaveRun
+		r.mayHaveRun = end == MayHaveRun
 	}
 	if end == CacheHeld {
-		r.held = true
+		r.cacheHeld = true
 	}
-	if r.held && r.out == 0 && r.waits == 0 {
-		r.waits = max(now, 1)
+	if r.cacheHeld && r.inFlight == 0 && r.cacheWaitsSince == 0 {
+		r.cacheWaitsSince = max(now, 1)
 	}
 }
 
-// checkHeld checks how long a KV cache has waited. The caller holds the lock.
-func (m *Monitor) checkHeld(id string, r *request, now time.Duration) {
-	if r.held && r.waits > 0 && m.Terms.MaxCacheWait > 0 && now-r.waits > m.Terms.MaxCacheWait {
-		m.broke(Held, id, fmt.Sprintf("a KV cache has waited for %v, allowed %v", now-r.waits, m.Terms.MaxCacheWait))
+// checkCacheWait checks how long a KV cache has waited. The caller holds the lock.
+func (m *Monitor) checkCacheWait(id string, r *request, now time.Duration) {
+	if r.cacheHeld && r.cacheWaitsSince > 0 && m.Bounds.MaxCacheWait > 0 && now-r.cacheWaitsSince > m.Bounds.MaxCacheWait {
+		m.recordViolation(CacheWait, id, fmt.Sprintf("a KV cache has waited for %v, allowed %v", now-r.cacheWaitsSince,
+			m.Bounds.MaxCacheWait))
 	}
 }
 
@@ -286,10 +288,10 @@
 func (m *Monitor) CacheReleased(id, event string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, event)
-	if r := m.known(id); r != nil {
-		m.checkHeld(id, r, now)
-		r.held, r.waits = false, 0
+	now := m.record(id, event)
+	if r := m.find(id); r != nil {
+		m.checkCacheWait(id, r, now)
+		r.cacheHeld, r.cacheWaitsSince = false, 0
 	}
 }
 
@@ -301,30 +303,30 @@
 	if err != nil {
 		text += ", not written: " + err.Error()
 	}
-	now := m.note(id, text)
-	r := m.known(id)
+	now := m.record(id, text)
+	r := m.find(id)
 	if r == nil {
 		return
 	}
 	if r.answered {
-		m.broke(Lost, id, "it has been answered already")
+		m.recordViolation(Lost, id, "it has been answered already")
 	}
-	if rejection && r.class == NonIdempotent && (r.mayRun || r.out > 0) {
-		m.broke(Duplicate, id, "rejected after an attempt that may have run")
+	if rejection && r.class == NonIdempotent && (r.mayHaveRun || r.inFlight > 0) {
+		m.recordViolation(Duplicate, id, "rejected after an attempt that may have run")
 	}
 	r.answered = true
-	m.finished(r, now)
+	m.markEnded(r, now)
 }
 
 // RequestClosed records that a request's handler has ended. A client that is still there must have had its response.
 func (m *Monitor) RequestClosed(id, reason string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, "closed: "+reason)
-	if r := m.known(id); r != nil {
-		if !r.answered && r.gone == 0 {
-			m.broke(Lost, id, "closed without a response")
+	now := m.record(id, "closed: "+reason)
+	if r := m.find(id); r != nil {
+		if !r.answered && r.clientGoneAt == 0 {
+			m.recordViolation(Lost, id, "closed without a response")
 		}
-		m.finished(r, now)
+		m.markEnded(r, now)
 	}
 }
--- a/internal/platform/accept_test.go
+++ b/internal/platform/accept_test.go
@@ -19,28 +19,28 @@
 // failingListener fails to accept a number of times, as accept(2) documents, before the next connection.
 type failingListener struct {
 	system.Listener
-	errno syscall.Errno
-	left  atomic.Int64  // failures still to come
-	busy  time.Duration // delay before a call accepts, as on a busy machine
+	errno       syscall.Errno
+	failures    atomic.Int64  // failures still to come
+	acceptDelay time.Duration // delay before a call accepts, as on a busy machine
 }
 
 func (l *failingListener) Accept() (system.Conn, error) {
-	if l.left.Add(-1) >= 0 {
+	if l.failures.Add(-1) >= 0 {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", l.errno)}
 	}
-	time.Sleep(l.busy)
+	time.Sleep(l.acceptDelay)
 	return l.Listener.Accept()
 }
 
-// failing returns a listener that fails a number of times, and a function that connects to it.
-func failing(t *testing.T, errno syscall.Errno, times int64) (flaky *failingListener, dial func()) {
+// newFailingListener returns a listener that fails a number of times, and a function that connects to it.
+func newFailingListener(t *testing.T, errno syscall.Errno, times int64) (flaky *failingListener, dial func()) {
 	t.Helper()
 	listener, err := system.Real().Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	flaky = &failingListener{Listener: listener, errno: errno}
-	flaky.left.Store(times)
+	flaky.failures.Store(times)
 	return flaky, func() {
 		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-// enterFailing starts a dispatcher whose listener can fail to accept.
-func enterFailing(t *testing.T, errno syscall.Errno) (*house, *failingListener) {
+// startWithFailingListener starts a dispatcher whose listener can fail to accept.
+func startWithFailingListener(t *testing.T, errno syscall.Errno) (*house, *failingListener) {
 	t.Helper()
 	flaky := &failingListener{errno: errno}
 	env := enter(t, func(env *house, _ *Place) {
@@ -64,9 +64,9 @@
 	return env, flaky
 }
 
-// momentaryErrors are the transient errors of accept(2): descriptors or memory run short, a firewall refuses the
+// transientErrors are the transient errors of accept(2): descriptors or memory run short, a firewall refuses the
 // connection, or a network error was pending on it.
-var momentaryErrors = []syscall.Errno{
+var transientErrors = []syscall.Errno{
 	syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EPROTO, syscall.EPERM,
 	syscall.ENETDOWN, syscall.ENOPROTOOPT, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.EOPNOTSUPP,
 	syscall.ENETUNREACH, syscall.ETIMEDOUT,
@@ -74,8 +74,8 @@
 
 // After a transient accept error the next connection is still accepted.
 func TestAcceptRetriesTransientErrors(t *testing.T) {
-	for _, errno := range momentaryErrors {
-		flaky, dial := failing(t, errno, 3)
+	for _, errno := range transientErrors {
+		flaky, dial := newFailingListener(t, errno, 3)
 		limited := newLimiter(flaky, 100, quiet)
 		dial()
 		if _, err := limited.Accept(); err != nil {
@@ -88,8 +88,8 @@
 
 // A dispatcher goes on serving after transient accept errors.
 func TestDispatcherServesAfterTransientAcceptErrors(t *testing.T) {
-	env, flaky := enterFailing(t, syscall.ENOBUFS)
-	flaky.left.Store(3)
+	env, flaky := startWithFailingListener(t, syscall.ENOBUFS)
+	flaky.failures.Store(3)
 	env.client()
 	if got := env.says(env.ask("hut-booking")); got.status != 200 {
 		t.Errorf("response after the accept errors: %+v", got)
@@ -99,17 +99,17 @@
 // At shutdown, neither an accept error nor a stalled dispatcher leaves completed connections to be reset when the
 // listener closes.
 func TestFinalAcceptLosesNoCompletedConnection(t *testing.T) {
-	for _, errno := range momentaryErrors {
-		checkLastAccept(t, errno.Error(), errno, 2, 0)
+	for _, errno := range transientErrors {
+		checkFinalAccept(t, errno.Error(), errno, 2, 0)
 	}
-	checkLastAccept(t, "stalled", 0, 0, 10*drainTime)
+	checkFinalAccept(t, "stalled", 0, 0, 10*finalAcceptWait)
 }
 
-// checkLastAccept completes a connection and then stops accepting, with a listener that fails a number of times and a
+// checkFinalAccept completes a connection and then stops accepting, with a listener that fails a number of times and a
 // dispatcher that stalls for a time.
-func checkLastAccept(t *testing.T, name string, errno syscall.Errno, failures int64, stall time.Duration) {
+func checkFinalAccept(t *testing.T, name string, errno syscall.Errno, failures int64, stall time.Duration) {
 	t.Helper()
-	flaky, dial := failing(t, errno, failures)
+	flaky, dial := newFailingListener(t, errno, failures)
 	limited := newLimiter(flaky, 100, quiet)
 	dial()
 	limited.acceptBacklogOnly()
@@ -127,9 +127,9 @@
 // The time that a connection waits while accept fails counts against its request's deadline: the timeout stated to the
 // backend is at most what the client has left.
 func TestAcceptDelayCountsAgainstDeadline(t *testing.T) {
-	env, flaky := enterFailing(t, syscall.ENFILE)
-	flaky.left.Store(10) // about 0.7 s with the waits between retries
-	env.client()         // ends the pending call of accept
+	env, flaky := startWithFailingListener(t, syscall.ENFILE)
+	flaky.failures.Store(10) // about 0.7 s with the waits between retries
+	env.client()             // ends the pending call of accept
 	var waiting []*client
 	start := time.Now()
 	for range 3 {
@@ -168,8 +168,8 @@
 		"no free capacity":    {2, 0, 0},
 		"the machine is busy": {100, 8, 30 * time.Millisecond},
 	} {
-		listener, _ := failing(t, syscall.ENOBUFS, test.errors)
-		listener.busy = test.acceptDelay
+		listener, _ := newFailingListener(t, syscall.ENOBUFS, test.errors)
+		listener.acceptDelay = test.acceptDelay
 		limited := newLimiter(listener, test.maxConns, slog.New(slog.DiscardHandler))
 		var sent []time.Time
 		for range clients {
@@ -188,7 +188,7 @@
 			}
 			time.Sleep(readDelay)
 			accepted.Read(make([]byte, 1000))
-			if arrival := accepted.(*clientConn).requestCame(time.Now()); arrival.Sub(sent[i]) > tolerance {
+			if arrival := accepted.(*clientConn).requestArrival(time.Now()); arrival.Sub(sent[i]) > tolerance {
 				t.Errorf("%s: request %d is recorded as arriving %v after it was sent", name, i, arrival.Sub(sent[i]))
 			}
 			time.AfterFunc(2*readDelay, func() { accepted.Close() })
@@ -201,15 +201,15 @@
 // connecting, also if accept failed for part of that time.
 func TestIncompleteRequestTimesOutDespiteAcceptErrors(t *testing.T) {
 	const limit, failed = 3 * time.Second, 600 * time.Millisecond
-	env, flaky := enterFailing(t, syscall.ENOBUFS)
+	env, flaky := startWithFailingListener(t, syscall.ENOBUFS)
 	for name, raw := range map[string]string{
 		"half a request": "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Le",
 		"half a body":    strings.TrimSuffix(env.ask("hut-booking"), "}"),
 		"nothing":        "",
 	} {
 		t.Run(name, func(t *testing.T) {
-			flaky.left.Store(1e6)
-			time.AfterFunc(failed, func() { flaky.left.Store(0) })
+			flaky.failures.Store(1e6)
+			time.AfterFunc(failed, func() { flaky.failures.Store(0) })
 			env.client() // accepted by the call that is already pending
 			time.Sleep(20 * time.Millisecond)
 			start := time.Now()
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -14,30 +14,30 @@
 )
 
 const (
-	readChunk  = 16 << 10               // bytes read from a socket at a time
-	aheadMost  = 64 << 10               // bytes buffered of what a client pipelines behind its open request
-	lingerTime = 500 * time.Millisecond // from the shutdown of the write side to the close, unless the client closes first
-	lingerIdle = 100 * time.Millisecond // the same for a connection between requests, which is not read meanwhile
-	lingerMost = 1 << 20                // bytes read and discarded while a connection lingers
-
-	// requestMost bounds the time to receive a whole request, counted from its first byte or, for the first request,
-	// from the connection's start. A client that stops in the middle of a request must get an error or a close within
-	// 3 s.
-	requestMost = 2700 * time.Millisecond
+	readBufferSize    = 16 << 10               // bytes read from a socket at a time
+	maxPipelinedBytes = 64 << 10               // bytes buffered of what a client pipelines behind its open request
+	lingerTimeout     = 500 * time.Millisecond // from write shutdown to close, unless the client closes first
+	idleLingerTimeout = 100 * time.Millisecond // the same for a connection between requests, which is not read meanwhile
+	maxLingerBytes    = 1 << 20                // bytes read and discarded while a connection lingers
+
+	// requestReadTimeout bounds the time to receive a whole request, from its first byte or, for a connection's first
+	// request, from the connection's start. A client that stops in the middle of a request must get an error or a close
+	// within 3 s.
+	requestReadTimeout = 2700 * time.Millisecond
 )
 
 // minReportedAge is the least age of received data that is relied on: the operating system reports it in steps of some
 // milliseconds.
-const receivedLeast = 10 * time.Millisecond
+const minReportedAge = 10 * time.Millisecond
 
 // minFirstRequestTimeout is the time that a first request still has if its connection spent most of
 // requestReadTimeout waiting to be accepted.
-const requestLeast = 500 * time.Millisecond
+const minFirstRequestTimeout = 500 * time.Millisecond
 
 // firstRequestDeadline returns the time by which the first request of a connection that is accepted now must have been
 // received. The connection may have been complete since the given time.
-func firstUntil(now, complete time.Time) time.Time {
-	deadline, earliest := complete.Add(requestMost), now.Add(requestLeast)
+func firstRequestDeadline(now, complete time.Time) time.Time {
+	deadline, earliest := complete.Add(requestReadTimeout), now.Add(minFirstRequestTimeout)
 	if deadline.Before(earliest) {
 		return earliest
 	}
@@ -46,10 +46,10 @@
 
 // immediateThreshold tells what was already waiting from what has just arrived: a request or connection that is
 // returned sooner than this may have been waiting before.
-const atOnce = 10 * time.Millisecond
+const immediateThreshold = 10 * time.Millisecond
 
 // readBuffers holds buffers for one read each.
-var chunks = sync.Pool{New: func() any { return new([readChunk]byte) }}
+var readBuffers = sync.Pool{New: func() any { return new([readBufferSize]byte) }}
 
 // connState is what a client's connection is doing.
 type connState int
@@ -76,39 +76,40 @@
 // time: closing a socket with unread bytes resets the connection, which can lose the end of the last response.
 type clientConn struct {
 	system.Conn
-	raw      syscall.RawConn
-	released func(*clientConn) // called once the socket is closed
-
-	mu        sync.Mutex
-	state     connState
-	since     time.Time // when the state was entered
-	waited    time.Time // since when the connection may have waited to be accepted
-	earliest  time.Time // the connection was not complete before this
-	lastRead  time.Time // when bytes were last received from the socket
-	came      time.Time // latest time at which the current request arrived; zero: it is arriving now
-	until     time.Time // when the current request must have been received
-	deadline  time.Time // for reads, as set by net/http
-	pending   []byte    // read from the socket, not yet returned by Read
-	frame     requestFrame
-	overrun   bool  // more was pipelined behind the open request than is buffered
-	readErr   error // that ended reading for good
-	lingering bool
-	wasIdle   bool // closed between two requests: what still arrives is left unread
-	closed    bool
-	cause     closeCause // of the close
-	closedIn  connState  // state in which the connection was closed
-	writeErr  error      // of a response that could not be written
+	rawConn  syscall.RawConn
+	onClosed func(*clientConn) // called once the socket is closed
+
+	mu                 sync.Mutex
+	state              connState
+	stateSince         time.Time // when the state was entered
+	waitingSince       time.Time // since when the connection may have waited to be accepted
+	earliestCompletion time.Time // the connection was not complete before this
+	lastRead           time.Time // when bytes were last received from the socket
+	arrival            time.Time // latest time at which the current request arrived; zero: it is arriving now
+	requestDeadline    time.Time // when the current request must have been received
+	serverDeadline     time.Time // for reads, as set by net/http
+	pending            []byte    // read from the socket, not yet returned by Read
+	framer             requestFramer
+	overrun            bool  // more was pipelined behind the open request than is buffered
+	readErr            error // that ended reading for good
+	lingering          bool
+	closedIdle         bool // closed between two requests: what still arrives is left unread
+	closed             bool
+	closeCause         closeCause // of the close
+	closedInState      connState  // state in which the connection was closed
+	writeErr           error      // of a response that could not be written
 }
 
 // newClientConn wraps an accepted connection.
-func newClientConn(conn system.Conn, released func(*clientConn)) (*clientConn, error) {
+func newClientConn(conn system.Conn, onClosed func(*clientConn)) (*clientConn, error) {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
 	now := time.Now()
 	return &clientConn{
-		Conn: conn, raw: raw, released: released, since: now, waited: now, earliest: now, until: now.Add(requestMost),
+		Conn: conn, rawConn: raw, onClosed: onClosed, stateSince: now, waitingSince: now, earliestCompletion: now,
+		requestDeadline: now.Add(requestReadTimeout),
 	}, nil
 }
 
@@ -116,33 +117,33 @@
 // a deadline passes.
 func (c *clientConn) Read(p []byte) (int, error) {
 	for {
-		n, err := c.take(p)
+		n, err := c.readPending(p)
 		if n > 0 || err != nil || len(p) == 0 {
 			return n, err
 		}
-		if err := c.fill(); err != nil {
+		if err := c.readSocket(); err != nil {
 			return 0, err
 		}
 	}
 }
 
 // readPending returns buffered bytes of the current request. Zero bytes and no error mean that the socket must be read.
-func (c *clientConn) take(p []byte) (int, error) {
+func (c *clientConn) readPending(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.frame.at == afterHead && len(p) > 1 {
-		c.frame.at = unframed // net/http watches for a closed client byte by byte; this read is for something else
+	if c.framer.position == afterHead && len(p) > 1 {
+		c.framer.position = unframed // net/http watches for a closed client byte by byte; this read is for something else
 	}
 	switch {
-	case c.frame.at == afterHead || c.frame.at == afterBody:
+	case c.framer.position == afterHead || c.framer.position == afterBody:
 		return 0, c.readErr
 	case c.state == connClosing:
 		return 0, io.EOF
 	case len(c.pending) == 0:
 		return 0, c.readErr
 	}
-	n := c.frame.advance(c.pending[:min(len(p), len(c.pending))])
-	c.look()
+	n := c.framer.advance(c.pending[:min(len(p), len(c.pending))])
+	c.checkRequestEnd()
 	copy(p, c.pending[:n])
 	if c.pending = c.pending[n:]; len(c.pending) == 0 {
 		c.pending = nil
@@ -151,46 +152,46 @@
 }
 
 // checkRequestEnd updates the state once the current request has been read whole. The caller holds the lock.
-func (c *clientConn) look() {
-	if c.frame.at == afterBody && c.state != connAnswering {
-		c.enter(connAnswering)
+func (c *clientConn) checkRequestEnd() {
+	if c.framer.position == afterBody && c.state != connAnswering {
+		c.setState(connAnswering)
 	}
 }
 
 // setState enters a state. The caller holds the lock.
-func (c *clientConn) enter(state connState) {
+func (c *clientConn) setState(state connState) {
 	now := time.Now()
 	if state == connReading && c.state != connNew {
-		c.until = now.Add(requestMost)
+		c.requestDeadline = now.Add(requestReadTimeout)
 	}
-	c.state, c.since = state, now
-	c.limitRead()
+	c.state, c.stateSince = state, now
+	c.updateReadDeadline()
 }
 
 // updateReadDeadline sets the read deadline of the socket: the one that net/http has set or, within a request, the
 // request's own if it is earlier. The caller holds the lock.
-func (c *clientConn) limitRead() error {
+func (c *clientConn) updateReadDeadline() error {
 	if c.lingering {
 		return nil
 	}
-	deadline := c.deadline
-	if (c.state == connReading || c.state == connNew) && (deadline.IsZero() || c.until.Before(deadline)) {
-		deadline = c.until
+	deadline := c.serverDeadline
+	if (c.state == connReading || c.state == connNew) && (deadline.IsZero() || c.requestDeadline.Before(deadline)) {
+		deadline = c.requestDeadline
 	}
 	return c.Conn.SetReadDeadline(deadline)
 }
 
 // readSocket reads from the socket once, waiting for bytes. Reading and closing exclude each other: nothing is read
 // from a connection that is being closed.
-func (c *clientConn) fill() error {
-	err := c.raw.Read(func(fd uintptr) (done bool) {
+func (c *clientConn) readSocket() error {
+	err := c.rawConn.Read(func(fd uintptr) (done bool) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.state == connClosing && c.frame.at == inHead {
+		if c.state == connClosing && c.framer.position == inHead {
 			return true
 		}
-		chunk := chunks.Get().(*[readChunk]byte)
-		defer chunks.Put(chunk)
+		chunk := readBuffers.Get().(*[readBufferSize]byte)
+		defer readBuffers.Put(chunk)
 		n, err := c.TryRead(fd, chunk[:])
 		switch {
 		case err == syscall.EAGAIN:
@@ -202,30 +203,31 @@
 		case n == 0:
 			c.readErr = io.EOF
 		default:
-			c.keep(fd, chunk[:n])
+			c.bufferBytes(fd, chunk[:n])
 		}
 		return true
 	})
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state == connClosing && c.frame.at == inHead {
+	if c.state == connClosing && c.framer.position == inHead {
 		return io.EOF
 	}
 	return err
 }
 
 // bufferBytes buffers what was read from the socket. The caller holds the lock.
-func (c *clientConn) keep(fd uintptr, received []byte) {
+func (c *clientConn) bufferBytes(fd uintptr, received []byte) {
 	c.lastRead = time.Now()
 	switch c.state {
 	case connNew:
-		c.came = c.firstCame(fd)
-		c.enter(connReading)
+		c.arrival = c.firstArrival(fd)
+		c.setState(connReading)
 	case connIdle:
-		c.came = time.Time{}
-		c.enter(connReading)
+		c.arrival = time.Time{}
+		c.setState(connReading)
 	}
-	if (c.frame.at == afterHead || c.frame.at == afterBody) && len(c.pending)+len(received) > aheadMost {
+	if (c.framer.position == afterHead || c.framer.position == afterBody) &&
+		len(c.pending)+len(received) > maxPipelinedBytes {
 		c.overrun, c.pending = true, nil
 	}
 	if !c.overrun {
@@ -236,25 +238,25 @@
 // firstArrival returns when the connection's first bytes, which have just been read, arrived; zero means just now. They
 // may have waited as long as the connection waited to be accepted, and then until they were read. The caller holds the
 // lock.
-func (c *clientConn) firstCame(fd uintptr) time.Time {
-	if age, known := system.SinceLastReceive(fd); known && age >= receivedLeast {
-		if arrival := c.lastRead.Add(-age); arrival.After(c.earliest) {
+func (c *clientConn) firstArrival(fd uintptr) time.Time {
+	if age, known := system.SinceLastReceive(fd); known && age >= minReportedAge {
+		if arrival := c.lastRead.Add(-age); arrival.After(c.earliestCompletion) {
 			return arrival
 		}
-		return c.earliest
+		return c.earliestCompletion
 	}
-	if c.lastRead.Sub(c.since) < atOnce {
-		return c.waited
+	if c.lastRead.Sub(c.stateSince) < immediateThreshold {
+		return c.waitingSince
 	}
 	return time.Time{}
 }
 
 // setBodyLength sets how the body of the current request is framed: by its length in bytes, or in chunks.
-func (c *clientConn) begin(bodyLength int64) {
+func (c *clientConn) setBodyLength(bodyLength int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.frame.begin(bodyLength)
-	c.look()
+	c.framer.beginBody(bodyLength)
+	c.checkRequestEnd()
 }
 
 // ambiguous reports whether the current request states the end of its body in two ways. What one server takes for the
@@ -262,48 +264,48 @@
 func (c *clientConn) ambiguous() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.frame.lengths && c.frame.encoded
+	return c.framer.hasContentLength && c.framer.hasTransferEncoding
 }
 
 // reusable reports whether a further request can be read after the current one.
 func (c *clientConn) reusable() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.overrun && c.frame.at != unframed
+	return !c.overrun && c.framer.position != unframed
 }
 
 // responseDone records that the response to the current request is finished.
-func (c *clientConn) answered() {
+func (c *clientConn) responseDone() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.overrun || c.frame.at == unframed:
-		c.enter(connClosing)
+	case c.overrun || c.framer.position == unframed:
+		c.setState(connClosing)
 	case len(c.pending) > 0:
-		c.came = c.lastRead // it waited behind the request that was just answered
-		c.enter(connReading)
+		c.arrival = c.lastRead // it waited behind the request that was just answered
+		c.setState(connReading)
 	default:
-		c.enter(connIdle)
+		c.setState(connIdle)
 	}
-	c.frame.next()
+	c.framer.reset()
 }
 
 // requestArrival returns when the current request arrived if it waited behind another one or for its connection to be
 // accepted, and now otherwise.
-func (c *clientConn) requestCame(now time.Time) time.Time {
+func (c *clientConn) requestArrival(now time.Time) time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.came.IsZero() || c.came.After(now) {
+	if c.arrival.IsZero() || c.arrival.After(now) {
 		return now
 	}
-	return c.came
+	return c.arrival
 }
 
 // status returns the state of the connection and how long it has been in it.
 func (c *clientConn) status(now time.Time) (connState, time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.state, now.Sub(c.since)
+	return c.state, now.Sub(c.stateSince)
 }
 
 // closeIdle closes a connection of which no byte of a request has been read, and reports whether it did.
@@ -311,9 +313,9 @@
 	c.mu.Lock()
 	idle := unread(c.state)
 	if idle {
-		c.cause, c.closedIn = cause, c.state
-		c.enter(connClosing)
-		c.wasIdle = true
+		c.closeCause, c.closedInState = cause, c.state
+		c.setState(connClosing)
+		c.closedIdle = true
 	}
 	c.mu.Unlock()
 	if idle {
@@ -350,8 +352,8 @@
 func (c *clientConn) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.deadline = deadline
-	return c.limitRead()
+	c.serverDeadline = deadline
+	return c.updateReadDeadline()
 }
 
 // SetDeadline sets the read and the write deadline.
@@ -365,52 +367,52 @@
 // linger shuts down the write side and has the socket closed when the client has closed too, or after lingerTimeout.
 // Only the first call has an effect.
 func (c *clientConn) linger() {
-	if !c.endSending() {
+	if !c.shutdownWrite() {
 		return
 	}
 	c.mu.Lock()
-	readEnded, wasIdle := c.readErr != nil, c.wasIdle
+	readEnded, wasIdle := c.readErr != nil, c.closedIdle
 	c.mu.Unlock()
 	switch {
 	case readEnded:
 		c.abort()
 	case wasIdle:
-		time.AfterFunc(lingerIdle, c.abort)
+		time.AfterFunc(idleLingerTimeout, c.abort)
 	default:
-		go c.drain()
+		go c.discardInput()
 	}
 }
 
 // shutdownWrite shuts down the write side, and reports whether this call did it.
-func (c *clientConn) endSending() bool {
+func (c *clientConn) shutdownWrite() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.lingering {
 		return false
 	}
 	// Between two requests, whoever closes, what still arrives is left unread: a request that was read must be answered.
-	c.wasIdle = c.wasIdle || unread(c.state)
+	c.closedIdle = c.closedIdle || unread(c.state)
 	if c.state != connClosing {
-		c.closedIn = c.state
+		c.closedInState = c.state
 	}
 	c.lingering = true
-	c.enter(connClosing)
-	c.Conn.SetReadDeadline(time.Now().Add(lingerTime))
+	c.setState(connClosing)
+	c.Conn.SetReadDeadline(time.Now().Add(lingerTimeout))
 	c.Conn.CloseWrite()
 	return true
 }
 
 // discardInput reads and discards what the client still sends, and closes the socket at its end.
-func (c *clientConn) drain() {
+func (c *clientConn) discardInput() {
 	defer c.abort()
-	chunk := chunks.Get().(*[readChunk]byte)
-	defer chunks.Put(chunk)
-	for dropped := 0; dropped < lingerMost; {
+	chunk := readBuffers.Get().(*[readBufferSize]byte)
+	defer readBuffers.Put(chunk)
+	for discarded := 0; discarded < maxLingerBytes; {
 		read, err := c.Conn.Read(chunk[:])
 		if err != nil {
 			return
 		}
-		dropped += read
+		discarded += read
 	}
 }
 
@@ -422,7 +424,7 @@
 	c.mu.Unlock()
 	if first {
 		c.Conn.Close()
-		c.released(c)
+		c.onClosed(c)
 	}
 }
 
@@ -430,20 +432,20 @@
 func (c *clientConn) logClose(log *slog.Logger) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	log.Debug("connection closed", "client", c.RemoteAddr(), "cause", c.cause, "state", c.closedIn,
+	log.Debug("connection closed", "client", c.RemoteAddr(), "cause", c.closeCause, "state", c.closedInState,
 		"unanswered_bytes", len(c.pending), "write_error", c.writeErr)
 }
 
 // connContextKey is the context key of a request's connection.
-type connKey struct{}
+type connContextKey struct{}
 
 // withConn returns a context that holds a request's connection.
 func withConn(ctx context.Context, c net.Conn) context.Context {
-	return context.WithValue(ctx, connKey{}, c)
+	return context.WithValue(ctx, connContextKey{}, c)
 }
 
 // connFromContext returns the connection of a request, or nil if the context has none.
-func connOf(ctx context.Context) *clientConn {
-	c, _ := ctx.Value(connKey{}).(*clientConn)
+func connFromContext(ctx context.Context) *clientConn {
+	c, _ := ctx.Value(connContextKey{}).(*clientConn)
 	return c
 }
--- a/internal/platform/conn_test.go
+++ b/internal/platform/conn_test.go
@@ -18,9 +18,9 @@
 	"sloetrestle/internal/system"
 )
 
-// pair returns a client's connection and the dispatcher's end of it. The channel is closed with the dispatcher's
+// newConnPair returns a client's connection and the dispatcher's end of it. The channel is closed with the dispatcher's
 // socket.
-func pair(t *testing.T) (client *net.TCPConn, conn *clientConn, closed <-chan struct{}) {
+func newConnPair(t *testing.T) (client *net.TCPConn, conn *clientConn, closed <-chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,7 +51,7 @@
 // A request that arrives while its connection is being closed is either left unread, and its client sees a graceful
 // close, or read, and then the connection is not closed.
 func TestIdleCloseExcludesRead(t *testing.T) {
-	client, conn, closed := pair(t)
+	client, conn, closed := newConnPair(t)
 	if !conn.closeIdle(closedByServer) {
 		t.Fatal("a connection on which nothing arrived is not closed")
 	}
@@ -64,7 +64,7 @@
 	}
 	<-closed
 
-	client, conn, _ = pair(t)
+	client, conn, _ = newConnPair(t)
 	io.WriteString(client, "P")
 	if n, err := conn.Read(make([]byte, 100)); n != 1 || err != nil {
 		t.Fatalf("%d, %v", n, err)
@@ -76,7 +76,7 @@
 
 // Bytes of a pipelined request that have been read make a connection busy, though net/http takes it for idle.
 func TestConnectionWithPipelinedRequestIsNotIdle(t *testing.T) {
-	client, conn, _ := pair(t)
+	client, conn, _ := newConnPair(t)
 	one := "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
 	io.WriteString(client, one+"POST /next")
 	head := make([]byte, 4096)
@@ -84,11 +84,11 @@
 	if err != nil || string(head[:n]) != one[:len(one)-3] {
 		t.Fatalf("%q, %v", head[:n], err)
 	}
-	conn.begin(3)
+	conn.setBodyLength(3)
 	if n, err = conn.Read(head); err != nil || string(head[:n]) != "abc" {
 		t.Fatalf("%q, %v", head[:n], err)
 	}
-	conn.answered()
+	conn.responseDone()
 	if conn.closeIdle(closedByServer) {
 		t.Error("the connection is closed although a request has been read from it")
 	}
@@ -103,15 +103,15 @@
 		"GET / HTTP/1.1\r\nA: b\r\n\r\n", "GET / HTTP/1.1\nA: b\n\n", "GET / HTTP/1.1\r\nA: b\n\r\n",
 	} {
 		for cut := range head {
-			_, conn, _ := pair(t)
+			_, conn, _ := newConnPair(t)
 			conn.pending = []byte(head + "rest")
 			got := ""
 			for _, size := range []int{cut, len(head) + 4} {
 				into := make([]byte, size)
-				n, _ := conn.take(into)
+				n, _ := conn.readPending(into)
 				got += string(into[:n])
 			}
-			if got != head || conn.frame.at != afterHead {
+			if got != head || conn.framer.position != afterHead {
 				t.Errorf("%q cut at %d: %q", head, cut, got)
 			}
 			conn.abort()
@@ -127,7 +127,7 @@
 	conn := env.client()
 	io.WriteString(conn, env.ask("trail-info"))
 	exchange := <-prefills
-	more := strings.Repeat(env.ask("hut-booking"), 4*aheadMost/300)
+	more := strings.Repeat(env.ask("hut-booking"), 4*maxPipelinedBytes/300)
 	if _, err := io.WriteString(conn, more); err != nil {
 		t.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 	conn := env.client()
 	io.WriteString(conn, env.ask("trail-info"))
 	env.until("the attempt is in flight", func() bool { return len(env.site.Seen("r1", "POST")) == 1 })
-	io.WriteString(conn, strings.Repeat(env.ask("hut-booking"), 4*aheadMost/300))
+	io.WriteString(conn, strings.Repeat(env.ask("hut-booking"), 4*maxPipelinedBytes/300))
 	close(hold)
 	if got := conn.said(); got.status != 200 || !got.whole {
 		t.Errorf("%+v", got)
@@ -237,19 +237,19 @@
 // A connection that becomes busy after it was looked at is not closed for another one; the next candidate is.
 func TestBusyConnectionIsNotEvicted(t *testing.T) {
 	limited := newLimiter(nil, 1, quiet)
-	client, busy, _ := pair(t)
+	client, busy, _ := newConnPair(t)
 	limited.conns[busy] = true
-	busy.since = time.Now().Add(-time.Hour)
+	busy.stateSince = time.Now().Add(-time.Hour)
 	io.WriteString(client, "P")
 	busy.Read(make([]byte, 10))
-	if limited.makeRoom(time.Now()) {
+	if limited.ensureCapacity(time.Now()) {
 		t.Error("a connection whose request is being read was closed for another")
 	}
-	_, silent, _ := pair(t)
+	_, silent, _ := newConnPair(t)
 	limited.conns[silent] = true
-	silent.since = time.Now().Add(-time.Hour)
+	silent.stateSince = time.Now().Add(-time.Hour)
 	limited.maxConns = 2
-	if !limited.makeRoom(time.Now()) {
+	if !limited.ensureCapacity(time.Now()) {
 		t.Error("a silent connection was not closed for another")
 	}
 	if state, _ := busy.status(time.Now()); state != connReading {
@@ -292,19 +292,19 @@
 // countedConn counts the bytes that are read from a connection.
 type countedConn struct {
 	system.Conn
-	read atomic.Int64
+	bytesRead atomic.Int64
 }
 
 func (c *countedConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
-	c.read.Add(int64(max(n, 0)))
+	c.bytesRead.Add(int64(max(n, 0)))
 	return n, err
 }
 
 // A connection that net/http closes between two requests, because nothing arrived for long, is not read any more: a
 // request that crosses the close must stay unread, so that its client can send it elsewhere.
 func TestRequestCrossingIdleCloseIsNotRead(t *testing.T) {
-	client, conn, closed := pair(t)
+	client, conn, closed := newConnPair(t)
 	counted := &countedConn{Conn: conn.Conn}
 	conn.Conn = counted
 	conn.Close() // as net/http does when a read deadline has passed
@@ -313,7 +313,7 @@
 		t.Errorf("the client reads: %v, want EOF", err)
 	}
 	<-closed
-	if n := counted.read.Load(); n != 0 {
+	if n := counted.bytesRead.Load(); n != 0 {
 		t.Errorf("%d bytes were read and discarded", n)
 	}
 }
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -18,10 +18,10 @@
 // connection, obtains the final permission to send, and writes the request.
 
 var (
-	// errStale ends an attempt that was not sent because it was no longer permitted or no descriptor was free.
-	errStale = errors.New("attempt not sent")
-	// errCutOff ends an attempt that was cancelled while its request was being written.
-	errCutOff = errors.New("cancelled with part of the request sent")
+	// errNotSent ends an attempt that was not sent because it was no longer permitted or no descriptor was free.
+	errNotSent = errors.New("attempt not sent")
+	// errCutMidRequest ends an attempt that was cancelled while its request was being written.
+	errCutMidRequest = errors.New("cancelled with part of the request sent")
 )
 
 // connect opens a connection for an attempt and writes the whole request to it. A request that was not written whole
@@ -29,7 +29,7 @@
 func (c *transport) connect(
 	ctx, dialCtx context.Context, attempt *dispatch.Attempt, backend *reach.Host, request *payload,
 ) (*reach.Conn, func() bool, error) {
-	limit := c.connectLimit(attempt)
+	limit := c.connectTimeout(attempt)
 	var local error // why this machine could not open the previous connection
 	for start, failures := time.Now(), 0; ; {
 		conn, err := backend.Get(dialCtx)
@@ -60,19 +60,19 @@
 			// While a backend does not read the request a KV cache keeps waiting, as it would without a connection.
 			conn.SetWriteDeadline(deadline)
 		}
-		stop, err := c.put(ctx, attempt, conn, request)
+		stop, err := c.send(ctx, attempt, conn, request)
 		if err == nil {
 			return conn, stop, nil
 		}
 		conn.Drop()
-		if errors.Is(err, errStale) || errors.Is(err, errCutOff) || dialCtx.Err() != nil {
+		if errors.Is(err, errNotSent) || errors.Is(err, errCutMidRequest) || dialCtx.Err() != nil {
 			return nil, nil, err
 		}
 	}
 }
 
 // connectTimeout returns how long opening a connection for an attempt may take.
-func (c *transport) connectLimit(attempt *dispatch.Attempt) time.Duration {
+func (c *transport) connectTimeout(attempt *dispatch.Attempt) time.Duration {
 	if timeout := attempt.Planned.Connect; timeout > 0 {
 		return min(timeout, c.boxes.Limit)
 	}
@@ -82,7 +82,7 @@
 // send writes a request to a new connection if the attempt may still be sent. Only the event loop can tell: the backend
 // may have begun to drain, the client may have gone or the window for repeats may have ended while the connection was
 // being opened.
-func (c *transport) put(
+func (c *transport) send(
 	ctx context.Context, attempt *dispatch.Attempt, conn *reach.Conn, request *payload,
 ) (stop func() bool, err error) {
 	permission := c.maySend(ctx, attempt)
@@ -90,20 +90,20 @@
 		c.Stale.Add(1)
 		c.log.Debug("attempt not sent", "id", request.id, "backend", attempt.Backend.Name,
 			"number", attempt.Planned.Number, "why", permission)
-		return nil, errStale
+		return nil, errNotSent
 	}
 	timeout := attempt.Until - c.since()
 	if timeout <= 0 || attempt.Request.Over() {
 		// The end of a request is checked right here, as the event loop may not have processed it yet.
 		c.Stale.Add(1)
-		return nil, errStale
+		return nil, errNotSent
 	}
 	c.monitor.AttemptBegins(request.id, attempt.Backend.Name, attempt.Planned.Number, hasEffect(attempt), timeout)
 	stop, err = write(ctx, conn, request.head(timeout), request.body)
 	switch {
 	case err == nil:
 		c.monitor.AttemptSent(request.id, attempt.Planned.Number, hasEffect(attempt))
-	case errors.Is(err, errCutOff):
+	case errors.Is(err, errCutMidRequest):
 		c.monitor.AttemptEnds(request.id, attempt.Planned.Number, hasEffect(attempt), monitor.MayHaveRun, err.Error())
 	default:
 		c.monitor.AttemptEnds(request.id, attempt.Planned.Number, hasEffect(attempt), monitor.NeverRan, err.Error())
@@ -135,7 +135,7 @@
 	}
 	stop()
 	if ctx.Err() != nil && conn.Sent() {
-		return nil, errCutOff
+		return nil, errCutMidRequest
 	}
 	return nil, cmp.Or(err, io.ErrShortWrite)
 }
@@ -146,20 +146,20 @@
 	ctx context.Context, attempt *dispatch.Attempt, backend *reach.Host, request *payload,
 ) (conn *reach.Conn, stop func() bool, err error) {
 	if backend == nil {
-		return nil, nil, errStale // its backend has been removed
+		return nil, nil, errNotSent // its backend has been removed
 	}
 	waitCtx := ctx
 	if attempt.Planned.Connect > 0 { // a KV cache is waiting, and a descriptor may not become free in time
-		bounded, cancel := context.WithTimeout(ctx, c.connectLimit(attempt))
+		bounded, cancel := context.WithTimeout(ctx, c.connectTimeout(attempt))
 		defer cancel()
 		waitCtx = bounded
 	}
 	select {
 	case c.slots <- struct{}{}:
 	case <-waitCtx.Done():
-		return nil, nil, errStale
+		return nil, nil, errNotSent
 	}
-	dialCtx, cancel := context.WithTimeout(waitCtx, c.connectLimit(attempt))
+	dialCtx, cancel := context.WithTimeout(waitCtx, c.connectTimeout(attempt))
 	defer cancel()
 	if conn, stop, err = c.connect(ctx, dialCtx, attempt, backend, request); err != nil {
 		<-c.slots
@@ -174,22 +174,22 @@
 	switch {
 	case errors.Is(context.Cause(ctx), dispatch.ErrLeft):
 		return brain.Result{Outcome: brain.Cancelled}
-	case errors.Is(err, errCutOff):
+	case errors.Is(err, errCutMidRequest):
 		return brain.Result{Outcome: brain.TimedOut}
-	case errors.Is(err, errStale), errors.Is(err, reach.ErrLocal):
+	case errors.Is(err, errNotSent), errors.Is(err, reach.ErrLocal):
 		return brain.Result{Outcome: brain.NotSent}
 	}
 	return brain.Result{Outcome: brain.Unreachable}
 }
 
-// errNotArrived ends an attempt whose request the backend's host has not acknowledged.
-var errNotArrived = errors.New("the backend has not acknowledged the request")
+// errUnacknowledged ends an attempt whose request the backend's host has not acknowledged.
+var errUnacknowledged = errors.New("the backend has not acknowledged the request")
 
 // checkAcknowledged cancels an attempt whose request was written whole but has not been acknowledged: the KV cache that
 // it is to take keeps waiting. Only the backend knows whether the request may still run.
 func (c *transport) checkAcknowledged(attempt *dispatch.Attempt, conn *reach.Conn) {
 	if system.UnacknowledgedBytes(conn.Conn) > 0 {
 		c.Unarrived.Add(1)
-		attempt.Off(errNotArrived)
+		attempt.Off(errUnacknowledged)
 	}
 }
--- a/internal/platform/framing_test.go
+++ b/internal/platform/framing_test.go
@@ -8,19 +8,19 @@
 	"testing"
 )
 
-// framed returns how many bytes of raw belong to its first request, which is framed in pieces of the given size, and
-// whether its end was found.
-func framed(raw string, size int, r *http.Request) (int, bool) {
-	framer := requestFrame{}
+// frameRequest returns how many bytes of raw belong to its first request when they are framed in pieces of the given
+// size, and whether its end was found.
+func frameRequest(raw string, size int, r *http.Request) (int, bool) {
+	framer := requestFramer{}
 	offset, bodyBegun := 0, false
-	for offset < len(raw) && framer.at != afterBody && framer.at != unframed {
+	for offset < len(raw) && framer.position != afterBody && framer.position != unframed {
 		offset += framer.advance([]byte(raw[offset:min(offset+size, len(raw))]))
-		if framer.at == afterHead && !bodyBegun {
+		if framer.position == afterHead && !bodyBegun {
 			bodyBegun = true
-			framer.begin(r.ContentLength)
+			framer.beginBody(r.ContentLength)
 		}
 	}
-	return offset, framer.at == afterBody
+	return offset, framer.position == afterBody
 }
 
 const (
@@ -42,7 +42,7 @@
 			t.Fatal(name, err)
 		}
 		for size := 1; size <= len(raw); size++ {
-			if end, whole := framed(raw+"POST /next", size, r); !whole || end != len(raw) {
+			if end, whole := frameRequest(raw+"POST /next", size, r); !whole || end != len(raw) {
 				t.Errorf("%s in pieces of %d: %d of %d bytes, whole %t", name, size, end, len(raw), whole)
 			}
 		}
@@ -59,7 +59,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, whole := framed(raw, 7, r); whole {
+		if _, whole := frameRequest(raw, 7, r); whole {
 			t.Errorf("%q has an end", raw)
 		}
 	}
@@ -83,7 +83,7 @@
 			return
 		}
 		end := len(raw) - from.Len() - buffered.Buffered()
-		if framedEnd, whole := framed(raw, max(piece%100, 1), r); whole && framedEnd != end {
+		if framedEnd, whole := frameRequest(raw, max(piece%100, 1), r); whole && framedEnd != end {
 			t.Errorf("the request ends at %d, for net/http at %d: %q", framedEnd, end, raw)
 		}
 	})
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -20,45 +20,45 @@
 )
 
 const (
-	headTimeout  = 2300 * time.Millisecond // for a request's head, from the connection's start or the request's first byte
-	writeWait = 20 * time.Second        // for one write to a client that does not read
+	headTimeout        = 2300 * time.Millisecond // for a head, from the connection's start or its first byte
+	clientWriteTimeout = 20 * time.Second        // for one write to a client that does not read
 	clientIdleTimeout  = 10 * time.Minute        // that a client's connection may be idle while there is free capacity
-	bodyStep  = 16 << 10                // least growth of a body's buffer, in bytes
+	minBodyGrowth      = 16 << 10                // least growth of a body's buffer, in bytes
 
-	// answerLate is how long after its deadline a request is answered by the handler if the event loop has not answered
+	// answerGrace is how long after its deadline a request is answered by the handler if the event loop has not answered
 	// it. A response more than half a second late would count as lost.
-	answerLate = 200 * time.Millisecond
+	answerGrace = 200 * time.Millisecond
 )
 
 // frontend is the HTTP frontend: it receives requests from clients and writes their responses.
 type frontend struct {
-	loop    *dispatch.Loop
-	grades  map[string]int // class indices by name
-	tenants map[string]int // tenant indices by name
-	after   time.Duration  // Retry-After of a rejection for lack of capacity
-	maxOpen    int64          // bound on open requests
-	bodies  int64          // bound on the bytes of all buffered bodies
+	loop          *dispatch.Loop
+	classIndexes  map[string]int // class indices by name
+	tenantIndexes map[string]int // tenant indices by name
+	retryAfter    time.Duration  // Retry-After of a rejection for lack of capacity
+	maxOpen       int64          // bound on open requests
+	maxBodyBytes  int64          // bound on the bytes of all buffered bodies
 
-	hasBackends func() bool // reports whether some backend can serve
-	nearConnLimit    func() bool // reports whether the connection limit is near
-	ready      atomic.Bool
-	stopping   atomic.Bool   // connections are closed after their responses
-	rejectAll       atomic.Bool   // every further request is rejected
-	moveStreams        chan struct{} // closed when streams are to be continued at another dispatcher
-	openRequests      atomic.Int64  // requests that are open
-	Resubmitted      atomic.Int64  // requests that their clients sent before
-	Continuations       atomic.Int64  // requests for the rest of a stream
-	MovedStreams      atomic.Int64  // streams cut to be continued at another dispatcher
-	bodyBytes       atomic.Int64  // bytes of buffered bodies
-	LateAnswers       atomic.Int64  // requests answered by the handler, as the event loop gave no answer in time
+	hasBackends   func() bool // reports whether some backend can serve
+	nearConnLimit func() bool // reports whether the connection limit is near
+	ready         atomic.Bool
+	stopping      atomic.Bool   // connections are closed after their responses
+	rejectAll     atomic.Bool   // every further request is rejected
+	moveStreams   chan struct{} // closed when streams are to be continued at another dispatcher
+	openRequests  atomic.Int64  // requests that are open
+	Resubmitted   atomic.Int64  // requests that their clients sent before
+	Continuations atomic.Int64  // requests for the rest of a stream
+	MovedStreams  atomic.Int64  // streams cut to be continued at another dispatcher
+	bodyBytes     atomic.Int64  // bytes of buffered bodies
+	LateAnswers   atomic.Int64  // requests answered by the handler, as the event loop gave no answer in time
 
-	ids     *idRegister
-	monitor *monitor.Monitor
-	pulse   *stallDetector
-	classes []monitor.Class // by class index
-	log     *slog.Logger
-	mu      sync.Mutex
-	refused map[string]int64 // by reason
+	ids      *idRegister
+	monitor  *monitor.Monitor
+	stalls   *stallDetector
+	classes  []monitor.Class // by class index
+	log      *slog.Logger
+	mu       sync.Mutex
+	refusals map[string]int64 // by reason
 }
 
 func newFrontend(
@@ -66,46 +66,46 @@
 	log *slog.Logger,
 ) *frontend {
 	f := &frontend{
-		loop: loop, grades: map[string]int{}, tenants: map[string]int{},
-		ids: newIDRegister(longestDeadline(facts) + idsSpan), refused: map[string]int64{}, moveStreams: make(chan struct{}),
-		after: facts.Span("policyLimits.maxRetryAfterUs"), maxOpen: int64(facts.Num("policyLimits.maxOpen", 1e4)),
-		bodies:  maxBodyBytes,
-		monitor: observer, pulse: stalls, classes: monitorClasses(facts), log: log,
+		loop: loop, classIndexes: map[string]int{}, tenantIndexes: map[string]int{},
+		ids: newIDRegister(longestDeadline(facts) + idsSpan), refusals: map[string]int64{}, moveStreams: make(chan struct{}),
+		retryAfter: facts.Span("policyLimits.maxRetryAfterUs"), maxOpen: int64(facts.Num("policyLimits.maxOpen", 1e4)),
+		maxBodyBytes: maxBodyBytes,
+		monitor:      observer, stalls: stalls, classes: monitorClasses(facts), log: log,
 	}
 	for i, name := range facts.Names("requestClasses") {
-		f.grades[name] = i
+		f.classIndexes[name] = i
 	}
 	for i, name := range facts.Names("tenants") {
-		f.tenants[name] = i
+		f.tenantIndexes[name] = i
 	}
 	return f
 }
 
 // ServeHTTP serves readiness checks and chat completion requests.
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	conn := connOf(r.Context())
-	conn.begin(r.ContentLength)
+	conn := connFromContext(r.Context())
+	conn.setBodyLength(r.ContentLength)
 	if f.stopping.Load() || f.nearConnLimit() || !conn.reusable() {
 		w.Header().Set("Connection", "close")
 	}
 	if r.URL.Path == chat.Ready && (r.Method == http.MethodGet || r.Method == http.MethodHead) {
-		if f.stopping.Load() || !f.answering() {
+		if f.stopping.Load() || !f.isReady() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return
 	}
-	arrival := conn.requestCame(f.pulse.came(time.Now()))
+	arrival := conn.requestArrival(f.stalls.earliestArrival(time.Now()))
 	request, refusal := chat.Read(r)
 	if conn.ambiguous() {
 		refusal = &chat.Refusal{Status: http.StatusBadRequest, Why: "length twice"}
 	}
-	class, classKnown := f.grades[request.Grade]
-	tenant, tenantKnown := f.tenants[request.Channel]
+	class, classKnown := f.classIndexes[request.Grade]
+	tenant, tenantKnown := f.tenantIndexes[request.Channel]
 	switch {
 	case refusal != nil:
 	case !classKnown:
 		refusal = &chat.Refusal{Status: http.StatusBadRequest, Why: "class"}
-	case !tenantKnown && len(f.tenants) > 0:
+	case !tenantKnown && len(f.tenantIndexes) > 0:
 		refusal = &chat.Refusal{Status: http.StatusBadRequest, Why: "tenant"}
 	}
 	if refusal != nil {
@@ -113,22 +113,22 @@
 		return
 	}
 	if f.ids.known(request.ID) {
-		f.refuse(w, r, errKnownID) // before any response that would invite a retry
+		f.refuse(w, r, errDuplicateID) // before any response that would invite a retry
 		return
 	}
 	defer f.openRequests.Add(-1)
-	if reason := mayTake(f.rejectAll.Load(), f.openRequests.Add(1), f.maxOpen, f.loop.Behind()); reason != taken {
-		f.full(w, r, reason)
+	if reason := mayAccept(f.rejectAll.Load(), f.openRequests.Add(1), f.maxOpen, f.loop.Behind()); reason != notRejected {
+		f.reject(w, r, reason)
 		return
 	}
 	f.submit(w, r, request, class, tenant, arrival)
 }
 
-// errKnownID refuses a request whose id another request has.
-var errKnownID = &chat.Refusal{Status: http.StatusConflict, Why: "open id"}
+// errDuplicateID refuses a request whose id another request has.
+var errDuplicateID = &chat.Refusal{Status: http.StatusConflict, Why: "open id"}
 
 // isReady reports whether there are backends that can serve. Once there were, it stays true.
-func (f *frontend) answering() bool {
+func (f *frontend) isReady() bool {
 	if !f.ready.Load() && f.hasBackends() {
 		f.ready.Store(true)
 	}
@@ -137,7 +137,7 @@
 
 // refuse answers an invalid request and ends the connection: what follows on it may not be a request either.
 func (f *frontend) refuse(w http.ResponseWriter, r *http.Request, refusal *chat.Refusal) {
-	f.count(refusal.Why)
+	f.countRefusal(refusal.Why)
 	f.log.Debug("request refused", "id", r.Header.Get("X-Request-Id"), "status", refusal.Status, "why", refusal.Why,
 		"client", r.RemoteAddr)
 	w.Header().Set("Connection", "close")
@@ -147,19 +147,19 @@
 }
 
 // reject answers a request that there is no capacity for, and invites a retry.
-func (f *frontend) full(w http.ResponseWriter, r *http.Request, reason rejection) {
-	f.count("full " + string(reason))
-	w.Header().Set("Retry-After", seconds(f.after))
+func (f *frontend) reject(w http.ResponseWriter, r *http.Request, reason rejection) {
+	f.countRefusal("full " + string(reason))
+	w.Header().Set("Retry-After", formatSeconds(f.retryAfter))
 	f.refuse(w, r, &chat.Refusal{Status: http.StatusServiceUnavailable, Why: string(reason)})
 }
 
 // formatSeconds formats a duration as decimal seconds, as in Retry-After.
-func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
+func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
 // countRefusal counts a refused request by its reason.
-func (f *frontend) count(reason string) {
+func (f *frontend) countRefusal(reason string) {
 	f.mu.Lock()
-	f.refused[reason]++
+	f.refusals[reason]++
 	f.mu.Unlock()
 }
 
@@ -168,7 +168,7 @@
 	w http.ResponseWriter, r *http.Request, request chat.Ask, class, tenant int, arrival time.Time,
 ) {
 	if !f.ids.claim(request.ID) {
-		f.refuse(w, r, errKnownID)
+		f.refuse(w, r, errDuplicateID)
 		return
 	}
 	submitted := false
@@ -176,12 +176,12 @@
 	reserved := int64(0)
 	unreserve := func() { f.bodyBytes.Add(-reserved); reserved = 0 }
 	defer unreserve()
-	body, err := f.body(r, w, &reserved)
+	body, err := f.readBody(r, w, &reserved)
 	switch {
-	case errors.Is(err, errNoRoom):
-		f.full(w, r, tooMuchBytes)
+	case errors.Is(err, errBodyLimit):
+		f.reject(w, r, rejectedBodyBytes)
 		return
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, errBodyTooLong):
 		f.refuse(w, r, &chat.Refusal{Status: http.StatusRequestEntityTooLarge, Why: "body"})
 		return
 	case err != nil:
@@ -213,32 +213,32 @@
 		clientRequest.End()
 		f.monitor.ClientGone(request.ID)
 	})()
-	ctx, cancel := context.WithDeadline(r.Context(), arrival.Add(request.Left+answerLate))
+	ctx, cancel := context.WithDeadline(r.Context(), arrival.Add(request.Left+answerGrace))
 	defer cancel()
 	if !f.loop.Call(ctx, func() {
 		f.loop.Submit(clientRequest, class, tenant, request.Left-time.Since(arrival))
 	}) {
-		f.giveUp(w, r, clientRequest, ctx)
+		f.answerWithoutLoop(w, r, clientRequest, ctx)
 		return
 	}
 	attempt, final, answered := clientRequest.Start(ctx)
 	switch {
 	case !answered:
-		f.giveUp(w, r, clientRequest, ctx)
+		f.answerWithoutLoop(w, r, clientRequest, ctx)
 		return
 	case attempt == nil:
-		f.answer(w, request.ID, final)
+		f.writeFinal(w, request.ID, final)
 		return
 	}
 	outgoing.body, body = nil, nil
 	unreserve()
-	f.newPassing(w, r, clientRequest, attempt).run()
+	f.newStreamRelay(w, r, clientRequest, attempt).run()
 }
 
 // answerWithoutLoop ends a request that the event loop has not answered: its client has gone, or the loop has ended or
 // is far behind. The loop may have submitted the request, or may yet, so the response must not call a retry harmless;
 // after this call nothing more is sent for the request.
-func (f *frontend) giveUp(
+func (f *frontend) answerWithoutLoop(
 	w http.ResponseWriter, r *http.Request, clientRequest *dispatch.ClientRequest, ctx context.Context,
 ) {
 	clientRequest.End()
@@ -250,35 +250,36 @@
 		f.LateAnswers.Add(1)
 		f.log.Error("no answer from the event loop by the request's deadline", "id", clientRequest.Ask.ID,
 			"behind", f.loop.Behind())
-		f.answer(w, clientRequest.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
+		f.writeFinal(w, clientRequest.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
 	default:
-		f.answer(w, clientRequest.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: string(stoppedNow)})
+		f.writeFinal(w, clientRequest.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: string(rejectedAtShutdown)})
 	}
 }
 
-// errNoRoom ends reading a body that would exceed the memory for all bodies.
-var errNoRoom = errors.New("buffered request bodies exceed their limit")
+// errBodyLimit ends reading a body that would exceed the memory for all bodies.
+var errBodyLimit = errors.New("buffered request bodies exceed their limit")
 
-// errTooLong ends reading a body that is longer than any request's may be.
-var errTooLong = errors.New("request body is too long")
+// errBodyTooLong ends reading a body that is longer than any request's may be.
+var errBodyTooLong = errors.New("request body is too long")
 
 // readBody reads a request's body. Memory is reserved as bytes arrive, not by the announced length.
-func (f *frontend) body(r *http.Request, w http.ResponseWriter, reserved *int64) (body []byte, err error) {
+func (f *frontend) readBody(r *http.Request, w http.ResponseWriter, reserved *int64) (body []byte, err error) {
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Now().Add(requestMost)) // the connection applies the earlier deadline of the request
+	// The connection applies the request's own deadline, which is earlier.
+	control.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	for err == nil {
 		if len(body) == cap(body) {
-			step := bodyRoom(r.ContentLength, len(body))
+			step := bodyGrowth(r.ContentLength, len(body))
 			*reserved += int64(step)
-			if f.bodyBytes.Add(int64(step)) > f.bodies {
-				return nil, errNoRoom
+			if f.bodyBytes.Add(int64(step)) > f.maxBodyBytes {
+				return nil, errBodyLimit
 			}
 			body = append(make([]byte, 0, len(body)+step), body...)
 		}
 		var n int
 		n, err = r.Body.Read(body[len(body):cap(body)])
 		if body = body[:len(body)+n]; len(body) > chat.BodyMost {
-			return nil, errTooLong
+			return nil, errBodyTooLong
 		}
 	}
 	control.SetReadDeadline(time.Time{})
@@ -290,8 +291,8 @@
 
 // bodyGrowth returns by how many bytes to grow the buffer of a body of which so much has arrived. A negative length is
 // unknown.
-func bodyRoom(length int64, received int) int {
-	step := max(bodyStep, received)
+func bodyGrowth(length int64, received int) int {
+	step := max(minBodyGrowth, received)
 	if length >= 0 {
 		step = min(step, int(length)-received)
 	}
@@ -299,14 +300,14 @@
 }
 
 // writeFinal writes the final response of a request of which nothing was streamed.
-func (f *frontend) answer(w http.ResponseWriter, id string, final kserve.Final) {
+func (f *frontend) writeFinal(w http.ResponseWriter, id string, final kserve.Final) {
 	if final.Final != kserve.Declined {
 		f.monitor.Answered(id, http.StatusBadGateway, false, nil)
 		http.Error(w, final.Error, http.StatusBadGateway)
 		return
 	}
 	if final.AfterMs > 0 {
-		w.Header().Set("Retry-After", seconds(time.Duration(final.AfterMs)*time.Millisecond))
+		w.Header().Set("Retry-After", formatSeconds(time.Duration(final.AfterMs)*time.Millisecond))
 	}
 	f.monitor.Answered(id, http.StatusServiceUnavailable, true, nil)
 	http.Error(w, final.Error, http.StatusServiceUnavailable)
@@ -316,5 +317,5 @@
 func (f *frontend) refusalCounts() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return fmt.Sprint(f.refused)
+	return fmt.Sprint(f.refusals)
 }
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -9,10 +9,10 @@
 type closeCause int
 
 const (
-	closedByServer closeCause = iota // by net/http: after a response that said so, an unreadable request or a deadline
-	closedForRoom                    // another connection needs its descriptor
-	closedByStop                     // the dispatcher is shutting down
-	closedAsSilent                   // the dispatcher is shutting down, and the connection has sent nothing for long
+	closedByServer    closeCause = iota // by net/http: after a response that said so, an unreadable request or a deadline
+	closedForCapacity                   // another connection needs its descriptor
+	closedByShutdown                    // the dispatcher is shutting down
+	closedAsSilent                      // the dispatcher is shutting down, and the connection has sent nothing for long
 )
 
 // String returns the name of the cause in logs.
@@ -24,9 +24,9 @@
 // connections of which no byte of a request has been read may be: what was read must be answered.
 func mayClose(cause closeCause, state connState, age time.Duration) bool {
 	switch cause {
-	case closedForRoom:
-		return state == connNew && age > silentFor || state == connIdle && age > idleFor
-	case closedByStop:
+	case closedForCapacity:
+		return state == connNew && age > silentEvictAfter || state == connIdle && age > idleEvictAfter
+	case closedByShutdown:
 		return state == connIdle
 	case closedAsSilent:
 		return state == connIdle || state == connNew && age >= silentMost
@@ -41,29 +41,29 @@
 type rejection string
 
 const (
-	taken        rejection = ""
-	stoppedNow   rejection = "stopped"
-	tooManyOpen  rejection = "questions"
-	tooMuchBytes rejection = "bodies"
-	loopBehind   rejection = "event loop"
+	notRejected          rejection = ""
+	rejectedAtShutdown   rejection = "stopped"
+	rejectedOpenRequests rejection = "questions"
+	rejectedBodyBytes    rejection = "bodies"
+	rejectedLoopLag      rejection = "event loop"
 )
 
-// behindMost is the event loop's lag up to which a further request is accepted. The request would wait as long before
+// maxLoopLag is the event loop's lag up to which a further request is accepted. The request would wait as long before
 // it is processed, and so would everything that is due for the others.
-const behindMost = 250 * time.Millisecond
+const maxLoopLag = 250 * time.Millisecond
 
 // mayAccept reports whether a further request may be accepted, or why not, given the number of open requests including
 // it, and the event loop's lag.
-func mayTake(stopped bool, open, limit int64, lag time.Duration) rejection {
+func mayAccept(stopped bool, open, limit int64, lag time.Duration) rejection {
 	switch {
 	case stopped:
-		return stoppedNow
+		return rejectedAtShutdown
 	case open > limit:
-		return tooManyOpen
-	case lag > behindMost:
-		return loopBehind
+		return rejectedOpenRequests
+	case lag > maxLoopLag:
+		return rejectedLoopLag
 	}
-	return taken
+	return notRejected
 }
 
 // mayExit reports whether a process that is shutting down may exit: each connection has had its response and is closed.
--- a/internal/platform/limiter.go
+++ b/internal/platform/limiter.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	silentFor = 50 * time.Millisecond // after which a connection that has sent nothing may be closed for another
-	idleFor   = 2 * time.Second       // after which a connection between two requests may be closed for another
-	roomWait  = 10 * time.Millisecond // between two checks for free capacity
+	silentEvictAfter     = 50 * time.Millisecond // for which a connection must send nothing to be evicted
+	idleEvictAfter       = 2 * time.Second       // for which a connection must be between two requests to be evicted
+	capacityPollInterval = 10 * time.Millisecond // between two checks for free capacity
 
-	// waitMost is the longest time that a connection is assumed to have waited to be accepted.
-	waitMost = 3 * time.Second
+	// maxAcceptWait is the longest time that a connection is assumed to have waited to be accepted.
+	maxAcceptWait = 3 * time.Second
 
 	// At the end of accepting, connections that the operating system has already completed are still accepted. Each
-	// call of Accept waits drainTime for one, and drainLeast once drainMost has passed.
-	drainTime  = 20 * time.Millisecond
-	drainLeast = time.Millisecond
-	drainMost  = 100 * time.Millisecond
-
-	backlogTime  = 200 * time.Millisecond // after an accept error, within which older connections may be accepted
-	lastRounds   = 50                     // calls of Accept at the end of accepting, as errors or stalls may spoil some
-	lastRoomWait = 200 * time.Millisecond // at the end of accepting, for capacity for a completed connection
+	// call of Accept waits finalAcceptWait for one, and minFinalAcceptWait once finalAcceptPeriod has passed.
+	finalAcceptWait    = 20 * time.Millisecond
+	minFinalAcceptWait = time.Millisecond
+	finalAcceptPeriod  = 100 * time.Millisecond
+
+	acceptErrorWindow = 200 * time.Millisecond // after an accept error, within which older connections may be accepted
+	maxFinalAccepts   = 50                     // calls of Accept at the end of accepting, if errors or stalls spoil some
+	finalCapacityWait = 200 * time.Millisecond // at the end of accepting, for capacity for a completed connection
 )
 
 const (
-	// crowdedShare is the share of the connection limit above which responses end their connections. A connection that
+	// nearLimitShare is the share of the connection limit above which responses end their connections. A connection that
 	// has just had its response could otherwise not be closed for idleEvictAfter, and clients that send one request and
 	// stay connected would shut out the others.
-	crowdedShare = 0.5
+	nearLimitShare = 0.5
 	// closingShare is how many connections that are being closed may be open beside the others, as a share of the
 	// limit.
 	closingShare = 0.1
@@ -48,25 +48,27 @@
 // limiter accepts clients' connections and bounds how many are open. At the limit, the oldest connection that is silent
 // or idle is closed for the next one; if there is none, the next one waits in the listener's backlog.
 type limiter struct {
-	listener system.Listener
-	maxConns     int // connections that may be open
-	mu       sync.Mutex
-	conns    map[*clientConn]bool
-	draining bool         // connections without an open request are closed
-	failures timeSpan     // of the latest accept errors; used by the accepting goroutine only
-	opened   time.Time    // since when connections may have been completed
-	ending   time.Time    // when acceptBacklogOnly was called; set before backlogOnly
-	last     atomic.Bool  // completed connections are still accepted, and no others
-	Evicted   atomic.Int64 // connections closed for others
-	CapacityWaits   atomic.Int64 // checks that found no capacity
-	AcceptErrors   atomic.Int64 // accept errors that were retried
+	listener         system.Listener
+	maxConns         int // connections that may be open
+	mu               sync.Mutex
+	conns            map[*clientConn]bool
+	draining         bool         // connections without an open request are closed
+	acceptFailures   timeSpan     // of the latest accept errors; used by the accepting goroutine only
+	listeningSince   time.Time    // since when connections may have been completed
+	backlogOnlySince time.Time    // when acceptBacklogOnly was called; set before backlogOnly
+	backlogOnly      atomic.Bool  // completed connections are still accepted, and no others
+	Evicted          atomic.Int64 // connections closed for others
+	CapacityWaits    atomic.Int64 // checks that found no capacity
+	AcceptErrors     atomic.Int64 // accept errors that were retried
 	ClosedUnread     atomic.Int64 // connections closed unread at shutdown for lack of capacity
-	log      *slog.Logger
+	log              *slog.Logger
 }
 
 // newLimiter returns a limiter of the connections of a listener.
 func newLimiter(listener system.Listener, maxConns int, log *slog.Logger) *limiter {
-	return &limiter{listener: listener, maxConns: maxConns, log: log, conns: map[*clientConn]bool{}, opened: time.Now()}
+	return &limiter{
+		listener: listener, maxConns: maxConns, log: log, conns: map[*clientConn]bool{}, listeningSince: time.Now(),
+	}
 }
 
 // Addr returns the listener's address.
@@ -80,22 +82,22 @@
 func (l *limiter) Accept() (net.Conn, error) {
 	var backoff system.Backoff
 	for {
-		waitedSince := l.awaitRoom()
+		waitedSince := l.awaitCapacity()
 		start := time.Now()
 		conn, err := l.listener.Accept()
-		if err != nil && l.last.Load() {
-			conn, err = l.acceptCompleted()
+		if err != nil && l.backlogOnly.Load() {
+			conn, err = l.nextFromBacklog()
 		}
 		switch {
 		case err == nil:
-			if c, err := l.admit(conn, l.completedAt(waitedSince, start), l.waitingSince(time.Now())); err == nil {
+			if c, err := l.admit(conn, l.completeSince(waitedSince, start), l.earliestCompletion(time.Now())); err == nil {
 				return c, nil
 			}
 			conn.Close()
 		case errors.Is(err, net.ErrClosed), errors.Is(err, http.ErrServerClosed):
 			return nil, err
 		default:
-			l.failed(start, err)
+			l.recordAcceptError(start, err)
 			backoff.Wait()
 		}
 	}
@@ -103,13 +105,13 @@
 
 // completeSince returns since when a connection that was accepted now may have been complete. If the call of accept
 // found it waiting, that is for as long as there was no capacity or accept failed.
-func (l *limiter) completedAt(waitedSince, start time.Time) time.Time {
+func (l *limiter) completeSince(waitedSince, start time.Time) time.Time {
 	now := time.Now()
 	switch {
-	case now.Sub(start) > atOnce:
+	case now.Sub(start) > immediateThreshold:
 		return now // accept waited for it
-	case now.Sub(l.failures.to) < backlogTime:
-		return l.failures.from
+	case now.Sub(l.acceptFailures.to) < acceptErrorWindow:
+		return l.acceptFailures.from
 	case !waitedSince.IsZero():
 		return waitedSince
 	}
@@ -119,22 +121,22 @@
 // earliestCompletion returns the earliest time at which a connection that was accepted now was complete. The duration
 // of the call shows nothing: on a busy machine a call that finds a connection waiting takes as long as one that waits
 // for it.
-func (l *limiter) waitingSince(now time.Time) time.Time {
-	if earliest := now.Add(-waitMost); earliest.After(l.opened) {
+func (l *limiter) earliestCompletion(now time.Time) time.Time {
+	if earliest := now.Add(-maxAcceptWait); earliest.After(l.listeningSince) {
 		return earliest
 	}
-	return l.opened
+	return l.listeningSince
 }
 
 // awaitCapacity waits until one more connection may be open or accepting ends. It returns when it began to wait, or
 // zero if there was capacity at once.
-func (l *limiter) awaitRoom() (since time.Time) {
-	for !l.last.Load() && !l.makeRoom(time.Now()) {
+func (l *limiter) awaitCapacity() (since time.Time) {
+	for !l.backlogOnly.Load() && !l.ensureCapacity(time.Now()) {
 		if since.IsZero() {
 			since = time.Now()
 		}
 		l.CapacityWaits.Add(1)
-		time.Sleep(roomWait)
+		time.Sleep(capacityPollInterval)
 	}
 	return since
 }
@@ -143,14 +145,14 @@
 // the listener if none is left. Closing a listener resets the connections that wait in it and loses their requests, so
 // it is closed only after a call that found none: neither a transient error nor a deadline that passed before the call
 // shows that.
-func (l *limiter) acceptCompleted() (system.Conn, error) {
+func (l *limiter) nextFromBacklog() (system.Conn, error) {
 	var backoff system.Backoff
-	for round := 0; round < lastRounds; round++ {
-		l.awaitLastRoom()
+	for round := 0; round < maxFinalAccepts; round++ {
+		l.awaitFinalCapacity()
 		start := time.Now()
-		wait := drainTime
-		if start.Sub(l.ending) > drainMost {
-			wait = drainLeast // a trickle of connections must not keep the listener open
+		wait := finalAcceptWait
+		if start.Sub(l.backlogOnlySince) > finalAcceptPeriod {
+			wait = minFinalAcceptWait // a trickle of connections must not keep the listener open
 		}
 		l.listener.SetDeadline(start.Add(wait))
 		conn, err := l.listener.Accept()
@@ -158,7 +160,7 @@
 			return conn, err
 		}
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
-			l.failed(start, err)
+			l.recordAcceptError(start, err)
 			backoff.Wait()
 		} else if time.Since(start) < 2*wait {
 			break // the call began at once, and nothing arrived while it waited
@@ -170,27 +172,28 @@
 
 // awaitFinalCapacity waits for a bounded time until one more connection may be open: at shutdown, idle connections are
 // being closed.
-func (l *limiter) awaitLastRoom() {
-	for deadline := time.Now().Add(lastRoomWait); l.count() >= l.maxConns+l.closingMost() && time.Now().Before(deadline); {
-		time.Sleep(roomWait)
+func (l *limiter) awaitFinalCapacity() {
+	for deadline := time.Now().Add(finalCapacityWait); l.count() >= l.maxConns+l.maxClosing() &&
+		time.Now().Before(deadline); {
+		time.Sleep(capacityPollInterval)
 	}
 }
 
-// errNoPlace refuses a connection over the limit.
-var errNoPlace = errors.New("too many connections are open")
+// errConnLimit refuses a connection over the limit.
+var errConnLimit = errors.New("too many connections are open")
 
 // admit wraps and registers a connection that may have been complete since complete, and was not before earliest.
 func (l *limiter) admit(conn system.Conn, complete, earliest time.Time) (net.Conn, error) {
-	if l.last.Load() && l.count() >= l.maxConns+l.closingMost() {
+	if l.backlogOnly.Load() && l.count() >= l.maxConns+l.maxClosing() {
 		l.ClosedUnread.Add(1)
-		return nil, errNoPlace
+		return nil, errConnLimit
 	}
-	client, err := newClientConn(conn, l.forget)
+	client, err := newClientConn(conn, l.remove)
 	if err != nil {
 		return nil, err
 	}
-	client.waited, client.earliest = complete, earliest
-	client.until = firstUntil(time.Now(), complete)
+	client.waitingSince, client.earliestCompletion = complete, earliest
+	client.requestDeadline = firstRequestDeadline(time.Now(), complete)
 	l.mu.Lock()
 	l.conns[client] = true
 	l.mu.Unlock()
@@ -198,33 +201,33 @@
 }
 
 // recordAcceptError records an accept error that is retried.
-func (l *limiter) failed(start time.Time, err error) {
+func (l *limiter) recordAcceptError(start time.Time, err error) {
 	now := time.Now()
-	if now.Sub(l.failures.to) > backlogTime {
-		l.failures.from = start
+	if now.Sub(l.acceptFailures.to) > acceptErrorWindow {
+		l.acceptFailures.from = start
 	}
-	l.failures.to = now
+	l.acceptFailures.to = now
 	l.AcceptErrors.Add(1)
 	l.log.Warn("accept failed", "error", err)
 }
 
 // maxClosing returns how many connections that are being closed may be open beside the others.
-func (l *limiter) closingMost() int { return max(int(closingShare*float64(l.maxConns)), 1) }
+func (l *limiter) maxClosing() int { return max(int(closingShare*float64(l.maxConns)), 1) }
 
 // acceptBacklogOnly has Accept return the connections that are already complete, and then end.
 func (l *limiter) acceptBacklogOnly() {
-	l.ending = time.Now()
-	l.last.Store(true)
-	l.listener.SetDeadline(l.ending) // ends an Accept that is waiting; nextFromBacklog takes over
+	l.backlogOnlySince = time.Now()
+	l.backlogOnly.Store(true)
+	l.listener.SetDeadline(l.backlogOnlySince) // ends an Accept that is waiting; nextFromBacklog takes over
 }
 
 // ensureCapacity reports whether there is capacity for a connection, closing another one for it if necessary.
-func (l *limiter) makeRoom(now time.Time) bool {
+func (l *limiter) ensureCapacity(now time.Time) bool {
 	if l.count() < l.maxConns {
 		return true
 	}
 	open, closing := 0, 0
-	var victim, lingering oldest
+	var victim, lingering evictionCandidate
 	l.mu.Lock()
 	for c := range l.conns {
 		state, age := c.status(now)
@@ -234,18 +237,18 @@
 			continue
 		}
 		open++
-		if mayClose(closedForRoom, state, age) {
+		if mayClose(closedForCapacity, state, age) {
 			victim.consider(c, state, age)
 		}
 	}
 	l.mu.Unlock()
-	if closing >= l.closingMost() {
+	if closing >= l.maxClosing() {
 		lingering.conn.abort()
 	}
 	if open < l.maxConns {
 		return true
 	}
-	if victim.conn == nil || !victim.conn.closeIdle(closedForRoom) {
+	if victim.conn == nil || !victim.conn.closeIdle(closedForCapacity) {
 		return false
 	}
 	l.Evicted.Add(1)
@@ -254,27 +257,27 @@
 
 // evictionCandidate is the connection that has been longest in its state. Connections that have sent nothing yet go
 // before the others.
-type oldest struct {
+type evictionCandidate struct {
 	conn  *clientConn
 	state connState
-	since time.Duration
+	age   time.Duration
 }
 
-func (o *oldest) consider(c *clientConn, state connState, age time.Duration) {
+func (o *evictionCandidate) consider(c *clientConn, state connState, age time.Duration) {
 	switch {
 	case o.conn == nil:
 	case o.state != state:
 		if state != connNew {
 			return
 		}
-	case age <= o.since:
+	case age <= o.age:
 		return
 	}
-	*o = oldest{c, state, age}
+	*o = evictionCandidate{c, state, age}
 }
 
 // remove is called when a connection's socket has been closed.
-func (l *limiter) forget(c *clientConn) {
+func (l *limiter) remove(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
@@ -287,12 +290,12 @@
 	if !ok || state != http.StateIdle {
 		return
 	}
-	c.answered()
+	c.responseDone()
 	l.mu.Lock()
 	draining := l.draining
 	l.mu.Unlock()
 	if draining {
-		c.closeIdle(closedByStop)
+		c.closeIdle(closedByShutdown)
 	}
 }
 
@@ -302,14 +305,14 @@
 	l.mu.Lock()
 	l.draining = true
 	l.mu.Unlock()
-	l.closeEach(closedByStop)
+	l.closeEligible(closedByShutdown)
 }
 
 // closeSilent closes connections that have sent nothing for long, and those between two requests.
-func (l *limiter) closeSilent() { l.closeEach(closedAsSilent) }
+func (l *limiter) closeSilent() { l.closeEligible(closedAsSilent) }
 
 // closeEligible closes the connections that may be closed for the given cause.
-func (l *limiter) closeEach(cause closeCause) {
+func (l *limiter) closeEligible(cause closeCause) {
 	l.mu.Lock()
 	now := time.Now()
 	var eligible []*clientConn
@@ -325,7 +328,7 @@
 }
 
 // NearLimit reports whether responses should end their connections.
-func (l *limiter) NearLimit() bool { return float64(l.count()) > crowdedShare*float64(l.maxConns) }
+func (l *limiter) NearLimit() bool { return float64(l.count()) > nearLimitShare*float64(l.maxConns) }
 
 // count returns how many connections are open, including those that are being closed.
 func (l *limiter) count() int {
--- a/internal/platform/loop_lag_test.go
+++ b/internal/platform/loop_lag_test.go
@@ -37,7 +37,7 @@
 	done := make(chan struct{})
 	env.node.loop.Post(func() { <-done })
 	env.node.loop.Post(func() {})
-	time.Sleep(behindMost + 50*time.Millisecond)
+	time.Sleep(maxLoopLag + 50*time.Millisecond)
 	if got := env.says(env.ask("hut-booking")); got.status != 503 {
 		t.Errorf("%+v", got)
 	}
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -762,8 +762,8 @@
 	}
 	h.settled()
 	h.until("no connection to them is left", func() bool { return h.node.transport.boxes.Known() == 3 })
-	if len(h.node.frontend.ids.open) != 0 || len(h.node.frontend.refused) != 0 {
-		t.Errorf("%d ids, %d reasons", len(h.node.frontend.ids.open), len(h.node.frontend.refused))
+	if len(h.node.frontend.ids.open) != 0 || len(h.node.frontend.refusals) != 0 {
+		t.Errorf("%d ids, %d reasons", len(h.node.frontend.ids.open), len(h.node.frontend.refusals))
 	}
 }
 
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -188,7 +188,7 @@
 	}
 	time.Sleep(20 * time.Millisecond) // for the last token to be passed on
 	close(h.node.frontend.moveStreams)
-	time.Sleep(cutWait + 50*time.Millisecond)
+	time.Sleep(moveGrace + 50*time.Millisecond)
 	finish <- true
 	if got := c.said(); !got.whole || !strings.Contains(got.text, "[DONE]") {
 		t.Errorf("%+v", got)
--- a/internal/system/replace.go
+++ b/internal/system/replace.go
@@ -7,13 +7,13 @@
 )
 
 // tempSuffix is appended to a file's name while the new file is being written.
-const newSuffix = ".new"
+const tempSuffix = ".new"
 
 // ReplaceFile replaces a file by one with the given contents. When it returns nil the new file has been synced to disk;
 // if the process is killed, or the disk is full or fails, the old file stays as it was.
 func ReplaceFile(path string, contents []byte, mode os.FileMode) error {
-	temp := path + newSuffix
-	if err := writeSynced(temp, contents, mode); err != nil {
+	temp := path + tempSuffix
+	if err := writeAndSync(temp, contents, mode); err != nil {
 		os.Remove(temp)
 		return err
 	}
@@ -21,11 +21,11 @@
 		os.Remove(temp)
 		return err
 	}
-	return syncFolder(filepath.Dir(path))
+	return syncDir(filepath.Dir(path))
 }
 
 // writeAndSync writes a file and syncs it to disk.
-func writeSynced(path string, contents []byte, mode os.FileMode) error {
+func writeAndSync(path string, contents []byte, mode os.FileMode) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, mode)
 	if err != nil {
 		return err
@@ -37,7 +37,7 @@
 }
 
 // syncDir syncs a directory's entries to disk.
-func syncFolder(path string) error {
+func syncDir(path string) error {
 	dir, err := os.Open(path)
 	if err != nil {
 		return err
--- a/internal/system/replace_test.go
+++ b/internal/system/replace_test.go
@@ -14,7 +14,7 @@
 	if err := ReplaceFile(path, []byte("old"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Symlink("/dev/full", path+newSuffix); err != nil {
+	if err := os.Symlink("/dev/full", path+tempSuffix); err != nil {
 		t.Fatal(err)
 	}
 	if err := ReplaceFile(path, []byte("new"), 0o644); !errors.Is(err, syscall.ENOSPC) {
--- a/internal/system/retry.go
+++ b/internal/system/retry.go
@@ -9,8 +9,8 @@
 
 // Bounds of the wait between two calls that failed with a transient error.
 const (
-	retryFirst = time.Millisecond
-	retryMost  = 100 * time.Millisecond
+	minBackoff = time.Millisecond
+	maxBackoff = 100 * time.Millisecond
 )
 
 // Backoff spaces the retries of a call that fails with transient errors: each wait is twice as long as the one before,
@@ -19,7 +19,7 @@
 
 // Wait sleeps before the next call.
 func (r *Backoff) Wait() {
-	r.wait = min(max(2*r.wait, retryFirst), retryMost)
+	r.wait = min(max(2*r.wait, minBackoff), maxBackoff)
 	time.Sleep(r.wait)
 }
 
@@ -51,7 +51,7 @@
 
 // openTimeout bounds the retries of OpenWithRetry. A process that exits for want of a socket has failed; one that waits
 // may still start.
-const startTime = 25 * time.Second
+const openTimeout = 25 * time.Second
 
 // OpenWithRetry calls a function that opens a socket until it succeeds or openTimeout has passed: a process that has
 // just ended may still hold the address, and descriptors may run short for a moment. An invalid address is not retried.
@@ -60,7 +60,7 @@
 	for start := time.Now(); ; {
 		opened, err := open()
 		var addressError *net.AddrError
-		if err == nil || errors.As(err, &addressError) || time.Since(start) >= startTime {
+		if err == nil || errors.As(err, &addressError) || time.Since(start) >= openTimeout {
 			return opened, err
 		}
 		backoff.Wait()
