--- a/internal/monitor/monitor.go
+++ b/internal/monitor/monitor.go
@@ -62,9 +62,9 @@
 
 // event is an entry of the ring.
 type event struct {
-	time time.Duration
-	id   string
-	text string
+	timestamp time.Duration
+	id        string
+	text      string
 }
 
 // request is what the monitor knows of a request. Its times count from the start of the monitor's clock.
@@ -139,7 +139,7 @@
 	var events []string
 	for i := max(m.next-maxEvents, 0); i < m.next; i++ {
 		if e := m.ring[i%maxEvents]; e.id == id {
-			events = append(events, fmt.Sprintf("%.3f %s", e.time.Seconds(), e.text))
+			events = append(events, fmt.Sprintf("%.3f %s", e.timestamp.Seconds(), e.text))
 		}
 	}
 	m.Log.Error("rule broken", "rule", rule, "id", id, "why", reason, "events", strings.Join(events, "; "))
--- a/internal/platform/limiter.go
+++ b/internal/platform/limiter.go
@@ -263,17 +263,17 @@
 	age   time.Duration
 }
 
-func (o *evictionCandidate) consider(c *clientConn, state connState, age time.Duration) {
+func (e *evictionCandidate) consider(c *clientConn, state connState, age time.Duration) {
 	switch {
-	case o.conn == nil:
-	case o.state != state:
+	case e.conn == nil:
+	case e.state != state:
 		if state != connNew {
 			return
 		}
-	case age <= o.age:
+	case age <= e.age:
 		return
 	}
-	*o = evictionCandidate{c, state, age}
+	*e = evictionCandidate{c, state, age}
 }
 
 // remove is called when a connection's socket has been closed.
--- a/internal/platform/stall.go
+++ b/internal/platform/stall.go
@@ -24,7 +24,7 @@
 func newStallDetector(now time.Time) *stallDetector { return &stallDetector{lastTick: now} }
 
 // run checks the clock until the context ends.
-func (p *stallDetector) run(ctx context.Context) {
+func (d *stallDetector) run(ctx context.Context) {
 	tick := time.NewTicker(stallCheckInterval)
 	defer tick.Stop()
 	for {
@@ -32,38 +32,38 @@
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-			p.tick(time.Now())
+			d.tick(time.Now())
 		}
 	}
 }
 
 // tick records a time at which the process runs.
-func (p *stallDetector) tick(now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if now.Sub(p.lastTick) >= minStall {
-		p.stallStart, p.stallEnd = p.lastTick, now
+func (d *stallDetector) tick(now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if now.Sub(d.lastTick) >= minStall {
+		d.stallStart, d.stallEnd = d.lastTick, now
 	}
-	if now.After(p.lastTick) {
-		p.lastTick = now
+	if now.After(d.lastTick) {
+		d.lastTick = now
 	}
 }
 
 // earliestArrival returns the earliest time at which something that is read now may have arrived.
-func (p *stallDetector) earliestArrival(now time.Time) time.Time {
-	p.tick(now)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if now.Sub(p.stallEnd) < stallSettleTime {
-		return p.stallStart
+func (d *stallDetector) earliestArrival(now time.Time) time.Time {
+	d.tick(now)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if now.Sub(d.stallEnd) < stallSettleTime {
+		return d.stallStart
 	}
 	return now
 }
 
 // stalledSince reports whether the process has stalled after a time. What was found out before may no longer hold.
-func (p *stallDetector) stalledSince(then, now time.Time) bool {
-	p.tick(now)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.stallEnd.After(then)
+func (d *stallDetector) stalledSince(then, now time.Time) bool {
+	d.tick(now)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.stallEnd.After(then)
 }
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -36,80 +36,80 @@
 
 // run relays events as they arrive. A stream that breaks ends the client's connection without the last chunk, as a
 // plain return would mark the response as complete.
-func (p *streamRelay) run() {
-	p.frontend.monitor.Answered(p.request.Ask.ID, http.StatusOK, false, nil)
-	p.w.Header().Set("Content-Type", "text/event-stream")
-	p.w.Header()["Date"] = nil
-	cut := p.frontend.moveStreams
+func (s *streamRelay) run() {
+	s.frontend.monitor.Answered(s.request.Ask.ID, http.StatusOK, false, nil)
+	s.w.Header().Set("Content-Type", "text/event-stream")
+	s.w.Header()["Date"] = nil
+	cut := s.frontend.moveStreams
 	var overdue <-chan time.Time
 	for {
 		select {
-		case events, more := <-p.attempt.Tokens:
-			if !more || !p.write(events) {
-				p.finish()
+		case events, more := <-s.attempt.Tokens:
+			if !more || !s.write(events) {
+				s.finish()
 				return
 			}
-			if p.frontend.movingStreams() && p.midway() {
-				p.moveStream()
+			if s.frontend.movingStreams() && s.midway() {
+				s.moveStream()
 			}
 		case <-cut:
 			cut, overdue = nil, time.After(moveGrace)
 		case <-overdue:
 			overdue = nil
-			if p.midway() {
-				p.moveStream()
+			if s.midway() {
+				s.moveStream()
 			}
-		case <-p.ctx.Done():
-			p.abort()
+		case <-s.ctx.Done():
+			s.abort()
 		}
 	}
 }
 
 // write writes events and all that are queued behind them, and reports whether the stream goes on.
-func (p *streamRelay) write(events []byte) (more bool) {
-	p.control.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+func (s *streamRelay) write(events []byte) (more bool) {
+	s.control.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	for more = true; more; {
-		if _, err := p.w.Write(events); err != nil {
-			p.abort()
+		if _, err := s.w.Write(events); err != nil {
+			s.abort()
 		}
-		p.lastWritten = events
-		if len(p.attempt.Tokens) == 0 {
+		s.lastWritten = events
+		if len(s.attempt.Tokens) == 0 {
 			break
 		}
-		events, more = <-p.attempt.Tokens
+		events, more = <-s.attempt.Tokens
 	}
-	if p.control.Flush() != nil {
-		p.abort()
+	if s.control.Flush() != nil {
+		s.abort()
 	}
 	return more
 }
 
 // finish ends the client's response as the attempt ended.
-func (p *streamRelay) finish() {
+func (s *streamRelay) finish() {
 	select {
-	case final := <-p.request.Final():
+	case final := <-s.request.Final():
 		if final.Final != kserve.Satisfied {
 			panic(http.ErrAbortHandler)
 		}
-	case <-p.ctx.Done():
-		p.abort()
+	case <-s.ctx.Done():
+		s.abort()
 	}
 }
 
 // midway reports whether a further token must follow what was written last. Before the first event the client has had
 // no response, and after the last token it has nothing to come back for. Right behind an event that is followed by
 // another, the backend cannot have finished.
-func (p *streamRelay) midway() bool { return chat.Midway(p.lastWritten) }
+func (s *streamRelay) midway() bool { return chat.Midway(s.lastWritten) }
 
 // moveStream cuts the stream, for its client to continue it at another dispatcher.
-func (p *streamRelay) moveStream() {
-	p.frontend.MovedStreams.Add(1)
-	p.abort()
+func (s *streamRelay) moveStream() {
+	s.frontend.MovedStreams.Add(1)
+	s.abort()
 }
 
 // abort ends the request and its client's connection.
-func (p *streamRelay) abort() {
-	p.frontend.loop.Post(func() { p.frontend.loop.Left(p.request) })
+func (s *streamRelay) abort() {
+	s.frontend.loop.Post(func() { s.frontend.loop.Left(s.request) })
 	panic(http.ErrAbortHandler)
 }
 
--- a/internal/system/retry.go
+++ b/internal/system/retry.go
@@ -18,13 +18,13 @@
 type Backoff struct{ wait time.Duration }
 
 // Wait sleeps before the next call.
-func (r *Backoff) Wait() {
-	r.wait = min(max(2*r.wait, minBackoff), maxBackoff)
-	time.Sleep(r.wait)
+func (b *Backoff) Wait() {
+	b.wait = min(max(2*b.wait, minBackoff), maxBackoff)
+	time.Sleep(b.wait)
 }
 
 // Reset records that a call succeeded.
-func (r *Backoff) Reset() { r.wait = 0 }
+func (b *Backoff) Reset() { b.wait = 0 }
 
 // RetryingListener is a listener whose Accept fails only once it is closed. accept(2) fails for a moment when
 // descriptors, buffers or memory run short, and reports any network error that is pending on a new connection. None of
@@ -35,15 +35,15 @@
 }
 
 // Accept returns the next connection, or an error once the listener is closed.
-func (p RetryingListener) Accept() (net.Conn, error) {
+func (l RetryingListener) Accept() (net.Conn, error) {
 	var backoff Backoff
 	for {
-		conn, err := p.Listener.Accept()
+		conn, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) {
 			return conn, err
 		}
-		if p.OnError != nil {
-			p.OnError(err)
+		if l.OnError != nil {
+			l.OnError(err)
 		}
 		backoff.Wait()
 	}
