--- a/internal/platform/conn_test.go
+++ b/internal/platform/conn_test.go
@@ -170,11 +170,11 @@
 // response.
 func TestCloseDoesNotResetConnection(t *testing.T) {
 	for name, change := range map[string]func(env *house){
-		"a stream that breaks": func(env *house) {
+		"a broken stream": func(env *house) {
 			env.write(func(e *hosts.Exchange) bool { e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a"))); return false })
 		},
-		"an answer at a stop": func(env *house) { env.node.frontend.stopping.Store(true) },
-		"an answer of failure": func(env *house) {
+		"a response at shutdown": func(env *house) { env.node.frontend.stopping.Store(true) },
+		"an error response": func(env *house) {
 			env.reader.Do = func(e *hosts.Exchange) bool { return e.Write(hosts.Refuse(400, false)) }
 			env.node.frontend.stopping.Store(true)
 		},
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -61,6 +61,7 @@
 	refusals map[string]int64 // by reason
 }
 
+// newFrontend returns a frontend that submits requests to an event loop.
 func newFrontend(
 	loop *dispatch.Loop, facts brain.Facts, maxBodyBytes int64, observer *monitor.Monitor, stalls *stallDetector,
 	log *slog.Logger,
@@ -69,8 +70,7 @@
 		loop: loop, classIndexes: map[string]int{}, tenantIndexes: map[string]int{},
 		ids: newIDRegister(longestDeadline(facts) + idsSpan), refusals: map[string]int64{}, moveStreams: make(chan struct{}),
 		retryAfter: facts.Span("policyLimits.maxRetryAfterUs"), maxOpen: int64(facts.Num("policyLimits.maxOpen", 1e4)),
-		maxBodyBytes: maxBodyBytes,
-		monitor:      observer, stalls: stalls, classes: monitorClasses(facts), log: log,
+		maxBodyBytes: maxBodyBytes, monitor: observer, stalls: stalls, classes: monitorClasses(facts), log: log,
 	}
 	for i, name := range facts.Names("requestClasses") {
 		f.classIndexes[name] = i
@@ -265,7 +265,7 @@
 // readBody reads a request's body. Memory is reserved as bytes arrive, not by the announced length.
 func (f *frontend) readBody(r *http.Request, w http.ResponseWriter, reserved *int64) (body []byte, err error) {
 	control := http.NewResponseController(w)
-	// The connection applies the request's own deadline, which is earlier.
+	// The connection applies the request's own deadline where that is earlier.
 	control.SetReadDeadline(time.Now().Add(requestReadTimeout))
 	for err == nil {
 		if len(body) == cap(body) {
--- a/internal/platform/limiter.go
+++ b/internal/platform/limiter.go
@@ -263,6 +263,7 @@
 	age   time.Duration
 }
 
+// consider takes a connection as the candidate if it goes before the present one. The age is its time in the state.
 func (e *evictionCandidate) consider(c *clientConn, state connState, age time.Duration) {
 	switch {
 	case e.conn == nil:
