--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -19,7 +19,7 @@
 	Known   *brain.Backend
 	Start   uint64
 	Drained chan struct{} // closed when the list says that it is gone
-	reach   *reach.Host
+	reach   *reach.Pool
 	place   [3]string     // kind, zone and rack, as listed
 	booted  time.Duration // when Start was, as first told
 	dated   bool          // it was told
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -42,7 +42,7 @@
 }
 
 func box(name, kind, standing string) boxlist.Box {
-	return boxlist.Box{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "10.0.0.1:1"}}, Kind: kind, Standing: standing, Units: 1, UpMs: -1}
+	return boxlist.Box{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}}, Kind: kind, Standing: standing, Units: 1, UpMs: -1}
 }
 
 // settled makes a loop that knows two prefill backends and two decode backends.
@@ -50,7 +50,7 @@
 	t.Helper()
 	h := &hand{now: time.Second}
 	d := terms(effect)
-	l, err := NewLoop(d.Facts(), 1, Places{Zone: d.ZoneNumber, Kind: d.KindNumber, Allows: func(s addresses.Spec) bool { return s.At != "10.9.9.9:1" }}, h, func() time.Duration { return h.now }, "d0.x",
+	l, err := NewLoop(d.Facts(), 1, Places{Zone: d.ZoneNumber, Kind: d.KindNumber, Allows: func(s addresses.Spec) bool { return s.Addr != "10.9.9.9:1" }}, h, func() time.Duration { return h.now }, "d0.x",
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -230,7 +230,7 @@
 func TestAddressesOutsideOfWhatIsAllowedAreLeftOut(t *testing.T) {
 	l, h := settled(t, "idempotent")
 	line := box("w1", "writer", "ready")
-	line.Addresses = []addresses.Spec{{Network: "tcp4", At: "10.9.9.9:1"}, {Network: "tcp4", At: "no address"}, {Network: "unix", At: "/w1"}}
+	line.Addresses = []addresses.Spec{{Network: "tcp4", Addr: "10.9.9.9:1"}, {Network: "tcp4", Addr: "no address"}, {Network: "unix", Addr: "/w1"}}
 	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
 	if got := h.reached[len(h.reached)-1]; got != "w1[unix:/w1]" {
 		t.Errorf("reached at %s", got)
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -57,11 +57,11 @@
 	var flights, group errgroup.Group
 	trips := NewTrips(life, &flights, d.Limits.BoxConns, d.Limits.Dial.D(), since)
 	trips.Model, trips.Stall = d.Model, d.Limits.Stall.D()
-	may, err := reach.NewAllowed(d.Place.Allow)
+	may, err := reach.NewAllowList(d.Place.Allow)
 	if err != nil {
 		return err
 	}
-	loop, err := NewLoop(d.Facts(), chance, Places{d.ZoneNumber, d.KindNumber, may.Has}, trips, since, epoch, log)
+	loop, err := NewLoop(d.Facts(), chance, Places{d.ZoneNumber, d.KindNumber, may.Contains}, trips, since, epoch, log)
 	if err != nil {
 		return err
 	}
@@ -311,10 +311,10 @@
 // boxAddresses tells how each address of each backend stands, and why.
 func boxAddresses(trips *Trips, now time.Duration) []BoxState {
 	var out []BoxState
-	trips.Boxes.Look(func(name string, book *addresses.Book, open, idle int) {
+	trips.Boxes.ForEach(func(name string, book *addresses.Tracker, open, idle int) {
 		b := BoxState{Name: name, Open: open, Idle: idle}
 		for _, a := range book.Addresses() {
-			b.Addresses = append(b.Addresses, AddressState{a.Spec.String(), a.Prefer, a.Doubtful(now), a.Why(now)})
+			b.Addresses = append(b.Addresses, AddressState{a.Spec.String(), a.Preference, a.Suspected(now), a.Summary(now)})
 		}
 		out = append(out, b)
 	})
--- a/internal/dispatch/trips.go
+++ b/internal/dispatch/trips.go
@@ -74,7 +74,7 @@
 	Model string
 	Stall time.Duration
 	Peers *Peers
-	Boxes *reach.Boxes
+	Boxes *reach.Manager
 
 	loop  *Loop
 	group *errgroup.Group
@@ -87,14 +87,14 @@
 
 // NewTrips makes the carrier; its goroutines belong to the group and end with the context. A connection is given dial.
 func NewTrips(life context.Context, group *errgroup.Group, conns int, dial time.Duration, since func() time.Duration) *Trips {
-	boxes := &reach.Boxes{Limit: dial, Most: conns, Since: since, Life: life, Group: group}
-	group.Go(boxes.Tend)
+	boxes := &reach.Manager{DialTimeout: dial, MaxConnsPerBackend: conns, Now: since, Context: life, Group: group}
+	group.Go(boxes.Run)
 	return &Trips{life: life, group: group, Boxes: boxes, releases: map[*Backend]*releases{}}
 }
 
 // Reach says where a backend is now.
 func (c *Trips) Reach(b *Backend, at []addresses.Spec) {
-	b.reach = c.Boxes.Set(b.Name, at, uint64(b.Known.ID))
+	b.reach = c.Boxes.SetAddresses(b.Name, at, uint64(b.Known.ID))
 }
 
 // Start starts an attempt.
@@ -108,7 +108,7 @@
 		WaitUs: f.Wait.Microseconds(),
 	}
 	if f.State != nil {
-		e.Reader, e.State = f.State.Name, f.State.reach.Best()
+		e.Reader, e.State = f.State.Name, f.State.reach.Addresses()
 	}
 	// What the goroutine needs is read here: backends are the loop's.
 	host, text := f.Backend.reach, a.Ask.Text
@@ -128,7 +128,7 @@
 }
 
 // fly is one attempt from its connection to its end. It is bound to one connection, of one address.
-func (c *Trips) fly(f *Attempt, host *reach.Host, text string, e kserve.Errand) (seen Seen) {
+func (c *Trips) fly(f *Attempt, host *reach.Pool, text string, e kserve.Errand) (seen Seen) {
 	var conn *reach.Conn
 	defer func() {
 		seen.Cause = context.Cause(f.ctx)
@@ -138,9 +138,9 @@
 		// An attempt that ended without a word speaks against the way it took, unless it was called off for its client.
 		if seen.Told != nil {
 			seen.Told.Bound(e)
-			conn.Served()
+			conn.ReportServed()
 		} else if !errors.Is(seen.Cause, ErrLeft) {
-			conn.Lost()
+			conn.ReportFailed()
 		}
 	}()
 	if host == nil {
@@ -261,7 +261,7 @@
 }
 
 // releasing works until nothing is left to release at the backend.
-func (c *Trips) releasing(b *Backend, r *releases, host *reach.Host, gone <-chan struct{}) {
+func (c *Trips) releasing(b *Backend, r *releases, host *reach.Pool, gone <-chan struct{}) {
 	wait := releaseAgain
 	for {
 		c.mu.Lock()
@@ -293,18 +293,18 @@
 	}
 }
 
-func (c *Trips) release(host *reach.Host, keys []kserve.Release) error {
+func (c *Trips) release(host *reach.Pool, keys []kserve.Release) error {
 	ctx, cancel := context.WithTimeout(c.life, releaseTime)
 	defer cancel()
 	if host == nil {
-		return reach.ErrUnreached
+		return reach.ErrUnreachable
 	}
 	conn, resp, err := host.Send(ctx, func() (*http.Request, error) {
 		return kserve.NewRelease(ctx, reach.URL(host.Name), c.Model, keys)
 	})
 	if err != nil {
 		if conn != nil {
-			conn.Lost() // the next try takes another way
+			conn.ReportFailed() // the next try takes another way
 		}
 		return err
 	}
@@ -329,7 +329,7 @@
 	})
 }
 
-func (c *Trips) inquire(host *reach.Host, q account.Inquiry) *account.Reply {
+func (c *Trips) inquire(host *reach.Pool, q account.Inquiry) *account.Reply {
 	if host == nil {
 		return nil
 	}
--- a/internal/platform/accept_test.go
+++ b/internal/platform/accept_test.go
@@ -51,10 +51,10 @@
 }
 
 // startWithFailingListener starts a dispatcher whose listener can fail to accept.
-func startWithFailingListener(t *testing.T, errno syscall.Errno) (*house, *failingListener) {
+func startWithFailingListener(t *testing.T, errno syscall.Errno) (*testCluster, *failingListener) {
 	t.Helper()
 	flaky := &failingListener{errno: errno}
-	env := enter(t, func(env *house, _ *Place) {
+	env := startCluster(t, func(env *testCluster, _ *Config) {
 		env.system.Listen = func(address string) (system.Listener, error) {
 			l, err := system.Real().Listen(address)
 			flaky.Listener = l
@@ -76,7 +76,7 @@
 func TestAcceptRetriesTransientErrors(t *testing.T) {
 	for _, errno := range transientErrors {
 		flaky, dial := newFailingListener(t, errno, 3)
-		limited := newLimiter(flaky, 100, quiet)
+		limited := newLimiter(flaky, 100, discardLog)
 		dial()
 		if _, err := limited.Accept(); err != nil {
 			t.Errorf("%v: %v", errno, err)
@@ -90,8 +90,8 @@
 func TestDispatcherServesAfterTransientAcceptErrors(t *testing.T) {
 	env, flaky := startWithFailingListener(t, syscall.ENOBUFS)
 	flaky.failures.Store(3)
-	env.client()
-	if got := env.says(env.ask("hut-booking")); got.status != 200 {
+	env.dial()
+	if got := env.send(env.request("hut-booking")); got.status != 200 {
 		t.Errorf("response after the accept errors: %+v", got)
 	}
 }
@@ -110,7 +110,7 @@
 func checkFinalAccept(t *testing.T, name string, errno syscall.Errno, failures int64, stall time.Duration) {
 	t.Helper()
 	flaky, dial := newFailingListener(t, errno, failures)
-	limited := newLimiter(flaky, 100, quiet)
+	limited := newLimiter(flaky, 100, discardLog)
 	dial()
 	limited.acceptBacklogOnly()
 	time.Sleep(stall)
@@ -129,16 +129,16 @@
 func TestAcceptDelayCountsAgainstDeadline(t *testing.T) {
 	env, flaky := startWithFailingListener(t, syscall.ENFILE)
 	flaky.failures.Store(10) // about 0.7 s with the waits between retries
-	env.client()             // ends the pending call of accept
-	var waiting []*client
+	env.dial()               // ends the pending call of accept
+	var waiting []*testClient
 	start := time.Now()
 	for range 3 {
-		conn := env.client()
-		io.WriteString(conn, env.ask("hut-booking"))
+		conn := env.dial()
+		io.WriteString(conn, env.request("hut-booking"))
 		waiting = append(waiting, conn)
 	}
 	for _, conn := range waiting {
-		if got := conn.said(); got.status != 200 {
+		if got := conn.readResponse(); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
 	}
@@ -204,16 +204,16 @@
 	env, flaky := startWithFailingListener(t, syscall.ENOBUFS)
 	for name, raw := range map[string]string{
 		"half a request": "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Le",
-		"half a body":    strings.TrimSuffix(env.ask("hut-booking"), "}"),
+		"half a body":    strings.TrimSuffix(env.request("hut-booking"), "}"),
 		"nothing":        "",
 	} {
 		t.Run(name, func(t *testing.T) {
 			flaky.failures.Store(1e6)
 			time.AfterFunc(failed, func() { flaky.failures.Store(0) })
-			env.client() // accepted by the call that is already pending
+			env.dial() // accepted by the call that is already pending
 			time.Sleep(20 * time.Millisecond)
 			start := time.Now()
-			conn, err := net.Dial("tcp", env.at)
+			conn, err := net.Dial("tcp", env.address)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/platform/conn_test.go
+++ b/internal/platform/conn_test.go
@@ -122,12 +122,12 @@
 // A client that has pipelined more than is buffered behind its open request is still noticed when it closes, and what
 // it pipelined is not served.
 func TestClientCloseIsDetectedBehindPipelinedData(t *testing.T) {
-	env := enter(t, nil)
-	prefills := env.holdReads()
-	conn := env.client()
-	io.WriteString(conn, env.ask("trail-info"))
+	env := startCluster(t, nil)
+	prefills := env.holdPrefills()
+	conn := env.dial()
+	io.WriteString(conn, env.request("trail-info"))
 	exchange := <-prefills
-	more := strings.Repeat(env.ask("hut-booking"), 4*maxPipelinedBytes/300)
+	more := strings.Repeat(env.request("hut-booking"), 4*maxPipelinedBytes/300)
 	if _, err := io.WriteString(conn, more); err != nil {
 		t.Fatal(err)
 	}
@@ -137,7 +137,7 @@
 	case <-time.After(100 * time.Millisecond):
 		t.Error("the attempt goes on after its client has closed")
 	}
-	env.settled()
+	env.awaitIdle()
 	if n := len(env.site.Seen("", "POST")); n != 1 {
 		t.Errorf("%d attempts, want 1", n)
 	}
@@ -146,21 +146,21 @@
 // If a client pipelines more than is buffered and stays, its open request is answered, and the connection is closed
 // gracefully without serving the others.
 func TestPipelineOverrunClosesAfterResponse(t *testing.T) {
-	env := enter(t, nil)
+	env := startCluster(t, nil)
 	hold := make(chan struct{})
-	env.reader.Do = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
-	conn := env.client()
-	io.WriteString(conn, env.ask("trail-info"))
-	env.until("the attempt is in flight", func() bool { return len(env.site.Seen("r1", "POST")) == 1 })
-	io.WriteString(conn, strings.Repeat(env.ask("hut-booking"), 4*maxPipelinedBytes/300))
+	env.prefill.Do = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
+	conn := env.dial()
+	io.WriteString(conn, env.request("trail-info"))
+	env.await("the attempt is in flight", func() bool { return len(env.site.Seen("r1", "POST")) == 1 })
+	io.WriteString(conn, strings.Repeat(env.request("hut-booking"), 4*maxPipelinedBytes/300))
 	close(hold)
-	if got := conn.said(); got.status != 200 || !got.whole {
+	if got := conn.readResponse(); got.status != 200 || !got.complete {
 		t.Errorf("%+v", got)
 	}
-	if _, err := conn.from.ReadByte(); err != io.EOF {
+	if _, err := conn.reader.ReadByte(); err != io.EOF {
 		t.Errorf("after the response: %v, want EOF", err)
 	}
-	env.settled()
+	env.awaitIdle()
 	if n := len(env.site.Seen("r1", "POST")); n != 1 {
 		t.Errorf("%d requests are served, want 1", n)
 	}
@@ -169,39 +169,39 @@
 // A close with unread bytes from the client must not reset the connection, as that can lose the end of the last
 // response.
 func TestCloseDoesNotResetConnection(t *testing.T) {
-	for name, change := range map[string]func(env *house){
-		"a broken stream": func(env *house) {
-			env.write(func(e *hosts.Exchange) bool { e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a"))); return false })
+	for name, change := range map[string]func(env *testCluster){
+		"a broken stream": func(env *testCluster) {
+			env.onDecode(func(e *hosts.Exchange) bool { e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a"))); return false })
 		},
-		"a response at shutdown": func(env *house) { env.node.frontend.stopping.Store(true) },
-		"an error response": func(env *house) {
-			env.reader.Do = func(e *hosts.Exchange) bool { return e.Write(hosts.Refuse(400, false)) }
+		"a response at shutdown": func(env *testCluster) { env.node.frontend.stopping.Store(true) },
+		"an error response": func(env *testCluster) {
+			env.prefill.Do = func(e *hosts.Exchange) bool { return e.Write(hosts.Refuse(400, false)) }
 			env.node.frontend.stopping.Store(true)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			env := enter(t, nil)
+			env := startCluster(t, nil)
 			change(env)
-			conn := env.client()
-			io.WriteString(conn, env.ask("trail-info")+env.ask("trail-info"))
-			if got := conn.said(); got.status == 0 {
+			conn := env.dial()
+			io.WriteString(conn, env.request("trail-info")+env.request("trail-info"))
+			if got := conn.readResponse(); got.status == 0 {
 				t.Error("there is no response")
 			}
-			if _, err := io.Copy(io.Discard, conn.from); errors.Is(err, syscall.ECONNRESET) {
+			if _, err := io.Copy(io.Discard, conn.reader); errors.Is(err, syscall.ECONNRESET) {
 				t.Error("the connection is reset")
 			}
 		})
 	}
 	t.Run("a request that is refused over its body", func(t *testing.T) {
-		env := enter(t, nil)
-		conn := env.client()
-		head, body, _ := strings.Cut(env.ask("no-such", "Content-Length: 12", "Content-Length: 200000"), "\r\n\r\n")
+		env := startCluster(t, nil)
+		conn := env.dial()
+		head, body, _ := strings.Cut(env.request("no-such", "Content-Length: 12", "Content-Length: 200000"), "\r\n\r\n")
 		io.WriteString(conn, head+"\r\n\r\n")
-		if got := conn.said(); got.status != 400 {
+		if got := conn.readResponse(); got.status != 400 {
 			t.Errorf("%+v", got)
 		}
 		io.WriteString(conn, body+strings.Repeat("x", 199_988)) // it crosses the response
-		if _, err := io.Copy(io.Discard, conn.from); errors.Is(err, syscall.ECONNRESET) {
+		if _, err := io.Copy(io.Discard, conn.reader); errors.Is(err, syscall.ECONNRESET) {
 			t.Error("the connection is reset")
 		}
 	})
@@ -213,7 +213,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	limited := newLimiter(listener, 100, quiet)
+	limited := newLimiter(listener, 100, discardLog)
 	const waiting = 20
 	for range waiting { // nothing accepts them yet
 		conn, err := net.Dial("tcp", listener.Addr().String())
@@ -236,7 +236,7 @@
 
 // A connection that becomes busy after it was looked at is not closed for another one; the next candidate is.
 func TestBusyConnectionIsNotEvicted(t *testing.T) {
-	limited := newLimiter(nil, 1, quiet)
+	limited := newLimiter(nil, 1, discardLog)
 	client, busy, _ := newConnPair(t)
 	limited.conns[busy] = true
 	busy.stateSince = time.Now().Add(-time.Hour)
@@ -260,28 +260,28 @@
 // Clients that send nothing use up the descriptors while discovery is down. The dispatcher must stay ready, follow
 // discovery as soon as it is back, and serve.
 func TestDiscoverySurvivesExhaustedDescriptors(t *testing.T) {
-	env := enter(t, func(env *house, place *Place) { place.Limits.Sockets = 64 })
+	env := startCluster(t, func(env *testCluster, place *Config) { place.Limits.Sockets = 64 })
 	env.agent.SetMute(true)
 	env.agent.Cut()
 	for range 150 {
-		conn, err := net.Dial("tcp", env.at)
+		conn, err := net.Dial("tcp", env.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer conn.Close()
 		io.WriteString(conn, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
 	}
-	env.site.Change(func() { env.writers[0].State = "terminating" })
+	env.site.Change(func() { env.decoders[0].State = "terminating" })
 	env.agent.SetMute(false)
-	env.until("the drain is observed", func() bool {
-		return env.standing("w1") == brain.Draining && env.agent.Watched() == 1
+	env.await("the drain is observed", func() bool {
+		return env.backendState("w1") == brain.Draining && env.agent.Watched() == 1
 	})
-	conn := env.client()
+	conn := env.dial()
 	io.WriteString(conn, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
 	if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("not ready: %v", err)
 	}
-	if got := env.says(env.ask("hut-booking")); got.status != 200 {
+	if got := env.send(env.request("hut-booking")); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
 	if n := len(env.site.Seen("w1", "POST")); n != 0 {
@@ -321,7 +321,7 @@
 // A client that stops in the middle of a request and stays must get an error or a close within 3 s of connecting,
 // however it divides that time, or, on a connection that was used before, within 3 s of the request's first byte.
 func TestStalledRequestTimesOut(t *testing.T) {
-	env := enter(t, nil)
+	env := startCluster(t, nil)
 	const inHead, wholeHead = 40, -1 // where a request is cut
 	for name, test := range map[string]struct {
 		used    bool
@@ -335,9 +335,9 @@
 		"in the body of a further request":          {used: true, cuts: []int{wholeHead}},
 		"in the middle of a chunk":                  {cuts: []int{wholeHead}, chunked: true},
 	} {
-		raw := env.ask("trail-info")
+		raw := env.request("trail-info")
 		if test.chunked {
-			raw = env.chunked("trail-info", "c\r\n{\"mo")
+			raw = env.chunkedRequest("trail-info", "c\r\n{\"mo")
 		}
 		var pieces []string
 		from := 0
@@ -349,10 +349,10 @@
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			conn := env.client()
+			conn := env.dial()
 			if test.used {
 				io.WriteString(conn, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-				if got := conn.said(); got.status != 200 {
+				if got := conn.readResponse(); got.status != 200 {
 					t.Fatalf("%+v", got)
 				}
 			}
@@ -363,7 +363,7 @@
 				}
 				io.WriteString(conn, piece)
 			}
-			if got := conn.said(); got.status/100 == 2 {
+			if got := conn.readResponse(); got.status/100 == 2 {
 				t.Errorf("%+v", got)
 			}
 			if took := time.Since(start); took > 3*time.Second {
@@ -376,18 +376,18 @@
 // The timeout stated to a backend is at most what the client has left: a request that waited behind a pipelined one has
 // less.
 func TestPipelinedRequestDeadlineIncludesQueueing(t *testing.T) {
-	env := enter(t, nil)
+	env := startCluster(t, nil)
 	const delay = 600 * time.Millisecond
-	env.write(func(exchange *hosts.Exchange) bool {
+	env.onDecode(func(exchange *hosts.Exchange) bool {
 		if exchange.ID == "q1" {
 			time.Sleep(delay)
 		}
 		return exchange.Serve()
 	})
-	conn := env.client()
-	io.WriteString(conn, env.ask("hut-booking")+env.ask("hut-booking"))
+	conn := env.dial()
+	io.WriteString(conn, env.request("hut-booking")+env.request("hut-booking"))
 	for range 2 {
-		if got := conn.said(); got.status != 200 {
+		if got := conn.readResponse(); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
 	}
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -27,7 +27,7 @@
 // connect opens a connection for an attempt and writes the whole request to it. A request that was not written whole
 // cannot have run.
 func (c *transport) connect(
-	ctx, dialCtx context.Context, attempt *dispatch.Attempt, backend *reach.Host, request *payload,
+	ctx, dialCtx context.Context, attempt *dispatch.Attempt, backend *reach.Pool, request *outgoingRequest,
 ) (*reach.Conn, func() bool, error) {
 	limit := c.connectTimeout(attempt)
 	var local error // why this machine could not open the previous connection
@@ -39,10 +39,10 @@
 		if local = nil; errors.Is(err, reach.ErrLocal) {
 			// A momentary shortage of descriptors or ports on this machine says nothing about the backend. Counted as
 			// refused connections, such errors made the scheduler treat a whole fleet as restarting.
-			c.Local.Add(1)
+			c.LocalFailures.Add(1)
 			c.log.Warn("cannot open a connection: local error", "backend", backend.Name, "error", err)
 			local = err
-			system.Sleep(dialCtx, dialWait)
+			system.Sleep(dialCtx, dialRetryDelay)
 			continue
 		}
 		if err != nil {
@@ -50,10 +50,10 @@
 			// down refuses the next one too. Reported at once, a burst of resets made the scheduler treat a whole fleet
 			// as restarting.
 			failures++
-			if failures == dialTries || ctx.Err() != nil || time.Since(start) >= limit/2 {
+			if failures == maxDialAttempts || ctx.Err() != nil || time.Since(start) >= limit/2 {
 				return nil, nil, err
 			}
-			system.Sleep(dialCtx, dialWait)
+			system.Sleep(dialCtx, dialRetryDelay)
 			continue
 		}
 		if deadline, bounded := dialCtx.Deadline(); bounded && attempt.Planned.Connect > 0 {
@@ -64,7 +64,7 @@
 		if err == nil {
 			return conn, stop, nil
 		}
-		conn.Drop()
+		conn.Discard()
 		if errors.Is(err, errNotSent) || errors.Is(err, errCutMidRequest) || dialCtx.Err() != nil {
 			return nil, nil, err
 		}
@@ -74,16 +74,16 @@
 // connectTimeout returns how long opening a connection for an attempt may take.
 func (c *transport) connectTimeout(attempt *dispatch.Attempt) time.Duration {
 	if timeout := attempt.Planned.Connect; timeout > 0 {
-		return min(timeout, c.boxes.Limit)
+		return min(timeout, c.pools.DialTimeout)
 	}
-	return c.boxes.Limit
+	return c.pools.DialTimeout
 }
 
 // send writes a request to a new connection if the attempt may still be sent. Only the event loop can tell: the backend
 // may have begun to drain, the client may have gone or the window for repeats may have ended while the connection was
 // being opened.
 func (c *transport) send(
-	ctx context.Context, attempt *dispatch.Attempt, conn *reach.Conn, request *payload,
+	ctx context.Context, attempt *dispatch.Attempt, conn *reach.Conn, request *outgoingRequest,
 ) (stop func() bool, err error) {
 	permission := c.maySend(ctx, attempt)
 	if permission != brain.Allowed {
@@ -92,7 +92,7 @@
 			"number", attempt.Planned.Number, "why", permission)
 		return nil, errNotSent
 	}
-	timeout := attempt.Until - c.since()
+	timeout := attempt.Until - c.clock()
 	if timeout <= 0 || attempt.Request.Over() {
 		// The end of a request is checked right here, as the event loop may not have processed it yet.
 		c.Stale.Add(1)
@@ -122,14 +122,14 @@
 		if permission != brain.Allowed || !c.pulse.stalledSince(start, time.Now()) {
 			return permission
 		}
-		system.Sleep(ctx, dialWait)
+		system.Sleep(ctx, dialRetryDelay)
 	}
 }
 
 // write writes a request, and closes its connection when the context is cancelled.
 func write(ctx context.Context, conn *reach.Conn, head, body []byte) (stop func() bool, err error) {
 	stop = context.AfterFunc(ctx, func() { conn.Conn.Close() })
-	complete, err := conn.Put(head, body)
+	complete, err := conn.WriteRequest(head, body)
 	if complete {
 		return stop, nil
 	}
@@ -143,7 +143,7 @@
 // openConn opens a connection for an attempt within the limit on descriptors for attempts, and writes the request to
 // it.
 func (c *transport) openConn(
-	ctx context.Context, attempt *dispatch.Attempt, backend *reach.Host, request *payload,
+	ctx context.Context, attempt *dispatch.Attempt, backend *reach.Pool, request *outgoingRequest,
 ) (conn *reach.Conn, stop func() bool, err error) {
 	if backend == nil {
 		return nil, nil, errNotSent // its backend has been removed
@@ -155,14 +155,14 @@
 		waitCtx = bounded
 	}
 	select {
-	case c.slots <- struct{}{}:
+	case c.attemptSlots <- struct{}{}:
 	case <-waitCtx.Done():
 		return nil, nil, errNotSent
 	}
 	dialCtx, cancel := context.WithTimeout(waitCtx, c.connectTimeout(attempt))
 	defer cancel()
 	if conn, stop, err = c.connect(ctx, dialCtx, attempt, backend, request); err != nil {
-		<-c.slots
+		<-c.attemptSlots
 	}
 	return conn, stop, err
 }
@@ -189,7 +189,7 @@
 // it is to take keeps waiting. Only the backend knows whether the request may still run.
 func (c *transport) checkAcknowledged(attempt *dispatch.Attempt, conn *reach.Conn) {
 	if system.UnacknowledgedBytes(conn.Conn) > 0 {
-		c.Unarrived.Add(1)
+		c.Unacknowledged.Add(1)
 		attempt.Off(errUnacknowledged)
 	}
 }
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -52,7 +52,7 @@
 	bodyBytes     atomic.Int64  // bytes of buffered bodies
 	LateAnswers   atomic.Int64  // requests answered by the handler, as the event loop gave no answer in time
 
-	ids      *idRegister
+	ids      *idRegistry
 	monitor  *monitor.Monitor
 	stalls   *stallDetector
 	classes  []monitor.Class // by class index
@@ -68,7 +68,7 @@
 ) *frontend {
 	f := &frontend{
 		loop: loop, classIndexes: map[string]int{}, tenantIndexes: map[string]int{},
-		ids: newIDRegister(longestDeadline(facts) + idsSpan), refusals: map[string]int64{}, moveStreams: make(chan struct{}),
+		ids: newIDRegistry(longestDeadline(facts) + idRetentionSlack), refusals: map[string]int64{}, moveStreams: make(chan struct{}),
 		retryAfter: facts.Span("policyLimits.maxRetryAfterUs"), maxOpen: int64(facts.Num("policyLimits.maxOpen", 1e4)),
 		maxBodyBytes: maxBodyBytes, monitor: observer, stalls: stalls, classes: monitorClasses(facts), log: log,
 	}
@@ -196,8 +196,8 @@
 	if request.Rest {
 		f.Continuations.Add(1)
 	}
-	outgoing := &payload{id: request.ID, body: body, head: func(timeout time.Duration) []byte {
-		return chat.Errand(r, service, request, length, timeout)
+	outgoing := &outgoingRequest{id: request.ID, body: body, head: func(timeout time.Duration) []byte {
+		return chat.Errand(r, serviceHost, request, length, timeout)
 	}}
 	clientRequest := &dispatch.ClientRequest{
 		Ask: kserve.Ask{
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -29,7 +29,7 @@
 	case closedByShutdown:
 		return state == connIdle
 	case closedAsSilent:
-		return state == connIdle || state == connNew && age >= silentMost
+		return state == connIdle || state == connNew && age >= maxConnSilence
 	}
 	return unread(state)
 }
--- a/internal/platform/loop_lag_test.go
+++ b/internal/platform/loop_lag_test.go
@@ -10,12 +10,12 @@
 // A request is answered in time even if the event loop is far behind and gives no answer, and nothing is sent for it
 // afterwards.
 func TestRequestIsAnsweredInTimeWhenEventLoopLags(t *testing.T) {
-	env := enter(t, nil)
-	env.write((*hosts.Exchange).Serve)
+	env := startCluster(t, nil)
+	env.onDecode((*hosts.Exchange).Serve)
 	const blocked, timeout, latest = 2 * time.Second, 400 * time.Millisecond, 900 * time.Millisecond
 	env.node.loop.Post(func() { time.Sleep(blocked) })
 	start := time.Now()
-	if got := env.says(env.ask("hut-booking", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 400")); got.status != 502 {
+	if got := env.send(env.request("hut-booking", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 400")); got.status != 502 {
 		t.Errorf("%+v", got)
 	}
 	if took := time.Since(start); took < timeout || took > latest {
@@ -32,17 +32,17 @@
 
 // While the event loop is behind, new requests are rejected; once it has caught up, they are accepted.
 func TestRequestsAreRejectedWhileEventLoopLags(t *testing.T) {
-	env := enter(t, nil)
-	env.write((*hosts.Exchange).Serve)
+	env := startCluster(t, nil)
+	env.onDecode((*hosts.Exchange).Serve)
 	done := make(chan struct{})
 	env.node.loop.Post(func() { <-done })
 	env.node.loop.Post(func() {})
 	time.Sleep(maxLoopLag + 50*time.Millisecond)
-	if got := env.says(env.ask("hut-booking")); got.status != 503 {
+	if got := env.send(env.request("hut-booking")); got.status != 503 {
 		t.Errorf("%+v", got)
 	}
 	close(done)
-	if got := env.says(env.ask("hut-booking")); got.status != 200 {
+	if got := env.send(env.request("hut-booking")); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
 }
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -22,7 +22,7 @@
 	// answerBefore is how long before SIGKILL all requests without a first event are answered.
 	answerBefore = 500 * time.Millisecond
 	// silentMost is how long a connection that came before the last one may say nothing.
-	silentMost = 300 * time.Millisecond
+	maxConnSilence = 300 * time.Millisecond
 
 	stopStep     = 5 * time.Millisecond // between two looks at what is still open
 	releasesMost = time.Second          // for the releases of what abandoned attempts may have left
