--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -10,10 +10,11 @@
 	"sloetrestle/internal/kserve"
 )
 
-// cutWait is how long a stream that is to be continued elsewhere is given for a further event, after which its end is not near.
+// moveGrace is how long a stream that is to be continued at another dispatcher may take to send a further event, after
+// which its end is not near.
 const moveGrace = 200 * time.Millisecond
 
-// passing is one backend's stream on its way to a client.
+// streamRelay relays one backend's stream to a client.
 type streamRelay struct {
 	frontend    *frontend
 	w           http.ResponseWriter
@@ -21,93 +22,98 @@
 	ctx         context.Context
 	request     *dispatch.ClientRequest
 	attempt     *dispatch.Attempt
-	lastWritten []byte // what was passed on last
+	lastWritten []byte // the events that were written last
 }
 
-func (f *frontend) newStreamRelay(w http.ResponseWriter, r *http.Request, a *dispatch.ClientRequest, trip *dispatch.Attempt) *streamRelay {
-	return &streamRelay{frontend: f, w: w, control: http.NewResponseController(w), ctx: r.Context(), request: a, attempt: trip}
+// newStreamRelay returns a relay of an attempt's stream to the client of its request.
+func (f *frontend) newStreamRelay(
+	w http.ResponseWriter, r *http.Request, clientRequest *dispatch.ClientRequest, attempt *dispatch.Attempt,
+) *streamRelay {
+	return &streamRelay{
+		frontend: f, w: w, control: http.NewResponseController(w), ctx: r.Context(), request: clientRequest, attempt: attempt,
+	}
 }
 
-// run passes events on as they come. A stream that breaks ends the client's connection without the last chunk: a plain return would
-// end it as whole.
-func (p *streamRelay) run() {
-	p.frontend.monitor.Answered(p.request.Ask.ID, http.StatusOK, false, nil)
-	p.w.Header().Set("Content-Type", "text/event-stream")
-	p.w.Header()["Date"] = nil
-	cut := p.frontend.moveStreams
+// run relays events as they arrive. A stream that breaks ends the client's connection without the last chunk, as a
+// plain return would mark the response as complete.
+func (s *streamRelay) run() {
+	s.frontend.monitor.Answered(s.request.Ask.ID, http.StatusOK, false, nil)
+	s.w.Header().Set("Content-Type", "text/event-stream")
+	s.w.Header()["Date"] = nil
+	cut := s.frontend.moveStreams
 	var overdue <-chan time.Time
 	for {
 		select {
-		case piece, more := <-p.attempt.Tokens:
-			if !more || !p.write(piece) {
-				p.finish()
+		case events, more := <-s.attempt.Tokens:
+			if !more || !s.write(events) {
+				s.finish()
 				return
 			}
-			if p.frontend.movingStreams() && p.midway() {
-				p.moveStream()
+			if s.frontend.movingStreams() && s.midway() {
+				s.moveStream()
 			}
 		case <-cut:
 			cut, overdue = nil, time.After(moveGrace)
 		case <-overdue:
 			overdue = nil
-			if p.midway() {
-				p.moveStream()
+			if s.midway() {
+				s.moveStream()
 			}
-		case <-p.ctx.Done():
-			p.abort()
+		case <-s.ctx.Done():
+			s.abort()
 		}
 	}
 }
 
-// pass writes a piece and all that wait behind it; false: the last one was among them.
-func (p *streamRelay) write(piece []byte) (more bool) {
-	p.control.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
+// write writes events and all that are queued behind them, and reports whether the stream goes on.
+func (s *streamRelay) write(events []byte) (more bool) {
+	s.control.SetWriteDeadline(time.Now().Add(clientWriteTimeout))
 	for more = true; more; {
-		if _, err := p.w.Write(piece); err != nil {
-			p.abort()
+		if _, err := s.w.Write(events); err != nil {
+			s.abort()
 		}
-		p.lastWritten = piece
-		if len(p.attempt.Tokens) == 0 {
+		s.lastWritten = events
+		if len(s.attempt.Tokens) == 0 {
 			break
 		}
-		piece, more = <-p.attempt.Tokens
+		events, more = <-s.attempt.Tokens
 	}
-	if p.control.Flush() != nil {
-		p.abort()
+	if s.control.Flush() != nil {
+		s.abort()
 	}
 	return more
 }
 
-// end ends the client's answer as the attempt ended.
-func (p *streamRelay) finish() {
+// finish ends the client's response as the attempt ended.
+func (s *streamRelay) finish() {
 	select {
-	case end := <-p.request.Final():
-		if end.Final != kserve.Satisfied {
+	case final := <-s.request.Final():
+		if final.Final != kserve.Satisfied {
 			panic(http.ErrAbortHandler)
 		}
-	case <-p.ctx.Done():
-		p.abort()
+	case <-s.ctx.Done():
+		s.abort()
 	}
 }
 
-// midway tells whether a further token has to follow what was passed on last. Before the first event the client has had no answer,
-// and after the last token it has nothing to come back for. Right behind an event that is followed by another, the backend can't
-// have finished.
-func (p *streamRelay) midway() bool { return chat.Midway(p.lastWritten) }
+// midway reports whether a further token must follow what was written last. Before the first event the client has had
+// no response, and after the last token it has nothing to come back for. Right behind an event that is followed by
+// another, the backend cannot have finished.
+func (s *streamRelay) midway() bool { return chat.Midway(s.lastWritten) }
 
-// move cuts the stream for its client to continue elsewhere.
-func (p *streamRelay) moveStream() {
-	p.frontend.MovedStreams.Add(1)
-	p.abort()
+// moveStream cuts the stream, for its client to continue it at another dispatcher.
+func (s *streamRelay) moveStream() {
+	s.frontend.MovedStreams.Add(1)
+	s.abort()
 }
 
 // abort ends the request and its client's connection.
-func (p *streamRelay) abort() {
-	p.frontend.loop.Post(func() { p.frontend.loop.Left(p.request) })
+func (s *streamRelay) abort() {
+	s.frontend.loop.Post(func() { s.frontend.loop.Left(s.request) })
 	panic(http.ErrAbortHandler)
 }
 
-// cutting tells whether streams are cut to be continued elsewhere.
+// movingStreams reports whether streams are being cut for their clients to continue them at another dispatcher.
 func (f *frontend) movingStreams() bool {
 	select {
 	case <-f.moveStreams:
