--- a/cmd/benchlink/parity_test.go
+++ b/cmd/benchlink/parity_test.go
@@ -122,14 +122,14 @@
 }
 
 func (r *recorder) Start(attempt *dispatch.Attempt) {
-	r.inFlight[attempt.Planned.Request.ID] = attempt
-	attempt.Off = func(error) {}
+	r.inFlight[attempt.Scheduled.Request.ID] = attempt
+	attempt.Cancel = func(error) {}
 	r.note("send %d to %d for %d",
-		attempt.Planned.Request.ID, attempt.Planned.Backend.ID, attempt.Wait.Microseconds())
+		attempt.Scheduled.Request.ID, attempt.Scheduled.Backend.ID, attempt.Timeout.Microseconds())
 }
 func (r *recorder) Release(*dispatch.Backend, *dispatch.ClientRequest) {}
-func (r *recorder) Tell(int, brain.PeerUpdate)                         {}
-func (r *recorder) Reach(*dispatch.Backend, []addresses.Spec)          {}
+func (r *recorder) SendPeerUpdate(int, brain.PeerUpdate)               {}
+func (r *recorder) SetAddresses(*dispatch.Backend, []addresses.Spec)   {}
 
 // The simulator tests the scheduler of the running dispatcher only as long as this adapter and the dispatcher's event
 // loop get the same decisions from the same sequence of events.
@@ -155,7 +155,7 @@
 	const seed = 99
 	recorded := &recorder{inFlight: map[uint64]*dispatch.Attempt{}}
 	loop, err := dispatch.NewLoop(config.Facts(), seed,
-		dispatch.Places{Zone: config.ZoneNumber, Kind: config.KindNumber}, recorded,
+		dispatch.Resolver{ZoneNumber: config.ZoneNumber, KindNumber: config.KindNumber}, recorded,
 		func() time.Duration { return recorded.now }, "d", slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -180,7 +180,7 @@
 				Units: 2, UpMs: -1,
 			}
 			entry := make([]byte, 22)
-			binary.BigEndian.PutUint32(entry, dispatch.HostID(name))
+			binary.BigEndian.PutUint32(entry, dispatch.BackendID(name))
 			binary.BigEndian.PutUint16(entry[5:], uint16(config.KindNumber(kind)))
 			binary.BigEndian.PutUint16(entry[7:], uint16(i%2))
 			entry[9] = byte(state)
@@ -195,13 +195,13 @@
 		r[0], r[11] = wire.EventEndpoints, 1
 		r.u32(16, uint32(len(lines)))
 		sim.handle(r, tail)
-		loop.Do(func() { loop.Listed(lines, true) })
+		loop.RunTurn(func() { loop.UpdateBackends(lines, true) })
 	}
 	tick := func() {
 		sim.clockUs += 2000
 		recorded.now += 2 * time.Millisecond
 		sim.fireDue()
-		loop.Due()
+		loop.RunTimers()
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	submitted := map[uint64]*dispatch.ClientRequest{}
@@ -210,16 +210,16 @@
 		brain.Unreachable: 502, brain.Broken: 598,
 	}
 	end := func(id uint64, attempt *dispatch.Attempt, outcome brain.Outcome, note int) {
-		took := (recorded.now - attempt.Planned.Sent).Microseconds()
-		over := outcome == brain.Served || attempt.Planned.Began > 0
+		took := (recorded.now - attempt.Scheduled.Sent).Microseconds()
+		over := outcome == brain.Served || attempt.Scheduled.Began > 0
 		load := []float64{0.5, 3}
 		var r eventRecord
-		r[0], r[11] = wire.EventOutcome, byte(attempt.Planned.Number)
+		r[0], r[11] = wire.EventOutcome, byte(attempt.Scheduled.Number)
 		r.u64(3, id)
-		r.u32(12, attempt.Planned.Backend.ID)
+		r.u32(12, attempt.Scheduled.Backend.ID)
 		binary.BigEndian.PutUint16(r[16:], codes[outcome])
 		r.u32(18, uint32(took))
-		if over || attempt.Planned.Request.Over {
+		if over || attempt.Scheduled.Request.Over {
 			r[22] = 1
 		}
 		r.u32(23, uint32(note))
@@ -228,7 +228,7 @@
 		r.f32(32, load[1])
 		sim.handle(r, nil)
 		delete(recorded.inFlight, id)
-		loop.Do(func() { loop.Ended(attempt, brain.Result{Outcome: outcome, Note: note, Load: load}) })
+		loop.RunTurn(func() { loop.AttemptEnded(attempt, brain.Result{Outcome: outcome, Note: note, Load: load}) })
 	}
 	tick()
 	list(func(int) int { return 1 })
@@ -239,20 +239,20 @@
 			class, tokens := rng.IntN(3), 200+rng.IntN(4000)
 			session, prefix := fmt.Sprint("s", rng.IntN(200)), fmt.Sprint("b", rng.IntN(9))
 			request := &dispatch.ClientRequest{
-				Ask: kserve.Ask{Tokens: tokens, Prefix: 100, Most: 60, Session: session, Shared: prefix},
+				Params: kserve.Ask{Tokens: tokens, Prefix: 100, Most: 60, Session: session, Shared: prefix},
 			}
 			submitted[id] = request
 			var r eventRecord
 			r[0], r[36] = wire.EventRequest, byte(class)
 			r.u64(3, id)
-			r.u64(11, dispatch.Number(session))
+			r.u64(11, dispatch.HashName(session))
 			r.f32(20, 60)
-			r.u64(24, dispatch.Number(prefix))
+			r.u64(24, dispatch.HashName(prefix))
 			r.f32(32, float64(tokens))
 			r.u32(41, 3_000_000)
 			r.f32(45, 100)
 			sim.handle(r, nil)
-			loop.Do(func() { loop.Submit(request, class, 0, 3*time.Second) })
+			loop.RunTurn(func() { loop.Submit(request, class, 0, 3*time.Second) })
 		}
 		if step == 7000 {
 			list(func(i int) int { return []int{1, 0, 1, 1, 2, 1, 1}[i] })
@@ -264,38 +264,38 @@
 		slices.Sort(ids)
 		for _, id := range ids {
 			attempt := recorded.inFlight[id]
-			age := recorded.now - attempt.Planned.Sent
+			age := recorded.now - attempt.Scheduled.Sent
 			switch draw := rng.Float64(); {
-			case age >= attempt.Wait && attempt.Planned.Began == 0:
+			case age >= attempt.Timeout && attempt.Scheduled.Began == 0:
 				end(id, attempt, brain.TimedOut, 0)
 			case draw < 0.001:
 				end(id, attempt, brain.Failed, 0)
 			case draw < 0.002:
 				end(id, attempt, brain.Broken, 0)
-			case attempt.Planned.Began > 0 && draw < 0.05:
+			case attempt.Scheduled.Began > 0 && draw < 0.05:
 				end(id, attempt, brain.Served, 40)
-			case attempt.Planned.Began > 0:
+			case attempt.Scheduled.Began > 0:
 			case draw < 0.0021:
 				end(id, attempt, brain.Unreachable, 0)
 			case draw < 0.003:
 				end(id, attempt, brain.Rejected, 0)
-			case draw < 0.12 && attempt.Planned.Stage == brain.ToRead:
+			case draw < 0.12 && attempt.Scheduled.Stage == brain.ToRead:
 				end(id, attempt, brain.Read, 100)
 			case draw < 0.12:
 				var r eventRecord
-				r[0], r[11] = wire.EventFirstByte, byte(attempt.Planned.Number)
+				r[0], r[11] = wire.EventFirstByte, byte(attempt.Scheduled.Number)
 				r.u64(3, id)
-				r.u32(12, attempt.Planned.Backend.ID)
+				r.u32(12, attempt.Scheduled.Backend.ID)
 				r.u32(16, uint32(age.Microseconds()))
 				sim.handle(r, nil)
-				loop.Do(func() { loop.Began(attempt) })
-			case draw < 0.122 && !attempt.Planned.Request.Over:
+				loop.RunTurn(func() { loop.AttemptBegan(attempt) })
+			case draw < 0.122 && !attempt.Scheduled.Request.Over:
 				var r eventRecord
 				r[0] = wire.EventClientGone
 				r.u64(3, id)
 				sim.handle(r, nil)
 				request := submitted[id]
-				loop.Do(func() { loop.Left(request) })
+				loop.RunTurn(func() { loop.ClientDisconnected(request) })
 			}
 		}
 	}
@@ -323,9 +323,9 @@
 	if len(sends) != len(recorded.actions) {
 		t.Errorf("the adapter sends %d attempts, the event loop %d", len(sends), len(recorded.actions))
 	}
-	if l := loop.Tally; int(l.Declined) != finals[kserve.Declined] || int(l.Forfeited) < finals[kserve.Forfeited] {
+	if l := loop.Counters; int(l.Rejected) != finals[kserve.Declined] || int(l.Failed) < finals[kserve.Forfeited] {
 		t.Errorf("the adapter rejects %d and fails %d, the event loop %d and %d",
-			finals[kserve.Declined], finals[kserve.Forfeited], l.Declined, l.Forfeited)
+			finals[kserve.Declined], finals[kserve.Forfeited], l.Rejected, l.Failed)
 	}
 }
 
--- a/internal/dispatch/cost_test.go
+++ b/internal/dispatch/cost_test.go
@@ -26,13 +26,13 @@
 	const backends, rounds, most = 3200, 10, 25 * time.Millisecond
 	l, _ := settled(t, "idempotent")
 	lines := wholeList(backends)
-	l.Do(func() { l.Listed(lines, true) })
+	l.RunTurn(func() { l.UpdateBackends(lines, true) })
 	if len(l.backends) < backends {
 		t.Fatalf("%d backends are known", len(l.backends))
 	}
 	began := time.Now()
 	for range rounds {
-		l.Do(func() { l.Listed(lines, true) })
+		l.RunTurn(func() { l.UpdateBackends(lines, true) })
 	}
 	if took := time.Since(began) / rounds; took > most {
 		t.Errorf("a list takes %v", took)
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -32,7 +32,7 @@
 // backendState returns the state of a backend as the scheduler knows it.
 func (c *testCluster) backendState(name string) (state brain.BackendState) {
 	c.node.loop.Call(context.Background(), func() {
-		if backend := c.node.loop.HostOf(name); backend != nil {
+		if backend := c.node.loop.SchedulerBackend(name); backend != nil {
 			state = backend.Standing
 		}
 	})
@@ -46,8 +46,8 @@
 ) *dispatch.ClientRequest {
 	c.t.Helper()
 	request := &dispatch.ClientRequest{
-		Ask: kserve.Ask{ID: id, Tokens: 400, Most: 50},
-		Matter: &outgoingRequest{id: id, body: []byte("{}"), head: func(wait time.Duration) []byte {
+		Params: kserve.Ask{ID: id, Tokens: 400, Most: 50},
+		Payload: &outgoingRequest{id: id, body: []byte("{}"), head: func(wait time.Duration) []byte {
 			return fmt.Appendf(nil, "POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\n"+
 				"Content-Length: 2\r\n\r\n", id, wait.Milliseconds())
 		}},
@@ -64,18 +64,18 @@
 func TestDrainLearnedBeforeSendStopsTheAttempt(t *testing.T) {
 	cluster := startCluster(t, nil)
 	request := cluster.submit("q1", 0, func(*dispatch.ClientRequest) {
-		cluster.node.loop.HostOf("r1").Standing = brain.Draining
+		cluster.node.loop.SchedulerBackend("r1").Standing = brain.Draining
 	})
 	cluster.await("the request is finished", func() bool { return len(request.Final()) == 1 })
 	if n := len(cluster.site.Seen("r1", "POST")); n != 0 {
 		t.Errorf("%d attempts to a draining backend", n)
 	}
 	cluster.node.loop.Call(context.Background(), func() {
-		if b := cluster.node.loop.Believes(); b.Cold != 0 || cluster.node.loop.Tally.Outcomes[brain.NotSent] != 1 {
+		if b := cluster.node.loop.Estimates(); b.Cold != 0 || cluster.node.loop.Counters.Outcomes[brain.NotSent] != 1 {
 			t.Errorf("an attempt that was not sent counts against its backend: %+v, outcomes %v",
-				b, cluster.node.loop.Tally.Outcomes)
+				b, cluster.node.loop.Counters.Outcomes)
 		}
-		cluster.node.loop.HostOf("r1").Standing = brain.Ready
+		cluster.node.loop.SchedulerBackend("r1").Standing = brain.Ready
 	})
 	cluster.awaitIdle()
 }
@@ -88,7 +88,7 @@
 			cluster := startCluster(t, func(_ *testCluster, config *Config) {
 				config.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling
 			})
-			cluster.submit("q1", 0, func(request *dispatch.ClientRequest) { cluster.node.loop.Left(request) })
+			cluster.submit("q1", 0, func(request *dispatch.ClientRequest) { cluster.node.loop.ClientDisconnected(request) })
 			cluster.awaitIdle()
 			if n := len(cluster.site.Seen("", "POST")); n != 0 {
 				t.Errorf("%d attempts for a client that has left", n)
@@ -144,7 +144,7 @@
 		ctx, cancel := context.WithCancelCause(context.Background())
 		go func() {
 			io.ReadFull(remote, make([]byte, sent))
-			cancel(dispatch.ErrLate)
+			cancel(dispatch.ErrAttemptTimeout)
 		}()
 		_, err := write(ctx, &reach.Conn{Conn: local}, []byte("POST / HTTP/1.1\r\n\r\n"), []byte("{}"))
 		if err == nil {
@@ -376,7 +376,7 @@
 		}
 		failing.Store(nil)
 		cluster.node.loop.Call(context.Background(), func() {
-			if b := cluster.node.loop.Believes(); b.Cold != 0 || b.Doubted != 0 {
+			if b := cluster.node.loop.Estimates(); b.Cold != 0 || b.Doubted != 0 {
 				t.Errorf("%v: %d backends count as restarting, %d as failing", errno, b.Cold, b.Doubted)
 			}
 		})
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -56,7 +56,7 @@
 			system.Sleep(dialCtx, dialRetryDelay)
 			continue
 		}
-		if deadline, bounded := dialCtx.Deadline(); bounded && attempt.Planned.Connect > 0 {
+		if deadline, bounded := dialCtx.Deadline(); bounded && attempt.Scheduled.Connect > 0 {
 			// While a backend does not read the request a KV cache keeps waiting, as it would without a connection.
 			conn.SetWriteDeadline(deadline)
 		}
@@ -73,7 +73,7 @@
 
 // connectTimeout returns how long opening a connection for an attempt may take.
 func (c *transport) connectTimeout(attempt *dispatch.Attempt) time.Duration {
-	if timeout := attempt.Planned.Connect; timeout > 0 {
+	if timeout := attempt.Scheduled.Connect; timeout > 0 {
 		return min(timeout, c.pools.DialTimeout)
 	}
 	return c.pools.DialTimeout
@@ -89,24 +89,24 @@
 	if permission != brain.Allowed {
 		c.Stale.Add(1)
 		c.log.Debug("attempt not sent", "id", request.id, "backend", attempt.Backend.Name,
-			"number", attempt.Planned.Number, "why", permission)
+			"number", attempt.Scheduled.Number, "why", permission)
 		return nil, errNotSent
 	}
-	timeout := attempt.Until - c.clock()
+	timeout := attempt.Deadline - c.clock()
 	if timeout <= 0 || attempt.Request.Over() {
 		// The end of a request is checked right here, as the event loop may not have processed it yet.
 		c.Stale.Add(1)
 		return nil, errNotSent
 	}
-	c.monitor.AttemptBegins(request.id, attempt.Backend.Name, attempt.Planned.Number, hasEffect(attempt), timeout)
+	c.monitor.AttemptBegins(request.id, attempt.Backend.Name, attempt.Scheduled.Number, hasEffect(attempt), timeout)
 	stop, err = write(ctx, conn, request.head(timeout), request.body)
 	switch {
 	case err == nil:
-		c.monitor.AttemptSent(request.id, attempt.Planned.Number, hasEffect(attempt))
+		c.monitor.AttemptSent(request.id, attempt.Scheduled.Number, hasEffect(attempt))
 	case errors.Is(err, errCutMidRequest):
-		c.monitor.AttemptEnds(request.id, attempt.Planned.Number, hasEffect(attempt), monitor.MayHaveRun, err.Error())
+		c.monitor.AttemptEnds(request.id, attempt.Scheduled.Number, hasEffect(attempt), monitor.MayHaveRun, err.Error())
 	default:
-		c.monitor.AttemptEnds(request.id, attempt.Planned.Number, hasEffect(attempt), monitor.NeverRan, err.Error())
+		c.monitor.AttemptEnds(request.id, attempt.Scheduled.Number, hasEffect(attempt), monitor.NeverRan, err.Error())
 	}
 	return stop, err
 }
@@ -149,7 +149,7 @@
 		return nil, nil, errNotSent // its backend has been removed
 	}
 	waitCtx := ctx
-	if attempt.Planned.Connect > 0 { // a KV cache is waiting, and a descriptor may not become free in time
+	if attempt.Scheduled.Connect > 0 { // a KV cache is waiting, and a descriptor may not become free in time
 		bounded, cancel := context.WithTimeout(ctx, c.connectTimeout(attempt))
 		defer cancel()
 		waitCtx = bounded
@@ -172,7 +172,7 @@
 // then.
 func notSentResult(ctx context.Context, err error) brain.Result {
 	switch {
-	case errors.Is(context.Cause(ctx), dispatch.ErrLeft):
+	case errors.Is(context.Cause(ctx), dispatch.ErrNotNeeded):
 		return brain.Result{Outcome: brain.Cancelled}
 	case errors.Is(err, errCutMidRequest):
 		return brain.Result{Outcome: brain.TimedOut}
@@ -190,6 +190,6 @@
 func (c *transport) checkAcknowledged(attempt *dispatch.Attempt, conn *reach.Conn) {
 	if system.UnacknowledgedBytes(conn.Conn) > 0 {
 		c.Unacknowledged.Add(1)
-		attempt.Off(errUnacknowledged)
+		attempt.Cancel(errUnacknowledged)
 	}
 }
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -117,7 +117,7 @@
 		return
 	}
 	defer f.openRequests.Add(-1)
-	if reason := mayAccept(f.rejectAll.Load(), f.openRequests.Add(1), f.maxOpen, f.loop.Behind()); reason != notRejected {
+	if reason := mayAccept(f.rejectAll.Load(), f.openRequests.Add(1), f.maxOpen, f.loop.QueueDelay()); reason != notRejected {
 		f.reject(w, r, reason)
 		return
 	}
@@ -200,17 +200,17 @@
 		return chat.Errand(r, serviceHost, request, length, timeout)
 	}}
 	clientRequest := &dispatch.ClientRequest{
-		Ask: kserve.Ask{
+		Params: kserve.Ask{
 			ID: request.ID, Session: request.Session, Shared: request.Shared, Tokens: request.Tokens,
 			Prefix: request.Prefix, Most: request.Most, Again: request.Again,
 		},
-		Grade: request.Grade, Channel: request.Channel, Matter: outgoing,
+		Class: request.Grade, Tenant: request.Channel, Payload: outgoing,
 	}
 	submitted = true
 	f.monitor.RequestAccepted(request.ID, f.classes[class], request.Left-time.Since(arrival))
 	defer f.monitor.RequestClosed(request.ID, "its handler has returned")
 	defer context.AfterFunc(r.Context(), func() {
-		clientRequest.End()
+		clientRequest.MarkOver()
 		f.monitor.ClientGone(request.ID)
 	})()
 	ctx, cancel := context.WithDeadline(r.Context(), arrival.Add(request.Left+answerGrace))
@@ -221,7 +221,7 @@
 		f.answerWithoutLoop(w, r, clientRequest, ctx)
 		return
 	}
-	attempt, final, answered := clientRequest.Start(ctx)
+	attempt, final, answered := clientRequest.WaitStart(ctx)
 	switch {
 	case !answered:
 		f.answerWithoutLoop(w, r, clientRequest, ctx)
@@ -241,18 +241,18 @@
 func (f *frontend) answerWithoutLoop(
 	w http.ResponseWriter, r *http.Request, clientRequest *dispatch.ClientRequest, ctx context.Context,
 ) {
-	clientRequest.End()
-	f.loop.Post(func() { f.loop.Left(clientRequest) })
+	clientRequest.MarkOver()
+	f.loop.Post(func() { f.loop.ClientDisconnected(clientRequest) })
 	switch {
 	case r.Context().Err() != nil:
-		f.monitor.ClientGone(clientRequest.Ask.ID)
+		f.monitor.ClientGone(clientRequest.Params.ID)
 	case ctx.Err() != nil:
 		f.LateAnswers.Add(1)
-		f.log.Error("no answer from the event loop by the request's deadline", "id", clientRequest.Ask.ID,
-			"behind", f.loop.Behind())
-		f.writeFinal(w, clientRequest.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
+		f.log.Error("no answer from the event loop by the request's deadline", "id", clientRequest.Params.ID,
+			"behind", f.loop.QueueDelay())
+		f.writeFinal(w, clientRequest.Params.ID, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
 	default:
-		f.writeFinal(w, clientRequest.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: string(rejectedAtShutdown)})
+		f.writeFinal(w, clientRequest.Params.ID, kserve.Final{Final: kserve.Forfeited, Error: string(rejectedAtShutdown)})
 	}
 }
 
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -154,7 +154,7 @@
 			int(c.node.transport.pending.Load())
 		c.node.loop.Call(context.Background(), func() {
 			for _, b := range []*hosts.Box{c.prefill, c.decoders[0], c.decoders[1]} {
-				if known := c.node.loop.HostOf(b.UID); known != nil &&
+				if known := c.node.loop.SchedulerBackend(b.UID); known != nil &&
 					(known.Streams != 0 || known.Tokens != 0 || known.Unread != 0) {
 					remaining++
 				}
@@ -238,7 +238,7 @@
 	}
 	cluster.awaitIdle()
 	cluster.node.loop.Call(context.Background(), func() {
-		if prefill := cluster.node.loop.HostOf("r1"); prefill.Util != 0.5 || prefill.Queue != 2 {
+		if prefill := cluster.node.loop.SchedulerBackend("r1"); prefill.Util != 0.5 || prefill.Queue != 2 {
 			t.Errorf("the prefill backend's load report is read as util %g, queue %g", prefill.Util, prefill.Queue)
 		}
 	})
@@ -449,7 +449,7 @@
 		})
 	}
 	t.Cleanup(func() {
-		if n := cluster.node.loop.Tally.Taken; n != 0 {
+		if n := cluster.node.loop.Counters.Accepted; n != 0 {
 			t.Errorf("%d requests reached the scheduler", n)
 		}
 	})
@@ -584,8 +584,8 @@
 		t.Errorf("%+v", got)
 	}
 	cluster.node.loop.Call(context.Background(), func() {
-		if b := cluster.node.loop.Believes(); b.Cold != 0 || cluster.node.loop.Tally.Outcomes[brain.Unreachable] != 0 {
-			t.Errorf("%+v, outcomes %v", b, cluster.node.loop.Tally.Outcomes)
+		if b := cluster.node.loop.Estimates(); b.Cold != 0 || cluster.node.loop.Counters.Outcomes[brain.Unreachable] != 0 {
+			t.Errorf("%+v, outcomes %v", b, cluster.node.loop.Counters.Outcomes)
 		}
 	})
 	cluster.awaitIdle()
@@ -600,7 +600,7 @@
 		t.Errorf("%+v after %d attempts", got, len(cluster.site.Seen("", "POST")))
 	}
 	cluster.node.loop.Call(context.Background(), func() {
-		if prefill := cluster.node.loop.HostOf("r1").Records[0]; prefill.Missed != 0 {
+		if prefill := cluster.node.loop.SchedulerBackend("r1").Records[0]; prefill.Missed != 0 {
 			t.Error("the response counts against the backend")
 		}
 	})
@@ -713,7 +713,7 @@
 	cluster.site.Change(func() { cluster.prefill.State = "terminating" })
 	cluster.await("the drain is known", func() bool {
 		state := brain.Ready
-		cluster.node.loop.Call(context.Background(), func() { state = cluster.node.loop.HostOf("r1").Standing })
+		cluster.node.loop.Call(context.Background(), func() { state = cluster.node.loop.SchedulerBackend("r1").Standing })
 		return state == brain.Draining
 	})
 }
--- a/internal/platform/observe.go
+++ b/internal/platform/observe.go
@@ -87,7 +87,7 @@
 
 // hasEffect reports whether an attempt may have an effect that must not happen twice. A prefill has none, however it
 // ends.
-func hasEffect(attempt *dispatch.Attempt) bool { return attempt.Planned.Stage != brain.ToRead }
+func hasEffect(attempt *dispatch.Attempt) bool { return attempt.Scheduled.Stage != brain.ToRead }
 
 // provenEnd returns what the outcome of an attempt proves about whether it ran.
 func provenEnd(outcome brain.Outcome) monitor.AttemptEnd {
--- a/internal/platform/releases.go
+++ b/internal/platform/releases.go
@@ -36,12 +36,12 @@
 // called first, and further ones are called in parallel whenever none has answered for a while, because a partitioned
 // backend gives no answer at all.
 func (c *transport) Release(backend *dispatch.Backend, request *dispatch.ClientRequest) {
-	outgoing, _ := request.Matter.(*outgoingRequest)
+	outgoing, _ := request.Payload.(*outgoingRequest)
 	if outgoing == nil {
 		return
 	}
 	call, targets := chat.LetGo(serviceHost, outgoing.id), c.releaseOrder(c.poolOf[backend])
-	if request.AttemptOut() {
+	if request.AttemptInFlight() {
 		c.Due.Add(1)
 		c.notable.Info("releasing a KV cache that is due while its attempt is in flight",
 			"id", outgoing.id, "backend", backend.Name)
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -86,9 +86,9 @@
 		poolOf: map[*dispatch.Backend]*reach.Pool{}, releaser: releaser{callSlots: make(chan struct{}, shares.releases)},
 		clock: since, attemptSlots: make(chan struct{}, shares.attempts),
 	}
-	places := dispatch.Places{
-		Zone: func(name string) int { return zoneNumber(settings, name) },
-		Kind: func(name string) int { return settings.Index("kinds", name) },
+	places := dispatch.Resolver{
+		ZoneNumber: func(name string) int { return zoneNumber(settings, name) },
+		KindNumber: func(name string) int { return settings.Index("kinds", name) },
 	}
 	listener, err := system.OpenWithRetry(func() (system.Listener, error) { return sys.Listen(config.Listen) })
 	if err != nil {
@@ -103,7 +103,7 @@
 		}
 		dispatcher.peers.Plain = true
 	}
-	dispatcher.transport.sendToPeer = dispatcher.peers.Tell
+	dispatcher.transport.sendToPeer = dispatcher.peers.SendUpdate
 	if dispatcher.loop, err = dispatch.NewLoop(
 		settings, config.randomSeed(), places, dispatcher.transport, since, config.Name, log,
 	); err != nil {
@@ -119,7 +119,7 @@
 		Log: log, Since: since, Wall: sys.Wall, Dial: sys.Dial,
 		Listed: func(listed []boxlist.Box, full bool) {
 			observer.listed(listed, full)
-			dispatcher.loop.Post(func() { dispatcher.loop.Listed(listed, full) })
+			dispatcher.loop.Post(func() { dispatcher.loop.UpdateBackends(listed, full) })
 		},
 	}
 	if len(config.LastKnown) > 0 {
@@ -136,7 +136,7 @@
 			return false
 		}
 		ready := false
-		dispatcher.loop.Call(dispatcher.lifetime, func() { ready = dispatcher.loop.Answers() })
+		dispatcher.loop.Call(dispatcher.lifetime, func() { ready = dispatcher.loop.HasReadyBackend() })
 		return ready
 	}
 	return dispatcher, nil
@@ -149,7 +149,7 @@
 	if i := settings.Index("dcs", name); i >= 0 || name == "" {
 		return max(i, 0)
 	}
-	return int(settings.Num("dcs", 0)) + 1 + int(dispatch.HostID(name))
+	return int(settings.Num("dcs", 0)) + 1 + int(dispatch.BackendID(name))
 }
 
 func (n *node) run(ctx context.Context, reloads <-chan os.Signal, load func() (Config, error)) (err error) {
@@ -199,14 +199,14 @@
 	runtime.ReadMemStats(&memory)
 	transport, frontend, limiter := n.transport, n.frontend, n.limiter
 	n.loop.Call(n.lifetime, func() {
-		tally := n.loop.Tally
-		turn, wait, timer := n.loop.Lag.Period()
-		n.log.Info("state", "taken", tally.Taken, "again", frontend.Resubmitted.Load(), "rest", frontend.Continuations.Load(),
-			"moved", frontend.MovedStreams.Load(), "satisfied", tally.Satisfied, "declined", tally.Declined,
-			"forfeited", tally.Forfeited, "left", tally.Left, "overdue", tally.Overdue, "trips", tally.Trips,
-			"outcomes", fmt.Sprint(tally.Outcomes), "prefills", fmt.Sprint(tally.Prefills), "began", tally.Began,
-			"in_time", tally.InTime, "held_ms", tally.Held.Milliseconds(), "first_ms", tally.First.Milliseconds(),
-			"believes", fmt.Sprintf("%+v", n.loop.Believes()), "open", frontend.openRequests.Load(), "bodies", frontend.bodyBytes.Load(),
+		tally := n.loop.Counters
+		turn, wait, timer := n.loop.Lag.TakePeriod()
+		n.log.Info("state", "taken", tally.Accepted, "again", frontend.Resubmitted.Load(), "rest", frontend.Continuations.Load(),
+			"moved", frontend.MovedStreams.Load(), "satisfied", tally.Served, "declined", tally.Rejected,
+			"forfeited", tally.Failed, "left", tally.Disconnected, "overdue", tally.Overdue, "trips", tally.Attempts,
+			"outcomes", fmt.Sprint(tally.Outcomes), "prefills", fmt.Sprint(tally.Prefills), "began", tally.FirstTokens,
+			"in_time", tally.OnTime, "held_ms", tally.QueueTime.Milliseconds(), "first_ms", tally.FirstTokenTime.Milliseconds(),
+			"believes", fmt.Sprintf("%+v", n.loop.Estimates()), "open", frontend.openRequests.Load(), "bodies", frontend.bodyBytes.Load(),
 			"clients", limiter.count(), "pushed", limiter.Evicted.Load(), "waited", limiter.CapacityWaits.Load(),
 			"accept_failed", limiter.AcceptErrors.Load(), "shut", limiter.ClosedUnread.Load(), "refused", frontend.refusalCounts(),
 			"released", transport.Delivered.Load(), "unheard", transport.Undelivered.Load(), "stale", transport.Stale.Load(),
@@ -227,7 +227,7 @@
 	n.transport.mu.Lock()
 	defer n.transport.mu.Unlock()
 	for name, traffic := range n.transport.traffic {
-		if backend := n.loop.HostOf(name); backend == nil && traffic.prefills+traffic.decodes == 0 {
+		if backend := n.loop.SchedulerBackend(name); backend == nil && traffic.prefills+traffic.decodes == 0 {
 			delete(n.transport.traffic, name)
 		} else if backend != nil {
 			n.log.Debug("backend", "name", name, "role", backend.Role, "standing", backend.Standing, "streams", backend.Streams,
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -98,14 +98,14 @@
 // answerAll has every request without a first event answered, and every further request rejected.
 func (n *node) answerAll() {
 	n.frontend.rejectAll.Store(true)
-	n.loop.Post(n.loop.Yield)
+	n.loop.Post(n.loop.EndUnstarted)
 }
 
 // releaseAll cancels the attempts that no client waits for, and waits until all releases of KV caches have finished.
 func (n *node) releaseAll() {
 	for end := time.Now().Add(finalReleaseTimeout); time.Now().Before(end); time.Sleep(shutdownPollInterval) {
 		open := 0
-		n.loop.Call(n.lifetime, func() { open = n.loop.CallOff() })
+		n.loop.Call(n.lifetime, func() { open = n.loop.CancelAttempts() })
 		if open == 0 && n.transport.pending.Load() == 0 {
 			return
 		}
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -37,7 +37,7 @@
 // run relays events as they arrive. A stream that breaks ends the client's connection without the last chunk, as a
 // plain return would mark the response as complete.
 func (s *streamRelay) run() {
-	s.frontend.monitor.Answered(s.request.Ask.ID, http.StatusOK, false, nil)
+	s.frontend.monitor.Answered(s.request.Params.ID, http.StatusOK, false, nil)
 	s.w.Header().Set("Content-Type", "text/event-stream")
 	s.w.Header()["Date"] = nil
 	cut := s.frontend.moveStreams
@@ -109,7 +109,7 @@
 
 // abort ends the request and its client's connection.
 func (s *streamRelay) abort() {
-	s.frontend.loop.Post(func() { s.frontend.loop.Left(s.request) })
+	s.frontend.loop.Post(func() { s.frontend.loop.ClientDisconnected(s.request) })
 	panic(http.ErrAbortHandler)
 }
 
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -66,19 +66,19 @@
 }
 
 // Reach sets the addresses of a backend. None means that it was removed.
-func (c *transport) Reach(backend *dispatch.Backend, specs []addresses.Spec) {
-	pool := c.pools.SetAddresses(backend.Name, specs, uint64(backend.Known.ID))
+func (c *transport) SetAddresses(backend *dispatch.Backend, specs []addresses.Spec) {
+	pool := c.pools.SetAddresses(backend.Name, specs, uint64(backend.SchedulerState.ID))
 	if len(specs) == 0 {
 		delete(c.poolOf, backend)
 		c.activity.remove(pool)
 		return
 	}
 	c.poolOf[backend] = pool
-	c.activity.add(pool, failureDomain{backend.Known.Role, backend.Known.Zone})
+	c.activity.add(pool, failureDomain{backend.SchedulerState.Role, backend.SchedulerState.Zone})
 }
 
 // Tell sends an update to a peer.
-func (c *transport) Tell(peer int, update brain.PeerUpdate) { c.sendToPeer(peer, update) }
+func (c *transport) SendPeerUpdate(peer int, update brain.PeerUpdate) { c.sendToPeer(peer, update) }
 
 // backendTraffic counts the requests sent to one backend.
 type backendTraffic struct {
@@ -96,7 +96,7 @@
 		traffic = &backendTraffic{}
 		c.traffic[attempt.Backend.Name] = traffic
 	}
-	if attempt.Planned.Stage == brain.ToRead {
+	if attempt.Scheduled.Stage == brain.ToRead {
 		traffic.prefills += delta
 	} else {
 		traffic.decodes += delta
@@ -112,8 +112,8 @@
 // Start starts an attempt.
 func (c *transport) Start(attempt *dispatch.Attempt) {
 	ctx, cancel := context.WithCancelCause(c.lifetime)
-	attempt.Off = cancel
-	outgoing, pool := attempt.Request.Matter.(*outgoingRequest), c.poolOf[attempt.Backend]
+	attempt.Cancel = cancel
+	outgoing, pool := attempt.Request.Payload.(*outgoingRequest), c.poolOf[attempt.Backend]
 	c.tasks.Go(func() error {
 		result := c.perform(ctx, attempt, pool, outgoing)
 		cancel(nil)
@@ -130,12 +130,12 @@
 	switch result.Outcome {
 	case brain.TimedOut, brain.Broken, brain.Unreachable:
 		c.notable.Info("attempt failed", "id", id, "backend", attempt.Backend.Name, "stage", attempt.Stage(),
-			"number", attempt.Planned.Number, "outcome", dispatch.OutcomeName(result.Outcome),
-			"arrived", attempt.Arrived.Load(), "wait", attempt.Wait)
+			"number", attempt.Scheduled.Number, "outcome", dispatch.OutcomeName(result.Outcome),
+			"arrived", attempt.ResponseStarted.Load(), "wait", attempt.Timeout)
 	}
 	c.loop.Post(func() {
 		result.Ago = c.clock() - ended
-		c.loop.Ended(attempt, result)
+		c.loop.AttemptEnded(attempt, result)
 	})
 }
 
@@ -149,7 +149,7 @@
 	}
 	load := ""
 	c.recordTraffic(attempt, 1, "")
-	if limit := attempt.Planned.Connect; limit > 0 {
+	if limit := attempt.Scheduled.Connect; limit > 0 {
 		defer time.AfterFunc(ackTimeoutFactor*limit, func() { c.checkAcknowledged(attempt, conn) }).Stop()
 	}
 	defer func() {
@@ -157,14 +157,14 @@
 		stop()
 		conn.Discard()
 		<-c.attemptSlots
-		c.monitor.AttemptEnds(outgoing.id, attempt.Planned.Number, hasEffect(attempt),
+		c.monitor.AttemptEnds(outgoing.id, attempt.Scheduled.Number, hasEffect(attempt),
 			provenEnd(result.Outcome), dispatch.OutcomeName(result.Outcome))
 	}()
 	interrupted := func() brain.Result {
 		switch cause := context.Cause(ctx); {
-		case errors.Is(cause, dispatch.ErrLate):
+		case errors.Is(cause, dispatch.ErrAttemptTimeout):
 			return brain.Result{Outcome: brain.TimedOut}
-		case errors.Is(cause, dispatch.ErrLeft):
+		case errors.Is(cause, dispatch.ErrNotNeeded):
 			return brain.Result{Outcome: brain.Cancelled}
 		}
 		return brain.Result{Outcome: brain.Broken}
@@ -173,9 +173,9 @@
 		c.activity.recordSilence(pool)
 		return interrupted()
 	}
-	attempt.Arrived.Store(true) // only a response shows that the request has reached a running backend
+	attempt.ResponseStarted.Store(true) // only a response shows that the request has reached a running backend
 	c.activity.recordActivity(pool)
-	c.monitor.AttemptArrived(outgoing.id, attempt.Planned.Number)
+	c.monitor.AttemptArrived(outgoing.id, attempt.Scheduled.Number)
 	conn.SetReadDeadline(time.Now().Add(responseHeadTimeout))
 	var resp *http.Response
 	for range chat.InformMost {
@@ -188,7 +188,7 @@
 			break
 		}
 	}
-	if resp.StatusCode != http.StatusOK || attempt.Planned.Stage == brain.ToRead {
+	if resp.StatusCode != http.StatusOK || attempt.Scheduled.Stage == brain.ToRead {
 		body, err := io.ReadAll(io.LimitReader(resp.Body, maxShortBody+1))
 		if err != nil || len(body) > maxShortBody {
 			c.Malformed.Add(1)
@@ -198,10 +198,10 @@
 			// The request is at fault: this must not count against the backend, and no other backend would accept the
 			// request either.
 			c.BadRequest.Add(1)
-			attempt.Unfit = true
+			attempt.RequestInvalid = true
 			return brain.Result{Outcome: brain.Cancelled}
 		}
-		result.Outcome, result.Note = chat.Outcome(attempt.Planned.Stage, resp, body)
+		result.Outcome, result.Note = chat.Outcome(attempt.Scheduled.Stage, resp, body)
 		load = resp.Header.Get("X-Server-Load")
 		result.Load = chat.Load(load, c.loadFields)
 		return result
@@ -228,7 +228,7 @@
 		if !begun {
 			begun = true
 			c.monitor.CacheReleased(outgoing.id, "response started")
-			c.loop.Post(func() { c.loop.Began(attempt) })
+			c.loop.Post(func() { c.loop.AttemptBegan(attempt) })
 		}
 		c.activity.recordActivity(pool)
 		conn.SetReadDeadline(time.Now().Add(streamStallTimeout))
