--- /dev/null
+++ b/internal/agenda/queue.go
@@ -0,0 +1,80 @@
+// Package agenda is a queue of timers for event loops that advance a clock of their own. It starts no goroutines and
+// never reads the system's clock; its callers say what time it is. Start with Agenda.
+package agenda
+
+import (
+	"container/heap"
+	"time"
+)
+
+// Agenda holds callbacks ordered by the time at which they are due; callbacks due at the same time keep the order in
+// which they were added. The zero value is an empty queue. It is not safe for concurrent use.
+type Agenda struct {
+	timers       timerHeap
+	lastSequence uint64
+}
+
+type timer struct {
+	due      time.Duration
+	sequence uint64 // order of insertion, which breaks ties
+	callback func()
+}
+
+// timerHeap implements heap.Interface, earliest timer first.
+type timerHeap []*timer
+
+func (h timerHeap) Len() int { return len(h) }
+func (h timerHeap) Less(i, j int) bool {
+	return h[i].due < h[j].due || h[i].due == h[j].due && h[i].sequence < h[j].sequence
+}
+func (h timerHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h *timerHeap) Push(x any)   { *h = append(*h, x.(*timer)) }
+func (h *timerHeap) Pop() any {
+	old := *h
+	last := old[len(old)-1]
+	old[len(old)-1] = nil
+	*h = old[:len(old)-1]
+	return last
+}
+
+// At adds a callback that is due at the given time.
+func (q *Agenda) At(due time.Duration, callback func()) {
+	q.lastSequence++
+	heap.Push(&q.timers, &timer{due, q.lastSequence, callback})
+}
+
+// Len returns the number of timers in the queue.
+func (q *Agenda) Len() int { return len(q.timers) }
+
+// Clear removes all timers.
+func (q *Agenda) Clear() { q.timers = nil }
+
+// Next returns the time at which the earliest timer is due, and false if the queue is empty.
+func (q *Agenda) Next() (time.Duration, bool) {
+	if len(q.timers) == 0 {
+		return 0, false
+	}
+	return q.timers[0].due, true
+}
+
+// Take removes and returns the earliest timer if it is due by the given time.
+func (q *Agenda) Take(by time.Duration) (due time.Duration, callback func(), ok bool) {
+	if len(q.timers) == 0 || q.timers[0].due > by {
+		return 0, nil, false
+	}
+	earliest := heap.Pop(&q.timers).(*timer)
+	return earliest.due, earliest.callback, true
+}
+
+// Run calls every callback that is due by the given time, in order, including those that callbacks add. Before each
+// call it passes the time at which the callback was due to setClock.
+func (q *Agenda) Run(until time.Duration, setClock func(time.Duration)) {
+	for {
+		due, callback, ok := q.Take(until)
+		if !ok {
+			return
+		}
+		setClock(due)
+		callback()
+	}
+}
