--- a/internal/begins/table.go
+++ b/internal/begins/table.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// blockBytes is some 256 tokens: caching a shorter prefix saves a prefill backend too little to be worth it.
+	// blockBytes is some 256 tokens: caching a shorter prefix saves a prefill backend too little work.
 	blockBytes = 1024
 	// maxBlocks bounds the blocks of one prompt that are hashed.
 	maxBlocks = 64
--- /dev/null
+++ b/internal/dispatch/accounting.go
@@ -0,0 +1,187 @@
+package dispatch
+
+import (
+	"time"
+
+	"sloetrestle/brain"
+	"sloetrestle/internal/account"
+	"sloetrestle/internal/budget"
+	"sloetrestle/internal/kserve"
+	"sloetrestle/internal/ledger"
+)
+
+// Books is a loop's accounting: token budgets, in which a request must find free capacity before the scheduler sees
+// it, and the account of what its attempts cost. Either may be missing.
+type Books struct {
+	Purses  []*budget.Purse           // this dispatcher's part of every budget
+	Keepers map[string]*budget.Keeper // by name, the budgets that this dispatcher owns
+	Month   func(now time.Duration) budget.Month
+
+	Account *account.Tracker
+	// Inquire fetches usage counts from a backend. It must not block; heard is posted to the loop, with nil if the
+	// backend could not be reached.
+	Inquire func(b *Backend, q account.Inquiry, heard func(*account.Reply))
+}
+
+// accountingInterval is the time between two runs of the periodic work on budgets and the account.
+const accountingInterval = 50 * time.Millisecond
+
+// reservation is a request's worst case, set aside in one budget.
+type reservation struct {
+	budget    *budget.Purse
+	tokens    float64
+	emergency bool // out of the emergency share
+}
+
+// Keep gives the loop its accounting and starts the periodic work on it.
+func (l *Loop) Keep(accounting *Books) {
+	l.accounting = accounting
+	var tick func()
+	tick = func() {
+		for _, local := range accounting.Purses {
+			local.Tend(l.now)
+		}
+		if accounting.Account != nil {
+			for _, inquiry := range accounting.Account.Ask() {
+				if backend := l.backends[inquiry.Box]; backend != nil {
+					accounting.Inquire(backend, inquiry, func(reply *account.Reply) {
+						accounting.Account.Heard(inquiry, reply)
+					})
+				} else {
+					accounting.Account.Heard(inquiry, nil)
+				}
+			}
+		}
+		l.Wake(accountingInterval, tick)
+	}
+	l.Wake(accountingInterval, tick)
+}
+
+// reserveBudgets sets a request's worst case aside in every budget that covers it, one after the other, and then calls
+// submit. A reservation may have to wait for a lease; if one is refused, the request is rejected.
+func (l *Loop) reserveBudgets(request *ClientRequest, submit func()) {
+	if l.accounting == nil || len(l.accounting.Purses) == 0 {
+		submit()
+		return
+	}
+	tokens := float64(request.Ask.Tokens + request.Ask.Most)
+	month := l.accounting.Month(l.now)
+	var reserveFrom func(i int)
+	reserveFrom = func(i int) {
+		for i < len(l.accounting.Purses) && !request.coveredBy(l.accounting.Purses[i].Terms.Name) {
+			i++
+		}
+		if i == len(l.accounting.Purses) {
+			submit()
+			return
+		}
+		local := l.accounting.Purses[i]
+		local.Reserve(l.now, month, tokens, func(verdict budget.Verdict) {
+			if verdict.OK {
+				request.reservations = append(request.reservations, reservation{local, tokens, verdict.Own})
+			}
+			switch {
+			case request.answered || request.disconnected: // while the reservation waited for a lease
+				request.Request.Over = true
+				l.forgetIfOver(request)
+			case !verdict.OK:
+				request.Request.Over, request.overBudget = true, true
+				l.answer(request, kserve.Final{
+					Final: kserve.Declined, Error: "the budget of " + local.Terms.Name + " is used up",
+					Harmless: true, AfterMs: verdict.After.Milliseconds(),
+				})
+				l.forgetIfOver(request)
+			default:
+				reserveFrom(i + 1)
+			}
+		})
+	}
+	reserveFrom(0)
+}
+
+// coveredBy tells whether a request counts against the budget of that name: its tenant's, or its class's there.
+func (c *ClientRequest) coveredBy(name string) bool {
+	return name == c.Channel || name == c.Channel+"/"+c.Grade
+}
+
+// settleBudgets returns to the budgets what a finished request reserved and did not use. It used its prompt and the
+// tokens streamed if a stream had begun, or if its client left after an attempt was sent. Attempts that failed are not
+// charged to the tenant.
+func (l *Loop) settleBudgets(request *ClientRequest) {
+	used := 0.0
+	if request.streaming != nil || request.disconnected && len(request.Request.Attempts) > 0 {
+		used = float64(request.Ask.Tokens) + float64(request.streamedTokens())
+	}
+	for _, r := range request.reservations {
+		r.budget.Settle(r.tokens, used, r.emergency)
+	}
+	request.reservations = nil
+}
+
+// streamedTokens returns the tokens of the answer that have arrived: as the backend counted them, if it has said so.
+func (c *ClientRequest) streamedTokens() int64 {
+	switch {
+	case c.streaming == nil:
+		return 0
+	case c.streaming.Count != nil:
+		return int64(c.streaming.Count.Answer)
+	}
+	return c.streaming.Streamed.Load()
+}
+
+// usageRecord returns the attempt's record for the account, before its backend's count is known.
+func (a *Attempt) usageRecord() ledger.Trip {
+	return ledger.Trip{
+		Box: a.Backend.Name, Key: a.Key, Trip: a.Planned.Number, Mark: a.Request.Ask.ID,
+		Channel: a.Request.Channel, Grade: a.Request.Grade, Stage: a.Stage(),
+		Answer: int(a.Streamed.Load()), End: "unknown",
+	}
+}
+
+// countedRecord converts a backend's usage count to a record for the account.
+func countedRecord(count kserve.Count) ledger.Trip {
+	return ledger.Trip{
+		Number: count.Number, Key: count.Key, Trip: count.Trip, Mark: count.Mark, Stage: count.Stage,
+		Channel: count.Channel, Grade: count.Grade, Read: count.Read, Kept: count.Kept,
+		Answer: count.Answer, End: count.End,
+	}
+}
+
+// accountSent tells the account that an attempt is sent.
+func (l *Loop) accountSent(attempt *Attempt) {
+	if l.accounting != nil && l.accounting.Account != nil {
+		l.accounting.Account.Sent(attempt.usageRecord())
+	}
+}
+
+// accountEnded tells the account that an attempt has ended, with the backend's count if it came with the answer.
+func (l *Loop) accountEnded(attempt *Attempt, result brain.Result) {
+	if l.accounting == nil || l.accounting.Account == nil {
+		return
+	}
+	var count *ledger.Trip
+	if attempt.Count != nil {
+		counted := countedRecord(*attempt.Count)
+		count = &counted
+	}
+	l.accounting.Account.Ended(attempt.usageRecord(), count, result.Outcome == brain.Unreachable)
+}
+
+// accountRequest records a request's end.
+func (l *Loop) accountRequest(request *ClientRequest, final, reason string) {
+	if l.accounting == nil || l.accounting.Account == nil {
+		return
+	}
+	l.accounting.Account.Question(ledger.Question{
+		Key: l.Key(request), Mark: request.Ask.ID, Channel: request.Channel, Grade: request.Grade, Final: final,
+		Prompt: request.Ask.Tokens, Answer: int(request.streamedTokens()), Trips: len(request.Request.Attempts),
+		Why: reason,
+	})
+}
+
+// accountListed tells the account whether service discovery lists a backend or has removed it.
+func (l *Loop) accountListed(backend *Backend, removed bool) {
+	if l.accounting != nil && l.accounting.Account != nil {
+		l.accounting.Account.Listed(backend.Name, removed)
+	}
+}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -9,116 +9,125 @@
 	"sloetrestle/internal/kserve"
 )
 
-// Attempt is one attempt on its way.
+// Attempt is one attempt that has been handed to the transport. Fields without another owner belong to the loop.
 type Attempt struct {
-	Planned *brain.Attempt
+	Planned *brain.Attempt // the scheduler's record of it
 	Request *ClientRequest
 	Backend *Backend
-	State   *Backend // where the read state waits, for a write
-	Wait    time.Duration
-	Until   time.Duration   // when the wait is over, on the loop's clock
-	Off     func(why error) // calls it off: ErrLate or ErrLeft; set by the carrier
-	Tokens  chan []byte     // the stream, piece by piece; the carrier closes it at its end
+	State   *Backend        // for a decode attempt, the prefill backend that holds the request's KV cache
+	Wait    time.Duration   // the time it has for its first token
+	Until   time.Duration   // when Wait is over, on the loop's clock
+	Off     func(why error) // cancels it with ErrLate or ErrLeft; set by the transport
+	Tokens  chan []byte     // the stream, one piece per token; the transport closes it at the end
 	ctx     context.Context
-	late    bool // its wait is over
-	Unfit   bool // its backend says that the request itself is none; set before its end is told
 
-	Key      string        // of its request, at backends
-	Arrived  atomic.Bool   // a byte of an answer has come: only that shows that the request had
+	timedOut bool // Wait is over
+	Unfit    bool // its backend says that the request itself is invalid; set by the transport before it reports the end
+
+	Key      string        // the request's key at backends
+	Arrived  atomic.Bool   // a byte of an answer has come: nothing else shows that the backend received the request
 	Streamed atomic.Int64  // tokens that have come
-	Count    *kserve.Count // what its backend counted, if that came along
+	Count    *kserve.Count // the backend's usage count, if it came with the answer
 }
 
-// Stage is the attempt's stage in the words of the wire.
-func (f *Attempt) Stage() string {
-	return [...]string{brain.ToRead: kserve.StageRead, brain.ToWrite: kserve.StageWrite, brain.Whole: kserve.StageWhole}[f.Planned.Stage]
+// Stage returns the attempt's stage by its name in messages to backends.
+func (a *Attempt) Stage() string {
+	return [...]string{
+		brain.ToRead: kserve.StageRead, brain.ToWrite: kserve.StageWrite, brain.Whole: kserve.StageWhole,
+	}[a.Planned.Stage]
 }
 
-// Began takes word of an attempt's first token.
-func (l *Loop) Began(f *Attempt) {
-	if f.late || f.Planned.Ended || f.Planned.Began > 0 {
-		return // its time was up first: the attempt ends as timed out
+// Began handles the first token of an attempt.
+func (l *Loop) Began(attempt *Attempt) {
+	if attempt.timedOut || attempt.Planned.Ended || attempt.Planned.Began > 0 {
+		return // its timeout came first, so it ends as timed out
 	}
-	a := f.Request
-	a.stream = f
-	clear(a.waiting)
-	if a.left || a.answered {
-		f.Off(ErrLeft) // a stream that nobody reads ends
+	request := attempt.Request
+	request.streaming = attempt
+	clear(request.kvHolders)
+	if request.disconnected || request.answered {
+		attempt.Off(ErrLeft) // nobody reads the stream
 	} else {
-		a.began <- f
+		request.started <- attempt
 	}
-	l.module.Began(f.Planned, l.now-f.Planned.Sent)
-	l.Tally.began(f.Planned)
-	l.forget(a)
+	l.scheduler.Began(attempt.Planned, l.now-attempt.Planned.Sent)
+	l.Tally.began(attempt.Planned)
+	l.forgetIfOver(request)
 }
 
-// Ended takes the end of an attempt.
-func (l *Loop) Ended(f *Attempt, r brain.Result) {
-	t, a := f.Planned, f.Request
-	if t.Ended {
+// Ended handles the end of an attempt.
+func (l *Loop) Ended(attempt *Attempt, result brain.Result) {
+	planned, request := attempt.Planned, attempt.Request
+	if planned.Ended {
 		return
 	}
-	a.flight = nil
-	if f.Backend.out--; f.Backend.out == 0 && l.backends[f.Backend.Name] != f.Backend {
-		defer delete(l.byHost, t.Backend)
+	request.inFlight = nil
+	if attempt.Backend.inFlight--; attempt.Backend.inFlight == 0 &&
+		l.backends[attempt.Backend.Name] != attempt.Backend {
+		defer delete(l.byState, planned.Backend)
 	}
-	if r.Outcome == brain.Served && t.Began == 0 {
-		r.Outcome = brain.TimedOut // its first token came too late to be shown, and the rest with it
+	if result.Outcome == brain.Served && planned.Began == 0 {
+		result.Outcome = brain.TimedOut // its first token came too late for the client, and the rest with it
 	}
-	l.accountEnded(f, r)
-	r.Took = l.now - t.Sent
-	l.Tally.ended(t, r)
-	l.Log.Debug("trip over", "id", a.Ask.ID, "box", f.Backend.Name, "stage", f.Stage(), "number", t.Number, "outcome", r.Outcome, "took", r.Took, "wait", f.Wait,
-		"prompt", t.Request.Prompt, "left", t.Left, "kept", r.Note)
+	l.accountEnded(attempt, result)
+	result.Took = l.now - planned.Sent
+	l.Tally.ended(planned, result)
+	l.Log.Debug("attempt ended", "id", request.Ask.ID, "box", attempt.Backend.Name, "stage", attempt.Stage(),
+		"number", planned.Number, "outcome", result.Outcome, "took", result.Took, "wait", attempt.Wait,
+		"prompt", planned.Request.Prompt, "left", planned.Left, "kept", result.Note)
 	switch {
-	case r.Outcome == brain.Read:
-		a.waiting[f.Backend] = true
-	case t.Stage == brain.ToRead && r.Outcome != brain.Unreachable && r.Outcome != brain.NotSent && r.Outcome != brain.Rejected:
-		// The read may have ended at the backend just as it was given up on here: its state must not stay there.
-		l.release(f.Backend, a)
-	case r.Outcome == brain.Rejected && r.Note == 1 && f.State != nil:
-		// The prefill backend could not give the state just now; it may hold it all the same.
-		l.release(f.State, a)
-		delete(a.waiting, f.State)
+	case result.Outcome == brain.Read:
+		request.kvHolders[attempt.Backend] = true
+	case planned.Stage == brain.ToRead && result.Outcome != brain.Unreachable &&
+		result.Outcome != brain.NotSent && result.Outcome != brain.Rejected:
+		// The prefill may have finished at the backend just as it was given up here: its KV cache must not stay.
+		l.releaseAt(attempt.Backend, request)
+	case result.Outcome == brain.Rejected && result.Note == 1 && attempt.State != nil:
+		// The prefill backend said that it has no KV cache to transfer; it may hold it all the same.
+		l.releaseAt(attempt.State, request)
+		delete(request.kvHolders, attempt.State)
 	}
-	if f.Unfit {
-		l.answer(a, kserve.Final{Final: kserve.Forfeited, Error: "no box can use it"})
+	if attempt.Unfit {
+		l.answer(request, kserve.Final{Final: kserve.Forfeited, Error: "no box can use it"})
 	}
-	r.Over = a.answered || a.left || r.Outcome == brain.Served || t.Began > 0
-	if r.Outcome == brain.Served {
-		l.answer(a, kserve.Final{Final: kserve.Satisfied})
-	} else if t.Began > 0 && !a.left {
-		l.answer(a, kserve.Final{Final: kserve.Forfeited, Error: "the stream broke at its box"})
+	result.Over = request.answered || request.disconnected || result.Outcome == brain.Served || planned.Began > 0
+	if result.Outcome == brain.Served {
+		l.answer(request, kserve.Final{Final: kserve.Satisfied})
+	} else if planned.Began > 0 && !request.disconnected {
+		l.answer(request, kserve.Final{Final: kserve.Forfeited, Error: "the stream broke at its box"})
 	}
-	if l.Guard != nil && !r.Over && cost(r.Outcome) && !l.Guard.MayTryAgain(l.now) {
-		a.Request.Last = true
+	if l.Guard != nil && !result.Over && wastesWork(result.Outcome) && !l.Guard.MayTryAgain(l.now) {
+		request.Request.Last = true
 	}
-	l.module.Ended(t, r)
-	l.forget(a)
+	l.scheduler.Ended(planned, result)
+	l.forgetIfOver(request)
 }
 
-// cost tells whether an attempt that ended so may have cost its backend work for nothing.
-func cost(o brain.Outcome) bool { return o == brain.Failed || o == brain.TimedOut || o == brain.Broken }
+// wastesWork tells whether an attempt with that outcome may have cost its backend work for nothing.
+func wastesWork(outcome brain.Outcome) bool {
+	return outcome == brain.Failed || outcome == brain.TimedOut || outcome == brain.Broken
+}
 
-// MaySend tells, when a connection for an attempt is there, whether the attempt may still go out: while it was waited for, the backend may
-// have been told to drain, the request may have ended, and a repeat may have come too late.
-func (l *Loop) MaySend(f *Attempt) brain.Permission {
+// MaySend tells whether an attempt may still be sent when its connection is ready. While it waited for the connection,
+// its backend may have begun to drain, its request may have ended, or it may have become too late for a repeat.
+func (l *Loop) MaySend(attempt *Attempt) brain.Permission {
 	switch {
-	case f.late:
+	case attempt.timedOut:
 		return brain.DeadlinePassed
-	case f.Request.left, f.Request.answered, f.Request.Over():
+	case attempt.Request.disconnected, attempt.Request.answered, attempt.Request.Over():
 		return brain.RequestOver
 	}
-	return l.module.MaySend(f.Planned)
+	return l.scheduler.MaySend(attempt.Planned)
 }
 
-// CallOff ends all attempts that are out, and tells how many are: their clients have gone or have their answers.
-func (l *Loop) CallOff() (out int) {
-	for _, a := range l.requests {
-		if a.flight != nil {
-			a.flight.Off(ErrLeft)
-			out++
+// CallOff cancels all attempts in flight, whose clients have disconnected or have their answers, and returns their
+// number.
+func (l *Loop) CallOff() (canceled int) {
+	for _, request := range l.requests {
+		if request.inFlight != nil {
+			request.inFlight.Off(ErrLeft)
+			canceled++
 		}
 	}
-	return out
+	return canceled
 }
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -12,149 +12,160 @@
 	"sloetrestle/internal/reach"
 )
 
-// Backend is one model backend as the program knows it: the module's backend and where it listens.
+// Backend is a model backend: the scheduler's record of it, and how to connect to it.
 type Backend struct {
-	Name    string
-	At      []addresses.Spec // where it listens, as far as that is allowed
-	Known   *brain.Backend
-	Start   uint64
-	Drained chan struct{} // closed when the list says that it is gone
-	reach   *reach.Host
-	place   [3]string     // kind, zone and rack, as listed
-	booted  time.Duration // when Start was, as first told
-	dated   bool          // it was told
-	gone    time.Duration // since when it is
-	out     int           // attempts that are
+	Name      string
+	At        []addresses.Spec // its listed addresses that the deployment allows
+	Known     *brain.Backend   // the scheduler's record of it
+	Start     uint64           // number of the backend's start, as listed
+	Drained   chan struct{}    // closed when the backend is removed
+	pool      *reach.Host
+	location  [3]string     // kind, zone and rack, as listed
+	startedAt time.Duration // when Start was, as first listed
+	hasAge    bool          // the list gave the age of Start
+	removedAt time.Duration
+	inFlight  int // attempts
 }
 
-// HostID is a backend's number, alike at all dispatchers.
+// HostID returns a backend's number, which is the same at all dispatchers.
 func HostID(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// Listed takes lines of the backend list.
-func (l *Loop) Listed(lines []boxlist.Box, whole bool) {
-	var out []brain.Listing
+// Listed applies entries of the service discovery list. A complete list removes the backends that it leaves out.
+func (l *Loop) Listed(entries []boxlist.Box, complete bool) {
+	var listings []brain.Listing
 	named := map[string]bool{}
-	for _, line := range lines {
-		named[line.Name] = true
-		b, place := l.backends[line.Name], [3]string{line.Kind, line.Zone, line.Rack}
-		if b != nil && b.place != place && line.Standing != boxlist.Gone {
-			// Another machine under the old name: what is known of that one says nothing of this.
-			l.retire(b)
-			out = append(out, brain.Listing{Host: b.Known, Standing: brain.Gone})
-			l.forgetBox(b)
-			b = nil
+	for _, entry := range entries {
+		named[entry.Name] = true
+		backend, location := l.backends[entry.Name], [3]string{entry.Kind, entry.Zone, entry.Rack}
+		if backend != nil && backend.location != location && entry.Standing != boxlist.Gone {
+			// Another machine has taken over the name: nothing known of the old one holds for it.
+			l.remove(backend)
+			listings = append(listings, brain.Listing{Host: backend.Known, Standing: brain.Gone})
+			l.forgetBackend(backend)
+			backend = nil
 		}
-		if b == nil {
-			if line.Standing == boxlist.Gone {
+		if backend == nil {
+			if entry.Standing == boxlist.Gone {
 				continue
 			}
-			id := HostID(line.Name)
-			kind := l.places.Kind(line.Kind)
-			if l.hosts[id] != nil || kind < 0 {
-				l.Log.Warn("box left out", "box", line.Name, "kind", line.Kind, "id", id, "why", "unknown kind, or another box has its number")
+			id := HostID(entry.Name)
+			kind := l.resolver.Kind(entry.Kind)
+			if l.schedulerBackends[id] != nil || kind < 0 {
+				l.Log.Warn("ignored a backend of the service discovery list", "box", entry.Name, "kind", entry.Kind,
+					"id", id, "why", "the kind is unknown, or the id collides with another backend's")
 				continue
 			}
-			b = &Backend{Name: line.Name, Drained: make(chan struct{}), place: place}
-			b.Known = &brain.Backend{ID: id, Kind: kind, Zone: max(l.places.Zone(line.Zone), 0), Rack: int(HostID(line.Rack))}
-			l.backends[line.Name], l.byHost[b.Known], l.hosts[id] = b, b, b.Known
+			backend = &Backend{Name: entry.Name, Drained: make(chan struct{}), location: location}
+			backend.Known = &brain.Backend{
+				ID: id, Kind: kind, Zone: max(l.resolver.Zone(entry.Zone), 0), Rack: int(HostID(entry.Rack)),
+			}
+			l.backends[entry.Name], l.byState[backend.Known], l.schedulerBackends[id] = backend, backend, backend.Known
 		}
-		out = append(out, l.listing(b, line))
+		listings = append(listings, l.listing(backend, entry))
 	}
-	if whole {
-		for _, b := range l.backends {
-			if !named[b.Name] {
-				l.retire(b)
+	if complete {
+		for _, backend := range l.backends {
+			if !named[backend.Name] {
+				l.remove(backend)
 			}
 		}
 	}
-	l.module.Listed(out, whole)
-	l.forgetGone()
+	l.scheduler.Listed(listings, complete)
+	l.forgetRemoved()
 }
 
-// forgetGone drops the backends that are gone for long, and those that came back from the list of them.
-func (l *Loop) forgetGone() {
-	l.gone = slices.DeleteFunc(l.gone, func(b *Backend) bool {
+// forgetRemoved forgets backends that were removed long ago, and takes those that are listed again off l.removed.
+func (l *Loop) forgetRemoved() {
+	l.removed = slices.DeleteFunc(l.removed, func(backend *Backend) bool {
 		switch {
-		case b.Known.Standing != brain.Gone || l.backends[b.Name] != b:
+		case backend.Known.Standing != brain.Gone || l.backends[backend.Name] != backend:
 			return true
-		case b.out == 0 && l.now-b.gone >= goneKept:
-			l.forgetBox(b)
+		case backend.inFlight == 0 && l.now-backend.removedAt >= removedRetention:
+			l.forgetBackend(backend)
 			return true
 		}
 		return false
 	})
 }
 
-// goneKept is how long a backend that is gone is still known: it may come back within its cold start, and what it was sent in
-// that counts.
-const goneKept = time.Minute
+// removedRetention is how long a removed backend is remembered: it may come back while it is still warming up, and
+// the work that it was sent before then counts against its slow-start share.
+const removedRetention = time.Minute
 
-// forgetBox drops a backend; attempts that are out there keep their own way to it.
-func (l *Loop) forgetBox(b *Backend) {
-	delete(l.backends, b.Name)
-	delete(l.hosts, b.Known.ID)
-	if b.out == 0 {
-		delete(l.byHost, b.Known)
+// forgetBackend drops a backend. Attempts in flight keep their own reference to it.
+func (l *Loop) forgetBackend(backend *Backend) {
+	delete(l.backends, backend.Name)
+	delete(l.schedulerBackends, backend.Known.ID)
+	if backend.inFlight == 0 {
+		delete(l.byState, backend.Known)
 	}
 }
 
-// retire ends what is still tried at a backend that is gone.
-func (l *Loop) retire(b *Backend) {
+// remove marks a backend as removed, which ends repeated releases to it, and takes its addresses away.
+func (l *Loop) remove(backend *Backend) {
 	select {
-	case <-b.Drained:
+	case <-backend.Drained:
 	default:
-		close(b.Drained)
-		b.At, b.gone = nil, l.now
-		l.gone = append(l.gone, b)
-		l.accountListed(b, true)
-		l.carrier.Reach(b, nil)
+		close(backend.Drained)
+		backend.At, backend.removedAt = nil, l.now
+		l.removed = append(l.removed, backend)
+		l.accountListed(backend, true)
+		l.transport.Reach(backend, nil)
 	}
 }
 
-func (l *Loop) listing(b *Backend, line boxlist.Box) brain.Listing {
-	standing := map[string]brain.BackendState{boxlist.Ready: brain.Ready, boxlist.Draining: brain.Draining, boxlist.Gone: brain.Gone}[line.Standing]
+// listing applies one entry of the list to a backend and returns it in the scheduler's form.
+func (l *Loop) listing(backend *Backend, entry boxlist.Box) brain.Listing {
+	standing := map[string]brain.BackendState{
+		boxlist.Ready: brain.Ready, boxlist.Draining: brain.Draining, boxlist.Gone: brain.Gone,
+	}[entry.Standing]
 	if standing == brain.Gone {
-		l.retire(b)
+		l.remove(backend)
 	} else {
-		l.accountListed(b, false)
+		l.accountListed(backend, false)
 		select {
-		case <-b.Drained:
-			b.Drained = make(chan struct{}) // it came back under its name
+		case <-backend.Drained:
+			backend.Drained = make(chan struct{}) // it came back under its name
 		default:
 		}
-		if at := l.allowed(line); !slices.Equal(at, b.At) {
-			b.At = at
-			l.carrier.Reach(b, at)
+		if allowed := l.allowedAddresses(entry); !slices.Equal(allowed, backend.At) {
+			backend.At = allowed
+			l.transport.Reach(backend, allowed)
 		}
 	}
-	// A start has one time, however often the list repeats it with another age: the module would else see
-	// a new start each time, and forget what it knows of the backend.
-	if b.Start != line.Start || !b.dated {
-		b.booted, b.dated = l.now-time.Duration(line.UpMs)*time.Millisecond, line.UpMs >= 0
+	// One start keeps the time computed from its first entry, although the list repeats it with another age each time.
+	// Otherwise the scheduler would see a new start in every entry and forget what it knows of the backend.
+	if backend.Start != entry.Start || !backend.hasAge {
+		backend.startedAt, backend.hasAge = l.now-time.Duration(entry.UpMs)*time.Millisecond, entry.UpMs >= 0
+	}
+	backend.Start = entry.Start
+	return brain.Listing{
+		Host: backend.Known, Standing: standing, Units: max(entry.Units, 0.01),
+		Booted: backend.startedAt, Restart: entry.UpMs >= 0,
 	}
-	b.Start = line.Start
-	return brain.Listing{Host: b.Known, Standing: standing, Units: max(line.Units, 0.01), Booted: b.booted, Restart: line.UpMs >= 0}
 }
 
-// allowed leaves out addresses that make no sense or lie outside of what the deployment allows, with a note.
-func (l *Loop) allowed(line boxlist.Box) []addresses.Spec {
-	var at []addresses.Spec
-	for _, s := range append(slices.Clone(line.Addresses), l.further[line.Name]...) {
-		if err := s.Check(); err != nil {
-			l.Log.Warn("address left out", "box", line.Name, "address", s, "why", err)
-		} else if !l.places.Allows(s) {
-			l.Log.Warn("address left out", "box", line.Name, "address", s, "why", "it is outside of dispatcher.allow")
+// allowedAddresses returns the addresses of an entry and of the configuration for that backend. It leaves out, with a
+// warning, those that are invalid or that the deployment does not allow.
+func (l *Loop) allowedAddresses(entry boxlist.Box) []addresses.Spec {
+	var allowed []addresses.Spec
+	for _, spec := range append(slices.Clone(entry.Addresses), l.extraAddresses[entry.Name]...) {
+		if err := spec.Check(); err != nil {
+			l.Log.Warn("ignored an invalid backend address", "box", entry.Name, "address", spec, "why", err)
+		} else if !l.resolver.Allows(spec) {
+			l.Log.Warn("ignored a backend address that is not allowed", "box", entry.Name, "address", spec,
+				"why", "it is outside of dispatcher.allow")
 		} else {
-			at = append(at, s)
+			allowed = append(allowed, spec)
 		}
 	}
-	return at
+	return allowed
 }
 
-// Further adds an address to what the list says of a backend.
-func (l *Loop) Further(box string, at addresses.Spec) {
-	if l.further == nil {
-		l.further = map[string][]addresses.Spec{}
+// Further adds an address to those that the list has for a backend.
+func (l *Loop) Further(backend string, spec addresses.Spec) {
+	if l.extraAddresses == nil {
+		l.extraAddresses = map[string][]addresses.Spec{}
 	}
-	l.further[box] = append(l.further[box], at)
+	l.extraAddresses[backend] = append(l.extraAddresses[backend], spec)
 }
--- /dev/null
+++ b/internal/dispatch/backends_test.go
@@ -0,0 +1,42 @@
+package dispatch
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"sloetrestle/internal/addresses"
+	"sloetrestle/internal/boxlist"
+)
+
+// completeList returns a list of that many backends.
+func completeList(backends int) []boxlist.Box {
+	var entries []boxlist.Box
+	for i := range backends {
+		entries = append(entries, boxlist.Box{
+			Name: fmt.Sprintf("s-%d", i), Kind: []string{"reader", "writer"}[i%2],
+			Zone: "hall-1", Rack: fmt.Sprint(i / 5), Standing: boxlist.Ready, Units: 1, UpMs: -1,
+			Addresses: []addresses.Spec{{Network: addresses.TCP4, At: fmt.Sprintf("127.0.%d.%d:8080", i>>8, i&255)}},
+		})
+	}
+	return entries
+}
+
+// A complete list that repeats what is known is applied in one turn of the event loop, during which everything else
+// waits. With thousands of backends that turn must still be short.
+func TestRepeatedListOfThousandsOfBackendsIsAppliedQuickly(t *testing.T) {
+	const backends, rounds, maxTime = 3200, 10, 25 * time.Millisecond
+	l, _ := newTestLoop(t, "idempotent")
+	entries := completeList(backends)
+	l.Do(func() { l.Listed(entries, true) })
+	if len(l.backends) < backends {
+		t.Fatalf("%d backends are known", len(l.backends))
+	}
+	start := time.Now()
+	for range rounds {
+		l.Do(func() { l.Listed(entries, true) })
+	}
+	if took := time.Since(start) / rounds; took > maxTime {
+		t.Errorf("a list takes %v", took)
+	}
+}
--- /dev/null
+++ b/internal/dispatch/counters.go
@@ -0,0 +1,54 @@
+package dispatch
+
+import (
+	"fmt"
+	"time"
+
+	"sloetrestle/brain"
+)
+
+// Tally counts what a loop has handled since its start. Only the loop's goroutine reads it.
+type Tally struct {
+	Taken, Satisfied, Declined, Forfeited, Left, Overdue, Trips, Damped int64
+
+	Outcomes      [brain.NotSent + 1]int64
+	Prefills      [brain.Whole + 1]Prefills // by stage
+	Began, InTime int64                     // first tokens, and those by the latency target
+
+	// Held and First are sums over the requests with a first token: from acceptance until the last attempt was sent,
+	// and until the first token.
+	Held, First time.Duration
+}
+
+// Prefills counts the attempts of one stage that ended well, and in tokens their prompts, what their backends reported
+// as cached, and what the scheduler had expected to be cached.
+type Prefills struct{ Trips, Prompt, Kept, Expected int64 }
+
+// String returns the counts under the names that the log of the counters uses.
+func (p Prefills) String() string {
+	return fmt.Sprintf("{trips:%d prompt:%d kept:%d expected:%d}", p.Trips, p.Prompt, p.Kept, p.Expected)
+}
+
+// ended counts the end of an attempt.
+func (y *Tally) ended(attempt *brain.Attempt, result brain.Result) {
+	y.Outcomes[result.Outcome]++
+	if result.Outcome != brain.Read && result.Outcome != brain.Served {
+		return
+	}
+	p, prompt := &y.Prefills[attempt.Stage], attempt.Request.Prompt
+	p.Trips, p.Prompt, p.Kept = p.Trips+1, p.Prompt+int64(prompt), p.Kept+int64(result.Note)
+	if attempt.Stage != brain.ToWrite {
+		p.Expected += int64(prompt - attempt.Left)
+	}
+}
+
+// began counts the first token of an attempt.
+func (y *Tally) began(attempt *brain.Attempt) {
+	request := attempt.Request
+	y.Began++
+	if attempt.Began <= request.TargetAt {
+		y.InTime++
+	}
+	y.Held += request.Dispatched - request.Taken
+	y.First += attempt.Began - request.Taken
+}
--- /dev/null
+++ b/internal/dispatch/http_transport.go
@@ -0,0 +1,370 @@
+package dispatch
+
+import (
+	"bytes"
+	"cmp"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"slices"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"sloetrestle/brain"
+	"sloetrestle/internal/account"
+	"sloetrestle/internal/addresses"
+	"sloetrestle/internal/kserve"
+	"sloetrestle/internal/reach"
+)
+
+var (
+	// ErrLate cancels an attempt that has no first token within its timeout.
+	ErrLate = errors.New("attempt timed out before its first token")
+	// ErrLeft cancels an attempt that nobody waits for any more: its client has disconnected or its request is over.
+	ErrLeft = errors.New("attempt no longer needed")
+
+	errStalled = errors.New("no token within the stall timeout")
+)
+
+// Seen is what an attempt's connection showed.
+type Seen struct {
+	Local     bool         // the connection failed at this machine, before anything left it
+	Connected bool         // a byte of the request was sent, over a connection that is known to be established
+	Told      *kserve.Told // what the backend reported at the end; nil if it reported nothing valid
+	Cause     error        // why the attempt was cancelled; nil if it was not
+}
+
+// Outcome returns the outcome that the observation proves, with the number of cached tokens, or 1 where a rejection
+// says that the KV cache is missing. An attempt that may have run is never reported as one that did not: only without
+// a connection was nothing sent, and only a backend's own statement proves a rejection.
+func (s Seen) Outcome(stage brain.Stage) (outcome brain.Outcome, note int) {
+	if report := s.Told; report != nil {
+		switch {
+		case report.Outcome == kserve.OutcomeRead && stage == brain.ToRead:
+			return brain.Read, report.Kept
+		case report.Outcome == kserve.OutcomeAnswered && stage != brain.ToRead:
+			return brain.Served, report.Kept
+		case report.Outcome == kserve.OutcomeFull:
+			return brain.Rejected, 0
+		case report.Outcome == kserve.OutcomeNoState:
+			return brain.Rejected, 1
+		}
+		return brain.Failed, 0
+	}
+	switch {
+	case !s.Connected && errors.Is(s.Cause, ErrLeft):
+		return brain.Cancelled, 0
+	case s.Local:
+		return brain.NotSent, 0
+	case !s.Connected:
+		return brain.Unreachable, 0
+	case errors.Is(s.Cause, ErrLate):
+		return brain.TimedOut, 0
+	case errors.Is(s.Cause, ErrLeft):
+		return brain.Cancelled, 0
+	}
+	return brain.Broken, 0
+}
+
+// Trips is the Transport that sends attempts to backends over HTTP.
+type Trips struct {
+	Model string
+	Stall time.Duration // longest time between two tokens of a stream
+	Peers *Peers        // nil: no peer updates are sent
+	Boxes *reach.Boxes  // connection pools, by backend
+
+	loop     *Loop
+	group    *errgroup.Group
+	lifetime context.Context
+
+	mu       sync.Mutex
+	releases map[*Backend]*releaseQueue
+	Refused  atomic.Int64 // releases dropped because too many were queued for their backend
+}
+
+// NewTrips returns a transport with its connection pools. Its goroutines belong to the group and end with the lifetime
+// context. conns bounds the connections to one backend, and dial is the time for opening one.
+func NewTrips(
+	lifetime context.Context, group *errgroup.Group, conns int, dial time.Duration, clock func() time.Duration,
+) *Trips {
+	pools := &reach.Boxes{Limit: dial, Most: conns, Since: clock, Life: lifetime, Group: group}
+	group.Go(pools.Tend)
+	return &Trips{lifetime: lifetime, group: group, Boxes: pools, releases: map[*Backend]*releaseQueue{}}
+}
+
+// Reach sets a backend's addresses.
+func (c *Trips) Reach(backend *Backend, specs []addresses.Spec) {
+	backend.pool = c.Boxes.Set(backend.Name, specs, uint64(backend.Known.ID))
+}
+
+// Start sends an attempt from a goroutine of its own.
+func (c *Trips) Start(attempt *Attempt) {
+	attempt.ctx, attempt.Off = context.WithCancelCause(c.lifetime)
+	scheduled, request := attempt.Planned.Request, attempt.Request
+	metadata := kserve.Errand{
+		Stage: attempt.Stage(),
+		From:  c.loop.Epoch, Question: scheduled.ID, Trip: attempt.Planned.Number,
+		Mark: cmp.Or(request.Ask.ID, attempt.Key), Grade: request.Grade, Channel: request.Channel,
+		Session: scheduled.Session, Shared: scheduled.Shared, Tokens: int(scheduled.Prompt),
+		Prefix: int(scheduled.Prefix), Most: int(scheduled.Most), WaitUs: attempt.Wait.Microseconds(),
+	}
+	if attempt.State != nil {
+		metadata.Reader, metadata.State = attempt.State.Name, attempt.State.pool.Best()
+	}
+	// Read what the goroutine needs here, as backends and requests belong to the loop.
+	pool, text := attempt.Backend.pool, request.Ask.Text
+	c.group.Go(func() error {
+		observed := c.runAttempt(attempt, pool, text, metadata)
+		attempt.Off(nil)
+		outcome, note := observed.Outcome(attempt.Planned.Stage)
+		result := brain.Result{Outcome: outcome, Note: note}
+		if observed.Told != nil {
+			result.Load = observed.Told.Load
+			attempt.Count = observed.Told.Count
+		}
+		close(attempt.Tokens)
+		c.loop.Post(func() { c.loop.Ended(attempt, result) })
+		return nil
+	})
+}
+
+// runAttempt runs an attempt over one connection to one address, from dialing to its end.
+func (c *Trips) runAttempt(attempt *Attempt, pool *reach.Host, text string, metadata kserve.Errand) (observed Seen) {
+	var conn *reach.Conn
+	defer func() {
+		observed.Cause = context.Cause(attempt.ctx)
+		if conn == nil {
+			return
+		}
+		// An attempt that ended without a report counts against the address, unless it was cancelled as not needed.
+		if observed.Told != nil {
+			observed.Told.Bound(metadata)
+			conn.Served()
+		} else if !errors.Is(observed.Cause, ErrLeft) {
+			conn.Lost()
+		}
+	}()
+	if pool == nil {
+		return observed
+	}
+	conn, resp, err := pool.Send(attempt.ctx, func() (*http.Request, error) {
+		return kserve.NewErrand(attempt.ctx, reach.URL(pool.Name), c.Model, text, metadata)
+	})
+	observed.Local, observed.Connected = errors.Is(err, reach.ErrLocal), conn != nil && conn.Sent()
+	if err != nil {
+		return observed
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK || metadata.Stage == kserve.StageRead {
+		observed.Told = readReport(resp)
+		return observed
+	}
+	stall := time.AfterFunc(c.Stall, func() { attempt.Off(errStalled) })
+	defer stall.Stop()
+	events := kserve.NewEvents(resp.Body)
+	for begun := false; ; {
+		event, err := events.Next()
+		if err != nil {
+			return observed
+		}
+		switch event.Name {
+		case "end":
+			observed.Told = &kserve.Told{}
+			if json.Unmarshal(event.Data, observed.Told) != nil {
+				observed.Told = nil
+			} else if observed.Told.Outcome != kserve.OutcomeAnswered || !begun {
+				// A stream was opened, so the attempt may have run, whatever else its end claims.
+				observed.Told.Outcome = kserve.OutcomeFailed
+			}
+			return observed
+		case "error":
+			observed.Told = &kserve.Told{Outcome: kserve.OutcomeFailed}
+			return observed
+		case "":
+			// The client gets the token on one line. Data that is not JSON is not a token, and with line breaks in it
+			// the client could take it for an event of this dispatcher.
+			var piece bytes.Buffer
+			if json.Compact(&piece, event.Data) != nil {
+				return observed
+			}
+			if !begun {
+				begun = true
+				c.loop.Post(func() { c.loop.Began(attempt) })
+			}
+			stall.Reset(c.Stall) // only tokens show that the answer makes progress
+			if attempt.Streamed.Add(1) > int64(metadata.Most) {
+				return observed // more tokens than requested: this cannot be the answer to the request
+			}
+			select {
+			case attempt.Tokens <- piece.Bytes():
+			case <-attempt.ctx.Done():
+				return observed
+			}
+		}
+	}
+}
+
+// readReport reads an answer that is not a stream. A 503 counts as a rejection only if the backend says so itself, as
+// one from a proxy proves nothing. Without a stream there are no tokens, so that such an answer never counts as served.
+func readReport(resp *http.Response) *kserve.Told {
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
+	if err != nil {
+		return nil
+	}
+	report := &kserve.Told{}
+	if json.Unmarshal(raw, report) != nil || report.Outcome == "" || report.Outcome == kserve.OutcomeAnswered ||
+		(report.Outcome == kserve.OutcomeFull || report.Outcome == kserve.OutcomeNoState) &&
+			resp.StatusCode != http.StatusServiceUnavailable ||
+		report.Outcome == kserve.OutcomeRead && resp.StatusCode != http.StatusOK {
+		return &kserve.Told{Outcome: kserve.OutcomeFailed}
+	}
+	return report
+}
+
+// Tell sends an update to a peer.
+func (c *Trips) Tell(peer int, update brain.PeerUpdate) {
+	if c.Peers != nil {
+		c.Peers.Tell(peer, update)
+	}
+}
+
+// releaseQueue holds the releases that a backend is still to be sent.
+type releaseQueue struct {
+	keys []kserve.Release
+}
+
+const (
+	releaseBatch = 256
+	// maxQueuedReleases bounds the releases queued for one backend. A backend that is away for so long that they reach
+	// it drops KV caches that nobody fetches by itself.
+	maxQueuedReleases = 20000
+	// The time between two tries doubles from releaseRetryMin to releaseRetryMax.
+	releaseRetryMin = 20 * time.Millisecond
+	releaseRetryMax = time.Second
+	releaseTimeout  = 250 * time.Millisecond // of one try
+)
+
+// Release has a backend release a request's KV cache. It is repeated until it succeeds or the backend is removed.
+func (c *Trips) Release(backend *Backend, request *ClientRequest) {
+	if request.AttemptOut() {
+		return // the backend may hold the KV cache for it; the scheduler releases again at that attempt's end
+	}
+	key := kserve.Release{Key: c.loop.Key(request), Trip: len(request.Request.Attempts) - 1}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	queue := c.releases[backend]
+	if queue == nil {
+		queue = &releaseQueue{}
+		c.releases[backend] = queue
+		pool, removed := backend.pool, backend.Drained
+		c.group.Go(func() error { c.sendReleases(backend, queue, pool, removed); return nil })
+	}
+	if len(queue.keys) >= maxQueuedReleases {
+		c.Refused.Add(1)
+		return
+	}
+	queue.keys = append(queue.keys, key)
+}
+
+// sendReleases sends a backend's releases until none is queued.
+func (c *Trips) sendReleases(backend *Backend, queue *releaseQueue, pool *reach.Host, removed <-chan struct{}) {
+	wait := releaseRetryMin
+	for {
+		c.mu.Lock()
+		batch := slices.Clone(queue.keys[:min(len(queue.keys), releaseBatch)])
+		if len(batch) == 0 {
+			delete(c.releases, backend)
+			c.mu.Unlock()
+			return
+		}
+		c.mu.Unlock()
+		if err := c.sendReleaseBatch(pool, batch); err == nil {
+			c.mu.Lock()
+			queue.keys = queue.keys[len(batch):]
+			c.mu.Unlock()
+			wait = releaseRetryMin
+			continue
+		}
+		select {
+		case <-c.lifetime.Done():
+			return
+		case <-removed:
+			c.mu.Lock()
+			delete(c.releases, backend)
+			c.mu.Unlock()
+			return
+		case <-time.After(wait):
+		}
+		wait = min(2*wait, releaseRetryMax)
+	}
+}
+
+func (c *Trips) sendReleaseBatch(pool *reach.Host, keys []kserve.Release) error {
+	ctx, cancel := context.WithTimeout(c.lifetime, releaseTimeout)
+	defer cancel()
+	if pool == nil {
+		return reach.ErrUnreached
+	}
+	conn, resp, err := pool.Send(ctx, func() (*http.Request, error) {
+		return kserve.NewRelease(ctx, reach.URL(pool.Name), c.Model, keys)
+	})
+	if err != nil {
+		if conn != nil {
+			conn.Lost() // the next try takes another address
+		}
+		return err
+	}
+	defer resp.Body.Close()
+	io.Copy(io.Discard, io.LimitReader(resp.Body, 4096))
+	if resp.StatusCode != http.StatusOK {
+		return fmt.Errorf("releasing KV caches: backend answered %s", resp.Status)
+	}
+	return nil
+}
+
+// usageTimeout bounds one request for usage counts.
+const usageTimeout = 500 * time.Millisecond
+
+// Inquire fetches usage counts from a backend and posts them to the loop; the reply is nil if the request failed.
+func (c *Trips) Inquire(backend *Backend, inquiry account.Inquiry, heard func(*account.Reply)) {
+	pool := backend.pool
+	c.group.Go(func() error {
+		reply := c.fetchUsage(pool, inquiry)
+		c.loop.Post(func() { heard(reply) })
+		return nil
+	})
+}
+
+func (c *Trips) fetchUsage(pool *reach.Host, inquiry account.Inquiry) *account.Reply {
+	if pool == nil {
+		return nil
+	}
+	ctx, cancel := context.WithTimeout(c.lifetime, usageTimeout)
+	defer cancel()
+	_, resp, err := pool.Send(ctx, func() (*http.Request, error) {
+		return kserve.NewInquiry(ctx, reach.URL(pool.Name), c.Model,
+			kserve.Inquiry{From: inquiry.Epoch, After: inquiry.After})
+	})
+	if err != nil {
+		return nil
+	}
+	defer resp.Body.Close()
+	if resp.StatusCode != http.StatusOK {
+		return nil
+	}
+	counts, err := kserve.ReadCounts(io.LimitReader(resp.Body, 8<<20))
+	if err != nil {
+		return nil
+	}
+	reply := &account.Reply{More: counts.More, Open: counts.Open, Forgot: counts.Forgot}
+	for _, count := range counts.Counts {
+		reply.Counts = append(reply.Counts, countedRecord(count))
+	}
+	return reply
+}
--- a/internal/dispatch/lag.go
+++ b/internal/dispatch/lag.go
@@ -7,60 +7,62 @@
 )
 
 const (
-	// longTurn is how long one turn of the loop may take before it is logged: everything else waits meanwhile.
+	// longTurn is the duration from which a turn of the event loop is logged: everything else waits meanwhile.
 	longTurn = 50 * time.Millisecond
-	// turnLogEach is how often long turns are logged at most.
-	turnLogEach = time.Second
+	// longTurnLogInterval is the shortest time between two such log lines.
+	longTurnLogInterval = time.Second
 )
 
-// Lag measures how far behind the event loop is. Messages and timers wait for the one goroutine that owns the module.
+// Lag measures how far behind the event loop is. Messages and timers wait for the one goroutine that owns the
+// scheduler; a turn is the handling of one of them. Times are on the loop's clock.
 type Lag struct {
-	oldest atomic.Int64 // when the oldest message that waits was posted, on the loop's clock; 0: none waits
+	oldestPostedAt atomic.Int64 // when the oldest waiting message was posted, in nanoseconds; 0 if none waits
 
-	// Of the present period; the loop's.
-	LongestTurn time.Duration // of one message or timer
+	// The fields below belong to the loop. The first three cover the time since the last call of Period.
+	LongestTurn time.Duration
 	LongestWait time.Duration // of a message in the queue
-	LatestTimer time.Duration // by which a timer was late
-	LongTurns   int64         // since the start
-	logged      time.Duration
+	LatestTimer time.Duration // the most by which a timer ran late
+	LongTurns   int64         // turns of longTurn and more, since the start
+	lastLogged  time.Duration
 }
 
-// posted takes note of a message that has come to an empty queue.
-func (g *Lag) posted(at time.Duration) { g.oldest.CompareAndSwap(0, int64(max(at, 1))) }
+// posted records that a message was posted. It has an effect only if no other message waits.
+func (g *Lag) posted(now time.Duration) { g.oldestPostedAt.CompareAndSwap(0, int64(max(now, 1))) }
 
-// next takes note of which message is the oldest now; nil: none waits.
-func (g *Lag) next(waiting []message) {
+// updateOldest records which messages still wait, oldest first.
+func (g *Lag) updateOldest(waiting []message) {
 	if len(waiting) == 0 {
-		g.oldest.Store(0)
+		g.oldestPostedAt.Store(0)
 		return
 	}
-	g.oldest.Store(int64(max(waiting[0].at, 1)))
+	g.oldestPostedAt.Store(int64(max(waiting[0].postedAt, 1)))
 }
 
-// now is how long the oldest message has waited.
-func (g *Lag) now(at time.Duration) time.Duration {
-	oldest := g.oldest.Load()
+// currentWait returns how long the oldest waiting message has waited.
+func (g *Lag) currentWait(now time.Duration) time.Duration {
+	oldest := g.oldestPostedAt.Load()
 	if oldest == 0 {
 		return 0
 	}
-	return max(at-time.Duration(oldest), 0)
+	return max(now-time.Duration(oldest), 0)
 }
 
-// turn takes note of one turn of the loop.
-func (g *Lag) turn(began, ended time.Duration, log *slog.Logger) {
-	took := ended - began
+// recordTurn records one turn of the event loop.
+func (g *Lag) recordTurn(start, end time.Duration, log *slog.Logger) {
+	took := end - start
 	g.LongestTurn = max(g.LongestTurn, took)
 	if took < longTurn {
 		return
 	}
 	g.LongTurns++
-	if g.logged == 0 || ended-g.logged >= turnLogEach {
-		g.logged = ended
-		log.Warn("a turn of the event loop was long", "took", took, "so_many", g.LongTurns)
+	if g.lastLogged == 0 || end-g.lastLogged >= longTurnLogInterval {
+		g.lastLogged = end
+		log.Warn("long turn of the event loop", "took", took, "so_many", g.LongTurns)
 	}
 }
 
-// Period returns what was measured since the last call, and begins anew.
+// Period returns the longest turn, the longest wait of a message and the greatest delay of a timer since the last call,
+// and resets them.
 func (g *Lag) Period() (turn, wait, timer time.Duration) {
 	turn, wait, timer = g.LongestTurn, g.LongestWait, g.LatestTimer
 	g.LongestTurn, g.LongestWait, g.LatestTimer = 0, 0, 0
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -1,7 +1,6 @@
-// Package dispatch hosts one brain.Dispatcher: a Loop is the one goroutine that owns the module, hands it what
-// happens and carries out what it decides; attempts, clients and peers are goroutines that post closures to
-// it. It decides nothing about requests itself, and what it says of an attempt is only what the socket proved. Begin
-// with Loop, then Serve.
+// Package dispatch hosts the scheduler. One event loop owns it, hands it what happens and carries out what it decides;
+// attempts, clients and peers are goroutines that post closures to the loop. The package makes no scheduling decisions,
+// and reports of an attempt only what its connection proved. Start with Loop, then Serve.
 package dispatch
 
 import (
@@ -21,137 +20,150 @@
 	"sloetrestle/internal/storm"
 )
 
-// Transport takes attempts and messages out. Its methods are called by the loop and must not wait.
+// Transport sends attempts and messages. Its methods are called by the loop and must not block.
 type Transport interface {
-	Start(f *Attempt)
-	Release(b *Backend, a *ClientRequest)  // of what the request's attempts so far may have left at a backend
-	Reach(b *Backend, at []addresses.Spec) // none: the backend is gone
-	Tell(peer int, n brain.PeerUpdate)
+	// Start sends an attempt. The transport reports its first token and its end to the loop.
+	Start(attempt *Attempt)
+	// Release has a backend release the KV cache that the request's attempts so far may have left there.
+	Release(backend *Backend, request *ClientRequest)
+	// Reach sets the addresses of a backend; none means that it is removed.
+	Reach(backend *Backend, specs []addresses.Spec)
+	// Tell sends an update to a peer.
+	Tell(peer int, update brain.PeerUpdate)
 }
 
-// Places turns the list's names into the module's numbers.
+// Places translates names of the service discovery list to the scheduler's numbers, and says which addresses are
+// allowed.
 type Places struct {
-	Zone, Kind func(name string) int
-	Allows     func(addresses.Spec) bool // nil: all of them
+	Zone, Kind func(name string) int     // negative: unknown
+	Allows     func(addresses.Spec) bool // nil: all are allowed
 }
 
-// message is something that the loop is to do.
+// message is a closure that waits for the loop.
 type message struct {
-	do func()
-	at time.Duration // when it was posted
+	run      func()
+	postedAt time.Duration
 }
 
-// release lets go at a backend of what a request's attempts so far may have left there.
-func (l *Loop) release(b *Backend, a *ClientRequest) {
-	l.carrier.Release(b, a)
+// releaseAt has a backend release the KV cache that the request's attempts so far may have left there.
+func (l *Loop) releaseAt(backend *Backend, request *ClientRequest) {
+	l.transport.Release(backend, request)
 }
 
-// Key names a request at backends.
-func (l *Loop) Key(a *ClientRequest) string { return fmt.Sprintf("%s/%d", l.Epoch, a.Request.ID) }
+// Key returns the request's key at backends.
+func (l *Loop) Key(request *ClientRequest) string {
+	return fmt.Sprintf("%s/%d", l.Epoch, request.Request.ID)
+}
 
-// Loop owns the module.
+// Loop is the event loop that owns the scheduler.
 type Loop struct {
-	Epoch string // this dispatcher's name and start
+	Epoch string // identifies this start of this dispatcher
 	Log   *slog.Logger
 
-	module  Module
-	carrier Transport
-	places  Places
-	since   func() time.Duration
-
-	mu     sync.Mutex
-	queue  []message
-	closed bool
-	bell   chan struct{}
-	ended  chan struct{}
-
-	// Owned by the loop's goroutine.
-	now      time.Duration
-	wakes    agenda.Agenda // timers of the module and the loop
-	requests map[*brain.Request]*ClientRequest
-	lastID   uint64
-	backends map[string]*Backend
-	byHost   map[*brain.Backend]*Backend
-	hosts    map[uint32]*brain.Backend
-
-	further map[string][]addresses.Spec // of backends, from the own file
-	Tally   Tally
-	Lag     Lag
-	gone    []*Backend // that may be forgotten some time
-
-	books *Books
-
-	Guard *storm.Guard // in front of the module; nil: every try goes to it, and its own advice to clients
+	scheduler Module
+	transport Transport
+	resolver  Places
+	clock     func() time.Duration
+
+	mu      sync.Mutex
+	queue   []message
+	closed  bool
+	notify  chan struct{} // wakes the loop when a message is posted
+	stopped chan struct{} // closed when Run has returned
+
+	// The fields below belong to the loop's goroutine.
+	now               time.Duration // time of the present turn
+	timers            agenda.Agenda // of the scheduler and of the loop
+	requests          map[*brain.Request]*ClientRequest
+	lastID            uint64
+	backends          map[string]*Backend
+	byState           map[*brain.Backend]*Backend // also those that are forgotten but have attempts in flight
+	schedulerBackends map[uint32]*brain.Backend
+
+	extraAddresses map[string][]addresses.Spec // by backend, from the configuration
+	Tally          Tally
+	Lag            Lag
+	removed        []*Backend // remembered for removedRetention
+
+	accounting *Books
+
+	// Guard throttles retries before they reach the scheduler. With nil every request reaches the scheduler, and
+	// clients get the scheduler's own advice when to retry.
+	Guard *storm.Guard
 }
 
-// NewLoop makes a loop and its module. since is the clock, a span since the start.
-func NewLoop(facts brain.Facts, seed uint64, places Places, carrier Transport, since func() time.Duration, epoch string, log *slog.Logger) (*Loop, error) {
-	if places.Allows == nil {
-		places.Allows = func(addresses.Spec) bool { return true }
+// NewLoop returns a loop with a scheduler of its own. clock returns the time since the start.
+func NewLoop(
+	facts brain.Facts, seed uint64, resolver Places, transport Transport, clock func() time.Duration, epoch string,
+	log *slog.Logger,
+) (*Loop, error) {
+	if resolver.Allows == nil {
+		resolver.Allows = func(addresses.Spec) bool { return true }
 	}
 	l := &Loop{
-		Epoch: epoch, Log: log, carrier: carrier, places: places, since: since, bell: make(chan struct{}, 1), ended: make(chan struct{}),
-		requests: map[*brain.Request]*ClientRequest{}, backends: map[string]*Backend{}, byHost: map[*brain.Backend]*Backend{},
-		hosts: map[uint32]*brain.Backend{}, now: since(),
+		Epoch: epoch, Log: log, transport: transport, resolver: resolver, clock: clock,
+		notify: make(chan struct{}, 1), stopped: make(chan struct{}),
+		requests: map[*brain.Request]*ClientRequest{}, backends: map[string]*Backend{},
+		byState: map[*brain.Backend]*Backend{}, schedulerBackends: map[uint32]*brain.Backend{}, now: clock(),
 	}
-	module, err := brain.New(facts, seed, l)
-	l.module = module
+	scheduler, err := brain.New(facts, seed, l)
+	l.scheduler = scheduler
 	return l, err
 }
 
-// Module is what a loop hosts: brain.Dispatcher, or a baseline to compare it with.
+// Module is the scheduler that a loop hosts: the one of this project, or a baseline to compare it with.
 type Module interface {
-	Listed(lines []brain.Listing, whole bool)
-	Submit(q *brain.Request, grade, channel int)
-	Began(t *brain.Attempt, took time.Duration)
-	Ended(t *brain.Attempt, r brain.Result)
-	Left(q *brain.Request)
-	Heard(n brain.PeerUpdate)
-	MaySend(t *brain.Attempt) brain.Permission
+	Listed(listings []brain.Listing, complete bool)
+	Submit(request *brain.Request, class, tenant int)
+	Began(attempt *brain.Attempt, took time.Duration)
+	Ended(attempt *brain.Attempt, result brain.Result)
+	Left(request *brain.Request)
+	Heard(update brain.PeerUpdate)
+	MaySend(attempt *brain.Attempt) brain.Permission
 }
 
-// Host puts another module in the place of the loop's, before anything has happened.
-func (l *Loop) Host(m Module) {
-	l.module = m
-	l.wakes.Clear()
+// Host replaces the loop's scheduler. It must be called before the first event.
+func (l *Loop) Host(scheduler Module) {
+	l.scheduler = scheduler
+	l.timers.Clear()
 }
 
-// NextDue is when the loop's next timer is due; false: it has none.
-func (l *Loop) NextDue() (time.Duration, bool) { return l.wakes.Next() }
+// NextDue returns the time at which the loop's next timer is due, and false if there is none.
+func (l *Loop) NextDue() (time.Duration, bool) { return l.timers.Next() }
 
-// Post hands the loop something to do; false if it has ended.
-func (l *Loop) Post(do func()) bool {
+// Post queues a closure for the loop. It returns false if the loop has ended.
+func (l *Loop) Post(run func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return false
 	}
-	now := l.since()
-	l.queue = append(l.queue, message{do, now})
+	now := l.clock()
+	l.queue = append(l.queue, message{run, now})
 	l.Lag.posted(now)
 	select {
-	case l.bell <- struct{}{}:
+	case l.notify <- struct{}{}:
 	default:
 	}
 	return true
 }
 
-// Call posts and waits until it is done.
-func (l *Loop) Call(ctx context.Context, do func()) bool {
+// Call posts a closure and waits until it has run. It returns false if the loop or the context ended first.
+func (l *Loop) Call(ctx context.Context, run func()) bool {
 	done := make(chan struct{})
-	if !l.Post(func() { do(); close(done) }) {
+	if !l.Post(func() { run(); close(done) }) {
 		return false
 	}
 	select {
 	case <-done:
 		return true
-	case <-l.ended:
+	case <-l.stopped:
 	case <-ctx.Done():
 	}
 	return false
 }
 
-// Run works until the context ends.
+// Run runs the loop until the context ends.
 func (l *Loop) Run(ctx context.Context) error {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -159,22 +171,22 @@
 		l.mu.Lock()
 		l.closed = true
 		l.mu.Unlock()
-		close(l.ended)
+		close(l.stopped)
 	}()
 	for {
 		l.mu.Lock()
-		work := l.queue
+		batch := l.queue
 		l.queue = nil
 		l.mu.Unlock()
-		for i, m := range work {
-			l.Lag.next(work[i:])
-			l.take(m)
+		for i, m := range batch {
+			l.Lag.updateOldest(batch[i:])
+			l.handle(m)
 		}
 		l.mu.Lock()
-		l.Lag.next(l.queue)
+		l.Lag.updateOldest(l.queue)
 		l.mu.Unlock()
 		l.Due()
-		if len(work) > 0 {
+		if len(batch) > 0 {
 			select {
 			case <-ctx.Done():
 				return nil
@@ -183,98 +195,103 @@
 			}
 		}
 		sleep := time.Hour
-		if at, ok := l.wakes.Next(); ok {
-			sleep = max(at-l.since(), 0)
+		if due, ok := l.timers.Next(); ok {
+			sleep = max(due-l.clock(), 0)
 		}
 		timer.Reset(sleep)
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-l.bell:
+		case <-l.notify:
 		case <-timer.C:
 		}
 	}
 }
 
-// take does what a message asks for, and then what has come due: timers don't wait behind all messages.
-func (l *Loop) take(m message) {
-	l.Do(m.do)
-	l.Lag.LongestWait = max(l.Lag.LongestWait, l.now-m.at)
-	ended := l.since()
-	l.Lag.turn(l.now, ended, l.Log)
-	if at, ok := l.wakes.Next(); ok && at <= ended {
+// handle runs a message and then the timers that have come due, so that timers do not wait for the whole queue.
+func (l *Loop) handle(m message) {
+	l.Do(m.run)
+	l.Lag.LongestWait = max(l.Lag.LongestWait, l.now-m.postedAt)
+	end := l.clock()
+	l.Lag.recordTurn(l.now, end, l.Log)
+	if due, ok := l.timers.Next(); ok && due <= end {
 		l.Due()
 	}
 }
 
-// Behind is how long the oldest message has waited for its turn. Any goroutine may ask.
-func (l *Loop) Behind() time.Duration { return l.Lag.now(l.since()) }
+// Behind returns how long the oldest waiting message has waited. It may be called by any goroutine.
+func (l *Loop) Behind() time.Duration { return l.Lag.currentWait(l.clock()) }
 
-// Do runs one thing at the present time. Only the loop's goroutine, and tests without one, call it.
-func (l *Loop) Do(do func()) {
-	l.now = l.since()
-	do()
+// Do runs a closure as one turn at the present time. Only the loop's goroutine may call it, or a caller that drives
+// the loop without Run.
+func (l *Loop) Do(run func()) {
+	l.now = l.clock()
+	run()
 }
 
-// Due runs the timers whose time has come.
+// Due runs the timers that are due.
 func (l *Loop) Due() {
-	for now := l.since(); ; {
-		at, do, ok := l.wakes.Take(now)
+	for now := l.clock(); ; {
+		due, callback, ok := l.timers.Take(now)
 		if !ok {
 			return
 		}
-		l.Lag.LatestTimer = max(l.Lag.LatestTimer, now-at)
-		l.Do(do)
-		l.Lag.turn(l.now, l.since(), l.Log)
+		l.Lag.LatestTimer = max(l.Lag.LatestTimer, now-due)
+		l.Do(callback)
+		l.Lag.recordTurn(l.now, l.clock(), l.Log)
 	}
 }
 
-// Submit takes a request, which has left for its answer.
-func (l *Loop) Submit(a *ClientRequest, grade, channel int, left time.Duration) {
-	if a.Over() {
-		return // it had to wait for its turn, and is over meanwhile
+// Submit takes a request of a class and a tenant, by their numbers. timeLeft is the time that it has for its answer.
+func (l *Loop) Submit(request *ClientRequest, class, tenant int, timeLeft time.Duration) {
+	if request.Over() {
+		return // it ended while it waited for the loop
 	}
 	l.lastID++
-	a.began, a.final, a.waiting = make(chan *Attempt, 1), make(chan kserve.Final, 1), map[*Backend]bool{}
-	a.from = l.now
-	k := a.Ask
-	a.Request = &brain.Request{
-		ID: l.lastID, Session: Number(k.Session), Shared: Number(k.Shared), Prompt: float64(k.Tokens), Prefix: float64(k.Prefix),
-		Most: float64(k.Most), Again: k.Again, Left: left,
+	request.started, request.final, request.kvHolders =
+		make(chan *Attempt, 1), make(chan kserve.Final, 1), map[*Backend]bool{}
+	request.submittedAt = l.now
+	params := request.Ask
+	request.Request = &brain.Request{
+		ID: l.lastID, Session: Number(params.Session), Shared: Number(params.Shared), Prompt: float64(params.Tokens),
+		Prefix: float64(params.Prefix), Most: float64(params.Most), Again: params.Again, Left: timeLeft,
 	}
 	l.Tally.Taken++
-	a.channel = channel
+	request.tenantNumber = tenant
 	if l.Guard != nil {
-		if admit, after, ticket := l.Guard.Arrive(l.now, k.Again, channel, k.Ticket); !admit {
-			a.Request.Over = true
+		if admit, after, ticket := l.Guard.Arrive(l.now, params.Again, tenant, params.Ticket); !admit {
+			request.Request.Over = true
 			l.Tally.Damped++
-			l.answer(a, kserve.Final{Final: kserve.Declined, Error: "too many ask again just now", Harmless: true, AfterMs: after.Milliseconds(), Ticket: ticket})
+			l.answer(request, kserve.Final{
+				Final: kserve.Declined, Error: "too many ask again just now", Harmless: true,
+				AfterMs: after.Milliseconds(), Ticket: ticket,
+			})
 			return
 		}
 	}
-	l.requests[a.Request] = a
-	// The module answers every request in its time; if ever it did not, its client must not be left hanging.
-	l.Wake(left+overdue, func() {
-		begun := a.flight != nil && a.flight.Planned.Began > 0
-		if !a.answered && !a.left && !begun {
+	l.requests[request.Request] = request
+	// The scheduler answers every request before its deadline; if it ever failed to, the client must not hang.
+	l.Wake(timeLeft+overdueGrace, func() {
+		begun := request.inFlight != nil && request.inFlight.Planned.Began > 0
+		if !request.answered && !request.disconnected && !begun {
 			l.Tally.Overdue++
-			l.Log.Error("question overdue", "question", a.Request.ID)
-			l.answer(a, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
-			l.module.Left(a.Request)
-			l.forget(a)
+			l.Log.Error("request without an answer at its deadline", "question", request.Request.ID)
+			l.answer(request, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
+			l.scheduler.Left(request.Request)
+			l.forgetIfOver(request)
 		}
 	})
-	l.pay(a, func() {
-		a.Request.Left = left - (l.now - a.from)
-		l.module.Submit(a.Request, grade, channel)
-		l.forget(a)
+	l.reserveBudgets(request, func() {
+		request.Request.Left = timeLeft - (l.now - request.submittedAt)
+		l.scheduler.Submit(request.Request, class, tenant)
+		l.forgetIfOver(request)
 	})
 }
 
-// overdue is how long after its time a request without an answer is given up on.
-const overdue = 5 * time.Millisecond
+// overdueGrace is how long after its deadline a request without an answer is failed by the loop itself.
+const overdueGrace = 5 * time.Millisecond
 
-// Number hashes a name for the module; 0 is none.
+// Number hashes a name to the scheduler's number for it; the empty name is 0, no other is.
 func Number(name string) uint64 {
 	if name == "" {
 		return 0
@@ -282,21 +299,23 @@
 	return max(xxhash.Sum64String(name), 1)
 }
 
-// answer gives the one final answer. It is the only place that does (rule 1).
-func (l *Loop) answer(a *ClientRequest, f kserve.Final) {
-	if a.answered {
+// answer gives a request its final answer. It is the only place that does, so that every request gets at most one
+// (rule 1).
+func (l *Loop) answer(request *ClientRequest, final kserve.Final) {
+	if request.answered {
 		return
 	}
-	a.answered = true
-	a.End()
-	f.Trips = len(a.Request.Attempts)
-	l.accountOver(a, f.Final, f.Error)
-	if l.Guard != nil && !a.unpaid && f.Trips+int(f.AfterMs) > 0 {
-		well, q := f.Final == kserve.Satisfied, a.Request
-		inTime := well && len(q.Attempts) > 0 && q.Attempts[len(q.Attempts)-1].Began <= q.TargetAt
-		l.Guard.Answered(l.now, well, !a.Ask.Again && a.Ask.Ticket == "", inTime, a.channel)
+	request.answered = true
+	request.End()
+	final.Trips = len(request.Request.Attempts)
+	l.accountRequest(request, final.Final, final.Error)
+	if l.Guard != nil && !request.overBudget && final.Trips+int(final.AfterMs) > 0 {
+		served, scheduled := final.Final == kserve.Satisfied, request.Request
+		inTime := served && len(scheduled.Attempts) > 0 &&
+			scheduled.Attempts[len(scheduled.Attempts)-1].Began <= scheduled.TargetAt
+		l.Guard.Answered(l.now, served, !request.Ask.Again && request.Ask.Ticket == "", inTime, request.tenantNumber)
 	}
-	switch f.Final {
+	switch final.Final {
 	case kserve.Satisfied:
 		l.Tally.Satisfied++
 	case kserve.Declined:
@@ -304,64 +323,64 @@
 	default:
 		l.Tally.Forfeited++
 	}
-	l.Log.Debug("question over", "question", a.Request.ID, "id", a.Ask.ID, "grade", a.Grade, "final", f.Final,
-		"trips", f.Trips, "took", l.now-a.from, "error", f.Error)
-	if a.Tell != nil {
-		a.Tell(f)
+	l.Log.Debug("request answered", "question", request.Request.ID, "id", request.Ask.ID, "grade", request.Grade,
+		"final", final.Final, "trips", final.Trips, "took", l.now-request.submittedAt, "error", final.Error)
+	if request.Tell != nil {
+		request.Tell(final)
 		return
 	}
-	a.final <- f
+	request.final <- final
 }
 
-// forget drops a request that is over and has no attempt out.
-func (l *Loop) forget(a *ClientRequest) {
-	if a.Request.Over && a.Request.Out() == nil {
-		delete(l.requests, a.Request)
-		a.Matter = nil // timers know the request for seconds more
-		l.settle(a)
+// forgetIfOver drops a request that is over and has no attempt in flight.
+func (l *Loop) forgetIfOver(request *ClientRequest) {
+	if request.Request.Over && request.Request.Out() == nil {
+		delete(l.requests, request.Request)
+		request.Matter = nil // timers refer to the request for seconds more
+		l.settleBudgets(request)
 	}
 }
 
-// News takes a peer's message.
+// News decodes a peer's update and hands it to the scheduler. Updates about unknown backends are ignored.
 func (l *Loop) News(raw []byte) error {
-	got, err := news.Decode(raw, l.hosts)
-	if err == nil && got.Host != nil {
-		l.Heard(got)
+	update, err := news.Decode(raw, l.schedulerBackends)
+	if err == nil && update.Host != nil {
+		l.Heard(update)
 	}
 	return err
 }
 
-// Left takes word that a client has gone.
-func (l *Loop) Left(a *ClientRequest) {
-	if a.Request == nil || a.answered || a.left {
+// Left handles a client that has disconnected.
+func (l *Loop) Left(request *ClientRequest) {
+	if request.Request == nil || request.answered || request.disconnected {
 		return
 	}
-	a.left = true
-	a.End()
-	l.accountOver(a, "left", "")
+	request.disconnected = true
+	request.End()
+	l.accountRequest(request, "left", "")
 	l.Tally.Left++
-	if a.flight != nil && a.flight.Planned.Began > 0 {
-		a.flight.Off(ErrLeft)
+	if request.inFlight != nil && request.inFlight.Planned.Began > 0 {
+		request.inFlight.Off(ErrLeft)
 	}
-	l.module.Left(a.Request)
-	l.forget(a)
+	l.scheduler.Left(request.Request)
+	l.forgetIfOver(request)
 }
 
-// HostOf is the module's backend of a backend; nil: the list has not named it.
+// HostOf returns the scheduler's record of a backend, or nil if the list has not named it.
 func (l *Loop) HostOf(name string) *brain.Backend {
-	if b := l.backends[name]; b != nil {
-		return b.Known
+	if backend := l.backends[name]; backend != nil {
+		return backend.Known
 	}
 	return nil
 }
 
-// Believes is what the module takes to be so; nothing of a module that does not say.
-func (l *Loop) Believes() (b brain.Belief) {
-	if m, ok := l.module.(interface{ Believes() brain.Belief }); ok {
-		b = m.Believes()
+// Believes returns the scheduler's estimates, or zero values if the scheduler does not report any.
+func (l *Loop) Believes() (estimates brain.Belief) {
+	if reporter, ok := l.scheduler.(interface{ Believes() brain.Belief }); ok {
+		estimates = reporter.Believes()
 	}
-	return b
+	return estimates
 }
 
-// Heard takes a peer's news.
-func (l *Loop) Heard(n brain.PeerUpdate) { l.module.Heard(n) }
+// Heard hands a peer's update to the scheduler.
+func (l *Loop) Heard(update brain.PeerUpdate) { l.scheduler.Heard(update) }
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -15,65 +15,87 @@
 	"sloetrestle/internal/setup"
 )
 
-// hand takes attempts and releases down instead of sending them; the test moves its clock.
-type hand struct {
+// fakeTransport records attempts and releases instead of sending them. It also holds the test's clock.
+type fakeTransport struct {
 	now      time.Duration
-	flights  []*Attempt
-	released []string
-	reached  []string
+	attempts []*Attempt
+	released []string // names of backends
+	reached  []string // backends with the addresses that were set
 }
 
-func (h *hand) Start(f *Attempt) {
-	f.ctx, f.Off = context.WithCancelCause(context.Background())
-	h.flights = append(h.flights, f)
+func (f *fakeTransport) Start(attempt *Attempt) {
+	attempt.ctx, attempt.Off = context.WithCancelCause(context.Background())
+	f.attempts = append(f.attempts, attempt)
 }
-func (h *hand) Release(b *Backend, _ *ClientRequest) { h.released = append(h.released, b.Name) }
-func (h *hand) Tell(int, brain.PeerUpdate)           {}
-func (h *hand) Reach(b *Backend, at []addresses.Spec) {
-	h.reached = append(h.reached, fmt.Sprint(b.Name, at))
+
+func (f *fakeTransport) Release(backend *Backend, _ *ClientRequest) {
+	f.released = append(f.released, backend.Name)
 }
 
-func terms(effect string) setup.Dispatcher {
-	d := setup.DefaultDispatcher()
-	d.Grades = []setup.Grade{{Name: "g", Effect: effect, Reach: "all", Window: setup.Span(3 * time.Second), Promised: setup.Span(time.Second),
-		Expiry: setup.Span(4 * time.Second), Benefit: 1, Most: 50}}
-	d.Kinds = []setup.Kind{{Name: "reader", Role: "reader", Memory: 1e5}, {Name: "writer", Role: "writer", Memory: 1e5}}
-	return d
+func (f *fakeTransport) Tell(int, brain.PeerUpdate) {}
+
+func (f *fakeTransport) Reach(backend *Backend, specs []addresses.Spec) {
+	f.reached = append(f.reached, fmt.Sprint(backend.Name, specs))
 }
 
-func box(name, kind, standing string) boxlist.Box {
-	return boxlist.Box{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "10.0.0.1:1"}}, Kind: kind, Standing: standing, Units: 1, UpMs: -1}
+// testConfig returns a configuration with one class of the given effect, and two kinds of backends.
+func testConfig(effect string) setup.Dispatcher {
+	config := setup.DefaultDispatcher()
+	config.Grades = []setup.Grade{{
+		Name: "g", Effect: effect, Reach: "all", Window: setup.Span(3 * time.Second),
+		Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second), Benefit: 1, Most: 50,
+	}}
+	config.Kinds = []setup.Kind{
+		{Name: "reader", Role: "reader", Memory: 1e5}, {Name: "writer", Role: "writer", Memory: 1e5},
+	}
+	return config
 }
 
-// settled makes a loop that knows two prefill backends and two decode backends.
-func settled(t *testing.T, effect string) (*Loop, *hand) {
+// listEntry returns an entry of the service discovery list.
+func listEntry(name, kind, standing string) boxlist.Box {
+	return boxlist.Box{
+		Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "10.0.0.1:1"}}, Kind: kind, Standing: standing,
+		Units: 1, UpMs: -1,
+	}
+}
+
+// newTestLoop returns a loop that knows two prefill backends and two decode backends.
+func newTestLoop(t *testing.T, effect string) (*Loop, *fakeTransport) {
 	t.Helper()
-	h := &hand{now: time.Second}
-	d := terms(effect)
-	l, err := NewLoop(d.Facts(), 1, Places{Zone: d.ZoneNumber, Kind: d.KindNumber, Allows: func(s addresses.Spec) bool { return s.At != "10.9.9.9:1" }}, h, func() time.Duration { return h.now }, "d0.x",
-		slog.New(slog.NewTextHandler(io.Discard, nil)))
+	transport := &fakeTransport{now: time.Second}
+	config := testConfig(effect)
+	l, err := NewLoop(config.Facts(), 1, Places{
+		Zone: config.ZoneNumber, Kind: config.KindNumber,
+		Allows: func(spec addresses.Spec) bool { return spec.At != "10.9.9.9:1" },
+	}, transport, func() time.Duration { return transport.now }, "d0.x", slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.Do(func() {
-		l.Listed([]boxlist.Box{box("r1", "reader", "ready"), box("r2", "reader", "ready"), box("w1", "writer", "ready"), box("w2", "writer", "ready")}, true)
+		l.Listed([]boxlist.Box{
+			listEntry("r1", "reader", "ready"), listEntry("r2", "reader", "ready"),
+			listEntry("w1", "writer", "ready"), listEntry("w2", "writer", "ready"),
+		}, true)
 	})
-	return l, h
+	return l, transport
 }
 
-func asks(l *Loop, left time.Duration) *ClientRequest {
-	a := &ClientRequest{Ask: kserve.Ask{Tokens: 2000, Most: 50, Session: "s"}, Grade: "g"}
-	l.Do(func() { l.Submit(a, 0, 0, left) })
-	return a
+// submit submits a request with that much time for its answer.
+func submit(l *Loop, timeLeft time.Duration) *ClientRequest {
+	request := &ClientRequest{Ask: kserve.Ask{Tokens: 2000, Most: 50, Session: "s"}, Grade: "g"}
+	l.Do(func() { l.Submit(request, 0, 0, timeLeft) })
+	return request
 }
 
-func (h *hand) last() *Attempt { return h.flights[len(h.flights)-1] }
+// last returns the attempt that was started last.
+func (f *fakeTransport) last() *Attempt { return f.attempts[len(f.attempts)-1] }
 
-func final(t *testing.T, a *ClientRequest) kserve.Final {
+// finalAnswer returns a request's final answer, which must be there.
+func finalAnswer(t *testing.T, request *ClientRequest) kserve.Final {
 	t.Helper()
 	select {
-	case f := <-a.final:
-		return f
+	case final := <-request.final:
+		return final
 	default:
 		t.Fatal("no final answer")
 		return kserve.Final{}
@@ -81,215 +103,229 @@
 }
 
 func TestALateTripEndsOnceAndItsStateIsLetGo(t *testing.T) {
-	l, h := settled(t, "idempotent")
-	a := asks(l, 4*time.Second)
-	f := h.last()
-	h.now += f.Wait + time.Millisecond
+	l, transport := newTestLoop(t, "idempotent")
+	request := submit(l, 4*time.Second)
+	attempt := transport.last()
+	transport.now += attempt.Wait + time.Millisecond
 	l.Due()
-	if context.Cause(f.ctx) != ErrLate {
-		t.Fatalf("the flight was called off for %v", context.Cause(f.ctx))
+	if context.Cause(attempt.ctx) != ErrLate {
+		t.Fatalf("the attempt was cancelled with %v", context.Cause(attempt.ctx))
 	}
-	l.Do(func() { l.Ended(f, brain.Result{Outcome: brain.TimedOut}) })
-	l.Do(func() { l.Ended(f, brain.Result{Outcome: brain.Read}) })
-	if len(h.released) != 1 {
-		t.Errorf("releases %v: a read cut off may have left its state", h.released)
+	l.Do(func() { l.Ended(attempt, brain.Result{Outcome: brain.TimedOut}) })
+	l.Do(func() { l.Ended(attempt, brain.Result{Outcome: brain.Read}) })
+	if len(transport.released) != 1 {
+		t.Errorf("releases %v: a cancelled prefill may have left its KV cache", transport.released)
 	}
-	if len(a.Request.Attempts) == 1 && !a.answered {
-		t.Error("neither another trip nor an answer")
+	if len(request.Request.Attempts) == 1 && !request.answered {
+		t.Error("neither another attempt nor an answer")
 	}
 }
 
-// A first token that arrives in the moment when the attempt's time is up must not be shown to the client: the attempt ends as
-// timed out, and another one may follow.
-func TestAFirstTokenAfterTheTripsTimeDoesNotCount(t *testing.T) {
-	l, h := settled(t, "idempotent")
-	a := asks(l, 4*time.Second)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
-	f := h.last()
-	if f.Planned.Stage != brain.ToWrite || f.State == nil {
-		t.Fatalf("stage %d, state %v", f.Planned.Stage, f.State)
+// A first token that arrives just when the attempt times out must not reach the client: the attempt ends as timed out,
+// and another may follow.
+func TestFirstTokenAfterAttemptTimeoutIsIgnored(t *testing.T) {
+	l, transport := newTestLoop(t, "idempotent")
+	request := submit(l, 4*time.Second)
+	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Read}) })
+	attempt := transport.last()
+	if attempt.Planned.Stage != brain.ToWrite || attempt.State == nil {
+		t.Fatalf("stage %d, prefill backend %v", attempt.Planned.Stage, attempt.State)
 	}
-	h.now += f.Wait
+	transport.now += attempt.Wait
 	l.Due()
-	l.Do(func() { l.Began(f) })
-	if len(a.began) != 0 {
+	l.Do(func() { l.Began(attempt) })
+	if len(request.started) != 0 {
 		t.Error("the stream was handed to the client")
 	}
 }
 
-// Its end may have come along with that token. The client has not had it, so nobody is satisfied; and it has run.
+// The whole answer may arrive together with such a late first token. The client has not received it, so the request
+// must not count as served; and as the attempt has run, a non-idempotent request fails.
 func TestAnAnswerThatCameWholeAfterItsTimeIsNoAnswer(t *testing.T) {
-	l, h := settled(t, "unrepeatable")
-	a := asks(l, 4*time.Second)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
-	f := h.last()
-	h.now += f.Wait
+	l, transport := newTestLoop(t, "unrepeatable")
+	request := submit(l, 4*time.Second)
+	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Read}) })
+	attempt := transport.last()
+	transport.now += attempt.Wait
 	l.Due()
-	l.Do(func() { l.Began(f) })
-	l.Do(func() { l.Ended(f, brain.Result{Outcome: brain.Served}) })
-	if got := final(t, a); got.Final != kserve.Forfeited || len(a.began) != 0 || l.Tally.Outcomes[brain.TimedOut] != 1 {
-		t.Errorf("%+v with %d streams, outcomes %v", got, len(a.began), l.Tally.Outcomes)
+	l.Do(func() { l.Began(attempt) })
+	l.Do(func() { l.Ended(attempt, brain.Result{Outcome: brain.Served}) })
+	if got := finalAnswer(t, request); got.Final != kserve.Forfeited || len(request.started) != 0 ||
+		l.Tally.Outcomes[brain.TimedOut] != 1 {
+		t.Errorf("%+v with %d streams, outcomes %v", got, len(request.started), l.Tally.Outcomes)
 	}
 }
 
 func TestAClientThatLeavesMidStreamEndsItsTrip(t *testing.T) {
-	l, h := settled(t, "unrepeatable")
-	a := asks(l, 4*time.Second)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
-	f := h.last()
-	l.Do(func() { l.Began(f) })
-	l.Do(func() { l.Left(a) })
-	if context.Cause(f.ctx) != ErrLeft {
-		t.Error("the stream goes on unread")
+	l, transport := newTestLoop(t, "unrepeatable")
+	request := submit(l, 4*time.Second)
+	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Read}) })
+	attempt := transport.last()
+	l.Do(func() { l.Began(attempt) })
+	l.Do(func() { l.Left(request) })
+	if context.Cause(attempt.ctx) != ErrLeft {
+		t.Error("the stream continues without a client")
 	}
-	l.Do(func() { l.Ended(f, brain.Result{Outcome: brain.Cancelled}) })
-	if len(a.final) != 0 || len(l.requests) != 0 {
-		t.Errorf("%d answers to a client that left, %d questions held", len(a.final), len(l.requests))
+	l.Do(func() { l.Ended(attempt, brain.Result{Outcome: brain.Cancelled}) })
+	if len(request.final) != 0 || len(l.requests) != 0 {
+		t.Errorf("%d answers to a client that has disconnected, %d requests kept", len(request.final), len(l.requests))
 	}
 }
 
-func TestAnUnrepeatableQuestionThatMayHaveRunIsForfeited(t *testing.T) {
-	l, h := settled(t, "unrepeatable")
-	a := asks(l, 4*time.Second)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
-	n := len(h.flights)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Broken}) })
-	if f := final(t, a); f.Final != kserve.Forfeited || f.Harmless || len(h.flights) != n {
-		t.Errorf("%+v after a broken trip, and %d more trips", f, len(h.flights)-n)
+func TestNonIdempotentRequestThatMayHaveRunFails(t *testing.T) {
+	l, transport := newTestLoop(t, "unrepeatable")
+	request := submit(l, 4*time.Second)
+	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Read}) })
+	before := len(transport.attempts)
+	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Broken}) })
+	if final := finalAnswer(t, request); final.Final != kserve.Forfeited || final.Harmless ||
+		len(transport.attempts) != before {
+		t.Errorf("%+v after a broken attempt, and %d more attempts", final, len(transport.attempts)-before)
 	}
-	if len(h.released) == 0 {
-		t.Error("its state was not let go of")
+	if len(transport.released) == 0 {
+		t.Error("its KV cache was not released")
 	}
 }
 
-// The prefill backend may be handing the state to a decode backend whose attempt was just given up on, and say it has none.
+// A prefill backend says that it has no KV cache for the request while it still transfers it to a decode backend whose
+// attempt was just given up.
 func TestAStateThatCouldNotBeGivenIsReleasedAllTheSame(t *testing.T) {
-	l, h := settled(t, "idempotent")
-	asks(l, 4*time.Second)
-	reader := h.last().Backend.Name
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Rejected, Note: 1}) })
-	if len(h.released) != 1 || h.released[0] != reader {
-		t.Errorf("released at %v, the state was at %s", h.released, reader)
+	l, transport := newTestLoop(t, "idempotent")
+	submit(l, 4*time.Second)
+	prefill := transport.last().Backend.Name
+	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Rejected, Note: 1}) })
+	if len(transport.released) != 1 || transport.released[0] != prefill {
+		t.Errorf("released at %v, the KV cache was at %s", transport.released, prefill)
 	}
 }
 
-// Should the module ever leave a request without an answer, its client still gets one in time.
+// If the scheduler ever leaves a request without an answer, its client still gets one in time.
 func TestAnOverdueQuestionIsForfeited(t *testing.T) {
-	l, h := settled(t, "idempotent")
-	a := asks(l, 4*time.Second)
-	h.now += 4*time.Second + overdue
+	l, transport := newTestLoop(t, "idempotent")
+	request := submit(l, 4*time.Second)
+	transport.now += 4*time.Second + overdueGrace
 	l.Due()
-	if f := final(t, a); f.Final != kserve.Forfeited || l.Tally.Overdue != 1 {
-		t.Errorf("%+v, overdue %d", f, l.Tally.Overdue)
+	if final := finalAnswer(t, request); final.Final != kserve.Forfeited || l.Tally.Overdue != 1 {
+		t.Errorf("%+v, %d requests overdue", final, l.Tally.Overdue)
 	}
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
-	if len(h.released) == 0 || len(h.flights) != 1 {
-		t.Errorf("released %v, flights %d", h.released, len(h.flights))
+	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Read}) })
+	if len(transport.released) == 0 || len(transport.attempts) != 1 {
+		t.Errorf("released at %v, %d attempts", transport.released, len(transport.attempts))
 	}
 }
 
-// The list repeats a start with another age each time: that is no new start, at which the module would forget
-// what it knows of the backend.
+// The list repeats a backend's start with another age each time. If that were taken for a new start, the scheduler
+// would forget what it knows of the backend.
 func TestAStartHasOneTimeHoweverOftenItIsListed(t *testing.T) {
-	l, h := settled(t, "idempotent")
-	line := box("w1", "writer", "ready")
-	line.Start, line.UpMs = 7, 1000
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-	host := l.backends["w1"].Known
-	booted := host.Booted
-	h.now += 3 * time.Second
-	line.UpMs = 4007
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-	if host.Booted != booted || !host.Restart {
-		t.Errorf("booted %v, then %v", booted, host.Booted)
+	l, transport := newTestLoop(t, "idempotent")
+	entry := listEntry("w1", "writer", "ready")
+	entry.Start, entry.UpMs = 7, 1000
+	l.Do(func() { l.Listed([]boxlist.Box{entry}, false) })
+	known := l.backends["w1"].Known
+	booted := known.Booted
+	transport.now += 3 * time.Second
+	entry.UpMs = 4007
+	l.Do(func() { l.Listed([]boxlist.Box{entry}, false) })
+	if known.Booted != booted || !known.Restart {
+		t.Errorf("started at %v, then at %v", booted, known.Booted)
 	}
-	line.Start, line.UpMs = 8, 10
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-	if host.Booted == booted {
-		t.Error("a new start went unseen")
+	entry.Start, entry.UpMs = 8, 10
+	l.Do(func() { l.Listed([]boxlist.Box{entry}, false) })
+	if known.Booted == booted {
+		t.Error("a new start was not noticed")
 	}
 }
 
 func TestABoxThatAWholeListLeavesOutIsGone(t *testing.T) {
-	l, _ := settled(t, "idempotent")
-	gone := l.backends["w2"]
+	l, _ := newTestLoop(t, "idempotent")
+	removed := l.backends["w2"]
 	l.Do(func() {
-		l.Listed([]boxlist.Box{box("r1", "reader", "ready"), box("w1", "writer", "draining"), box("x", "nonesuch", "ready")}, true)
+		l.Listed([]boxlist.Box{
+			listEntry("r1", "reader", "ready"), listEntry("w1", "writer", "draining"),
+			listEntry("x", "nonesuch", "ready"),
+		}, true)
 	})
-	if gone.Known.Standing != brain.Gone || l.backends["w1"].Known.Standing != brain.Draining || l.backends["x"] != nil {
-		t.Errorf("w2 %d, w1 %d, x %v", gone.Known.Standing, l.backends["w1"].Known.Standing, l.backends["x"])
+	if removed.Known.Standing != brain.Gone || l.backends["w1"].Known.Standing != brain.Draining ||
+		l.backends["x"] != nil {
+		t.Errorf("w2 %d, w1 %d, x %v", removed.Known.Standing, l.backends["w1"].Known.Standing, l.backends["x"])
 	}
 	select {
-	case <-gone.Drained:
+	case <-removed.Drained:
 	default:
-		t.Error("releases to a box that is gone would be tried on")
+		t.Error("releases to a removed backend would be repeated")
 	}
 }
 
-func TestAddressesOutsideOfWhatIsAllowedAreLeftOut(t *testing.T) {
-	l, h := settled(t, "idempotent")
-	line := box("w1", "writer", "ready")
-	line.Addresses = []addresses.Spec{{Network: "tcp4", At: "10.9.9.9:1"}, {Network: "tcp4", At: "no address"}, {Network: "unix", At: "/w1"}}
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-	if got := h.reached[len(h.reached)-1]; got != "w1[unix:/w1]" {
-		t.Errorf("reached at %s", got)
+func TestAddressesThatAreNotAllowedAreIgnored(t *testing.T) {
+	l, transport := newTestLoop(t, "idempotent")
+	entry := listEntry("w1", "writer", "ready")
+	entry.Addresses = []addresses.Spec{
+		{Network: "tcp4", At: "10.9.9.9:1"}, {Network: "tcp4", At: "no address"}, {Network: "unix", At: "/w1"},
+	}
+	l.Do(func() { l.Listed([]boxlist.Box{entry}, false) })
+	if got := transport.reached[len(transport.reached)-1]; got != "w1[unix:/w1]" {
+		t.Errorf("the addresses are %s", got)
 	}
-	n := len(h.reached)
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-	line.Standing = "gone"
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-	if len(h.reached) != n+1 || h.reached[n] != "w1[]" {
-		t.Errorf("then %v", h.reached[n:])
+	before := len(transport.reached)
+	l.Do(func() { l.Listed([]boxlist.Box{entry}, false) })
+	entry.Standing = "gone"
+	l.Do(func() { l.Listed([]boxlist.Box{entry}, false) })
+	if len(transport.reached) != before+1 || transport.reached[before] != "w1[]" {
+		t.Errorf("then the addresses were set to %v", transport.reached[before:])
 	}
 }
 
-// Backends come and go under new names with every deployment: what is gone, and has nothing out, must not be kept and walked over
-// for ever.
-func TestBoxesThatAreGoneAreForgotten(t *testing.T) {
-	l, h := settled(t, "idempotent")
-	a := asks(l, 4*time.Second)
-	busy := h.last()
+// Every deployment replaces backends under new names. Those that are removed and have no attempt in flight must be
+// forgotten: otherwise the tables, which every list is compared with, grow without bound.
+func TestRemovedBackendsAreForgotten(t *testing.T) {
+	l, transport := newTestLoop(t, "idempotent")
+	request := submit(l, 4*time.Second)
+	busy := transport.last()
 	for i := range 300 {
 		l.Do(func() {
-			line := box(fmt.Sprint("pod-", i), "writer", "ready")
-			line.Start, line.UpMs = uint64(i), 5
-			l.Listed([]boxlist.Box{line}, false)
-			line.Standing = "gone"
-			l.Listed([]boxlist.Box{line}, false)
+			entry := listEntry(fmt.Sprint("pod-", i), "writer", "ready")
+			entry.Start, entry.UpMs = uint64(i), 5
+			l.Listed([]boxlist.Box{entry}, false)
+			entry.Standing = "gone"
+			l.Listed([]boxlist.Box{entry}, false)
 		})
 	}
-	h.now += 2 * goneKept
-	l.Do(func() { l.Listed([]boxlist.Box{box("w1", "writer", "ready")}, true) })
-	h.now += 2 * goneKept
-	l.Do(func() { l.Listed([]boxlist.Box{box("w1", "writer", "ready")}, true) })
-	if len(l.backends) != 2 || len(l.hosts) != 2 || len(l.byHost) != 2 || l.backends[busy.Backend.Name] == nil {
-		t.Fatalf("%d boxes, %d hosts, %d by host are held, of 1 listed and 1 with a trip", len(l.backends), len(l.hosts), len(l.byHost))
+	transport.now += 2 * removedRetention
+	l.Do(func() { l.Listed([]boxlist.Box{listEntry("w1", "writer", "ready")}, true) })
+	transport.now += 2 * removedRetention
+	l.Do(func() { l.Listed([]boxlist.Box{listEntry("w1", "writer", "ready")}, true) })
+	if len(l.backends) != 2 || len(l.schedulerBackends) != 2 || len(l.byState) != 2 ||
+		l.backends[busy.Backend.Name] == nil {
+		t.Fatalf("%d, %d and %d backends by name, number and record are kept, with 1 listed and 1 that has an attempt",
+			len(l.backends), len(l.schedulerBackends), len(l.byState))
 	}
 	l.Do(func() { l.Ended(busy, brain.Result{Outcome: brain.Read}) })
 	l.Do(func() { l.Listed(nil, false) })
-	h.now += 2 * goneKept
+	transport.now += 2 * removedRetention
 	l.Do(func() { l.Listed(nil, false) })
-	if len(l.backends) != 1 || len(h.released)+len(h.flights) < 2 || a.Request == nil {
-		t.Errorf("%d boxes are held after the last trip, released %v", len(l.backends), h.released)
+	if len(l.backends) != 1 || len(transport.released)+len(transport.attempts) < 2 || request.Request == nil {
+		t.Errorf("%d backends are kept after the last attempt, released at %v", len(l.backends), transport.released)
 	}
 }
 
-// Another machine under the old name is another backend: groups that drop repeats, roles and racks go by where it stands now.
-func TestABoxThatComesBackElsewhereIsAnotherOne(t *testing.T) {
+// Another machine under an old name is another backend: its role, its rack and its deduplication group are those of the
+// place where it is now.
+func TestBackendListedElsewhereIsANewBackend(t *testing.T) {
 	for name, change := range map[string]func(*boxlist.Box){
-		"kind": func(b *boxlist.Box) { b.Kind = "reader" },
-		"rack": func(b *boxlist.Box) { b.Rack = "other" },
-		"zone": func(b *boxlist.Box) { b.Zone = "there" },
+		"kind": func(entry *boxlist.Box) { entry.Kind = "reader" },
+		"rack": func(entry *boxlist.Box) { entry.Rack = "other" },
+		"zone": func(entry *boxlist.Box) { entry.Zone = "there" },
 	} {
-		l, _ := settled(t, "idempotent")
-		old := l.backends["w1"].Known
-		line := box("w1", "writer", "ready")
-		change(&line)
-		l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-		now := l.backends["w1"].Known
-		if now == old || old.Standing != brain.Gone || now.Standing != brain.Ready || l.hosts[now.ID] != now || l.byHost[old] != nil {
-			t.Errorf("another %s: the same host, standing %d", name, old.Standing)
+		l, _ := newTestLoop(t, "idempotent")
+		before := l.backends["w1"].Known
+		entry := listEntry("w1", "writer", "ready")
+		change(&entry)
+		l.Do(func() { l.Listed([]boxlist.Box{entry}, false) })
+		after := l.backends["w1"].Known
+		if after == before || before.Standing != brain.Gone || after.Standing != brain.Ready ||
+			l.schedulerBackends[after.ID] != after || l.byState[before] != nil {
+			t.Errorf("another %s: not a new backend, the old one's standing is %d", name, before.Standing)
 		}
 	}
 }
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -16,70 +16,72 @@
 	"sloetrestle/internal/system"
 )
 
-// The first byte of a message tells its form.
+// The first byte of a message between peers is its type; the number of the sender follows in two bytes.
 const (
-	peerVersion = 1 // news
-	peerBudget  = 2 // a CBOR map: an ask for a lease, or the answer
+	updateType = 1 // a peer update in eight bytes
+	budgetType = 2 // a CBOR map: a request for a lease, or the answer
 )
 
-// budgetWord is a message about a budget: one of its parts is set.
-type budgetWord struct {
-	Ask  *budget.Ask  `cbor:"1,keyasint,omitempty"`
-	Lend *budget.Lend `cbor:"2,keyasint,omitempty"`
+// budgetMessage is a message about a budget. Exactly one field is set.
+type budgetMessage struct {
+	Request *budget.Ask  `cbor:"1,keyasint,omitempty"`
+	Lease   *budget.Lend `cbor:"2,keyasint,omitempty"`
 }
 
-// newsBytes is the length of a message: version, number of the sender, the news.
-const newsBytes = 1 + 2 + 8
+// updateBytes is the length of a message with a peer update: type, sender, update.
+const updateBytes = 1 + 2 + 8
 
-// Peers sends news to peers and takes theirs, over UDP. Messages may be lost; what is no message is
-// counted and dropped.
+// Peers exchanges peer updates and budget messages with the peers over UDP. Messages may be lost; those that are
+// invalid are counted and dropped.
 type Peers struct {
-	Own     int
-	To      []*net.UDPAddr
+	Own     int            // this dispatcher's number, its index in To
+	To      []*net.UDPAddr // of all dispatchers, by number
 	Conn    *net.UDPConn
-	Plain   bool // a message is the news alone: the address that it comes from tells who sent it
+	Plain   bool // a message is the update alone, and its source address identifies the sender
 	Dropped atomic.Int64
-	Budget  func(from int, w budgetWord) // called in the loop; nil: such messages are dropped
+	Budget  func(from int, message budgetMessage) // called in the loop; nil: budget messages are dropped
 }
 
-// TellBudget sends a word about a budget.
-func (p *Peers) TellBudget(peer int, w budgetWord) {
+// TellBudget sends a message about a budget.
+func (p *Peers) TellBudget(peer int, message budgetMessage) {
 	if peer < 0 || peer >= len(p.To) || peer == p.Own {
 		return
 	}
-	raw, err := cbor.Marshal(w)
+	raw, err := cbor.Marshal(message)
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // the fields are strings and numbers
 	}
-	p.Conn.WriteToUDP(append(binary.BigEndian.AppendUint16([]byte{peerBudget}, uint16(p.Own)), raw...), p.To[peer])
+	p.Conn.WriteToUDP(append(binary.BigEndian.AppendUint16([]byte{budgetType}, uint16(p.Own)), raw...), p.To[peer])
 }
 
-// readBudget returns the word in a message.
-func (p *Peers) readBudget(raw []byte) (from int, w budgetWord, err error) {
+// decodeBudget decodes a message about a budget.
+func (p *Peers) decodeBudget(raw []byte) (from int, message budgetMessage, err error) {
 	if len(raw) < 4 {
-		return 0, w, fmt.Errorf("%d bytes are no message", len(raw))
+		return 0, message, fmt.Errorf("budget message has %d bytes, less than 4", len(raw))
 	}
 	if from = int(binary.BigEndian.Uint16(raw[1:])); from >= len(p.To) || from == p.Own {
-		return 0, w, fmt.Errorf("there is no sibling %d", from)
+		return 0, message, fmt.Errorf("budget message from unknown peer %d", from)
 	}
-	if err := cbor.Unmarshal(raw[3:], &w); err != nil {
-		return 0, w, err
+	if err := cbor.Unmarshal(raw[3:], &message); err != nil {
+		return 0, message, err
 	}
-	if (w.Ask == nil) == (w.Lend == nil) {
-		return 0, w, errors.New("neither an ask nor an answer")
+	if (message.Request == nil) == (message.Lease == nil) {
+		return 0, message, errors.New("budget message must have either a request or a lease")
 	}
-	return from, w, nil
+	return from, message, nil
 }
 
-// ListenPeers opens the socket for a dispatcher of the given number.
-func ListenPeers(own int, listen string, others []string, open func(address string) (*net.UDPConn, error)) (*Peers, error) {
+// ListenPeers opens the socket of the dispatcher with the given number. others are the addresses of all dispatchers.
+func ListenPeers(
+	own int, listen string, others []string, open func(address string) (*net.UDPConn, error),
+) (*Peers, error) {
 	p := &Peers{Own: own}
 	for i, other := range others {
-		at, err := net.ResolveUDPAddr("udp", other)
+		addr, err := net.ResolveUDPAddr("udp", other)
 		if err != nil {
 			return nil, fmt.Errorf("peers.%d: %w", i, err)
 		}
-		p.To = append(p.To, at)
+		p.To = append(p.To, addr)
 	}
 	var err error
 	if p.Conn, err = system.Open(func() (*net.UDPConn, error) { return open(listen) }); err != nil {
@@ -88,40 +90,40 @@
 	return p, nil
 }
 
-// Tell sends news; a message that can't be sent is as good as lost.
-func (p *Peers) Tell(peer int, n brain.PeerUpdate) {
+// Tell sends an update to a peer. A message that cannot be sent counts as lost.
+func (p *Peers) Tell(peer int, update brain.PeerUpdate) {
 	if peer < 0 || peer >= len(p.To) || peer == p.Own {
 		return
 	}
-	raw := news.Encode(n)
+	raw := news.Encode(update)
 	if !p.Plain {
-		raw = append(binary.BigEndian.AppendUint16([]byte{peerVersion}, uint16(p.Own)), raw...)
+		raw = append(binary.BigEndian.AppendUint16([]byte{updateType}, uint16(p.Own)), raw...)
 	}
 	p.Conn.WriteToUDP(raw, p.To[peer])
 }
 
-// check returns the news in a message.
-func (p *Peers) check(raw []byte) ([]byte, error) {
-	if len(raw) != newsBytes || raw[0] != peerVersion {
-		return nil, fmt.Errorf("%d bytes are no message", len(raw))
+// unwrapUpdate returns the encoded update of a message that is not plain.
+func (p *Peers) unwrapUpdate(raw []byte) ([]byte, error) {
+	if len(raw) != updateBytes || raw[0] != updateType {
+		return nil, fmt.Errorf("peer message of %d bytes is not a peer update", len(raw))
 	}
 	if from := int(binary.BigEndian.Uint16(raw[1:])); from >= len(p.To) || from == p.Own {
-		return nil, fmt.Errorf("there is no sibling %d", from)
+		return nil, fmt.Errorf("peer update from unknown peer %d", from)
 	}
 	return raw[3:], nil
 }
 
-// sibling tells whether a plain message comes from one.
-func (p *Peers) sibling(from *net.UDPAddr) error {
-	for i, to := range p.To {
-		if i != p.Own && to.Port == from.Port && to.IP.Equal(from.IP) {
+// checkSender returns an error if the sender of a plain message is not a peer.
+func (p *Peers) checkSender(sender *net.UDPAddr) error {
+	for i, peer := range p.To {
+		if i != p.Own && peer.Port == sender.Port && peer.IP.Equal(sender.IP) {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s is no sibling", from)
+	return fmt.Errorf("peer update from unknown address %s", sender)
 }
 
-// Listen takes messages until the context ends.
+// Listen receives messages until the context ends.
 func (p *Peers) Listen(ctx context.Context, l *Loop) error {
 	stop := context.AfterFunc(ctx, func() { p.Conn.Close() })
 	defer stop()
@@ -133,24 +135,24 @@
 			return nil
 		}
 		if err != nil {
-			retry.Wait() // such as a port that nobody listens at, or no memory for a moment
+			retry.Wait() // such as a peer's closed port, reported by ICMP, or a short lack of memory
 			continue
 		}
 		retry.Reset()
-		if n > 0 && buf[0] == peerBudget && !p.Plain {
-			from, w, err := p.readBudget(buf[:n])
+		if n > 0 && buf[0] == budgetType && !p.Plain {
+			from, message, err := p.decodeBudget(buf[:n])
 			if err != nil || p.Budget == nil {
 				p.Dropped.Add(1)
 				continue
 			}
-			l.Post(func() { p.Budget(from, w) })
+			l.Post(func() { p.Budget(from, message) })
 			continue
 		}
 		raw := buf[:n]
 		if p.Plain {
-			err = p.sibling(sender)
+			err = p.checkSender(sender)
 		} else {
-			raw, err = p.check(raw)
+			raw, err = p.unwrapUpdate(raw)
 		}
 		if err != nil {
 			p.Dropped.Add(1)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -9,57 +9,59 @@
 	"sloetrestle/internal/kserve"
 )
 
-// ClientRequest is one request between its client and the module.
+// ClientRequest is a request between its client and the scheduler. Its unexported fields belong to the loop, apart
+// from the channels and over.
 type ClientRequest struct {
-	Request  *brain.Request
-	Ask      kserve.Ask
-	Grade    string
-	Channel  string
-	Matter   any                // what the carrier sends of it; dropped when the request is over
-	Tell     func(kserve.Final) // takes the final answer in place of the channel
-	began    chan *Attempt      // the attempt whose stream goes to the client
-	final    chan kserve.Final  // the one final answer
-	answered bool
-	left     bool
-	channel  int
-	paid     []paid   // set aside in budgets
-	unpaid   bool     // declined for a budget
-	stream   *Attempt // the attempt whose stream has begun
-	flight   *Attempt // the attempt that is out
-	waiting  map[*Backend]bool
-	from     time.Duration
-	over     atomic.Bool
+	Request *brain.Request // the scheduler's record of it; nil before it is submitted
+	Ask     kserve.Ask
+	Grade   string             // name of its class
+	Channel string             // name of its tenant
+	Matter  any                // what the transport sends; dropped when the request is over
+	Tell    func(kserve.Final) // takes the final answer, in place of the channel that Final returns
+
+	started      chan *Attempt     // the attempt whose stream goes to the client
+	final        chan kserve.Final // the final answer
+	answered     bool
+	disconnected bool
+	tenantNumber int           // of its tenant
+	reservations []reservation // in token budgets
+	overBudget   bool          // rejected for lack of budget
+	streaming    *Attempt      // the attempt whose stream has begun
+	inFlight     *Attempt
+	kvHolders    map[*Backend]bool // prefill backends that hold the request's KV cache
+	submittedAt  time.Duration
+	over         atomic.Bool
 }
 
-// End says that nothing more may be sent for the request: it has its answer, its client has gone, or its time is up. Unlike a message
-// to the loop it does not wait its turn.
-func (a *ClientRequest) End() { a.over.Store(true) }
+// End marks the request as over: it has its answer, its client has disconnected, or its deadline has passed. Nothing
+// more is sent for it from then on. Unlike a message to the loop it takes effect at once.
+func (c *ClientRequest) End() { c.over.Store(true) }
 
-// Over tells whether nothing more may be sent.
-func (a *ClientRequest) Over() bool { return a.over.Load() }
+// Over tells whether the request is over. It may be called by any goroutine.
+func (c *ClientRequest) Over() bool { return c.over.Load() }
 
-// AttemptOut tells whether an attempt is out. It is the loop's.
-func (a *ClientRequest) AttemptOut() bool { return a.flight != nil }
+// AttemptOut tells whether an attempt is in flight. Only the loop may call it.
+func (c *ClientRequest) AttemptOut() bool { return c.inFlight != nil }
 
-// Start waits for the attempt whose stream goes to the client, or for a final answer without one: then there is no attempt. ok is false
-// where the context ended first.
-func (a *ClientRequest) Start(ctx context.Context) (trip *Attempt, f kserve.Final, ok bool) {
+// Start waits for the attempt whose stream goes to the client, or for a final answer without a stream; the attempt is
+// nil then. ok is false if the context ended first.
+func (c *ClientRequest) Start(ctx context.Context) (attempt *Attempt, final kserve.Final, ok bool) {
 	select {
 	case <-ctx.Done():
-		return nil, f, false
-	case trip = <-a.began:
-		return trip, f, true
-	case f = <-a.final:
+		return nil, final, false
+	case attempt = <-c.started:
+		return attempt, final, true
+	case final = <-c.final:
 	}
-	// The end of a short answer may be seen before its beginning.
+	// With a short answer both channels may be ready, and select may have taken the end before the beginning.
 	select {
-	case trip = <-a.began:
-		a.final <- f
-		return trip, kserve.Final{}, true
+	case attempt = <-c.started:
+		c.final <- final
+		return attempt, kserve.Final{}, true
 	default:
-		return nil, f, true
+		return nil, final, true
 	}
 }
 
-// Final gives the one final answer.
-func (a *ClientRequest) Final() <-chan kserve.Final { return a.final }
+// Final returns the channel of the final answer.
+func (c *ClientRequest) Final() <-chan kserve.Final { return c.final }
--- a/internal/dispatch/runtime.go
+++ b/internal/dispatch/runtime.go
@@ -7,69 +7,85 @@
 	"sloetrestle/internal/kserve"
 )
 
-// The loop as the module's runtime: how the module acts.
+// The methods in this file implement the scheduler's Runtime: how the scheduler acts. Only the scheduler and the loop
+// itself call them, in the loop's goroutine.
 
-// Now, Send and the rest are the module's door.
+// Now returns the time of the present turn.
 func (l *Loop) Now() time.Duration { return l.now }
 
-func (l *Loop) Send(t *brain.Attempt, wait time.Duration) {
-	a := l.requests[t.Request]
-	f := &Attempt{Planned: t, Request: a, Backend: l.byHost[t.Backend], Wait: wait, Until: l.now + wait, Tokens: make(chan []byte, tokenRoom), Key: l.Key(a)}
-	if t.Stage == brain.ToWrite {
-		f.State = l.byHost[t.Request.State]
+// Send sends an attempt and times it out if it has no first token after the wait.
+func (l *Loop) Send(planned *brain.Attempt, wait time.Duration) {
+	request := l.requests[planned.Request]
+	attempt := &Attempt{
+		Planned: planned, Request: request, Backend: l.byState[planned.Backend], Wait: wait, Until: l.now + wait,
+		Tokens: make(chan []byte, tokenBuffer), Key: l.Key(request),
 	}
-	a.flight = f
-	f.Backend.out++
+	if planned.Stage == brain.ToWrite {
+		attempt.State = l.byState[planned.Request.State]
+	}
+	request.inFlight = attempt
+	attempt.Backend.inFlight++
 	l.Tally.Trips++
 	if l.Guard != nil {
-		l.Guard.Sent(l.now, t.Number > 0 && cost(t.Request.Attempts[t.Number-1].Outcome))
+		l.Guard.Sent(l.now, planned.Number > 0 && wastesWork(planned.Request.Attempts[planned.Number-1].Outcome))
 	}
 	l.Wake(wait, func() {
-		if !t.Ended && t.Began == 0 {
-			f.late = true
-			f.Off(ErrLate)
+		if !planned.Ended && planned.Began == 0 {
+			attempt.timedOut = true
+			attempt.Off(ErrLate)
 		}
 	})
-	l.accountSent(f)
-	l.carrier.Start(f)
+	l.accountSent(attempt)
+	l.transport.Start(attempt)
 }
 
-// tokenRoom is how many pieces of an answer wait for a client that reads slowly; then its backend has to wait.
-const tokenRoom = 64
+// tokenBuffer is how many tokens are buffered for a client that reads slowly; beyond that its backend has to wait.
+const tokenBuffer = 64
 
-func (l *Loop) Cancel(t *brain.Attempt) {
-	if f := l.requests[t.Request].flight; f != nil && f.Planned == t {
-		f.Off(ErrLeft)
+// Cancel cancels an attempt if it is still in flight.
+func (l *Loop) Cancel(planned *brain.Attempt) {
+	if attempt := l.requests[planned.Request].inFlight; attempt != nil && attempt.Planned == planned {
+		attempt.Off(ErrLeft)
 	}
 }
 
-// Release has what may wait for a request released. It may go on waiting, for an attempt that is out by the time that a release is heard;
-// the module then asks for a further one at that attempt's end.
-func (l *Loop) Release(q *brain.Request) {
-	a := l.requests[q]
-	for b := range a.waiting {
-		l.release(b, a)
+// Release has every backend that may hold a request's KV cache release it. A backend may keep it for an attempt that
+// is in flight when the release arrives; the scheduler then asks for another release at that attempt's end.
+func (l *Loop) Release(scheduled *brain.Request) {
+	request := l.requests[scheduled]
+	for backend := range request.kvHolders {
+		l.releaseAt(backend, request)
 	}
 }
 
-func (l *Loop) Reject(q *brain.Request, after time.Duration) {
+// Reject rejects a request, with advice when to retry. Retry throttling replaces the scheduler's advice by a slot of
+// its own schedule, and issues a retry ticket for it.
+func (l *Loop) Reject(scheduled *brain.Request, after time.Duration) {
 	ticket := ""
 	if l.Guard != nil && after > 0 {
 		after, ticket = l.Guard.Book(l.now)
 	}
-	l.answer(l.requests[q], kserve.Final{Ticket: ticket, Final: kserve.Declined, Error: "not taken on: too much is asked just now", Harmless: true, AfterMs: after.Milliseconds()})
+	l.answer(l.requests[scheduled], kserve.Final{
+		Ticket: ticket, Final: kserve.Declined, Error: "not taken on: too much is asked just now", Harmless: true,
+		AfterMs: after.Milliseconds(),
+	})
 }
 
-func (l *Loop) Fail(q *brain.Request) {
-	l.answer(l.requests[q], kserve.Final{Final: kserve.Forfeited, Error: "given up on; it may have run"})
+// Fail fails a request whose attempts may have run.
+func (l *Loop) Fail(scheduled *brain.Request) {
+	l.answer(l.requests[scheduled], kserve.Final{Final: kserve.Forfeited, Error: "given up on; it may have run"})
 }
 
-func (l *Loop) Wake(after time.Duration, do func()) {
-	l.wakes.At(l.now+max(after, 0), do)
+// Wake calls a function in the loop after some time, at the earliest after the present turn.
+func (l *Loop) Wake(after time.Duration, callback func()) {
+	l.timers.At(l.now+max(after, 0), callback)
 }
 
-func (l *Loop) Watch(bool) {} // this list pushes unasked
+// Watch does nothing: the service discovery list is pushed to the loop without being asked for.
+func (l *Loop) Watch(bool) {}
 
-func (l *Loop) Tell(peer int, n brain.PeerUpdate) { l.carrier.Tell(peer, n) }
+// Tell sends an update to a peer.
+func (l *Loop) Tell(peer int, update brain.PeerUpdate) { l.transport.Tell(peer, update) }
 
+// Note logs a text of the scheduler's.
 func (l *Loop) Note(text string) { l.Log.Info(text) }
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -26,111 +26,121 @@
 	"sloetrestle/internal/system"
 )
 
-// Version is the program's.
+// Version is the program's version.
 const Version = "0.2.0"
 
-// headerTime is how long a client may take over its request's head, and idleTime how long a connection may rest.
 const (
-	headerTime = 5 * time.Second
-	idleTime   = 60 * time.Second
-	headerMost = 64 << 10
+	headerTimeout  = 5 * time.Second // for the header of a request
+	idleTimeout    = 60 * time.Second
+	maxHeaderBytes = 64 << 10
 
-	accountTime = 4 * time.Second // for the counts of the last attempts, when a dispatcher stops
+	accountTimeout = 4 * time.Second // for the usage counts of the last attempts, when a dispatcher stops
 )
 
-// Serve runs one dispatcher until the context ends; then it declines what is new, lets what it holds end, and
-// returns. Listening is told to started, with the address.
-func Serve(ctx context.Context, d setup.Dispatcher, log *slog.Logger, started func(addr net.Addr)) error {
-	var seed [16]byte
-	rand.Read(seed[:])
-	epoch := fmt.Sprintf("%s.%x", d.Place.Name, seed[8:14])
-	chance := d.Place.Seed
-	if chance == 0 {
-		chance = binary.BigEndian.Uint64(seed[:])
+// Serve runs one dispatcher until the context ends. It then rejects new requests, lets the open ones end within the
+// configured time, and returns. started is called with the first address once the dispatcher listens.
+func Serve(ctx context.Context, config setup.Dispatcher, log *slog.Logger, started func(addr net.Addr)) error {
+	var random [16]byte
+	rand.Read(random[:])
+	epoch := fmt.Sprintf("%s.%x", config.Place.Name, random[8:14])
+	seed := config.Place.Seed
+	if seed == 0 {
+		seed = binary.BigEndian.Uint64(random[:])
 	}
-	began := time.Now()
-	since := func() time.Duration { return time.Since(began) }
+	startedAt := time.Now()
+	clock := func() time.Duration { return time.Since(startedAt) }
 
-	// Attempts outlive the wish to stop: they end with life, after the last request.
-	life, end := context.WithCancel(context.WithoutCancel(ctx))
+	// Attempts outlive ctx: they end with lifetime, after the last request.
+	lifetime, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
-	var flights, group errgroup.Group
-	trips := NewTrips(life, &flights, d.Limits.BoxConns, d.Limits.Dial.D(), since)
-	trips.Model, trips.Stall = d.Model, d.Limits.Stall.D()
-	may, err := reach.NewAllowed(d.Place.Allow)
+	var attempts, group errgroup.Group
+	transport := NewTrips(lifetime, &attempts, config.Limits.BoxConns, config.Limits.Dial.D(), clock)
+	transport.Model, transport.Stall = config.Model, config.Limits.Stall.D()
+	allowed, err := reach.NewAllowed(config.Place.Allow)
 	if err != nil {
 		return err
 	}
-	loop, err := NewLoop(d.Facts(), chance, Places{d.ZoneNumber, d.KindNumber, may.Has}, trips, since, epoch, log)
+	loop, err := NewLoop(config.Facts(), seed, Places{config.ZoneNumber, config.KindNumber, allowed.Has},
+		transport, clock, epoch, log)
 	if err != nil {
 		return err
 	}
-	trips.loop = loop
-	if d.Limits.Storms {
-		seal := storm.Seal{Key: seed[:], Began: time.Duration(began.UnixNano()), From: uint32(xxhash.Sum64String(epoch))}
-		if d.Place.Tickets != "" {
-			if seal.Key, err = setup.ReadKey(d.Place.Tickets); err != nil {
+	transport.loop = loop
+	if config.Limits.Storms {
+		seal := storm.Seal{
+			Key: random[:], Began: time.Duration(startedAt.UnixNano()), From: uint32(xxhash.Sum64String(epoch)),
+		}
+		if config.Place.Tickets != "" {
+			if seal.Key, err = setup.ReadKey(config.Place.Tickets); err != nil {
 				return fmt.Errorf("dispatcher.ticket_key: %w", err)
 			}
 		}
-		loop.Guard = storm.New(d.Limits.RetryAfter.D(), len(d.Channels), chance^0x5709, seal)
+		loop.Guard = storm.New(config.Limits.RetryAfter.D(), len(config.Channels), seed^0x5709, seal)
 	}
-	for _, f := range d.Further {
-		loop.Further(f.Box, f.Spec)
+	for _, further := range config.Further {
+		loop.Further(further.Box, further.Spec)
 	}
 	var listeners []net.Listener
-	door, doorMu := &storm.Door{PerS: d.Place.ConnPerS, Burst: max(d.Place.ConnPerS, 1), MostOpen: d.Place.ConnOpen}, &sync.Mutex{}
-	for i, at := range append(slices.Clone(d.Place.Listen), d.Place.Control...) {
-		spec, err := reach.ParseListen(at)
+	limiter, limiterMu := &storm.Door{
+		PerS: config.Place.ConnPerS, Burst: max(config.Place.ConnPerS, 1), MostOpen: config.Place.ConnOpen,
+	}, &sync.Mutex{}
+	for i, address := range append(slices.Clone(config.Place.Listen), config.Place.Control...) {
+		spec, err := reach.ParseListen(address)
 		if err != nil {
 			return fmt.Errorf("dispatcher.listen: %w", err)
 		}
-		l, err := reach.Listen(spec)
+		listener, err := reach.Listen(spec)
 		if err != nil {
 			return fmt.Errorf("dispatcher.listen: %w", err)
 		}
-		defer l.Close()
-		l = system.Persistent{Listener: l, Failed: func(err error) { log.Warn("accept failed", "error", err) }}
-		if i < len(d.Place.Listen) && d.Place.ConnPerS > 0 {
-			l = &guarded{l, doorMu, door, since}
+		defer listener.Close()
+		listener = system.Persistent{
+			Listener: listener, Failed: func(err error) { log.Warn("accepting a connection failed", "error", err) },
+		}
+		if i < len(config.Place.Listen) && config.Place.ConnPerS > 0 {
+			listener = &limitedListener{listener, limiterMu, limiter, clock}
 		}
-		listeners = append(listeners, l)
+		listeners = append(listeners, listener)
 	}
-	books, account, err := openBooks(d, epoch, began, log)
+	journal, history, err := openLedger(config, epoch, startedAt, log)
 	if err != nil {
 		return err
 	}
-	if books != nil {
-		defer books.Close()
+	if journal != nil {
+		defer journal.Close()
 	}
-	if d.Limits.Siblings || len(d.Budgets) > 0 && d.Place.Siblings > 1 {
-		if trips.Peers, err = ListenPeers(d.Place.Number, d.Place.News, d.Place.Peers, system.Real().ListenUDP); err != nil {
+	if config.Limits.Siblings || len(config.Budgets) > 0 && config.Place.Siblings > 1 {
+		if transport.Peers, err = ListenPeers(config.Place.Number, config.Place.News, config.Place.Peers,
+			system.Real().ListenUDP); err != nil {
 			return fmt.Errorf("dispatcher.%w", err)
 		}
-		group.Go(func() error { return trips.Peers.Listen(life, loop) })
+		group.Go(func() error { return transport.Peers.Listen(lifetime, loop) })
 	}
-	if kept := newBooks(d, loop, trips, books, account, epoch, began); kept != nil {
-		loop.Keep(kept)
+	if accounting := newAccounting(config, loop, transport, journal, history, epoch, startedAt); accounting != nil {
+		loop.Keep(accounting)
 	}
-	list := &boxlist.Follower{
-		Address: d.Place.Boxes, Name: d.Place.Name, Keep: d.Place.Keep, Log: log, Client: &http.Client{Transport: &http.Transport{}},
-		Listed: func(lines []boxlist.Box, whole bool) { loop.Post(func() { loop.Listed(lines, whole) }) },
+	discovery := &boxlist.Follower{
+		Address: config.Place.Boxes, Name: config.Place.Name, Keep: config.Place.Keep, Log: log,
+		Client: &http.Client{Transport: &http.Transport{}},
+		Listed: func(entries []boxlist.Box, complete bool) {
+			loop.Post(func() { loop.Listed(entries, complete) })
+		},
 	}
-	if err := list.Restore(); err != nil {
-		log.Warn("the kept list is left out", "error", err)
+	if err := discovery.Restore(); err != nil {
+		log.Warn("starting without the stored service discovery list", "error", err)
 	}
-	group.Go(func() error { return loop.Run(life) })
-	group.Go(func() error { return list.Follow(life) })
+	group.Go(func() error { return loop.Run(lifetime) })
+	group.Go(func() error { return discovery.Follow(lifetime) })
 
-	server := &Server{Terms: d.Terms, Place: d.Place, Loop: loop, Log: log}
+	server := &Server{Terms: config.Terms, Place: config.Place, Loop: loop, Log: log}
 	server.State = func() map[string]any {
-		out := state(ctx, loop, list, trips, server, since())
-		if books != nil {
-			out["ledger"] = books.State()
+		out := statusReport(ctx, loop, discovery, transport, server, clock())
+		if journal != nil {
+			out["ledger"] = journal.State()
 		}
-		doorMu.Lock()
-		defer doorMu.Unlock()
-		out["connections_taken"], out["connections_refused"] = door.Taken, door.Refused
+		limiterMu.Lock()
+		defer limiterMu.Unlock()
+		out["connections_taken"], out["connections_refused"] = limiter.Taken, limiter.Refused
 		return out
 	}
 	server.Ready = func() bool {
@@ -138,27 +148,27 @@
 		loop.Call(ctx, func() { ready = loop.Answers() })
 		return ready
 	}
-	front := func(h http.Handler) *http.Server {
+	newHTTPServer := func(h http.Handler) *http.Server {
 		return &http.Server{
-			Handler: h, ReadHeaderTimeout: headerTime, IdleTimeout: idleTime, MaxHeaderBytes: headerMost,
+			Handler: h, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 			ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		}
 	}
-	web, operators := front(server.Handler()), front(server.Operators())
+	clients, operators := newHTTPServer(server.Handler()), newHTTPServer(server.Operators())
 	failed := make(chan error, len(listeners))
-	for i, l := range listeners {
-		web := web
-		if i >= len(d.Place.Listen) {
-			web = operators
+	for i, listener := range listeners {
+		httpServer := clients
+		if i >= len(config.Place.Listen) {
+			httpServer = operators
 		}
 		group.Go(func() error {
-			if err := web.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+			if err := httpServer.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 				failed <- err
 			}
 			return nil
 		})
 	}
-	log.Info("serving", "listen", d.Place.Listen, "epoch", epoch, "boxes", d.Place.Boxes)
+	log.Info("serving", "listen", config.Place.Listen, "epoch", epoch, "boxes", config.Place.Boxes)
 	if started != nil {
 		started(listeners[0].Addr())
 	}
@@ -167,177 +177,195 @@
 	case err = <-failed:
 	}
 	server.stopping.Store(true)
-	log.Info("stopping: new questions are declined", "open", server.open.Load())
-	if server.drain(d.Place.Stop.D()) {
-		log.Info("every question has its answer")
+	log.Info("graceful shutdown: new requests are rejected", "open", server.openRequests.Load())
+	if server.drain(config.Place.Stop.D()) {
+		log.Info("graceful shutdown: all requests are answered")
 	} else {
-		log.Warn("questions are cut off", "open", server.open.Load())
+		log.Warn("graceful shutdown timed out, open requests are failed", "open", server.openRequests.Load())
 	}
-	loop.Call(life, loop.forfeitAll)
-	shut, cancel := context.WithTimeout(life, time.Second)
-	web.Shutdown(shut)
-	operators.Shutdown(shut)
+	loop.Call(lifetime, loop.failAll)
+	shutdown, cancel := context.WithTimeout(lifetime, time.Second)
+	clients.Shutdown(shutdown)
+	operators.Shutdown(shutdown)
 	cancel()
-	web.Close()
+	clients.Close()
 	operators.Close()
-	trips.settle(life, time.Second)
-	loop.settleAccount(life, accountTime)
+	transport.waitIdle(lifetime, time.Second)
+	loop.closeAccount(lifetime, accountTimeout)
 	end()
-	flights.Wait()
+	attempts.Wait()
 	group.Wait()
-	list.Client.CloseIdleConnections()
+	discovery.Client.CloseIdleConnections()
 	return err
 }
 
-// drain waits for open requests to end. It goes on listening for a little while at the least, so that clients
-// that a front still sends here get an answer.
-func (s *Server) drain(most time.Duration) bool {
-	const step, least = 10 * time.Millisecond, 300 * time.Millisecond
-	for waited := time.Duration(0); waited < most; waited += step {
-		if waited >= least && s.open.Load() == 0 {
+// drain waits until no request is open, at most for the timeout, and tells whether none is. It waits a minimum time in
+// any case, so that clients that a load balancer still sends here get a rejection and not a refused connection.
+func (s *Server) drain(timeout time.Duration) bool {
+	const step, minimum = 10 * time.Millisecond, 300 * time.Millisecond
+	for waited := time.Duration(0); waited < timeout; waited += step {
+		if waited >= minimum && s.openRequests.Load() == 0 {
 			return true
 		}
 		time.Sleep(step)
 	}
-	return s.open.Load() == 0
+	return s.openRequests.Load() == 0
 }
 
-// settle waits until every attempt has ended and the backends were told of all releases, or for so long. An attempt that was called off
-// ends a little later, and its end may ask for a release.
-func (c *Trips) settle(ctx context.Context, most time.Duration) {
-	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-		out := 0
-		c.loop.Call(ctx, func() { out = len(c.loop.requests) })
+// waitIdle waits until all attempts have ended and all releases are sent, at most for the timeout. A cancelled attempt
+// ends a little later, and its end may require another release.
+func (c *Trips) waitIdle(ctx context.Context, timeout time.Duration) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		requests := 0
+		c.loop.Call(ctx, func() { requests = len(c.loop.requests) })
 		c.mu.Lock()
-		left := len(c.releases)
+		queues := len(c.releases)
 		c.mu.Unlock()
-		if out+left == 0 {
+		if requests+queues == 0 {
 			return
 		}
 	}
 }
 
-// Answers tells whether a backend that answers is ready.
+// Answers tells whether a backend that decodes is ready.
 func (l *Loop) Answers() bool {
-	for _, b := range l.backends {
-		if b.Known.Standing == brain.Ready && b.Known.Kept != nil && b.Known.Answers() {
+	for _, backend := range l.backends {
+		if backend.Known.Standing == brain.Ready && backend.Known.Kept != nil && backend.Known.Answers() {
 			return true
 		}
 	}
 	return false
 }
 
-// Yield ends what has not begun to be answered, so that clients may ask elsewhere: what is held is declined where that promise can be
-// kept, and what is out gets no further attempt.
+// Yield ends the requests without a first token, so that their clients may retry at another dispatcher. Queued requests
+// are rejected where a rejection is still allowed and failed otherwise; those with an attempt in flight get no further
+// attempt.
 func (l *Loop) Yield() {
-	for q, a := range l.requests {
-		switch f := a.flight; {
-		case a.answered || a.left:
-			if f != nil {
-				f.Off(ErrLeft) // nobody waits for it, and what it holds has to be released before the end
+	for scheduled, request := range l.requests {
+		switch attempt := request.inFlight; {
+		case request.answered || request.disconnected:
+			if attempt != nil {
+				attempt.Off(ErrLeft) // nobody waits for it, and its KV cache has to be released before the process ends
 			}
-		case f != nil && f.Planned.Began > 0:
-		case f != nil:
-			q.Last = true
-			f.late = true
-			f.Off(ErrLate)
+		case attempt != nil && attempt.Planned.Began > 0:
+		case attempt != nil:
+			scheduled.Last = true
+			attempt.timedOut = true
+			attempt.Off(ErrLate)
 		default:
-			if brain.MayReject(q) == brain.Allowed {
-				l.answer(a, kserve.Final{Final: kserve.Declined, Error: "this dispatcher is stopping", Harmless: true, AfterMs: 1})
+			if brain.MayReject(scheduled) == brain.Allowed {
+				l.answer(request, kserve.Final{
+					Final: kserve.Declined, Error: "this dispatcher is stopping", Harmless: true, AfterMs: 1,
+				})
 			} else {
-				l.Fail(q)
+				l.Fail(scheduled)
 			}
-			l.module.Left(q)
-			l.forget(a)
+			l.scheduler.Left(scheduled)
+			l.forgetIfOver(request)
 		}
 	}
 }
 
-// forfeitAll ends what is left when the time to stop is over.
-func (l *Loop) forfeitAll() {
-	for q, a := range l.requests {
-		if !a.answered && !a.left {
-			l.Fail(q)
-			l.module.Left(q)
+// failAll fails the requests that are left when the time for a graceful shutdown is over.
+func (l *Loop) failAll() {
+	for scheduled, request := range l.requests {
+		if !request.answered && !request.disconnected {
+			l.Fail(scheduled)
+			l.scheduler.Left(scheduled)
 		}
-		if a.flight != nil {
-			a.flight.Off(ErrLeft)
+		if request.inFlight != nil {
+			request.inFlight.Off(ErrLeft)
 		}
-		l.forget(a)
+		l.forgetIfOver(request)
 	}
 }
 
-// state is what operators see of a dispatcher.
-func state(ctx context.Context, l *Loop, list *boxlist.Follower, trips *Trips, s *Server, up time.Duration) map[string]any {
-	age, heard := list.Age()
+// statusReport returns what GET /state reports to operators.
+func statusReport(
+	ctx context.Context, l *Loop, discovery *boxlist.Follower, transport *Trips, server *Server, uptime time.Duration,
+) map[string]any {
+	age, heard := discovery.Age()
 	out := map[string]any{
-		"dispatcher": l.Epoch, "up_s": up.Seconds(), "open": s.open.Load(), "stopping": s.stopping.Load(), "list_heard": heard,
-		"list_age_s": age.Seconds(), "list_gaps": list.Gaps(), "releases_refused": trips.Refused.Load(),
+		"dispatcher": l.Epoch, "up_s": uptime.Seconds(), "open": server.openRequests.Load(),
+		"stopping": server.stopping.Load(), "list_heard": heard, "list_age_s": age.Seconds(),
+		"list_gaps": discovery.Gaps(), "releases_refused": transport.Refused.Load(),
 	}
-	if trips.Peers != nil {
-		out["messages_dropped"] = trips.Peers.Dropped.Load()
+	if transport.Peers != nil {
+		out["messages_dropped"] = transport.Peers.Dropped.Load()
 	}
 	l.Call(ctx, func() {
 		t := l.Tally
-		out["taken"], out["satisfied"], out["declined"], out["forfeited"] = t.Taken, t.Satisfied, t.Declined, t.Forfeited
-		out["left"], out["overdue"], out["trips"], out["held_timers"] = t.Left, t.Overdue, t.Trips, l.wakes.Len()
+		out["taken"], out["satisfied"], out["declined"], out["forfeited"] =
+			t.Taken, t.Satisfied, t.Declined, t.Forfeited
+		out["left"], out["overdue"], out["trips"], out["held_timers"] = t.Left, t.Overdue, t.Trips, l.timers.Len()
 		out["damped"] = t.Damped
-		if b := l.books; b != nil {
-			out["budgets"] = l.budgets()
-			if b.Account != nil {
-				out["account"] = b.Account.Counts
+		if accounting := l.accounting; accounting != nil {
+			out["budgets"] = l.budgetState()
+			if accounting.Account != nil {
+				out["account"] = accounting.Account.Counts
 			}
 		}
-		if g := l.Guard; g != nil {
-			out["storm"] = map[string]any{"on": g.On(l.now), "again_share": g.Again(l.now), "promised_returns": g.Promised(l.now), "rate": g.Rate(l.now), "counts": g.Counts}
+		if guard := l.Guard; guard != nil {
+			out["storm"] = map[string]any{
+				"on": guard.On(l.now), "again_share": guard.Again(l.now), "promised_returns": guard.Promised(l.now),
+				"rate": guard.Rate(l.now), "counts": guard.Counts,
+			}
 		}
 		outcomes := map[string]int64{}
 		for i, n := range t.Outcomes {
-			outcomes[outcomeWords[i]] = n
+			outcomes[outcomeNames[i]] = n
 		}
 		out["outcomes"] = outcomes
-		var boxes []map[string]any
-		for _, b := range l.backends {
-			h := b.Known
-			boxes = append(boxes, map[string]any{"name": b.Name, "at": b.At, "standing": [...]string{"draining", "ready", "gone"}[h.Standing],
-				"role": [...]string{"reader", "writer", "mixed"}[h.Role], "streams": h.Streams, "tokens": h.Tokens, "util": h.Util, "queue": h.Queue})
+		var backends []map[string]any
+		for _, backend := range l.backends {
+			known := backend.Known
+			backends = append(backends, map[string]any{
+				"name": backend.Name, "at": backend.At,
+				"standing": [...]string{"draining", "ready", "gone"}[known.Standing],
+				"role":     [...]string{"reader", "writer", "mixed"}[known.Role], "streams": known.Streams,
+				"tokens": known.Tokens, "util": known.Util, "queue": known.Queue,
+			})
 		}
-		out["boxes"] = boxes
+		out["boxes"] = backends
 	})
-	out["addresses"] = boxAddresses(trips, up)
+	out["addresses"] = backendAddresses(transport, uptime)
 	return out
 }
 
-// boxAddresses tells how each address of each backend stands, and why.
-func boxAddresses(trips *Trips, now time.Duration) []BoxState {
+// backendAddresses reports the health of each address of each backend.
+func backendAddresses(transport *Trips, now time.Duration) []BoxState {
 	var out []BoxState
-	trips.Boxes.Look(func(name string, book *addresses.Book, open, idle int) {
-		b := BoxState{Name: name, Open: open, Idle: idle}
-		for _, a := range book.Addresses() {
-			b.Addresses = append(b.Addresses, AddressState{a.Spec.String(), a.Prefer, a.Doubtful(now), a.Why(now)})
+	transport.Boxes.Look(func(name string, book *addresses.Book, open, idle int) {
+		state := BoxState{Name: name, Open: open, Idle: idle}
+		for _, address := range book.Addresses() {
+			state.Addresses = append(state.Addresses, AddressState{
+				address.Spec.String(), address.Prefer, address.Doubtful(now), address.Why(now),
+			})
 		}
-		out = append(out, b)
+		out = append(out, state)
 	})
 	return out
 }
 
-// BoxState is a backend as it is reached.
+// BoxState is the connection pool of a backend in the report to operators.
 type BoxState struct {
 	Name      string         `json:"name"`
-	Open      int            `json:"open"`
-	Idle      int            `json:"idle"`
+	Open      int            `json:"open"` // connections
+	Idle      int            `json:"idle"` // connections
 	Addresses []AddressState `json:"addresses"`
 }
 
-// AddressState is one of its addresses.
+// AddressState is an address of a backend in the report to operators.
 type AddressState struct {
 	At       string `json:"at"`
 	Prefer   int    `json:"prefer"`
-	Doubtful bool   `json:"doubtful"`
+	Doubtful bool   `json:"doubtful"` // under suspicion after failures
 	Why      string `json:"why"`
 }
 
-// OutcomeName is how logs and counters name an outcome.
-func OutcomeName(o brain.Outcome) string { return outcomeWords[o] }
+// OutcomeName returns an outcome's name in logs and counters.
+func OutcomeName(outcome brain.Outcome) string { return outcomeNames[outcome] }
 
-var outcomeWords = [...]string{"answered", "read", "failed", "full", "timed_out", "unreached", "broken", "cancelled", "moot"}
+var outcomeNames = [...]string{
+	"answered", "read", "failed", "full", "timed_out", "unreached", "broken", "cancelled", "moot",
+}
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -27,73 +27,86 @@
 	"sloetrestle/internal/standin"
 )
 
-// house is a dispatcher in this process with a prefill backend and a decode backend beside it.
-type house struct {
-	t      *testing.T
-	d      setup.Dispatcher
-	book   *record.Book
-	fleet  *standin.Fleet
-	list   *standin.List
-	reader *standin.Box
-	writer *standin.Box
-	base   string
-	stop   func()
-	ended  chan error
+// testService is a dispatcher in this process, with a prefill and a decode backend and service discovery.
+type testService struct {
+	t         *testing.T
+	config    setup.Dispatcher
+	events    *record.Book // what the test backends recorded
+	fleet     *standin.Fleet
+	discovery *standin.List
+	prefill   *standin.Box
+	decode    *standin.Box
+	baseURL   string
+	stop      func()
+	ended     chan error
 }
 
-// open starts everything; all of it has ended when the test has, which goleak looks at.
-func open(t *testing.T, change func(*setup.Dispatcher)) *house {
+// startService starts the service and waits until it is ready. At the test's end it stops everything, and checks that
+// no goroutine is left.
+func startService(t *testing.T, change func(*setup.Dispatcher)) *testService {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	h := &house{t: t, d: setup.DefaultDispatcher(), ended: make(chan error, 1)}
-	h.d.Grades = []setup.Grade{
-		{Name: "trail-info", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(2 * time.Second), Benefit: 1, Most: 40},
-		{Name: "hut-booking", Effect: "unrepeatable", Promised: setup.Span(time.Second), Expiry: setup.Span(2 * time.Second), Benefit: 5, Most: 40},
-	}
-	h.d.Kinds = []setup.Kind{{Name: "reader", Role: "reader", Memory: 2e5}, {Name: "writer", Role: "writer", Memory: 2e5}}
-	h.d.Place.Listen, h.d.Place.Boxes, h.d.Place.Stop = []string{"127.0.0.1:0"}, address(t), setup.Span(5*time.Second)
-	h.d.Place.BodyTime, h.d.Place.Write, h.d.Place.Seed = setup.Span(300*time.Millisecond), setup.Span(500*time.Millisecond), 5
-	h.d.Limits.LocalRead = false
+	s := &testService{t: t, config: setup.DefaultDispatcher(), ended: make(chan error, 1)}
+	s.config.Grades = []setup.Grade{
+		{
+			Name: "trail-info", Effect: "idempotent", Promised: setup.Span(time.Second),
+			Expiry: setup.Span(2 * time.Second), Benefit: 1, Most: 40,
+		},
+		{
+			Name: "hut-booking", Effect: "unrepeatable", Promised: setup.Span(time.Second),
+			Expiry: setup.Span(2 * time.Second), Benefit: 5, Most: 40,
+		},
+	}
+	s.config.Kinds = []setup.Kind{
+		{Name: "reader", Role: "reader", Memory: 2e5}, {Name: "writer", Role: "writer", Memory: 2e5},
+	}
+	s.config.Place.Listen, s.config.Place.Boxes, s.config.Place.Stop =
+		[]string{"127.0.0.1:0"}, freeAddress(t), setup.Span(5*time.Second)
+	s.config.Place.BodyTime, s.config.Place.Write, s.config.Place.Seed =
+		setup.Span(300*time.Millisecond), setup.Span(500*time.Millisecond), 5
+	s.config.Limits.LocalRead = false
 	if change != nil {
-		change(&h.d)
+		change(&s.config)
 	}
 	var err error
-	if h.book, err = record.Open("", record.Head{}); err != nil {
+	if s.events, err = record.Open("", record.Head{}); err != nil {
 		t.Fatal(err)
 	}
 	talk := standin.Talk{New: 200, Answer: 20, Prefix: 100}
-	h.fleet = standin.NewFleet(h.d.Terms, h.book, standin.Links{Near: 1e6, Far: 1e6, Zone: 1}, map[string]standin.Talk{"trail-info": talk, "hut-booking": talk})
-	h.list = h.fleet.NewList(h.d.Place.Boxes)
-	if err := h.list.Open(); err != nil {
+	s.fleet = standin.NewFleet(s.config.Terms, s.events, standin.Links{Near: 1e6, Far: 1e6, Zone: 1},
+		map[string]standin.Talk{"trail-info": talk, "hut-booking": talk})
+	s.discovery = s.fleet.NewList(s.config.Place.Boxes)
+	if err := s.discovery.Open(); err != nil {
 		t.Fatal(err)
 	}
-	h.reader, h.writer = h.box("reader"), h.box("writer")
+	s.prefill, s.decode = s.startBackend("reader"), s.startBackend("writer")
 	ctx, cancel := context.WithCancel(context.Background())
-	at := make(chan net.Addr, 1)
+	listening := make(chan net.Addr, 1)
 	go func() {
-		h.ended <- dispatch.Serve(ctx, h.d, slog.New(slog.NewTextHandler(io.Discard, nil)), func(a net.Addr) { at <- a })
+		s.ended <- dispatch.Serve(ctx, s.config, slog.New(slog.NewTextHandler(io.Discard, nil)),
+			func(addr net.Addr) { listening <- addr })
 	}()
-	h.base = "http://" + (<-at).String()
-	h.stop = sync.OnceFunc(func() {
+	s.baseURL = "http://" + (<-listening).String()
+	s.stop = sync.OnceFunc(func() {
 		cancel()
-		if err := <-h.ended; err != nil {
+		if err := <-s.ended; err != nil {
 			t.Error(err)
 		}
 	})
 	t.Cleanup(func() {
-		h.stop()
-		h.reader.Kill("end")
-		h.writer.Kill("end")
-		h.list.Shut()
-		h.fleet.Close()
+		s.stop()
+		s.prefill.Kill("end")
+		s.decode.Kill("end")
+		s.discovery.Shut()
+		s.fleet.Close()
 		http.DefaultClient.CloseIdleConnections()
 		goleak.VerifyNone(t, before)
 	})
 	for range 200 {
-		if resp, err := http.Get(h.base + "/v2/health/ready"); err == nil {
+		if resp, err := http.Get(s.baseURL + "/v2/health/ready"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				return h
+				return s
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -102,7 +115,8 @@
 	return nil
 }
 
-func address(t *testing.T) string {
+// freeAddress returns a loopback address that nobody listens on.
+func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -112,22 +126,29 @@
 	return l.Addr().String()
 }
 
-func (h *house) box(kind string) *standin.Box {
-	h.t.Helper()
-	b := h.fleet.NewBox(standin.Make{Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: address(h.t)}},
-		Engine: engine.Make{Reads: kind == "reader", Writes: kind == "writer", Slots: 64, Queue: 300, Blocks: 6000, BlockTokens: 32, Chunk: 4096, Step: 5 * time.Millisecond,
-			ReadPerS: 50000, StateLife: 8 * time.Second}})
-	if err := b.Boot(false); err != nil {
-		h.t.Fatal(err)
-	}
-	h.list.Publish(b, boxlist.Ready, 0)
-	return b
+// startBackend starts a test backend of a kind and lists it as ready.
+func (s *testService) startBackend(kind string) *standin.Box {
+	s.t.Helper()
+	backend := s.fleet.NewBox(standin.Make{
+		Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1,
+		Addresses: []addresses.Spec{{Network: addresses.TCP4, At: freeAddress(s.t)}},
+		Engine: engine.Make{
+			Reads: kind == "reader", Writes: kind == "writer", Slots: 64, Queue: 300, Blocks: 6000, BlockTokens: 32,
+			Chunk: 4096, Step: 5 * time.Millisecond, ReadPerS: 50000, StateLife: 8 * time.Second,
+		},
+	})
+	if err := backend.Boot(false); err != nil {
+		s.t.Fatal(err)
+	}
+	s.discovery.Publish(backend, boxlist.Ready, 0)
+	return backend
 }
 
-// post sends a body and returns the answer.
-func (h *house) post(way string, body io.Reader) (int, string, http.Header) {
-	h.t.Helper()
-	resp, err := http.Post(h.base+way, "application/json", body)
+// post sends a body and returns the status, body and header of the answer. Without an answer the status is 0 and the
+// body the error.
+func (s *testService) post(path string, body io.Reader) (int, string, http.Header) {
+	s.t.Helper()
+	resp, err := http.Post(s.baseURL+path, "application/json", body)
 	if err != nil {
 		return 0, err.Error(), nil
 	}
@@ -136,52 +157,57 @@
 	return resp.StatusCode, string(raw), resp.Header
 }
 
-const lodge = "/v2/models/lodge/"
+const modelPath = "/v2/models/lodge/"
 
-func TestAQuestionIsCarriedEndToEndInEachForm(t *testing.T) {
-	h := open(t, nil)
-	status, body, _ := h.post(lodge+"generate", strings.NewReader(`{"id":"a","text_input":"is the hut free","parameters":{"grade":"hut-booking","session":"s"}}`))
-	if status != 200 || !strings.Contains(body, `"text_output":" word`) || !strings.Contains(body, `"final":"satisfied"`) {
+func TestEachRequestFormIsServedEndToEnd(t *testing.T) {
+	s := startService(t, nil)
+	status, body, _ := s.post(modelPath+"generate", strings.NewReader(
+		`{"id":"a","text_input":"is the hut free","parameters":{"grade":"hut-booking","session":"s"}}`))
+	if status != 200 || !strings.Contains(body, `"text_output":" word`) ||
+		!strings.Contains(body, `"final":"satisfied"`) {
 		t.Errorf("generate: %d %s", status, body)
 	}
-	status, body, _ = h.post(lodge+"versions/1/infer", strings.NewReader(
+	status, body, _ = s.post(modelPath+"versions/1/infer", strings.NewReader(
 		`{"id":"b","inputs":[{"name":"text_input","shape":[1],"datatype":"BYTES","data":["is the hut free"]}]}`))
 	if status != 200 || !strings.Contains(body, `"datatype":"BYTES"`) || !strings.Contains(body, `"satisfied"`) {
 		t.Errorf("infer: %d %s", status, body)
 	}
-	status, body, head := h.post(lodge+"generate_stream", strings.NewReader(`{"id":"c","text_input":"x","parameters":{"prompt_tokens":900}}`))
-	if status != 200 || head.Get("Content-Type") != "text/event-stream" || strings.Count(body, "data: ") < 5 || !strings.HasSuffix(body, "\n\n") ||
-		strings.Count(body, "event: end") != 1 {
-		t.Errorf("stream: %d %v %s", status, head, body)
+	status, body, header := s.post(modelPath+"generate_stream", strings.NewReader(
+		`{"id":"c","text_input":"x","parameters":{"prompt_tokens":900}}`))
+	if status != 200 || header.Get("Content-Type") != "text/event-stream" || strings.Count(body, "data: ") < 5 ||
+		!strings.HasSuffix(body, "\n\n") || strings.Count(body, "event: end") != 1 {
+		t.Errorf("stream: %d %v %s", status, header, body)
 	}
-	for way, want := range map[string]int{"/v2": 200, "/v2/health/live": 200, lodge + "ready": 200, "/v2/models/lodge": 200, "/v2/models/other": 404,
-		"/v2/models/lodge/versions/7": 404, "/state": 200} {
-		resp, err := http.Get(h.base + way)
+	for path, want := range map[string]int{
+		"/v2": 200, "/v2/health/live": 200, modelPath + "ready": 200, "/v2/models/lodge": 200, "/v2/models/other": 404,
+		"/v2/models/lodge/versions/7": 404, "/state": 200,
+	} {
+		resp, err := http.Get(s.baseURL + path)
 		if err != nil || resp.StatusCode != want {
-			t.Errorf("%s: %v %v, not %d", way, resp, err, want)
+			t.Errorf("%s: %v %v, want status %d", path, resp, err, want)
 			continue
 		}
 		resp.Body.Close()
 	}
 }
 
-// endless is a body that goes on, in pieces.
-type endless struct {
+// endlessBody is a body that never ends; it comes in pieces.
+type endlessBody struct {
 	piece string
 	wait  time.Duration
 }
 
-func (e endless) Read(p []byte) (int, error) {
+func (e endlessBody) Read(p []byte) (int, error) {
 	time.Sleep(e.wait)
 	return copy(p, e.piece), nil
 }
 
 func TestWhatMakesNoSenseIsRefusedByName(t *testing.T) {
-	h := open(t, func(d *setup.Dispatcher) { d.Place.Body = 64 << 10 })
+	s := startService(t, func(config *setup.Dispatcher) { config.Place.Body = 64 << 10 })
 	for _, c := range []struct {
-		way, body string
-		status    int
-		says      string
+		method, body string
+		status       int
+		text         string // part of the answer
 	}{
 		{"generate", `{"text_input": "x"`, 400, "ends before its JSON"},
 		{"generate", `{"text_input": x}`, 400, "no JSON at byte"},
@@ -197,53 +223,58 @@
 		{"infer", `{"inputs":[{"name":"a","shape":[1],"datatype":"FP32","data":[1]}]}`, 400, "inputs.0.datatype"},
 		{"infer", `{"inputs":[]}`, 400, "inputs"},
 	} {
-		status, body, _ := h.post(lodge+c.way, strings.NewReader(c.body))
-		if status != c.status || !strings.Contains(body, c.says) {
-			t.Errorf("%.60s: %d %s, not %d with %q", c.body, status, body, c.status, c.says)
+		status, body, _ := s.post(modelPath+c.method, strings.NewReader(c.body))
+		if status != c.status || !strings.Contains(body, c.text) {
+			t.Errorf("%.60s: %d %s, want %d with %q", c.body, status, body, c.status, c.text)
 		}
 	}
-	if status, body, _ := h.post("/v2/models/other/generate", strings.NewReader(`{}`)); status != 404 || !strings.Contains(body, "other") {
+	if status, body, _ := s.post("/v2/models/other/generate", strings.NewReader(`{}`)); status != 404 ||
+		!strings.Contains(body, "other") {
 		t.Errorf("another model: %d %s", status, body)
 	}
-	began := time.Now()
-	status, body, _ := h.post(lodge+"generate", endless{" ", 20 * time.Millisecond})
-	if took := time.Since(began); took > 3*time.Second || status != 408 {
+	start := time.Now()
+	status, body, _ := s.post(modelPath+"generate", endlessBody{" ", 20 * time.Millisecond})
+	if took := time.Since(start); took > 3*time.Second || status != 408 {
 		t.Errorf("a body that never ends: %d %s after %v", status, body, took)
 	}
-	for _, l := range h.book.Lines() {
-		if l.What == record.Trip {
-			t.Errorf("a senseless question went out: %+v", l)
+	for _, event := range s.events.Lines() {
+		if event.What == record.Trip {
+			t.Errorf("an invalid request was sent to a backend: %+v", event)
 		}
 	}
 }
 
-func TestAPromptLargerThanAnyBoxIsGivenAFinalAnswer(t *testing.T) {
-	h := open(t, nil)
-	status, body, _ := h.post(lodge+"generate", strings.NewReader(`{"text_input":"","parameters":{"prompt_tokens":900000,"timeout":900000}}`))
+func TestPromptTooLargeForEveryBackendIsRejected(t *testing.T) {
+	s := startService(t, nil)
+	status, body, _ := s.post(modelPath+"generate", strings.NewReader(
+		`{"text_input":"","parameters":{"prompt_tokens":900000,"timeout":900000}}`))
 	if status != 503 || !strings.Contains(body, `"final":"declined"`) || !strings.Contains(body, `"harmless":true`) {
 		t.Errorf("%d %s", status, body)
 	}
 }
 
 func TestABrokenStreamEndsWithAnErrorEvent(t *testing.T) {
-	h := open(t, nil)
-	h.writer.Do(func(f *standin.Faults) { f.Reset = 1 })
-	status, body, _ := h.post(lodge+"generate_stream", strings.NewReader(`{"text_input":"x","parameters":{"max_tokens":40}}`))
-	if status != 200 || !strings.Contains(body, " word") || strings.Count(body, "event: error") != 1 || !strings.Contains(body, `"final":"forfeited"`) {
+	s := startService(t, nil)
+	s.decode.Do(func(faults *standin.Faults) { faults.Reset = 1 })
+	status, body, _ := s.post(modelPath+"generate_stream", strings.NewReader(
+		`{"text_input":"x","parameters":{"max_tokens":40}}`))
+	if status != 200 || !strings.Contains(body, " word") || strings.Count(body, "event: error") != 1 ||
+		!strings.Contains(body, `"final":"forfeited"`) {
 		t.Errorf("%d %s", status, body)
 	}
 }
 
-func TestAnUnrepeatableQuestionWhoseWriterResetsIsForfeitedAndItsStateGone(t *testing.T) {
-	h := open(t, nil)
-	h.writer.Do(func(f *standin.Faults) { f.ResetAtOnce = 1 })
-	status, body, _ := h.post(lodge+"generate", strings.NewReader(`{"id":"once","text_input":"x","parameters":{"grade":"hut-booking"}}`))
+func TestNonIdempotentRequestFailsAndRunsOnceAfterDecodeConnectionReset(t *testing.T) {
+	s := startService(t, nil)
+	s.decode.Do(func(faults *standin.Faults) { faults.ResetAtOnce = 1 })
+	status, body, _ := s.post(modelPath+"generate", strings.NewReader(
+		`{"id":"once","text_input":"x","parameters":{"grade":"hut-booking"}}`))
 	if status != 502 || !strings.Contains(body, `"final":"forfeited"`) || strings.Contains(body, `"harmless":true`) {
 		t.Errorf("%d %s", status, body)
 	}
 	ran := 0
-	for _, l := range h.book.Lines() {
-		if l.What == record.Ran {
+	for _, event := range s.events.Lines() {
+		if event.What == record.Ran {
 			ran++
 		}
 	}
@@ -253,128 +284,136 @@
 }
 
 func TestADeclineSaysWhenToComeBack(t *testing.T) {
-	h := open(t, nil)
-	h.reader.Kill("gone")
-	h.writer.Kill("gone")
-	h.list.Publish(h.reader, boxlist.Gone, 0)
-	h.list.Publish(h.writer, boxlist.Gone, 0)
+	s := startService(t, nil)
+	s.prefill.Kill("gone")
+	s.decode.Kill("gone")
+	s.discovery.Publish(s.prefill, boxlist.Gone, 0)
+	s.discovery.Publish(s.decode, boxlist.Gone, 0)
 	time.Sleep(100 * time.Millisecond)
-	status, body, head := h.post(lodge+"generate", strings.NewReader(`{"text_input":"x","parameters":{"timeout":600000}}`))
-	var f kserve.Final
-	if json.Unmarshal([]byte(body), &f); status != 503 || f.Final != kserve.Declined || !f.Harmless || f.AfterMs < 100 || f.AfterMs > 500 || head.Get("Retry-After") != "1" {
-		t.Errorf("%d %s, Retry-After %q", status, body, head.Get("Retry-After"))
+	status, body, header := s.post(modelPath+"generate", strings.NewReader(
+		`{"text_input":"x","parameters":{"timeout":600000}}`))
+	var final kserve.Final
+	if json.Unmarshal([]byte(body), &final); status != 503 || final.Final != kserve.Declined || !final.Harmless ||
+		final.AfterMs < 100 || final.AfterMs > 500 || header.Get("Retry-After") != "1" {
+		t.Errorf("%d %s, Retry-After %q", status, body, header.Get("Retry-After"))
 	}
 }
 
-// A client that reads nothing must hold its backend back, not fill the dispatcher's memory; and be let go in the end.
+// A client that reads nothing must slow down its backend instead of filling the dispatcher's memory, and must be
+// disconnected in the end.
 func TestASlowReaderHoldsItsBoxBackAndIsLetGo(t *testing.T) {
-	h := open(t, nil)
+	s := startService(t, nil)
 	var conns []net.Conn
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for i := range 20 {
-		c, err := net.Dial("tcp", strings.TrimPrefix(h.base, "http://"))
+		conn, err := net.Dial("tcp", strings.TrimPrefix(s.baseURL, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c.(*net.TCPConn).SetReadBuffer(4096)
+		conn.(*net.TCPConn).SetReadBuffer(4096)
 		body := fmt.Sprintf(`{"id":"slow%d","text_input":"x","parameters":{"max_tokens":40}}`, i)
-		fmt.Fprintf(c, "POST %sgenerate_stream HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", lodge, len(body), body)
-		conns = append(conns, c)
+		fmt.Fprintf(conn, "POST %sgenerate_stream HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s",
+			modelPath, len(body), body)
+		conns = append(conns, conn)
 	}
 	time.Sleep(700 * time.Millisecond)
 	runtime.ReadMemStats(&after)
 	if grown := int64(after.HeapAlloc) - int64(before.HeapAlloc); grown > 32<<20 {
 		t.Errorf("20 clients that read nothing cost %d bytes", grown)
 	}
-	for _, c := range conns {
-		c.Close()
+	for _, conn := range conns {
+		conn.Close()
 	}
-	h.stop()
+	s.stop()
 }
 
-// Stopping mid-burst loses no request: those that are taken end, those that come later are declined.
-func TestStoppingMidBurstLosesNoQuestion(t *testing.T) {
-	h := open(t, nil)
+// A graceful shutdown in the middle of a burst loses no request: those in flight are served, later ones are rejected.
+func TestGracefulShutdownMidBurstLosesNoRequest(t *testing.T) {
+	s := startService(t, nil)
 	const n = 120
-	words := make([]string, n)
-	var asking sync.WaitGroup
+	finals := make([]string, n)
+	var clients sync.WaitGroup
 	for i := range n {
-		asking.Add(1)
+		clients.Add(1)
 		go func() {
-			defer asking.Done()
+			defer clients.Done()
 			time.Sleep(time.Duration(i) * 4 * time.Millisecond)
-			_, body, _ := h.post(lodge+"generate", strings.NewReader(fmt.Sprintf(`{"id":"q%d","text_input":"x","parameters":{"max_tokens":30}}`, i)))
-			var f kserve.Final
-			json.Unmarshal([]byte(body), &f)
-			words[i] = f.Final
-			if f.Final == "" {
-				words[i] = body
+			_, body, _ := s.post(modelPath+"generate", strings.NewReader(
+				fmt.Sprintf(`{"id":"q%d","text_input":"x","parameters":{"max_tokens":30}}`, i)))
+			var final kserve.Final
+			json.Unmarshal([]byte(body), &final)
+			finals[i] = final.Final
+			if final.Final == "" {
+				finals[i] = body
 			}
 		}()
 	}
 	time.Sleep(200 * time.Millisecond)
-	h.stop()
-	asking.Wait()
-	taken := map[string]bool{}
-	for _, l := range h.book.Lines() {
-		if l.What == record.Trip {
-			taken[l.Try] = true
+	s.stop()
+	clients.Wait()
+	sent := map[string]bool{}
+	for _, event := range s.events.Lines() {
+		if event.What == record.Trip {
+			sent[event.Try] = true
 		}
 	}
 	counts := map[string]int{}
-	for i, w := range words {
-		if taken[fmt.Sprint("q", i)] && w != kserve.Satisfied && w != kserve.Declined {
-			t.Errorf("q%d was taken and ended with %q", i, w)
+	for i, final := range finals {
+		if sent[fmt.Sprint("q", i)] && final != kserve.Satisfied && final != kserve.Declined {
+			t.Errorf("q%d was sent to a backend and ended with %q", i, final)
 		}
-		if strings.Contains(w, "refused") || strings.Contains(w, "EOF") || strings.Contains(w, "reset") {
-			w = "unreached" // it came when the listener had closed
+		if strings.Contains(final, "refused") || strings.Contains(final, "EOF") || strings.Contains(final, "reset") {
+			final = "unreached" // it came after the listener was closed
 		}
-		counts[w]++
+		counts[final]++
 	}
-	if counts[kserve.Satisfied]+counts[kserve.Declined]+counts["unreached"] != n || counts[kserve.Satisfied] < 10 || counts[kserve.Declined] < 10 {
+	if counts[kserve.Satisfied]+counts[kserve.Declined]+counts["unreached"] != n ||
+		counts[kserve.Satisfied] < 10 || counts[kserve.Declined] < 10 {
 		t.Errorf("answers %v", counts)
 	}
 }
 
-// A stop that waits for a stuck answer is bounded, and the request gets its final answer.
+// A graceful shutdown does not wait for a stuck answer longer than configured, and the request still gets its final
+// answer.
 func TestStoppingForfeitsWhatDoesNotEnd(t *testing.T) {
-	h := open(t, func(d *setup.Dispatcher) { d.Place.Stop = setup.Span(400 * time.Millisecond) })
-	h.writer.Do(func(f *standin.Faults) { f.Slow = 50 })
-	got := make(chan string, 1)
+	s := startService(t, func(config *setup.Dispatcher) { config.Place.Stop = setup.Span(400 * time.Millisecond) })
+	s.decode.Do(func(faults *standin.Faults) { faults.Slow = 50 })
+	answer := make(chan string, 1)
 	go func() {
-		_, body, _ := h.post(lodge+"generate_stream", strings.NewReader(`{"text_input":"x"}`))
-		got <- body
+		_, body, _ := s.post(modelPath+"generate_stream", strings.NewReader(`{"text_input":"x"}`))
+		answer <- body
 	}()
 	time.Sleep(200 * time.Millisecond)
-	began := time.Now()
-	h.stop()
-	if took := time.Since(began); took > 3*time.Second {
-		t.Errorf("stopping took %v", took)
+	start := time.Now()
+	s.stop()
+	if took := time.Since(start); took > 3*time.Second {
+		t.Errorf("the shutdown took %v", took)
 	}
-	if body := <-got; !strings.Contains(body, `"final":"forfeited"`) {
+	if body := <-answer; !strings.Contains(body, `"final":"forfeited"`) {
 		t.Errorf("the stream ended with %q", body)
 	}
 }
 
 func TestTooManyOpenQuestionsAreDeclinedAtTheDoor(t *testing.T) {
-	h := open(t, func(d *setup.Dispatcher) { d.Limits.Open = 2 })
-	h.writer.Do(func(f *standin.Faults) { f.Slow = 10 })
-	var all sync.WaitGroup
+	s := startService(t, func(config *setup.Dispatcher) { config.Limits.Open = 2 })
+	s.decode.Do(func(faults *standin.Faults) { faults.Slow = 10 })
+	var clients sync.WaitGroup
 	var mu sync.Mutex
 	counts := map[int]int{}
 	for range 6 {
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
-			status, _, _ := h.post(lodge+"generate", bytes.NewReader([]byte(`{"text_input":"x","parameters":{"max_tokens":10}}`)))
+			defer clients.Done()
+			status, _, _ := s.post(modelPath+"generate", bytes.NewReader(
+				[]byte(`{"text_input":"x","parameters":{"max_tokens":10}}`)))
 			mu.Lock()
 			counts[status]++
 			mu.Unlock()
 		}()
 	}
-	all.Wait()
+	clients.Wait()
 	if counts[200] != 2 || counts[503] != 4 {
 		t.Errorf("statuses %v", counts)
 	}
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -18,40 +18,42 @@
 	"sloetrestle/internal/setup"
 )
 
-// Server speaks KServe v2 to clients.
+// Server is the HTTP frontend that serves the KServe v2 protocol to clients.
 type Server struct {
 	Terms setup.Terms
 	Place setup.Place
 	Loop  *Loop
 	Log   *slog.Logger
-	State func() map[string]any // what operators see
+	State func() map[string]any // the report to operators
 
-	open     atomic.Int64
-	begins   begins.Table // the loop's
-	stopping atomic.Bool
-	Ready    func() bool
+	openRequests atomic.Int64
+	prefixes     begins.Table // belongs to the loop
+	stopping     atomic.Bool
+	Ready        func() bool
 }
 
-// answerMost bounds an answer that is gathered before it is sent.
-const answerMost = 32 << 20
+// maxBufferedAnswer bounds, in bytes, the text of an answer that is buffered before it is sent.
+const maxBufferedAnswer = 32 << 20
 
-// Handler routes a client's requests.
+// Handler returns the handler for the clients' addresses.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v2", func(w http.ResponseWriter, r *http.Request) {
-		kserve.WriteJSON(w, http.StatusOK, map[string]any{"name": "sloetrestle", "version": Version, "extensions": []string{"generate"}})
+		kserve.WriteJSON(w, http.StatusOK, map[string]any{
+			"name": "sloetrestle", "version": Version, "extensions": []string{"generate"},
+		})
 	})
 	mux.HandleFunc("GET /v2/health/live", func(w http.ResponseWriter, r *http.Request) {})
 	mux.HandleFunc("GET /v2/health/ready", s.ready)
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, r *http.Request) {
 		kserve.WriteJSON(w, http.StatusOK, s.State())
 	})
-	for _, at := range []string{"/v2/models/{model}", "/v2/models/{model}/versions/{version}"} {
-		mux.HandleFunc("GET "+at, s.known(s.model))
-		mux.HandleFunc("GET "+at+"/ready", s.known(s.ready))
-		mux.HandleFunc("POST "+at+"/infer", s.known(s.infer))
-		mux.HandleFunc("POST "+at+"/generate", s.known(s.generate))
-		mux.HandleFunc("POST "+at+"/generate_stream", s.known(s.stream))
+	for _, path := range []string{"/v2/models/{model}", "/v2/models/{model}/versions/{version}"} {
+		mux.HandleFunc("GET "+path, s.checkModel(s.model))
+		mux.HandleFunc("GET "+path+"/ready", s.checkModel(s.ready))
+		mux.HandleFunc("POST "+path+"/infer", s.checkModel(s.infer))
+		mux.HandleFunc("POST "+path+"/generate", s.checkModel(s.generate))
+		mux.HandleFunc("POST "+path+"/generate_stream", s.checkModel(s.stream))
 	}
 	return mux
 }
@@ -70,232 +72,262 @@
 	})
 }
 
-// known lets only the one model through.
-func (s *Server) known(next http.HandlerFunc) http.HandlerFunc {
+// checkModel calls next only for the model and the version that the dispatcher serves.
+func (s *Server) checkModel(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if m := r.PathValue("model"); m != s.Terms.Model {
-			kserve.WriteFault(w, &kserve.Fault{Status: http.StatusNotFound, Field: "model", Text: fmt.Sprintf("%q is unknown", m)})
+		if model := r.PathValue("model"); model != s.Terms.Model {
+			kserve.WriteFault(w, &kserve.Fault{
+				Status: http.StatusNotFound, Field: "model", Text: fmt.Sprintf("%q is unknown", model),
+			})
 			return
 		}
-		if v := r.PathValue("version"); v != "" && v != "1" {
-			kserve.WriteFault(w, &kserve.Fault{Status: http.StatusNotFound, Field: "version", Text: fmt.Sprintf("%q is unknown", v)})
+		if version := r.PathValue("version"); version != "" && version != "1" {
+			kserve.WriteFault(w, &kserve.Fault{
+				Status: http.StatusNotFound, Field: "version", Text: fmt.Sprintf("%q is unknown", version),
+			})
 			return
 		}
 		next(w, r)
 	}
 }
 
-// take reads a request and hands it to the loop. Where none could be taken the client has its answer already.
-func (s *Server) take(w http.ResponseWriter, r *http.Request, inference bool) *ClientRequest {
-	came := time.Now()
-	ctl := http.NewResponseController(w)
-	ctl.SetReadDeadline(came.Add(s.Place.BodyTime.D()))
+// submit reads a request and submits it to the loop. It returns nil if the request was not accepted; the client then
+// has its answer.
+func (s *Server) submit(w http.ResponseWriter, r *http.Request, inference bool) *ClientRequest {
+	arrived := time.Now()
+	control := http.NewResponseController(w)
+	control.SetReadDeadline(arrived.Add(s.Place.BodyTime.D()))
 	body := http.MaxBytesReader(w, r.Body, s.Place.Body)
 	read := kserve.ReadPrompt
 	if inference {
 		read = kserve.ReadInference
 	}
-	ask, err := read(body)
+	params, err := read(body)
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) || strings.Contains(err.Error(), "i/o timeout") {
-			err = &kserve.Fault{Status: http.StatusRequestTimeout, Text: fmt.Sprintf("the body did not arrive within %v", s.Place.BodyTime.D())}
+			err = &kserve.Fault{
+				Status: http.StatusRequestTimeout,
+				Text:   fmt.Sprintf("the body did not arrive within %v", s.Place.BodyTime.D()),
+			}
 		}
 		kserve.WriteFault(w, err)
 		return nil
 	}
-	ctl.SetReadDeadline(time.Time{})
-	grade, channel := 0, 0
-	if ask.Grade != "" {
-		if grade = s.Terms.GradeNumber(ask.Grade); grade < 0 {
-			kserve.WriteFault(w, &kserve.Fault{Status: http.StatusBadRequest, Field: "parameters.grade", Text: fmt.Sprintf("%q is unknown", ask.Grade)})
+	control.SetReadDeadline(time.Time{})
+	classNumber, tenantNumber := 0, 0
+	if params.Grade != "" {
+		if classNumber = s.Terms.GradeNumber(params.Grade); classNumber < 0 {
+			kserve.WriteFault(w, &kserve.Fault{
+				Status: http.StatusBadRequest, Field: "parameters.grade",
+				Text: fmt.Sprintf("%q is unknown", params.Grade),
+			})
 			return nil
 		}
 	}
-	if ask.Channel != "" {
-		if channel = s.Terms.ChannelNumber(ask.Channel); channel < 0 {
-			kserve.WriteFault(w, &kserve.Fault{Status: http.StatusBadRequest, Field: "parameters.channel", Text: fmt.Sprintf("%q is unknown", ask.Channel)})
+	if params.Channel != "" {
+		if tenantNumber = s.Terms.ChannelNumber(params.Channel); tenantNumber < 0 {
+			kserve.WriteFault(w, &kserve.Fault{
+				Status: http.StatusBadRequest, Field: "parameters.channel",
+				Text: fmt.Sprintf("%q is unknown", params.Channel),
+			})
 			return nil
 		}
 	}
-	g := s.Terms.Grades[grade]
-	if ask.Tokens == 0 {
-		ask.Tokens = max(begins.Tokens(ask.Text), 1)
+	class := s.Terms.Grades[classNumber]
+	if params.Tokens == 0 {
+		params.Tokens = max(begins.Tokens(params.Text), 1)
 	}
-	ask.Prefix = min(ask.Prefix, ask.Tokens)
-	if ask.Most == 0 {
-		ask.Most = g.Most
+	params.Prefix = min(params.Prefix, params.Tokens)
+	if params.Most == 0 {
+		params.Most = class.Most
 	}
-	if ask.Left == 0 {
-		ask.Left = g.Expiry.D() + 2*time.Duration(float64(ask.Tokens)/1000*float64(g.PerK))
+	if params.Left == 0 {
+		params.Left = class.Expiry.D() + 2*time.Duration(float64(params.Tokens)/1000*float64(class.PerK))
 	}
 	if s.stopping.Load() {
-		kserve.WriteFinal(w, kserve.Final{Final: kserve.Declined, Error: "this dispatcher is stopping", Harmless: true, AfterMs: 1})
+		kserve.WriteFinal(w, kserve.Final{
+			Final: kserve.Declined, Error: "this dispatcher is stopping", Harmless: true, AfterMs: 1,
+		})
 		return nil
 	}
-	if s.open.Add(1) > int64(s.Terms.Limits.Open) {
-		s.open.Add(-1)
-		kserve.WriteFinal(w, kserve.Final{Final: kserve.Declined, Error: "as many questions are open as this dispatcher takes",
-			Harmless: true, AfterMs: s.Terms.Limits.RetryAfter.D().Milliseconds()})
+	if s.openRequests.Add(1) > int64(s.Terms.Limits.Open) {
+		s.openRequests.Add(-1)
+		kserve.WriteFinal(w, kserve.Final{
+			Final: kserve.Declined, Error: "as many questions are open as this dispatcher takes",
+			Harmless: true, AfterMs: s.Terms.Limits.RetryAfter.D().Milliseconds(),
+		})
 		return nil
 	}
-	if ask.Channel == "" && len(s.Terms.Channels) > 0 {
-		ask.Channel = s.Terms.Channels[0].Name
+	if params.Channel == "" && len(s.Terms.Channels) > 0 {
+		params.Channel = s.Terms.Channels[0].Name
 	}
-	a := &ClientRequest{Ask: ask, Grade: g.Name, Channel: ask.Channel}
-	took := s.Loop.Call(context.WithoutCancel(r.Context()), func() {
-		if ask.Shared == "" && ask.Text != "" {
-			if key, n := s.begins.Find(s.Loop.now, Number(ask.Session), ask.Text); key != 0 {
-				a.Ask.Shared, a.Ask.Prefix = fmt.Sprintf("text-%x", key), min(n, a.Ask.Tokens)
+	request := &ClientRequest{Ask: params, Grade: class.Name, Channel: params.Channel}
+	submitted := s.Loop.Call(context.WithoutCancel(r.Context()), func() {
+		if params.Shared == "" && params.Text != "" {
+			if key, tokens := s.prefixes.Find(s.Loop.now, Number(params.Session), params.Text); key != 0 {
+				request.Ask.Shared, request.Ask.Prefix = fmt.Sprintf("text-%x", key), min(tokens, request.Ask.Tokens)
 			}
 		}
-		s.Loop.Submit(a, grade, channel, ask.Left-time.Since(came)-s.Place.Margin.D())
+		s.Loop.Submit(request, classNumber, tenantNumber, params.Left-time.Since(arrived)-s.Place.Margin.D())
 	})
-	if !took {
-		s.open.Add(-1)
-		kserve.WriteFinal(w, kserve.Final{Final: kserve.Declined, Error: "this dispatcher has stopped", Harmless: true, AfterMs: 1})
+	if !submitted {
+		s.openRequests.Add(-1)
+		kserve.WriteFinal(w, kserve.Final{
+			Final: kserve.Declined, Error: "this dispatcher has stopped", Harmless: true, AfterMs: 1,
+		})
 		return nil
 	}
-	return a
+	return request
 }
 
-// left tells the loop that the client has gone.
-func (s *Server) left(a *ClientRequest) { s.Loop.Post(func() { s.Loop.Left(a) }) }
+// disconnected tells the loop that the client has disconnected.
+func (s *Server) disconnected(request *ClientRequest) { s.Loop.Post(func() { s.Loop.Left(request) }) }
 
-// stream answers with server-sent events. Until the first token any answer is still a plain one, with its status.
+// stream answers with server-sent events. A request that ends before its first token gets a plain answer with a status.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request) {
-	a := s.take(w, r, false)
-	if a == nil {
+	request := s.submit(w, r, false)
+	if request == nil {
 		return
 	}
-	defer s.open.Add(-1)
-	switch trip, f, ok := a.Start(r.Context()); {
+	defer s.openRequests.Add(-1)
+	switch attempt, final, ok := request.Start(r.Context()); {
 	case !ok:
-		s.left(a)
-	case trip == nil:
-		kserve.WriteFinal(w, f)
+		s.disconnected(request)
+	case attempt == nil:
+		kserve.WriteFinal(w, final)
 	default:
-		s.pour(w, r, a, trip)
+		s.writeStream(w, r, request, attempt)
 	}
 }
 
-// pour writes an attempt's stream to the client, then the final answer.
-func (s *Server) pour(w http.ResponseWriter, r *http.Request, a *ClientRequest, trip *Attempt) {
-	ctl := http.NewResponseController(w)
+// writeStream writes an attempt's stream to the client, and then the final answer.
+func (s *Server) writeStream(w http.ResponseWriter, r *http.Request, request *ClientRequest, attempt *Attempt) {
+	control := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	var out bytes.Buffer
 	write := func() bool {
-		ctl.SetWriteDeadline(time.Now().Add(s.Place.Write.D()))
+		control.SetWriteDeadline(time.Now().Add(s.Place.Write.D()))
 		if _, err := w.Write(out.Bytes()); err != nil {
 			return false
 		}
 		out.Reset()
-		return ctl.Flush() == nil
+		return control.Flush() == nil
 	}
 	for more := true; more; {
 		var piece []byte
 		select {
-		case piece, more = <-trip.Tokens:
+		case piece, more = <-attempt.Tokens:
 		case <-r.Context().Done():
-			s.left(a)
+			s.disconnected(request)
 			return
 		}
 		for more {
 			kserve.WriteRaw(&out, "", piece)
-			if len(trip.Tokens) == 0 {
+			if len(attempt.Tokens) == 0 {
 				break
 			}
-			piece, more = <-trip.Tokens
+			piece, more = <-attempt.Tokens
 		}
 		if out.Len() > 0 && !write() {
-			s.left(a)
+			s.disconnected(request)
 			return
 		}
 	}
 	select {
-	case f := <-a.final:
+	case final := <-request.final:
 		name := "end"
-		if f.Final != kserve.Satisfied {
+		if final.Final != kserve.Satisfied {
 			name = "error"
 		}
-		kserve.WriteEvent(&out, name, f)
+		kserve.WriteEvent(&out, name, final)
 		write()
 	case <-r.Context().Done():
-		s.left(a)
+		s.disconnected(request)
 	}
 }
 
-// gather waits for the whole answer.
-func (s *Server) gather(r *http.Request, a *ClientRequest) (text []byte, f kserve.Final, ok bool) {
-	trip, f, ok := a.Start(r.Context())
+// bufferAnswer waits for the whole answer and returns its text. ok is false if the client has disconnected.
+func (s *Server) bufferAnswer(r *http.Request, request *ClientRequest) (text []byte, final kserve.Final, ok bool) {
+	attempt, final, ok := request.Start(r.Context())
 	if !ok {
-		s.left(a)
-		return nil, f, false
+		s.disconnected(request)
+		return nil, final, false
 	}
-	if trip == nil {
-		return nil, f, true
+	if attempt == nil {
+		return nil, final, true
 	}
 	for {
 		select {
 		case <-r.Context().Done():
-			s.left(a)
-			return nil, f, false
-		case piece, more := <-trip.Tokens:
+			s.disconnected(request)
+			return nil, final, false
+		case piece, more := <-attempt.Tokens:
 			if !more {
 				select {
-				case f = <-a.final:
-					return text, f, true
+				case final = <-request.final:
+					return text, final, true
 				case <-r.Context().Done():
-					s.left(a)
-					return nil, f, false
+					s.disconnected(request)
+					return nil, final, false
 				}
 			}
-			var t kserve.Token
-			if json.Unmarshal(piece, &t) == nil {
-				text = append(text, t.Text...)
+			var token kserve.Token
+			if json.Unmarshal(piece, &token) == nil {
+				text = append(text, token.Text...)
 			}
-			if len(text) > answerMost {
-				s.left(a)
-				return nil, kserve.Final{Final: kserve.Forfeited, Error: "the answer is too long to be gathered; ask for a stream"}, true
+			if len(text) > maxBufferedAnswer {
+				s.disconnected(request)
+				return nil, kserve.Final{
+					Final: kserve.Forfeited, Error: "the answer is too long to be gathered; ask for a stream",
+				}, true
 			}
 		}
 	}
 }
 
-// whole answers with all of an answer at once, as write has it; any other end is a plain final answer.
-func (s *Server) whole(w http.ResponseWriter, r *http.Request, inference bool, write func(a *ClientRequest, text []byte, f kserve.Final)) {
-	a := s.take(w, r, inference)
-	if a == nil {
+// answerWhole answers with the whole text at once, in the form that write gives it. A request that is not served gets a
+// plain final answer.
+func (s *Server) answerWhole(
+	w http.ResponseWriter, r *http.Request, inference bool,
+	write func(request *ClientRequest, text []byte, final kserve.Final),
+) {
+	request := s.submit(w, r, inference)
+	if request == nil {
 		return
 	}
-	defer s.open.Add(-1)
-	text, f, ok := s.gather(r, a)
+	defer s.openRequests.Add(-1)
+	text, final, ok := s.bufferAnswer(r, request)
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.Place.Write.D()))
 	switch {
 	case !ok:
-	case f.Final != kserve.Satisfied:
-		kserve.WriteFinal(w, f)
+	case final.Final != kserve.Satisfied:
+		kserve.WriteFinal(w, final)
 	default:
-		write(a, text, f)
+		write(request, text, final)
 	}
 }
 
 func (s *Server) generate(w http.ResponseWriter, r *http.Request) {
-	s.whole(w, r, false, func(a *ClientRequest, text []byte, f kserve.Final) {
-		kserve.WriteJSON(w, http.StatusOK, map[string]any{"model_name": s.Terms.Model, "id": a.Ask.ID, "text_output": string(text), "final": f.Final, "trips": f.Trips})
+	s.answerWhole(w, r, false, func(request *ClientRequest, text []byte, final kserve.Final) {
+		kserve.WriteJSON(w, http.StatusOK, map[string]any{
+			"model_name": s.Terms.Model, "id": request.Ask.ID, "text_output": string(text), "final": final.Final,
+			"trips": final.Trips,
+		})
 	})
 }
 
 func (s *Server) infer(w http.ResponseWriter, r *http.Request) {
-	s.whole(w, r, true, func(a *ClientRequest, text []byte, f kserve.Final) {
+	s.answerWhole(w, r, true, func(request *ClientRequest, text []byte, final kserve.Final) {
 		data, err := json.Marshal([]string{string(text)})
 		if err != nil {
 			kserve.WriteFault(w, err)
 			return
 		}
 		kserve.WriteJSON(w, http.StatusOK, kserve.Output{
-			Model: s.Terms.Model, Version: "1", ID: a.Ask.ID, Parameters: kserve.Params{"final": f.Final, "trips": f.Trips},
-			Outputs: []kserve.Tensor{{Name: "text_output", Shape: []int64{1}, Datatype: "BYTES", Data: data}},
+			Model: s.Terms.Model, Version: "1", ID: request.Ask.ID,
+			Parameters: kserve.Params{"final": final.Final, "trips": final.Trips},
+			Outputs:    []kserve.Tensor{{Name: "text_output", Shape: []int64{1}, Datatype: "BYTES", Data: data}},
 		})
 	})
 }
