--- a/internal/begins/table.go
+++ b/internal/begins/table.go
@@ -40,7 +40,7 @@
 }
 
 // Find records a prompt and returns a key for its longest prefix that another session has sent too, with the prefix's
-// length in tokens; 0, 0 if there is none. now is a time since the start and must not go back.
+// length in tokens; 0, 0 if there is none. now is the time on the caller's clock.
 func (t *Table) Find(now time.Duration, session uint64, text string) (key uint64, tokens int) {
 	if t.current == nil || now-t.rotatedAt >= generationTime || len(t.current) >= generationBlocks {
 		t.previous, t.current, t.rotatedAt = t.current, map[uint64]entry{}, now
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -9,7 +9,7 @@
 	"sloetrestle/internal/kserve"
 )
 
-// Attempt is one attempt that has been handed to the transport. Fields without another owner belong to the loop.
+// Attempt is one attempt that has been handed to the transport.
 type Attempt struct {
 	Planned *brain.Attempt // the scheduler's record of it
 	Request *ClientRequest
--- a/internal/dispatch/http_transport.go
+++ b/internal/dispatch/http_transport.go
@@ -253,7 +253,7 @@
 // Release has a backend release a request's KV cache. It is repeated until it succeeds or the backend is removed.
 func (c *Trips) Release(backend *Backend, request *ClientRequest) {
 	if request.AttemptOut() {
-		return // the backend may hold the KV cache for it; the scheduler releases again at that attempt's end
+		return // that attempt arrives, as its connection was proven first, and may not have fetched the KV cache yet
 	}
 	key := kserve.Release{Key: c.loop.Key(request), Trip: len(request.Request.Attempts) - 1}
 	c.mu.Lock()
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -29,7 +29,7 @@
 	openRequests atomic.Int64
 	prefixes     begins.Table // belongs to the loop
 	stopping     atomic.Bool
-	Ready        func() bool
+	Ready        func() bool // whether the dispatcher can serve requests
 }
 
 // maxBufferedAnswer bounds, in bytes, the text of an answer that is buffered before it is sent.
