--- a/internal/dispatch/accounting_setup.go
+++ b/internal/dispatch/accounting_setup.go
@@ -68,18 +68,18 @@
 		return nil, nil, fmt.Errorf("ledger.key: %w", err)
 	}
 	closed := map[string]bool{}
-	journal, err := ledger.Open(config.Ledger.Folder, key, log, func(r ledger.Record) error {
+	journal, err := ledger.Open(config.Ledger.Folder, key, log, func(record ledger.Record) error {
 		switch {
-		case r.Epoch != nil && r.Epoch.Closed:
-			closed[r.Epoch.Name] = true
-			delete(history.recorded, r.Epoch.Name)
-		case r.Epoch != nil:
-			history.openEpochs[r.Epoch.Name] = true
-		case r.Trip != nil && r.Trip.Proven() && !closed[r.Trip.Epoch]:
-			history.recorded[r.Trip.Epoch] = append(history.recorded[r.Trip.Epoch],
-				account.Seen{Box: r.Trip.Box, Epoch: r.Trip.Epoch, Number: r.Trip.Number})
-		case r.Budget != nil:
-			history.addBudget(r.Budget)
+		case record.Epoch != nil && record.Epoch.Closed:
+			closed[record.Epoch.Name] = true
+			delete(history.recorded, record.Epoch.Name)
+		case record.Epoch != nil:
+			history.openEpochs[record.Epoch.Name] = true
+		case record.Trip != nil && record.Trip.Proven() && !closed[record.Trip.Epoch]:
+			history.recorded[record.Trip.Epoch] = append(history.recorded[record.Trip.Epoch],
+				account.Seen{Box: record.Trip.Box, Epoch: record.Trip.Epoch, Number: record.Trip.Number})
+		case record.Budget != nil:
+			history.addBudget(record.Budget)
 		}
 		return nil
 	})
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -30,25 +30,26 @@
 }
 
 // ended counts the end of an attempt.
-func (y *Tally) ended(attempt *brain.Attempt, result brain.Result) {
-	y.Outcomes[result.Outcome]++
+func (c *Tally) ended(attempt *brain.Attempt, result brain.Result) {
+	c.Outcomes[result.Outcome]++
 	if result.Outcome != brain.Read && result.Outcome != brain.Served {
 		return
 	}
-	p, prompt := &y.Prefills[attempt.Stage], attempt.Request.Prompt
-	p.Trips, p.Prompt, p.Kept = p.Trips+1, p.Prompt+int64(prompt), p.Kept+int64(result.Note)
+	prefills, prompt := &c.Prefills[attempt.Stage], attempt.Request.Prompt
+	prefills.Trips, prefills.Prompt, prefills.Kept =
+		prefills.Trips+1, prefills.Prompt+int64(prompt), prefills.Kept+int64(result.Note)
 	if attempt.Stage != brain.ToWrite {
-		p.Expected += int64(prompt - attempt.Left)
+		prefills.Expected += int64(prompt - attempt.Left)
 	}
 }
 
 // began counts the first token of an attempt.
-func (y *Tally) began(attempt *brain.Attempt) {
+func (c *Tally) began(attempt *brain.Attempt) {
 	request := attempt.Request
-	y.Began++
+	c.Began++
 	if attempt.Began <= request.TargetAt {
-		y.InTime++
+		c.InTime++
 	}
-	y.Held += request.Dispatched - request.Taken
-	y.First += attempt.Began - request.Taken
+	c.Held += request.Dispatched - request.Taken
+	c.First += attempt.Began - request.Taken
 }
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -294,11 +294,12 @@
 		out["messages_dropped"] = transport.Peers.Dropped.Load()
 	}
 	l.Call(ctx, func() {
-		t := l.Tally
+		counters := l.Tally
 		out["taken"], out["satisfied"], out["declined"], out["forfeited"] =
-			t.Taken, t.Satisfied, t.Declined, t.Forfeited
-		out["left"], out["overdue"], out["trips"], out["held_timers"] = t.Left, t.Overdue, t.Trips, l.timers.Len()
-		out["damped"] = t.Damped
+			counters.Taken, counters.Satisfied, counters.Declined, counters.Forfeited
+		out["left"], out["overdue"], out["trips"], out["held_timers"] =
+			counters.Left, counters.Overdue, counters.Trips, l.timers.Len()
+		out["damped"] = counters.Damped
 		if accounting := l.accounting; accounting != nil {
 			out["budgets"] = l.budgetState()
 			if accounting.Account != nil {
@@ -312,7 +313,7 @@
 			}
 		}
 		outcomes := map[string]int64{}
-		for i, n := range t.Outcomes {
+		for i, n := range counters.Outcomes {
 			outcomes[outcomeNames[i]] = n
 		}
 		out["outcomes"] = outcomes
