--- a/internal/begins/table.go
+++ b/internal/begins/table.go
@@ -23,8 +23,8 @@
 	bytesPerToken = 4
 )
 
-// Tokens estimates the length of a text in tokens.
-func Tokens(text string) int { return (len(text) + bytesPerToken - 1) / bytesPerToken }
+// EstimateTokens estimates the length of a text in tokens.
+func EstimateTokens(text string) int { return (len(text) + bytesPerToken - 1) / bytesPerToken }
 
 // Table remembers hashes of prompt blocks in two generations, the current and the previous one. The zero value is
 // ready to use. It is not safe for concurrent use.
@@ -39,9 +39,9 @@
 	shared  bool   // another session has sent it too
 }
 
-// Find records a prompt and returns a key for its longest prefix that another session has sent too, with the prefix's
+// SharedPrefix records a prompt and returns a key for its longest prefix that another session has sent too, with the prefix's
 // length in tokens; 0, 0 if there is none. now is the time on the caller's clock.
-func (t *Table) Find(now time.Duration, session uint64, text string) (key uint64, tokens int) {
+func (t *Table) SharedPrefix(now time.Duration, session uint64, text string) (key uint64, tokens int) {
 	if t.current == nil || now-t.rotatedAt >= generationTime || len(t.current) >= generationBlocks {
 		t.previous, t.current, t.rotatedAt = t.current, map[uint64]entry{}, now
 	}
--- a/internal/dispatch/accounting_setup.go
+++ b/internal/dispatch/accounting_setup.go
@@ -131,7 +131,7 @@
 // newAccounting creates a loop's accounting from the ledger's history, or returns nil if there is neither a ledger nor
 // a budget. A budget is owned by one dispatcher, which leases tokens to all; the others reach it by peer messages.
 func newAccounting(
-	config setup.Dispatcher, l *Loop, transport *Trips, journal *ledger.Book, history *ledgerHistory,
+	config setup.Dispatcher, l *Loop, transport *HTTPTransport, journal *ledger.Book, history *ledgerHistory,
 	epoch string, startedAt time.Time,
 ) *Books {
 	if journal == nil && len(config.Budgets) == 0 {
@@ -153,7 +153,7 @@
 		recorded := slices.Concat(slices.Collect(maps.Values(history.recorded))...)
 		accounting.Account = account.New(epoch, startedAt.UnixMilli(), write,
 			func() time.Duration { return l.now }, recorded, oldEpochs)
-		accounting.Inquire = transport.Inquire
+		accounting.Inquire = transport.FetchUsage
 	}
 	now := l.clock()
 	month := accounting.Month(now)
@@ -220,16 +220,16 @@
 				})
 				return
 			}
-			transport.Peers.TellBudget(ownerNumber, budgetMessage{Request: &request})
+			transport.Peers.SendBudget(ownerNumber, budgetMessage{Request: &request})
 		}
 		accounting.Purses = append(accounting.Purses, local)
 	}
 	if transport.Peers != nil {
-		transport.Peers.Budget = func(from int, message budgetMessage) {
+		transport.Peers.OnBudget = func(from int, message budgetMessage) {
 			switch {
 			case message.Request != nil && accounting.Keepers[message.Request.Name] != nil && message.Request.Sound():
 				accounting.Keepers[message.Request.Name].Asked(l.now, accounting.Month(l.now), *message.Request,
-					func(lease budget.Lend) { transport.Peers.TellBudget(from, budgetMessage{Lease: &lease}) })
+					func(lease budget.Lend) { transport.Peers.SendBudget(from, budgetMessage{Lease: &lease}) })
 			case message.Lease != nil && message.Lease.Holder == epoch && message.Lease.Sound():
 				if i := slices.IndexFunc(accounting.Purses, func(local *budget.Purse) bool {
 					return local.Terms.Name == message.Lease.Name
@@ -279,8 +279,8 @@
 	Set   *budget.Terms `json:"set,omitempty"`
 }
 
-// Operators returns the handler for the operators' addresses: the clients' routes, and GET and POST /budget.
-func (s *Server) Operators() http.Handler {
+// OperatorHandler returns the handler for the operators' addresses: the clients' routes, and GET and POST /budget.
+func (s *Server) OperatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", s.Handler())
 	mux.HandleFunc("GET /budget", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -162,8 +162,8 @@
 	return allowed
 }
 
-// Further adds an address to those that the list has for a backend.
-func (l *Loop) Further(backend string, spec addresses.Spec) {
+// AddAddress adds an address to those that the list has for a backend.
+func (l *Loop) AddAddress(backend string, spec addresses.Spec) {
 	if l.extraAddresses == nil {
 		l.extraAddresses = map[string][]addresses.Spec{}
 	}
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -9,10 +9,10 @@
 
 // Tally counts what a loop has handled since its start. Only the loop's goroutine reads it.
 type Tally struct {
-	Taken, Satisfied, Declined, Forfeited, Left, Overdue, Trips, Damped int64
+	Taken, Satisfied, Declined, Forfeited, Left, Overdue, Trips, Throttled int64
 
 	Outcomes      [brain.NotSent + 1]int64
-	Prefills      [brain.Whole + 1]Prefills // by stage
+	Prefills      [brain.Whole + 1]PrefillCounters // by stage
 	Began, InTime int64                     // first tokens, and those by the latency target
 
 	// Held and First are sums over the requests with a first token: from acceptance until the last attempt was sent,
@@ -20,13 +20,13 @@
 	Held, First time.Duration
 }
 
-// Prefills counts the attempts of one stage that ended well, and in tokens their prompts, what their backends reported
+// PrefillCounters counts the attempts of one stage that ended well, and in tokens their prompts, what their backends reported
 // as cached, and what the scheduler had expected to be cached.
-type Prefills struct{ Trips, Prompt, Kept, Expected int64 }
+type PrefillCounters struct{ Attempts, PromptTokens, CachedTokens, ExpectedTokens int64 }
 
 // String returns the counts under the names that the log of the counters uses.
-func (p Prefills) String() string {
-	return fmt.Sprintf("{trips:%d prompt:%d kept:%d expected:%d}", p.Trips, p.Prompt, p.Kept, p.Expected)
+func (p PrefillCounters) String() string {
+	return fmt.Sprintf("{trips:%d prompt:%d kept:%d expected:%d}", p.Attempts, p.PromptTokens, p.CachedTokens, p.ExpectedTokens)
 }
 
 // ended counts the end of an attempt.
@@ -36,10 +36,10 @@
 		return
 	}
 	prefills, prompt := &c.Prefills[attempt.Stage], attempt.Request.Prompt
-	prefills.Trips, prefills.Prompt, prefills.Kept =
-		prefills.Trips+1, prefills.Prompt+int64(prompt), prefills.Kept+int64(result.Note)
+	prefills.Attempts, prefills.PromptTokens, prefills.CachedTokens =
+		prefills.Attempts+1, prefills.PromptTokens+int64(prompt), prefills.CachedTokens+int64(result.Note)
 	if attempt.Stage != brain.ToWrite {
-		prefills.Expected += int64(prompt - attempt.Left)
+		prefills.ExpectedTokens += int64(prompt - attempt.Left)
 	}
 }
 
--- a/internal/dispatch/http_transport.go
+++ b/internal/dispatch/http_transport.go
@@ -32,19 +32,19 @@
 	errStalled = errors.New("no token within the stall timeout")
 )
 
-// Seen is what an attempt's connection showed.
-type Seen struct {
-	Local     bool         // the connection failed at this machine, before anything left it
-	Connected bool         // a byte of the request was sent, over a connection that is known to be established
-	Told      *kserve.Told // what the backend reported at the end; nil if it reported nothing valid
+// Observation is what an attempt's connection showed.
+type Observation struct {
+	LocalFailure     bool         // the connection failed at this machine, before anything left it
+	Sent bool         // a byte of the request was sent, over a connection that is known to be established
+	Report      *kserve.Told // what the backend reported at the end; nil if it reported nothing valid
 	Cause     error        // why the attempt was cancelled; nil if it was not
 }
 
 // Outcome returns the outcome that the observation proves, with the number of cached tokens, or 1 where a rejection
 // says that the KV cache is missing. An attempt that may have run is never reported as one that did not: only without
 // a connection was nothing sent, and only a backend's own statement proves a rejection.
-func (s Seen) Outcome(stage brain.Stage) (outcome brain.Outcome, note int) {
-	if report := s.Told; report != nil {
+func (s Observation) Outcome(stage brain.Stage) (outcome brain.Outcome, note int) {
+	if report := s.Report; report != nil {
 		switch {
 		case report.Outcome == kserve.OutcomeRead && stage == brain.ToRead:
 			return brain.Read, report.Kept
@@ -58,11 +58,11 @@
 		return brain.Failed, 0
 	}
 	switch {
-	case !s.Connected && errors.Is(s.Cause, ErrLeft):
+	case !s.Sent && errors.Is(s.Cause, ErrLeft):
 		return brain.Cancelled, 0
-	case s.Local:
+	case s.LocalFailure:
 		return brain.NotSent, 0
-	case !s.Connected:
+	case !s.Sent:
 		return brain.Unreachable, 0
 	case errors.Is(s.Cause, ErrLate):
 		return brain.TimedOut, 0
@@ -72,12 +72,12 @@
 	return brain.Broken, 0
 }
 
-// Trips is the Transport that sends attempts to backends over HTTP.
-type Trips struct {
+// HTTPTransport is the Transport that sends attempts to backends over HTTP.
+type HTTPTransport struct {
 	Model string
-	Stall time.Duration // longest time between two tokens of a stream
+	StallTimeout time.Duration // longest time between two tokens of a stream
 	Peers *Peers        // nil: no peer updates are sent
-	Boxes *reach.Boxes  // connection pools, by backend
+	Pools *reach.Boxes  // connection pools, by backend
 
 	loop     *Loop
 	group    *errgroup.Group
@@ -85,26 +85,26 @@
 
 	mu       sync.Mutex
 	releases map[*Backend]*releaseQueue
-	Refused  atomic.Int64 // releases dropped because too many were queued for their backend
+	DroppedReleases  atomic.Int64 // releases dropped because too many were queued for their backend
 }
 
-// NewTrips returns a transport with its connection pools. Its goroutines belong to the group and end with the lifetime
+// NewHTTPTransport returns a transport with its connection pools. Its goroutines belong to the group and end with the lifetime
 // context. conns bounds the connections to one backend, and dial is the time for opening one.
-func NewTrips(
+func NewHTTPTransport(
 	lifetime context.Context, group *errgroup.Group, conns int, dial time.Duration, clock func() time.Duration,
-) *Trips {
+) *HTTPTransport {
 	pools := &reach.Boxes{Limit: dial, Most: conns, Since: clock, Life: lifetime, Group: group}
 	group.Go(pools.Tend)
-	return &Trips{lifetime: lifetime, group: group, Boxes: pools, releases: map[*Backend]*releaseQueue{}}
+	return &HTTPTransport{lifetime: lifetime, group: group, Pools: pools, releases: map[*Backend]*releaseQueue{}}
 }
 
 // Reach sets a backend's addresses.
-func (c *Trips) Reach(backend *Backend, specs []addresses.Spec) {
-	backend.pool = c.Boxes.Set(backend.Name, specs, uint64(backend.Known.ID))
+func (c *HTTPTransport) Reach(backend *Backend, specs []addresses.Spec) {
+	backend.pool = c.Pools.Set(backend.Name, specs, uint64(backend.Known.ID))
 }
 
 // Start sends an attempt from a goroutine of its own.
-func (c *Trips) Start(attempt *Attempt) {
+func (c *HTTPTransport) Start(attempt *Attempt) {
 	attempt.ctx, attempt.Off = context.WithCancelCause(c.lifetime)
 	scheduled, request := attempt.Planned.Request, attempt.Request
 	metadata := kserve.Errand{
@@ -124,9 +124,9 @@
 		attempt.Off(nil)
 		outcome, note := observed.Outcome(attempt.Planned.Stage)
 		result := brain.Result{Outcome: outcome, Note: note}
-		if observed.Told != nil {
-			result.Load = observed.Told.Load
-			attempt.Count = observed.Told.Count
+		if observed.Report != nil {
+			result.Load = observed.Report.Load
+			attempt.Count = observed.Report.Count
 		}
 		close(attempt.Tokens)
 		c.loop.Post(func() { c.loop.Ended(attempt, result) })
@@ -135,7 +135,7 @@
 }
 
 // runAttempt runs an attempt over one connection to one address, from dialing to its end.
-func (c *Trips) runAttempt(attempt *Attempt, pool *reach.Host, text string, metadata kserve.Errand) (observed Seen) {
+func (c *HTTPTransport) runAttempt(attempt *Attempt, pool *reach.Host, text string, metadata kserve.Errand) (observed Observation) {
 	var conn *reach.Conn
 	defer func() {
 		observed.Cause = context.Cause(attempt.ctx)
@@ -143,8 +143,8 @@
 			return
 		}
 		// An attempt that ended without a report counts against the address, unless it was cancelled as not needed.
-		if observed.Told != nil {
-			observed.Told.Bound(metadata)
+		if observed.Report != nil {
+			observed.Report.Bound(metadata)
 			conn.Served()
 		} else if !errors.Is(observed.Cause, ErrLeft) {
 			conn.Lost()
@@ -156,16 +156,16 @@
 	conn, resp, err := pool.Send(attempt.ctx, func() (*http.Request, error) {
 		return kserve.NewErrand(attempt.ctx, reach.URL(pool.Name), c.Model, text, metadata)
 	})
-	observed.Local, observed.Connected = errors.Is(err, reach.ErrLocal), conn != nil && conn.Sent()
+	observed.LocalFailure, observed.Sent = errors.Is(err, reach.ErrLocal), conn != nil && conn.Sent()
 	if err != nil {
 		return observed
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK || metadata.Stage == kserve.StageRead {
-		observed.Told = readReport(resp)
+		observed.Report = readReport(resp)
 		return observed
 	}
-	stall := time.AfterFunc(c.Stall, func() { attempt.Off(errStalled) })
+	stall := time.AfterFunc(c.StallTimeout, func() { attempt.Off(errStalled) })
 	defer stall.Stop()
 	events := kserve.NewEvents(resp.Body)
 	for begun := false; ; {
@@ -175,16 +175,16 @@
 		}
 		switch event.Name {
 		case "end":
-			observed.Told = &kserve.Told{}
-			if json.Unmarshal(event.Data, observed.Told) != nil {
-				observed.Told = nil
-			} else if observed.Told.Outcome != kserve.OutcomeAnswered || !begun {
+			observed.Report = &kserve.Told{}
+			if json.Unmarshal(event.Data, observed.Report) != nil {
+				observed.Report = nil
+			} else if observed.Report.Outcome != kserve.OutcomeAnswered || !begun {
 				// A stream was opened, so the attempt may have run, whatever else its end claims.
-				observed.Told.Outcome = kserve.OutcomeFailed
+				observed.Report.Outcome = kserve.OutcomeFailed
 			}
 			return observed
 		case "error":
-			observed.Told = &kserve.Told{Outcome: kserve.OutcomeFailed}
+			observed.Report = &kserve.Told{Outcome: kserve.OutcomeFailed}
 			return observed
 		case "":
 			// The client gets the token on one line. Data that is not JSON is not a token, and with line breaks in it
@@ -197,7 +197,7 @@
 				begun = true
 				c.loop.Post(func() { c.loop.Began(attempt) })
 			}
-			stall.Reset(c.Stall) // only tokens show that the answer makes progress
+			stall.Reset(c.StallTimeout) // only tokens show that the answer makes progress
 			if attempt.Streamed.Add(1) > int64(metadata.Most) {
 				return observed // more tokens than requested: this cannot be the answer to the request
 			}
@@ -228,7 +228,7 @@
 }
 
 // Tell sends an update to a peer.
-func (c *Trips) Tell(peer int, update brain.PeerUpdate) {
+func (c *HTTPTransport) Tell(peer int, update brain.PeerUpdate) {
 	if c.Peers != nil {
 		c.Peers.Tell(peer, update)
 	}
@@ -251,7 +251,7 @@
 )
 
 // Release has a backend release a request's KV cache. It is repeated until it succeeds or the backend is removed.
-func (c *Trips) Release(backend *Backend, request *ClientRequest) {
+func (c *HTTPTransport) Release(backend *Backend, request *ClientRequest) {
 	if request.AttemptOut() {
 		return // that attempt arrives, as its connection was proven first, and may not have fetched the KV cache yet
 	}
@@ -266,14 +266,14 @@
 		c.group.Go(func() error { c.sendReleases(backend, queue, pool, removed); return nil })
 	}
 	if len(queue.keys) >= maxQueuedReleases {
-		c.Refused.Add(1)
+		c.DroppedReleases.Add(1)
 		return
 	}
 	queue.keys = append(queue.keys, key)
 }
 
 // sendReleases sends a backend's releases until none is queued.
-func (c *Trips) sendReleases(backend *Backend, queue *releaseQueue, pool *reach.Host, removed <-chan struct{}) {
+func (c *HTTPTransport) sendReleases(backend *Backend, queue *releaseQueue, pool *reach.Host, removed <-chan struct{}) {
 	wait := releaseRetryMin
 	for {
 		c.mu.Lock()
@@ -305,7 +305,7 @@
 	}
 }
 
-func (c *Trips) sendReleaseBatch(pool *reach.Host, keys []kserve.Release) error {
+func (c *HTTPTransport) sendReleaseBatch(pool *reach.Host, keys []kserve.Release) error {
 	ctx, cancel := context.WithTimeout(c.lifetime, releaseTimeout)
 	defer cancel()
 	if pool == nil {
@@ -331,8 +331,8 @@
 // usageTimeout bounds one request for usage counts.
 const usageTimeout = 500 * time.Millisecond
 
-// Inquire fetches usage counts from a backend and posts them to the loop; the reply is nil if the request failed.
-func (c *Trips) Inquire(backend *Backend, inquiry account.Inquiry, heard func(*account.Reply)) {
+// FetchUsage fetches usage counts from a backend and posts them to the loop; the reply is nil if the request failed.
+func (c *HTTPTransport) FetchUsage(backend *Backend, inquiry account.Inquiry, heard func(*account.Reply)) {
 	pool := backend.pool
 	c.group.Go(func() error {
 		reply := c.fetchUsage(pool, inquiry)
@@ -341,7 +341,7 @@
 	})
 }
 
-func (c *Trips) fetchUsage(pool *reach.Host, inquiry account.Inquiry) *account.Reply {
+func (c *HTTPTransport) fetchUsage(pool *reach.Host, inquiry account.Inquiry) *account.Reply {
 	if pool == nil {
 		return nil
 	}
--- a/internal/dispatch/http_transport_test.go
+++ b/internal/dispatch/http_transport_test.go
@@ -11,26 +11,26 @@
 func TestOutcomeClaimsNoMoreThanTheConnectionProved(t *testing.T) {
 	report := func(outcome string) *kserve.Told { return &kserve.Told{Outcome: outcome, Kept: 5} }
 	for _, c := range []struct {
-		observed Seen
+		observed Observation
 		stage    brain.Stage
 		want     brain.Outcome
 		note     int
 	}{
-		{Seen{}, brain.Whole, brain.Unreachable, 0},
-		{Seen{Cause: ErrLate}, brain.Whole, brain.Unreachable, 0},
-		{Seen{Cause: ErrLeft}, brain.Whole, brain.Cancelled, 0},
-		{Seen{Connected: true}, brain.Whole, brain.Broken, 0},
-		{Seen{Connected: true, Cause: errStalled}, brain.Whole, brain.Broken, 0},
-		{Seen{Connected: true, Cause: ErrLate}, brain.ToWrite, brain.TimedOut, 0},
-		{Seen{Connected: true, Cause: ErrLeft}, brain.ToWrite, brain.Cancelled, 0},
-		{Seen{Connected: true, Told: report(kserve.OutcomeRead)}, brain.ToRead, brain.Read, 5},
-		{Seen{Connected: true, Told: report(kserve.OutcomeRead)}, brain.Whole, brain.Failed, 0},
-		{Seen{Connected: true, Told: report(kserve.OutcomeAnswered)}, brain.ToWrite, brain.Served, 5},
-		{Seen{Connected: true, Told: report(kserve.OutcomeAnswered)}, brain.ToRead, brain.Failed, 0},
-		{Seen{Connected: true, Told: report(kserve.OutcomeFull)}, brain.ToWrite, brain.Rejected, 0},
-		{Seen{Connected: true, Told: report(kserve.OutcomeNoState)}, brain.ToWrite, brain.Rejected, 1},
-		{Seen{Connected: true, Told: report(kserve.OutcomeFailed)}, brain.ToWrite, brain.Failed, 0},
-		{Seen{Connected: true, Told: report("gibberish")}, brain.ToWrite, brain.Failed, 0},
+		{Observation{}, brain.Whole, brain.Unreachable, 0},
+		{Observation{Cause: ErrLate}, brain.Whole, brain.Unreachable, 0},
+		{Observation{Cause: ErrLeft}, brain.Whole, brain.Cancelled, 0},
+		{Observation{Sent: true}, brain.Whole, brain.Broken, 0},
+		{Observation{Sent: true, Cause: errStalled}, brain.Whole, brain.Broken, 0},
+		{Observation{Sent: true, Cause: ErrLate}, brain.ToWrite, brain.TimedOut, 0},
+		{Observation{Sent: true, Cause: ErrLeft}, brain.ToWrite, brain.Cancelled, 0},
+		{Observation{Sent: true, Report: report(kserve.OutcomeRead)}, brain.ToRead, brain.Read, 5},
+		{Observation{Sent: true, Report: report(kserve.OutcomeRead)}, brain.Whole, brain.Failed, 0},
+		{Observation{Sent: true, Report: report(kserve.OutcomeAnswered)}, brain.ToWrite, brain.Served, 5},
+		{Observation{Sent: true, Report: report(kserve.OutcomeAnswered)}, brain.ToRead, brain.Failed, 0},
+		{Observation{Sent: true, Report: report(kserve.OutcomeFull)}, brain.ToWrite, brain.Rejected, 0},
+		{Observation{Sent: true, Report: report(kserve.OutcomeNoState)}, brain.ToWrite, brain.Rejected, 1},
+		{Observation{Sent: true, Report: report(kserve.OutcomeFailed)}, brain.ToWrite, brain.Failed, 0},
+		{Observation{Sent: true, Report: report("gibberish")}, brain.ToWrite, brain.Failed, 0},
 	} {
 		if got, note := c.observed.Outcome(c.stage); got != c.want || note != c.note {
 			t.Errorf("%+v at stage %d: outcome %d with note %d, want %d with %d",
--- a/internal/dispatch/lag.go
+++ b/internal/dispatch/lag.go
@@ -21,7 +21,7 @@
 	// The fields below belong to the loop. The first three cover the time since the last call of Period.
 	LongestTurn time.Duration
 	LongestWait time.Duration // of a message in the queue
-	LatestTimer time.Duration // the most by which a timer ran late
+	LongestTimerDelay time.Duration // the most by which a timer ran late
 	LongTurns   int64         // turns of longTurn and more, since the start
 	lastLogged  time.Duration
 }
@@ -64,7 +64,7 @@
 // Period returns the longest turn, the longest wait of a message and the greatest delay of a timer since the last call,
 // and resets them.
 func (g *Lag) Period() (turn, wait, timer time.Duration) {
-	turn, wait, timer = g.LongestTurn, g.LongestWait, g.LatestTimer
-	g.LongestTurn, g.LongestWait, g.LatestTimer = 0, 0, 0
+	turn, wait, timer = g.LongestTurn, g.LongestWait, g.LongestTimerDelay
+	g.LongestTurn, g.LongestWait, g.LongestTimerDelay = 0, 0, 0
 	return turn, wait, timer
 }
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -236,7 +236,7 @@
 		if !ok {
 			return
 		}
-		l.Lag.LatestTimer = max(l.Lag.LatestTimer, now-due)
+		l.Lag.LongestTimerDelay = max(l.Lag.LongestTimerDelay, now-due)
 		l.Do(callback)
 		l.Lag.recordTurn(l.now, l.clock(), l.Log)
 	}
@@ -261,7 +261,7 @@
 	if l.Guard != nil {
 		if admit, after, ticket := l.Guard.Arrive(l.now, params.Again, tenant, params.Ticket); !admit {
 			request.Request.Over = true
-			l.Tally.Damped++
+			l.Tally.Throttled++
 			l.answer(request, kserve.Final{
 				Final: kserve.Declined, Error: "too many ask again just now", Harmless: true,
 				AfterMs: after.Milliseconds(), Ticket: ticket,
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -39,11 +39,11 @@
 	Conn    *net.UDPConn
 	Plain   bool // a message is the update alone, and its source address identifies the sender
 	Dropped atomic.Int64
-	Budget  func(from int, message budgetMessage) // called in the loop; nil: budget messages are dropped
+	OnBudget  func(from int, message budgetMessage) // called in the loop; nil: budget messages are dropped
 }
 
-// TellBudget sends a message about a budget.
-func (p *Peers) TellBudget(peer int, message budgetMessage) {
+// SendBudget sends a message about a budget.
+func (p *Peers) SendBudget(peer int, message budgetMessage) {
 	if peer < 0 || peer >= len(p.To) || peer == p.Own {
 		return
 	}
@@ -141,11 +141,11 @@
 		retry.Reset()
 		if n > 0 && buf[0] == budgetType && !p.Plain {
 			from, message, err := p.decodeBudget(buf[:n])
-			if err != nil || p.Budget == nil {
+			if err != nil || p.OnBudget == nil {
 				p.Dropped.Add(1)
 				continue
 			}
-			l.Post(func() { p.Budget(from, message) })
+			l.Post(func() { p.OnBudget(from, message) })
 			continue
 		}
 		raw := buf[:n]
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -54,8 +54,8 @@
 	lifetime, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	var attempts, group errgroup.Group
-	transport := NewTrips(lifetime, &attempts, config.Limits.BoxConns, config.Limits.Dial.D(), clock)
-	transport.Model, transport.Stall = config.Model, config.Limits.Stall.D()
+	transport := NewHTTPTransport(lifetime, &attempts, config.Limits.BoxConns, config.Limits.Dial.D(), clock)
+	transport.Model, transport.StallTimeout = config.Model, config.Limits.Stall.D()
 	allowed, err := reach.NewAllowed(config.Place.Allow)
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 		loop.Guard = storm.New(config.Limits.RetryAfter.D(), len(config.Channels), seed^0x5709, seal)
 	}
 	for _, further := range config.Further {
-		loop.Further(further.Box, further.Spec)
+		loop.AddAddress(further.Box, further.Spec)
 	}
 	var listeners []net.Listener
 	limiter, limiterMu := &storm.Door{
@@ -132,8 +132,8 @@
 	group.Go(func() error { return loop.Run(lifetime) })
 	group.Go(func() error { return discovery.Follow(lifetime) })
 
-	server := &Server{Terms: config.Terms, Place: config.Place, Loop: loop, Log: log}
-	server.State = func() map[string]any {
+	server := &Server{Service: config.Terms, Instance: config.Place, Loop: loop, Log: log}
+	server.Status = func() map[string]any {
 		out := statusReport(ctx, loop, discovery, transport, server, clock())
 		if journal != nil {
 			out["ledger"] = journal.State()
@@ -154,7 +154,7 @@
 			ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		}
 	}
-	clients, operators := newHTTPServer(server.Handler()), newHTTPServer(server.Operators())
+	clients, operators := newHTTPServer(server.Handler()), newHTTPServer(server.OperatorHandler())
 	failed := make(chan error, len(listeners))
 	for i, listener := range listeners {
 		httpServer := clients
@@ -214,7 +214,7 @@
 
 // waitIdle waits until all attempts have ended and all releases are sent, at most for the timeout. A cancelled attempt
 // ends a little later, and its end may require another release.
-func (c *Trips) waitIdle(ctx context.Context, timeout time.Duration) {
+func (c *HTTPTransport) waitIdle(ctx context.Context, timeout time.Duration) {
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		requests := 0
 		c.loop.Call(ctx, func() { requests = len(c.loop.requests) })
@@ -282,13 +282,13 @@
 
 // statusReport returns what GET /state reports to operators.
 func statusReport(
-	ctx context.Context, l *Loop, discovery *boxlist.Follower, transport *Trips, server *Server, uptime time.Duration,
+	ctx context.Context, l *Loop, discovery *boxlist.Follower, transport *HTTPTransport, server *Server, uptime time.Duration,
 ) map[string]any {
 	age, heard := discovery.Age()
 	out := map[string]any{
 		"dispatcher": l.Epoch, "up_s": uptime.Seconds(), "open": server.openRequests.Load(),
 		"stopping": server.stopping.Load(), "list_heard": heard, "list_age_s": age.Seconds(),
-		"list_gaps": discovery.Gaps(), "releases_refused": transport.Refused.Load(),
+		"list_gaps": discovery.Gaps(), "releases_refused": transport.DroppedReleases.Load(),
 	}
 	if transport.Peers != nil {
 		out["messages_dropped"] = transport.Peers.Dropped.Load()
@@ -299,7 +299,7 @@
 			counters.Taken, counters.Satisfied, counters.Declined, counters.Forfeited
 		out["left"], out["overdue"], out["trips"], out["held_timers"] =
 			counters.Left, counters.Overdue, counters.Trips, l.timers.Len()
-		out["damped"] = counters.Damped
+		out["damped"] = counters.Throttled
 		if accounting := l.accounting; accounting != nil {
 			out["budgets"] = l.budgetState()
 			if accounting.Account != nil {
@@ -334,9 +334,9 @@
 }
 
 // backendAddresses reports the health of each address of each backend.
-func backendAddresses(transport *Trips, now time.Duration) []BoxState {
+func backendAddresses(transport *HTTPTransport, now time.Duration) []BoxState {
 	var out []BoxState
-	transport.Boxes.Look(func(name string, book *addresses.Book, open, idle int) {
+	transport.Pools.Look(func(name string, book *addresses.Book, open, idle int) {
 		state := BoxState{Name: name, Open: open, Idle: idle}
 		for _, address := range book.Addresses() {
 			state.Addresses = append(state.Addresses, AddressState{
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -20,11 +20,11 @@
 
 // Server is the HTTP frontend that serves the KServe v2 protocol to clients.
 type Server struct {
-	Terms setup.Terms
-	Place setup.Place
+	Service setup.Terms
+	Instance setup.Place
 	Loop  *Loop
 	Log   *slog.Logger
-	State func() map[string]any // the report to operators
+	Status func() map[string]any // the report to operators
 
 	openRequests atomic.Int64
 	prefixes     begins.Table // belongs to the loop
@@ -46,7 +46,7 @@
 	mux.HandleFunc("GET /v2/health/live", func(w http.ResponseWriter, r *http.Request) {})
 	mux.HandleFunc("GET /v2/health/ready", s.ready)
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, r *http.Request) {
-		kserve.WriteJSON(w, http.StatusOK, s.State())
+		kserve.WriteJSON(w, http.StatusOK, s.Status())
 	})
 	for _, path := range []string{"/v2/models/{model}", "/v2/models/{model}/versions/{version}"} {
 		mux.HandleFunc("GET "+path, s.checkModel(s.model))
@@ -66,7 +66,7 @@
 
 func (s *Server) model(w http.ResponseWriter, r *http.Request) {
 	kserve.WriteJSON(w, http.StatusOK, map[string]any{
-		"name": s.Terms.Model, "versions": []string{"1"}, "platform": "sloetrestle",
+		"name": s.Service.Model, "versions": []string{"1"}, "platform": "sloetrestle",
 		"inputs":  []map[string]any{{"name": "text_input", "datatype": "BYTES", "shape": []int{1}}},
 		"outputs": []map[string]any{{"name": "text_output", "datatype": "BYTES", "shape": []int{1}}},
 	})
@@ -75,7 +75,7 @@
 // checkModel calls next only for the model and the version that the dispatcher serves.
 func (s *Server) checkModel(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if model := r.PathValue("model"); model != s.Terms.Model {
+		if model := r.PathValue("model"); model != s.Service.Model {
 			kserve.WriteFault(w, &kserve.Fault{
 				Status: http.StatusNotFound, Field: "model", Text: fmt.Sprintf("%q is unknown", model),
 			})
@@ -96,8 +96,8 @@
 func (s *Server) submit(w http.ResponseWriter, r *http.Request, inference bool) *ClientRequest {
 	arrived := time.Now()
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(arrived.Add(s.Place.BodyTime.D()))
-	body := http.MaxBytesReader(w, r.Body, s.Place.Body)
+	control.SetReadDeadline(arrived.Add(s.Instance.BodyTime.D()))
+	body := http.MaxBytesReader(w, r.Body, s.Instance.Body)
 	read := kserve.ReadPrompt
 	if inference {
 		read = kserve.ReadInference
@@ -107,7 +107,7 @@
 		if errors.Is(err, os.ErrDeadlineExceeded) || strings.Contains(err.Error(), "i/o timeout") {
 			err = &kserve.Fault{
 				Status: http.StatusRequestTimeout,
-				Text:   fmt.Sprintf("the body did not arrive within %v", s.Place.BodyTime.D()),
+				Text:   fmt.Sprintf("the body did not arrive within %v", s.Instance.BodyTime.D()),
 			}
 		}
 		kserve.WriteFault(w, err)
@@ -116,7 +116,7 @@
 	control.SetReadDeadline(time.Time{})
 	classNumber, tenantNumber := 0, 0
 	if params.Grade != "" {
-		if classNumber = s.Terms.GradeNumber(params.Grade); classNumber < 0 {
+		if classNumber = s.Service.GradeNumber(params.Grade); classNumber < 0 {
 			kserve.WriteFault(w, &kserve.Fault{
 				Status: http.StatusBadRequest, Field: "parameters.grade",
 				Text: fmt.Sprintf("%q is unknown", params.Grade),
@@ -125,7 +125,7 @@
 		}
 	}
 	if params.Channel != "" {
-		if tenantNumber = s.Terms.ChannelNumber(params.Channel); tenantNumber < 0 {
+		if tenantNumber = s.Service.ChannelNumber(params.Channel); tenantNumber < 0 {
 			kserve.WriteFault(w, &kserve.Fault{
 				Status: http.StatusBadRequest, Field: "parameters.channel",
 				Text: fmt.Sprintf("%q is unknown", params.Channel),
@@ -133,9 +133,9 @@
 			return nil
 		}
 	}
-	class := s.Terms.Grades[classNumber]
+	class := s.Service.Grades[classNumber]
 	if params.Tokens == 0 {
-		params.Tokens = max(begins.Tokens(params.Text), 1)
+		params.Tokens = max(begins.EstimateTokens(params.Text), 1)
 	}
 	params.Prefix = min(params.Prefix, params.Tokens)
 	if params.Most == 0 {
@@ -150,25 +150,25 @@
 		})
 		return nil
 	}
-	if s.openRequests.Add(1) > int64(s.Terms.Limits.Open) {
+	if s.openRequests.Add(1) > int64(s.Service.Limits.Open) {
 		s.openRequests.Add(-1)
 		kserve.WriteFinal(w, kserve.Final{
 			Final: kserve.Declined, Error: "as many questions are open as this dispatcher takes",
-			Harmless: true, AfterMs: s.Terms.Limits.RetryAfter.D().Milliseconds(),
+			Harmless: true, AfterMs: s.Service.Limits.RetryAfter.D().Milliseconds(),
 		})
 		return nil
 	}
-	if params.Channel == "" && len(s.Terms.Channels) > 0 {
-		params.Channel = s.Terms.Channels[0].Name
+	if params.Channel == "" && len(s.Service.Channels) > 0 {
+		params.Channel = s.Service.Channels[0].Name
 	}
 	request := &ClientRequest{Ask: params, Grade: class.Name, Channel: params.Channel}
 	submitted := s.Loop.Call(context.WithoutCancel(r.Context()), func() {
 		if params.Shared == "" && params.Text != "" {
-			if key, tokens := s.prefixes.Find(s.Loop.now, Number(params.Session), params.Text); key != 0 {
+			if key, tokens := s.prefixes.SharedPrefix(s.Loop.now, Number(params.Session), params.Text); key != 0 {
 				request.Ask.Shared, request.Ask.Prefix = fmt.Sprintf("text-%x", key), min(tokens, request.Ask.Tokens)
 			}
 		}
-		s.Loop.Submit(request, classNumber, tenantNumber, params.Left-time.Since(arrived)-s.Place.Margin.D())
+		s.Loop.Submit(request, classNumber, tenantNumber, params.Left-time.Since(arrived)-s.Instance.Margin.D())
 	})
 	if !submitted {
 		s.openRequests.Add(-1)
@@ -207,7 +207,7 @@
 	w.Header().Set("Cache-Control", "no-store")
 	var out bytes.Buffer
 	write := func() bool {
-		control.SetWriteDeadline(time.Now().Add(s.Place.Write.D()))
+		control.SetWriteDeadline(time.Now().Add(s.Instance.Write.D()))
 		if _, err := w.Write(out.Bytes()); err != nil {
 			return false
 		}
@@ -298,7 +298,7 @@
 	}
 	defer s.openRequests.Add(-1)
 	text, final, ok := s.bufferAnswer(r, request)
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.Place.Write.D()))
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.Instance.Write.D()))
 	switch {
 	case !ok:
 	case final.Final != kserve.Satisfied:
@@ -311,7 +311,7 @@
 func (s *Server) generate(w http.ResponseWriter, r *http.Request) {
 	s.answerWhole(w, r, false, func(request *ClientRequest, text []byte, final kserve.Final) {
 		kserve.WriteJSON(w, http.StatusOK, map[string]any{
-			"model_name": s.Terms.Model, "id": request.Ask.ID, "text_output": string(text), "final": final.Final,
+			"model_name": s.Service.Model, "id": request.Ask.ID, "text_output": string(text), "final": final.Final,
 			"trips": final.Trips,
 		})
 	})
@@ -325,7 +325,7 @@
 			return
 		}
 		kserve.WriteJSON(w, http.StatusOK, kserve.Output{
-			Model: s.Terms.Model, Version: "1", ID: request.Ask.ID,
+			Model: s.Service.Model, Version: "1", ID: request.Ask.ID,
 			Parameters: kserve.Params{"final": final.Final, "trips": final.Trips},
 			Outputs:    []kserve.Tensor{{Name: "text_output", Shape: []int64{1}, Datatype: "BYTES", Data: data}},
 		})
