--- a/internal/agenda/queue.go
+++ b/internal/agenda/queue.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// Agenda holds callbacks ordered by the time at which they are due; callbacks due at the same time keep the order in
+// Queue holds callbacks ordered by the time at which they are due; callbacks due at the same time keep the order in
 // which they were added. The zero value is an empty queue. It is not safe for concurrent use.
-type Agenda struct {
+type Queue struct {
 	timers       timerHeap
 	lastSequence uint64
 }
@@ -37,28 +37,28 @@
 	return last
 }
 
-// At adds a callback that is due at the given time.
-func (q *Agenda) At(due time.Duration, callback func()) {
+// Schedule adds a callback that is due at the given time.
+func (q *Queue) Schedule(due time.Duration, callback func()) {
 	q.lastSequence++
 	heap.Push(&q.timers, &timer{due, q.lastSequence, callback})
 }
 
 // Len returns the number of timers in the queue.
-func (q *Agenda) Len() int { return len(q.timers) }
+func (q *Queue) Len() int { return len(q.timers) }
 
 // Clear removes all timers.
-func (q *Agenda) Clear() { q.timers = nil }
+func (q *Queue) Clear() { q.timers = nil }
 
-// Next returns the time at which the earliest timer is due, and false if the queue is empty.
-func (q *Agenda) Next() (time.Duration, bool) {
+// NextDue returns the time at which the earliest timer is due, and false if the queue is empty.
+func (q *Queue) NextDue() (time.Duration, bool) {
 	if len(q.timers) == 0 {
 		return 0, false
 	}
 	return q.timers[0].due, true
 }
 
-// Take removes and returns the earliest timer if it is due by the given time.
-func (q *Agenda) Take(by time.Duration) (due time.Duration, callback func(), ok bool) {
+// PopDue removes and returns the earliest timer if it is due by the given time.
+func (q *Queue) PopDue(by time.Duration) (due time.Duration, callback func(), ok bool) {
 	if len(q.timers) == 0 || q.timers[0].due > by {
 		return 0, nil, false
 	}
@@ -66,11 +66,11 @@
 	return earliest.due, earliest.callback, true
 }
 
-// Run calls every callback that is due by the given time, in order, including those that callbacks add. Before each
+// RunUntil calls every callback that is due by the given time, in order, including those that callbacks add. Before each
 // call it passes the time at which the callback was due to setClock.
-func (q *Agenda) Run(until time.Duration, setClock func(time.Duration)) {
+func (q *Queue) RunUntil(until time.Duration, setClock func(time.Duration)) {
 	for {
-		due, callback, ok := q.Take(until)
+		due, callback, ok := q.PopDue(until)
 		if !ok {
 			return
 		}
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -102,7 +102,7 @@
 	if err != nil || len(folders) == 0 {
 		return err
 	}
-	key, err := dispatch.LedgerKey(filepath.Join(dir, "tickets.key"))
+	key, err := dispatch.ReadLedgerKey(filepath.Join(dir, "tickets.key"))
 	if err != nil {
 		return err
 	}
--- a/internal/dispatch/accounting.go
+++ b/internal/dispatch/accounting.go
@@ -10,17 +10,17 @@
 	"sloetrestle/internal/ledger"
 )
 
-// Books is a loop's accounting: token budgets, in which a request must find free capacity before the scheduler sees
+// Accounting is a loop's accounting: token budgets, in which a request must find free capacity before the scheduler sees
 // it, and the account of what its attempts cost. Either may be missing.
-type Books struct {
-	Purses  []*budget.Purse           // this dispatcher's part of every budget
-	Keepers map[string]*budget.Keeper // by name, the budgets that this dispatcher owns
-	Month   func(now time.Duration) budget.Month
+type Accounting struct {
+	Budgets      []*budget.Purse           // this dispatcher's part of every budget
+	OwnedBudgets map[string]*budget.Keeper // by name, the budgets that this dispatcher owns
+	Month        func(now time.Duration) budget.Month
 
 	Account *account.Tracker
-	// Inquire fetches usage counts from a backend. It must not block; heard is posted to the loop, with nil if the
+	// FetchUsage fetches usage counts from a backend. It must not block; heard is posted to the loop, with nil if the
 	// backend could not be reached.
-	Inquire func(b *Backend, q account.Inquiry, heard func(*account.Reply))
+	FetchUsage func(b *Backend, q account.Inquiry, heard func(*account.Reply))
 }
 
 // accountingInterval is the time between two runs of the periodic work on budgets and the account.
@@ -33,18 +33,18 @@
 	emergency bool // out of the emergency share
 }
 
-// Keep gives the loop its accounting and starts the periodic work on it.
-func (l *Loop) Keep(accounting *Books) {
+// SetAccounting gives the loop its accounting and starts the periodic work on it.
+func (l *Loop) SetAccounting(accounting *Accounting) {
 	l.accounting = accounting
 	var tick func()
 	tick = func() {
-		for _, local := range accounting.Purses {
+		for _, local := range accounting.Budgets {
 			local.Tend(l.now)
 		}
 		if accounting.Account != nil {
 			for _, inquiry := range accounting.Account.Ask() {
 				if backend := l.backends[inquiry.Box]; backend != nil {
-					accounting.Inquire(backend, inquiry, func(reply *account.Reply) {
+					accounting.FetchUsage(backend, inquiry, func(reply *account.Reply) {
 						accounting.Account.Heard(inquiry, reply)
 					})
 				} else {
@@ -60,32 +60,32 @@
 // reserveBudgets sets a request's worst case aside in every budget that covers it, one after the other, and then calls
 // submit. A reservation may have to wait for a lease; if one is refused, the request is rejected.
 func (l *Loop) reserveBudgets(request *ClientRequest, submit func()) {
-	if l.accounting == nil || len(l.accounting.Purses) == 0 {
+	if l.accounting == nil || len(l.accounting.Budgets) == 0 {
 		submit()
 		return
 	}
-	tokens := float64(request.Ask.Tokens + request.Ask.Most)
+	tokens := float64(request.Params.Tokens + request.Params.Most)
 	month := l.accounting.Month(l.now)
 	var reserveFrom func(i int)
 	reserveFrom = func(i int) {
-		for i < len(l.accounting.Purses) && !request.coveredBy(l.accounting.Purses[i].Terms.Name) {
+		for i < len(l.accounting.Budgets) && !request.coveredBy(l.accounting.Budgets[i].Terms.Name) {
 			i++
 		}
-		if i == len(l.accounting.Purses) {
+		if i == len(l.accounting.Budgets) {
 			submit()
 			return
 		}
-		local := l.accounting.Purses[i]
+		local := l.accounting.Budgets[i]
 		local.Reserve(l.now, month, tokens, func(verdict budget.Verdict) {
 			if verdict.OK {
 				request.reservations = append(request.reservations, reservation{local, tokens, verdict.Own})
 			}
 			switch {
 			case request.answered || request.disconnected: // while the reservation waited for a lease
-				request.Request.Over = true
+				request.Scheduled.Over = true
 				l.forgetIfOver(request)
 			case !verdict.OK:
-				request.Request.Over, request.overBudget = true, true
+				request.Scheduled.Over, request.overBudget = true, true
 				l.answer(request, kserve.Final{
 					Final: kserve.Declined, Error: "the budget of " + local.Terms.Name + " is used up",
 					Harmless: true, AfterMs: verdict.After.Milliseconds(),
@@ -101,7 +101,7 @@
 
 // coveredBy tells whether a request counts against the budget of that name: its tenant's, or its class's there.
 func (c *ClientRequest) coveredBy(name string) bool {
-	return name == c.Channel || name == c.Channel+"/"+c.Grade
+	return name == c.Tenant || name == c.Tenant+"/"+c.Class
 }
 
 // settleBudgets returns to the budgets what a finished request reserved and did not use. It used its prompt and the
@@ -109,8 +109,8 @@
 // charged to the tenant.
 func (l *Loop) settleBudgets(request *ClientRequest) {
 	used := 0.0
-	if request.streaming != nil || request.disconnected && len(request.Request.Attempts) > 0 {
-		used = float64(request.Ask.Tokens) + float64(request.streamedTokens())
+	if request.streaming != nil || request.disconnected && len(request.Scheduled.Attempts) > 0 {
+		used = float64(request.Params.Tokens) + float64(request.streamedTokens())
 	}
 	for _, r := range request.reservations {
 		r.budget.Settle(r.tokens, used, r.emergency)
@@ -123,18 +123,18 @@
 	switch {
 	case c.streaming == nil:
 		return 0
-	case c.streaming.Count != nil:
-		return int64(c.streaming.Count.Answer)
+	case c.streaming.Usage != nil:
+		return int64(c.streaming.Usage.Answer)
 	}
-	return c.streaming.Streamed.Load()
+	return c.streaming.StreamedTokens.Load()
 }
 
 // usageRecord returns the attempt's record for the account, before its backend's count is known.
 func (a *Attempt) usageRecord() ledger.Trip {
 	return ledger.Trip{
-		Box: a.Backend.Name, Key: a.Key, Trip: a.Planned.Number, Mark: a.Request.Ask.ID,
-		Channel: a.Request.Channel, Grade: a.Request.Grade, Stage: a.Stage(),
-		Answer: int(a.Streamed.Load()), End: "unknown",
+		Box: a.Backend.Name, Key: a.RequestKey, Trip: a.Scheduled.Number, Mark: a.Request.Params.ID,
+		Channel: a.Request.Tenant, Grade: a.Request.Class, Stage: a.Stage(),
+		Answer: int(a.StreamedTokens.Load()), End: "unknown",
 	}
 }
 
@@ -160,8 +160,8 @@
 		return
 	}
 	var count *ledger.Trip
-	if attempt.Count != nil {
-		counted := countedRecord(*attempt.Count)
+	if attempt.Usage != nil {
+		counted := countedRecord(*attempt.Usage)
 		count = &counted
 	}
 	l.accounting.Account.Ended(attempt.usageRecord(), count, result.Outcome == brain.Unreachable)
@@ -173,8 +173,8 @@
 		return
 	}
 	l.accounting.Account.Question(ledger.Question{
-		Key: l.Key(request), Mark: request.Ask.ID, Channel: request.Channel, Grade: request.Grade, Final: final,
-		Prompt: request.Ask.Tokens, Answer: int(request.streamedTokens()), Trips: len(request.Request.Attempts),
+		Key: l.RequestKey(request), Mark: request.Params.ID, Channel: request.Tenant, Grade: request.Class, Final: final,
+		Prompt: request.Params.Tokens, Answer: int(request.streamedTokens()), Trips: len(request.Scheduled.Attempts),
 		Why: reason,
 	})
 }
--- a/internal/dispatch/accounting_setup.go
+++ b/internal/dispatch/accounting_setup.go
@@ -39,8 +39,8 @@
 	return budget.Month{Number: int64(t.Year()-1970)*12 + int64(t.Month()) - 1, Left: next.Sub(t)}
 }
 
-// LedgerKey reads the ledger's key from a file, or returns a fixed key if no file is named.
-func LedgerKey(file string) (ledger.Key, error) {
+// ReadLedgerKey reads the ledger's key from a file, or returns a fixed key if no file is named.
+func ReadLedgerKey(file string) (ledger.Key, error) {
 	if file == "" {
 		return ledger.NewKey([]byte("no key")), nil
 	}
@@ -63,7 +63,7 @@
 	if config.Ledger.Folder == "" {
 		return nil, history, nil
 	}
-	key, err := LedgerKey(config.Ledger.Key)
+	key, err := ReadLedgerKey(config.Ledger.Key)
 	if err != nil {
 		return nil, nil, fmt.Errorf("ledger.key: %w", err)
 	}
@@ -133,13 +133,13 @@
 func newAccounting(
 	config setup.Dispatcher, l *Loop, transport *HTTPTransport, journal *ledger.Book, history *ledgerHistory,
 	epoch string, startedAt time.Time,
-) *Books {
+) *Accounting {
 	if journal == nil && len(config.Budgets) == 0 {
 		return nil
 	}
-	accounting := &Books{
-		Month:   func(now time.Duration) budget.Month { return monthOf(startedAt.Add(now)) },
-		Keepers: map[string]*budget.Keeper{},
+	accounting := &Accounting{
+		Month:        func(now time.Duration) budget.Month { return monthOf(startedAt.Add(now)) },
+		OwnedBudgets: map[string]*budget.Keeper{},
 	}
 	write := func(r ledger.Record, done func()) {
 		if done == nil {
@@ -153,7 +153,7 @@
 		recorded := slices.Concat(slices.Collect(maps.Values(history.recorded))...)
 		accounting.Account = account.New(epoch, startedAt.UnixMilli(), write,
 			func() time.Duration { return l.now }, recorded, oldEpochs)
-		accounting.Inquire = transport.FetchUsage
+		accounting.FetchUsage = transport.FetchUsage
 	}
 	now := l.clock()
 	month := accounting.Month(now)
@@ -198,7 +198,7 @@
 					Budget: &ledger.Budget{Name: terms.Name, What: "set", Terms: string(raw)},
 				}, done)
 			}
-			accounting.Keepers[terms.Name] = owner
+			accounting.OwnedBudgets[terms.Name] = owner
 		}
 		local := budget.NewPurse(terms, epoch, config.Place.Siblings, month,
 			func(request budget.Ask) { sendRequest[request.Name](request) })
@@ -215,26 +215,26 @@
 			if ownerNumber == config.Place.Number {
 				// By a timer, as the local budget is in the middle of a step and must not be called again.
 				l.Wake(0, func() {
-					accounting.Keepers[request.Name].Asked(l.now, accounting.Month(l.now), request,
+					accounting.OwnedBudgets[request.Name].Asked(l.now, accounting.Month(l.now), request,
 						func(lease budget.Lend) { local.Lent(l.now, lease) })
 				})
 				return
 			}
 			transport.Peers.SendBudget(ownerNumber, budgetMessage{Request: &request})
 		}
-		accounting.Purses = append(accounting.Purses, local)
+		accounting.Budgets = append(accounting.Budgets, local)
 	}
 	if transport.Peers != nil {
 		transport.Peers.OnBudget = func(from int, message budgetMessage) {
 			switch {
-			case message.Request != nil && accounting.Keepers[message.Request.Name] != nil && message.Request.Sound():
-				accounting.Keepers[message.Request.Name].Asked(l.now, accounting.Month(l.now), *message.Request,
+			case message.Request != nil && accounting.OwnedBudgets[message.Request.Name] != nil && message.Request.Sound():
+				accounting.OwnedBudgets[message.Request.Name].Asked(l.now, accounting.Month(l.now), *message.Request,
 					func(lease budget.Lend) { transport.Peers.SendBudget(from, budgetMessage{Lease: &lease}) })
 			case message.Lease != nil && message.Lease.Holder == epoch && message.Lease.Sound():
-				if i := slices.IndexFunc(accounting.Purses, func(local *budget.Purse) bool {
+				if i := slices.IndexFunc(accounting.Budgets, func(local *budget.Purse) bool {
 					return local.Terms.Name == message.Lease.Name
 				}); i >= 0 {
-					accounting.Purses[i].Lent(l.now, *message.Lease)
+					accounting.Budgets[i].Lent(l.now, *message.Lease)
 					return
 				}
 				transport.Peers.Dropped.Add(1)
@@ -264,8 +264,8 @@
 
 // BudgetState is what GET /budget reports to operators.
 type BudgetState struct {
-	Kept   []budget.Show      `json:"kept"` // budgets that this dispatcher owns
-	Purses []budget.ShowPurse `json:"purses"`
+	Owned   []budget.Show      `json:"kept"` // budgets that this dispatcher owns
+	Budgets []budget.ShowPurse `json:"purses"`
 }
 
 // maxGrantTokens bounds one grant.
@@ -318,10 +318,10 @@
 	if l.accounting == nil {
 		return out
 	}
-	for _, local := range l.accounting.Purses {
-		out.Purses = append(out.Purses, local.Show(l.now))
-		if owner := l.accounting.Keepers[local.Terms.Name]; owner != nil {
-			out.Kept = append(out.Kept, owner.Show(l.now, l.accounting.Month(l.now)))
+	for _, local := range l.accounting.Budgets {
+		out.Budgets = append(out.Budgets, local.Show(l.now))
+		if owner := l.accounting.OwnedBudgets[local.Terms.Name]; owner != nil {
+			out.Owned = append(out.Owned, owner.Show(l.now, l.accounting.Month(l.now)))
 		}
 	}
 	return out
@@ -333,14 +333,14 @@
 	reject := func(field, text string) {
 		done(&kserve.Fault{Status: http.StatusBadRequest, Field: field, Text: text})
 	}
-	if l.accounting == nil || l.accounting.Keepers[change.Name] == nil {
+	if l.accounting == nil || l.accounting.OwnedBudgets[change.Name] == nil {
 		done(&kserve.Fault{
 			Status: http.StatusNotFound, Field: "name",
 			Text: fmt.Sprintf("%q is no budget that this dispatcher keeps", change.Name),
 		})
 		return
 	}
-	owner := l.accounting.Keepers[change.Name]
+	owner := l.accounting.OwnedBudgets[change.Name]
 	switch {
 	case change.Set != nil && change.Grant != 0:
 		reject("set", "grant or set, one at a time")
--- a/internal/dispatch/accounting_setup_test.go
+++ b/internal/dispatch/accounting_setup_test.go
@@ -17,9 +17,9 @@
 			written = tokens
 			done()
 		})
-	l.accounting = &Books{
-		Keepers: map[string]*budget.Keeper{"b": owner},
-		Month:   func(time.Duration) budget.Month { return month },
+	l.accounting = &Accounting{
+		OwnedBudgets: map[string]*budget.Keeper{"b": owner},
+		Month:        func(time.Duration) budget.Month { return month },
 	}
 	for grant, valid := range map[float64]bool{5: true, 1e300: false, -1: false} {
 		var got error
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -11,53 +11,53 @@
 
 // Attempt is one attempt that has been handed to the transport.
 type Attempt struct {
-	Planned *brain.Attempt // the scheduler's record of it
-	Request *ClientRequest
-	Backend *Backend
-	State   *Backend        // for a decode attempt, the prefill backend that holds the request's KV cache
-	Wait    time.Duration   // the time it has for its first token
-	Until   time.Duration   // when Wait is over, on the loop's clock
-	Off     func(why error) // cancels it with ErrLate or ErrLeft; set by the transport
-	Tokens  chan []byte     // the stream, one piece per token; the transport closes it at the end
-	ctx     context.Context
+	Scheduled      *brain.Attempt // the scheduler's record of it
+	Request        *ClientRequest
+	Backend        *Backend
+	PrefillBackend *Backend        // for a decode attempt, the prefill backend that holds the request's KV cache
+	Timeout        time.Duration   // the time it has for its first token
+	Deadline       time.Duration   // when Wait is over, on the loop's clock
+	Cancel         func(why error) // cancels it with ErrLate or ErrLeft; set by the transport
+	Tokens         chan []byte     // the stream, one piece per token; the transport closes it at the end
+	ctx            context.Context
 
-	timedOut bool // Wait is over
-	Unfit    bool // its backend says that the request itself is invalid; set by the transport before it reports the end
+	timedOut       bool // Wait is over
+	RequestInvalid bool // its backend says that the request itself is invalid; set by the transport before it reports the end
 
-	Key      string        // the request's key at backends
-	Arrived  atomic.Bool   // a byte of an answer has come: nothing else shows that the backend received the request
-	Streamed atomic.Int64  // tokens that have come
-	Count    *kserve.Count // the backend's usage count, if it came with the answer
+	RequestKey      string        // the request's key at backends
+	ResponseStarted atomic.Bool   // a byte of an answer has come: nothing else shows that the backend received the request
+	StreamedTokens  atomic.Int64  // tokens that have come
+	Usage           *kserve.Count // the backend's usage count, if it came with the answer
 }
 
 // Stage returns the attempt's stage by its name in messages to backends.
 func (a *Attempt) Stage() string {
 	return [...]string{
 		brain.ToRead: kserve.StageRead, brain.ToWrite: kserve.StageWrite, brain.Whole: kserve.StageWhole,
-	}[a.Planned.Stage]
+	}[a.Scheduled.Stage]
 }
 
-// Began handles the first token of an attempt.
-func (l *Loop) Began(attempt *Attempt) {
-	if attempt.timedOut || attempt.Planned.Ended || attempt.Planned.Began > 0 {
+// AttemptBegan handles the first token of an attempt.
+func (l *Loop) AttemptBegan(attempt *Attempt) {
+	if attempt.timedOut || attempt.Scheduled.Ended || attempt.Scheduled.Began > 0 {
 		return // its timeout came first, so it ends as timed out
 	}
 	request := attempt.Request
 	request.streaming = attempt
 	clear(request.kvHolders)
 	if request.disconnected || request.answered {
-		attempt.Off(ErrLeft) // nobody reads the stream
+		attempt.Cancel(ErrNotNeeded) // nobody reads the stream
 	} else {
 		request.started <- attempt
 	}
-	l.scheduler.Began(attempt.Planned, l.now-attempt.Planned.Sent)
-	l.Tally.began(attempt.Planned)
+	l.scheduler.Began(attempt.Scheduled, l.now-attempt.Scheduled.Sent)
+	l.Counters.began(attempt.Scheduled)
 	l.forgetIfOver(request)
 }
 
-// Ended handles the end of an attempt.
-func (l *Loop) Ended(attempt *Attempt, result brain.Result) {
-	planned, request := attempt.Planned, attempt.Request
+// AttemptEnded handles the end of an attempt.
+func (l *Loop) AttemptEnded(attempt *Attempt, result brain.Result) {
+	planned, request := attempt.Scheduled, attempt.Request
 	if planned.Ended {
 		return
 	}
@@ -71,9 +71,9 @@
 	}
 	l.accountEnded(attempt, result)
 	result.Took = l.now - planned.Sent
-	l.Tally.ended(planned, result)
-	l.Log.Debug("attempt ended", "id", request.Ask.ID, "box", attempt.Backend.Name, "stage", attempt.Stage(),
-		"number", planned.Number, "outcome", result.Outcome, "took", result.Took, "wait", attempt.Wait,
+	l.Counters.ended(planned, result)
+	l.Log.Debug("attempt ended", "id", request.Params.ID, "box", attempt.Backend.Name, "stage", attempt.Stage(),
+		"number", planned.Number, "outcome", result.Outcome, "took", result.Took, "wait", attempt.Timeout,
 		"prompt", planned.Request.Prompt, "left", planned.Left, "kept", result.Note)
 	switch {
 	case result.Outcome == brain.Read:
@@ -82,12 +82,12 @@
 		result.Outcome != brain.NotSent && result.Outcome != brain.Rejected:
 		// The prefill may have finished at the backend just as it was given up here: its KV cache must not stay.
 		l.releaseAt(attempt.Backend, request)
-	case result.Outcome == brain.Rejected && result.Note == 1 && attempt.State != nil:
+	case result.Outcome == brain.Rejected && result.Note == 1 && attempt.PrefillBackend != nil:
 		// The prefill backend said that it has no KV cache to transfer; it may hold it all the same.
-		l.releaseAt(attempt.State, request)
-		delete(request.kvHolders, attempt.State)
+		l.releaseAt(attempt.PrefillBackend, request)
+		delete(request.kvHolders, attempt.PrefillBackend)
 	}
-	if attempt.Unfit {
+	if attempt.RequestInvalid {
 		l.answer(request, kserve.Final{Final: kserve.Forfeited, Error: "no box can use it"})
 	}
 	result.Over = request.answered || request.disconnected || result.Outcome == brain.Served || planned.Began > 0
@@ -96,8 +96,8 @@
 	} else if planned.Began > 0 && !request.disconnected {
 		l.answer(request, kserve.Final{Final: kserve.Forfeited, Error: "the stream broke at its box"})
 	}
-	if l.Guard != nil && !result.Over && wastesWork(result.Outcome) && !l.Guard.MayTryAgain(l.now) {
-		request.Request.Last = true
+	if l.RetryThrottle != nil && !result.Over && wastesWork(result.Outcome) && !l.RetryThrottle.MayTryAgain(l.now) {
+		request.Scheduled.Last = true
 	}
 	l.scheduler.Ended(planned, result)
 	l.forgetIfOver(request)
@@ -117,15 +117,15 @@
 	case attempt.Request.disconnected, attempt.Request.answered, attempt.Request.Over():
 		return brain.RequestOver
 	}
-	return l.scheduler.MaySend(attempt.Planned)
+	return l.scheduler.MaySend(attempt.Scheduled)
 }
 
-// CallOff cancels all attempts in flight, whose clients have disconnected or have their answers, and returns their
+// CancelAttempts cancels all attempts in flight, whose clients have disconnected or have their answers, and returns their
 // number.
-func (l *Loop) CallOff() (canceled int) {
+func (l *Loop) CancelAttempts() (canceled int) {
 	for _, request := range l.requests {
 		if request.inFlight != nil {
-			request.inFlight.Off(ErrLeft)
+			request.inFlight.Cancel(ErrNotNeeded)
 			canceled++
 		}
 	}
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -14,24 +14,24 @@
 
 // Backend is a model backend: the scheduler's record of it, and how to connect to it.
 type Backend struct {
-	Name      string
-	At        []addresses.Spec // its listed addresses that the deployment allows
-	Known     *brain.Backend   // the scheduler's record of it
-	Start     uint64           // number of the backend's start, as listed
-	Drained   chan struct{}    // closed when the backend is removed
-	pool      *reach.Host
-	location  [3]string     // kind, zone and rack, as listed
-	startedAt time.Duration // when Start was, as first listed
-	hasAge    bool          // the list gave the age of Start
-	removedAt time.Duration
-	inFlight  int // attempts
+	Name           string
+	Addresses      []addresses.Spec // its listed addresses that the deployment allows
+	SchedulerState *brain.Backend   // the scheduler's record of it
+	StartID        uint64           // number of the backend's start, as listed
+	Removed        chan struct{}    // closed when the backend is removed
+	pool           *reach.Host
+	location       [3]string     // kind, zone and rack, as listed
+	startedAt      time.Duration // when Start was, as first listed
+	hasAge         bool          // the list gave the age of Start
+	removedAt      time.Duration
+	inFlight       int // attempts
 }
 
-// HostID returns a backend's number, which is the same at all dispatchers.
-func HostID(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
+// BackendID returns a backend's number, which is the same at all dispatchers.
+func BackendID(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// Listed applies entries of the service discovery list. A complete list removes the backends that it leaves out.
-func (l *Loop) Listed(entries []boxlist.Box, complete bool) {
+// UpdateBackends applies entries of the service discovery list. A complete list removes the backends that it leaves out.
+func (l *Loop) UpdateBackends(entries []boxlist.Box, complete bool) {
 	var listings []brain.Listing
 	named := map[string]bool{}
 	for _, entry := range entries {
@@ -40,7 +40,7 @@
 		if backend != nil && backend.location != location && entry.Standing != boxlist.Gone {
 			// Another machine has taken over the name: nothing known of the old one holds for it.
 			l.remove(backend)
-			listings = append(listings, brain.Listing{Host: backend.Known, Standing: brain.Gone})
+			listings = append(listings, brain.Listing{Host: backend.SchedulerState, Standing: brain.Gone})
 			l.forgetBackend(backend)
 			backend = nil
 		}
@@ -48,18 +48,18 @@
 			if entry.Standing == boxlist.Gone {
 				continue
 			}
-			id := HostID(entry.Name)
-			kind := l.resolver.Kind(entry.Kind)
+			id := BackendID(entry.Name)
+			kind := l.resolver.KindNumber(entry.Kind)
 			if l.schedulerBackends[id] != nil || kind < 0 {
 				l.Log.Warn("ignored a backend of the service discovery list", "box", entry.Name, "kind", entry.Kind,
 					"id", id, "why", "the kind is unknown, or the id collides with another backend's")
 				continue
 			}
-			backend = &Backend{Name: entry.Name, Drained: make(chan struct{}), location: location}
-			backend.Known = &brain.Backend{
-				ID: id, Kind: kind, Zone: max(l.resolver.Zone(entry.Zone), 0), Rack: int(HostID(entry.Rack)),
+			backend = &Backend{Name: entry.Name, Removed: make(chan struct{}), location: location}
+			backend.SchedulerState = &brain.Backend{
+				ID: id, Kind: kind, Zone: max(l.resolver.ZoneNumber(entry.Zone), 0), Rack: int(BackendID(entry.Rack)),
 			}
-			l.backends[entry.Name], l.byState[backend.Known], l.schedulerBackends[id] = backend, backend, backend.Known
+			l.backends[entry.Name], l.byState[backend.SchedulerState], l.schedulerBackends[id] = backend, backend, backend.SchedulerState
 		}
 		listings = append(listings, l.listing(backend, entry))
 	}
@@ -78,7 +78,7 @@
 func (l *Loop) forgetRemoved() {
 	l.removed = slices.DeleteFunc(l.removed, func(backend *Backend) bool {
 		switch {
-		case backend.Known.Standing != brain.Gone || l.backends[backend.Name] != backend:
+		case backend.SchedulerState.Standing != brain.Gone || l.backends[backend.Name] != backend:
 			return true
 		case backend.inFlight == 0 && l.now-backend.removedAt >= removedRetention:
 			l.forgetBackend(backend)
@@ -95,22 +95,22 @@
 // forgetBackend drops a backend. Attempts in flight keep their own reference to it.
 func (l *Loop) forgetBackend(backend *Backend) {
 	delete(l.backends, backend.Name)
-	delete(l.schedulerBackends, backend.Known.ID)
+	delete(l.schedulerBackends, backend.SchedulerState.ID)
 	if backend.inFlight == 0 {
-		delete(l.byState, backend.Known)
+		delete(l.byState, backend.SchedulerState)
 	}
 }
 
 // remove marks a backend as removed, which ends repeated releases to it, and takes its addresses away.
 func (l *Loop) remove(backend *Backend) {
 	select {
-	case <-backend.Drained:
+	case <-backend.Removed:
 	default:
-		close(backend.Drained)
-		backend.At, backend.removedAt = nil, l.now
+		close(backend.Removed)
+		backend.Addresses, backend.removedAt = nil, l.now
 		l.removed = append(l.removed, backend)
 		l.accountListed(backend, true)
-		l.transport.Reach(backend, nil)
+		l.transport.SetAddresses(backend, nil)
 	}
 }
 
@@ -124,23 +124,23 @@
 	} else {
 		l.accountListed(backend, false)
 		select {
-		case <-backend.Drained:
-			backend.Drained = make(chan struct{}) // it came back under its name
+		case <-backend.Removed:
+			backend.Removed = make(chan struct{}) // it came back under its name
 		default:
 		}
-		if allowed := l.allowedAddresses(entry); !slices.Equal(allowed, backend.At) {
-			backend.At = allowed
-			l.transport.Reach(backend, allowed)
+		if allowed := l.allowedAddresses(entry); !slices.Equal(allowed, backend.Addresses) {
+			backend.Addresses = allowed
+			l.transport.SetAddresses(backend, allowed)
 		}
 	}
 	// One start keeps the time computed from its first entry, although the list repeats it with another age each time.
 	// Otherwise the scheduler would see a new start in every entry and forget what it knows of the backend.
-	if backend.Start != entry.Start || !backend.hasAge {
+	if backend.StartID != entry.Start || !backend.hasAge {
 		backend.startedAt, backend.hasAge = l.now-time.Duration(entry.UpMs)*time.Millisecond, entry.UpMs >= 0
 	}
-	backend.Start = entry.Start
+	backend.StartID = entry.Start
 	return brain.Listing{
-		Host: backend.Known, Standing: standing, Units: max(entry.Units, 0.01),
+		Host: backend.SchedulerState, Standing: standing, Units: max(entry.Units, 0.01),
 		Booted: backend.startedAt, Restart: entry.UpMs >= 0,
 	}
 }
@@ -152,7 +152,7 @@
 	for _, spec := range append(slices.Clone(entry.Addresses), l.extraAddresses[entry.Name]...) {
 		if err := spec.Check(); err != nil {
 			l.Log.Warn("ignored an invalid backend address", "box", entry.Name, "address", spec, "why", err)
-		} else if !l.resolver.Allows(spec) {
+		} else if !l.resolver.AddressAllowed(spec) {
 			l.Log.Warn("ignored a backend address that is not allowed", "box", entry.Name, "address", spec,
 				"why", "it is outside of dispatcher.allow")
 		} else {
--- a/internal/dispatch/backends_test.go
+++ b/internal/dispatch/backends_test.go
@@ -28,13 +28,13 @@
 	const backends, rounds, maxTime = 3200, 10, 25 * time.Millisecond
 	l, _ := newTestLoop(t, "idempotent")
 	entries := completeList(backends)
-	l.Do(func() { l.Listed(entries, true) })
+	l.RunTurn(func() { l.UpdateBackends(entries, true) })
 	if len(l.backends) < backends {
 		t.Fatalf("%d backends are known", len(l.backends))
 	}
 	start := time.Now()
 	for range rounds {
-		l.Do(func() { l.Listed(entries, true) })
+		l.RunTurn(func() { l.UpdateBackends(entries, true) })
 	}
 	if took := time.Since(start) / rounds; took > maxTime {
 		t.Errorf("a list takes %v", took)
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -7,17 +7,17 @@
 	"sloetrestle/brain"
 )
 
-// Tally counts what a loop has handled since its start. Only the loop's goroutine reads it.
-type Tally struct {
-	Taken, Satisfied, Declined, Forfeited, Left, Overdue, Trips, Throttled int64
+// Counters counts what a loop has handled since its start. Only the loop's goroutine reads it.
+type Counters struct {
+	Accepted, Served, Rejected, Failed, Disconnected, Overdue, Attempts, Throttled int64
 
-	Outcomes      [brain.NotSent + 1]int64
-	Prefills      [brain.Whole + 1]PrefillCounters // by stage
-	Began, InTime int64                     // first tokens, and those by the latency target
+	Outcomes            [brain.NotSent + 1]int64
+	Prefills            [brain.Whole + 1]PrefillCounters // by stage
+	FirstTokens, OnTime int64                            // first tokens, and those by the latency target
 
-	// Held and First are sums over the requests with a first token: from acceptance until the last attempt was sent,
+	// QueueTime and FirstTokenTime are sums over the requests with a first token: from acceptance until the last attempt was sent,
 	// and until the first token.
-	Held, First time.Duration
+	QueueTime, FirstTokenTime time.Duration
 }
 
 // PrefillCounters counts the attempts of one stage that ended well, and in tokens their prompts, what their backends reported
@@ -30,7 +30,7 @@
 }
 
 // ended counts the end of an attempt.
-func (c *Tally) ended(attempt *brain.Attempt, result brain.Result) {
+func (c *Counters) ended(attempt *brain.Attempt, result brain.Result) {
 	c.Outcomes[result.Outcome]++
 	if result.Outcome != brain.Read && result.Outcome != brain.Served {
 		return
@@ -44,12 +44,12 @@
 }
 
 // began counts the first token of an attempt.
-func (c *Tally) began(attempt *brain.Attempt) {
+func (c *Counters) began(attempt *brain.Attempt) {
 	request := attempt.Request
-	c.Began++
+	c.FirstTokens++
 	if attempt.Began <= request.TargetAt {
-		c.InTime++
+		c.OnTime++
 	}
-	c.Held += request.Dispatched - request.Taken
-	c.First += attempt.Began - request.Taken
+	c.QueueTime += request.Dispatched - request.Taken
+	c.FirstTokenTime += attempt.Began - request.Taken
 }
--- a/internal/dispatch/http_transport.go
+++ b/internal/dispatch/http_transport.go
@@ -24,20 +24,20 @@
 )
 
 var (
-	// ErrLate cancels an attempt that has no first token within its timeout.
-	ErrLate = errors.New("attempt timed out before its first token")
-	// ErrLeft cancels an attempt that nobody waits for any more: its client has disconnected or its request is over.
-	ErrLeft = errors.New("attempt no longer needed")
+	// ErrAttemptTimeout cancels an attempt that has no first token within its timeout.
+	ErrAttemptTimeout = errors.New("attempt timed out before its first token")
+	// ErrNotNeeded cancels an attempt that nobody waits for any more: its client has disconnected or its request is over.
+	ErrNotNeeded = errors.New("attempt no longer needed")
 
 	errStalled = errors.New("no token within the stall timeout")
 )
 
 // Observation is what an attempt's connection showed.
 type Observation struct {
-	LocalFailure     bool         // the connection failed at this machine, before anything left it
-	Sent bool         // a byte of the request was sent, over a connection that is known to be established
-	Report      *kserve.Told // what the backend reported at the end; nil if it reported nothing valid
-	Cause     error        // why the attempt was cancelled; nil if it was not
+	LocalFailure bool         // the connection failed at this machine, before anything left it
+	Sent         bool         // a byte of the request was sent, over a connection that is known to be established
+	Report       *kserve.Told // what the backend reported at the end; nil if it reported nothing valid
+	Cause        error        // why the attempt was cancelled; nil if it was not
 }
 
 // Outcome returns the outcome that the observation proves, with the number of cached tokens, or 1 where a rejection
@@ -58,15 +58,15 @@
 		return brain.Failed, 0
 	}
 	switch {
-	case !s.Sent && errors.Is(s.Cause, ErrLeft):
+	case !s.Sent && errors.Is(s.Cause, ErrNotNeeded):
 		return brain.Cancelled, 0
 	case s.LocalFailure:
 		return brain.NotSent, 0
 	case !s.Sent:
 		return brain.Unreachable, 0
-	case errors.Is(s.Cause, ErrLate):
+	case errors.Is(s.Cause, ErrAttemptTimeout):
 		return brain.TimedOut, 0
-	case errors.Is(s.Cause, ErrLeft):
+	case errors.Is(s.Cause, ErrNotNeeded):
 		return brain.Cancelled, 0
 	}
 	return brain.Broken, 0
@@ -74,18 +74,18 @@
 
 // HTTPTransport is the Transport that sends attempts to backends over HTTP.
 type HTTPTransport struct {
-	Model string
+	Model        string
 	StallTimeout time.Duration // longest time between two tokens of a stream
-	Peers *Peers        // nil: no peer updates are sent
-	Pools *reach.Boxes  // connection pools, by backend
+	Peers        *Peers        // nil: no peer updates are sent
+	Pools        *reach.Boxes  // connection pools, by backend
 
 	loop     *Loop
 	group    *errgroup.Group
 	lifetime context.Context
 
-	mu       sync.Mutex
-	releases map[*Backend]*releaseQueue
-	DroppedReleases  atomic.Int64 // releases dropped because too many were queued for their backend
+	mu              sync.Mutex
+	releases        map[*Backend]*releaseQueue
+	DroppedReleases atomic.Int64 // releases dropped because too many were queued for their backend
 }
 
 // NewHTTPTransport returns a transport with its connection pools. Its goroutines belong to the group and end with the lifetime
@@ -98,38 +98,38 @@
 	return &HTTPTransport{lifetime: lifetime, group: group, Pools: pools, releases: map[*Backend]*releaseQueue{}}
 }
 
-// Reach sets a backend's addresses.
-func (c *HTTPTransport) Reach(backend *Backend, specs []addresses.Spec) {
-	backend.pool = c.Pools.Set(backend.Name, specs, uint64(backend.Known.ID))
+// SetAddresses sets a backend's addresses.
+func (c *HTTPTransport) SetAddresses(backend *Backend, specs []addresses.Spec) {
+	backend.pool = c.Pools.Set(backend.Name, specs, uint64(backend.SchedulerState.ID))
 }
 
 // Start sends an attempt from a goroutine of its own.
 func (c *HTTPTransport) Start(attempt *Attempt) {
-	attempt.ctx, attempt.Off = context.WithCancelCause(c.lifetime)
-	scheduled, request := attempt.Planned.Request, attempt.Request
+	attempt.ctx, attempt.Cancel = context.WithCancelCause(c.lifetime)
+	scheduled, request := attempt.Scheduled.Request, attempt.Request
 	metadata := kserve.Errand{
 		Stage: attempt.Stage(),
-		From:  c.loop.Epoch, Question: scheduled.ID, Trip: attempt.Planned.Number,
-		Mark: cmp.Or(request.Ask.ID, attempt.Key), Grade: request.Grade, Channel: request.Channel,
+		From:  c.loop.Epoch, Question: scheduled.ID, Trip: attempt.Scheduled.Number,
+		Mark: cmp.Or(request.Params.ID, attempt.RequestKey), Grade: request.Class, Channel: request.Tenant,
 		Session: scheduled.Session, Shared: scheduled.Shared, Tokens: int(scheduled.Prompt),
-		Prefix: int(scheduled.Prefix), Most: int(scheduled.Most), WaitUs: attempt.Wait.Microseconds(),
+		Prefix: int(scheduled.Prefix), Most: int(scheduled.Most), WaitUs: attempt.Timeout.Microseconds(),
 	}
-	if attempt.State != nil {
-		metadata.Reader, metadata.State = attempt.State.Name, attempt.State.pool.Best()
+	if attempt.PrefillBackend != nil {
+		metadata.Reader, metadata.State = attempt.PrefillBackend.Name, attempt.PrefillBackend.pool.Best()
 	}
 	// Read what the goroutine needs here, as backends and requests belong to the loop.
-	pool, text := attempt.Backend.pool, request.Ask.Text
+	pool, text := attempt.Backend.pool, request.Params.Text
 	c.group.Go(func() error {
 		observed := c.runAttempt(attempt, pool, text, metadata)
-		attempt.Off(nil)
-		outcome, note := observed.Outcome(attempt.Planned.Stage)
+		attempt.Cancel(nil)
+		outcome, note := observed.Outcome(attempt.Scheduled.Stage)
 		result := brain.Result{Outcome: outcome, Note: note}
 		if observed.Report != nil {
 			result.Load = observed.Report.Load
-			attempt.Count = observed.Report.Count
+			attempt.Usage = observed.Report.Count
 		}
 		close(attempt.Tokens)
-		c.loop.Post(func() { c.loop.Ended(attempt, result) })
+		c.loop.Post(func() { c.loop.AttemptEnded(attempt, result) })
 		return nil
 	})
 }
@@ -146,7 +146,7 @@
 		if observed.Report != nil {
 			observed.Report.Bound(metadata)
 			conn.Served()
-		} else if !errors.Is(observed.Cause, ErrLeft) {
+		} else if !errors.Is(observed.Cause, ErrNotNeeded) {
 			conn.Lost()
 		}
 	}()
@@ -165,7 +165,7 @@
 		observed.Report = readReport(resp)
 		return observed
 	}
-	stall := time.AfterFunc(c.StallTimeout, func() { attempt.Off(errStalled) })
+	stall := time.AfterFunc(c.StallTimeout, func() { attempt.Cancel(errStalled) })
 	defer stall.Stop()
 	events := kserve.NewEvents(resp.Body)
 	for begun := false; ; {
@@ -195,10 +195,10 @@
 			}
 			if !begun {
 				begun = true
-				c.loop.Post(func() { c.loop.Began(attempt) })
+				c.loop.Post(func() { c.loop.AttemptBegan(attempt) })
 			}
 			stall.Reset(c.StallTimeout) // only tokens show that the answer makes progress
-			if attempt.Streamed.Add(1) > int64(metadata.Most) {
+			if attempt.StreamedTokens.Add(1) > int64(metadata.Most) {
 				return observed // more tokens than requested: this cannot be the answer to the request
 			}
 			select {
@@ -227,10 +227,10 @@
 	return report
 }
 
-// Tell sends an update to a peer.
-func (c *HTTPTransport) Tell(peer int, update brain.PeerUpdate) {
+// SendPeerUpdate sends an update to a peer.
+func (c *HTTPTransport) SendPeerUpdate(peer int, update brain.PeerUpdate) {
 	if c.Peers != nil {
-		c.Peers.Tell(peer, update)
+		c.Peers.SendUpdate(peer, update)
 	}
 }
 
@@ -252,17 +252,17 @@
 
 // Release has a backend release a request's KV cache. It is repeated until it succeeds or the backend is removed.
 func (c *HTTPTransport) Release(backend *Backend, request *ClientRequest) {
-	if request.AttemptOut() {
+	if request.AttemptInFlight() {
 		return // that attempt arrives, as its connection was proven first, and may not have fetched the KV cache yet
 	}
-	key := kserve.Release{Key: c.loop.Key(request), Trip: len(request.Request.Attempts) - 1}
+	key := kserve.Release{Key: c.loop.RequestKey(request), Trip: len(request.Scheduled.Attempts) - 1}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	queue := c.releases[backend]
 	if queue == nil {
 		queue = &releaseQueue{}
 		c.releases[backend] = queue
-		pool, removed := backend.pool, backend.Drained
+		pool, removed := backend.pool, backend.Removed
 		c.group.Go(func() error { c.sendReleases(backend, queue, pool, removed); return nil })
 	}
 	if len(queue.keys) >= maxQueuedReleases {
--- a/internal/dispatch/http_transport_test.go
+++ b/internal/dispatch/http_transport_test.go
@@ -17,12 +17,12 @@
 		note     int
 	}{
 		{Observation{}, brain.Whole, brain.Unreachable, 0},
-		{Observation{Cause: ErrLate}, brain.Whole, brain.Unreachable, 0},
-		{Observation{Cause: ErrLeft}, brain.Whole, brain.Cancelled, 0},
+		{Observation{Cause: ErrAttemptTimeout}, brain.Whole, brain.Unreachable, 0},
+		{Observation{Cause: ErrNotNeeded}, brain.Whole, brain.Cancelled, 0},
 		{Observation{Sent: true}, brain.Whole, brain.Broken, 0},
 		{Observation{Sent: true, Cause: errStalled}, brain.Whole, brain.Broken, 0},
-		{Observation{Sent: true, Cause: ErrLate}, brain.ToWrite, brain.TimedOut, 0},
-		{Observation{Sent: true, Cause: ErrLeft}, brain.ToWrite, brain.Cancelled, 0},
+		{Observation{Sent: true, Cause: ErrAttemptTimeout}, brain.ToWrite, brain.TimedOut, 0},
+		{Observation{Sent: true, Cause: ErrNotNeeded}, brain.ToWrite, brain.Cancelled, 0},
 		{Observation{Sent: true, Report: report(kserve.OutcomeRead)}, brain.ToRead, brain.Read, 5},
 		{Observation{Sent: true, Report: report(kserve.OutcomeRead)}, brain.Whole, brain.Failed, 0},
 		{Observation{Sent: true, Report: report(kserve.OutcomeAnswered)}, brain.ToWrite, brain.Served, 5},
--- a/internal/dispatch/lag.go
+++ b/internal/dispatch/lag.go
@@ -19,11 +19,11 @@
 	oldestPostedAt atomic.Int64 // when the oldest waiting message was posted, in nanoseconds; 0 if none waits
 
 	// The fields below belong to the loop. The first three cover the time since the last call of Period.
-	LongestTurn time.Duration
-	LongestWait time.Duration // of a message in the queue
+	LongestTurn       time.Duration
+	LongestWait       time.Duration // of a message in the queue
 	LongestTimerDelay time.Duration // the most by which a timer ran late
-	LongTurns   int64         // turns of longTurn and more, since the start
-	lastLogged  time.Duration
+	LongTurns         int64         // turns of longTurn and more, since the start
+	lastLogged        time.Duration
 }
 
 // posted records that a message was posted. It has an effect only if no other message waits.
@@ -61,9 +61,9 @@
 	}
 }
 
-// Period returns the longest turn, the longest wait of a message and the greatest delay of a timer since the last call,
+// TakePeriod returns the longest turn, the longest wait of a message and the greatest delay of a timer since the last call,
 // and resets them.
-func (g *Lag) Period() (turn, wait, timer time.Duration) {
+func (g *Lag) TakePeriod() (turn, wait, timer time.Duration) {
 	turn, wait, timer = g.LongestTurn, g.LongestWait, g.LongestTimerDelay
 	g.LongestTurn, g.LongestWait, g.LongestTimerDelay = 0, 0, 0
 	return turn, wait, timer
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -26,17 +26,17 @@
 	Start(attempt *Attempt)
 	// Release has a backend release the KV cache that the request's attempts so far may have left there.
 	Release(backend *Backend, request *ClientRequest)
-	// Reach sets the addresses of a backend; none means that it is removed.
-	Reach(backend *Backend, specs []addresses.Spec)
-	// Tell sends an update to a peer.
-	Tell(peer int, update brain.PeerUpdate)
+	// SetAddresses sets the addresses of a backend; none means that it is removed.
+	SetAddresses(backend *Backend, specs []addresses.Spec)
+	// SendPeerUpdate sends an update to a peer.
+	SendPeerUpdate(peer int, update brain.PeerUpdate)
 }
 
-// Places translates names of the service discovery list to the scheduler's numbers, and says which addresses are
+// Resolver translates names of the service discovery list to the scheduler's numbers, and says which addresses are
 // allowed.
-type Places struct {
-	Zone, Kind func(name string) int     // negative: unknown
-	Allows     func(addresses.Spec) bool // nil: all are allowed
+type Resolver struct {
+	ZoneNumber, KindNumber func(name string) int     // negative: unknown
+	AddressAllowed         func(addresses.Spec) bool // nil: all are allowed
 }
 
 // message is a closure that waits for the loop.
@@ -50,9 +50,9 @@
 	l.transport.Release(backend, request)
 }
 
-// Key returns the request's key at backends.
-func (l *Loop) Key(request *ClientRequest) string {
-	return fmt.Sprintf("%s/%d", l.Epoch, request.Request.ID)
+// RequestKey returns the request's key at backends.
+func (l *Loop) RequestKey(request *ClientRequest) string {
+	return fmt.Sprintf("%s/%d", l.Epoch, request.Scheduled.ID)
 }
 
 // Loop is the event loop that owns the scheduler.
@@ -60,9 +60,9 @@
 	Epoch string // identifies this start of this dispatcher
 	Log   *slog.Logger
 
-	scheduler Module
+	scheduler Scheduler
 	transport Transport
-	resolver  Places
+	resolver  Resolver
 	clock     func() time.Duration
 
 	mu      sync.Mutex
@@ -73,7 +73,7 @@
 
 	// The fields below belong to the loop's goroutine.
 	now               time.Duration // time of the present turn
-	timers            agenda.Agenda // of the scheduler and of the loop
+	timers            agenda.Queue  // of the scheduler and of the loop
 	requests          map[*brain.Request]*ClientRequest
 	lastID            uint64
 	backends          map[string]*Backend
@@ -81,24 +81,24 @@
 	schedulerBackends map[uint32]*brain.Backend
 
 	extraAddresses map[string][]addresses.Spec // by backend, from the configuration
-	Tally          Tally
+	Counters       Counters
 	Lag            Lag
 	removed        []*Backend // remembered for removedRetention
 
-	accounting *Books
+	accounting *Accounting
 
-	// Guard throttles retries before they reach the scheduler. With nil every request reaches the scheduler, and
+	// RetryThrottle throttles retries before they reach the scheduler. With nil every request reaches the scheduler, and
 	// clients get the scheduler's own advice when to retry.
-	Guard *storm.Guard
+	RetryThrottle *storm.Guard
 }
 
 // NewLoop returns a loop with a scheduler of its own. clock returns the time since the start.
 func NewLoop(
-	facts brain.Facts, seed uint64, resolver Places, transport Transport, clock func() time.Duration, epoch string,
+	facts brain.Facts, seed uint64, resolver Resolver, transport Transport, clock func() time.Duration, epoch string,
 	log *slog.Logger,
 ) (*Loop, error) {
-	if resolver.Allows == nil {
-		resolver.Allows = func(addresses.Spec) bool { return true }
+	if resolver.AddressAllowed == nil {
+		resolver.AddressAllowed = func(addresses.Spec) bool { return true }
 	}
 	l := &Loop{
 		Epoch: epoch, Log: log, transport: transport, resolver: resolver, clock: clock,
@@ -111,8 +111,8 @@
 	return l, err
 }
 
-// Module is the scheduler that a loop hosts: the one of this project, or a baseline to compare it with.
-type Module interface {
+// Scheduler is the scheduler that a loop hosts: the one of this project, or a baseline to compare it with.
+type Scheduler interface {
 	Listed(listings []brain.Listing, complete bool)
 	Submit(request *brain.Request, class, tenant int)
 	Began(attempt *brain.Attempt, took time.Duration)
@@ -122,14 +122,14 @@
 	MaySend(attempt *brain.Attempt) brain.Permission
 }
 
-// Host replaces the loop's scheduler. It must be called before the first event.
-func (l *Loop) Host(scheduler Module) {
+// SetScheduler replaces the loop's scheduler. It must be called before the first event.
+func (l *Loop) SetScheduler(scheduler Scheduler) {
 	l.scheduler = scheduler
 	l.timers.Clear()
 }
 
-// NextDue returns the time at which the loop's next timer is due, and false if there is none.
-func (l *Loop) NextDue() (time.Duration, bool) { return l.timers.Next() }
+// NextTimer returns the time at which the loop's next timer is due, and false if there is none.
+func (l *Loop) NextTimer() (time.Duration, bool) { return l.timers.NextDue() }
 
 // Post queues a closure for the loop. It returns false if the loop has ended.
 func (l *Loop) Post(run func()) bool {
@@ -185,7 +185,7 @@
 		l.mu.Lock()
 		l.Lag.updateOldest(l.queue)
 		l.mu.Unlock()
-		l.Due()
+		l.RunTimers()
 		if len(batch) > 0 {
 			select {
 			case <-ctx.Done():
@@ -195,7 +195,7 @@
 			}
 		}
 		sleep := time.Hour
-		if due, ok := l.timers.Next(); ok {
+		if due, ok := l.timers.NextDue(); ok {
 			sleep = max(due-l.clock(), 0)
 		}
 		timer.Reset(sleep)
@@ -210,34 +210,34 @@
 
 // handle runs a message and then the timers that have come due, so that timers do not wait for the whole queue.
 func (l *Loop) handle(m message) {
-	l.Do(m.run)
+	l.RunTurn(m.run)
 	l.Lag.LongestWait = max(l.Lag.LongestWait, l.now-m.postedAt)
 	end := l.clock()
 	l.Lag.recordTurn(l.now, end, l.Log)
-	if due, ok := l.timers.Next(); ok && due <= end {
-		l.Due()
+	if due, ok := l.timers.NextDue(); ok && due <= end {
+		l.RunTimers()
 	}
 }
 
-// Behind returns how long the oldest waiting message has waited. It may be called by any goroutine.
-func (l *Loop) Behind() time.Duration { return l.Lag.currentWait(l.clock()) }
+// QueueDelay returns how long the oldest waiting message has waited. It may be called by any goroutine.
+func (l *Loop) QueueDelay() time.Duration { return l.Lag.currentWait(l.clock()) }
 
-// Do runs a closure as one turn at the present time. Only the loop's goroutine may call it, or a caller that drives
+// RunTurn runs a closure as one turn at the present time. Only the loop's goroutine may call it, or a caller that drives
 // the loop without Run.
-func (l *Loop) Do(run func()) {
+func (l *Loop) RunTurn(run func()) {
 	l.now = l.clock()
 	run()
 }
 
-// Due runs the timers that are due.
-func (l *Loop) Due() {
+// RunTimers runs the timers that are due.
+func (l *Loop) RunTimers() {
 	for now := l.clock(); ; {
-		due, callback, ok := l.timers.Take(now)
+		due, callback, ok := l.timers.PopDue(now)
 		if !ok {
 			return
 		}
 		l.Lag.LongestTimerDelay = max(l.Lag.LongestTimerDelay, now-due)
-		l.Do(callback)
+		l.RunTurn(callback)
 		l.Lag.recordTurn(l.now, l.clock(), l.Log)
 	}
 }
@@ -251,17 +251,17 @@
 	request.started, request.final, request.kvHolders =
 		make(chan *Attempt, 1), make(chan kserve.Final, 1), map[*Backend]bool{}
 	request.submittedAt = l.now
-	params := request.Ask
-	request.Request = &brain.Request{
-		ID: l.lastID, Session: Number(params.Session), Shared: Number(params.Shared), Prompt: float64(params.Tokens),
+	params := request.Params
+	request.Scheduled = &brain.Request{
+		ID: l.lastID, Session: HashName(params.Session), Shared: HashName(params.Shared), Prompt: float64(params.Tokens),
 		Prefix: float64(params.Prefix), Most: float64(params.Most), Again: params.Again, Left: timeLeft,
 	}
-	l.Tally.Taken++
+	l.Counters.Accepted++
 	request.tenantNumber = tenant
-	if l.Guard != nil {
-		if admit, after, ticket := l.Guard.Arrive(l.now, params.Again, tenant, params.Ticket); !admit {
-			request.Request.Over = true
-			l.Tally.Throttled++
+	if l.RetryThrottle != nil {
+		if admit, after, ticket := l.RetryThrottle.Arrive(l.now, params.Again, tenant, params.Ticket); !admit {
+			request.Scheduled.Over = true
+			l.Counters.Throttled++
 			l.answer(request, kserve.Final{
 				Final: kserve.Declined, Error: "too many ask again just now", Harmless: true,
 				AfterMs: after.Milliseconds(), Ticket: ticket,
@@ -269,21 +269,21 @@
 			return
 		}
 	}
-	l.requests[request.Request] = request
+	l.requests[request.Scheduled] = request
 	// The scheduler answers every request before its deadline; if it ever failed to, the client must not hang.
 	l.Wake(timeLeft+overdueGrace, func() {
-		begun := request.inFlight != nil && request.inFlight.Planned.Began > 0
+		begun := request.inFlight != nil && request.inFlight.Scheduled.Began > 0
 		if !request.answered && !request.disconnected && !begun {
-			l.Tally.Overdue++
-			l.Log.Error("request without an answer at its deadline", "question", request.Request.ID)
+			l.Counters.Overdue++
+			l.Log.Error("request without an answer at its deadline", "question", request.Scheduled.ID)
 			l.answer(request, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
-			l.scheduler.Left(request.Request)
+			l.scheduler.Left(request.Scheduled)
 			l.forgetIfOver(request)
 		}
 	})
 	l.reserveBudgets(request, func() {
-		request.Request.Left = timeLeft - (l.now - request.submittedAt)
-		l.scheduler.Submit(request.Request, class, tenant)
+		request.Scheduled.Left = timeLeft - (l.now - request.submittedAt)
+		l.scheduler.Submit(request.Scheduled, class, tenant)
 		l.forgetIfOver(request)
 	})
 }
@@ -291,8 +291,8 @@
 // overdueGrace is how long after its deadline a request without an answer is failed by the loop itself.
 const overdueGrace = 5 * time.Millisecond
 
-// Number hashes a name to the scheduler's number for it; the empty name is 0, no other is.
-func Number(name string) uint64 {
+// HashName hashes a name to the scheduler's number for it; the empty name is 0, no other is.
+func HashName(name string) uint64 {
 	if name == "" {
 		return 0
 	}
@@ -306,27 +306,27 @@
 		return
 	}
 	request.answered = true
-	request.End()
-	final.Trips = len(request.Request.Attempts)
+	request.MarkOver()
+	final.Trips = len(request.Scheduled.Attempts)
 	l.accountRequest(request, final.Final, final.Error)
-	if l.Guard != nil && !request.overBudget && final.Trips+int(final.AfterMs) > 0 {
-		served, scheduled := final.Final == kserve.Satisfied, request.Request
+	if l.RetryThrottle != nil && !request.overBudget && final.Trips+int(final.AfterMs) > 0 {
+		served, scheduled := final.Final == kserve.Satisfied, request.Scheduled
 		inTime := served && len(scheduled.Attempts) > 0 &&
 			scheduled.Attempts[len(scheduled.Attempts)-1].Began <= scheduled.TargetAt
-		l.Guard.Answered(l.now, served, !request.Ask.Again && request.Ask.Ticket == "", inTime, request.tenantNumber)
+		l.RetryThrottle.Answered(l.now, served, !request.Params.Again && request.Params.Ticket == "", inTime, request.tenantNumber)
 	}
 	switch final.Final {
 	case kserve.Satisfied:
-		l.Tally.Satisfied++
+		l.Counters.Served++
 	case kserve.Declined:
-		l.Tally.Declined++
+		l.Counters.Rejected++
 	default:
-		l.Tally.Forfeited++
+		l.Counters.Failed++
 	}
-	l.Log.Debug("request answered", "question", request.Request.ID, "id", request.Ask.ID, "grade", request.Grade,
+	l.Log.Debug("request answered", "question", request.Scheduled.ID, "id", request.Params.ID, "grade", request.Class,
 		"final", final.Final, "trips", final.Trips, "took", l.now-request.submittedAt, "error", final.Error)
-	if request.Tell != nil {
-		request.Tell(final)
+	if request.OnFinal != nil {
+		request.OnFinal(final)
 		return
 	}
 	request.final <- final
@@ -334,53 +334,53 @@
 
 // forgetIfOver drops a request that is over and has no attempt in flight.
 func (l *Loop) forgetIfOver(request *ClientRequest) {
-	if request.Request.Over && request.Request.Out() == nil {
-		delete(l.requests, request.Request)
-		request.Matter = nil // timers refer to the request for seconds more
+	if request.Scheduled.Over && request.Scheduled.Out() == nil {
+		delete(l.requests, request.Scheduled)
+		request.Payload = nil // timers refer to the request for seconds more
 		l.settleBudgets(request)
 	}
 }
 
-// News decodes a peer's update and hands it to the scheduler. Updates about unknown backends are ignored.
-func (l *Loop) News(raw []byte) error {
+// ReceivePeerUpdate decodes a peer's update and hands it to the scheduler. Updates about unknown backends are ignored.
+func (l *Loop) ReceivePeerUpdate(raw []byte) error {
 	update, err := news.Decode(raw, l.schedulerBackends)
 	if err == nil && update.Host != nil {
-		l.Heard(update)
+		l.ApplyPeerUpdate(update)
 	}
 	return err
 }
 
-// Left handles a client that has disconnected.
-func (l *Loop) Left(request *ClientRequest) {
-	if request.Request == nil || request.answered || request.disconnected {
+// ClientDisconnected handles a client that has disconnected.
+func (l *Loop) ClientDisconnected(request *ClientRequest) {
+	if request.Scheduled == nil || request.answered || request.disconnected {
 		return
 	}
 	request.disconnected = true
-	request.End()
+	request.MarkOver()
 	l.accountRequest(request, "left", "")
-	l.Tally.Left++
-	if request.inFlight != nil && request.inFlight.Planned.Began > 0 {
-		request.inFlight.Off(ErrLeft)
+	l.Counters.Disconnected++
+	if request.inFlight != nil && request.inFlight.Scheduled.Began > 0 {
+		request.inFlight.Cancel(ErrNotNeeded)
 	}
-	l.scheduler.Left(request.Request)
+	l.scheduler.Left(request.Scheduled)
 	l.forgetIfOver(request)
 }
 
-// HostOf returns the scheduler's record of a backend, or nil if the list has not named it.
-func (l *Loop) HostOf(name string) *brain.Backend {
+// SchedulerBackend returns the scheduler's record of a backend, or nil if the list has not named it.
+func (l *Loop) SchedulerBackend(name string) *brain.Backend {
 	if backend := l.backends[name]; backend != nil {
-		return backend.Known
+		return backend.SchedulerState
 	}
 	return nil
 }
 
-// Believes returns the scheduler's estimates, or zero values if the scheduler does not report any.
-func (l *Loop) Believes() (estimates brain.Belief) {
+// Estimates returns the scheduler's estimates, or zero values if the scheduler does not report any.
+func (l *Loop) Estimates() (estimates brain.Belief) {
 	if reporter, ok := l.scheduler.(interface{ Believes() brain.Belief }); ok {
 		estimates = reporter.Believes()
 	}
 	return estimates
 }
 
-// Heard hands a peer's update to the scheduler.
-func (l *Loop) Heard(update brain.PeerUpdate) { l.scheduler.Heard(update) }
+// ApplyPeerUpdate hands a peer's update to the scheduler.
+func (l *Loop) ApplyPeerUpdate(update brain.PeerUpdate) { l.scheduler.Heard(update) }
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -24,7 +24,7 @@
 }
 
 func (f *fakeTransport) Start(attempt *Attempt) {
-	attempt.ctx, attempt.Off = context.WithCancelCause(context.Background())
+	attempt.ctx, attempt.Cancel = context.WithCancelCause(context.Background())
 	f.attempts = append(f.attempts, attempt)
 }
 
@@ -32,9 +32,9 @@
 	f.released = append(f.released, backend.Name)
 }
 
-func (f *fakeTransport) Tell(int, brain.PeerUpdate) {}
+func (f *fakeTransport) SendPeerUpdate(int, brain.PeerUpdate) {}
 
-func (f *fakeTransport) Reach(backend *Backend, specs []addresses.Spec) {
+func (f *fakeTransport) SetAddresses(backend *Backend, specs []addresses.Spec) {
 	f.reached = append(f.reached, fmt.Sprint(backend.Name, specs))
 }
 
@@ -64,15 +64,15 @@
 	t.Helper()
 	transport := &fakeTransport{now: time.Second}
 	config := testConfig(effect)
-	l, err := NewLoop(config.Facts(), 1, Places{
-		Zone: config.ZoneNumber, Kind: config.KindNumber,
-		Allows: func(spec addresses.Spec) bool { return spec.At != "10.9.9.9:1" },
+	l, err := NewLoop(config.Facts(), 1, Resolver{
+		ZoneNumber: config.ZoneNumber, KindNumber: config.KindNumber,
+		AddressAllowed: func(spec addresses.Spec) bool { return spec.At != "10.9.9.9:1" },
 	}, transport, func() time.Duration { return transport.now }, "d0.x", slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Do(func() {
-		l.Listed([]boxlist.Box{
+	l.RunTurn(func() {
+		l.UpdateBackends([]boxlist.Box{
 			listEntry("r1", "reader", "ready"), listEntry("r2", "reader", "ready"),
 			listEntry("w1", "writer", "ready"), listEntry("w2", "writer", "ready"),
 		}, true)
@@ -82,8 +82,8 @@
 
 // submit submits a request with that much time for its answer.
 func submit(l *Loop, timeLeft time.Duration) *ClientRequest {
-	request := &ClientRequest{Ask: kserve.Ask{Tokens: 2000, Most: 50, Session: "s"}, Grade: "g"}
-	l.Do(func() { l.Submit(request, 0, 0, timeLeft) })
+	request := &ClientRequest{Params: kserve.Ask{Tokens: 2000, Most: 50, Session: "s"}, Class: "g"}
+	l.RunTurn(func() { l.Submit(request, 0, 0, timeLeft) })
 	return request
 }
 
@@ -106,17 +106,17 @@
 	l, transport := newTestLoop(t, "idempotent")
 	request := submit(l, 4*time.Second)
 	attempt := transport.last()
-	transport.now += attempt.Wait + time.Millisecond
-	l.Due()
-	if context.Cause(attempt.ctx) != ErrLate {
+	transport.now += attempt.Timeout + time.Millisecond
+	l.RunTimers()
+	if context.Cause(attempt.ctx) != ErrAttemptTimeout {
 		t.Fatalf("the attempt was cancelled with %v", context.Cause(attempt.ctx))
 	}
-	l.Do(func() { l.Ended(attempt, brain.Result{Outcome: brain.TimedOut}) })
-	l.Do(func() { l.Ended(attempt, brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.TimedOut}) })
+	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.Read}) })
 	if len(transport.released) != 1 {
 		t.Errorf("releases %v: a cancelled prefill may have left its KV cache", transport.released)
 	}
-	if len(request.Request.Attempts) == 1 && !request.answered {
+	if len(request.Scheduled.Attempts) == 1 && !request.answered {
 		t.Error("neither another attempt nor an answer")
 	}
 }
@@ -126,14 +126,14 @@
 func TestFirstTokenAfterAttemptTimeoutIsIgnored(t *testing.T) {
 	l, transport := newTestLoop(t, "idempotent")
 	request := submit(l, 4*time.Second)
-	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
 	attempt := transport.last()
-	if attempt.Planned.Stage != brain.ToWrite || attempt.State == nil {
-		t.Fatalf("stage %d, prefill backend %v", attempt.Planned.Stage, attempt.State)
+	if attempt.Scheduled.Stage != brain.ToWrite || attempt.PrefillBackend == nil {
+		t.Fatalf("stage %d, prefill backend %v", attempt.Scheduled.Stage, attempt.PrefillBackend)
 	}
-	transport.now += attempt.Wait
-	l.Due()
-	l.Do(func() { l.Began(attempt) })
+	transport.now += attempt.Timeout
+	l.RunTimers()
+	l.RunTurn(func() { l.AttemptBegan(attempt) })
 	if len(request.started) != 0 {
 		t.Error("the stream was handed to the client")
 	}
@@ -144,29 +144,29 @@
 func TestAnAnswerThatCameWholeAfterItsTimeIsNoAnswer(t *testing.T) {
 	l, transport := newTestLoop(t, "unrepeatable")
 	request := submit(l, 4*time.Second)
-	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
 	attempt := transport.last()
-	transport.now += attempt.Wait
-	l.Due()
-	l.Do(func() { l.Began(attempt) })
-	l.Do(func() { l.Ended(attempt, brain.Result{Outcome: brain.Served}) })
+	transport.now += attempt.Timeout
+	l.RunTimers()
+	l.RunTurn(func() { l.AttemptBegan(attempt) })
+	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.Served}) })
 	if got := finalAnswer(t, request); got.Final != kserve.Forfeited || len(request.started) != 0 ||
-		l.Tally.Outcomes[brain.TimedOut] != 1 {
-		t.Errorf("%+v with %d streams, outcomes %v", got, len(request.started), l.Tally.Outcomes)
+		l.Counters.Outcomes[brain.TimedOut] != 1 {
+		t.Errorf("%+v with %d streams, outcomes %v", got, len(request.started), l.Counters.Outcomes)
 	}
 }
 
 func TestAClientThatLeavesMidStreamEndsItsTrip(t *testing.T) {
 	l, transport := newTestLoop(t, "unrepeatable")
 	request := submit(l, 4*time.Second)
-	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
 	attempt := transport.last()
-	l.Do(func() { l.Began(attempt) })
-	l.Do(func() { l.Left(request) })
-	if context.Cause(attempt.ctx) != ErrLeft {
+	l.RunTurn(func() { l.AttemptBegan(attempt) })
+	l.RunTurn(func() { l.ClientDisconnected(request) })
+	if context.Cause(attempt.ctx) != ErrNotNeeded {
 		t.Error("the stream continues without a client")
 	}
-	l.Do(func() { l.Ended(attempt, brain.Result{Outcome: brain.Cancelled}) })
+	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.Cancelled}) })
 	if len(request.final) != 0 || len(l.requests) != 0 {
 		t.Errorf("%d answers to a client that has disconnected, %d requests kept", len(request.final), len(l.requests))
 	}
@@ -175,9 +175,9 @@
 func TestNonIdempotentRequestThatMayHaveRunFails(t *testing.T) {
 	l, transport := newTestLoop(t, "unrepeatable")
 	request := submit(l, 4*time.Second)
-	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
 	before := len(transport.attempts)
-	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Broken}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Broken}) })
 	if final := finalAnswer(t, request); final.Final != kserve.Forfeited || final.Harmless ||
 		len(transport.attempts) != before {
 		t.Errorf("%+v after a broken attempt, and %d more attempts", final, len(transport.attempts)-before)
@@ -193,8 +193,8 @@
 	l, transport := newTestLoop(t, "idempotent")
 	submit(l, 4*time.Second)
 	prefill := transport.last().Backend.Name
-	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Read}) })
-	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Rejected, Note: 1}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Rejected, Note: 1}) })
 	if len(transport.released) != 1 || transport.released[0] != prefill {
 		t.Errorf("released at %v, the KV cache was at %s", transport.released, prefill)
 	}
@@ -205,11 +205,11 @@
 	l, transport := newTestLoop(t, "idempotent")
 	request := submit(l, 4*time.Second)
 	transport.now += 4*time.Second + overdueGrace
-	l.Due()
-	if final := finalAnswer(t, request); final.Final != kserve.Forfeited || l.Tally.Overdue != 1 {
-		t.Errorf("%+v, %d requests overdue", final, l.Tally.Overdue)
+	l.RunTimers()
+	if final := finalAnswer(t, request); final.Final != kserve.Forfeited || l.Counters.Overdue != 1 {
+		t.Errorf("%+v, %d requests overdue", final, l.Counters.Overdue)
 	}
-	l.Do(func() { l.Ended(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
 	if len(transport.released) == 0 || len(transport.attempts) != 1 {
 		t.Errorf("released at %v, %d attempts", transport.released, len(transport.attempts))
 	}
@@ -221,17 +221,17 @@
 	l, transport := newTestLoop(t, "idempotent")
 	entry := listEntry("w1", "writer", "ready")
 	entry.Start, entry.UpMs = 7, 1000
-	l.Do(func() { l.Listed([]boxlist.Box{entry}, false) })
-	known := l.backends["w1"].Known
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
+	known := l.backends["w1"].SchedulerState
 	booted := known.Booted
 	transport.now += 3 * time.Second
 	entry.UpMs = 4007
-	l.Do(func() { l.Listed([]boxlist.Box{entry}, false) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
 	if known.Booted != booted || !known.Restart {
 		t.Errorf("started at %v, then at %v", booted, known.Booted)
 	}
 	entry.Start, entry.UpMs = 8, 10
-	l.Do(func() { l.Listed([]boxlist.Box{entry}, false) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
 	if known.Booted == booted {
 		t.Error("a new start was not noticed")
 	}
@@ -240,18 +240,18 @@
 func TestABoxThatAWholeListLeavesOutIsGone(t *testing.T) {
 	l, _ := newTestLoop(t, "idempotent")
 	removed := l.backends["w2"]
-	l.Do(func() {
-		l.Listed([]boxlist.Box{
+	l.RunTurn(func() {
+		l.UpdateBackends([]boxlist.Box{
 			listEntry("r1", "reader", "ready"), listEntry("w1", "writer", "draining"),
 			listEntry("x", "nonesuch", "ready"),
 		}, true)
 	})
-	if removed.Known.Standing != brain.Gone || l.backends["w1"].Known.Standing != brain.Draining ||
+	if removed.SchedulerState.Standing != brain.Gone || l.backends["w1"].SchedulerState.Standing != brain.Draining ||
 		l.backends["x"] != nil {
-		t.Errorf("w2 %d, w1 %d, x %v", removed.Known.Standing, l.backends["w1"].Known.Standing, l.backends["x"])
+		t.Errorf("w2 %d, w1 %d, x %v", removed.SchedulerState.Standing, l.backends["w1"].SchedulerState.Standing, l.backends["x"])
 	}
 	select {
-	case <-removed.Drained:
+	case <-removed.Removed:
 	default:
 		t.Error("releases to a removed backend would be repeated")
 	}
@@ -263,14 +263,14 @@
 	entry.Addresses = []addresses.Spec{
 		{Network: "tcp4", At: "10.9.9.9:1"}, {Network: "tcp4", At: "no address"}, {Network: "unix", At: "/w1"},
 	}
-	l.Do(func() { l.Listed([]boxlist.Box{entry}, false) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
 	if got := transport.reached[len(transport.reached)-1]; got != "w1[unix:/w1]" {
 		t.Errorf("the addresses are %s", got)
 	}
 	before := len(transport.reached)
-	l.Do(func() { l.Listed([]boxlist.Box{entry}, false) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
 	entry.Standing = "gone"
-	l.Do(func() { l.Listed([]boxlist.Box{entry}, false) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
 	if len(transport.reached) != before+1 || transport.reached[before] != "w1[]" {
 		t.Errorf("then the addresses were set to %v", transport.reached[before:])
 	}
@@ -283,28 +283,28 @@
 	request := submit(l, 4*time.Second)
 	busy := transport.last()
 	for i := range 300 {
-		l.Do(func() {
+		l.RunTurn(func() {
 			entry := listEntry(fmt.Sprint("pod-", i), "writer", "ready")
 			entry.Start, entry.UpMs = uint64(i), 5
-			l.Listed([]boxlist.Box{entry}, false)
+			l.UpdateBackends([]boxlist.Box{entry}, false)
 			entry.Standing = "gone"
-			l.Listed([]boxlist.Box{entry}, false)
+			l.UpdateBackends([]boxlist.Box{entry}, false)
 		})
 	}
 	transport.now += 2 * removedRetention
-	l.Do(func() { l.Listed([]boxlist.Box{listEntry("w1", "writer", "ready")}, true) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{listEntry("w1", "writer", "ready")}, true) })
 	transport.now += 2 * removedRetention
-	l.Do(func() { l.Listed([]boxlist.Box{listEntry("w1", "writer", "ready")}, true) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{listEntry("w1", "writer", "ready")}, true) })
 	if len(l.backends) != 2 || len(l.schedulerBackends) != 2 || len(l.byState) != 2 ||
 		l.backends[busy.Backend.Name] == nil {
 		t.Fatalf("%d, %d and %d backends by name, number and record are kept, with 1 listed and 1 that has an attempt",
 			len(l.backends), len(l.schedulerBackends), len(l.byState))
 	}
-	l.Do(func() { l.Ended(busy, brain.Result{Outcome: brain.Read}) })
-	l.Do(func() { l.Listed(nil, false) })
+	l.RunTurn(func() { l.AttemptEnded(busy, brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.UpdateBackends(nil, false) })
 	transport.now += 2 * removedRetention
-	l.Do(func() { l.Listed(nil, false) })
-	if len(l.backends) != 1 || len(transport.released)+len(transport.attempts) < 2 || request.Request == nil {
+	l.RunTurn(func() { l.UpdateBackends(nil, false) })
+	if len(l.backends) != 1 || len(transport.released)+len(transport.attempts) < 2 || request.Scheduled == nil {
 		t.Errorf("%d backends are kept after the last attempt, released at %v", len(l.backends), transport.released)
 	}
 }
@@ -318,11 +318,11 @@
 		"zone": func(entry *boxlist.Box) { entry.Zone = "there" },
 	} {
 		l, _ := newTestLoop(t, "idempotent")
-		before := l.backends["w1"].Known
+		before := l.backends["w1"].SchedulerState
 		entry := listEntry("w1", "writer", "ready")
 		change(&entry)
-		l.Do(func() { l.Listed([]boxlist.Box{entry}, false) })
-		after := l.backends["w1"].Known
+		l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
+		after := l.backends["w1"].SchedulerState
 		if after == before || before.Standing != brain.Gone || after.Standing != brain.Ready ||
 			l.schedulerBackends[after.ID] != after || l.byState[before] != nil {
 			t.Errorf("another %s: not a new backend, the old one's standing is %d", name, before.Standing)
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -34,24 +34,24 @@
 // Peers exchanges peer updates and budget messages with the peers over UDP. Messages may be lost; those that are
 // invalid are counted and dropped.
 type Peers struct {
-	Own     int            // this dispatcher's number, its index in To
-	To      []*net.UDPAddr // of all dispatchers, by number
-	Conn    *net.UDPConn
-	Plain   bool // a message is the update alone, and its source address identifies the sender
-	Dropped atomic.Int64
+	Number    int            // this dispatcher's number, its index in To
+	Addresses []*net.UDPAddr // of all dispatchers, by number
+	Conn      *net.UDPConn
+	Plain     bool // a message is the update alone, and its source address identifies the sender
+	Dropped   atomic.Int64
 	OnBudget  func(from int, message budgetMessage) // called in the loop; nil: budget messages are dropped
 }
 
 // SendBudget sends a message about a budget.
 func (p *Peers) SendBudget(peer int, message budgetMessage) {
-	if peer < 0 || peer >= len(p.To) || peer == p.Own {
+	if peer < 0 || peer >= len(p.Addresses) || peer == p.Number {
 		return
 	}
 	raw, err := cbor.Marshal(message)
 	if err != nil {
 		panic(err) // the fields are strings and numbers
 	}
-	p.Conn.WriteToUDP(append(binary.BigEndian.AppendUint16([]byte{budgetType}, uint16(p.Own)), raw...), p.To[peer])
+	p.Conn.WriteToUDP(append(binary.BigEndian.AppendUint16([]byte{budgetType}, uint16(p.Number)), raw...), p.Addresses[peer])
 }
 
 // decodeBudget decodes a message about a budget.
@@ -59,7 +59,7 @@
 	if len(raw) < 4 {
 		return 0, message, fmt.Errorf("budget message has %d bytes, less than 4", len(raw))
 	}
-	if from = int(binary.BigEndian.Uint16(raw[1:])); from >= len(p.To) || from == p.Own {
+	if from = int(binary.BigEndian.Uint16(raw[1:])); from >= len(p.Addresses) || from == p.Number {
 		return 0, message, fmt.Errorf("budget message from unknown peer %d", from)
 	}
 	if err := cbor.Unmarshal(raw[3:], &message); err != nil {
@@ -75,13 +75,13 @@
 func ListenPeers(
 	own int, listen string, others []string, open func(address string) (*net.UDPConn, error),
 ) (*Peers, error) {
-	p := &Peers{Own: own}
+	p := &Peers{Number: own}
 	for i, other := range others {
 		addr, err := net.ResolveUDPAddr("udp", other)
 		if err != nil {
 			return nil, fmt.Errorf("peers.%d: %w", i, err)
 		}
-		p.To = append(p.To, addr)
+		p.Addresses = append(p.Addresses, addr)
 	}
 	var err error
 	if p.Conn, err = system.Open(func() (*net.UDPConn, error) { return open(listen) }); err != nil {
@@ -90,16 +90,16 @@
 	return p, nil
 }
 
-// Tell sends an update to a peer. A message that cannot be sent counts as lost.
-func (p *Peers) Tell(peer int, update brain.PeerUpdate) {
-	if peer < 0 || peer >= len(p.To) || peer == p.Own {
+// SendUpdate sends an update to a peer. A message that cannot be sent counts as lost.
+func (p *Peers) SendUpdate(peer int, update brain.PeerUpdate) {
+	if peer < 0 || peer >= len(p.Addresses) || peer == p.Number {
 		return
 	}
 	raw := news.Encode(update)
 	if !p.Plain {
-		raw = append(binary.BigEndian.AppendUint16([]byte{updateType}, uint16(p.Own)), raw...)
+		raw = append(binary.BigEndian.AppendUint16([]byte{updateType}, uint16(p.Number)), raw...)
 	}
-	p.Conn.WriteToUDP(raw, p.To[peer])
+	p.Conn.WriteToUDP(raw, p.Addresses[peer])
 }
 
 // unwrapUpdate returns the encoded update of a message that is not plain.
@@ -107,7 +107,7 @@
 	if len(raw) != updateBytes || raw[0] != updateType {
 		return nil, fmt.Errorf("peer message of %d bytes is not a peer update", len(raw))
 	}
-	if from := int(binary.BigEndian.Uint16(raw[1:])); from >= len(p.To) || from == p.Own {
+	if from := int(binary.BigEndian.Uint16(raw[1:])); from >= len(p.Addresses) || from == p.Number {
 		return nil, fmt.Errorf("peer update from unknown peer %d", from)
 	}
 	return raw[3:], nil
@@ -115,8 +115,8 @@
 
 // checkSender returns an error if the sender of a plain message is not a peer.
 func (p *Peers) checkSender(sender *net.UDPAddr) error {
-	for i, peer := range p.To {
-		if i != p.Own && peer.Port == sender.Port && peer.IP.Equal(sender.IP) {
+	for i, peer := range p.Addresses {
+		if i != p.Number && peer.Port == sender.Port && peer.IP.Equal(sender.IP) {
 			return nil
 		}
 	}
@@ -160,7 +160,7 @@
 		}
 		raw = append([]byte(nil), raw...)
 		l.Post(func() {
-			if l.News(raw) != nil {
+			if l.ReceivePeerUpdate(raw) != nil {
 				p.Dropped.Add(1)
 			}
 		})
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -12,12 +12,12 @@
 // ClientRequest is a request between its client and the scheduler. Its unexported fields belong to the loop, apart
 // from the channels and over.
 type ClientRequest struct {
-	Request *brain.Request // the scheduler's record of it; nil before it is submitted
-	Ask     kserve.Ask
-	Grade   string             // name of its class
-	Channel string             // name of its tenant
-	Matter  any                // what the transport sends; dropped when the request is over
-	Tell    func(kserve.Final) // takes the final answer, in place of the channel that Final returns
+	Scheduled *brain.Request // the scheduler's record of it; nil before it is submitted
+	Params    kserve.Ask
+	Class     string             // name of its class
+	Tenant    string             // name of its tenant
+	Payload   any                // what the transport sends; dropped when the request is over
+	OnFinal   func(kserve.Final) // takes the final answer, in place of the channel that Final returns
 
 	started      chan *Attempt     // the attempt whose stream goes to the client
 	final        chan kserve.Final // the final answer
@@ -33,19 +33,19 @@
 	over         atomic.Bool
 }
 
-// End marks the request as over: it has its answer, its client has disconnected, or its deadline has passed. Nothing
+// MarkOver marks the request as over: it has its answer, its client has disconnected, or its deadline has passed. Nothing
 // more is sent for it from then on. Unlike a message to the loop it takes effect at once.
-func (c *ClientRequest) End() { c.over.Store(true) }
+func (c *ClientRequest) MarkOver() { c.over.Store(true) }
 
 // Over tells whether the request is over. It may be called by any goroutine.
 func (c *ClientRequest) Over() bool { return c.over.Load() }
 
-// AttemptOut tells whether an attempt is in flight. Only the loop may call it.
-func (c *ClientRequest) AttemptOut() bool { return c.inFlight != nil }
+// AttemptInFlight tells whether an attempt is in flight. Only the loop may call it.
+func (c *ClientRequest) AttemptInFlight() bool { return c.inFlight != nil }
 
-// Start waits for the attempt whose stream goes to the client, or for a final answer without a stream; the attempt is
+// WaitStart waits for the attempt whose stream goes to the client, or for a final answer without a stream; the attempt is
 // nil then. ok is false if the context ended first.
-func (c *ClientRequest) Start(ctx context.Context) (attempt *Attempt, final kserve.Final, ok bool) {
+func (c *ClientRequest) WaitStart(ctx context.Context) (attempt *Attempt, final kserve.Final, ok bool) {
 	select {
 	case <-ctx.Done():
 		return nil, final, false
--- a/internal/dispatch/runtime.go
+++ b/internal/dispatch/runtime.go
@@ -17,22 +17,22 @@
 func (l *Loop) Send(planned *brain.Attempt, wait time.Duration) {
 	request := l.requests[planned.Request]
 	attempt := &Attempt{
-		Planned: planned, Request: request, Backend: l.byState[planned.Backend], Wait: wait, Until: l.now + wait,
-		Tokens: make(chan []byte, tokenBuffer), Key: l.Key(request),
+		Scheduled: planned, Request: request, Backend: l.byState[planned.Backend], Timeout: wait, Deadline: l.now + wait,
+		Tokens: make(chan []byte, tokenBuffer), RequestKey: l.RequestKey(request),
 	}
 	if planned.Stage == brain.ToWrite {
-		attempt.State = l.byState[planned.Request.State]
+		attempt.PrefillBackend = l.byState[planned.Request.State]
 	}
 	request.inFlight = attempt
 	attempt.Backend.inFlight++
-	l.Tally.Trips++
-	if l.Guard != nil {
-		l.Guard.Sent(l.now, planned.Number > 0 && wastesWork(planned.Request.Attempts[planned.Number-1].Outcome))
+	l.Counters.Attempts++
+	if l.RetryThrottle != nil {
+		l.RetryThrottle.Sent(l.now, planned.Number > 0 && wastesWork(planned.Request.Attempts[planned.Number-1].Outcome))
 	}
 	l.Wake(wait, func() {
 		if !planned.Ended && planned.Began == 0 {
 			attempt.timedOut = true
-			attempt.Off(ErrLate)
+			attempt.Cancel(ErrAttemptTimeout)
 		}
 	})
 	l.accountSent(attempt)
@@ -44,8 +44,8 @@
 
 // Cancel cancels an attempt if it is still in flight.
 func (l *Loop) Cancel(planned *brain.Attempt) {
-	if attempt := l.requests[planned.Request].inFlight; attempt != nil && attempt.Planned == planned {
-		attempt.Off(ErrLeft)
+	if attempt := l.requests[planned.Request].inFlight; attempt != nil && attempt.Scheduled == planned {
+		attempt.Cancel(ErrNotNeeded)
 	}
 }
 
@@ -62,8 +62,8 @@
 // its own schedule, and issues a retry ticket for it.
 func (l *Loop) Reject(scheduled *brain.Request, after time.Duration) {
 	ticket := ""
-	if l.Guard != nil && after > 0 {
-		after, ticket = l.Guard.Book(l.now)
+	if l.RetryThrottle != nil && after > 0 {
+		after, ticket = l.RetryThrottle.Book(l.now)
 	}
 	l.answer(l.requests[scheduled], kserve.Final{
 		Ticket: ticket, Final: kserve.Declined, Error: "not taken on: too much is asked just now", Harmless: true,
@@ -78,14 +78,14 @@
 
 // Wake calls a function in the loop after some time, at the earliest after the present turn.
 func (l *Loop) Wake(after time.Duration, callback func()) {
-	l.timers.At(l.now+max(after, 0), callback)
+	l.timers.Schedule(l.now+max(after, 0), callback)
 }
 
 // Watch does nothing: the service discovery list is pushed to the loop without being asked for.
 func (l *Loop) Watch(bool) {}
 
 // Tell sends an update to a peer.
-func (l *Loop) Tell(peer int, update brain.PeerUpdate) { l.transport.Tell(peer, update) }
+func (l *Loop) Tell(peer int, update brain.PeerUpdate) { l.transport.SendPeerUpdate(peer, update) }
 
 // Note logs a text of the scheduler's.
 func (l *Loop) Note(text string) { l.Log.Info(text) }
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return err
 	}
-	loop, err := NewLoop(config.Facts(), seed, Places{config.ZoneNumber, config.KindNumber, allowed.Has},
+	loop, err := NewLoop(config.Facts(), seed, Resolver{config.ZoneNumber, config.KindNumber, allowed.Has},
 		transport, clock, epoch, log)
 	if err != nil {
 		return err
@@ -75,7 +75,7 @@
 				return fmt.Errorf("dispatcher.ticket_key: %w", err)
 			}
 		}
-		loop.Guard = storm.New(config.Limits.RetryAfter.D(), len(config.Channels), seed^0x5709, seal)
+		loop.RetryThrottle = storm.New(config.Limits.RetryAfter.D(), len(config.Channels), seed^0x5709, seal)
 	}
 	for _, further := range config.Further {
 		loop.AddAddress(further.Box, further.Spec)
@@ -117,13 +117,13 @@
 		group.Go(func() error { return transport.Peers.Listen(lifetime, loop) })
 	}
 	if accounting := newAccounting(config, loop, transport, journal, history, epoch, startedAt); accounting != nil {
-		loop.Keep(accounting)
+		loop.SetAccounting(accounting)
 	}
 	discovery := &boxlist.Follower{
 		Address: config.Place.Boxes, Name: config.Place.Name, Keep: config.Place.Keep, Log: log,
 		Client: &http.Client{Transport: &http.Transport{}},
 		Listed: func(entries []boxlist.Box, complete bool) {
-			loop.Post(func() { loop.Listed(entries, complete) })
+			loop.Post(func() { loop.UpdateBackends(entries, complete) })
 		},
 	}
 	if err := discovery.Restore(); err != nil {
@@ -145,7 +145,7 @@
 	}
 	server.Ready = func() bool {
 		ready := false
-		loop.Call(ctx, func() { ready = loop.Answers() })
+		loop.Call(ctx, func() { ready = loop.HasReadyBackend() })
 		return ready
 	}
 	newHTTPServer := func(h http.Handler) *http.Server {
@@ -227,31 +227,31 @@
 	}
 }
 
-// Answers tells whether a backend that decodes is ready.
-func (l *Loop) Answers() bool {
+// HasReadyBackend tells whether a backend that decodes is ready.
+func (l *Loop) HasReadyBackend() bool {
 	for _, backend := range l.backends {
-		if backend.Known.Standing == brain.Ready && backend.Known.Kept != nil && backend.Known.Answers() {
+		if backend.SchedulerState.Standing == brain.Ready && backend.SchedulerState.Kept != nil && backend.SchedulerState.Answers() {
 			return true
 		}
 	}
 	return false
 }
 
-// Yield ends the requests without a first token, so that their clients may retry at another dispatcher. Queued requests
+// EndUnstarted ends the requests without a first token, so that their clients may retry at another dispatcher. Queued requests
 // are rejected where a rejection is still allowed and failed otherwise; those with an attempt in flight get no further
 // attempt.
-func (l *Loop) Yield() {
+func (l *Loop) EndUnstarted() {
 	for scheduled, request := range l.requests {
 		switch attempt := request.inFlight; {
 		case request.answered || request.disconnected:
 			if attempt != nil {
-				attempt.Off(ErrLeft) // nobody waits for it, and its KV cache has to be released before the process ends
+				attempt.Cancel(ErrNotNeeded) // nobody waits for it, and its KV cache has to be released before the process ends
 			}
-		case attempt != nil && attempt.Planned.Began > 0:
+		case attempt != nil && attempt.Scheduled.Began > 0:
 		case attempt != nil:
 			scheduled.Last = true
 			attempt.timedOut = true
-			attempt.Off(ErrLate)
+			attempt.Cancel(ErrAttemptTimeout)
 		default:
 			if brain.MayReject(scheduled) == brain.Allowed {
 				l.answer(request, kserve.Final{
@@ -274,7 +274,7 @@
 			l.scheduler.Left(scheduled)
 		}
 		if request.inFlight != nil {
-			request.inFlight.Off(ErrLeft)
+			request.inFlight.Cancel(ErrNotNeeded)
 		}
 		l.forgetIfOver(request)
 	}
@@ -294,11 +294,11 @@
 		out["messages_dropped"] = transport.Peers.Dropped.Load()
 	}
 	l.Call(ctx, func() {
-		counters := l.Tally
+		counters := l.Counters
 		out["taken"], out["satisfied"], out["declined"], out["forfeited"] =
-			counters.Taken, counters.Satisfied, counters.Declined, counters.Forfeited
+			counters.Accepted, counters.Served, counters.Rejected, counters.Failed
 		out["left"], out["overdue"], out["trips"], out["held_timers"] =
-			counters.Left, counters.Overdue, counters.Trips, l.timers.Len()
+			counters.Disconnected, counters.Overdue, counters.Attempts, l.timers.Len()
 		out["damped"] = counters.Throttled
 		if accounting := l.accounting; accounting != nil {
 			out["budgets"] = l.budgetState()
@@ -306,7 +306,7 @@
 				out["account"] = accounting.Account.Counts
 			}
 		}
-		if guard := l.Guard; guard != nil {
+		if guard := l.RetryThrottle; guard != nil {
 			out["storm"] = map[string]any{
 				"on": guard.On(l.now), "again_share": guard.Again(l.now), "promised_returns": guard.Promised(l.now),
 				"rate": guard.Rate(l.now), "counts": guard.Counts,
@@ -319,9 +319,9 @@
 		out["outcomes"] = outcomes
 		var backends []map[string]any
 		for _, backend := range l.backends {
-			known := backend.Known
+			known := backend.SchedulerState
 			backends = append(backends, map[string]any{
-				"name": backend.Name, "at": backend.At,
+				"name": backend.Name, "at": backend.Addresses,
 				"standing": [...]string{"draining", "ready", "gone"}[known.Standing],
 				"role":     [...]string{"reader", "writer", "mixed"}[known.Role], "streams": known.Streams,
 				"tokens": known.Tokens, "util": known.Util, "queue": known.Queue,
@@ -334,10 +334,10 @@
 }
 
 // backendAddresses reports the health of each address of each backend.
-func backendAddresses(transport *HTTPTransport, now time.Duration) []BoxState {
-	var out []BoxState
+func backendAddresses(transport *HTTPTransport, now time.Duration) []PoolState {
+	var out []PoolState
 	transport.Pools.Look(func(name string, book *addresses.Book, open, idle int) {
-		state := BoxState{Name: name, Open: open, Idle: idle}
+		state := PoolState{Name: name, Open: open, Idle: idle}
 		for _, address := range book.Addresses() {
 			state.Addresses = append(state.Addresses, AddressState{
 				address.Spec.String(), address.Prefer, address.Doubtful(now), address.Why(now),
@@ -348,8 +348,8 @@
 	return out
 }
 
-// BoxState is the connection pool of a backend in the report to operators.
-type BoxState struct {
+// PoolState is the connection pool of a backend in the report to operators.
+type PoolState struct {
 	Name      string         `json:"name"`
 	Open      int            `json:"open"` // connections
 	Idle      int            `json:"idle"` // connections
@@ -358,10 +358,10 @@
 
 // AddressState is an address of a backend in the report to operators.
 type AddressState struct {
-	At       string `json:"at"`
-	Prefer   int    `json:"prefer"`
-	Doubtful bool   `json:"doubtful"` // under suspicion after failures
-	Why      string `json:"why"`
+	Address string `json:"at"`
+	Prefer  int    `json:"prefer"`
+	Suspect bool   `json:"doubtful"` // under suspicion after failures
+	Reason  string `json:"why"`
 }
 
 // OutcomeName returns an outcome's name in logs and counters.
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -20,11 +20,11 @@
 
 // Server is the HTTP frontend that serves the KServe v2 protocol to clients.
 type Server struct {
-	Service setup.Terms
+	Service  setup.Terms
 	Instance setup.Place
-	Loop  *Loop
-	Log   *slog.Logger
-	Status func() map[string]any // the report to operators
+	Loop     *Loop
+	Log      *slog.Logger
+	Status   func() map[string]any // the report to operators
 
 	openRequests atomic.Int64
 	prefixes     begins.Table // belongs to the loop
@@ -161,11 +161,11 @@
 	if params.Channel == "" && len(s.Service.Channels) > 0 {
 		params.Channel = s.Service.Channels[0].Name
 	}
-	request := &ClientRequest{Ask: params, Grade: class.Name, Channel: params.Channel}
+	request := &ClientRequest{Params: params, Class: class.Name, Tenant: params.Channel}
 	submitted := s.Loop.Call(context.WithoutCancel(r.Context()), func() {
 		if params.Shared == "" && params.Text != "" {
-			if key, tokens := s.prefixes.SharedPrefix(s.Loop.now, Number(params.Session), params.Text); key != 0 {
-				request.Ask.Shared, request.Ask.Prefix = fmt.Sprintf("text-%x", key), min(tokens, request.Ask.Tokens)
+			if key, tokens := s.prefixes.SharedPrefix(s.Loop.now, HashName(params.Session), params.Text); key != 0 {
+				request.Params.Shared, request.Params.Prefix = fmt.Sprintf("text-%x", key), min(tokens, request.Params.Tokens)
 			}
 		}
 		s.Loop.Submit(request, classNumber, tenantNumber, params.Left-time.Since(arrived)-s.Instance.Margin.D())
@@ -181,7 +181,9 @@
 }
 
 // disconnected tells the loop that the client has disconnected.
-func (s *Server) disconnected(request *ClientRequest) { s.Loop.Post(func() { s.Loop.Left(request) }) }
+func (s *Server) disconnected(request *ClientRequest) {
+	s.Loop.Post(func() { s.Loop.ClientDisconnected(request) })
+}
 
 // stream answers with server-sent events. A request that ends before its first token gets a plain answer with a status.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request) {
@@ -190,7 +192,7 @@
 		return
 	}
 	defer s.openRequests.Add(-1)
-	switch attempt, final, ok := request.Start(r.Context()); {
+	switch attempt, final, ok := request.WaitStart(r.Context()); {
 	case !ok:
 		s.disconnected(request)
 	case attempt == nil:
@@ -249,7 +251,7 @@
 
 // bufferAnswer waits for the whole answer and returns its text. ok is false if the client has disconnected.
 func (s *Server) bufferAnswer(r *http.Request, request *ClientRequest) (text []byte, final kserve.Final, ok bool) {
-	attempt, final, ok := request.Start(r.Context())
+	attempt, final, ok := request.WaitStart(r.Context())
 	if !ok {
 		s.disconnected(request)
 		return nil, final, false
@@ -311,7 +313,7 @@
 func (s *Server) generate(w http.ResponseWriter, r *http.Request) {
 	s.answerWhole(w, r, false, func(request *ClientRequest, text []byte, final kserve.Final) {
 		kserve.WriteJSON(w, http.StatusOK, map[string]any{
-			"model_name": s.Service.Model, "id": request.Ask.ID, "text_output": string(text), "final": final.Final,
+			"model_name": s.Service.Model, "id": request.Params.ID, "text_output": string(text), "final": final.Final,
 			"trips": final.Trips,
 		})
 	})
@@ -325,7 +327,7 @@
 			return
 		}
 		kserve.WriteJSON(w, http.StatusOK, kserve.Output{
-			Model: s.Service.Model, Version: "1", ID: request.Ask.ID,
+			Model: s.Service.Model, Version: "1", ID: request.Params.ID,
 			Parameters: kserve.Params{"final": final.Final, "trips": final.Trips},
 			Outputs:    []kserve.Tensor{{Name: "text_output", Shape: []int64{1}, Datatype: "BYTES", Data: data}},
 		})
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -62,5 +62,5 @@
 			d.w.put(record.Line{What: record.Told, Dispatcher: d.name, Box: l.Name, Word: l.Standing, Start: l.Start})
 		}
 	}
-	d.do(func() { d.loop.Listed(lines, whole) })
+	d.do(func() { d.loop.UpdateBackends(lines, whole) })
 }
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -32,7 +32,7 @@
 // standing is what the dispatcher takes a backend to be.
 func (h *house) standing(name string) (s brain.BackendState) {
 	h.node.loop.Call(context.Background(), func() {
-		if known := h.node.loop.HostOf(name); known != nil {
+		if known := h.node.loop.SchedulerBackend(name); known != nil {
 			s = known.Standing
 		}
 	})
@@ -43,7 +43,7 @@
 // then, and its first byte has not been written.
 func (h *house) submit(id string, class int, crossing func(a *dispatch.ClientRequest)) *dispatch.ClientRequest {
 	h.t.Helper()
-	a := &dispatch.ClientRequest{Ask: kserve.Ask{ID: id, Tokens: 400, Most: 50}, Matter: &payload{id: id, body: []byte("{}"), head: func(wait time.Duration) []byte {
+	a := &dispatch.ClientRequest{Params: kserve.Ask{ID: id, Tokens: 400, Most: 50}, Payload: &payload{id: id, body: []byte("{}"), head: func(wait time.Duration) []byte {
 		return fmt.Appendf(nil, "POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\nContent-Length: 2\r\n\r\n", id, wait.Milliseconds())
 	}}}
 	h.node.loop.Call(context.Background(), func() {
@@ -57,17 +57,17 @@
 func TestADrainBetweenChoiceAndSendIsKept(t *testing.T) {
 	h := enter(t, nil)
 	a := h.submit("q1", 0, func(*dispatch.ClientRequest) {
-		h.node.loop.HostOf("r1").Standing = brain.Draining
+		h.node.loop.SchedulerBackend("r1").Standing = brain.Draining
 	})
 	h.until("it is over", func() bool { return len(a.Final()) == 1 })
 	if n := len(h.site.Seen("r1", "POST")); n != 0 {
 		t.Errorf("%d attempts to a backend that drains", n)
 	}
 	h.node.loop.Call(context.Background(), func() {
-		if b := h.node.loop.Believes(); b.Cold != 0 || h.node.loop.Tally.Outcomes[brain.NotSent] != 1 {
-			t.Errorf("an attempt that was not sent speaks against its backend: %+v, outcomes %v", b, h.node.loop.Tally.Outcomes)
+		if b := h.node.loop.Estimates(); b.Cold != 0 || h.node.loop.Counters.Outcomes[brain.NotSent] != 1 {
+			t.Errorf("an attempt that was not sent speaks against its backend: %+v, outcomes %v", b, h.node.loop.Counters.Outcomes)
 		}
-		h.node.loop.HostOf("r1").Standing = brain.Ready
+		h.node.loop.SchedulerBackend("r1").Standing = brain.Ready
 	})
 	h.settled()
 }
@@ -77,7 +77,7 @@
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancelling %t", cancelling), func(t *testing.T) {
 			h := enter(t, func(h *house, p *Place) { p.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling })
-			h.submit("q1", 0, func(a *dispatch.ClientRequest) { h.node.loop.Left(a) })
+			h.submit("q1", 0, func(a *dispatch.ClientRequest) { h.node.loop.ClientDisconnected(a) })
 			h.settled()
 			if n := len(h.site.Seen("", "POST")); n != 0 {
 				t.Errorf("%d attempts for a client that has gone", n)
@@ -130,7 +130,7 @@
 		ctx, off := context.WithCancelCause(context.Background())
 		go func() {
 			io.ReadFull(far, make([]byte, sent))
-			off(dispatch.ErrLate)
+			off(dispatch.ErrAttemptTimeout)
 		}()
 		_, err := write(ctx, &reach.Conn{Conn: ours}, []byte("POST / HTTP/1.1\r\n\r\n"), []byte("{}"))
 		if err == nil {
@@ -353,7 +353,7 @@
 		}
 		failing.Store(nil)
 		h.node.loop.Call(context.Background(), func() {
-			if b := h.node.loop.Believes(); b.Cold != 0 || b.Doubted != 0 {
+			if b := h.node.loop.Estimates(); b.Cold != 0 || b.Doubted != 0 {
 				t.Errorf("%v: %d backends are taken for restarting, %d for failing", errno, b.Cold, b.Doubted)
 			}
 		})
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -51,7 +51,7 @@
 			system.Sleep(within, dialWait)
 			continue
 		}
-		if until, bounded := within.Deadline(); bounded && f.Planned.Connect > 0 {
+		if until, bounded := within.Deadline(); bounded && f.Scheduled.Connect > 0 {
 			conn.SetWriteDeadline(until) // a request that is not taken leaves a state waiting as no connection does
 		}
 		stop, err := c.put(ctx, f, conn, m)
@@ -67,7 +67,7 @@
 
 // connectLimit is how long an attempt's connection may take.
 func (c *transport) connectLimit(f *dispatch.Attempt) time.Duration {
-	if t := f.Planned.Connect; t > 0 {
+	if t := f.Scheduled.Connect; t > 0 {
 		return min(t, c.boxes.Limit)
 	}
 	return c.boxes.Limit
@@ -79,24 +79,24 @@
 	may := c.maySend(ctx, f)
 	if may != brain.Allowed {
 		c.Stale.Add(1)
-		c.log.Debug("attempt not sent", "id", m.id, "backend", f.Backend.Name, "number", f.Planned.Number, "why", may)
+		c.log.Debug("attempt not sent", "id", m.id, "backend", f.Backend.Name, "number", f.Scheduled.Number, "why", may)
 		return nil, errStale
 	}
-	told := f.Until - c.since()
+	told := f.Deadline - c.since()
 	if told <= 0 || f.Request.Over() {
 		// What ends a request is looked at right here: word of it may still wait for its turn in the loop.
 		c.Stale.Add(1)
 		return nil, errStale
 	}
-	c.monitor.AttemptBegins(m.id, f.Backend.Name, f.Planned.Number, hasEffect(f), told)
+	c.monitor.AttemptBegins(m.id, f.Backend.Name, f.Scheduled.Number, hasEffect(f), told)
 	stop, err = write(ctx, conn, m.head(told), m.body)
 	switch {
 	case err == nil:
-		c.monitor.AttemptSent(m.id, f.Planned.Number, hasEffect(f))
+		c.monitor.AttemptSent(m.id, f.Scheduled.Number, hasEffect(f))
 	case errors.Is(err, errCutOff):
-		c.monitor.AttemptEnds(m.id, f.Planned.Number, hasEffect(f), monitor.MayHaveRun, err.Error())
+		c.monitor.AttemptEnds(m.id, f.Scheduled.Number, hasEffect(f), monitor.MayHaveRun, err.Error())
 	default:
-		c.monitor.AttemptEnds(m.id, f.Planned.Number, hasEffect(f), monitor.NeverRan, err.Error())
+		c.monitor.AttemptEnds(m.id, f.Scheduled.Number, hasEffect(f), monitor.NeverRan, err.Error())
 	}
 	return stop, err
 }
@@ -135,7 +135,7 @@
 		return nil, nil, errStale // its backend is gone
 	}
 	waits := ctx
-	if f.Planned.Connect > 0 { // a state waits, for which no descriptor may be free in time
+	if f.Scheduled.Connect > 0 { // a state waits, for which no descriptor may be free in time
 		bounded, done := context.WithTimeout(ctx, c.connectLimit(f))
 		defer done()
 		waits = bounded
@@ -157,7 +157,7 @@
 // call the attempt harmless: what the backend had of it by then only the backend knows.
 func notSent(ctx context.Context, err error) brain.Result {
 	switch {
-	case errors.Is(context.Cause(ctx), dispatch.ErrLeft):
+	case errors.Is(context.Cause(ctx), dispatch.ErrNotNeeded):
 		return brain.Result{Outcome: brain.Cancelled}
 	case errors.Is(err, errCutOff):
 		return brain.Result{Outcome: brain.TimedOut}
@@ -175,6 +175,6 @@
 func (c *transport) checkArrival(f *dispatch.Attempt, conn *reach.Conn) {
 	if system.Unacknowledged(conn.Conn) > 0 {
 		c.Unarrived.Add(1)
-		f.Off(errNotArrived)
+		f.Cancel(errNotArrived)
 	}
 }
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -111,7 +111,7 @@
 		return
 	}
 	defer f.asked.Add(-1)
-	if why := mayTake(f.over.Load(), f.asked.Add(1), f.open, f.loop.Behind()); why != taken {
+	if why := mayTake(f.over.Load(), f.asked.Add(1), f.open, f.loop.QueueDelay()); why != taken {
 		f.full(w, r, why)
 		return
 	}
@@ -185,14 +185,14 @@
 	}
 	m := &payload{id: ask.ID, body: body, head: func(wait time.Duration) []byte { return chat.Errand(r, service, ask, length, wait) }}
 	a := &dispatch.ClientRequest{
-		Ask:   kserve.Ask{ID: ask.ID, Session: ask.Session, Shared: ask.Shared, Tokens: ask.Tokens, Prefix: ask.Prefix, Most: ask.Most, Again: ask.Again},
-		Grade: ask.Grade, Channel: ask.Channel, Matter: m,
+		Params: kserve.Ask{ID: ask.ID, Session: ask.Session, Shared: ask.Shared, Tokens: ask.Tokens, Prefix: ask.Prefix, Most: ask.Most, Again: ask.Again},
+		Class:  ask.Grade, Tenant: ask.Channel, Payload: m,
 	}
 	submitted = true
 	f.monitor.Taken(ask.ID, f.classes[grade], ask.Left-time.Since(came))
 	defer f.monitor.Closed(ask.ID, "its handler ends")
 	defer context.AfterFunc(r.Context(), func() {
-		a.End()
+		a.MarkOver()
 		f.monitor.ClientGone(ask.ID)
 	})()
 	ctx, done := context.WithDeadline(r.Context(), came.Add(ask.Left+answerLate))
@@ -203,7 +203,7 @@
 		f.giveUp(w, r, a, ctx)
 		return
 	}
-	trip, end, there := a.Start(ctx)
+	trip, end, there := a.WaitStart(ctx)
 	switch {
 	case !there:
 		f.giveUp(w, r, a, ctx)
@@ -220,17 +220,17 @@
 // giveUp ends a request of which the loop gave no answer: its client has gone, the loop has ended, or it is far behind. The loop may have
 // taken it, or may yet, so nothing is promised; from here on nothing more is sent for it.
 func (f *frontend) giveUp(w http.ResponseWriter, r *http.Request, a *dispatch.ClientRequest, ctx context.Context) {
-	a.End()
-	f.loop.Post(func() { f.loop.Left(a) })
+	a.MarkOver()
+	f.loop.Post(func() { f.loop.ClientDisconnected(a) })
 	switch {
 	case r.Context().Err() != nil:
-		f.monitor.ClientGone(a.Ask.ID)
+		f.monitor.ClientGone(a.Params.ID)
 	case ctx.Err() != nil:
 		f.Late.Add(1)
-		f.log.Error("the event loop gave no answer in time", "id", a.Ask.ID, "behind", f.loop.Behind())
-		f.answer(w, a.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
+		f.log.Error("the event loop gave no answer in time", "id", a.Params.ID, "behind", f.loop.QueueDelay())
+		f.answer(w, a.Params.ID, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
 	default:
-		f.answer(w, a.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: string(stoppedNow)})
+		f.answer(w, a.Params.ID, kserve.Final{Final: kserve.Forfeited, Error: string(stoppedNow)})
 	}
 }
 
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -145,7 +145,7 @@
 		still := h.site.Out() + h.site.Held() + int(h.node.frontend.asked.Load()) + int(h.node.frontend.held.Load()) + int(h.node.transport.releasing.Load())
 		h.node.loop.Call(context.Background(), func() {
 			for _, b := range []*hosts.Box{h.reader, h.writers[0], h.writers[1]} {
-				if m := h.node.loop.HostOf(b.UID); m != nil && (m.Streams != 0 || m.Tokens != 0 || m.Unread != 0) {
+				if m := h.node.loop.SchedulerBackend(b.UID); m != nil && (m.Streams != 0 || m.Tokens != 0 || m.Unread != 0) {
 					still++
 				}
 			}
@@ -222,7 +222,7 @@
 	}
 	h.settled()
 	h.node.loop.Call(context.Background(), func() {
-		if r := h.node.loop.HostOf("r1"); r.Util != 0.5 || r.Queue != 2 {
+		if r := h.node.loop.SchedulerBackend("r1"); r.Util != 0.5 || r.Queue != 2 {
 			t.Errorf("the reader's report is taken for %g, %g", r.Util, r.Queue)
 		}
 	})
@@ -422,7 +422,7 @@
 		})
 	}
 	t.Cleanup(func() {
-		if n := h.node.loop.Tally.Taken; n != 0 {
+		if n := h.node.loop.Counters.Accepted; n != 0 {
 			t.Errorf("%d reached the module", n)
 		}
 	})
@@ -557,8 +557,8 @@
 		t.Errorf("%+v", got)
 	}
 	h.node.loop.Call(context.Background(), func() {
-		if b := h.node.loop.Believes(); b.Cold != 0 || h.node.loop.Tally.Outcomes[brain.Unreachable] != 0 {
-			t.Errorf("%+v, outcomes %v", b, h.node.loop.Tally.Outcomes)
+		if b := h.node.loop.Estimates(); b.Cold != 0 || h.node.loop.Counters.Outcomes[brain.Unreachable] != 0 {
+			t.Errorf("%+v, outcomes %v", b, h.node.loop.Counters.Outcomes)
 		}
 	})
 	h.settled()
@@ -572,7 +572,7 @@
 		t.Errorf("%+v after %d trips", got, len(h.site.Seen("", "POST")))
 	}
 	h.node.loop.Call(context.Background(), func() {
-		if r := h.node.loop.HostOf("r1").Records[0]; r.Missed != 0 {
+		if r := h.node.loop.SchedulerBackend("r1").Records[0]; r.Missed != 0 {
 			t.Error("it speaks against the box")
 		}
 	})
@@ -679,7 +679,7 @@
 	h.site.Change(func() { h.reader.State = "terminating" })
 	h.until("the change is known", func() bool {
 		standing := brain.Ready
-		h.node.loop.Call(context.Background(), func() { standing = h.node.loop.HostOf("r1").Standing })
+		h.node.loop.Call(context.Background(), func() { standing = h.node.loop.SchedulerBackend("r1").Standing })
 		return standing == brain.Draining
 	})
 }
--- a/internal/platform/observe.go
+++ b/internal/platform/observe.go
@@ -81,7 +81,7 @@
 }
 
 // hasEffect tells whether an attempt has one that must not come twice: at a prefill backend it has none, however it ends.
-func hasEffect(f *dispatch.Attempt) bool { return f.Planned.Stage != brain.ToRead }
+func hasEffect(f *dispatch.Attempt) bool { return f.Scheduled.Stage != brain.ToRead }
 
 // proves is what the end of an attempt proves.
 func proves(o brain.Outcome) monitor.End {
--- a/internal/platform/releases.go
+++ b/internal/platform/releases.go
@@ -33,12 +33,12 @@
 // Release has what is held for a request released. Any backend takes that call: the one that was heard last is asked first, then another
 // beside it each time that none has answered for a while, as a backend that is cut off keeps its caller waiting.
 func (c *transport) Release(b *dispatch.Backend, a *dispatch.ClientRequest) {
-	m, _ := a.Matter.(*payload)
+	m, _ := a.Payload.(*payload)
 	if m == nil {
 		return
 	}
 	call, targets := chat.LetGo(service, m.id), c.releaseOrder(c.hosts[b])
-	if a.AttemptOut() {
+	if a.AttemptInFlight() {
 		c.Due.Add(1)
 		c.notable.Info("a state is due: released beside an attempt that has no answer", "id", m.id, "backend", b.Name)
 	}
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -79,9 +79,9 @@
 		hosts: map[*dispatch.Backend]*reach.Host{}, releaser: releaser{calls: make(chan struct{}, room.releases)}, since: since,
 		slots: make(chan struct{}, room.boxes),
 	}
-	places := dispatch.Places{
-		Zone: func(name string) int { return zoneNumber(facts, name) },
-		Kind: func(name string) int { return facts.Index("kinds", name) },
+	places := dispatch.Resolver{
+		ZoneNumber: func(name string) int { return zoneNumber(facts, name) },
+		KindNumber: func(name string) int { return facts.Index("kinds", name) },
 	}
 	listener, err := system.Open(func() (system.Listener, error) { return sys.Listen(p.Listen) })
 	if err != nil {
@@ -94,7 +94,7 @@
 		}
 		n.peers.Plain = true
 	}
-	n.transport.tell = n.peers.Tell
+	n.transport.tell = n.peers.SendUpdate
 	if n.loop, err = dispatch.NewLoop(facts, p.chance(), places, n.transport, since, p.Name, log); err != nil {
 		listener.Close()
 		if n.peers.Conn != nil {
@@ -106,7 +106,7 @@
 	observer := &listedObserver{n.monitor, map[string]bool{}}
 	n.follower = &endpoints.Follower{Log: log, Since: since, Wall: sys.Wall, Dial: sys.Dial, Listed: func(lines []boxlist.Box, whole bool) {
 		observer.listed(lines, whole)
-		n.loop.Post(func() { n.loop.Listed(lines, whole) })
+		n.loop.Post(func() { n.loop.UpdateBackends(lines, whole) })
 	}}
 	if len(p.Known) > 0 {
 		if err := n.follower.Take(p.Known); err != nil {
@@ -122,7 +122,7 @@
 			return false
 		}
 		ready := false
-		n.loop.Call(n.life, func() { ready = n.loop.Answers() })
+		n.loop.Call(n.life, func() { ready = n.loop.HasReadyBackend() })
 		return ready
 	}
 	return n, nil
@@ -134,7 +134,7 @@
 	if i := facts.Index("dcs", name); i >= 0 || name == "" {
 		return max(i, 0)
 	}
-	return int(facts.Num("dcs", 0)) + 1 + int(dispatch.HostID(name))
+	return int(facts.Num("dcs", 0)) + 1 + int(dispatch.BackendID(name))
 }
 
 func (n *node) run(ctx context.Context, again <-chan os.Signal, read func() (Place, error)) (err error) {
@@ -183,12 +183,12 @@
 	runtime.ReadMemStats(&m)
 	c, f, g := n.transport, n.frontend, n.limiter
 	n.loop.Call(n.life, func() {
-		t := n.loop.Tally
-		turn, wait, timer := n.loop.Lag.Period()
-		n.log.Info("state", "taken", t.Taken, "again", f.Again.Load(), "rest", f.Rest.Load(), "moved", f.Moved.Load(), "satisfied", t.Satisfied,
-			"declined", t.Declined, "forfeited", t.Forfeited, "left", t.Left, "overdue", t.Overdue, "trips", t.Trips, "outcomes", fmt.Sprint(t.Outcomes),
-			"prefills", fmt.Sprint(t.Prefills), "began", t.Began, "in_time", t.InTime, "held_ms", t.Held.Milliseconds(), "first_ms", t.First.Milliseconds(),
-			"believes", fmt.Sprintf("%+v", n.loop.Believes()), "open", f.asked.Load(), "bodies", f.held.Load(), "clients", g.count(), "pushed", g.Pushed.Load(), "waited", g.Waited.Load(), "accept_failed", g.Failed.Load(), "shut", g.Shut.Load(), "refused", f.state(),
+		t := n.loop.Counters
+		turn, wait, timer := n.loop.Lag.TakePeriod()
+		n.log.Info("state", "taken", t.Accepted, "again", f.Again.Load(), "rest", f.Rest.Load(), "moved", f.Moved.Load(), "satisfied", t.Served,
+			"declined", t.Rejected, "forfeited", t.Failed, "left", t.Disconnected, "overdue", t.Overdue, "trips", t.Attempts, "outcomes", fmt.Sprint(t.Outcomes),
+			"prefills", fmt.Sprint(t.Prefills), "began", t.FirstTokens, "in_time", t.OnTime, "held_ms", t.QueueTime.Milliseconds(), "first_ms", t.FirstTokenTime.Milliseconds(),
+			"believes", fmt.Sprintf("%+v", n.loop.Estimates()), "open", f.asked.Load(), "bodies", f.held.Load(), "clients", g.count(), "pushed", g.Pushed.Load(), "waited", g.Waited.Load(), "accept_failed", g.Failed.Load(), "shut", g.Shut.Load(), "refused", f.state(),
 			"released", c.Calls.Load(), "unheard", c.Unheard.Load(), "stale", c.Stale.Load(), "local", c.Local.Load(), "unarrived", c.Unarrived.Load(), "spoilt", c.Spoilt.Load(), "strange", c.Strange.Load(),
 			"watch_lost", n.follower.Lost(), "strangers", n.peers.Dropped.Load(), "broken", n.monitor.Counts(), "due", c.Due.Load(), "too_late", f.Late.Load(), "turn_ms", turn.Milliseconds(),
 			"queued_ms", wait.Milliseconds(), "timer_ms", timer.Milliseconds(), "long_turns", n.loop.Lag.LongTurns, "unlogged", c.notable.dropped.Load(), "heap_kb", m.HeapAlloc>>10, "sys_kb", m.Sys>>10, "goroutines", runtime.NumGoroutine())
@@ -201,7 +201,7 @@
 	n.transport.mu.Lock()
 	defer n.transport.mu.Unlock()
 	for name, p := range n.transport.passed {
-		if h := n.loop.HostOf(name); h == nil && p.reads+p.writes == 0 {
+		if h := n.loop.SchedulerBackend(name); h == nil && p.reads+p.writes == 0 {
 			delete(n.transport.passed, name)
 		} else if h != nil {
 			n.log.Debug("box", "name", name, "role", h.Role, "standing", h.Standing, "streams", h.Streams, "writes", p.writes, "unread", h.Unread, "reads", p.reads,
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -94,14 +94,14 @@
 // answerAll has every request without a first event answered, those that are still to come among them.
 func (n *node) answerAll() {
 	n.frontend.over.Store(true)
-	n.loop.Post(n.loop.Yield)
+	n.loop.Post(n.loop.EndUnstarted)
 }
 
 // releaseAll calls off the attempts whose clients have gone, and waits until backends were told of all that they may hold.
 func (n *node) releaseAll() {
 	for end := time.Now().Add(releasesMost); time.Now().Before(end); time.Sleep(stopStep) {
 		open := 0
-		n.loop.Call(n.life, func() { open = n.loop.CallOff() })
+		n.loop.Call(n.life, func() { open = n.loop.CancelAttempts() })
 		if open == 0 && n.transport.releasing.Load() == 0 {
 			return
 		}
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -31,7 +31,7 @@
 // run passes events on as they come. A stream that breaks ends the client's connection without the last chunk: a plain return would
 // end it as whole.
 func (p *passing) run() {
-	p.frontend.monitor.Answered(p.asked.Ask.ID, http.StatusOK, false, nil)
+	p.frontend.monitor.Answered(p.asked.Params.ID, http.StatusOK, false, nil)
 	p.w.Header().Set("Content-Type", "text/event-stream")
 	p.w.Header()["Date"] = nil
 	cut := p.frontend.cut
@@ -103,7 +103,7 @@
 
 // abort ends the request and its client's connection.
 func (p *passing) abort() {
-	p.frontend.loop.Post(func() { p.frontend.loop.Left(p.asked) })
+	p.frontend.loop.Post(func() { p.frontend.loop.ClientDisconnected(p.asked) })
 	panic(http.ErrAbortHandler)
 }
 
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -64,18 +64,18 @@
 	Strange   atomic.Int64 // answers that tell of a fault of this program: 400 and 404
 }
 
-func (c *transport) Reach(b *dispatch.Backend, at []addresses.Spec) {
-	h := c.boxes.Set(b.Name, at, uint64(b.Known.ID))
+func (c *transport) SetAddresses(b *dispatch.Backend, at []addresses.Spec) {
+	h := c.boxes.Set(b.Name, at, uint64(b.SchedulerState.ID))
 	if len(at) == 0 {
 		delete(c.hosts, b)
 		c.heard.remove(h)
 		return
 	}
 	c.hosts[b] = h
-	c.heard.add(h, failureDomain{b.Known.Role, b.Known.Zone})
+	c.heard.add(h, failureDomain{b.SchedulerState.Role, b.SchedulerState.Zone})
 }
 
-func (c *transport) Tell(peer int, n brain.PeerUpdate) { c.tell(peer, n) }
+func (c *transport) SendPeerUpdate(peer int, n brain.PeerUpdate) { c.tell(peer, n) }
 
 // passed is what went over a backend's connections.
 type passed struct {
@@ -93,7 +93,7 @@
 		p = &passed{}
 		c.passed[f.Backend.Name] = p
 	}
-	if f.Planned.Stage == brain.ToRead {
+	if f.Scheduled.Stage == brain.ToRead {
 		p.reads += out
 	} else {
 		p.writes += out
@@ -109,8 +109,8 @@
 // Start starts an attempt.
 func (c *transport) Start(f *dispatch.Attempt) {
 	ctx, off := context.WithCancelCause(c.life)
-	f.Off = off
-	m, host := f.Request.Matter.(*payload), c.hosts[f.Backend]
+	f.Cancel = off
+	m, host := f.Request.Payload.(*payload), c.hosts[f.Backend]
 	c.group.Go(func() error {
 		r := c.fly(ctx, f, host, m)
 		off(nil)
@@ -125,12 +125,12 @@
 	ended := c.since()
 	switch r.Outcome {
 	case brain.TimedOut, brain.Broken, brain.Unreachable:
-		c.notable.Info("an attempt has failed", "id", id, "backend", f.Backend.Name, "stage", f.Stage(), "number", f.Planned.Number,
-			"outcome", dispatch.OutcomeName(r.Outcome), "arrived", f.Arrived.Load(), "wait", f.Wait)
+		c.notable.Info("an attempt has failed", "id", id, "backend", f.Backend.Name, "stage", f.Stage(), "number", f.Scheduled.Number,
+			"outcome", dispatch.OutcomeName(r.Outcome), "arrived", f.ResponseStarted.Load(), "wait", f.Timeout)
 	}
 	c.loop.Post(func() {
 		r.Ago = c.since() - ended
-		c.loop.Ended(f, r)
+		c.loop.AttemptEnded(f, r)
 	})
 }
 
@@ -142,7 +142,7 @@
 	}
 	load := ""
 	c.pass(f, 1, "")
-	if limit := f.Planned.Connect; limit > 0 {
+	if limit := f.Scheduled.Connect; limit > 0 {
 		defer time.AfterFunc(arrivalTimes*limit, func() { c.checkArrival(f, conn) }).Stop()
 	}
 	defer func() {
@@ -150,13 +150,13 @@
 		stop()
 		conn.Drop()
 		<-c.slots
-		c.monitor.AttemptEnds(m.id, f.Planned.Number, hasEffect(f), proves(r.Outcome), dispatch.OutcomeName(r.Outcome))
+		c.monitor.AttemptEnds(m.id, f.Scheduled.Number, hasEffect(f), proves(r.Outcome), dispatch.OutcomeName(r.Outcome))
 	}()
 	broken := func() brain.Result {
 		switch cause := context.Cause(ctx); {
-		case errors.Is(cause, dispatch.ErrLate):
+		case errors.Is(cause, dispatch.ErrAttemptTimeout):
 			return brain.Result{Outcome: brain.TimedOut}
-		case errors.Is(cause, dispatch.ErrLeft):
+		case errors.Is(cause, dispatch.ErrNotNeeded):
 			return brain.Result{Outcome: brain.Cancelled}
 		}
 		return brain.Result{Outcome: brain.Broken}
@@ -165,9 +165,9 @@
 		c.heard.silent(host)
 		return broken()
 	}
-	f.Arrived.Store(true) // nothing else shows that the request has come to a running backend
+	f.ResponseStarted.Store(true) // nothing else shows that the request has come to a running backend
 	c.heard.heard(host)
-	c.monitor.AttemptArrived(m.id, f.Planned.Number)
+	c.monitor.AttemptArrived(m.id, f.Scheduled.Number)
 	conn.SetReadDeadline(time.Now().Add(headTime))
 	var resp *http.Response
 	for range chat.InformMost {
@@ -180,7 +180,7 @@
 			break
 		}
 	}
-	if resp.StatusCode != http.StatusOK || f.Planned.Stage == brain.ToRead {
+	if resp.StatusCode != http.StatusOK || f.Scheduled.Stage == brain.ToRead {
 		body, err := io.ReadAll(io.LimitReader(resp.Body, shortMost+1))
 		if err != nil || len(body) > shortMost {
 			c.Spoilt.Add(1)
@@ -189,10 +189,10 @@
 		if resp.StatusCode == http.StatusBadRequest || resp.StatusCode == http.StatusNotFound {
 			// The request is at fault, not the backend: it must not speak against the backend, and no other would take it either.
 			c.Strange.Add(1)
-			f.Unfit = true
+			f.RequestInvalid = true
 			return brain.Result{Outcome: brain.Cancelled}
 		}
-		r.Outcome, r.Note = chat.Outcome(f.Planned.Stage, resp, body)
+		r.Outcome, r.Note = chat.Outcome(f.Scheduled.Stage, resp, body)
 		load = resp.Header.Get("X-Server-Load")
 		r.Load = chat.Load(load, c.fields)
 		return r
@@ -219,7 +219,7 @@
 		if !begun {
 			begun = true
 			c.monitor.Released(m.id, "its answer begins")
-			c.loop.Post(func() { c.loop.Began(f) })
+			c.loop.Post(func() { c.loop.AttemptBegan(f) })
 		}
 		c.heard.heard(host)
 		conn.SetReadDeadline(time.Now().Add(stallTime))
