--- a/internal/agenda/queue.go
+++ b/internal/agenda/queue.go
@@ -1,5 +1,5 @@
 // Package agenda is a queue of timers for event loops that advance a clock of their own. It starts no goroutines and
-// never reads the system's clock; its callers say what time it is. Start with Agenda.
+// never reads the system's clock; its callers say what time it is. Start with Queue.
 package agenda
 
 import (
@@ -66,8 +66,8 @@
 	return earliest.due, earliest.callback, true
 }
 
-// RunUntil calls every callback that is due by the given time, in order, including those that callbacks add. Before each
-// call it passes the time at which the callback was due to setClock.
+// RunUntil calls every callback that is due by the given time, in order, including those that callbacks add. Before
+// each call it passes the time at which the callback was due to setClock.
 func (q *Queue) RunUntil(until time.Duration, setClock func(time.Duration)) {
 	for {
 		due, callback, ok := q.PopDue(until)
--- a/internal/begins/table.go
+++ b/internal/begins/table.go
@@ -1,6 +1,6 @@
 // Package begins finds the longest prefix of a prompt that other sessions have sent too, for clients that do not name
 // a shared prefix themselves. It hashes prompts in blocks, remembers a bounded number of them for a limited time, and
-// does no I/O. Start with Table.Find.
+// does no I/O. Start with Table.SharedPrefix.
 package begins
 
 import (
@@ -39,8 +39,8 @@
 	shared  bool   // another session has sent it too
 }
 
-// SharedPrefix records a prompt and returns a key for its longest prefix that another session has sent too, with the prefix's
-// length in tokens; 0, 0 if there is none. now is the time on the caller's clock.
+// SharedPrefix records a prompt and returns a key for its longest prefix that another session has sent too, with the
+// prefix's length in tokens; 0, 0 if there is none. now is the time on the caller's clock.
 func (t *Table) SharedPrefix(now time.Duration, session uint64, text string) (key uint64, tokens int) {
 	if t.current == nil || now-t.rotatedAt >= generationTime || len(t.current) >= generationBlocks {
 		t.previous, t.current, t.rotatedAt = t.current, map[uint64]entry{}, now
--- a/internal/dispatch/accounting.go
+++ b/internal/dispatch/accounting.go
@@ -10,8 +10,8 @@
 	"sloetrestle/internal/ledger"
 )
 
-// Accounting is a loop's accounting: token budgets, in which a request must find free capacity before the scheduler sees
-// it, and the account of what its attempts cost. Either may be missing.
+// Accounting is a loop's accounting: token budgets, in which a request must find free capacity before the scheduler
+// sees it, and the account of what its attempts cost. Either may be missing.
 type Accounting struct {
 	Budgets      []*budget.Purse           // this dispatcher's part of every budget
 	OwnedBudgets map[string]*budget.Keeper // by name, the budgets that this dispatcher owns
@@ -173,9 +173,9 @@
 		return
 	}
 	l.accounting.Account.Question(ledger.Question{
-		Key: l.RequestKey(request), Mark: request.Params.ID, Channel: request.Tenant, Grade: request.Class, Final: final,
-		Prompt: request.Params.Tokens, Answer: int(request.streamedTokens()), Trips: len(request.Scheduled.Attempts),
-		Why: reason,
+		Key: l.RequestKey(request), Mark: request.Params.ID, Channel: request.Tenant, Grade: request.Class,
+		Final: final, Prompt: request.Params.Tokens, Answer: int(request.streamedTokens()),
+		Trips: len(request.Scheduled.Attempts), Why: reason,
 	})
 }
 
--- a/internal/dispatch/accounting_setup.go
+++ b/internal/dispatch/accounting_setup.go
@@ -227,7 +227,8 @@
 	if transport.Peers != nil {
 		transport.Peers.OnBudget = func(from int, message budgetMessage) {
 			switch {
-			case message.Request != nil && accounting.OwnedBudgets[message.Request.Name] != nil && message.Request.Sound():
+			case message.Request != nil && accounting.OwnedBudgets[message.Request.Name] != nil &&
+				message.Request.Sound():
 				accounting.OwnedBudgets[message.Request.Name].Asked(l.now, accounting.Month(l.now), *message.Request,
 					func(lease budget.Lend) { transport.Peers.SendBudget(from, budgetMessage{Lease: &lease}) })
 			case message.Lease != nil && message.Lease.Holder == epoch && message.Lease.Sound():
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -16,16 +16,16 @@
 	Backend        *Backend
 	PrefillBackend *Backend        // for a decode attempt, the prefill backend that holds the request's KV cache
 	Timeout        time.Duration   // the time it has for its first token
-	Deadline       time.Duration   // when Wait is over, on the loop's clock
-	Cancel         func(why error) // cancels it with ErrLate or ErrLeft; set by the transport
+	Deadline       time.Duration   // when Timeout is over, on the loop's clock
+	Cancel         func(why error) // cancels it with ErrAttemptTimeout or ErrNotNeeded; set by the transport
 	Tokens         chan []byte     // the stream, one piece per token; the transport closes it at the end
 	ctx            context.Context
 
-	timedOut       bool // Wait is over
-	RequestInvalid bool // its backend says that the request itself is invalid; set by the transport before it reports the end
+	timedOut       bool // Timeout is over
+	RequestInvalid bool // its backend says so; set by the transport before it reports the end
 
 	RequestKey      string        // the request's key at backends
-	ResponseStarted atomic.Bool   // a byte of an answer has come: nothing else shows that the backend received the request
+	ResponseStarted atomic.Bool   // a byte of an answer has come: only that shows that the backend has the request
 	StreamedTokens  atomic.Int64  // tokens that have come
 	Usage           *kserve.Count // the backend's usage count, if it came with the answer
 }
@@ -120,8 +120,8 @@
 	return l.scheduler.MaySend(attempt.Scheduled)
 }
 
-// CancelAttempts cancels all attempts in flight, whose clients have disconnected or have their answers, and returns their
-// number.
+// CancelAttempts cancels all attempts in flight, whose clients have disconnected or have their answers, and returns
+// their number.
 func (l *Loop) CancelAttempts() (canceled int) {
 	for _, request := range l.requests {
 		if request.inFlight != nil {
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -21,8 +21,8 @@
 	Removed        chan struct{}    // closed when the backend is removed
 	pool           *reach.Host
 	location       [3]string     // kind, zone and rack, as listed
-	startedAt      time.Duration // when Start was, as first listed
-	hasAge         bool          // the list gave the age of Start
+	startedAt      time.Duration // time of the start StartID, as first listed
+	hasAge         bool          // the list gave the age of that start
 	removedAt      time.Duration
 	inFlight       int // attempts
 }
@@ -30,7 +30,8 @@
 // BackendID returns a backend's number, which is the same at all dispatchers.
 func BackendID(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// UpdateBackends applies entries of the service discovery list. A complete list removes the backends that it leaves out.
+// UpdateBackends applies entries of the service discovery list. A complete list removes the backends that it leaves
+// out.
 func (l *Loop) UpdateBackends(entries []boxlist.Box, complete bool) {
 	var listings []brain.Listing
 	named := map[string]bool{}
@@ -59,7 +60,8 @@
 			backend.SchedulerState = &brain.Backend{
 				ID: id, Kind: kind, Zone: max(l.resolver.ZoneNumber(entry.Zone), 0), Rack: int(BackendID(entry.Rack)),
 			}
-			l.backends[entry.Name], l.byState[backend.SchedulerState], l.schedulerBackends[id] = backend, backend, backend.SchedulerState
+			l.backends[entry.Name], l.byState[backend.SchedulerState], l.schedulerBackends[id] =
+				backend, backend, backend.SchedulerState
 		}
 		listings = append(listings, l.listing(backend, entry))
 	}
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -15,18 +15,19 @@
 	Prefills            [brain.Whole + 1]PrefillCounters // by stage
 	FirstTokens, OnTime int64                            // first tokens, and those by the latency target
 
-	// QueueTime and FirstTokenTime are sums over the requests with a first token: from acceptance until the last attempt was sent,
-	// and until the first token.
+	// QueueTime and FirstTokenTime are sums over the requests with a first token: from acceptance until the last
+	// attempt was sent, and until the first token.
 	QueueTime, FirstTokenTime time.Duration
 }
 
-// PrefillCounters counts the attempts of one stage that ended well, and in tokens their prompts, what their backends reported
-// as cached, and what the scheduler had expected to be cached.
+// PrefillCounters counts the attempts of one stage that ended well, and in tokens their prompts, what their backends
+// reported as cached, and what the scheduler had expected to be cached.
 type PrefillCounters struct{ Attempts, PromptTokens, CachedTokens, ExpectedTokens int64 }
 
 // String returns the counts under the names that the log of the counters uses.
 func (p PrefillCounters) String() string {
-	return fmt.Sprintf("{trips:%d prompt:%d kept:%d expected:%d}", p.Attempts, p.PromptTokens, p.CachedTokens, p.ExpectedTokens)
+	return fmt.Sprintf("{trips:%d prompt:%d kept:%d expected:%d}",
+		p.Attempts, p.PromptTokens, p.CachedTokens, p.ExpectedTokens)
 }
 
 // ended counts the end of an attempt.
--- a/internal/dispatch/http_transport.go
+++ b/internal/dispatch/http_transport.go
@@ -26,7 +26,8 @@
 var (
 	// ErrAttemptTimeout cancels an attempt that has no first token within its timeout.
 	ErrAttemptTimeout = errors.New("attempt timed out before its first token")
-	// ErrNotNeeded cancels an attempt that nobody waits for any more: its client has disconnected or its request is over.
+	// ErrNotNeeded cancels an attempt that nobody waits for any more: its client has disconnected or its request is
+	// over.
 	ErrNotNeeded = errors.New("attempt no longer needed")
 
 	errStalled = errors.New("no token within the stall timeout")
@@ -88,8 +89,8 @@
 	DroppedReleases atomic.Int64 // releases dropped because too many were queued for their backend
 }
 
-// NewHTTPTransport returns a transport with its connection pools. Its goroutines belong to the group and end with the lifetime
-// context. conns bounds the connections to one backend, and dial is the time for opening one.
+// NewHTTPTransport returns a transport with its connection pools. Its goroutines belong to the group and end with the
+// lifetime context. conns bounds the connections to one backend, and dial is the time for opening one.
 func NewHTTPTransport(
 	lifetime context.Context, group *errgroup.Group, conns int, dial time.Duration, clock func() time.Duration,
 ) *HTTPTransport {
@@ -135,7 +136,9 @@
 }
 
 // runAttempt runs an attempt over one connection to one address, from dialing to its end.
-func (c *HTTPTransport) runAttempt(attempt *Attempt, pool *reach.Host, text string, metadata kserve.Errand) (observed Observation) {
+func (c *HTTPTransport) runAttempt(
+	attempt *Attempt, pool *reach.Host, text string, metadata kserve.Errand,
+) (observed Observation) {
 	var conn *reach.Conn
 	defer func() {
 		observed.Cause = context.Cause(attempt.ctx)
--- a/internal/dispatch/lag.go
+++ b/internal/dispatch/lag.go
@@ -18,7 +18,7 @@
 type Lag struct {
 	oldestPostedAt atomic.Int64 // when the oldest waiting message was posted, in nanoseconds; 0 if none waits
 
-	// The fields below belong to the loop. The first three cover the time since the last call of Period.
+	// The fields below belong to the loop. The first three cover the time since the last call of TakePeriod.
 	LongestTurn       time.Duration
 	LongestWait       time.Duration // of a message in the queue
 	LongestTimerDelay time.Duration // the most by which a timer ran late
@@ -61,8 +61,8 @@
 	}
 }
 
-// TakePeriod returns the longest turn, the longest wait of a message and the greatest delay of a timer since the last call,
-// and resets them.
+// TakePeriod returns the longest turn, the longest wait of a message and the greatest delay of a timer since the last
+// call, and resets them.
 func (g *Lag) TakePeriod() (turn, wait, timer time.Duration) {
 	turn, wait, timer = g.LongestTurn, g.LongestWait, g.LongestTimerDelay
 	g.LongestTurn, g.LongestWait, g.LongestTimerDelay = 0, 0, 0
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -87,8 +87,8 @@
 
 	accounting *Accounting
 
-	// RetryThrottle throttles retries before they reach the scheduler. With nil every request reaches the scheduler, and
-	// clients get the scheduler's own advice when to retry.
+	// RetryThrottle throttles retries before they reach the scheduler. With nil every request reaches the scheduler,
+	// and clients get the scheduler's own advice when to retry.
 	RetryThrottle *storm.Guard
 }
 
@@ -222,8 +222,8 @@
 // QueueDelay returns how long the oldest waiting message has waited. It may be called by any goroutine.
 func (l *Loop) QueueDelay() time.Duration { return l.Lag.currentWait(l.clock()) }
 
-// RunTurn runs a closure as one turn at the present time. Only the loop's goroutine may call it, or a caller that drives
-// the loop without Run.
+// RunTurn runs a closure as one turn at the present time. Only the loop's goroutine may call it, or a caller that
+// drives the loop without Run.
 func (l *Loop) RunTurn(run func()) {
 	l.now = l.clock()
 	run()
@@ -253,8 +253,9 @@
 	request.submittedAt = l.now
 	params := request.Params
 	request.Scheduled = &brain.Request{
-		ID: l.lastID, Session: HashName(params.Session), Shared: HashName(params.Shared), Prompt: float64(params.Tokens),
-		Prefix: float64(params.Prefix), Most: float64(params.Most), Again: params.Again, Left: timeLeft,
+		ID: l.lastID, Session: HashName(params.Session), Shared: HashName(params.Shared),
+		Prompt: float64(params.Tokens), Prefix: float64(params.Prefix), Most: float64(params.Most),
+		Again: params.Again, Left: timeLeft,
 	}
 	l.Counters.Accepted++
 	request.tenantNumber = tenant
@@ -313,7 +314,8 @@
 		served, scheduled := final.Final == kserve.Satisfied, request.Scheduled
 		inTime := served && len(scheduled.Attempts) > 0 &&
 			scheduled.Attempts[len(scheduled.Attempts)-1].Began <= scheduled.TargetAt
-		l.RetryThrottle.Answered(l.now, served, !request.Params.Again && request.Params.Ticket == "", inTime, request.tenantNumber)
+		l.RetryThrottle.Answered(l.now, served, !request.Params.Again && request.Params.Ticket == "", inTime,
+			request.tenantNumber)
 	}
 	switch final.Final {
 	case kserve.Satisfied:
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -248,7 +248,8 @@
 	})
 	if removed.SchedulerState.Standing != brain.Gone || l.backends["w1"].SchedulerState.Standing != brain.Draining ||
 		l.backends["x"] != nil {
-		t.Errorf("w2 %d, w1 %d, x %v", removed.SchedulerState.Standing, l.backends["w1"].SchedulerState.Standing, l.backends["x"])
+		t.Errorf("w2 %d, w1 %d, x %v",
+			removed.SchedulerState.Standing, l.backends["w1"].SchedulerState.Standing, l.backends["x"])
 	}
 	select {
 	case <-removed.Removed:
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -34,7 +34,7 @@
 // Peers exchanges peer updates and budget messages with the peers over UDP. Messages may be lost; those that are
 // invalid are counted and dropped.
 type Peers struct {
-	Number    int            // this dispatcher's number, its index in To
+	Number    int            // this dispatcher's number, its index in Addresses
 	Addresses []*net.UDPAddr // of all dispatchers, by number
 	Conn      *net.UDPConn
 	Plain     bool // a message is the update alone, and its source address identifies the sender
@@ -51,7 +51,8 @@
 	if err != nil {
 		panic(err) // the fields are strings and numbers
 	}
-	p.Conn.WriteToUDP(append(binary.BigEndian.AppendUint16([]byte{budgetType}, uint16(p.Number)), raw...), p.Addresses[peer])
+	p.Conn.WriteToUDP(append(binary.BigEndian.AppendUint16([]byte{budgetType}, uint16(p.Number)), raw...),
+		p.Addresses[peer])
 }
 
 // decodeBudget decodes a message about a budget.
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -33,8 +33,8 @@
 	over         atomic.Bool
 }
 
-// MarkOver marks the request as over: it has its answer, its client has disconnected, or its deadline has passed. Nothing
-// more is sent for it from then on. Unlike a message to the loop it takes effect at once.
+// MarkOver marks the request as over: it has its answer, its client has disconnected, or its deadline has passed.
+// Nothing more is sent for it from then on. Unlike a message to the loop it takes effect at once.
 func (c *ClientRequest) MarkOver() { c.over.Store(true) }
 
 // Over tells whether the request is over. It may be called by any goroutine.
@@ -43,8 +43,8 @@
 // AttemptInFlight tells whether an attempt is in flight. Only the loop may call it.
 func (c *ClientRequest) AttemptInFlight() bool { return c.inFlight != nil }
 
-// WaitStart waits for the attempt whose stream goes to the client, or for a final answer without a stream; the attempt is
-// nil then. ok is false if the context ended first.
+// WaitStart waits for the attempt whose stream goes to the client, or for a final answer without a stream; the attempt
+// is nil then. ok is false if the context ended first.
 func (c *ClientRequest) WaitStart(ctx context.Context) (attempt *Attempt, final kserve.Final, ok bool) {
 	select {
 	case <-ctx.Done():
--- a/internal/dispatch/runtime.go
+++ b/internal/dispatch/runtime.go
@@ -17,8 +17,8 @@
 func (l *Loop) Send(planned *brain.Attempt, wait time.Duration) {
 	request := l.requests[planned.Request]
 	attempt := &Attempt{
-		Scheduled: planned, Request: request, Backend: l.byState[planned.Backend], Timeout: wait, Deadline: l.now + wait,
-		Tokens: make(chan []byte, tokenBuffer), RequestKey: l.RequestKey(request),
+		Scheduled: planned, Request: request, Backend: l.byState[planned.Backend], Timeout: wait,
+		Deadline: l.now + wait, Tokens: make(chan []byte, tokenBuffer), RequestKey: l.RequestKey(request),
 	}
 	if planned.Stage == brain.ToWrite {
 		attempt.PrefillBackend = l.byState[planned.Request.State]
@@ -27,7 +27,8 @@
 	attempt.Backend.inFlight++
 	l.Counters.Attempts++
 	if l.RetryThrottle != nil {
-		l.RetryThrottle.Sent(l.now, planned.Number > 0 && wastesWork(planned.Request.Attempts[planned.Number-1].Outcome))
+		l.RetryThrottle.Sent(l.now,
+			planned.Number > 0 && wastesWork(planned.Request.Attempts[planned.Number-1].Outcome))
 	}
 	l.Wake(wait, func() {
 		if !planned.Ended && planned.Began == 0 {
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -230,22 +230,23 @@
 // HasReadyBackend tells whether a backend that decodes is ready.
 func (l *Loop) HasReadyBackend() bool {
 	for _, backend := range l.backends {
-		if backend.SchedulerState.Standing == brain.Ready && backend.SchedulerState.Kept != nil && backend.SchedulerState.Answers() {
+		if backend.SchedulerState.Standing == brain.Ready && backend.SchedulerState.Kept != nil &&
+			backend.SchedulerState.Answers() {
 			return true
 		}
 	}
 	return false
 }
 
-// EndUnstarted ends the requests without a first token, so that their clients may retry at another dispatcher. Queued requests
-// are rejected where a rejection is still allowed and failed otherwise; those with an attempt in flight get no further
-// attempt.
+// EndUnstarted ends the requests without a first token, so that their clients may retry at another dispatcher. Queued
+// requests are rejected where a rejection is still allowed and failed otherwise; those with an attempt in flight get no
+// further attempt.
 func (l *Loop) EndUnstarted() {
 	for scheduled, request := range l.requests {
 		switch attempt := request.inFlight; {
 		case request.answered || request.disconnected:
 			if attempt != nil {
-				attempt.Cancel(ErrNotNeeded) // nobody waits for it, and its KV cache has to be released before the process ends
+				attempt.Cancel(ErrNotNeeded) // its KV cache has to be released before the process ends
 			}
 		case attempt != nil && attempt.Scheduled.Began > 0:
 		case attempt != nil:
@@ -282,7 +283,8 @@
 
 // statusReport returns what GET /state reports to operators.
 func statusReport(
-	ctx context.Context, l *Loop, discovery *boxlist.Follower, transport *HTTPTransport, server *Server, uptime time.Duration,
+	ctx context.Context, l *Loop, discovery *boxlist.Follower, transport *HTTPTransport, server *Server,
+	uptime time.Duration,
 ) map[string]any {
 	age, heard := discovery.Age()
 	out := map[string]any{
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -165,7 +165,8 @@
 	submitted := s.Loop.Call(context.WithoutCancel(r.Context()), func() {
 		if params.Shared == "" && params.Text != "" {
 			if key, tokens := s.prefixes.SharedPrefix(s.Loop.now, HashName(params.Session), params.Text); key != 0 {
-				request.Params.Shared, request.Params.Prefix = fmt.Sprintf("text-%x", key), min(tokens, request.Params.Tokens)
+				request.Params.Shared, request.Params.Prefix =
+					fmt.Sprintf("text-%x", key), min(tokens, request.Params.Tokens)
 			}
 		}
 		s.Loop.Submit(request, classNumber, tenantNumber, params.Left-time.Since(arrived)-s.Instance.Margin.D())
