--- a/internal/dispatch/accounting.go
+++ b/internal/dispatch/accounting.go
@@ -20,7 +20,7 @@
 	Account *account.Tracker
 	// FetchUsage fetches usage counts from a backend. It must not block; heard is posted to the loop, with nil if the
 	// backend could not be reached.
-	FetchUsage func(b *Backend, q account.Inquiry, heard func(*account.Reply))
+	FetchUsage func(backend *Backend, inquiry account.Inquiry, heard func(*account.Reply))
 }
 
 // accountingInterval is the time between two runs of the periodic work on budgets and the account.
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -57,28 +57,28 @@
 
 // AttemptEnded handles the end of an attempt.
 func (l *Loop) AttemptEnded(attempt *Attempt, result brain.Result) {
-	planned, request := attempt.Scheduled, attempt.Request
-	if planned.Ended {
+	scheduled, request := attempt.Scheduled, attempt.Request
+	if scheduled.Ended {
 		return
 	}
 	request.inFlight = nil
 	if attempt.Backend.inFlight--; attempt.Backend.inFlight == 0 &&
 		l.backends[attempt.Backend.Name] != attempt.Backend {
-		defer delete(l.byState, planned.Backend)
+		defer delete(l.byState, scheduled.Backend)
 	}
-	if result.Outcome == brain.Served && planned.Began == 0 {
+	if result.Outcome == brain.Served && scheduled.Began == 0 {
 		result.Outcome = brain.TimedOut // its first token came too late for the client, and the rest with it
 	}
 	l.accountEnded(attempt, result)
-	result.Took = l.now - planned.Sent
-	l.Counters.ended(planned, result)
+	result.Took = l.now - scheduled.Sent
+	l.Counters.ended(scheduled, result)
 	l.Log.Debug("attempt ended", "id", request.Params.ID, "box", attempt.Backend.Name, "stage", attempt.Stage(),
-		"number", planned.Number, "outcome", result.Outcome, "took", result.Took, "wait", attempt.Timeout,
-		"prompt", planned.Request.Prompt, "left", planned.Left, "kept", result.Note)
+		"number", scheduled.Number, "outcome", result.Outcome, "took", result.Took, "wait", attempt.Timeout,
+		"prompt", scheduled.Request.Prompt, "left", scheduled.Left, "kept", result.Note)
 	switch {
 	case result.Outcome == brain.Read:
 		request.kvHolders[attempt.Backend] = true
-	case planned.Stage == brain.ToRead && result.Outcome != brain.Unreachable &&
+	case scheduled.Stage == brain.ToRead && result.Outcome != brain.Unreachable &&
 		result.Outcome != brain.NotSent && result.Outcome != brain.Rejected:
 		// The prefill may have finished at the backend just as it was given up here: its KV cache must not stay.
 		l.releaseAt(attempt.Backend, request)
@@ -90,16 +90,16 @@
 	if attempt.RequestInvalid {
 		l.answer(request, kserve.Final{Final: kserve.Forfeited, Error: "no box can use it"})
 	}
-	result.Over = request.answered || request.disconnected || result.Outcome == brain.Served || planned.Began > 0
+	result.Over = request.answered || request.disconnected || result.Outcome == brain.Served || scheduled.Began > 0
 	if result.Outcome == brain.Served {
 		l.answer(request, kserve.Final{Final: kserve.Satisfied})
-	} else if planned.Began > 0 && !request.disconnected {
+	} else if scheduled.Began > 0 && !request.disconnected {
 		l.answer(request, kserve.Final{Final: kserve.Forfeited, Error: "the stream broke at its box"})
 	}
 	if l.RetryThrottle != nil && !result.Over && wastesWork(result.Outcome) && !l.RetryThrottle.MayTryAgain(l.now) {
 		request.Scheduled.Last = true
 	}
-	l.scheduler.Ended(planned, result)
+	l.scheduler.Ended(scheduled, result)
 	l.forgetIfOver(request)
 }
 
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -118,10 +118,10 @@
 
 // listing applies one entry of the list to a backend and returns it in the scheduler's form.
 func (l *Loop) listing(backend *Backend, entry boxlist.Box) brain.Listing {
-	standing := map[string]brain.BackendState{
+	state := map[string]brain.BackendState{
 		boxlist.Ready: brain.Ready, boxlist.Draining: brain.Draining, boxlist.Gone: brain.Gone,
 	}[entry.Standing]
-	if standing == brain.Gone {
+	if state == brain.Gone {
 		l.remove(backend)
 	} else {
 		l.accountListed(backend, false)
@@ -142,7 +142,7 @@
 	}
 	backend.StartID = entry.Start
 	return brain.Listing{
-		Host: backend.SchedulerState, Standing: standing, Units: max(entry.Units, 0.01),
+		Host: backend.SchedulerState, Standing: state, Units: max(entry.Units, 0.01),
 		Booted: backend.startedAt, Restart: entry.UpMs >= 0,
 	}
 }
--- a/internal/dispatch/runtime.go
+++ b/internal/dispatch/runtime.go
@@ -14,24 +14,24 @@
 func (l *Loop) Now() time.Duration { return l.now }
 
 // Send sends an attempt and times it out if it has no first token after the wait.
-func (l *Loop) Send(planned *brain.Attempt, wait time.Duration) {
-	request := l.requests[planned.Request]
+func (l *Loop) Send(scheduled *brain.Attempt, wait time.Duration) {
+	request := l.requests[scheduled.Request]
 	attempt := &Attempt{
-		Scheduled: planned, Request: request, Backend: l.byState[planned.Backend], Timeout: wait,
+		Scheduled: scheduled, Request: request, Backend: l.byState[scheduled.Backend], Timeout: wait,
 		Deadline: l.now + wait, Tokens: make(chan []byte, tokenBuffer), RequestKey: l.RequestKey(request),
 	}
-	if planned.Stage == brain.ToWrite {
-		attempt.PrefillBackend = l.byState[planned.Request.State]
+	if scheduled.Stage == brain.ToWrite {
+		attempt.PrefillBackend = l.byState[scheduled.Request.State]
 	}
 	request.inFlight = attempt
 	attempt.Backend.inFlight++
 	l.Counters.Attempts++
 	if l.RetryThrottle != nil {
 		l.RetryThrottle.Sent(l.now,
-			planned.Number > 0 && wastesWork(planned.Request.Attempts[planned.Number-1].Outcome))
+			scheduled.Number > 0 && wastesWork(scheduled.Request.Attempts[scheduled.Number-1].Outcome))
 	}
 	l.Wake(wait, func() {
-		if !planned.Ended && planned.Began == 0 {
+		if !scheduled.Ended && scheduled.Began == 0 {
 			attempt.timedOut = true
 			attempt.Cancel(ErrAttemptTimeout)
 		}
@@ -44,8 +44,8 @@
 const tokenBuffer = 64
 
 // Cancel cancels an attempt if it is still in flight.
-func (l *Loop) Cancel(planned *brain.Attempt) {
-	if attempt := l.requests[planned.Request].inFlight; attempt != nil && attempt.Scheduled == planned {
+func (l *Loop) Cancel(scheduled *brain.Attempt) {
+	if attempt := l.requests[scheduled.Request].inFlight; attempt != nil && attempt.Scheduled == scheduled {
 		attempt.Cancel(ErrNotNeeded)
 	}
 }
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -338,9 +338,9 @@
 // backendAddresses reports the health of each address of each backend.
 func backendAddresses(transport *HTTPTransport, now time.Duration) []PoolState {
 	var out []PoolState
-	transport.Pools.Look(func(name string, book *addresses.Book, open, idle int) {
+	transport.Pools.Look(func(name string, health *addresses.Book, open, idle int) {
 		state := PoolState{Name: name, Open: open, Idle: idle}
-		for _, address := range book.Addresses() {
+		for _, address := range health.Addresses() {
 			state.Addresses = append(state.Addresses, AddressState{
 				address.Spec.String(), address.Prefer, address.Doubtful(now), address.Why(now),
 			})
