--- a/cmd/benchlink/same_test.go
+++ b/cmd/benchlink/same_test.go
@@ -164,7 +164,7 @@
 		var tail []byte
 		for i, kind := range kinds {
 			name, rack, s := fmt.Sprintf("%s-%d", kind, i), fmt.Sprintf("rack-%d", i%2), standing(i)
-			line := boxlist.Box{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "10.0.0.1:1"}}, Kind: kind, Zone: "here", Rack: rack, Standing: [...]string{"draining", "ready", "gone"}[s], Units: 2, UpMs: -1}
+			line := boxlist.Box{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}}, Kind: kind, Zone: "here", Rack: rack, Standing: [...]string{"draining", "ready", "gone"}[s], Units: 2, UpMs: -1}
 			e := make([]byte, 22)
 			binary.BigEndian.PutUint32(e, dispatch.BackendID(name))
 			binary.BigEndian.PutUint16(e[5:], uint16(d.KindNumber(kind)))
--- a/cmd/sloetrestle/day.go
+++ b/cmd/sloetrestle/day.go
@@ -234,7 +234,7 @@
 		return nil, err
 	}
 	return &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-		return new(net.Dialer).DialContext(ctx, spec.Network, spec.At)
+		return new(net.Dialer).DialContext(ctx, spec.Network, spec.Addr)
 	}}}, nil
 }
 
--- a/internal/boxlist/boxlist_test.go
+++ b/internal/boxlist/boxlist_test.go
@@ -21,7 +21,7 @@
 )
 
 func line(name, standing string) Box {
-	return Box{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "127.0.0.1:1"}}, Standing: standing, Units: 1, UpMs: -1}
+	return Box{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "127.0.0.1:1"}}, Standing: standing, Units: 1, UpMs: -1}
 }
 
 func TestChangesApplyInOrderAndAGapIsNoticed(t *testing.T) {
--- a/internal/boxlist/follow.go
+++ b/internal/boxlist/follow.go
@@ -113,7 +113,7 @@
 	if err != nil {
 		return err
 	}
-	return system.Replace(f.file(), raw, 0o644)
+	return system.ReplaceFile(f.file(), raw, 0o644)
 }
 
 // Follow stays connected until the context ends.
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -19,7 +19,7 @@
 	SchedulerState *brain.Backend   // the scheduler's record of it
 	StartID        uint64           // number of the backend's start, as listed
 	Removed        chan struct{}    // closed when the backend is removed
-	pool           *reach.Host
+	pool           *reach.Pool
 	location       [3]string     // kind, zone and rack, as listed
 	startedAt      time.Duration // time of the start StartID, as first listed
 	hasAge         bool          // the list gave the age of that start
--- a/internal/dispatch/backends_test.go
+++ b/internal/dispatch/backends_test.go
@@ -16,7 +16,7 @@
 		entries = append(entries, boxlist.Box{
 			Name: fmt.Sprintf("s-%d", i), Kind: []string{"reader", "writer"}[i%2],
 			Zone: "hall-1", Rack: fmt.Sprint(i / 5), Standing: boxlist.Ready, Units: 1, UpMs: -1,
-			Addresses: []addresses.Spec{{Network: addresses.TCP4, At: fmt.Sprintf("127.0.%d.%d:8080", i>>8, i&255)}},
+			Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: fmt.Sprintf("127.0.%d.%d:8080", i>>8, i&255)}},
 		})
 	}
 	return entries
--- a/internal/dispatch/http_transport.go
+++ b/internal/dispatch/http_transport.go
@@ -76,9 +76,9 @@
 // HTTPTransport is the Transport that sends attempts to backends over HTTP.
 type HTTPTransport struct {
 	Model        string
-	StallTimeout time.Duration // longest time between two tokens of a stream
-	Peers        *Peers        // nil: no peer updates are sent
-	Pools        *reach.Boxes  // connection pools, by backend
+	StallTimeout time.Duration  // longest time between two tokens of a stream
+	Peers        *Peers         // nil: no peer updates are sent
+	Pools        *reach.Manager // connection pools, by backend
 
 	loop     *Loop
 	group    *errgroup.Group
@@ -94,14 +94,14 @@
 func NewHTTPTransport(
 	lifetime context.Context, group *errgroup.Group, conns int, dial time.Duration, clock func() time.Duration,
 ) *HTTPTransport {
-	pools := &reach.Boxes{Limit: dial, Most: conns, Since: clock, Life: lifetime, Group: group}
-	group.Go(pools.Tend)
+	pools := &reach.Manager{DialTimeout: dial, MaxConnsPerBackend: conns, Now: clock, Context: lifetime, Group: group}
+	group.Go(pools.Run)
 	return &HTTPTransport{lifetime: lifetime, group: group, Pools: pools, releases: map[*Backend]*releaseQueue{}}
 }
 
 // SetAddresses sets a backend's addresses.
 func (c *HTTPTransport) SetAddresses(backend *Backend, specs []addresses.Spec) {
-	backend.pool = c.Pools.Set(backend.Name, specs, uint64(backend.SchedulerState.ID))
+	backend.pool = c.Pools.SetAddresses(backend.Name, specs, uint64(backend.SchedulerState.ID))
 }
 
 // Start sends an attempt from a goroutine of its own.
@@ -116,7 +116,7 @@
 		Prefix: int(scheduled.Prefix), Most: int(scheduled.Most), WaitUs: attempt.Timeout.Microseconds(),
 	}
 	if attempt.PrefillBackend != nil {
-		metadata.Reader, metadata.State = attempt.PrefillBackend.Name, attempt.PrefillBackend.pool.Best()
+		metadata.Reader, metadata.State = attempt.PrefillBackend.Name, attempt.PrefillBackend.pool.Addresses()
 	}
 	// Read what the goroutine needs here, as backends and requests belong to the loop.
 	pool, text := attempt.Backend.pool, request.Params.Text
@@ -137,7 +137,7 @@
 
 // runAttempt runs an attempt over one connection to one address, from dialing to its end.
 func (c *HTTPTransport) runAttempt(
-	attempt *Attempt, pool *reach.Host, text string, metadata kserve.Errand,
+	attempt *Attempt, pool *reach.Pool, text string, metadata kserve.Errand,
 ) (observed Observation) {
 	var conn *reach.Conn
 	defer func() {
@@ -148,9 +148,9 @@
 		// An attempt that ended without a report counts against the address, unless it was cancelled as not needed.
 		if observed.Report != nil {
 			observed.Report.Bound(metadata)
-			conn.Served()
+			conn.ReportServed()
 		} else if !errors.Is(observed.Cause, ErrNotNeeded) {
-			conn.Lost()
+			conn.ReportFailed()
 		}
 	}()
 	if pool == nil {
@@ -276,7 +276,7 @@
 }
 
 // sendReleases sends a backend's releases until none is queued.
-func (c *HTTPTransport) sendReleases(backend *Backend, queue *releaseQueue, pool *reach.Host, removed <-chan struct{}) {
+func (c *HTTPTransport) sendReleases(backend *Backend, queue *releaseQueue, pool *reach.Pool, removed <-chan struct{}) {
 	wait := releaseRetryMin
 	for {
 		c.mu.Lock()
@@ -308,18 +308,18 @@
 	}
 }
 
-func (c *HTTPTransport) sendReleaseBatch(pool *reach.Host, keys []kserve.Release) error {
+func (c *HTTPTransport) sendReleaseBatch(pool *reach.Pool, keys []kserve.Release) error {
 	ctx, cancel := context.WithTimeout(c.lifetime, releaseTimeout)
 	defer cancel()
 	if pool == nil {
-		return reach.ErrUnreached
+		return reach.ErrUnreachable
 	}
 	conn, resp, err := pool.Send(ctx, func() (*http.Request, error) {
 		return kserve.NewRelease(ctx, reach.URL(pool.Name), c.Model, keys)
 	})
 	if err != nil {
 		if conn != nil {
-			conn.Lost() // the next try takes another address
+			conn.ReportFailed() // the next try takes another address
 		}
 		return err
 	}
@@ -344,7 +344,7 @@
 	})
 }
 
-func (c *HTTPTransport) fetchUsage(pool *reach.Host, inquiry account.Inquiry) *account.Reply {
+func (c *HTTPTransport) fetchUsage(pool *reach.Pool, inquiry account.Inquiry) *account.Reply {
 	if pool == nil {
 		return nil
 	}
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -54,7 +54,7 @@
 // listEntry returns an entry of the service discovery list.
 func listEntry(name, kind, standing string) boxlist.Box {
 	return boxlist.Box{
-		Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "10.0.0.1:1"}}, Kind: kind, Standing: standing,
+		Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}}, Kind: kind, Standing: standing,
 		Units: 1, UpMs: -1,
 	}
 }
@@ -66,7 +66,7 @@
 	config := testConfig(effect)
 	l, err := NewLoop(config.Facts(), 1, Resolver{
 		ZoneNumber: config.ZoneNumber, KindNumber: config.KindNumber,
-		AddressAllowed: func(spec addresses.Spec) bool { return spec.At != "10.9.9.9:1" },
+		AddressAllowed: func(spec addresses.Spec) bool { return spec.Addr != "10.9.9.9:1" },
 	}, transport, func() time.Duration { return transport.now }, "d0.x", slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -262,7 +262,7 @@
 	l, transport := newTestLoop(t, "idempotent")
 	entry := listEntry("w1", "writer", "ready")
 	entry.Addresses = []addresses.Spec{
-		{Network: "tcp4", At: "10.9.9.9:1"}, {Network: "tcp4", At: "no address"}, {Network: "unix", At: "/w1"},
+		{Network: "tcp4", Addr: "10.9.9.9:1"}, {Network: "tcp4", Addr: "no address"}, {Network: "unix", Addr: "/w1"},
 	}
 	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
 	if got := transport.reached[len(transport.reached)-1]; got != "w1[unix:/w1]" {
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -85,7 +85,7 @@
 		p.Addresses = append(p.Addresses, addr)
 	}
 	var err error
-	if p.Conn, err = system.Open(func() (*net.UDPConn, error) { return open(listen) }); err != nil {
+	if p.Conn, err = system.OpenWithRetry(func() (*net.UDPConn, error) { return open(listen) }); err != nil {
 		return nil, fmt.Errorf("news: %w", err)
 	}
 	return p, nil
@@ -129,7 +129,7 @@
 	stop := context.AfterFunc(ctx, func() { p.Conn.Close() })
 	defer stop()
 	buf := make([]byte, 2048)
-	var retry system.Retry
+	var retry system.Backoff
 	for {
 		n, sender, err := p.Conn.ReadFromUDP(buf)
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -56,11 +56,11 @@
 	var attempts, group errgroup.Group
 	transport := NewHTTPTransport(lifetime, &attempts, config.Limits.BoxConns, config.Limits.Dial.D(), clock)
 	transport.Model, transport.StallTimeout = config.Model, config.Limits.Stall.D()
-	allowed, err := reach.NewAllowed(config.Place.Allow)
+	allowed, err := reach.NewAllowList(config.Place.Allow)
 	if err != nil {
 		return err
 	}
-	loop, err := NewLoop(config.Facts(), seed, Resolver{config.ZoneNumber, config.KindNumber, allowed.Has},
+	loop, err := NewLoop(config.Facts(), seed, Resolver{config.ZoneNumber, config.KindNumber, allowed.Contains},
 		transport, clock, epoch, log)
 	if err != nil {
 		return err
@@ -94,8 +94,8 @@
 			return fmt.Errorf("dispatcher.listen: %w", err)
 		}
 		defer listener.Close()
-		listener = system.Persistent{
-			Listener: listener, Failed: func(err error) { log.Warn("accepting a connection failed", "error", err) },
+		listener = system.RetryingListener{
+			Listener: listener, OnError: func(err error) { log.Warn("accepting a connection failed", "error", err) },
 		}
 		if i < len(config.Place.Listen) && config.Place.ConnPerS > 0 {
 			listener = &limitedListener{listener, limiterMu, limiter, clock}
@@ -338,11 +338,11 @@
 // backendAddresses reports the health of each address of each backend.
 func backendAddresses(transport *HTTPTransport, now time.Duration) []PoolState {
 	var out []PoolState
-	transport.Pools.Look(func(name string, health *addresses.Book, open, idle int) {
+	transport.Pools.ForEach(func(name string, health *addresses.Tracker, open, idle int) {
 		state := PoolState{Name: name, Open: open, Idle: idle}
 		for _, address := range health.Addresses() {
 			state.Addresses = append(state.Addresses, AddressState{
-				address.Spec.String(), address.Prefer, address.Doubtful(now), address.Why(now),
+				address.Spec.String(), address.Preference, address.Suspected(now), address.Summary(now),
 			})
 		}
 		out = append(out, state)
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -131,7 +131,7 @@
 	s.t.Helper()
 	backend := s.fleet.NewBox(standin.Make{
 		Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1,
-		Addresses: []addresses.Spec{{Network: addresses.TCP4, At: freeAddress(s.t)}},
+		Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: freeAddress(s.t)}},
 		Engine: engine.Make{
 			Reads: kind == "reader", Writes: kind == "writer", Slots: 64, Queue: 300, Blocks: 6000, BlockTokens: 32,
 			Chunk: 4096, Step: 5 * time.Millisecond, ReadPerS: 50000, StateLife: 8 * time.Second,
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -24,7 +24,7 @@
 	if err != nil || !whole || len(lines) != 2 || len(refused) != 3 || tab.Rev != 41 {
 		t.Fatalf("%v, whole %t, %+v, refused %q", err, whole, lines, refused)
 	}
-	if a := lines[0]; a.UpMs != 1000 || a.Start != 9000 || a.Standing != boxlist.Ready || a.Rack != "3" || a.Units != 1.5 || a.Addresses[0].At != "10.1.0.18:8081" {
+	if a := lines[0]; a.UpMs != 1000 || a.Start != 9000 || a.Standing != boxlist.Ready || a.Rack != "3" || a.Units != 1.5 || a.Addresses[0].Addr != "10.1.0.18:8081" {
 		t.Errorf("%+v", a)
 	}
 	if b := lines[1]; b.UpMs != -1 || b.Standing != boxlist.Gone {
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -119,7 +119,7 @@
 		if at.Addr().Unmap().Is4() {
 			network = addresses.TCP4
 		}
-		b.Addresses = []addresses.Spec{{Network: network, At: g.Endpoint}}
+		b.Addresses = []addresses.Spec{{Network: network, Addr: g.Endpoint}}
 	}
 	return b, b.Check()
 }
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -13,7 +13,7 @@
 
 // publish says of a backend what dispatchers hear after a while.
 func (w *world) publish(b *backend, standing string, after time.Duration) {
-	line := boxlist.Box{Name: b.make.Name, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: "127.0.0.1:1"}}, Kind: b.make.Kind, Zone: b.make.Zone,
+	line := boxlist.Box{Name: b.make.Name, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: "127.0.0.1:1"}}, Kind: b.make.Kind, Zone: b.make.Zone,
 		Rack: b.make.Rack, Standing: standing, Units: b.make.Units, Start: b.start, UpMs: -1}
 	started, cold := b.started, b.cold
 	w.at(max(w.now+after+w.lateList, w.downList), func() {
--- a/internal/stages/site_test.go
+++ b/internal/stages/site_test.go
@@ -339,7 +339,7 @@
 }
 
 func (b *box) line(standing string) boxlist.Box {
-	return boxlist.Box{Name: b.name, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: b.at}}, Kind: b.kind, Zone: "here", Rack: "r", Standing: standing, Units: 1, UpMs: -1}
+	return boxlist.Box{Name: b.name, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: b.at}}, Kind: b.kind, Zone: "here", Rack: "r", Standing: standing, Units: 1, UpMs: -1}
 }
 
 // list serves the box list: what is pushed, and a beat.
