--- a/internal/dispatch/runtime.go
+++ b/internal/dispatch/runtime.go
@@ -7,69 +7,86 @@
 	"sloetrestle/internal/kserve"
 )
 
-// The loop as the module's runtime: how the module acts.
+// The methods in this file implement the scheduler's Runtime: how the scheduler acts. Only the scheduler and the loop
+// itself call them, in the loop's goroutine.
 
-// Now, Send and the rest are the module's door.
+// Now returns the time of the present turn.
 func (l *Loop) Now() time.Duration { return l.now }
 
-func (l *Loop) Send(t *brain.Attempt, wait time.Duration) {
-	a := l.requests[t.Request]
-	f := &Attempt{Scheduled: t, Request: a, Backend: l.byHost[t.Backend], Timeout: wait, Deadline: l.now + wait, Tokens: make(chan []byte, tokenRoom), RequestKey: l.RequestKey(a)}
-	if t.Stage == brain.ToWrite {
-		f.PrefillBackend = l.byHost[t.Request.State]
+// Send sends an attempt and times it out if it has no first token after the wait.
+func (l *Loop) Send(scheduled *brain.Attempt, wait time.Duration) {
+	request := l.requests[scheduled.Request]
+	attempt := &Attempt{
+		Scheduled: scheduled, Request: request, Backend: l.byState[scheduled.Backend], Timeout: wait,
+		Deadline: l.now + wait, Tokens: make(chan []byte, tokenBuffer), RequestKey: l.RequestKey(request),
 	}
-	a.flight = f
-	f.Backend.out++
+	if scheduled.Stage == brain.ToWrite {
+		attempt.PrefillBackend = l.byState[scheduled.Request.State]
+	}
+	request.inFlight = attempt
+	attempt.Backend.inFlight++
 	l.Counters.Attempts++
 	if l.RetryThrottle != nil {
-		l.RetryThrottle.Sent(l.now, t.Number > 0 && cost(t.Request.Attempts[t.Number-1].Outcome))
+		l.RetryThrottle.Sent(l.now,
+			scheduled.Number > 0 && wastesWork(scheduled.Request.Attempts[scheduled.Number-1].Outcome))
 	}
 	l.Wake(wait, func() {
-		if !t.Ended && t.Began == 0 {
-			f.late = true
-			f.Cancel(ErrAttemptTimeout)
+		if !scheduled.Ended && scheduled.Began == 0 {
+			attempt.timedOut = true
+			attempt.Cancel(ErrAttemptTimeout)
 		}
 	})
-	l.accountSent(f)
-	l.carrier.Start(f)
+	l.accountSent(attempt)
+	l.transport.Start(attempt)
 }
 
-// tokenRoom is how many pieces of an answer wait for a client that reads slowly; then its backend has to wait.
-const tokenRoom = 64
+// tokenBuffer is how many tokens are buffered for a client that reads slowly; beyond that its backend has to wait.
+const tokenBuffer = 64
 
-func (l *Loop) Cancel(t *brain.Attempt) {
-	if f := l.requests[t.Request].flight; f != nil && f.Scheduled == t {
-		f.Cancel(ErrNotNeeded)
+// Cancel cancels an attempt if it is still in flight.
+func (l *Loop) Cancel(scheduled *brain.Attempt) {
+	if attempt := l.requests[scheduled.Request].inFlight; attempt != nil && attempt.Scheduled == scheduled {
+		attempt.Cancel(ErrNotNeeded)
 	}
 }
 
-// Release has what may wait for a request released. It may go on waiting, for an attempt that is out by the time that a release is heard;
-// the module then asks for a further one at that attempt's end.
-func (l *Loop) Release(q *brain.Request) {
-	a := l.requests[q]
-	for b := range a.waiting {
-		l.release(b, a)
+// Release has every backend that may hold a request's KV cache release it. A backend may keep it for an attempt that
+// is in flight when the release arrives; the scheduler then asks for another release at that attempt's end.
+func (l *Loop) Release(scheduled *brain.Request) {
+	request := l.requests[scheduled]
+	for backend := range request.kvHolders {
+		l.releaseAt(backend, request)
 	}
 }
 
-func (l *Loop) Reject(q *brain.Request, after time.Duration) {
+// Reject rejects a request, with advice when to retry. Retry throttling replaces the scheduler's advice by a slot of
+// its own schedule, and issues a retry ticket for it.
+func (l *Loop) Reject(scheduled *brain.Request, after time.Duration) {
 	ticket := ""
 	if l.RetryThrottle != nil && after > 0 {
 		after, ticket = l.RetryThrottle.Book(l.now)
 	}
-	l.answer(l.requests[q], kserve.Final{Ticket: ticket, Final: kserve.Declined, Error: "not taken on: too much is asked just now", Harmless: true, AfterMs: after.Milliseconds()})
+	l.answer(l.requests[scheduled], kserve.Final{
+		Ticket: ticket, Final: kserve.Declined, Error: "not taken on: too much is asked just now", Harmless: true,
+		AfterMs: after.Milliseconds(),
+	})
 }
 
-func (l *Loop) Fail(q *brain.Request) {
-	l.answer(l.requests[q], kserve.Final{Final: kserve.Forfeited, Error: "given up on; it may have run"})
+// Fail fails a request whose attempts may have run.
+func (l *Loop) Fail(scheduled *brain.Request) {
+	l.answer(l.requests[scheduled], kserve.Final{Final: kserve.Forfeited, Error: "given up on; it may have run"})
 }
 
-func (l *Loop) Wake(after time.Duration, do func()) {
-	l.wakes.Schedule(l.now+max(after, 0), do)
+// Wake calls a function in the loop after some time, at the earliest after the present turn.
+func (l *Loop) Wake(after time.Duration, callback func()) {
+	l.timers.Schedule(l.now+max(after, 0), callback)
 }
 
-func (l *Loop) Watch(bool) {} // this list pushes unasked
+// Watch does nothing: the service discovery list is pushed to the loop without being asked for.
+func (l *Loop) Watch(bool) {}
 
-func (l *Loop) Tell(peer int, n brain.PeerUpdate) { l.carrier.SendPeerUpdate(peer, n) }
+// Tell sends an update to a peer.
+func (l *Loop) Tell(peer int, update brain.PeerUpdate) { l.transport.SendPeerUpdate(peer, update) }
 
+// Note logs a text of the scheduler's.
 func (l *Loop) Note(text string) { l.Log.Info(text) }
