--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestALateTripEndsOnceAndItsStateIsLetGo(t *testing.T) {
+func TestTimedOutPrefillEndsOnceAndIsReleased(t *testing.T) {
 	l, transport := newTestLoop(t, "idempotent")
 	request := submit(l, 4*time.Second)
 	attempt := transport.last()
@@ -141,7 +141,7 @@
 
 // The whole answer may arrive together with such a late first token. The client has not received it, so the request
 // must not count as served; and as the attempt has run, a non-idempotent request fails.
-func TestAnAnswerThatCameWholeAfterItsTimeIsNoAnswer(t *testing.T) {
+func TestWholeAnswerAfterAttemptTimeoutIsNotServed(t *testing.T) {
 	l, transport := newTestLoop(t, "unrepeatable")
 	request := submit(l, 4*time.Second)
 	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestAClientThatLeavesMidStreamEndsItsTrip(t *testing.T) {
+func TestClientDisconnectMidStreamCancelsAttempt(t *testing.T) {
 	l, transport := newTestLoop(t, "unrepeatable")
 	request := submit(l, 4*time.Second)
 	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
@@ -189,7 +189,7 @@
 
 // A prefill backend says that it has no KV cache for the request while it still transfers it to a decode backend whose
 // attempt was just given up.
-func TestAStateThatCouldNotBeGivenIsReleasedAllTheSame(t *testing.T) {
+func TestKVCacheIsReleasedAfterFailedTransfer(t *testing.T) {
 	l, transport := newTestLoop(t, "idempotent")
 	submit(l, 4*time.Second)
 	prefill := transport.last().Backend.Name
@@ -201,7 +201,7 @@
 }
 
 // If the scheduler ever leaves a request without an answer, its client still gets one in time.
-func TestAnOverdueQuestionIsForfeited(t *testing.T) {
+func TestOverdueRequestFails(t *testing.T) {
 	l, transport := newTestLoop(t, "idempotent")
 	request := submit(l, 4*time.Second)
 	transport.now += 4*time.Second + overdueGrace
@@ -217,7 +217,7 @@
 
 // The list repeats a backend's start with another age each time. If that were taken for a new start, the scheduler
 // would forget what it knows of the backend.
-func TestAStartHasOneTimeHoweverOftenItIsListed(t *testing.T) {
+func TestRelistedBackendStartKeepsItsTime(t *testing.T) {
 	l, transport := newTestLoop(t, "idempotent")
 	entry := listEntry("w1", "writer", "ready")
 	entry.Start, entry.UpMs = 7, 1000
@@ -237,7 +237,7 @@
 	}
 }
 
-func TestABoxThatAWholeListLeavesOutIsGone(t *testing.T) {
+func TestBackendMissingFromCompleteListIsRemoved(t *testing.T) {
 	l, _ := newTestLoop(t, "idempotent")
 	removed := l.backends["w2"]
 	l.RunTurn(func() {
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -202,7 +202,7 @@
 	return copy(p, e.piece), nil
 }
 
-func TestWhatMakesNoSenseIsRefusedByName(t *testing.T) {
+func TestInvalidRequestsAreRejectedWithFieldName(t *testing.T) {
 	s := startService(t, func(config *setup.Dispatcher) { config.Place.Body = 64 << 10 })
 	for _, c := range []struct {
 		method, body string
@@ -253,7 +253,7 @@
 	}
 }
 
-func TestABrokenStreamEndsWithAnErrorEvent(t *testing.T) {
+func TestBrokenStreamEndsWithErrorEvent(t *testing.T) {
 	s := startService(t, nil)
 	s.decode.Do(func(faults *standin.Faults) { faults.Reset = 1 })
 	status, body, _ := s.post(modelPath+"generate_stream", strings.NewReader(
@@ -283,7 +283,7 @@
 	}
 }
 
-func TestADeclineSaysWhenToComeBack(t *testing.T) {
+func TestRejectionCarriesRetryAfter(t *testing.T) {
 	s := startService(t, nil)
 	s.prefill.Kill("gone")
 	s.decode.Kill("gone")
@@ -301,7 +301,7 @@
 
 // A client that reads nothing must slow down its backend instead of filling the dispatcher's memory, and must be
 // disconnected in the end.
-func TestASlowReaderHoldsItsBoxBackAndIsLetGo(t *testing.T) {
+func TestSlowClientAppliesBackpressureAndIsDisconnected(t *testing.T) {
 	s := startService(t, nil)
 	var conns []net.Conn
 	var before, after runtime.MemStats
@@ -377,7 +377,7 @@
 
 // A graceful shutdown does not wait for a stuck answer longer than configured, and the request still gets its final
 // answer.
-func TestStoppingForfeitsWhatDoesNotEnd(t *testing.T) {
+func TestGracefulShutdownTimeoutFailsOpenRequests(t *testing.T) {
 	s := startService(t, func(config *setup.Dispatcher) { config.Place.Stop = setup.Span(400 * time.Millisecond) })
 	s.decode.Do(func(faults *standin.Faults) { faults.Slow = 50 })
 	answer := make(chan string, 1)
@@ -396,7 +396,7 @@
 	}
 }
 
-func TestTooManyOpenQuestionsAreDeclinedAtTheDoor(t *testing.T) {
+func TestRequestsBeyondOpenLimitAreRejected(t *testing.T) {
 	s := startService(t, func(config *setup.Dispatcher) { config.Limits.Open = 2 })
 	s.decode.Do(func(faults *standin.Faults) { faults.Slow = 10 })
 	var clients sync.WaitGroup
--- a/internal/stages/table_test.go
+++ b/internal/stages/table_test.go
@@ -69,13 +69,13 @@
 // table is every fault at every stage.
 var table = map[string]map[string]any{
 	door: {
-		refuses: elsewhere{"internal/storm", "TestACrowdDoesNotShutOthersOut"}, full: elsewhere{"internal/dispatch", "TestTooManyOpenQuestionsAreDeclinedAtTheDoor"},
+		refuses: elsewhere{"internal/storm", "TestACrowdDoesNotShutOthersOut"}, full: elsewhere{"internal/dispatch", "TestRequestsBeyondOpenLimitAreRejected"},
 		dies: noBox, resets: socket(asksBadly(`{"text_input":"x","parameters":{"grade"`, 300, true)), silent: socket(asksBadly("", 300, false)),
-		slow: elsewhere{"internal/dispatch", "TestWhatMakesNoSenseIsRefusedByName"}, malformed: elsewhere{"internal/stages", "TestBodiesThatMakeNoSenseAreRefusedByName"},
+		slow: elsewhere{"internal/dispatch", "TestInvalidRequestsAreRejectedWithFieldName"}, malformed: elsewhere{"internal/stages", "TestBodiesThatMakeNoSenseAreRefusedByName"},
 		cutOff:    socket(asksBadly(`{"text_input":"x"`, 300, true)),
 		oversized: elsewhere{"internal/stages", "TestBodiesThatMakeNoSenseAreRefusedByName"}, doubled: elsewhere{"internal/storm", "TestAClientThatKeptItsTimeHasItsPlaceAndOthersHaveNot"},
-		leaves: socket(asksBadly(`{`, 300, true)), timeUp: elsewhere{"internal/dispatch", "TestWhatMakesNoSenseIsRefusedByName"},
-		drains: elsewhere{"internal/dispatch", "TestADeclineSaysWhenToComeBack"}, cold: noBox, killed: elsewhere{"internal/day", "TestShortDaysKeepTheRules"},
+		leaves: socket(asksBadly(`{`, 300, true)), timeUp: elsewhere{"internal/dispatch", "TestInvalidRequestsAreRejectedWithFieldName"},
+		drains: elsewhere{"internal/dispatch", "TestRejectionCarriesRetryAfter"}, cold: noBox, killed: elsewhere{"internal/day", "TestShortDaysKeepTheRules"},
 	},
 	held: {
 		refuses: noHeld, full: virtual{}, dies: virtual{}, resets: noHeld, silent: noHeld, slow: noHeld, malformed: noHeld, cutOff: noHeld, oversized: noHeld,
@@ -97,7 +97,7 @@
 	},
 	waiting: {
 		refuses: noState, full: elsewhere{"internal/engine", "TestStatesWaitMoveExpireAndAreLetGo"}, dies: virtual{}, resets: noState, silent: noState, slow: virtual{}, malformed: noState, cutOff: virtual{}, oversized: noState,
-		doubled: elsewhere{"internal/dispatch", "TestAStateThatCouldNotBeGivenIsReleasedAllTheSame"}, leaves: virtual{},
+		doubled: elsewhere{"internal/dispatch", "TestKVCacheIsReleasedAfterFailedTransfer"}, leaves: virtual{},
 		timeUp: socket(asked("writer", func(c *call) { c.told(503, kserve.OutcomeFull) })), drains: virtual{}, cold: virtual{}, killed: virtual{},
 	},
 	writing: {
@@ -114,25 +114,25 @@
 		drains: virtual{}, cold: virtual{}, killed: virtual{},
 	},
 	answering: {
-		refuses: noBox, full: never("an answer needs no room"), dies: noBox, resets: elsewhere{"internal/dispatch", "TestABrokenStreamEndsWithAnErrorEvent"}, silent: elsewhere{"internal/stages", "TestAClientThatTakesNoAnswerIsLetGo"},
-		slow: elsewhere{"internal/dispatch", "TestASlowReaderHoldsItsBoxBackAndIsLetGo"}, malformed: noBox, cutOff: elsewhere{"internal/dispatch", "TestABrokenStreamEndsWithAnErrorEvent"},
-		oversized: elsewhere{"internal/stages", "TestAnAnswerTooLongToGatherIsForfeited"}, doubled: elsewhere{"internal/dispatch", "TestAnAnswerThatCameWholeAfterItsTimeIsNoAnswer"},
-		leaves: elsewhere{"internal/dispatch", "TestAClientThatLeavesMidStreamEndsItsTrip"}, timeUp: elsewhere{"internal/dispatch", "TestAnOverdueQuestionIsForfeited"},
+		refuses: noBox, full: never("an answer needs no room"), dies: noBox, resets: elsewhere{"internal/dispatch", "TestBrokenStreamEndsWithErrorEvent"}, silent: elsewhere{"internal/stages", "TestAClientThatTakesNoAnswerIsLetGo"},
+		slow: elsewhere{"internal/dispatch", "TestSlowClientAppliesBackpressureAndIsDisconnected"}, malformed: noBox, cutOff: elsewhere{"internal/dispatch", "TestBrokenStreamEndsWithErrorEvent"},
+		oversized: elsewhere{"internal/stages", "TestAnAnswerTooLongToGatherIsForfeited"}, doubled: elsewhere{"internal/dispatch", "TestWholeAnswerAfterAttemptTimeoutIsNotServed"},
+		leaves: elsewhere{"internal/dispatch", "TestClientDisconnectMidStreamCancelsAttempt"}, timeUp: elsewhere{"internal/dispatch", "TestOverdueRequestFails"},
 		drains: noBox, cold: noBox, killed: elsewhere{"internal/day", "TestShortDaysKeepTheRules"},
 	},
 	releasing: {
-		refuses: socket(releases(atRelease[refuses])), full: socket(releases(atRelease[full])), dies: elsewhere{"internal/dispatch", "TestABoxThatAWholeListLeavesOutIsGone"},
+		refuses: socket(releases(atRelease[refuses])), full: socket(releases(atRelease[full])), dies: elsewhere{"internal/dispatch", "TestBackendMissingFromCompleteListIsRemoved"},
 		resets: socket(releases(atRelease[resets])), silent: socket(releases(atRelease[silent])), slow: socket(releases(atRelease[slow])),
 		malformed: socket(releases(atRelease[malformed])), cutOff: socket(releases(atRelease[cutOff])), oversized: socket(releases(atRelease[oversized])),
-		doubled: socket(releases(atRelease[doubled])), leaves: socket(leavesBeforeItsRead), timeUp: elsewhere{"internal/dispatch", "TestALateTripEndsOnceAndItsStateIsLetGo"},
-		drains: elsewhere{"internal/dispatch", "TestABoxThatAWholeListLeavesOutIsGone"}, cold: never("a cold start has no states"), killed: elsewhere{"internal/engine", "TestStatesWaitMoveExpireAndAreLetGo"},
+		doubled: socket(releases(atRelease[doubled])), leaves: socket(leavesBeforeItsRead), timeUp: elsewhere{"internal/dispatch", "TestTimedOutPrefillEndsOnceAndIsReleased"},
+		drains: elsewhere{"internal/dispatch", "TestBackendMissingFromCompleteListIsRemoved"}, cold: never("a cold start has no states"), killed: elsewhere{"internal/engine", "TestStatesWaitMoveExpireAndAreLetGo"},
 	},
 	stopping: {
 		refuses: socket(stops("writer", atWriter[refuses])), full: socket(stops("writer", atWriter[full])), dies: socket(stops("writer", atWriter[resets])),
 		resets: socket(stops("reader", atReader[resets])), silent: socket(stops("writer", func(c *call) { <-c.r.Context().Done() })),
 		slow: socket(stops("writer", begun(inStream[slow]))), malformed: socket(stops("writer", atWriter[malformed])), cutOff: socket(stops("writer", atWriter[cutOff])),
 		oversized: socket(stops("writer", begun(inStream[oversized]))), doubled: socket(stops("writer", begun(inStream[doubled]))),
-		leaves: socket(leavesWhileStopping), timeUp: elsewhere{"internal/dispatch", "TestStoppingForfeitsWhatDoesNotEnd"}, drains: never("a list's word changes nothing for what is out"),
+		leaves: socket(leavesWhileStopping), timeUp: elsewhere{"internal/dispatch", "TestGracefulShutdownTimeoutFailsOpenRequests"}, drains: never("a list's word changes nothing for what is out"),
 		cold: never("nothing new is sent to a cold box that held questions do not send"), killed: elsewhere{"internal/day", "TestShortDaysKeepTheRules"},
 	},
 	starting: {
@@ -148,7 +148,7 @@
 		malformed: socket(lists(func(*site) string { return `{"version":1,"base":1,"boxes":[{"name":7}]}` })), cutOff: virtual{},
 		oversized: socket(lists(func(*site) string { return `{"version":2,"base":1,"x":"` + strings.Repeat("x", 17<<20) + `"}` })),
 		doubled:   socket(lists(func(s *site) string { return `{"version":0,"base":1,"boxes":[]}` })), leaves: noTime, timeUp: noTime, drains: virtual{},
-		cold: elsewhere{"internal/dispatch", "TestAStartHasOneTimeHoweverOftenItIsListed"}, killed: elsewhere{"internal/day", "TestShortDaysKeepTheRules"},
+		cold: elsewhere{"internal/dispatch", "TestRelistedBackendStartKeepsItsTime"}, killed: elsewhere{"internal/day", "TestShortDaysKeepTheRules"},
 	},
 	siblings: {
 		refuses: socket(words(nil)), full: never("datagrams that find no room are lost, as any may be"), dies: socket(words(nil)), resets: never("a datagram has no connection"),
