--- a/cmd/benchlink/parity_test.go
+++ b/cmd/benchlink/parity_test.go
@@ -170,14 +170,14 @@
 
 	kinds := []string{"reader", "reader", "reader", "writer", "writer", "writer", "mixed"}
 	list := func(stateOf func(i int) int) {
-		var lines []boxlist.Box
+		var lines []boxlist.Endpoint
 		var tail []byte
 		for i, kind := range kinds {
 			name, rack, state := fmt.Sprintf("%s-%d", kind, i), fmt.Sprintf("rack-%d", i%2), stateOf(i)
-			line := boxlist.Box{
+			line := boxlist.Endpoint{
 				Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}},
-				Kind: kind, Zone: "here", Rack: rack, Standing: [...]string{"draining", "ready", "gone"}[state],
-				Units: 2, UpMs: -1,
+				Kind: kind, Zone: "here", Rack: rack, State: [...]string{"draining", "ready", "gone"}[state],
+				Units: 2, UptimeMs: -1,
 			}
 			entry := make([]byte, 22)
 			binary.BigEndian.PutUint32(entry, dispatch.BackendID(name))
@@ -186,7 +186,7 @@
 			entry[9] = byte(state)
 			binary.BigEndian.PutUint32(entry[10:], math.Float32bits(2))
 			if i == 4 { // a backend that has just started
-				line.Start, line.UpMs = 5, 1
+				line.Incarnation, line.UptimeMs = 5, 1
 				binary.BigEndian.PutUint64(entry[14:], sim.clockUs-1000)
 			}
 			lines, tail = append(lines, line), append(tail, entry...)
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -52,10 +52,10 @@
 }
 
 // listEntry returns an entry of the service discovery list.
-func listEntry(name, kind, standing string) boxlist.Box {
-	return boxlist.Box{
-		Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}}, Kind: kind, Standing: standing,
-		Units: 1, UpMs: -1,
+func listEntry(name, kind, standing string) boxlist.Endpoint {
+	return boxlist.Endpoint{
+		Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}}, Kind: kind, State: standing,
+		Units: 1, UptimeMs: -1,
 	}
 }
 
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	l.RunTurn(func() {
-		l.UpdateBackends([]boxlist.Box{
+		l.UpdateBackends([]boxlist.Endpoint{
 			listEntry("r1", "reader", "ready"), listEntry("r2", "reader", "ready"),
 			listEntry("w1", "writer", "ready"), listEntry("w2", "writer", "ready"),
 		}, true)
@@ -220,18 +220,18 @@
 func TestRelistedBackendStartKeepsItsTime(t *testing.T) {
 	l, transport := newTestLoop(t, "idempotent")
 	entry := listEntry("w1", "writer", "ready")
-	entry.Start, entry.UpMs = 7, 1000
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
+	entry.Incarnation, entry.UptimeMs = 7, 1000
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 	known := l.backends["w1"].SchedulerState
 	booted := known.Booted
 	transport.now += 3 * time.Second
-	entry.UpMs = 4007
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
+	entry.UptimeMs = 4007
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 	if known.Booted != booted || !known.Restart {
 		t.Errorf("started at %v, then at %v", booted, known.Booted)
 	}
-	entry.Start, entry.UpMs = 8, 10
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
+	entry.Incarnation, entry.UptimeMs = 8, 10
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 	if known.Booted == booted {
 		t.Error("a new start was not noticed")
 	}
@@ -241,7 +241,7 @@
 	l, _ := newTestLoop(t, "idempotent")
 	removed := l.backends["w2"]
 	l.RunTurn(func() {
-		l.UpdateBackends([]boxlist.Box{
+		l.UpdateBackends([]boxlist.Endpoint{
 			listEntry("r1", "reader", "ready"), listEntry("w1", "writer", "draining"),
 			listEntry("x", "nonesuch", "ready"),
 		}, true)
@@ -264,14 +264,14 @@
 	entry.Addresses = []addresses.Spec{
 		{Network: "tcp4", Addr: "10.9.9.9:1"}, {Network: "tcp4", Addr: "no address"}, {Network: "unix", Addr: "/w1"},
 	}
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 	if got := transport.reached[len(transport.reached)-1]; got != "w1[unix:/w1]" {
 		t.Errorf("the addresses are %s", got)
 	}
 	before := len(transport.reached)
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
-	entry.Standing = "gone"
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	entry.State = "gone"
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 	if len(transport.reached) != before+1 || transport.reached[before] != "w1[]" {
 		t.Errorf("then the addresses were set to %v", transport.reached[before:])
 	}
@@ -286,16 +286,16 @@
 	for i := range 300 {
 		l.RunTurn(func() {
 			entry := listEntry(fmt.Sprint("pod-", i), "writer", "ready")
-			entry.Start, entry.UpMs = uint64(i), 5
-			l.UpdateBackends([]boxlist.Box{entry}, false)
-			entry.Standing = "gone"
-			l.UpdateBackends([]boxlist.Box{entry}, false)
+			entry.Incarnation, entry.UptimeMs = uint64(i), 5
+			l.UpdateBackends([]boxlist.Endpoint{entry}, false)
+			entry.State = "gone"
+			l.UpdateBackends([]boxlist.Endpoint{entry}, false)
 		})
 	}
 	transport.now += 2 * removedRetention
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{listEntry("w1", "writer", "ready")}, true) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{listEntry("w1", "writer", "ready")}, true) })
 	transport.now += 2 * removedRetention
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{listEntry("w1", "writer", "ready")}, true) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{listEntry("w1", "writer", "ready")}, true) })
 	if len(l.backends) != 2 || len(l.schedulerBackends) != 2 || len(l.byState) != 2 ||
 		l.backends[busy.Backend.Name] == nil {
 		t.Fatalf("%d, %d and %d backends by name, number and record are kept, with 1 listed and 1 that has an attempt",
@@ -313,16 +313,16 @@
 // Another machine under an old name is another backend: its role, its rack and its deduplication group are those of the
 // place where it is now.
 func TestBackendListedElsewhereIsANewBackend(t *testing.T) {
-	for name, change := range map[string]func(*boxlist.Box){
-		"kind": func(entry *boxlist.Box) { entry.Kind = "reader" },
-		"rack": func(entry *boxlist.Box) { entry.Rack = "other" },
-		"zone": func(entry *boxlist.Box) { entry.Zone = "there" },
+	for name, change := range map[string]func(*boxlist.Endpoint){
+		"kind": func(entry *boxlist.Endpoint) { entry.Kind = "reader" },
+		"rack": func(entry *boxlist.Endpoint) { entry.Rack = "other" },
+		"zone": func(entry *boxlist.Endpoint) { entry.Zone = "there" },
 	} {
 		l, _ := newTestLoop(t, "idempotent")
 		before := l.backends["w1"].SchedulerState
 		entry := listEntry("w1", "writer", "ready")
 		change(&entry)
-		l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
+		l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 		after := l.backends["w1"].SchedulerState
 		if after == before || before.Standing != brain.Gone || after.Standing != brain.Ready ||
 			l.schedulerBackends[after.ID] != after || l.byState[before] != nil {
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -120,9 +120,9 @@
 		loop.SetAccounting(accounting)
 	}
 	discovery := &boxlist.Follower{
-		Address: config.Place.Boxes, Name: config.Place.Name, Keep: config.Place.Keep, Log: log,
-		Client: &http.Client{Transport: &http.Transport{}},
-		Listed: func(entries []boxlist.Box, complete bool) {
+		Address: config.Place.Boxes, Name: config.Place.Name, CacheDir: config.Place.Keep, Log: log,
+		HTTPClient: &http.Client{Transport: &http.Transport{}},
+		OnUpdate: func(entries []boxlist.Endpoint, complete bool) {
 			loop.Post(func() { loop.UpdateBackends(entries, complete) })
 		},
 	}
@@ -130,7 +130,7 @@
 		log.Warn("starting without the stored service discovery list", "error", err)
 	}
 	group.Go(func() error { return loop.Run(lifetime) })
-	group.Go(func() error { return discovery.Follow(lifetime) })
+	group.Go(func() error { return discovery.Run(lifetime) })
 
 	server := &Server{Service: config.Terms, Instance: config.Place, Loop: loop, Log: log}
 	server.Status = func() map[string]any {
@@ -195,7 +195,7 @@
 	end()
 	attempts.Wait()
 	group.Wait()
-	discovery.Client.CloseIdleConnections()
+	discovery.HTTPClient.CloseIdleConnections()
 	return err
 }
 
@@ -286,7 +286,7 @@
 	ctx context.Context, l *Loop, discovery *boxlist.Follower, transport *HTTPTransport, server *Server,
 	uptime time.Duration,
 ) map[string]any {
-	age, heard := discovery.Age()
+	age, heard := discovery.Staleness()
 	out := map[string]any{
 		"dispatcher": l.Epoch, "up_s": uptime.Seconds(), "open": server.openRequests.Load(),
 		"stopping": server.stopping.Load(), "list_heard": heard, "list_age_s": age.Seconds(),
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -287,8 +287,8 @@
 	s := startService(t, nil)
 	s.prefill.Kill("gone")
 	s.decode.Kill("gone")
-	s.discovery.Publish(s.prefill, boxlist.Gone, 0)
-	s.discovery.Publish(s.decode, boxlist.Gone, 0)
+	s.discovery.Publish(s.prefill, boxlist.Removed, 0)
+	s.discovery.Publish(s.decode, boxlist.Removed, 0)
 	time.Sleep(100 * time.Millisecond)
 	status, body, header := s.post(modelPath+"generate", strings.NewReader(
 		`{"text_input":"x","parameters":{"timeout":600000}}`))
--- a/internal/platform/observe.go
+++ b/internal/platform/observe.go
@@ -107,12 +107,12 @@
 	known   map[string]bool // backends by name
 }
 
-func (o *discoveryObserver) listed(endpoints []boxlist.Box, full bool) {
+func (o *discoveryObserver) listed(endpoints []boxlist.Endpoint, full bool) {
 	named := map[string]bool{}
 	for _, endpoint := range endpoints {
 		named[endpoint.Name] = true
 		o.known[endpoint.Name] = true
-		o.monitor.BackendChanged(endpoint.Name, endpoint.Standing == boxlist.Ready)
+		o.monitor.BackendChanged(endpoint.Name, endpoint.State == boxlist.Ready)
 	}
 	if !full {
 		return
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -116,23 +116,23 @@
 	dispatcher.transport.loop = dispatcher.loop
 	observer := &discoveryObserver{dispatcher.monitor, map[string]bool{}}
 	dispatcher.follower = &endpoints.Follower{
-		Log: log, Since: since, Wall: sys.Wall, Dial: sys.Dial,
-		Listed: func(listed []boxlist.Box, full bool) {
+		Log: log, Monotonic: since, WallClock: sys.Wall, Dial: sys.Dial,
+		OnUpdate: func(listed []boxlist.Endpoint, full bool) {
 			observer.listed(listed, full)
 			dispatcher.loop.Post(func() { dispatcher.loop.UpdateBackends(listed, full) })
 		},
 	}
 	if len(config.LastKnown) > 0 {
-		if err := dispatcher.follower.Take(config.LastKnown); err != nil {
+		if err := dispatcher.follower.Apply(config.LastKnown); err != nil {
 			log.Warn("cannot read the last-known endpoints of the configuration, ignoring them", "error", err)
 		}
 	}
-	dispatcher.follower.Move(config.Discovery)
+	dispatcher.follower.SetAddress(config.Discovery)
 	dispatcher.limiter = newLimiter(listener, int(float64(shares.clients)/(1+closingShare)), log)
 	dispatcher.frontend = newFrontend(dispatcher.loop, settings, shares.bodies, dispatcher.monitor, dispatcher.pulse, log)
 	dispatcher.frontend.nearConnLimit = dispatcher.limiter.NearLimit
 	dispatcher.frontend.hasBackends = func() bool {
-		if !dispatcher.follower.Heard() && since() < discoveryWait {
+		if !dispatcher.follower.Synced() && since() < discoveryWait {
 			return false
 		}
 		ready := false
@@ -155,14 +155,14 @@
 func (n *node) run(ctx context.Context, reloads <-chan os.Signal, load func() (Config, error)) (err error) {
 	n.transportTasks.Go(n.transport.pools.Run)
 	n.tasks.Go(func() error { return n.loop.Run(n.lifetime) })
-	n.tasks.Go(func() error { return n.follower.Follow(n.lifetime) })
+	n.tasks.Go(func() error { return n.follower.Run(n.lifetime) })
 	n.tasks.Go(func() error { n.pulse.run(n.lifetime); return nil })
 	n.tasks.Go(func() error { n.watchReloads(n.lifetime, reloads, load); return nil })
 	if n.peers.Conn != nil {
 		n.tasks.Go(func() error { return n.peers.Listen(n.lifetime, n.loop) })
 	}
 	server := &http.Server{
-		Handler: n.frontend, ReadHeaderTimeout: headTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: chat.HeadMost,
+		Handler: n.frontend, ReadHeaderTimeout: headTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: chat.MaxHeadBytes,
 		ConnState: n.limiter.connStateChanged, ConnContext: withConn, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
 	failed := make(chan error, 1)
@@ -211,7 +211,7 @@
 			"accept_failed", limiter.AcceptErrors.Load(), "shut", limiter.ClosedUnread.Load(), "refused", frontend.refusalCounts(),
 			"released", transport.Delivered.Load(), "unheard", transport.Undelivered.Load(), "stale", transport.Stale.Load(),
 			"local", transport.LocalFailures.Load(), "unarrived", transport.Unacknowledged.Load(),
-			"spoilt", transport.Malformed.Load(), "strange", transport.BadRequest.Load(), "watch_lost", n.follower.Lost(),
+			"spoilt", transport.Malformed.Load(), "strange", transport.BadRequest.Load(), "watch_lost", n.follower.WatchFailures(),
 			"strangers", n.peers.Dropped.Load(), "broken", n.monitor.Counts(), "due", transport.Due.Load(),
 			"too_late", frontend.LateAnswers.Load(),
 			"turn_ms", turn.Milliseconds(), "queued_ms", wait.Milliseconds(), "timer_ms", timer.Milliseconds(),
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -99,7 +99,7 @@
 // midway reports whether a further token must follow what was written last. Before the first event the client has had
 // no response, and after the last token it has nothing to come back for. Right behind an event that is followed by
 // another, the backend cannot have finished.
-func (s *streamRelay) midway() bool { return chat.Midway(s.lastWritten) }
+func (s *streamRelay) midway() bool { return chat.EndsMidAnswer(s.lastWritten) }
 
 // moveStream cuts the stream, for its client to continue it at another dispatcher.
 func (s *streamRelay) moveStream() {
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -178,7 +178,7 @@
 	c.monitor.AttemptArrived(outgoing.id, attempt.Scheduled.Number)
 	conn.SetReadDeadline(time.Now().Add(responseHeadTimeout))
 	var resp *http.Response
-	for range chat.InformMost {
+	for range chat.MaxInformational {
 		var err error
 		if resp, err = conn.ReadResponse(nil); err != nil {
 			c.Malformed.Add(1)
@@ -201,9 +201,9 @@
 			attempt.RequestInvalid = true
 			return brain.Result{Outcome: brain.Cancelled}
 		}
-		result.Outcome, result.Note = chat.Outcome(attempt.Scheduled.Stage, resp, body)
+		result.Outcome, result.Note = chat.ClassifyResponse(attempt.Scheduled.Stage, resp, body)
 		load = resp.Header.Get("X-Server-Load")
-		result.Load = chat.Load(load, c.loadFields)
+		result.Load = chat.ParseLoad(load, c.loadFields)
 		return result
 	}
 	if len(resp.TransferEncoding) != 1 || resp.TransferEncoding[0] != "chunked" {
@@ -214,13 +214,13 @@
 	for begun := false; ; {
 		piece, err := stream.Next()
 		if err == io.EOF {
-			if load = stream.Report; load == "" {
+			if load = stream.LoadReport; load == "" {
 				load = resp.Header.Get("X-Server-Load")
 			}
-			return brain.Result{Outcome: brain.Served, Note: stream.Kept, Load: chat.Load(load, c.loadFields)}
+			return brain.Result{Outcome: brain.Served, Note: stream.CachedTokens, Load: chat.ParseLoad(load, c.loadFields)}
 		}
 		if err != nil {
-			if errors.Is(err, chat.ErrSpoilt) {
+			if errors.Is(err, chat.ErrMalformed) {
 				c.Malformed.Add(1)
 			}
 			return interrupted()
