--- a/cmd/benchlink/same_test.go
+++ b/cmd/benchlink/same_test.go
@@ -160,11 +160,11 @@
 
 	kinds := []string{"reader", "reader", "reader", "writer", "writer", "writer", "mixed"}
 	list := func(standing func(i int) int) {
-		var lines []boxlist.Box
+		var lines []boxlist.Endpoint
 		var tail []byte
 		for i, kind := range kinds {
 			name, rack, s := fmt.Sprintf("%s-%d", kind, i), fmt.Sprintf("rack-%d", i%2), standing(i)
-			line := boxlist.Box{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "10.0.0.1:1"}}, Kind: kind, Zone: "here", Rack: rack, Standing: [...]string{"draining", "ready", "gone"}[s], Units: 2, UpMs: -1}
+			line := boxlist.Endpoint{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "10.0.0.1:1"}}, Kind: kind, Zone: "here", Rack: rack, State: [...]string{"draining", "ready", "gone"}[s], Units: 2, UptimeMs: -1}
 			e := make([]byte, 22)
 			binary.BigEndian.PutUint32(e, dispatch.HostID(name))
 			binary.BigEndian.PutUint16(e[5:], uint16(d.KindNumber(kind)))
@@ -172,7 +172,7 @@
 			e[9] = byte(s)
 			binary.BigEndian.PutUint32(e[10:], math.Float32bits(2))
 			if i == 4 { // one that has just started
-				line.Start, line.UpMs = 5, 1
+				line.Incarnation, line.UptimeMs = 5, 1
 				binary.BigEndian.PutUint64(e[14:], b.clock-1000)
 			}
 			lines, tail = append(lines, line), append(tail, e...)
--- a/internal/boxlist/follow.go
+++ b/internal/boxlist/follow.go
@@ -28,18 +28,18 @@
 type Follower struct {
 	Address string // host:port of the list
 	Name    string // of this dispatcher
-	Keep    string // folder for the last list; empty: none is kept
-	Client  *http.Client
+	CacheDir    string // folder for the last list; empty: none is kept
+	HTTPClient  *http.Client
 	Log     *slog.Logger
-	Listed  func(lines []Box, whole bool)
+	OnUpdate  func(lines []Endpoint, whole bool)
 
 	table Table
 	heard atomic.Pointer[time.Time] // when the list was last heard
 	gaps  atomic.Int64
 }
 
-// Age is how long ago the list was last heard; false: not at all since the start.
-func (f *Follower) Age() (time.Duration, bool) {
+// Staleness is how long ago the list was last heard; false: not at all since the start.
+func (f *Follower) Staleness() (time.Duration, bool) {
 	at := f.heard.Load()
 	if at == nil {
 		return 0, false
@@ -55,7 +55,7 @@
 	SavedUnixMs int64  `json:"saved_unix_ms"` // for those who read the file
 	Boot        string `json:"boot,omitempty"`
 	SavedUpMs   int64  `json:"saved_up_ms,omitempty"` // for how long the machine had been up in that boot
-	Push        Push   `json:"push"`
+	Push        Update   `json:"push"`
 }
 
 // away is how long ago the list was kept. The wall clock may have stepped since, so it does not count; where nothing else tells, it is
@@ -68,11 +68,11 @@
 	return max(up-time.Duration(k.SavedUpMs)*time.Millisecond, 0)
 }
 
-func (f *Follower) file() string { return filepath.Join(f.Keep, "boxlist-"+f.Name+".json") }
+func (f *Follower) file() string { return filepath.Join(f.CacheDir, "boxlist-"+f.Name+".json") }
 
 // Restore reads the last list from disk, and hands it on. A missing file is no error.
 func (f *Follower) Restore() error {
-	if f.Keep == "" {
+	if f.CacheDir == "" {
 		return nil
 	}
 	raw, err := os.ReadFile(f.file())
@@ -86,11 +86,11 @@
 	if err := json.Unmarshal(raw, &k); err != nil {
 		return fmt.Errorf("%s: the kept list can't be read: %w", f.file(), err)
 	}
-	k.Push.Whole = true
+	k.Push.Full = true
 	away := k.away().Milliseconds()
-	for i := range k.Push.Boxes {
-		if k.Push.Boxes[i].UpMs >= 0 {
-			k.Push.Boxes[i].UpMs += away
+	for i := range k.Push.Endpoints {
+		if k.Push.Endpoints[i].UptimeMs >= 0 {
+			k.Push.Endpoints[i].UptimeMs += away
 		}
 	}
 	lines, refused, err := f.table.Apply(k.Push)
@@ -99,25 +99,25 @@
 	}
 	// Its version is of an earlier process: the list may have begun anew, so the whole list is asked for.
 	f.table.Version = 0
-	f.Listed(lines, true)
+	f.OnUpdate(lines, true)
 	return refused
 }
 
 // save writes the list beside the old one and puts it in its place, so that a kill leaves one or the other.
 func (f *Follower) save() error {
-	if f.Keep == "" {
+	if f.CacheDir == "" {
 		return nil
 	}
 	boot, up := system.Uptime()
-	raw, err := json.Marshal(kept{time.Now().UnixMilli(), boot, up.Milliseconds(), Push{Version: f.table.Version, Whole: true, Boxes: f.table.Whole()}})
+	raw, err := json.Marshal(kept{time.Now().UnixMilli(), boot, up.Milliseconds(), Update{Version: f.table.Version, Full: true, Endpoints: f.table.Whole()}})
 	if err != nil {
 		return err
 	}
 	return system.Replace(f.file(), raw, 0o644)
 }
 
-// Follow stays connected until the context ends.
-func (f *Follower) Follow(ctx context.Context) error {
+// Run stays connected until the context ends.
+func (f *Follower) Run(ctx context.Context) error {
 	wait := again
 	for {
 		got, err := f.once(ctx)
@@ -151,7 +151,7 @@
 	}
 	quiet := time.AfterFunc(silence, func() { cancel(fmt.Errorf("nothing heard for %v", silence)) })
 	defer quiet.Stop()
-	resp, err := f.Client.Do(r)
+	resp, err := f.HTTPClient.Do(r)
 	if err != nil {
 		return false, err
 	}
@@ -163,7 +163,7 @@
 	lines.Buffer(make([]byte, 0, 64<<10), maxPush)
 	for lines.Scan() {
 		quiet.Reset(silence)
-		var p Push
+		var p Update
 		if err := json.Unmarshal(lines.Bytes(), &p); err != nil {
 			return got, fmt.Errorf("a push can't be read: %w", err)
 		}
@@ -177,10 +177,10 @@
 		if refused != nil {
 			f.Log.Warn("lines of the box list refused", "error", refused)
 		}
-		if len(changed) == 0 && !p.Whole {
+		if len(changed) == 0 && !p.Full {
 			continue
 		}
-		f.Listed(changed, p.Whole)
+		f.OnUpdate(changed, p.Full)
 		if err := f.save(); err != nil {
 			f.Log.Warn("the box list could not be kept", "error", err)
 		}
--- a/internal/boxlist/table.go
+++ b/internal/boxlist/table.go
@@ -16,7 +16,7 @@
 const (
 	Ready    = "ready"
 	Draining = "draining"
-	Gone     = "gone"
+	Removed     = "gone"
 )
 
 // The bounds of a list and of its lines.
@@ -24,29 +24,29 @@
 	mostBoxes     = 10_000
 	mostAddresses = 16 // of one box
 	mostName      = 253
-	MostUnits     = 1e6
+	MaxUnits     = 1e6
 	mostUp        = 100 * 365 * 24 * 3600 * 1000 // milliseconds
 )
 
-// Box is one line of the list.
-type Box struct {
+// Endpoint is one line of the list.
+type Endpoint struct {
 	Name      string           `json:"name"`
 	Addresses []addresses.Spec `json:"addresses"`
 	Kind      string           `json:"kind"`
 	Zone      string           `json:"zone"`
 	Rack      string           `json:"rack"`
-	Standing  string           `json:"standing"`
+	State  string           `json:"standing"`
 	Units     float64          `json:"units"`
-	Start     uint64           `json:"start"` // tells one start of its process from another
-	UpMs      int64            `json:"up_ms"` // how long it had been up when this was sent; negative: since long ago
+	Incarnation     uint64           `json:"start"` // tells one start of its process from another
+	UptimeMs      int64            `json:"up_ms"` // how long it had been up when this was sent; negative: since long ago
 }
 
-// Push is what the list sends: a whole list, or the changes from version Base to Version; a beat has none.
-type Push struct {
+// Update is what the list sends: a whole list, or the changes from version Base to Version; a beat has none.
+type Update struct {
 	Version uint64 `json:"version"`
 	Base    uint64 `json:"base"`
-	Whole   bool   `json:"whole,omitempty"`
-	Boxes   []Box  `json:"boxes,omitempty"`
+	Full   bool   `json:"whole,omitempty"`
+	Endpoints   []Endpoint  `json:"boxes,omitempty"`
 }
 
 // ErrGap says that changes were missed, so that the whole list has to be asked for.
@@ -55,24 +55,24 @@
 // Table is the list as last heard.
 type Table struct {
 	Version uint64
-	boxes   map[string]Box
+	boxes   map[string]Endpoint
 }
 
 // Apply takes a push and returns the lines that changed, in the order of their names. Lines without sense are
 // left out and named, and leave their boxes as they were; the rest of the push counts.
-func (t *Table) Apply(p Push) (changed []Box, refused error, err error) {
-	if !p.Whole && (p.Base != t.Version || p.Version < p.Base) {
+func (t *Table) Apply(p Update) (changed []Endpoint, refused error, err error) {
+	if !p.Full && (p.Base != t.Version || p.Version < p.Base) {
 		return nil, nil, fmt.Errorf("%w: have %d, got changes from %d", ErrGap, t.Version, p.Base)
 	}
 	var faults []error
-	next := map[string]Box{}
-	for _, b := range p.Boxes {
+	next := map[string]Endpoint{}
+	for _, b := range p.Endpoints {
 		fault := b.Check()
 		if _, twice := next[b.Name]; twice && fault == nil {
 			fault = fmt.Errorf("box %s: listed twice, the first line counts", b.Name)
-		} else if had, known := t.boxes[b.Name]; fault != nil && known && p.Whole && !twice {
+		} else if had, known := t.boxes[b.Name]; fault != nil && known && p.Full && !twice {
 			next[b.Name] = had
-		} else if fault == nil && !known && len(t.boxes)+len(next) >= mostBoxes && (!p.Whole || len(next) >= mostBoxes) {
+		} else if fault == nil && !known && len(t.boxes)+len(next) >= mostBoxes && (!p.Full || len(next) >= mostBoxes) {
 			fault = fmt.Errorf("box %s: %d boxes are held at most", b.Name, mostBoxes)
 		}
 		if fault != nil {
@@ -81,12 +81,12 @@
 		}
 		next[b.Name] = b
 	}
-	if p.Whole || t.boxes == nil {
-		t.boxes = map[string]Box{}
+	if p.Full || t.boxes == nil {
+		t.boxes = map[string]Endpoint{}
 	}
 	for name, b := range next {
 		changed = append(changed, b)
-		if b.Standing == Gone {
+		if b.State == Removed {
 			delete(t.boxes, name)
 		} else {
 			t.boxes[name] = b
@@ -98,8 +98,8 @@
 }
 
 // Whole lists all boxes by name.
-func (t *Table) Whole() []Box {
-	all := make([]Box, 0, len(t.boxes))
+func (t *Table) Whole() []Endpoint {
+	all := make([]Endpoint, 0, len(t.boxes))
 	for _, b := range t.boxes {
 		all = append(all, b)
 	}
@@ -108,25 +108,25 @@
 }
 
 // SortByName puts lines in the order of their names.
-func SortByName(boxes []Box) {
-	slices.SortStableFunc(boxes, func(a, b Box) int { return strings.Compare(a.Name, b.Name) })
+func SortByName(boxes []Endpoint) {
+	slices.SortStableFunc(boxes, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
 }
 
 // Check tells what is wrong with a line.
-func (b Box) Check() error {
+func (b Endpoint) Check() error {
 	switch {
 	case b.Name == "":
 		return errors.New("a box without a name")
-	case b.Standing != Ready && b.Standing != Draining && b.Standing != Gone:
-		return fmt.Errorf("box %s: standing %q is unknown", b.Name, b.Standing)
-	case b.Standing != Gone && len(b.Addresses) == 0:
+	case b.State != Ready && b.State != Draining && b.State != Removed:
+		return fmt.Errorf("box %s: standing %q is unknown", b.Name, b.State)
+	case b.State != Removed && len(b.Addresses) == 0:
 		return fmt.Errorf("box %s: no address", b.Name)
 	case max(len(b.Name), len(b.Kind), len(b.Zone), len(b.Rack)) > mostName:
 		return fmt.Errorf("box %.40s: a name of it is longer than %d bytes", b.Name, mostName)
-	case !(b.Units >= 0 && b.Units <= MostUnits):
-		return fmt.Errorf("box %s: units of %g, 0 to %g are taken", b.Name, b.Units, float64(MostUnits))
-	case b.UpMs > mostUp:
-		return fmt.Errorf("box %s: up_ms of %d, %d at most are taken", b.Name, b.UpMs, int64(mostUp))
+	case !(b.Units >= 0 && b.Units <= MaxUnits):
+		return fmt.Errorf("box %s: units of %g, 0 to %g are taken", b.Name, b.Units, float64(MaxUnits))
+	case b.UptimeMs > mostUp:
+		return fmt.Errorf("box %s: up_ms of %d, %d at most are taken", b.Name, b.UptimeMs, int64(mostUp))
 	case len(b.Addresses) > mostAddresses:
 		return fmt.Errorf("box %s: %d addresses, %d are taken at most", b.Name, len(b.Addresses), mostAddresses)
 	}
--- a/internal/chat/answer.go
+++ b/internal/chat/answer.go
@@ -18,15 +18,15 @@
 	chunkMost  = 256 << 10 // bytes of a chunk
 	eventMost  = 256 << 10 // bytes of an event
 	afterMost  = 16        // lines after the last chunk
-	InformMost = 8         // answers in front of the one that counts
+	MaxInformational = 8         // answers in front of the one that counts
 )
 
-// ErrSpoilt says that what a box sends can't be read as an answer.
-var ErrSpoilt = errors.New("the answer can't be read")
+// ErrMalformed says that what a box sends can't be read as an answer.
+var ErrMalformed = errors.New("the answer can't be read")
 
-// Outcome is what a box's short answer proves: only what the box itself says never ran is taken for that. Without the mark a
+// ClassifyResponse is what a box's short answer proves: only what the box itself says never ran is taken for that. Without the mark a
 // refusal may be somebody else's on the way. A state that is gone stands as the module knows it: full, with a note of 1.
-func Outcome(stage brain.Stage, resp *http.Response, body []byte) (o brain.Outcome, note int) {
+func ClassifyResponse(stage brain.Stage, resp *http.Response, body []byte) (o brain.Outcome, note int) {
 	never := resp.Header.Get("X-Not-Processed") == "1"
 	switch code := resp.StatusCode; {
 	case code == http.StatusAccepted && stage == brain.ToRead:
@@ -52,8 +52,8 @@
 	return int(n)
 }
 
-// Load reads a load report's values in the order of the fields; nil: it can't be read.
-func Load(text string, fields []string) []float64 {
+// ParseLoad reads a load report's values in the order of the fields; nil: it can't be read.
+func ParseLoad(text string, fields []string) []float64 {
 	values := make([]float64, len(fields))
 	seen := 0
 	for text != "" {
@@ -80,8 +80,8 @@
 
 // Stream reads the events of an answer in chunks.
 type Stream struct {
-	Kept   int    // tokens found kept, as the end says
-	Report string // the load report, as the end says
+	CachedTokens   int    // tokens found kept, as the end says
+	LoadReport string // the load report, as the end says
 
 	from *bufio.Reader
 	rest []byte // of an event that is not whole yet
@@ -102,7 +102,7 @@
 		}
 		if chunk == nil {
 			if !s.done || len(s.rest) > 0 {
-				return nil, ErrSpoilt // it ends in good order, but before the end of the answer
+				return nil, ErrMalformed // it ends in good order, but before the end of the answer
 			}
 			return nil, io.EOF
 		}
@@ -110,14 +110,14 @@
 		end := bytes.LastIndex(s.rest, []byte("\n\n"))
 		if end < 0 {
 			if len(s.rest) > eventMost {
-				return nil, ErrSpoilt
+				return nil, ErrMalformed
 			}
 			continue
 		}
 		piece := s.rest[:end+2]
 		s.rest = append([]byte(nil), s.rest[end+2:]...)
 		if !s.look(piece) {
-			return nil, ErrSpoilt
+			return nil, ErrMalformed
 		}
 		return piece, nil
 	}
@@ -132,7 +132,7 @@
 	size, _, _ := bytes.Cut(line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 32)
 	if err != nil || n > chunkMost || len(size) > 8 {
-		return nil, ErrSpoilt
+		return nil, ErrMalformed
 	}
 	if n == 0 {
 		for range afterMost {
@@ -143,14 +143,14 @@
 				return nil, nil
 			}
 		}
-		return nil, ErrSpoilt
+		return nil, ErrMalformed
 	}
 	chunk := make([]byte, n+2)
 	if _, err := io.ReadFull(s.from, chunk); err != nil {
 		return nil, err
 	}
 	if chunk[n] != '\r' || chunk[n+1] != '\n' {
-		return nil, ErrSpoilt
+		return nil, ErrMalformed
 	}
 	return chunk[:n], nil
 }
@@ -168,7 +168,7 @@
 		}
 		line = append(line, c)
 	}
-	return nil, ErrSpoilt
+	return nil, ErrMalformed
 }
 
 // look takes what the events say of the trip, and tells whether they are events at all: a chunk of a wrong size may have taken in
@@ -196,11 +196,11 @@
 				if json.Unmarshal(value, &said) != nil {
 					return false
 				}
-				s.Kept = kept(said.Usage.Details.Kept)
+				s.CachedTokens = kept(said.Usage.Details.Kept)
 			}
 		case line[0] == ':':
 			if name, report, ok := strings.Cut(string(line[1:]), ":"); ok && strings.EqualFold(strings.TrimSpace(name), "X-Server-Load") {
-				s.Report = strings.TrimSpace(report)
+				s.LoadReport = strings.TrimSpace(report)
 			}
 		case bytes.HasPrefix(line, []byte("event:")), bytes.HasPrefix(line, []byte("id:")), bytes.HasPrefix(line, []byte("retry:")):
 		default:
@@ -210,8 +210,8 @@
 	return true
 }
 
-// Midway tells whether events end with a token that is not the answer's last one.
-func Midway(events []byte) bool {
+// EndsMidAnswer tells whether events end with a token that is not the answer's last one.
+func EndsMidAnswer(events []byte) bool {
 	var last []byte
 	for line := range bytes.Lines(events) {
 		if value, data := bytes.CutPrefix(line, []byte("data:")); data {
--- a/internal/day/play_test.go
+++ b/internal/day/play_test.go
@@ -114,16 +114,16 @@
 // to a draining writer at once, and answers twice.
 func wrongly(ctx context.Context, d setup.Dispatcher) error {
 	var mu sync.Mutex
-	boxes := map[string]boxlist.Box{}
-	list := boxlist.Follower{Address: d.Place.Boxes, Name: d.Place.Name, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Client: http.DefaultClient,
-		Listed: func(lines []boxlist.Box, _ bool) {
+	boxes := map[string]boxlist.Endpoint{}
+	list := boxlist.Follower{Address: d.Place.Boxes, Name: d.Place.Name, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), HTTPClient: http.DefaultClient,
+		OnUpdate: func(lines []boxlist.Endpoint, _ bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			for _, b := range lines {
 				boxes[b.Name] = b
 			}
 		}}
-	go list.Follow(ctx)
+	go list.Run(ctx)
 	send := func(name string, e kserve.Errand) io.ReadCloser {
 		mu.Lock()
 		addr := boxes[name].Addresses[0].At
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -31,13 +31,13 @@
 func HostID(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // Listed takes lines of the backend list.
-func (l *Loop) Listed(lines []boxlist.Box, whole bool) {
+func (l *Loop) Listed(lines []boxlist.Endpoint, whole bool) {
 	var out []brain.Listing
 	named := map[string]bool{}
 	for _, line := range lines {
 		named[line.Name] = true
 		b, place := l.backends[line.Name], [3]string{line.Kind, line.Zone, line.Rack}
-		if b != nil && b.place != place && line.Standing != boxlist.Gone {
+		if b != nil && b.place != place && line.State != boxlist.Removed {
 			// Another machine under the old name: what is known of that one says nothing of this.
 			l.retire(b)
 			out = append(out, brain.Listing{Host: b.Known, Standing: brain.Gone})
@@ -45,7 +45,7 @@
 			b = nil
 		}
 		if b == nil {
-			if line.Standing == boxlist.Gone {
+			if line.State == boxlist.Removed {
 				continue
 			}
 			id := HostID(line.Name)
@@ -111,8 +111,8 @@
 	}
 }
 
-func (l *Loop) listing(b *Backend, line boxlist.Box) brain.Listing {
-	standing := map[string]brain.BackendState{boxlist.Ready: brain.Ready, boxlist.Draining: brain.Draining, boxlist.Gone: brain.Gone}[line.Standing]
+func (l *Loop) listing(b *Backend, line boxlist.Endpoint) brain.Listing {
+	standing := map[string]brain.BackendState{boxlist.Ready: brain.Ready, boxlist.Draining: brain.Draining, boxlist.Removed: brain.Gone}[line.State]
 	if standing == brain.Gone {
 		l.retire(b)
 	} else {
@@ -129,15 +129,15 @@
 	}
 	// A start has one time, however often the list repeats it with another age: the module would else see
 	// a new start each time, and forget what it knows of the backend.
-	if b.Start != line.Start || !b.dated {
-		b.booted, b.dated = l.now-time.Duration(line.UpMs)*time.Millisecond, line.UpMs >= 0
+	if b.Start != line.Incarnation || !b.dated {
+		b.booted, b.dated = l.now-time.Duration(line.UptimeMs)*time.Millisecond, line.UptimeMs >= 0
 	}
-	b.Start = line.Start
-	return brain.Listing{Host: b.Known, Standing: standing, Units: max(line.Units, 0.01), Booted: b.booted, Restart: line.UpMs >= 0}
+	b.Start = line.Incarnation
+	return brain.Listing{Host: b.Known, Standing: standing, Units: max(line.Units, 0.01), Booted: b.booted, Restart: line.UptimeMs >= 0}
 }
 
 // allowed leaves out addresses that make no sense or lie outside of what the deployment allows, with a note.
-func (l *Loop) allowed(line boxlist.Box) []addresses.Spec {
+func (l *Loop) allowed(line boxlist.Endpoint) []addresses.Spec {
 	var at []addresses.Spec
 	for _, s := range append(slices.Clone(line.Addresses), l.further[line.Name]...) {
 		if err := s.Check(); err != nil {
--- a/internal/dispatch/cost_test.go
+++ b/internal/dispatch/cost_test.go
@@ -10,11 +10,11 @@
 )
 
 // wholeList is a list of so many backends.
-func wholeList(backends int) []boxlist.Box {
-	var lines []boxlist.Box
+func wholeList(backends int) []boxlist.Endpoint {
+	var lines []boxlist.Endpoint
 	for i := range backends {
-		lines = append(lines, boxlist.Box{
-			Name: fmt.Sprintf("s-%d", i), Kind: []string{"reader", "writer"}[i%2], Zone: "hall-1", Rack: fmt.Sprint(i / 5), Standing: boxlist.Ready, Units: 1, UpMs: -1,
+		lines = append(lines, boxlist.Endpoint{
+			Name: fmt.Sprintf("s-%d", i), Kind: []string{"reader", "writer"}[i%2], Zone: "hall-1", Rack: fmt.Sprint(i / 5), State: boxlist.Ready, Units: 1, UptimeMs: -1,
 			Addresses: []addresses.Spec{{Network: addresses.TCP4, At: fmt.Sprintf("127.0.%d.%d:8080", i>>8, i&255)}},
 		})
 	}
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -41,8 +41,8 @@
 	return d
 }
 
-func box(name, kind, standing string) boxlist.Box {
-	return boxlist.Box{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "10.0.0.1:1"}}, Kind: kind, Standing: standing, Units: 1, UpMs: -1}
+func box(name, kind, standing string) boxlist.Endpoint {
+	return boxlist.Endpoint{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "10.0.0.1:1"}}, Kind: kind, State: standing, Units: 1, UptimeMs: -1}
 }
 
 // settled makes a loop that knows two prefill backends and two decode backends.
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	l.Do(func() {
-		l.Listed([]boxlist.Box{box("r1", "reader", "ready"), box("r2", "reader", "ready"), box("w1", "writer", "ready"), box("w2", "writer", "ready")}, true)
+		l.Listed([]boxlist.Endpoint{box("r1", "reader", "ready"), box("r2", "reader", "ready"), box("w1", "writer", "ready"), box("w2", "writer", "ready")}, true)
 	})
 	return l, h
 }
@@ -194,18 +194,18 @@
 func TestAStartHasOneTimeHoweverOftenItIsListed(t *testing.T) {
 	l, h := settled(t, "idempotent")
 	line := box("w1", "writer", "ready")
-	line.Start, line.UpMs = 7, 1000
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
+	line.Incarnation, line.UptimeMs = 7, 1000
+	l.Do(func() { l.Listed([]boxlist.Endpoint{line}, false) })
 	host := l.backends["w1"].Known
 	booted := host.Booted
 	h.now += 3 * time.Second
-	line.UpMs = 4007
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
+	line.UptimeMs = 4007
+	l.Do(func() { l.Listed([]boxlist.Endpoint{line}, false) })
 	if host.Booted != booted || !host.Restart {
 		t.Errorf("booted %v, then %v", booted, host.Booted)
 	}
-	line.Start, line.UpMs = 8, 10
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
+	line.Incarnation, line.UptimeMs = 8, 10
+	l.Do(func() { l.Listed([]boxlist.Endpoint{line}, false) })
 	if host.Booted == booted {
 		t.Error("a new start went unseen")
 	}
@@ -215,7 +215,7 @@
 	l, _ := settled(t, "idempotent")
 	gone := l.backends["w2"]
 	l.Do(func() {
-		l.Listed([]boxlist.Box{box("r1", "reader", "ready"), box("w1", "writer", "draining"), box("x", "nonesuch", "ready")}, true)
+		l.Listed([]boxlist.Endpoint{box("r1", "reader", "ready"), box("w1", "writer", "draining"), box("x", "nonesuch", "ready")}, true)
 	})
 	if gone.Known.Standing != brain.Gone || l.backends["w1"].Known.Standing != brain.Draining || l.backends["x"] != nil {
 		t.Errorf("w2 %d, w1 %d, x %v", gone.Known.Standing, l.backends["w1"].Known.Standing, l.backends["x"])
@@ -231,14 +231,14 @@
 	l, h := settled(t, "idempotent")
 	line := box("w1", "writer", "ready")
 	line.Addresses = []addresses.Spec{{Network: "tcp4", At: "10.9.9.9:1"}, {Network: "tcp4", At: "no address"}, {Network: "unix", At: "/w1"}}
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
+	l.Do(func() { l.Listed([]boxlist.Endpoint{line}, false) })
 	if got := h.reached[len(h.reached)-1]; got != "w1[unix:/w1]" {
 		t.Errorf("reached at %s", got)
 	}
 	n := len(h.reached)
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-	line.Standing = "gone"
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
+	l.Do(func() { l.Listed([]boxlist.Endpoint{line}, false) })
+	line.State = "gone"
+	l.Do(func() { l.Listed([]boxlist.Endpoint{line}, false) })
 	if len(h.reached) != n+1 || h.reached[n] != "w1[]" {
 		t.Errorf("then %v", h.reached[n:])
 	}
@@ -253,16 +253,16 @@
 	for i := range 300 {
 		l.Do(func() {
 			line := box(fmt.Sprint("pod-", i), "writer", "ready")
-			line.Start, line.UpMs = uint64(i), 5
-			l.Listed([]boxlist.Box{line}, false)
-			line.Standing = "gone"
-			l.Listed([]boxlist.Box{line}, false)
+			line.Incarnation, line.UptimeMs = uint64(i), 5
+			l.Listed([]boxlist.Endpoint{line}, false)
+			line.State = "gone"
+			l.Listed([]boxlist.Endpoint{line}, false)
 		})
 	}
 	h.now += 2 * goneKept
-	l.Do(func() { l.Listed([]boxlist.Box{box("w1", "writer", "ready")}, true) })
+	l.Do(func() { l.Listed([]boxlist.Endpoint{box("w1", "writer", "ready")}, true) })
 	h.now += 2 * goneKept
-	l.Do(func() { l.Listed([]boxlist.Box{box("w1", "writer", "ready")}, true) })
+	l.Do(func() { l.Listed([]boxlist.Endpoint{box("w1", "writer", "ready")}, true) })
 	if len(l.backends) != 2 || len(l.hosts) != 2 || len(l.byHost) != 2 || l.backends[busy.Backend.Name] == nil {
 		t.Fatalf("%d boxes, %d hosts, %d by host are held, of 1 listed and 1 with a trip", len(l.backends), len(l.hosts), len(l.byHost))
 	}
@@ -277,16 +277,16 @@
 
 // Another machine under the old name is another backend: groups that drop repeats, roles and racks go by where it stands now.
 func TestABoxThatComesBackElsewhereIsAnotherOne(t *testing.T) {
-	for name, change := range map[string]func(*boxlist.Box){
-		"kind": func(b *boxlist.Box) { b.Kind = "reader" },
-		"rack": func(b *boxlist.Box) { b.Rack = "other" },
-		"zone": func(b *boxlist.Box) { b.Zone = "there" },
+	for name, change := range map[string]func(*boxlist.Endpoint){
+		"kind": func(b *boxlist.Endpoint) { b.Kind = "reader" },
+		"rack": func(b *boxlist.Endpoint) { b.Rack = "other" },
+		"zone": func(b *boxlist.Endpoint) { b.Zone = "there" },
 	} {
 		l, _ := settled(t, "idempotent")
 		old := l.backends["w1"].Known
 		line := box("w1", "writer", "ready")
 		change(&line)
-		l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
+		l.Do(func() { l.Listed([]boxlist.Endpoint{line}, false) })
 		now := l.backends["w1"].Known
 		if now == old || old.Standing != brain.Gone || now.Standing != brain.Ready || l.hosts[now.ID] != now || l.byHost[old] != nil {
 			t.Errorf("another %s: the same host, standing %d", name, old.Standing)
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -113,14 +113,14 @@
 		loop.Keep(kept)
 	}
 	list := &boxlist.Follower{
-		Address: d.Place.Boxes, Name: d.Place.Name, Keep: d.Place.Keep, Log: log, Client: &http.Client{Transport: &http.Transport{}},
-		Listed: func(lines []boxlist.Box, whole bool) { loop.Post(func() { loop.Listed(lines, whole) }) },
+		Address: d.Place.Boxes, Name: d.Place.Name, CacheDir: d.Place.Keep, Log: log, HTTPClient: &http.Client{Transport: &http.Transport{}},
+		OnUpdate: func(lines []boxlist.Endpoint, whole bool) { loop.Post(func() { loop.Listed(lines, whole) }) },
 	}
 	if err := list.Restore(); err != nil {
 		log.Warn("the kept list is left out", "error", err)
 	}
 	group.Go(func() error { return loop.Run(life) })
-	group.Go(func() error { return list.Follow(life) })
+	group.Go(func() error { return list.Run(life) })
 
 	server := &Server{Terms: d.Terms, Place: d.Place, Loop: loop, Log: log}
 	server.State = func() map[string]any {
@@ -185,7 +185,7 @@
 	end()
 	flights.Wait()
 	group.Wait()
-	list.Client.CloseIdleConnections()
+	list.HTTPClient.CloseIdleConnections()
 	return err
 }
 
@@ -269,7 +269,7 @@
 
 // state is what operators see of a dispatcher.
 func state(ctx context.Context, l *Loop, list *boxlist.Follower, trips *Trips, s *Server, up time.Duration) map[string]any {
-	age, heard := list.Age()
+	age, heard := list.Staleness()
 	out := map[string]any{
 		"dispatcher": l.Epoch, "up_s": up.Seconds(), "open": s.open.Load(), "stopping": s.stopping.Load(), "list_heard": heard,
 		"list_age_s": age.Seconds(), "list_gaps": list.Gaps(), "releases_refused": trips.Refused.Load(),
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -256,8 +256,8 @@
 	h := open(t, nil)
 	h.reader.Kill("gone")
 	h.writer.Kill("gone")
-	h.list.Publish(h.reader, boxlist.Gone, 0)
-	h.list.Publish(h.writer, boxlist.Gone, 0)
+	h.list.Publish(h.reader, boxlist.Removed, 0)
+	h.list.Publish(h.writer, boxlist.Removed, 0)
 	time.Sleep(100 * time.Millisecond)
 	status, body, head := h.post(lodge+"generate", strings.NewReader(`{"text_input":"x","parameters":{"timeout":600000}}`))
 	var f kserve.Final
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -24,10 +24,10 @@
 	if err != nil || !whole || len(lines) != 2 || len(refused) != 3 || tab.Rev != 41 {
 		t.Fatalf("%v, whole %t, %+v, refused %q", err, whole, lines, refused)
 	}
-	if a := lines[0]; a.UpMs != 1000 || a.Start != 9000 || a.Standing != boxlist.Ready || a.Rack != "3" || a.Units != 1.5 || a.Addresses[0].At != "10.1.0.18:8081" {
+	if a := lines[0]; a.UptimeMs != 1000 || a.Incarnation != 9000 || a.State != boxlist.Ready || a.Rack != "3" || a.Units != 1.5 || a.Addresses[0].At != "10.1.0.18:8081" {
 		t.Errorf("%+v", a)
 	}
-	if b := lines[1]; b.UpMs != -1 || b.Standing != boxlist.Gone {
+	if b := lines[1]; b.UptimeMs != -1 || b.State != boxlist.Removed {
 		t.Errorf("%+v", b)
 	}
 }
@@ -86,7 +86,7 @@
 		var tab Table
 		lines, _, _, _ := tab.Take(0, 1000, raw)
 		for _, b := range lines {
-			if b.Name == "" || b.Standing == "" || !(b.Units >= 0) || b.UpMs < -1 {
+			if b.Name == "" || b.State == "" || !(b.Units >= 0) || b.UptimeMs < -1 {
 				t.Errorf("%+v", b)
 			}
 		}
@@ -97,22 +97,22 @@
 type following struct {
 	*Follower
 	mu    sync.Mutex
-	lines []boxlist.Box
+	lines []boxlist.Endpoint
 }
 
 func follow(t *testing.T, at string) *following {
 	before := goleak.IgnoreCurrent()
 	began := time.Now()
 	f := &following{}
-	f.Follower = &Follower{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Since: func() time.Duration { return time.Since(began) }, Wall: time.Now, Listed: func(lines []boxlist.Box, whole bool) {
+	f.Follower = &Follower{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Monotonic: func() time.Duration { return time.Since(began) }, WallClock: time.Now, OnUpdate: func(lines []boxlist.Endpoint, whole bool) {
 		f.mu.Lock()
 		f.lines = append(f.lines, lines...)
 		f.mu.Unlock()
 	}}
-	f.Move(at)
+	f.SetAddress(at)
 	ctx, end := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { f.Follow(ctx); close(ended) }()
+	go func() { f.Run(ctx); close(ended) }()
 	t.Cleanup(func() {
 		end()
 		<-ended
@@ -140,7 +140,7 @@
 		last := ""
 		for _, b := range f.lines {
 			if b.Name == name {
-				last = b.Standing
+				last = b.State
 			}
 		}
 		f.mu.Unlock()
@@ -171,7 +171,7 @@
 	site.Change(func() { box.State = "terminating" })
 	agent.SetMute(false)
 	f.until(t, "a", boxlist.Draining)
-	if f.Lost() == 0 {
+	if f.WatchFailures() == 0 {
 		t.Error("the silent watch was not given up")
 	}
 }
@@ -196,7 +196,7 @@
 		agent.Say(string(c))
 	}
 	f.until(t, "a", boxlist.Draining)
-	if n := f.Lost(); n != 0 {
+	if n := f.WatchFailures(); n != 0 {
 		t.Errorf("the watch was lost %d times", n)
 	}
 }
@@ -227,7 +227,7 @@
 			agent := agents[0]
 			agent.SetMute(true)
 			drain()
-			await(t, func() bool { return f.Lost() == 1 })
+			await(t, func() bool { return f.WatchFailures() == 1 })
 			await(t, func() bool { return len(agent.Targets()) > 2 }) // asked anew, with no answer
 			agent.SetMute(false)
 		}},
@@ -247,7 +247,7 @@
 		}},
 		"moved to a slow one": {moved, func(agents []*hosts.Agent, f *following, drain func()) {
 			agents[1].SetSlow(2 * time.Second)
-			f.Move(agents[1].At)
+			f.SetAddress(agents[1].At)
 			drain()
 		}},
 		"reset right before the change": {time.Second, func(agents []*hosts.Agent, _ *following, drain func()) {
@@ -267,7 +267,7 @@
 			agent.Cut()
 			await(t, func() bool { return len(agent.Targets()) > 2 }) // the call
 			drain()
-			f.Move(agents[1].At)
+			f.SetAddress(agents[1].At)
 		}},
 		"moved twice, to an address that says nothing": {moved, func(agents []*hosts.Agent, f *following, drain func()) {
 			agent := agents[0]
@@ -275,15 +275,15 @@
 			mute.SetMute(true)
 			drain()
 			agent.SetMute(true)
-			f.Move(mute.At)
+			f.SetAddress(mute.At)
 			await(t, func() bool { return len(mute.Targets()) > 0 })
-			f.Move(there.At)
+			f.SetAddress(there.At)
 		}},
 		"back after an outage with the change": {2500 * time.Millisecond, func(agents []*hosts.Agent, f *following, drain func()) {
 			agent := agents[0]
 			agent.SetMute(true)
 			agent.Cut()
-			await(t, func() bool { return f.Lost() > 1 })
+			await(t, func() bool { return f.WatchFailures() > 1 })
 			drain()
 			agent.SetMute(false)
 		}},
@@ -322,7 +322,7 @@
 // A push that never ends is no sign of life.
 func TestAPushThatDripsIsGivenUp(t *testing.T) {
 	_, _, agent, f := watching(t)
-	for end := time.Now().Add(2 * silence); f.Lost() == 0; time.Sleep(silence / 10) {
+	for end := time.Now().Add(2 * silence); f.WatchFailures() == 0; time.Sleep(silence / 10) {
 		if time.Now().After(end) {
 			t.Fatal("the watch is kept")
 		}
@@ -341,7 +341,7 @@
 	f.until(t, "a", boxlist.Ready)
 	one.SetMute(true)
 	site.Change(func() { b.State = "in_service" })
-	f.Move(two.At)
+	f.SetAddress(two.At)
 	f.until(t, "b", boxlist.Ready)
 	if asked := two.Targets(); len(asked) == 0 || asked[0] != "/v1/endpoints" {
 		t.Errorf("asked for %q", asked)
--- a/internal/endpoints/follow.go
+++ b/internal/endpoints/follow.go
@@ -36,10 +36,10 @@
 // Follower keeps a watch on discovery.
 type Follower struct {
 	Log    *slog.Logger
-	Since  func() time.Duration
-	Wall   func() time.Time                                                     // by which discovery tells when backends started
+	Monotonic  func() time.Duration
+	WallClock   func() time.Time                                                     // by which discovery tells when backends started
 	Dial   func(ctx context.Context, network, address string) (net.Conn, error) // nil: the operating system's
-	Listed func(lines []boxlist.Box, whole bool)                                // told in order
+	OnUpdate func(lines []boxlist.Endpoint, whole bool)                                // told in order
 
 	taking sync.Mutex // held while a list is taken: two tries may bring one
 	table  Table
@@ -52,16 +52,16 @@
 	heard  atomic.Bool
 }
 
-// Heard tells whether discovery has sent a list that was read.
-func (f *Follower) Heard() bool { return f.heard.Load() }
+// Synced tells whether discovery has sent a list that was read.
+func (f *Follower) Synced() bool { return f.heard.Load() }
 
 var (
 	errMoved = errors.New("discovery has another address")
 	errOlder = errors.New("discovery has an older list than the own")
 )
 
-// Take reads a push that came by another way, such as the one that a dispatcher is started with.
-func (f *Follower) Take(raw []byte) error {
+// Apply reads a push that came by another way, such as the one that a dispatcher is started with.
+func (f *Follower) Apply(raw []byte) error {
 	f.taking.Lock()
 	defer f.taking.Unlock()
 	return f.take(raw)
@@ -69,7 +69,7 @@
 
 // take does so; the lock is held.
 func (f *Follower) take(raw []byte) error {
-	lines, whole, refused, err := f.table.Take(f.Since(), f.table.clock.now(f.Since(), f.Wall), raw)
+	lines, whole, refused, err := f.table.Take(f.Monotonic(), f.table.clock.now(f.Monotonic(), f.WallClock), raw)
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	}
 	if len(lines) > 0 || whole {
 		boxlist.SortByName(lines)
-		f.Listed(lines, whole)
+		f.OnUpdate(lines, whole)
 	}
 	return nil
 }
@@ -103,24 +103,24 @@
 	return nil
 }
 
-// Move says where discovery is from now on; the watch on the old address ends.
-func (f *Follower) Move(at string) {
+// SetAddress says where discovery is from now on; the watch on the old address ends.
+func (f *Follower) SetAddress(at string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if at == f.at {
 		return
 	}
-	f.at, f.moved = at, f.Since()
+	f.at, f.moved = at, f.Monotonic()
 	if f.cut != nil {
 		f.cut(errMoved)
 	}
 }
 
-// Lost is how often a watch ended.
-func (f *Follower) Lost() int64 { return f.lost.Load() }
+// WatchFailures is how often a watch ended.
+func (f *Follower) WatchFailures() int64 { return f.lost.Load() }
 
-// Follow watches until the context ends.
-func (f *Follower) Follow(ctx context.Context) error {
+// Run watches until the context ends.
+func (f *Follower) Run(ctx context.Context) error {
 	wait, known := again, ""
 	for ctx.Err() == nil {
 		one, cut := context.WithCancelCause(ctx)
@@ -308,7 +308,7 @@
 func (f *Follower) alive() {
 	f.taking.Lock()
 	defer f.taking.Unlock()
-	f.table.clock.checked = f.Since()
+	f.table.clock.checked = f.Monotonic()
 }
 
 // tear takes note of a watch's end: behind a push that made no sense, the whole list has to be asked for.
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -40,7 +40,7 @@
 	BootMs   int64   `json:"boot_ms"`
 }
 
-var standings = map[string]string{"in_service": boxlist.Ready, "terminating": boxlist.Draining, "terminated": boxlist.Gone}
+var standings = map[string]string{"in_service": boxlist.Ready, "terminating": boxlist.Draining, "terminated": boxlist.Removed}
 
 // Table is how far discovery was followed.
 type Table struct {
@@ -56,7 +56,7 @@
 
 // Take reads a push and returns the lines that it changes. unix is the wall time in milliseconds, by which backends tell their
 // start. Lines without sense are left out and named.
-func (t *Table) Take(now time.Duration, unix int64, raw []byte) (lines []boxlist.Box, whole bool, refused []string, err error) {
+func (t *Table) Take(now time.Duration, unix int64, raw []byte) (lines []boxlist.Endpoint, whole bool, refused []string, err error) {
 	var p push
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return nil, false, nil, fmt.Errorf("a push can't be read: %w", err)
@@ -85,16 +85,16 @@
 	for _, g := range p.Targets {
 		b, err := g.box()
 		if err == nil && g.BootMs > 0 {
-			b.UpMs = t.clock.age(g, now, unix).Milliseconds()
+			b.UptimeMs = t.clock.age(g, now, unix).Milliseconds()
 		}
-		if b.Standing == boxlist.Gone {
+		if b.State == boxlist.Removed {
 			t.clock.forget(g.UID)
 		}
 		if err != nil {
 			refused = append(refused, err.Error())
 			continue
 		}
-		if !older || b.Standing != boxlist.Ready {
+		if !older || b.State != boxlist.Ready {
 			lines = append(lines, b)
 		}
 	}
@@ -104,13 +104,13 @@
 	return lines, p.All && !older, refused, nil
 }
 
-func (g target) box() (b boxlist.Box, err error) {
-	b = boxlist.Box{Name: g.UID, Kind: g.Kind, Zone: g.Zone, Rack: strconv.FormatInt(g.Rack, 10), Standing: standings[g.State], Units: g.Units,
-		Start: uint64(max(g.BootMs, 0)), UpMs: -1}
+func (g target) box() (b boxlist.Endpoint, err error) {
+	b = boxlist.Endpoint{Name: g.UID, Kind: g.Kind, Zone: g.Zone, Rack: strconv.FormatInt(g.Rack, 10), State: standings[g.State], Units: g.Units,
+		Incarnation: uint64(max(g.BootMs, 0)), UptimeMs: -1}
 	if strings.ContainsAny(b.Name, " \r\n\t") {
 		return b, fmt.Errorf("target %.40q: no name of a box", g.UID)
 	}
-	if b.Standing != boxlist.Gone {
+	if b.State != boxlist.Removed {
 		at, err := netip.ParseAddrPort(g.Endpoint)
 		if err != nil {
 			return b, fmt.Errorf("target %s: %w", g.UID, err)
--- a/internal/fleet/dispatcher.go
+++ b/internal/fleet/dispatcher.go
@@ -26,14 +26,14 @@
 	front  bool
 	starts int
 	books  *dispatch.Books
-	known  map[string]boxlist.Box
+	known  map[string]boxlist.Endpoint
 	due    time.Duration
 	set    bool
 	open   map[*client]bool
 	of     map[*dispatch.ClientRequest]*client
 }
 
-func (d *dispatcher) boot(kept map[string]boxlist.Box) error {
+func (d *dispatcher) boot(kept map[string]boxlist.Endpoint) error {
 	w := d.w
 	file := setup.DefaultDispatcher()
 	file.Terms = w.day.Terms
@@ -63,7 +63,7 @@
 	d.loop, d.up, d.front, d.set, d.books = loop, true, true, false, nil
 	d.budgets()
 	d.open, d.of = map[*client]bool{}, map[*dispatch.ClientRequest]*client{}
-	d.known = map[string]boxlist.Box{}
+	d.known = map[string]boxlist.Endpoint{}
 	w.put(record.Line{What: record.Up, Dispatcher: d.name})
 	if kept != nil {
 		d.hear(byName(kept), true)
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -82,25 +82,25 @@
 	if f.stopping.Load() || f.crowded() || !conn.reusable() {
 		w.Header().Set("Connection", "close")
 	}
-	if r.URL.Path == chat.Ready && (r.Method == http.MethodGet || r.Method == http.MethodHead) {
+	if r.URL.Path == chat.ReadyPath && (r.Method == http.MethodGet || r.Method == http.MethodHead) {
 		if f.stopping.Load() || !f.answering() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return
 	}
 	came := conn.requestCame(f.pulse.came(time.Now()))
-	ask, no := chat.Read(r)
+	ask, no := chat.ParseRequest(r)
 	if conn.ambiguous() {
-		no = &chat.Refusal{Status: http.StatusBadRequest, Why: "length twice"}
+		no = &chat.RequestError{Status: http.StatusBadRequest, Reason: "length twice"}
 	}
-	grade, known := f.grades[ask.Grade]
-	channel, one := f.tenants[ask.Channel]
+	grade, known := f.grades[ask.Class]
+	channel, one := f.tenants[ask.Tenant]
 	switch {
 	case no != nil:
 	case !known:
-		no = &chat.Refusal{Status: http.StatusBadRequest, Why: "class"}
+		no = &chat.RequestError{Status: http.StatusBadRequest, Reason: "class"}
 	case !one && len(f.tenants) > 0:
-		no = &chat.Refusal{Status: http.StatusBadRequest, Why: "tenant"}
+		no = &chat.RequestError{Status: http.StatusBadRequest, Reason: "tenant"}
 	}
 	if no != nil {
 		f.refuse(w, r, no)
@@ -119,7 +119,7 @@
 }
 
 // errKnownID refuses a request with the id of another one.
-var errKnownID = &chat.Refusal{Status: http.StatusConflict, Why: "open id"}
+var errKnownID = &chat.RequestError{Status: http.StatusConflict, Reason: "open id"}
 
 // answering tells whether there are backends to serve with; once there were, that stays.
 func (f *frontend) answering() bool {
@@ -130,19 +130,19 @@
 }
 
 // refuse answers what is no request, and ends the connection: what else waits on it may be no request either.
-func (f *frontend) refuse(w http.ResponseWriter, r *http.Request, no *chat.Refusal) {
-	f.count(no.Why)
-	f.log.Debug("request not taken", "id", r.Header.Get("X-Request-Id"), "status", no.Status, "why", no.Why, "client", r.RemoteAddr)
+func (f *frontend) refuse(w http.ResponseWriter, r *http.Request, no *chat.RequestError) {
+	f.count(no.Reason)
+	f.log.Debug("request not taken", "id", r.Header.Get("X-Request-Id"), "status", no.Status, "why", no.Reason, "client", r.RemoteAddr)
 	w.Header().Set("Connection", "close")
 	// What the server reads of a body that nobody wants is bounded in time.
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	http.Error(w, no.Why, no.Status)
+	http.Error(w, no.Reason, no.Status)
 }
 
 func (f *frontend) full(w http.ResponseWriter, r *http.Request, why rejection) {
 	f.count("full " + string(why))
 	w.Header().Set("Retry-After", seconds(f.after))
-	f.refuse(w, r, &chat.Refusal{Status: http.StatusServiceUnavailable, Why: string(why)})
+	f.refuse(w, r, &chat.RequestError{Status: http.StatusServiceUnavailable, Reason: string(why)})
 }
 
 func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
@@ -153,7 +153,7 @@
 	f.mu.Unlock()
 }
 
-func (f *frontend) submit(w http.ResponseWriter, r *http.Request, ask chat.Ask, grade, channel int, came time.Time) {
+func (f *frontend) submit(w http.ResponseWriter, r *http.Request, ask chat.Request, grade, channel int, came time.Time) {
 	if !f.ids.claim(ask.ID) {
 		f.refuse(w, r, errKnownID)
 		return
@@ -169,36 +169,36 @@
 		f.full(w, r, tooMuchBytes)
 		return
 	case errors.Is(err, errTooLong):
-		f.refuse(w, r, &chat.Refusal{Status: http.StatusRequestEntityTooLarge, Why: "body"})
+		f.refuse(w, r, &chat.RequestError{Status: http.StatusRequestEntityTooLarge, Reason: "body"})
 		return
 	case err != nil:
-		f.refuse(w, r, &chat.Refusal{Status: http.StatusBadRequest, Why: "half a request"})
+		f.refuse(w, r, &chat.RequestError{Status: http.StatusBadRequest, Reason: "half a request"})
 		return
 	}
 	length := len(body)
-	ask.Sized(length)
-	if ask.Again {
+	ask.SetBodyBytes(length)
+	if ask.Retried {
 		f.Again.Add(1)
 	}
-	if ask.Rest {
+	if ask.Resumed {
 		f.Rest.Add(1)
 	}
-	m := &payload{id: ask.ID, body: body, head: func(wait time.Duration) []byte { return chat.Errand(r, service, ask, length, wait) }}
+	m := &payload{id: ask.ID, body: body, head: func(wait time.Duration) []byte { return chat.AttemptHead(r, service, ask, length, wait) }}
 	a := &dispatch.ClientRequest{
-		Ask:   kserve.Ask{ID: ask.ID, Session: ask.Session, Shared: ask.Shared, Tokens: ask.Tokens, Prefix: ask.Prefix, Most: ask.Most, Again: ask.Again},
-		Grade: ask.Grade, Channel: ask.Channel, Matter: m,
+		Ask:   kserve.Ask{ID: ask.ID, Session: ask.Session, Shared: ask.PrefixID, Tokens: ask.PromptTokens, Prefix: ask.PrefixTokens, Most: ask.MaxTokens, Again: ask.Retried},
+		Grade: ask.Class, Channel: ask.Tenant, Matter: m,
 	}
 	submitted = true
-	f.monitor.Taken(ask.ID, f.classes[grade], ask.Left-time.Since(came))
+	f.monitor.Taken(ask.ID, f.classes[grade], ask.Timeout-time.Since(came))
 	defer f.monitor.Closed(ask.ID, "its handler ends")
 	defer context.AfterFunc(r.Context(), func() {
 		a.End()
 		f.monitor.ClientGone(ask.ID)
 	})()
-	ctx, done := context.WithDeadline(r.Context(), came.Add(ask.Left+answerLate))
+	ctx, done := context.WithDeadline(r.Context(), came.Add(ask.Timeout+answerLate))
 	defer done()
 	if !f.loop.Call(ctx, func() {
-		f.loop.Submit(a, grade, channel, ask.Left-time.Since(came))
+		f.loop.Submit(a, grade, channel, ask.Timeout-time.Since(came))
 	}) {
 		f.giveUp(w, r, a, ctx)
 		return
@@ -253,7 +253,7 @@
 		}
 		var n int
 		n, err = r.Body.Read(body[len(body):cap(body)])
-		if body = body[:len(body)+n]; len(body) > chat.BodyMost {
+		if body = body[:len(body)+n]; len(body) > chat.MaxBodyBytes {
 			return nil, errTooLong
 		}
 	}
--- a/internal/platform/observe.go
+++ b/internal/platform/observe.go
@@ -100,12 +100,12 @@
 	known   map[string]bool
 }
 
-func (o *listedObserver) listed(lines []boxlist.Box, whole bool) {
+func (o *listedObserver) listed(lines []boxlist.Endpoint, whole bool) {
 	named := map[string]bool{}
 	for _, line := range lines {
 		named[line.Name] = true
 		o.known[line.Name] = true
-		o.monitor.Changed(line.Name, line.Standing == boxlist.Ready)
+		o.monitor.Changed(line.Name, line.State == boxlist.Ready)
 	}
 	if !whole {
 		return
--- a/internal/platform/releases.go
+++ b/internal/platform/releases.go
@@ -37,7 +37,7 @@
 	if m == nil {
 		return
 	}
-	call, targets := chat.LetGo(service, m.id), c.releaseOrder(c.hosts[b])
+	call, targets := chat.ReleaseRequest(service, m.id), c.releaseOrder(c.hosts[b])
 	if a.AttemptOut() {
 		c.Due.Add(1)
 		c.notable.Info("a state is due: released beside an attempt that has no answer", "id", m.id, "backend", b.Name)
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -29,7 +29,7 @@
 		next, err := read()
 		if err == nil {
 			n.log.Info("configuration read anew", "discovery", next.Discovery, "tries", tries)
-			n.follower.Move(next.Discovery)
+			n.follower.SetAddress(next.Discovery)
 			return
 		}
 		if tries == 1 {
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -104,21 +104,21 @@
 	}
 	n.transport.loop = n.loop
 	observer := &listedObserver{n.monitor, map[string]bool{}}
-	n.follower = &endpoints.Follower{Log: log, Since: since, Wall: sys.Wall, Dial: sys.Dial, Listed: func(lines []boxlist.Box, whole bool) {
+	n.follower = &endpoints.Follower{Log: log, Monotonic: since, WallClock: sys.Wall, Dial: sys.Dial, OnUpdate: func(lines []boxlist.Endpoint, whole bool) {
 		observer.listed(lines, whole)
 		n.loop.Post(func() { n.loop.Listed(lines, whole) })
 	}}
 	if len(p.Known) > 0 {
-		if err := n.follower.Take(p.Known); err != nil {
+		if err := n.follower.Apply(p.Known); err != nil {
 			log.Warn("the known list is left out", "error", err)
 		}
 	}
-	n.follower.Move(p.Discovery)
+	n.follower.SetAddress(p.Discovery)
 	n.limiter = newLimiter(listener, int(float64(room.clients)/(1+closingShare)), log)
 	n.frontend = newFrontend(n.loop, facts, room.bodies, n.monitor, n.pulse, log)
 	n.frontend.crowded = n.limiter.Crowded
 	n.frontend.fleetKnown = func() bool {
-		if !n.follower.Heard() && since() < firstListWait {
+		if !n.follower.Synced() && since() < firstListWait {
 			return false
 		}
 		ready := false
@@ -140,14 +140,14 @@
 func (n *node) run(ctx context.Context, again <-chan os.Signal, read func() (Place, error)) (err error) {
 	n.trips.Go(n.transport.boxes.Tend)
 	n.group.Go(func() error { return n.loop.Run(n.life) })
-	n.group.Go(func() error { return n.follower.Follow(n.life) })
+	n.group.Go(func() error { return n.follower.Run(n.life) })
 	n.group.Go(func() error { n.pulse.run(n.life); return nil })
 	n.group.Go(func() error { n.reload(n.life, again, read); return nil })
 	if n.peers.Conn != nil {
 		n.group.Go(func() error { return n.peers.Listen(n.life, n.loop) })
 	}
 	web := &http.Server{
-		Handler: n.frontend, ReadHeaderTimeout: headWait, IdleTimeout: restMost, MaxHeaderBytes: chat.HeadMost, ConnState: n.limiter.moved, ConnContext: withConn,
+		Handler: n.frontend, ReadHeaderTimeout: headWait, IdleTimeout: restMost, MaxHeaderBytes: chat.MaxHeadBytes, ConnState: n.limiter.moved, ConnContext: withConn,
 		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
 	failed := make(chan error, 1)
@@ -190,7 +190,7 @@
 			"prefills", fmt.Sprint(t.Prefills), "began", t.Began, "in_time", t.InTime, "held_ms", t.Held.Milliseconds(), "first_ms", t.First.Milliseconds(),
 			"believes", fmt.Sprintf("%+v", n.loop.Believes()), "open", f.asked.Load(), "bodies", f.held.Load(), "clients", g.count(), "pushed", g.Pushed.Load(), "waited", g.Waited.Load(), "accept_failed", g.Failed.Load(), "shut", g.Shut.Load(), "refused", f.state(),
 			"released", c.Calls.Load(), "unheard", c.Unheard.Load(), "stale", c.Stale.Load(), "local", c.Local.Load(), "unarrived", c.Unarrived.Load(), "spoilt", c.Spoilt.Load(), "strange", c.Strange.Load(),
-			"watch_lost", n.follower.Lost(), "strangers", n.peers.Dropped.Load(), "broken", n.monitor.Counts(), "due", c.Due.Load(), "too_late", f.Late.Load(), "turn_ms", turn.Milliseconds(),
+			"watch_lost", n.follower.WatchFailures(), "strangers", n.peers.Dropped.Load(), "broken", n.monitor.Counts(), "due", c.Due.Load(), "too_late", f.Late.Load(), "turn_ms", turn.Milliseconds(),
 			"queued_ms", wait.Milliseconds(), "timer_ms", timer.Milliseconds(), "long_turns", n.loop.Lag.LongTurns, "unlogged", c.notable.dropped.Load(), "heap_kb", m.HeapAlloc>>10, "sys_kb", m.Sys>>10, "goroutines", runtime.NumGoroutine())
 		n.compare()
 	})
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -93,7 +93,7 @@
 // midway tells whether a further token has to follow what was passed on last. Before the first event the client has had no answer,
 // and after the last token it has nothing to come back for. Right behind an event that is followed by another, the backend can't
 // have finished.
-func (p *passing) midway() bool { return chat.Midway(p.last) }
+func (p *passing) midway() bool { return chat.EndsMidAnswer(p.last) }
 
 // move cuts the stream for its client to continue elsewhere.
 func (p *passing) move() {
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -170,7 +170,7 @@
 	c.monitor.AttemptArrived(m.id, f.Planned.Number)
 	conn.SetReadDeadline(time.Now().Add(headTime))
 	var resp *http.Response
-	for range chat.InformMost {
+	for range chat.MaxInformational {
 		var err error
 		if resp, err = conn.Head(nil); err != nil {
 			c.Spoilt.Add(1)
@@ -192,9 +192,9 @@
 			f.Unfit = true
 			return brain.Result{Outcome: brain.Cancelled}
 		}
-		r.Outcome, r.Note = chat.Outcome(f.Planned.Stage, resp, body)
+		r.Outcome, r.Note = chat.ClassifyResponse(f.Planned.Stage, resp, body)
 		load = resp.Header.Get("X-Server-Load")
-		r.Load = chat.Load(load, c.fields)
+		r.Load = chat.ParseLoad(load, c.fields)
 		return r
 	}
 	if len(resp.TransferEncoding) != 1 || resp.TransferEncoding[0] != "chunked" {
@@ -205,13 +205,13 @@
 	for begun := false; ; {
 		piece, err := stream.Next()
 		if err == io.EOF {
-			if load = stream.Report; load == "" {
+			if load = stream.LoadReport; load == "" {
 				load = resp.Header.Get("X-Server-Load")
 			}
-			return brain.Result{Outcome: brain.Served, Note: stream.Kept, Load: chat.Load(load, c.fields)}
+			return brain.Result{Outcome: brain.Served, Note: stream.CachedTokens, Load: chat.ParseLoad(load, c.fields)}
 		}
 		if err != nil {
-			if errors.Is(err, chat.ErrSpoilt) {
+			if errors.Is(err, chat.ErrMalformed) {
 				c.Spoilt.Add(1)
 			}
 			return broken()
