--- a/client/client.go
+++ b/client/client.go
@@ -19,31 +19,31 @@
 
 // Request is what is asked.
 type Request struct {
-	Prompt    string
-	Session string
-	PrefixID  string // name of the beginning that it shares with others
-	Class   string
-	Tenant string
-	MaxTokens    int           // tokens of the answer
+	Prompt     string
+	Session    string
+	PrefixID   string // name of the beginning that it shares with others
+	Class      string
+	Tenant     string
+	MaxTokens  int           // tokens of the answer
 	Timeout    time.Duration // that the client will wait in all; required
-	Idempotent    bool          // it may run twice without harm: asked again after any failure
+	Idempotent bool          // it may run twice without harm: asked again after any failure
 }
 
 // Client asks dispatchers in turn. The zero value of all but To is fine.
 type Client struct {
 	BaseURLs    []string // such as http://127.0.0.1:8100
-	Model string   // lodge where it is empty
+	Model       string   // lodge where it is empty
 	HTTPClient  *http.Client
-	MinBackoff time.Duration // before asking again where nothing was told; 200 ms
+	MinBackoff  time.Duration // before asking again where nothing was told; 200 ms
 	MaxAttempts int           // 5
-	next  int
+	next        int
 }
 
 // Result is how a question ended.
 type Result struct {
-	Outcome string // satisfied, declined or forfeited
+	Outcome  string // satisfied, declined or forfeited
 	Attempts int
-	Error string
+	Error    string
 }
 
 // ErrDeadline says that the question's time was up.
@@ -69,14 +69,14 @@
 	a := Result{}
 	for try := 0; ; try++ {
 		a.Attempts++
-		f, begun, err := c.try(ctx, q, try, ticket, time.Until(deadline), piece)
+		f, begun, err := c.attempt(ctx, q, try, ticket, time.Until(deadline), piece)
 		a.Outcome, a.Error = f.Final, f.Error
 		// Asking again is harmless after a decline, or where nothing was sent; else only if the question is safe.
-		harmless := f.Final == kserve.Declined && f.Harmless || errors.Is(err, errUnsent) || q.Idempotent && f.Final != kserve.Satisfied
+		harmless := f.Final == kserve.Declined && f.Harmless || errors.Is(err, errNotSent) || q.Idempotent && f.Final != kserve.Satisfied
 		switch {
 		case f.Final == kserve.Satisfied:
 			return a, nil
-		case begun || !harmless || try+1 >= tries || errors.Is(err, errRefused):
+		case begun || !harmless || try+1 >= tries || errors.Is(err, errInvalidRequest):
 			if err == nil {
 				err = fmt.Errorf("client: %s: %s", f.Final, f.Error)
 			}
@@ -99,11 +99,11 @@
 }
 
 var (
-	errUnsent  = errors.New("nothing was sent")
-	errRefused = errors.New("the question makes no sense to the dispatcher")
+	errNotSent        = errors.New("nothing was sent")
+	errInvalidRequest = errors.New("the question makes no sense to the dispatcher")
 )
 
-func (c *Client) try(ctx context.Context, q Request, try int, ticket string, left time.Duration, piece func(string)) (f kserve.Final, begun bool, err error) {
+func (c *Client) attempt(ctx context.Context, q Request, try int, ticket string, left time.Duration, piece func(string)) (f kserve.Final, begun bool, err error) {
 	params := kserve.Params{"timeout": left.Microseconds(), "again": try > 0}
 	for name, v := range map[string]string{"session": q.Session, "shared": q.PrefixID, "grade": q.Class, "channel": q.Tenant} {
 		if v != "" {
@@ -138,7 +138,7 @@
 	resp, err := h.Do(r)
 	if err != nil {
 		if kserve.Unsent(err) {
-			err = fmt.Errorf("%w: %w", errUnsent, err)
+			err = fmt.Errorf("%w: %w", errNotSent, err)
 		}
 		return f, false, err
 	}
@@ -149,7 +149,7 @@
 			return f, false, err
 		}
 		if json.Unmarshal(raw, &f) != nil || f.Final == "" {
-			return f, false, fmt.Errorf("%w: %s: %.300s", errRefused, resp.Status, raw)
+			return f, false, fmt.Errorf("%w: %s: %.300s", errInvalidRequest, resp.Status, raw)
 		}
 		return f, false, nil
 	}
--- a/internal/boxlist/boxlist_test.go
+++ b/internal/boxlist/boxlist_test.go
@@ -33,11 +33,11 @@
 	if err != nil || len(changed) != 1 || changed[0].Name != "b" || refused == nil || !strings.Contains(refused.Error(), "asleep") {
 		t.Errorf("%v, %v, %v", changed, refused, err)
 	}
-	if all := table.Whole(); len(all) != 1 || all[0].Name != "a" || table.Version != 6 {
+	if all := table.All(); len(all) != 1 || all[0].Name != "a" || table.Version != 6 {
 		t.Errorf("%v at version %d", all, table.Version)
 	}
-	if _, _, err := table.Apply(Update{Version: 9, Base: 8, Endpoints: []Endpoint{line("d", Ready)}}); !errors.Is(err, ErrGap) || len(table.Whole()) != 1 {
-		t.Errorf("a gap gives %v, and %v", err, table.Whole())
+	if _, _, err := table.Apply(Update{Version: 9, Base: 8, Endpoints: []Endpoint{line("d", Ready)}}); !errors.Is(err, ErrGap) || len(table.All()) != 1 {
+		t.Errorf("a gap gives %v, and %v", err, table.All())
 	}
 }
 
@@ -61,7 +61,7 @@
 			if err != nil || refused == nil || !strings.Contains(refused.Error(), "box a") {
 				t.Errorf("%s: %v, %v", name, refused, err)
 			}
-			if all := table.Whole(); len(all) != 2 || all[0].Units != 1 || all[0].State != Ready || all[1].State != Ready {
+			if all := table.All(); len(all) != 2 || all[0].Units != 1 || all[0].State != Ready || all[1].State != Ready {
 				t.Errorf("%s, whole %v: holds %v", name, whole, all)
 			}
 			if whole && len(changed) != 2 {
@@ -74,15 +74,15 @@
 	if changed, refused, _ := table.Apply(Update{Version: 1, Full: true, Endpoints: []Endpoint{line("a", Ready), other}}); refused == nil || len(changed) != 1 || changed[0].State != Ready {
 		t.Errorf("a name twice: %v, %v", changed, refused)
 	}
-	if _, _, err := table.Apply(Update{Version: 0, Base: 1, Endpoints: []Endpoint{line("a", Removed)}}); !errors.Is(err, ErrGap) || len(table.Whole()) != 1 {
-		t.Errorf("a version that goes back: %v, %v", err, table.Whole())
+	if _, _, err := table.Apply(Update{Version: 0, Base: 1, Endpoints: []Endpoint{line("a", Removed)}}); !errors.Is(err, ErrGap) || len(table.All()) != 1 {
+		t.Errorf("a version that goes back: %v, %v", err, table.All())
 	}
-	many := make([]Endpoint, mostBoxes+5)
+	many := make([]Endpoint, maxEndpoints+5)
 	for i := range many {
 		many[i] = line(fmt.Sprint("box", i), Ready)
 	}
-	if _, refused, _ := table.Apply(Update{Version: 2, Full: true, Endpoints: many}); refused == nil || len(table.Whole()) != mostBoxes {
-		t.Errorf("%d boxes are held, %v", len(table.Whole()), refused)
+	if _, refused, _ := table.Apply(Update{Version: 2, Full: true, Endpoints: many}); refused == nil || len(table.All()) != maxEndpoints {
+		t.Errorf("%d boxes are held, %v", len(table.All()), refused)
 	}
 }
 
@@ -132,7 +132,7 @@
 		t.Errorf("after the gap: %v, gaps %d", second, first.Gaps())
 	}
 	for range 100 { // the list is kept a moment after it was handed on
-		if raw, err := os.ReadFile(first.file()); err == nil && strings.Contains(string(raw), `"draining"`) {
+		if raw, err := os.ReadFile(first.cachePath()); err == nil && strings.Contains(string(raw), `"draining"`) {
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -157,10 +157,10 @@
 
 func TestAKeptListThatIsCutOffIsNamedAndLeftOut(t *testing.T) {
 	f := &Follower{Name: "d", CacheDir: t.TempDir(), OnUpdate: func([]Endpoint, bool) { t.Error("half a list was handed on") }}
-	if err := os.WriteFile(f.file(), []byte(`{"push":{"version":3,"boxes":[{"na`), 0o644); err != nil {
+	if err := os.WriteFile(f.cachePath(), []byte(`{"push":{"version":3,"boxes":[{"na`), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Restore(); err == nil || !strings.Contains(err.Error(), f.file()) {
+	if err := f.Restore(); err == nil || !strings.Contains(err.Error(), f.cachePath()) {
 		t.Errorf("%v", err)
 	}
 }
@@ -184,11 +184,11 @@
 		f := &Follower{Name: "d", CacheDir: t.TempDir(), OnUpdate: func(lines []Endpoint, _ bool) { got = time.Duration(lines[0].UptimeMs) * time.Millisecond }}
 		box := line("a", Ready)
 		box.UptimeMs = 2000
-		raw, err := json.Marshal(kept{hourAgo, c.boot, c.saved.Milliseconds(), Update{Version: 1, Full: true, Endpoints: []Endpoint{box}}})
+		raw, err := json.Marshal(savedList{hourAgo, c.boot, c.saved.Milliseconds(), Update{Version: 1, Full: true, Endpoints: []Endpoint{box}}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(f.file(), raw, 0o644); err != nil {
+		if err := os.WriteFile(f.cachePath(), raw, 0o644); err != nil {
 			t.Fatal(err)
 		}
 		if err := f.Restore(); err != nil {
--- a/internal/boxlist/fuzz_test.go
+++ b/internal/boxlist/fuzz_test.go
@@ -25,10 +25,10 @@
 			return
 		}
 		_, _, err := table.Apply(p)
-		if err != nil && (len(table.Whole()) != 1 || table.Version != 1) {
-			t.Fatalf("%q: %v, and yet %v", raw, err, table.Whole())
+		if err != nil && (len(table.All()) != 1 || table.Version != 1) {
+			t.Fatalf("%q: %v, and yet %v", raw, err, table.All())
 		}
-		for _, b := range table.Whole() {
+		for _, b := range table.All() {
 			if b.Check() != nil {
 				t.Fatalf("%q: holds %+v: %v", raw, b, b.Check())
 			}
@@ -48,7 +48,7 @@
 		}
 		follower := &Follower{Name: "d", CacheDir: dir, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), OnUpdate: func(lines []Endpoint, _ bool) {
 			for _, b := range lines {
-				if b.Check() != nil || b.UptimeMs > 2*mostUp {
+				if b.Check() != nil || b.UptimeMs > 2*maxUptimeMs {
 					t.Fatalf("%q: %+v is handed on", raw, b)
 				}
 			}
--- a/internal/chat/answer_test.go
+++ b/internal/chat/answer_test.go
@@ -162,7 +162,7 @@
 		resp := &http.Response{StatusCode: status, Header: http.Header{"X-Not-Processed": {mark}}}
 		for _, stage := range []brain.Stage{brain.ToRead, brain.ToWrite, brain.Whole} {
 			o, note := ClassifyResponse(stage, resp, body)
-			if o == brain.Served || o == brain.Rejected && mark != "1" || o == brain.Read && stage != brain.ToRead || note < 0 || note > tokensMost {
+			if o == brain.Served || o == brain.Rejected && mark != "1" || o == brain.Read && stage != brain.ToRead || note < 0 || note > maxTokens {
 				t.Errorf("%d %q at stage %d: %d, %d", status, mark, stage, o, note)
 			}
 		}
--- a/internal/chat/ask.go
+++ b/internal/chat/ask.go
@@ -16,44 +16,44 @@
 
 // Bounds of what is taken from outside.
 const (
-	MaxHeadBytes   = 16 << 10  // bytes of a head
-	MaxBodyBytes   = 256 << 10 // bytes of a body
-	idMost     = 128       // bytes of a name in a head
-	leftMost   = time.Hour // that a client waits
-	tokensMost = 10_000_000
-	toEach     = 4 // bytes of text to a token
+	MaxHeadBytes  = 16 << 10  // bytes of a head
+	MaxBodyBytes  = 256 << 10 // bytes of a body
+	maxIDBytes    = 128       // bytes of a name in a head
+	maxTimeout    = time.Hour // that a client waits
+	maxTokens     = 10_000_000
+	bytesPerToken = 4 // bytes of text to a token
 )
 
 // CompletionsPath is where questions are asked; ReadyPath is where the front looks whether a dispatcher can serve.
 const (
-	CompletionsPath  = "/v1/chat/completions"
-	ReadyPath = "/ready"
+	CompletionsPath = "/v1/chat/completions"
+	ReadyPath       = "/ready"
 )
 
 // Request is what a request's head says of a question.
 type Request struct {
-	ID      string
-	Class   string
-	Tenant string
-	Session string
-	PrefixID  string // the beginning that the prompt shares with other sessions
-	PromptTokens  int    // of the prompt
-	PrefixTokens  int    // of the shared beginning
+	ID           string
+	Class        string
+	Tenant       string
+	Session      string
+	PrefixID     string // the beginning that the prompt shares with other sessions
+	PromptTokens int    // of the prompt
+	PrefixTokens int    // of the shared beginning
 	MaxTokens    int    // of the answer
-	Timeout    time.Duration
-	Retried   bool // the client asked before
-	Resumed    bool // it asks for the rest of a stream that broke
+	Timeout      time.Duration
+	Retried      bool // the client asked before
+	Resumed      bool // it asks for the rest of a stream that broke
 }
 
 // RequestError is why a request is no question.
 type RequestError struct {
 	Status int
-	Reason    string
+	Reason string
 }
 
 func (r *RequestError) Error() string { return r.Reason }
 
-func bad(why string) *RequestError { return &RequestError{http.StatusBadRequest, why} }
+func badRequest(why string) *RequestError { return &RequestError{http.StatusBadRequest, why} }
 
 // ParseRequest takes a request's head for a question.
 func ParseRequest(r *http.Request) (Request, *RequestError) {
@@ -75,38 +75,38 @@
 		{"X-Request-Id", &a.ID}, {"X-Priority-Class", &a.Class}, {"X-Tenant-Id", &a.Tenant}, {"X-Route-Key", &a.Session},
 	} {
 		v := r.Header[f.name]
-		if len(v) > 1 || len(v) == 1 && len(v[0]) > idMost {
-			return a, bad(f.name)
+		if len(v) > 1 || len(v) == 1 && len(v[0]) > maxIDBytes {
+			return a, badRequest(f.name)
 		}
 		if len(v) == 1 {
 			*f.into = v[0]
 		}
 	}
-	if !plain(a.ID) {
-		return a, bad("id")
+	if !validID(a.ID) {
+		return a, badRequest("id")
 	}
 	ms, err := strconv.ParseInt(r.Header.Get("X-Timeout-Ms"), 10, 64)
-	if err != nil || ms <= 0 || ms > leftMost.Milliseconds() || len(r.Header["X-Timeout-Ms"]) > 1 {
-		return a, bad("timeout")
+	if err != nil || ms <= 0 || ms > maxTimeout.Milliseconds() || len(r.Header["X-Timeout-Ms"]) > 1 {
+		return a, badRequest("timeout")
 	}
 	a.Timeout = time.Duration(ms) * time.Millisecond
 	a.Retried, a.Resumed = r.Header.Get("X-Retried") == "1", r.Header.Get("X-Retried") == "again"
-	a.PromptTokens = tokensOf(max(r.ContentLength, 0))
-	return a, a.lengths(r.Header.Get("X-Attrs"))
+	a.PromptTokens = estimateTokens(max(r.ContentLength, 0))
+	return a, a.parseAttrs(r.Header.Get("X-Attrs"))
 }
 
-// tokensOf is how many tokens so many bytes of text are about.
-func tokensOf(bytes int64) int { return int(bytes+toEach-1) / toEach }
+// estimateTokens is how many tokens so many bytes of text are about.
+func estimateTokens(bytes int64) int { return int(bytes+bytesPerToken-1) / bytesPerToken }
 
 // SetBodyBytes takes the length of a body that came in chunks, where the head did not say how many tokens it has.
 func (a *Request) SetBodyBytes(bytes int) {
 	if a.PromptTokens == 0 {
-		a.PromptTokens = tokensOf(int64(bytes))
+		a.PromptTokens = estimateTokens(int64(bytes))
 	}
 }
 
-// plain tells whether an id can stand in a path.
-func plain(id string) bool {
+// validID tells whether an id can stand in a path.
+func validID(id string) bool {
 	for _, c := range []byte(id) {
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_' || c == '.') {
 			return false
@@ -115,8 +115,8 @@
 	return id != "" && id != "." && id != ".."
 }
 
-// lengths reads the list of attributes; those it does not know are left alone.
-func (a *Request) lengths(attrs string) *RequestError {
+// parseAttrs reads the list of attributes; those it does not know are left alone.
+func (a *Request) parseAttrs(attrs string) *RequestError {
 	for attrs != "" {
 		var part string
 		part, attrs, _ = strings.Cut(attrs, ",")
@@ -124,13 +124,13 @@
 		into := map[string]*int{"prompt_len": &a.PromptTokens, "prefix_len": &a.PrefixTokens, "max_out": &a.MaxTokens}[name]
 		switch {
 		case name == "prefix":
-			if a.PrefixID = value; len(value) > idMost {
-				return bad("attrs")
+			if a.PrefixID = value; len(value) > maxIDBytes {
+				return badRequest("attrs")
 			}
 		case into != nil:
 			n, err := strconv.ParseFloat(value, 64)
-			if err != nil || !(n >= 0 && n <= tokensMost) {
-				return bad("attrs")
+			if err != nil || !(n >= 0 && n <= maxTokens) {
+				return badRequest("attrs")
 			}
 			*into = int(math.Round(n))
 		}
@@ -139,9 +139,9 @@
 	return nil
 }
 
-// ownHeaders are those of a request to a backend that are not the client's: what belongs to one connection only, and what is stated
+// perAttemptHeaders are those of a request to a backend that are not the client's: what belongs to one connection only, and what is stated
 // anew for each attempt.
-var ownHeaders = map[string]bool{
+var perAttemptHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true, "Proxy-Connection": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Host": true,
 	"Content-Length": true, "X-Request-Id": true, "X-Timeout-Ms": true,
@@ -156,7 +156,7 @@
 		max(wait.Milliseconds(), 1), length)
 	named := connectionHeaders(r.Header)
 	for _, name := range slices.Sorted(maps.Keys(r.Header)) {
-		if ownHeaders[name] || named[name] {
+		if perAttemptHeaders[name] || named[name] {
 			continue
 		}
 		for _, value := range r.Header[name] {
--- a/internal/chat/ask_test.go
+++ b/internal/chat/ask_test.go
@@ -76,7 +76,7 @@
 	f.Add(strings.Replace(asked, "prompt_len=5120", "prompt_len=NaN", 1))
 	f.Fuzz(func(t *testing.T, raw string) {
 		a, no := ParseRequest(request(t, raw))
-		if no == nil && (a.ID == "" || a.Timeout <= 0 || a.PromptTokens < 0 || a.PrefixTokens < 0 || a.PrefixTokens > a.PromptTokens || a.MaxTokens < 0 || a.MaxTokens > tokensMost) {
+		if no == nil && (a.ID == "" || a.Timeout <= 0 || a.PromptTokens < 0 || a.PrefixTokens < 0 || a.PrefixTokens > a.PromptTokens || a.MaxTokens < 0 || a.MaxTokens > maxTokens) {
 			t.Errorf("%+v", a)
 		}
 	})
--- a/internal/endpoints/clock_test.go
+++ b/internal/endpoints/clock_test.go
@@ -48,7 +48,7 @@
 	if err := c.follower.Apply(fmt.Appendf(nil, `{"rev":%d,"all":%t,"targets":[%s]}`, rev, rev == 1, strings.Join(targets, ","))); err != nil {
 		t.Fatal(err)
 	}
-	c.follower.table.clock.settled = true
+	c.follower.table.clock.synced = true
 }
 
 // How long a backend has been up is a span of real time, whatever the wall clock does: taken for older than it is, a backend in slow
