--- a/client/client.go
+++ b/client/client.go
@@ -1,6 +1,7 @@
-// Package client asks a sloetrestle dispatcher and follows its advice: it comes back when it was told to, with the ticket
-// that holds its place, waits longer each time where it was told nothing, and never repeats a question that may have run
-// unless that does no harm. Begin with Client.Ask.
+// Package client sends requests to sloetrestle dispatchers and follows their advice on retries: it retries after the
+// stated time, with the retry ticket of the rejection, backs off exponentially where no time is stated, and never
+// repeats a request that may have run unless it is idempotent. It takes the dispatchers in turn and doesn't otherwise
+// balance load. Begin with Client.Do.
 package client
 
 import (
@@ -17,160 +18,170 @@
 	"sloetrestle/internal/kserve"
 )
 
-// Request is what is asked.
+// Request is a request for generation.
 type Request struct {
 	Prompt     string
 	Session    string
-	PrefixID   string // name of the beginning that it shares with others
-	Class      string
+	PrefixID   string // name of the prefix that the prompt shares with others
+	Class      string // priority class
 	Tenant     string
-	MaxTokens  int           // tokens of the answer
-	Timeout    time.Duration // that the client will wait in all; required
-	Idempotent bool          // it may run twice without harm: asked again after any failure
+	MaxTokens  int           // of the answer
+	Timeout    time.Duration // over all attempts; required
+	Idempotent bool          // the request may run twice without harm: it is retried after any failure
 }
 
-// Client asks dispatchers in turn. The zero value of all but To is fine.
+// Client sends requests to dispatchers in turn. Only BaseURLs is required. A Client must not be used concurrently.
 type Client struct {
-	BaseURLs    []string // such as http://127.0.0.1:8100
-	Model       string   // lodge where it is empty
+	BaseURLs    []string // of the dispatchers, such as http://127.0.0.1:8100
+	Model       string   // "lodge" if empty
 	HTTPClient  *http.Client
-	MinBackoff  time.Duration // before asking again where nothing was told; 200 ms
-	MaxAttempts int           // 5
-	next        int
+	MinBackoff  time.Duration // before the first retry where the dispatcher states no time; 200 ms if zero
+	MaxAttempts int           // 5 if zero
+	next        int           // index of the next base URL
 }
 
-// Result is how a question ended.
+// Result is how a request ended.
 type Result struct {
-	Outcome  string // satisfied, declined or forfeited
+	Outcome  string // as the dispatcher states it: "satisfied", "declined" or "forfeited"
 	Attempts int
 	Error    string
 }
 
-// ErrDeadline says that the question's time was up.
-var ErrDeadline = errors.New("the question's time is up")
+// ErrDeadline reports that the request's timeout has passed, or would pass before the next attempt.
+var ErrDeadline = errors.New("the request's deadline has passed")
 
-// Do asks, and hands on each piece of the answer as it comes. After the first piece nothing is asked again.
-func (c *Client) Do(ctx context.Context, q Request, piece func(text string)) (Result, error) {
-	if len(c.BaseURLs) == 0 || q.Timeout <= 0 {
-		return Result{}, errors.New("client: there is nobody to ask, or no time to wait")
+// Do sends a request and passes each piece of the answer to onText as it comes. After the first piece it does not
+// retry.
+func (c *Client) Do(ctx context.Context, req Request, onText func(text string)) (Result, error) {
+	if len(c.BaseURLs) == 0 || req.Timeout <= 0 {
+		return Result{}, fmt.Errorf("client: %d base URLs and a timeout of %v, both must be positive",
+			len(c.BaseURLs), req.Timeout)
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, q.Timeout+time.Second, ErrDeadline)
+	ctx, cancel := context.WithTimeoutCause(ctx, req.Timeout+time.Second, ErrDeadline)
 	defer cancel()
-	deadline := time.Now().Add(q.Timeout)
-	least := c.MinBackoff
-	if least <= 0 {
-		least = 200 * time.Millisecond
+	deadline := time.Now().Add(req.Timeout)
+	minBackoff := c.MinBackoff
+	if minBackoff <= 0 {
+		minBackoff = 200 * time.Millisecond
 	}
-	tries := c.MaxAttempts
-	if tries <= 0 {
-		tries = 5
+	maxAttempts := c.MaxAttempts
+	if maxAttempts <= 0 {
+		maxAttempts = 5
 	}
 	ticket := ""
-	a := Result{}
-	for try := 0; ; try++ {
-		a.Attempts++
-		f, begun, err := c.attempt(ctx, q, try, ticket, time.Until(deadline), piece)
-		a.Outcome, a.Error = f.Final, f.Error
-		// Asking again is harmless after a decline, or where nothing was sent; else only if the question is safe.
-		harmless := f.Final == kserve.Declined && f.Harmless || errors.Is(err, errNotSent) || q.Idempotent && f.Final != kserve.Satisfied
+	result := Result{}
+	for retries := 0; ; retries++ {
+		result.Attempts++
+		final, started, err := c.attempt(ctx, req, retries, ticket, time.Until(deadline), onText)
+		result.Outcome, result.Error = final.Final, final.Error
+		// A retry is harmless after a rejection that says so, or where nothing was sent; otherwise only if the
+		// request is idempotent.
+		harmless := final.Final == kserve.Declined && final.Harmless || errors.Is(err, errNotSent) ||
+			req.Idempotent && final.Final != kserve.Satisfied
 		switch {
-		case f.Final == kserve.Satisfied:
-			return a, nil
-		case begun || !harmless || try+1 >= tries || errors.Is(err, errInvalidRequest):
+		case final.Final == kserve.Satisfied:
+			return result, nil
+		case started || !harmless || retries+1 >= maxAttempts || errors.Is(err, errInvalidRequest):
 			if err == nil {
-				err = fmt.Errorf("client: %s: %s", f.Final, f.Error)
+				err = fmt.Errorf("client: request ended as %s: %s", final.Final, final.Error)
 			}
-			return a, err
+			return result, err
 		}
-		ticket = f.Ticket
-		wait := time.Duration(f.AfterMs) * time.Millisecond
+		ticket = final.Ticket
+		wait := time.Duration(final.AfterMs) * time.Millisecond
 		if wait <= 0 {
-			wait = time.Duration(float64(least<<min(try, 6)) * (0.5 + rand.Float64()/2))
+			wait = time.Duration(float64(minBackoff<<min(retries, 6)) * (0.5 + rand.Float64()/2))
 		}
 		if time.Until(deadline) <= wait {
-			return a, ErrDeadline
+			return result, ErrDeadline
 		}
 		select {
 		case <-time.After(wait):
 		case <-ctx.Done():
-			return a, context.Cause(ctx)
+			return result, context.Cause(ctx)
 		}
 	}
 }
 
 var (
-	errNotSent        = errors.New("nothing was sent")
-	errInvalidRequest = errors.New("the question makes no sense to the dispatcher")
+	errNotSent        = errors.New("the request was not sent")
+	errInvalidRequest = errors.New("the dispatcher refused the request as invalid")
 )
 
-func (c *Client) attempt(ctx context.Context, q Request, try int, ticket string, left time.Duration, piece func(string)) (f kserve.Final, begun bool, err error) {
-	params := kserve.Params{"timeout": left.Microseconds(), "again": try > 0}
-	for name, v := range map[string]string{"session": q.Session, "shared": q.PrefixID, "grade": q.Class, "channel": q.Tenant} {
-		if v != "" {
-			params[name] = v
+// attempt sends the request once. started tells whether a piece of the answer was passed on.
+func (c *Client) attempt(
+	ctx context.Context, req Request, retries int, ticket string, timeout time.Duration, onText func(string),
+) (final kserve.Final, started bool, err error) {
+	params := kserve.Params{"timeout": timeout.Microseconds(), "again": retries > 0}
+	for name, value := range map[string]string{
+		"session": req.Session, "shared": req.PrefixID, "grade": req.Class, "channel": req.Tenant,
+	} {
+		if value != "" {
+			params[name] = value
 		}
 	}
-	if q.MaxTokens > 0 {
-		params["max_tokens"] = q.MaxTokens
+	if req.MaxTokens > 0 {
+		params["max_tokens"] = req.MaxTokens
 	}
 	if ticket != "" {
 		params["ticket"] = ticket
 	}
-	raw, err := json.Marshal(kserve.Prompt{Text: q.Prompt, Parameters: params})
+	body, err := json.Marshal(kserve.Prompt{Text: req.Prompt, Parameters: params})
 	if err != nil {
-		return f, false, err
+		return final, false, err
 	}
 	model := c.Model
 	if model == "" {
 		model = "lodge"
 	}
-	at := c.BaseURLs[c.next%len(c.BaseURLs)]
+	baseURL := c.BaseURLs[c.next%len(c.BaseURLs)]
 	c.next++
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, at+"/v2/models/"+model+"/generate_stream", bytes.NewReader(raw))
+	httpReq, err := http.NewRequestWithContext(ctx, http.MethodPost, baseURL+"/v2/models/"+model+"/generate_stream",
+		bytes.NewReader(body))
 	if err != nil {
-		return f, false, err
+		return final, false, err
 	}
-	r.Header.Set("Content-Type", "application/json")
-	h := c.HTTPClient
-	if h == nil {
-		h = http.DefaultClient
+	httpReq.Header.Set("Content-Type", "application/json")
+	httpClient := c.HTTPClient
+	if httpClient == nil {
+		httpClient = http.DefaultClient
 	}
-	resp, err := h.Do(r)
+	resp, err := httpClient.Do(httpReq)
 	if err != nil {
 		if kserve.Unsent(err) {
 			err = fmt.Errorf("%w: %w", errNotSent, err)
 		}
-		return f, false, err
+		return final, false, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		raw, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
 		if err != nil {
-			return f, false, err
+			return final, false, err
 		}
-		if json.Unmarshal(raw, &f) != nil || f.Final == "" {
-			return f, false, fmt.Errorf("%w: %s: %.300s", errInvalidRequest, resp.Status, raw)
+		if json.Unmarshal(raw, &final) != nil || final.Final == "" {
+			return final, false, fmt.Errorf("%w: %s: %.300s", errInvalidRequest, resp.Status, raw)
 		}
-		return f, false, nil
+		return final, false, nil
 	}
 	events := kserve.NewEvents(resp.Body)
 	for {
-		ev, err := events.Next()
+		event, err := events.Next()
 		if err != nil {
-			return f, begun, fmt.Errorf("client: the stream broke: %w", err)
+			return final, started, fmt.Errorf("client: read the answer's stream: %w", err)
 		}
-		if ev.Name == "" {
-			var t kserve.Token
-			if err := json.Unmarshal(ev.Data, &t); err != nil {
-				return f, begun, err
+		if event.Name == "" {
+			var token kserve.Token
+			if err := json.Unmarshal(event.Data, &token); err != nil {
+				return final, started, err
 			}
-			begun = true
-			piece(t.Text)
+			started = true
+			onText(token.Text)
 			continue
 		}
-		if err := json.Unmarshal(ev.Data, &f); err != nil {
-			return f, begun, err
+		if err := json.Unmarshal(event.Data, &final); err != nil {
+			return final, started, err
 		}
-		return f, begun, nil
+		return final, started, nil
 	}
 }
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -12,90 +12,99 @@
 	"sloetrestle/internal/kserve"
 )
 
-// script answers one try after the other.
-type script struct {
-	mu    sync.Mutex
-	steps []func(w http.ResponseWriter)
-	asked []kserve.Ask
-	at    []time.Time
+// scriptedServer answers each attempt with the next step of a script, and repeats the last step.
+type scriptedServer struct {
+	mu       sync.Mutex
+	steps    []func(w http.ResponseWriter)
+	requests []kserve.Ask
+	times    []time.Time // when the requests were received
 }
 
-func (s *script) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	ask, err := kserve.ReadPrompt(r.Body)
+func (s *scriptedServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	request, err := kserve.ReadPrompt(r.Body)
 	if err != nil {
 		kserve.WriteFault(w, err)
 		return
 	}
 	s.mu.Lock()
-	s.asked, s.at = append(s.asked, ask), append(s.at, time.Now())
-	step := s.steps[min(len(s.asked)-1, len(s.steps)-1)]
+	s.requests, s.times = append(s.requests, request), append(s.times, time.Now())
+	step := s.steps[min(len(s.requests)-1, len(s.steps)-1)]
 	s.mu.Unlock()
 	step(w)
 }
 
-func declined(ms int64, ticket string) func(http.ResponseWriter) {
+func reject(retryAfterMs int64, ticket string) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) {
-		kserve.WriteFinal(w, kserve.Final{Final: kserve.Declined, Harmless: true, AfterMs: ms, Ticket: ticket})
+		kserve.WriteFinal(w, kserve.Final{
+			Final: kserve.Declined, Harmless: true, AfterMs: retryAfterMs, Ticket: ticket,
+		})
 	}
 }
 
-func forfeited(w http.ResponseWriter) { kserve.WriteFinal(w, kserve.Final{Final: kserve.Forfeited}) }
+func fail(w http.ResponseWriter) { kserve.WriteFinal(w, kserve.Final{Final: kserve.Forfeited}) }
 
-func answered(w http.ResponseWriter) {
+func serve(w http.ResponseWriter) {
 	kserve.WriteEvent(w, "", kserve.Token{Text: "yes"})
 	kserve.WriteEvent(w, "end", kserve.Final{Final: kserve.Satisfied})
 }
 
-func broken(w http.ResponseWriter) {
+func breakStream(w http.ResponseWriter) {
 	kserve.WriteEvent(w, "", kserve.Token{Text: "y"})
 	http.NewResponseController(w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-func TestTheAdviceIsFollowedAndHarmIsNotDone(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		steps []func(http.ResponseWriter)
-		safe  bool
-		tries int
-		final string
+func TestRetriesFollowTheDispatchersAdvice(t *testing.T) {
+	for _, tc := range []struct {
+		name       string
+		steps      []func(http.ResponseWriter)
+		idempotent bool
+		attempts   int
+		outcome    string
 	}{
-		{"declined, then answered", []func(http.ResponseWriter){declined(150, "seat-77"), answered}, false, 2, kserve.Satisfied},
-		{"forfeited, not safe", []func(http.ResponseWriter){forfeited, answered}, false, 1, kserve.Forfeited},
-		{"forfeited, safe", []func(http.ResponseWriter){forfeited, answered}, true, 2, kserve.Satisfied},
-		{"broken mid-stream", []func(http.ResponseWriter){broken, answered}, true, 1, ""},
-		{"declined for ever", []func(http.ResponseWriter){declined(20, "seat-5")}, true, 5, kserve.Declined},
-		{"no time to come back", []func(http.ResponseWriter){declined(60_000, "seat-5")}, true, 1, kserve.Declined},
-		{"senseless", []func(http.ResponseWriter){func(w http.ResponseWriter) { kserve.WriteFault(w, &kserve.Fault{Status: 400, Text: "no"}) }}, true, 1, ""},
+		{"rejected, then served", []func(http.ResponseWriter){reject(150, "seat-77"), serve},
+			false, 2, kserve.Satisfied},
+		{"failed, not idempotent", []func(http.ResponseWriter){fail, serve}, false, 1, kserve.Forfeited},
+		{"failed, idempotent", []func(http.ResponseWriter){fail, serve}, true, 2, kserve.Satisfied},
+		{"broken mid-stream", []func(http.ResponseWriter){breakStream, serve}, true, 1, ""},
+		{"always rejected", []func(http.ResponseWriter){reject(20, "seat-5")}, true, 5, kserve.Declined},
+		{"retry time after the deadline", []func(http.ResponseWriter){reject(60_000, "seat-5")},
+			true, 1, kserve.Declined},
+		{"invalid", []func(http.ResponseWriter){func(w http.ResponseWriter) {
+			kserve.WriteFault(w, &kserve.Fault{Status: 400, Text: "no"})
+		}}, true, 1, ""},
 	} {
-		s := &script{steps: c.steps}
-		server := httptest.NewServer(s)
+		script := &scriptedServer{steps: tc.steps}
+		server := httptest.NewServer(script)
 		text := ""
-		a, err := (&Client{BaseURLs: []string{server.URL}, MinBackoff: 10 * time.Millisecond}).Do(context.Background(),
-			Request{Prompt: "free?", Timeout: 2 * time.Second, Idempotent: c.safe}, func(p string) { text += p })
+		result, err := (&Client{BaseURLs: []string{server.URL}, MinBackoff: 10 * time.Millisecond}).Do(
+			context.Background(), Request{Prompt: "free?", Timeout: 2 * time.Second, Idempotent: tc.idempotent}, func(s string) { text += s })
 		server.Close()
-		if a.Attempts != c.tries || a.Outcome != c.final || (err == nil) != (c.final == kserve.Satisfied) {
-			t.Errorf("%s: %+v, %v", c.name, a, err)
+		if result.Attempts != tc.attempts || result.Outcome != tc.outcome ||
+			(err == nil) != (tc.outcome == kserve.Satisfied) {
+			t.Errorf("%s: %+v, %v", tc.name, result, err)
 		}
-		if c.name == "declined, then answered" {
-			if wait := s.at[1].Sub(s.at[0]); wait < 150*time.Millisecond || s.asked[1].Ticket != "seat-77" || !s.asked[1].Again || text != "yes" {
-				t.Errorf("came back after %v with ticket %q, again %v, and got %q", wait, s.asked[1].Ticket, s.asked[1].Again, text)
+		if tc.name == "rejected, then served" {
+			if wait := script.times[1].Sub(script.times[0]); wait < 150*time.Millisecond ||
+				script.requests[1].Ticket != "seat-77" || !script.requests[1].Again || text != "yes" {
+				t.Errorf("retried after %v with ticket %q, marked as a retry %v, and received %q",
+					wait, script.requests[1].Ticket, script.requests[1].Again, text)
 			}
-			raw, _ := json.Marshal(s.asked[1].Left)
-			if s.asked[1].Left > 1900*time.Millisecond {
-				t.Errorf("said it had %s left", raw)
+			raw, _ := json.Marshal(script.requests[1].Left)
+			if script.requests[1].Left > 1900*time.Millisecond {
+				t.Errorf("the retry states a timeout of %s ns", raw)
 			}
 		}
 	}
 }
 
-func TestWhereNobodyListensAnotherIsAsked(t *testing.T) {
-	s := &script{steps: []func(http.ResponseWriter){answered}}
-	server := httptest.NewServer(s)
+func TestUnreachableDispatcherIsFollowedByTheNext(t *testing.T) {
+	script := &scriptedServer{steps: []func(http.ResponseWriter){serve}}
+	server := httptest.NewServer(script)
 	defer server.Close()
-	a, err := (&Client{BaseURLs: []string{"http://127.0.0.1:1", server.URL}, MinBackoff: time.Millisecond}).Do(context.Background(),
-		Request{Prompt: "free?", Timeout: 2 * time.Second}, func(string) {})
-	if err != nil || a.Attempts != 2 {
-		t.Errorf("%+v, %v", a, err)
+	result, err := (&Client{BaseURLs: []string{"http://127.0.0.1:1", server.URL}, MinBackoff: time.Millisecond}).Do(
+		context.Background(), Request{Prompt: "free?", Timeout: 2 * time.Second}, func(string) {})
+	if err != nil || result.Attempts != 2 {
+		t.Errorf("%+v, %v", result, err)
 	}
 }
--- a/internal/boxlist/follower.go
+++ b/internal/boxlist/follower.go
@@ -18,59 +18,64 @@
 )
 
 const (
-	silenceTimeout = 5 * time.Second        // without a beat for so long, the connection is taken for dead
-	initialBackoff = 200 * time.Millisecond // first wait before the next try, doubled up to the next value
+	silenceTimeout = 5 * time.Second        // after which a connection without a heartbeat counts as dead
+	initialBackoff = 200 * time.Millisecond // before the next attempt, doubled after each failure up to maxBackoff
 	maxBackoff     = 3 * time.Second
-	maxUpdateBytes = 16 << 20 // bytes of one push
+	maxUpdateBytes = 16 << 20 // of one update
 )
 
-// Follower keeps a connection to the list and hands on what it says.
+// Follower keeps a connection to service discovery and passes its updates on.
 type Follower struct {
-	Address    string // host:port of the list
+	Address    string // host:port of service discovery
 	Name       string // of this dispatcher
-	CacheDir   string // folder for the last list; empty: none is kept
+	CacheDir   string // where the last list is saved; empty: it is not saved
 	HTTPClient *http.Client
 	Log        *slog.Logger
-	OnUpdate   func(lines []Endpoint, whole bool)
+	// OnUpdate receives the changed endpoints in the order of the updates; full tells whether they are the whole
+	// list.
+	OnUpdate func(lines []Endpoint, full bool)
 
 	table        Table
-	lastReceived atomic.Pointer[time.Time] // when the list was last heard
+	lastReceived atomic.Pointer[time.Time] // when the last update or heartbeat was received
 	gaps         atomic.Int64
 }
 
-// Staleness is how long ago the list was last heard; false: not at all since the start.
+// Staleness returns how long ago the last update or heartbeat was received, and false if there was none since the
+// start.
 func (f *Follower) Staleness() (time.Duration, bool) {
-	at := f.lastReceived.Load()
-	if at == nil {
+	last := f.lastReceived.Load()
+	if last == nil {
 		return 0, false
 	}
-	return time.Since(*at), true
+	return time.Since(*last), true
 }
 
-// Gaps counts how often the whole list had to be asked for.
+// Gaps returns how often the full list had to be fetched because changes were missed.
 func (f *Follower) Gaps() int64 { return f.gaps.Load() }
 
-// savedList is the file of the last list.
+// savedList is the file that holds the last list.
 type savedList struct {
-	SavedUnixMs   int64  `json:"saved_unix_ms"` // for those who read the file
+	SavedUnixMs   int64  `json:"saved_unix_ms"` // for people who read the file
 	Boot          string `json:"boot,omitempty"`
-	SavedUptimeMs int64  `json:"saved_up_ms,omitempty"` // for how long the machine had been up in that boot
+	SavedUptimeMs int64  `json:"saved_up_ms,omitempty"` // the machine's uptime in that boot
 	Update        Update `json:"push"`
 }
 
-// sinceSaved is how long ago the list was kept. The wall clock may have stepped since, so it does not count; where nothing else tells, it is
-// nought: a box that is taken for younger than it is gets less, one taken for older may get more than it bears.
-func (k savedList) sinceSaved() time.Duration {
+// sinceSaved returns how long ago the list was saved. The wall clock is not used, as it may have stepped since. After
+// a reboot the time is unknown and counts as 0: a backend that is taken for younger than it is gets less load, one
+// that is taken for older may get more than it can bear.
+func (s savedList) sinceSaved() time.Duration {
 	boot, up := system.Uptime()
-	if boot == "" || boot != k.Boot {
+	if boot == "" || boot != s.Boot {
 		return 0
 	}
-	return max(up-time.Duration(k.SavedUptimeMs)*time.Millisecond, 0)
+	return max(up-time.Duration(s.SavedUptimeMs)*time.Millisecond, 0)
 }
 
 func (f *Follower) cachePath() string { return filepath.Join(f.CacheDir, "boxlist-"+f.Name+".json") }
 
-// Restore reads the last list from disk, and hands it on. A missing file is no error.
+// Restore reads the last list from disk and passes it on. A missing file is no error; invalid lines are left out and
+// returned as one.
 func (f *Follower) Restore() error {
 	if f.CacheDir == "" {
 		return nil
@@ -82,45 +87,47 @@
 	if err != nil {
 		return err
 	}
-	var k savedList
-	if err := json.Unmarshal(raw, &k); err != nil {
-		return fmt.Errorf("%s: the kept list can't be read: %w", f.cachePath(), err)
+	var saved savedList
+	if err := json.Unmarshal(raw, &saved); err != nil {
+		return fmt.Errorf("decode saved endpoint list %s: %w", f.cachePath(), err)
 	}
-	k.Update.Full = true
-	away := k.sinceSaved().Milliseconds()
-	for i := range k.Update.Endpoints {
-		if k.Update.Endpoints[i].UptimeMs >= 0 {
-			k.Update.Endpoints[i].UptimeMs += away
+	saved.Update.Full = true
+	elapsedMs := saved.sinceSaved().Milliseconds()
+	for i := range saved.Update.Endpoints {
+		if saved.Update.Endpoints[i].UptimeMs >= 0 {
+			saved.Update.Endpoints[i].UptimeMs += elapsedMs
 		}
 	}
-	lines, refused, err := f.table.Apply(k.Update)
+	lines, refused, err := f.table.Apply(saved.Update)
 	if err != nil {
 		return err
 	}
-	// Its version is of an earlier process: the list may have begun anew, so the whole list is asked for.
+	// Service discovery may have restarted its versions since the list was saved, so the full list is fetched.
 	f.table.Version = 0
 	f.OnUpdate(lines, true)
 	return refused
 }
 
-// save writes the list beside the old one and puts it in its place, so that a kill leaves one or the other.
+// save replaces the saved list atomically: if the process is killed, the file holds either the old list or the new
+// one.
 func (f *Follower) save() error {
 	if f.CacheDir == "" {
 		return nil
 	}
 	boot, up := system.Uptime()
-	raw, err := json.Marshal(savedList{time.Now().UnixMilli(), boot, up.Milliseconds(), Update{Version: f.table.Version, Full: true, Endpoints: f.table.All()}})
+	raw, err := json.Marshal(savedList{time.Now().UnixMilli(), boot, up.Milliseconds(),
+		Update{Version: f.table.Version, Full: true, Endpoints: f.table.All()}})
 	if err != nil {
 		return err
 	}
 	return system.Replace(f.cachePath(), raw, 0o644)
 }
 
-// Run stays connected until the context ends.
+// Run keeps the connection until the context ends, and reconnects with backoff.
 func (f *Follower) Run(ctx context.Context) error {
-	wait := initialBackoff
+	backoff := initialBackoff
 	for {
-		got, err := f.watchOnce(ctx)
+		received, err := f.watchOnce(ctx)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -128,68 +135,72 @@
 			f.gaps.Add(1)
 			f.table.Version = 0
 		}
-		f.Log.Warn("box list lost", "list", f.Address, "error", err)
-		if got {
-			wait = initialBackoff
+		f.Log.Warn("watch on the endpoint list ended", "list", f.Address, "error", err)
+		if received {
+			backoff = initialBackoff
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(wait):
+		case <-time.After(backoff):
 		}
-		wait = min(2*wait, maxBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 }
 
-func (f *Follower) watchOnce(ctx context.Context) (got bool, err error) {
+// watchOnce applies the updates of one connection until it ends; received tells whether there was any.
+func (f *Follower) watchOnce(ctx context.Context) (received bool, err error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	at := fmt.Sprintf("http://%s/v1/boxes/watch?have=%d&dispatcher=%s", f.Address, f.table.Version, url.QueryEscape(f.Name))
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, at, nil)
+	watchURL := fmt.Sprintf("http://%s/v1/boxes/watch?have=%d&dispatcher=%s",
+		f.Address, f.table.Version, url.QueryEscape(f.Name))
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, watchURL, nil)
 	if err != nil {
 		return false, err
 	}
-	quiet := time.AfterFunc(silenceTimeout, func() { cancel(fmt.Errorf("nothing heard for %v", silenceTimeout)) })
-	defer quiet.Stop()
-	resp, err := f.HTTPClient.Do(r)
+	silence := time.AfterFunc(silenceTimeout, func() {
+		cancel(fmt.Errorf("no update or heartbeat received for %v", silenceTimeout))
+	})
+	defer silence.Stop()
+	resp, err := f.HTTPClient.Do(req)
 	if err != nil {
 		return false, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return false, fmt.Errorf("the list answered %s", resp.Status)
-	}
-	lines := bufio.NewScanner(resp.Body)
-	lines.Buffer(make([]byte, 0, 64<<10), maxUpdateBytes)
-	for lines.Scan() {
-		quiet.Reset(silenceTimeout)
-		var p Update
-		if err := json.Unmarshal(lines.Bytes(), &p); err != nil {
-			return got, fmt.Errorf("a push can't be read: %w", err)
+		return false, fmt.Errorf("service discovery responded to GET %s with %s", watchURL, resp.Status)
+	}
+	scanner := bufio.NewScanner(resp.Body)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxUpdateBytes)
+	for scanner.Scan() {
+		silence.Reset(silenceTimeout)
+		var update Update
+		if err := json.Unmarshal(scanner.Bytes(), &update); err != nil {
+			return received, fmt.Errorf("decode update of the endpoint list: %w", err)
 		}
-		changed, refused, err := f.table.Apply(p)
+		changed, refused, err := f.table.Apply(update)
 		if err != nil {
-			return got, err
+			return received, err
 		}
-		got = true
+		received = true
 		now := time.Now()
 		f.lastReceived.Store(&now)
 		if refused != nil {
-			f.Log.Warn("lines of the box list refused", "error", refused)
+			f.Log.Warn("ignored lines of the endpoint list", "error", refused)
 		}
-		if len(changed) == 0 && !p.Full {
+		if len(changed) == 0 && !update.Full {
 			continue
 		}
-		f.OnUpdate(changed, p.Full)
+		f.OnUpdate(changed, update.Full)
 		if err := f.save(); err != nil {
-			f.Log.Warn("the box list could not be kept", "error", err)
+			f.Log.Warn("failed to save the endpoint list", "error", err)
 		}
 	}
 	if cause := context.Cause(ctx); cause != nil {
-		return got, cause
+		return received, cause
 	}
-	if err := lines.Err(); err != nil {
-		return got, err
+	if err := scanner.Err(); err != nil {
+		return received, err
 	}
-	return got, errors.New("the list closed the connection")
+	return received, errors.New("service discovery closed the connection")
 }
--- a/internal/boxlist/table.go
+++ b/internal/boxlist/table.go
@@ -1,6 +1,6 @@
-// Package boxlist keeps a dispatcher's list of boxes: Table applies pushed changes without I/O and notices gaps,
-// Follow keeps a connection to the list and asks for the whole list after one, and the last list stays on disk
-// for the next start. It knows only what the list says and never asks a box; begin with Table.
+// Package boxlist keeps a dispatcher's list of backend endpoints, as service discovery sends it: Table applies
+// updates without I/O and detects gaps; Follower keeps a connection open, fetches the full list after a gap and saves
+// the last list for the next start. It knows only what the list says and never contacts a backend. Begin with Table.
 package boxlist
 
 import (
@@ -12,23 +12,24 @@
 	"sloetrestle/internal/addresses"
 )
 
-// Standings, as the list writes them.
+// The states of an endpoint, as the list writes them.
 const (
 	Ready    = "ready"
 	Draining = "draining"
 	Removed  = "gone"
 )
 
-// The bounds of a list and of its lines.
+// Bounds of a list and of its lines.
 const (
 	maxEndpoints = 10_000
-	maxAddresses = 16 // of one box
+	maxAddresses = 16 // of one endpoint
 	maxNameBytes = 253
-	MaxUnits     = 1e6
-	maxUptimeMs  = 100 * 365 * 24 * 3600 * 1000 // milliseconds
+	// MaxUnits is the largest relative capacity of an endpoint.
+	MaxUnits    = 1e6
+	maxUptimeMs = 100 * 365 * 24 * 3600 * 1000 // 100 years
 )
 
-// Endpoint is one line of the list.
+// Endpoint is one line of the list: a backend, its addresses and its state.
 type Endpoint struct {
 	Name        string           `json:"name"`
 	Addresses   []addresses.Spec `json:"addresses"`
@@ -36,12 +37,13 @@
 	Zone        string           `json:"zone"`
 	Rack        string           `json:"rack"`
 	State       string           `json:"standing"`
-	Units       float64          `json:"units"`
-	Incarnation uint64           `json:"start"` // tells one start of its process from another
-	UptimeMs    int64            `json:"up_ms"` // how long it had been up when this was sent; negative: since long ago
+	Units       float64          `json:"units"` // relative capacity
+	Incarnation uint64           `json:"start"` // differs between two starts of the backend's process
+	UptimeMs    int64            `json:"up_ms"` // when the line was sent; negative: unknown, but long
 }
 
-// Update is what the list sends: a whole list, or the changes from version Base to Version; a beat has none.
+// Update is a message of the list: the full list, or the changes from version Base to Version. A heartbeat has no
+// changes.
 type Update struct {
 	Version   uint64     `json:"version"`
 	Base      uint64     `json:"base"`
@@ -49,86 +51,90 @@
 	Endpoints []Endpoint `json:"boxes,omitempty"`
 }
 
-// ErrGap says that changes were missed, so that the whole list has to be asked for.
-var ErrGap = errors.New("changes of the box list were missed")
+// ErrGap reports that changes were missed, so that the full list has to be fetched.
+var ErrGap = errors.New("changes of the endpoint list were missed")
 
-// Table is the list as last heard.
+// Table is the last-known list. The zero value is an empty list at version 0.
 type Table struct {
 	Version   uint64
 	endpoints map[string]Endpoint
 }
 
-// Apply takes a push and returns the lines that changed, in the order of their names. Lines without sense are
-// left out and named, and leave their boxes as they were; the rest of the push counts.
-func (t *Table) Apply(p Update) (changed []Endpoint, refused error, err error) {
-	if !p.Full && (p.Base != t.Version || p.Version < p.Base) {
-		return nil, nil, fmt.Errorf("%w: have %d, got changes from %d", ErrGap, t.Version, p.Base)
+// Apply applies an update and returns the endpoints that it lists, sorted by name. Invalid lines are left out,
+// described in refused and leave their endpoints as they were; the rest of the update applies. err is ErrGap if the
+// update does not follow on the last one.
+func (t *Table) Apply(update Update) (changed []Endpoint, refused error, err error) {
+	if !update.Full && (update.Base != t.Version || update.Version < update.Base) {
+		return nil, nil, fmt.Errorf("%w: have version %d, received changes from version %d to %d",
+			ErrGap, t.Version, update.Base, update.Version)
 	}
-	var faults []error
+	var invalid []error
 	next := map[string]Endpoint{}
-	for _, b := range p.Endpoints {
-		fault := b.Check()
-		if _, twice := next[b.Name]; twice && fault == nil {
-			fault = fmt.Errorf("box %s: listed twice, the first line counts", b.Name)
-		} else if had, known := t.endpoints[b.Name]; fault != nil && known && p.Full && !twice {
-			next[b.Name] = had
-		} else if fault == nil && !known && len(t.endpoints)+len(next) >= maxEndpoints && (!p.Full || len(next) >= maxEndpoints) {
-			fault = fmt.Errorf("box %s: %d boxes are held at most", b.Name, maxEndpoints)
+	for _, endpoint := range update.Endpoints {
+		lineErr := endpoint.Check()
+		if _, duplicate := next[endpoint.Name]; duplicate && lineErr == nil {
+			lineErr = fmt.Errorf("endpoint %s: listed twice, the second line is ignored", endpoint.Name)
+		} else if previous, known := t.endpoints[endpoint.Name]; lineErr != nil && known && update.Full && !duplicate {
+			next[endpoint.Name] = previous
+		} else if lineErr == nil && !known && len(t.endpoints)+len(next) >= maxEndpoints &&
+			(!update.Full || len(next) >= maxEndpoints) {
+			lineErr = fmt.Errorf("endpoint %s: exceeds the limit of %d endpoints", endpoint.Name, maxEndpoints)
 		}
-		if fault != nil {
-			faults = append(faults, fault)
+		if lineErr != nil {
+			invalid = append(invalid, lineErr)
 			continue
 		}
-		next[b.Name] = b
+		next[endpoint.Name] = endpoint
 	}
-	if p.Full || t.endpoints == nil {
+	if update.Full || t.endpoints == nil {
 		t.endpoints = map[string]Endpoint{}
 	}
-	for name, b := range next {
-		changed = append(changed, b)
-		if b.State == Removed {
+	for name, endpoint := range next {
+		changed = append(changed, endpoint)
+		if endpoint.State == Removed {
 			delete(t.endpoints, name)
 		} else {
-			t.endpoints[name] = b
+			t.endpoints[name] = endpoint
 		}
 	}
-	t.Version = p.Version
+	t.Version = update.Version
 	SortByName(changed)
-	return changed, errors.Join(faults...), nil
+	return changed, errors.Join(invalid...), nil
 }
 
-// All lists all boxes by name.
+// All returns all endpoints, sorted by name.
 func (t *Table) All() []Endpoint {
 	all := make([]Endpoint, 0, len(t.endpoints))
-	for _, b := range t.endpoints {
-		all = append(all, b)
+	for _, endpoint := range t.endpoints {
+		all = append(all, endpoint)
 	}
 	SortByName(all)
 	return all
 }
 
-// SortByName puts lines in the order of their names.
-func SortByName(boxes []Endpoint) {
-	slices.SortStableFunc(boxes, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
+// SortByName sorts endpoints by name; lines of the same name keep their order.
+func SortByName(endpoints []Endpoint) {
+	slices.SortStableFunc(endpoints, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
 }
 
-// Check tells what is wrong with a line.
-func (b Endpoint) Check() error {
+// Check returns an error that says why a line is invalid, or nil.
+func (e Endpoint) Check() error {
 	switch {
-	case b.Name == "":
-		return errors.New("a box without a name")
-	case b.State != Ready && b.State != Draining && b.State != Removed:
-		return fmt.Errorf("box %s: standing %q is unknown", b.Name, b.State)
-	case b.State != Removed && len(b.Addresses) == 0:
-		return fmt.Errorf("box %s: no address", b.Name)
-	case max(len(b.Name), len(b.Kind), len(b.Zone), len(b.Rack)) > maxNameBytes:
-		return fmt.Errorf("box %.40s: a name of it is longer than %d bytes", b.Name, maxNameBytes)
-	case !(b.Units >= 0 && b.Units <= MaxUnits):
-		return fmt.Errorf("box %s: units of %g, 0 to %g are taken", b.Name, b.Units, float64(MaxUnits))
-	case b.UptimeMs > maxUptimeMs:
-		return fmt.Errorf("box %s: up_ms of %d, %d at most are taken", b.Name, b.UptimeMs, int64(maxUptimeMs))
-	case len(b.Addresses) > maxAddresses:
-		return fmt.Errorf("box %s: %d addresses, %d are taken at most", b.Name, len(b.Addresses), maxAddresses)
+	case e.Name == "":
+		return errors.New("an endpoint has no name")
+	case e.State != Ready && e.State != Draining && e.State != Removed:
+		return fmt.Errorf("endpoint %s: unknown state %q", e.Name, e.State)
+	case e.State != Removed && len(e.Addresses) == 0:
+		return fmt.Errorf("endpoint %s: no address", e.Name)
+	case max(len(e.Name), len(e.Kind), len(e.Zone), len(e.Rack)) > maxNameBytes:
+		return fmt.Errorf("endpoint %.40s: its name, kind, zone or rack is longer than %d bytes", e.Name, maxNameBytes)
+	case !(e.Units >= 0 && e.Units <= MaxUnits):
+		return fmt.Errorf("endpoint %s: units of %g are not between 0 and %g", e.Name, e.Units, float64(MaxUnits))
+	case e.UptimeMs > maxUptimeMs:
+		return fmt.Errorf("endpoint %s: uptime of %d ms exceeds the limit of %d ms",
+			e.Name, e.UptimeMs, int64(maxUptimeMs))
+	case len(e.Addresses) > maxAddresses:
+		return fmt.Errorf("endpoint %s: %d addresses exceed the limit of %d", e.Name, len(e.Addresses), maxAddresses)
 	}
 	return nil
 }
--- a/internal/chat/request.go
+++ b/internal/chat/request.go
@@ -1,6 +1,6 @@
-// Package chat is the platform's protocol as codecs: what a client's request says, what a box's answer says, and the
-// calls by which states are let go. It opens no socket and looks at no clock, and takes the bodies of questions for opaque. Begin
-// with Read for clients, Stream for boxes.
+// Package chat implements the platform's protocol: it decodes the head of a client's request and the response of a
+// backend, and encodes requests to backends. It opens no socket, reads no clock and treats the bodies of requests as
+// opaque. Begin with ParseRequest for clients and with Stream for backends.
 package chat
 
 import (
@@ -14,98 +14,103 @@
 	"time"
 )
 
-// Bounds of what is taken from outside.
+// Bounds of what is accepted from clients.
 const (
-	MaxHeadBytes  = 16 << 10  // bytes of a head
-	MaxBodyBytes  = 256 << 10 // bytes of a body
-	maxIDBytes    = 128       // bytes of a name in a head
-	maxTimeout    = time.Hour // that a client waits
+	// MaxHeadBytes bounds the head of a request.
+	MaxHeadBytes = 16 << 10
+	// MaxBodyBytes bounds the body of a request.
+	MaxBodyBytes  = 256 << 10
+	maxIDBytes    = 128 // of an identifier in a header
+	maxTimeout    = time.Hour
 	maxTokens     = 10_000_000
-	bytesPerToken = 4 // bytes of text to a token
+	bytesPerToken = 4 // for estimates from the length of a text
 )
 
-// CompletionsPath is where questions are asked; ReadyPath is where the front looks whether a dispatcher can serve.
+// CompletionsPath is the path of chat completions; ReadyPath is where the frontend checks whether a dispatcher can
+// serve.
 const (
 	CompletionsPath = "/v1/chat/completions"
 	ReadyPath       = "/ready"
 )
 
-// Request is what a request's head says of a question.
+// Request is what the head of a client's request says.
 type Request struct {
 	ID           string
-	Class        string
+	Class        string // priority class
 	Tenant       string
 	Session      string
-	PrefixID     string // the beginning that the prompt shares with other sessions
-	PromptTokens int    // of the prompt
-	PrefixTokens int    // of the shared beginning
-	MaxTokens    int    // of the answer
+	PrefixID     string // of the prefix that the prompt shares with other sessions
+	PromptTokens int
+	PrefixTokens int // length of the shared prefix
+	MaxTokens    int // of the answer
 	Timeout      time.Duration
-	Retried      bool // the client asked before
-	Resumed      bool // it asks for the rest of a stream that broke
+	Retried      bool // the client retries an earlier request
+	Resumed      bool // the client requests the rest of a stream that broke
 }
 
-// RequestError is why a request is no question.
+// RequestError says why a request is invalid, and with which HTTP status it is refused.
 type RequestError struct {
 	Status int
 	Reason string
 }
 
-func (r *RequestError) Error() string { return r.Reason }
+func (e *RequestError) Error() string { return e.Reason }
 
-func badRequest(why string) *RequestError { return &RequestError{http.StatusBadRequest, why} }
+func badRequest(reason string) *RequestError { return &RequestError{http.StatusBadRequest, reason} }
 
-// ParseRequest takes a request's head for a question.
+// ParseRequest decodes the head of a client's request.
 func ParseRequest(r *http.Request) (Request, *RequestError) {
-	var a Request
+	var req Request
 	switch {
 	case r.ContentLength < 0 && !slices.Equal(r.TransferEncoding, []string{"chunked"}):
-		return a, &RequestError{http.StatusLengthRequired, "length"}
+		return req, &RequestError{http.StatusLengthRequired, "length"}
 	case r.URL.Path != CompletionsPath:
-		return a, &RequestError{http.StatusNotFound, "path"}
+		return req, &RequestError{http.StatusNotFound, "path"}
 	case r.Method != http.MethodPost:
-		return a, &RequestError{http.StatusMethodNotAllowed, "method"}
+		return req, &RequestError{http.StatusMethodNotAllowed, "method"}
 	case r.ContentLength > MaxBodyBytes:
-		return a, &RequestError{http.StatusRequestEntityTooLarge, "body"}
+		return req, &RequestError{http.StatusRequestEntityTooLarge, "body"}
 	}
-	for _, f := range []struct {
+	for _, header := range []struct {
 		name string
 		into *string
 	}{
-		{"X-Request-Id", &a.ID}, {"X-Priority-Class", &a.Class}, {"X-Tenant-Id", &a.Tenant}, {"X-Route-Key", &a.Session},
+		{"X-Request-Id", &req.ID}, {"X-Priority-Class", &req.Class},
+		{"X-Tenant-Id", &req.Tenant}, {"X-Route-Key", &req.Session},
 	} {
-		v := r.Header[f.name]
-		if len(v) > 1 || len(v) == 1 && len(v[0]) > maxIDBytes {
-			return a, badRequest(f.name)
+		values := r.Header[header.name]
+		if len(values) > 1 || len(values) == 1 && len(values[0]) > maxIDBytes {
+			return req, badRequest(header.name)
 		}
-		if len(v) == 1 {
-			*f.into = v[0]
+		if len(values) == 1 {
+			*header.into = values[0]
 		}
 	}
-	if !validID(a.ID) {
-		return a, badRequest("id")
+	if !validID(req.ID) {
+		return req, badRequest("id")
 	}
 	ms, err := strconv.ParseInt(r.Header.Get("X-Timeout-Ms"), 10, 64)
 	if err != nil || ms <= 0 || ms > maxTimeout.Milliseconds() || len(r.Header["X-Timeout-Ms"]) > 1 {
-		return a, badRequest("timeout")
+		return req, badRequest("timeout")
 	}
-	a.Timeout = time.Duration(ms) * time.Millisecond
-	a.Retried, a.Resumed = r.Header.Get("X-Retried") == "1", r.Header.Get("X-Retried") == "again"
-	a.PromptTokens = estimateTokens(max(r.ContentLength, 0))
-	return a, a.parseAttrs(r.Header.Get("X-Attrs"))
+	req.Timeout = time.Duration(ms) * time.Millisecond
+	req.Retried, req.Resumed = r.Header.Get("X-Retried") == "1", r.Header.Get("X-Retried") == "again"
+	req.PromptTokens = estimateTokens(max(r.ContentLength, 0))
+	return req, req.parseAttrs(r.Header.Get("X-Attrs"))
 }
 
-// estimateTokens is how many tokens so many bytes of text are about.
+// estimateTokens estimates the number of tokens in a text from its length in bytes.
 func estimateTokens(bytes int64) int { return int(bytes+bytesPerToken-1) / bytesPerToken }
 
-// SetBodyBytes takes the length of a body that came in chunks, where the head did not say how many tokens it has.
-func (a *Request) SetBodyBytes(bytes int) {
-	if a.PromptTokens == 0 {
-		a.PromptTokens = estimateTokens(int64(bytes))
+// SetBodyBytes estimates the prompt's tokens from the length of a body that came in chunks, unless the head states
+// them.
+func (req *Request) SetBodyBytes(bytes int) {
+	if req.PromptTokens == 0 {
+		req.PromptTokens = estimateTokens(int64(bytes))
 	}
 }
 
-// validID tells whether an id can stand in a path.
+// validID tells whether an id can be used as a segment of a URL path.
 func validID(id string) bool {
 	for _, c := range []byte(id) {
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_' || c == '.') {
@@ -115,16 +120,18 @@
 	return id != "" && id != "." && id != ".."
 }
 
-// parseAttrs reads the list of attributes; those it does not know are left alone.
-func (a *Request) parseAttrs(attrs string) *RequestError {
+// parseAttrs decodes the list of attributes; unknown ones are ignored.
+func (req *Request) parseAttrs(attrs string) *RequestError {
 	for attrs != "" {
-		var part string
-		part, attrs, _ = strings.Cut(attrs, ",")
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		into := map[string]*int{"prompt_len": &a.PromptTokens, "prefix_len": &a.PrefixTokens, "max_out": &a.MaxTokens}[name]
+		var attr string
+		attr, attrs, _ = strings.Cut(attrs, ",")
+		name, value, _ := strings.Cut(strings.TrimSpace(attr), "=")
+		into := map[string]*int{
+			"prompt_len": &req.PromptTokens, "prefix_len": &req.PrefixTokens, "max_out": &req.MaxTokens,
+		}[name]
 		switch {
 		case name == "prefix":
-			if a.PrefixID = value; len(value) > maxIDBytes {
+			if req.PrefixID = value; len(value) > maxIDBytes {
 				return badRequest("attrs")
 			}
 		case into != nil:
@@ -135,28 +142,31 @@
 			*into = int(math.Round(n))
 		}
 	}
-	a.PrefixTokens = min(a.PrefixTokens, a.PromptTokens)
+	req.PrefixTokens = min(req.PrefixTokens, req.PromptTokens)
 	return nil
 }
 
-// perAttemptHeaders are those of a request to a backend that are not the client's: what belongs to one connection only, and what is stated
-// anew for each attempt.
+// perAttemptHeaders are the headers of a request to a backend that are not copied from the client's: those that
+// belong to a single connection, and those that are set anew for each attempt.
 var perAttemptHeaders = map[string]bool{
-	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true, "Proxy-Connection": true, "Te": true,
-	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Host": true,
+	"Connection": true, "Keep-Alive": true,
+	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Proxy-Connection": true,
+	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Host": true,
 	"Content-Length": true, "X-Request-Id": true, "X-Timeout-Ms": true,
 }
 
-// AttemptHead is the head of a request to a box: a question goes on with its method, target, id, body and all other headers unchanged, as
-// a client may state more than this program knows of, such as the key by which a box knows a repeat. length is that of
-// the body, which may have come in chunks; wait is how long the trip is waited for.
-func AttemptHead(r *http.Request, service string, a Request, length int, wait time.Duration) []byte {
+// AttemptHead returns the head of an attempt's request to a backend. The client's method, target, id and all other
+// headers go on unchanged, as a client may set headers that this program does not know, such as the key by which a
+// backend recognises a repeat. bodyBytes is the length of the body, which may have come in chunks; timeout is how
+// long the attempt may take.
+func AttemptHead(r *http.Request, service string, req Request, bodyBytes int, timeout time.Duration) []byte {
 	head := make([]byte, 0, 512)
-	head = fmt.Appendf(head, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\nContent-Length: %d\r\n", r.RequestURI, service, a.ID,
-		max(wait.Milliseconds(), 1), length)
-	named := connectionHeaders(r.Header)
+	head = fmt.Appendf(head,
+		"POST %s HTTP/1.1\r\nHost: %s\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\nContent-Length: %d\r\n",
+		r.RequestURI, service, req.ID, max(timeout.Milliseconds(), 1), bodyBytes)
+	hopByHop := connectionHeaders(r.Header)
 	for _, name := range slices.Sorted(maps.Keys(r.Header)) {
-		if perAttemptHeaders[name] || named[name] {
+		if perAttemptHeaders[name] || hopByHop[name] {
 			continue
 		}
 		for _, value := range r.Header[name] {
@@ -166,7 +176,7 @@
 	return append(head, "\r\n"...)
 }
 
-// connectionHeaders are the headers that a client names as belonging to its connection.
+// connectionHeaders returns the headers that a client lists under Connection as hop-by-hop.
 func connectionHeaders(header http.Header) map[string]bool {
 	named := map[string]bool{}
 	for _, value := range header["Connection"] {
@@ -177,7 +187,7 @@
 	return named
 }
 
-// ReleaseRequest is the call that has any box release all that is held for a question.
+// ReleaseRequest returns the request that has any backend release the KV cache it holds for the request with this id.
 func ReleaseRequest(service, id string) []byte {
 	return fmt.Appendf(nil, "DELETE /v1/holds/%s HTTP/1.1\r\nHost: %s\r\n\r\n", id, service)
 }
--- a/internal/chat/response.go
+++ b/internal/chat/response.go
@@ -13,38 +13,43 @@
 	"sloetrestle/brain"
 )
 
+// Bounds of what is accepted from backends.
 const (
-	maxLineBytes     = 256       // bytes of a chunk's size line, or of a line after the last chunk
-	maxChunkBytes    = 256 << 10 // bytes of a chunk
-	maxEventBytes    = 256 << 10 // bytes of an event
-	maxTrailerLines  = 16        // lines after the last chunk
-	MaxInformational = 8         // answers in front of the one that counts
+	maxLineBytes    = 256       // of a chunk's size line, or of a trailer line
+	maxChunkBytes   = 256 << 10 // of a chunk
+	maxEventBytes   = 256 << 10 // of an event
+	maxTrailerLines = 16        // after the last chunk
+	// MaxInformational is how many response heads are read in search of one that is not informational (1xx).
+	MaxInformational = 8
 )
 
-// ErrMalformed says that what a box sends can't be read as an answer.
-var ErrMalformed = errors.New("the answer can't be read")
+// ErrMalformed reports that a backend's response cannot be decoded.
+var ErrMalformed = errors.New("malformed response from the backend")
 
-// ClassifyResponse is what a box's short answer proves: only what the box itself says never ran is taken for that. Without the mark a
-// refusal may be somebody else's on the way. A state that is gone stands as the module knows it: full, with a note of 1.
-func ClassifyResponse(stage brain.Stage, resp *http.Response, body []byte) (o brain.Outcome, note int) {
-	never := resp.Header.Get("X-Not-Processed") == "1"
+// ClassifyResponse returns the outcome of an attempt that was answered without a stream. The request counts as not
+// processed only if the backend itself states so by a header: without the header, an error may come from an
+// intermediary. note is the number of cached tokens after a prefill; after a rejection it is 1 if the KV cache is
+// gone from its backend, as the scheduler expects.
+func ClassifyResponse(stage brain.Stage, resp *http.Response, body []byte) (outcome brain.Outcome, note int) {
+	notProcessed := resp.Header.Get("X-Not-Processed") == "1"
 	switch code := resp.StatusCode; {
 	case code == http.StatusAccepted && stage == brain.ToRead:
-		var said struct {
-			Kept float64 `json:"cached_tokens"`
+		var prefill struct {
+			CachedTokens float64 `json:"cached_tokens"`
 		}
-		if json.Unmarshal(body, &said) != nil {
+		if json.Unmarshal(body, &prefill) != nil {
 			return brain.Read, 0
 		}
-		return brain.Read, tokenCount(said.Kept)
-	case never && (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout):
+		return brain.Read, tokenCount(prefill.CachedTokens)
+	case notProcessed && (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout):
 		return brain.Rejected, 0
-	case never && code == http.StatusGone:
+	case notProcessed && code == http.StatusGone:
 		return brain.Rejected, 1
 	}
 	return brain.Failed, 0
 }
 
+// tokenCount converts a reported number of tokens; one out of bounds counts as 0.
 func tokenCount(n float64) int {
 	if !(n >= 0 && n <= maxTokens) {
 		return 0
@@ -52,16 +57,17 @@
 	return int(n)
 }
 
-// ParseLoad reads a load report's values in the order of the fields; nil: it can't be read.
-func ParseLoad(text string, fields []string) []float64 {
+// ParseLoad decodes a load report and returns the values of the given fields in their order, or nil if the report is
+// malformed or lacks a field.
+func ParseLoad(report string, fields []string) []float64 {
 	values := make([]float64, len(fields))
 	seen := 0
-	for text != "" {
+	for report != "" {
 		var part string
-		part, text, _ = strings.Cut(text, ",")
+		part, report, _ = strings.Cut(report, ",")
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		for i, f := range fields {
-			if f != name {
+		for i, field := range fields {
+			if field != name {
 				continue
 			}
 			v, err := strconv.ParseFloat(value, 64)
@@ -78,31 +84,34 @@
 	return values
 }
 
-// Stream reads the events of an answer in chunks.
+// Stream reads the events of a response with chunked encoding.
 type Stream struct {
-	CachedTokens int    // tokens found kept, as the end says
-	LoadReport   string // the load report, as the end says
+	CachedTokens int    // as reported at the end of the stream
+	LoadReport   string // as reported at the end of the stream
 
 	reader  *bufio.Reader
-	partial []byte // of an event that is not whole yet
-	done    bool
+	partial []byte // the start of an event that is not complete yet
+	done    bool   // the event that ends the answer was received
 }
 
-func NewStream(from *bufio.Reader) *Stream { return &Stream{reader: from} }
+// NewStream returns a Stream that reads the body of a response from reader.
+func NewStream(reader *bufio.Reader) *Stream { return &Stream{reader: reader} }
 
-// Next returns the whole events that the next chunks bring, unchanged. After the last chunk of a whole answer it is io.EOF.
+// Next returns the complete events that the next chunks bring, unchanged. It returns io.EOF after the last chunk of a
+// complete answer, and ErrMalformed if the body is malformed or ends before the answer does.
 func (s *Stream) Next() ([]byte, error) {
 	for {
 		chunk, err := s.readChunk()
 		if err == io.EOF {
-			err = io.ErrUnexpectedEOF // between two chunks a connection that breaks looks like an end
+			// A connection that breaks between two chunks must not pass for the end of the answer.
+			err = io.ErrUnexpectedEOF
 		}
 		if err != nil {
 			return nil, err
 		}
 		if chunk == nil {
 			if !s.done || len(s.partial) > 0 {
-				return nil, ErrMalformed // it ends in good order, but before the end of the answer
+				return nil, ErrMalformed // the body is well-formed, but the answer is incomplete
 			}
 			return nil, io.EOF
 		}
@@ -114,16 +123,16 @@
 			}
 			continue
 		}
-		piece := s.partial[:end+2]
+		events := s.partial[:end+2]
 		s.partial = append([]byte(nil), s.partial[end+2:]...)
-		if !s.inspect(piece) {
+		if !s.inspect(events) {
 			return nil, ErrMalformed
 		}
-		return piece, nil
+		return events, nil
 	}
 }
 
-// readChunk returns the next readChunk; nil: the last has come.
+// readChunk returns the next chunk, or nil after the last one.
 func (s *Stream) readChunk() ([]byte, error) {
 	line, err := s.readLine()
 	if err != nil {
@@ -155,7 +164,7 @@
 	return chunk[:n], nil
 }
 
-// readLine reads a short readLine.
+// readLine reads a line of at most maxLineBytes.
 func (s *Stream) readLine() ([]byte, error) {
 	var line []byte
 	for len(line) <= maxLineBytes {
@@ -171,38 +180,41 @@
 	return nil, ErrMalformed
 }
 
-// inspect takes what the events say of the trip, and tells whether they are events at all: a chunk of a wrong size may have taken in
-// what frames the next.
-func (s *Stream) inspect(piece []byte) bool {
-	for line := range bytes.Lines(piece) {
+// inspect records what events report about the attempt. It returns false if they are not well-formed events: a chunk
+// of a wrong size may have taken in the framing of the next one.
+func (s *Stream) inspect(events []byte) bool {
+	for line := range bytes.Lines(events) {
 		line = bytes.TrimRight(line, "\r\n")
-		value, data := bytes.CutPrefix(line, []byte("data:"))
+		value, isData := bytes.CutPrefix(line, []byte("data:"))
 		switch {
 		case len(line) == 0:
-		case data:
+		case isData:
 			value = bytes.TrimLeft(value, " ")
 			if string(value) == "[DONE]" {
 				s.done = true
 			} else if len(value) == 0 || value[0] != '{' || value[len(value)-1] != '}' {
 				return false
 			} else if bytes.Contains(value, []byte(`"cached_tokens"`)) {
-				var said struct {
+				var event struct {
 					Usage struct {
 						Details struct {
-							Kept float64 `json:"cached_tokens"`
+							CachedTokens float64 `json:"cached_tokens"`
 						} `json:"prompt_tokens_details"`
 					} `json:"usage"`
 				}
-				if json.Unmarshal(value, &said) != nil {
+				if json.Unmarshal(value, &event) != nil {
 					return false
 				}
-				s.CachedTokens = tokenCount(said.Usage.Details.Kept)
+				s.CachedTokens = tokenCount(event.Usage.Details.CachedTokens)
 			}
 		case line[0] == ':':
-			if name, report, ok := strings.Cut(string(line[1:]), ":"); ok && strings.EqualFold(strings.TrimSpace(name), "X-Server-Load") {
+			if name, report, ok := strings.Cut(string(line[1:]), ":"); ok &&
+				strings.EqualFold(strings.TrimSpace(name), "X-Server-Load") {
 				s.LoadReport = strings.TrimSpace(report)
 			}
-		case bytes.HasPrefix(line, []byte("event:")), bytes.HasPrefix(line, []byte("id:")), bytes.HasPrefix(line, []byte("retry:")):
+		case bytes.HasPrefix(line, []byte("event:")),
+			bytes.HasPrefix(line, []byte("id:")),
+			bytes.HasPrefix(line, []byte("retry:")):
 		default:
 			return false
 		}
@@ -210,18 +222,18 @@
 	return true
 }
 
-// EndsMidAnswer tells whether events end with a token that is not the answer's last one.
+// EndsMidAnswer tells whether the last of the events carries a token that is not the last one of its answer.
 func EndsMidAnswer(events []byte) bool {
 	var last []byte
 	for line := range bytes.Lines(events) {
-		if value, data := bytes.CutPrefix(line, []byte("data:")); data {
+		if value, isData := bytes.CutPrefix(line, []byte("data:")); isData {
 			last = value
 		}
 	}
-	var said struct {
+	var event struct {
 		Choices []struct {
-			Finish *string `json:"finish_reason"`
+			FinishReason *string `json:"finish_reason"`
 		} `json:"choices"`
 	}
-	return json.Unmarshal(last, &said) == nil && len(said.Choices) > 0 && said.Choices[0].Finish == nil
+	return json.Unmarshal(last, &event) == nil && len(event.Choices) > 0 && event.Choices[0].FinishReason == nil
 }
--- a/internal/chat/response_test.go
+++ b/internal/chat/response_test.go
@@ -14,70 +14,74 @@
 )
 
 const (
-	first = "data: {\"choices\":[{\"delta\":{\"content\":\"oqvh\"}}]}\n\n"
-	usage = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":5120,\"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\n"
-	done  = "data: [DONE]\n\n"
-	load  = ": X-Server-Load: util=0.61,queue=2,x0=0.5\n\n"
-	last  = "0\r\n\r\n"
+	tokenEvent = "data: {\"choices\":[{\"delta\":{\"content\":\"oqvh\"}}]}\n\n"
+	usageEvent = "data: {\"choices\":[],\"usage\":" +
+		"{\"prompt_tokens\":5120,\"prompt_tokens_details\":{\"cached_tokens\":4096}}}\n\n"
+	doneEvent = "data: [DONE]\n\n"
+	loadEvent = ": X-Server-Load: util=0.61,queue=2,x0=0.5\n\n"
+	lastChunk = "0\r\n\r\n"
 )
 
 func chunk(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
-// read reads a stream to its end.
-func read(raw string) (s *Stream, text string, err error) {
-	s = NewStream(bufio.NewReader(strings.NewReader(raw)))
+// readAll reads a stream to its end.
+func readAll(raw string) (stream *Stream, text string, err error) {
+	stream = NewStream(bufio.NewReader(strings.NewReader(raw)))
 	for {
-		piece, err := s.Next()
+		events, err := stream.Next()
 		if err != nil {
-			return s, text, err
+			return stream, text, err
 		}
-		text += string(piece)
+		text += string(events)
 	}
 }
 
-func TestAGoodStreamIsPassedOnWhole(t *testing.T) {
-	s, text, err := read(chunk(first) + chunk(usage[:30]) + chunk(usage[30:]+done+load) + last)
-	if err != io.EOF || text != first+usage+done+load || s.CachedTokens != 4096 || s.LoadReport != "util=0.61,queue=2,x0=0.5" {
-		t.Errorf("%q, %v, kept %d, report %q", text, err, s.CachedTokens, s.LoadReport)
+func TestStreamReturnsAllEventsOfACompleteAnswer(t *testing.T) {
+	stream, text, err := readAll(
+		chunk(tokenEvent) + chunk(usageEvent[:30]) + chunk(usageEvent[30:]+doneEvent+loadEvent) + lastChunk)
+	if err != io.EOF || text != tokenEvent+usageEvent+doneEvent+loadEvent ||
+		stream.CachedTokens != 4096 || stream.LoadReport != "util=0.61,queue=2,x0=0.5" {
+		t.Errorf("%q, %v, %d cached tokens, load report %q", text, err, stream.CachedTokens, stream.LoadReport)
 	}
 }
 
-// A connection that breaks between two chunks reads as an end of the bytes. Taken for the end of the answer, the client's
-// stream was ended as whole.
-func TestAStreamThatBreaksIsNotWhole(t *testing.T) {
-	whole := chunk(first) + chunk(usage+done) + last
-	for n := range whole {
-		if _, _, err := read(whole[:n]); err == io.EOF {
-			t.Errorf("cut after %d of %d bytes it counts as whole", n, len(whole))
+// A connection that breaks between two chunks reads as io.EOF. If that passed for the end of the answer, the client
+// would get a truncated answer as a complete one.
+func TestBrokenStreamIsNotComplete(t *testing.T) {
+	complete := chunk(tokenEvent) + chunk(usageEvent+doneEvent) + lastChunk
+	for n := range complete {
+		if _, _, err := readAll(complete[:n]); err == io.EOF {
+			t.Errorf("cut after %d of %d bytes, the stream counts as complete", n, len(complete))
 		}
 	}
 }
 
-func TestASpoiltStreamIsNoAnswer(t *testing.T) {
+func TestMalformedStreamIsRefused(t *testing.T) {
 	for name, raw := range map[string]string{
-		"size of no number":   "zz\r\n" + first,
-		"size far too large":  "c0000000\r\n" + first,
-		"size a little large": fmt.Sprintf("%x\r\n%s\r\n", len(first)+8, first) + chunk(first) + chunk(first),
-		"size too small":      fmt.Sprintf("%x\r\n%s\r\n", len(first)-3, first),
-		"noise":               chunk("\x00\x01\x02\n\n"),
-		"endless line":        strings.Repeat("1", 1000),
-		"ends without an end": chunk(first) + last,
-		"ends within one":     chunk(first+done+"data: {") + last,
+		"chunk size not a number":  "zz\r\n" + tokenEvent,
+		"chunk size far too large": "c0000000\r\n" + tokenEvent,
+		"chunk size a little large": fmt.Sprintf("%x\r\n%s\r\n", len(tokenEvent)+8, tokenEvent) +
+			chunk(tokenEvent) + chunk(tokenEvent),
+		"chunk size too small":           fmt.Sprintf("%x\r\n%s\r\n", len(tokenEvent)-3, tokenEvent),
+		"binary noise":                   chunk("\x00\x01\x02\n\n"),
+		"endless line":                   strings.Repeat("1", 1000),
+		"no event ends the answer":       chunk(tokenEvent) + lastChunk,
+		"ends in the middle of an event": chunk(tokenEvent+doneEvent+"data: {") + lastChunk,
 	} {
-		if _, _, err := read(raw); !errors.Is(err, ErrMalformed) {
+		if _, _, err := readAll(raw); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
 }
 
-func TestOutcomesAreWhatTheBoxProves(t *testing.T) {
-	for _, c := range []struct {
-		stage brain.Stage
-		code  int
-		never string
-		body  string
-		want  brain.Outcome
-		note  int
+func TestOnlyNotProcessedHeaderProvesRejection(t *testing.T) {
+	for _, tc := range []struct {
+		stage        brain.Stage
+		code         int
+		notProcessed string // header X-Not-Processed
+		body         string
+		want         brain.Outcome
+		note         int
 	}{
 		{brain.ToRead, 202, "", `{"cached_tokens":4096}`, brain.Read, 4096},
 		{brain.ToRead, 202, "", `{"cached_tokens":-1}`, brain.Read, 0},
@@ -90,50 +94,56 @@
 		{brain.ToWrite, 410, "", ``, brain.Failed, 0},
 		{brain.ToWrite, 400, "", ``, brain.Failed, 0},
 	} {
-		resp := &http.Response{StatusCode: c.code, Header: http.Header{}}
-		if c.never != "" {
-			resp.Header.Set("X-Not-Processed", c.never)
+		resp := &http.Response{StatusCode: tc.code, Header: http.Header{}}
+		if tc.notProcessed != "" {
+			resp.Header.Set("X-Not-Processed", tc.notProcessed)
 		}
-		if o, note := ClassifyResponse(c.stage, resp, []byte(c.body)); o != c.want || note != c.note {
-			t.Errorf("%+v: %d, %d", c, o, note)
+		if outcome, note := ClassifyResponse(tc.stage, resp, []byte(tc.body)); outcome != tc.want || note != tc.note {
+			t.Errorf("%+v: outcome %d, note %d", tc, outcome, note)
 		}
 	}
 }
 
-func TestAReportThatCantBeReadIsDropped(t *testing.T) {
+func TestMalformedLoadReportIsDropped(t *testing.T) {
 	fields := []string{"util", "queue"}
 	if got := ParseLoad("inflight=7, queue=2,util=0.61", fields); !reflect.DeepEqual(got, []float64{0.61, 2}) {
 		t.Error(got)
 	}
-	for _, text := range []string{"", "util=0.6", "util=x,queue=2", "util=NaN,queue=1", "util=-1,queue=1", "util=1e300,queue=1"} {
-		if got := ParseLoad(text, fields); got != nil {
-			t.Errorf("%q reads as %v", text, got)
+	for _, report := range []string{
+		"", "util=0.6", "util=x,queue=2", "util=NaN,queue=1", "util=-1,queue=1", "util=1e300,queue=1",
+	} {
+		if got := ParseLoad(report, fields); got != nil {
+			t.Errorf("%q was decoded as %v", report, got)
 		}
 	}
 }
 
+// Whatever a backend sends, a stream ends with an error or io.EOF, and returns no more than was sent.
 func FuzzStream(f *testing.F) {
-	f.Add(chunk(first) + chunk(usage+done+load) + last)
-	f.Add("c0000000\r\n" + first)
+	f.Add(chunk(tokenEvent) + chunk(usageEvent+doneEvent+loadEvent) + lastChunk)
+	f.Add("c0000000\r\n" + tokenEvent)
 	f.Fuzz(func(t *testing.T, raw string) {
-		s, text, err := read(raw)
-		if err == nil || s.CachedTokens < 0 || len(text) > len(raw) {
-			t.Errorf("%v, kept %d, %d bytes of %d", err, s.CachedTokens, len(text), len(raw))
+		stream, text, err := readAll(raw)
+		if err == nil || stream.CachedTokens < 0 || len(text) > len(raw) {
+			t.Errorf("%v, %d cached tokens, %d bytes of %d", err, stream.CachedTokens, len(text), len(raw))
 		}
 	})
 }
 
-// A token that is followed by another is told from the last one, in any form of JSON.
-func TestMidway(t *testing.T) {
+// A token that others follow must be told from the last one of an answer, whatever the formatting of the JSON.
+func TestEndsMidAnswer(t *testing.T) {
 	for events, want := range map[string]bool{
 		"": false,
-		"data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"},\"finish_reason\":null}]}\n\n":                       true,
-		"data: { \"choices\" : [ { \"finish_reason\" : null } ] }\n\n":                                                       true,
-		"data: {\"choices\":[{\"delta\":{\"content\":\"data: x\"}}]}\n\n":                                                    true,
-		"data: {\"choices\":[{\"finish_reason\":\"stop\"}]}\n\n":                                                             false,
-		"data: {\"choices\":[{\"finish_reason\":null}]}\n\ndata: {\"choices\":[],\"usage\":{}}\n\n":                          false,
-		"data: {\"choices\":[{\"finish_reason\":null}]}\n\ndata: [DONE]\n\n":                                                 false,
-		"data: {\"choices\":[{\"finish_reason\":\"stop\"}]}\n\ndata: {\"choices\":[{\"finish_reason\":null}]}\n\n: X: y\n\n": true,
+		"data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"a\"},\"finish_reason\":null}]}\n\n": true,
+		"data: { \"choices\" : [ { \"finish_reason\" : null } ] }\n\n":                                 true,
+		"data: {\"choices\":[{\"delta\":{\"content\":\"data: x\"}}]}\n\n":                              true,
+		"data: {\"choices\":[{\"finish_reason\":\"stop\"}]}\n\n":                                       false,
+		"data: {\"choices\":[{\"finish_reason\":null}]}\n\n" +
+			"data: {\"choices\":[],\"usage\":{}}\n\n": false,
+		"data: {\"choices\":[{\"finish_reason\":null}]}\n\n" +
+			"data: [DONE]\n\n": false,
+		"data: {\"choices\":[{\"finish_reason\":\"stop\"}]}\n\n" +
+			"data: {\"choices\":[{\"finish_reason\":null}]}\n\n: X: y\n\n": true,
 	} {
 		if got := EndsMidAnswer([]byte(events)); got != want {
 			t.Errorf("%q: %t", events, got)
@@ -141,29 +151,32 @@
 	}
 }
 
-// No report makes a value that is no number, negative or without bound.
-func FuzzLoad(f *testing.F) {
+// No report yields a value that is negative, not a number, or out of bounds.
+func FuzzParseLoad(f *testing.F) {
 	f.Add("inflight=7,queue=2,util=0.61")
 	f.Add("util=NaN,queue=-1,queue=1e400")
-	f.Fuzz(func(t *testing.T, text string) {
-		for _, v := range ParseLoad(text, []string{"util", "queue"}) {
+	f.Fuzz(func(t *testing.T, report string) {
+		for _, v := range ParseLoad(report, []string{"util", "queue"}) {
 			if !(v >= 0 && v <= 1e9) {
-				t.Errorf("%q: %g", text, v)
+				t.Errorf("%q: %g", report, v)
 			}
 		}
 	})
 }
 
-// Whatever a backend answers, only its own mark proves that a request never ran, and no answer without a stream serves.
-func FuzzOutcome(f *testing.F) {
+// Whatever a backend responds, only its own header proves that a request was not processed, and a response without a
+// stream never counts as served.
+func FuzzClassifyResponse(f *testing.F) {
 	f.Add(202, "1", []byte(`{"cached_tokens":4096}`))
 	f.Add(503, "", []byte(`{}`))
-	f.Fuzz(func(t *testing.T, status int, mark string, body []byte) {
-		resp := &http.Response{StatusCode: status, Header: http.Header{"X-Not-Processed": {mark}}}
+	f.Fuzz(func(t *testing.T, status int, notProcessed string, body []byte) {
+		resp := &http.Response{StatusCode: status, Header: http.Header{"X-Not-Processed": {notProcessed}}}
 		for _, stage := range []brain.Stage{brain.ToRead, brain.ToWrite, brain.Whole} {
-			o, note := ClassifyResponse(stage, resp, body)
-			if o == brain.Served || o == brain.Rejected && mark != "1" || o == brain.Read && stage != brain.ToRead || note < 0 || note > maxTokens {
-				t.Errorf("%d %q at stage %d: %d, %d", status, mark, stage, o, note)
+			outcome, note := ClassifyResponse(stage, resp, body)
+			if outcome == brain.Served || outcome == brain.Rejected && notProcessed != "1" ||
+				outcome == brain.Read && stage != brain.ToRead || note < 0 || note > maxTokens {
+				t.Errorf("status %d, not processed %q, stage %d: outcome %d, note %d",
+					status, notProcessed, stage, outcome, note)
 			}
 		}
 	})
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -15,16 +15,20 @@
 	"sloetrestle/internal/hosts"
 )
 
-func TestATargetBecomesALine(t *testing.T) {
-	var tab Table
-	lines, whole, refused, err := tab.Apply(0, 10_000, []byte(`{"rev":41,"all":true,"targets":[
-		{"uid":"a","endpoint":"10.1.0.18:8081","az":"z","model":"m2","pod_group":3,"state":"in_service","capacity_hint":1.5,"boot_ms":9000},
-		{"uid":"b","endpoint":"10.1.0.19:8081","az":"z","model":"m2","pod_group":3,"state":"terminated","capacity_hint":1,"boot_ms":0},
-		{"uid":"c","endpoint":"nowhere","state":"in_service"},{"uid":"d","endpoint":"10.1.0.20:1","state":"asleep"},{"uid":"","state":"in_service"}]}`))
-	if err != nil || !whole || len(lines) != 2 || len(refused) != 3 || tab.Revision != 41 {
-		t.Fatalf("%v, whole %t, %+v, refused %q", err, whole, lines, refused)
+func TestTargetsConvertToEndpoints(t *testing.T) {
+	var table Table
+	lines, full, refused, err := table.Apply(0, 10_000, []byte(`{"rev":41,"all":true,"targets":[
+		{"uid":"a","endpoint":"10.1.0.18:8081","az":"z","model":"m2","pod_group":3,`+
+		`"state":"in_service","capacity_hint":1.5,"boot_ms":9000},
+		{"uid":"b","endpoint":"10.1.0.19:8081","az":"z","model":"m2","pod_group":3,`+
+		`"state":"terminated","capacity_hint":1,"boot_ms":0},
+		{"uid":"c","endpoint":"nowhere","state":"in_service"},`+
+		`{"uid":"d","endpoint":"10.1.0.20:1","state":"asleep"},{"uid":"","state":"in_service"}]}`))
+	if err != nil || !full || len(lines) != 2 || len(refused) != 3 || table.Revision != 41 {
+		t.Fatalf("%v, full %t, %+v, refused %q", err, full, lines, refused)
 	}
-	if a := lines[0]; a.UptimeMs != 1000 || a.Incarnation != 9000 || a.State != boxlist.Ready || a.Rack != "3" || a.Units != 1.5 || a.Addresses[0].At != "10.1.0.18:8081" {
+	if a := lines[0]; a.UptimeMs != 1000 || a.Incarnation != 9000 || a.State != boxlist.Ready || a.Rack != "3" ||
+		a.Units != 1.5 || a.Addresses[0].At != "10.1.0.18:8081" {
 		t.Errorf("%+v", a)
 	}
 	if b := lines[1]; b.UptimeMs != -1 || b.State != boxlist.Removed {
@@ -32,318 +36,362 @@
 	}
 }
 
-// An older list could bring back backends that are draining. It is taken only once discovery has had nothing newer for a while: then it
-// has begun anew.
-func TestAnOlderListIsNotTakenAtOnce(t *testing.T) {
-	var tab Table
-	take := func(now time.Duration, raw string) int {
-		lines, _, _, err := tab.Apply(now, 0, []byte(raw))
+// A list with an older revision could bring back backends that are draining. It is applied only once discovery has
+// had nothing newer for staleListGrace, which means that it has restarted its revisions.
+func TestStaleListIsAppliedOnlyAfterGracePeriod(t *testing.T) {
+	var table Table
+	apply := func(now time.Duration, raw string) int {
+		lines, _, _, err := table.Apply(now, 0, []byte(raw))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return len(lines)
 	}
-	draining := `{"rev":43,"all":true,"targets":[{"uid":"a","endpoint":"10.0.0.1:1","state":"terminating","capacity_hint":1}]}`
-	older := `{"rev":42,"all":true,"targets":[{"uid":"a","endpoint":"10.0.0.1:1","state":"in_service","capacity_hint":1}]}`
-	if take(0, draining) != 1 || take(time.Second, older) != 0 || take(2*time.Second, older) != 0 {
-		t.Error("an older list was taken")
+	draining := `{"rev":43,"all":true,"targets":[` +
+		`{"uid":"a","endpoint":"10.0.0.1:1","state":"terminating","capacity_hint":1}]}`
+	stale := `{"rev":42,"all":true,"targets":[` +
+		`{"uid":"a","endpoint":"10.0.0.1:1","state":"in_service","capacity_hint":1}]}`
+	if apply(0, draining) != 1 || apply(time.Second, stale) != 0 || apply(2*time.Second, stale) != 0 {
+		t.Error("a stale list was applied within the grace period")
 	}
-	mixed := `{"rev":42,"all":true,"targets":[{"uid":"a","endpoint":"10.0.0.1:1","state":"in_service","capacity_hint":1},
+	mixed := `{"rev":42,"all":true,"targets":[` +
+		`{"uid":"a","endpoint":"10.0.0.1:1","state":"in_service","capacity_hint":1},
 		{"uid":"b","endpoint":"10.0.0.1:1","state":"terminating","capacity_hint":1}]}`
-	if take(2*time.Second, mixed) != 1 || tab.Revision != 43 {
-		t.Error("a drain that an older list tells of is not taken at once")
+	if apply(2*time.Second, mixed) != 1 || table.Revision != 43 {
+		t.Error("a draining backend in a stale list was not applied at once")
 	}
-	if take(time.Second+staleListGrace, older) != 1 || tab.Revision != 42 {
-		t.Error("a list that has begun anew is never taken")
+	if apply(time.Second+staleListGrace, stale) != 1 || table.Revision != 42 {
+		t.Error("a stale list was not applied after the grace period")
 	}
 }
 
-// After a move, an older list has been what discovery says since the move, however late it is read: what it has counts 4 s after that.
-func TestAnOlderListAfterAMoveIsTakenInTime(t *testing.T) {
-	var tab Table
-	list := func(rev int) []byte {
-		return fmt.Appendf(nil, `{"rev":%d,"all":true,"targets":[{"uid":"a","endpoint":"10.0.0.1:1","state":"in_service","capacity_hint":1}]}`, rev)
+// After a change of discovery's address, the grace period of an older list runs from the change, however late the
+// list is read: the dispatcher has to act on it within 4 s of the change.
+func TestStaleListAfterAddressChangeIsAppliedInTime(t *testing.T) {
+	var table Table
+	list := func(revision int) []byte {
+		return fmt.Appendf(nil,
+			`{"rev":%d,"all":true,"targets":[`+
+				`{"uid":"a","endpoint":"10.0.0.1:1","state":"in_service","capacity_hint":1}]}`,
+			revision)
 	}
-	tab.Apply(time.Second, 0, list(43))
-	moved := 10 * time.Second
-	tab.AddressChanged(moved)
-	if _, whole, _, _ := tab.Apply(moved+time.Second, 0, list(5)); whole {
-		t.Error("an older list is taken at once")
+	table.Apply(time.Second, 0, list(43))
+	changedAt := 10 * time.Second
+	table.AddressChanged(changedAt)
+	if _, full, _, _ := table.Apply(changedAt+time.Second, 0, list(5)); full {
+		t.Error("a stale list was applied at once")
 	}
-	if _, whole, _, _ := tab.Apply(moved+3500*time.Millisecond, 0, list(5)); !whole || tab.Revision != 5 {
-		t.Error("3.5 s after the move what discovery no longer has is still used")
+	if _, full, _, _ := table.Apply(changedAt+3500*time.Millisecond, 0, list(5)); !full || table.Revision != 5 {
+		t.Error("a stale list was not applied 3.5 s after the change of address")
 	}
-	tab.AddressChanged(20 * time.Second)
-	tab.Apply(21*time.Second, 0, list(6))
-	if _, whole, _, _ := tab.Apply(40*time.Second, 0, list(5)); whole {
-		t.Error("an older list is taken at once long after a move")
+	table.AddressChanged(20 * time.Second)
+	table.Apply(21*time.Second, 0, list(6))
+	if _, full, _, _ := table.Apply(40*time.Second, 0, list(5)); full {
+		t.Error("a stale list was applied at once long after a change of address")
 	}
 }
 
-func FuzzTake(f *testing.F) {
-	f.Add([]byte(`{"rev":1,"all":true,"targets":[{"uid":"a","endpoint":"10.0.0.1:1","state":"in_service","capacity_hint":1,"boot_ms":5}]}`))
+// Whatever discovery sends, the endpoints that are passed on are valid.
+func FuzzApply(f *testing.F) {
+	f.Add([]byte(`{"rev":1,"all":true,"targets":[` +
+		`{"uid":"a","endpoint":"10.0.0.1:1","state":"in_service","capacity_hint":1,"boot_ms":5}]}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		var tab Table
-		lines, _, _, _ := tab.Apply(0, 1000, raw)
-		for _, b := range lines {
-			if b.Name == "" || b.State == "" || !(b.Units >= 0) || b.UptimeMs < -1 {
-				t.Errorf("%+v", b)
+		var table Table
+		lines, _, _, _ := table.Apply(0, 1000, raw)
+		for _, line := range lines {
+			if line.Name == "" || line.State == "" || !(line.Units >= 0) || line.UptimeMs < -1 {
+				t.Errorf("%+v", line)
 			}
 		}
 	})
 }
 
-// following is a follower on an agent, with what it was told.
-type following struct {
+// testFollower is a running follower that records what it passes on.
+type testFollower struct {
 	*Follower
 	mu    sync.Mutex
 	lines []boxlist.Endpoint
 }
 
-func follow(t *testing.T, at string) *following {
-	before := goleak.IgnoreCurrent()
-	began := time.Now()
-	f := &following{}
-	f.Follower = &Follower{Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Monotonic: func() time.Duration { return time.Since(began) }, WallClock: time.Now, OnUpdate: func(lines []boxlist.Endpoint, whole bool) {
-		f.mu.Lock()
-		f.lines = append(f.lines, lines...)
-		f.mu.Unlock()
-	}}
-	f.SetAddress(at)
-	ctx, end := context.WithCancel(context.Background())
+// startFollower runs a follower until the test ends, and checks that it leaves no goroutine behind.
+func startFollower(t *testing.T, address string) *testFollower {
+	ignoreEarlier := goleak.IgnoreCurrent()
+	start := time.Now()
+	follower := &testFollower{}
+	follower.Follower = &Follower{
+		Log:       slog.New(slog.NewTextHandler(io.Discard, nil)),
+		Monotonic: func() time.Duration { return time.Since(start) }, WallClock: time.Now,
+		OnUpdate: func(lines []boxlist.Endpoint, full bool) {
+			follower.mu.Lock()
+			follower.lines = append(follower.lines, lines...)
+			follower.mu.Unlock()
+		},
+	}
+	follower.SetAddress(address)
+	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { f.Run(ctx); close(ended) }()
+	go func() { follower.Run(ctx); close(ended) }()
 	t.Cleanup(func() {
-		end()
+		cancel()
 		<-ended
-		goleak.VerifyNone(t, before)
+		goleak.VerifyNone(t, ignoreEarlier)
 	})
-	return f
+	return follower
 }
 
-// watching is a follower that knows a site's one backend.
-func watching(t *testing.T) (*hosts.Site, *hosts.Box, *hosts.Agent, *following) {
+// startSite returns a site with one backend, its discovery agent, and a follower that has received the backend.
+func startSite(t *testing.T) (*hosts.Site, *hosts.Box, *hosts.Agent, *testFollower) {
 	site := hosts.New()
 	t.Cleanup(site.Close)
-	box := site.Box("a", hosts.Reader)
+	backend := site.Box("a", hosts.Reader)
 	agent := site.Agent()
-	f := follow(t, agent.At)
-	f.until(t, "a", boxlist.Ready)
-	return site, box, agent, f
+	follower := startFollower(t, agent.At)
+	follower.waitForState(t, "a", boxlist.Ready)
+	return site, backend, agent, follower
 }
 
-// until waits until the last line that was told of a backend says so.
-func (f *following) until(t *testing.T, name, standing string) {
+// waitForState waits until the last line that was passed on for a backend has the given state.
+func (f *testFollower) waitForState(t *testing.T, name, state string) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); time.Now().Before(end); time.Sleep(2 * time.Millisecond) {
 		f.mu.Lock()
 		last := ""
-		for _, b := range f.lines {
-			if b.Name == name {
-				last = b.State
+		for _, line := range f.lines {
+			if line.Name == name {
+				last = line.State
 			}
 		}
 		f.mu.Unlock()
-		if last == standing {
+		if last == state {
 			return
 		}
 	}
-	t.Fatalf("%s is never %s", name, standing)
+	t.Fatalf("%s did not reach the state %s", name, state)
 }
 
-func TestAWatchGoesOnAfterWhateverCutsIt(t *testing.T) {
-	site, box, agent, f := watching(t)
-	for i, cut := range []func(){
+func TestWatchResumesAfterInterruption(t *testing.T) {
+	site, backend, agent, follower := startSite(t)
+	for i, interrupt := range []func(){
 		agent.Cut,
 		func() { agent.Say("20\r\n{\"rev\":9"); agent.Cut() },
 		func() { agent.Say(hosts.Chunk("{\"rev\":\n")) },
 	} {
-		cut()
-		site.Change(func() { box.State = []string{"terminating", "in_service", "terminating"}[i] })
-		f.until(t, "a", []string{boxlist.Draining, boxlist.Ready, boxlist.Draining}[i])
+		interrupt()
+		site.Change(func() { backend.State = []string{"terminating", "in_service", "terminating"}[i] })
+		follower.waitForState(t, "a", []string{boxlist.Draining, boxlist.Ready, boxlist.Draining}[i])
 	}
 }
 
-// A watch that has gone silent is taken up anew, and silence takes nothing off the list.
-func TestASilentWatchIsTakenUpAnew(t *testing.T) {
-	site, box, agent, f := watching(t)
+// A watch that has gone silent is reopened, and silence removes nothing from the list.
+func TestSilentWatchIsReopened(t *testing.T) {
+	site, backend, agent, follower := startSite(t)
 	agent.SetMute(true)
-	site.Change(func() { box.State = "terminating" })
+	site.Change(func() { backend.State = "terminating" })
 	agent.SetMute(false)
-	f.until(t, "a", boxlist.Draining)
-	if f.WatchFailures() == 0 {
-		t.Error("the silent watch was not given up")
+	follower.waitForState(t, "a", boxlist.Draining)
+	if follower.WatchFailures() == 0 {
+		t.Error("the silent watch was not closed")
 	}
 }
 
-// Lists may come over many lines, several in one chunk, or in pieces; the watch goes on through all of that.
-func TestAWatchReadsListsInAnyForm(t *testing.T) {
+// A list may span several lines, share a chunk with another list, or come in pieces; none of these may end the watch.
+func TestWatchDecodesListsInAnyFraming(t *testing.T) {
 	site := hosts.New()
 	t.Cleanup(site.Close)
-	box := site.Box("a", hosts.Reader)
+	backend := site.Box("a", hosts.Reader)
 	agent := site.Agent()
 	agent.SetIndent(true)
-	f := follow(t, agent.At)
-	f.until(t, "a", boxlist.Ready)
-	site.Change(func() { box.State = "terminating" })
-	f.until(t, "a", boxlist.Draining)
-	say := func(rev int, state string) string {
-		return fmt.Sprintf(`{"rev":%d,"all":false,"targets":[{"uid":"a","endpoint":%q,"state":%q,"capacity_hint":1}]}`, rev, box.At, state)
+	follower := startFollower(t, agent.At)
+	follower.waitForState(t, "a", boxlist.Ready)
+	site.Change(func() { backend.State = "terminating" })
+	follower.waitForState(t, "a", boxlist.Draining)
+	message := func(revision int, state string) string {
+		return fmt.Sprintf(`{"rev":%d,"all":false,"targets":[{"uid":"a","endpoint":%q,"state":%q,"capacity_hint":1}]}`,
+			revision, backend.At, state)
 	}
-	agent.Say(hosts.Chunk("\n") + hosts.Chunk(say(10, "terminating")+say(11, "in_service")+"\n"))
-	f.until(t, "a", boxlist.Ready)
-	for _, c := range []byte(hosts.Chunk("\n  " + say(12, "terminating"))) {
+	agent.Say(hosts.Chunk("\n") + hosts.Chunk(message(10, "terminating")+message(11, "in_service")+"\n"))
+	follower.waitForState(t, "a", boxlist.Ready)
+	for _, c := range []byte(hosts.Chunk("\n  " + message(12, "terminating"))) {
 		agent.Say(string(c))
 	}
-	f.until(t, "a", boxlist.Draining)
-	if n := f.WatchFailures(); n != 0 {
-		t.Errorf("the watch was lost %d times", n)
+	follower.waitForState(t, "a", boxlist.Draining)
+	if n := follower.WatchFailures(); n != 0 {
+		t.Errorf("the watch ended %d times", n)
 	}
 }
 
-// A change counts as told 6 s after the watch fell silent, also where the watch that is opened in its place stops half-way.
-func TestASilentWatchIsMadeGoodInTime(t *testing.T) {
-	site, box, agent, f := watching(t)
+// A change must be known within 6 s of the watch falling silent, also where the watch that is opened in its place
+// stalls in the middle of its response.
+func TestChangeDuringSilentWatchIsKnownInTime(t *testing.T) {
+	site, backend, agent, follower := startSite(t)
 	agent.SetMute(true)
-	began := time.Now()
-	site.Change(func() { box.State = "terminating" })
+	start := time.Now()
+	site.Change(func() { backend.State = "terminating" })
 	agent.SetStop(90)
 	agent.SetMute(false)
 	time.AfterFunc(silenceTimeout+attemptInterval/2, func() { agent.SetStop(0) })
-	f.until(t, "a", boxlist.Draining)
-	if took := time.Since(began); took > 5900*time.Millisecond {
-		t.Errorf("it is known after %v", took)
+	follower.waitForState(t, "a", boxlist.Draining)
+	if took := time.Since(start); took > 5900*time.Millisecond {
+		t.Errorf("the change was known after %v", took)
 	}
 }
 
-// What crosses a watch, and within which time a change has to be known all the same.
-func TestAChangeIsKnownInTimeWhateverCrossesIt(t *testing.T) {
-	const silent, moved = 6 * time.Second, 4 * time.Second // by the platform's terms
-	for name, c := range map[string]struct {
+// Whatever happens to a watch, a change must be known within the platform's time limits.
+func TestChangeIsKnownInTimeDespiteFaults(t *testing.T) {
+	// The platform's limits after a watch has fallen silent, and after discovery's address has changed.
+	const silenceLimit, addressChangeLimit = 6 * time.Second, 4 * time.Second
+	for name, tc := range map[string]struct {
 		within time.Duration
-		cross  func(agents []*hosts.Agent, f *following, drain func())
+		fault  func(agents []*hosts.Agent, follower *testFollower, drain func())
 	}{
-		"silent in the first seconds, and again when opened anew": {silent, func(agents []*hosts.Agent, f *following, drain func()) {
-			agent := agents[0]
-			agent.SetMute(true)
-			drain()
-			await(t, func() bool { return f.WatchFailures() == 1 })
-			await(t, func() bool { return len(agent.Targets()) > 2 }) // asked anew, with no answer
-			agent.SetMute(false)
-		}},
-		"silent in the middle of the list": {silent, func(agents []*hosts.Agent, f *following, drain func()) {
-			agent := agents[0]
-			agent.SetMute(true)
-			drain()
-			agent.SetStop(60)
-			agent.SetMute(false)
-			await(t, func() bool { return len(agent.Targets()) > 2 })
-			agent.SetStop(0)
-		}},
-		"slow for good, and reset right before the change": {silent, func(agents []*hosts.Agent, _ *following, drain func()) {
-			agents[0].SetSlow(2 * time.Second)
-			agents[0].Cut()
-			drain()
-		}},
-		"moved to a slow one": {moved, func(agents []*hosts.Agent, f *following, drain func()) {
-			agents[1].SetSlow(2 * time.Second)
-			f.SetAddress(agents[1].At)
-			drain()
-		}},
-		"reset right before the change": {time.Second, func(agents []*hosts.Agent, _ *following, drain func()) {
-			agent := agents[0]
-			agent.Cut()
-			drain()
-		}},
-		"reset right behind the change's first bytes": {time.Second, func(agents []*hosts.Agent, _ *following, drain func()) {
-			agent := agents[0]
-			agent.Say("80\r\n{\"rev\":")
-			agent.Cut()
-			drain()
-		}},
-		"moved while a call is out": {moved, func(agents []*hosts.Agent, f *following, drain func()) {
-			agent := agents[0]
-			agent.SetMute(true)
-			agent.Cut()
-			await(t, func() bool { return len(agent.Targets()) > 2 }) // the call
-			drain()
-			f.SetAddress(agents[1].At)
-		}},
-		"moved twice, to an address that says nothing": {moved, func(agents []*hosts.Agent, f *following, drain func()) {
-			agent := agents[0]
-			mute, there := agents[1], agents[2]
-			mute.SetMute(true)
-			drain()
-			agent.SetMute(true)
-			f.SetAddress(mute.At)
-			await(t, func() bool { return len(mute.Targets()) > 0 })
-			f.SetAddress(there.At)
-		}},
-		"back after an outage with the change": {2500 * time.Millisecond, func(agents []*hosts.Agent, f *following, drain func()) {
-			agent := agents[0]
-			agent.SetMute(true)
-			agent.Cut()
-			await(t, func() bool { return f.WatchFailures() > 1 })
-			drain()
-			agent.SetMute(false)
-		}},
+		"silent in the first seconds, and again when reopened": {
+			silenceLimit,
+			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
+				agent := agents[0]
+				agent.SetMute(true)
+				drain()
+				eventually(t, func() bool { return follower.WatchFailures() == 1 })
+				eventually(t, func() bool { return len(agent.Targets()) > 2 }) // another request, without a response
+				agent.SetMute(false)
+			},
+		},
+		"silent in the middle of the list": {
+			silenceLimit,
+			func(agents []*hosts.Agent, _ *testFollower, drain func()) {
+				agent := agents[0]
+				agent.SetMute(true)
+				drain()
+				agent.SetStop(60)
+				agent.SetMute(false)
+				eventually(t, func() bool { return len(agent.Targets()) > 2 })
+				agent.SetStop(0)
+			},
+		},
+		"slow from now on, and reset right before the change": {
+			silenceLimit,
+			func(agents []*hosts.Agent, _ *testFollower, drain func()) {
+				agents[0].SetSlow(2 * time.Second)
+				agents[0].Cut()
+				drain()
+			},
+		},
+		"address changed to a slow agent": {
+			addressChangeLimit,
+			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
+				agents[1].SetSlow(2 * time.Second)
+				follower.SetAddress(agents[1].At)
+				drain()
+			},
+		},
+		"reset right before the change": {
+			time.Second,
+			func(agents []*hosts.Agent, _ *testFollower, drain func()) {
+				agent := agents[0]
+				agent.Cut()
+				drain()
+			},
+		},
+		"reset right after the first bytes of the change": {
+			time.Second,
+			func(agents []*hosts.Agent, _ *testFollower, drain func()) {
+				agent := agents[0]
+				agent.Say("80\r\n{\"rev\":")
+				agent.Cut()
+				drain()
+			},
+		},
+		"address changed during a request": {
+			addressChangeLimit,
+			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
+				agent := agents[0]
+				agent.SetMute(true)
+				agent.Cut()
+				eventually(t, func() bool { return len(agent.Targets()) > 2 }) // the request
+				drain()
+				follower.SetAddress(agents[1].At)
+			},
+		},
+		"address changed twice, first to a silent agent": {
+			addressChangeLimit,
+			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
+				agent := agents[0]
+				silent, last := agents[1], agents[2]
+				silent.SetMute(true)
+				drain()
+				agent.SetMute(true)
+				follower.SetAddress(silent.At)
+				eventually(t, func() bool { return len(silent.Targets()) > 0 })
+				follower.SetAddress(last.At)
+			},
+		},
+		"change during an outage": {
+			2500 * time.Millisecond,
+			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
+				agent := agents[0]
+				agent.SetMute(true)
+				agent.Cut()
+				eventually(t, func() bool { return follower.WatchFailures() > 1 })
+				drain()
+				agent.SetMute(false)
+			},
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			site := hosts.New()
 			t.Cleanup(site.Close)
-			box := site.Box("a", hosts.Reader)
+			backend := site.Box("a", hosts.Reader)
 			agents := []*hosts.Agent{site.Agent(), site.Agent(), site.Agent()}
-			f := follow(t, agents[0].At)
-			f.until(t, "a", boxlist.Ready)
-			await(t, func() bool { return agents[0].Watched() == 1 })
-			began := time.Now()
-			c.cross(agents, f, func() {
-				began = time.Now()
-				site.Change(func() { box.State = "terminating" })
+			follower := startFollower(t, agents[0].At)
+			follower.waitForState(t, "a", boxlist.Ready)
+			eventually(t, func() bool { return agents[0].Watched() == 1 })
+			start := time.Now()
+			tc.fault(agents, follower, func() {
+				start = time.Now()
+				site.Change(func() { backend.State = "terminating" })
 			})
-			f.until(t, "a", boxlist.Draining)
-			if took := time.Since(began); took > c.within {
-				t.Errorf("it is known after %v", took)
+			follower.waitForState(t, "a", boxlist.Draining)
+			if took := time.Since(start); took > tc.within {
+				t.Errorf("the change was known after %v, later than %v", took, tc.within)
 			}
 		})
 	}
 }
 
-// await waits for something that is bound to happen.
-func await(t *testing.T, is func() bool) {
+// eventually waits until a condition holds, and fails the test after 10 s.
+func eventually(t *testing.T, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(10 * time.Second); !is(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it does not happen")
+			t.Fatal("the condition did not hold within 10 s")
 		}
 	}
 }
 
-// A push that never ends is no sign of life.
-func TestAPushThatDripsIsGivenUp(t *testing.T) {
-	_, _, agent, f := watching(t)
-	for end := time.Now().Add(2 * silenceTimeout); f.WatchFailures() == 0; time.Sleep(silenceTimeout / 10) {
+// The bytes of a message that never completes must not keep a watch open.
+func TestMessageThatTricklesInIsAbandoned(t *testing.T) {
+	_, _, agent, follower := startSite(t)
+	for end := time.Now().Add(2 * silenceTimeout); follower.WatchFailures() == 0; time.Sleep(silenceTimeout / 10) {
 		if time.Now().After(end) {
-			t.Fatal("the watch is kept")
+			t.Fatal("the watch was not closed")
 		}
 		agent.Say(hosts.Chunk(" {"))
 	}
 }
 
-func TestANewAddressIsAskedForItsWholeList(t *testing.T) {
+func TestFullListIsFetchedFromNewAddress(t *testing.T) {
 	site := hosts.New()
 	t.Cleanup(site.Close)
 	site.Box("a", hosts.Reader)
 	b := site.Box("b", hosts.Reader)
 	b.State = "terminated"
-	one, two := site.Agent(), site.Agent()
-	f := follow(t, one.At)
-	f.until(t, "a", boxlist.Ready)
-	one.SetMute(true)
+	first, second := site.Agent(), site.Agent()
+	follower := startFollower(t, first.At)
+	follower.waitForState(t, "a", boxlist.Ready)
+	first.SetMute(true)
 	site.Change(func() { b.State = "in_service" })
-	f.SetAddress(two.At)
-	f.until(t, "b", boxlist.Ready)
-	if asked := two.Targets(); len(asked) == 0 || asked[0] != "/v1/endpoints" {
-		t.Errorf("asked for %q", asked)
+	follower.SetAddress(second.At)
+	follower.waitForState(t, "b", boxlist.Ready)
+	if requested := second.Targets(); len(requested) == 0 || requested[0] != "/v1/endpoints" {
+		t.Errorf("requested %q from the new address", requested)
 	}
 }
--- a/internal/endpoints/follower.go
+++ b/internal/endpoints/follower.go
@@ -22,73 +22,81 @@
 )
 
 const (
-	heartbeatInterval   = 2 * time.Second           // an empty line comes as often
-	silenceTimeout      = heartbeatInterval * 5 / 4 // a watch that says nothing for so long is taken for broken
-	attemptInterval     = 1500 * time.Millisecond   // after which a further try begins beside one that has no answer: the agent answers at once, or is slow
-	responseTimeout     = 3 * attemptInterval       // for an answer's head, or for one list
-	maxParallelAttempts = 3                         // at a time
-	initialBackoff      = 20 * time.Millisecond     // the first wait for the next try, doubled up to the next value
-	maxBackoff          = 300 * time.Millisecond
-	maxPushBytes        = 8 << 20
-	dialTimeout         = 2 * time.Second
+	heartbeatInterval = 2 * time.Second           // at which discovery sends an empty line
+	silenceTimeout    = heartbeatInterval * 5 / 4 // after which a watch that sends nothing counts as broken
+
+	// attemptInterval is how long an attempt may go without a response before another starts beside it: discovery
+	// either responds at once or is slow. It is also the time within which a message that has begun must be complete.
+	attemptInterval     = 1500 * time.Millisecond
+	responseTimeout     = 3 * attemptInterval // for the head of a response, or for one list
+	maxParallelAttempts = 3
+
+	initialBackoff = 20 * time.Millisecond // before the next attempt, doubled after each failure up to maxBackoff
+	maxBackoff     = 300 * time.Millisecond
+	maxPushBytes   = 8 << 20
+	dialTimeout    = 2 * time.Second
 )
 
-// Follower keeps a watch on discovery.
+// Follower keeps a watch on service discovery.
 type Follower struct {
 	Log       *slog.Logger
-	Monotonic func() time.Duration
-	WallClock func() time.Time                                                     // by which discovery tells when backends started
-	Dial      func(ctx context.Context, network, address string) (net.Conn, error) // nil: the operating system's
-	OnUpdate  func(lines []boxlist.Endpoint, whole bool)                           // told in order
+	Monotonic func() time.Duration // a clock that does not step
+	WallClock func() time.Time     // against which discovery reports the start times of backends
+	// Dial opens connections to discovery. If it is nil, the operating system's dialer is used.
+	Dial func(ctx context.Context, network, address string) (net.Conn, error)
+	// OnUpdate receives the changed endpoints in the order of the messages; full tells whether they are the whole
+	// list.
+	OnUpdate func(lines []boxlist.Endpoint, full bool)
 
-	tableMu          sync.Mutex // held while a list is taken: two tries may bring one
+	tableMu          sync.Mutex // held while a message is applied: two attempts may receive one at the same time
 	table            Table
-	needFullList     bool // what came last could not be used: the whole list is asked for next
+	needFullList     bool // the last message could not be used: the full list is fetched next
 	mu               sync.Mutex
 	address          string
-	addressChangedAt time.Duration // when at last changed
+	addressChangedAt time.Duration
 	cancelWatch      context.CancelCauseFunc
 	watchFailures    atomic.Int64
 	synced           atomic.Bool
 }
 
-// Synced tells whether discovery has sent a list that was read.
+// Synced tells whether a list from discovery was applied.
 func (f *Follower) Synced() bool { return f.synced.Load() }
 
 var (
-	errAddressChanged = errors.New("discovery has another address")
-	errStaleList      = errors.New("discovery has an older list than the own")
+	errAddressChanged = errors.New("the address of discovery has changed")
+	errStaleList      = errors.New("discovery has an older list than the one applied")
 )
 
-// Apply reads a push that came by another way, such as the one that a dispatcher is started with.
+// Apply applies a message that was received by other means, such as the list that a dispatcher is started with.
 func (f *Follower) Apply(raw []byte) error {
 	f.tableMu.Lock()
 	defer f.tableMu.Unlock()
 	return f.apply(raw)
 }
 
-// apply does so; the lock is held.
+// apply applies a message and passes its changes on. The caller holds tableMu.
 func (f *Follower) apply(raw []byte) error {
-	lines, whole, refused, err := f.table.Apply(f.Monotonic(), f.table.clock.now(f.Monotonic(), f.WallClock), raw)
+	lines, full, refused, err := f.table.Apply(f.Monotonic(), f.table.clock.now(f.Monotonic(), f.WallClock), raw)
 	if err != nil {
 		return err
 	}
 	if len(refused) > 0 {
-		f.Log.Warn("part of the list is left out", "why", strings.Join(refused, "; "))
+		f.Log.Warn("ignored part of the endpoint list", "why", strings.Join(refused, "; "))
 	}
-	if len(lines) > 0 || whole {
+	if len(lines) > 0 || full {
 		boxlist.SortByName(lines)
-		f.OnUpdate(lines, whole)
+		f.OnUpdate(lines, full)
 	}
 	return nil
 }
 
-// applyWatched takes a push of a watch. One that can't be used has the whole list asked for next; so has an older one, until it counts.
+// applyWatched applies a message of a watch. After one that cannot be used the full list is fetched next, and so it
+// is after a list that is older than the applied one, until that list is accepted.
 func (f *Follower) applyWatched(ctx context.Context, raw []byte) error {
 	f.tableMu.Lock()
 	defer f.tableMu.Unlock()
 	if ctx.Err() != nil {
-		return ctx.Err() // another watch goes on in this one's place
+		return ctx.Err() // another watch has replaced this one
 	}
 	f.needFullList = true
 	if err := f.apply(raw); err != nil {
@@ -103,155 +111,159 @@
 	return nil
 }
 
-// SetAddress says where discovery is from now on; the watch on the old address ends.
-func (f *Follower) SetAddress(at string) {
+// SetAddress sets the address of discovery (host:port). If it differs from the current one, the present watch ends.
+func (f *Follower) SetAddress(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at == f.address {
+	if address == f.address {
 		return
 	}
-	f.address, f.addressChangedAt = at, f.Monotonic()
+	f.address, f.addressChangedAt = address, f.Monotonic()
 	if f.cancelWatch != nil {
 		f.cancelWatch(errAddressChanged)
 	}
 }
 
-// WatchFailures is how often a watch ended.
+// WatchFailures returns how often a watch has ended.
 func (f *Follower) WatchFailures() int64 { return f.watchFailures.Load() }
 
-// Run watches until the context ends.
+// Run watches discovery until the context ends.
 func (f *Follower) Run(ctx context.Context) error {
-	wait, known := initialBackoff, ""
+	backoff, followed := initialBackoff, "" // followed is the address from which lists were received last
 	for ctx.Err() == nil {
-		one, cut := context.WithCancelCause(ctx)
+		watchCtx, cancel := context.WithCancelCause(ctx)
 		f.mu.Lock()
-		at, moved := f.address, f.addressChangedAt
-		f.cancelWatch = cut
+		address, changedAt := f.address, f.addressChangedAt
+		f.cancelWatch = cancel
 		f.mu.Unlock()
-		if at != known && known != "" {
+		if address != followed && followed != "" {
 			f.tableMu.Lock()
-			f.table.AddressChanged(moved)
+			f.table.AddressChanged(changedAt)
 			f.tableMu.Unlock()
 		}
-		got, _ := f.raceWatches(one, at, at == known)
-		cut(nil)
+		received, _ := f.raceWatches(watchCtx, address, address == followed)
+		cancel(nil)
 		if ctx.Err() != nil {
 			return nil
 		}
-		if got {
-			wait, known = initialBackoff, at
+		if received {
+			backoff, followed = initialBackoff, address
 		}
-		if errors.Is(context.Cause(one), errAddressChanged) {
-			f.Log.Info("discovery has moved")
-			wait = initialBackoff
+		if errors.Is(context.Cause(watchCtx), errAddressChanged) {
+			f.Log.Info("the address of discovery has changed")
+			backoff = initialBackoff
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-one.Done():
-		case <-time.After(wait):
+		case <-watchCtx.Done():
+		case <-time.After(backoff):
 		}
-		wait = min(2*wait, maxBackoff)
+		backoff = min(2*backoff, maxBackoff)
 	}
 	return nil
 }
 
-// watchResult is how one watch ended.
+// watchResult tells how an attempt at a watch ended.
 type watchResult struct {
 	attempt  int
-	received bool // a list was read
+	received bool // a list was applied
 	err      error
 }
 
-// raceWatches keeps a watch: the first that is answered of those that are tried. While none is, a further try begins beside the others every
-// so often, for discovery that has come back, while those that were begun may still be answered by one that is slow.
-func (f *Follower) raceWatches(ctx context.Context, at string, known bool) (got bool, err error) {
-	answered, ended := make(chan int, 2*maxParallelAttempts), make(chan watchResult, 2*maxParallelAttempts)
-	var ends []context.CancelFunc
-	var unanswered []int // numbers of those that run, the oldest first
-	begin := func() {
-		number := len(ends)
-		unanswered = append(unanswered, number)
-		one, end := context.WithCancel(ctx)
-		ends = append(ends, end)
+// raceWatches keeps the watch of the first attempt that gets a response. While none has, another attempt starts
+// beside the others at each attemptInterval: discovery may be back after an outage, while a slow one may still
+// respond to the earlier attempts.
+func (f *Follower) raceWatches(ctx context.Context, address string, followed bool) (received bool, err error) {
+	responded, ended := make(chan int, 2*maxParallelAttempts), make(chan watchResult, 2*maxParallelAttempts)
+	var cancels []context.CancelFunc
+	var pending []int // attempts that run without a response, the oldest first
+	start := func() {
+		attempt := len(cancels)
+		pending = append(pending, attempt)
+		attemptCtx, cancel := context.WithCancel(ctx)
+		cancels = append(cancels, cancel)
 		go func() {
-			got, err := f.watch(one, at, known, func() { answered <- number })
-			ended <- watchResult{number, got, err}
+			received, err := f.watch(attemptCtx, address, followed, func() { responded <- attempt })
+			ended <- watchResult{attempt, received, err}
 		}()
 	}
-	begin()
-	next := time.NewTicker(attemptInterval)
-	defer next.Stop()
-	first := -1 // the number of the one that was answered
+	start()
+	ticker := time.NewTicker(attemptInterval)
+	defer ticker.Stop()
+	winner := -1 // the attempt that got the first response
 	for running := 1; running > 0; {
 		select {
-		case number := <-answered:
-			if first >= 0 {
+		case attempt := <-responded:
+			if winner >= 0 {
 				continue
 			}
-			first = number
-			for i, end := range ends {
-				if i != number {
-					end()
+			winner = attempt
+			for i, cancel := range cancels {
+				if i != attempt {
+					cancel()
 				}
 			}
-		case t := <-ended:
+		case result := <-ended:
 			running--
-			ends[t.attempt]()
-			unanswered = slices.DeleteFunc(unanswered, func(number int) bool { return number == t.attempt })
-			got = got || t.received
-			if err == nil || t.attempt == first || first < 0 {
-				err = t.err
+			cancels[result.attempt]()
+			pending = slices.DeleteFunc(pending, func(attempt int) bool { return attempt == result.attempt })
+			received = received || result.received
+			if err == nil || result.attempt == winner || winner < 0 {
+				err = result.err
 			}
-			if first < 0 || t.attempt == first {
+			if winner < 0 || result.attempt == winner {
 				f.watchFailures.Add(1)
-				f.Log.Warn("watch lost", "discovery", at, "error", t.err)
+				f.Log.Warn("watch on discovery ended", "discovery", address, "error", result.err)
 			}
-		case <-next.C:
-			if first >= 0 {
+		case <-ticker.C:
+			if winner >= 0 {
 				continue
 			}
-			if len(unanswered) >= maxParallelAttempts {
-				ends[unanswered[0]]() // never at the cost of a further one: discovery may just have come back
-				unanswered = unanswered[1:]
+			if len(pending) >= maxParallelAttempts {
+				// The oldest attempt makes way for a new one: discovery may just be back.
+				cancels[pending[0]]()
+				pending = pending[1:]
 			}
-			begin()
+			start()
 			running++
 		}
 	}
-	return got, err
+	return received, err
 }
 
-// watch keeps one watch, and tells when it is answered. Where the address is new to this dispatcher, or nothing is known, the whole
-// list is asked for first.
-func (f *Follower) watch(ctx context.Context, at string, known bool, answered func()) (got bool, err error) {
-	tell := sync.OnceFunc(answered)
+// watch keeps one watch and calls responded at its first response. If the address was not followed before, or no
+// usable list is known, the full list is fetched first.
+func (f *Follower) watch(
+	ctx context.Context, address string, followed bool, responded func(),
+) (received bool, err error) {
+	notifyResponded := sync.OnceFunc(responded)
 	dial := f.Dial
 	if dial == nil {
 		dial = system.Real().Dial
 	}
-	dialing, dialed := context.WithTimeout(ctx, dialTimeout)
-	conn, err := dial(dialing, "tcp", at)
-	dialed()
+	dialCtx, cancelDial := context.WithTimeout(ctx, dialTimeout)
+	conn, err := dial(dialCtx, "tcp", address)
+	cancelDial()
 	if err != nil {
 		return false, err
 	}
 	defer conn.Close()
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
-	from := bufio.NewReader(conn)
-	ask := func(target string) (*http.Response, error) {
+	reader := bufio.NewReader(conn)
+	get := func(target string) (*http.Response, error) {
 		conn.SetDeadline(time.Now().Add(responseTimeout))
-		if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, at); err != nil {
+		if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, address); err != nil {
 			return nil, err
 		}
-		resp, err := http.ReadResponse(from, nil)
+		resp, err := http.ReadResponse(reader, nil)
 		if err == nil && resp.StatusCode != http.StatusOK {
-			err = fmt.Errorf("discovery answers %s", resp.Status)
+			err = fmt.Errorf("discovery responded to GET %s with %s", target, resp.Status)
 		}
 		return resp, err
 	}
-	if f.mustFetchFullList(known) {
-		resp, err := ask("/v1/endpoints")
+	if f.mustFetchFullList(followed) {
+		resp, err := get("/v1/endpoints")
 		if err != nil {
 			return false, err
 		}
@@ -262,36 +274,37 @@
 		if err := f.applyWatched(ctx, raw); err != nil {
 			return false, err
 		}
-		got = true
-		tell()
+		received = true
+		notifyResponded()
 		if resp.Close {
-			return got, errors.New("discovery closes after the list")
+			return received, errors.New("discovery closed the connection after the full list")
 		}
 	}
-	resp, err := ask(fmt.Sprintf("/v1/endpoints?stream=1&index=%d", f.revision()))
+	resp, err := get(fmt.Sprintf("/v1/endpoints?stream=1&index=%d", f.revision()))
 	if err != nil {
-		return got, err
+		return received, err
 	}
-	tell()
+	notifyResponded()
 	pushes := &pushReader{conn: conn, body: resp.Body, remaining: maxPushBytes, onHeartbeat: f.noteUnchanged}
 	for decoder := json.NewDecoder(pushes); ; {
 		var raw json.RawMessage
 		if err := decoder.Decode(&raw); err != nil {
-			var torn *json.SyntaxError
-			f.noteDecodeError(errors.As(err, &torn))
-			return got, err
+			var syntaxErr *json.SyntaxError
+			f.noteDecodeError(errors.As(err, &syntaxErr))
+			return received, err
 		}
 		if err := f.applyWatched(ctx, raw); err != nil {
-			return got && !errors.Is(err, errStaleList), err
+			return received && !errors.Is(err, errStaleList), err
 		}
-		got = true
-		rest, _ := io.ReadAll(decoder.Buffered())
+		received = true
+		buffered, _ := io.ReadAll(decoder.Buffered())
 		pushes.remaining, pushes.pushStart = maxPushBytes, time.Time{}
-		pushes.observe(rest)
+		pushes.observe(buffered)
 	}
 }
 
-// mustFetchFullList tells whether the whole list has to be asked for at an address that was followed before, or was not.
+// mustFetchFullList tells whether the full list has to be fetched before a watch; followed tells whether lists were
+// last received from the same address.
 func (f *Follower) mustFetchFullList(followed bool) bool {
 	f.tableMu.Lock()
 	defer f.tableMu.Unlock()
@@ -304,45 +317,46 @@
 	return f.table.Revision
 }
 
-// noteUnchanged takes note that nothing had changed until now.
+// noteUnchanged notes that the list is confirmed as of now.
 func (f *Follower) noteUnchanged() {
 	f.tableMu.Lock()
 	defer f.tableMu.Unlock()
 	f.table.clock.lastConfirmed = f.Monotonic()
 }
 
-// noteDecodeError takes note of a watch's end: behind a push that made no sense, the whole list has to be asked for.
-func (f *Follower) noteDecodeError(torn bool) {
+// noteDecodeError notes how a watch ended: after a message with a syntax error the full list has to be fetched.
+func (f *Follower) noteDecodeError(syntaxError bool) {
 	f.tableMu.Lock()
 	defer f.tableMu.Unlock()
-	f.needFullList = f.needFullList || torn
+	f.needFullList = f.needFullList || syntaxError
 }
 
-// pushReader is what a watch brings. Each byte shows that the watch lives, but not that it does what it is for: a push that has begun
-// has to end in its time, however it drips, and within a bound on its size.
+// pushReader reads the body of a watch. Every byte shows that the connection is alive, but not that discovery makes
+// progress: a message that has begun must be complete within attemptInterval, however slowly its bytes arrive, and
+// within maxPushBytes.
 type pushReader struct {
 	conn        net.Conn
 	body        io.Reader
-	remaining   int       // bytes that the present push may still have
-	pushStart   time.Time // when it did; zero: nothing but empty lines came
-	onHeartbeat func()    // called when an empty line has come: nothing changed until now
+	remaining   int       // bytes that the current message may still have
+	pushStart   time.Time // when the current message began; zero: only empty lines were received since the last one
+	onHeartbeat func()    // called when an empty line is received: the list has not changed
 }
 
 func (p *pushReader) Read(into []byte) (int, error) {
 	if p.remaining <= 0 {
-		return 0, fmt.Errorf("a push has over %d bytes", maxPushBytes)
+		return 0, fmt.Errorf("discovery message exceeds the limit of %d bytes", maxPushBytes)
 	}
-	until := time.Now().Add(silenceTimeout)
+	deadline := time.Now().Add(silenceTimeout)
 	if !p.pushStart.IsZero() {
-		until = p.pushStart.Add(attemptInterval)
+		deadline = p.pushStart.Add(attemptInterval)
 	}
-	p.conn.SetReadDeadline(until)
+	p.conn.SetReadDeadline(deadline)
 	n, err := p.body.Read(into[:min(len(into), p.remaining)])
 	p.observe(into[:n])
 	return n, err
 }
 
-// observe takes note of what came for a push.
+// observe accounts for received bytes.
 func (p *pushReader) observe(raw []byte) {
 	if p.pushStart.IsZero() && len(bytes.TrimSpace(raw)) > 0 {
 		p.pushStart = time.Now()
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -1,5 +1,6 @@
-// Package endpoints follows the platform's discovery: Table turns what it says into lines of the backend list, without I/O, and
-// Follower keeps a watch on it. It knows only what discovery says and never asks a backend; begin with Table.
+// Package endpoints follows the platform's service discovery: Table turns its messages into lines of the endpoint
+// list without I/O, and Follower keeps a watch open. It knows only what discovery reports and never contacts a
+// backend. Begin with Table.
 package endpoints
 
 import (
@@ -17,18 +18,20 @@
 
 const (
 	maxTargets = 10_000
-	// staleListGrace is how long discovery has to have nothing newer before an older list than the own is taken. After a move all that the
-	// new address has counts as known 4 s later, which leaves a second to reach it.
+	// staleListGrace is how long discovery must have had nothing newer before a list older than the known one is
+	// accepted. After a change of discovery's address, the dispatcher has to act on everything the new address
+	// reports within 4 s, which leaves a second to connect to it.
 	staleListGrace = 3 * time.Second
 )
 
-// push is what discovery sends.
+// push is a message from discovery.
 type push struct {
 	Revision int64    `json:"rev"`
 	Full     bool     `json:"all"`
 	Targets  []target `json:"targets"`
 }
 
+// target is a backend as discovery describes it.
 type target struct {
 	UID          string  `json:"uid"`
 	Endpoint     string  `json:"endpoint"`
@@ -40,86 +43,100 @@
 	BootMs       int64   `json:"boot_ms"`
 }
 
-var endpointStates = map[string]string{"in_service": boxlist.Ready, "terminating": boxlist.Draining, "terminated": boxlist.Removed}
+// endpointStates maps the states of discovery to those of the endpoint list.
+var endpointStates = map[string]string{
+	"in_service": boxlist.Ready, "terminating": boxlist.Draining, "terminated": boxlist.Removed,
+}
 
-// Table is how far discovery was followed.
+// Table tracks how far discovery's messages were applied. The zero value is ready to use.
 type Table struct {
-	Revision         int64
+	Revision         int64 // of the last list that was applied
 	synced           bool
-	staleSince       time.Duration // since when discovery only has older lists; 0: it has not
+	staleSince       time.Duration // since when discovery has had only older lists; 0: it has had newer ones
 	clock            startClock
-	addressChangedAt time.Duration // when it got another address, and has said nothing newer since; 0: it did not
+	addressChangedAt time.Duration // when discovery's address changed; 0: not since the last list was applied
 }
 
-// AddressChanged takes note that discovery has another address: an older list from there has been what discovery says from now on.
+// AddressChanged notes that discovery's address changed at the given monotonic time. An older list from the new
+// address counts as discovery's state from that time on.
 func (t *Table) AddressChanged(now time.Duration) { t.addressChangedAt = max(now, 1) }
 
-// Apply reads a push and returns the lines that it changes. unix is the wall time in milliseconds, by which backends tell their
-// start. Lines without sense are left out and named.
-func (t *Table) Apply(now time.Duration, unix int64, raw []byte) (lines []boxlist.Endpoint, whole bool, refused []string, err error) {
-	var p push
-	if err := json.Unmarshal(raw, &p); err != nil {
-		return nil, false, nil, fmt.Errorf("a push can't be read: %w", err)
+// Apply decodes a message and returns the endpoints that it changes; full tells whether they are the whole list. now
+// is the monotonic time, unixMs the wall time in Unix milliseconds, against which backends report their start.
+// Invalid lines are left out and described in refused.
+func (t *Table) Apply(now time.Duration, unixMs int64, raw []byte) (
+	lines []boxlist.Endpoint, full bool, refused []string, err error,
+) {
+	var message push
+	if err := json.Unmarshal(raw, &message); err != nil {
+		return nil, false, nil, fmt.Errorf("decode discovery message: %w", err)
 	}
-	if len(p.Targets) > maxTargets {
-		return nil, false, nil, fmt.Errorf("a push has %d targets, %d are taken at most", len(p.Targets), maxTargets)
+	if len(message.Targets) > maxTargets {
+		return nil, false, nil, fmt.Errorf("discovery message has %d targets, more than the limit of %d",
+			len(message.Targets), maxTargets)
 	}
-	// A list that goes back could bring back backends that are draining. What it takes out of service is taken at once: discovery may
-	// have begun to count anew, and that change counts as told.
-	older := t.synced && p.Revision < t.Revision
-	if older {
-		refused = append(refused, fmt.Sprintf("rev %d is older than %d", p.Revision, t.Revision))
-		if !p.Full {
+	// A list that goes back in revision could bring back backends that are draining, so it is not applied at once.
+	// Backends that it takes out of service are applied at once: discovery may have restarted its revisions, and the
+	// dispatcher counts as notified of the change.
+	stale := t.synced && message.Revision < t.Revision
+	if stale {
+		refused = append(refused,
+			fmt.Sprintf("revision %d is older than the applied revision %d", message.Revision, t.Revision))
+		if !message.Full {
 			return nil, false, refused, nil
 		}
 		if t.staleSince == 0 {
 			t.staleSince = max(cmp.Or(t.addressChangedAt, now), 1)
 		}
-		older = now-t.staleSince < staleListGrace
+		stale = now-t.staleSince < staleListGrace
 	}
-	if !older {
+	if !stale {
 		t.staleSince, t.addressChangedAt = 0, 0
-		t.Revision, t.synced = p.Revision, true
+		t.Revision, t.synced = message.Revision, true
 	}
-	unix = t.clock.observeStarts(p.Targets, unix)
-	for _, g := range p.Targets {
-		b, err := g.endpoint()
-		if err == nil && g.BootMs > 0 {
-			b.UptimeMs = t.clock.uptime(g, now, unix).Milliseconds()
+	unixMs = t.clock.observeStarts(message.Targets, unixMs)
+	for _, reported := range message.Targets {
+		endpoint, err := reported.endpoint()
+		if err == nil && reported.BootMs > 0 {
+			endpoint.UptimeMs = t.clock.uptime(reported, now, unixMs).Milliseconds()
 		}
-		if b.State == boxlist.Removed {
-			t.clock.forget(g.UID)
+		if endpoint.State == boxlist.Removed {
+			t.clock.forget(reported.UID)
 		}
 		if err != nil {
 			refused = append(refused, err.Error())
 			continue
 		}
-		if !older || b.State != boxlist.Ready {
-			lines = append(lines, b)
+		if !stale || endpoint.State != boxlist.Ready {
+			lines = append(lines, endpoint)
 		}
 	}
-	if !older {
+	if !stale {
 		t.clock.lastConfirmed = now
 	}
-	return lines, p.Full && !older, refused, nil
+	return lines, message.Full && !stale, refused, nil
 }
 
-func (g target) endpoint() (b boxlist.Endpoint, err error) {
-	b = boxlist.Endpoint{Name: g.UID, Kind: g.Model, Zone: g.Zone, Rack: strconv.FormatInt(g.PodGroup, 10), State: endpointStates[g.State], Units: g.CapacityHint,
-		Incarnation: uint64(max(g.BootMs, 0)), UptimeMs: -1}
-	if strings.ContainsAny(b.Name, " \r\n\t") {
-		return b, fmt.Errorf("target %.40q: no name of a box", g.UID)
+// endpoint converts a target to a line of the endpoint list, without its uptime. With an error, the state of the line
+// is still set.
+func (t target) endpoint() (endpoint boxlist.Endpoint, err error) {
+	endpoint = boxlist.Endpoint{
+		Name: t.UID, Kind: t.Model, Zone: t.Zone, Rack: strconv.FormatInt(t.PodGroup, 10),
+		State: endpointStates[t.State], Units: t.CapacityHint, Incarnation: uint64(max(t.BootMs, 0)), UptimeMs: -1,
+	}
+	if strings.ContainsAny(endpoint.Name, " \r\n\t") {
+		return endpoint, fmt.Errorf("target %.40q: white space in its name", t.UID)
 	}
-	if b.State != boxlist.Removed {
-		at, err := netip.ParseAddrPort(g.Endpoint)
+	if endpoint.State != boxlist.Removed {
+		address, err := netip.ParseAddrPort(t.Endpoint)
 		if err != nil {
-			return b, fmt.Errorf("target %s: %w", g.UID, err)
+			return endpoint, fmt.Errorf("target %s: %w", t.UID, err)
 		}
 		network := addresses.TCP6
-		if at.Addr().Unmap().Is4() {
+		if address.Addr().Unmap().Is4() {
 			network = addresses.TCP4
 		}
-		b.Addresses = []addresses.Spec{{Network: network, At: g.Endpoint}}
+		endpoint.Addresses = []addresses.Spec{{Network: network, At: t.Endpoint}}
 	}
-	return b, b.Check()
+	return endpoint, endpoint.Check()
 }
