--- a/client/client.go
+++ b/client/client.go
@@ -32,12 +32,14 @@
 
 // Client sends requests to dispatchers in turn. Only BaseURLs is required. A Client must not be used concurrently.
 type Client struct {
-	BaseURLs    []string // of the dispatchers, such as http://127.0.0.1:8100
-	Model       string   // "lodge" if empty
-	HTTPClient  *http.Client
-	MinBackoff  time.Duration // before the first retry where the dispatcher states no time; 200 ms if zero
-	MaxAttempts int           // 5 if zero
-	next        int           // index of the next base URL
+	BaseURLs   []string // of the dispatchers, such as http://127.0.0.1:8100
+	Model      string   // "lodge" if empty
+	HTTPClient *http.Client
+	// MinBackoff is the wait before the first retry where the dispatcher states no time, 200 ms if zero. It doubles
+	// with each further attempt, up to 64 times, and is shortened by a random part of up to a half.
+	MinBackoff  time.Duration
+	MaxAttempts int // 5 if zero
+	next        int // index of the next base URL
 }
 
 // Result is how a request ended.
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -78,7 +78,9 @@
 		server := httptest.NewServer(script)
 		text := ""
 		result, err := (&Client{BaseURLs: []string{server.URL}, MinBackoff: 10 * time.Millisecond}).Do(
-			context.Background(), Request{Prompt: "free?", Timeout: 2 * time.Second, Idempotent: tc.idempotent}, func(s string) { text += s })
+			context.Background(),
+			Request{Prompt: "free?", Timeout: 2 * time.Second, Idempotent: tc.idempotent},
+			func(s string) { text += s })
 		server.Close()
 		if result.Attempts != tc.attempts || result.Outcome != tc.outcome ||
 			(err == nil) != (tc.outcome == kserve.Satisfied) {
--- a/internal/chat/request.go
+++ b/internal/chat/request.go
@@ -54,6 +54,7 @@
 	Reason string
 }
 
+// Error returns the reason, which is also what the client gets as the body of the response.
 func (e *RequestError) Error() string { return e.Reason }
 
 func badRequest(reason string) *RequestError { return &RequestError{http.StatusBadRequest, reason} }
