--- a/internal/boxlist/boxlist_test.go
+++ b/internal/boxlist/boxlist_test.go
@@ -22,7 +22,7 @@
 
 func testEndpoint(name, state string) Endpoint {
 	return Endpoint{
-		Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "127.0.0.1:1"}},
+		Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "127.0.0.1:1"}},
 		State: state, Units: 1, UptimeMs: -1,
 	}
 }
--- a/internal/boxlist/follower.go
+++ b/internal/boxlist/follower.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		return err
 	}
-	return system.Replace(f.cachePath(), raw, 0o644)
+	return system.ReplaceFile(f.cachePath(), raw, 0o644)
 }
 
 // Run keeps the connection until the context ends, and reconnects with backoff.
--- a/internal/day/play_test.go
+++ b/internal/day/play_test.go
@@ -126,7 +126,7 @@
 	go list.Run(ctx)
 	send := func(name string, e kserve.Errand) io.ReadCloser {
 		mu.Lock()
-		addr := boxes[name].Addresses[0].At
+		addr := boxes[name].Addresses[0].Addr
 		mu.Unlock()
 		r, err := kserve.NewErrand(ctx, "http://"+addr, d.Model, "", e)
 		if err != nil {
--- a/internal/dispatch/cost_test.go
+++ b/internal/dispatch/cost_test.go
@@ -15,7 +15,7 @@
 	for i := range backends {
 		lines = append(lines, boxlist.Endpoint{
 			Name: fmt.Sprintf("s-%d", i), Kind: []string{"reader", "writer"}[i%2], Zone: "hall-1", Rack: fmt.Sprint(i / 5), State: boxlist.Ready, Units: 1, UptimeMs: -1,
-			Addresses: []addresses.Spec{{Network: addresses.TCP4, At: fmt.Sprintf("127.0.%d.%d:8080", i>>8, i&255)}},
+			Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: fmt.Sprintf("127.0.%d.%d:8080", i>>8, i&255)}},
 		})
 	}
 	return lines
@@ -26,13 +26,13 @@
 	const backends, rounds, most = 3200, 10, 25 * time.Millisecond
 	l, _ := settled(t, "idempotent")
 	lines := wholeList(backends)
-	l.Do(func() { l.Listed(lines, true) })
+	l.RunTurn(func() { l.UpdateBackends(lines, true) })
 	if len(l.backends) < backends {
 		t.Fatalf("%d backends are known", len(l.backends))
 	}
 	began := time.Now()
 	for range rounds {
-		l.Do(func() { l.Listed(lines, true) })
+		l.RunTurn(func() { l.UpdateBackends(lines, true) })
 	}
 	if took := time.Since(began) / rounds; took > most {
 		t.Errorf("a list takes %v", took)
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -28,7 +28,7 @@
 		t.Fatalf("%v, full %t, %+v, refused %q", err, full, lines, refused)
 	}
 	if a := lines[0]; a.UptimeMs != 1000 || a.Incarnation != 9000 || a.State != boxlist.Ready || a.Rack != "3" ||
-		a.Units != 1.5 || a.Addresses[0].At != "10.1.0.18:8081" {
+		a.Units != 1.5 || a.Addresses[0].Addr != "10.1.0.18:8081" {
 		t.Errorf("%+v", a)
 	}
 	if b := lines[1]; b.UptimeMs != -1 || b.State != boxlist.Removed {
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -136,7 +136,7 @@
 		if address.Addr().Unmap().Is4() {
 			network = addresses.TCP4
 		}
-		endpoint.Addresses = []addresses.Spec{{Network: network, At: t.Endpoint}}
+		endpoint.Addresses = []addresses.Spec{{Network: network, Addr: t.Endpoint}}
 	}
 	return endpoint, endpoint.Check()
 }
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -64,16 +64,16 @@
 				if d.up && d.open[c] {
 					delete(d.open, c)
 					delete(d.of, c.asked)
-					d.do(func() { d.loop.Left(c.asked) })
+					d.do(func() { d.loop.ClientDisconnected(c.asked) })
 				}
 			}
 		})
 	}
 	d.open[c] = true
-	c.asked = &dispatch.ClientRequest{Ask: kserve.Ask{ID: c.id, Session: wish.Session, Shared: wish.Shared, Tokens: wish.Tokens, Prefix: wish.Prefix, Most: wish.Most,
-		Again: try > 0, Ticket: ticket}, Grade: wish.Grade, Channel: wish.Channel}
+	c.asked = &dispatch.ClientRequest{Params: kserve.Ask{ID: c.id, Session: wish.Session, Shared: wish.Shared, Tokens: wish.Tokens, Prefix: wish.Prefix, Most: wish.Most,
+		Again: try > 0, Ticket: ticket}, Class: wish.Grade, Tenant: wish.Channel}
 	d.of[c.asked] = c
-	c.asked.Tell = func(f kserve.Final) { w.after(hop, func() { c.final(f) }) }
+	c.asked.OnFinal = func(f kserve.Final) { w.after(hop, func() { c.final(f) }) }
 	grade, channel := w.day.GradeNumber(wish.Grade), max(w.day.ChannelNumber(wish.Channel), 0)
 	w.after(hop, func() {
 		if c.over && wish.Leaves == 0 || !d.open[c] {
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -13,7 +13,7 @@
 
 // publish says of a backend what dispatchers hear after a while.
 func (w *world) publish(b *backend, standing string, after time.Duration) {
-	line := boxlist.Endpoint{Name: b.make.Name, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: "127.0.0.1:1"}}, Kind: b.make.Kind, Zone: b.make.Zone,
+	line := boxlist.Endpoint{Name: b.make.Name, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: "127.0.0.1:1"}}, Kind: b.make.Kind, Zone: b.make.Zone,
 		Rack: b.make.Rack, State: standing, Units: b.make.Units, Incarnation: b.start, UptimeMs: -1}
 	started, cold := b.started, b.cold
 	w.at(max(w.now+after+w.lateList, w.downList), func() {
@@ -62,5 +62,5 @@
 			d.w.put(record.Line{What: record.Told, Dispatcher: d.name, Box: l.Name, Word: l.State, Start: l.Incarnation})
 		}
 	}
-	d.do(func() { d.loop.Listed(lines, whole) })
+	d.do(func() { d.loop.UpdateBackends(lines, whole) })
 }
--- a/internal/fleet/dispatcher.go
+++ b/internal/fleet/dispatcher.go
@@ -25,7 +25,7 @@
 	up     bool
 	front  bool
 	starts int
-	books  *dispatch.Books
+	books  *dispatch.Accounting
 	known  map[string]boxlist.Endpoint
 	due    time.Duration
 	set    bool
@@ -43,7 +43,7 @@
 	d.starts++
 	seed := w.day.Head.Seed*1000 + uint64(d.number) + 1 + uint64(d.starts-1)*7919
 	facts := file.Facts()
-	loop, err := dispatch.NewLoop(facts, seed, dispatch.Places{Zone: file.ZoneNumber, Kind: file.KindNumber}, (*transport)(d), func() time.Duration { return w.now },
+	loop, err := dispatch.NewLoop(facts, seed, dispatch.Resolver{ZoneNumber: file.ZoneNumber, KindNumber: file.KindNumber}, (*transport)(d), func() time.Duration { return w.now },
 		fmt.Sprintf("%s.%d", d.name, d.starts), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		return err
@@ -54,10 +54,10 @@
 			return err
 		}
 		p.View = view{w}
-		loop.Host(p)
+		loop.SetScheduler(p)
 	}
 	if file.Limits.Storms {
-		loop.Guard = storm.New(file.Limits.RetryAfter.D(), len(file.Channels), seed^0x5709,
+		loop.RetryThrottle = storm.New(file.Limits.RetryAfter.D(), len(file.Channels), seed^0x5709,
 			storm.Seal{Key: []byte("the fleet's"), From: uint32(d.starts)<<16 | uint32(d.number)})
 	}
 	d.loop, d.up, d.front, d.set, d.books = loop, true, true, false, nil
@@ -74,12 +74,12 @@
 
 // do runs one thing in the loop, and winds its timers.
 func (d *dispatcher) do(f func()) {
-	d.loop.Do(f)
+	d.loop.RunTurn(f)
 	d.armTimer()
 }
 
 func (d *dispatcher) armTimer() {
-	due, ok := d.loop.NextDue()
+	due, ok := d.loop.NextTimer()
 	if !ok || !d.up {
 		return
 	}
@@ -94,7 +94,7 @@
 			return
 		}
 		d.set = false
-		loop.Due()
+		loop.RunTimers()
 		d.armTimer()
 	})
 }
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -403,7 +403,7 @@
 	); err != nil {
 		return err
 	}
-	if _, err := reach.NewAllowed(p.Allow); err != nil {
+	if _, err := reach.NewAllowList(p.Allow); err != nil {
 		return Wrong("dispatcher.allow", "%v", err)
 	}
 	for i, a := range d.Further {
--- a/internal/stages/site_test.go
+++ b/internal/stages/site_test.go
@@ -339,7 +339,7 @@
 }
 
 func (b *box) line(standing string) boxlist.Endpoint {
-	return boxlist.Endpoint{Name: b.name, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: b.at}}, Kind: b.kind, Zone: "here", Rack: "r", State: standing, Units: 1, UptimeMs: -1}
+	return boxlist.Endpoint{Name: b.name, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: b.at}}, Kind: b.kind, Zone: "here", Rack: "r", State: standing, Units: 1, UptimeMs: -1}
 }
 
 // list serves the box list: what is pushed, and a beat.
