--- /dev/null
+++ b/internal/chat/response.go
@@ -0,0 +1,239 @@
+package chat
+
+import (
+	"bufio"
+	"bytes"
+	"encoding/json"
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"sloetrestle/brain"
+)
+
+// Bounds of what is accepted from backends.
+const (
+	maxLineBytes    = 256       // of a chunk's size line, or of a trailer line
+	maxChunkBytes   = 256 << 10 // of a chunk
+	maxEventBytes   = 256 << 10 // of an event
+	maxTrailerLines = 16        // after the last chunk
+	// MaxInformational is how many response heads are read in search of one that is not informational (1xx).
+	MaxInformational = 8
+)
+
+// ErrMalformed reports that a backend's response cannot be decoded.
+var ErrMalformed = errors.New("malformed response from the backend")
+
+// ClassifyResponse returns the outcome of an attempt that was answered without a stream. The request counts as not
+// processed only if the backend itself states so by a header: without the header, an error may come from an
+// intermediary. note is the number of cached tokens after a prefill; after a rejection it is 1 if the KV cache is
+// gone from its backend, as the scheduler expects.
+func ClassifyResponse(stage brain.Stage, resp *http.Response, body []byte) (outcome brain.Outcome, note int) {
+	notProcessed := resp.Header.Get("X-Not-Processed") == "1"
+	switch code := resp.StatusCode; {
+	case code == http.StatusAccepted && stage == brain.ToRead:
+		var prefill struct {
+			CachedTokens float64 `json:"cached_tokens"`
+		}
+		if json.Unmarshal(body, &prefill) != nil {
+			return brain.Read, 0
+		}
+		return brain.Read, tokenCount(prefill.CachedTokens)
+	case notProcessed && (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout):
+		return brain.Rejected, 0
+	case notProcessed && code == http.StatusGone:
+		return brain.Rejected, 1
+	}
+	return brain.Failed, 0
+}
+
+// tokenCount converts a reported number of tokens; one out of bounds counts as 0.
+func tokenCount(n float64) int {
+	if !(n >= 0 && n <= maxTokens) {
+		return 0
+	}
+	return int(n)
+}
+
+// ParseLoad decodes a load report and returns the values of the given fields in their order, or nil if the report is
+// malformed or lacks a field.
+func ParseLoad(report string, fields []string) []float64 {
+	values := make([]float64, len(fields))
+	seen := 0
+	for report != "" {
+		var part string
+		part, report, _ = strings.Cut(report, ",")
+		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+		for i, field := range fields {
+			if field != name {
+				continue
+			}
+			v, err := strconv.ParseFloat(value, 64)
+			if err != nil || !(v >= 0 && v <= 1e9) {
+				return nil
+			}
+			values[i] = v
+			seen++
+		}
+	}
+	if seen != len(fields) || seen == 0 {
+		return nil
+	}
+	return values
+}
+
+// Stream reads the events of a response with chunked encoding.
+type Stream struct {
+	CachedTokens int    // as reported at the end of the stream
+	LoadReport   string // as reported at the end of the stream
+
+	reader  *bufio.Reader
+	partial []byte // the start of an event that is not complete yet
+	done    bool   // the event that ends the answer was received
+}
+
+// NewStream returns a Stream that reads the body of a response from reader.
+func NewStream(reader *bufio.Reader) *Stream { return &Stream{reader: reader} }
+
+// Next returns the complete events that the next chunks bring, unchanged. It returns io.EOF after the last chunk of a
+// complete answer, and ErrMalformed if the body is malformed or ends before the answer does.
+func (s *Stream) Next() ([]byte, error) {
+	for {
+		chunk, err := s.readChunk()
+		if err == io.EOF {
+			// A connection that breaks between two chunks must not pass for the end of the answer.
+			err = io.ErrUnexpectedEOF
+		}
+		if err != nil {
+			return nil, err
+		}
+		if chunk == nil {
+			if !s.done || len(s.partial) > 0 {
+				return nil, ErrMalformed // the body is well-formed, but the answer is incomplete
+			}
+			return nil, io.EOF
+		}
+		s.partial = append(s.partial, chunk...)
+		end := bytes.LastIndex(s.partial, []byte("\n\n"))
+		if end < 0 {
+			if len(s.partial) > maxEventBytes {
+				return nil, ErrMalformed
+			}
+			continue
+		}
+		events := s.partial[:end+2]
+		s.partial = append([]byte(nil), s.partial[end+2:]...)
+		if !s.inspect(events) {
+			return nil, ErrMalformed
+		}
+		return events, nil
+	}
+}
+
+// readChunk returns the next chunk, or nil after the last one.
+func (s *Stream) readChunk() ([]byte, error) {
+	line, err := s.readLine()
+	if err != nil {
+		return nil, err
+	}
+	size, _, _ := bytes.Cut(line, []byte(";"))
+	n, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 32)
+	if err != nil || n > maxChunkBytes || len(size) > 8 {
+		return nil, ErrMalformed
+	}
+	if n == 0 {
+		for range maxTrailerLines {
+			if line, err = s.readLine(); err != nil {
+				return nil, err
+			}
+			if len(line) == 0 {
+				return nil, nil
+			}
+		}
+		return nil, ErrMalformed
+	}
+	chunk := make([]byte, n+2)
+	if _, err := io.ReadFull(s.reader, chunk); err != nil {
+		return nil, err
+	}
+	if chunk[n] != '\r' || chunk[n+1] != '\n' {
+		return nil, ErrMalformed
+	}
+	return chunk[:n], nil
+}
+
+// readLine reads a line of at most maxLineBytes.
+func (s *Stream) readLine() ([]byte, error) {
+	var line []byte
+	for len(line) <= maxLineBytes {
+		c, err := s.reader.ReadByte()
+		if err != nil {
+			return nil, err
+		}
+		if c == '\n' {
+			return bytes.TrimSuffix(line, []byte("\r")), nil
+		}
+		line = append(line, c)
+	}
+	return nil, ErrMalformed
+}
+
+// inspect records what events report about the attempt. It returns false if they are not well-formed events: a chunk
+// of a wrong size may have taken in the framing of the next one.
+func (s *Stream) inspect(events []byte) bool {
+	for line := range bytes.Lines(events) {
+		line = bytes.TrimRight(line, "\r\n")
+		value, isData := bytes.CutPrefix(line, []byte("data:"))
+		switch {
+		case len(line) == 0:
+		case isData:
+			value = bytes.TrimLeft(value, " ")
+			if string(value) == "[DONE]" {
+				s.done = true
+			} else if len(value) == 0 || value[0] != '{' || value[len(value)-1] != '}' {
+				return false
+			} else if bytes.Contains(value, []byte(`"cached_tokens"`)) {
+				var event struct {
+					Usage struct {
+						Details struct {
+							CachedTokens float64 `json:"cached_tokens"`
+						} `json:"prompt_tokens_details"`
+					} `json:"usage"`
+				}
+				if json.Unmarshal(value, &event) != nil {
+					return false
+				}
+				s.CachedTokens = tokenCount(event.Usage.Details.CachedTokens)
+			}
+		case line[0] == ':':
+			if name, report, ok := strings.Cut(string(line[1:]), ":"); ok &&
+				strings.EqualFold(strings.TrimSpace(name), "X-Server-Load") {
+				s.LoadReport = strings.TrimSpace(report)
+			}
+		case bytes.HasPrefix(line, []byte("event:")),
+			bytes.HasPrefix(line, []byte("id:")),
+			bytes.HasPrefix(line, []byte("retry:")):
+		default:
+			return false
+		}
+	}
+	return true
+}
+
+// EndsMidAnswer tells whether the last of the events carries a token that is not the last one of its answer.
+func EndsMidAnswer(events []byte) bool {
+	var last []byte
+	for line := range bytes.Lines(events) {
+		if value, isData := bytes.CutPrefix(line, []byte("data:")); isData {
+			last = value
+		}
+	}
+	var event struct {
+		Choices []struct {
+			FinishReason *string `json:"finish_reason"`
+		} `json:"choices"`
+	}
+	return json.Unmarshal(last, &event) == nil && len(event.Choices) > 0 && event.Choices[0].FinishReason == nil
+}
