--- a/client/client.go
+++ b/client/client.go
@@ -75,22 +75,22 @@
 	for retries := 0; ; retries++ {
 		result.Attempts++
 		final, started, err := c.attempt(ctx, req, retries, ticket, time.Until(deadline), onText)
-		result.Outcome, result.Error = final.Final, final.Error
+		result.Outcome, result.Error = final.Outcome, final.Error
 		// A retry is harmless after a rejection that says so, or where nothing was sent; otherwise only if the
 		// request is idempotent.
-		harmless := final.Final == kserve.Declined && final.Harmless || errors.Is(err, errNotSent) ||
-			req.Idempotent && final.Final != kserve.Satisfied
+		harmless := final.Outcome == kserve.Rejected && final.SafeToRetry || errors.Is(err, errNotSent) ||
+			req.Idempotent && final.Outcome != kserve.Served
 		switch {
-		case final.Final == kserve.Satisfied:
+		case final.Outcome == kserve.Served:
 			return result, nil
 		case started || !harmless || retries+1 >= maxAttempts || errors.Is(err, errInvalidRequest):
 			if err == nil {
-				err = fmt.Errorf("client: request ended as %s: %s", final.Final, final.Error)
+				err = fmt.Errorf("client: request ended as %s: %s", final.Outcome, final.Error)
 			}
 			return result, err
 		}
-		ticket = final.Ticket
-		wait := time.Duration(final.AfterMs) * time.Millisecond
+		ticket = final.RetryTicket
+		wait := time.Duration(final.RetryAfterMs) * time.Millisecond
 		if wait <= 0 {
 			wait = time.Duration(float64(minBackoff<<min(retries, 6)) * (0.5 + rand.Float64()/2))
 		}
@@ -113,7 +113,7 @@
 // attempt sends the request once. started tells whether a piece of the answer was passed on.
 func (c *Client) attempt(
 	ctx context.Context, req Request, retries int, ticket string, timeout time.Duration, onText func(string),
-) (final kserve.Final, started bool, err error) {
+) (final kserve.FinalResponse, started bool, err error) {
 	params := kserve.Params{"timeout": timeout.Microseconds(), "again": retries > 0}
 	for name, value := range map[string]string{
 		"session": req.Session, "shared": req.PrefixID, "grade": req.Class, "channel": req.Tenant,
@@ -128,7 +128,7 @@
 	if ticket != "" {
 		params["ticket"] = ticket
 	}
-	body, err := json.Marshal(kserve.Prompt{Text: req.Prompt, Parameters: params})
+	body, err := json.Marshal(kserve.GenerateRequest{Text: req.Prompt, Parameters: params})
 	if err != nil {
 		return final, false, err
 	}
@@ -150,7 +150,7 @@
 	}
 	resp, err := httpClient.Do(httpReq)
 	if err != nil {
-		if kserve.Unsent(err) {
+		if kserve.IsDialError(err) {
 			err = fmt.Errorf("%w: %w", errNotSent, err)
 		}
 		return final, false, err
@@ -161,12 +161,12 @@
 		if err != nil {
 			return final, false, err
 		}
-		if json.Unmarshal(raw, &final) != nil || final.Final == "" {
+		if json.Unmarshal(raw, &final) != nil || final.Outcome == "" {
 			return final, false, fmt.Errorf("%w: %s: %.300s", errInvalidRequest, resp.Status, raw)
 		}
 		return final, false, nil
 	}
-	events := kserve.NewEvents(resp.Body)
+	events := kserve.NewEventReader(resp.Body)
 	for {
 		event, err := events.Next()
 		if err != nil {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -16,14 +16,14 @@
 type scriptedServer struct {
 	mu       sync.Mutex
 	steps    []func(w http.ResponseWriter)
-	requests []kserve.Ask
+	requests []kserve.Request
 	times    []time.Time // when the requests were received
 }
 
 func (s *scriptedServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	request, err := kserve.ReadPrompt(r.Body)
+	request, err := kserve.ReadGenerateRequest(r.Body)
 	if err != nil {
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return
 	}
 	s.mu.Lock()
@@ -35,17 +35,19 @@
 
 func reject(retryAfterMs int64, ticket string) func(http.ResponseWriter) {
 	return func(w http.ResponseWriter) {
-		kserve.WriteFinal(w, kserve.Final{
-			Final: kserve.Declined, Harmless: true, AfterMs: retryAfterMs, Ticket: ticket,
+		kserve.WriteFinalResponse(w, kserve.FinalResponse{
+			Outcome: kserve.Rejected, SafeToRetry: true, RetryAfterMs: retryAfterMs, RetryTicket: ticket,
 		})
 	}
 }
 
-func fail(w http.ResponseWriter) { kserve.WriteFinal(w, kserve.Final{Final: kserve.Forfeited}) }
+func fail(w http.ResponseWriter) {
+	kserve.WriteFinalResponse(w, kserve.FinalResponse{Outcome: kserve.Failed})
+}
 
 func serve(w http.ResponseWriter) {
 	kserve.WriteEvent(w, "", kserve.Token{Text: "yes"})
-	kserve.WriteEvent(w, "end", kserve.Final{Final: kserve.Satisfied})
+	kserve.WriteEvent(w, "end", kserve.FinalResponse{Outcome: kserve.Served})
 }
 
 func breakStream(w http.ResponseWriter) {
@@ -63,15 +65,15 @@
 		outcome    string
 	}{
 		{"rejected, then served", []func(http.ResponseWriter){reject(150, "seat-77"), serve},
-			false, 2, kserve.Satisfied},
-		{"failed, not idempotent", []func(http.ResponseWriter){fail, serve}, false, 1, kserve.Forfeited},
-		{"failed, idempotent", []func(http.ResponseWriter){fail, serve}, true, 2, kserve.Satisfied},
+			false, 2, kserve.Served},
+		{"failed, not idempotent", []func(http.ResponseWriter){fail, serve}, false, 1, kserve.Failed},
+		{"failed, idempotent", []func(http.ResponseWriter){fail, serve}, true, 2, kserve.Served},
 		{"broken mid-stream", []func(http.ResponseWriter){breakStream, serve}, true, 1, ""},
-		{"always rejected", []func(http.ResponseWriter){reject(20, "seat-5")}, true, 5, kserve.Declined},
+		{"always rejected", []func(http.ResponseWriter){reject(20, "seat-5")}, true, 5, kserve.Rejected},
 		{"retry time after the deadline", []func(http.ResponseWriter){reject(60_000, "seat-5")},
-			true, 1, kserve.Declined},
+			true, 1, kserve.Rejected},
 		{"invalid", []func(http.ResponseWriter){func(w http.ResponseWriter) {
-			kserve.WriteFault(w, &kserve.Fault{Status: 400, Text: "no"})
+			kserve.WriteError(w, &kserve.RequestError{Status: 400, Message: "no"})
 		}}, true, 1, ""},
 	} {
 		script := &scriptedServer{steps: tc.steps}
@@ -83,17 +85,17 @@
 			func(s string) { text += s })
 		server.Close()
 		if result.Attempts != tc.attempts || result.Outcome != tc.outcome ||
-			(err == nil) != (tc.outcome == kserve.Satisfied) {
+			(err == nil) != (tc.outcome == kserve.Served) {
 			t.Errorf("%s: %+v, %v", tc.name, result, err)
 		}
 		if tc.name == "rejected, then served" {
 			if wait := script.times[1].Sub(script.times[0]); wait < 150*time.Millisecond ||
-				script.requests[1].Ticket != "seat-77" || !script.requests[1].Again || text != "yes" {
+				script.requests[1].RetryTicket != "seat-77" || !script.requests[1].IsRetry || text != "yes" {
 				t.Errorf("retried after %v with ticket %q, marked as a retry %v, and received %q",
-					wait, script.requests[1].Ticket, script.requests[1].Again, text)
+					wait, script.requests[1].RetryTicket, script.requests[1].IsRetry, text)
 			}
-			raw, _ := json.Marshal(script.requests[1].Left)
-			if script.requests[1].Left > 1900*time.Millisecond {
+			raw, _ := json.Marshal(script.requests[1].Timeout)
+			if script.requests[1].Timeout > 1900*time.Millisecond {
 				t.Errorf("the retry states a timeout of %s ns", raw)
 			}
 		}
--- a/cmd/benchlink/parity_test.go
+++ b/cmd/benchlink/parity_test.go
@@ -134,28 +134,28 @@
 // The simulator tests the scheduler of the running dispatcher only as long as this adapter and the dispatcher's event
 // loop get the same decisions from the same sequence of events.
 func TestAdapterAndEventLoopMakeTheSameDecisions(t *testing.T) {
-	config := setup.DefaultDispatcher()
+	config := setup.DefaultDispatcherConfig()
 	for i, effect := range []string{"idempotent", "deduplicated", "unrepeatable"} {
-		config.Grades = append(config.Grades, setup.Grade{
-			Name: effect, Effect: effect, Reach: "all", Window: setup.Span(2 * time.Second),
-			Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second),
-			Benefit: float64(i + 1), Late: 0.2, Most: 60,
+		config.Classes = append(config.Classes, setup.Class{
+			Name: effect, Effect: effect, DedupScope: "all", DedupWindow: setup.Duration(2 * time.Second),
+			LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second),
+			Value: float64(i + 1), LateValue: 0.2, DefaultMaxTokens: 60,
 		})
 	}
-	config.Kinds = []setup.Kind{
-		{Name: "reader", Role: "reader", Memory: 2e5},
-		{Name: "writer", Role: "writer", Memory: 1e5},
-		{Name: "mixed", Role: "mixed", Memory: 1e5},
+	config.BackendKinds = []setup.BackendKind{
+		{Name: "reader", Role: "reader", MemoryTokens: 2e5},
+		{Name: "writer", Role: "writer", MemoryTokens: 1e5},
+		{Name: "mixed", Role: "mixed", MemoryTokens: 1e5},
 	}
-	config.Report = []string{"util", "queue"}
-	info, err := json.Marshal(config.Facts())
+	config.ReportFields = []string{"util", "queue"}
+	info, err := json.Marshal(config.SchedulerParameters())
 	if err != nil {
 		t.Fatal(err)
 	}
 	const seed = 99
 	recorded := &recorder{inFlight: map[uint64]*dispatch.Attempt{}}
-	loop, err := dispatch.NewLoop(config.Facts(), seed,
-		dispatch.Resolver{ZoneNumber: config.ZoneNumber, KindNumber: config.KindNumber}, recorded,
+	loop, err := dispatch.NewLoop(config.SchedulerParameters(), seed,
+		dispatch.Resolver{ZoneNumber: config.ZoneIndex, KindNumber: config.KindIndex}, recorded,
 		func() time.Duration { return recorded.now }, "d", slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -181,7 +181,7 @@
 			}
 			entry := make([]byte, 22)
 			binary.BigEndian.PutUint32(entry, dispatch.BackendID(name))
-			binary.BigEndian.PutUint16(entry[5:], uint16(config.KindNumber(kind)))
+			binary.BigEndian.PutUint16(entry[5:], uint16(config.KindIndex(kind)))
 			binary.BigEndian.PutUint16(entry[7:], uint16(i%2))
 			entry[9] = byte(state)
 			binary.BigEndian.PutUint32(entry[10:], math.Float32bits(2))
@@ -239,7 +239,7 @@
 			class, tokens := rng.IntN(3), 200+rng.IntN(4000)
 			session, prefix := fmt.Sprint("s", rng.IntN(200)), fmt.Sprint("b", rng.IntN(9))
 			request := &dispatch.ClientRequest{
-				Params: kserve.Ask{Tokens: tokens, Prefix: 100, Most: 60, Session: session, Shared: prefix},
+				Params: kserve.Request{PromptTokens: tokens, PrefixTokens: 100, MaxTokens: 60, Session: session, SharedPrefix: prefix},
 			}
 			submitted[id] = request
 			var r eventRecord
@@ -307,12 +307,12 @@
 		case bytes.Contains([]byte(action), []byte("send")):
 			sends = append(sends, action)
 		case bytes.Contains([]byte(action), []byte("reject")):
-			finals[kserve.Declined]++
+			finals[kserve.Rejected]++
 		case bytes.Contains([]byte(action), []byte("fail")):
-			finals[kserve.Forfeited]++
+			finals[kserve.Failed]++
 		}
 	}
-	if len(sends) < 800 || finals[kserve.Forfeited] == 0 {
+	if len(sends) < 800 || finals[kserve.Failed] == 0 {
 		t.Fatalf("too few attempts or no failed request in the sequence: %d sent, final answers %v", len(sends), finals)
 	}
 	for i := range min(len(sends), len(recorded.actions)) {
@@ -323,9 +323,9 @@
 	if len(sends) != len(recorded.actions) {
 		t.Errorf("the adapter sends %d attempts, the event loop %d", len(sends), len(recorded.actions))
 	}
-	if l := loop.Counters; int(l.Rejected) != finals[kserve.Declined] || int(l.Failed) < finals[kserve.Forfeited] {
+	if l := loop.Counters; int(l.Rejected) != finals[kserve.Rejected] || int(l.Failed) < finals[kserve.Failed] {
 		t.Errorf("the adapter rejects %d and fails %d, the event loop %d and %d",
-			finals[kserve.Declined], finals[kserve.Forfeited], l.Rejected, l.Failed)
+			finals[kserve.Rejected], finals[kserve.Failed], l.Rejected, l.Failed)
 	}
 }
 
@@ -341,17 +341,17 @@
 
 // Numbers from a frame enter averages that last for the rest of the run: no NaN or negative number may get there.
 func FuzzFramesLeaveNoNaNOrNegativeState(f *testing.F) {
-	config := setup.DefaultDispatcher()
-	config.Grades = []setup.Grade{{
-		Name: "g", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second),
-		Benefit: 1, Most: 60,
+	config := setup.DefaultDispatcherConfig()
+	config.Classes = []setup.Class{{
+		Name: "g", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second),
+		Value: 1, DefaultMaxTokens: 60,
 	}}
-	config.Kinds = []setup.Kind{
-		{Name: "reader", Role: "reader", Memory: 2e5},
-		{Name: "writer", Role: "writer", Memory: 1e5},
+	config.BackendKinds = []setup.BackendKind{
+		{Name: "reader", Role: "reader", MemoryTokens: 2e5},
+		{Name: "writer", Role: "writer", MemoryTokens: 1e5},
 	}
-	config.Report = []string{"util", "queue"}
-	info, err := json.Marshal(config.Facts())
+	config.ReportFields = []string{"util", "queue"}
+	info, err := json.Marshal(config.SchedulerParameters())
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/dispatch/accounting.go
+++ b/internal/dispatch/accounting.go
@@ -64,7 +64,7 @@
 		submit()
 		return
 	}
-	tokens := float64(request.Params.Tokens + request.Params.Most)
+	tokens := float64(request.Params.PromptTokens + request.Params.MaxTokens)
 	month := l.accounting.Month(l.now)
 	var reserveFrom func(i int)
 	reserveFrom = func(i int) {
@@ -86,9 +86,9 @@
 				l.forgetIfOver(request)
 			case !verdict.OK:
 				request.Scheduled.Over, request.overBudget = true, true
-				l.answer(request, kserve.Final{
-					Final: kserve.Declined, Error: "the budget of " + local.Terms.Name + " is used up",
-					Harmless: true, AfterMs: verdict.After.Milliseconds(),
+				l.answer(request, kserve.FinalResponse{
+					Outcome: kserve.Rejected, Error: "the budget of " + local.Terms.Name + " is used up",
+					SafeToRetry: true, RetryAfterMs: verdict.After.Milliseconds(),
 				})
 				l.forgetIfOver(request)
 			default:
@@ -110,7 +110,7 @@
 func (l *Loop) settleBudgets(request *ClientRequest) {
 	used := 0.0
 	if request.streaming != nil || request.disconnected && len(request.Scheduled.Attempts) > 0 {
-		used = float64(request.Params.Tokens) + float64(request.streamedTokens())
+		used = float64(request.Params.PromptTokens) + float64(request.streamedTokens())
 	}
 	for _, r := range request.reservations {
 		r.budget.Settle(r.tokens, used, r.emergency)
@@ -124,7 +124,7 @@
 	case c.streaming == nil:
 		return 0
 	case c.streaming.Usage != nil:
-		return int64(c.streaming.Usage.Answer)
+		return int64(c.streaming.Usage.OutputTokens)
 	}
 	return c.streaming.StreamedTokens.Load()
 }
@@ -139,11 +139,11 @@
 }
 
 // countedRecord converts a backend's usage count to a record for the account.
-func countedRecord(count kserve.Count) ledger.Trip {
+func countedRecord(count kserve.UsageRecord) ledger.Trip {
 	return ledger.Trip{
-		Number: count.Number, Key: count.Key, Trip: count.Trip, Mark: count.Mark, Stage: count.Stage,
-		Channel: count.Channel, Grade: count.Grade, Read: count.Read, Kept: count.Kept,
-		Answer: count.Answer, End: count.End,
+		Number: count.Number, Key: count.RequestKey, Trip: count.Attempt, Mark: count.DedupKey, Stage: count.Phase,
+		Channel: count.Tenant, Grade: count.Class, Read: count.PrefillTokens, Kept: count.CachedTokens,
+		Answer: count.OutputTokens, End: count.EndReason,
 	}
 }
 
@@ -174,7 +174,7 @@
 	}
 	l.accounting.Account.Question(ledger.Question{
 		Key: l.RequestKey(request), Mark: request.Params.ID, Channel: request.Tenant, Grade: request.Class,
-		Final: final, Prompt: request.Params.Tokens, Answer: int(request.streamedTokens()),
+		Final: final, Prompt: request.Params.PromptTokens, Answer: int(request.streamedTokens()),
 		Trips: len(request.Scheduled.Attempts), Why: reason,
 	})
 }
--- a/internal/dispatch/accounting_setup.go
+++ b/internal/dispatch/accounting_setup.go
@@ -54,7 +54,7 @@
 // openLedger opens the ledger if one is configured, reads its history, and records this start in it. It returns only
 // once that record is durable: no attempt may be sent under an epoch that the ledger does not know.
 func openLedger(
-	config setup.Dispatcher, epoch string, startedAt time.Time, log *slog.Logger,
+	config setup.DispatcherConfig, epoch string, startedAt time.Time, log *slog.Logger,
 ) (*ledger.Book, *ledgerHistory, error) {
 	history := &ledgerHistory{
 		openEpochs: map[string]bool{}, totals: map[string]map[int64]monthTotals{},
@@ -63,7 +63,7 @@
 	if config.Ledger.Folder == "" {
 		return nil, history, nil
 	}
-	key, err := ReadLedgerKey(config.Ledger.Key)
+	key, err := ReadLedgerKey(config.Ledger.KeyFile)
 	if err != nil {
 		return nil, nil, fmt.Errorf("ledger.key: %w", err)
 	}
@@ -131,7 +131,7 @@
 // newAccounting creates a loop's accounting from the ledger's history, or returns nil if there is neither a ledger nor
 // a budget. A budget is owned by one dispatcher, which leases tokens to all; the others reach it by peer messages.
 func newAccounting(
-	config setup.Dispatcher, l *Loop, transport *HTTPTransport, journal *ledger.Book, history *ledgerHistory,
+	config setup.DispatcherConfig, l *Loop, transport *HTTPTransport, journal *ledger.Book, history *ledgerHistory,
 	epoch string, startedAt time.Time,
 ) *Accounting {
 	if journal == nil && len(config.Budgets) == 0 {
@@ -159,12 +159,12 @@
 	month := accounting.Month(now)
 	sendRequest := map[string]func(budget.Ask){}
 	for _, configured := range config.Budgets {
-		terms := configured.Terms()
+		terms := configured.TokenLimits()
 		if changed, ok := history.terms[terms.Name]; ok {
 			terms = changed
 		}
-		ownerNumber := budget.Keep(terms.Name, config.Place.Siblings)
-		if ownerNumber == config.Place.Number {
+		ownerNumber := budget.Keep(terms.Name, config.Instance.FleetSize)
+		if ownerNumber == config.Instance.Index {
 			record := func(what string, month int64, tokens float64, done func()) {
 				if journal == nil {
 					if done != nil {
@@ -200,7 +200,7 @@
 			}
 			accounting.OwnedBudgets[terms.Name] = owner
 		}
-		local := budget.NewPurse(terms, epoch, config.Place.Siblings, month,
+		local := budget.NewPurse(terms, epoch, config.Instance.FleetSize, month,
 			func(request budget.Ask) { sendRequest[request.Name](request) })
 		if journal != nil {
 			local.Taken = func(month int64) bool { return history.totals[terms.Name][month].emergency }
@@ -212,7 +212,7 @@
 			}
 		}
 		sendRequest[terms.Name] = func(request budget.Ask) {
-			if ownerNumber == config.Place.Number {
+			if ownerNumber == config.Instance.Index {
 				// By a timer, as the local budget is in the middle of a step and must not be called again.
 				l.Wake(0, func() {
 					accounting.OwnedBudgets[request.Name].Asked(l.now, accounting.Month(l.now), request,
@@ -294,7 +294,7 @@
 		dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10))
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&change); err != nil {
-			kserve.WriteFault(w, &kserve.Fault{Status: http.StatusBadRequest, Text: err.Error()})
+			kserve.WriteError(w, &kserve.RequestError{Status: http.StatusBadRequest, Message: err.Error()})
 			return
 		}
 		done := make(chan error, 1)
@@ -302,13 +302,13 @@
 		select {
 		case err := <-done:
 			if err != nil {
-				kserve.WriteFault(w, err)
+				kserve.WriteError(w, err)
 				return
 			}
 			w.WriteHeader(http.StatusNoContent)
 		case <-time.After(5 * time.Second):
-			kserve.WriteFault(w, &kserve.Fault{
-				Status: http.StatusServiceUnavailable, Text: "the change is not durable: the ledger's disk fails",
+			kserve.WriteError(w, &kserve.RequestError{
+				Status: http.StatusServiceUnavailable, Message: "the change is not durable: the ledger's disk fails",
 			})
 		}
 	})
@@ -332,12 +332,12 @@
 // why it is rejected.
 func (l *Loop) changeBudget(change BudgetChange, done func(error)) {
 	reject := func(field, text string) {
-		done(&kserve.Fault{Status: http.StatusBadRequest, Field: field, Text: text})
+		done(&kserve.RequestError{Status: http.StatusBadRequest, Field: field, Message: text})
 	}
 	if l.accounting == nil || l.accounting.OwnedBudgets[change.Name] == nil {
-		done(&kserve.Fault{
+		done(&kserve.RequestError{
 			Status: http.StatusNotFound, Field: "name",
-			Text: fmt.Sprintf("%q is no budget that this dispatcher keeps", change.Name),
+			Message: fmt.Sprintf("%q is no budget that this dispatcher keeps", change.Name),
 		})
 		return
 	}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -24,16 +24,16 @@
 	timedOut       bool // Timeout is over
 	RequestInvalid bool // its backend says so; set by the transport before it reports the end
 
-	RequestKey      string        // the request's key at backends
-	ResponseStarted atomic.Bool   // a byte of an answer has come: only that shows that the backend has the request
-	StreamedTokens  atomic.Int64  // tokens that have come
-	Usage           *kserve.Count // the backend's usage count, if it came with the answer
+	RequestKey      string              // the request's key at backends
+	ResponseStarted atomic.Bool         // a byte of an answer has come: only that shows that the backend has the request
+	StreamedTokens  atomic.Int64        // tokens that have come
+	Usage           *kserve.UsageRecord // the backend's usage count, if it came with the answer
 }
 
 // Stage returns the attempt's stage by its name in messages to backends.
 func (a *Attempt) Stage() string {
 	return [...]string{
-		brain.ToRead: kserve.StageRead, brain.ToWrite: kserve.StageWrite, brain.Whole: kserve.StageWhole,
+		brain.ToRead: kserve.PhasePrefill, brain.ToWrite: kserve.PhaseDecode, brain.Whole: kserve.PhaseCombined,
 	}[a.Scheduled.Stage]
 }
 
@@ -88,15 +88,15 @@
 		delete(request.kvHolders, attempt.PrefillBackend)
 	}
 	if attempt.RequestInvalid {
-		l.answer(request, kserve.Final{Final: kserve.Forfeited, Error: "no box can use it"})
+		l.answer(request, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no box can use it"})
 	}
 	result.Over = request.answered || request.disconnected || result.Outcome == brain.Served || scheduled.Began > 0
 	if result.Outcome == brain.Served {
-		l.answer(request, kserve.Final{Final: kserve.Satisfied})
+		l.answer(request, kserve.FinalResponse{Outcome: kserve.Served})
 	} else if scheduled.Began > 0 && !request.disconnected {
-		l.answer(request, kserve.Final{Final: kserve.Forfeited, Error: "the stream broke at its box"})
+		l.answer(request, kserve.FinalResponse{Outcome: kserve.Failed, Error: "the stream broke at its box"})
 	}
-	if l.RetryThrottle != nil && !result.Over && wastesWork(result.Outcome) && !l.RetryThrottle.MayTryAgain(l.now) {
+	if l.RetryThrottle != nil && !result.Over && wastesWork(result.Outcome) && !l.RetryThrottle.AllowReattempt(l.now) {
 		request.Scheduled.Last = true
 	}
 	l.scheduler.Ended(scheduled, result)
--- a/internal/dispatch/http_transport_test.go
+++ b/internal/dispatch/http_transport_test.go
@@ -9,7 +9,9 @@
 
 // An outcome that wrongly proves that an attempt did not run would let a non-idempotent request run twice (rule 2).
 func TestOutcomeClaimsNoMoreThanTheConnectionProved(t *testing.T) {
-	report := func(outcome string) *kserve.Told { return &kserve.Told{Outcome: outcome, Kept: 5} }
+	report := func(outcome string) *kserve.AttemptResult {
+		return &kserve.AttemptResult{Outcome: outcome, CachedTokens: 5}
+	}
 	for _, c := range []struct {
 		observed Observation
 		stage    brain.Stage
@@ -23,12 +25,12 @@
 		{Observation{Sent: true, Cause: errStalled}, brain.Whole, brain.Broken, 0},
 		{Observation{Sent: true, Cause: ErrAttemptTimeout}, brain.ToWrite, brain.TimedOut, 0},
 		{Observation{Sent: true, Cause: ErrNotNeeded}, brain.ToWrite, brain.Cancelled, 0},
-		{Observation{Sent: true, Report: report(kserve.OutcomeRead)}, brain.ToRead, brain.Read, 5},
-		{Observation{Sent: true, Report: report(kserve.OutcomeRead)}, brain.Whole, brain.Failed, 0},
-		{Observation{Sent: true, Report: report(kserve.OutcomeAnswered)}, brain.ToWrite, brain.Served, 5},
-		{Observation{Sent: true, Report: report(kserve.OutcomeAnswered)}, brain.ToRead, brain.Failed, 0},
+		{Observation{Sent: true, Report: report(kserve.OutcomePrefilled)}, brain.ToRead, brain.Read, 5},
+		{Observation{Sent: true, Report: report(kserve.OutcomePrefilled)}, brain.Whole, brain.Failed, 0},
+		{Observation{Sent: true, Report: report(kserve.OutcomeCompleted)}, brain.ToWrite, brain.Served, 5},
+		{Observation{Sent: true, Report: report(kserve.OutcomeCompleted)}, brain.ToRead, brain.Failed, 0},
 		{Observation{Sent: true, Report: report(kserve.OutcomeFull)}, brain.ToWrite, brain.Rejected, 0},
-		{Observation{Sent: true, Report: report(kserve.OutcomeNoState)}, brain.ToWrite, brain.Rejected, 1},
+		{Observation{Sent: true, Report: report(kserve.OutcomeNoKVCache)}, brain.ToWrite, brain.Rejected, 1},
 		{Observation{Sent: true, Report: report(kserve.OutcomeFailed)}, brain.ToWrite, brain.Failed, 0},
 		{Observation{Sent: true, Report: report("gibberish")}, brain.ToWrite, brain.Failed, 0},
 	} {
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -89,7 +89,7 @@
 
 	// RetryThrottle throttles retries before they reach the scheduler. With nil every request reaches the scheduler,
 	// and clients get the scheduler's own advice when to retry.
-	RetryThrottle *storm.Guard
+	RetryThrottle *storm.RetryThrottle
 }
 
 // NewLoop returns a loop with a scheduler of its own. clock returns the time since the start.
@@ -249,23 +249,23 @@
 	}
 	l.lastID++
 	request.started, request.final, request.kvHolders =
-		make(chan *Attempt, 1), make(chan kserve.Final, 1), map[*Backend]bool{}
+		make(chan *Attempt, 1), make(chan kserve.FinalResponse, 1), map[*Backend]bool{}
 	request.submittedAt = l.now
 	params := request.Params
 	request.Scheduled = &brain.Request{
-		ID: l.lastID, Session: HashName(params.Session), Shared: HashName(params.Shared),
-		Prompt: float64(params.Tokens), Prefix: float64(params.Prefix), Most: float64(params.Most),
-		Again: params.Again, Left: timeLeft,
+		ID: l.lastID, Session: HashName(params.Session), Shared: HashName(params.SharedPrefix),
+		Prompt: float64(params.PromptTokens), Prefix: float64(params.PrefixTokens), Most: float64(params.MaxTokens),
+		Again: params.IsRetry, Left: timeLeft,
 	}
 	l.Counters.Accepted++
 	request.tenantNumber = tenant
 	if l.RetryThrottle != nil {
-		if admit, after, ticket := l.RetryThrottle.Arrive(l.now, params.Again, tenant, params.Ticket); !admit {
+		if admit, after, ticket := l.RetryThrottle.Admit(l.now, params.IsRetry, tenant, params.RetryTicket); !admit {
 			request.Scheduled.Over = true
 			l.Counters.Throttled++
-			l.answer(request, kserve.Final{
-				Final: kserve.Declined, Error: "too many ask again just now", Harmless: true,
-				AfterMs: after.Milliseconds(), Ticket: ticket,
+			l.answer(request, kserve.FinalResponse{
+				Outcome: kserve.Rejected, Error: "too many ask again just now", SafeToRetry: true,
+				RetryAfterMs: after.Milliseconds(), RetryTicket: ticket,
 			})
 			return
 		}
@@ -277,7 +277,7 @@
 		if !request.answered && !request.disconnected && !begun {
 			l.Counters.Overdue++
 			l.Log.Error("request without an answer at its deadline", "question", request.Scheduled.ID)
-			l.answer(request, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
+			l.answer(request, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no answer came in time"})
 			l.scheduler.Left(request.Scheduled)
 			l.forgetIfOver(request)
 		}
@@ -302,31 +302,31 @@
 
 // answer gives a request its final answer. It is the only place that does, so that every request gets at most one
 // (rule 1).
-func (l *Loop) answer(request *ClientRequest, final kserve.Final) {
+func (l *Loop) answer(request *ClientRequest, final kserve.FinalResponse) {
 	if request.answered {
 		return
 	}
 	request.answered = true
 	request.MarkOver()
-	final.Trips = len(request.Scheduled.Attempts)
-	l.accountRequest(request, final.Final, final.Error)
-	if l.RetryThrottle != nil && !request.overBudget && final.Trips+int(final.AfterMs) > 0 {
-		served, scheduled := final.Final == kserve.Satisfied, request.Scheduled
+	final.Attempts = len(request.Scheduled.Attempts)
+	l.accountRequest(request, final.Outcome, final.Error)
+	if l.RetryThrottle != nil && !request.overBudget && final.Attempts+int(final.RetryAfterMs) > 0 {
+		served, scheduled := final.Outcome == kserve.Served, request.Scheduled
 		inTime := served && len(scheduled.Attempts) > 0 &&
 			scheduled.Attempts[len(scheduled.Attempts)-1].Began <= scheduled.TargetAt
-		l.RetryThrottle.Answered(l.now, served, !request.Params.Again && request.Params.Ticket == "", inTime,
+		l.RetryThrottle.RequestDone(l.now, served, !request.Params.IsRetry && request.Params.RetryTicket == "", inTime,
 			request.tenantNumber)
 	}
-	switch final.Final {
-	case kserve.Satisfied:
+	switch final.Outcome {
+	case kserve.Served:
 		l.Counters.Served++
-	case kserve.Declined:
+	case kserve.Rejected:
 		l.Counters.Rejected++
 	default:
 		l.Counters.Failed++
 	}
 	l.Log.Debug("request answered", "question", request.Scheduled.ID, "id", request.Params.ID, "grade", request.Class,
-		"final", final.Final, "trips", final.Trips, "took", l.now-request.submittedAt, "error", final.Error)
+		"final", final.Outcome, "trips", final.Attempts, "took", l.now-request.submittedAt, "error", final.Error)
 	if request.OnFinal != nil {
 		request.OnFinal(final)
 		return
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -39,14 +39,14 @@
 }
 
 // testConfig returns a configuration with one class of the given effect, and two kinds of backends.
-func testConfig(effect string) setup.Dispatcher {
-	config := setup.DefaultDispatcher()
-	config.Grades = []setup.Grade{{
-		Name: "g", Effect: effect, Reach: "all", Window: setup.Span(3 * time.Second),
-		Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second), Benefit: 1, Most: 50,
+func testConfig(effect string) setup.DispatcherConfig {
+	config := setup.DefaultDispatcherConfig()
+	config.Classes = []setup.Class{{
+		Name: "g", Effect: effect, DedupScope: "all", DedupWindow: setup.Duration(3 * time.Second),
+		LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second), Value: 1, DefaultMaxTokens: 50,
 	}}
-	config.Kinds = []setup.Kind{
-		{Name: "reader", Role: "reader", Memory: 1e5}, {Name: "writer", Role: "writer", Memory: 1e5},
+	config.BackendKinds = []setup.BackendKind{
+		{Name: "reader", Role: "reader", MemoryTokens: 1e5}, {Name: "writer", Role: "writer", MemoryTokens: 1e5},
 	}
 	return config
 }
@@ -64,8 +64,8 @@
 	t.Helper()
 	transport := &fakeTransport{now: time.Second}
 	config := testConfig(effect)
-	l, err := NewLoop(config.Facts(), 1, Resolver{
-		ZoneNumber: config.ZoneNumber, KindNumber: config.KindNumber,
+	l, err := NewLoop(config.SchedulerParameters(), 1, Resolver{
+		ZoneNumber: config.ZoneIndex, KindNumber: config.KindIndex,
 		AddressAllowed: func(spec addresses.Spec) bool { return spec.Addr != "10.9.9.9:1" },
 	}, transport, func() time.Duration { return transport.now }, "d0.x", slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
@@ -82,7 +82,7 @@
 
 // submit submits a request with that much time for its answer.
 func submit(l *Loop, timeLeft time.Duration) *ClientRequest {
-	request := &ClientRequest{Params: kserve.Ask{Tokens: 2000, Most: 50, Session: "s"}, Class: "g"}
+	request := &ClientRequest{Params: kserve.Request{PromptTokens: 2000, MaxTokens: 50, Session: "s"}, Class: "g"}
 	l.RunTurn(func() { l.Submit(request, 0, 0, timeLeft) })
 	return request
 }
@@ -91,14 +91,14 @@
 func (f *fakeTransport) last() *Attempt { return f.attempts[len(f.attempts)-1] }
 
 // finalAnswer returns a request's final answer, which must be there.
-func finalAnswer(t *testing.T, request *ClientRequest) kserve.Final {
+func finalAnswer(t *testing.T, request *ClientRequest) kserve.FinalResponse {
 	t.Helper()
 	select {
 	case final := <-request.final:
 		return final
 	default:
 		t.Fatal("no final answer")
-		return kserve.Final{}
+		return kserve.FinalResponse{}
 	}
 }
 
@@ -150,7 +150,7 @@
 	l.RunTimers()
 	l.RunTurn(func() { l.AttemptBegan(attempt) })
 	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.Served}) })
-	if got := finalAnswer(t, request); got.Final != kserve.Forfeited || len(request.started) != 0 ||
+	if got := finalAnswer(t, request); got.Outcome != kserve.Failed || len(request.started) != 0 ||
 		l.Counters.Outcomes[brain.TimedOut] != 1 {
 		t.Errorf("%+v with %d streams, outcomes %v", got, len(request.started), l.Counters.Outcomes)
 	}
@@ -178,7 +178,7 @@
 	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
 	before := len(transport.attempts)
 	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Broken}) })
-	if final := finalAnswer(t, request); final.Final != kserve.Forfeited || final.Harmless ||
+	if final := finalAnswer(t, request); final.Outcome != kserve.Failed || final.SafeToRetry ||
 		len(transport.attempts) != before {
 		t.Errorf("%+v after a broken attempt, and %d more attempts", final, len(transport.attempts)-before)
 	}
@@ -206,7 +206,7 @@
 	request := submit(l, 4*time.Second)
 	transport.now += 4*time.Second + overdueGrace
 	l.RunTimers()
-	if final := finalAnswer(t, request); final.Final != kserve.Forfeited || l.Counters.Overdue != 1 {
+	if final := finalAnswer(t, request); final.Outcome != kserve.Failed || l.Counters.Overdue != 1 {
 		t.Errorf("%+v, %d requests overdue", final, l.Counters.Overdue)
 	}
 	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
--- a/internal/dispatch/runtime.go
+++ b/internal/dispatch/runtime.go
@@ -27,7 +27,7 @@
 	attempt.Backend.inFlight++
 	l.Counters.Attempts++
 	if l.RetryThrottle != nil {
-		l.RetryThrottle.Sent(l.now,
+		l.RetryThrottle.AttemptSent(l.now,
 			scheduled.Number > 0 && wastesWork(scheduled.Request.Attempts[scheduled.Number-1].Outcome))
 	}
 	l.Wake(wait, func() {
@@ -64,17 +64,17 @@
 func (l *Loop) Reject(scheduled *brain.Request, after time.Duration) {
 	ticket := ""
 	if l.RetryThrottle != nil && after > 0 {
-		after, ticket = l.RetryThrottle.Book(l.now)
+		after, ticket = l.RetryThrottle.BookRetry(l.now)
 	}
-	l.answer(l.requests[scheduled], kserve.Final{
-		Ticket: ticket, Final: kserve.Declined, Error: "not taken on: too much is asked just now", Harmless: true,
-		AfterMs: after.Milliseconds(),
+	l.answer(l.requests[scheduled], kserve.FinalResponse{
+		RetryTicket: ticket, Outcome: kserve.Rejected, Error: "not taken on: too much is asked just now", SafeToRetry: true,
+		RetryAfterMs: after.Milliseconds(),
 	})
 }
 
 // Fail fails a request whose attempts may have run.
 func (l *Loop) Fail(scheduled *brain.Request) {
-	l.answer(l.requests[scheduled], kserve.Final{Final: kserve.Forfeited, Error: "given up on; it may have run"})
+	l.answer(l.requests[scheduled], kserve.FinalResponse{Outcome: kserve.Failed, Error: "given up on; it may have run"})
 }
 
 // Wake calls a function in the loop after some time, at the earliest after the present turn.
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -200,9 +200,9 @@
 		return chat.AttemptHead(r, serviceHost, request, length, timeout)
 	}}
 	clientRequest := &dispatch.ClientRequest{
-		Params: kserve.Ask{
-			ID: request.ID, Session: request.Session, Shared: request.PrefixID, Tokens: request.PromptTokens,
-			Prefix: request.PrefixTokens, Most: request.MaxTokens, Again: request.Retried,
+		Params: kserve.Request{
+			ID: request.ID, Session: request.Session, SharedPrefix: request.PrefixID, PromptTokens: request.PromptTokens,
+			PrefixTokens: request.PrefixTokens, MaxTokens: request.MaxTokens, IsRetry: request.Retried,
 		},
 		Class: request.Class, Tenant: request.Tenant, Payload: outgoing,
 	}
@@ -250,9 +250,9 @@
 		f.LateAnswers.Add(1)
 		f.log.Error("no answer from the event loop by the request's deadline", "id", clientRequest.Params.ID,
 			"behind", f.loop.QueueDelay())
-		f.writeFinal(w, clientRequest.Params.ID, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
+		f.writeFinal(w, clientRequest.Params.ID, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no answer came in time"})
 	default:
-		f.writeFinal(w, clientRequest.Params.ID, kserve.Final{Final: kserve.Forfeited, Error: string(rejectedAtShutdown)})
+		f.writeFinal(w, clientRequest.Params.ID, kserve.FinalResponse{Outcome: kserve.Failed, Error: string(rejectedAtShutdown)})
 	}
 }
 
@@ -300,14 +300,14 @@
 }
 
 // writeFinal writes the final response of a request of which nothing was streamed.
-func (f *frontend) writeFinal(w http.ResponseWriter, id string, final kserve.Final) {
-	if final.Final != kserve.Declined {
+func (f *frontend) writeFinal(w http.ResponseWriter, id string, final kserve.FinalResponse) {
+	if final.Outcome != kserve.Rejected {
 		f.monitor.Answered(id, http.StatusBadGateway, false, nil)
 		http.Error(w, final.Error, http.StatusBadGateway)
 		return
 	}
-	if final.AfterMs > 0 {
-		w.Header().Set("Retry-After", formatSeconds(time.Duration(final.AfterMs)*time.Millisecond))
+	if final.RetryAfterMs > 0 {
+		w.Header().Set("Retry-After", formatSeconds(time.Duration(final.RetryAfterMs)*time.Millisecond))
 	}
 	f.monitor.Answered(id, http.StatusServiceUnavailable, true, nil)
 	http.Error(w, final.Error, http.StatusServiceUnavailable)
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -88,7 +88,7 @@
 func (s *streamRelay) finish() {
 	select {
 	case final := <-s.request.Final():
-		if final.Final != kserve.Satisfied {
+		if final.Outcome != kserve.Served {
 			panic(http.ErrAbortHandler)
 		}
 	case <-s.ctx.Done():
--- a/internal/reach/pool_test.go
+++ b/internal/reach/pool_test.go
@@ -42,8 +42,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms := setup.DefaultTerms()
-	terms.Grades = []setup.Grade{{Name: "g", Effect: "unrepeatable"}}
+	terms := setup.DefaultDeployment()
+	terms.Classes = []setup.Class{{Name: "g", Effect: "unrepeatable"}}
 	s := &fixture{t: t, book: book, fleet: standin.NewFleet(
 		terms, book, standin.Links{Near: 1e9, Far: 1e9}, map[string]standin.Talk{"g": {New: 1, Answer: 1}},
 	)}
@@ -97,11 +97,11 @@
 func (s *fixture) attempt(pool *reach.Pool, timeout time.Duration) (sent bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	e := kserve.Errand{
-		Stage: kserve.StageWhole, From: "d.1", Question: uint64(s.lastRequest.Add(1)), Grade: "g", Tokens: 10, Most: 1,
+	e := kserve.AttemptParams{
+		Phase: kserve.PhaseCombined, DispatcherEpoch: "d.1", RequestNumber: uint64(s.lastRequest.Add(1)), Class: "g", PromptTokens: 10, MaxTokens: 1,
 	}
 	conn, resp, err := pool.Send(ctx, func() (*http.Request, error) {
-		return kserve.NewErrand(ctx, reach.URL(pool.Name), "lodge", "", e)
+		return kserve.NewAttemptRequest(ctx, reach.URL(pool.Name), "lodge", "", e)
 	})
 	if conn == nil {
 		return false, err
