--- a/client/client.go
+++ b/client/client.go
@@ -70,20 +70,20 @@
 	for try := 0; ; try++ {
 		a.Tries++
 		f, begun, err := c.try(ctx, q, try, ticket, time.Until(deadline), piece)
-		a.Final, a.Error = f.Final, f.Error
+		a.Final, a.Error = f.Outcome, f.Error
 		// Asking again is harmless after a decline, or where nothing was sent; else only if the question is safe.
-		harmless := f.Final == kserve.Declined && f.Harmless || errors.Is(err, errUnsent) || q.Safe && f.Final != kserve.Satisfied
+		harmless := f.Outcome == kserve.Rejected && f.SafeToRetry || errors.Is(err, errUnsent) || q.Safe && f.Outcome != kserve.Served
 		switch {
-		case f.Final == kserve.Satisfied:
+		case f.Outcome == kserve.Served:
 			return a, nil
 		case begun || !harmless || try+1 >= tries || errors.Is(err, errRefused):
 			if err == nil {
-				err = fmt.Errorf("client: %s: %s", f.Final, f.Error)
+				err = fmt.Errorf("client: %s: %s", f.Outcome, f.Error)
 			}
 			return a, err
 		}
-		ticket = f.Ticket
-		wait := time.Duration(f.AfterMs) * time.Millisecond
+		ticket = f.RetryTicket
+		wait := time.Duration(f.RetryAfterMs) * time.Millisecond
 		if wait <= 0 {
 			wait = time.Duration(float64(least<<min(try, 6)) * (0.5 + rand.Float64()/2))
 		}
@@ -103,7 +103,7 @@
 	errRefused = errors.New("the question makes no sense to the dispatcher")
 )
 
-func (c *Client) try(ctx context.Context, q Question, try int, ticket string, left time.Duration, piece func(string)) (f kserve.Final, begun bool, err error) {
+func (c *Client) try(ctx context.Context, q Question, try int, ticket string, left time.Duration, piece func(string)) (f kserve.FinalResponse, begun bool, err error) {
 	params := kserve.Params{"timeout": left.Microseconds(), "again": try > 0}
 	for name, v := range map[string]string{"session": q.Session, "shared": q.Shared, "grade": q.Grade, "channel": q.Channel} {
 		if v != "" {
@@ -116,7 +116,7 @@
 	if ticket != "" {
 		params["ticket"] = ticket
 	}
-	raw, err := json.Marshal(kserve.Prompt{Text: q.Text, Parameters: params})
+	raw, err := json.Marshal(kserve.GenerateRequest{Text: q.Text, Parameters: params})
 	if err != nil {
 		return f, false, err
 	}
@@ -137,7 +137,7 @@
 	}
 	resp, err := h.Do(r)
 	if err != nil {
-		if kserve.Unsent(err) {
+		if kserve.IsDialError(err) {
 			err = fmt.Errorf("%w: %w", errUnsent, err)
 		}
 		return f, false, err
@@ -148,12 +148,12 @@
 		if err != nil {
 			return f, false, err
 		}
-		if json.Unmarshal(raw, &f) != nil || f.Final == "" {
+		if json.Unmarshal(raw, &f) != nil || f.Outcome == "" {
 			return f, false, fmt.Errorf("%w: %s: %.300s", errRefused, resp.Status, raw)
 		}
 		return f, false, nil
 	}
-	events := kserve.NewEvents(resp.Body)
+	events := kserve.NewEventReader(resp.Body)
 	for {
 		ev, err := events.Next()
 		if err != nil {
--- a/cmd/benchlink/same_test.go
+++ b/cmd/benchlink/same_test.go
@@ -132,20 +132,20 @@
 // The bench is a regression test of the running dispatcher only as long as both hosts of the module get the same
 // decisions out of the same sequence.
 func TestBothDoorsActAlike(t *testing.T) {
-	d := setup.DefaultDispatcher()
+	d := setup.DefaultDispatcherConfig()
 	for i, effect := range []string{"idempotent", "deduplicated", "unrepeatable"} {
-		d.Grades = append(d.Grades, setup.Grade{Name: effect, Effect: effect, Reach: "all", Window: setup.Span(2 * time.Second),
-			Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second), Benefit: float64(i + 1), Late: 0.2, Most: 60})
+		d.Classes = append(d.Classes, setup.Class{Name: effect, Effect: effect, DedupScope: "all", DedupWindow: setup.Duration(2 * time.Second),
+			LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second), Value: float64(i + 1), LateValue: 0.2, DefaultMaxTokens: 60})
 	}
-	d.Kinds = []setup.Kind{{Name: "reader", Role: "reader", Memory: 2e5}, {Name: "writer", Role: "writer", Memory: 1e5}, {Name: "mixed", Role: "mixed", Memory: 1e5}}
-	d.Report = []string{"util", "queue"}
-	info, err := json.Marshal(d.Facts())
+	d.BackendKinds = []setup.BackendKind{{Name: "reader", Role: "reader", MemoryTokens: 2e5}, {Name: "writer", Role: "writer", MemoryTokens: 1e5}, {Name: "mixed", Role: "mixed", MemoryTokens: 1e5}}
+	d.ReportFields = []string{"util", "queue"}
+	info, err := json.Marshal(d.SchedulerParameters())
 	if err != nil {
 		t.Fatal(err)
 	}
 	const seed = 99
 	c := &carrier{flights: map[uint64]*dispatch.Attempt{}}
-	loop, err := dispatch.NewLoop(d.Facts(), seed, dispatch.Places{Zone: d.ZoneNumber, Kind: d.KindNumber}, c,
+	loop, err := dispatch.NewLoop(d.SchedulerParameters(), seed, dispatch.Places{Zone: d.ZoneIndex, Kind: d.KindIndex}, c,
 		func() time.Duration { return c.now }, "d", slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -167,7 +167,7 @@
 			line := boxlist.Box{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "10.0.0.1:1"}}, Kind: kind, Zone: "here", Rack: rack, Standing: [...]string{"draining", "ready", "gone"}[s], Units: 2, UpMs: -1}
 			e := make([]byte, 22)
 			binary.BigEndian.PutUint32(e, dispatch.HostID(name))
-			binary.BigEndian.PutUint16(e[5:], uint16(d.KindNumber(kind)))
+			binary.BigEndian.PutUint16(e[5:], uint16(d.KindIndex(kind)))
 			binary.BigEndian.PutUint16(e[7:], uint16(i%2))
 			e[9] = byte(s)
 			binary.BigEndian.PutUint32(e[10:], math.Float32bits(2))
@@ -221,7 +221,7 @@
 			id := uint64(len(asked) + 1)
 			grade, tokens := rng.IntN(3), 200+rng.IntN(4000)
 			session, shared := fmt.Sprint("s", rng.IntN(200)), fmt.Sprint("b", rng.IntN(9))
-			a := &dispatch.ClientRequest{Ask: kserve.Ask{Tokens: tokens, Prefix: 100, Most: 60, Session: session, Shared: shared}}
+			a := &dispatch.ClientRequest{Ask: kserve.Request{PromptTokens: tokens, PrefixTokens: 100, MaxTokens: 60, Session: session, SharedPrefix: shared}}
 			asked[id] = a
 			var r rec
 			r[0], r[36] = wire.Incoming, byte(grade)
@@ -288,12 +288,12 @@
 		case bytes.Contains([]byte(a), []byte("send")):
 			sends = append(sends, a)
 		case bytes.Contains([]byte(a), []byte("decline")):
-			finals[kserve.Declined]++
+			finals[kserve.Rejected]++
 		case bytes.Contains([]byte(a), []byte("forfeit")):
-			finals[kserve.Forfeited]++
+			finals[kserve.Failed]++
 		}
 	}
-	if len(sends) < 800 || finals[kserve.Forfeited] == 0 {
+	if len(sends) < 800 || finals[kserve.Failed] == 0 {
 		t.Fatalf("the sequence is too tame: %d sends, finals %v", len(sends), finals)
 	}
 	for i := range min(len(sends), len(c.actions)) {
@@ -304,8 +304,8 @@
 	if len(sends) != len(c.actions) {
 		t.Errorf("bench sends %d trips, the dispatcher %d", len(sends), len(c.actions))
 	}
-	if l := loop.Tally; int(l.Declined) != finals[kserve.Declined] || int(l.Forfeited) < finals[kserve.Forfeited] {
-		t.Errorf("bench declines %d and forfeits %d, the dispatcher %d and %d", finals[kserve.Declined], finals[kserve.Forfeited], l.Declined, l.Forfeited)
+	if l := loop.Tally; int(l.Declined) != finals[kserve.Rejected] || int(l.Forfeited) < finals[kserve.Failed] {
+		t.Errorf("bench declines %d and forfeits %d, the dispatcher %d and %d", finals[kserve.Rejected], finals[kserve.Failed], l.Declined, l.Forfeited)
 	}
 }
 
@@ -321,11 +321,11 @@
 
 // What a frame says in numbers goes into averages and choices for the rest of the day: none of it may be no number.
 func FuzzFrames(f *testing.F) {
-	d := setup.DefaultDispatcher()
-	d.Grades = []setup.Grade{{Name: "g", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second), Benefit: 1, Most: 60}}
-	d.Kinds = []setup.Kind{{Name: "reader", Role: "reader", Memory: 2e5}, {Name: "writer", Role: "writer", Memory: 1e5}}
-	d.Report = []string{"util", "queue"}
-	info, err := json.Marshal(d.Facts())
+	d := setup.DefaultDispatcherConfig()
+	d.Classes = []setup.Class{{Name: "g", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second), Value: 1, DefaultMaxTokens: 60}}
+	d.BackendKinds = []setup.BackendKind{{Name: "reader", Role: "reader", MemoryTokens: 2e5}, {Name: "writer", Role: "writer", MemoryTokens: 1e5}}
+	d.ReportFields = []string{"util", "queue"}
+	info, err := json.Marshal(d.SchedulerParameters())
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/dispatch/accounts.go
+++ b/internal/dispatch/accounts.go
@@ -52,12 +52,12 @@
 }
 
 // openBooks opens the ledger, if there is one, and makes this start known in it before anything is sent.
-func openBooks(d setup.Dispatcher, epoch string, began time.Time, log *slog.Logger) (*ledger.Book, *past, error) {
+func openBooks(d setup.DispatcherConfig, epoch string, began time.Time, log *slog.Logger) (*ledger.Book, *past, error) {
 	p := &past{open: map[string]bool{}, sums: map[string]map[int64]sums{}, terms: map[string]budget.Terms{}, seen: map[string][]account.Seen{}}
 	if d.Ledger.Folder == "" {
 		return nil, p, nil
 	}
-	key, err := LedgerKey(d.Ledger.Key)
+	key, err := LedgerKey(d.Ledger.KeyFile)
 	if err != nil {
 		return nil, nil, fmt.Errorf("ledger.key: %w", err)
 	}
@@ -119,7 +119,7 @@
 }
 
 // newBooks makes what a loop keeps; nil: there is neither a ledger nor a budget.
-func newBooks(d setup.Dispatcher, l *Loop, trips *Trips, book *ledger.Book, was *past, epoch string, began time.Time) *Books {
+func newBooks(d setup.DispatcherConfig, l *Loop, trips *Trips, book *ledger.Book, was *past, epoch string, began time.Time) *Books {
 	if book == nil && len(d.Budgets) == 0 {
 		return nil
 	}
@@ -141,12 +141,12 @@
 	month := b.Month(now)
 	sends := map[string]func(budget.Ask){}
 	for _, of := range d.Budgets {
-		t := of.Terms()
+		t := of.TokenLimits()
 		if set, ok := was.terms[t.Name]; ok {
 			t = set
 		}
-		at := budget.Keep(t.Name, d.Place.Siblings)
-		if at == d.Place.Number {
+		at := budget.Keep(t.Name, d.Instance.FleetSize)
+		if at == d.Instance.Index {
 			record := func(what string, month int64, tokens float64, done func()) {
 				if book == nil {
 					if done != nil {
@@ -174,7 +174,7 @@
 			}
 			b.Keepers[t.Name] = k
 		}
-		p := budget.NewPurse(t, epoch, d.Place.Siblings, month, func(a budget.Ask) { sends[a.Name](a) })
+		p := budget.NewPurse(t, epoch, d.Instance.FleetSize, month, func(a budget.Ask) { sends[a.Name](a) })
 		if book != nil {
 			p.Taken = func(month int64) bool { return was.sums[t.Name][month].own }
 			p.Mark = func(month int64, done func()) {
@@ -182,7 +182,7 @@
 			}
 		}
 		sends[t.Name] = func(a budget.Ask) {
-			if at == d.Place.Number {
+			if at == d.Instance.Index {
 				// Never in the middle of the purse's own step.
 				l.Wake(0, func() {
 					b.Keepers[a.Name].Asked(l.now, b.Month(l.now), a, func(w budget.Lend) { p.Lent(l.now, w) })
@@ -257,7 +257,7 @@
 		dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10))
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&c); err != nil {
-			kserve.WriteFault(w, &kserve.Fault{Status: http.StatusBadRequest, Text: err.Error()})
+			kserve.WriteError(w, &kserve.RequestError{Status: http.StatusBadRequest, Message: err.Error()})
 			return
 		}
 		done := make(chan error, 1)
@@ -265,12 +265,12 @@
 		select {
 		case err := <-done:
 			if err != nil {
-				kserve.WriteFault(w, err)
+				kserve.WriteError(w, err)
 				return
 			}
 			w.WriteHeader(http.StatusNoContent)
 		case <-time.After(5 * time.Second):
-			kserve.WriteFault(w, &kserve.Fault{Status: http.StatusServiceUnavailable, Text: "the change is not durable: the ledger's disk fails"})
+			kserve.WriteError(w, &kserve.RequestError{Status: http.StatusServiceUnavailable, Message: "the change is not durable: the ledger's disk fails"})
 		}
 	})
 	return mux
@@ -291,9 +291,11 @@
 
 // change carries an operator's change out; done is told when it is durable.
 func (l *Loop) change(c BudgetChange, done func(error)) {
-	bad := func(field, text string) { done(&kserve.Fault{Status: http.StatusBadRequest, Field: field, Text: text}) }
+	bad := func(field, text string) {
+		done(&kserve.RequestError{Status: http.StatusBadRequest, Field: field, Message: text})
+	}
 	if l.books == nil || l.books.Keepers[c.Name] == nil {
-		done(&kserve.Fault{Status: http.StatusNotFound, Field: "name", Text: fmt.Sprintf("%q is no budget that this dispatcher keeps", c.Name)})
+		done(&kserve.RequestError{Status: http.StatusNotFound, Field: "name", Message: fmt.Sprintf("%q is no budget that this dispatcher keeps", c.Name)})
 		return
 	}
 	k := l.books.Keepers[c.Name]
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -23,15 +23,15 @@
 	late    bool // its wait is over
 	Unfit   bool // its backend says that the request itself is none; set before its end is told
 
-	Key      string        // of its request, at backends
-	Arrived  atomic.Bool   // a byte of an answer has come: only that shows that the request had
-	Streamed atomic.Int64  // tokens that have come
-	Count    *kserve.Count // what its backend counted, if that came along
+	Key      string              // of its request, at backends
+	Arrived  atomic.Bool         // a byte of an answer has come: only that shows that the request had
+	Streamed atomic.Int64        // tokens that have come
+	Count    *kserve.UsageRecord // what its backend counted, if that came along
 }
 
 // Stage is the attempt's stage in the words of the wire.
 func (f *Attempt) Stage() string {
-	return [...]string{brain.ToRead: kserve.StageRead, brain.ToWrite: kserve.StageWrite, brain.Whole: kserve.StageWhole}[f.Planned.Stage]
+	return [...]string{brain.ToRead: kserve.PhasePrefill, brain.ToWrite: kserve.PhaseDecode, brain.Whole: kserve.PhaseCombined}[f.Planned.Stage]
 }
 
 // Began takes word of an attempt's first token.
@@ -82,15 +82,15 @@
 		delete(a.waiting, f.State)
 	}
 	if f.Unfit {
-		l.answer(a, kserve.Final{Final: kserve.Forfeited, Error: "no box can use it"})
+		l.answer(a, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no box can use it"})
 	}
 	r.Over = a.answered || a.left || r.Outcome == brain.Served || t.Began > 0
 	if r.Outcome == brain.Served {
-		l.answer(a, kserve.Final{Final: kserve.Satisfied})
+		l.answer(a, kserve.FinalResponse{Outcome: kserve.Served})
 	} else if t.Began > 0 && !a.left {
-		l.answer(a, kserve.Final{Final: kserve.Forfeited, Error: "the stream broke at its box"})
+		l.answer(a, kserve.FinalResponse{Outcome: kserve.Failed, Error: "the stream broke at its box"})
 	}
-	if l.Guard != nil && !r.Over && cost(r.Outcome) && !l.Guard.MayTryAgain(l.now) {
+	if l.Guard != nil && !r.Over && cost(r.Outcome) && !l.Guard.AllowReattempt(l.now) {
 		a.Request.Last = true
 	}
 	l.module.Ended(t, r)
--- a/internal/dispatch/books.go
+++ b/internal/dispatch/books.go
@@ -59,7 +59,7 @@
 		enter()
 		return
 	}
-	tokens := float64(a.Ask.Tokens + a.Ask.Most)
+	tokens := float64(a.Ask.PromptTokens + a.Ask.MaxTokens)
 	month := l.books.Month(l.now)
 	var next func(i int)
 	next = func(i int) {
@@ -81,7 +81,7 @@
 				l.forget(a)
 			case !v.OK:
 				a.Request.Over, a.unpaid = true, true
-				l.answer(a, kserve.Final{Final: kserve.Declined, Error: "the budget of " + p.Terms.Name + " is used up", Harmless: true, AfterMs: v.After.Milliseconds()})
+				l.answer(a, kserve.FinalResponse{Outcome: kserve.Rejected, Error: "the budget of " + p.Terms.Name + " is used up", SafeToRetry: true, RetryAfterMs: v.After.Milliseconds()})
 				l.forget(a)
 			default:
 				next(i + 1)
@@ -101,7 +101,7 @@
 func (l *Loop) settle(a *ClientRequest) {
 	used := 0.0
 	if a.stream != nil || a.left && len(a.Request.Attempts) > 0 {
-		used = float64(a.Ask.Tokens) + float64(a.streamed())
+		used = float64(a.Ask.PromptTokens) + float64(a.streamed())
 	}
 	for _, r := range a.paid {
 		r.purse.Settle(r.tokens, used, r.own)
@@ -115,7 +115,7 @@
 	case a.stream == nil:
 		return 0
 	case a.stream.Count != nil:
-		return int64(a.stream.Count.Answer)
+		return int64(a.stream.Count.OutputTokens)
 	}
 	return a.stream.Streamed.Load()
 }
@@ -128,9 +128,9 @@
 }
 
 // tripOf turns what a backend says into a line of the account.
-func tripOf(c kserve.Count) ledger.Trip {
-	return ledger.Trip{Number: c.Number, Key: c.Key, Trip: c.Trip, Mark: c.Mark, Stage: c.Stage, Channel: c.Channel, Grade: c.Grade, Read: c.Read, Kept: c.Kept,
-		Answer: c.Answer, End: c.End}
+func tripOf(c kserve.UsageRecord) ledger.Trip {
+	return ledger.Trip{Number: c.Number, Key: c.RequestKey, Trip: c.Attempt, Mark: c.DedupKey, Stage: c.Phase, Channel: c.Tenant, Grade: c.Class, Read: c.PrefillTokens, Kept: c.CachedTokens,
+		Answer: c.OutputTokens, End: c.EndReason}
 }
 
 // accountSent and accountEnded tell the account of an attempt.
@@ -157,7 +157,7 @@
 	if l.books == nil || l.books.Account == nil {
 		return
 	}
-	l.books.Account.Question(ledger.Question{Key: l.Key(a), Mark: a.Ask.ID, Channel: a.Channel, Grade: a.Grade, Final: final, Prompt: a.Ask.Tokens,
+	l.books.Account.Question(ledger.Question{Key: l.Key(a), Mark: a.Ask.ID, Channel: a.Channel, Grade: a.Grade, Final: final, Prompt: a.Ask.PromptTokens,
 		Answer: int(a.streamed()), Trips: len(a.Request.Attempts), Why: why})
 }
 
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -81,7 +81,7 @@
 
 	books *Books
 
-	Guard *storm.Guard // in front of the module; nil: every try goes to it, and its own advice to clients
+	Guard *storm.RetryThrottle // in front of the module; nil: every try goes to it, and its own advice to clients
 }
 
 // NewLoop makes a loop and its module. since is the clock, a span since the start.
@@ -235,20 +235,20 @@
 		return // it had to wait for its turn, and is over meanwhile
 	}
 	l.lastID++
-	a.began, a.final, a.waiting = make(chan *Attempt, 1), make(chan kserve.Final, 1), map[*Backend]bool{}
+	a.began, a.final, a.waiting = make(chan *Attempt, 1), make(chan kserve.FinalResponse, 1), map[*Backend]bool{}
 	a.from = l.now
 	k := a.Ask
 	a.Request = &brain.Request{
-		ID: l.lastID, Session: Number(k.Session), Shared: Number(k.Shared), Prompt: float64(k.Tokens), Prefix: float64(k.Prefix),
-		Most: float64(k.Most), Again: k.Again, Left: left,
+		ID: l.lastID, Session: Number(k.Session), Shared: Number(k.SharedPrefix), Prompt: float64(k.PromptTokens), Prefix: float64(k.PrefixTokens),
+		Most: float64(k.MaxTokens), Again: k.IsRetry, Left: left,
 	}
 	l.Tally.Taken++
 	a.channel = channel
 	if l.Guard != nil {
-		if admit, after, ticket := l.Guard.Arrive(l.now, k.Again, channel, k.Ticket); !admit {
+		if admit, after, ticket := l.Guard.Admit(l.now, k.IsRetry, channel, k.RetryTicket); !admit {
 			a.Request.Over = true
 			l.Tally.Damped++
-			l.answer(a, kserve.Final{Final: kserve.Declined, Error: "too many ask again just now", Harmless: true, AfterMs: after.Milliseconds(), Ticket: ticket})
+			l.answer(a, kserve.FinalResponse{Outcome: kserve.Rejected, Error: "too many ask again just now", SafeToRetry: true, RetryAfterMs: after.Milliseconds(), RetryTicket: ticket})
 			return
 		}
 	}
@@ -259,7 +259,7 @@
 		if !a.answered && !a.left && !begun {
 			l.Tally.Overdue++
 			l.Log.Error("question overdue", "question", a.Request.ID)
-			l.answer(a, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
+			l.answer(a, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no answer came in time"})
 			l.module.Left(a.Request)
 			l.forget(a)
 		}
@@ -283,29 +283,29 @@
 }
 
 // answer gives the one final answer. It is the only place that does (rule 1).
-func (l *Loop) answer(a *ClientRequest, f kserve.Final) {
+func (l *Loop) answer(a *ClientRequest, f kserve.FinalResponse) {
 	if a.answered {
 		return
 	}
 	a.answered = true
 	a.End()
-	f.Trips = len(a.Request.Attempts)
-	l.accountOver(a, f.Final, f.Error)
-	if l.Guard != nil && !a.unpaid && f.Trips+int(f.AfterMs) > 0 {
-		well, q := f.Final == kserve.Satisfied, a.Request
+	f.Attempts = len(a.Request.Attempts)
+	l.accountOver(a, f.Outcome, f.Error)
+	if l.Guard != nil && !a.unpaid && f.Attempts+int(f.RetryAfterMs) > 0 {
+		well, q := f.Outcome == kserve.Served, a.Request
 		inTime := well && len(q.Attempts) > 0 && q.Attempts[len(q.Attempts)-1].Began <= q.TargetAt
-		l.Guard.Answered(l.now, well, !a.Ask.Again && a.Ask.Ticket == "", inTime, a.channel)
+		l.Guard.RequestDone(l.now, well, !a.Ask.IsRetry && a.Ask.RetryTicket == "", inTime, a.channel)
 	}
-	switch f.Final {
-	case kserve.Satisfied:
+	switch f.Outcome {
+	case kserve.Served:
 		l.Tally.Satisfied++
-	case kserve.Declined:
+	case kserve.Rejected:
 		l.Tally.Declined++
 	default:
 		l.Tally.Forfeited++
 	}
-	l.Log.Debug("question over", "question", a.Request.ID, "id", a.Ask.ID, "grade", a.Grade, "final", f.Final,
-		"trips", f.Trips, "took", l.now-a.from, "error", f.Error)
+	l.Log.Debug("question over", "question", a.Request.ID, "id", a.Ask.ID, "grade", a.Grade, "final", f.Outcome,
+		"trips", f.Attempts, "took", l.now-a.from, "error", f.Error)
 	if a.Tell != nil {
 		a.Tell(f)
 		return
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -33,11 +33,11 @@
 	h.reached = append(h.reached, fmt.Sprint(b.Name, at))
 }
 
-func terms(effect string) setup.Dispatcher {
-	d := setup.DefaultDispatcher()
-	d.Grades = []setup.Grade{{Name: "g", Effect: effect, Reach: "all", Window: setup.Span(3 * time.Second), Promised: setup.Span(time.Second),
-		Expiry: setup.Span(4 * time.Second), Benefit: 1, Most: 50}}
-	d.Kinds = []setup.Kind{{Name: "reader", Role: "reader", Memory: 1e5}, {Name: "writer", Role: "writer", Memory: 1e5}}
+func terms(effect string) setup.DispatcherConfig {
+	d := setup.DefaultDispatcherConfig()
+	d.Classes = []setup.Class{{Name: "g", Effect: effect, DedupScope: "all", DedupWindow: setup.Duration(3 * time.Second), LatencyTarget: setup.Duration(time.Second),
+		Deadline: setup.Duration(4 * time.Second), Value: 1, DefaultMaxTokens: 50}}
+	d.BackendKinds = []setup.BackendKind{{Name: "reader", Role: "reader", MemoryTokens: 1e5}, {Name: "writer", Role: "writer", MemoryTokens: 1e5}}
 	return d
 }
 
@@ -50,7 +50,7 @@
 	t.Helper()
 	h := &hand{now: time.Second}
 	d := terms(effect)
-	l, err := NewLoop(d.Facts(), 1, Places{Zone: d.ZoneNumber, Kind: d.KindNumber, Allows: func(s addresses.Spec) bool { return s.At != "10.9.9.9:1" }}, h, func() time.Duration { return h.now }, "d0.x",
+	l, err := NewLoop(d.SchedulerParameters(), 1, Places{Zone: d.ZoneIndex, Kind: d.KindIndex, Allows: func(s addresses.Spec) bool { return s.At != "10.9.9.9:1" }}, h, func() time.Duration { return h.now }, "d0.x",
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -62,21 +62,21 @@
 }
 
 func asks(l *Loop, left time.Duration) *ClientRequest {
-	a := &ClientRequest{Ask: kserve.Ask{Tokens: 2000, Most: 50, Session: "s"}, Grade: "g"}
+	a := &ClientRequest{Ask: kserve.Request{PromptTokens: 2000, MaxTokens: 50, Session: "s"}, Grade: "g"}
 	l.Do(func() { l.Submit(a, 0, 0, left) })
 	return a
 }
 
 func (h *hand) last() *Attempt { return h.flights[len(h.flights)-1] }
 
-func final(t *testing.T, a *ClientRequest) kserve.Final {
+func final(t *testing.T, a *ClientRequest) kserve.FinalResponse {
 	t.Helper()
 	select {
 	case f := <-a.final:
 		return f
 	default:
 		t.Fatal("no final answer")
-		return kserve.Final{}
+		return kserve.FinalResponse{}
 	}
 }
 
@@ -127,7 +127,7 @@
 	l.Due()
 	l.Do(func() { l.Began(f) })
 	l.Do(func() { l.Ended(f, brain.Result{Outcome: brain.Served}) })
-	if got := final(t, a); got.Final != kserve.Forfeited || len(a.began) != 0 || l.Tally.Outcomes[brain.TimedOut] != 1 {
+	if got := final(t, a); got.Outcome != kserve.Failed || len(a.began) != 0 || l.Tally.Outcomes[brain.TimedOut] != 1 {
 		t.Errorf("%+v with %d streams, outcomes %v", got, len(a.began), l.Tally.Outcomes)
 	}
 }
@@ -154,7 +154,7 @@
 	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
 	n := len(h.flights)
 	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Broken}) })
-	if f := final(t, a); f.Final != kserve.Forfeited || f.Harmless || len(h.flights) != n {
+	if f := final(t, a); f.Outcome != kserve.Failed || f.SafeToRetry || len(h.flights) != n {
 		t.Errorf("%+v after a broken trip, and %d more trips", f, len(h.flights)-n)
 	}
 	if len(h.released) == 0 {
@@ -180,7 +180,7 @@
 	a := asks(l, 4*time.Second)
 	h.now += 4*time.Second + overdue
 	l.Due()
-	if f := final(t, a); f.Final != kserve.Forfeited || l.Tally.Overdue != 1 {
+	if f := final(t, a); f.Outcome != kserve.Failed || l.Tally.Overdue != 1 {
 		t.Errorf("%+v, overdue %d", f, l.Tally.Overdue)
 	}
 	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -12,13 +12,13 @@
 // ClientRequest is one request between its client and the module.
 type ClientRequest struct {
 	Request  *brain.Request
-	Ask      kserve.Ask
+	Ask      kserve.Request
 	Grade    string
 	Channel  string
-	Matter   any                // what the carrier sends of it; dropped when the request is over
-	Tell     func(kserve.Final) // takes the final answer in place of the channel
-	began    chan *Attempt      // the attempt whose stream goes to the client
-	final    chan kserve.Final  // the one final answer
+	Matter   any                        // what the carrier sends of it; dropped when the request is over
+	Tell     func(kserve.FinalResponse) // takes the final answer in place of the channel
+	began    chan *Attempt              // the attempt whose stream goes to the client
+	final    chan kserve.FinalResponse  // the one final answer
 	answered bool
 	left     bool
 	channel  int
@@ -43,7 +43,7 @@
 
 // Start waits for the attempt whose stream goes to the client, or for a final answer without one: then there is no attempt. ok is false
 // where the context ended first.
-func (a *ClientRequest) Start(ctx context.Context) (trip *Attempt, f kserve.Final, ok bool) {
+func (a *ClientRequest) Start(ctx context.Context) (trip *Attempt, f kserve.FinalResponse, ok bool) {
 	select {
 	case <-ctx.Done():
 		return nil, f, false
@@ -55,11 +55,11 @@
 	select {
 	case trip = <-a.began:
 		a.final <- f
-		return trip, kserve.Final{}, true
+		return trip, kserve.FinalResponse{}, true
 	default:
 		return nil, f, true
 	}
 }
 
 // Final gives the one final answer.
-func (a *ClientRequest) Final() <-chan kserve.Final { return a.final }
+func (a *ClientRequest) Final() <-chan kserve.FinalResponse { return a.final }
--- a/internal/dispatch/runtime.go
+++ b/internal/dispatch/runtime.go
@@ -22,7 +22,7 @@
 	f.Backend.out++
 	l.Tally.Trips++
 	if l.Guard != nil {
-		l.Guard.Sent(l.now, t.Number > 0 && cost(t.Request.Attempts[t.Number-1].Outcome))
+		l.Guard.AttemptSent(l.now, t.Number > 0 && cost(t.Request.Attempts[t.Number-1].Outcome))
 	}
 	l.Wake(wait, func() {
 		if !t.Ended && t.Began == 0 {
@@ -55,13 +55,13 @@
 func (l *Loop) Reject(q *brain.Request, after time.Duration) {
 	ticket := ""
 	if l.Guard != nil && after > 0 {
-		after, ticket = l.Guard.Book(l.now)
+		after, ticket = l.Guard.BookRetry(l.now)
 	}
-	l.answer(l.requests[q], kserve.Final{Ticket: ticket, Final: kserve.Declined, Error: "not taken on: too much is asked just now", Harmless: true, AfterMs: after.Milliseconds()})
+	l.answer(l.requests[q], kserve.FinalResponse{RetryTicket: ticket, Outcome: kserve.Rejected, Error: "not taken on: too much is asked just now", SafeToRetry: true, RetryAfterMs: after.Milliseconds()})
 }
 
 func (l *Loop) Fail(q *brain.Request) {
-	l.answer(l.requests[q], kserve.Final{Final: kserve.Forfeited, Error: "given up on; it may have run"})
+	l.answer(l.requests[q], kserve.FinalResponse{Outcome: kserve.Failed, Error: "given up on; it may have run"})
 }
 
 func (l *Loop) Wake(after time.Duration, do func()) {
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -40,11 +40,11 @@
 
 // Serve runs one dispatcher until the context ends; then it declines what is new, lets what it holds end, and
 // returns. Listening is told to started, with the address.
-func Serve(ctx context.Context, d setup.Dispatcher, log *slog.Logger, started func(addr net.Addr)) error {
+func Serve(ctx context.Context, d setup.DispatcherConfig, log *slog.Logger, started func(addr net.Addr)) error {
 	var seed [16]byte
 	rand.Read(seed[:])
-	epoch := fmt.Sprintf("%s.%x", d.Place.Name, seed[8:14])
-	chance := d.Place.Seed
+	epoch := fmt.Sprintf("%s.%x", d.Instance.Name, seed[8:14])
+	chance := d.Instance.Seed
 	if chance == 0 {
 		chance = binary.BigEndian.Uint64(seed[:])
 	}
@@ -55,32 +55,32 @@
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	var flights, group errgroup.Group
-	trips := NewTrips(life, &flights, d.Limits.BoxConns, d.Limits.Dial.D(), since)
-	trips.Model, trips.Stall = d.Model, d.Limits.Stall.D()
-	may, err := reach.NewAllowed(d.Place.Allow)
+	trips := NewTrips(life, &flights, d.Limits.MaxConnsPerBackend, d.Limits.DialTimeout.Std(), since)
+	trips.Model, trips.Stall = d.Model, d.Limits.StallTimeout.Std()
+	may, err := reach.NewAllowed(d.Instance.AllowedBackends)
 	if err != nil {
 		return err
 	}
-	loop, err := NewLoop(d.Facts(), chance, Places{d.ZoneNumber, d.KindNumber, may.Has}, trips, since, epoch, log)
+	loop, err := NewLoop(d.SchedulerParameters(), chance, Places{d.ZoneIndex, d.KindIndex, may.Has}, trips, since, epoch, log)
 	if err != nil {
 		return err
 	}
 	trips.loop = loop
-	if d.Limits.Storms {
-		seal := storm.Seal{Key: seed[:], Began: time.Duration(began.UnixNano()), From: uint32(xxhash.Sum64String(epoch))}
-		if d.Place.Tickets != "" {
-			if seal.Key, err = setup.ReadKey(d.Place.Tickets); err != nil {
+	if d.Limits.ThrottleRetries {
+		seal := storm.TicketSigner{Key: seed[:], StartedAt: time.Duration(began.UnixNano()), Issuer: uint32(xxhash.Sum64String(epoch))}
+		if d.Instance.TicketKeyFile != "" {
+			if seal.Key, err = setup.ReadKeyFile(d.Instance.TicketKeyFile); err != nil {
 				return fmt.Errorf("dispatcher.ticket_key: %w", err)
 			}
 		}
-		loop.Guard = storm.New(d.Limits.RetryAfter.D(), len(d.Channels), chance^0x5709, seal)
+		loop.Guard = storm.New(d.Limits.MaxRetryAfter.Std(), len(d.Tenants), chance^0x5709, seal)
 	}
-	for _, f := range d.Further {
-		loop.Further(f.Box, f.Spec)
+	for _, f := range d.ExtraAddresses {
+		loop.Further(f.Backend, f.Spec)
 	}
 	var listeners []net.Listener
-	door, doorMu := &storm.Door{PerS: d.Place.ConnPerS, Burst: max(d.Place.ConnPerS, 1), MostOpen: d.Place.ConnOpen}, &sync.Mutex{}
-	for i, at := range append(slices.Clone(d.Place.Listen), d.Place.Control...) {
+	door, doorMu := &storm.ConnLimiter{ConnsPerSecond: d.Instance.ConnsPerSecond, Burst: max(d.Instance.ConnsPerSecond, 1), MaxOpen: d.Instance.MaxConns}, &sync.Mutex{}
+	for i, at := range append(slices.Clone(d.Instance.Listen), d.Instance.AdminListen...) {
 		spec, err := reach.ParseListen(at)
 		if err != nil {
 			return fmt.Errorf("dispatcher.listen: %w", err)
@@ -91,7 +91,7 @@
 		}
 		defer l.Close()
 		l = system.Persistent{Listener: l, Failed: func(err error) { log.Warn("accept failed", "error", err) }}
-		if i < len(d.Place.Listen) && d.Place.ConnPerS > 0 {
+		if i < len(d.Instance.Listen) && d.Instance.ConnsPerSecond > 0 {
 			l = &guarded{l, doorMu, door, since}
 		}
 		listeners = append(listeners, l)
@@ -103,8 +103,8 @@
 	if books != nil {
 		defer books.Close()
 	}
-	if d.Limits.Siblings || len(d.Budgets) > 0 && d.Place.Siblings > 1 {
-		if trips.Peers, err = ListenPeers(d.Place.Number, d.Place.News, d.Place.Peers, system.Real().ListenUDP); err != nil {
+	if d.Limits.PeerUpdates || len(d.Budgets) > 0 && d.Instance.FleetSize > 1 {
+		if trips.Peers, err = ListenPeers(d.Instance.Index, d.Instance.PeerListen, d.Instance.PeerAddrs, system.Real().ListenUDP); err != nil {
 			return fmt.Errorf("dispatcher.%w", err)
 		}
 		group.Go(func() error { return trips.Peers.Listen(life, loop) })
@@ -113,7 +113,7 @@
 		loop.Keep(kept)
 	}
 	list := &boxlist.Follower{
-		Address: d.Place.Boxes, Name: d.Place.Name, Keep: d.Place.Keep, Log: log, Client: &http.Client{Transport: &http.Transport{}},
+		Address: d.Instance.DiscoveryAddr, Name: d.Instance.Name, Keep: d.Instance.EndpointCacheFolder, Log: log, Client: &http.Client{Transport: &http.Transport{}},
 		Listed: func(lines []boxlist.Box, whole bool) { loop.Post(func() { loop.Listed(lines, whole) }) },
 	}
 	if err := list.Restore(); err != nil {
@@ -122,7 +122,7 @@
 	group.Go(func() error { return loop.Run(life) })
 	group.Go(func() error { return list.Follow(life) })
 
-	server := &Server{Terms: d.Terms, Place: d.Place, Loop: loop, Log: log}
+	server := &Server{Terms: d.Deployment, Place: d.Instance, Loop: loop, Log: log}
 	server.State = func() map[string]any {
 		out := state(ctx, loop, list, trips, server, since())
 		if books != nil {
@@ -130,7 +130,7 @@
 		}
 		doorMu.Lock()
 		defer doorMu.Unlock()
-		out["connections_taken"], out["connections_refused"] = door.Taken, door.Refused
+		out["connections_taken"], out["connections_refused"] = door.Accepted, door.Refused
 		return out
 	}
 	server.Ready = func() bool {
@@ -148,7 +148,7 @@
 	failed := make(chan error, len(listeners))
 	for i, l := range listeners {
 		web := web
-		if i >= len(d.Place.Listen) {
+		if i >= len(d.Instance.Listen) {
 			web = operators
 		}
 		group.Go(func() error {
@@ -158,7 +158,7 @@
 			return nil
 		})
 	}
-	log.Info("serving", "listen", d.Place.Listen, "epoch", epoch, "boxes", d.Place.Boxes)
+	log.Info("serving", "listen", d.Instance.Listen, "epoch", epoch, "boxes", d.Instance.DiscoveryAddr)
 	if started != nil {
 		started(listeners[0].Addr())
 	}
@@ -168,7 +168,7 @@
 	}
 	server.stopping.Store(true)
 	log.Info("stopping: new questions are declined", "open", server.open.Load())
-	if server.drain(d.Place.Stop.D()) {
+	if server.drain(d.Instance.ShutdownTimeout.Std()) {
 		log.Info("every question has its answer")
 	} else {
 		log.Warn("questions are cut off", "open", server.open.Load())
@@ -243,7 +243,7 @@
 			f.Off(ErrLate)
 		default:
 			if brain.MayReject(q) == brain.Allowed {
-				l.answer(a, kserve.Final{Final: kserve.Declined, Error: "this dispatcher is stopping", Harmless: true, AfterMs: 1})
+				l.answer(a, kserve.FinalResponse{Outcome: kserve.Rejected, Error: "this dispatcher is stopping", SafeToRetry: true, RetryAfterMs: 1})
 			} else {
 				l.Fail(q)
 			}
@@ -289,7 +289,7 @@
 			}
 		}
 		if g := l.Guard; g != nil {
-			out["storm"] = map[string]any{"on": g.On(l.now), "again_share": g.Again(l.now), "promised_returns": g.Promised(l.now), "rate": g.Rate(l.now), "counts": g.Counts}
+			out["storm"] = map[string]any{"on": g.Active(l.now), "again_share": g.RetryShare(l.now), "promised_returns": g.BookedRetries(l.now), "rate": g.ServiceRate(l.now), "counts": g.Counters}
 		}
 		outcomes := map[string]int64{}
 		for i, n := range t.Outcomes {
--- a/internal/dispatch/trips.go
+++ b/internal/dispatch/trips.go
@@ -32,10 +32,10 @@
 
 // Seen is what the socket of an attempt showed.
 type Seen struct {
-	Local     bool         // this machine could not begin to connect
-	Connected bool         // a byte of the request went out, over one proven connection
-	Told      *kserve.Told // what the backend said at the end
-	Cause     error        // why it was called off, if it was
+	Local     bool                  // this machine could not begin to connect
+	Connected bool                  // a byte of the request went out, over one proven connection
+	Told      *kserve.AttemptResult // what the backend said at the end
+	Cause     error                 // why it was called off, if it was
 }
 
 // Outcome is what may be said of an attempt. Only what is proven not to have run is called so: without a connection
@@ -43,13 +43,13 @@
 func (s Seen) Outcome(stage brain.Stage) (o brain.Outcome, note int) {
 	if t := s.Told; t != nil {
 		switch {
-		case t.Outcome == kserve.OutcomeRead && stage == brain.ToRead:
-			return brain.Read, t.Kept
-		case t.Outcome == kserve.OutcomeAnswered && stage != brain.ToRead:
-			return brain.Served, t.Kept
+		case t.Outcome == kserve.OutcomePrefilled && stage == brain.ToRead:
+			return brain.Read, t.CachedTokens
+		case t.Outcome == kserve.OutcomeCompleted && stage != brain.ToRead:
+			return brain.Served, t.CachedTokens
 		case t.Outcome == kserve.OutcomeFull:
 			return brain.Rejected, 0
-		case t.Outcome == kserve.OutcomeNoState:
+		case t.Outcome == kserve.OutcomeNoKVCache:
 			return brain.Rejected, 1
 		}
 		return brain.Failed, 0
@@ -101,14 +101,14 @@
 func (c *Trips) Start(f *Attempt) {
 	f.ctx, f.Off = context.WithCancelCause(c.life)
 	q, a := f.Planned.Request, f.Request
-	e := kserve.Errand{
-		Stage: f.Stage(),
-		From:  c.loop.Epoch, Question: q.ID, Trip: f.Planned.Number, Mark: cmp.Or(a.Ask.ID, f.Key), Grade: a.Grade, Channel: a.Channel,
-		Session: q.Session, Shared: q.Shared, Tokens: int(q.Prompt), Prefix: int(q.Prefix), Most: int(q.Most),
-		WaitUs: f.Wait.Microseconds(),
+	e := kserve.AttemptParams{
+		Phase:           f.Stage(),
+		DispatcherEpoch: c.loop.Epoch, RequestNumber: q.ID, Attempt: f.Planned.Number, DedupKey: cmp.Or(a.Ask.ID, f.Key), Class: a.Grade, Tenant: a.Channel,
+		Session: q.Session, SharedPrefix: q.Shared, PromptTokens: int(q.Prompt), PrefixTokens: int(q.Prefix), MaxTokens: int(q.Most),
+		TimeoutUs: f.Wait.Microseconds(),
 	}
 	if f.State != nil {
-		e.Reader, e.State = f.State.Name, f.State.reach.Best()
+		e.PrefillBackend, e.KVCacheAddresses = f.State.Name, f.State.reach.Best()
 	}
 	// What the goroutine needs is read here: backends are the loop's.
 	host, text := f.Backend.reach, a.Ask.Text
@@ -119,7 +119,7 @@
 		result := brain.Result{Outcome: outcome, Note: note}
 		if seen.Told != nil {
 			result.Load = seen.Told.Load
-			f.Count = seen.Told.Count
+			f.Count = seen.Told.Usage
 		}
 		close(f.Tokens)
 		c.loop.Post(func() { c.loop.Ended(f, result) })
@@ -128,7 +128,7 @@
 }
 
 // fly is one attempt from its connection to its end. It is bound to one connection, of one address.
-func (c *Trips) fly(f *Attempt, host *reach.Host, text string, e kserve.Errand) (seen Seen) {
+func (c *Trips) fly(f *Attempt, host *reach.Host, text string, e kserve.AttemptParams) (seen Seen) {
 	var conn *reach.Conn
 	defer func() {
 		seen.Cause = context.Cause(f.ctx)
@@ -137,7 +137,7 @@
 		}
 		// An attempt that ended without a word speaks against the way it took, unless it was called off for its client.
 		if seen.Told != nil {
-			seen.Told.Bound(e)
+			seen.Told.Sanitize(e)
 			conn.Served()
 		} else if !errors.Is(seen.Cause, ErrLeft) {
 			conn.Lost()
@@ -147,20 +147,20 @@
 		return seen
 	}
 	conn, resp, err := host.Send(f.ctx, func() (*http.Request, error) {
-		return kserve.NewErrand(f.ctx, reach.URL(host.Name), c.Model, text, e)
+		return kserve.NewAttemptRequest(f.ctx, reach.URL(host.Name), c.Model, text, e)
 	})
 	seen.Local, seen.Connected = errors.Is(err, reach.ErrLocal), conn != nil && conn.Sent()
 	if err != nil {
 		return seen
 	}
 	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK || e.Stage == kserve.StageRead {
+	if resp.StatusCode != http.StatusOK || e.Phase == kserve.PhasePrefill {
 		seen.Told = told(resp)
 		return seen
 	}
 	stall := time.AfterFunc(c.Stall, func() { f.Off(errStalled) })
 	defer stall.Stop()
-	events := kserve.NewEvents(resp.Body)
+	events := kserve.NewEventReader(resp.Body)
 	for begun := false; ; {
 		ev, err := events.Next()
 		if err != nil {
@@ -168,16 +168,16 @@
 		}
 		switch ev.Name {
 		case "end":
-			seen.Told = &kserve.Told{}
+			seen.Told = &kserve.AttemptResult{}
 			if json.Unmarshal(ev.Data, seen.Told) != nil {
 				seen.Told = nil
-			} else if seen.Told.Outcome != kserve.OutcomeAnswered || !begun {
+			} else if seen.Told.Outcome != kserve.OutcomeCompleted || !begun {
 				// Whatever else an answer's end claims: its stream was opened, so it may have run.
 				seen.Told.Outcome = kserve.OutcomeFailed
 			}
 			return seen
 		case "error":
-			seen.Told = &kserve.Told{Outcome: kserve.OutcomeFailed}
+			seen.Told = &kserve.AttemptResult{Outcome: kserve.OutcomeFailed}
 			return seen
 		case "":
 			// On one line, as the client gets it: what is no JSON is no token, and could pass for an event of this program.
@@ -190,7 +190,7 @@
 				c.loop.Post(func() { c.loop.Began(f) })
 			}
 			stall.Reset(c.Stall) // nothing but tokens shows that the answer goes on
-			if f.Streamed.Add(1) > int64(e.Most) {
+			if f.Streamed.Add(1) > int64(e.MaxTokens) {
 				return seen // more than was asked for: no answer of this request
 			}
 			select {
@@ -204,16 +204,16 @@
 
 // told reads a short answer of a backend. A 503 counts as a refusal only if the backend says so itself: a proxy's
 // proves nothing. An answer that is no stream has no tokens, so none is satisfied by it.
-func told(resp *http.Response) *kserve.Told {
+func told(resp *http.Response) *kserve.AttemptResult {
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
 	if err != nil {
 		return nil
 	}
-	t := &kserve.Told{}
-	if json.Unmarshal(raw, t) != nil || t.Outcome == "" || t.Outcome == kserve.OutcomeAnswered ||
-		(t.Outcome == kserve.OutcomeFull || t.Outcome == kserve.OutcomeNoState) && resp.StatusCode != http.StatusServiceUnavailable ||
-		t.Outcome == kserve.OutcomeRead && resp.StatusCode != http.StatusOK {
-		return &kserve.Told{Outcome: kserve.OutcomeFailed}
+	t := &kserve.AttemptResult{}
+	if json.Unmarshal(raw, t) != nil || t.Outcome == "" || t.Outcome == kserve.OutcomeCompleted ||
+		(t.Outcome == kserve.OutcomeFull || t.Outcome == kserve.OutcomeNoKVCache) && resp.StatusCode != http.StatusServiceUnavailable ||
+		t.Outcome == kserve.OutcomePrefilled && resp.StatusCode != http.StatusOK {
+		return &kserve.AttemptResult{Outcome: kserve.OutcomeFailed}
 	}
 	return t
 }
@@ -243,7 +243,7 @@
 	if a.AttemptOut() {
 		return // its connection was proven right before it, and its backend may hold the state without having fetched it
 	}
-	key := kserve.Release{Key: c.loop.Key(a), Trip: len(a.Request.Attempts) - 1}
+	key := kserve.Release{RequestKey: c.loop.Key(a), LastAttempt: len(a.Request.Attempts) - 1}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.releases[b]
@@ -300,7 +300,7 @@
 		return reach.ErrUnreached
 	}
 	conn, resp, err := host.Send(ctx, func() (*http.Request, error) {
-		return kserve.NewRelease(ctx, reach.URL(host.Name), c.Model, keys)
+		return kserve.NewReleaseRequest(ctx, reach.URL(host.Name), c.Model, keys)
 	})
 	if err != nil {
 		if conn != nil {
@@ -336,7 +336,7 @@
 	ctx, cancel := context.WithTimeout(c.life, inquireTime)
 	defer cancel()
 	_, resp, err := host.Send(ctx, func() (*http.Request, error) {
-		return kserve.NewInquiry(ctx, reach.URL(host.Name), c.Model, kserve.Inquiry{From: q.Epoch, After: q.After})
+		return kserve.NewUsageRequest(ctx, reach.URL(host.Name), c.Model, kserve.UsageQuery{DispatcherEpoch: q.Epoch, After: q.After})
 	})
 	if err != nil {
 		return nil
@@ -345,12 +345,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil
 	}
-	counts, err := kserve.ReadCounts(io.LimitReader(resp.Body, 8<<20))
+	counts, err := kserve.ReadUsageReport(io.LimitReader(resp.Body, 8<<20))
 	if err != nil {
 		return nil
 	}
-	r := &account.Reply{More: counts.More, Open: counts.Open, Forgot: counts.Forgot}
-	for _, x := range counts.Counts {
+	r := &account.Reply{More: counts.More, Open: counts.InFlight, Forgot: counts.ForgottenThrough}
+	for _, x := range counts.Records {
 		r.Counts = append(r.Counts, tripOf(x))
 	}
 	return r
--- a/internal/dispatch/trips_test.go
+++ b/internal/dispatch/trips_test.go
@@ -9,7 +9,7 @@
 
 // Only what is proven not to have run may be called so: rule 2 hangs on it.
 func TestOutcomeClaimsNoMoreThanTheSocketProved(t *testing.T) {
-	told := func(word string) *kserve.Told { return &kserve.Told{Outcome: word, Kept: 5} }
+	told := func(word string) *kserve.AttemptResult { return &kserve.AttemptResult{Outcome: word, CachedTokens: 5} }
 	for _, c := range []struct {
 		seen  Seen
 		stage brain.Stage
@@ -23,12 +23,12 @@
 		{Seen{Connected: true, Cause: errStalled}, brain.Whole, brain.Broken, 0},
 		{Seen{Connected: true, Cause: ErrLate}, brain.ToWrite, brain.TimedOut, 0},
 		{Seen{Connected: true, Cause: ErrLeft}, brain.ToWrite, brain.Cancelled, 0},
-		{Seen{Connected: true, Told: told(kserve.OutcomeRead)}, brain.ToRead, brain.Read, 5},
-		{Seen{Connected: true, Told: told(kserve.OutcomeRead)}, brain.Whole, brain.Failed, 0},
-		{Seen{Connected: true, Told: told(kserve.OutcomeAnswered)}, brain.ToWrite, brain.Served, 5},
-		{Seen{Connected: true, Told: told(kserve.OutcomeAnswered)}, brain.ToRead, brain.Failed, 0},
+		{Seen{Connected: true, Told: told(kserve.OutcomePrefilled)}, brain.ToRead, brain.Read, 5},
+		{Seen{Connected: true, Told: told(kserve.OutcomePrefilled)}, brain.Whole, brain.Failed, 0},
+		{Seen{Connected: true, Told: told(kserve.OutcomeCompleted)}, brain.ToWrite, brain.Served, 5},
+		{Seen{Connected: true, Told: told(kserve.OutcomeCompleted)}, brain.ToRead, brain.Failed, 0},
 		{Seen{Connected: true, Told: told(kserve.OutcomeFull)}, brain.ToWrite, brain.Rejected, 0},
-		{Seen{Connected: true, Told: told(kserve.OutcomeNoState)}, brain.ToWrite, brain.Rejected, 1},
+		{Seen{Connected: true, Told: told(kserve.OutcomeNoKVCache)}, brain.ToWrite, brain.Rejected, 1},
 		{Seen{Connected: true, Told: told(kserve.OutcomeFailed)}, brain.ToWrite, brain.Failed, 0},
 		{Seen{Connected: true, Told: told("gibberish")}, brain.ToWrite, brain.Failed, 0},
 	} {
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -43,12 +43,12 @@
 		return // attempts arrive here, and wait for the state
 	}
 	w := c.w
-	r := kserve.Release{Key: c.loop.Key(a), Trip: len(a.Request.Attempts) - 1}
+	r := kserve.Release{RequestKey: c.loop.Key(a), LastAttempt: len(a.Request.Attempts) - 1}
 	to := w.boxes[b.Name]
 	w.after(hop, func() {
 		if to.up {
-			to.released[r.Key] = r.Trip
-			to.release(r.Key, "released")
+			to.released[r.RequestKey] = r.LastAttempt
+			to.release(r.RequestKey, "released")
 		}
 	})
 }
@@ -191,7 +191,7 @@
 		return
 	}
 	if b.fail > 0 && (b.failOf == "" || b.failOf == t.line.Grade) && w.rng.Float64() < b.fail {
-		if t.line.Stage != kserve.StageRead {
+		if t.line.Stage != kserve.PhasePrefill {
 			t.ran()
 		}
 		t.end("failed")
@@ -202,9 +202,9 @@
 	j := &engine.Job{Key: t.line.Key, Session: q.Session, Shared: q.Shared, Prompt: int(q.Prompt), Prefix: int(q.Prefix)}
 	t.job = j
 	switch t.line.Stage {
-	case kserve.StageRead:
+	case kserve.PhasePrefill:
 		j.Stage = engine.Read
-	case kserve.StageWrite:
+	case kserve.PhaseDecode:
 		j.Stage = engine.Write
 		state := w.boxes[t.flight.State.Name]
 		j.Fetch = func(arrived func(bool)) { w.fetch(state, b, t, arrived) }
@@ -240,10 +240,10 @@
 func (t *attempt) ran() {
 	l, w := t.line, t.w
 	l.What = record.Ran
-	if i := w.day.GradeNumber(l.Grade); i >= 0 && w.day.Grades[i].Effect == "deduplicated" {
-		g := w.day.Grades[i]
-		key := map[string]string{"zone": t.to.make.Zone, "rack": t.to.make.Rack}[g.Reach] + " " + l.Try
-		if at, known := w.seen[key]; known && w.now-at < g.Window.D() {
+	if i := w.day.ClassIndex(l.Grade); i >= 0 && w.day.Classes[i].Effect == "deduplicated" {
+		g := w.day.Classes[i]
+		key := map[string]string{"zone": t.to.make.Zone, "rack": t.to.make.Rack}[g.DedupScope] + " " + l.Try
+		if at, known := w.seen[key]; known && w.now-at < g.DedupWindow.Std() {
 			l.What = record.Repeat
 		} else {
 			w.seen[key] = w.now
@@ -279,14 +279,14 @@
 	}
 	switch e {
 	case engine.Done:
-		if t.line.Stage != kserve.StageWrite {
+		if t.line.Stage != kserve.PhaseDecode {
 			left := float64(t.job.Prompt - kept)
 			b.work(t.line.Grade, t.line.Stage) // its mean has begun
 			w.reads[t.line.Grade][0] += left
 			w.reads[t.line.Grade][1]++
 		}
-		if t.line.Stage != kserve.StageRead {
-			t.end(kserve.OutcomeAnswered)
+		if t.line.Stage != kserve.PhasePrefill {
+			t.end(kserve.OutcomeCompleted)
 			t.back(brain.Result{Outcome: brain.Served, Note: kept})
 			return
 		}
@@ -296,7 +296,7 @@
 			return
 		}
 		w.put(record.Line{What: record.Held, Box: b.make.Name, Key: t.line.Key, Try: t.line.Try, Grade: t.line.Grade})
-		t.end(kserve.OutcomeRead)
+		t.end(kserve.OutcomePrefilled)
 		t.back(brain.Result{Outcome: brain.Read, Note: kept})
 		if b.crashes > 0 && w.rng.Float64() < b.crashes {
 			start := b.start
@@ -310,7 +310,7 @@
 		t.end(kserve.OutcomeFull)
 		t.back(brain.Result{Outcome: brain.Rejected})
 	case engine.NoState:
-		t.end(kserve.OutcomeNoState)
+		t.end(kserve.OutcomeNoKVCache)
 		t.back(brain.Result{Outcome: brain.Rejected, Note: 1})
 	}
 }
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -22,7 +22,7 @@
 	}
 	loop := d.loop
 	for _, s := range w.day.Budgets {
-		t, at := s.Terms(), 0
+		t, at := s.TokenLimits(), 0
 		if w.day.Head.SplitBudgets { // the plain way, to compare with: an equal part for each
 			part := float64(of)
 			t.PerS, t.Burst, t.Monthly, t.Borrow = t.PerS/part, t.Burst/part, t.Monthly/part, t.Borrow/part
@@ -91,7 +91,7 @@
 		out[p.Terms.Name] = u
 	}
 	for _, s := range w.day.Budgets {
-		if t := s.Terms(); t.Monthly > 0 {
+		if t := s.TokenLimits(); t.Monthly > 0 {
 			u := out[t.Name]
 			u.Share = u.Used / t.Monthly
 			out[t.Name] = u
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -72,7 +72,7 @@
 		w.at(w.wishes[i].At, func() { w.ask(&w.wishes[i], 0, "") })
 	}
 	for _, t := range d.Troubles {
-		w.at(t.At.D(), func() { w.inject(t) })
+		w.at(t.At.Std(), func() { w.inject(t) })
 	}
 	return w, nil
 }
@@ -80,8 +80,8 @@
 // play runs the day to its end.
 func (w *world) play() Outcome {
 	d := w.day
-	w.run(d.Head.Length.D() + tail)
-	head := record.Head{Day: d.Head.Name, Seed: d.Head.Seed, Terms: d.Terms}
+	w.run(d.Head.Length.Std() + tail)
+	head := record.Head{Day: d.Head.Name, Seed: d.Head.Seed, Terms: d.Deployment}
 	out := Outcome{
 		Verdict: judge.Judge(head, w.lines), Digest: fmt.Sprintf("%x", w.sum.Sum64()), Questions: len(w.wishes), Engines: map[string]engine.Counts{},
 	}
--- a/internal/measure/ways.go
+++ b/internal/measure/ways.go
@@ -80,8 +80,8 @@
 	if err != nil {
 		return w, err
 	}
-	terms := setup.DefaultTerms()
-	terms.Grades = []setup.Grade{{Name: "g", Effect: "idempotent"}}
+	terms := setup.DefaultDeployment()
+	terms.Classes = []setup.Class{{Name: "g", Effect: "idempotent"}}
 	fleet := standin.NewFleet(terms, book, standin.Links{Near: 1e9, Far: 1e9, Zone: 1}, map[string]standin.Talk{"g": {New: 1, Answer: 1}})
 	defer fleet.Close()
 	dir, err := os.MkdirTemp("", "slt")
@@ -151,9 +151,11 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 		tctx, cancel := context.WithTimeout(ctx, tripTime)
-		e := kserve.Errand{Stage: kserve.StageWhole, From: "d.1", Question: question.Add(1), Grade: "g", Tokens: 10, Most: 1}
+		e := kserve.AttemptParams{Phase: kserve.PhaseCombined, DispatcherEpoch: "d.1", RequestNumber: question.Add(1), Class: "g", PromptTokens: 10, MaxTokens: 1}
 		began := time.Now()
-		sent, err := send(tctx, func() (*http.Request, error) { return kserve.NewErrand(tctx, reach.URL("w1"), terms.Model, "", e) })
+		sent, err := send(tctx, func() (*http.Request, error) {
+			return kserve.NewAttemptRequest(tctx, reach.URL("w1"), terms.Model, "", e)
+		})
 		took := time.Since(began)
 		cancel()
 		switch {
@@ -197,7 +199,7 @@
 		}
 		resp, err := client.Do(req)
 		if err != nil {
-			return !kserve.Unsent(err), err
+			return !kserve.IsDialError(err), err
 		}
 		defer resp.Body.Close()
 		if resp.StatusCode != http.StatusOK {
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -43,7 +43,7 @@
 // then, and its first byte has not been written.
 func (h *house) submit(id string, class int, crossing func(a *dispatch.ClientRequest)) *dispatch.ClientRequest {
 	h.t.Helper()
-	a := &dispatch.ClientRequest{Ask: kserve.Ask{ID: id, Tokens: 400, Most: 50}, Matter: &payload{id: id, body: []byte("{}"), head: func(wait time.Duration) []byte {
+	a := &dispatch.ClientRequest{Ask: kserve.Request{ID: id, PromptTokens: 400, MaxTokens: 50}, Matter: &payload{id: id, body: []byte("{}"), head: func(wait time.Duration) []byte {
 		return fmt.Appendf(nil, "POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\nContent-Length: 2\r\n\r\n", id, wait.Milliseconds())
 	}}}
 	h.node.loop.Call(context.Background(), func() {
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -185,7 +185,7 @@
 	}
 	m := &payload{id: ask.ID, body: body, head: func(wait time.Duration) []byte { return chat.Errand(r, service, ask, length, wait) }}
 	a := &dispatch.ClientRequest{
-		Ask:   kserve.Ask{ID: ask.ID, Session: ask.Session, Shared: ask.Shared, Tokens: ask.Tokens, Prefix: ask.Prefix, Most: ask.Most, Again: ask.Again},
+		Ask:   kserve.Request{ID: ask.ID, Session: ask.Session, SharedPrefix: ask.Shared, PromptTokens: ask.Tokens, PrefixTokens: ask.Prefix, MaxTokens: ask.Most, IsRetry: ask.Again},
 		Grade: ask.Grade, Channel: ask.Channel, Matter: m,
 	}
 	submitted = true
@@ -228,9 +228,9 @@
 	case ctx.Err() != nil:
 		f.Late.Add(1)
 		f.log.Error("the event loop gave no answer in time", "id", a.Ask.ID, "behind", f.loop.Behind())
-		f.answer(w, a.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
+		f.answer(w, a.Ask.ID, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no answer came in time"})
 	default:
-		f.answer(w, a.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: string(stoppedNow)})
+		f.answer(w, a.Ask.ID, kserve.FinalResponse{Outcome: kserve.Failed, Error: string(stoppedNow)})
 	}
 }
 
@@ -274,14 +274,14 @@
 }
 
 // answer gives a final answer of which nothing was streamed.
-func (f *frontend) answer(w http.ResponseWriter, id string, end kserve.Final) {
-	if end.Final != kserve.Declined {
+func (f *frontend) answer(w http.ResponseWriter, id string, end kserve.FinalResponse) {
+	if end.Outcome != kserve.Rejected {
 		f.monitor.Answered(id, http.StatusBadGateway, false, nil)
 		http.Error(w, end.Error, http.StatusBadGateway)
 		return
 	}
-	if end.AfterMs > 0 {
-		w.Header().Set("Retry-After", seconds(time.Duration(end.AfterMs)*time.Millisecond))
+	if end.RetryAfterMs > 0 {
+		w.Header().Set("Retry-After", seconds(time.Duration(end.RetryAfterMs)*time.Millisecond))
 	}
 	f.monitor.Answered(id, http.StatusServiceUnavailable, true, nil)
 	http.Error(w, end.Error, http.StatusServiceUnavailable)
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -82,7 +82,7 @@
 func (p *passing) end() {
 	select {
 	case end := <-p.asked.Final():
-		if end.Final != kserve.Satisfied {
+		if end.Outcome != kserve.Served {
 			panic(http.ErrAbortHandler)
 		}
 	case <-p.ctx.Done():
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -42,8 +42,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms := setup.DefaultTerms()
-	terms.Grades = []setup.Grade{{Name: "g", Effect: "unrepeatable"}}
+	terms := setup.DefaultDeployment()
+	terms.Classes = []setup.Class{{Name: "g", Effect: "unrepeatable"}}
 	s := &site{t: t, book: book, fleet: standin.NewFleet(terms, book, standin.Links{Near: 1e9, Far: 1e9}, map[string]standin.Talk{"g": {New: 1, Answer: 1}})}
 	life, end := context.WithCancel(context.Background())
 	group := &errgroup.Group{}
@@ -89,8 +89,8 @@
 func (s *site) trip(h *reach.Host, wait time.Duration) (sent bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	e := kserve.Errand{Stage: kserve.StageWhole, From: "d.1", Question: uint64(s.n.Add(1)), Grade: "g", Tokens: 10, Most: 1}
-	conn, resp, err := h.Send(ctx, func() (*http.Request, error) { return kserve.NewErrand(ctx, reach.URL(h.Name), "lodge", "", e) })
+	e := kserve.AttemptParams{Phase: kserve.PhaseCombined, DispatcherEpoch: "d.1", RequestNumber: uint64(s.n.Add(1)), Class: "g", PromptTokens: 10, MaxTokens: 1}
+	conn, resp, err := h.Send(ctx, func() (*http.Request, error) { return kserve.NewAttemptRequest(ctx, reach.URL(h.Name), "lodge", "", e) })
 	if conn == nil {
 		return false, err
 	}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -29,7 +29,7 @@
 
 // Fleet is what boxes of a run share: the record, links, and what a mark was seen with.
 type Fleet struct {
-	Terms setup.Terms
+	Terms setup.Deployment
 	Book  *record.Book
 	Links Links
 	Talk  map[string]Talk // by grade
@@ -56,7 +56,7 @@
 type mark struct{ group, try string }
 
 // NewFleet makes an empty fleet.
-func NewFleet(terms setup.Terms, book *record.Book, links Links, talk map[string]Talk) *Fleet {
+func NewFleet(terms setup.Deployment, book *record.Book, links Links, talk map[string]Talk) *Fleet {
 	f := &Fleet{
 		Terms: terms, Book: book, Links: links, Talk: talk, slowLink: 1,
 		reads: map[string]*mean{}, seen: map[mark]time.Duration{}, racks: map[string]*lane{},
@@ -149,17 +149,17 @@
 // runs tells whether a trip's effect is a new one: within its window a group of boxes drops a deduplicated
 // question's repeats.
 func (f *Fleet) runs(b *Box, grade, try string) bool {
-	i := f.Terms.GradeNumber(grade)
-	if i < 0 || f.Terms.Grades[i].Effect != "deduplicated" {
+	i := f.Terms.ClassIndex(grade)
+	if i < 0 || f.Terms.Classes[i].Effect != "deduplicated" {
 		return true
 	}
-	g := f.Terms.Grades[i]
-	group := map[string]string{"zone": b.Zone, "rack": b.Rack}[g.Reach]
+	g := f.Terms.Classes[i]
+	group := map[string]string{"zone": b.Zone, "rack": b.Rack}[g.DedupScope]
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Book.Since()
 	at, known := f.seen[mark{group, try}]
-	if known && now-at < g.Window.D() {
+	if known && now-at < g.DedupWindow.Std() {
 		return false
 	}
 	f.seen[mark{group, try}] = now
