--- a/internal/kserve/counts.go
+++ b/internal/kserve/counts.go
@@ -6,76 +6,85 @@
 	"net/http"
 )
 
-// UsageRecord is what a box counted for one trip. Numbers begin with 1 for each start of a dispatcher and have no gaps.
+// maxNameBytes bounds names and keys in messages, in bytes.
+const maxNameBytes = 512
+
+// UsageRecord is the usage that a backend counted for one attempt. Numbers start at 1 for each dispatcher epoch and
+// have no gaps.
 type UsageRecord struct {
 	Number        uint64 `json:"number"`
-	RequestKey    string `json:"key"` // of the question: dispatcher's start and number
+	RequestKey    string `json:"key"` // dispatcher epoch and request number, see AttemptParams.RequestKey
 	Attempt       int    `json:"trip"`
 	DedupKey      string `json:"mark,omitempty"`
 	Phase         string `json:"stage"`
 	Tenant        string `json:"channel,omitempty"`
 	Class         string `json:"grade,omitempty"`
-	PrefillTokens int    `json:"read_tokens"`   // of the prompt, read here
-	CachedTokens  int    `json:"kept_tokens"`   // of the prompt, found kept here
-	OutputTokens  int    `json:"answer_tokens"` // made here
+	PrefillTokens int    `json:"read_tokens"`   // prompt tokens computed on this backend
+	CachedTokens  int    `json:"kept_tokens"`   // prompt tokens found in this backend's prefix cache
+	OutputTokens  int    `json:"answer_tokens"` // tokens generated on this backend
 	EndReason     string `json:"end"`
 }
 
-// UsageQuery asks a box for the counts of a dispatcher's start with numbers above After; those up to there it may forget.
+// UsageQuery requests the usage records of one dispatcher epoch with numbers above After. The backend may discard the
+// records up to After.
 type UsageQuery struct {
 	DispatcherEpoch string `json:"from"`
 	After           uint64 `json:"after"`
 }
 
-// UsageReport is the answer.
+// UsageReport is the response to a UsageQuery.
 type UsageReport struct {
 	Records          []UsageRecord `json:"counts"`
 	More             bool          `json:"more,omitempty"`
-	InFlight         int           `json:"open"`   // trips of that start that run here now
-	ForgottenThrough uint64        `json:"forgot"` // the highest number that it was told to forget
+	InFlight         int           `json:"open"`   // attempts of that epoch that run on this backend now
+	ForgottenThrough uint64        `json:"forgot"` // highest number that the backend was allowed to discard
 }
 
-// MaxUsageRecords is how many a box tells at once.
+// MaxUsageRecords is the number of records that a backend returns in one UsageReport.
 const MaxUsageRecords = 1000
 
-// NewUsageRequest makes the request.
-func NewUsageRequest(ctx context.Context, base, model string, q UsageQuery) (*http.Request, error) {
-	return post(ctx, base+"/v2/models/"+model+"/counts", q)
+// NewUsageRequest builds the HTTP request for a UsageQuery.
+func NewUsageRequest(ctx context.Context, base, model string, query UsageQuery) (*http.Request, error) {
+	return post(ctx, base+"/v2/models/"+model+"/counts", query)
 }
 
-// ReadUsageQuery decodes it at a box.
-func ReadUsageQuery(body io.Reader) (q UsageQuery, err error) {
-	if err = decode(body, &q); err == nil && (q.DispatcherEpoch == "" || len(q.DispatcherEpoch) > 512) {
-		err = bad("from", "must name a dispatcher's start, in at most 512 bytes")
+// ReadUsageQuery decodes a UsageQuery on a backend.
+func ReadUsageQuery(body io.Reader) (query UsageQuery, err error) {
+	if err = decode(body, &query); err == nil &&
+		(query.DispatcherEpoch == "" || len(query.DispatcherEpoch) > maxNameBytes) {
+		err = badRequest("from", "must name a dispatcher's start, in at most 512 bytes")
 	}
-	return q, err
+	return query, err
 }
 
-// ReadUsageReport decodes the answer at a dispatcher.
-func ReadUsageReport(body io.Reader) (c UsageReport, err error) {
-	if err = decode(body, &c); err != nil {
-		return c, err
+// ReadUsageReport decodes a UsageReport on a dispatcher. It returns an error unless numbers increase and every record
+// is within bounds.
+func ReadUsageReport(body io.Reader) (report UsageReport, err error) {
+	if err = decode(body, &report); err != nil {
+		return report, err
 	}
 	last := uint64(0)
-	for _, x := range c.Records {
-		if x.Number <= last {
-			return c, bad("counts.number", "is %d after %d", x.Number, last)
+	for _, record := range report.Records {
+		if record.Number <= last {
+			return report, badRequest("counts.number", "is %d after %d", record.Number, last)
 		}
-		if err := x.check(); err != nil {
-			return c, err
+		if err := record.check(); err != nil {
+			return report, err
 		}
-		last = x.Number
+		last = record.Number
 	}
-	return c, nil
+	return report, nil
 }
 
-// check bounds what a box states.
-func (c *UsageRecord) check() error {
-	if c.Attempt < 0 || min(c.PrefillTokens, c.CachedTokens, c.OutputTokens) < 0 || max(c.PrefillTokens, c.CachedTokens, c.OutputTokens) > mostReads*MaxTokens {
-		return bad("counts", "number %d has a trip or tokens that make no sense", c.Number)
+// check returns an error if a value is out of bounds.
+func (r *UsageRecord) check() error {
+	if r.Attempt < 0 || min(r.PrefillTokens, r.CachedTokens, r.OutputTokens) < 0 ||
+		max(r.PrefillTokens, r.CachedTokens, r.OutputTokens) > maxPrefillRepeats*MaxTokens {
+		return badRequest("counts", "usage record %d has an attempt number or a token count out of range", r.Number)
 	}
-	if len(c.RequestKey) > 512 || len(c.DedupKey) > 512 || len(c.Tenant) > 512 || len(c.Class) > 512 || len(c.EndReason) > 64 || len(c.Phase) > 64 {
-		return bad("counts", "number %d has a name that is too long", c.Number)
+	if len(r.RequestKey) > maxNameBytes || len(r.DedupKey) > maxNameBytes || len(r.Tenant) > maxNameBytes ||
+		len(r.Class) > maxNameBytes || len(r.EndReason) > 64 || len(r.Phase) > 64 {
+		return badRequest("counts", "usage record %d has a name that is too long", r.Number)
 	}
 	return nil
 }
--- a/internal/kserve/events.go
+++ b/internal/kserve/events.go
@@ -8,8 +8,8 @@
 	"io"
 )
 
-// mostLine bounds one line of an event stream, and all the data of one event.
-const mostLine = 1 << 20
+// maxEventBytes bounds one line of an event stream, and all the data of one event.
+const maxEventBytes = 1 << 20
 
 // Event is one server-sent event.
 type Event struct {
@@ -20,21 +20,22 @@
 // EventReader reads server-sent events. A stream that ends inside an event ends with io.ErrUnexpectedEOF.
 type EventReader struct{ lines *bufio.Scanner }
 
+// NewEventReader returns a reader of the events in r.
 func NewEventReader(r io.Reader) *EventReader {
-	s := bufio.NewScanner(r)
-	s.Buffer(make([]byte, 0, 1024), mostLine)
-	return &EventReader{s}
+	scanner := bufio.NewScanner(r)
+	scanner.Buffer(make([]byte, 0, 1024), maxEventBytes)
+	return &EventReader{scanner}
 }
 
-// Next returns the next event; its data is valid until the call after.
-func (e *EventReader) Next() (Event, error) {
-	var ev Event
-	begun := false
-	for e.lines.Scan() {
-		line := e.lines.Bytes()
+// Next returns the next event, and io.EOF at the end of the stream. The event's data is valid until the next call.
+func (r *EventReader) Next() (Event, error) {
+	var event Event
+	started := false
+	for r.lines.Scan() {
+		line := r.lines.Bytes()
 		if len(line) == 0 {
-			if begun {
-				return ev, nil
+			if started {
+				return event, nil
 			}
 			continue
 		}
@@ -42,29 +43,29 @@
 		value = bytes.TrimPrefix(value, []byte(" "))
 		switch string(name) {
 		case "event":
-			ev.Name, begun = string(value), true
+			event.Name, started = string(value), true
 		case "data":
-			if ev.Data != nil {
-				ev.Data = append(ev.Data, '\n')
+			if event.Data != nil {
+				event.Data = append(event.Data, '\n')
 			}
-			ev.Data, begun = append(ev.Data, value...), true
-			if len(ev.Data) > mostLine {
-				return ev, &RequestError{Message: "an event of the stream is longer than 1 MiB"}
+			event.Data, started = append(event.Data, value...), true
+			if len(event.Data) > maxEventBytes {
+				return event, &RequestError{Message: "an event of the stream is longer than 1 MiB"}
 			}
 		}
 	}
-	switch err := e.lines.Err(); {
+	switch err := r.lines.Err(); {
 	case errors.Is(err, bufio.ErrTooLong):
-		return ev, &RequestError{Message: "a line of the stream is longer than 1 MiB"}
+		return event, &RequestError{Message: "a line of the stream is longer than 1 MiB"}
 	case err != nil:
-		return ev, err
-	case begun:
-		return ev, io.ErrUnexpectedEOF
+		return event, err
+	case started:
+		return event, io.ErrUnexpectedEOF
 	}
-	return ev, io.EOF
+	return event, io.EOF
 }
 
-// WriteEvent writes one event with v as its data.
+// WriteEvent writes one event with the JSON of v as its data.
 func WriteEvent(w io.Writer, name string, v any) error {
 	raw, err := json.Marshal(v)
 	if err != nil {
@@ -73,7 +74,7 @@
 	return WriteRawEvent(w, name, raw)
 }
 
-// WriteRawEvent writes one event whose data is one line already.
+// WriteRawEvent writes one event with data as it is; data must not contain a line break.
 func WriteRawEvent(w io.Writer, name string, data []byte) error {
 	out := make([]byte, 0, len(name)+len(data)+20)
 	if name != "" {
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"encoding/json"
 	"os"
 	"path/filepath"
 	"slices"
@@ -15,7 +16,7 @@
 	"sloetrestle/brain"
 )
 
-const text = `model = "lodge"
+const validFile = `model = "lodge"
 zones = ["a", "b"]
 
 [dispatcher]
@@ -63,58 +64,82 @@
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	d, err := Load(file)
+	config, err := Load(file)
 	if err != nil && !strings.HasPrefix(err.Error(), file+":") {
-		t.Errorf("the error names no file: %v", err)
+		t.Errorf("the error does not name the file: %v", err)
 	}
-	return d, err
+	return config, err
 }
 
-func TestTheModuleStartsFromWhatTheFileSays(t *testing.T) {
-	d, err := load(t, text)
+func TestTheSchedulerStartsFromAValidFile(t *testing.T) {
+	config, err := load(t, validFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := d.SchedulerParameters()
-	if err := f.Sound(); err != nil {
+	parameters := config.SchedulerParameters()
+	if err := parameters.Sound(); err != nil {
 		t.Fatal(err)
 	}
-	grades, err := f.Grades()
+	classes, err := parameters.Grades()
 	if err != nil {
 		t.Fatal(err)
 	}
-	g := grades[1]
-	if g.Effect != brain.Unrepeatable || g.Target != time.Second || g.Value != 5 || grades[0].TargetPerK != 60*time.Millisecond {
-		t.Errorf("%+v", g)
+	booking := classes[1]
+	if booking.Effect != brain.Unrepeatable || booking.Target != time.Second || booking.Value != 5 ||
+		classes[0].TargetPerK != 60*time.Millisecond {
+		t.Errorf("%+v", booking)
 	}
-	if f.Num("zone", -1) != 1 || f.Num("slotNo", -1) != 1 || f.RoleOf(0) != brain.Reads ||
-		f.MemoryOf(0) != 200000 || f.Channels()[0].Quota != 12.5 || !f.Yes("familyInfo.localRead") {
-		t.Errorf("%v", f)
+	if parameters.Num("zone", -1) != 1 || parameters.Num("slotNo", -1) != 1 ||
+		parameters.RoleOf(0) != brain.Reads || parameters.MemoryOf(0) != 200000 ||
+		parameters.Channels()[0].Quota != 12.5 || !parameters.Yes("familyInfo.localRead") {
+		t.Errorf("%v", parameters)
 	}
 }
 
-func TestAFileThatIsWrittenCanBeRead(t *testing.T) {
-	d, err := load(t, text)
+func TestAnEncodedConfigurationCanBeLoaded(t *testing.T) {
+	config, err := load(t, validFile)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if err := toml.NewEncoder(&out).Encode(d); err != nil {
+	if err := toml.NewEncoder(&out).Encode(config); err != nil {
 		t.Fatal(err)
 	}
 	again, err := load(t, out.String())
 	if err != nil {
 		t.Fatalf("%v in\n%s", err, out.String())
 	}
-	if again.Classes[1] != d.Classes[1] || again.Rules != d.Rules || again.Limits != d.Limits || again.Instance.ResponseMargin != d.Instance.ResponseMargin {
-		t.Errorf("%+v became %+v", d, again)
+	if again.Classes[1] != config.Classes[1] || again.Rules != config.Rules || again.Limits != config.Limits ||
+		again.Instance.ResponseMargin != config.Instance.ResponseMargin {
+		t.Errorf("%+v became %+v", config, again)
 	}
 }
 
-// Ranges are checked, not only presence: what passes must not have the module divide by nought, count without end or wait for
-// nothing. Each value stands in place of a default, in its table.
-func TestValuesOutsideOfTheirRangesAreNamed(t *testing.T) {
-	for _, c := range []struct{ table, line, says string }{
+// Recordings store the deployment as JSON, under names that older recordings and their readers use.
+func TestADeploymentKeepsItsFieldNamesInJSON(t *testing.T) {
+	deployment := DefaultDeployment()
+	rate := 2.5
+	deployment.Classes = []Class{{Name: "g"}}
+	deployment.Tenants = []Tenant{{Name: "c"}}
+	deployment.Budgets = []Budget{{Tenant: "c", TokensPerSecond: &rate}}
+	deployment.BackendKinds = []BackendKind{{Name: "k"}}
+	want := `{"Model":"lodge","Zones":["here"],"Report":["util","queue","x0"],` +
+		`"Grades":[{"Name":"g","Effect":"","Reach":"","Window":"0s","Promised":"0s","PerK":"0s","Expiry":"0s",` +
+		`"Benefit":0,"Late":0,"TokenTime":"0s","Most":0}],"Channels":[{"Name":"c","Share":0,"PerS":0}],` +
+		`"Budgets":[{"Channel":"c","Grade":"","PerS":2.5,"Burst":0,"Monthly":null,"Borrow":0}],` +
+		`"Kinds":[{"Name":"k","Role":"","Memory":0}],"Rules":{"Slack":"8ms","DrainGrace":"1s","ColdMultiple":2.5,` +
+		`"ColdWindow":"2s","ColdShare":0.3,"ColdRamp":"12s","Pin":"500ms"},"Limits":{"Trips":4,"Dial":"250ms",` +
+		`"Open":20000,"BoxConns":512,"Stall":"20s","RetryAfter":"500ms","Storms":true,"Cancel":true,` +
+		`"Siblings":false,"NewsPrice":0,"ZonePrice":0,"OverShare":0.1,"ByWork":true,"LocalRead":true}}`
+	if raw, err := json.Marshal(deployment); err != nil || string(raw) != want {
+		t.Errorf("got %s (%v), want %s", raw, err, want)
+	}
+}
+
+// A value that is present but out of range must not reach the scheduler, which could divide by zero, loop without end
+// or wait forever. Each value replaces a default in its table.
+func TestValuesOutOfRangeAreRejectedByKey(t *testing.T) {
+	for _, c := range []struct{ table, line, wantKey string }{
 		{"rules", `cold_window = "1ns"`, "rules.cold_window"},
 		{"rules", `cold_window = "200h"`, "rules.cold_window"},
 		{"rules", `cold_multiple = inf`, "rules.cold_multiple"},
@@ -141,8 +166,8 @@
 		{"channel", `questions_a_second = nan`, "channel.0.questions_a_second"},
 		{"kind", `memory = 4000000000000000000`, "kind.0.memory"},
 	} {
-		// The table's first head is followed by the new line, and the old one of that key goes.
-		head, rest, found := strings.Cut(text+"[limits]\n", "["+c.table+"]")
+		// The new line follows the table's first head, and the old line of that key is removed.
+		head, rest, found := strings.Cut(validFile+"[limits]\n", "["+c.table+"]")
 		if !found {
 			t.Fatalf("no table %s", c.table)
 		}
@@ -152,20 +177,21 @@
 			others = "\n[" + others
 		}
 		key, _, _ := strings.Cut(c.line, " ")
-		lines := slices.DeleteFunc(strings.Split(table, "\n"), func(l string) bool { return strings.HasPrefix(l, key+" ") })
-		closes := "]"
+		lines := slices.DeleteFunc(strings.Split(table, "\n"),
+			func(l string) bool { return strings.HasPrefix(l, key+" ") })
+		closing := "]"
 		if strings.HasSuffix(head, "[") {
-			closes = "]]"
+			closing = "]]"
 		}
-		changed := head + "[" + c.table + closes + "\n" + c.line + "\n" + strings.Join(lines, "\n") + others
-		if _, err := load(t, changed); err == nil || !strings.Contains(err.Error(), c.says+":") {
+		changed := head + "[" + c.table + closing + "\n" + c.line + "\n" + strings.Join(lines, "\n") + others
+		if _, err := load(t, changed); err == nil || !strings.Contains(err.Error(), c.wantKey+":") {
 			t.Errorf("%s: %v", c.line, err)
 		}
 	}
 }
 
-func TestSenselessValuesAreNamedWithTheirLine(t *testing.T) {
-	for _, c := range []struct{ old, new, says string }{
+func TestInvalidValuesAreRejectedWithTheirLine(t *testing.T) {
+	for _, c := range []struct{ old, new, want string }{
 		{`number = 1`, `number = 2`, "dispatcher.number"},
 		{`zone = "b"`, `zone = "c"`, "dispatcher.zone"},
 		{`listen = ["127.0.0.1:8100"]`, `listen = ["here"]`, "dispatcher.listen"},
@@ -178,18 +204,19 @@
 		{`pin_limit = "300ms"`, `pinlimit = "300ms"`, "rules.pinlimit: no such key"},
 		{`pin_limit = "300ms"`, `pin_limit = "0s"`, "rules.pin_limit"},
 	} {
-		changed := strings.Replace(text, c.old, c.new, 1)
+		changed := strings.Replace(validFile, c.old, c.new, 1)
 		_, err := load(t, changed)
 		key := c.new
-		if c.says == "grade.1.expiry" {
+		if c.want == "grade.1.expiry" {
 			key = "expiry = \"4s\"\nbenefit = 5"
 		}
 		if strings.Contains(key, "allow") {
 			key = "allow ="
 		}
 		line := 1 + strings.Count(changed[:strings.Index(changed, key)], "\n")
-		if err == nil || !strings.Contains(err.Error(), c.says) || !strings.Contains(err.Error(), ":"+strconv.Itoa(line)+": ") {
-			t.Errorf("%s: %v; it stands on line %d", c.new, err, line)
+		if err == nil || !strings.Contains(err.Error(), c.want) ||
+			!strings.Contains(err.Error(), ":"+strconv.Itoa(line)+": ") {
+			t.Errorf("%s: %v; want an error on line %d", c.new, err, line)
 		}
 	}
 }
--- a/internal/storm/fuzz_test.go
+++ b/internal/storm/fuzz_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// No text but a ticket that this key made is one, whatever it is; and a ticket's time can be reckoned with.
+// No text other than the ticket that the signer made may verify, and no ticket's time may break the throttle.
 func FuzzTickets(f *testing.F) {
-	s := TicketSigner{Key: []byte("0123456789abcdef"), StartedAt: time.Hour, Issuer: 7}
-	good := s.Sign(5*time.Second, 9)
-	for _, text := range []string{"", "!!", good, good[:len(good)-1], good + "A", "AAAA"} {
+	signer := TicketSigner{Key: []byte("0123456789abcdef"), StartedAt: time.Hour, Issuer: 7}
+	valid := signer.Sign(5*time.Second, 9)
+	for _, text := range []string{"", "!!", valid, valid[:len(valid)-1], valid + "A", "AAAA"} {
 		f.Add(text)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
-		got, ok := s.Verify(text)
-		if ok && text != good {
-			t.Fatalf("%q is taken for a ticket: %+v", text, got)
+		got, ok := signer.Verify(text)
+		if ok && text != valid {
+			t.Fatalf("%q verifies as a ticket: %+v", text, got)
 		}
-		g := New(time.Second, 1, 1, s)
-		g.Admit(time.Second, true, -5, text)
+		throttle := New(time.Second, 1, 1, signer)
+		throttle.Admit(time.Second, true, -5, text)
 	})
 }
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -1,7 +1,7 @@
-// Package storm decides, for one dispatcher and in front of its module, what becomes of questions that are asked again:
-// whether a storm of them is on, how many are let in, and when each one that is declined should come back. It is free of
-// I/O, with time and chance handed in, and shares nothing with other dispatchers. It never decides where a question goes,
-// and lets first tries through untouched. Begin with Guard.
+// Package storm throttles client retries for one dispatcher, in front of its scheduler. It detects when retries pile
+// up, limits how many are admitted, and gives each rejected request a time to come back. It does no I/O, with time and
+// randomness handed in; it shares no state with other dispatchers, never chooses a backend, and admits every first try.
+// Begin with RetryThrottle.
 package storm
 
 import (
@@ -12,83 +12,89 @@
 )
 
 const (
-	// What is seen counts for ten seconds: outages of a few seconds must show, single questions must not.
-	sight = time.Second // a bucket, of ten
-
-	// A storm is on when at least a quarter of what arrives is asked again, surely: by one standard deviation of the
-	// share's posterior, with a prior of one in ten. It is off when it is surely under an eighth, so that it does not
-	// flicker; and it needs declines or losses: clients may ask again for their own reasons.
-	onAbove, offBelow = 0.25, 0.125
-	priorAgain        = 1.0
-	losing            = 0.3 // of the share booked for returns: below it first tries are being lost, which is evidence too
-	priorFirst        = 9.0
+	// Counts cover ten buckets, that is ten seconds: outages of a few seconds must show, single requests must not.
+	bucketWidth = time.Second
+
+	// Throttling starts when at least a quarter of the tries are retries, by one standard deviation of the share's
+	// posterior with a prior of one in ten. It stops when the share is below an eighth by the same measure; the gap
+	// keeps it from flapping. To start it also needs rejected or failed requests, as clients may retry for reasons of
+	// their own.
+	onShare, offShare = 0.25, 0.125
+	priorRetries      = 1.0
+	lowBookingShare   = 0.3 // a bookingShare below this shows that first tries are being lost, which is evidence too
+	priorFirstTries   = 9.0
 	deviations        = 1.0
 
-	// While a storm is on, unbooked returns may take a tenth of what is served, by channel; a burst of two seconds' worth.
-	// Retry budgets elsewhere are given 10 to 20%.
-	budgetShare = 0.1
-	budgetBurst = 2.0  // seconds of it
-	budgetLeast = 0.02 // questions a second, so that a quiet dispatcher lets some through; times 160 dispatchers that is three
-
-	// Returns are booked in slots of future time, up to the longest that clients heed. A slot holds what capacity is left
-	// beside first tries, and a tenth of all at the least: else a backlog could never be worked off.
-	slotWidth = 100 * time.Millisecond
-	mostSlots = 600 // a minute
-	leastRoom = 0.1
-
-	// Returns must not push first tries out, who would only come back as returns: what of the room is booked grows by so
-	// much a second while first tries are in time, and shrinks to so much when a tenth of a second's are lost or late. It
-	// settles near a third at 1% of them; slowly, as a booking shows some seconds after it was made: at 0.02 a second the
-	// fleet swung between too many returns and too few. What pays from the budget shrinks alike.
-	shareUp, shareDown, leastShare = 0.012, 0.7, 0.25
-	firstWait                      = 200 * time.Millisecond // no sooner: a refused client's way there and back, and a jam's
-	keptEarly                      = 50 * time.Millisecond  // a booked client may come so much too early
-	keptLate                       = 2 * time.Second        // or too late, by then its place is gone
-	mostUsed                       = 1 << 16                // tickets that are remembered as used
-
-	// A ticket of another dispatcher has its place here as well, up to what this one can have answered, with a burst of a
-	// second: on average as many come from elsewhere as go there, and one shown everywhere gains no more than that.
-	elsewhere = 1.0
-
-	// Trips after one that may have cost work are kept to a fifth of first ones while they are many, as retry budgets are
-	// elsewhere; a burst of ten seconds' worth, since a box that dies fails all that it had at once.
-	furtherShare = 0.2
-	furtherBurst = 10.0
-	furtherLeast = 1.0 // a second
-
-	// Capacity is what was lately answered; while nothing is declined it may be more than that.
-	rise      = 1.1 // for each second without a decline
-	leastRate = 0.5 // questions a second that are taken to be possible
+	// While throttling is on, retries without a booked place may use a tenth of the served rate, by tenant, with a
+	// burst of two seconds' worth. Retry budgets of other systems are 10 to 20%.
+	budgetShare        = 0.1
+	budgetBurstSeconds = 2.0
+	// A minimum lets some through at an idle dispatcher; at 160 dispatchers it comes to about three a second.
+	minBudgetPerSecond = 0.02
+
+	// Retries are booked in slots of future time, up to the longest wait that clients follow. A slot holds the capacity
+	// that first tries leave free, and at least a tenth of all capacity: else a backlog could never be worked off.
+	slotWidth    = 100 * time.Millisecond
+	maxSlots     = 600 // a minute
+	minFreeShare = 0.1
+
+	// Retries must not displace first tries, which would only come back as retries. The share of the free capacity that
+	// is booked grows by bookingIncrease per second while first tries are served in time, and shrinks to bookingDecrease
+	// of itself when a tenth of a second's first tries are lost or late. It settles near a third at 1% of them. It grows
+	// slowly, as a booking takes effect only some seconds after it is made: at 0.02 per second the fleet oscillated
+	// between too many retries and too few. The budget of retries without a place shrinks alike.
+	bookingIncrease, bookingDecrease, minBookingShare = 0.012, 0.7, 0.25
+
+	minWait        = 200 * time.Millisecond // covers a rejected client's round trip and the congestion
+	earlyTolerance = 50 * time.Millisecond  // a client with a ticket may come this much early
+	lateTolerance  = 2 * time.Second        // or this much late; then its place is lost
+	maxUsedTickets = 1 << 16                // tickets that are remembered as used
+
+	// Tickets of other dispatchers are admitted up to this multiple of the rate that this one can serve, with a burst of a
+	// second. On average as many tickets come from other dispatchers as go to them, and showing one ticket at every
+	// dispatcher gains no more than this.
+	peerTicketShare = 1.0
+
+	// Reattempts, that is attempts after one that may have cost work, are limited to a fifth of first attempts while they
+	// are many, as retry budgets of other systems are. The burst is ten seconds' worth, since a backend that dies fails
+	// all its attempts at once.
+	reattemptShare        = 0.2
+	reattemptBurstSeconds = 10.0
+	minReattemptsPerSec   = 1.0
+
+	// Capacity is the rate lately served; while nothing is rejected it may be more than that.
+	rateGrowth = 1.1 // factor for each second without a rejection
+	minRate    = 0.5 // requests per second that are assumed to be possible
 )
 
-// RetryThrottle is one dispatcher's.
+// RetryThrottle admits or rejects the retries that arrive at one dispatcher.
 type RetryThrottle struct {
-	heed  time.Duration // the longest wait that clients follow
-	rng   *brain.PCG
-	first brain.Ring // tries that are a question's first
-	again brain.Ring
-	good  brain.Ring // answered
-	bad   brain.Ring // declined or forfeited
-	on    bool
-
-	rate     float64 // what can be answered in a second
-	rateAt   time.Duration
-	share    float64 // of the room for returns that is booked
-	channels []*channel
-	slots    map[int64]float64 // places booked, by the slot's number
-	standby  map[int64]float64 // told to come then, without a place
-	seal     TicketSigner
-	used     map[usedTicket]bool
-	order    []usedTicket // those, in the order of their use
-	swept    int64
-	abroad   bucket     // for tickets of other dispatchers
-	further  bucket     // for trips after one that failed
-	trips    brain.Ring // first ones of their questions
+	maxWait    time.Duration // the longest wait that clients follow
+	rng        *brain.PCG
+	firstTries brain.Ring // tries that are not retries
+	retries    brain.Ring
+	served     brain.Ring
+	unserved   brain.Ring // rejected or failed
+	active     bool
+
+	rate          float64 // requests per second that can be served
+	rateUpdatedAt time.Duration
+	bookingShare  float64 // share of the free capacity that is booked for retries
+	tenants       []*tenant
+	booked        map[int64]float64 // places booked, by slot number
+	unbooked      map[int64]float64 // retries due in a slot without a place, by slot number
+	signer        TicketSigner
+	used          map[usedTicket]bool
+	usedOrder     []usedTicket // the keys of used in the order of their use
+	sweptSlot     int64
+	peerTickets   bucket     // admits tickets of other dispatchers
+	reattempts    bucket     // admits reattempts
+	firstAttempts brain.Ring // first attempts of their requests
 
 	Counters Counters
 }
 
-// Counters show when a limit acted.
+// Counters count the decisions of a RetryThrottle.
 type Counters struct {
 	FirstTries  int64 `json:"First"`
 	Retries     int64 `json:"Again"`
@@ -105,250 +111,267 @@
 	ReattemptsDenied int64 `json:"Spent"`     // requests without a further attempt, as the budget for these was spent
 }
 
-type channel struct {
+type tenant struct {
 	budget bucket
-	good   brain.Ring
+	served brain.Ring
 }
 
 type usedTicket struct {
-	from   uint32
-	number uint64
+	issuer uint32
+	serial uint64
 	due    time.Duration
 }
 
-// bucket fills by a rate that may change.
+// bucket is a token bucket whose rate may change.
 type bucket struct {
-	tokens float64
-	at     time.Duration
+	tokens     float64
+	refilledAt time.Duration
 }
 
-// has fills up to now and tells whether there is one.
-func (b *bucket) has(now time.Duration, perS, burst float64) bool {
-	b.tokens = min(b.tokens+perS*(now-b.at).Seconds(), burst)
-	b.at = now
+// available refills the bucket up to now and reports whether it has a token.
+func (b *bucket) available(now time.Duration, perSecond, burst float64) bool {
+	b.tokens = min(b.tokens+perSecond*(now-b.refilledAt).Seconds(), burst)
+	b.refilledAt = now
 	return b.tokens >= 1
 }
 
-// take takes one, if there is one.
-func (b *bucket) take(now time.Duration, perS, burst float64) bool {
-	if !b.has(now, perS, burst) {
+// take removes a token and reports whether there was one.
+func (b *bucket) take(now time.Duration, perSecond, burst float64) bool {
+	if !b.available(now, perSecond, burst) {
 		return false
 	}
 	b.tokens--
 	return true
 }
 
-// New makes a guard. heed is the longest wait that clients follow; channels is how many there are.
-func New(heed time.Duration, channels int, seed uint64, seal TicketSigner) *RetryThrottle {
-	g := &RetryThrottle{heed: heed, rng: brain.NewPCG(seed), first: brain.Ring{Width: sight}, again: brain.Ring{Width: sight}, good: brain.Ring{Width: sight}, bad: brain.Ring{Width: sight}, trips: brain.Ring{Width: sight},
-		slots: map[int64]float64{}, standby: map[int64]float64{}, seal: seal, used: map[usedTicket]bool{}, share: 1, further: bucket{tokens: furtherBurst * furtherLeast}}
-	for range max(channels, 1) {
-		// Many dispatchers start together: their budgets must not fill in step.
-		g.channels = append(g.channels, &channel{good: brain.Ring{Width: sight}, budget: bucket{tokens: g.rng.Float()}})
+// New returns a RetryThrottle for a number of tenants. maxWait is the longest wait that clients follow.
+func New(maxWait time.Duration, tenants int, seed uint64, signer TicketSigner) *RetryThrottle {
+	throttle := &RetryThrottle{
+		maxWait: maxWait, rng: brain.NewPCG(seed),
+		firstTries: brain.Ring{Width: bucketWidth}, retries: brain.Ring{Width: bucketWidth},
+		served: brain.Ring{Width: bucketWidth}, unserved: brain.Ring{Width: bucketWidth},
+		firstAttempts: brain.Ring{Width: bucketWidth},
+		booked:        map[int64]float64{}, unbooked: map[int64]float64{}, signer: signer, used: map[usedTicket]bool{},
+		bookingShare: 1, reattempts: bucket{tokens: reattemptBurstSeconds * minReattemptsPerSec},
 	}
-	return g
+	for range max(tenants, 1) {
+		// A random fill keeps the budgets of dispatchers that start together from filling in step.
+		throttle.tenants = append(throttle.tenants,
+			&tenant{served: brain.Ring{Width: bucketWidth}, budget: bucket{tokens: throttle.rng.Float()}})
+	}
+	return throttle
 }
 
-// Active tells whether a storm is on.
-func (g *RetryThrottle) Active(now time.Duration) bool {
-	again, first := g.again.Sum(now)+priorAgain, g.first.Sum(now)+priorFirst
-	n := again + first
-	share := again / n
+// Active reports whether retries are being throttled.
+func (t *RetryThrottle) Active(now time.Duration) bool {
+	retries, firstTries := t.retries.Sum(now)+priorRetries, t.firstTries.Sum(now)+priorFirstTries
+	n := retries + firstTries
+	share := retries / n
 	spread := deviations * math.Sqrt(share*(1-share)/(n+1))
 	switch {
-	case !g.on && g.bad.Sum(now) > 0 && (share-spread > onAbove || g.share < losing && share > onAbove):
-		g.on = true
-		g.Counters.Activations++
-	case g.on && share+spread < offBelow:
-		g.on = false
+	case !t.active && t.unserved.Sum(now) > 0 &&
+		(share-spread > onShare || t.bookingShare < lowBookingShare && share > onShare):
+		t.active = true
+		t.Counters.Activations++
+	case t.active && share+spread < offShare:
+		t.active = false
 	}
-	return g.on
+	return t.active
 }
 
-// RetryShare is the share of tries that ask again, lately.
-func (g *RetryThrottle) RetryShare(now time.Duration) float64 {
-	return g.again.Sum(now) / max(g.again.Sum(now)+g.first.Sum(now), 1)
+// RetryShare returns the recent share of tries that are retries.
+func (t *RetryThrottle) RetryShare(now time.Duration) float64 {
+	return t.retries.Sum(now) / max(t.retries.Sum(now)+t.firstTries.Sum(now), 1)
 }
 
-// Admit takes word of a try and tells whether it goes to the module. One that does not is declined at once, and is to
-// come back after the wait that is returned. ticket is what an earlier decline gave the client; "": nothing.
-func (g *RetryThrottle) Admit(now time.Duration, again bool, chanNumber int, ticket string) (admit bool, after time.Duration, next string) {
-	if !again && ticket == "" {
-		g.first.Add(now, 1)
-		g.Counters.FirstTries++
+// Admit records a try and reports whether it goes to the scheduler. One that does not is to be rejected at once, with
+// the wait and the ticket that are returned. ticket is what an earlier rejection gave the client, or "".
+func (t *RetryThrottle) Admit(
+	now time.Duration, isRetry bool, tenantIndex int, ticket string,
+) (admit bool, after time.Duration, next string) {
+	if !isRetry && ticket == "" {
+		t.firstTries.Add(now, 1)
+		t.Counters.FirstTries++
 		return true, 0, ""
 	}
-	g.again.Add(now, 1)
-	g.Counters.Retries++
-	if ticket != "" && g.keeps(now, ticket) {
-		g.Counters.Redeemed++
+	t.retries.Add(now, 1)
+	t.Counters.Retries++
+	if ticket != "" && t.redeem(now, ticket) {
+		t.Counters.Redeemed++
 		return true, 0, ""
 	}
-	if !g.Active(now) {
+	if !t.Active(now) {
 		return true, 0, ""
 	}
-	c := g.channel(chanNumber)
-	allowed := max(g.share*budgetShare*c.good.PerS(now), budgetLeast)
-	if c.budget.take(now, allowed, max(budgetBurst*allowed, 1)) {
-		g.Counters.FromBudget++
+	tenant := t.tenant(tenantIndex)
+	perSecond := max(t.bookingShare*budgetShare*tenant.served.PerS(now), minBudgetPerSecond)
+	if tenant.budget.take(now, perSecond, max(budgetBurstSeconds*perSecond, 1)) {
+		t.Counters.FromBudget++
 		return true, 0, ""
 	}
-	g.Counters.Rejected++
-	after, next = g.BookRetry(now)
+	t.Counters.Rejected++
+	after, next = t.BookRetry(now)
 	return false, after, next
 }
 
-// keeps tells whether a client came when its ticket says. A ticket admits once here; one of another dispatcher only within
-// what this one can have answered, as its giver can't tell this one that it was used there.
-func (g *RetryThrottle) keeps(now time.Duration, text string) bool {
-	t, ok := g.seal.Verify(text)
+// redeem reports whether a client came at the time that its ticket states. A ticket admits once at this dispatcher. One
+// of another dispatcher is admitted only within the rate that this one can serve, as its issuer can't tell this one
+// that it was used there.
+func (t *RetryThrottle) redeem(now time.Duration, text string) bool {
+	ticket, ok := t.signer.Verify(text)
 	if !ok {
-		g.Counters.InvalidTickets++
+		t.Counters.InvalidTickets++
 		return false
 	}
-	u := usedTicket{t.Issuer, t.Serial, t.Due}
-	if now < t.Due-keptEarly || now > t.Due+keptLate || g.used[u] {
+	key := usedTicket{ticket.Issuer, ticket.Serial, ticket.Due}
+	if now < ticket.Due-earlyTolerance || now > ticket.Due+lateTolerance || t.used[key] {
 		return false
 	}
-	g.sweep(int64(now / slotWidth))
-	if len(g.order) >= mostUsed {
+	t.sweep(int64(now / slotWidth))
+	if len(t.usedOrder) >= maxUsedTickets {
 		return false
 	}
-	if t.Issuer != g.seal.Issuer {
-		rate := elsewhere * g.ServiceRate(now)
-		if !g.abroad.take(now, rate, max(rate, 1)) {
+	if ticket.Issuer != t.signer.Issuer {
+		rate := peerTicketShare * t.ServiceRate(now)
+		if !t.peerTickets.take(now, rate, max(rate, 1)) {
 			return false
 		}
-		g.Counters.FromPeers++
+		t.Counters.FromPeers++
 	}
-	g.used[u] = true
-	g.order = append(g.order, u)
+	t.used[key] = true
+	t.usedOrder = append(t.usedOrder, key)
 	return true
 }
 
-// AttemptSent takes word of a trip: a question's first, or a further one after one that failed.
-func (g *RetryThrottle) AttemptSent(now time.Duration, further bool) {
-	if !further {
-		g.trips.Add(now, 1)
+// AttemptSent records an attempt: a request's first one, or a reattempt.
+func (t *RetryThrottle) AttemptSent(now time.Duration, reattempt bool) {
+	if !reattempt {
+		t.firstAttempts.Add(now, 1)
 		return
 	}
-	g.Counters.Reattempts++
-	g.further.tokens-- // below nought for what was let go on before
+	t.Counters.Reattempts++
+	t.reattempts.tokens-- // may go below zero: AllowReattempt admits without taking a token
 }
 
-// AllowReattempt tells, when a trip failed that may have cost work, whether its question may have a further one. Without a
-// limit all that an outage breaks is asked of the boxes that are left, a trip for each that the terms allow.
-func (g *RetryThrottle) AllowReattempt(now time.Duration) bool {
-	perS := furtherShare*g.trips.PerS(now) + furtherLeast
-	if !g.further.has(now, perS, furtherBurst*perS) {
-		g.Counters.ReattemptsDenied++
+// AllowReattempt reports, after an attempt failed that may have cost work, whether its request may have a further one.
+// Without this limit all requests that an outage breaks are sent to the remaining backends again, up to the attempt
+// limit of each.
+func (t *RetryThrottle) AllowReattempt(now time.Duration) bool {
+	perSecond := reattemptShare*t.firstAttempts.PerS(now) + minReattemptsPerSec
+	if !t.reattempts.available(now, perSecond, reattemptBurstSeconds*perSecond) {
+		t.Counters.ReattemptsDenied++
 		return false
 	}
 	return true
 }
 
-func (g *RetryThrottle) channel(n int) *channel { return g.channels[min(max(n, 0), len(g.channels)-1)] }
+func (t *RetryThrottle) tenant(index int) *tenant {
+	return t.tenants[min(max(index, 0), len(t.tenants)-1)]
+}
 
-// RequestDone takes word of a question's end: whether it was answered, and for a first try whether in its promised time.
-func (g *RetryThrottle) RequestDone(now time.Duration, well, first, inTime bool, chanNumber int) {
-	if perS := max(g.first.PerS(now), 0.1); first && inTime {
-		g.share = min(g.share+shareUp/perS, 1)
-	} else if first {
-		g.share = max(g.share*math.Pow(shareDown, 1/max(0.1*perS, 1)), leastShare)
+// RequestDone records the end of a request: whether it was served, whether it was a first try, and whether it was
+// served within its latency target.
+func (t *RetryThrottle) RequestDone(now time.Duration, served, firstTry, inTime bool, tenantIndex int) {
+	if perSecond := max(t.firstTries.PerS(now), 0.1); firstTry && inTime {
+		t.bookingShare = min(t.bookingShare+bookingIncrease/perSecond, 1)
+	} else if firstTry {
+		t.bookingShare = max(t.bookingShare*math.Pow(bookingDecrease, 1/max(0.1*perSecond, 1)), minBookingShare)
 	}
-	if well {
-		g.good.Add(now, 1)
-		g.channel(chanNumber).good.Add(now, 1)
+	if served {
+		t.served.Add(now, 1)
+		t.tenant(tenantIndex).served.Add(now, 1)
 	} else {
-		g.bad.Add(now, 1)
+		t.unserved.Add(now, 1)
 	}
 }
 
-// ServiceRate is how many questions a second this dispatcher can have answered, as far as it knows: while some are declined, what
-// is answered; else rising from there.
-func (g *RetryThrottle) ServiceRate(now time.Duration) float64 {
-	seen := max(g.good.PerS(now), leastRate)
-	if g.rateAt == 0 {
-		g.rate = seen
+// ServiceRate estimates how many requests per second this dispatcher can have served. While some are rejected or failed
+// it follows the served rate; else it grows from there.
+func (t *RetryThrottle) ServiceRate(now time.Duration) float64 {
+	served := max(t.served.PerS(now), minRate)
+	if t.rateUpdatedAt == 0 {
+		t.rate = served
 	}
-	span := (now - g.rateAt).Seconds()
-	g.rateAt = now
-	if g.bad.PerS(now) > 0.05*seen {
-		// Toward what is answered, over some seconds.
-		g.rate += (seen - g.rate) * min(span/3, 1)
+	elapsed := (now - t.rateUpdatedAt).Seconds()
+	t.rateUpdatedAt = now
+	if t.unserved.PerS(now) > 0.05*served {
+		// Approach the served rate over some seconds.
+		t.rate += (served - t.rate) * min(elapsed/3, 1)
 	} else {
-		g.rate = max(g.rate, seen) * math.Pow(rise, min(span, 5))
-		g.rate = min(g.rate, 3*seen)
+		t.rate = max(t.rate, served) * math.Pow(rateGrowth, min(elapsed, 5))
+		t.rate = min(t.rate, 3*served)
 	}
-	return max(g.rate, leastRate)
+	return max(t.rate, minRate)
 }
 
-// BookRetry finds a time to come back for a client that is declined. Where there is room for it by then it has a place and a
-// ticket for it; else it is told a time all the same, and pays from the budget like others.
-func (g *RetryThrottle) BookRetry(now time.Duration) (after time.Duration, ticket string) {
-	if g.heed <= 0 {
+// BookRetry returns the time after which a rejected client should come back. If there is free capacity by then, the
+// client gets a place and a ticket for it. Otherwise the ticket is empty and the retry is admitted from the budget.
+func (t *RetryThrottle) BookRetry(now time.Duration) (after time.Duration, ticket string) {
+	if t.maxWait <= 0 {
 		return 0, ""
 	}
-	rate := g.ServiceRate(now)
-	room := g.share * max(rate-g.first.PerS(now), leastRoom*rate) * slotWidth.Seconds()
-	from, to := int64((now+firstWait)/slotWidth), int64((now+g.heed)/slotWidth)
-	to = min(max(to, from), from+mostSlots)
-	g.sweep(int64(now / slotWidth))
-	pick, least, sum, place := to, math.Inf(1), 0.0, false
-	for s := from; s <= to; s++ {
-		// The first slot by which there is room for one more: less than one a slot goes into every few of them.
-		if sum += g.slots[s]; sum+1 <= room*float64(s-from+1) {
-			pick, place = s, true
+	rate := t.ServiceRate(now)
+	perSlot := t.bookingShare * max(rate-t.firstTries.PerS(now), minFreeShare*rate) * slotWidth.Seconds()
+	first, last := int64((now+minWait)/slotWidth), int64((now+t.maxWait)/slotWidth)
+	last = min(max(last, first), first+maxSlots)
+	t.sweep(int64(now / slotWidth))
+	pick, leastFill, sum, hasPlace := last, math.Inf(1), 0.0, false
+	for slot := first; slot <= last; slot++ {
+		// Take the first slot by which there is a free place. The sum over slots counts, so that with less than one
+		// place per slot every few slots get one.
+		if sum += t.booked[slot]; sum+1 <= perSlot*float64(slot-first+1) {
+			pick, hasPlace = slot, true
 			break
 		}
-		// The backlog is longer than clients heed: who has no place is spread evenly, more of them late.
-		if fill := (g.standby[s] + 1) / (1 + 3*float64(s-from)/float64(to-from+1)); fill < least {
-			pick, least = s, fill
+		// If the backlog is longer than clients wait, retries without a place are spread over the slots, with more of
+		// them late.
+		if fill := (t.unbooked[slot] + 1) / (1 + 3*float64(slot-first)/float64(last-first+1)); fill < leastFill {
+			pick, leastFill = slot, fill
 		}
 	}
-	at := time.Duration(pick)*slotWidth + time.Duration(g.rng.Float()*float64(slotWidth))
-	after = min(max(at-now, firstWait/2), g.heed)
-	if !place {
-		g.Counters.Unbooked++
-		g.standby[pick]++
+	due := time.Duration(pick)*slotWidth + time.Duration(t.rng.Float()*float64(slotWidth))
+	after = min(max(due-now, minWait/2), t.maxWait)
+	if !hasPlace {
+		t.Counters.Unbooked++
+		t.unbooked[pick]++
 		return after, ""
 	}
-	g.slots[pick]++
-	g.Counters.Booked++
-	// The number goes on from a drawn one: a dispatcher that has restarted under its old name repeats none.
-	return after, g.seal.Sign(now+after, brain.Mix(uint64(g.Counters.Booked), uint64(g.rng.Float()*(1<<52))))
+	t.booked[pick]++
+	t.Counters.Booked++
+	// The serial mixes in a random number, so that a dispatcher that restarts under its old name repeats none.
+	return after, t.signer.Sign(now+after, brain.Mix(uint64(t.Counters.Booked), uint64(t.rng.Float()*(1<<52))))
 }
 
-// sweep forgets slots that are past, and used tickets that nobody could use again.
-func (g *RetryThrottle) sweep(now int64) {
-	if now == g.swept {
+// sweep forgets slots before the given one, and used tickets that are too old to be redeemed again.
+func (t *RetryThrottle) sweep(slotNow int64) {
+	if slotNow == t.sweptSlot {
 		return
 	}
-	g.swept = now
-	for s := range g.slots {
-		if s < now {
-			delete(g.slots, s)
+	t.sweptSlot = slotNow
+	for slot := range t.booked {
+		if slot < slotNow {
+			delete(t.booked, slot)
 		}
 	}
-	for s := range g.standby {
-		if s < now {
-			delete(g.standby, s)
+	for slot := range t.unbooked {
+		if slot < slotNow {
+			delete(t.unbooked, slot)
 		}
 	}
-	past := time.Duration(now)*slotWidth - keptLate
-	for len(g.order) > 0 && g.order[0].due < past {
-		delete(g.used, g.order[0])
-		g.order = g.order[1:]
+	oldest := time.Duration(slotNow)*slotWidth - lateTolerance
+	for len(t.usedOrder) > 0 && t.usedOrder[0].due < oldest {
+		delete(t.used, t.usedOrder[0])
+		t.usedOrder = t.usedOrder[1:]
 	}
 }
 
-// BookedRetries is how many returns are booked from now on.
-func (g *RetryThrottle) BookedRetries(now time.Duration) int {
-	n := 0.0
-	for s, k := range g.slots {
-		if s >= int64(now/slotWidth) {
-			n += k
+// BookedRetries returns how many retries are booked from now on.
+func (t *RetryThrottle) BookedRetries(now time.Duration) int {
+	sum := 0.0
+	for slot, places := range t.booked {
+		if slot >= int64(now/slotWidth) {
+			sum += places
 		}
 	}
-	return int(n)
+	return int(sum)
 }
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -1,162 +1,169 @@
 package storm
 
 import (
+	"encoding/json"
 	"testing"
 	"time"
 
 	"pgregory.net/rapid"
 )
 
-// own is the seal of a dispatcher whose key no other has.
-var own = TicketSigner{Key: []byte("a key of one"), Issuer: 1}
+// ownSigner is the signer of a dispatcher whose key no other has.
+var ownSigner = TicketSigner{Key: []byte("a key of one"), Issuer: 1}
 
-// stream feeds tries at a rate for a while, of which a share asks again, and a share of all ends badly.
-func stream(g *RetryThrottle, from, span time.Duration, perS, again, bad float64) time.Duration {
-	step := time.Duration(float64(time.Second) / perS)
-	a, b := 0.0, 0.0
-	for now := from; now < from+span; now += step {
-		a, b = a+again, b+bad
-		g.Admit(now, a >= 1, 0, "")
-		g.RequestDone(now, b < 1, a < 1, b < 1, 0)
-		if a >= 1 {
-			a--
+// simulate submits tries at a rate for some time, of which a share are retries and a share are not served. It returns
+// the time at the end.
+func simulate(
+	throttle *RetryThrottle, start, length time.Duration, perSecond, retryShare, unservedShare float64,
+) time.Duration {
+	step := time.Duration(float64(time.Second) / perSecond)
+	retries, unserved := 0.0, 0.0
+	for now := start; now < start+length; now += step {
+		retries, unserved = retries+retryShare, unserved+unservedShare
+		throttle.Admit(now, retries >= 1, 0, "")
+		throttle.RequestDone(now, unserved < 1, retries < 1, unserved < 1, 0)
+		if retries >= 1 {
+			retries--
 		}
-		if b >= 1 {
-			b--
+		if unserved >= 1 {
+			unserved--
 		}
 	}
-	return from + span
+	return start + length
 }
 
-func TestAStormIsToldAtOneQuestionASecondAndAtThreeHundred(t *testing.T) {
-	for _, perS := range []float64{1, 10, 300} {
-		g := New(time.Second, 1, 1, own)
-		now := stream(g, time.Second, 30*time.Second, perS, 0.08, 0.02)
-		if g.Active(now) {
-			t.Errorf("at %g a second: a storm of 8%% that ask again", perS)
+func TestThrottlingStartsAndStopsAtLowAndHighRates(t *testing.T) {
+	for _, perSecond := range []float64{1, 10, 300} {
+		throttle := New(time.Second, 1, 1, ownSigner)
+		now := simulate(throttle, time.Second, 30*time.Second, perSecond, 0.08, 0.02)
+		if throttle.Active(now) {
+			t.Errorf("at %g a second: throttling is active at 8%% retries", perSecond)
 		}
-		now = stream(g, now, 12*time.Second, perS, 0.7, 0.5)
-		if !g.Active(now) {
-			t.Errorf("at %g a second: no storm though 70%% ask again", perS)
+		now = simulate(throttle, now, 12*time.Second, perSecond, 0.7, 0.5)
+		if !throttle.Active(now) {
+			t.Errorf("at %g a second: throttling is not active at 70%% retries", perSecond)
 		}
-		now = stream(g, now, 60*time.Second, perS, 0.02, 0)
-		if g.Active(now) && perS > 1 || g.Active(now+time.Minute) && perS > 1 {
-			t.Errorf("at %g a second: a storm a minute after its end", perS)
+		now = simulate(throttle, now, 60*time.Second, perSecond, 0.02, 0)
+		if throttle.Active(now) && perSecond > 1 || throttle.Active(now+time.Minute) && perSecond > 1 {
+			t.Errorf("at %g a second: throttling is active a minute after the retries ended", perSecond)
 		}
-		if g.Counters.Activations != 1 {
-			t.Errorf("at %g a second: %d storms were told", perS, g.Counters.Activations)
+		if throttle.Counters.Activations != 1 {
+			t.Errorf("at %g a second: throttling started %d times, want 1", perSecond, throttle.Counters.Activations)
 		}
 	}
 }
 
-func TestClientsThatAskAgainForTheirOwnReasonsAreNoStorm(t *testing.T) {
-	g := New(time.Second, 1, 1, own)
-	if now := stream(g, time.Second, 20*time.Second, 50, 0.6, 0); g.Active(now) || g.Counters.Rejected > 0 {
-		t.Error("a storm, though nothing was declined or lost")
+func TestRetriesWithoutRejectionsAreNotThrottled(t *testing.T) {
+	throttle := New(time.Second, 1, 1, ownSigner)
+	if now := simulate(throttle, time.Second, 20*time.Second, 50, 0.6, 0); throttle.Active(now) ||
+		throttle.Counters.Rejected > 0 {
+		t.Error("throttling is active, though nothing was rejected or failed")
 	}
 }
 
 func TestReturnsAreSpreadOverWhatCanBeServed(t *testing.T) {
-	g := New(10*time.Second, 1, 1, own)
-	now := stream(g, time.Second, 20*time.Second, 50, 0, 0.3) // 35 a second are answered, 50 asked for
-	g.share = 1
-	slots, places := map[time.Duration]int{}, 0
+	throttle := New(10*time.Second, 1, 1, ownSigner)
+	now := simulate(throttle, time.Second, 20*time.Second, 50, 0, 0.3) // 35 of 50 requests a second are served
+	throttle.bookingShare = 1
+	perSecond, places := map[time.Duration]int{}, 0
 	var last time.Duration
 	for range 60 {
-		after, ticket := g.BookRetry(now)
-		if after < firstWait/2 || after > 10*time.Second {
-			t.Fatalf("come back after %v", after)
+		after, ticket := throttle.BookRetry(now)
+		if after < minWait/2 || after > 10*time.Second {
+			t.Fatalf("a client is told to come back after %v", after)
 		}
 		if ticket != "" {
 			places++
 		}
-		slots[(now+after)/time.Second]++
+		perSecond[(now+after)/time.Second]++
 		last = max(last, after)
 	}
-	for s, n := range slots {
-		if n > 14 { // 34 have room, 26 are too many for what clients heed and come late
-			t.Errorf("%d are to come back in second %d", n, s)
+	for second, n := range perSecond {
+		if n > 14 { // 34 have a place; 26 are too many for the time that clients wait, and come late
+			t.Errorf("%d clients are told to come back in second %d", n, second)
 		}
 	}
 	if places < 30 || places > 38 {
-		t.Errorf("%d have a place, for 34 there is room", places)
+		t.Errorf("%d clients have a place, want about 34", places)
 	}
 	if last < 8*time.Second {
-		t.Errorf("60 returns into a tenth of 35 a second end after %v", last)
+		t.Errorf("60 retries into a tenth of 35 a second are spread over %v only", last)
 	}
 }
 
 func TestAClientThatKeptItsTimeHasItsPlaceAndOthersHaveNot(t *testing.T) {
-	g := New(5*time.Second, 1, 1, own)
-	now := stream(g, time.Second, 20*time.Second, 20, 0.7, 0.6)
-	g.share = 1
-	g.channels[0].budget.tokens = -1000 // spent
-	admit, after, ticket := g.Admit(now, true, 0, "")
+	throttle := New(5*time.Second, 1, 1, ownSigner)
+	now := simulate(throttle, time.Second, 20*time.Second, 20, 0.7, 0.6)
+	throttle.bookingShare = 1
+	throttle.tenants[0].budget.tokens = -1000 // used up
+	admit, after, ticket := throttle.Admit(now, true, 0, "")
 	if admit || after <= 0 || ticket == "" {
 		t.Fatalf("admitted %v, after %v", admit, after)
 	}
-	if early, _, _ := g.Admit(now, true, 0, ticket); early {
-		t.Error("one that came at once has its place")
+	if early, _, _ := throttle.Admit(now, true, 0, ticket); early {
+		t.Error("a client that came at once was admitted by its ticket")
 	}
-	_, after, ticket = g.Admit(now, true, 0, "")
-	if kept, _, _ := g.Admit(now+after, true, 0, ticket); !kept {
-		t.Error("one that kept its time has no place")
+	_, after, ticket = throttle.Admit(now, true, 0, "")
+	if admitted, _, _ := throttle.Admit(now+after, true, 0, ticket); !admitted {
+		t.Error("a client that came at its time was rejected")
 	}
-	if g.Admit(now+after, true, 0, ticket); g.Counters.Redeemed != 1 {
-		t.Error("a place was taken twice")
+	if throttle.Admit(now+after, true, 0, ticket); throttle.Counters.Redeemed != 1 {
+		t.Error("a ticket was redeemed twice")
 	}
-	if first, _, _ := g.Admit(now+after, false, 0, ""); !first {
-		t.Error("a first try was refused")
+	if first, _, _ := throttle.Admit(now+after, false, 0, ""); !first {
+		t.Error("a first try was rejected")
 	}
 }
 
-func TestOneChannelsStormLeavesTheOthersTheirBudget(t *testing.T) {
-	g := New(5*time.Second, 2, 1, own)
+// The retries of one tenant must not use up the budget of another.
+func TestEachTenantHasItsOwnRetryBudget(t *testing.T) {
+	throttle := New(5*time.Second, 2, 1, ownSigner)
 	now := time.Second
 	for i := range 2000 {
 		now += 10 * time.Millisecond
-		g.Admit(now, i%2 == 0, 0, "")
-		g.RequestDone(now, i%2 == 0, false, false, i/2%2)
+		throttle.Admit(now, i%2 == 0, 0, "")
+		throttle.RequestDone(now, i%2 == 0, false, false, i/2%2)
 	}
-	in := 0
+	admitted := 0
 	for range 500 {
 		now += 10 * time.Millisecond
-		g.Admit(now, true, 0, "")
-		if ok, _, _ := g.Admit(now, true, 1, ""); ok {
-			in++
+		throttle.Admit(now, true, 0, "")
+		if ok, _, _ := throttle.Admit(now, true, 1, ""); ok {
+			admitted++
 		}
-		g.RequestDone(now, true, false, false, 1)
-		g.RequestDone(now, false, false, false, 0)
+		throttle.RequestDone(now, true, false, false, 1)
+		throttle.RequestDone(now, false, false, false, 0)
 	}
-	if in == 0 {
-		t.Error("channel 1 has no budget")
+	if admitted == 0 {
+		t.Error("no retry of tenant 1 was admitted")
 	}
 }
 
-// Whatever arrives: first tries are let in; advice lies within what clients heed; memory is bounded; no ticket admits twice.
+// For random tries: first tries are admitted, waits lie within what clients follow, memory is bounded, and no ticket
+// admits twice.
 func TestGuardUnderRandomTries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		heed := time.Duration(rapid.IntRange(0, 20000).Draw(t, "heed")) * time.Millisecond
-		g := New(heed, 3, rapid.Uint64().Draw(t, "seed"), own)
+		maxWait := time.Duration(rapid.IntRange(0, 20000).Draw(t, "max wait")) * time.Millisecond
+		throttle := New(maxWait, 3, rapid.Uint64().Draw(t, "seed"), ownSigner)
 		now := time.Second
 		var tickets []string
 		used := map[string]bool{}
 		for range rapid.IntRange(1, 400).Draw(t, "tries") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "gap")) * time.Millisecond
-			again := rapid.Bool().Draw(t, "again")
+			isRetry := rapid.Bool().Draw(t, "is retry")
 			ticket := ""
-			if len(tickets) > 0 && again && rapid.Bool().Draw(t, "with") {
+			if len(tickets) > 0 && isRetry && rapid.Bool().Draw(t, "use ticket") {
 				ticket = tickets[rapid.IntRange(0, len(tickets)-1).Draw(t, "ticket")]
 			}
-			kept := g.Counters.Redeemed
-			admit, after, next := g.Admit(now, again, rapid.IntRange(-1, 4).Draw(t, "channel"), ticket)
-			if !again && !admit {
-				t.Fatal("a first try was refused")
+			redeemed := throttle.Counters.Redeemed
+			admit, after, next := throttle.Admit(now, isRetry, rapid.IntRange(-1, 4).Draw(t, "tenant"), ticket)
+			if !isRetry && !admit {
+				t.Fatal("a first try was rejected")
 			}
-			if !admit && heed > 0 && (after <= 0 || after > heed) || !admit && heed == 0 && after != 0 {
-				t.Fatalf("come back after %v, clients heed %v", after, heed)
+			if !admit && maxWait > 0 && (after <= 0 || after > maxWait) || !admit && maxWait == 0 && after != 0 {
+				t.Fatalf("a client is told to wait %v, clients wait at most %v", after, maxWait)
 			}
-			if g.Counters.Redeemed > kept {
+			if throttle.Counters.Redeemed > redeemed {
 				if used[ticket] {
 					t.Fatal("a ticket admitted twice")
 				}
@@ -165,106 +172,120 @@
 			if next != "" {
 				tickets = append(tickets, next)
 			}
-			g.RequestDone(now, rapid.Bool().Draw(t, "well"), !again, rapid.Bool().Draw(t, "in time"), 0)
+			throttle.RequestDone(now, rapid.Bool().Draw(t, "served"), !isRetry, rapid.Bool().Draw(t, "in time"), 0)
 		}
-		if len(g.slots) > mostSlots+2 || len(g.used) > len(tickets) {
-			t.Fatalf("%d slots, %d used", len(g.slots), len(g.used))
+		if len(throttle.booked) > maxSlots+2 || len(throttle.used) > len(tickets) {
+			t.Fatalf("%d slots, %d used tickets", len(throttle.booked), len(throttle.used))
 		}
 	})
 }
 
-func TestATicketIsGoodAtADispatcherThatHasTheKey(t *testing.T) {
+func TestATicketIsValidAtDispatchersWithTheSameKey(t *testing.T) {
 	key := []byte("a key of the fleet")
-	a := New(5*time.Second, 1, 1, TicketSigner{Key: key, StartedAt: 1000 * time.Hour, Issuer: 1})
-	b := New(5*time.Second, 1, 2, TicketSigner{Key: key, StartedAt: 1000*time.Hour + 7*time.Second, Issuer: 2}) // started 7 s later
-	other := New(5*time.Second, 1, 3, own)
-	now := stream(a, time.Second, 20*time.Second, 20, 0.7, 0.6)
-	stream(b, time.Second, 13*time.Second, 20, 0.7, 0.6)
-	stream(other, time.Second, 20*time.Second, 20, 0.7, 0.6)
-	a.share = 1
-	after, ticket := a.BookRetry(now)
-	if other.keeps(now+after, ticket) || other.Counters.InvalidTickets == 0 {
-		t.Error("a ticket of another key has a place")
+	issuer := New(5*time.Second, 1, 1, TicketSigner{Key: key, StartedAt: 1000 * time.Hour, Issuer: 1})
+	peer := New(5*time.Second, 1, 2, TicketSigner{Key: key, StartedAt: 1000*time.Hour + 7*time.Second, Issuer: 2})
+	stranger := New(5*time.Second, 1, 3, ownSigner)
+	now := simulate(issuer, time.Second, 20*time.Second, 20, 0.7, 0.6)
+	simulate(peer, time.Second, 13*time.Second, 20, 0.7, 0.6) // started 7 s after the issuer
+	simulate(stranger, time.Second, 20*time.Second, 20, 0.7, 0.6)
+	issuer.bookingShare = 1
+	after, ticket := issuer.BookRetry(now)
+	if stranger.redeem(now+after, ticket) || stranger.Counters.InvalidTickets == 0 {
+		t.Error("a ticket of another key was redeemed")
 	}
-	if b.keeps(now+after, ticket) {
-		t.Error("b takes a's time for its own")
+	if peer.redeem(now+after, ticket) {
+		t.Error("the peer takes the issuer's time since start for its own")
 	}
-	if at := now + after - 7*time.Second; !b.keeps(at, ticket) || b.keeps(at, ticket) || b.Counters.FromPeers != 1 {
-		t.Errorf("at b: %+v", b.Counters)
+	if due := now + after - 7*time.Second; !peer.redeem(due, ticket) || peer.redeem(due, ticket) ||
+		peer.Counters.FromPeers != 1 {
+		t.Errorf("at the peer: %+v", peer.Counters)
 	}
 }
 
-// One ticket shown at every dispatcher, or many of a giver that gives too many, gain no more than a dispatcher can serve.
-func TestTicketsFromElsewhereAreLimited(t *testing.T) {
+// One ticket shown at every dispatcher, or many of an issuer that gives out too many, must not admit more than a
+// dispatcher can serve.
+func TestTicketsOfPeersAreLimitedToTheServiceRate(t *testing.T) {
 	key := []byte("a key of the fleet")
-	b := New(5*time.Second, 1, 2, TicketSigner{Key: key, Issuer: 2})
-	now := stream(b, time.Second, 20*time.Second, 20, 0.7, 0.6) // some 8 a second are answered
-	giver := TicketSigner{Key: key, Issuer: 1}
-	in := 0
+	peer := New(5*time.Second, 1, 2, TicketSigner{Key: key, Issuer: 2})
+	now := simulate(peer, time.Second, 20*time.Second, 20, 0.7, 0.6) // about 8 requests a second are served
+	issuer := TicketSigner{Key: key, Issuer: 1}
+	admitted := 0
 	for i := range 1000 {
-		if b.keeps(now, giver.Sign(now, uint64(i))) {
-			in++
+		if peer.redeem(now, issuer.Sign(now, uint64(i))) {
+			admitted++
 		}
 	}
-	if in == 0 || in > 24 {
-		t.Errorf("%d of 1,000 tickets of one moment have a place", in)
+	if admitted == 0 || admitted > 24 {
+		t.Errorf("%d of 1,000 tickets were redeemed at one moment", admitted)
 	}
 }
 
-func TestAChangedTicketIsNone(t *testing.T) {
-	text := []byte(own.Sign(time.Second, 7))
+func TestAChangedTicketIsInvalid(t *testing.T) {
+	text := []byte(ownSigner.Sign(time.Second, 7))
 	for i := range text {
 		changed := append([]byte(nil), text...)
 		if changed[i] = 'A'; changed[i] == text[i] {
 			changed[i] = 'B'
 		}
-		if got, ok := own.Verify(string(changed)); ok {
-			t.Errorf("with character %d changed it says %+v", i, got)
+		if got, ok := ownSigner.Verify(string(changed)); ok {
+			t.Errorf("with character %d changed it verifies as %+v", i, got)
 		}
 	}
-	if got, ok := own.Verify(string(text)); !ok || got.Due != time.Second || got.Serial != 7 || got.Issuer != 1 {
-		t.Errorf("it says %+v, %v", got, ok)
+	if got, ok := ownSigner.Verify(string(text)); !ok || got.Due != time.Second || got.Serial != 7 || got.Issuer != 1 {
+		t.Errorf("the ticket verifies as %+v, %v", got, ok)
 	}
 }
 
-func TestFurtherTripsAreAFifthOfFirstOnesWhenAllFail(t *testing.T) {
-	g := New(5*time.Second, 1, 1, own)
-	further, first := 0, 0
+func TestReattemptsAreLimitedToAFifthOfFirstAttempts(t *testing.T) {
+	throttle := New(5*time.Second, 1, 1, ownSigner)
+	reattempts, first := 0, 0
 	for now := time.Second; now < 61*time.Second; now += 10 * time.Millisecond { // 100 a second, all of which fail
-		g.AttemptSent(now, false)
+		throttle.AttemptSent(now, false)
 		first++
 		for range 3 {
-			if g.AllowReattempt(now) {
-				g.AttemptSent(now, true)
-				further++
+			if throttle.AllowReattempt(now) {
+				throttle.AttemptSent(now, true)
+				reattempts++
 			}
 		}
 	}
-	// A fifth, one a second, and the first burst.
-	if further < first/6 || further > first/5+60+210 {
-		t.Errorf("%d further trips for %d first ones", further, first)
+	// A fifth of the first attempts, one a second, and the initial burst.
+	if reattempts < first/6 || reattempts > first/5+60+210 {
+		t.Errorf("%d reattempts for %d first attempts", reattempts, first)
 	}
-	g = New(5*time.Second, 1, 1, own)
+	throttle = New(5*time.Second, 1, 1, ownSigner)
 	for now := time.Second; now < 61*time.Second; now += 10 * time.Millisecond {
-		g.AttemptSent(now, false)
+		throttle.AttemptSent(now, false)
 		if now%(100*time.Millisecond) == 0 { // one in ten fails
-			if !g.AllowReattempt(now) {
-				t.Fatal("a question that failed once has no further trip")
+			if !throttle.AllowReattempt(now) {
+				t.Fatal("a request whose first attempt failed gets no further one")
 			}
-			g.AttemptSent(now, true)
+			throttle.AttemptSent(now, true)
 		}
 	}
 }
 
-// Returns that push first tries out make them returns in turn: the fleet then stays down with all clients following.
-func TestReturnsGiveWayToFirstTriesThatAreLost(t *testing.T) {
-	g := New(10*time.Second, 1, 1, own)
-	now := stream(g, time.Second, 20*time.Second, 50, 0.3, 0.002)
-	before := g.share
-	now = stream(g, now, 5*time.Second, 50, 0.3, 0.4)
-	lost := g.share
-	stream(g, now, 60*time.Second, 50, 0.3, 0)
-	if before < 0.5 || lost != leastShare || g.share < 0.9 {
-		t.Errorf("of the room for returns %.2f is booked at 2%% lost, %.2f at 40%%, %.2f a minute after", before, lost, g.share)
+// Retries that displace first tries turn them into retries, and with all clients following their waits the fleet stays
+// overloaded. So the booking share must shrink while first tries are lost, and recover after.
+func TestTheBookingShareFollowsLostFirstTries(t *testing.T) {
+	throttle := New(10*time.Second, 1, 1, ownSigner)
+	now := simulate(throttle, time.Second, 20*time.Second, 50, 0.3, 0.002)
+	before := throttle.bookingShare
+	now = simulate(throttle, now, 5*time.Second, 50, 0.3, 0.4)
+	during := throttle.bookingShare
+	simulate(throttle, now, 60*time.Second, 50, 0.3, 0)
+	if before < 0.5 || during != minBookingShare || throttle.bookingShare < 0.9 {
+		t.Errorf("the booking share is %.2f at 0.2%% lost, %.2f at 40%%, %.2f a minute later",
+			before, during, throttle.bookingShare)
+	}
+}
+
+// The status page shows the counters under names that operators' tools read.
+func TestCountersKeepTheirNamesInJSON(t *testing.T) {
+	raw, err := json.Marshal(Counters{1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
+	want := `{"First":1,"Again":2,"Booked":3,"Kept":4,"Refused":5,"Budgeted":6,"Storms":7,` +
+		`"Standby":8,"Elsewhere":9,"Forged":10,"Further":11,"Spent":12}`
+	if err != nil || string(raw) != want {
+		t.Errorf("got %s (%v), want %s", raw, err, want)
 	}
 }
--- a/internal/storm/ticket.go
+++ b/internal/storm/ticket.go
@@ -8,49 +8,52 @@
 	"time"
 )
 
-// TicketSigner makes tickets and reads them: who was told to come back, and when. One made with the same key at another dispatcher
-// is as good. Between dispatchers only the wall clock is common, so a ticket names its time by that; Began is the wall
-// clock's time at this dispatcher's start, since 1970.
+// TicketSigner signs and verifies retry tickets, which state when a client is to come back, and which dispatcher issued
+// them. Dispatchers with the same key accept each other's tickets. They have only the wall clock in common, so a ticket
+// states its time by that.
 type TicketSigner struct {
 	Key       []byte
-	StartedAt time.Duration
-	Issuer    uint32 // who gives: a number that no other dispatcher has, nor this one after a restart
+	StartedAt time.Duration // wall clock at this dispatcher's start, since 1970
+	Issuer    uint32        // a number that no other dispatcher has, nor this one after a restart
 }
 
-// RetryTicket is what a seal says.
+// RetryTicket is the content of a verified ticket.
 type RetryTicket struct {
 	Due    time.Duration // since this dispatcher's start
 	Issuer uint32
-	Serial uint64 // one ticket of its giver
+	Serial uint64 // identifies the ticket among those of its issuer
 }
 
 const (
-	ticketBody = 8 + 4 + 8
-	ticketMAC  = 10 // 80 bits: a forger would need years of a dispatcher's whole capacity
+	ticketBodyBytes = 8 + 4 + 8
+	ticketMACBytes  = 10 // 80 bits: a forger would need years of a dispatcher's whole capacity
 )
 
 func (s *TicketSigner) mac(body []byte) []byte {
-	m := hmac.New(sha256.New, s.Key)
-	m.Write(body)
-	return m.Sum(nil)[:ticketMAC]
+	hash := hmac.New(sha256.New, s.Key)
+	hash.Write(body)
+	return hash.Sum(nil)[:ticketMACBytes]
 }
 
-// Sign writes a ticket.
-func (s *TicketSigner) Sign(due time.Duration, number uint64) string {
-	var raw [ticketBody + ticketMAC]byte
+// Sign returns the text of a ticket that is due at a time since this dispatcher's start.
+func (s *TicketSigner) Sign(due time.Duration, serial uint64) string {
+	var raw [ticketBodyBytes + ticketMACBytes]byte
 	binary.BigEndian.PutUint64(raw[:], uint64((s.StartedAt+due)/time.Millisecond))
 	binary.BigEndian.PutUint32(raw[8:], s.Issuer)
-	binary.BigEndian.PutUint64(raw[12:], number)
-	copy(raw[ticketBody:], s.mac(raw[:ticketBody]))
+	binary.BigEndian.PutUint64(raw[12:], serial)
+	copy(raw[ticketBodyBytes:], s.mac(raw[:ticketBodyBytes]))
 	return base64.RawURLEncoding.EncodeToString(raw[:])
 }
 
-// Verify reads a ticket; false: it was not made with this key.
+// Verify decodes the text of a ticket. It returns false if the ticket was not signed with this key.
 func (s *TicketSigner) Verify(text string) (RetryTicket, bool) {
 	raw, err := base64.RawURLEncoding.DecodeString(text)
-	if err != nil || len(raw) != ticketBody+ticketMAC || !hmac.Equal(raw[ticketBody:], s.mac(raw[:ticketBody])) {
+	if err != nil || len(raw) != ticketBodyBytes+ticketMACBytes ||
+		!hmac.Equal(raw[ticketBodyBytes:], s.mac(raw[:ticketBodyBytes])) {
 		return RetryTicket{}, false
 	}
 	due := time.Duration(binary.BigEndian.Uint64(raw))*time.Millisecond - s.StartedAt
-	return RetryTicket{Due: due, Issuer: binary.BigEndian.Uint32(raw[8:]), Serial: binary.BigEndian.Uint64(raw[12:])}, true
+	return RetryTicket{
+		Due: due, Issuer: binary.BigEndian.Uint32(raw[8:]), Serial: binary.BigEndian.Uint64(raw[12:]),
+	}, true
 }
