--- a/brain/belief.go
+++ b/brain/belief.go
@@ -17,7 +17,7 @@
 }
 
 // Believes tells it.
-func (d *Dispatcher) Believes() Belief {
+func (d *Dispatcher) Estimates() Belief {
 	b := Belief{Window: d.window, Unbegun: d.outstanding, Held: len(d.queue), Average: d.average, Ahead: d.firstToken.Or(0), Streams: d.streams}
 	mean := Request{Memory: 1500}
 	for _, h := range d.backends {
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -73,10 +73,10 @@
 		s := &script{steps: c.steps}
 		server := httptest.NewServer(s)
 		text := ""
-		a, err := (&Client{To: []string{server.URL}, Least: 10 * time.Millisecond}).Ask(context.Background(),
-			Question{Text: "free?", Time: 2 * time.Second, Safe: c.safe}, func(p string) { text += p })
+		a, err := (&Client{BaseURLs: []string{server.URL}, MinBackoff: 10 * time.Millisecond}).Do(context.Background(),
+			Request{Prompt: "free?", Timeout: 2 * time.Second, Idempotent: c.safe}, func(p string) { text += p })
 		server.Close()
-		if a.Tries != c.tries || a.Final != c.final || (err == nil) != (c.final == kserve.Served) {
+		if a.Attempts != c.tries || a.Outcome != c.final || (err == nil) != (c.final == kserve.Served) {
 			t.Errorf("%s: %+v, %v", c.name, a, err)
 		}
 		if c.name == "declined, then answered" {
@@ -95,9 +95,9 @@
 	s := &script{steps: []func(http.ResponseWriter){answered}}
 	server := httptest.NewServer(s)
 	defer server.Close()
-	a, err := (&Client{To: []string{"http://127.0.0.1:1", server.URL}, Least: time.Millisecond}).Ask(context.Background(),
-		Question{Text: "free?", Time: 2 * time.Second}, func(string) {})
-	if err != nil || a.Tries != 2 {
+	a, err := (&Client{BaseURLs: []string{"http://127.0.0.1:1", server.URL}, MinBackoff: time.Millisecond}).Do(context.Background(),
+		Request{Prompt: "free?", Timeout: 2 * time.Second}, func(string) {})
+	if err != nil || a.Attempts != 2 {
 		t.Errorf("%+v, %v", a, err)
 	}
 }
--- a/cmd/sloetrestle/load.go
+++ b/cmd/sloetrestle/load.go
@@ -104,7 +104,7 @@
 	}
 	defer list.Shut()
 	for _, m := range d.Makes() {
-		addr := addresses.Spec{Network: addresses.TCP4, At: fmt.Sprintf("127.0.0.1:%d", port)}
+		addr := addresses.Spec{Network: addresses.TCP4, Addr: fmt.Sprintf("127.0.0.1:%d", port)}
 		port++
 		b := fleet.NewBox(standin.Make{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Seed: d.Head.Seed, Engine: m.Engine,
 			Addresses: []addresses.Spec{addr}})
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -257,7 +257,7 @@
 		case b.TokenTime <= 0:
 			return setup.Invalidf(at+"token_time", "must be above 0")
 		}
-		if err := setup.CheckNumber(at+"units", b.Units, boxlist.MostUnits); err != nil {
+		if err := setup.CheckNumber(at+"units", b.Units, boxlist.MaxUnits); err != nil {
 			return err
 		}
 		for _, a := range b.Addresses {
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -102,7 +102,7 @@
 	if err != nil || len(folders) == 0 {
 		return err
 	}
-	key, err := dispatch.LedgerKey(filepath.Join(dir, "tickets.key"))
+	key, err := dispatch.ReadLedgerKey(filepath.Join(dir, "tickets.key"))
 	if err != nil {
 		return err
 	}
@@ -159,11 +159,11 @@
 		for i := range m.Addresses {
 			switch a := &m.Addresses[i]; a.Network {
 			case addresses.Unix:
-				a.At = fmt.Sprintf("%s/%s.%d", sockets, m.Name, i)
+				a.Addr = fmt.Sprintf("%s/%s.%d", sockets, m.Name, i)
 			case addresses.TCP6:
-				a.At = strings.Replace(next(), "127.0.0.1", "[::1]", 1)
+				a.Addr = strings.Replace(next(), "127.0.0.1", "[::1]", 1)
 			default:
-				a.At = next()
+				a.Addr = next()
 			}
 		}
 		b := r.fleet.NewBox(m)
--- a/internal/day/play_test.go
+++ b/internal/day/play_test.go
@@ -114,19 +114,19 @@
 // to a draining writer at once, and answers twice.
 func wrongly(ctx context.Context, d setup.DispatcherConfig) error {
 	var mu sync.Mutex
-	boxes := map[string]boxlist.Box{}
-	list := boxlist.Follower{Address: d.Instance.DiscoveryAddr, Name: d.Instance.Name, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Client: http.DefaultClient,
-		Listed: func(lines []boxlist.Box, _ bool) {
+	boxes := map[string]boxlist.Endpoint{}
+	list := boxlist.Follower{Address: d.Instance.DiscoveryAddr, Name: d.Instance.Name, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), HTTPClient: http.DefaultClient,
+		OnUpdate: func(lines []boxlist.Endpoint, _ bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			for _, b := range lines {
 				boxes[b.Name] = b
 			}
 		}}
-	go list.Follow(ctx)
+	go list.Run(ctx)
 	send := func(name string, e kserve.AttemptParams) io.ReadCloser {
 		mu.Lock()
-		addr := boxes[name].Addresses[0].At
+		addr := boxes[name].Addresses[0].Addr
 		mu.Unlock()
 		r, err := kserve.NewAttemptRequest(ctx, "http://"+addr, d.Model, "", e)
 		if err != nil {
--- a/internal/day/troubles.go
+++ b/internal/day/troubles.go
@@ -102,7 +102,7 @@
 		wait(length)
 		for _, b := range hit {
 			b.Kill("drained")
-			r.list.Publish(b, boxlist.Gone, r.day.List.Notice.Std())
+			r.list.Publish(b, boxlist.Removed, r.day.List.Notice.Std())
 		}
 		wait(length + time.Second)
 		err = r.back(hit)
@@ -141,7 +141,7 @@
 func (r *run) lose(b *standin.Box, why string, away time.Duration) {
 	b.Kill(why)
 	if silent := r.day.List.Silent.Std(); away > silent {
-		r.list.Publish(b, boxlist.Gone, silent)
+		r.list.Publish(b, boxlist.Removed, silent)
 	}
 }
 
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -114,7 +114,7 @@
 
 func (h *house) box(kind string) *standin.Box {
 	h.t.Helper()
-	b := h.fleet.NewBox(standin.Make{Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: address(h.t)}},
+	b := h.fleet.NewBox(standin.Make{Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: address(h.t)}},
 		Engine: engine.Make{Reads: kind == "reader", Writes: kind == "writer", Slots: 64, Queue: 300, Blocks: 6000, BlockTokens: 32, Chunk: 4096, Step: 5 * time.Millisecond,
 			ReadPerS: 50000, StateLife: 8 * time.Second}})
 	if err := b.Boot(false); err != nil {
@@ -256,8 +256,8 @@
 	h := open(t, nil)
 	h.reader.Kill("gone")
 	h.writer.Kill("gone")
-	h.list.Publish(h.reader, boxlist.Gone, 0)
-	h.list.Publish(h.writer, boxlist.Gone, 0)
+	h.list.Publish(h.reader, boxlist.Removed, 0)
+	h.list.Publish(h.writer, boxlist.Removed, 0)
 	time.Sleep(100 * time.Millisecond)
 	status, body, head := h.post(lodge+"generate", strings.NewReader(`{"text_input":"x","parameters":{"timeout":600000}}`))
 	var f kserve.FinalResponse
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -20,11 +20,11 @@
 
 // Server speaks KServe v2 to clients.
 type Server struct {
-	Terms setup.Deployment
-	Place setup.Instance
-	Loop  *Loop
-	Log   *slog.Logger
-	State func() map[string]any // what operators see
+	Service  setup.Deployment
+	Instance setup.Instance
+	Loop     *Loop
+	Log      *slog.Logger
+	Status   func() map[string]any // what operators see
 
 	open     atomic.Int64
 	begins   begins.Table // the loop's
@@ -44,7 +44,7 @@
 	mux.HandleFunc("GET /v2/health/live", func(w http.ResponseWriter, r *http.Request) {})
 	mux.HandleFunc("GET /v2/health/ready", s.ready)
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, r *http.Request) {
-		kserve.WriteJSON(w, http.StatusOK, s.State())
+		kserve.WriteJSON(w, http.StatusOK, s.Status())
 	})
 	for _, at := range []string{"/v2/models/{model}", "/v2/models/{model}/versions/{version}"} {
 		mux.HandleFunc("GET "+at, s.known(s.model))
@@ -64,7 +64,7 @@
 
 func (s *Server) model(w http.ResponseWriter, r *http.Request) {
 	kserve.WriteJSON(w, http.StatusOK, map[string]any{
-		"name": s.Terms.Model, "versions": []string{"1"}, "platform": "sloetrestle",
+		"name": s.Service.Model, "versions": []string{"1"}, "platform": "sloetrestle",
 		"inputs":  []map[string]any{{"name": "text_input", "datatype": "BYTES", "shape": []int{1}}},
 		"outputs": []map[string]any{{"name": "text_output", "datatype": "BYTES", "shape": []int{1}}},
 	})
@@ -73,7 +73,7 @@
 // known lets only the one model through.
 func (s *Server) known(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if m := r.PathValue("model"); m != s.Terms.Model {
+		if m := r.PathValue("model"); m != s.Service.Model {
 			kserve.WriteError(w, &kserve.RequestError{Status: http.StatusNotFound, Field: "model", Message: fmt.Sprintf("%q is unknown", m)})
 			return
 		}
@@ -89,8 +89,8 @@
 func (s *Server) take(w http.ResponseWriter, r *http.Request, inference bool) *ClientRequest {
 	came := time.Now()
 	ctl := http.NewResponseController(w)
-	ctl.SetReadDeadline(came.Add(s.Place.BodyTimeout.Std()))
-	body := http.MaxBytesReader(w, r.Body, s.Place.MaxBodyBytes)
+	ctl.SetReadDeadline(came.Add(s.Instance.BodyTimeout.Std()))
+	body := http.MaxBytesReader(w, r.Body, s.Instance.MaxBodyBytes)
 	read := kserve.ReadGenerateRequest
 	if inference {
 		read = kserve.ReadInferRequest
@@ -98,7 +98,7 @@
 	ask, err := read(body)
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) || strings.Contains(err.Error(), "i/o timeout") {
-			err = &kserve.RequestError{Status: http.StatusRequestTimeout, Message: fmt.Sprintf("the body did not arrive within %v", s.Place.BodyTimeout.Std())}
+			err = &kserve.RequestError{Status: http.StatusRequestTimeout, Message: fmt.Sprintf("the body did not arrive within %v", s.Instance.BodyTimeout.Std())}
 		}
 		kserve.WriteError(w, err)
 		return nil
@@ -106,20 +106,20 @@
 	ctl.SetReadDeadline(time.Time{})
 	grade, channel := 0, 0
 	if ask.Class != "" {
-		if grade = s.Terms.ClassIndex(ask.Class); grade < 0 {
+		if grade = s.Service.ClassIndex(ask.Class); grade < 0 {
 			kserve.WriteError(w, &kserve.RequestError{Status: http.StatusBadRequest, Field: "parameters.grade", Message: fmt.Sprintf("%q is unknown", ask.Class)})
 			return nil
 		}
 	}
 	if ask.Tenant != "" {
-		if channel = s.Terms.TenantIndex(ask.Tenant); channel < 0 {
+		if channel = s.Service.TenantIndex(ask.Tenant); channel < 0 {
 			kserve.WriteError(w, &kserve.RequestError{Status: http.StatusBadRequest, Field: "parameters.channel", Message: fmt.Sprintf("%q is unknown", ask.Tenant)})
 			return nil
 		}
 	}
-	g := s.Terms.Classes[grade]
+	g := s.Service.Classes[grade]
 	if ask.PromptTokens == 0 {
-		ask.PromptTokens = max(begins.Tokens(ask.Text), 1)
+		ask.PromptTokens = max(begins.EstimateTokens(ask.Text), 1)
 	}
 	ask.PrefixTokens = min(ask.PrefixTokens, ask.PromptTokens)
 	if ask.MaxTokens == 0 {
@@ -132,23 +132,23 @@
 		kserve.WriteFinalResponse(w, kserve.FinalResponse{Outcome: kserve.Rejected, Error: "this dispatcher is stopping", SafeToRetry: true, RetryAfterMs: 1})
 		return nil
 	}
-	if s.open.Add(1) > int64(s.Terms.Limits.MaxOpenRequests) {
+	if s.open.Add(1) > int64(s.Service.Limits.MaxOpenRequests) {
 		s.open.Add(-1)
 		kserve.WriteFinalResponse(w, kserve.FinalResponse{Outcome: kserve.Rejected, Error: "as many questions are open as this dispatcher takes",
-			SafeToRetry: true, RetryAfterMs: s.Terms.Limits.MaxRetryAfter.Std().Milliseconds()})
+			SafeToRetry: true, RetryAfterMs: s.Service.Limits.MaxRetryAfter.Std().Milliseconds()})
 		return nil
 	}
-	if ask.Tenant == "" && len(s.Terms.Tenants) > 0 {
-		ask.Tenant = s.Terms.Tenants[0].Name
+	if ask.Tenant == "" && len(s.Service.Tenants) > 0 {
+		ask.Tenant = s.Service.Tenants[0].Name
 	}
-	a := &ClientRequest{Ask: ask, Grade: g.Name, Channel: ask.Tenant}
+	a := &ClientRequest{Params: ask, Class: g.Name, Tenant: ask.Tenant}
 	took := s.Loop.Call(context.WithoutCancel(r.Context()), func() {
 		if ask.SharedPrefix == "" && ask.Text != "" {
-			if key, n := s.begins.Find(s.Loop.now, Number(ask.Session), ask.Text); key != 0 {
-				a.Ask.SharedPrefix, a.Ask.PrefixTokens = fmt.Sprintf("text-%x", key), min(n, a.Ask.PromptTokens)
+			if key, n := s.begins.SharedPrefix(s.Loop.now, HashName(ask.Session), ask.Text); key != 0 {
+				a.Params.SharedPrefix, a.Params.PrefixTokens = fmt.Sprintf("text-%x", key), min(n, a.Params.PromptTokens)
 			}
 		}
-		s.Loop.Submit(a, grade, channel, ask.Timeout-time.Since(came)-s.Place.ResponseMargin.Std())
+		s.Loop.Submit(a, grade, channel, ask.Timeout-time.Since(came)-s.Instance.ResponseMargin.Std())
 	})
 	if !took {
 		s.open.Add(-1)
@@ -159,7 +159,7 @@
 }
 
 // left tells the loop that the client has gone.
-func (s *Server) left(a *ClientRequest) { s.Loop.Post(func() { s.Loop.Left(a) }) }
+func (s *Server) left(a *ClientRequest) { s.Loop.Post(func() { s.Loop.ClientDisconnected(a) }) }
 
 // stream answers with server-sent events. Until the first token any answer is still a plain one, with its status.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request) {
@@ -168,7 +168,7 @@
 		return
 	}
 	defer s.open.Add(-1)
-	switch trip, f, ok := a.Start(r.Context()); {
+	switch trip, f, ok := a.WaitStart(r.Context()); {
 	case !ok:
 		s.left(a)
 	case trip == nil:
@@ -185,7 +185,7 @@
 	w.Header().Set("Cache-Control", "no-store")
 	var out bytes.Buffer
 	write := func() bool {
-		ctl.SetWriteDeadline(time.Now().Add(s.Place.WriteTimeout.Std()))
+		ctl.SetWriteDeadline(time.Now().Add(s.Instance.WriteTimeout.Std()))
 		if _, err := w.Write(out.Bytes()); err != nil {
 			return false
 		}
@@ -227,7 +227,7 @@
 
 // gather waits for the whole answer.
 func (s *Server) gather(r *http.Request, a *ClientRequest) (text []byte, f kserve.FinalResponse, ok bool) {
-	trip, f, ok := a.Start(r.Context())
+	trip, f, ok := a.WaitStart(r.Context())
 	if !ok {
 		s.left(a)
 		return nil, f, false
@@ -270,7 +270,7 @@
 	}
 	defer s.open.Add(-1)
 	text, f, ok := s.gather(r, a)
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.Place.WriteTimeout.Std()))
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.Instance.WriteTimeout.Std()))
 	switch {
 	case !ok:
 	case f.Outcome != kserve.Served:
@@ -282,7 +282,7 @@
 
 func (s *Server) generate(w http.ResponseWriter, r *http.Request) {
 	s.whole(w, r, false, func(a *ClientRequest, text []byte, f kserve.FinalResponse) {
-		kserve.WriteJSON(w, http.StatusOK, map[string]any{"model_name": s.Terms.Model, "id": a.Ask.ID, "text_output": string(text), "final": f.Outcome, "trips": f.Attempts})
+		kserve.WriteJSON(w, http.StatusOK, map[string]any{"model_name": s.Service.Model, "id": a.Params.ID, "text_output": string(text), "final": f.Outcome, "trips": f.Attempts})
 	})
 }
 
@@ -294,7 +294,7 @@
 			return
 		}
 		kserve.WriteJSON(w, http.StatusOK, kserve.InferResponse{
-			Model: s.Terms.Model, Version: "1", ID: a.Ask.ID, Parameters: kserve.Params{"final": f.Outcome, "trips": f.Attempts},
+			Model: s.Service.Model, Version: "1", ID: a.Params.ID, Parameters: kserve.Params{"final": f.Outcome, "trips": f.Attempts},
 			Outputs: []kserve.Tensor{{Name: "text_output", Shape: []int64{1}, Datatype: "BYTES", Data: data}},
 		})
 	})
--- a/internal/dispatch/trips_test.go
+++ b/internal/dispatch/trips_test.go
@@ -11,26 +11,26 @@
 func TestOutcomeClaimsNoMoreThanTheSocketProved(t *testing.T) {
 	told := func(word string) *kserve.AttemptResult { return &kserve.AttemptResult{Outcome: word, CachedTokens: 5} }
 	for _, c := range []struct {
-		seen  Seen
+		seen  Observation
 		stage brain.Stage
 		want  brain.Outcome
 		note  int
 	}{
-		{Seen{}, brain.Whole, brain.Unreachable, 0},
-		{Seen{Cause: ErrLate}, brain.Whole, brain.Unreachable, 0},
-		{Seen{Cause: ErrLeft}, brain.Whole, brain.Cancelled, 0},
-		{Seen{Connected: true}, brain.Whole, brain.Broken, 0},
-		{Seen{Connected: true, Cause: errStalled}, brain.Whole, brain.Broken, 0},
-		{Seen{Connected: true, Cause: ErrLate}, brain.ToWrite, brain.TimedOut, 0},
-		{Seen{Connected: true, Cause: ErrLeft}, brain.ToWrite, brain.Cancelled, 0},
-		{Seen{Connected: true, Told: told(kserve.OutcomePrefilled)}, brain.ToRead, brain.Read, 5},
-		{Seen{Connected: true, Told: told(kserve.OutcomePrefilled)}, brain.Whole, brain.Failed, 0},
-		{Seen{Connected: true, Told: told(kserve.OutcomeCompleted)}, brain.ToWrite, brain.Served, 5},
-		{Seen{Connected: true, Told: told(kserve.OutcomeCompleted)}, brain.ToRead, brain.Failed, 0},
-		{Seen{Connected: true, Told: told(kserve.OutcomeFull)}, brain.ToWrite, brain.Rejected, 0},
-		{Seen{Connected: true, Told: told(kserve.OutcomeNoKVCache)}, brain.ToWrite, brain.Rejected, 1},
-		{Seen{Connected: true, Told: told(kserve.OutcomeFailed)}, brain.ToWrite, brain.Failed, 0},
-		{Seen{Connected: true, Told: told("gibberish")}, brain.ToWrite, brain.Failed, 0},
+		{Observation{}, brain.Whole, brain.Unreachable, 0},
+		{Observation{Cause: ErrAttemptTimeout}, brain.Whole, brain.Unreachable, 0},
+		{Observation{Cause: ErrNotNeeded}, brain.Whole, brain.Cancelled, 0},
+		{Observation{Sent: true}, brain.Whole, brain.Broken, 0},
+		{Observation{Sent: true, Cause: errStalled}, brain.Whole, brain.Broken, 0},
+		{Observation{Sent: true, Cause: ErrAttemptTimeout}, brain.ToWrite, brain.TimedOut, 0},
+		{Observation{Sent: true, Cause: ErrNotNeeded}, brain.ToWrite, brain.Cancelled, 0},
+		{Observation{Sent: true, Report: told(kserve.OutcomePrefilled)}, brain.ToRead, brain.Read, 5},
+		{Observation{Sent: true, Report: told(kserve.OutcomePrefilled)}, brain.Whole, brain.Failed, 0},
+		{Observation{Sent: true, Report: told(kserve.OutcomeCompleted)}, brain.ToWrite, brain.Served, 5},
+		{Observation{Sent: true, Report: told(kserve.OutcomeCompleted)}, brain.ToRead, brain.Failed, 0},
+		{Observation{Sent: true, Report: told(kserve.OutcomeFull)}, brain.ToWrite, brain.Rejected, 0},
+		{Observation{Sent: true, Report: told(kserve.OutcomeNoKVCache)}, brain.ToWrite, brain.Rejected, 1},
+		{Observation{Sent: true, Report: told(kserve.OutcomeFailed)}, brain.ToWrite, brain.Failed, 0},
+		{Observation{Sent: true, Report: told("gibberish")}, brain.ToWrite, brain.Failed, 0},
 	} {
 		if got, note := c.seen.Outcome(c.stage); got != c.want || note != c.note {
 			t.Errorf("%+v at stage %d: outcome %d note %d, not %d note %d", c.seen, c.stage, got, note, c.want, c.note)
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -16,9 +16,9 @@
 // transport takes a dispatcher's attempts to the engines.
 type transport dispatcher
 
-func (c *transport) Reach(*dispatch.Backend, []addresses.Spec) {}
+func (c *transport) SetAddresses(*dispatch.Backend, []addresses.Spec) {}
 
-func (c *transport) Tell(peer int, n brain.PeerUpdate) {
+func (c *transport) SendPeerUpdate(peer int, n brain.PeerUpdate) {
 	d := (*dispatcher)(c)
 	if peer < 0 || peer >= len(d.w.dispatchers) {
 		return
@@ -29,21 +29,21 @@
 			return
 		}
 		to.do(func() {
-			if h := to.loop.HostOf(name); h != nil {
+			if h := to.loop.SchedulerBackend(name); h != nil {
 				n := n
 				n.Host = h // each dispatcher has its own
-				to.loop.Heard(n)
+				to.loop.ApplyPeerUpdate(n)
 			}
 		})
 	})
 }
 
 func (c *transport) Release(b *dispatch.Backend, a *dispatch.ClientRequest) {
-	if a.AttemptOut() {
+	if a.AttemptInFlight() {
 		return // attempts arrive here, and wait for the state
 	}
 	w := c.w
-	r := kserve.Release{RequestKey: c.loop.Key(a), LastAttempt: len(a.Request.Attempts) - 1}
+	r := kserve.Release{RequestKey: c.loop.RequestKey(a), LastAttempt: len(a.Scheduled.Attempts) - 1}
 	to := w.boxes[b.Name]
 	w.after(hop, func() {
 		if to.up {
@@ -75,15 +75,15 @@
 	d := (*dispatcher)(c)
 	w := d.w
 	t := &attempt{w: w, from: d, loop: d.loop, flight: f, to: w.boxes[f.Backend.Name]}
-	t.line = record.Line{Box: t.to.make.Name, Try: f.Request.Ask.ID, Grade: f.Request.Grade, Key: f.Key, Stage: f.Stage(), Trip: f.Planned.Number}
-	f.Off = func(why error) {
+	t.line = record.Line{Box: t.to.make.Name, Try: f.Request.Params.ID, Grade: f.Request.Class, Key: f.RequestKey, Stage: f.Stage(), Trip: f.Scheduled.Number}
+	f.Cancel = func(why error) {
 		if t.off != nil || t.told {
 			return
 		}
 		t.off = why
 		// The connection is closed: this end knows at once, the other a hop later.
 		o := brain.TimedOut
-		if why == dispatch.ErrLeft {
+		if why == dispatch.ErrNotNeeded {
 			o = brain.Cancelled
 		}
 		w.after(0, func() { t.tell(brain.Result{Outcome: o}) })
@@ -98,7 +98,7 @@
 		return
 	}
 	wait, limit := w.connectTime(), dialTime
-	if least := f.Planned.Connect; least > 0 {
+	if least := f.Scheduled.Connect; least > 0 {
 		limit = min(limit, least)
 	}
 	if wait > limit {
@@ -122,7 +122,7 @@
 		return
 	}
 	t.told = true
-	t.from.do(func() { t.loop.Ended(t.flight, r) })
+	t.from.do(func() { t.loop.AttemptEnded(t.flight, r) })
 }
 
 func (t *attempt) back(r brain.Result) {
@@ -198,7 +198,7 @@
 		t.back(brain.Result{Outcome: brain.Failed})
 		return
 	}
-	q := t.flight.Planned.Request
+	q := t.flight.Scheduled.Request
 	j := &engine.Job{Key: t.line.Key, Session: q.Session, Shared: q.Shared, Prompt: int(q.Prompt), Prefix: int(q.Prefix)}
 	t.job = j
 	switch t.line.Stage {
@@ -206,7 +206,7 @@
 		j.Stage = engine.Read
 	case kserve.PhaseDecode:
 		j.Stage = engine.Write
-		state := w.boxes[t.flight.State.Name]
+		state := w.boxes[t.flight.PrefillBackend.Name]
 		j.Fetch = func(arrived func(bool)) { w.fetch(state, b, t, arrived) }
 	default:
 		j.Stage = engine.Whole
@@ -216,7 +216,7 @@
 		j.Answer = 1
 	}
 	j.Token = func(n int) {
-		t.flight.Streamed.Store(int64(n))
+		t.flight.StreamedTokens.Store(int64(n))
 		if n > 1 {
 			if n == 2 && b.resets > 0 && w.rng.Float64() < b.resets {
 				b.engine.Cancel(j)
@@ -257,8 +257,8 @@
 	if t.told || !t.from.up || t.from.loop != t.loop {
 		return
 	}
-	t.from.do(func() { t.loop.Began(t.flight) })
-	if t.off != nil || t.flight.Planned.Began == 0 {
+	t.from.do(func() { t.loop.AttemptBegan(t.flight) })
+	if t.off != nil || t.flight.Scheduled.Began == 0 {
 		return
 	}
 	if c := t.from.of[t.flight.Request]; c != nil {
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -104,7 +104,7 @@
 func (w *world) add(m day.Made, cold bool) *backend {
 	b := &backend{w: w, make: m}
 	w.boxes[m.Name] = b
-	w.byID[dispatch.HostID(m.Name)] = b
+	w.byID[dispatch.BackendID(m.Name)] = b
 	w.order = append(w.order, b)
 	b.boot(cold)
 	return b
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -64,16 +64,16 @@
 				if d.up && d.open[c] {
 					delete(d.open, c)
 					delete(d.of, c.asked)
-					d.do(func() { d.loop.Left(c.asked) })
+					d.do(func() { d.loop.ClientDisconnected(c.asked) })
 				}
 			}
 		})
 	}
 	d.open[c] = true
-	c.asked = &dispatch.ClientRequest{Ask: kserve.Request{ID: c.id, Session: wish.Session, SharedPrefix: wish.Shared, PromptTokens: wish.Tokens, PrefixTokens: wish.Prefix, MaxTokens: wish.Most,
-		IsRetry: try > 0, RetryTicket: ticket}, Grade: wish.Grade, Channel: wish.Channel}
+	c.asked = &dispatch.ClientRequest{Params: kserve.Request{ID: c.id, Session: wish.Session, SharedPrefix: wish.Shared, PromptTokens: wish.Tokens, PrefixTokens: wish.Prefix, MaxTokens: wish.Most,
+		IsRetry: try > 0, RetryTicket: ticket}, Class: wish.Grade, Tenant: wish.Channel}
 	d.of[c.asked] = c
-	c.asked.Tell = func(f kserve.FinalResponse) { w.after(hop, func() { c.final(f) }) }
+	c.asked.OnFinal = func(f kserve.FinalResponse) { w.after(hop, func() { c.final(f) }) }
 	grade, channel := w.day.ClassIndex(wish.Grade), max(w.day.TenantIndex(wish.Channel), 0)
 	w.after(hop, func() {
 		if c.over && wish.Leaves == 0 || !d.open[c] {
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -50,7 +50,7 @@
 	case "ageing":
 		each(func(b *backend) { b.engine.Age(w.now, t.Share) })
 		later(func() {
-			each(func(b *backend) { b.kill("aged"); w.publish(b, boxlist.Gone, w.day.List.Silent.Std()) })
+			each(func(b *backend) { b.kill("aged"); w.publish(b, boxlist.Removed, w.day.List.Silent.Std()) })
 			w.after(2*time.Second, back)
 		})
 	case "evict_fresh":
@@ -76,7 +76,7 @@
 			w.publish(b, boxlist.Draining, notice)
 			w.replace(b, notice)
 		})
-		later(func() { each(func(b *backend) { b.kill("replaced"); w.publish(b, boxlist.Gone, notice) }) })
+		later(func() { each(func(b *backend) { b.kill("replaced"); w.publish(b, boxlist.Removed, notice) }) })
 	case "connect_late":
 		w.lateShare, w.lateBy = t.Share, t.By.Std()
 		later(func() { w.lateShare = 0 })
@@ -91,7 +91,7 @@
 		each(func(b *backend) {
 			b.kill("crashed")
 			if silent := w.day.List.Silent.Std(); length > silent {
-				w.publish(b, boxlist.Gone, silent)
+				w.publish(b, boxlist.Removed, silent)
 			}
 		})
 		later(back)
@@ -101,7 +101,7 @@
 	case "drain":
 		each(func(b *backend) { w.publish(b, boxlist.Draining, notice) })
 		later(func() {
-			each(func(b *backend) { b.kill("drained"); w.publish(b, boxlist.Gone, notice) })
+			each(func(b *backend) { b.kill("drained"); w.publish(b, boxlist.Removed, notice) })
 			w.after(time.Second, back)
 		})
 	case "list_stale":
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -102,7 +102,7 @@
 	day    day.Day
 	policy string
 	now    time.Duration
-	events agenda.Agenda
+	events agenda.Queue
 	rng    *rand.Rand
 	wishes []standin.Wish
 	lines  []record.Line
@@ -128,13 +128,13 @@
 }
 
 func (w *world) at(at time.Duration, do func()) {
-	w.events.At(max(at, w.now), do)
+	w.events.Schedule(max(at, w.now), do)
 }
 
 func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
 
 func (w *world) run(until time.Duration) {
-	w.events.Run(until, func(at time.Duration) { w.now = at })
+	w.events.RunUntil(until, func(at time.Duration) { w.now = at })
 }
 
 func (w *world) put(l record.Line) {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -140,7 +140,7 @@
 	}
 	var boxes []*standin.Box
 	for i, kind := range []string{"reader", "writer"} {
-		b := r.fleet.NewBox(standin.Make{Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Engine: standin.Instant, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: addrs[1+i]}}})
+		b := r.fleet.NewBox(standin.Make{Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Engine: standin.Instant, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: addrs[1+i]}}})
 		if err := b.Boot(false); err != nil {
 			return nil, err
 		}
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -428,7 +428,7 @@
 	); err != nil {
 		return err
 	}
-	if _, err := reach.NewAllowed(instance.AllowedBackends); err != nil {
+	if _, err := reach.NewAllowList(instance.AllowedBackends); err != nil {
 		return Invalidf("dispatcher.allow", "%v", err)
 	}
 	for i, address := range d.ExtraAddresses {
--- a/internal/stages/site_test.go
+++ b/internal/stages/site_test.go
@@ -338,8 +338,8 @@
 	}
 }
 
-func (b *box) line(standing string) boxlist.Box {
-	return boxlist.Box{Name: b.name, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: b.at}}, Kind: b.kind, Zone: "here", Rack: "r", Standing: standing, Units: 1, UpMs: -1}
+func (b *box) line(standing string) boxlist.Endpoint {
+	return boxlist.Endpoint{Name: b.name, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: b.at}}, Kind: b.kind, Zone: "here", Rack: "r", State: standing, Units: 1, UptimeMs: -1}
 }
 
 // list serves the box list: what is pushed, and a beat.
@@ -372,19 +372,19 @@
 }
 
 // whole makes the list of all boxes as ready; lines are for those that are said otherwise.
-func (s *site) whole(lines ...boxlist.Box) {
+func (s *site) whole(lines ...boxlist.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listed++
-	p := boxlist.Push{Version: s.listed, Whole: true}
+	p := boxlist.Update{Version: s.listed, Full: true}
 	for _, b := range s.boxes {
-		if i := slices.IndexFunc(lines, func(l boxlist.Box) bool { return l.Name == b.name }); i >= 0 {
-			p.Boxes = append(p.Boxes, lines[i])
+		if i := slices.IndexFunc(lines, func(l boxlist.Endpoint) bool { return l.Name == b.name }); i >= 0 {
+			p.Endpoints = append(p.Endpoints, lines[i])
 		} else {
-			p.Boxes = append(p.Boxes, b.line(boxlist.Ready))
+			p.Endpoints = append(p.Endpoints, b.line(boxlist.Ready))
 		}
 	}
-	slices.SortFunc(p.Boxes, func(a, b boxlist.Box) int { return len(a.Name) - len(b.Name) })
+	slices.SortFunc(p.Endpoints, func(a, b boxlist.Endpoint) int { return len(a.Name) - len(b.Name) })
 	raw, err := json.Marshal(p)
 	if err != nil {
 		panic(err)
--- a/internal/stages/trips_test.go
+++ b/internal/stages/trips_test.go
@@ -67,9 +67,9 @@
 			for i := range 4 {
 				for _, g := range s.d.Classes {
 					all.Go(func() {
-						c := client.Client{To: []string{"http://" + s.base}, Tries: tries, Least: 20 * time.Millisecond}
-						c.Ask(context.Background(), client.Question{Text: fmt.Sprintf("%s %d", g.Name, i), Grade: g.Name, Session: fmt.Sprint(g.Name, i), Most: 8,
-							Time: 3 * time.Second, Safe: g.Effect == "idempotent"}, func(string) {})
+						c := client.Client{BaseURLs: []string{"http://" + s.base}, MaxAttempts: tries, MinBackoff: 20 * time.Millisecond}
+						c.Do(context.Background(), client.Request{Prompt: fmt.Sprintf("%s %d", g.Name, i), Class: g.Name, Session: fmt.Sprint(g.Name, i), MaxTokens: 8,
+							Timeout: 3 * time.Second, Idempotent: g.Effect == "idempotent"}, func(string) {})
 					})
 				}
 			}
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -689,10 +689,10 @@
 	r.Header.Set("Zone", b.Zone)
 	resp, err := conn.Do(ctx, r)
 	if err != nil {
-		conn.Lost()
+		conn.ReportFailed()
 		return err
 	}
-	conn.Served()
+	conn.ReportServed()
 	defer resp.Body.Close()
 	io.Copy(io.Discard, io.LimitReader(resp.Body, 4096))
 	if resp.StatusCode != http.StatusOK {
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -39,7 +39,7 @@
 	reads    map[string]*mean // tokens left to read, by grade
 	seen     map[mark]time.Duration
 	racks    map[string]*lane
-	ways     *reach.Boxes // from writers to readers
+	ways     *reach.Manager // from writers to readers
 	life     context.Context
 	end      context.CancelFunc
 	starts   uint64
@@ -62,8 +62,8 @@
 		reads: map[string]*mean{}, seen: map[mark]time.Duration{}, racks: map[string]*lane{},
 	}
 	f.life, f.end = context.WithCancel(context.Background())
-	f.ways = &reach.Boxes{Limit: 500 * time.Millisecond, Most: 1024, Since: book.Since, Life: f.life, Group: &errgroup.Group{}}
-	f.ways.Group.Go(f.ways.Tend)
+	f.ways = &reach.Manager{DialTimeout: 500 * time.Millisecond, MaxConnsPerBackend: 1024, Now: book.Since, Context: f.life, Group: &errgroup.Group{}}
+	f.ways.Group.Go(f.ways.Run)
 	return f
 }
 
@@ -74,14 +74,14 @@
 }
 
 // reader is the way to a reader at the addresses that a trip names.
-func (f *Fleet) reader(name string, at []string) *reach.Host {
+func (f *Fleet) reader(name string, at []string) *reach.Pool {
 	var specs []addresses.Spec
 	for _, a := range at {
 		if s, err := reach.ParseListen(a); err == nil {
 			specs = append(specs, s)
 		}
 	}
-	return f.ways.Set(name, specs, xxhash.Sum64String(name))
+	return f.ways.SetAddresses(name, specs, xxhash.Sum64String(name))
 }
 
 // SlowLinks makes all links so many times slower.
