--- a/internal/boxlist/boxlist_test.go
+++ b/internal/boxlist/boxlist_test.go
@@ -50,7 +50,7 @@
 
 // The capacity and the uptime in a list go into the shares of backends and into the budget for backends that are
 // warming up. An invalid line must be refused by name, and its endpoint must keep its last line, in a full list too.
-func TestALineWithoutSenseLeavesItsBoxAsItWas(t *testing.T) {
+func TestInvalidLineLeavesItsEndpointUnchanged(t *testing.T) {
 	for name, invalidate := range map[string]func(e *Endpoint){
 		"negative units":  func(e *Endpoint) { e.Units = -1 },
 		"huge units":      func(e *Endpoint) { e.Units = 1e308 },
@@ -124,7 +124,7 @@
 	}
 }
 
-func TestAfterAGapTheWholeListIsAskedForAndTheLastOneIsKept(t *testing.T) {
+func TestFullListIsFetchedAfterAGapAndSaved(t *testing.T) {
 	script := &scriptedServer{script: [][]Update{
 		{
 			{Version: 1, Full: true, Endpoints: []Endpoint{testEndpoint("a", Ready)}},
--- a/internal/reach/pool_test.go
+++ b/internal/reach/pool_test.go
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestAllAddressesFailingIsToldPromptly(t *testing.T) {
+func TestFailureOfAllAddressesIsReportedPromptly(t *testing.T) {
 	s := newFixture(t)
 	backend, pool := s.backend("w1")
 	for mode, limit := range map[string]time.Duration{
@@ -297,7 +297,7 @@
 	t.Error("a removed backend still has a pool")
 }
 
-func TestConnectionsToAnAddressThatIsDroppedAreNotUsedAgain(t *testing.T) {
+func TestConnectionsToARemovedAddressAreNotReused(t *testing.T) {
 	s := newFixture(t)
 	backend, pool := s.backend("w1")
 	s.attempt(pool, time.Second)
--- a/internal/stages/table_test.go
+++ b/internal/stages/table_test.go
@@ -69,11 +69,11 @@
 // table is every fault at every stage.
 var table = map[string]map[string]any{
 	door: {
-		refuses: elsewhere{"internal/storm", "TestACrowdDoesNotShutOthersOut"}, full: elsewhere{"internal/dispatch", "TestRequestsBeyondOpenLimitAreRejected"},
+		refuses: elsewhere{"internal/storm", "TestABusyBlockLeavesOthersTheirShare"}, full: elsewhere{"internal/dispatch", "TestRequestsBeyondOpenLimitAreRejected"},
 		dies: noBox, resets: socket(asksBadly(`{"text_input":"x","parameters":{"grade"`, 300, true)), silent: socket(asksBadly("", 300, false)),
 		slow: elsewhere{"internal/dispatch", "TestInvalidRequestsAreRejectedWithFieldName"}, malformed: elsewhere{"internal/stages", "TestBodiesThatMakeNoSenseAreRefusedByName"},
 		cutOff:    socket(asksBadly(`{"text_input":"x"`, 300, true)),
-		oversized: elsewhere{"internal/stages", "TestBodiesThatMakeNoSenseAreRefusedByName"}, doubled: elsewhere{"internal/storm", "TestAClientThatKeptItsTimeHasItsPlaceAndOthersHaveNot"},
+		oversized: elsewhere{"internal/stages", "TestBodiesThatMakeNoSenseAreRefusedByName"}, doubled: elsewhere{"internal/storm", "TestATicketAdmitsOnceAtItsTime"},
 		leaves: socket(asksBadly(`{`, 300, true)), timeUp: elsewhere{"internal/dispatch", "TestInvalidRequestsAreRejectedWithFieldName"},
 		drains: elsewhere{"internal/dispatch", "TestRejectionCarriesRetryAfter"}, cold: noBox, killed: elsewhere{"internal/day", "TestShortDaysKeepTheRules"},
 	},
@@ -82,11 +82,11 @@
 		doubled: noHeld, leaves: virtual{}, timeUp: virtual{}, drains: virtual{}, cold: never("questions are held for no one box"), killed: virtual{},
 	},
 	connecting: {
-		refuses: virtual{}, full: socket(fewConnections), dies: elsewhere{"internal/reach", "TestAllAddressesFailingIsToldPromptly"},
+		refuses: virtual{}, full: socket(fewConnections), dies: elsewhere{"internal/reach", "TestFailureOfAllAddressesIsReportedPromptly"},
 		resets: socket(proofs(atProof[resets])), silent: socket(proofs(atProof[silent])), slow: socket(proofs(atProof[slow])),
 		malformed: socket(proofs(atProof[malformed])), cutOff: socket(proofs(atProof[cutOff])), oversized: socket(proofs(atProof[oversized])),
 		doubled: socket(proofs(atProof[doubled])), leaves: socket(leavesWhileConnecting), timeUp: socket(noTimeToConnect),
-		drains: elsewhere{"internal/reach", "TestConnectionsToAnAddressThatIsDroppedAreNotUsedAgain"}, cold: never("a connection weighs nothing at a cold box: its trip does"),
+		drains: elsewhere{"internal/reach", "TestConnectionsToARemovedAddressAreNotReused"}, cold: never("a connection weighs nothing at a cold box: its trip does"),
 		killed: elsewhere{"internal/day", "TestShortDaysKeepTheRules"},
 	},
 	reading: {
@@ -140,10 +140,10 @@
 		slow: noBox, malformed: socket(startsWith(`{"saved_unix_ms":` + `"then"}`)), cutOff: socket(startsWith(`{"saved_unix_ms":1,"push":{"version":3,"boxes":[{"na`)),
 		oversized: socket(startsWith(`{"saved_unix_ms":1,"push":{"whole":true,"boxes":[{"name":"` + strings.Repeat("n", 1<<20) + `","standing":"ready"}]}}`)),
 		doubled:   socket(startsWith(`{"saved_unix_ms":1,"push":{"version":900,"whole":true,"boxes":[{"name":"a","standing":"ready"},{"name":"a","standing":"gone"}]}}`)),
-		leaves:    noTime, timeUp: noTime, drains: elsewhere{"internal/boxlist", "TestAfterAGapTheWholeListIsAskedForAndTheLastOneIsKept"}, cold: elsewhere{"internal/fleet", "TestDaysKeepTheRulesInVirtualTime"}, killed: virtual{},
+		leaves:    noTime, timeUp: noTime, drains: elsewhere{"internal/boxlist", "TestFullListIsFetchedAfterAGapAndSaved"}, cold: elsewhere{"internal/fleet", "TestDaysKeepTheRulesInVirtualTime"}, killed: virtual{},
 	},
 	list: {
-		refuses: elsewhere{"internal/boxlist", "TestAfterAGapTheWholeListIsAskedForAndTheLastOneIsKept"}, full: elsewhere{"internal/boxlist", "TestALineWithoutSenseLeavesItsBoxAsItWas"},
+		refuses: elsewhere{"internal/boxlist", "TestFullListIsFetchedAfterAGapAndSaved"}, full: elsewhere{"internal/boxlist", "TestInvalidLineLeavesItsEndpointUnchanged"},
 		dies: elsewhere{"internal/day", "TestShortDaysKeepTheRules"}, resets: socket(lists(func(*site) string { return `{"version":` })), silent: virtual{}, slow: virtual{},
 		malformed: socket(lists(func(*site) string { return `{"version":1,"base":1,"boxes":[{"name":7}]}` })), cutOff: virtual{},
 		oversized: socket(lists(func(*site) string { return `{"version":2,"base":1,"x":"` + strings.Repeat("x", 17<<20) + `"}` })),
@@ -158,11 +158,11 @@
 		cold: elsewhere{"brain", "TestHeardTakesAnUnmetHostAsCold"}, killed: elsewhere{"internal/budget", "TestARateGoesOnWithoutItsKeeperInEqualParts"},
 	},
 	booking: {
-		refuses: elsewhere{"internal/storm", "TestReturnsAreSpreadOverWhatCanBeServed"}, full: elsewhere{"internal/budget", "TestWhatIsUsedUpIsDeclinedWithTheTimeOfItsRenewal"},
+		refuses: elsewhere{"internal/storm", "TestRetriesAreSpreadOverFreeCapacity"}, full: elsewhere{"internal/budget", "TestWhatIsUsedUpIsDeclinedWithTheTimeOfItsRenewal"},
 		dies: elsewhere{"internal/ledger", "TestAFullOrFailingDisk"}, resets: noBox, silent: elsewhere{"internal/budget", "TestAQuestionIsNotHeldForAKeeperThatIsSilent"},
 		slow: elsewhere{"internal/budget", "TestAQuestionIsNotHeldForAKeeperThatIsSilent"}, malformed: socket(tickets("!!")), cutOff: elsewhere{"internal/ledger", "TestTheJournalOutlivesACrashAtEveryStep"},
-		oversized: socket(tickets(strings.Repeat("A", 500))), doubled: elsewhere{"internal/storm", "TestAClientThatKeptItsTimeHasItsPlaceAndOthersHaveNot"},
-		leaves: elsewhere{"internal/storm", "TestGuardUnderRandomTries"}, timeUp: elsewhere{"internal/storm", "TestAClientThatKeptItsTimeHasItsPlaceAndOthersHaveNot"}, drains: noBox, cold: noBox,
+		oversized: socket(tickets(strings.Repeat("A", 500))), doubled: elsewhere{"internal/storm", "TestATicketAdmitsOnceAtItsTime"},
+		leaves: elsewhere{"internal/storm", "TestThrottleUnderRandomTries"}, timeUp: elsewhere{"internal/storm", "TestATicketAdmitsOnceAtItsTime"}, drains: noBox, cold: noBox,
 		killed: elsewhere{"internal/budget", "TestARestartGivesNoNewEmergencyPart"},
 	},
 }
--- a/internal/storm/conn_limiter_test.go
+++ b/internal/storm/conn_limiter_test.go
@@ -8,7 +8,7 @@
 )
 
 // One block of addresses that opens far more connections than the rate allows must not use up the share of others.
-func TestACrowdDoesNotShutOthersOut(t *testing.T) {
+func TestABusyBlockLeavesOthersTheirShare(t *testing.T) {
 	limiter := &ConnLimiter{ConnsPerSecond: 100, Burst: 50, MaxOpen: 1 << 20}
 	busy, quiet := netip.MustParseAddr("10.1.2.3"), netip.MustParseAddr("10.9.9.9")
 	var busyAccepted, quietAccepted, quietTries int
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestReturnsAreSpreadOverWhatCanBeServed(t *testing.T) {
+func TestRetriesAreSpreadOverFreeCapacity(t *testing.T) {
 	throttle := New(10*time.Second, 1, 1, ownSigner)
 	now := simulate(throttle, time.Second, 20*time.Second, 50, 0, 0.3) // 35 of 50 requests a second are served
 	throttle.bookingShare = 1
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestAClientThatKeptItsTimeHasItsPlaceAndOthersHaveNot(t *testing.T) {
+func TestATicketAdmitsOnceAtItsTime(t *testing.T) {
 	throttle := New(5*time.Second, 1, 1, ownSigner)
 	now := simulate(throttle, time.Second, 20*time.Second, 20, 0.7, 0.6)
 	throttle.bookingShare = 1
@@ -141,7 +141,7 @@
 
 // For random tries: first tries are admitted, waits lie within what clients follow, memory is bounded, and no ticket
 // admits twice.
-func TestGuardUnderRandomTries(t *testing.T) {
+func TestThrottleUnderRandomTries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		maxWait := time.Duration(rapid.IntRange(0, 20000).Draw(t, "max wait")) * time.Millisecond
 		throttle := New(maxWait, 3, rapid.Uint64().Draw(t, "seed"), ownSigner)
