--- a/cmd/benchlink/parity_test.go
+++ b/cmd/benchlink/parity_test.go
@@ -206,12 +206,12 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	submitted := map[uint64]*dispatch.ClientRequest{}
 	codes := map[brain.Outcome]uint16{
-		brain.Served: 200, brain.Read: 210, brain.Failed: 500, brain.Rejected: 503, brain.TimedOut: 504,
-		brain.Unreachable: 502, brain.Broken: 598,
+		brain.Served: 200, brain.Prefilled: 210, brain.Failed: 500, brain.Rejected: 503, brain.TimedOut: 504,
+		brain.Unreachable: 502, brain.ConnectionLost: 598,
 	}
 	end := func(id uint64, attempt *dispatch.Attempt, outcome brain.Outcome, note int) {
-		took := (recorded.now - attempt.Scheduled.Sent).Microseconds()
-		over := outcome == brain.Served || attempt.Scheduled.Began > 0
+		took := (recorded.now - attempt.Scheduled.SentAt).Microseconds()
+		over := outcome == brain.Served || attempt.Scheduled.FirstTokenAt > 0
 		load := []float64{0.5, 3}
 		var r eventRecord
 		r[0], r[11] = wire.EventOutcome, byte(attempt.Scheduled.Number)
@@ -219,7 +219,7 @@
 		r.u32(12, attempt.Scheduled.Backend.ID)
 		binary.BigEndian.PutUint16(r[16:], codes[outcome])
 		r.u32(18, uint32(took))
-		if over || attempt.Scheduled.Request.Over {
+		if over || attempt.Scheduled.Request.Finished {
 			r[22] = 1
 		}
 		r.u32(23, uint32(note))
@@ -228,7 +228,7 @@
 		r.f32(32, load[1])
 		sim.handle(r, nil)
 		delete(recorded.inFlight, id)
-		loop.RunTurn(func() { loop.AttemptEnded(attempt, brain.Result{Outcome: outcome, Note: note, Load: load}) })
+		loop.RunTurn(func() { loop.AttemptEnded(attempt, brain.Result{Outcome: outcome, Detail: note, LoadReport: load}) })
 	}
 	tick()
 	list(func(int) int { return 1 })
@@ -264,23 +264,23 @@
 		slices.Sort(ids)
 		for _, id := range ids {
 			attempt := recorded.inFlight[id]
-			age := recorded.now - attempt.Scheduled.Sent
+			age := recorded.now - attempt.Scheduled.SentAt
 			switch draw := rng.Float64(); {
-			case age >= attempt.Timeout && attempt.Scheduled.Began == 0:
+			case age >= attempt.Timeout && attempt.Scheduled.FirstTokenAt == 0:
 				end(id, attempt, brain.TimedOut, 0)
 			case draw < 0.001:
 				end(id, attempt, brain.Failed, 0)
 			case draw < 0.002:
-				end(id, attempt, brain.Broken, 0)
-			case attempt.Scheduled.Began > 0 && draw < 0.05:
+				end(id, attempt, brain.ConnectionLost, 0)
+			case attempt.Scheduled.FirstTokenAt > 0 && draw < 0.05:
 				end(id, attempt, brain.Served, 40)
-			case attempt.Scheduled.Began > 0:
+			case attempt.Scheduled.FirstTokenAt > 0:
 			case draw < 0.0021:
 				end(id, attempt, brain.Unreachable, 0)
 			case draw < 0.003:
 				end(id, attempt, brain.Rejected, 0)
-			case draw < 0.12 && attempt.Scheduled.Stage == brain.ToRead:
-				end(id, attempt, brain.Read, 100)
+			case draw < 0.12 && attempt.Scheduled.Stage == brain.StagePrefill:
+				end(id, attempt, brain.Prefilled, 100)
 			case draw < 0.12:
 				var r eventRecord
 				r[0], r[11] = wire.EventFirstByte, byte(attempt.Scheduled.Number)
@@ -289,7 +289,7 @@
 				r.u32(16, uint32(age.Microseconds()))
 				sim.handle(r, nil)
 				loop.RunTurn(func() { loop.AttemptBegan(attempt) })
-			case draw < 0.122 && !attempt.Scheduled.Request.Over:
+			case draw < 0.122 && !attempt.Scheduled.Request.Finished:
 				var r eventRecord
 				r[0] = wire.EventClientGone
 				r.u64(3, id)
@@ -404,10 +404,10 @@
 			in.handle(event(t, result, nil), uint64(i)*1000+500)
 		}
 		for _, h := range in.backends {
-			for _, v := range []float64{h.Units, h.Size, h.Util, h.Queue, h.Tokens, h.Unread, h.Room, h.Taken} {
+			for _, v := range []float64{h.CapacityUnits, h.RelativeCapacity, h.Util, h.QueueLength, h.KVTokens, h.PrefillBacklog, h.TokenLimit, h.CacheInsertedTokens} {
 				if math.IsNaN(v) || v < 0 {
 					t.Fatalf("state of backend %d: %v", h.ID,
-						[]float64{h.Units, h.Size, h.Util, h.Queue, h.Tokens, h.Unread, h.Room, h.Taken})
+						[]float64{h.CapacityUnits, h.RelativeCapacity, h.Util, h.QueueLength, h.KVTokens, h.PrefillBacklog, h.TokenLimit, h.CacheInsertedTokens})
 				}
 			}
 		}
--- a/internal/chat/response.go
+++ b/internal/chat/response.go
@@ -33,14 +33,14 @@
 func ClassifyResponse(stage brain.Stage, resp *http.Response, body []byte) (outcome brain.Outcome, note int) {
 	notProcessed := resp.Header.Get("X-Not-Processed") == "1"
 	switch code := resp.StatusCode; {
-	case code == http.StatusAccepted && stage == brain.ToRead:
+	case code == http.StatusAccepted && stage == brain.StagePrefill:
 		var prefill struct {
 			CachedTokens float64 `json:"cached_tokens"`
 		}
 		if json.Unmarshal(body, &prefill) != nil {
-			return brain.Read, 0
+			return brain.Prefilled, 0
 		}
-		return brain.Read, tokenCount(prefill.CachedTokens)
+		return brain.Prefilled, tokenCount(prefill.CachedTokens)
 	case notProcessed && (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout):
 		return brain.Rejected, 0
 	case notProcessed && code == http.StatusGone:
--- a/internal/dispatch/accounting.go
+++ b/internal/dispatch/accounting.go
@@ -52,9 +52,9 @@
 				}
 			}
 		}
-		l.Wake(accountingInterval, tick)
+		l.Schedule(accountingInterval, tick)
 	}
-	l.Wake(accountingInterval, tick)
+	l.Schedule(accountingInterval, tick)
 }
 
 // reserveBudgets sets a request's worst case aside in every budget that covers it, one after the other, and then calls
@@ -82,10 +82,10 @@
 			}
 			switch {
 			case request.answered || request.disconnected: // while the reservation waited for a lease
-				request.Scheduled.Over = true
+				request.Scheduled.Finished = true
 				l.forgetIfOver(request)
 			case !verdict.OK:
-				request.Scheduled.Over, request.overBudget = true, true
+				request.Scheduled.Finished, request.overBudget = true, true
 				l.answer(request, kserve.FinalResponse{
 					Outcome: kserve.Rejected, Error: "the budget of " + local.Terms.Name + " is used up",
 					SafeToRetry: true, RetryAfterMs: verdict.After.Milliseconds(),
--- a/internal/dispatch/accounting_setup.go
+++ b/internal/dispatch/accounting_setup.go
@@ -168,7 +168,7 @@
 			record := func(what string, month int64, tokens float64, done func()) {
 				if journal == nil {
 					if done != nil {
-						l.Wake(0, done)
+						l.Schedule(0, done)
 					}
 					return
 				}
@@ -190,7 +190,7 @@
 					panic(err) // the fields are strings and checked numbers
 				}
 				if journal == nil {
-					l.Wake(0, done)
+					l.Schedule(0, done)
 					return
 				}
 				write(ledger.Record{
@@ -214,7 +214,7 @@
 		sendRequest[terms.Name] = func(request budget.Ask) {
 			if ownerNumber == config.Instance.Index {
 				// By a timer, as the local budget is in the middle of a step and must not be called again.
-				l.Wake(0, func() {
+				l.Schedule(0, func() {
 					accounting.OwnedBudgets[request.Name].Asked(l.now, accounting.Month(l.now), request,
 						func(lease budget.Lend) { local.Lent(l.now, lease) })
 				})
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -33,7 +33,7 @@
 // UpdateBackends applies entries of the service discovery list. A complete list removes the backends that it leaves
 // out.
 func (l *Loop) UpdateBackends(entries []boxlist.Endpoint, complete bool) {
-	var listings []brain.Listing
+	var listings []brain.Endpoint
 	named := map[string]bool{}
 	for _, entry := range entries {
 		named[entry.Name] = true
@@ -41,7 +41,7 @@
 		if backend != nil && backend.location != location && entry.State != boxlist.Removed {
 			// Another machine has taken over the name: nothing known of the old one holds for it.
 			l.remove(backend)
-			listings = append(listings, brain.Listing{Host: backend.SchedulerState, Standing: brain.Gone})
+			listings = append(listings, brain.Endpoint{Backend: backend.SchedulerState, State: brain.Removed})
 			l.forgetBackend(backend)
 			backend = nil
 		}
@@ -80,7 +80,7 @@
 func (l *Loop) forgetRemoved() {
 	l.removed = slices.DeleteFunc(l.removed, func(backend *Backend) bool {
 		switch {
-		case backend.SchedulerState.Standing != brain.Gone || l.backends[backend.Name] != backend:
+		case backend.SchedulerState.State != brain.Removed || l.backends[backend.Name] != backend:
 			return true
 		case backend.inFlight == 0 && l.now-backend.removedAt >= removedRetention:
 			l.forgetBackend(backend)
@@ -117,11 +117,11 @@
 }
 
 // listing applies one entry of the list to a backend and returns it in the scheduler's form.
-func (l *Loop) listing(backend *Backend, entry boxlist.Endpoint) brain.Listing {
+func (l *Loop) listing(backend *Backend, entry boxlist.Endpoint) brain.Endpoint {
 	state := map[string]brain.BackendState{
-		boxlist.Ready: brain.Ready, boxlist.Draining: brain.Draining, boxlist.Removed: brain.Gone,
+		boxlist.Ready: brain.Ready, boxlist.Draining: brain.Draining, boxlist.Removed: brain.Removed,
 	}[entry.State]
-	if state == brain.Gone {
+	if state == brain.Removed {
 		l.remove(backend)
 	} else {
 		l.accountListed(backend, false)
@@ -141,9 +141,9 @@
 		backend.startedAt, backend.hasAge = l.now-time.Duration(entry.UptimeMs)*time.Millisecond, entry.UptimeMs >= 0
 	}
 	backend.StartID = entry.Incarnation
-	return brain.Listing{
-		Host: backend.SchedulerState, Standing: state, Units: max(entry.Units, 0.01),
-		Booted: backend.startedAt, Restart: entry.UptimeMs >= 0,
+	return brain.Endpoint{
+		Backend: backend.SchedulerState, State: state, CapacityUnits: max(entry.Units, 0.01),
+		StartedAt: backend.startedAt, StartReported: entry.UptimeMs >= 0,
 	}
 }
 
--- a/internal/dispatch/http_transport.go
+++ b/internal/dispatch/http_transport.go
@@ -47,9 +47,9 @@
 func (s Observation) Outcome(stage brain.Stage) (outcome brain.Outcome, note int) {
 	if report := s.Report; report != nil {
 		switch {
-		case report.Outcome == kserve.OutcomePrefilled && stage == brain.ToRead:
-			return brain.Read, report.CachedTokens
-		case report.Outcome == kserve.OutcomeCompleted && stage != brain.ToRead:
+		case report.Outcome == kserve.OutcomePrefilled && stage == brain.StagePrefill:
+			return brain.Prefilled, report.CachedTokens
+		case report.Outcome == kserve.OutcomeCompleted && stage != brain.StagePrefill:
 			return brain.Served, report.CachedTokens
 		case report.Outcome == kserve.OutcomeFull:
 			return brain.Rejected, 0
@@ -70,7 +70,7 @@
 	case errors.Is(s.Cause, ErrNotNeeded):
 		return brain.Cancelled, 0
 	}
-	return brain.Broken, 0
+	return brain.ConnectionLost, 0
 }
 
 // HTTPTransport is the Transport that sends attempts to backends over HTTP.
@@ -112,8 +112,8 @@
 		Phase:           attempt.Stage(),
 		DispatcherEpoch: c.loop.Epoch, RequestNumber: scheduled.ID, Attempt: attempt.Scheduled.Number,
 		DedupKey: cmp.Or(request.Params.ID, attempt.RequestKey), Class: request.Class, Tenant: request.Tenant,
-		Session: scheduled.Session, SharedPrefix: scheduled.Shared, PromptTokens: int(scheduled.Prompt),
-		PrefixTokens: int(scheduled.Prefix), MaxTokens: int(scheduled.Most), TimeoutUs: attempt.Timeout.Microseconds(),
+		Session: scheduled.SessionKey, SharedPrefix: scheduled.PrefixKey, PromptTokens: int(scheduled.PromptTokens),
+		PrefixTokens: int(scheduled.PrefixTokens), MaxTokens: int(scheduled.MaxOutputTokens), TimeoutUs: attempt.Timeout.Microseconds(),
 	}
 	if attempt.PrefillBackend != nil {
 		metadata.PrefillBackend, metadata.KVCacheAddresses = attempt.PrefillBackend.Name, attempt.PrefillBackend.pool.Addresses()
@@ -124,9 +124,9 @@
 		observed := c.runAttempt(attempt, pool, text, metadata)
 		attempt.Cancel(nil)
 		outcome, note := observed.Outcome(attempt.Scheduled.Stage)
-		result := brain.Result{Outcome: outcome, Note: note}
+		result := brain.Result{Outcome: outcome, Detail: note}
 		if observed.Report != nil {
-			result.Load = observed.Report.Load
+			result.LoadReport = observed.Report.Load
 			attempt.Usage = observed.Report.Usage
 		}
 		close(attempt.Tokens)
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -94,7 +94,7 @@
 
 // NewLoop returns a loop with a scheduler of its own. clock returns the time since the start.
 func NewLoop(
-	facts brain.Facts, seed uint64, resolver Resolver, transport Transport, clock func() time.Duration, epoch string,
+	facts brain.Settings, seed uint64, resolver Resolver, transport Transport, clock func() time.Duration, epoch string,
 	log *slog.Logger,
 ) (*Loop, error) {
 	if resolver.AddressAllowed == nil {
@@ -113,7 +113,7 @@
 
 // Scheduler is the scheduler that a loop hosts: the one of this project, or a baseline to compare it with.
 type Scheduler interface {
-	Listed(listings []brain.Listing, complete bool)
+	Listed(listings []brain.Endpoint, complete bool)
 	Submit(request *brain.Request, class, tenant int)
 	Began(attempt *brain.Attempt, took time.Duration)
 	Ended(attempt *brain.Attempt, result brain.Result)
@@ -253,15 +253,15 @@
 	request.submittedAt = l.now
 	params := request.Params
 	request.Scheduled = &brain.Request{
-		ID: l.lastID, Session: HashName(params.Session), Shared: HashName(params.SharedPrefix),
-		Prompt: float64(params.PromptTokens), Prefix: float64(params.PrefixTokens), Most: float64(params.MaxTokens),
-		Again: params.IsRetry, Left: timeLeft,
+		ID: l.lastID, SessionKey: HashName(params.Session), PrefixKey: HashName(params.SharedPrefix),
+		PromptTokens: float64(params.PromptTokens), PrefixTokens: float64(params.PrefixTokens), MaxOutputTokens: float64(params.MaxTokens),
+		ClientRetry: params.IsRetry, Timeout: timeLeft,
 	}
 	l.Counters.Accepted++
 	request.tenantNumber = tenant
 	if l.RetryThrottle != nil {
 		if admit, after, ticket := l.RetryThrottle.Admit(l.now, params.IsRetry, tenant, params.RetryTicket); !admit {
-			request.Scheduled.Over = true
+			request.Scheduled.Finished = true
 			l.Counters.Throttled++
 			l.answer(request, kserve.FinalResponse{
 				Outcome: kserve.Rejected, Error: "too many ask again just now", SafeToRetry: true,
@@ -272,8 +272,8 @@
 	}
 	l.requests[request.Scheduled] = request
 	// The scheduler answers every request before its deadline; if it ever failed to, the client must not hang.
-	l.Wake(timeLeft+overdueGrace, func() {
-		begun := request.inFlight != nil && request.inFlight.Scheduled.Began > 0
+	l.Schedule(timeLeft+overdueGrace, func() {
+		begun := request.inFlight != nil && request.inFlight.Scheduled.FirstTokenAt > 0
 		if !request.answered && !request.disconnected && !begun {
 			l.Counters.Overdue++
 			l.Log.Error("request without an answer at its deadline", "question", request.Scheduled.ID)
@@ -283,7 +283,7 @@
 		}
 	})
 	l.reserveBudgets(request, func() {
-		request.Scheduled.Left = timeLeft - (l.now - request.submittedAt)
+		request.Scheduled.Timeout = timeLeft - (l.now - request.submittedAt)
 		l.scheduler.Submit(request.Scheduled, class, tenant)
 		l.forgetIfOver(request)
 	})
@@ -313,7 +313,7 @@
 	if l.RetryThrottle != nil && !request.overBudget && final.Attempts+int(final.RetryAfterMs) > 0 {
 		served, scheduled := final.Outcome == kserve.Served, request.Scheduled
 		inTime := served && len(scheduled.Attempts) > 0 &&
-			scheduled.Attempts[len(scheduled.Attempts)-1].Began <= scheduled.TargetAt
+			scheduled.Attempts[len(scheduled.Attempts)-1].FirstTokenAt <= scheduled.TargetAt
 		l.RetryThrottle.RequestDone(l.now, served, !request.Params.IsRetry && request.Params.RetryTicket == "", inTime,
 			request.tenantNumber)
 	}
@@ -336,7 +336,7 @@
 
 // forgetIfOver drops a request that is over and has no attempt in flight.
 func (l *Loop) forgetIfOver(request *ClientRequest) {
-	if request.Scheduled.Over && request.Scheduled.Out() == nil {
+	if request.Scheduled.Finished && request.Scheduled.InFlight() == nil {
 		delete(l.requests, request.Scheduled)
 		request.Payload = nil // timers refer to the request for seconds more
 		l.settleBudgets(request)
@@ -346,7 +346,7 @@
 // ReceivePeerUpdate decodes a peer's update and hands it to the scheduler. Updates about unknown backends are ignored.
 func (l *Loop) ReceivePeerUpdate(raw []byte) error {
 	update, err := news.Decode(raw, l.schedulerBackends)
-	if err == nil && update.Host != nil {
+	if err == nil && update.Backend != nil {
 		l.ApplyPeerUpdate(update)
 	}
 	return err
@@ -361,7 +361,7 @@
 	request.MarkOver()
 	l.accountRequest(request, "left", "")
 	l.Counters.Disconnected++
-	if request.inFlight != nil && request.inFlight.Scheduled.Began > 0 {
+	if request.inFlight != nil && request.inFlight.Scheduled.FirstTokenAt > 0 {
 		request.inFlight.Cancel(ErrNotNeeded)
 	}
 	l.scheduler.Left(request.Scheduled)
@@ -377,8 +377,8 @@
 }
 
 // Estimates returns the scheduler's estimates, or zero values if the scheduler does not report any.
-func (l *Loop) Estimates() (estimates brain.Belief) {
-	if reporter, ok := l.scheduler.(interface{ Believes() brain.Belief }); ok {
+func (l *Loop) Estimates() (estimates brain.Summary) {
+	if reporter, ok := l.scheduler.(interface{ Believes() brain.Summary }); ok {
 		estimates = reporter.Believes()
 	}
 	return estimates
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -112,7 +112,7 @@
 		t.Fatalf("the attempt was cancelled with %v", context.Cause(attempt.ctx))
 	}
 	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.TimedOut}) })
-	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.Prefilled}) })
 	if len(transport.released) != 1 {
 		t.Errorf("releases %v: a cancelled prefill may have left its KV cache", transport.released)
 	}
@@ -126,9 +126,9 @@
 func TestFirstTokenAfterAttemptTimeoutIsIgnored(t *testing.T) {
 	l, transport := newTestLoop(t, "idempotent")
 	request := submit(l, 4*time.Second)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
 	attempt := transport.last()
-	if attempt.Scheduled.Stage != brain.ToWrite || attempt.PrefillBackend == nil {
+	if attempt.Scheduled.Stage != brain.StageDecode || attempt.PrefillBackend == nil {
 		t.Fatalf("stage %d, prefill backend %v", attempt.Scheduled.Stage, attempt.PrefillBackend)
 	}
 	transport.now += attempt.Timeout
@@ -144,7 +144,7 @@
 func TestWholeAnswerAfterAttemptTimeoutIsNotServed(t *testing.T) {
 	l, transport := newTestLoop(t, "unrepeatable")
 	request := submit(l, 4*time.Second)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
 	attempt := transport.last()
 	transport.now += attempt.Timeout
 	l.RunTimers()
@@ -159,7 +159,7 @@
 func TestClientDisconnectMidStreamCancelsAttempt(t *testing.T) {
 	l, transport := newTestLoop(t, "unrepeatable")
 	request := submit(l, 4*time.Second)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
 	attempt := transport.last()
 	l.RunTurn(func() { l.AttemptBegan(attempt) })
 	l.RunTurn(func() { l.ClientDisconnected(request) })
@@ -175,9 +175,9 @@
 func TestNonIdempotentRequestThatMayHaveRunFails(t *testing.T) {
 	l, transport := newTestLoop(t, "unrepeatable")
 	request := submit(l, 4*time.Second)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
 	before := len(transport.attempts)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Broken}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.ConnectionLost}) })
 	if final := finalAnswer(t, request); final.Outcome != kserve.Failed || final.SafeToRetry ||
 		len(transport.attempts) != before {
 		t.Errorf("%+v after a broken attempt, and %d more attempts", final, len(transport.attempts)-before)
@@ -193,8 +193,8 @@
 	l, transport := newTestLoop(t, "idempotent")
 	submit(l, 4*time.Second)
 	prefill := transport.last().Backend.Name
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Rejected, Note: 1}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Rejected, Detail: 1}) })
 	if len(transport.released) != 1 || transport.released[0] != prefill {
 		t.Errorf("released at %v, the KV cache was at %s", transport.released, prefill)
 	}
@@ -209,7 +209,7 @@
 	if final := finalAnswer(t, request); final.Outcome != kserve.Failed || l.Counters.Overdue != 1 {
 		t.Errorf("%+v, %d requests overdue", final, l.Counters.Overdue)
 	}
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
 	if len(transport.released) == 0 || len(transport.attempts) != 1 {
 		t.Errorf("released at %v, %d attempts", transport.released, len(transport.attempts))
 	}
@@ -223,16 +223,16 @@
 	entry.Incarnation, entry.UptimeMs = 7, 1000
 	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 	known := l.backends["w1"].SchedulerState
-	booted := known.Booted
+	booted := known.StartedAt
 	transport.now += 3 * time.Second
 	entry.UptimeMs = 4007
 	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
-	if known.Booted != booted || !known.Restart {
-		t.Errorf("started at %v, then at %v", booted, known.Booted)
+	if known.StartedAt != booted || !known.StartReported {
+		t.Errorf("started at %v, then at %v", booted, known.StartedAt)
 	}
 	entry.Incarnation, entry.UptimeMs = 8, 10
 	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
-	if known.Booted == booted {
+	if known.StartedAt == booted {
 		t.Error("a new start was not noticed")
 	}
 }
@@ -246,10 +246,10 @@
 			listEntry("x", "nonesuch", "ready"),
 		}, true)
 	})
-	if removed.SchedulerState.Standing != brain.Gone || l.backends["w1"].SchedulerState.Standing != brain.Draining ||
+	if removed.SchedulerState.State != brain.Removed || l.backends["w1"].SchedulerState.State != brain.Draining ||
 		l.backends["x"] != nil {
 		t.Errorf("w2 %d, w1 %d, x %v",
-			removed.SchedulerState.Standing, l.backends["w1"].SchedulerState.Standing, l.backends["x"])
+			removed.SchedulerState.State, l.backends["w1"].SchedulerState.State, l.backends["x"])
 	}
 	select {
 	case <-removed.Removed:
@@ -301,7 +301,7 @@
 		t.Fatalf("%d, %d and %d backends by name, number and record are kept, with 1 listed and 1 that has an attempt",
 			len(l.backends), len(l.schedulerBackends), len(l.byState))
 	}
-	l.RunTurn(func() { l.AttemptEnded(busy, brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(busy, brain.Result{Outcome: brain.Prefilled}) })
 	l.RunTurn(func() { l.UpdateBackends(nil, false) })
 	transport.now += 2 * removedRetention
 	l.RunTurn(func() { l.UpdateBackends(nil, false) })
@@ -324,9 +324,9 @@
 		change(&entry)
 		l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 		after := l.backends["w1"].SchedulerState
-		if after == before || before.Standing != brain.Gone || after.Standing != brain.Ready ||
+		if after == before || before.State != brain.Removed || after.State != brain.Ready ||
 			l.schedulerBackends[after.ID] != after || l.byState[before] != nil {
-			t.Errorf("another %s: not a new backend, the old one's standing is %d", name, before.Standing)
+			t.Errorf("another %s: not a new backend, the old one's standing is %d", name, before.State)
 		}
 	}
 }
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -230,8 +230,8 @@
 // HasReadyBackend tells whether a backend that decodes is ready.
 func (l *Loop) HasReadyBackend() bool {
 	for _, backend := range l.backends {
-		if backend.SchedulerState.Standing == brain.Ready && backend.SchedulerState.Kept != nil &&
-			backend.SchedulerState.Answers() {
+		if backend.SchedulerState.State == brain.Ready && backend.SchedulerState.CachedPrefixes != nil &&
+			backend.SchedulerState.Decodes() {
 			return true
 		}
 	}
@@ -248,9 +248,9 @@
 			if attempt != nil {
 				attempt.Cancel(ErrNotNeeded) // its KV cache has to be released before the process ends
 			}
-		case attempt != nil && attempt.Scheduled.Began > 0:
+		case attempt != nil && attempt.Scheduled.FirstTokenAt > 0:
 		case attempt != nil:
-			scheduled.Last = true
+			scheduled.NoMoreAttempts = true
 			attempt.timedOut = true
 			attempt.Cancel(ErrAttemptTimeout)
 		default:
@@ -324,9 +324,9 @@
 			known := backend.SchedulerState
 			backends = append(backends, map[string]any{
 				"name": backend.Name, "at": backend.Addresses,
-				"standing": [...]string{"draining", "ready", "gone"}[known.Standing],
+				"standing": [...]string{"draining", "ready", "gone"}[known.State],
 				"role":     [...]string{"reader", "writer", "mixed"}[known.Role], "streams": known.Streams,
-				"tokens": known.Tokens, "util": known.Util, "queue": known.Queue,
+				"tokens": known.KVTokens, "util": known.Util, "queue": known.QueueLength,
 			})
 		}
 		out["boxes"] = backends
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -33,7 +33,7 @@
 func (c *testCluster) backendState(name string) (state brain.BackendState) {
 	c.node.loop.Call(context.Background(), func() {
 		if backend := c.node.loop.SchedulerBackend(name); backend != nil {
-			state = backend.Standing
+			state = backend.State
 		}
 	})
 	return state
@@ -64,18 +64,18 @@
 func TestDrainLearnedBeforeSendStopsTheAttempt(t *testing.T) {
 	cluster := startCluster(t, nil)
 	request := cluster.submit("q1", 0, func(*dispatch.ClientRequest) {
-		cluster.node.loop.SchedulerBackend("r1").Standing = brain.Draining
+		cluster.node.loop.SchedulerBackend("r1").State = brain.Draining
 	})
 	cluster.await("the request is finished", func() bool { return len(request.Final()) == 1 })
 	if n := len(cluster.site.Seen("r1", "POST")); n != 0 {
 		t.Errorf("%d attempts to a draining backend", n)
 	}
 	cluster.node.loop.Call(context.Background(), func() {
-		if b := cluster.node.loop.Estimates(); b.Cold != 0 || cluster.node.loop.Counters.Outcomes[brain.NotSent] != 1 {
+		if b := cluster.node.loop.Estimates(); b.InSlowStart != 0 || cluster.node.loop.Counters.Outcomes[brain.NotSent] != 1 {
 			t.Errorf("an attempt that was not sent counts against its backend: %+v, outcomes %v",
 				b, cluster.node.loop.Counters.Outcomes)
 		}
-		cluster.node.loop.SchedulerBackend("r1").Standing = brain.Ready
+		cluster.node.loop.SchedulerBackend("r1").State = brain.Ready
 	})
 	cluster.awaitIdle()
 }
@@ -376,8 +376,8 @@
 		}
 		failing.Store(nil)
 		cluster.node.loop.Call(context.Background(), func() {
-			if b := cluster.node.loop.Estimates(); b.Cold != 0 || b.Doubted != 0 {
-				t.Errorf("%v: %d backends count as restarting, %d as failing", errno, b.Cold, b.Doubted)
+			if b := cluster.node.loop.Estimates(); b.InSlowStart != 0 || b.Suspected != 0 {
+				t.Errorf("%v: %d backends count as restarting, %d as failing", errno, b.InSlowStart, b.Suspected)
 			}
 		})
 		if got := cluster.send(cluster.request("hut-booking")); got.status != 200 {
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -63,13 +63,13 @@
 
 // newFrontend returns a frontend that submits requests to an event loop.
 func newFrontend(
-	loop *dispatch.Loop, facts brain.Facts, maxBodyBytes int64, observer *monitor.Monitor, stalls *stallDetector,
+	loop *dispatch.Loop, facts brain.Settings, maxBodyBytes int64, observer *monitor.Monitor, stalls *stallDetector,
 	log *slog.Logger,
 ) *frontend {
 	f := &frontend{
 		loop: loop, classIndexes: map[string]int{}, tenantIndexes: map[string]int{},
 		ids: newIDRegistry(longestDeadline(facts) + idRetentionSlack), refusals: map[string]int64{}, moveStreams: make(chan struct{}),
-		retryAfter: facts.Span("policyLimits.maxRetryAfterUs"), maxOpen: int64(facts.Num("policyLimits.maxOpen", 1e4)),
+		retryAfter: facts.Duration("policyLimits.maxRetryAfterUs"), maxOpen: int64(facts.Number("policyLimits.maxOpen", 1e4)),
 		maxBodyBytes: maxBodyBytes, monitor: observer, stalls: stalls, classes: monitorClasses(facts), log: log,
 	}
 	for i, name := range facts.Names("requestClasses") {
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -155,7 +155,7 @@
 		c.node.loop.Call(context.Background(), func() {
 			for _, b := range []*hosts.Box{c.prefill, c.decoders[0], c.decoders[1]} {
 				if known := c.node.loop.SchedulerBackend(b.UID); known != nil &&
-					(known.Streams != 0 || known.Tokens != 0 || known.Unread != 0) {
+					(known.Streams != 0 || known.KVTokens != 0 || known.PrefillBacklog != 0) {
 					remaining++
 				}
 			}
@@ -238,8 +238,8 @@
 	}
 	cluster.awaitIdle()
 	cluster.node.loop.Call(context.Background(), func() {
-		if prefill := cluster.node.loop.SchedulerBackend("r1"); prefill.Util != 0.5 || prefill.Queue != 2 {
-			t.Errorf("the prefill backend's load report is read as util %g, queue %g", prefill.Util, prefill.Queue)
+		if prefill := cluster.node.loop.SchedulerBackend("r1"); prefill.Util != 0.5 || prefill.QueueLength != 2 {
+			t.Errorf("the prefill backend's load report is read as util %g, queue %g", prefill.Util, prefill.QueueLength)
 		}
 	})
 }
@@ -584,7 +584,7 @@
 		t.Errorf("%+v", got)
 	}
 	cluster.node.loop.Call(context.Background(), func() {
-		if b := cluster.node.loop.Estimates(); b.Cold != 0 || cluster.node.loop.Counters.Outcomes[brain.Unreachable] != 0 {
+		if b := cluster.node.loop.Estimates(); b.InSlowStart != 0 || cluster.node.loop.Counters.Outcomes[brain.Unreachable] != 0 {
 			t.Errorf("%+v, outcomes %v", b, cluster.node.loop.Counters.Outcomes)
 		}
 	})
@@ -600,7 +600,7 @@
 		t.Errorf("%+v after %d attempts", got, len(cluster.site.Seen("", "POST")))
 	}
 	cluster.node.loop.Call(context.Background(), func() {
-		if prefill := cluster.node.loop.SchedulerBackend("r1").Records[0]; prefill.Missed != 0 {
+		if prefill := cluster.node.loop.SchedulerBackend("r1").Outcomes[0]; prefill.ConsecutiveFailures != 0 {
 			t.Error("the response counts against the backend")
 		}
 	})
@@ -713,7 +713,7 @@
 	cluster.site.Change(func() { cluster.prefill.State = "terminating" })
 	cluster.await("the drain is known", func() bool {
 		state := brain.Ready
-		cluster.node.loop.Call(context.Background(), func() { state = cluster.node.loop.SchedulerBackend("r1").Standing })
+		cluster.node.loop.Call(context.Background(), func() { state = cluster.node.loop.SchedulerBackend("r1").State })
 		return state == brain.Draining
 	})
 }
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -34,7 +34,7 @@
 // node is one dispatcher with its listeners, its connections to backends and its background goroutines.
 type node struct {
 	config         Config
-	settings       brain.Facts
+	settings       brain.Settings
 	log            *slog.Logger
 	lifetime       context.Context // of attempts, which continue during a graceful shutdown
 	cancel         context.CancelFunc
@@ -68,7 +68,7 @@
 
 // newNode opens the listeners and sets up a dispatcher with the last-known endpoints of its configuration.
 func newNode(ctx context.Context, config Config, sys system.System, log *slog.Logger) (*node, error) {
-	shares, settings := config.resources(), brain.Flat(config.Settings)
+	shares, settings := config.resources(), brain.FlattenSettings(config.Settings)
 	began := time.Now()
 	since := func() time.Duration { return time.Since(began) }
 	dispatcher := &node{config: config, settings: settings, log: log, acceptingDone: make(chan struct{})}
@@ -76,7 +76,7 @@
 	dispatcher.pulse = newStallDetector(time.Now())
 	dispatcher.monitor = monitor.New(monitorTerms(settings), since, log)
 	pools := &reach.Manager{
-		DialTimeout: max(settings.Span("policyLimits.dialTimeoutUs"), 10*time.Millisecond), MaxConnsPerBackend: shares.attempts, Now: since,
+		DialTimeout: max(settings.Duration("policyLimits.dialTimeoutUs"), 10*time.Millisecond), MaxConnsPerBackend: shares.attempts, Now: since,
 		Context: dispatcher.lifetime, Group: &dispatcher.transportTasks, Dial: sys.Dial, SkipVerify: true,
 	}
 	dispatcher.transport = &transport{
@@ -96,7 +96,7 @@
 	}
 	if dispatcher.peers = (&dispatch.Peers{}); config.PeerListen != "" {
 		if dispatcher.peers, err = dispatch.ListenPeers(
-			int(settings.Num("slotNo", 0)), config.PeerListen, config.Peers, sys.ListenUDP,
+			int(settings.Number("slotNo", 0)), config.PeerListen, config.Peers, sys.ListenUDP,
 		); err != nil {
 			listener.Close()
 			return nil, fmt.Errorf("listening for peer updates on %s: %w", config.PeerListen, err)
@@ -145,11 +145,11 @@
 // zoneNumber returns the number of a zone: its index in the settings or, for a zone that they do not name, a number
 // that none of the named zones has. Backends deduplicate requests per zone, so an unnamed zone must not be taken for
 // a named one.
-func zoneNumber(settings brain.Facts, name string) int {
+func zoneNumber(settings brain.Settings, name string) int {
 	if i := settings.Index("dcs", name); i >= 0 || name == "" {
 		return max(i, 0)
 	}
-	return int(settings.Num("dcs", 0)) + 1 + int(dispatch.BackendID(name))
+	return int(settings.Number("dcs", 0)) + 1 + int(dispatch.BackendID(name))
 }
 
 func (n *node) run(ctx context.Context, reloads <-chan os.Signal, load func() (Config, error)) (err error) {
@@ -230,9 +230,9 @@
 		if backend := n.loop.SchedulerBackend(name); backend == nil && traffic.prefills+traffic.decodes == 0 {
 			delete(n.transport.traffic, name)
 		} else if backend != nil {
-			n.log.Debug("backend", "name", name, "role", backend.Role, "standing", backend.Standing, "streams", backend.Streams,
-				"writes", traffic.decodes, "unread", backend.Unread, "reads", traffic.prefills, "tokens", backend.Tokens,
-				"room", backend.Room, "util", backend.Util, "queue", backend.Queue, "said", traffic.load, "sent", traffic.sent)
+			n.log.Debug("backend", "name", name, "role", backend.Role, "standing", backend.State, "streams", backend.Streams,
+				"writes", traffic.decodes, "unread", backend.PrefillBacklog, "reads", traffic.prefills, "tokens", backend.KVTokens,
+				"room", backend.TokenLimit, "util", backend.Util, "queue", backend.QueueLength, "said", traffic.load, "sent", traffic.sent)
 		}
 	}
 }
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -30,7 +30,7 @@
 		for _, deadline := range test.deadlinesUs {
 			classes = append(classes, map[string]any{"name": "a", "giveUpUs": deadline})
 		}
-		got := shutdownTimesFor(brain.Flat(map[string]any{"requestClasses": classes}))
+		got := shutdownTimesFor(brain.FlattenSettings(map[string]any{"requestClasses": classes}))
 		if got != test.want {
 			t.Errorf("%s: %+v, want %+v", name, got, test.want)
 		}
--- a/internal/setup/fuzz_test.go
+++ b/internal/setup/fuzz_test.go
@@ -22,10 +22,10 @@
 			}
 			return
 		}
-		if err := config.SchedulerParameters().Sound(); err != nil {
+		if err := config.SchedulerParameters().Validate(); err != nil {
 			t.Fatalf("%q is accepted, but the scheduler's check fails: %v", raw, err)
 		}
-		if _, err := brain.Facts.Grades(config.SchedulerParameters()); err != nil {
+		if _, err := brain.Settings.Classes(config.SchedulerParameters()); err != nil {
 			t.Fatalf("%q is accepted, but the scheduler's classes fail: %v", raw, err)
 		}
 	})
--- a/internal/setup/parameters.go
+++ b/internal/setup/parameters.go
@@ -17,9 +17,9 @@
 
 // SchedulerParameters returns the scheduler's parameters by name. It is the one table from the keys of the
 // configuration file to the scheduler's names.
-func (d *DispatcherConfig) SchedulerParameters() brain.Facts {
+func (d *DispatcherConfig) SchedulerParameters() brain.Settings {
 	us := func(s Duration) float64 { return float64(time.Duration(s).Microseconds()) }
-	parameters := brain.Facts{
+	parameters := brain.Settings{
 		"siblings": float64(d.Instance.FleetSize), "slotNo": float64(d.Instance.Index),
 		"zone": float64(d.ZoneIndex(d.Instance.Zone)), "discovery": "automatic",
 		"overShareWorth": d.Limits.OverShareValue,
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -77,21 +77,21 @@
 		t.Fatal(err)
 	}
 	parameters := config.SchedulerParameters()
-	if err := parameters.Sound(); err != nil {
+	if err := parameters.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	classes, err := parameters.Grades()
+	classes, err := parameters.Classes()
 	if err != nil {
 		t.Fatal(err)
 	}
 	booking := classes[1]
-	if booking.Effect != brain.Unrepeatable || booking.Target != time.Second || booking.Value != 5 ||
-		classes[0].TargetPerK != 60*time.Millisecond {
+	if booking.Effect != brain.NonIdempotent || booking.Target != time.Second || booking.Value != 5 ||
+		classes[0].TargetPer1000Tokens != 60*time.Millisecond {
 		t.Errorf("%+v", booking)
 	}
-	if parameters.Num("zone", -1) != 1 || parameters.Num("slotNo", -1) != 1 ||
-		parameters.RoleOf(0) != brain.Reads || parameters.MemoryOf(0) != 200000 ||
-		parameters.Channels()[0].Quota != 12.5 || !parameters.Yes("familyInfo.localRead") {
+	if parameters.Number("zone", -1) != 1 || parameters.Number("slotNo", -1) != 1 ||
+		parameters.RoleOf(0) != brain.RolePrefill || parameters.KVCapacityOf(0) != 200000 ||
+		parameters.Tenants()[0].Quota != 12.5 || !parameters.Bool("familyInfo.localRead") {
 		t.Errorf("%v", parameters)
 	}
 }
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -71,10 +71,10 @@
 type RetryThrottle struct {
 	maxWait    time.Duration // the longest wait that clients follow
 	rng        *brain.PCG
-	firstTries brain.Ring // tries that are not retries
-	retries    brain.Ring
-	served     brain.Ring
-	unserved   brain.Ring // rejected or failed
+	firstTries brain.RollingSum // tries that are not retries
+	retries    brain.RollingSum
+	served     brain.RollingSum
+	unserved   brain.RollingSum // rejected or failed
 	active     bool
 
 	rate          float64 // requests per second that can be served
@@ -87,9 +87,9 @@
 	used          map[usedTicket]bool
 	usedOrder     []usedTicket // the keys of used in the order of their use
 	sweptSlot     int64
-	peerTickets   bucket     // admits tickets of other dispatchers
-	reattempts    bucket     // admits reattempts
-	firstAttempts brain.Ring // first attempts of their requests
+	peerTickets   bucket           // admits tickets of other dispatchers
+	reattempts    bucket           // admits reattempts
+	firstAttempts brain.RollingSum // first attempts of their requests
 
 	Counters Counters
 }
@@ -113,7 +113,7 @@
 
 type tenant struct {
 	budget bucket
-	served brain.Ring
+	served brain.RollingSum
 }
 
 type usedTicket struct {
@@ -148,16 +148,16 @@
 func New(maxWait time.Duration, tenants int, seed uint64, signer TicketSigner) *RetryThrottle {
 	throttle := &RetryThrottle{
 		maxWait: maxWait, rng: brain.NewPCG(seed),
-		firstTries: brain.Ring{Width: bucketWidth}, retries: brain.Ring{Width: bucketWidth},
-		served: brain.Ring{Width: bucketWidth}, unserved: brain.Ring{Width: bucketWidth},
-		firstAttempts: brain.Ring{Width: bucketWidth},
+		firstTries: brain.RollingSum{BucketWidth: bucketWidth}, retries: brain.RollingSum{BucketWidth: bucketWidth},
+		served: brain.RollingSum{BucketWidth: bucketWidth}, unserved: brain.RollingSum{BucketWidth: bucketWidth},
+		firstAttempts: brain.RollingSum{BucketWidth: bucketWidth},
 		booked:        map[int64]float64{}, unbooked: map[int64]float64{}, signer: signer, used: map[usedTicket]bool{},
 		bookingShare: 1, reattempts: bucket{tokens: reattemptBurstSeconds * minReattemptsPerSec},
 	}
 	for range max(tenants, 1) {
 		// A random fill keeps the budgets of dispatchers that start together from filling in step.
 		throttle.tenants = append(throttle.tenants,
-			&tenant{served: brain.Ring{Width: bucketWidth}, budget: bucket{tokens: throttle.rng.Float()}})
+			&tenant{served: brain.RollingSum{BucketWidth: bucketWidth}, budget: bucket{tokens: throttle.rng.Float()}})
 	}
 	return throttle
 }
@@ -204,7 +204,7 @@
 		return true, 0, ""
 	}
 	tenant := t.tenant(tenantIndex)
-	perSecond := max(t.bookingShare*budgetShare*tenant.served.PerS(now), minBudgetPerSecond)
+	perSecond := max(t.bookingShare*budgetShare*tenant.served.PerSecond(now), minBudgetPerSecond)
 	if tenant.budget.take(now, perSecond, max(budgetBurstSeconds*perSecond, 1)) {
 		t.Counters.FromBudget++
 		return true, 0, ""
@@ -257,7 +257,7 @@
 // Without this limit all requests that an outage breaks are sent to the remaining backends again, up to the attempt
 // limit of each.
 func (t *RetryThrottle) AllowReattempt(now time.Duration) bool {
-	perSecond := reattemptShare*t.firstAttempts.PerS(now) + minReattemptsPerSec
+	perSecond := reattemptShare*t.firstAttempts.PerSecond(now) + minReattemptsPerSec
 	if !t.reattempts.available(now, perSecond, reattemptBurstSeconds*perSecond) {
 		t.Counters.ReattemptsDenied++
 		return false
@@ -272,7 +272,7 @@
 // RequestDone records the end of a request: whether it was served, whether it was a first try, and whether it was
 // served within its latency target.
 func (t *RetryThrottle) RequestDone(now time.Duration, served, firstTry, inTime bool, tenantIndex int) {
-	if perSecond := max(t.firstTries.PerS(now), 0.1); firstTry && inTime {
+	if perSecond := max(t.firstTries.PerSecond(now), 0.1); firstTry && inTime {
 		t.bookingShare = min(t.bookingShare+bookingIncrease/perSecond, 1)
 	} else if firstTry {
 		t.bookingShare = max(t.bookingShare*math.Pow(bookingDecrease, 1/max(0.1*perSecond, 1)), minBookingShare)
@@ -288,13 +288,13 @@
 // ServiceRate estimates how many requests per second this dispatcher can have served. While some are rejected or failed
 // it follows the served rate; else it grows from there.
 func (t *RetryThrottle) ServiceRate(now time.Duration) float64 {
-	served := max(t.served.PerS(now), minRate)
+	served := max(t.served.PerSecond(now), minRate)
 	if t.rateUpdatedAt == 0 {
 		t.rate = served
 	}
 	elapsed := (now - t.rateUpdatedAt).Seconds()
 	t.rateUpdatedAt = now
-	if t.unserved.PerS(now) > 0.05*served {
+	if t.unserved.PerSecond(now) > 0.05*served {
 		// Approach the served rate over some seconds.
 		t.rate += (served - t.rate) * min(elapsed/3, 1)
 	} else {
@@ -311,7 +311,7 @@
 		return 0, ""
 	}
 	rate := t.ServiceRate(now)
-	perSlot := t.bookingShare * max(rate-t.firstTries.PerS(now), minFreeShare*rate) * slotWidth.Seconds()
+	perSlot := t.bookingShare * max(rate-t.firstTries.PerSecond(now), minFreeShare*rate) * slotWidth.Seconds()
 	first, last := int64((now+minWait)/slotWidth), int64((now+t.maxWait)/slotWidth)
 	last = min(max(last, first), first+maxSlots)
 	t.sweep(int64(now / slotWidth))
