--- a/brain/admission.go
+++ b/brain/admission.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// Admission: which requests wait in the queue, how many may be out without a first token (the concurrency
-// window), and which are rejected because they can't make their latency target any more.
+// Admission: which requests wait in the queue, how many may be without a first token (the concurrency window),
+// and which are rejected because they can no longer make their latency target.
 
 const (
-	// admittedWidth is a tenth of how long a class's admitted requests are remembered.
+	// admissionBucketWidth is a tenth of the time for which a class's admitted requests are counted.
 	admittedWidth = 500 * time.Millisecond
-	// admittedPrior is how many requests are taken to have been admitted beside those that were seen.
+	// admittedPrior is the number of requests assumed to have been admitted in addition to those counted.
 	admittedPrior = 30.0
-	// fairness is the exponent of alpha-fair sharing: with 0 the class of least value would get nothing while others
-	// wait, with 1 shares follow the values, with 2 their square roots.
+	// fairness is the exponent of alpha-fair sharing: with 0 the class of least value would get nothing while
+	// others wait, with 1 shares follow the values, with 2 their square roots.
 	fairness = 2.0
 )
 
-// weighQueue has the queue follow what was admitted of each class lately: the less, the more its requests count. With a
-// fixed order of classes, the last one would wait for all of the others and be rejected as late.
+// reweightQueue reorders the queue by the share of each class that was admitted recently: the lower it is, the
+// more the class's requests count. With a fixed order of classes the last one would wait for all others and be
+// rejected as late.
 func (d *Dispatcher) weighQueue() {
 	for _, g := range d.classes {
 		g.Weight = math.Pow(g.admittedShare(d.runtime.Now()), -fairness)
@@ -32,12 +33,12 @@
 	slices.SortFunc(d.queue, compareRank)
 }
 
-// compareRank orders requests in the queue: densest first, then newest, which has most time left.
+// compareQueueOrder orders requests by value density, then newest first, as the newest have most time left.
 func compareRank(a, b *Request) int {
 	return cmp.Or(cmp.Compare(b.Density, a.Density), cmp.Compare(b.Taken, a.Taken), cmp.Compare(a.ID, b.ID))
 }
 
-// density is the value of a request for its work.
+// valueDensity is the value of a request divided by its work.
 func (d *Dispatcher) density(q *Request) float64 {
 	v := q.Class.Value * cmp.Or(q.Class.Weight, 1)
 	if q.Surplus {
@@ -52,7 +53,7 @@
 	return v
 }
 
-// enqueue puts a request into the queue. One whose deadline passes before the next look is rejected at once.
+// enqueue puts a request into the queue. One whose deadline passes before the next sweep is given up at once.
 func (d *Dispatcher) enqueue(q *Request) {
 	if d.runtime.Now()+2*sweep > q.Deadline {
 		d.giveUp(q)
@@ -63,8 +64,8 @@
 	d.queue = slices.Insert(d.queue, i, q)
 }
 
-// dispatch sends out queued requests, the first first, while the window allows it. One that has been out, and
-// that no backend may take now, is given up on: it would hold up all behind it.
+// dispatch sends queued requests in order while the window allows it. A request that was sent before and that
+// no backend may take now is given up: otherwise it would block everything behind it.
 func (d *Dispatcher) dispatch() {
 	for len(d.queue) > 0 && d.mayDispatch() {
 		q := d.queue[0]
@@ -84,7 +85,7 @@
 	}
 }
 
-// sweepQueue looks at the queue anew.
+// sweepQueue reorders the queue, sheds late requests and sends what the window allows.
 func (d *Dispatcher) sweepQueue() {
 	d.sweeping = false
 	d.weighQueue()
@@ -92,7 +93,7 @@
 	d.dispatch()
 }
 
-// admitted takes note that a request was sent on, for the first time or again.
+// recordAdmission records that a request was sent, for the first time or again.
 func (d *Dispatcher) admitted(q *Request, first bool) {
 	d.spendCredit()
 	if first {
@@ -100,12 +101,14 @@
 	}
 }
 
+// dequeue removes a request from the queue.
 func (d *Dispatcher) dequeue(q *Request) {
 	d.queue = slices.DeleteFunc(d.queue, func(o *Request) bool { return o == q })
 }
 
-// shed rejects, at once, queued requests that can't make their latency target. Overload is told by
-// the oldest wait; then what stands too far back, and so has least value for its work, goes first.
+// shedLate rejects queued requests that can no longer make their latency target. The longest wait indicates
+// overload; under overload the requests too far back in the queue, which have the least value density, are
+// rejected first.
 func (d *Dispatcher) shed() {
 	now := d.runtime.Now()
 	overload := false
@@ -127,10 +130,10 @@
 	}
 }
 
-// mayDispatch tells whether the window lets one more request out. All but its last part is how many may be
-// out at once; that part, all of a window below two, is a rate: credit gathers as if so many were always out.
-// So the windows of many dispatchers add up to what backends bear, and one that had nothing to send may send
-// two at once.
+// mayDispatch reports whether the window allows one more request. All of the window but its last part limits
+// the number of outstanding requests. The last part, all of a window below two, is a rate: credit accrues as
+// if that many requests were always outstanding. So the windows of many dispatchers add up to what the
+// backends can take, and a dispatcher that was idle may send two requests at once.
 func (d *Dispatcher) mayDispatch() bool {
 	now := d.runtime.Now()
 	rate := (d.window - d.wholePart()) / max(d.expectedFirstToken(), sweep.Seconds())
@@ -139,17 +142,20 @@
 	return float64(d.outstanding) < d.wholePart() || d.credit >= 1
 }
 
+// wholePart is the part of the window that limits the number of outstanding requests.
 func (d *Dispatcher) wholePart() float64 { return max(math.Floor(d.window)-1, 0) }
 
-// spendCredit takes credit for a request beyond the whole part. Chance spreads those who wait together.
+// spendCredit charges a request that exceeds the whole part of the window. The random amount spreads
+// dispatchers that wait at the same time.
 func (d *Dispatcher) spendCredit() {
 	if float64(d.outstanding) > d.wholePart() {
 		d.credit -= 0.5 + d.rng.Float()
 	}
 }
 
-// settle takes note that a request that was out has its first token, or goes back to the queue or is over
-// without. One window over all backends: own attempts at any one are too few to tell congestion by.
+// clearOutstanding ends a request's place in the window: it has its first token, returns to the queue or is
+// finished. There is one window over all backends, as a dispatcher's own attempts at any one backend are too
+// few to detect congestion.
 func (d *Dispatcher) settle(q *Request) {
 	if !q.Outstanding {
 		return
@@ -158,11 +164,11 @@
 	d.awaiting = slices.DeleteFunc(d.awaiting, func(o *Request) bool { return o == q })
 	now, t := d.runtime.Now(), q.Attempts[len(q.Attempts)-1]
 	d.adjustWindow(d.targetShare(q), q.Dispatched, t.Began > 0)
-	// What was given up on still runs at its backend; where first tokens come late for all, what is let out in
-	// its place at once would wait behind it and be given up on too. So it keeps its place for as long again.
+	// A request that timed out or was cancelled still runs at its backend. Under congestion, one sent in its
+	// place at once would wait behind it and time out too, so it keeps its place for as long again.
 	congested := d.expectedFirstToken() > impatient*(q.TargetAt-q.Taken).Seconds()
-	// An attempt that timed out would have had its first token later still: told by those alone that had one,
-	// congestion looks quick, and further attempts are sent into it.
+	// The first token of a timed-out attempt would have come even later. If only attempts with a first token
+	// counted, latency would look low under congestion and more attempts would be sent into it.
 	if t.Began == 0 && t.Outcome == TimedOut {
 		d.firstToken.Add(max((now-q.Dispatched).Seconds(), d.firstToken.Or(0)), 0.1)
 	}
@@ -173,8 +179,8 @@
 	}
 }
 
-// targetShare is which part of its latency target a request has been out for. Without a first token that says
-// only how long there was none: it is never a sign that first tokens come quickly.
+// targetShare is the share of its latency target for which a request has been outstanding. Without a first
+// token this is a lower bound: it never indicates low latency.
 func (d *Dispatcher) targetShare(q *Request) float64 {
 	t := q.Attempts[len(q.Attempts)-1]
 	if t.Began == 0 && (t.Outcome == Rejected || t.Outcome == TimedOut) {
@@ -183,8 +189,9 @@
 	return min(float64(d.runtime.Now()-q.Dispatched)/float64(max(q.TargetAt-q.Taken, 1)), 1)
 }
 
-// adjustWindow lets such a share narrow the window or, with a first token, widen it if it holds requests
-// back: in one response time by as much, be it wide or narrow. Over the fleet it is never below one request.
+// adjustWindow narrows the window if the share is above neutralTargetShare; otherwise, given a first token and
+// a window that limits sending, it widens it. The factor per response time is the same for narrow and wide
+// windows. Over the fleet the windows never add up to less than one request.
 func (d *Dispatcher) adjustWindow(share float64, dispatched time.Duration, began bool) {
 	d.adjusted = true
 	change := math.Exp((calm - share) / max(d.window*float64(1+d.listeners), 1))
@@ -194,8 +201,9 @@
 		if dispatched >= d.jam {
 			d.jam, d.least = d.runtime.Now(), d.window/2
 		}
-		// All that was out when congestion began tells of the one, and halves the window at most: when half a
-		// fleet died it would else close to nearly nothing, and learn nothing for minutes.
+		// All requests outstanding when congestion begins report the same event, and together halve the window at
+		// most. Otherwise the failure of half the fleet would nearly close the window, which would then take
+		// minutes to recover for lack of samples.
 		d.window = max(d.window*change, d.least)
 	case began && binding:
 		d.window *= change
@@ -203,7 +211,7 @@
 	d.window = max(min(d.window, perHost*float64(len(d.backends))), 1/d.parameters.dispatchers)
 }
 
-// heardShare takes in what another dispatcher tells of a request of its own.
+// applyPeerShare applies the latency that a peer reports for one of its requests.
 func (d *Dispatcher) heardShare(n PeerUpdate) {
 	if n.Share == 0 || n.Grade >= len(d.classes) {
 		return
@@ -213,8 +221,8 @@
 	d.adjustWindow(n.Share, d.runtime.Now()-took, n.Share < 1)
 }
 
-// expectedFirstToken is in how many seconds one comes: as lately seen, at least as long as one is awaited by
-// now.
+// expectedTimeToFirstToken is in seconds: the recent mean, or the time that the oldest outstanding request has
+// waited if that is longer.
 func (d *Dispatcher) expectedFirstToken() float64 {
 	expected := d.firstToken.Or(impatient * d.classes[0].Target.Seconds())
 	if len(d.awaiting) > 0 {
--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// allowed counts how many requests that find nothing else out a window lets out in some time, looked at every 20 ms.
+// countDispatches returns how many requests the window lets out in a time, checked at every queue sweep, if
+// none is ever outstanding.
 func allowed(d *Dispatcher, out *door, span time.Duration) (n int) {
 	for end := out.now + span; out.now < end; out.now += sweep {
 		if d.mayDispatch() {
@@ -20,7 +21,7 @@
 	return n
 }
 
-// A window below one is a rate: so many in each response time, on the mean, whatever the chance that spreads them.
+// A window below one is a rate: that many requests per response time on average, despite the random spread.
 func TestAWindowBelowOneIsPacing(t *testing.T) {
 	for _, window := range []float64{0.1, 0.3, 0.9} {
 		d, out := fleetOf(t, 300)
@@ -33,7 +34,7 @@
 	}
 }
 
-// Dispatchers that begin to wait in one moment do not go on in one moment.
+// Dispatchers that begin to wait at the same time do not continue at the same time.
 func TestPacedDispatchersSpread(t *testing.T) {
 	times := map[time.Duration]bool{}
 	for seed := range uint64(50) {
@@ -51,7 +52,7 @@
 	}
 }
 
-// With little load nothing is paced: a dispatcher that had nothing to send sends two at once, also with the least window.
+// At low load nothing is paced: an idle dispatcher sends two requests at once, even with the smallest window.
 func TestAnIdleDispatcherSendsAtOnce(t *testing.T) {
 	d, out := fleetOf(t, 300)
 	for range 2 {
@@ -69,7 +70,7 @@
 	}
 }
 
-// Congestion over, a window that was nearly shut opens by first tokens alone, without a cliff at one.
+// After congestion a nearly closed window opens by first tokens alone, without a step at one.
 func TestANarrowWindowRecovers(t *testing.T) {
 	d, out := fleetOf(t, 300)
 	d.window = 1.0 / 300
@@ -88,7 +89,8 @@
 	}
 }
 
-// One late first token each, and a window of twenty narrows as much in a response time as one of a half.
+// With one late first token per request, a window of 20 narrows by the same factor per response time as one of
+// 0.5.
 func TestAWindowNarrowsAlikeHoweverWide(t *testing.T) {
 	for _, window := range []float64{0.5, 5, 20} {
 		d, out := fleetOf(t, 300)
@@ -106,7 +108,8 @@
 	}
 }
 
-// What others tell of their requests moves the own window as an own request does; all that tell together have the say of one.
+// Peer updates move the window like own requests; all peers that report together have the weight of one
+// request.
 func TestSharesThatOthersTellMoveTheWindow(t *testing.T) {
 	d, _ := fleetOf(t, 300)
 	d.window, d.listeners = 0.8, 7
@@ -128,7 +131,7 @@
 	}
 }
 
-// A request that is out tells at once how long first tokens take, before it has ended.
+// An outstanding request raises the expected time to first token before it has ended.
 func TestAnAwaitedFirstTokenSpeaksBeforeItComes(t *testing.T) {
 	d, out := begin(t)
 	d.firstToken.Add(0.1, 1)
@@ -146,8 +149,8 @@
 	}
 }
 
-// What a fleet begins with, and the least that it goes down to, does not grow with the number of dispatchers; nothing stops
-// the sending for good.
+// The sum of all initial windows, and of all smallest ones, does not depend on the number of dispatchers, and
+// no dispatcher stops sending for good.
 func TestWindowsAddUpToTheSameForAnyFleet(t *testing.T) {
 	for _, dispatchers := range []float64{1, 6, 300} {
 		d, out := fleetOf(t, dispatchers)
@@ -163,6 +166,7 @@
 	}
 }
 
+// Whatever a dispatcher has gone through, it sends a request half an hour later.
 func TestNothingStopsTheSendingForGood(t *testing.T) {
 	for name, bad := range map[string]func(*Dispatcher, *door){
 		"no hosts for a while": func(d *Dispatcher, _ *door) {
@@ -202,7 +206,8 @@
 	}
 }
 
-// A class of which little was admitted goes before one of twice its value; among its own requests the newest stays first.
+// A class of which little was admitted goes before one of twice its value; among its own requests the newest
+// stays first.
 func TestAClassThatIsLeftOutGoesFirst(t *testing.T) {
 	f := facts()
 	f["requestClasses"] = 2.0
--- a/brain/belief.go
+++ b/brain/belief.go
@@ -1,22 +1,22 @@
 package brain
 
-// Belief is what a dispatcher takes to be so; operators compare it with what passed.
+// Summary is a snapshot of the dispatcher's estimates for logs. The output format of String is stable.
 type Belief struct {
-	Window  float64 // how many own requests may be out without a first token
-	Unbegun int     // how many are
-	Held    int
-	Average float64 // tokens left to read
-	Ahead   float64 // seconds from going out to a first token
-	Streams float64 // own streams
-	Room    float64 // tokens that answering backends are trusted with
-	Tokens  float64 // own tokens there
-	Unread  float64 // own tokens at prefill backends
-	Roomy   int     // answering backends that would take one more request of the mean size
-	Cold    int     // backends that are taken for cold
+	Window  float64 // limit on own requests without a first token
+	Unbegun int     // own requests that count against the window
+	Held    int     // queued requests
+	Average float64 // mean tokens to prefill
+	Ahead   float64 // expected seconds to a first token
+	Streams float64 // own streams in flight
+	Room    float64 // token limits of the backends that decode, summed
+	Tokens  float64 // own KV cache tokens at these
+	Unread  float64 // own tokens to prefill at prefill-only backends
+	Roomy   int     // decode backends that would take one more request of mean size
+	Cold    int     // backends in slow start
 	Doubted int     // backends more likely to fail than not
 }
 
-// Believes tells it.
+// Believes returns the dispatcher's current estimates.
 func (d *Dispatcher) Believes() Belief {
 	b := Belief{Window: d.window, Unbegun: d.outstanding, Held: len(d.queue), Average: d.average, Ahead: d.firstToken.Or(0), Streams: d.streams}
 	mean := Request{Memory: 1500}
@@ -42,7 +42,7 @@
 	return b
 }
 
-// report takes a load report's values in the stated order.
+// applyLoadReport stores a load report's values, given in the order of the report fields.
 func (d *Dispatcher) report(h *Backend, values []float64) {
 	for i, v := range values[:min(len(values), len(d.parameters.reportFields))] {
 		switch d.parameters.reportFields[i] {
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -1,10 +1,8 @@
-// Package brain decides, for one dispatcher, where each request goes.
-//
-// The calling program makes a Dispatcher with New and calls it with what happens: Listed and ListFailed
-// for the list of backends, Submit for a request, Began and Ended for its attempts, Left when its client has
-// gone, Heard for what another dispatcher tells. It acts through the Runtime of runtime.go alone; types.go has
-// what it is handed. Each attempt carries in Next what is to be done with its result. The ordinary path is
-// that of docs/design.md: inPlace, pickMixed, pickPrefill, then pickDecode.
+// Package brain is the scheduler of one dispatcher: it decides which backend prefills and decodes each
+// request, and which requests wait or are rejected. It does no I/O and reads no clock of its own: it is called
+// with events (endpoint list, requests, attempts, peer updates) from one goroutine and acts only through
+// Runtime. Begin with New and the methods of Dispatcher; the usual path of a request is Submit, route,
+// pickPrefill, pickDecode.
 package brain
 
 import (
@@ -14,27 +12,51 @@
 )
 
 const (
-	refresh   = 5 * time.Second        // how often the average is taken anew (design)
-	cutShare  = 0.25                   // shorter prompts are read in place (design)
-	keptFor   = 20 * time.Second       // a prefix key unused for longer is taken for forgotten
-	evidence  = 500 * time.Millisecond // a tenth of how long attempts speak for or against a backend
-	believe   = 0.5                    // a doubtful backend gets work if its draw is above this
-	sweep     = 20 * time.Millisecond  // how often held requests are looked at
-	perHost   = 4.0                    // requests without a first token for each backend, to begin with
-	calm      = 0.7                    // of the promised span to a first token, at which the window stays
-	memory    = 3 * time.Second        // a tenth of how long what a backend was given counts
-	lasting   = 0.5                    // how much that counts beside what it holds now
-	gossip    = 0.0007                 // of the benefit, at most, for telling others of one attempt
-	slowly    = 0.25                   // of a failure, that a late first token weighs against its backend
-	crossing  = 1.5                    // how much fuller a decode backend in another rack than the state counts
-	answer    = 0.25                   // of the longest answer, that a request is taken to need
-	newsSize  = 8                      // bytes of what is told
-	bound     = 3.0                    // times as full as the mean, from which a home is not chosen alone
-	burst     = 2.0                    // requests that a window's last part lets out at once, at most
-	impatient = 0.25                   // of the promised time: an oldest wait beyond it means overload
+	// refreshInterval is how often the mean of the tokens to prefill is recomputed and stale entries are
+	// dropped.
+	refresh = 5 * time.Second
+	// shortPromptShare is the share of the mean tokens to prefill below which a decode backend prefills a prompt
+	// itself.
+	cutShare = 0.25
+	// prefixTTL is the time after which an unused prefix is assumed to have been evicted from a backend's cache.
+	keptFor = 20 * time.Second
+	// outcomeBucketWidth is a tenth of the time for which outcomes of attempts count for or against a backend.
+	evidence = 500 * time.Millisecond
+	// trustThreshold is what the draw from a suspected backend's success posterior must exceed for it to get
+	// work.
+	believe = 0.5
+	// queueSweepInterval is how often the queue is checked for requests that can no longer make their target.
+	sweep = 20 * time.Millisecond
+	// windowPerBackend is how many requests without a first token the window initially has for each backend of
+	// the fleet; also the largest window of one dispatcher, per backend.
+	perHost = 4.0
+	// neutralTargetShare is the share of the latency target that a first token may take without narrowing the
+	// window.
+	calm = 0.7
+	// recentLoadBucketWidth is a tenth of the time for which load sent to a backend counts as recent.
+	memory = 3 * time.Second
+	// recentLoadWeight is the weight of recently sent load relative to load in flight.
+	lasting = 0.5
+	// peerUpdateBudget is the largest cost of peer updates about one attempt, as a share of a request's value.
+	gossip = 0.0007
+	// slowFailureWeight is the part of a failure that a slow first token counts as.
+	slowly = 0.25
+	// crossRackPenalty is the factor on the load of a decode backend outside the rack that holds the KV cache.
+	crossing = 1.5
+	// expectedOutputShare is the share of the maximum output that a request is assumed to produce.
+	answer = 0.25
+	// peerUpdateBytes is the encoded size of a peer update.
+	newsSize = 8
+	// maxLoadFactor is the load, relative to the mean, from which an affinity candidate is considered
+	// overloaded.
+	bound = 3.0
+	// maxBurst is how many requests the fractional part of the window lets out at once, at most.
+	burst = 2.0
+	// overloadWaitShare is the share of the latency target beyond which a wait indicates overload.
+	impatient = 0.25
 )
 
-// New starts an instance from its settings and the seed for its chance.
+// New returns a dispatcher with the given settings. The seed determines all of its random draws.
 func New(facts Facts, seed uint64, runtime Runtime) (*Dispatcher, error) {
 	if err := facts.Sound(); err != nil {
 		return nil, err
@@ -55,11 +77,13 @@
 	if facts.Text("discovery") == "subscribe" {
 		runtime.Watch(true)
 	}
-	// Its own phase: dispatchers that start together would all turn to the same backends in one moment.
+	// A random phase for each dispatcher: ones that start together would otherwise all switch to the same
+	// backends at the same moment.
 	runtime.Wake(time.Duration(d.rng.Float()*float64(refresh)), d.refresh)
 	return d, nil
 }
 
+// refresh recomputes the mean of the tokens to prefill and drops stale state.
 func (d *Dispatcher) refresh() {
 	now := d.runtime.Now()
 	if n := d.asked.Sum(now); n > 0 {
@@ -78,7 +102,8 @@
 	d.runtime.Wake(refresh, d.refresh)
 }
 
-// Listed takes what the list says of backends; a whole list leaves out those that are gone.
+// Listed applies a change of the endpoint list. With whole set, backends that are not in endpoints have been
+// removed.
 func (d *Dispatcher) Listed(lines []Listing, whole bool) {
 	gone := whole
 	if whole {
@@ -102,7 +127,7 @@
 		gone = gone || l.Standing == Gone
 		h.Standing, h.Units, h.Booted, h.Restart = l.Standing, max(l.Units, 0.01), l.Booted, l.Restart
 		if h.Size == 0 {
-			h.Size = 1 // until sizes are compared
+			h.Size = 1 // until capacities are compared
 		}
 	}
 	if gone || d.lingering {
@@ -118,7 +143,7 @@
 	d.dispatch()
 }
 
-// meet sets what does not change of a backend that is seen for the first time.
+// initBackend sets the fields that are fixed once a backend has been discovered.
 func (d *Dispatcher) meet(h *Backend) {
 	h.Role, h.Memory = d.facts.RoleOf(h.Kind), d.facts.MemoryOf(h.Kind)
 	h.Sent.Width = max(d.parameters.slowStartWindow/(buckets-1), 1)
@@ -130,14 +155,14 @@
 	h.Room = h.Memory / d.parameters.dispatchers
 }
 
-// ListFailed asks again, a little later, where the list has to be asked for.
+// ListFailed resubscribes after a second where service discovery is by subscription.
 func (d *Dispatcher) ListFailed() {
 	if d.facts.Text("discovery") == "subscribe" {
 		d.runtime.Wake(time.Second, func() { d.runtime.Watch(true) })
 	}
 }
 
-// Submit takes a request.
+// Submit accepts a request of a class and a tenant (both by index), and queues or sends it.
 func (d *Dispatcher) Submit(q *Request, grade, channel int) {
 	now := d.runtime.Now()
 	q.Class = d.classes[min(grade, len(d.classes)-1)]
@@ -154,7 +179,7 @@
 	d.dispatch()
 }
 
-// giveUp answers a request finally: declined where that promise can be kept, else forfeited.
+// giveUp ends a request without an answer: rejected if a retry by its client is harmless, else failed.
 func (d *Dispatcher) giveUp(q *Request) {
 	if q.Over {
 		return
@@ -172,7 +197,7 @@
 	d.runtime.Reject(q, after)
 }
 
-// send makes an attempt unless the gate bars it.
+// send starts an attempt and reports whether the rules allow it.
 func (d *Dispatcher) send(q *Request, h *Backend, stage Stage, next func(Result)) bool {
 	if h == nil || d.barred(q, h) {
 		return false
@@ -184,7 +209,7 @@
 	if stage != ToWrite {
 		t.Left = q.Prompt - kept
 	} else {
-		t.Connect = d.connectTime() // other decode backends, and a release, are in time (rule 5)
+		t.Connect = d.connectTime() // leaves time for another decode backend and for a release (rule 5)
 	}
 	streams := d.weigh(t, 1)
 	h.Given.Add(now, streams+t.Left/2/max(d.average, 300))
@@ -200,7 +225,8 @@
 	return true
 }
 
-// weigh counts what an attempt takes at its backend, or takes it away again, and tells the change in streams.
+// applyLoad adds the attempt's load to the totals and to its backend (sign 1) or removes it (sign -1), and
+// returns the change in streams.
 func (d *Dispatcher) weigh(t *Attempt, sign float64) float64 {
 	streams := t.Weigh(sign)
 	d.streams += streams
@@ -210,8 +236,9 @@
 	return streams
 }
 
-// patience is how long an attempt may take: three quarters of what is left where another attempt may follow it,
-// so that a silent backend leaves time for one. Shorter waits only fill backends that go on with dropped work.
+// attemptTimeout is how long an attempt may take: three quarters of the time left if another attempt may
+// follow, so that an unresponsive backend leaves time for one. Shorter timeouts only fill backends that go on
+// with work that was given up.
 func (d *Dispatcher) patience(t *Attempt) time.Duration {
 	left := t.Request.Deadline - t.Sent
 	if left.Seconds()/4 < d.firstToken.Or(0) || t.Stage != ToRead && t.Request.Class.Effect != Idempotent ||
@@ -221,7 +248,8 @@
 	return left * 3 / 4
 }
 
-// Left takes word that the client has gone.
+// Left ends a request whose client has disconnected. An attempt without a first token is cancelled if
+// cancelling is supported.
 func (d *Dispatcher) Left(q *Request) {
 	if q.Over {
 		return
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -156,8 +156,8 @@
 	}
 }
 
-// A request that no backend may take any more, as its group drains or its window is over, must not hold up all behind it until
-// its time is up: it is given up on at once.
+// A request that no backend may take any more, as its group drains or its deduplication window has closed, is
+// given up at once: otherwise it would block the queue until its deadline.
 func TestServeGivesUpOnWhatNoHostMayTake(t *testing.T) {
 	d, out := begin(t)
 	first, behind := ask(d), ask(d)
@@ -186,7 +186,7 @@
 	early.ID, late.ID = 1, 2
 	d.queue = []*Request{early, late}
 	out.now += 300 * time.Millisecond
-	d.window = 0.1 // one in 2.5 s, by a first token's 0.25 s
+	d.window = 0.1 // one per 2.5 s at a time to first token of 0.25 s
 	d.shed()
 	if !slices.Equal(out.declined, []*Request{late}) {
 		t.Errorf("declined %v", out.declined)
@@ -228,7 +228,7 @@
 
 func TestNewNamesASettingThatIsMissingOrSenseless(t *testing.T) {
 	for name, value := range map[string]any{"rules.coldFrom": -0.5, "siblings": -1.0, "requestClasses": 0.0,
-		// The module divides by these, or counts up to them.
+		// The scheduler divides by these or counts up to them.
 		"rules.tipAfterUs": 0.5, "rules.tipMultiple": -1.0, "rules.rampTimeUs": math.Inf(1), "policyLimits.maxAttempts": -1.0,
 		"requestClasses.0.aimUs": 0.0, "requestClasses.0.worth": math.NaN(), "prices.peer": math.NaN(), "prices.crossZone": -1.0} {
 		f := facts()
@@ -289,13 +289,14 @@
 	}
 }
 
-// What a whole fleet lets through in a window is what all parts come to, not only on average; and each dispatcher has its turns.
+// What a fleet lets through per window equals the sum of all shares, not only on average, and every dispatcher
+// gets its turns.
 func TestBarredSpendsPartsBelowOneQuestionUpToTheirSum(t *testing.T) {
 	d, out := begin(t)
 	h := d.backends[2]
 	for _, o := range d.backends {
 		if o.Role == Writes && o != h {
-			o.Carried.Add(out.now, 1000) // a part of about a tenth of the request's weight
+			o.Carried.Add(out.now, 1000) // a share of about a tenth of the request's work
 		}
 	}
 	const fleet = 300
@@ -393,8 +394,8 @@
 	}
 }
 
-// A whole list says again what it said before, and knows only of processes: it must make a backend that can't be reached neither
-// warm nor trusted.
+// A full list repeats what it said before and knows only of processes: it must not end the slow start of a
+// backend that can't be reached, nor clear its failures.
 func TestAListThatRepeatsItselfUndoesNothing(t *testing.T) {
 	for _, restart := range []bool{true, false} {
 		d, out := begin(t)
@@ -441,8 +442,8 @@
 	}
 }
 
-// Requests that were given up on early, by clients or their deadlines, once counted as if their first tokens had come quickly:
-// while first tokens came seconds late, the window widened.
+// Requests that clients or deadlines ended early must not count as if their first tokens had come quickly:
+// that widened the window while first tokens came seconds late.
 func TestTheWindowMovesByTheTimeToAFirstToken(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -483,17 +484,18 @@
 	}
 }
 
-// Timed-out reads still ran at their backends while the next stood behind them and timed out too: prefill backends did nothing else for 15 s.
+// A prefill that timed out still runs at its backend. If its place were free at once, the next request would
+// wait behind it and time out too: prefill backends then do nothing but such work.
 func TestWhatWasGivenUpOnKeepsItsPlaceForAsLongAgain(t *testing.T) {
 	for _, c := range []struct {
 		ended Outcome
 		took  time.Duration
-		ahead float64 // seconds in which first tokens come lately
+		ahead float64 // expected seconds to a first token
 		keeps time.Duration
 	}{
 		{TimedOut, 600 * time.Millisecond, 0.5, 600 * time.Millisecond}, {Cancelled, 200 * time.Millisecond, 0.5, 200 * time.Millisecond},
 		{TimedOut, 3 * time.Second, 0.5, time.Second}, {Read, 600 * time.Millisecond, 0.5, 0}, {Unreachable, 200 * time.Millisecond, 0.5, 0},
-		{Rejected, 0, 0.5, 0}, {TimedOut, 3 * time.Second, 0.1, 0}, // a backend that hangs holds up no others
+		{Rejected, 0, 0.5, 0}, {TimedOut, 3 * time.Second, 0.1, 0}, // an unresponsive backend holds up no others
 	} {
 		d, out := begin(t)
 		d.window = 1
@@ -519,7 +521,8 @@
 	}
 }
 
-// Backends that had just started got one read a second while the others were jammed: each dispatcher waited for a request of theirs.
+// Backends that have just started get prefill work while the others are congested. Otherwise each dispatcher
+// waits for a request whose prefix hashes to them.
 func TestHomesTakeInAColdHostWithAPartLeft(t *testing.T) {
 	d, out := begin(t)
 	for i := range 20 {
@@ -537,7 +540,8 @@
 	}
 }
 
-// Cold backends that speak for each other were let have less from window to window, until nothing went anywhere.
+// The budget in slow start does not shrink from window to window when all backends are in slow start and would
+// be measured by each other.
 func TestWhatWarmHostsDidIsRememberedWhileMostAreCold(t *testing.T) {
 	d, out := begin(t)
 	for _, h := range d.backends[:2] {
@@ -547,7 +551,7 @@
 	for _, h := range d.backends[:2] {
 		h.Restart, h.Booted = true, out.now
 	}
-	out.now += 30 * time.Second // nothing that was carried counts any more
+	out.now += 30 * time.Second // completed work has expired
 	for _, h := range d.backends[:2] {
 		h.Booted = out.now
 	}
@@ -626,8 +630,8 @@
 	}
 }
 
-// Half a fleet dying under a few dispatchers ends dozens of attempts late in one moment: they tell of one jam. Were each
-// to narrow the window, it would close to nothing, and learn nothing for minutes.
+// Half a fleet failing under a few dispatchers ends dozens of attempts late at the same time, by one
+// congestion event. If each narrowed the window, it would close almost entirely and not recover for minutes.
 func TestWhatWasOutWhenAJamBeganHalvesTheWindowAtMost(t *testing.T) {
 	d, out := begin(t)
 	d.window = 20
@@ -643,7 +647,7 @@
 	if d.window != 10 {
 		t.Errorf("the window is %g", d.window)
 	}
-	q := ask(d) // one let out after the jam was told of another
+	q := ask(d) // a request sent after the congestion reports another one
 	q.Outstanding, q.Dispatched, d.outstanding = true, out.now-2*time.Second, d.outstanding+1
 	went(q, d.backends[0], Rejected, out.now)
 	d.settle(q)
@@ -652,7 +656,8 @@
 	}
 }
 
-// Warm mixed backends that only wrote spoke for cold ones that were sent whole requests: pushed over on the emulator.
+// Decode at warm mixed backends must not count as whole requests for those in slow start, which would be
+// overloaded by it.
 func TestWritesAtAMixedHostSpeakForLessThanWholeQuestions(t *testing.T) {
 	budget := func(stage Stage) float64 {
 		d, out := begin(t)
@@ -672,7 +677,8 @@
 	}
 }
 
-// Backends come and go for as long as a dispatcher runs: one that is gone, with nothing out, is walked over by no choice.
+// Backends come and go while a dispatcher runs: removed ones without attempts in flight are dropped, so that
+// no decision visits them.
 func TestListedForgetsHostsThatAreGone(t *testing.T) {
 	d, _ := begin(t)
 	q := ask(d)
@@ -697,8 +703,8 @@
 	}
 }
 
-// What backends are thought to have kept is forgotten by age, not when a count is passed: with more keys than that in use, all of
-// them were looked through at each attempt, and none dropped.
+// Cached prefixes are forgotten by age, not by count: with more keys in use than the limit, a count would have
+// every attempt look through all of them and drop none.
 func TestRefreshForgetsKeptTextsByAge(t *testing.T) {
 	d, out := begin(t)
 	for i := range 5000 {
@@ -722,7 +728,7 @@
 	}
 }
 
-// A request whose client has gone must not stand in front of others, and none is answered twice.
+// A request whose client has disconnected leaves the queue, and no request is answered twice.
 func TestWhatIsOverIsNeitherHeldNorAnsweredAgain(t *testing.T) {
 	d, out := begin(t)
 	q := ask(d)
@@ -734,8 +740,8 @@
 	}
 }
 
-// While the gate bars every backend, what is held widens the window with each answer that still begins. Without a bound it stood at
-// 1e16 when the gate opened, and flooded the fleet.
+// While the rules allow no backend, the queue widens the window with each first token that still comes.
+// Without a bound it reached 1e16 and flooded the fleet once backends were allowed again.
 func TestTheWindowHasABound(t *testing.T) {
 	d, _ := begin(t)
 	d.queue = []*Request{ask(d)}
--- a/brain/candidates.go
+++ b/brain/candidates.go
@@ -7,53 +7,56 @@
 	"time"
 )
 
-// Which backends a choice looks at. In a small fleet these are all. In one of thousands a choice that walked all of them would hold up
-// the event loop, and everything that is due with it; there these are the backends that the request has a reason to go to, and a stretch
-// that chance draws from the rest. The best of some hundreds that were drawn is about as good as the best of all.
+// Candidates: which backends are considered for a request. In a small fleet these are all backends. In a fleet
+// of thousands, looking at all of them would delay the event loop and all timers due meanwhile, so the
+// candidates are the backends that the request has a reason to go to and a random sample of the rest. The best
+// of a sample of some hundred is about as good as the best of all.
 
 const (
-	// smallFleet is up to how many backends all are looked at.
+	// fullScanLimit is the fleet size up to which all backends are considered.
 	smallFleet = 128
-	// stretch is how many are drawn of a larger fleet.
+	// sampleSize is the number of backends sampled in a larger fleet.
 	stretch = 128
-	// homesMost is how many homes of a beginning are looked at there, and homeRacks of how many of them the racks are.
+	// In a large fleet maxAffinity is how many affinity candidates of a prefix are considered, and affinityRacks
+	// is for how many of them the backends of their rack are considered too.
 	homesMost = 16
 	homeRacks = 4
-	// keepersMost is how many backends are remembered to keep one beginning or session there.
+	// maxPrefixHolders is how many backends are remembered to have cached a prefix or session.
 	keepersMost = 8
-	// ranks is how many places there are in the order of a key.
+	// rankSpace is the number of distinct ranks.
 	ranks = 1 << 64
-	// sizesAge is how old the comparison of backends' sizes may be there: it walks all of them.
+	// capacityComparisonInterval is the shortest time between comparisons of capacities in a large fleet; each
+	// comparison visits all backends.
 	sizesAge = 250 * time.Millisecond
 )
 
-// candidateSet are the candidates of one choice.
+// candidateSet is the candidates for one request at one time. They are reused while nothing of it changes.
 type candidateSet struct {
 	request  *Request
 	at       time.Duration
-	attempts int      // that the request had
-	state    *Backend // that waited for it
+	attempts int      // number of the request's attempts
+	state    *Backend // holder of the request's KV cache
 	hosts    []*Backend
-	homes    [3][]*Backend // of the request's beginning, by role
-	mark     uint64        // that the backends among them bear
+	homes    [3][]*Backend // affinity candidates of the request's prefix, by role
+	mark     uint64        // stored in the backends of the set to avoid duplicates
 }
 
-// listedHost is a backend of a role, with its number beside it: all of a large fleet are gone through for their ranks.
+// roleMember is a backend with its id beside it, as ranking reads the ids of all backends of a role.
 type listedHost struct {
 	id   uint64
 	host *Backend
 }
 
-// ranked is a backend with its place in the order of a key.
+// rankedBackend is a backend with its rank for a key.
 type ranked struct {
 	host *Backend
 	rank uint64
 }
 
-// large tells whether the fleet is too large for a choice to look at all of it.
+// isLarge reports whether the fleet is too large to consider all of it for each request.
 func (d *Dispatcher) large() bool { return len(d.backends) > smallFleet }
 
-// candidates are the backends that a choice for the request looks at.
+// candidates returns the backends to consider for a request.
 func (d *Dispatcher) candidates(q *Request) []*Backend {
 	if !d.large() {
 		return d.backends
@@ -69,7 +72,7 @@
 		c.add(d.backends[(first+i)%len(d.backends)])
 	}
 	if q.State != nil {
-		d.addRack(c, q.State) // it only has to be answered
+		d.addRack(c, q.State) // only decode remains
 		return c.hosts
 	}
 	for _, role := range []Role{Reads, Both} {
@@ -89,7 +92,7 @@
 	return c.hosts
 }
 
-// add puts a backend among the candidates, once.
+// add adds a backend unless it is in the set.
 func (c *candidateSet) add(h *Backend) {
 	if h.mark != c.mark {
 		h.mark = c.mark
@@ -97,15 +100,15 @@
 	}
 }
 
-// addRack puts the backends of a backend's rack that answer among the candidates, to which a state is moved at least cost.
+// addRack adds the decode backends in a backend's rack, to which its KV cache can be moved at the lowest cost.
 func (d *Dispatcher) addRack(c *candidateSet, h *Backend) {
 	for _, o := range d.racks[h.Rack] {
 		c.add(o)
 	}
 }
 
-// homesInOrder are the ready backends of a role in the order of the request's beginning, alike in every dispatcher: all of a small
-// fleet, and the first ones of a large one.
+// affinityOrder returns the ready backends of a role by their rank for the request's prefix, which is the same
+// in every dispatcher: all of a small fleet, and the first ones of a large fleet.
 func (d *Dispatcher) homesInOrder(q *Request, role Role) []*Backend {
 	if !d.large() {
 		all := Only(d.backends, func(h *Backend) bool { return h.Role == role && h.Standing == Ready })
@@ -116,7 +119,7 @@
 	return slices.Clone(d.chosenFrom.homes[role])
 }
 
-// firstHomes are the first ready backends of a role in the order of a key.
+// topRanked returns the first ready backends of a role by rank for a key (rendezvous hashing).
 func (d *Dispatcher) firstHomes(key uint64, role Role) []*Backend {
 	first := d.firstRanks[:0]
 	for _, l := range d.byRole[role] {
@@ -138,7 +141,8 @@
 	return homes
 }
 
-// homesWanted is how many homes a beginning has: two, or as many as its share of the requests asks for.
+// affinityCount is the number of affinity candidates of a prefix: two, or more in proportion to its share of
+// requests.
 func (d *Dispatcher) homesWanted(key uint64, role Role, homes []*Backend) int {
 	share := d.begins.Sum(key, d.runtime.Now()) / (d.asked.Sum(d.runtime.Now()) + 10)
 	count := len(homes)
@@ -148,8 +152,9 @@
 	return max(2, int(2*share*float64(count)))
 }
 
-// withMoreHomes adds, where a beginning of a large fleet has more homes than were ordered, those among the candidates: a home's rank is
-// under the same part of all ranks as homes are of all backends.
+// extendAffinity handles a prefix of a large fleet that has more affinity candidates than were ranked: it adds
+// those among the eligible backends. A backend is one of them if its rank is below the matching share of the
+// rank space.
 func (d *Dispatcher) withMoreHomes(homes []*Backend, key uint64, role Role, wanted int, able []*Backend) []*Backend {
 	if !d.large() || wanted <= homesMost {
 		return homes
@@ -163,7 +168,7 @@
 	return homes
 }
 
-// keeperOf takes note that a backend of a large fleet keeps a beginning or session.
+// recordPrefixHolder records that a backend of a large fleet has cached a prefix or session.
 func (d *Dispatcher) keeperOf(key uint64, h *Backend) {
 	if key == 0 || !d.large() {
 		return
@@ -178,7 +183,7 @@
 	d.keepers[key] = append(known, h)
 }
 
-// forgetKeepers drops those that keep nothing any more.
+// dropStaleHolders drops backends that no longer have the prefix cached.
 func (d *Dispatcher) forgetKeepers() {
 	for key, known := range d.keepers {
 		known = slices.DeleteFunc(known, func(h *Backend) bool { return !h.Held || h.Kept[key] == (Kept{}) })
@@ -190,7 +195,8 @@
 	}
 }
 
-// addHost puts a backend that is new among the others: in a large fleet in this dispatcher's own order, unless many are added at once.
+// addBackend adds a new backend: in a large fleet at its place in the dispatcher's order, unless many are
+// added at once.
 func (d *Dispatcher) addHost(h *Backend, many bool) {
 	h.Held, h.order = true, Mix(d.own, uint64(h.ID))
 	d.ordered = d.ordered && !many
@@ -208,7 +214,7 @@
 	}
 }
 
-// orderHosts puts the backends in this dispatcher's own order, if they are not in it.
+// sortBackends restores the dispatcher's order of backends.
 func (d *Dispatcher) orderHosts() {
 	if d.large() && d.ordered {
 		return
@@ -217,11 +223,11 @@
 	d.ordered = d.large()
 }
 
-// dropHosts forgets the backends that are gone and have nothing out.
+// dropRemoved drops removed backends that have no attempts in flight.
 func (d *Dispatcher) dropHosts() {
 	gone := func(l listedHost) bool { return !l.host.Held }
 	d.backends = slices.DeleteFunc(d.backends, func(h *Backend) bool {
-		h.Held = h.Standing != Gone || h.Streams > 0 || h.Tokens >= 1 // what is out there still counts
+		h.Held = h.Standing != Gone || h.Streams > 0 || h.Tokens >= 1 // its load still counts
 		if !h.Held && h.Answers() {
 			if d.racks[h.Rack] = slices.DeleteFunc(d.racks[h.Rack], func(o *Backend) bool { return o == h }); len(d.racks[h.Rack]) == 0 {
 				delete(d.racks, h.Rack)
@@ -234,7 +240,7 @@
 	}
 }
 
-// compareSizes compares the backends' capacities, less often where the fleet is large.
+// compareCapacities compares the backends' capacities, at limited frequency in a large fleet.
 func (d *Dispatcher) compareSizes() {
 	now := d.runtime.Now()
 	if d.large() && d.compared > 0 && now-d.compared < sizesAge {
@@ -244,7 +250,7 @@
 	d.answering = Compare(d.backends)
 }
 
-// freestByRack is the least cost of the backends in each rack.
+// minCostByRack returns the lowest cost of the backends in each rack.
 func freestByRack(hosts []*Backend, cost func(*Backend) float64) map[int]float64 {
 	freest := map[int]float64{}
 	for _, h := range hosts {
@@ -256,8 +262,9 @@
 	return freest
 }
 
-// freeMemory is how many tokens this dispatcher may still have at backends that answer, less those that are being read and will need
-// room to be answered. Of a large fleet the candidates stand for all.
+// freeKVTokens is how many more KV cache tokens this dispatcher may use at decode backends, less those of
+// requests in prefill, which will need them for decode. In a large fleet it is extrapolated from the
+// candidates.
 func (d *Dispatcher) freeMemory(q *Request) float64 {
 	free, looked := 0.0, 0.0
 	candidates := d.candidates(q)
@@ -276,7 +283,7 @@
 	return free - d.reading()
 }
 
-// reading is how many own tokens are at backends that only read.
+// prefillKVTokens is the number of own KV cache tokens at prefill-only backends.
 func (d *Dispatcher) reading() float64 {
 	if d.large() {
 		return d.atReaders
--- a/brain/candidates_test.go
+++ b/brain/candidates_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// largeFleet makes a dispatcher of a fleet of which a choice looks at some backends only.
+// newLargeFleet returns a dispatcher with 2,000 backends, of which a decision considers only some.
 func largeFleet(t *testing.T, seed uint64) (*Dispatcher, *door) {
 	t.Helper()
 	out := &door{now: 100 * time.Second}
@@ -29,7 +29,8 @@
 	return numbers
 }
 
-// Whatever each dispatcher draws, a beginning has the same two homes in all of them, and they are those that its hash comes to over all.
+// All dispatchers, whatever they sample, have the same two affinity candidates for a prefix: the first ones by
+// hash over all backends.
 func TestABeginningHasTheSameHomesInALargeFleet(t *testing.T) {
 	first, _ := largeFleet(t, 1)
 	second, _ := largeFleet(t, 2)
@@ -47,7 +48,8 @@
 	}
 }
 
-// A beginning that a tenth of the requests share has as large a part of a large fleet: by chance, about as many of those that are drawn.
+// A prefix of a tenth of all requests has a matching share of a large fleet as affinity candidates: by chance,
+// about that share of the sampled backends.
 func TestACommonBeginningHasManyHomesInALargeFleet(t *testing.T) {
 	d, out := largeFleet(t, 1)
 	for range 1000 {
@@ -67,7 +69,7 @@
 	}
 }
 
-// What a request has a reason to go to is among its candidates, however few are drawn.
+// Backends that a request has a reason to go to are among its candidates, however few are sampled.
 func TestCandidatesOfALargeFleetHaveWhatSpeaksForThem(t *testing.T) {
 	d, out := largeFleet(t, 1)
 	keeper := Only(d.backends, (*Backend).Answers)[700]
@@ -91,7 +93,7 @@
 	}
 }
 
-// Over many requests each backend of a large fleet has its turn.
+// Over many requests most backends of a large fleet are used, and none too often.
 func TestEveryBackendOfALargeFleetIsUsed(t *testing.T) {
 	d, out := largeFleet(t, 1)
 	used := map[*Backend]int{}
@@ -116,7 +118,7 @@
 	}
 }
 
-// A fleet that shrinks and grows over the bound keeps its order and loses nobody.
+// A fleet that shrinks and grows across fullScanLimit keeps its order and all of its backends.
 func TestAFleetGrowsAndShrinksOverTheBound(t *testing.T) {
 	d, _ := largeFleet(t, 1)
 	var lines []Listing
@@ -138,8 +140,8 @@
 	}
 }
 
-// A state that finds no backend to take it starts its request over in the same moment: its homes are then its own, not those of whoever
-// was looked at before.
+// A request whose KV cache finds no decode backend starts over in the same instant. It then has its own
+// affinity candidates, not those of the request considered before.
 func TestARequestThatStartsOverHasItsOwnHomes(t *testing.T) {
 	d, _ := largeFleet(t, 1)
 	other := ask(d)
@@ -156,7 +158,7 @@
 	}
 }
 
-// A beginning that all requests share is at home everywhere.
+// A prefix that all requests share has all backends as affinity candidates.
 func TestABeginningOfAllRequestsIsAtHomeEverywhere(t *testing.T) {
 	d, out := largeFleet(t, 1)
 	d.asked.Add(out.now, 1e6)
--- a/brain/cost_test.go
+++ b/brain/cost_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// fleetState is in what state the backends of a measured fleet are.
+// fleetState is the state of the backends of a benchmarked fleet.
 type fleetState int
 
 const (
@@ -20,7 +20,8 @@
 	return [...]string{"warm", "most in slow start", "all in slow start", "a third gone"}[s]
 }
 
-// measured makes a dispatcher of so many backends, of which some have done work lately, with so many requests waiting.
+// newLoadedFleet returns a dispatcher with backends, of which some have completed work, and with requests in
+// its queue.
 func measured(t testing.TB, backends int, state fleetState, waiting int) (*Dispatcher, *door) {
 	t.Helper()
 	f := facts()
@@ -59,7 +60,7 @@
 	return d, out
 }
 
-// serve takes one request in, and one through the module: prefill and decode chosen, begun and ended.
+// serveOne submits one request and runs one to its end: prefill, decode, first token, end.
 func serve(d *Dispatcher, out *door, number int) {
 	out.now += 10 * time.Millisecond
 	d.window, d.credit = 2, 0
@@ -78,7 +79,7 @@
 	out.wakes, out.delays, out.waits = out.wakes[:0], out.delays[:0], out.waits[:0]
 }
 
-// What one request costs, over the number of backends, their state and the requests that wait.
+// BenchmarkRequest measures the time per request by number and state of the backends and by queue length.
 func BenchmarkRequest(b *testing.B) {
 	for _, backends := range []int{10, 79, 800, 3200} {
 		for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdGone} {
@@ -94,7 +95,8 @@
 	}
 }
 
-// costMost is for one request on average, far above what it costs and far below what stops the loop: it was 483 ms.
+// maxRequestTime is the limit on the mean time per request. Beyond it the event loop falls behind: 483 ms
+// stopped it.
 const costMost = 3 * time.Millisecond
 
 func TestARequestCostsLittleWithThousandsOfBackends(t *testing.T) {
--- a/brain/ends_test.go
+++ b/brain/ends_test.go
@@ -8,8 +8,9 @@
 	"time"
 )
 
-// played is a dispatcher in a world of chance: attempts begin, end in any way or late, clients leave, backends come, drain and go, and
-// peers tell of failures. It keeps, from outside, what the rules are about.
+// simulation is a dispatcher with random events: attempts begin, end in any way or late, clients disconnect,
+// backends appear, drain and are removed, and peers report failures. It keeps its own account of what the
+// rules require.
 type played struct {
 	*door
 	t      *testing.T
@@ -18,16 +19,16 @@
 	due    []due
 	final  map[*Request]int
 	out    map[*Request]*Attempt
-	state  map[*Request]*Backend // held for it, as its backend knows
+	state  map[*Request]*Backend // KV caches as their backends hold them
 	drains map[*Backend]bool
-	may    map[*Request]bool          // it may have run
-	silent map[*Attempt]bool          // it never arrives
-	since  map[*Request]time.Duration // when its state began to wait with no attempt that has arrived
+	may    map[*Request]bool          // requests that may have run
+	silent map[*Attempt]bool          // attempts that never arrive
+	since  map[*Request]time.Duration // since when its KV cache has been waiting, with no attempt that has arrived
 }
 
 const playedHold = 60 * time.Millisecond
 
-// waits judges how long a state waits (rule 5).
+// checkHoldTimes checks how long KV caches wait (rule 5).
 func (p *played) waits() {
 	for q, since := range p.since {
 		if p.state[q] == nil {
@@ -76,7 +77,7 @@
 	})
 }
 
-// pass lets time pass, and runs the timers that come due, each at its time.
+// advance moves the clock and runs timers that come due, each at its time.
 func (p *played) pass(by time.Duration) {
 	for to := p.now + by; ; {
 		next := -1
@@ -97,7 +98,7 @@
 	}
 }
 
-// Release lets go of a state that no attempt waits for.
+// Release drops a KV cache that no attempt waits for.
 func (p *played) Release(q *Request) {
 	if t := p.out[q]; t == nil || p.silent[t] {
 		delete(p.state, q)
@@ -124,7 +125,7 @@
 }
 func (p *played) Fail(q *Request) { p.end(q, "forfeited") }
 
-// finish ends the attempt that is out for a request.
+// endAttempt ends the attempt that a request has in flight.
 func (p *played) finish(t *Attempt, o Outcome) {
 	q := t.Request
 	delete(p.out, q)
@@ -155,7 +156,8 @@
 	}
 }
 
-// Whatever happens in whatever order, the gate holds, and in the end nothing is left: no request, no place in a count, no state.
+// Whatever happens in whatever order, the rules hold, and in the end nothing is left over: no request, no
+// count, no KV cache.
 func TestNothingIsLeftBehindWhateverHappens(t *testing.T) {
 	for seed := range uint64(150) {
 		p := &played{door: &door{now: time.Second}, t: t, rng: rand.New(rand.NewPCG(seed, 3)), final: map[*Request]int{}, out: map[*Request]*Attempt{},
@@ -212,7 +214,7 @@
 						p.finish(trip, []Outcome{Unreachable, Broken}[p.rng.IntN(2)])
 					}
 				case trip.Stage == ToWrite && p.state[q] == nil:
-					p.finish(trip, Rejected) // it arrives behind the release
+					p.finish(trip, Rejected) // it arrives after the release
 				case trip.Stage == ToRead:
 					p.finish(trip, []Outcome{Read, Read, Read, Read, Failed, Rejected, TimedOut, Unreachable, Broken}[p.rng.IntN(9)])
 				case p.rng.IntN(3) > 0:
@@ -224,7 +226,7 @@
 					p.finish(trip, []Outcome{Failed, Rejected, TimedOut, Unreachable, Broken}[p.rng.IntN(5)])
 				}
 				if p.final[q] == 0 && p.rng.IntN(400) == 0 {
-					p.final[q]++ // its client leaves
+					p.final[q]++ // its client disconnects
 					d.Left(q)
 				}
 			}
@@ -258,7 +260,8 @@
 	}
 }
 
-// Attempts that time out tell how long first tokens take as well as those that had one: in a jam only the quick ones have.
+// Timed-out attempts raise the expected time to first token: under congestion only the quick ones get a first
+// token.
 func TestTimedOutTripsTellOfAJam(t *testing.T) {
 	d, out := begin(t)
 	d.firstToken.Add(0.1, 0.1)
--- a/brain/facts.go
+++ b/brain/facts.go
@@ -10,18 +10,17 @@
 	"time"
 )
 
-// Facts are the settings that an instance is started with, under dotted names such as "rules.coldFrom"
-// or "kinds.0".
+// Settings are the settings of a dispatcher under dotted names such as "rules.coldFrom" or "kinds.0".
 type Facts map[string]any
 
-// Flat turns an object of nested settings into facts.
+// FlattenSettings converts an object of nested settings.
 func Flat(object map[string]any) Facts {
 	f := Facts{}
 	flatten(f, "", object)
 	return f
 }
 
-// flatten puts nested values under dotted names; a list also states its length under its own name.
+// flatten stores nested values under dotted names. A list also stores its length under its own name.
 func flatten(into Facts, name string, value any) {
 	under := func(part string) string {
 		if name == "" {
@@ -44,6 +43,7 @@
 	}
 }
 
+// Number returns a numeric setting, or fallback if it isn't one.
 func (f Facts) Num(name string, absent float64) float64 {
 	if v, ok := f[name].(float64); ok {
 		return v
@@ -51,21 +51,24 @@
 	return absent
 }
 
+// Text returns a string setting, or "".
 func (f Facts) Text(name string) string {
 	s, _ := f[name].(string)
 	return s
 }
 
+// Bool returns a boolean setting, or false.
 func (f Facts) Yes(name string) bool {
 	v, _ := f[name].(bool)
 	return v
 }
 
+// Duration returns a setting stated in microseconds, or 0.
 func (f Facts) Span(name string) time.Duration {
 	return time.Duration(f.Num(name, 0)) * time.Microsecond
 }
 
-// Lacks names the first of the given numbers that is missing.
+// RequireNumbers returns an error for the first of the named settings that is not a number.
 func (f Facts) Lacks(names ...string) error {
 	for _, name := range names {
 		if _, ok := f[name].(float64); !ok {
@@ -75,8 +78,8 @@
 	return nil
 }
 
-// figures are the settings that the module divides by or counts up to, with the range in which they make sense. One that is not
-// stated, or stated as nought where that can only mean that there is none, has the value that changes nothing.
+// numericSettings are the settings that are used as divisors or counts, with their valid ranges. One that is
+// not stated, or that is 0 where 0 can only mean "none", gets the fallback, which has no effect.
 var figures = []struct {
 	name         string
 	least, most  float64
@@ -93,7 +96,8 @@
 	{"prices.crossZone", 0, 1e9, 0, false},
 }
 
-// Complete returns the facts with what they do not state. Without the rule on cold backends, none is cold.
+// WithDefaults returns a copy with defaults for what is not stated. Without the slow-start rule no backend is
+// ever in slow start.
 func (f Facts) Complete() Facts {
 	whole := maps.Clone(f)
 	if f.Num("rules.tipMultiple", 0) == 0 || f.Num("rules.tipAfterUs", 0) == 0 {
@@ -107,7 +111,7 @@
 	return whole
 }
 
-// Sound names the first setting without which an instance can't start, or that makes no sense.
+// Validate returns an error for the first required setting that is missing or setting that is out of range.
 func (f Facts) Sound() error {
 	if err := f.Lacks("familyInfo.kindRole"); err != nil {
 		return err
@@ -129,7 +133,7 @@
 	return nil
 }
 
-// Grades reads the service classes.
+// Classes returns the priority classes.
 func (f Facts) Grades() ([]*Class, error) {
 	var grades []*Class
 	for i := range int(f.Num("requestClasses", 0)) {
@@ -140,7 +144,7 @@
 		if !known {
 			return nil, fmt.Errorf("setting %seffect is missing or unknown", at)
 		}
-		// A class without a target has its deadline for one, and one without a window is never repeated.
+		// A class without a target has its deadline as target; one without a window is never repeated.
 		target := at + "aimUs"
 		if f.Num(target, 0) == 0 {
 			target = at + "giveUpUs"
@@ -169,7 +173,7 @@
 	return grades, nil
 }
 
-// Names lists the names in a list of them, or of objects that have one.
+// Names returns the names in a list of names, or of objects that have a name.
 func (f Facts) Names(list string) []string {
 	names := make([]string, int(f.Num(list, 0)))
 	for i := range names {
@@ -179,7 +183,7 @@
 	return names
 }
 
-// Index finds a name among them; -1 where it is not stated.
+// Index returns the index of a name in such a list, -1 if it is not there.
 func (f Facts) Index(list, name string) int {
 	if name == "" {
 		return -1
@@ -187,7 +191,7 @@
 	return slices.Index(f.Names(list), name)
 }
 
-// Channels reads the tenants.
+// Tenants returns the tenants. One without a quota has no limit.
 func (f Facts) Channels() []*Tenant {
 	var channels []*Tenant
 	for i := range int(f.Num("tenants", 0)) {
@@ -197,18 +201,17 @@
 	return channels
 }
 
-// RoleOf reads what a kind of machine can do.
+// RoleOf returns the role of a kind of backend.
 func (f Facts) RoleOf(kind int) Role {
 	return map[string]Role{"read": Reads, "write": Writes, "both": Both}[f.Text(fmt.Sprintf("familyInfo.kindRole.%d", kind))]
 }
 
-// MemoryOf reads how many tokens a kind of machine holds; one that is not stated counts as having
-// enough.
+// KVCapacityOf returns the KV cache size of a kind of backend in tokens; unlimited if it is not stated.
 func (f Facts) MemoryOf(kind int) float64 {
 	return f.Num(fmt.Sprintf("familyInfo.tokensByKind.%d", kind), math.Inf(1))
 }
 
-// reportFields names the values of a load report in their order.
+// reportFields returns the names of a load report's values in order.
 func (f Facts) reportFields() []string {
 	var fields []string
 	for i := 0; ; i++ {
--- a/brain/facts_test.go
+++ b/brain/facts_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// stated are the settings of a small deployment with one change; nil takes the setting away.
+// settingsWith returns the settings of a small deployment with one change; nil removes the setting.
 func stated(name string, value any) Facts {
 	f := Facts{"siblings": 3.0, "familyInfo.kindRole": 1.0, "familyInfo.kindRole.0": "both", "policyLimits.maxAttempts": 3.0,
 		"rules.tipMultiple": 2.5, "rules.tipAfterUs": 2e6, "rules.coldFrom": 0.4, "rules.rampTimeUs": 9e6,
@@ -19,7 +19,8 @@
 	return f
 }
 
-// Without the rule on cold backends none is cold, one that starts neither, and the module divides by nothing.
+// Without the slow-start rule no backend is in slow start, not even one that has just started, and nothing is
+// divided by zero.
 func TestWithoutTheRuleOnColdHostsNoneIsCold(t *testing.T) {
 	for _, name := range []string{"rules.tipMultiple", "rules.tipAfterUs", "rules.rampTimeUs"} {
 		for _, value := range []any{nil, 0.0} {
@@ -37,7 +38,8 @@
 	}
 }
 
-// What a customer may leave out, or state as nought, does not keep an instance from starting; what can't be served does, and says the key.
+// Settings that may be left out or stated as 0 don't keep a dispatcher from starting; invalid ones do, with an
+// error of one line that names the setting.
 func TestSettingsThatACustomerMayHave(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -82,7 +84,7 @@
 	}
 }
 
-// A repeat whose connection came up after the window in which repeats are dropped is not sent; before that it is.
+// A repeat whose connection is made after the deduplication window has closed is not sent; before that it is.
 func TestARepeatWhoseWindowClosedIsNotSent(t *testing.T) {
 	out := &door{now: time.Second}
 	d, err := New(stated("siblings", 1.0), 1, out)
--- a/brain/help_test.go
+++ b/brain/help_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// door records what the module does; its clock is set by the test.
+// fakeRuntime records what the scheduler does; the test sets its clock.
 type door struct {
 	now                      time.Duration
 	sent                     []*Attempt
 	cancelled                []*Attempt
 	released, declined, lost []*Request
 	wakes                    []func()
-	delays                   []time.Duration // of the wakes
+	delays                   []time.Duration // of the timers
 	waits                    []time.Duration
 	told                     []int
 }
@@ -45,7 +45,7 @@
 	}
 }
 
-// fleetOf makes a dispatcher of so many, at 100 s, with the backends of begin in its own order.
+// newDispatcherOf returns one of several dispatchers, at 100 s, with six backends in its own order.
 func fleetOf(t *testing.T, dispatchers float64) (*Dispatcher, *door) {
 	t.Helper()
 	f := facts()
@@ -63,8 +63,8 @@
 	return d, out
 }
 
-// begin makes a dispatcher at 100 s that knows two backends of each role (prefill backends 1 and 2, decode backends 3 and
-// 4, mixed 5 and 6), in the order of their numbers.
+// newDispatcher returns a dispatcher at 100 s with two backends of each role (prefill backends 1 and 2, decode
+// backends 3 and 4, mixed backends 5 and 6) in the order of their ids.
 func begin(t *testing.T) (*Dispatcher, *door) {
 	t.Helper()
 	d, out := fleetOf(t, 1)
@@ -72,14 +72,14 @@
 	return d, out
 }
 
-// ask makes a request of 2,000 tokens that was taken now.
+// newRequest returns a request of 2,000 prompt tokens that is received now.
 func ask(d *Dispatcher) *Request {
 	now := d.runtime.Now()
 	return &Request{ID: 1, Session: 7, Shared: 9, Prompt: 2000, Prefix: 1500, Most: 400, Memory: 2100, Class: d.classes[0],
 		Taken: now, Left: 4 * time.Second, TargetAt: now + time.Second, Deadline: now + 4*time.Second}
 }
 
-// went gives the request an ended attempt.
+// addAttempt gives the request an attempt that has ended.
 func went(q *Request, h *Backend, o Outcome, sent time.Duration) *Attempt {
 	t := &Attempt{Request: q, Backend: h, Number: len(q.Attempts), Sent: sent, Ended: true, Outcome: o, Next: func(Result) {}}
 	q.Attempts = append(q.Attempts, t)
--- a/brain/outcomes.go
+++ b/brain/outcomes.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Outcomes: what the ends of own attempts, and what peers tell of theirs, say of backends.
+// Outcomes: what attempts, own ones and those of peers, show about backends.
 
-// Began takes word that an answer has started.
+// Began handles the first token of an attempt, duration after its send.
 func (d *Dispatcher) Began(t *Attempt, took time.Duration) {
 	if t.Ended || t.Began > 0 {
 		return
@@ -20,7 +20,8 @@
 	d.dispatch()
 }
 
-// learn lets an attempt speak for or against its backend, and widens or narrows what it is trusted with.
+// recordOutcome counts an attempt for or against its backend, tells peers, and raises or lowers the backend's
+// token limit.
 func (d *Dispatcher) learn(t *Attempt, took time.Duration, fine, loaded bool) {
 	h, now := t.Backend, d.runtime.Now()
 	unit := took.Seconds() / (t.Left + 300)
@@ -37,7 +38,7 @@
 		news.Verdict = Well
 	case fine:
 		news.Verdict = Slowly
-	case slow || t.Outcome != TimedOut || took > span: // one cut short by its client says nothing
+	case slow || t.Outcome != TimedOut || took > span: // one cut short by its client shows nothing
 		news.Verdict = Badly
 	}
 	d.Heard(news)
@@ -46,7 +47,7 @@
 	}
 	d.share(news)
 	one := t.Request.Memory
-	// Only time tells of a full backend; errors and resets speak through the posterior alone.
+	// Only latency shows that a backend is full; errors and resets count in the success posterior alone.
 	late := took > span/3 || now-t.Request.Taken > span*7/10
 	if (late && fine || t.Outcome == TimedOut) && now-h.Cut > took {
 		h.Room, h.Cut = max(one, h.Room*0.8), now
@@ -55,15 +56,15 @@
 	}
 }
 
-// Ended takes the end of an attempt, and hands its result to what the attempt left behind.
+// Ended handles the end of an attempt and passes the result to its OnResult.
 func (d *Dispatcher) Ended(t *Attempt, r Result) {
 	q, h, now := t.Request, t.Backend, d.runtime.Now()
 	t.Ended, t.Outcome = true, r.Outcome
 	d.weigh(t, -1)
 	d.report(h, r.Load)
-	loaded := len(r.Load) > 0 // what came with no report tells others of no load
+	loaded := len(r.Load) > 0 // without a report, peers get no load
 	q.Over = q.Over || r.Over
-	// Only an attempt that came to its backend takes the state, if for a while.
+	// Only an attempt that is known to have reached its backend took over the KV cache, if briefly.
 	if r.Outcome.arrived() {
 		q.Waits = now - r.Ago
 	}
@@ -108,7 +109,8 @@
 	d.dispatch()
 }
 
-// remember feeds the table with what a backend has just read or fetched, and the kept tokens it reported.
+// recordCachedPrefix updates the prefix table after prefill or a KV cache transfer, and the hit ratio from the
+// cached tokens that the backend reported.
 func (d *Dispatcher) remember(t *Attempt, kept float64) {
 	h, q, now := t.Backend, t.Request, d.runtime.Now()
 	if t.Kept > 0 {
@@ -125,15 +127,17 @@
 	}
 }
 
-// chance is the posterior of a backend's success: the worse of what attempts of any class say and of the own, as
-// a backend may fail one only. Failures since the last good attempt stay, four at most: more would forget it.
+// successPosterior returns the parameters of the Beta posterior of a backend's success, or failures 0 if
+// nothing counts against it. It is the worse one of all classes together and of the request's class, as a
+// backend may fail only one class. Consecutive failures count until the next success, but at most four: with
+// more the backend would never be tried again.
 func (d *Dispatcher) chance(h *Backend, q *Request) (well, badly float64) {
 	well = 1
 	for _, i := range []int{0, 1 + q.Class.Index} {
 		r, now := &h.Records[i], d.runtime.Now()
 		bad := 1 + r.Bad.Sum(now) + min(r.Missed, 4)
 		if bad <= 1 {
-			continue // nothing speaks against it
+			continue // nothing counts against it
 		}
 		if good := 2 + r.Good.Sum(now); bad*well >= badly*good {
 			well, badly = good, bad
@@ -142,12 +146,12 @@
 	return well, badly
 }
 
-// drawn draws from that whether the backend is given work.
+// drawTrust draws from the posterior whether the backend gets work.
 func (d *Dispatcher) drawn(well, badly float64) bool {
 	return badly == 0 || d.rng.Beta(well, badly) > believe
 }
 
-// Heard takes what another dispatcher tells of a backend; it counts like an own attempt.
+// Heard handles a peer's update. It counts like an own attempt.
 func (d *Dispatcher) Heard(n PeerUpdate) {
 	if n.Loaded {
 		n.Host.Util, n.Host.Queue = n.Util, n.Queue
@@ -159,15 +163,16 @@
 		}
 		n.Host.Records[i].Take(d.runtime.Now(), n.Verdict, slowly)
 	}
-	// A backend that can't be reached may be restarting, which the list tells seconds later: cold till then.
-	// A broken connection alone says nothing of that; taken so, a rash of resets shuts out the fleet.
+	// An unreachable backend may be restarting, which service discovery shows only seconds later, so it is in
+	// slow start until then. A lost connection alone doesn't show that: a burst of connection resets would put
+	// the whole fleet in slow start.
 	if n.Verdict == Unmet {
 		n.Host.Unmet = d.runtime.Now()
 		d.carriedChanged()
 	}
 }
 
-// share tells a few others of an own attempt: at most what the price of messages allows.
+// sendPeerUpdates sends an update to a few peers, as many as the price of messages allows.
 func (d *Dispatcher) share(n PeerUpdate) {
 	others, own := int(d.parameters.dispatchers)-1, int(d.parameters.number)
 	first := int(d.rng.Float() * float64(others))
--- a/brain/parameters.go
+++ b/brain/parameters.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// parameters are the settings that decisions read, read once: a look-up by name for each backend of thousands would cost more than
-// the decision.
+// parameters are the settings that decisions use, in typed form. Looking settings up by name for each of
+// thousands of backends would cost more than the decision itself.
 type parameters struct {
-	dispatchers  float64 // that share the fleet, this one among them
-	number       float64 // this one's, from 0
+	dispatchers  float64 // number of dispatchers that share the fleet
+	number       float64 // index of this one, from 0
 	zone         int
 	maxAttempts  int
-	cancelling   bool // an attempt may be called off
-	retryAfter   bool // a rejection may say when to try again
+	cancelling   bool // attempts can be cancelled
+	retryAfter   bool // rejections say when to retry
 	retryMost    time.Duration
-	readsInPlace bool          // decode backends may read prompts
-	holdLimit    time.Duration // for which a state may wait with no attempt out; 0: for any time
+	readsInPlace bool          // decode backends may prefill
+	holdLimit    time.Duration // how long a KV cache may wait for decode; 0: without limit
 
-	slowStartMultiple float64       // of its present capacity, that a backend in slow start may be sent in a window
-	slowStartShare    float64       // of its capacity, that a backend has right after its start
-	slowStartWindow   time.Duration // in which that work counts
-	slowStartTime     time.Duration // after which a backend is warm
+	slowStartMultiple float64       // work per window in slow start, as a multiple of present capacity
+	slowStartShare    float64       // share of capacity right after a start
+	slowStartWindow   time.Duration // window in which that work counts
+	slowStartTime     time.Duration // duration of slow start
 
 	crossZonePrice float64
 	peerPrice      float64
-	surplusValue   float64 // part of its value that a request beyond its tenant's share has
-	valueByWork    bool    // the value of a request is stated for its work
+	surplusValue   float64 // share of its value that a request over quota has
+	valueByWork    bool    // the value of a request is stated per unit of work
 	reportFields   []string
 }
 
-// parametersOf reads the parameters from complete facts.
+// parametersOf reads the parameters from settings that have their defaults.
 func parametersOf(f Facts) parameters {
 	return parameters{
 		dispatchers:  f.Num("siblings", 1),
@@ -56,5 +56,5 @@
 	}
 }
 
-// share is this dispatcher's part of something that all have together.
+// ownShare is this dispatcher's part of a total over all dispatchers.
 func (p *parameters) share(whole float64) float64 { return whole / math.Max(p.dispatchers, 1) }
--- a/brain/pcg.go
+++ b/brain/pcg.go
@@ -2,15 +2,17 @@
 
 import "math"
 
-// PCG is a permuted congruential generator (XSH-RR, 64 bits of state, 32 out).
+// PCG is a permuted congruential generator (XSH-RR, 64 bits of state, 32 bits of output).
 type PCG struct{ state uint64 }
 
+// NewPCG returns a generator with the given seed.
 func NewPCG(seed uint64) *PCG {
 	p := &PCG{state: seed + 1442695040888963407}
 	p.next()
 	return p
 }
 
+// next returns 32 random bits.
 func (p *PCG) next() uint32 {
 	old := p.state
 	p.state = old*6364136223846793005 + 1442695040888963407
@@ -26,7 +28,7 @@
 	return math.Sqrt(-2*math.Log(p.Float())) * math.Cos(2*math.Pi*p.Float())
 }
 
-// Gamma returns a draw of shape at least 1 (Marsaglia and Tsang).
+// Gamma returns a draw from a gamma distribution of shape at least 1 (Marsaglia and Tsang).
 func (p *PCG) Gamma(shape float64) float64 {
 	d := shape - 1.0/3
 	c := 1 / math.Sqrt(9*d)
@@ -45,7 +47,7 @@
 	return x / (x + p.Gamma(b))
 }
 
-// Mix spreads two keys over 64 bits.
+// Mix hashes two keys to 64 bits.
 func Mix(a, b uint64) uint64 {
 	h := (a ^ b*0x9e3779b97f4a7c15) * 0xff51afd7ed558ccd
 	h = (h ^ h>>33) * 0xc4ceb9fe1a85ec53
--- a/brain/placement.go
+++ b/brain/placement.go
@@ -5,11 +5,11 @@
 	"slices"
 )
 
-// Placement: where a request is read and where it is answered. The ordinary path is the design page's; each departure stands in docs/design.md.
+// Placement: where a request is prefilled and where it is decoded.
 
-// able lists the backends of the given roles that the gate lets through: the trusted ones, or all if none
-// is. Of those more likely to fail than not, one at a time is drawn for: failing backends look idle, and if
-// each had its own draw, one of many would be taken for nearly every request.
+// eligible returns the backends of the wanted roles that the rules allow: the trusted ones, or all if none is
+// trusted. Among suspected ones (more likely to fail than not) only one is drawn for at a time: failing
+// backends look idle, and with a draw for each, one of many would be picked for nearly every request.
 func (d *Dispatcher) able(q *Request, want func(*Backend) bool) []*Backend {
 	var all, trusted, doubtful []*Backend
 	for _, h := range d.candidates(q) {
@@ -36,18 +36,20 @@
 	return trusted
 }
 
-// press is how full a backend looks for one more request, of which left tokens are to be read there: own
-// streams and reading, an average prompt weighing as half a stream, then what it last reported. Over many
-// dispatchers these are nearly always nought: then what it was given lately tells, and a lean of its own.
+// loadScore is how loaded a backend looks for one more request that has tokens to prefill there: own streams
+// and prefill, a mean prompt counting as half a stream, scaled by the last load report. With many dispatchers
+// the own load is nearly always zero; then load sent recently and the dispatcher's random bias decide.
 func (d *Dispatcher) press(h *Backend, left float64) float64 {
 	n := float64(h.Streams) + 1 + h.Lean + (h.Unread+left)/2/max(d.average, 300) +
 		lasting*h.Given.Sum(d.runtime.Now())/(1+d.streams/max(d.answering, 1))
 	return n / (h.Size * d.warmth(h)) * (1 + h.Util + h.Queue/5) * h.Far
 }
 
+// nextLoadScore is the load score for a request with nothing to prefill.
 func (d *Dispatcher) next(h *Backend) float64 { return d.press(h, 0) }
 
-// route takes the first step: read in place, whole at a mixed backend, or at a prefill backend. False: no room.
+// route sends a request to its first backend: in place at a decode backend, whole at a mixed one, or to
+// prefill. It reports false without free capacity.
 func (d *Dispatcher) route(q *Request) bool {
 	answering := d.able(q, (*Backend).Answers)
 	roomy := Only(answering, func(h *Backend) bool { return hasRoom(h, q) })
@@ -64,13 +66,14 @@
 	return d.send(q, reader, ToRead, d.onward(q))
 }
 
-// hasRoom tells whether a backend may take the request within its room; an idle one always may.
+// hasCapacity reports whether the request fits the backend's token limit. An idle backend always has capacity.
 func hasRoom(h *Backend, q *Request) bool {
 	return h.Streams == 0 || h.Tokens+q.Memory <= h.Room
 }
 
-// inPlace finds the decode backend that should read a short request itself, by kept prefix against load. While
-// a token takes longer at prefill backends than at decode backends, the cut rises with that, up to fourfold.
+// pickInPlaceDecode picks a decode backend that should prefill a short prompt itself, by cached prefix and
+// load. The limit for a short prompt rises up to fourfold while a token takes longer at prefill backends than
+// at decode backends.
 func (d *Dispatcher) inPlace(q *Request, roomy []*Backend) *Backend {
 	if !d.parameters.readsInPlace {
 		return nil
@@ -82,9 +85,10 @@
 	return Least(short, func(h *Backend) float64 { return d.next(h) / (1 + d.keeps(h, q)) })
 }
 
-// pickMixed finds the pickMixed backend that should take a request whole: its share is what it carries with less press
-// than the best decode backend and the prefill backend together. What is read there also holds up the answers that run there,
-// and so counts twice; more where whole attempts take longer lately than a read and a write.
+// pickMixed picks a mixed backend that should serve the request whole, or nil. It is picked if its load score
+// is below that of the best decode backend and the prefill backend together. The score counts twice because
+// prefill also delays the answers streamed there, and more if whole attempts have lately been slower than
+// prefill and decode apart.
 func (d *Dispatcher) pickMixed(q *Request, roomy []*Backend, reader *Backend) *Backend {
 	whole := func(h *Backend) float64 { return d.press(h, d.unkept(h, q)) }
 	m := Least(d.homes(q, Both, Only(roomy, (*Backend).Mixed)), whole)
@@ -104,12 +108,13 @@
 	return m
 }
 
-// homes are the two of the backends to which the request's beginning is hashed, in every dispatcher alike: they
-// keep it, though no dispatcher sends it often enough to know. A beginning so common that two would read more
-// than their part, and one rack's link carry it, has as many as its share of requests asks for; one whose
-// homes all look much fuller than the mean has the next in order too, as hashing with bounded loads does.
-// Where one of them is doubted the other serves; only if all are, others read the text anew. Cold backends that
-// may be sent something stand beside them: for the few whose turn it is, few beginnings are at home there.
+// affinityCandidates returns the eligible backends to which the request's prefix hashes. All dispatchers agree
+// on them, so they have the prefix cached even if this dispatcher rarely sends it. There are two, and more for
+// a prefix so common that two would get more than their share of prefill or one rack's link would carry it
+// all. If all of them are far above the mean load, the next in order are added, as in consistent hashing with
+// bounded loads. If one is suspected the other serves; others prefill the prefix anew only if all are
+// suspected. Backends in slow start that may be sent work are always included: few prefixes hash to the few
+// backends whose turn it is.
 func (d *Dispatcher) homes(q *Request, role Role, able []*Backend) []*Backend {
 	key := cmp.Or(q.Shared, q.Session)
 	all := d.homesInOrder(q, role)
@@ -128,20 +133,22 @@
 	return append(homes, Only(able, func(h *Backend) bool { return d.started(h) && !slices.Contains(homes, h) })...)
 }
 
-// pickPrefill hashes the request's beginning to two prefill backends and takes the one with fewer own reads, by their
-// tokens. As a state best stays in its rack, the prefill backend counts for less whose rack has a freer decode backend.
+// pickPrefill picks the prefill backend with the lowest load in uncached tokens from the prefix's affinity
+// candidates. As the KV cache should stay in its rack, the score is multiplied by that of the least loaded
+// decode backend in the rack.
 func (d *Dispatcher) pickPrefill(q *Request, answering []*Backend) *Backend {
 	freest := freestByRack(answering, d.next)
 	return Least(d.homes(q, Reads, d.able(q, (*Backend).ReadsOnly)), func(h *Backend) float64 {
 		near, known := freest[h.Rack]
 		if !known {
-			near = d.next(h) // a rack without decode backends
+			near = d.next(h) // no decode backend in the rack
 		}
 		return d.press(h, d.unkept(h, q)) * near
 	})
 }
 
-// pickDecode picks the decode backend once the read has ended: fewest own streams, least reported load, near the state.
+// pickDecode sends a request whose prefill has ended to the decode backend with the lowest load, preferring
+// the rack that holds its KV cache. It reports false if the KV cache may not wait or no backend can be used.
 func (d *Dispatcher) pickDecode(q *Request) bool {
 	if d.mayHold(q) != Allowed {
 		return false
@@ -155,7 +162,8 @@
 	return d.send(q, h, ToWrite, d.onward(q))
 }
 
-// onward takes the result of an attempt: a state that waits goes to a decode backend, all else starts over.
+// afterAttempt returns what to do with an attempt's result: a KV cache that waits goes to a decode backend,
+// anything else starts over.
 func (d *Dispatcher) onward(q *Request) func(Result) {
 	return func(r Result) {
 		if q.State != nil && d.pickDecode(q) {
@@ -165,11 +173,12 @@
 	}
 }
 
+// anyAllowed reports whether the rules allow the request at any decode backend.
 func (d *Dispatcher) takable(q *Request) bool {
 	return slices.ContainsFunc(d.backends, func(h *Backend) bool { return h.Answers() && !d.barred(q, h) })
 }
 
-// again starts a request over, if a backend may still take it, else gives it up at once.
+// restart starts a request over if a backend may still take it, else gives it up at once.
 func (d *Dispatcher) again(q *Request) {
 	d.settle(q)
 	d.letGo(q)
@@ -180,8 +189,8 @@
 	d.enqueue(q)
 }
 
-// keeps is how much of the prompt the backend should have kept, by the ageing table: what it has taken in
-// since pushes old texts out, and reports of less than expected lower all that is expected of it.
+// cachedTokens estimates how much of the prompt the backend has cached. Tokens inserted since the prefix was
+// used, over all dispatchers, evict it in the end; the estimate is scaled by how well past ones were met.
 func (d *Dispatcher) keeps(h *Backend, q *Request) float64 {
 	kept := 0.0
 	for _, key := range []uint64{q.Session, q.Shared} {
@@ -194,4 +203,5 @@
 	return min(kept, q.Prompt) * h.Hits.Or(1)
 }
 
+// uncachedTokens is how much of the prompt the backend would have to prefill.
 func (d *Dispatcher) unkept(h *Backend, q *Request) float64 { return q.Prompt - d.keeps(h, q) }
--- a/brain/policy.go
+++ b/brain/policy.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// What the rules allow now: the only place that decides whether an attempt may be sent, a request run again or rejected, a backend in
-// slow start given work, or a state kept waiting. The choice of a backend and the check right before an attempt's first byte ask the
-// same functions.
+// Policy: the only place that decides whether an attempt may be sent, a request run again or rejected, a
+// backend in slow start given work, or a KV cache kept waiting. The choice of a backend and the check right
+// before an attempt's first byte use the same functions.
 
-// Permission is whether something is allowed, and if not, why.
+// Permission says whether something is allowed, and if not, why.
 type Permission int
 
 const (
 	Allowed            Permission = iota
-	AttemptEnded                  // the attempt is over already
-	RequestOver                   // the request has its final answer, or its client has gone
-	NoFurtherAttempt              // the dispatcher allows none, as it stops or damps retries
-	OtherAttemptOut               // another attempt of the request is out
-	DeadlinePassed                // the client's time is up
-	BackendNotReady               // the backend drains or is gone
-	AttemptsSpent                 // the request has had as many attempts as it may have
-	MayHaveRun                    // the request may have run, and may not run twice
-	RepeatWindowClosed            // the request may have run, and the time in which repeats are dropped is over
-	OtherGroup                    // the request may have run at a backend that does not share what it knows of repeats with this one
-	SlowStartSpent                // the backend is in slow start and has had this dispatcher's part of what it bears
-	StateDue                      // the state has waited for as long as leaves time to release it
+	AttemptEnded                  // the attempt has ended
+	RequestOver                   // the request has its final answer, or its client has disconnected
+	NoFurtherAttempt              // the dispatcher allows no more, as it is stopping or throttles retries
+	OtherAttemptOut               // another attempt of the request is in flight
+	DeadlinePassed                // the request's deadline has passed
+	BackendNotReady               // the backend is draining or removed
+	AttemptsSpent                 // the request has used up its attempts
+	MayHaveRun                    // the request may have run and is not idempotent
+	RepeatWindowClosed            // the request may have run, and its deduplication window is over
+	OtherGroup                    // it may have run at a backend that does not deduplicate together with this one
+	SlowStartSpent                // the backend is in slow start and has had this dispatcher's share of its budget
+	StateDue                      // the KV cache has waited as long as leaves time to release it
 )
 
-// String is how logs and counters name it.
+// String returns the name in logs and counters.
 func (v Permission) String() string {
 	names := [...]string{
 		"allowed", "attempt ended", "request over", "no further attempt", "other attempt out", "deadline passed", "backend not ready", "attempts spent",
@@ -40,10 +40,10 @@
 	return names[v]
 }
 
-// repeatSlack is how long before the end of its window a repeat is sent at the latest.
+// repeatMargin is how long before the end of the deduplication window a repeat is sent at the latest.
 const repeatSlack = 10 * time.Millisecond
 
-// mayChoose tells whether a further attempt of the request may be made at the backend.
+// mayChoose returns whether a further attempt of the request may be made at the backend.
 func (d *Dispatcher) mayChoose(q *Request, h *Backend) Permission {
 	switch {
 	case q.Over:
@@ -62,11 +62,12 @@
 	return d.mayUseSlowStart(h, work, h.Sent.Sum(d.runtime.Now())+work)
 }
 
-// barred tells whether no attempt of the request may be made at the backend.
+// disallowed reports whether no attempt of the request may be made at the backend.
 func (d *Dispatcher) barred(q *Request, h *Backend) bool { return d.mayChoose(q, h) != Allowed }
 
-// MaySend tells, right before an attempt's first byte, whether it may still go out. While its connection was made its client may have
-// gone, its backend may drain or have started anew, and the window for repeats may have closed (rules 1 to 4).
+// MaySend returns, right before an attempt's first byte, whether it may still be sent. While it connected, its
+// client may have disconnected, its backend may have drained or restarted, and the deduplication window may
+// have closed (rules 1 to 4).
 func (d *Dispatcher) MaySend(t *Attempt) Permission {
 	q, h := t.Request, t.Backend
 	switch {
@@ -83,7 +84,7 @@
 	return d.mayUseSlowStart(h, d.weight(q, h, Whole), h.Sent.Sum(d.runtime.Now()))
 }
 
-// mayReach tells whether the attempt of that number may reach the backend now.
+// mayContact returns whether the attempt with the given number may reach the backend now.
 func (d *Dispatcher) mayReach(q *Request, h *Backend, number int) Permission {
 	switch {
 	case d.runtime.Now() >= q.Deadline:
@@ -94,7 +95,7 @@
 	return d.mayRepeat(q, h, number)
 }
 
-// mayRepeat tells whether the attempt of that number at the backend has no effect a second time (rule 2).
+// mayRepeat returns whether the attempt with the given number does no harm by running a second time (rule 2).
 func (d *Dispatcher) mayRepeat(q *Request, h *Backend, number int) Permission {
 	t, g := q.MayHaveRunBefore(number), q.Class
 	switch {
@@ -110,7 +111,8 @@
 	return Allowed
 }
 
-// MayReject tells whether a request may be answered with the promise that trying again is harmless (rule 2).
+// MayReject returns whether a request may be answered with a rejection, which tells the client that a retry is
+// harmless (rule 2).
 func MayReject(q *Request) Permission {
 	g := q.Class
 	anywhere := g.Effect == Idempotent || g.Effect == Deduplicated && g.Reach == Everywhere
--- a/brain/policy_test.go
+++ b/brain/policy_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Each reason why an attempt may not be made, or not be sent any more, has its own permission; the choice and the check before the first
-// byte agree wherever both look.
+// Each reason why an attempt may not be made, or may no longer be sent, has its own permission. The choice and
+// the check before the first byte agree wherever both look.
 func TestEachReasonHasItsPermission(t *testing.T) {
 	for name, c := range map[string]struct {
 		change         func(d *Dispatcher, q *Request, h *Backend)
@@ -48,7 +48,8 @@
 	}
 }
 
-// An attempt that was counted against the slow-start budget when it was chosen is not held to it a second time.
+// An attempt that was counted towards the slow-start budget when it was chosen is not checked against it
+// again.
 func TestAnAttemptIsHeldToSlowStartOnce(t *testing.T) {
 	d, _ := begin(t)
 	h := d.backends[2]
@@ -59,7 +60,7 @@
 	}
 }
 
-// A request may be rejected, with the promise that trying again is harmless, only where that holds.
+// A request may be rejected, which tells the client that a retry is harmless, only where that is true.
 func TestARejectionKeepsItsPromise(t *testing.T) {
 	for name, c := range map[string]struct {
 		effect  Effect
--- a/brain/release.go
+++ b/brain/release.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// Held state (rule 5): how long a state may wait for its decode attempt, and when it is released.
+// KV cache release (rule 5): how long a KV cache may wait for its decode attempt, and when it is released.
 //
-// A request that was written is not one that has arrived: a connection may come up and fall silent, and whatever stands between
-// acknowledges for a backend that hangs. Only an answer proves arrival. So a state is due at its time whether an attempt is out or
-// not. Beside an attempt that has arrived a release does nothing, as that attempt waits for the state; one that arrives behind its
-// release finds no state and has not run. Whether the state is there afterwards nobody knows, so it is never used again.
+// That a request was written does not show that it arrived: a connection may open and then stall, and proxies
+// or the kernel acknowledge for a backend that hangs. Only an answer proves arrival. So a KV cache is released
+// when it is due, whether an attempt is in flight or not. If the attempt has arrived, the release does
+// nothing, as that attempt waits for the KV cache; an attempt that arrives after the release finds no KV cache
+// and has not run. Whether the KV cache still exists is unknown afterwards, so it is never used again.
 
 const (
-	// holdForChoice is the part of the time in which a further backend may be chosen for a state that waits.
+	// holdForChoice is the share of the hold limit during which another backend may be chosen for the KV cache.
 	holdForChoice = 2.0 / 3
-	// holdForConnection is the part that an attempt's connection may take: a request is written before its state is due.
+	// holdForConnection is the share that an attempt's connection may take, so that the request is written
+	// before the KV cache is due.
 	holdForConnection = 1.0 / 5
 )
 
-// mayHold tells whether a state may go on waiting for a backend to be chosen.
+// mayHoldKV returns whether a KV cache may go on waiting for a backend to be chosen.
 func (d *Dispatcher) mayHold(q *Request) Permission {
 	limit := d.parameters.holdLimit
 	if q.Released || limit > 0 && d.runtime.Now()-q.Waits > part(limit, holdForChoice) {
@@ -25,17 +27,18 @@
 	return Allowed
 }
 
-// connectTime is how long the connection of an attempt that takes a state may take; 0: as long as any.
+// connectTimeout is the connection timeout of an attempt that fetches a KV cache; 0: the usual one.
 func (d *Dispatcher) connectTime() time.Duration {
 	return part(d.parameters.holdLimit, holdForConnection)
 }
 
-// part is a share of a span.
+// fraction returns a share of a duration.
 func part(whole time.Duration, share float64) time.Duration {
 	return time.Duration(float64(whole) * share)
 }
 
-// releaseWhenDue has the state of an attempt that is being sent released at its time, unless the attempt has its first token by then.
+// scheduleRelease schedules the release of an attempt's KV cache for when it is due, unless the attempt has
+// its first token by then.
 func (d *Dispatcher) releaseWhenDue(t *Attempt) {
 	limit := d.parameters.holdLimit
 	if t.Stage != ToWrite || limit <= 0 {
@@ -51,8 +54,8 @@
 	})
 }
 
-// letGo releases a state that waits for the request. Every end of a step comes through here. What was released beside an attempt is
-// released once more behind it: the attempt may have arrived, and have left the state where it was.
+// releaseKV releases the KV cache that waits for the request. Every step that ends calls it. What was released
+// during an attempt is released again after it: the attempt may have arrived and left the KV cache in place.
 func (d *Dispatcher) letGo(q *Request) {
 	if q.State == nil || q.Out() != nil {
 		return
@@ -61,16 +64,16 @@
 	d.runtime.Release(q)
 }
 
-// releaseAgain releases once more, at the end of an attempt, what was released before that attempt was sent: by the time that a release
-// is heard a further attempt may be out, and a backend that holds a state for it keeps it.
+// repeatRelease repeats an earlier release at the end of a further attempt: when the first one was received
+// that attempt may have been in flight, and a backend keeps the KV cache of a request that it is serving.
 func (d *Dispatcher) releaseAgain(q *Request) {
 	if q.Lingers && q.State == nil && q.Out() == nil {
 		d.runtime.Release(q)
 	}
 }
 
-// arrived tells whether the outcome proves that the attempt came to its backend. A connection that broke, or a time that was up, does
-// not: the state has waited all the while.
+// provesArrival reports whether the outcome proves that the attempt reached its backend. A lost connection or
+// a timeout does not: the KV cache may have been waiting all the time.
 func (o Outcome) arrived() bool {
 	switch o {
 	case Served, Read, Failed, Rejected:
--- a/brain/release_test.go
+++ b/brain/release_test.go
@@ -7,8 +7,8 @@
 
 const holdLimit = 500 * time.Millisecond
 
-// waiting makes a dispatcher with a limit on held state, and a request of which a read has just ended and a decode attempt is out. due
-// passes the time until its state is due.
+// newWaitingKV returns a dispatcher with a hold limit, and a request whose prefill has just ended and whose
+// decode attempt is in flight. due lets the time pass until the KV cache is due.
 func waiting(t *testing.T) (d *Dispatcher, out *door, q *Request, decode *Attempt, due func()) {
 	t.Helper()
 	d, out = begin(t)
@@ -30,7 +30,8 @@
 	}
 }
 
-// A request that was written is not one that has arrived: its state is released in time, whether the attempt is out or not.
+// A request that was written has not necessarily arrived: its KV cache is released when due, attempt in flight
+// or not.
 func TestAStateIsReleasedAtItsTimeBesideAnAttempt(t *testing.T) {
 	d, out, q, decode, due := waiting(t)
 	due()
@@ -40,19 +41,21 @@
 	if got := d.MaySend(decode); got != StateDue {
 		t.Errorf("an attempt that is still to be sent is %v", got)
 	}
-	d.Began(decode, time.Second) // it had arrived, and had its state
+	d.Began(decode, time.Second) // it had arrived and fetched its KV cache
 	if q.State != nil || q.Released {
 		t.Error("the state is still held")
 	}
 }
 
-// Nothing takes a released state for one that is there: what comes next is a read, whatever the attempt's end says.
+// A released KV cache is never assumed to exist: the next attempt prefills, whatever the outcome of the last
+// one.
 func TestAReleasedStateIsNotUsedAgain(t *testing.T) {
 	for _, outcome := range []Outcome{Rejected, Failed, TimedOut, Unreachable, Broken, NotSent} {
 		d, out, q, decode, due := waiting(t)
 		due()
 		d.Ended(decode, Result{Outcome: outcome})
-		// The attempt may have waited for the state all the while, and have left it: it is released once more.
+		// The attempt may have waited for the KV cache all the time and left it in place: it is released once
+		// more.
 		if len(out.released) != 2 {
 			t.Errorf("outcome %d: released %d times", outcome, len(out.released))
 		}
@@ -71,7 +74,8 @@
 	}
 }
 
-// Only an answer proves that an attempt has come to its backend: with any other end the state has waited all the while.
+// Only an answer proves that an attempt arrived: with any other outcome the KV cache has been waiting all the
+// time.
 func TestAnEndThatProvesNoArrivalGivesAStateNoFurtherTime(t *testing.T) {
 	for _, c := range []struct {
 		outcome Outcome
@@ -88,7 +92,7 @@
 	}
 }
 
-// Word of a read's end that had to wait takes from the state's time.
+// If the end of a prefill is reported late, the delay counts towards the hold limit.
 func TestAReadsEndCountsFromWhenItCame(t *testing.T) {
 	d, out := begin(t)
 	d.parameters.holdLimit = holdLimit
@@ -101,8 +105,8 @@
 	}
 }
 
-// A release may be heard once a further attempt is out, and do nothing: it is repeated at the end of each, unless that one has a state
-// of its own or has begun to answer.
+// A release may be received while a further attempt is in flight, and do nothing. It is repeated at the end of
+// each further attempt, unless that one has a KV cache of its own or has begun to answer.
 func TestAReleaseIsRepeatedBehindFurtherAttempts(t *testing.T) {
 	for _, c := range []struct {
 		outcome Outcome
@@ -114,7 +118,7 @@
 	} {
 		d, out, q, decode, _ := waiting(t)
 		out.now += holdLimit
-		d.Ended(decode, Result{Outcome: TimedOut}) // the state is released, and the request starts over
+		d.Ended(decode, Result{Outcome: TimedOut}) // the KV cache is released, and the request starts over
 		further := out.sent[len(out.sent)-1]
 		further.Stage, q.Last = c.stage, c.outcome != Read
 		released := len(out.released)
--- a/brain/ring.go
+++ b/brain/ring.go
@@ -2,15 +2,17 @@
 
 import "time"
 
+// bucketCount is the number of buckets in a rolling sum.
 const buckets = 10
 
-// Ring sums amounts over the last ten buckets of time, each as wide as Width.
+// RollingSum sums amounts over the last ten time buckets, each BucketWidth wide.
 type Ring struct {
 	Width time.Duration
 	sums  [buckets]float64
 	at    int64
 }
 
+// advance clears the buckets between the last one used and that of now.
 func (r *Ring) turn(now time.Duration) {
 	to := int64(now / r.Width)
 	if to-r.at >= buckets {
@@ -22,12 +24,14 @@
 	}
 }
 
+// Add adds an amount to the bucket of now.
 func (r *Ring) Add(now time.Duration, amount float64) {
 	r.turn(now)
 	r.sums[r.at%buckets] += amount
 }
 
-// Sum is what was added within the ring's time. It leaves the ring as it is: most rings of a large fleet are empty, and are asked often.
+// Sum returns the sum over the last ten buckets. It doesn't modify the receiver: most sums of a large fleet
+// are zero and are read often.
 func (r *Ring) Sum(now time.Duration) float64 {
 	to := int64(now / r.Width)
 	if to-r.at >= buckets {
@@ -42,22 +46,24 @@
 	return sum
 }
 
-// PerS is the rate a second over the ring's time, or over that since the start.
+// PerSecond returns the mean rate per second over the last ten buckets, or since the start if that is shorter.
 func (r *Ring) PerS(now time.Duration) float64 {
 	return r.Sum(now) / min(max(now, r.Width), buckets*r.Width).Seconds()
 }
 
-// Mean is a running mean that begins exact and then forgets at Pace.
+// RunningMean is an exact mean at first and an exponential moving average later.
 type Mean struct {
 	Value float64
 	n     float64
 }
 
+// Add adds a sample with weight pace, or 1/n for the n-th sample if that is larger.
 func (m *Mean) Add(x, pace float64) {
 	m.n++
 	m.Value += (x - m.Value) * max(pace, 1/m.n)
 }
 
+// ValueOr returns the mean, or fallback without samples.
 func (m *Mean) Or(absent float64) float64 {
 	if m.n == 0 {
 		return absent
@@ -65,12 +71,13 @@
 	return m.Value
 }
 
-// Tally keeps a ring for each key; Width is that of their buckets.
+// KeyedSums keeps a rolling sum for each key.
 type Tally struct {
 	Width time.Duration
 	rings map[uint64]*Ring
 }
 
+// Add adds an amount to the sum of a key.
 func (t *Tally) Add(key uint64, now time.Duration, amount float64) {
 	if t.rings == nil {
 		t.rings = map[uint64]*Ring{}
@@ -81,6 +88,7 @@
 	t.rings[key].Add(now, amount)
 }
 
+// Sum returns the sum of a key.
 func (t *Tally) Sum(key uint64, now time.Duration) float64 {
 	if r := t.rings[key]; r != nil {
 		return r.Sum(now)
@@ -88,7 +96,7 @@
 	return 0
 }
 
-// Forget drops the keys that have nothing left in their rings.
+// DropEmpty drops keys whose sum is zero.
 func (t *Tally) Forget(now time.Duration) {
 	for key, r := range t.rings {
 		if r.Sum(now) == 0 {
--- a/brain/runtime.go
+++ b/brain/runtime.go
@@ -2,16 +2,26 @@
 
 import "time"
 
-// Runtime is how the module acts. Whoever calls it turns ids into backends, requests and attempts and back.
+// Runtime is what the scheduler acts through. It is not called concurrently.
 type Runtime interface {
+	// Now returns the time since a fixed start.
 	Now() time.Duration
+	// Send sends an attempt, which times out after timeout without a first token.
 	Send(t *Attempt, wait time.Duration)
+	// Cancel cancels an attempt in flight.
 	Cancel(t *Attempt)
+	// Release tells the prefill backend to drop the request's KV cache.
 	Release(q *Request)
+	// Reject answers that the client may retry, after retryAfter if that is not 0.
 	Reject(q *Request, after time.Duration)
+	// Fail answers with a failure that must not be retried blindly.
 	Fail(q *Request)
+	// Schedule calls callback after a delay.
 	Wake(after time.Duration, do func())
+	// WatchEndpoints subscribes to service discovery, or unsubscribes.
 	Watch(on bool)
+	// SendPeerUpdate sends an update to the dispatcher with index peer.
 	Tell(peer int, n PeerUpdate)
+	// LogInfo logs a message.
 	Note(text string)
 }
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -7,28 +7,29 @@
 
 // Slow start (rule 4): which backends are in it, and what this dispatcher may send them.
 
-// carriedWork is what backends of each role carried lately, warm ones and those in slow start apart.
+// roleWork is the work that backends of each role completed recently, for warm ones and those in slow start.
 type carriedWork struct {
 	at    time.Duration // when it was summed up
 	known bool
-	sum   [3][2]float64 // by role, and whether in slow start
+	sum   [3][2]float64 // by role; second index 1: in slow start
 	count [3][2]float64
 }
 
-// carriedAge is how old the sum may be where a fleet is large: it walks all backends.
+// completedWorkMaxAge is how old the sum may be in a large fleet, as summing visits all backends.
 const carriedAge = 100 * time.Millisecond
 
-// cold tells whether a backend is taken to be in slow start.
+// inSlowStart reports whether a backend is treated as in slow start.
 func (d *Dispatcher) cold(h *Backend) bool {
 	return d.started(h) || h.Unmet > 0 && d.runtime.Now() < h.Unmet+d.parameters.slowStartTime
 }
 
-// started tells whether the list told of a start within the ramp.
+// recentlyStarted reports whether service discovery reported a start within the slow-start time.
 func (d *Dispatcher) started(h *Backend) bool {
 	return h.Restart && d.runtime.Now() < h.Booted+d.parameters.slowStartTime
 }
 
-// warmth is the part of its capacity that a backend has: it warms from the stated share within the stated time.
+// capacityShare is the share of its capacity that a backend has: it rises from the stated share to 1 over the
+// slow-start time.
 func (d *Dispatcher) warmth(h *Backend) float64 {
 	if !d.started(h) {
 		return 1
@@ -37,8 +38,9 @@
 	return from + (1-from)*float64(max(d.runtime.Now()-h.Booted, 0))/float64(ramp)
 }
 
-// weight is the mean work of the request's class, the measure of the rule on cold backends. At a mixed backend an
-// answer alone weighs less than a whole request: warm ones that only write must not speak for reading too.
+// requestWork is the mean work of the request's class, in the unit of the slow-start rule. At a mixed backend
+// decode alone counts less than a whole request: otherwise warm ones that only decode would vouch for prefill
+// too.
 func (d *Dispatcher) weight(q *Request, h *Backend, stage Stage) float64 {
 	write := 100 * q.Class.Writing.Or(2)
 	if h.Mixed() && stage == ToWrite {
@@ -47,9 +49,10 @@
 	return q.Class.Reading.Or(1000) + write
 }
 
-// carries is what backends of a role ended well in a window for this dispatcher, on the mean and for a unit: the
-// warm ones, or where none is the cold ones. With most cold, what the warm ones did is not forgotten for
-// those that the list tells of: cold ones do what they are let, and less each time.
+// meanCompletedWork is the mean work per unit that backends of a role completed in a slow-start window for
+// this dispatcher: the warm ones, or those in slow start if none is warm. With most of them in slow start, the
+// last value of the warm ones holds for backends that discovery reported as started: those in slow start
+// complete only what they are allowed, which would shrink each time.
 func (d *Dispatcher) carries(role Role, fresh bool) float64 {
 	work := d.carriedNow()
 	sum, n := work.sum[role], work.count[role]
@@ -64,8 +67,8 @@
 	return sum[0] / n[0]
 }
 
-// carriedNow sums up what backends carried: once at each time, however many of them are looked at then, and less often where the
-// fleet is large.
+// completedWorkNow sums up completed work: once per instant, however many backends are considered, and at
+// limited frequency in a large fleet.
 func (d *Dispatcher) carriedNow() *carriedWork {
 	now, w := d.runtime.Now(), &d.work
 	if w.known && (now == w.at || d.large() && now > w.at && now-w.at < carriedAge) {
@@ -86,24 +89,26 @@
 	return w
 }
 
-// carriedChanged takes note that the sum is out of date.
+// invalidateCompletedWork marks the sum as outdated.
 func (d *Dispatcher) carriedChanged() {
 	if !d.large() {
 		d.work.known = false
 	}
 }
 
-// coldBudget is this dispatcher's part of what a cold backend may be sent in a window. What warm backends of its
-// role ended well over five windows is their capacity at most, however hard they are pushed just now. With
-// the stated multiple and cold share of that, and no more, a saturated role pushes no cold backend over.
+// slowStartBudget is this dispatcher's share of the work that a backend in slow start may be sent in a window.
+// What warm backends of its role completed over five windows bounds their capacity from below, however hard
+// they are loaded just now. With the stated multiple and share of that, and no more, a saturated role does not
+// overload a backend in slow start.
 func (d *Dispatcher) coldBudget(h *Backend) float64 {
 	part := d.parameters.slowStartMultiple * d.parameters.slowStartShare
 	return part * d.carries(h.Role, d.started(h)) * h.Units
 }
 
-// mayUseSlowStart tells whether a backend may have so much work in a window, a request's own included, of which one is the work of
-// one (rule 4). With many dispatchers a part is less than one request: then it is a chance of one, drawn for each window. All draw
-// alike and shift by their number: so the parts add up, and not only on average.
+// mayUseSlowStart returns whether a backend may have the given work in a window, a request's own included;
+// requestWork is the work of one request (rule 4). With many dispatchers the share of each is less than one
+// request; it is then a probability, drawn per window. All dispatchers use the same draw shifted by their
+// index, so that the shares add up exactly and not only on average.
 func (d *Dispatcher) mayUseSlowStart(h *Backend, one, sent float64) Permission {
 	if !d.cold(h) {
 		return Allowed
--- a/brain/state.go
+++ b/brain/state.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Dispatcher is one instance of the module.
+// Dispatcher is the scheduler of one dispatcher. It is not safe for concurrent use.
 type Dispatcher struct {
 	facts      Facts
 	parameters parameters
@@ -10,51 +10,51 @@
 	rng        *PCG
 	classes    []*Class
 	tenants    []*Tenant
-	listeners  int // how many others hear of each attempt, by what that costs
+	listeners  int // how many peers get an update on each attempt
 
 	fleet
 	estimates
 	admission
 }
 
-// fleet is which backends there are, and how a choice finds those that it looks at.
+// fleet is the known backends with the indexes that placement uses.
 type fleet struct {
-	own        uint64                // drawn at the start: orders the backends differently in each dispatcher
-	backends   []*Backend            // in that order, by which ties go: in one order all would pick the same
-	byRole     [3][]listedHost       // the same by role
-	racks      map[int][]*Backend    // those that answer, by rack
-	keepers    map[uint64][]*Backend // of beginnings and sessions, in a large fleet
-	answering  float64               // how many backends may have streams
-	lingering  bool                  // some backends are gone and have something out
-	ordered    bool                  // the backends of a large fleet are in order
-	compared   time.Duration         // when sizes were compared last
+	own        uint64                // random per dispatcher, so that each has its own order of backends
+	backends   []*Backend            // in that order; with a common one, ties would send all dispatchers to the same backend
+	byRole     [3][]listedHost       // by role, unordered
+	racks      map[int][]*Backend    // backends that decode, by rack
+	keepers    map[uint64][]*Backend // backends that have cached a prefix or session; only in a large fleet
+	answering  float64               // number of ready backends that decode
+	lingering  bool                  // some removed backends still have attempts in flight
+	ordered    bool                  // backends of a large fleet are sorted
+	compared   time.Duration         // when capacities were last compared; 0: must be compared
 	chosenFrom candidateSet
 	firstRanks []ranked
 }
 
-// estimates are what own attempts, and what peers tell of theirs, say of load and time.
+// estimates are load and latency as seen by own attempts and peer updates.
 type estimates struct {
-	unread, asked Ring        // tokens left to read, and of how many requests
-	begins        Tally       // the same by shared beginning
-	average       float64     // of tokens left to read, as last refreshed; 0 in a fresh router
-	firstToken    Mean        // seconds from going out to a first token, lately
-	typical       [3]Mean     // seconds for a token left to read, at backends of each role
-	work          carriedWork // what backends did in a window of rule 4, as last summed up
-	carried       [3]float64  // what warm backends of each role did then, as last seen
-	streams       float64     // own streams
-	atReaders     float64     // own tokens at backends that only read
+	unread, asked Ring        // tokens to prefill, and of how many requests
+	begins        Tally       // prefix table: requests by prefix key
+	average       float64     // tokens to prefill per request, as of the last refresh; 0: unknown
+	firstToken    Mean        // seconds
+	typical       [3]Mean     // per token to prefill, by role of the backend
+	work          carriedWork // completed work as last summed up
+	carried       [3]float64  // work per unit that warm backends of each role last completed
+	streams       float64     // own streams in flight
+	atReaders     float64     // own KV cache tokens at prefill-only backends
 }
 
 // admission is the queue and the concurrency window.
 type admission struct {
-	window      float64       // how many own requests may be out without a first token
-	outstanding int           // how many are, or are taken to be
-	jam         time.Duration // when a request that was let out after the last such time came late
-	least       float64       // to which what was out by then may narrow the window
-	adjusted    bool          // a request has told of the window
-	credit      float64       // for requests beyond the window's whole part
-	credited    time.Duration // when it was last brought up to date
+	window      float64       // limit on own requests without a first token
+	outstanding int           // requests that count against the window
+	jam         time.Duration // start of the last congestion: a request sent after the previous one was late
+	least       float64       // how far requests sent before congestedAt may narrow the window
+	adjusted    bool          // some request has moved the window
+	credit      float64       // requests that the fractional part of the window allows
+	credited    time.Duration // when sendCredit was last brought up to date
 	queue       []*Request
-	awaiting    []*Request // out without a first token, longest first
-	sweeping    bool
+	awaiting    []*Request // sent without a first token, oldest first
+	sweeping    bool       // a queue sweep is scheduled
 }
--- a/brain/types.go
+++ b/brain/types.go
@@ -7,42 +7,47 @@
 	"time"
 )
 
-// Role says which stage of a request a backend can do.
+// Role is the phase that a backend serves.
 type Role int
 
 const (
+	// Backends that only prefill, only decode, or do both.
 	Reads Role = iota
 	Writes
 	Both
 )
 
-// Effect says how far running a request again does harm.
+// Effect says whether running a request twice does harm.
 type Effect int
 
 const (
+	// Idempotent requests may run any number of times. Repeats of Deduplicated ones are recognized by key for a
+	// while, within a group of backends. NonIdempotent requests may run once.
 	Idempotent Effect = iota
 	Deduplicated
 	Unrepeatable
 )
 
-// Reach is the group of backends that drops the repeats of a deduplicated request.
+// DedupScope is the group of backends that recognizes repeats of a deduplicated request.
 type Reach int
 
 const (
+	// The group is the whole fleet, a zone, or a rack.
 	Everywhere Reach = iota
 	SameZone
 	SameRack
 )
 
-// Joins tells whether two backends are of one group.
+// Covers reports whether two backends belong to the same group.
 func (r Reach) Joins(a, b *Backend) bool {
 	return r == Everywhere || a.Zone == b.Zone && (r == SameZone || a.Rack == b.Rack)
 }
 
-// BackendState is what the list of backends says of one.
+// BackendState is the state of a backend according to service discovery.
 type BackendState int
 
 const (
+	// Only Ready backends get new attempts; Draining ones finish those that they have.
 	Draining BackendState = iota
 	Ready
 	Gone
@@ -52,92 +57,98 @@
 type Outcome int
 
 const (
-	Served Outcome = iota
+	Served Outcome = iota // the answer is complete
 	Read
-	Failed
-	Rejected
-	TimedOut
-	Unreachable
-	Broken
-	Cancelled
-	NotSent
+	Failed      // the backend answered with an error
+	Rejected    // the backend refused the request before running it
+	TimedOut    // no first token within the attempt's timeout
+	Unreachable // no connection could be made
+	Broken      // the connection was lost after the request was sent
+	Cancelled   // the dispatcher or the client cancelled it
+	NotSent     // nothing was sent
 )
 
-// NeverRan tells whether the outcome proves that the attempt had no effect.
+// NeverRan reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) NeverRan() bool {
 	return o == Rejected || o == Unreachable || o == NotSent || o == Read
 }
 
-// Class is a service class, as the operators state it.
+// Class is a priority class of requests with its recent statistics.
 type Class struct {
 	Index      int
 	Effect     Effect
 	Reach      Reach
 	Window     time.Duration
-	Target     time.Duration // to the first token
+	Target     time.Duration // time to first token
 	TargetPerK time.Duration // added for each 1,000 prompt tokens
 	Value      float64
-	Late       float64 // part of the benefit that is left after the promised time
-	Reading    Mean    // tokens left to read of this class's requests
-	Writing    Mean    // seconds that its answers stream
-	Offered    Ring    // its requests taken lately
-	Admitted   Ring    // those of them that were sent on
-	Weight     float64 // by which its requests count for more, as few were admitted; 0: not weighed yet
+	Late       float64 // share of the value that remains after the latency target
+	Reading    Mean    // mean tokens to prefill, without cached ones
+	Writing    Mean    // mean duration of an answer's stream
+	Offered    Ring    // requests received recently
+	Admitted   Ring    // those of them that were sent to a backend
+	Weight     float64 // factor on the value in the queue, above 1 if few were admitted; 0: not computed yet
 }
 
-// admittedShare is which share of the class's requests was sent on lately. A prior of some requests keeps few of them from saying much.
+// admittedShare is the share of the class's recent requests that were sent to a backend. The prior keeps a few
+// requests from changing it much.
 func (g *Class) admittedShare(now time.Duration) float64 {
 	offered := g.Offered.Sum(now)
 	return (min(g.Admitted.Sum(now), offered) + admittedPrior) / (offered + admittedPrior)
 }
 
-// Tenant is a tenant with its share of the service.
+// Tenant is a tenant with its quota.
 type Tenant struct {
-	Quota float64 // requests a second over all dispatchers
+	Quota float64 // requests per second over all dispatchers
 	Taken Ring
 }
 
-// Backend is one server as this dispatcher knows it.
+// Backend is a backend as this dispatcher knows it. Loads are those of the dispatcher's own requests.
 type Backend struct {
-	ID       uint32
+	ID       uint32 // identifies the backend in hashes and peer updates
 	Zone     int
 	Rack     int
 	Kind     int
 	Role     Role
-	Memory   float64 // tokens
+	Memory   float64 // KV cache size in tokens
 	Units    float64
-	Far      float64 // how much dearer than a backend in the own zone
-	Lean     float64 // streams that a dispatcher imagines there, drawn once: each leans to other backends
-	Size     float64 // Units against the mean of its role
+	Far      float64 // cost factor of a backend in another zone, 1 in the dispatcher's own
+	Lean     float64 // imaginary streams, drawn once, so that dispatchers prefer different backends
+	Size     float64 // capacity relative to the mean of its role
 	Booted   time.Duration
-	Restart  bool          // Booted is a start that the list told of
-	Unmet    time.Duration // when it could last not be reached
+	Restart  bool          // discovery reported StartedAt as a start or restart
+	Unmet    time.Duration // when it was last found unreachable; 0: never
 	Standing BackendState
-	Held     bool   // it is among the dispatcher's backends
-	order    uint64 // its place among them
-	mark     uint64 // of the last candidates that it was among
-
-	Streams int     // own requests that are or will be answered here
-	Tokens  float64 // own tokens held here
-	Unread  float64 // own tokens still to be read here
-	Room    float64 // how many own attempts it is trusted with
-	Cut     time.Duration
-
-	Util, Queue float64  // last load report
-	Sent        Ring     // work sent
-	Given       Ring     // reads and streams sent over a longer time
-	Carried     Ring     // work of attempts that ended well
-	Records     []Record // of requests of any class, then of each class
-	Kept        map[uint64]Kept
-	Hits        Mean    // reported kept tokens against expected ones
-	Taken       float64 // own tokens newly read or fetched here
+	Held     bool   // is in the dispatcher's list of backends
+	order    uint64 // sort key in that list
+	mark     uint64 // the last candidate set that it was in
+
+	Streams int           // requests in flight that are or will be decoded here
+	Tokens  float64       // KV cache tokens of the requests in flight
+	Unread  float64       // prompt tokens still to be prefilled
+	Room    float64       // adaptive limit on KVTokens
+	Cut     time.Duration // when TokenLimit was last reduced
+
+	Util, Queue float64         // of the last load report
+	Sent        Ring            // work sent, for slow start
+	Given       Ring            // prefills and streams sent over a longer time
+	Carried     Ring            // work of attempts that succeeded
+	Records     []Record        // of all requests, then of each class
+	Kept        map[uint64]Kept // prefix table: by prefix or session key
+	Hits        Mean            // reported over expected cached tokens
+	Taken       float64         // prompt tokens that this dispatcher's requests added to its cache
 }
 
-func (h *Backend) Answers() bool   { return h.Role != Reads }
+// Decodes reports whether the backend decodes.
+func (h *Backend) Answers() bool { return h.Role != Reads }
+
+// PrefillOnly reports whether the backend only prefills.
 func (h *Backend) ReadsOnly() bool { return h.Role == Reads }
-func (h *Backend) Mixed() bool     { return h.Role == Both }
 
-// Only lists those of the backends that are wanted.
+// Mixed reports whether the backend both prefills and decodes.
+func (h *Backend) Mixed() bool { return h.Role == Both }
+
+// Filter returns the backends that match.
 func Only(hosts []*Backend, want func(*Backend) bool) []*Backend {
 	var found []*Backend
 	for _, h := range hosts {
@@ -148,8 +159,8 @@
 	return found
 }
 
-// Compare sets each backend's Size, as stated units compare backends of one role only, and tells how many of
-// the ready ones answer.
+// CompareCapacities sets RelativeCapacity of each backend and returns how many ready ones decode. Stated
+// capacity units compare backends of one role only.
 func Compare(hosts []*Backend) (answering float64) {
 	var units, n [3]float64
 	for _, h := range hosts {
@@ -166,12 +177,12 @@
 	return n[Writes] + n[Both]
 }
 
-// Order sorts backends by a hash of their ids with a key.
+// SortByHash sorts backends by rendezvous hash of their ids with a key.
 func Order(hosts []*Backend, key uint64) {
 	slices.SortFunc(hosts, func(a, b *Backend) int { return cmp.Compare(Mix(key, uint64(a.ID)), Mix(key, uint64(b.ID))) })
 }
 
-// Forget drops what was kept before a time.
+// ForgetPrefixes drops prefixes that were last used before a time.
 func (h *Backend) Forget(before time.Duration) {
 	for key, k := range h.Kept {
 		if k.At < before {
@@ -180,7 +191,7 @@
 	}
 }
 
-// Least returns the backend with the least cost.
+// MinBy returns the backend with the lowest cost, nil if there is none of finite cost.
 func Least(hosts []*Backend, cost func(*Backend) float64) *Backend {
 	var found *Backend
 	least := math.Inf(1)
@@ -192,7 +203,7 @@
 	return found
 }
 
-// Average is the mean cost of the backends.
+// MeanOf returns the mean cost of the backends.
 func Average(hosts []*Backend, cost func(*Backend) float64) float64 {
 	sum := 0.0
 	for _, h := range hosts {
@@ -201,13 +212,13 @@
 	return sum / float64(max(len(hosts), 1))
 }
 
-// Record is how attempts to a backend went.
+// OutcomeStats counts recent outcomes of attempts at a backend.
 type Record struct {
 	Good, Bad Ring
-	Missed    float64 // bad ones since the last good one
+	Missed    float64 // since the last success
 }
 
-// Take counts an attempt; one whose first token came slowly speaks with part of the weight of a failure.
+// Observe counts the outcome of an attempt. A slow one counts as a failure of weight slowWeight.
 func (r *Record) Take(now time.Duration, v Verdict, part float64) {
 	switch v {
 	case Well:
@@ -221,17 +232,17 @@
 	}
 }
 
-// PeerUpdate is what one dispatcher tells another of an attempt of its own.
+// PeerUpdate is what a dispatcher tells another about one of its attempts.
 type PeerUpdate struct {
 	Host        *Backend
 	Grade       int
 	Verdict     Verdict
-	Loaded      bool // Util and Queue are from this attempt's load report
+	Loaded      bool // Util and QueueLength come from this attempt's load report
 	Util, Queue float64
-	Share       float64 // of its latency target that a first token took, 1 for one that was given up on; 0: not told
+	Share       float64 // share of the latency target that the first token took; 1: given up on, 0: not reported
 }
 
-// Verdict is what an attempt says of its backend.
+// Verdict is what an attempt says about its backend.
 type Verdict int
 
 const (
@@ -239,45 +250,45 @@
 	Well
 	Slowly
 	Badly
-	Unmet // it could not be reached
+	Unmet // no connection
 )
 
-// Kept is what a backend is thought to have kept for one prefix key.
+// CachedPrefix is a prefix that a backend is expected to have cached.
 type Kept struct {
 	Tokens float64
 	At     time.Duration
-	Taken  float64 // the backend's Taken then
+	Taken  float64 // the backend's CacheInsertedTokens at that time
 }
 
-// Request is one try of a client that this dispatcher took.
+// Request is a request that this dispatcher received.
 type Request struct {
 	ID          uint64
-	Session     uint64
-	Shared      uint64
+	Session     uint64 // key of its session; 0: none
+	Shared      uint64 // key of its shared prefix; 0: none
 	Prompt      float64
-	Prefix      float64 // how much of the prompt is the shared beginning
-	Most        float64 // tokens the answer may have
-	Memory      float64 // tokens it is taken to need where it is answered
+	Prefix      float64 // tokens of the prompt's shared prefix
+	Most        float64 // maximum output tokens
+	Memory      float64 // KV cache tokens that it is expected to need for decode
 	Class       *Class
-	Again       bool // the client says it asked before
-	Left        time.Duration
+	Again       bool          // the client says that it is a retry
+	Left        time.Duration // time the client gives from receipt
 	Taken       time.Duration
-	Dispatched  time.Duration // when it last went out from among the held
-	Outstanding bool          // it is out without a first token
-	Over        bool
-	Last        bool    // its calling program allows no further attempt
-	Surplus     bool    // beyond its channel's share
-	Density     float64 // benefit for its work
+	Dispatched  time.Duration // when it last left the queue
+	Outstanding bool          // was sent and has no first token
+	Over        bool          // has its final answer, or its client has disconnected
+	Last        bool          // no further attempt is allowed
+	Surplus     bool          // beyond its tenant's quota
+	Density     float64       // value for its work, the queue's order
 	Attempts    []*Attempt
-	State       *Backend      // where its read state waits
-	Waits       time.Duration // since when it does, with no attempt that is known to have arrived
-	Lingers     bool          // one that was released may be there all the same
-	Released    bool          // it was released beside the attempt that is out, and may or may not be there
+	State       *Backend      // prefill backend that holds its KV cache for decode
+	Waits       time.Duration // since when the KV cache has been waiting, with no attempt known to have arrived
+	Lingers     bool          // a released KV cache may still be there
+	Released    bool          // released while an attempt was in flight: the KV cache may or may not be there
 	TargetAt    time.Duration
 	Deadline    time.Duration
 }
 
-// Out returns the attempt that is out, if any.
+// InFlight returns the attempt in flight, if any.
 func (q *Request) Out() *Attempt {
 	if n := len(q.Attempts); n > 0 && !q.Attempts[n-1].Ended {
 		return q.Attempts[n-1]
@@ -285,10 +296,10 @@
 	return nil
 }
 
-// MayHaveRun returns the first attempt that is not proven to have had no effect.
+// MayHaveRun returns the first attempt that is not proven to have had no effect, if any.
 func (q *Request) MayHaveRun() *Attempt { return q.MayHaveRunBefore(len(q.Attempts)) }
 
-// MayHaveRunBefore returns the first such attempt of those before the one with that number.
+// MayHaveRunBefore is MayHaveRun among the attempts before the one with the given number.
 func (q *Request) MayHaveRunBefore(number int) *Attempt {
 	for _, t := range q.Attempts[:number] {
 		if t.Backend.Role != Reads && !(t.Ended && t.Outcome.NeverRan()) {
@@ -298,31 +309,32 @@
 	return nil
 }
 
-// FailedAt tells whether an attempt to the backend ended without what was asked.
+// FailedAt reports whether an attempt at the backend ended without success.
 func (q *Request) FailedAt(h *Backend) bool {
 	return slices.ContainsFunc(q.Attempts, func(t *Attempt) bool {
 		return t.Backend == h && t.Ended && t.Outcome != Read
 	})
 }
 
-// Attempt is one send of a request to a backend. Next takes its result on.
+// Attempt is one send of a request to a backend.
 type Attempt struct {
 	Request   *Request
 	Backend   *Backend
-	Number    int
+	Number    int // its index among the request's attempts
 	Sent      time.Duration
-	Began     time.Duration
-	Left      float64 // tokens expected to be read
-	Kept      float64 // tokens expected to be kept
+	Began     time.Duration // when the first token came; 0: not yet
+	Left      float64       // expected tokens to prefill
+	Kept      float64       // expected cached tokens, before correction by the backend's hit ratio
 	Stage     Stage
-	Connect   time.Duration // for its connection, if less than what any has; 0: no less
-	SlowStart bool          // its backend was in slow start when it was chosen: the work counts there
+	Connect   time.Duration // connection timeout, if shorter than the usual one; 0: the usual one
+	SlowStart bool          // the backend was in slow start when chosen: the work counts towards its budget
 	Ended     bool
 	Outcome   Outcome
-	Next      func(Result)
+	Next      func(Result) // continues the request with the attempt's result
 }
 
-// Weigh adds to the backend what the attempt takes there, or takes it away again, and tells the change in streams.
+// ApplyLoad adds the attempt's load to its backend (sign 1) or removes it (sign -1), and returns the change in
+// streams.
 func (t *Attempt) Weigh(sign float64) float64 {
 	t.Backend.Unread += sign * t.Left
 	t.Backend.Tokens += sign * t.Request.Memory
@@ -333,26 +345,26 @@
 	return sign
 }
 
-// Stage is what an attempt asks of its backend.
+// Stage is what an attempt requests of its backend.
 type Stage int
 
 const (
-	ToRead  Stage = iota // read and keep the state
-	ToWrite              // fetch a state and answer
-	Whole                // read and answer in one place
+	ToRead  Stage = iota // prefill and hold the KV cache
+	ToWrite              // fetch the KV cache and decode
+	Whole                // prefill and decode at one backend
 )
 
-// Result is what came of an attempt.
+// Result is the result of an attempt.
 type Result struct {
 	Outcome Outcome
-	Took    time.Duration
-	Ago     time.Duration // how long ago the attempt ended, where word of that had to wait
-	Over    bool
-	Note    int
-	Load    []float64
+	Took    time.Duration // from send to end
+	Ago     time.Duration // how long ago the attempt ended, if the result was delivered late
+	Over    bool          // the client has its final answer
+	Note    int           // cached tokens; for a rejected decode, 1: the prefill backend holds no KV cache
+	Load    []float64     // load report in the order of the settings' report fields
 }
 
-// Listing is one line of the list of backends.
+// Endpoint is an entry of the endpoint list.
 type Listing struct {
 	Host     *Backend
 	Standing BackendState
