--- a/brain/admission.go
+++ b/brain/admission.go
@@ -24,11 +24,11 @@
 // more the class's requests count. With a fixed order of classes the last one would wait for all others and be
 // rejected as late.
 func (d *Dispatcher) weighQueue() {
-	for _, g := range d.classes {
-		g.Weight = math.Pow(g.admittedShare(d.runtime.Now()), -fairness)
+	for _, class := range d.classes {
+		class.Weight = math.Pow(class.admittedShare(d.runtime.Now()), -fairness)
 	}
-	for _, q := range d.queue {
-		q.Density = d.density(q)
+	for _, req := range d.queue {
+		req.Density = d.density(req)
 	}
 	slices.SortFunc(d.queue, compareRank)
 }
@@ -39,45 +39,45 @@
 }
 
 // valueDensity is the value of a request divided by its work.
-func (d *Dispatcher) density(q *Request) float64 {
-	v := q.Class.Value * cmp.Or(q.Class.Weight, 1)
-	if q.Surplus {
-		v *= d.parameters.surplusValue
+func (d *Dispatcher) density(req *Request) float64 {
+	value := req.Class.Value * cmp.Or(req.Class.Weight, 1)
+	if req.Surplus {
+		value *= d.parameters.surplusValue
 	}
-	if q.Again {
-		v *= q.Class.Late
+	if req.Again {
+		value *= req.Class.Late
 	}
 	if !d.parameters.valueByWork {
-		v /= q.Prompt + q.Most + 1
+		value /= req.Prompt + req.Most + 1
 	}
-	return v
+	return value
 }
 
 // enqueue puts a request into the queue. One whose deadline passes before the next sweep is given up at once.
-func (d *Dispatcher) enqueue(q *Request) {
-	if d.runtime.Now()+2*sweep > q.Deadline {
-		d.giveUp(q)
+func (d *Dispatcher) enqueue(req *Request) {
+	if d.runtime.Now()+2*sweep > req.Deadline {
+		d.giveUp(req)
 		return
 	}
-	q.Density = d.density(q)
-	i, _ := slices.BinarySearchFunc(d.queue, q, compareRank)
-	d.queue = slices.Insert(d.queue, i, q)
+	req.Density = d.density(req)
+	i, _ := slices.BinarySearchFunc(d.queue, req, compareRank)
+	d.queue = slices.Insert(d.queue, i, req)
 }
 
 // dispatch sends queued requests in order while the window allows it. A request that was sent before and that
 // no backend may take now is given up: otherwise it would block everything behind it.
 func (d *Dispatcher) dispatch() {
 	for len(d.queue) > 0 && d.mayDispatch() {
-		q := d.queue[0]
-		first := len(q.Attempts) == 0
-		if d.route(q) {
-			d.admitted(q, first)
-		} else if len(q.Attempts) == 0 || d.takable(q) {
+		req := d.queue[0]
+		first := len(req.Attempts) == 0
+		if d.route(req) {
+			d.admitted(req, first)
+		} else if len(req.Attempts) == 0 || d.takable(req) {
 			break
 		} else {
-			d.giveUp(q)
+			d.giveUp(req)
 		}
-		d.dequeue(q)
+		d.dequeue(req)
 	}
 	if len(d.queue) > 0 && !d.sweeping {
 		d.sweeping = true
@@ -94,16 +94,16 @@
 }
 
 // recordAdmission records that a request was sent, for the first time or again.
-func (d *Dispatcher) admitted(q *Request, first bool) {
+func (d *Dispatcher) admitted(req *Request, first bool) {
 	d.spendCredit()
 	if first {
-		q.Class.Admitted.Add(d.runtime.Now(), 1)
+		req.Class.Admitted.Add(d.runtime.Now(), 1)
 	}
 }
 
 // dequeue removes a request from the queue.
-func (d *Dispatcher) dequeue(q *Request) {
-	d.queue = slices.DeleteFunc(d.queue, func(o *Request) bool { return o == q })
+func (d *Dispatcher) dequeue(req *Request) {
+	d.queue = slices.DeleteFunc(d.queue, func(r *Request) bool { return r == req })
 }
 
 // shedLate rejects queued requests that can no longer make their latency target. The longest wait indicates
@@ -112,21 +112,21 @@
 func (d *Dispatcher) shed() {
 	now := d.runtime.Now()
 	overload := false
-	for _, q := range d.queue {
-		overload = overload || float64(now-q.Taken) > impatient*float64(q.TargetAt-q.Taken)
+	for _, req := range d.queue {
+		overload = overload || float64(now-req.Taken) > impatient*float64(req.TargetAt-req.Taken)
 	}
 	expected := d.expectedFirstToken()
 	rate := d.window / max(expected, sweep.Seconds())
-	place := 0.0
-	for _, q := range slices.Clone(d.queue) {
-		first := time.Duration((place/rate + expected) * float64(time.Second))
-		late := now+first > q.TargetAt-(q.TargetAt-q.Taken)/4
-		if overload && late || now+2*sweep > q.Deadline {
-			d.dequeue(q)
-			d.giveUp(q)
+	position := 0.0
+	for _, req := range slices.Clone(d.queue) {
+		timeToFirstToken := time.Duration((position/rate + expected) * float64(time.Second))
+		late := now+timeToFirstToken > req.TargetAt-(req.TargetAt-req.Taken)/4
+		if overload && late || now+2*sweep > req.Deadline {
+			d.dequeue(req)
+			d.giveUp(req)
 			continue
 		}
-		place++
+		position++
 	}
 }
 
@@ -156,24 +156,24 @@
 // clearOutstanding ends a request's place in the window: it has its first token, returns to the queue or is
 // finished. There is one window over all backends, as a dispatcher's own attempts at any one backend are too
 // few to detect congestion.
-func (d *Dispatcher) settle(q *Request) {
-	if !q.Outstanding {
+func (d *Dispatcher) settle(req *Request) {
+	if !req.Outstanding {
 		return
 	}
-	q.Outstanding = false
-	d.awaiting = slices.DeleteFunc(d.awaiting, func(o *Request) bool { return o == q })
-	now, t := d.runtime.Now(), q.Attempts[len(q.Attempts)-1]
-	d.adjustWindow(d.targetShare(q), q.Dispatched, t.Began > 0)
+	req.Outstanding = false
+	d.awaiting = slices.DeleteFunc(d.awaiting, func(r *Request) bool { return r == req })
+	now, attempt := d.runtime.Now(), req.Attempts[len(req.Attempts)-1]
+	d.adjustWindow(d.targetShare(req), req.Dispatched, attempt.Began > 0)
 	// A request that timed out or was cancelled still runs at its backend. Under congestion, one sent in its
 	// place at once would wait behind it and time out too, so it keeps its place for as long again.
-	congested := d.expectedFirstToken() > impatient*(q.TargetAt-q.Taken).Seconds()
+	congested := d.expectedFirstToken() > impatient*(req.TargetAt-req.Taken).Seconds()
 	// The first token of a timed-out attempt would have come even later. If only attempts with a first token
 	// counted, latency would look low under congestion and more attempts would be sent into it.
-	if t.Began == 0 && t.Outcome == TimedOut {
-		d.firstToken.Add(max((now-q.Dispatched).Seconds(), d.firstToken.Or(0)), 0.1)
+	if attempt.Began == 0 && attempt.Outcome == TimedOut {
+		d.firstToken.Add(max((now-req.Dispatched).Seconds(), d.firstToken.Or(0)), 0.1)
 	}
-	if congested && t.Began == 0 && (t.Outcome == TimedOut || t.Outcome == Cancelled) {
-		d.runtime.Wake(min(now-t.Sent, q.TargetAt-q.Taken), func() { d.outstanding--; d.dispatch() })
+	if congested && attempt.Began == 0 && (attempt.Outcome == TimedOut || attempt.Outcome == Cancelled) {
+		d.runtime.Wake(min(now-attempt.Sent, req.TargetAt-req.Taken), func() { d.outstanding--; d.dispatch() })
 	} else {
 		d.outstanding--
 	}
@@ -181,44 +181,44 @@
 
 // targetShare is the share of its latency target for which a request has been outstanding. Without a first
 // token this is a lower bound: it never indicates low latency.
-func (d *Dispatcher) targetShare(q *Request) float64 {
-	t := q.Attempts[len(q.Attempts)-1]
-	if t.Began == 0 && (t.Outcome == Rejected || t.Outcome == TimedOut) {
+func (d *Dispatcher) targetShare(req *Request) float64 {
+	attempt := req.Attempts[len(req.Attempts)-1]
+	if attempt.Began == 0 && (attempt.Outcome == Rejected || attempt.Outcome == TimedOut) {
 		return 1
 	}
-	return min(float64(d.runtime.Now()-q.Dispatched)/float64(max(q.TargetAt-q.Taken, 1)), 1)
+	return min(float64(d.runtime.Now()-req.Dispatched)/float64(max(req.TargetAt-req.Taken, 1)), 1)
 }
 
 // adjustWindow narrows the window if the share is above neutralTargetShare; otherwise, given a first token and
 // a window that limits sending, it widens it. The factor per response time is the same for narrow and wide
 // windows. Over the fleet the windows never add up to less than one request.
-func (d *Dispatcher) adjustWindow(share float64, dispatched time.Duration, began bool) {
+func (d *Dispatcher) adjustWindow(share float64, dispatchedAt time.Duration, gotFirstToken bool) {
 	d.adjusted = true
 	change := math.Exp((calm - share) / max(d.window*float64(1+d.listeners), 1))
 	binding := d.window < 1 || len(d.queue) > 0 && float64(d.outstanding)+1 > d.window
 	switch {
 	case share > calm:
-		if dispatched >= d.jam {
+		if dispatchedAt >= d.jam {
 			d.jam, d.least = d.runtime.Now(), d.window/2
 		}
 		// All requests outstanding when congestion begins report the same event, and together halve the window at
 		// most. Otherwise the failure of half the fleet would nearly close the window, which would then take
 		// minutes to recover for lack of samples.
 		d.window = max(d.window*change, d.least)
-	case began && binding:
+	case gotFirstToken && binding:
 		d.window *= change
 	}
 	d.window = max(min(d.window, perHost*float64(len(d.backends))), 1/d.parameters.dispatchers)
 }
 
 // applyPeerShare applies the latency that a peer reports for one of its requests.
-func (d *Dispatcher) heardShare(n PeerUpdate) {
-	if n.Share == 0 || n.Grade >= len(d.classes) {
+func (d *Dispatcher) heardShare(update PeerUpdate) {
+	if update.Share == 0 || update.Grade >= len(d.classes) {
 		return
 	}
-	took := time.Duration(n.Share * float64(d.classes[n.Grade].Target))
+	took := time.Duration(update.Share * float64(d.classes[update.Grade].Target))
 	d.firstToken.Add(took.Seconds(), 0.1)
-	d.adjustWindow(n.Share, d.runtime.Now()-took, n.Share < 1)
+	d.adjustWindow(update.Share, d.runtime.Now()-took, update.Share < 1)
 }
 
 // expectedTimeToFirstToken is in seconds: the recent mean, or the time that the oldest outstanding request has
--- a/brain/belief.go
+++ b/brain/belief.go
@@ -18,38 +18,38 @@
 
 // Believes returns the dispatcher's current estimates.
 func (d *Dispatcher) Believes() Belief {
-	b := Belief{Window: d.window, Unbegun: d.outstanding, Held: len(d.queue), Average: d.average, Ahead: d.firstToken.Or(0), Streams: d.streams}
-	mean := Request{Memory: 1500}
-	for _, h := range d.backends {
-		if h.Standing != Ready {
+	summary := Belief{Window: d.window, Unbegun: d.outstanding, Held: len(d.queue), Average: d.average, Ahead: d.firstToken.Or(0), Streams: d.streams}
+	meanRequest := Request{Memory: 1500}
+	for _, backend := range d.backends {
+		if backend.Standing != Ready {
 			continue
 		}
-		if h.Answers() {
-			b.Room, b.Tokens = b.Room+h.Room, b.Tokens+h.Tokens
-			if hasRoom(h, &mean) {
-				b.Roomy++
+		if backend.Answers() {
+			summary.Room, summary.Tokens = summary.Room+backend.Room, summary.Tokens+backend.Tokens
+			if hasRoom(backend, &meanRequest) {
+				summary.Roomy++
 			}
 		} else {
-			b.Unread += h.Unread
+			summary.Unread += backend.Unread
 		}
-		if d.cold(h) {
-			b.Cold++
+		if d.cold(backend) {
+			summary.Cold++
 		}
-		if r := &h.Records[0]; r.Bad.Sum(d.runtime.Now())+min(r.Missed, 4) > 1+r.Good.Sum(d.runtime.Now()) {
-			b.Doubted++
+		if stats := &backend.Records[0]; stats.Bad.Sum(d.runtime.Now())+min(stats.Missed, 4) > 1+stats.Good.Sum(d.runtime.Now()) {
+			summary.Doubted++
 		}
 	}
-	return b
+	return summary
 }
 
 // applyLoadReport stores a load report's values, given in the order of the report fields.
-func (d *Dispatcher) report(h *Backend, values []float64) {
+func (d *Dispatcher) report(backend *Backend, values []float64) {
 	for i, v := range values[:min(len(values), len(d.parameters.reportFields))] {
 		switch d.parameters.reportFields[i] {
 		case "util":
-			h.Util = v
+			backend.Util = v
 		case "queue":
-			h.Queue = v
+			backend.Queue = v
 		}
 	}
 }
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -57,24 +57,24 @@
 )
 
 // New returns a dispatcher with the given settings. The seed determines all of its random draws.
-func New(facts Facts, seed uint64, runtime Runtime) (*Dispatcher, error) {
-	if err := facts.Sound(); err != nil {
+func New(settings Facts, seed uint64, runtime Runtime) (*Dispatcher, error) {
+	if err := settings.Sound(); err != nil {
 		return nil, err
 	}
-	facts = facts.Complete()
-	d := &Dispatcher{facts: facts, parameters: parametersOf(facts), runtime: runtime, rng: NewPCG(seed)}
+	settings = settings.Complete()
+	d := &Dispatcher{facts: settings, parameters: parametersOf(settings), runtime: runtime, rng: NewPCG(seed)}
 	d.own, d.credit = Mix(seed, 1), burst
 	d.unread.Width, d.asked.Width, d.begins.Width = refresh, refresh, refresh
 	var err error
-	if d.classes, err = facts.Grades(); err != nil {
+	if d.classes, err = settings.Grades(); err != nil {
 		return nil, err
 	}
-	d.tenants = facts.Channels()
-	if facts.Yes("policyLimits.peers") {
-		dear := max(d.parameters.peerPrice*newsSize/256, gossip/8)
-		d.listeners = min(int(gossip/dear), int(d.parameters.dispatchers)-1)
+	d.tenants = settings.Channels()
+	if settings.Yes("policyLimits.peers") {
+		cost := max(d.parameters.peerPrice*newsSize/256, gossip/8)
+		d.listeners = min(int(gossip/cost), int(d.parameters.dispatchers)-1)
 	}
-	if facts.Text("discovery") == "subscribe" {
+	if settings.Text("discovery") == "subscribe" {
 		runtime.Watch(true)
 	}
 	// A random phase for each dispatcher: ones that start together would otherwise all switch to the same
@@ -86,15 +86,15 @@
 // refresh recomputes the mean of the tokens to prefill and drops stale state.
 func (d *Dispatcher) refresh() {
 	now := d.runtime.Now()
-	if n := d.asked.Sum(now); n > 0 {
-		d.average = d.unread.Sum(now) / n
+	if requests := d.asked.Sum(now); requests > 0 {
+		d.average = d.unread.Sum(now) / requests
 	}
 	d.begins.Forget(now)
 	for role := range d.carried {
 		d.carries(Role(role), false)
 	}
-	for _, h := range d.backends {
-		h.Forget(now - keptFor)
+	for _, backend := range d.backends {
+		backend.Forget(now - keptFor)
 	}
 	d.forgetKeepers()
 	d.compared = 0
@@ -104,35 +104,35 @@
 
 // Listed applies a change of the endpoint list. With whole set, backends that are not in endpoints have been
 // removed.
-func (d *Dispatcher) Listed(lines []Listing, whole bool) {
-	gone := whole
+func (d *Dispatcher) Listed(endpoints []Listing, whole bool) {
+	anyRemoved := whole
 	if whole {
-		for _, h := range d.backends {
-			h.Standing = Gone
+		for _, backend := range d.backends {
+			backend.Standing = Gone
 		}
 	}
-	for _, l := range lines {
-		h := l.Host
-		if h.Kept == nil {
-			d.meet(h)
+	for _, endpoint := range endpoints {
+		backend := endpoint.Host
+		if backend.Kept == nil {
+			d.meet(backend)
 		}
-		if !h.Held {
-			d.addHost(h, len(lines) > smallFleet)
+		if !backend.Held {
+			d.addHost(backend, len(endpoints) > smallFleet)
 		}
-		if h.Kept == nil || l.Restart && l.Booted != h.Booted {
-			h.Kept = map[uint64]Kept{}
-			fresh := Record{Good: Ring{Width: evidence}, Bad: Ring{Width: evidence}}
-			h.Records = slices.Repeat([]Record{fresh}, 1+len(d.classes))
+		if backend.Kept == nil || endpoint.Restart && endpoint.Booted != backend.Booted {
+			backend.Kept = map[uint64]Kept{}
+			emptyStats := Record{Good: Ring{Width: evidence}, Bad: Ring{Width: evidence}}
+			backend.Records = slices.Repeat([]Record{emptyStats}, 1+len(d.classes))
 		}
-		gone = gone || l.Standing == Gone
-		h.Standing, h.Units, h.Booted, h.Restart = l.Standing, max(l.Units, 0.01), l.Booted, l.Restart
-		if h.Size == 0 {
-			h.Size = 1 // until capacities are compared
+		anyRemoved = anyRemoved || endpoint.Standing == Gone
+		backend.Standing, backend.Units, backend.Booted, backend.Restart = endpoint.Standing, max(endpoint.Units, 0.01), endpoint.Booted, endpoint.Restart
+		if backend.Size == 0 {
+			backend.Size = 1 // until capacities are compared
 		}
 	}
-	if gone || d.lingering {
+	if anyRemoved || d.lingering {
 		d.dropHosts()
-		d.lingering = slices.ContainsFunc(d.backends, func(h *Backend) bool { return h.Standing == Gone })
+		d.lingering = slices.ContainsFunc(d.backends, func(b *Backend) bool { return b.Standing == Gone })
 	}
 	d.orderHosts()
 	d.carriedChanged()
@@ -144,15 +144,15 @@
 }
 
 // initBackend sets the fields that are fixed once a backend has been discovered.
-func (d *Dispatcher) meet(h *Backend) {
-	h.Role, h.Memory = d.facts.RoleOf(h.Kind), d.facts.MemoryOf(h.Kind)
-	h.Sent.Width = max(d.parameters.slowStartWindow/(buckets-1), 1)
-	h.Carried.Width = max(d.parameters.slowStartWindow*5/buckets, 1)
-	h.Given.Width, h.Far, h.Lean = memory, 1, -math.Log(d.rng.Float())
-	if h.Zone != d.parameters.zone {
-		h.Far += 25 * d.parameters.crossZonePrice
+func (d *Dispatcher) meet(backend *Backend) {
+	backend.Role, backend.Memory = d.facts.RoleOf(backend.Kind), d.facts.MemoryOf(backend.Kind)
+	backend.Sent.Width = max(d.parameters.slowStartWindow/(buckets-1), 1)
+	backend.Carried.Width = max(d.parameters.slowStartWindow*5/buckets, 1)
+	backend.Given.Width, backend.Far, backend.Lean = memory, 1, -math.Log(d.rng.Float())
+	if backend.Zone != d.parameters.zone {
+		backend.Far += 25 * d.parameters.crossZonePrice
 	}
-	h.Room = h.Memory / d.parameters.dispatchers
+	backend.Room = backend.Memory / d.parameters.dispatchers
 }
 
 // ListFailed resubscribes after a second where service discovery is by subscription.
@@ -163,75 +163,75 @@
 }
 
 // Submit accepts a request of a class and a tenant (both by index), and queues or sends it.
-func (d *Dispatcher) Submit(q *Request, grade, channel int) {
+func (d *Dispatcher) Submit(req *Request, classIndex, tenantIndex int) {
 	now := d.runtime.Now()
-	q.Class = d.classes[min(grade, len(d.classes)-1)]
-	q.Taken, q.Deadline, q.Memory = now, now+q.Left, q.Prompt+answer*q.Most
-	q.Class.Offered.Add(now, 1)
-	q.TargetAt = now + q.Class.Target + time.Duration(q.Prompt/1000*float64(q.Class.TargetPerK))
-	if channel < len(d.tenants) {
-		c := d.tenants[channel]
-		c.Taken.Add(now, 1)
-		share := d.parameters.share(c.Quota)
-		q.Surplus = c.Taken.Sum(now) > share*buckets*c.Taken.Width.Seconds()
+	req.Class = d.classes[min(classIndex, len(d.classes)-1)]
+	req.Taken, req.Deadline, req.Memory = now, now+req.Left, req.Prompt+answer*req.Most
+	req.Class.Offered.Add(now, 1)
+	req.TargetAt = now + req.Class.Target + time.Duration(req.Prompt/1000*float64(req.Class.TargetPerK))
+	if tenantIndex < len(d.tenants) {
+		tenant := d.tenants[tenantIndex]
+		tenant.Taken.Add(now, 1)
+		share := d.parameters.share(tenant.Quota)
+		req.Surplus = tenant.Taken.Sum(now) > share*buckets*tenant.Taken.Width.Seconds()
 	}
-	d.enqueue(q)
+	d.enqueue(req)
 	d.dispatch()
 }
 
 // giveUp ends a request without an answer: rejected if a retry by its client is harmless, else failed.
-func (d *Dispatcher) giveUp(q *Request) {
-	if q.Over {
+func (d *Dispatcher) giveUp(req *Request) {
+	if req.Over {
 		return
 	}
-	q.Over = true
-	d.letGo(q)
-	if MayReject(q) != Allowed {
-		d.runtime.Fail(q)
+	req.Over = true
+	d.letGo(req)
+	if MayReject(req) != Allowed {
+		d.runtime.Fail(req)
 		return
 	}
-	var after time.Duration
+	var retryAfter time.Duration
 	if d.parameters.retryAfter {
-		after = min(d.parameters.retryMost, q.TargetAt-q.Taken)
+		retryAfter = min(d.parameters.retryMost, req.TargetAt-req.Taken)
 	}
-	d.runtime.Reject(q, after)
+	d.runtime.Reject(req, retryAfter)
 }
 
 // send starts an attempt and reports whether the rules allow it.
-func (d *Dispatcher) send(q *Request, h *Backend, stage Stage, next func(Result)) bool {
-	if h == nil || d.barred(q, h) {
+func (d *Dispatcher) send(req *Request, backend *Backend, stage Stage, onResult func(Result)) bool {
+	if backend == nil || d.barred(req, backend) {
 		return false
 	}
 	now := d.runtime.Now()
-	t := &Attempt{Request: q, Backend: h, Number: len(q.Attempts), Sent: now, Stage: stage, SlowStart: d.cold(h), Next: next}
-	kept := d.keeps(h, q)
-	t.Kept = kept / max(h.Hits.Or(1), 0.01)
+	attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), Sent: now, Stage: stage, SlowStart: d.cold(backend), Next: onResult}
+	cached := d.keeps(backend, req)
+	attempt.Kept = cached / max(backend.Hits.Or(1), 0.01)
 	if stage != ToWrite {
-		t.Left = q.Prompt - kept
+		attempt.Left = req.Prompt - cached
 	} else {
-		t.Connect = d.connectTime() // leaves time for another decode backend and for a release (rule 5)
+		attempt.Connect = d.connectTime() // leaves time for another decode backend and for a release (rule 5)
 	}
-	streams := d.weigh(t, 1)
-	h.Given.Add(now, streams+t.Left/2/max(d.average, 300))
-	if !q.Outstanding {
-		q.Outstanding, q.Dispatched = true, now
-		d.awaiting = append(d.awaiting, q)
+	streams := d.weigh(attempt, 1)
+	backend.Given.Add(now, streams+attempt.Left/2/max(d.average, 300))
+	if !req.Outstanding {
+		req.Outstanding, req.Dispatched = true, now
+		d.awaiting = append(d.awaiting, req)
 		d.outstanding++
 	}
-	h.Sent.Add(now, d.weight(q, h, stage))
-	q.Attempts = append(q.Attempts, t)
-	d.releaseWhenDue(t)
-	d.runtime.Send(t, d.patience(t))
+	backend.Sent.Add(now, d.weight(req, backend, stage))
+	req.Attempts = append(req.Attempts, attempt)
+	d.releaseWhenDue(attempt)
+	d.runtime.Send(attempt, d.patience(attempt))
 	return true
 }
 
 // applyLoad adds the attempt's load to the totals and to its backend (sign 1) or removes it (sign -1), and
 // returns the change in streams.
-func (d *Dispatcher) weigh(t *Attempt, sign float64) float64 {
-	streams := t.Weigh(sign)
+func (d *Dispatcher) weigh(attempt *Attempt, sign float64) float64 {
+	streams := attempt.Weigh(sign)
 	d.streams += streams
-	if t.Backend.Role == Reads {
-		d.atReaders += sign * t.Request.Memory
+	if attempt.Backend.Role == Reads {
+		d.atReaders += sign * attempt.Request.Memory
 	}
 	return streams
 }
@@ -239,26 +239,26 @@
 // attemptTimeout is how long an attempt may take: three quarters of the time left if another attempt may
 // follow, so that an unresponsive backend leaves time for one. Shorter timeouts only fill backends that go on
 // with work that was given up.
-func (d *Dispatcher) patience(t *Attempt) time.Duration {
-	left := t.Request.Deadline - t.Sent
-	if left.Seconds()/4 < d.firstToken.Or(0) || t.Stage != ToRead && t.Request.Class.Effect != Idempotent ||
-		t.Number+1 >= d.parameters.maxAttempts {
-		return left
+func (d *Dispatcher) patience(attempt *Attempt) time.Duration {
+	timeLeft := attempt.Request.Deadline - attempt.Sent
+	if timeLeft.Seconds()/4 < d.firstToken.Or(0) || attempt.Stage != ToRead && attempt.Request.Class.Effect != Idempotent ||
+		attempt.Number+1 >= d.parameters.maxAttempts {
+		return timeLeft
 	}
-	return left * 3 / 4
+	return timeLeft * 3 / 4
 }
 
 // Left ends a request whose client has disconnected. An attempt without a first token is cancelled if
 // cancelling is supported.
-func (d *Dispatcher) Left(q *Request) {
-	if q.Over {
+func (d *Dispatcher) Left(req *Request) {
+	if req.Over {
 		return
 	}
-	q.Over = true
-	d.settle(q)
-	d.dequeue(q)
-	if t := q.Out(); t != nil && t.Began == 0 && d.parameters.cancelling {
-		d.runtime.Cancel(t)
+	req.Over = true
+	d.settle(req)
+	d.dequeue(req)
+	if attempt := req.Out(); attempt != nil && attempt.Began == 0 && d.parameters.cancelling {
+		d.runtime.Cancel(attempt)
 	}
-	d.letGo(q)
+	d.letGo(req)
 }
--- a/brain/candidates.go
+++ b/brain/candidates.go
@@ -57,95 +57,95 @@
 func (d *Dispatcher) large() bool { return len(d.backends) > smallFleet }
 
 // candidates returns the backends to consider for a request.
-func (d *Dispatcher) candidates(q *Request) []*Backend {
+func (d *Dispatcher) candidates(req *Request) []*Backend {
 	if !d.large() {
 		return d.backends
 	}
-	c, now := &d.chosenFrom, d.runtime.Now()
-	if c.request == q && c.at == now && c.attempts == len(q.Attempts) && c.state == q.State {
-		return c.hosts
+	set, now := &d.chosenFrom, d.runtime.Now()
+	if set.request == req && set.at == now && set.attempts == len(req.Attempts) && set.state == req.State {
+		return set.hosts
 	}
-	c.request, c.at, c.attempts, c.state, c.hosts = q, now, len(q.Attempts), q.State, c.hosts[:0]
-	c.mark++
-	first := int(d.rng.Float() * float64(len(d.backends)))
+	set.request, set.at, set.attempts, set.state, set.hosts = req, now, len(req.Attempts), req.State, set.hosts[:0]
+	set.mark++
+	start := int(d.rng.Float() * float64(len(d.backends)))
 	for i := range stretch {
-		c.add(d.backends[(first+i)%len(d.backends)])
+		set.add(d.backends[(start+i)%len(d.backends)])
 	}
-	if q.State != nil {
-		d.addRack(c, q.State) // only decode remains
-		return c.hosts
+	if req.State != nil {
+		d.addRack(set, req.State) // only decode remains
+		return set.hosts
 	}
 	for _, role := range []Role{Reads, Both} {
-		c.homes[role] = d.firstHomes(cmp.Or(q.Shared, q.Session), role)
-		for i, home := range c.homes[role] {
-			c.add(home)
+		set.homes[role] = d.firstHomes(cmp.Or(req.Shared, req.Session), role)
+		for i, candidate := range set.homes[role] {
+			set.add(candidate)
 			if i < homeRacks {
-				d.addRack(c, home)
+				d.addRack(set, candidate)
 			}
 		}
 	}
-	for _, key := range []uint64{q.Session, q.Shared} {
-		for _, h := range d.keepers[key] {
-			c.add(h)
+	for _, key := range []uint64{req.Session, req.Shared} {
+		for _, backend := range d.keepers[key] {
+			set.add(backend)
 		}
 	}
-	return c.hosts
+	return set.hosts
 }
 
 // add adds a backend unless it is in the set.
-func (c *candidateSet) add(h *Backend) {
-	if h.mark != c.mark {
-		h.mark = c.mark
-		c.hosts = append(c.hosts, h)
+func (c *candidateSet) add(backend *Backend) {
+	if backend.mark != c.mark {
+		backend.mark = c.mark
+		c.hosts = append(c.hosts, backend)
 	}
 }
 
 // addRack adds the decode backends in a backend's rack, to which its KV cache can be moved at the lowest cost.
-func (d *Dispatcher) addRack(c *candidateSet, h *Backend) {
-	for _, o := range d.racks[h.Rack] {
-		c.add(o)
+func (d *Dispatcher) addRack(set *candidateSet, backend *Backend) {
+	for _, other := range d.racks[backend.Rack] {
+		set.add(other)
 	}
 }
 
 // affinityOrder returns the ready backends of a role by their rank for the request's prefix, which is the same
 // in every dispatcher: all of a small fleet, and the first ones of a large fleet.
-func (d *Dispatcher) homesInOrder(q *Request, role Role) []*Backend {
+func (d *Dispatcher) homesInOrder(req *Request, role Role) []*Backend {
 	if !d.large() {
-		all := Only(d.backends, func(h *Backend) bool { return h.Role == role && h.Standing == Ready })
-		Order(all, cmp.Or(q.Shared, q.Session))
+		all := Only(d.backends, func(b *Backend) bool { return b.Role == role && b.Standing == Ready })
+		Order(all, cmp.Or(req.Shared, req.Session))
 		return all
 	}
-	d.candidates(q)
+	d.candidates(req)
 	return slices.Clone(d.chosenFrom.homes[role])
 }
 
 // topRanked returns the first ready backends of a role by rank for a key (rendezvous hashing).
 func (d *Dispatcher) firstHomes(key uint64, role Role) []*Backend {
-	first := d.firstRanks[:0]
-	for _, l := range d.byRole[role] {
-		rank := Mix(key, l.id)
-		if len(first) == homesMost && rank >= first[homesMost-1].rank || l.host.Standing != Ready {
+	top := d.firstRanks[:0]
+	for _, member := range d.byRole[role] {
+		rank := Mix(key, member.id)
+		if len(top) == homesMost && rank >= top[homesMost-1].rank || member.host.Standing != Ready {
 			continue
 		}
-		i, _ := slices.BinarySearchFunc(first, rank, func(r ranked, rank uint64) int { return cmp.Compare(r.rank, rank) })
-		if len(first) == homesMost {
-			first = first[:homesMost-1]
+		i, _ := slices.BinarySearchFunc(top, rank, func(r ranked, rank uint64) int { return cmp.Compare(r.rank, rank) })
+		if len(top) == homesMost {
+			top = top[:homesMost-1]
 		}
-		first = slices.Insert(first, i, ranked{l.host, rank})
+		top = slices.Insert(top, i, ranked{member.host, rank})
 	}
-	d.firstRanks = first
-	homes := make([]*Backend, len(first))
-	for i, r := range first {
-		homes[i] = r.host
+	d.firstRanks = top
+	backends := make([]*Backend, len(top))
+	for i, r := range top {
+		backends[i] = r.host
 	}
-	return homes
+	return backends
 }
 
 // affinityCount is the number of affinity candidates of a prefix: two, or more in proportion to its share of
 // requests.
-func (d *Dispatcher) homesWanted(key uint64, role Role, homes []*Backend) int {
+func (d *Dispatcher) homesWanted(key uint64, role Role, ranked []*Backend) int {
 	share := d.begins.Sum(key, d.runtime.Now()) / (d.asked.Sum(d.runtime.Now()) + 10)
-	count := len(homes)
+	count := len(ranked)
 	if d.large() {
 		count = len(d.byRole[role])
 	}
@@ -155,62 +155,62 @@
 // extendAffinity handles a prefix of a large fleet that has more affinity candidates than were ranked: it adds
 // those among the eligible backends. A backend is one of them if its rank is below the matching share of the
 // rank space.
-func (d *Dispatcher) withMoreHomes(homes []*Backend, key uint64, role Role, wanted int, able []*Backend) []*Backend {
-	if !d.large() || wanted <= homesMost {
-		return homes
+func (d *Dispatcher) withMoreHomes(candidates []*Backend, key uint64, role Role, count int, eligible []*Backend) []*Backend {
+	if !d.large() || count <= homesMost {
+		return candidates
 	}
-	share := float64(wanted) / float64(len(d.byRole[role]))
-	for _, h := range able {
-		if float64(Mix(key, uint64(h.ID))) < share*ranks && !slices.Contains(homes, h) {
-			homes = append(homes, h)
+	share := float64(count) / float64(len(d.byRole[role]))
+	for _, backend := range eligible {
+		if float64(Mix(key, uint64(backend.ID))) < share*ranks && !slices.Contains(candidates, backend) {
+			candidates = append(candidates, backend)
 		}
 	}
-	return homes
+	return candidates
 }
 
 // recordPrefixHolder records that a backend of a large fleet has cached a prefix or session.
-func (d *Dispatcher) keeperOf(key uint64, h *Backend) {
+func (d *Dispatcher) keeperOf(key uint64, backend *Backend) {
 	if key == 0 || !d.large() {
 		return
 	}
 	if d.keepers == nil {
 		d.keepers = map[uint64][]*Backend{}
 	}
-	known := slices.DeleteFunc(d.keepers[key], func(o *Backend) bool { return o == h })
-	if len(known) >= keepersMost {
-		known = known[1:]
+	holders := slices.DeleteFunc(d.keepers[key], func(b *Backend) bool { return b == backend })
+	if len(holders) >= keepersMost {
+		holders = holders[1:]
 	}
-	d.keepers[key] = append(known, h)
+	d.keepers[key] = append(holders, backend)
 }
 
 // dropStaleHolders drops backends that no longer have the prefix cached.
 func (d *Dispatcher) forgetKeepers() {
-	for key, known := range d.keepers {
-		known = slices.DeleteFunc(known, func(h *Backend) bool { return !h.Held || h.Kept[key] == (Kept{}) })
-		if len(known) == 0 || !d.large() {
+	for key, holders := range d.keepers {
+		holders = slices.DeleteFunc(holders, func(b *Backend) bool { return !b.Held || b.Kept[key] == (Kept{}) })
+		if len(holders) == 0 || !d.large() {
 			delete(d.keepers, key)
 			continue
 		}
-		d.keepers[key] = known
+		d.keepers[key] = holders
 	}
 }
 
 // addBackend adds a new backend: in a large fleet at its place in the dispatcher's order, unless many are
 // added at once.
-func (d *Dispatcher) addHost(h *Backend, many bool) {
-	h.Held, h.order = true, Mix(d.own, uint64(h.ID))
-	d.ordered = d.ordered && !many
-	i := len(d.backends)
+func (d *Dispatcher) addHost(backend *Backend, bulk bool) {
+	backend.Held, backend.order = true, Mix(d.own, uint64(backend.ID))
+	d.ordered = d.ordered && !bulk
+	position := len(d.backends)
 	if d.large() && d.ordered {
-		i, _ = slices.BinarySearchFunc(d.backends, h.order, func(o *Backend, order uint64) int { return cmp.Compare(o.order, order) })
+		position, _ = slices.BinarySearchFunc(d.backends, backend.order, func(b *Backend, order uint64) int { return cmp.Compare(b.order, order) })
 	}
-	d.backends = slices.Insert(d.backends, i, h)
-	d.byRole[h.Role] = append(d.byRole[h.Role], listedHost{uint64(h.ID), h})
-	if h.Answers() {
+	d.backends = slices.Insert(d.backends, position, backend)
+	d.byRole[backend.Role] = append(d.byRole[backend.Role], listedHost{uint64(backend.ID), backend})
+	if backend.Answers() {
 		if d.racks == nil {
 			d.racks = map[int][]*Backend{}
 		}
-		d.racks[h.Rack] = append(d.racks[h.Rack], h)
+		d.racks[backend.Rack] = append(d.racks[backend.Rack], backend)
 	}
 }
 
@@ -225,18 +225,18 @@
 
 // dropRemoved drops removed backends that have no attempts in flight.
 func (d *Dispatcher) dropHosts() {
-	gone := func(l listedHost) bool { return !l.host.Held }
-	d.backends = slices.DeleteFunc(d.backends, func(h *Backend) bool {
-		h.Held = h.Standing != Gone || h.Streams > 0 || h.Tokens >= 1 // its load still counts
-		if !h.Held && h.Answers() {
-			if d.racks[h.Rack] = slices.DeleteFunc(d.racks[h.Rack], func(o *Backend) bool { return o == h }); len(d.racks[h.Rack]) == 0 {
-				delete(d.racks, h.Rack)
+	isRemoved := func(l listedHost) bool { return !l.host.Held }
+	d.backends = slices.DeleteFunc(d.backends, func(backend *Backend) bool {
+		backend.Held = backend.Standing != Gone || backend.Streams > 0 || backend.Tokens >= 1 // its load still counts
+		if !backend.Held && backend.Answers() {
+			if d.racks[backend.Rack] = slices.DeleteFunc(d.racks[backend.Rack], func(b *Backend) bool { return b == backend }); len(d.racks[backend.Rack]) == 0 {
+				delete(d.racks, backend.Rack)
 			}
 		}
-		return !h.Held
+		return !backend.Held
 	})
 	for role := range d.byRole {
-		d.byRole[role] = slices.DeleteFunc(d.byRole[role], gone)
+		d.byRole[role] = slices.DeleteFunc(d.byRole[role], isRemoved)
 	}
 }
 
@@ -251,34 +251,34 @@
 }
 
 // minCostByRack returns the lowest cost of the backends in each rack.
-func freestByRack(hosts []*Backend, cost func(*Backend) float64) map[int]float64 {
-	freest := map[int]float64{}
-	for _, h := range hosts {
-		least, known := freest[h.Rack]
-		if c := cost(h); !known || c < least {
-			freest[h.Rack] = c
+func freestByRack(backends []*Backend, cost func(*Backend) float64) map[int]float64 {
+	minCost := map[int]float64{}
+	for _, backend := range backends {
+		lowest, known := minCost[backend.Rack]
+		if c := cost(backend); !known || c < lowest {
+			minCost[backend.Rack] = c
 		}
 	}
-	return freest
+	return minCost
 }
 
 // freeKVTokens is how many more KV cache tokens this dispatcher may use at decode backends, less those of
 // requests in prefill, which will need them for decode. In a large fleet it is extrapolated from the
 // candidates.
-func (d *Dispatcher) freeMemory(q *Request) float64 {
-	free, looked := 0.0, 0.0
-	candidates := d.candidates(q)
-	for _, h := range candidates {
-		if !h.Answers() {
+func (d *Dispatcher) freeMemory(req *Request) float64 {
+	free, considered := 0.0, 0.0
+	candidates := d.candidates(req)
+	for _, backend := range candidates {
+		if !backend.Answers() {
 			continue
 		}
-		looked++
-		if !d.barred(q, h) {
-			free += max(h.Room-h.Tokens, 0)
+		considered++
+		if !d.barred(req, backend) {
+			free += max(backend.Room-backend.Tokens, 0)
 		}
 	}
 	if d.large() && !math.IsInf(free, 1) {
-		free *= max(float64(len(d.byRole[Writes])+len(d.byRole[Both]))/max(looked, 1), 1)
+		free *= max(float64(len(d.byRole[Writes])+len(d.byRole[Both]))/max(considered, 1), 1)
 	}
 	return free - d.reading()
 }
@@ -289,9 +289,9 @@
 		return d.atReaders
 	}
 	sum := 0.0
-	for _, h := range d.backends {
-		if h.Role == Reads {
-			sum += h.Tokens
+	for _, backend := range d.backends {
+		if backend.Role == Reads {
+			sum += backend.Tokens
 		}
 	}
 	return sum
--- a/brain/candidates_test.go
+++ b/brain/candidates_test.go
@@ -9,24 +9,24 @@
 // newLargeFleet returns a dispatcher with 2,000 backends, of which a decision considers only some.
 func largeFleet(t *testing.T, seed uint64) (*Dispatcher, *door) {
 	t.Helper()
-	out := &door{now: 100 * time.Second}
-	d, err := New(facts(), seed, out)
+	runtime := &door{now: 100 * time.Second}
+	d, err := New(facts(), seed, runtime)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var lines []Listing
+	var endpoints []Listing
 	for i := range 2000 {
-		lines = append(lines, Listing{Host: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 6}, Standing: Ready, Units: 1})
+		endpoints = append(endpoints, Listing{Host: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 6}, Standing: Ready, Units: 1})
 	}
-	d.Listed(lines, true)
-	return d, out
+	d.Listed(endpoints, true)
+	return d, runtime
 }
 
-func ids(hosts []*Backend) (numbers []uint32) {
-	for _, h := range hosts {
-		numbers = append(numbers, h.ID)
+func ids(backends []*Backend) (result []uint32) {
+	for _, backend := range backends {
+		result = append(result, backend.ID)
 	}
-	return numbers
+	return result
 }
 
 // All dispatchers, whatever they sample, have the same two affinity candidates for a prefix: the first ones by
@@ -34,16 +34,16 @@
 func TestABeginningHasTheSameHomesInALargeFleet(t *testing.T) {
 	first, _ := largeFleet(t, 1)
 	second, _ := largeFleet(t, 2)
-	for beginning := range uint64(20) {
-		q := ask(first)
-		q.Shared = beginning + 1
-		other := *q
-		homes := first.homes(q, Reads, first.able(q, (*Backend).ReadsOnly))
-		also := second.homes(&other, Reads, second.able(&other, (*Backend).ReadsOnly))
-		all := Only(first.backends, (*Backend).ReadsOnly)
-		Order(all, q.Shared)
-		if len(homes) != 2 || !slices.Equal(ids(homes), ids(also)) || !slices.Equal(ids(homes), ids(all[:2])) {
-			t.Errorf("beginning %d: %v and %v, wanted %v", q.Shared, ids(homes), ids(also), ids(all[:2]))
+	for prefix := range uint64(20) {
+		req := ask(first)
+		req.Shared = prefix + 1
+		other := *req
+		candidates := first.homes(req, Reads, first.able(req, (*Backend).ReadsOnly))
+		others := second.homes(&other, Reads, second.able(&other, (*Backend).ReadsOnly))
+		ranked := Only(first.backends, (*Backend).ReadsOnly)
+		Order(ranked, req.Shared)
+		if len(candidates) != 2 || !slices.Equal(ids(candidates), ids(others)) || !slices.Equal(ids(candidates), ids(ranked[:2])) {
+			t.Errorf("beginning %d: %v and %v, wanted %v", req.Shared, ids(candidates), ids(others), ids(ranked[:2]))
 		}
 	}
 }
@@ -51,17 +51,17 @@
 // A prefix of a tenth of all requests has a matching share of a large fleet as affinity candidates: by chance,
 // about that share of the sampled backends.
 func TestACommonBeginningHasManyHomesInALargeFleet(t *testing.T) {
-	d, out := largeFleet(t, 1)
+	d, runtime := largeFleet(t, 1)
 	for range 1000 {
-		d.asked.Add(out.now, 1)
+		d.asked.Add(runtime.now, 1)
 	}
-	d.begins.Add(9, out.now, 100)
+	d.begins.Add(9, runtime.now, 100)
 	used := map[uint32]bool{}
 	for range 100 {
-		out.now += time.Millisecond
-		q := ask(d)
-		for _, h := range d.homes(q, Reads, d.able(q, (*Backend).ReadsOnly)) {
-			used[h.ID] = true
+		runtime.now += time.Millisecond
+		req := ask(d)
+		for _, backend := range d.homes(req, Reads, d.able(req, (*Backend).ReadsOnly)) {
+			used[backend.ID] = true
 		}
 	}
 	if len(used) < 130 || len(used) > 260 {
@@ -71,23 +71,23 @@
 
 // Backends that a request has a reason to go to are among its candidates, however few are sampled.
 func TestCandidatesOfALargeFleetHaveWhatSpeaksForThem(t *testing.T) {
-	d, out := largeFleet(t, 1)
-	keeper := Only(d.backends, (*Backend).Answers)[700]
-	d.remember(&Attempt{Request: ask(d), Backend: keeper}, 0)
-	reader := Only(d.backends, (*Backend).ReadsOnly)[300]
+	d, runtime := largeFleet(t, 1)
+	holder := Only(d.backends, (*Backend).Answers)[700]
+	d.remember(&Attempt{Request: ask(d), Backend: holder}, 0)
+	prefillBackend := Only(d.backends, (*Backend).ReadsOnly)[300]
 	for range 50 {
-		out.now += time.Millisecond
-		q := ask(d)
-		if !slices.Contains(d.candidates(q), keeper) {
+		runtime.now += time.Millisecond
+		req := ask(d)
+		if !slices.Contains(d.candidates(req), holder) {
 			t.Fatal("the backend that keeps the session is not among them")
 		}
-		q.State = reader
-		out.now += time.Millisecond
-		near := Only(d.candidates(q), func(h *Backend) bool { return h.Rack == reader.Rack && h.Answers() })
-		if len(near) != 3 {
-			t.Fatalf("%d backends of the state's rack are among them", len(near))
+		req.State = prefillBackend
+		runtime.now += time.Millisecond
+		inRack := Only(d.candidates(req), func(b *Backend) bool { return b.Rack == prefillBackend.Rack && b.Answers() })
+		if len(inRack) != 3 {
+			t.Fatalf("%d backends of the state's rack are among them", len(inRack))
 		}
-		if n := len(d.candidates(q)); n > 400 || n < stretch {
+		if n := len(d.candidates(req)); n > 400 || n < stretch {
 			t.Fatalf("%d candidates", n)
 		}
 	}
@@ -95,19 +95,19 @@
 
 // Over many requests most backends of a large fleet are used, and none too often.
 func TestEveryBackendOfALargeFleetIsUsed(t *testing.T) {
-	d, out := largeFleet(t, 1)
+	d, runtime := largeFleet(t, 1)
 	used := map[*Backend]int{}
 	const requests = 3000
 	for number := range requests {
-		out.now += 10 * time.Millisecond
-		q := ask(d)
-		q.Session, q.Shared = 0, uint64(number+1)
-		q.State = Only(d.backends, (*Backend).ReadsOnly)[number%1000]
-		d.pickDecode(q)
-		trip := out.sent[len(out.sent)-1]
-		used[trip.Backend]++
-		d.Began(trip, time.Millisecond)
-		d.Ended(trip, Result{Outcome: Served, Over: true})
+		runtime.now += 10 * time.Millisecond
+		req := ask(d)
+		req.Session, req.Shared = 0, uint64(number+1)
+		req.State = Only(d.backends, (*Backend).ReadsOnly)[number%1000]
+		d.pickDecode(req)
+		attempt := runtime.sent[len(runtime.sent)-1]
+		used[attempt.Backend]++
+		d.Began(attempt, time.Millisecond)
+		d.Ended(attempt, Result{Outcome: Served, Over: true})
 	}
 	most := 0
 	for _, n := range used {
@@ -121,11 +121,11 @@
 // A fleet that shrinks and grows across fullScanLimit keeps its order and all of its backends.
 func TestAFleetGrowsAndShrinksOverTheBound(t *testing.T) {
 	d, _ := largeFleet(t, 1)
-	var lines []Listing
-	for _, h := range d.backends[100:] {
-		lines = append(lines, Listing{Host: h, Standing: Gone})
+	var endpoints []Listing
+	for _, backend := range d.backends[100:] {
+		endpoints = append(endpoints, Listing{Host: backend, Standing: Gone})
 	}
-	d.Listed(lines, false)
+	d.Listed(endpoints, false)
 	if len(d.backends) != 100 || d.large() || len(d.byRole[Reads])+len(d.byRole[Writes]) != 100 {
 		t.Fatalf("%d backends are left, %d and %d by role", len(d.backends), len(d.byRole[Reads]), len(d.byRole[Writes]))
 	}
@@ -147,25 +147,25 @@
 	other := ask(d)
 	other.Shared = 77
 	d.candidates(other)
-	q := ask(d)
-	q.State = Only(d.backends, (*Backend).ReadsOnly)[0]
-	d.candidates(q)
-	q.State = nil
-	all := Only(d.backends, (*Backend).ReadsOnly)
-	Order(all, q.Shared)
-	if got := d.homes(q, Reads, d.able(q, (*Backend).ReadsOnly)); !slices.Equal(ids(got), ids(all[:2])) {
-		t.Errorf("its homes are %v, wanted %v", ids(got), ids(all[:2]))
+	req := ask(d)
+	req.State = Only(d.backends, (*Backend).ReadsOnly)[0]
+	d.candidates(req)
+	req.State = nil
+	ranked := Only(d.backends, (*Backend).ReadsOnly)
+	Order(ranked, req.Shared)
+	if got := d.homes(req, Reads, d.able(req, (*Backend).ReadsOnly)); !slices.Equal(ids(got), ids(ranked[:2])) {
+		t.Errorf("its homes are %v, wanted %v", ids(got), ids(ranked[:2]))
 	}
 }
 
 // A prefix that all requests share has all backends as affinity candidates.
 func TestABeginningOfAllRequestsIsAtHomeEverywhere(t *testing.T) {
-	d, out := largeFleet(t, 1)
-	d.asked.Add(out.now, 1e6)
-	d.begins.Add(9, out.now, 1e6)
-	q := ask(d)
-	able := d.able(q, (*Backend).ReadsOnly)
-	if homes := d.homes(q, Reads, slices.Clone(able)); len(homes) != len(able) {
-		t.Errorf("%d of %d backends that were looked at are homes", len(homes), len(able))
+	d, runtime := largeFleet(t, 1)
+	d.asked.Add(runtime.now, 1e6)
+	d.begins.Add(9, runtime.now, 1e6)
+	req := ask(d)
+	eligible := d.able(req, (*Backend).ReadsOnly)
+	if candidates := d.homes(req, Reads, slices.Clone(eligible)); len(candidates) != len(eligible) {
+		t.Errorf("%d of %d backends that were looked at are homes", len(candidates), len(eligible))
 	}
 }
--- a/brain/cost_test.go
+++ b/brain/cost_test.go
@@ -24,59 +24,59 @@
 // its queue.
 func measured(t testing.TB, backends int, state fleetState, waiting int) (*Dispatcher, *door) {
 	t.Helper()
-	f := facts()
-	f["siblings"] = 300.0
-	out := &door{now: 100 * time.Second}
-	d, err := New(f, 1, out)
+	settings := facts()
+	settings["siblings"] = 300.0
+	runtime := &door{now: 100 * time.Second}
+	d, err := New(settings, 1, runtime)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var lines []Listing
+	var endpoints []Listing
 	for i := range backends {
-		l := Listing{Host: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 5, Zone: i % 3}, Standing: Ready, Units: 1}
+		endpoint := Listing{Host: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 5, Zone: i % 3}, Standing: Ready, Units: 1}
 		if state == allInSlowStart || state == mostInSlowStart && i%10 < 6 {
-			l.Restart, l.Booted = true, out.now-time.Second
+			endpoint.Restart, endpoint.Booted = true, runtime.now-time.Second
 		}
-		lines = append(lines, l)
+		endpoints = append(endpoints, endpoint)
 	}
-	d.Listed(lines, true)
+	d.Listed(endpoints, true)
 	if state == thirdGone {
-		for i := range lines {
+		for i := range endpoints {
 			if i%3 == 0 {
-				lines[i].Standing = Gone
-				d.Listed(lines[i:i+1], false)
+				endpoints[i].Standing = Gone
+				d.Listed(endpoints[i:i+1], false)
 			}
 		}
 	}
-	for i, h := range d.backends {
+	for i, backend := range d.backends {
 		if i%8 == 0 {
-			h.Carried.Add(out.now, 50000)
+			backend.Carried.Add(runtime.now, 50000)
 		}
 	}
 	d.window, d.credit = 0, 0
 	for i := range waiting {
 		d.Submit(&Request{ID: uint64(1e6 + i), Session: uint64(i%50 + 1), Prompt: 2000, Most: 400, Left: time.Hour}, 0, 0)
 	}
-	return d, out
+	return d, runtime
 }
 
 // serveOne submits one request and runs one to its end: prefill, decode, first token, end.
-func serve(d *Dispatcher, out *door, number int) {
-	out.now += 10 * time.Millisecond
+func serve(d *Dispatcher, runtime *door, number int) {
+	runtime.now += 10 * time.Millisecond
 	d.window, d.credit = 2, 0
 	d.Submit(&Request{ID: uint64(number), Session: uint64(number%200 + 1), Shared: uint64(number%20 + 1), Prompt: 2000, Prefix: 1500, Most: 400, Left: time.Hour}, 0, 0)
-	for served := false; !served && len(out.sent) > 0; {
-		t := out.sent[0]
-		out.sent = out.sent[1:]
-		if t.Stage == ToRead {
-			d.Ended(t, Result{Outcome: Read, Took: 20 * time.Millisecond, Note: 100})
+	for served := false; !served && len(runtime.sent) > 0; {
+		attempt := runtime.sent[0]
+		runtime.sent = runtime.sent[1:]
+		if attempt.Stage == ToRead {
+			d.Ended(attempt, Result{Outcome: Read, Took: 20 * time.Millisecond, Note: 100})
 			continue
 		}
-		d.Began(t, 5*time.Millisecond)
-		d.Ended(t, Result{Outcome: Served, Took: 50 * time.Millisecond, Over: true})
+		d.Began(attempt, 5*time.Millisecond)
+		d.Ended(attempt, Result{Outcome: Served, Took: 50 * time.Millisecond, Over: true})
 		served = true
 	}
-	out.wakes, out.delays, out.waits = out.wakes[:0], out.delays[:0], out.waits[:0]
+	runtime.wakes, runtime.delays, runtime.waits = runtime.wakes[:0], runtime.delays[:0], runtime.waits[:0]
 }
 
 // BenchmarkRequest measures the time per request by number and state of the backends and by queue length.
@@ -85,9 +85,9 @@
 		for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdGone} {
 			for _, waiting := range []int{1, 50, 500} {
 				b.Run(fmt.Sprintf("%d %v %d waiting", backends, state, waiting), func(b *testing.B) {
-					d, out := measured(b, backends, state, waiting)
+					d, runtime := measured(b, backends, state, waiting)
 					for number := 0; b.Loop(); number++ {
-						serve(d, out, number)
+						serve(d, runtime, number)
 					}
 				})
 			}
@@ -101,11 +101,11 @@
 
 func TestARequestCostsLittleWithThousandsOfBackends(t *testing.T) {
 	for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdGone} {
-		d, out := measured(t, 3200, state, 50)
+		d, runtime := measured(t, 3200, state, 50)
 		const rounds = 20
 		began := time.Now()
 		for number := range rounds {
-			serve(d, out, number)
+			serve(d, runtime, number)
 		}
 		if took := time.Since(began) / rounds; took > costMost {
 			t.Errorf("%v: a request costs %v", state, took)
@@ -114,12 +114,12 @@
 }
 
 func TestAChangeOfTheListCostsLittleWithThousandsOfBackends(t *testing.T) {
-	d, out := measured(t, 3200, allWarm, 0)
+	d, runtime := measured(t, 3200, allWarm, 0)
 	const rounds = 100
 	began := time.Now()
 	for i := range rounds {
-		out.now += time.Millisecond
-		d.Listed([]Listing{{Host: d.backends[i], Standing: Ready, Units: 1, Restart: true, Booted: out.now}}, false)
+		runtime.now += time.Millisecond
+		d.Listed([]Listing{{Host: d.backends[i], Standing: Ready, Units: 1, Restart: true, Booted: runtime.now}}, false)
 	}
 	if took := time.Since(began) / rounds; took > costMost/10 {
 		t.Errorf("a change costs %v", took)
--- a/brain/facts.go
+++ b/brain/facts.go
@@ -15,14 +15,14 @@
 
 // FlattenSettings converts an object of nested settings.
 func Flat(object map[string]any) Facts {
-	f := Facts{}
-	flatten(f, "", object)
-	return f
+	settings := Facts{}
+	flatten(settings, "", object)
+	return settings
 }
 
 // flatten stores nested values under dotted names. A list also stores its length under its own name.
 func flatten(into Facts, name string, value any) {
-	under := func(part string) string {
+	qualified := func(part string) string {
 		if name == "" {
 			return part
 		}
@@ -31,12 +31,12 @@
 	switch v := value.(type) {
 	case map[string]any:
 		for k, x := range v {
-			flatten(into, under(k), x)
+			flatten(into, qualified(k), x)
 		}
 	case []any:
 		into[name] = float64(len(v))
 		for i, x := range v {
-			flatten(into, under(strconv.Itoa(i)), x)
+			flatten(into, qualified(strconv.Itoa(i)), x)
 		}
 	default:
 		into[name] = v
@@ -44,34 +44,34 @@
 }
 
 // Number returns a numeric setting, or fallback if it isn't one.
-func (f Facts) Num(name string, absent float64) float64 {
-	if v, ok := f[name].(float64); ok {
+func (s Facts) Num(name string, fallback float64) float64 {
+	if v, ok := s[name].(float64); ok {
 		return v
 	}
-	return absent
+	return fallback
 }
 
 // Text returns a string setting, or "".
-func (f Facts) Text(name string) string {
-	s, _ := f[name].(string)
-	return s
+func (s Facts) Text(name string) string {
+	text, _ := s[name].(string)
+	return text
 }
 
 // Bool returns a boolean setting, or false.
-func (f Facts) Yes(name string) bool {
-	v, _ := f[name].(bool)
-	return v
+func (s Facts) Yes(name string) bool {
+	flag, _ := s[name].(bool)
+	return flag
 }
 
 // Duration returns a setting stated in microseconds, or 0.
-func (f Facts) Span(name string) time.Duration {
-	return time.Duration(f.Num(name, 0)) * time.Microsecond
+func (s Facts) Span(name string) time.Duration {
+	return time.Duration(s.Num(name, 0)) * time.Microsecond
 }
 
 // RequireNumbers returns an error for the first of the named settings that is not a number.
-func (f Facts) Lacks(names ...string) error {
+func (s Facts) Lacks(names ...string) error {
 	for _, name := range names {
-		if _, ok := f[name].(float64); !ok {
+		if _, ok := s[name].(float64); !ok {
 			return fmt.Errorf("setting %s is missing or no number", name)
 		}
 	}
@@ -98,125 +98,125 @@
 
 // WithDefaults returns a copy with defaults for what is not stated. Without the slow-start rule no backend is
 // ever in slow start.
-func (f Facts) Complete() Facts {
-	whole := maps.Clone(f)
-	if f.Num("rules.tipMultiple", 0) == 0 || f.Num("rules.tipAfterUs", 0) == 0 {
-		whole["rules.rampTimeUs"] = 0.0
+func (s Facts) Complete() Facts {
+	complete := maps.Clone(s)
+	if s.Num("rules.tipMultiple", 0) == 0 || s.Num("rules.tipAfterUs", 0) == 0 {
+		complete["rules.rampTimeUs"] = 0.0
 	}
-	for _, g := range figures {
-		if v := f.Num(g.name, 0); v == 0 {
-			whole[g.name] = g.absent
+	for _, setting := range figures {
+		if v := s.Num(setting.name, 0); v == 0 {
+			complete[setting.name] = setting.absent
 		}
 	}
-	return whole
+	return complete
 }
 
 // Validate returns an error for the first required setting that is missing or setting that is out of range.
-func (f Facts) Sound() error {
-	if err := f.Lacks("familyInfo.kindRole"); err != nil {
+func (s Facts) Sound() error {
+	if err := s.Lacks("familyInfo.kindRole"); err != nil {
 		return err
 	}
-	for _, g := range figures {
-		value, stated := f[g.name]
-		v, number := value.(float64)
+	for _, setting := range figures {
+		value, stated := s[setting.name]
+		number, isNumber := value.(float64)
 		switch {
-		case !stated || value == nil || number && v == 0 && g.noughtIsNone:
-		case !number:
-			return fmt.Errorf("setting %s is no number", g.name)
-		case !(v >= g.least && v <= g.most):
-			return fmt.Errorf("setting %s is %g, it must be from %g to %g", g.name, v, g.least, g.most)
+		case !stated || value == nil || isNumber && number == 0 && setting.noughtIsNone:
+		case !isNumber:
+			return fmt.Errorf("setting %s is no number", setting.name)
+		case !(number >= setting.least && number <= setting.most):
+			return fmt.Errorf("setting %s is %g, it must be from %g to %g", setting.name, number, setting.least, setting.most)
 		}
 	}
-	if f.Num("requestClasses", 0) < 1 {
+	if s.Num("requestClasses", 0) < 1 {
 		return fmt.Errorf("setting requestClasses is missing or states no service grade")
 	}
 	return nil
 }
 
 // Classes returns the priority classes.
-func (f Facts) Grades() ([]*Class, error) {
-	var grades []*Class
-	for i := range int(f.Num("requestClasses", 0)) {
-		at := fmt.Sprintf("requestClasses.%d.", i)
+func (s Facts) Grades() ([]*Class, error) {
+	var classes []*Class
+	for i := range int(s.Num("requestClasses", 0)) {
+		prefix := fmt.Sprintf("requestClasses.%d.", i)
 		effect, known := map[string]Effect{
 			"repeatable": Idempotent, "by_key": Deduplicated, "once": Unrepeatable,
-		}[f.Text(at+"effect")]
+		}[s.Text(prefix+"effect")]
 		if !known {
-			return nil, fmt.Errorf("setting %seffect is missing or unknown", at)
+			return nil, fmt.Errorf("setting %seffect is missing or unknown", prefix)
 		}
 		// A class without a target has its deadline as target; one without a window is never repeated.
-		target := at + "aimUs"
-		if f.Num(target, 0) == 0 {
-			target = at + "giveUpUs"
+		target := prefix + "aimUs"
+		if s.Num(target, 0) == 0 {
+			target = prefix + "giveUpUs"
 		}
-		if err := f.Lacks(target); err != nil {
-			return nil, fmt.Errorf("%w, and neither is %saimUs stated", err, at)
+		if err := s.Lacks(target); err != nil {
+			return nil, fmt.Errorf("%w, and neither is %saimUs stated", err, prefix)
 		}
-		for _, name := range []string{target, at + "windowUs", at + "worth", at + "lateWorth"} {
-			if v := f.Num(name, 1); !(v >= 0 && v <= 1e15) || name == target && v < 1 {
+		for _, name := range []string{target, prefix + "windowUs", prefix + "worth", prefix + "lateWorth"} {
+			if v := s.Num(name, 1); !(v >= 0 && v <= 1e15) || name == target && v < 1 {
 				return nil, fmt.Errorf("setting %s is %g, which makes no sense", name, v)
 			}
 		}
-		grades = append(grades, &Class{
+		classes = append(classes, &Class{
 			Index:      i,
 			Effect:     effect,
-			Reach:      map[string]Reach{"zone": SameZone, "cell": SameRack}[f.Text(at+"group")],
-			Window:     f.Span(at + "windowUs"),
-			Target:     f.Span(target),
-			TargetPerK: f.Span(fmt.Sprintf("familyInfo.aimUsPer1000PromptTokens.%d", i)),
-			Value:      f.Num(at+"worth", 1),
-			Late:       f.Num(at+"lateWorth", 1),
+			Reach:      map[string]Reach{"zone": SameZone, "cell": SameRack}[s.Text(prefix+"group")],
+			Window:     s.Span(prefix + "windowUs"),
+			Target:     s.Span(target),
+			TargetPerK: s.Span(fmt.Sprintf("familyInfo.aimUsPer1000PromptTokens.%d", i)),
+			Value:      s.Num(prefix+"worth", 1),
+			Late:       s.Num(prefix+"lateWorth", 1),
 			Offered:    Ring{Width: admittedWidth},
 			Admitted:   Ring{Width: admittedWidth},
 		})
 	}
-	return grades, nil
+	return classes, nil
 }
 
 // Names returns the names in a list of names, or of objects that have a name.
-func (f Facts) Names(list string) []string {
-	names := make([]string, int(f.Num(list, 0)))
+func (s Facts) Names(list string) []string {
+	names := make([]string, int(s.Num(list, 0)))
 	for i := range names {
-		at := fmt.Sprintf("%s.%d", list, i)
-		names[i] = cmp.Or(f.Text(at), f.Text(at+".name"))
+		key := fmt.Sprintf("%s.%d", list, i)
+		names[i] = cmp.Or(s.Text(key), s.Text(key+".name"))
 	}
 	return names
 }
 
 // Index returns the index of a name in such a list, -1 if it is not there.
-func (f Facts) Index(list, name string) int {
+func (s Facts) Index(list, name string) int {
 	if name == "" {
 		return -1
 	}
-	return slices.Index(f.Names(list), name)
+	return slices.Index(s.Names(list), name)
 }
 
 // Tenants returns the tenants. One without a quota has no limit.
-func (f Facts) Channels() []*Tenant {
-	var channels []*Tenant
-	for i := range int(f.Num("tenants", 0)) {
-		quota := f.Num(fmt.Sprintf("tenants.%d.quotaPerS", i), math.Inf(1))
-		channels = append(channels, &Tenant{Quota: quota, Taken: Ring{Width: 500 * time.Millisecond}})
+func (s Facts) Channels() []*Tenant {
+	var tenants []*Tenant
+	for i := range int(s.Num("tenants", 0)) {
+		quota := s.Num(fmt.Sprintf("tenants.%d.quotaPerS", i), math.Inf(1))
+		tenants = append(tenants, &Tenant{Quota: quota, Taken: Ring{Width: 500 * time.Millisecond}})
 	}
-	return channels
+	return tenants
 }
 
 // RoleOf returns the role of a kind of backend.
-func (f Facts) RoleOf(kind int) Role {
-	return map[string]Role{"read": Reads, "write": Writes, "both": Both}[f.Text(fmt.Sprintf("familyInfo.kindRole.%d", kind))]
+func (s Facts) RoleOf(kind int) Role {
+	return map[string]Role{"read": Reads, "write": Writes, "both": Both}[s.Text(fmt.Sprintf("familyInfo.kindRole.%d", kind))]
 }
 
 // KVCapacityOf returns the KV cache size of a kind of backend in tokens; unlimited if it is not stated.
-func (f Facts) MemoryOf(kind int) float64 {
-	return f.Num(fmt.Sprintf("familyInfo.tokensByKind.%d", kind), math.Inf(1))
+func (s Facts) MemoryOf(kind int) float64 {
+	return s.Num(fmt.Sprintf("familyInfo.tokensByKind.%d", kind), math.Inf(1))
 }
 
 // reportFields returns the names of a load report's values in order.
-func (f Facts) reportFields() []string {
+func (s Facts) reportFields() []string {
 	var fields []string
 	for i := 0; ; i++ {
-		name := f.Text(fmt.Sprintf("report.fields.%d", i))
-		if name == "" && i >= int(f.Num("report.fields", 0)) {
+		name := s.Text(fmt.Sprintf("report.fields.%d", i))
+		if name == "" && i >= int(s.Num("report.fields", 0)) {
 			return fields
 		}
 		fields = append(fields, name)
--- a/brain/facts_test.go
+++ b/brain/facts_test.go
@@ -9,14 +9,14 @@
 
 // settingsWith returns the settings of a small deployment with one change; nil removes the setting.
 func stated(name string, value any) Facts {
-	f := Facts{"siblings": 3.0, "familyInfo.kindRole": 1.0, "familyInfo.kindRole.0": "both", "policyLimits.maxAttempts": 3.0,
+	settings := Facts{"siblings": 3.0, "familyInfo.kindRole": 1.0, "familyInfo.kindRole.0": "both", "policyLimits.maxAttempts": 3.0,
 		"rules.tipMultiple": 2.5, "rules.tipAfterUs": 2e6, "rules.coldFrom": 0.4, "rules.rampTimeUs": 9e6,
 		"requestClasses": 1.0, "requestClasses.0.effect": "by_key", "requestClasses.0.aimUs": 1e6, "requestClasses.0.giveUpUs": 4e6,
 		"requestClasses.0.windowUs": 1e6, "requestClasses.0.worth": 1.0}
-	if f[name] = value; value == nil {
-		delete(f, name)
+	if settings[name] = value; value == nil {
+		delete(settings, name)
 	}
-	return f
+	return settings
 }
 
 // Without the slow-start rule no backend is in slow start, not even one that has just started, and nothing is
@@ -24,14 +24,14 @@
 func TestWithoutTheRuleOnColdHostsNoneIsCold(t *testing.T) {
 	for _, name := range []string{"rules.tipMultiple", "rules.tipAfterUs", "rules.rampTimeUs"} {
 		for _, value := range []any{nil, 0.0} {
-			out := &door{now: time.Second}
-			d, err := New(stated(name, value), 1, out)
+			runtime := &door{now: time.Second}
+			d, err := New(stated(name, value), 1, runtime)
 			if err != nil {
 				t.Fatal(err)
 			}
 			d.Listed([]Listing{{Host: &Backend{ID: 1}, Standing: Ready, Units: 1, Restart: true, Booted: time.Second}}, true)
 			d.Submit(&Request{ID: 1, Prompt: 100, Most: 10, Left: 4 * time.Second}, 0, 0)
-			if len(out.sent) != 1 {
+			if len(runtime.sent) != 1 {
 				t.Errorf("%s = %v: a host that has just started gets nothing", name, value)
 			}
 		}
@@ -41,7 +41,7 @@
 // Settings that may be left out or stated as 0 don't keep a dispatcher from starting; invalid ones do, with an
 // error of one line that names the setting.
 func TestSettingsThatACustomerMayHave(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		name  string
 		value any
 		fails bool
@@ -63,56 +63,56 @@
 		{"requestClasses.0.worth", nil, false}, {"requestClasses.0.worth", 0.0, false}, {"requestClasses.0.worth", -1.0, true},
 		{"requestClasses.0.lateWorth", 0.0, false}, {"tenants", 0.0, false}, {"dcs", nil, false},
 	} {
-		d, err := New(stated(c.name, c.value), 1, &door{})
-		if (err != nil) != c.fails {
-			t.Errorf("%s = %v: %v", c.name, c.value, err)
+		d, err := New(stated(tc.name, tc.value), 1, &door{})
+		if (err != nil) != tc.fails {
+			t.Errorf("%s = %v: %v", tc.name, tc.value, err)
 			continue
 		}
 		if err != nil {
-			if !strings.Contains(err.Error(), c.name) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s = %v: the error does not say the key in one line: %v", c.name, c.value, err)
+			if !strings.Contains(err.Error(), tc.name) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%s = %v: the error does not say the key in one line: %v", tc.name, tc.value, err)
 			}
 			continue
 		}
-		h := &Backend{ID: 1}
-		d.Listed([]Listing{{Host: h, Standing: Ready, Units: 1, Restart: true}}, true)
-		q := &Request{ID: 1, Prompt: 100, Most: 10, Left: 4e9}
-		d.Submit(q, 0, 0)
-		if math.IsNaN(d.window) || math.IsNaN(h.Room) {
-			t.Errorf("%s = %v: window %g, room %g", c.name, c.value, d.window, h.Room)
+		backend := &Backend{ID: 1}
+		d.Listed([]Listing{{Host: backend, Standing: Ready, Units: 1, Restart: true}}, true)
+		req := &Request{ID: 1, Prompt: 100, Most: 10, Left: 4e9}
+		d.Submit(req, 0, 0)
+		if math.IsNaN(d.window) || math.IsNaN(backend.Room) {
+			t.Errorf("%s = %v: window %g, room %g", tc.name, tc.value, d.window, backend.Room)
 		}
 	}
 }
 
 // A repeat whose connection is made after the deduplication window has closed is not sent; before that it is.
 func TestARepeatWhoseWindowClosedIsNotSent(t *testing.T) {
-	out := &door{now: time.Second}
-	d, err := New(stated("siblings", 1.0), 1, out)
+	runtime := &door{now: time.Second}
+	d, err := New(stated("siblings", 1.0), 1, runtime)
 	if err != nil {
 		t.Fatal(err)
 	}
-	hosts := []Listing{{Host: &Backend{ID: 1}, Standing: Ready, Units: 1}, {Host: &Backend{ID: 2}, Standing: Ready, Units: 1}}
-	d.Listed(hosts, true)
-	q := &Request{ID: 1, Prompt: 100, Most: 10, Left: 4 * time.Second}
-	d.Submit(q, 0, 0)
-	d.Ended(out.sent[0], Result{Outcome: Broken})
-	if len(out.sent) != 2 {
-		t.Fatalf("%d trips", len(out.sent))
+	endpoints := []Listing{{Host: &Backend{ID: 1}, Standing: Ready, Units: 1}, {Host: &Backend{ID: 2}, Standing: Ready, Units: 1}}
+	d.Listed(endpoints, true)
+	req := &Request{ID: 1, Prompt: 100, Most: 10, Left: 4 * time.Second}
+	d.Submit(req, 0, 0)
+	d.Ended(runtime.sent[0], Result{Outcome: Broken})
+	if len(runtime.sent) != 2 {
+		t.Fatalf("%d trips", len(runtime.sent))
 	}
-	repeat := out.sent[1]
+	repeat := runtime.sent[1]
 	if d.MaySend(repeat) != Allowed {
 		t.Error("a repeat within the window does not stand")
 	}
-	out.now = out.sent[0].Sent + q.Class.Window
+	runtime.now = runtime.sent[0].Sent + req.Class.Window
 	if d.MaySend(repeat) == Allowed {
 		t.Error("a repeat stands after the window")
 	}
-	out.now = out.sent[0].Sent + q.Class.Window/2
+	runtime.now = runtime.sent[0].Sent + req.Class.Window/2
 	repeat.Backend.Standing = Draining
 	if d.MaySend(repeat) == Allowed {
 		t.Error("a trip to a host that drains stands")
 	}
-	repeat.Backend.Standing, q.Over = Ready, true
+	repeat.Backend.Standing, req.Over = Ready, true
 	if d.MaySend(repeat) == Allowed {
 		t.Error("a trip stands after its question is over")
 	}
--- a/brain/help_test.go
+++ b/brain/help_test.go
@@ -19,20 +19,20 @@
 	told                     []int
 }
 
-func (d *door) Now() time.Duration { return d.now }
-func (d *door) Send(t *Attempt, wait time.Duration) {
-	d.sent, d.waits = append(d.sent, t), append(d.waits, wait)
+func (f *door) Now() time.Duration { return f.now }
+func (f *door) Send(attempt *Attempt, wait time.Duration) {
+	f.sent, f.waits = append(f.sent, attempt), append(f.waits, wait)
 }
-func (d *door) Cancel(t *Attempt)                  { d.cancelled = append(d.cancelled, t) }
-func (d *door) Release(q *Request)                 { d.released = append(d.released, q) }
-func (d *door) Reject(q *Request, _ time.Duration) { d.declined = append(d.declined, q) }
-func (d *door) Fail(q *Request)                    { d.lost = append(d.lost, q) }
-func (d *door) Wake(after time.Duration, do func()) {
-	d.wakes, d.delays = append(d.wakes, do), append(d.delays, after)
+func (f *door) Cancel(attempt *Attempt)                  { f.cancelled = append(f.cancelled, attempt) }
+func (f *door) Release(req *Request)                 { f.released = append(f.released, req) }
+func (f *door) Reject(req *Request, _ time.Duration) { f.declined = append(f.declined, req) }
+func (f *door) Fail(req *Request)                    { f.lost = append(f.lost, req) }
+func (f *door) Wake(after time.Duration, do func()) {
+	f.wakes, f.delays = append(f.wakes, do), append(f.delays, after)
 }
-func (d *door) Watch(bool)                  {}
-func (d *door) Tell(peer int, _ PeerUpdate) { d.told = append(d.told, peer) }
-func (d *door) Note(string)                 {}
+func (f *door) Watch(bool)                  {}
+func (f *door) Tell(peer int, _ PeerUpdate) { f.told = append(f.told, peer) }
+func (f *door) Note(string)                 {}
 
 func facts() Facts {
 	return Facts{
@@ -48,28 +48,28 @@
 // newDispatcherOf returns one of several dispatchers, at 100 s, with six backends in its own order.
 func fleetOf(t *testing.T, dispatchers float64) (*Dispatcher, *door) {
 	t.Helper()
-	f := facts()
-	f["siblings"] = dispatchers
-	out := &door{now: 100 * time.Second}
-	d, err := New(f, 1, out)
+	settings := facts()
+	settings["siblings"] = dispatchers
+	runtime := &door{now: 100 * time.Second}
+	d, err := New(settings, 1, runtime)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var lines []Listing
+	var endpoints []Listing
 	for i := range 6 {
-		lines = append(lines, Listing{Host: &Backend{ID: uint32(i + 1), Kind: i / 2, Rack: i % 2}, Standing: Ready, Units: 4})
+		endpoints = append(endpoints, Listing{Host: &Backend{ID: uint32(i + 1), Kind: i / 2, Rack: i % 2}, Standing: Ready, Units: 4})
 	}
-	d.Listed(lines, true)
-	return d, out
+	d.Listed(endpoints, true)
+	return d, runtime
 }
 
 // newDispatcher returns a dispatcher at 100 s with two backends of each role (prefill backends 1 and 2, decode
 // backends 3 and 4, mixed backends 5 and 6) in the order of their ids.
 func begin(t *testing.T) (*Dispatcher, *door) {
 	t.Helper()
-	d, out := fleetOf(t, 1)
+	d, runtime := fleetOf(t, 1)
 	slices.SortFunc(d.backends, func(a, b *Backend) int { return cmp.Compare(a.ID, b.ID) })
-	return d, out
+	return d, runtime
 }
 
 // newRequest returns a request of 2,000 prompt tokens that is received now.
@@ -80,8 +80,8 @@
 }
 
 // addAttempt gives the request an attempt that has ended.
-func went(q *Request, h *Backend, o Outcome, sent time.Duration) *Attempt {
-	t := &Attempt{Request: q, Backend: h, Number: len(q.Attempts), Sent: sent, Ended: true, Outcome: o, Next: func(Result) {}}
-	q.Attempts = append(q.Attempts, t)
-	return t
+func went(req *Request, backend *Backend, outcome Outcome, sent time.Duration) *Attempt {
+	attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), Sent: sent, Ended: true, Outcome: outcome, Next: func(Result) {}}
+	req.Attempts = append(req.Attempts, attempt)
+	return attempt
 }
--- a/brain/parameters.go
+++ b/brain/parameters.go
@@ -31,28 +31,28 @@
 }
 
 // parametersOf reads the parameters from settings that have their defaults.
-func parametersOf(f Facts) parameters {
+func parametersOf(settings Facts) parameters {
 	return parameters{
-		dispatchers:  f.Num("siblings", 1),
-		number:       f.Num("slotNo", 0),
-		zone:         int(f.Num("zone", 0)),
-		maxAttempts:  int(f.Num("policyLimits.maxAttempts", 1)),
-		cancelling:   f.Yes("policyLimits.cancelling"),
-		retryAfter:   f.Yes("policyLimits.retryAfter"),
-		retryMost:    f.Span("policyLimits.maxRetryAfterUs"),
-		readsInPlace: f.Yes("familyInfo.localRead"),
-		holdLimit:    f.Span("familyInfo.pinLimitUs"),
-
-		slowStartMultiple: f.Num("rules.tipMultiple", 1),
-		slowStartShare:    f.Num("rules.coldFrom", 0),
-		slowStartWindow:   f.Span("rules.tipAfterUs"),
-		slowStartTime:     f.Span("rules.rampTimeUs"),
-
-		crossZonePrice: f.Num("prices.crossZone", 0),
-		peerPrice:      f.Num("prices.peer", 0),
-		surplusValue:   f.Num("overShareWorth", 1),
-		valueByWork:    f.Text("valueBy") == "work",
-		reportFields:   f.reportFields(),
+		dispatchers:  settings.Num("siblings", 1),
+		number:       settings.Num("slotNo", 0),
+		zone:         int(settings.Num("zone", 0)),
+		maxAttempts:  int(settings.Num("policyLimits.maxAttempts", 1)),
+		cancelling:   settings.Yes("policyLimits.cancelling"),
+		retryAfter:   settings.Yes("policyLimits.retryAfter"),
+		retryMost:    settings.Span("policyLimits.maxRetryAfterUs"),
+		readsInPlace: settings.Yes("familyInfo.localRead"),
+		holdLimit:    settings.Span("familyInfo.pinLimitUs"),
+
+		slowStartMultiple: settings.Num("rules.tipMultiple", 1),
+		slowStartShare:    settings.Num("rules.coldFrom", 0),
+		slowStartWindow:   settings.Span("rules.tipAfterUs"),
+		slowStartTime:     settings.Span("rules.rampTimeUs"),
+
+		crossZonePrice: settings.Num("prices.crossZone", 0),
+		peerPrice:      settings.Num("prices.peer", 0),
+		surplusValue:   settings.Num("overShareWorth", 1),
+		valueByWork:    settings.Text("valueBy") == "work",
+		reportFields:   settings.reportFields(),
 	}
 }
 
--- a/brain/placement.go
+++ b/brain/placement.go
@@ -10,24 +10,24 @@
 // eligible returns the backends of the wanted roles that the rules allow: the trusted ones, or all if none is
 // trusted. Among suspected ones (more likely to fail than not) only one is drawn for at a time: failing
 // backends look idle, and with a draw for each, one of many would be picked for nearly every request.
-func (d *Dispatcher) able(q *Request, want func(*Backend) bool) []*Backend {
-	var all, trusted, doubtful []*Backend
-	for _, h := range d.candidates(q) {
-		if !want(h) || d.barred(q, h) {
+func (d *Dispatcher) able(req *Request, matches func(*Backend) bool) []*Backend {
+	var all, trusted, suspected []*Backend
+	for _, backend := range d.candidates(req) {
+		if !matches(backend) || d.barred(req, backend) {
 			continue
 		}
-		all = append(all, h)
-		if well, badly := d.chance(h, q); q.FailedAt(h) {
+		all = append(all, backend)
+		if successes, failures := d.chance(backend, req); req.FailedAt(backend) {
 			continue
-		} else if badly > well {
-			doubtful = append(doubtful, h)
-		} else if d.drawn(well, badly) {
-			trusted = append(trusted, h)
+		} else if failures > successes {
+			suspected = append(suspected, backend)
+		} else if d.drawn(successes, failures) {
+			trusted = append(trusted, backend)
 		}
 	}
-	if n := len(doubtful); n > 0 {
-		if h := doubtful[int(d.rng.Float()*float64(n))]; d.drawn(d.chance(h, q)) {
-			trusted = append(trusted, h)
+	if count := len(suspected); count > 0 {
+		if backend := suspected[int(d.rng.Float()*float64(count))]; d.drawn(d.chance(backend, req)) {
+			trusted = append(trusted, backend)
 		}
 	}
 	if len(trusted) == 0 {
@@ -39,73 +39,73 @@
 // loadScore is how loaded a backend looks for one more request that has tokens to prefill there: own streams
 // and prefill, a mean prompt counting as half a stream, scaled by the last load report. With many dispatchers
 // the own load is nearly always zero; then load sent recently and the dispatcher's random bias decide.
-func (d *Dispatcher) press(h *Backend, left float64) float64 {
-	n := float64(h.Streams) + 1 + h.Lean + (h.Unread+left)/2/max(d.average, 300) +
-		lasting*h.Given.Sum(d.runtime.Now())/(1+d.streams/max(d.answering, 1))
-	return n / (h.Size * d.warmth(h)) * (1 + h.Util + h.Queue/5) * h.Far
+func (d *Dispatcher) press(backend *Backend, prefillTokens float64) float64 {
+	load := float64(backend.Streams) + 1 + backend.Lean + (backend.Unread+prefillTokens)/2/max(d.average, 300) +
+		lasting*backend.Given.Sum(d.runtime.Now())/(1+d.streams/max(d.answering, 1))
+	return load / (backend.Size * d.warmth(backend)) * (1 + backend.Util + backend.Queue/5) * backend.Far
 }
 
 // nextLoadScore is the load score for a request with nothing to prefill.
-func (d *Dispatcher) next(h *Backend) float64 { return d.press(h, 0) }
+func (d *Dispatcher) next(backend *Backend) float64 { return d.press(backend, 0) }
 
 // route sends a request to its first backend: in place at a decode backend, whole at a mixed one, or to
 // prefill. It reports false without free capacity.
-func (d *Dispatcher) route(q *Request) bool {
-	answering := d.able(q, (*Backend).Answers)
-	roomy := Only(answering, func(h *Backend) bool { return hasRoom(h, q) })
-	if len(roomy) == 0 && len(answering) > 0 || d.freeMemory(q) < q.Memory {
+func (d *Dispatcher) route(req *Request) bool {
+	decodeBackends := d.able(req, (*Backend).Answers)
+	withCapacity := Only(decodeBackends, func(b *Backend) bool { return hasRoom(b, req) })
+	if len(withCapacity) == 0 && len(decodeBackends) > 0 || d.freeMemory(req) < req.Memory {
 		return false
 	}
-	if h := d.inPlace(q, roomy); h != nil {
-		return d.send(q, h, Whole, d.onward(q))
+	if backend := d.inPlace(req, withCapacity); backend != nil {
+		return d.send(req, backend, Whole, d.onward(req))
 	}
-	reader := d.pickPrefill(q, answering)
-	if h := d.pickMixed(q, roomy, reader); h != nil {
-		return d.send(q, h, Whole, d.onward(q))
+	prefillBackend := d.pickPrefill(req, decodeBackends)
+	if backend := d.pickMixed(req, withCapacity, prefillBackend); backend != nil {
+		return d.send(req, backend, Whole, d.onward(req))
 	}
-	return d.send(q, reader, ToRead, d.onward(q))
+	return d.send(req, prefillBackend, ToRead, d.onward(req))
 }
 
 // hasCapacity reports whether the request fits the backend's token limit. An idle backend always has capacity.
-func hasRoom(h *Backend, q *Request) bool {
-	return h.Streams == 0 || h.Tokens+q.Memory <= h.Room
+func hasRoom(backend *Backend, req *Request) bool {
+	return backend.Streams == 0 || backend.Tokens+req.Memory <= backend.Room
 }
 
 // pickInPlaceDecode picks a decode backend that should prefill a short prompt itself, by cached prefix and
 // load. The limit for a short prompt rises up to fourfold while a token takes longer at prefill backends than
 // at decode backends.
-func (d *Dispatcher) inPlace(q *Request, roomy []*Backend) *Backend {
+func (d *Dispatcher) inPlace(req *Request, withCapacity []*Backend) *Backend {
 	if !d.parameters.readsInPlace {
 		return nil
 	}
-	tilt := min(max(d.typical[Reads].Or(0)/max(d.typical[Writes].Or(0), 1e-6), 1), 4)
-	short := Only(roomy, func(h *Backend) bool {
-		return h.Role == Writes && d.unkept(h, q) < cutShare*tilt*d.average
+	limitFactor := min(max(d.typical[Reads].Or(0)/max(d.typical[Writes].Or(0), 1e-6), 1), 4)
+	eligible := Only(withCapacity, func(backend *Backend) bool {
+		return backend.Role == Writes && d.unkept(backend, req) < cutShare*limitFactor*d.average
 	})
-	return Least(short, func(h *Backend) float64 { return d.next(h) / (1 + d.keeps(h, q)) })
+	return Least(eligible, func(b *Backend) float64 { return d.next(b) / (1 + d.keeps(b, req)) })
 }
 
 // pickMixed picks a mixed backend that should serve the request whole, or nil. It is picked if its load score
 // is below that of the best decode backend and the prefill backend together. The score counts twice because
 // prefill also delays the answers streamed there, and more if whole attempts have lately been slower than
 // prefill and decode apart.
-func (d *Dispatcher) pickMixed(q *Request, roomy []*Backend, reader *Backend) *Backend {
-	whole := func(h *Backend) float64 { return d.press(h, d.unkept(h, q)) }
-	m := Least(d.homes(q, Both, Only(roomy, (*Backend).Mixed)), whole)
-	w := Least(Only(roomy, func(h *Backend) bool { return h.Role == Writes }), d.next)
-	if d.average == 0 && reader != nil || m == nil {
+func (d *Dispatcher) pickMixed(req *Request, withCapacity []*Backend, prefillBackend *Backend) *Backend {
+	wholeScore := func(b *Backend) float64 { return d.press(b, d.unkept(b, req)) }
+	mixed := Least(d.homes(req, Both, Only(withCapacity, (*Backend).Mixed)), wholeScore)
+	decodeBackend := Least(Only(withCapacity, func(b *Backend) bool { return b.Role == Writes }), d.next)
+	if d.average == 0 && prefillBackend != nil || mixed == nil {
 		return nil
 	}
-	if w == nil || reader == nil {
-		return m
+	if decodeBackend == nil || prefillBackend == nil {
+		return mixed
 	}
-	unkept := d.unkept(reader, q)
-	apart := (unkept+300)*d.typical[Reads].Or(0) + 300*d.typical[Writes].Or(0)
-	slower := min(max((unkept+300)*d.typical[Both].Or(0)/max(apart, 1e-6), 1), 4)
-	if 2*slower*whole(m) > d.next(w)+d.press(reader, unkept) {
+	uncached := d.unkept(prefillBackend, req)
+	separateTime := (uncached+300)*d.typical[Reads].Or(0) + 300*d.typical[Writes].Or(0)
+	slowdown := min(max((uncached+300)*d.typical[Both].Or(0)/max(separateTime, 1e-6), 1), 4)
+	if 2*slowdown*wholeScore(mixed) > d.next(decodeBackend)+d.press(prefillBackend, uncached) {
 		return nil
 	}
-	return m
+	return mixed
 }
 
 // affinityCandidates returns the eligible backends to which the request's prefix hashes. All dispatchers agree
@@ -115,93 +115,93 @@
 // bounded loads. If one is suspected the other serves; others prefill the prefix anew only if all are
 // suspected. Backends in slow start that may be sent work are always included: few prefixes hash to the few
 // backends whose turn it is.
-func (d *Dispatcher) homes(q *Request, role Role, able []*Backend) []*Backend {
-	key := cmp.Or(q.Shared, q.Session)
-	all := d.homesInOrder(q, role)
-	n := d.homesWanted(key, role, all)
-	all = d.withMoreHomes(all, key, role, n, able)
-	most := bound * Average(able, d.next)
-	fits := func(h *Backend) bool { return slices.Contains(able, h) && d.next(h) < most }
-	for n < len(all) && !slices.ContainsFunc(all[:n], fits) {
-		n++
-	}
-	homes := Only(all[:min(n, len(all))], func(h *Backend) bool { return slices.Contains(able, h) })
-	if len(homes) == 0 {
-		Order(able, key)
-		homes = slices.Clone(able[:min(n, len(able))])
-	}
-	return append(homes, Only(able, func(h *Backend) bool { return d.started(h) && !slices.Contains(homes, h) })...)
+func (d *Dispatcher) homes(req *Request, role Role, eligible []*Backend) []*Backend {
+	key := cmp.Or(req.Shared, req.Session)
+	ordered := d.homesInOrder(req, role)
+	count := d.homesWanted(key, role, ordered)
+	ordered = d.withMoreHomes(ordered, key, role, count, eligible)
+	maxLoad := bound * Average(eligible, d.next)
+	usable := func(b *Backend) bool { return slices.Contains(eligible, b) && d.next(b) < maxLoad }
+	for count < len(ordered) && !slices.ContainsFunc(ordered[:count], usable) {
+		count++
+	}
+	candidates := Only(ordered[:min(count, len(ordered))], func(b *Backend) bool { return slices.Contains(eligible, b) })
+	if len(candidates) == 0 {
+		Order(eligible, key)
+		candidates = slices.Clone(eligible[:min(count, len(eligible))])
+	}
+	return append(candidates, Only(eligible, func(b *Backend) bool { return d.started(b) && !slices.Contains(candidates, b) })...)
 }
 
 // pickPrefill picks the prefill backend with the lowest load in uncached tokens from the prefix's affinity
 // candidates. As the KV cache should stay in its rack, the score is multiplied by that of the least loaded
 // decode backend in the rack.
-func (d *Dispatcher) pickPrefill(q *Request, answering []*Backend) *Backend {
-	freest := freestByRack(answering, d.next)
-	return Least(d.homes(q, Reads, d.able(q, (*Backend).ReadsOnly)), func(h *Backend) float64 {
-		near, known := freest[h.Rack]
-		if !known {
-			near = d.next(h) // no decode backend in the rack
+func (d *Dispatcher) pickPrefill(req *Request, decodeBackends []*Backend) *Backend {
+	minScore := freestByRack(decodeBackends, d.next)
+	return Least(d.homes(req, Reads, d.able(req, (*Backend).ReadsOnly)), func(backend *Backend) float64 {
+		rackScore, found := minScore[backend.Rack]
+		if !found {
+			rackScore = d.next(backend) // no decode backend in the rack
 		}
-		return d.press(h, d.unkept(h, q)) * near
+		return d.press(backend, d.unkept(backend, req)) * rackScore
 	})
 }
 
 // pickDecode sends a request whose prefill has ended to the decode backend with the lowest load, preferring
 // the rack that holds its KV cache. It reports false if the KV cache may not wait or no backend can be used.
-func (d *Dispatcher) pickDecode(q *Request) bool {
-	if d.mayHold(q) != Allowed {
+func (d *Dispatcher) pickDecode(req *Request) bool {
+	if d.mayHold(req) != Allowed {
 		return false
 	}
-	h := Least(d.able(q, (*Backend).Answers), func(h *Backend) float64 {
-		if q.State != nil && h.Rack != q.State.Rack {
-			return d.next(h) * crossing
+	backend := Least(d.able(req, (*Backend).Answers), func(backend *Backend) float64 {
+		if req.State != nil && backend.Rack != req.State.Rack {
+			return d.next(backend) * crossing
 		}
-		return d.next(h)
+		return d.next(backend)
 	})
-	return d.send(q, h, ToWrite, d.onward(q))
+	return d.send(req, backend, ToWrite, d.onward(req))
 }
 
 // afterAttempt returns what to do with an attempt's result: a KV cache that waits goes to a decode backend,
 // anything else starts over.
-func (d *Dispatcher) onward(q *Request) func(Result) {
-	return func(r Result) {
-		if q.State != nil && d.pickDecode(q) {
+func (d *Dispatcher) onward(req *Request) func(Result) {
+	return func(result Result) {
+		if req.State != nil && d.pickDecode(req) {
 			return
 		}
-		d.again(q)
+		d.again(req)
 	}
 }
 
 // anyAllowed reports whether the rules allow the request at any decode backend.
-func (d *Dispatcher) takable(q *Request) bool {
-	return slices.ContainsFunc(d.backends, func(h *Backend) bool { return h.Answers() && !d.barred(q, h) })
+func (d *Dispatcher) takable(req *Request) bool {
+	return slices.ContainsFunc(d.backends, func(b *Backend) bool { return b.Answers() && !d.barred(req, b) })
 }
 
 // restart starts a request over if a backend may still take it, else gives it up at once.
-func (d *Dispatcher) again(q *Request) {
-	d.settle(q)
-	d.letGo(q)
-	if !d.takable(q) {
-		d.giveUp(q)
+func (d *Dispatcher) again(req *Request) {
+	d.settle(req)
+	d.letGo(req)
+	if !d.takable(req) {
+		d.giveUp(req)
 		return
 	}
-	d.enqueue(q)
+	d.enqueue(req)
 }
 
 // cachedTokens estimates how much of the prompt the backend has cached. Tokens inserted since the prefix was
 // used, over all dispatchers, evict it in the end; the estimate is scaled by how well past ones were met.
-func (d *Dispatcher) keeps(h *Backend, q *Request) float64 {
-	kept := 0.0
-	for _, key := range []uint64{q.Session, q.Shared} {
-		k, ok := h.Kept[key]
-		since := (h.Taken - k.Taken) * d.parameters.dispatchers
-		if ok && key != 0 && d.runtime.Now()-k.At < keptFor && since < h.Memory-h.Tokens {
-			kept = max(kept, k.Tokens)
+func (d *Dispatcher) keeps(backend *Backend, req *Request) float64 {
+	cached := 0.0
+	for _, key := range []uint64{req.Session, req.Shared} {
+		prefix, ok := backend.Kept[key]
+		inserted := (backend.Taken - prefix.Taken) * d.parameters.dispatchers
+		if ok && key != 0 && d.runtime.Now()-prefix.At < keptFor && inserted < backend.Memory-backend.Tokens {
+			cached = max(cached, prefix.Tokens)
 		}
 	}
-	return min(kept, q.Prompt) * h.Hits.Or(1)
+	return min(cached, req.Prompt) * backend.Hits.Or(1)
 }
 
 // uncachedTokens is how much of the prompt the backend would have to prefill.
-func (d *Dispatcher) unkept(h *Backend, q *Request) float64 { return q.Prompt - d.keeps(h, q) }
+func (d *Dispatcher) unkept(backend *Backend, req *Request) float64 { return req.Prompt - d.keeps(backend, req) }
--- a/brain/policy.go
+++ b/brain/policy.go
@@ -29,83 +29,83 @@
 )
 
 // String returns the name in logs and counters.
-func (v Permission) String() string {
+func (p Permission) String() string {
 	names := [...]string{
 		"allowed", "attempt ended", "request over", "no further attempt", "other attempt out", "deadline passed", "backend not ready", "attempts spent",
 		"may have run", "repeat window closed", "other group", "slow start spent", "state due",
 	}
-	if v < 0 || int(v) >= len(names) {
-		return fmt.Sprintf("permission %d", int(v))
+	if p < 0 || int(p) >= len(names) {
+		return fmt.Sprintf("permission %d", int(p))
 	}
-	return names[v]
+	return names[p]
 }
 
 // repeatMargin is how long before the end of the deduplication window a repeat is sent at the latest.
 const repeatSlack = 10 * time.Millisecond
 
 // mayChoose returns whether a further attempt of the request may be made at the backend.
-func (d *Dispatcher) mayChoose(q *Request, h *Backend) Permission {
+func (d *Dispatcher) mayChoose(req *Request, backend *Backend) Permission {
 	switch {
-	case q.Over:
+	case req.Over:
 		return RequestOver
-	case q.Last:
+	case req.Last:
 		return NoFurtherAttempt
-	case q.Out() != nil:
+	case req.Out() != nil:
 		return OtherAttemptOut
-	case len(q.Attempts) >= d.parameters.maxAttempts:
+	case len(req.Attempts) >= d.parameters.maxAttempts:
 		return AttemptsSpent
 	}
-	if v := d.mayReach(q, h, len(q.Attempts)); v != Allowed {
-		return v
+	if permission := d.mayReach(req, backend, len(req.Attempts)); permission != Allowed {
+		return permission
 	}
-	work := d.weight(q, h, Whole)
-	return d.mayUseSlowStart(h, work, h.Sent.Sum(d.runtime.Now())+work)
+	work := d.weight(req, backend, Whole)
+	return d.mayUseSlowStart(backend, work, backend.Sent.Sum(d.runtime.Now())+work)
 }
 
 // disallowed reports whether no attempt of the request may be made at the backend.
-func (d *Dispatcher) barred(q *Request, h *Backend) bool { return d.mayChoose(q, h) != Allowed }
+func (d *Dispatcher) barred(req *Request, backend *Backend) bool { return d.mayChoose(req, backend) != Allowed }
 
 // MaySend returns, right before an attempt's first byte, whether it may still be sent. While it connected, its
 // client may have disconnected, its backend may have drained or restarted, and the deduplication window may
 // have closed (rules 1 to 4).
-func (d *Dispatcher) MaySend(t *Attempt) Permission {
-	q, h := t.Request, t.Backend
+func (d *Dispatcher) MaySend(attempt *Attempt) Permission {
+	req, backend := attempt.Request, attempt.Backend
 	switch {
-	case t.Ended:
+	case attempt.Ended:
 		return AttemptEnded
-	case q.Over:
+	case req.Over:
 		return RequestOver
-	case t.Stage == ToWrite && (q.State == nil || q.Released):
+	case attempt.Stage == ToWrite && (req.State == nil || req.Released):
 		return StateDue
 	}
-	if v := d.mayReach(q, h, t.Number); v != Allowed || t.SlowStart {
-		return v
+	if permission := d.mayReach(req, backend, attempt.Number); permission != Allowed || attempt.SlowStart {
+		return permission
 	}
-	return d.mayUseSlowStart(h, d.weight(q, h, Whole), h.Sent.Sum(d.runtime.Now()))
+	return d.mayUseSlowStart(backend, d.weight(req, backend, Whole), backend.Sent.Sum(d.runtime.Now()))
 }
 
 // mayContact returns whether the attempt with the given number may reach the backend now.
-func (d *Dispatcher) mayReach(q *Request, h *Backend, number int) Permission {
+func (d *Dispatcher) mayReach(req *Request, backend *Backend, number int) Permission {
 	switch {
-	case d.runtime.Now() >= q.Deadline:
+	case d.runtime.Now() >= req.Deadline:
 		return DeadlinePassed
-	case h.Standing != Ready:
+	case backend.Standing != Ready:
 		return BackendNotReady
 	}
-	return d.mayRepeat(q, h, number)
+	return d.mayRepeat(req, backend, number)
 }
 
 // mayRepeat returns whether the attempt with the given number does no harm by running a second time (rule 2).
-func (d *Dispatcher) mayRepeat(q *Request, h *Backend, number int) Permission {
-	t, g := q.MayHaveRunBefore(number), q.Class
+func (d *Dispatcher) mayRepeat(req *Request, backend *Backend, number int) Permission {
+	earlier, class := req.MayHaveRunBefore(number), req.Class
 	switch {
-	case t == nil || h.Role == Reads || g.Effect == Idempotent:
+	case earlier == nil || backend.Role == Reads || class.Effect == Idempotent:
 		return Allowed
-	case g.Effect == Unrepeatable:
+	case class.Effect == Unrepeatable:
 		return MayHaveRun
-	case d.runtime.Now() >= t.Sent+g.Window-repeatSlack:
+	case d.runtime.Now() >= earlier.Sent+class.Window-repeatSlack:
 		return RepeatWindowClosed
-	case !g.Reach.Joins(h, t.Backend):
+	case !class.Reach.Joins(backend, earlier.Backend):
 		return OtherGroup
 	}
 	return Allowed
@@ -113,10 +113,10 @@
 
 // MayReject returns whether a request may be answered with a rejection, which tells the client that a retry is
 // harmless (rule 2).
-func MayReject(q *Request) Permission {
-	g := q.Class
-	anywhere := g.Effect == Idempotent || g.Effect == Deduplicated && g.Reach == Everywhere
-	if !anywhere && q.MayHaveRun() != nil {
+func MayReject(req *Request) Permission {
+	class := req.Class
+	anywhere := class.Effect == Idempotent || class.Effect == Deduplicated && class.Reach == Everywhere
+	if !anywhere && req.MayHaveRun() != nil {
 		return MayHaveRun
 	}
 	return Allowed
--- a/brain/release.go
+++ b/brain/release.go
@@ -19,9 +19,9 @@
 )
 
 // mayHoldKV returns whether a KV cache may go on waiting for a backend to be chosen.
-func (d *Dispatcher) mayHold(q *Request) Permission {
+func (d *Dispatcher) mayHold(req *Request) Permission {
 	limit := d.parameters.holdLimit
-	if q.Released || limit > 0 && d.runtime.Now()-q.Waits > part(limit, holdForChoice) {
+	if req.Released || limit > 0 && d.runtime.Now()-req.Waits > part(limit, holdForChoice) {
 		return StateDue
 	}
 	return Allowed
@@ -39,36 +39,36 @@
 
 // scheduleRelease schedules the release of an attempt's KV cache for when it is due, unless the attempt has
 // its first token by then.
-func (d *Dispatcher) releaseWhenDue(t *Attempt) {
+func (d *Dispatcher) releaseWhenDue(attempt *Attempt) {
 	limit := d.parameters.holdLimit
-	if t.Stage != ToWrite || limit <= 0 {
+	if attempt.Stage != ToWrite || limit <= 0 {
 		return
 	}
-	q := t.Request
-	d.runtime.Wake(q.Waits+limit-d.runtime.Now(), func() {
-		if t.Ended || t.Began > 0 || q.State == nil || q.Released {
+	req := attempt.Request
+	d.runtime.Wake(req.Waits+limit-d.runtime.Now(), func() {
+		if attempt.Ended || attempt.Began > 0 || req.State == nil || req.Released {
 			return
 		}
-		q.Released = true
-		d.runtime.Release(q)
+		req.Released = true
+		d.runtime.Release(req)
 	})
 }
 
 // releaseKV releases the KV cache that waits for the request. Every step that ends calls it. What was released
 // during an attempt is released again after it: the attempt may have arrived and left the KV cache in place.
-func (d *Dispatcher) letGo(q *Request) {
-	if q.State == nil || q.Out() != nil {
+func (d *Dispatcher) letGo(req *Request) {
+	if req.State == nil || req.Out() != nil {
 		return
 	}
-	q.State, q.Released, q.Lingers = nil, false, true
-	d.runtime.Release(q)
+	req.State, req.Released, req.Lingers = nil, false, true
+	d.runtime.Release(req)
 }
 
 // repeatRelease repeats an earlier release at the end of a further attempt: when the first one was received
 // that attempt may have been in flight, and a backend keeps the KV cache of a request that it is serving.
-func (d *Dispatcher) releaseAgain(q *Request) {
-	if q.Lingers && q.State == nil && q.Out() == nil {
-		d.runtime.Release(q)
+func (d *Dispatcher) releaseAgain(req *Request) {
+	if req.Lingers && req.State == nil && req.Out() == nil {
+		d.runtime.Release(req)
 	}
 }
 
--- a/brain/ring.go
+++ b/brain/ring.go
@@ -14,11 +14,11 @@
 
 // advance clears the buckets between the last one used and that of now.
 func (r *Ring) turn(now time.Duration) {
-	to := int64(now / r.Width)
-	if to-r.at >= buckets {
-		r.sums, r.at = [buckets]float64{}, to
+	bucket := int64(now / r.Width)
+	if bucket-r.at >= buckets {
+		r.sums, r.at = [buckets]float64{}, bucket
 	}
-	for r.at < to {
+	for r.at < bucket {
 		r.at++
 		r.sums[r.at%buckets] = 0
 	}
@@ -33,14 +33,14 @@
 // Sum returns the sum over the last ten buckets. It doesn't modify the receiver: most sums of a large fleet
 // are zero and are read often.
 func (r *Ring) Sum(now time.Duration) float64 {
-	to := int64(now / r.Width)
-	if to-r.at >= buckets {
+	current := int64(now / r.Width)
+	if current-r.at >= buckets {
 		return 0
 	}
 	sum := 0.0
-	for at := max(to, r.at) - buckets + 1; at <= r.at; at++ {
-		if at >= 0 {
-			sum += r.sums[at%buckets]
+	for bucket := max(current, r.at) - buckets + 1; bucket <= r.at; bucket++ {
+		if bucket >= 0 {
+			sum += r.sums[bucket%buckets]
 		}
 	}
 	return sum
@@ -58,15 +58,15 @@
 }
 
 // Add adds a sample with weight pace, or 1/n for the n-th sample if that is larger.
-func (m *Mean) Add(x, pace float64) {
+func (m *Mean) Add(sample, pace float64) {
 	m.n++
-	m.Value += (x - m.Value) * max(pace, 1/m.n)
+	m.Value += (sample - m.Value) * max(pace, 1/m.n)
 }
 
 // ValueOr returns the mean, or fallback without samples.
-func (m *Mean) Or(absent float64) float64 {
+func (m *Mean) Or(fallback float64) float64 {
 	if m.n == 0 {
-		return absent
+		return fallback
 	}
 	return m.Value
 }
--- a/brain/runtime.go
+++ b/brain/runtime.go
@@ -7,21 +7,21 @@
 	// Now returns the time since a fixed start.
 	Now() time.Duration
 	// Send sends an attempt, which times out after timeout without a first token.
-	Send(t *Attempt, wait time.Duration)
+	Send(attempt *Attempt, wait time.Duration)
 	// Cancel cancels an attempt in flight.
-	Cancel(t *Attempt)
+	Cancel(attempt *Attempt)
 	// Release tells the prefill backend to drop the request's KV cache.
-	Release(q *Request)
+	Release(req *Request)
 	// Reject answers that the client may retry, after retryAfter if that is not 0.
-	Reject(q *Request, after time.Duration)
+	Reject(req *Request, after time.Duration)
 	// Fail answers with a failure that must not be retried blindly.
-	Fail(q *Request)
+	Fail(req *Request)
 	// Schedule calls callback after a delay.
 	Wake(after time.Duration, do func())
 	// WatchEndpoints subscribes to service discovery, or unsubscribes.
 	Watch(on bool)
 	// SendPeerUpdate sends an update to the dispatcher with index peer.
-	Tell(peer int, n PeerUpdate)
+	Tell(peer int, update PeerUpdate)
 	// LogInfo logs a message.
 	Note(text string)
 }
--- a/brain/types.go
+++ b/brain/types.go
@@ -39,8 +39,8 @@
 )
 
 // Covers reports whether two backends belong to the same group.
-func (r Reach) Joins(a, b *Backend) bool {
-	return r == Everywhere || a.Zone == b.Zone && (r == SameZone || a.Rack == b.Rack)
+func (s Reach) Joins(a, b *Backend) bool {
+	return s == Everywhere || a.Zone == b.Zone && (s == SameZone || a.Rack == b.Rack)
 }
 
 // BackendState is the state of a backend according to service discovery.
@@ -92,9 +92,9 @@
 
 // admittedShare is the share of the class's recent requests that were sent to a backend. The prior keeps a few
 // requests from changing it much.
-func (g *Class) admittedShare(now time.Duration) float64 {
-	offered := g.Offered.Sum(now)
-	return (min(g.Admitted.Sum(now), offered) + admittedPrior) / (offered + admittedPrior)
+func (c *Class) admittedShare(now time.Duration) float64 {
+	offered := c.Offered.Sum(now)
+	return (min(c.Admitted.Sum(now), offered) + admittedPrior) / (offered + admittedPrior)
 }
 
 // Tenant is a tenant with its quota.
@@ -140,76 +140,76 @@
 }
 
 // Decodes reports whether the backend decodes.
-func (h *Backend) Answers() bool { return h.Role != Reads }
+func (b *Backend) Answers() bool { return b.Role != Reads }
 
 // PrefillOnly reports whether the backend only prefills.
-func (h *Backend) ReadsOnly() bool { return h.Role == Reads }
+func (b *Backend) ReadsOnly() bool { return b.Role == Reads }
 
 // Mixed reports whether the backend both prefills and decodes.
-func (h *Backend) Mixed() bool { return h.Role == Both }
+func (b *Backend) Mixed() bool { return b.Role == Both }
 
 // Filter returns the backends that match.
-func Only(hosts []*Backend, want func(*Backend) bool) []*Backend {
-	var found []*Backend
-	for _, h := range hosts {
-		if want(h) {
-			found = append(found, h)
+func Only(backends []*Backend, matches func(*Backend) bool) []*Backend {
+	var matched []*Backend
+	for _, backend := range backends {
+		if matches(backend) {
+			matched = append(matched, backend)
 		}
 	}
-	return found
+	return matched
 }
 
 // CompareCapacities sets RelativeCapacity of each backend and returns how many ready ones decode. Stated
 // capacity units compare backends of one role only.
-func Compare(hosts []*Backend) (answering float64) {
-	var units, n [3]float64
-	for _, h := range hosts {
-		if h.Standing == Ready {
-			units[h.Role], n[h.Role] = units[h.Role]+h.Units, n[h.Role]+1
+func Compare(backends []*Backend) (decoding float64) {
+	var units, counts [3]float64
+	for _, backend := range backends {
+		if backend.Standing == Ready {
+			units[backend.Role], counts[backend.Role] = units[backend.Role]+backend.Units, counts[backend.Role]+1
 		}
 	}
-	for _, h := range hosts {
-		h.Size = 1.0
-		if units[h.Role] > 0 {
-			h.Size = h.Units * n[h.Role] / units[h.Role]
+	for _, backend := range backends {
+		backend.Size = 1.0
+		if units[backend.Role] > 0 {
+			backend.Size = backend.Units * counts[backend.Role] / units[backend.Role]
 		}
 	}
-	return n[Writes] + n[Both]
+	return counts[Writes] + counts[Both]
 }
 
 // SortByHash sorts backends by rendezvous hash of their ids with a key.
-func Order(hosts []*Backend, key uint64) {
-	slices.SortFunc(hosts, func(a, b *Backend) int { return cmp.Compare(Mix(key, uint64(a.ID)), Mix(key, uint64(b.ID))) })
+func Order(backends []*Backend, key uint64) {
+	slices.SortFunc(backends, func(a, b *Backend) int { return cmp.Compare(Mix(key, uint64(a.ID)), Mix(key, uint64(b.ID))) })
 }
 
 // ForgetPrefixes drops prefixes that were last used before a time.
-func (h *Backend) Forget(before time.Duration) {
-	for key, k := range h.Kept {
+func (b *Backend) Forget(before time.Duration) {
+	for key, k := range b.Kept {
 		if k.At < before {
-			delete(h.Kept, key)
+			delete(b.Kept, key)
 		}
 	}
 }
 
 // MinBy returns the backend with the lowest cost, nil if there is none of finite cost.
-func Least(hosts []*Backend, cost func(*Backend) float64) *Backend {
-	var found *Backend
-	least := math.Inf(1)
-	for _, h := range hosts {
-		if c := cost(h); c < least {
-			found, least = h, c
+func Least(backends []*Backend, cost func(*Backend) float64) *Backend {
+	var best *Backend
+	lowest := math.Inf(1)
+	for _, backend := range backends {
+		if c := cost(backend); c < lowest {
+			best, lowest = backend, c
 		}
 	}
-	return found
+	return best
 }
 
 // MeanOf returns the mean cost of the backends.
-func Average(hosts []*Backend, cost func(*Backend) float64) float64 {
+func Average(backends []*Backend, cost func(*Backend) float64) float64 {
 	sum := 0.0
-	for _, h := range hosts {
-		sum += cost(h)
+	for _, backend := range backends {
+		sum += cost(backend)
 	}
-	return sum / float64(max(len(hosts), 1))
+	return sum / float64(max(len(backends), 1))
 }
 
 // OutcomeStats counts recent outcomes of attempts at a backend.
@@ -219,13 +219,13 @@
 }
 
 // Observe counts the outcome of an attempt. A slow one counts as a failure of weight slowWeight.
-func (r *Record) Take(now time.Duration, v Verdict, part float64) {
-	switch v {
+func (r *Record) Take(now time.Duration, verdict Verdict, slowWeight float64) {
+	switch verdict {
 	case Well:
 		r.Good.Add(now, 1)
 		r.Missed = 0
 	case Slowly:
-		r.Bad.Add(now, part)
+		r.Bad.Add(now, slowWeight)
 	case Badly, Unmet:
 		r.Bad.Add(now, 1)
 		r.Missed++
@@ -289,30 +289,30 @@
 }
 
 // InFlight returns the attempt in flight, if any.
-func (q *Request) Out() *Attempt {
-	if n := len(q.Attempts); n > 0 && !q.Attempts[n-1].Ended {
-		return q.Attempts[n-1]
+func (r *Request) Out() *Attempt {
+	if n := len(r.Attempts); n > 0 && !r.Attempts[n-1].Ended {
+		return r.Attempts[n-1]
 	}
 	return nil
 }
 
 // MayHaveRun returns the first attempt that is not proven to have had no effect, if any.
-func (q *Request) MayHaveRun() *Attempt { return q.MayHaveRunBefore(len(q.Attempts)) }
+func (r *Request) MayHaveRun() *Attempt { return r.MayHaveRunBefore(len(r.Attempts)) }
 
 // MayHaveRunBefore is MayHaveRun among the attempts before the one with the given number.
-func (q *Request) MayHaveRunBefore(number int) *Attempt {
-	for _, t := range q.Attempts[:number] {
-		if t.Backend.Role != Reads && !(t.Ended && t.Outcome.NeverRan()) {
-			return t
+func (r *Request) MayHaveRunBefore(number int) *Attempt {
+	for _, attempt := range r.Attempts[:number] {
+		if attempt.Backend.Role != Reads && !(attempt.Ended && attempt.Outcome.NeverRan()) {
+			return attempt
 		}
 	}
 	return nil
 }
 
 // FailedAt reports whether an attempt at the backend ended without success.
-func (q *Request) FailedAt(h *Backend) bool {
-	return slices.ContainsFunc(q.Attempts, func(t *Attempt) bool {
-		return t.Backend == h && t.Ended && t.Outcome != Read
+func (r *Request) FailedAt(backend *Backend) bool {
+	return slices.ContainsFunc(r.Attempts, func(attempt *Attempt) bool {
+		return attempt.Backend == backend && attempt.Ended && attempt.Outcome != Read
 	})
 }
 
@@ -335,13 +335,13 @@
 
 // ApplyLoad adds the attempt's load to its backend (sign 1) or removes it (sign -1), and returns the change in
 // streams.
-func (t *Attempt) Weigh(sign float64) float64 {
-	t.Backend.Unread += sign * t.Left
-	t.Backend.Tokens += sign * t.Request.Memory
-	if t.Stage == ToRead {
+func (a *Attempt) Weigh(sign float64) float64 {
+	a.Backend.Unread += sign * a.Left
+	a.Backend.Tokens += sign * a.Request.Memory
+	if a.Stage == ToRead {
 		return 0
 	}
-	t.Backend.Streams += int(sign)
+	a.Backend.Streams += int(sign)
 	return sign
 }
 
