--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -29,7 +29,7 @@
 		d.firstToken.Add(0.5, 1)
 		got := float64(allowed(d, runtime, 200*time.Second))
 		if want := window / 0.5 * 200; math.Abs(got-want) > 0.1*want {
-			t.Errorf("window %g let %g out, wanted %g", window, got, want)
+			t.Errorf("window %g sent %g, wanted %g", window, got, want)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 		times[runtime.now] = true
 	}
 	if len(times) < 20 {
-		t.Errorf("50 dispatchers went on at %d times", len(times))
+		t.Errorf("50 dispatchers continued at %d different times", len(times))
 	}
 }
 
@@ -59,14 +59,14 @@
 		d.Submit(&Request{ID: 1, Prompt: 2000, Most: 400, Left: 4 * time.Second}, 0, 0)
 	}
 	if len(runtime.sent) != 2 {
-		t.Errorf("%d of 2 were sent at the start", len(runtime.sent))
+		t.Errorf("%d of 2 requests were sent at the start", len(runtime.sent))
 	}
 	d, runtime = fleetOf(t, 300)
 	d.window, d.credit, d.adjusted = 1.0/300, 0, true
 	runtime.now += 10 * time.Minute
 	d.Submit(&Request{ID: 1, Prompt: 2000, Most: 400, Left: 4 * time.Second}, 0, 0)
 	if len(runtime.sent) != 1 {
-		t.Error("after a long rest the first request waits")
+		t.Error("the first request after a long idle time waits")
 	}
 }
 
@@ -84,7 +84,7 @@
 		before := d.window
 		d.settle(req)
 		if d.window <= before || d.window > 2.1*before {
-			t.Fatalf("%g -> %g", before, d.window)
+			t.Fatalf("window %g -> %g", before, d.window)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 			d.settle(req)
 		}
 		if remaining := d.window / window; remaining < 0.6 || remaining > 0.8 {
-			t.Errorf("window %g: %.2f of it is left", window, remaining)
+			t.Errorf("window %g: narrowed to %.2f of it", window, remaining)
 		}
 	}
 }
@@ -116,18 +116,18 @@
 	before := d.window
 	d.Heard(PeerUpdate{Host: d.backends[0], Verdict: Badly, Share: 1})
 	if d.window >= before || d.window < 0.9*before {
-		t.Errorf("a late one: %g -> %g", before, d.window)
+		t.Errorf("a late first token: window %g -> %g", before, d.window)
 	}
 	before = d.window
 	d.Heard(PeerUpdate{Host: d.backends[0], Verdict: Well, Share: 0.1})
 	if d.window <= before || d.window > 1.3*before {
-		t.Errorf("a quick one: %g -> %g", before, d.window)
+		t.Errorf("a quick first token: window %g -> %g", before, d.window)
 	}
 	before = d.window
 	d.Heard(PeerUpdate{Host: d.backends[0], Verdict: Badly})
 	d.Heard(PeerUpdate{Host: d.backends[0], Grade: 200, Share: 1})
 	if d.window != before {
-		t.Errorf("news with no share, or of no class: %g -> %g", before, d.window)
+		t.Errorf("updates without a share or of no known class: window %g -> %g", before, d.window)
 	}
 }
 
@@ -145,7 +145,7 @@
 	}
 	d.Ended(req.Attempts[0], Result{Outcome: Unreachable, Over: true})
 	if got := d.expectedFirstToken(); got != 0.1 {
-		t.Errorf("once it has ended, in %g s", got)
+		t.Errorf("once it has ended it is expected in %g s", got)
 	}
 }
 
@@ -155,13 +155,13 @@
 	for _, dispatchers := range []float64{1, 6, 300} {
 		d, runtime := fleetOf(t, dispatchers)
 		if sum := d.window * dispatchers; sum != perHost*6 {
-			t.Errorf("%g dispatchers begin with %g", dispatchers, sum)
+			t.Errorf("%g dispatchers: the initial windows add up to %g", dispatchers, sum)
 		}
 		for range 500 {
 			d.adjustWindow(1, runtime.now, false)
 		}
 		if sum := d.window * dispatchers; math.Abs(sum-1) > 1e-9 {
-			t.Errorf("%g dispatchers go down to %g", dispatchers, sum)
+			t.Errorf("%g dispatchers: the smallest windows add up to %g", dispatchers, sum)
 		}
 	}
 }
@@ -169,7 +169,7 @@
 // Whatever a dispatcher has gone through, it sends a request half an hour later.
 func TestNothingStopsTheSendingForGood(t *testing.T) {
 	for name, disturb := range map[string]func(*Dispatcher, *door){
-		"no hosts for a while": func(d *Dispatcher, _ *door) {
+		"no backends for a while": func(d *Dispatcher, _ *door) {
 			backends := d.backends
 			d.backends = nil
 			d.adjustWindow(0.1, 0, true)
@@ -180,14 +180,14 @@
 			runtime.now -= time.Hour
 			d.mayDispatch()
 		},
-		"a target of nought": func(d *Dispatcher, runtime *door) {
+		"a target of zero": func(d *Dispatcher, runtime *door) {
 			req := ask(d)
 			req.TargetAt = req.Taken
 			went(req, d.backends[0], Served, runtime.now).Began = runtime.now
 			req.Outstanding, req.Dispatched, d.outstanding = true, runtime.now, 1
 			d.settle(req)
 		},
-		"absurd reports": func(d *Dispatcher, _ *door) {
+		"absurd load reports": func(d *Dispatcher, _ *door) {
 			for _, backend := range d.backends {
 				d.Heard(PeerUpdate{Host: backend, Loaded: true, Util: 1e9, Queue: 1e12, Share: 1, Verdict: Well})
 			}
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -17,31 +17,31 @@
 		reach Reach
 	}{
 		{name: "nothing against it", set: func(*Dispatcher, *Request, *Backend) {}},
-		{name: "answered", bars: true, set: func(_ *Dispatcher, r *Request, _ *Backend) { r.Over = true }},
-		{name: "a trip is out", bars: true, set: func(_ *Dispatcher, req *Request, backend *Backend) {
+		{name: "finished", bars: true, set: func(_ *Dispatcher, r *Request, _ *Backend) { r.Over = true }},
+		{name: "an attempt is in flight", bars: true, set: func(_ *Dispatcher, req *Request, backend *Backend) {
 			went(req, backend, Rejected, 0).Ended = false
 		}},
-		{name: "expired", bars: true, set: func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() }},
-		{name: "trips used up", bars: true, set: func(_ *Dispatcher, req *Request, backend *Backend) {
+		{name: "deadline passed", bars: true, set: func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() }},
+		{name: "attempts used up", bars: true, set: func(_ *Dispatcher, req *Request, backend *Backend) {
 			for range 4 {
 				went(req, backend, Rejected, 0)
 			}
 		}},
 		{name: "draining", bars: true, set: func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Draining }},
-		{name: "gone", bars: true, set: func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Gone }},
-		{name: "unrepeatable, may have run", bars: true, set: func(_ *Dispatcher, req *Request, backend *Backend) {
+		{name: "removed", bars: true, set: func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Gone }},
+		{name: "non-idempotent, may have run", bars: true, set: func(_ *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect = Unrepeatable
 			went(req, backend, TimedOut, 0)
 		}},
-		{name: "unrepeatable, proven not run", set: func(_ *Dispatcher, req *Request, backend *Backend) {
+		{name: "non-idempotent, proven not run", set: func(_ *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect = Unrepeatable
 			went(req, backend, Rejected, 0)
 		}},
-		{name: "unrepeatable, lost at a reader", set: func(d *Dispatcher, req *Request, _ *Backend) {
+		{name: "non-idempotent, lost at a prefill backend", set: func(d *Dispatcher, req *Request, _ *Backend) {
 			req.Class.Effect = Unrepeatable
 			went(req, d.backends[0], Broken, 0)
 		}},
-		{name: "deduplicated, past its window", bars: true, set: func(d *Dispatcher, req *Request, backend *Backend) {
+		{name: "deduplicated, after its window", bars: true, set: func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.Window = Deduplicated, time.Second
 			went(req, backend, TimedOut, d.runtime.Now()-time.Second)
 		}},
@@ -58,17 +58,17 @@
 			d.backends[3].Zone = 1
 			went(req, d.backends[3], TimedOut, d.runtime.Now())
 		}},
-		{name: "cold and at its budget", bars: true, set: func(d *Dispatcher, _ *Request, backend *Backend) {
+		{name: "in slow start, budget used up", bars: true, set: func(d *Dispatcher, _ *Request, backend *Backend) {
 			backend.Restart, backend.Booted = true, d.runtime.Now()-time.Second
 			d.backends[3].Carried.Add(d.runtime.Now(), 50000)
 			backend.Sent.Add(d.runtime.Now(), 12000)
 		}},
-		{name: "cold with budget left", set: func(d *Dispatcher, _ *Request, backend *Backend) {
+		{name: "in slow start, budget left", set: func(d *Dispatcher, _ *Request, backend *Backend) {
 			backend.Restart, backend.Booted = true, d.runtime.Now()-time.Second
 			d.backends[3].Carried.Add(d.runtime.Now(), 50000)
 			backend.Sent.Add(d.runtime.Now(), 100)
 		}},
-		{name: "cold while warm hosts are pushed hard", bars: true, set: func(d *Dispatcher, _ *Request, backend *Backend) {
+		{name: "in slow start while warm backends are heavily loaded", bars: true, set: func(d *Dispatcher, _ *Request, backend *Backend) {
 			backend.Restart, backend.Booted = true, d.runtime.Now()-time.Second
 			d.backends[3].Sent.Add(d.runtime.Now(), 50000)
 			backend.Sent.Add(d.runtime.Now(), 100)
@@ -79,7 +79,7 @@
 		req.Class.Reach = tc.reach
 		tc.set(d, req, d.backends[2])
 		if got := d.barred(req, d.backends[2]); got != tc.bars {
-			t.Errorf("%s: barred is %v", tc.name, got)
+			t.Errorf("%s: disallowed is %v", tc.name, got)
 		}
 	}
 }
@@ -93,8 +93,8 @@
 		decline bool
 	}{
 		{"idempotent that may have run", Idempotent, Everywhere, TimedOut, true},
-		{"unrepeatable that never ran", Unrepeatable, Everywhere, Rejected, true},
-		{"unrepeatable that may have run", Unrepeatable, Everywhere, Broken, false},
+		{"non-idempotent that never ran", Unrepeatable, Everywhere, Rejected, true},
+		{"non-idempotent that may have run", Unrepeatable, Everywhere, Broken, false},
 		{"deduplicated everywhere", Deduplicated, Everywhere, TimedOut, true},
 		{"deduplicated in its rack", Deduplicated, SameRack, TimedOut, false},
 	} {
@@ -104,7 +104,7 @@
 		went(req, d.backends[2], tc.outcome, 0)
 		d.giveUp(req)
 		if (len(runtime.declined) == 1) != tc.decline || (len(runtime.lost) == 1) == tc.decline || len(runtime.released) != 1 {
-			t.Errorf("%s: declined %d, forfeited %d, released %d", tc.name, len(runtime.declined), len(runtime.lost), len(runtime.released))
+			t.Errorf("%s: rejected %d, failed %d, released %d", tc.name, len(runtime.declined), len(runtime.lost), len(runtime.released))
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	req.Deadline = d.runtime.Now() + sweep
 	d.enqueue(req)
 	if len(runtime.declined) != 1 || len(d.queue) != 0 {
-		t.Errorf("declined %d, held %d", len(runtime.declined), len(d.queue))
+		t.Errorf("rejected %d, queued %d", len(runtime.declined), len(d.queue))
 	}
 }
 
@@ -137,7 +137,7 @@
 	attempt.Ended = false
 	d.Ended(attempt, Result{Outcome: Unreachable, Over: true})
 	if !d.cold(d.backends[2]) {
-		t.Error("the host counts as warm")
+		t.Error("the backend is not in slow start")
 	}
 }
 
@@ -152,7 +152,7 @@
 		}
 	}
 	if granted == 0 || granted > 300 {
-		t.Errorf("a doubtful host got %d of 1000", granted)
+		t.Errorf("a suspected backend got %d of 1000", granted)
 	}
 }
 
@@ -172,11 +172,11 @@
 	}
 	d.enqueue(behind)
 	if d.queue[0] != first {
-		t.Fatal("the other one is in front")
+		t.Fatal("the other request is first in the queue")
 	}
 	d.dispatch()
 	if len(runtime.sent) != 1 || runtime.sent[0].Request != behind || len(runtime.lost) != 1 || runtime.lost[0] != first || len(d.queue) != 0 {
-		t.Errorf("%d sent, %d forfeited, %d held", len(runtime.sent), len(runtime.lost), len(d.queue))
+		t.Errorf("%d sent, %d failed, %d queued", len(runtime.sent), len(runtime.lost), len(d.queue))
 	}
 }
 
@@ -189,7 +189,7 @@
 	d.window = 0.1 // one per 2.5 s at a time to first token of 0.25 s
 	d.shed()
 	if !slices.Equal(runtime.declined, []*Request{late}) {
-		t.Errorf("declined %v", runtime.declined)
+		t.Errorf("rejected %v", runtime.declined)
 	}
 }
 
@@ -201,8 +201,8 @@
 		stage   Stage
 		host    uint32
 	}{
-		{"fresh router", 0, 1900, ToRead, 0},
-		{"short for the writer that keeps it", 1000, 1900, Whole, 4},
+		{"no mean known yet", 0, 1900, ToRead, 0},
+		{"short for the decode backend that has its prefix cached", 1000, 1900, Whole, 4},
 	} {
 		d, runtime := begin(t)
 		d.average = tc.average
@@ -265,16 +265,16 @@
 		all    bool
 	}{
 		{"idempotent", Idempotent, Whole, 0, false},
-		{"unrepeatable at a reader", Unrepeatable, ToRead, 0, false},
-		{"unrepeatable at a writer", Unrepeatable, ToWrite, 1, true},
-		{"the last trip allowed", Idempotent, Whole, 3, true},
+		{"non-idempotent at a prefill backend", Unrepeatable, ToRead, 0, false},
+		{"non-idempotent at a decode backend", Unrepeatable, ToWrite, 1, true},
+		{"the last attempt allowed", Idempotent, Whole, 3, true},
 	} {
 		d, _ := begin(t)
 		req := ask(d)
 		req.Class.Effect = tc.effect
 		wait := d.patience(&Attempt{Request: req, Stage: tc.stage, Number: tc.number, Sent: req.Taken})
 		if (wait == req.Deadline-req.Taken) != tc.all {
-			t.Errorf("%s: waits %v of %v", tc.name, wait, req.Deadline-req.Taken)
+			t.Errorf("%s: the timeout is %v of %v", tc.name, wait, req.Deadline-req.Taken)
 		}
 	}
 }
@@ -285,7 +285,7 @@
 	attempt.Ended = false
 	d.Ended(attempt, Result{Outcome: Broken, Over: true})
 	if d.cold(d.backends[2]) {
-		t.Error("the host counts as cold")
+		t.Error("the backend is in slow start")
 	}
 }
 
@@ -314,12 +314,12 @@
 			}
 		}
 		if math.Abs(float64(allowed)-want) > 1 || want < 10 || want > 60 {
-			t.Errorf("window %d: %d of %d let one through, they come to %.1f", window, allowed, fleet, want)
+			t.Errorf("window %d: %d of %d dispatchers may send one, the shares add up to %.1f", window, allowed, fleet, want)
 		}
 		runtime.now += 2 * time.Second
 	}
 	if len(turns) < int(2*want) {
-		t.Errorf("only %d ever have a turn", len(turns))
+		t.Errorf("only %d dispatchers ever have a turn", len(turns))
 	}
 }
 
@@ -362,7 +362,7 @@
 		}
 	}
 	if granted[0] < 90 || granted[1] > 10 {
-		t.Errorf("trusted %v of 100 each", granted)
+		t.Errorf("granted %v of 100 each", granted)
 	}
 }
 
@@ -382,7 +382,7 @@
 		}
 	}
 	if tried == 0 || tried > 150 {
-		t.Errorf("a doubtful host was among them %d times of 500", tried)
+		t.Errorf("a suspected backend was eligible %d times of 500", tried)
 	}
 }
 
@@ -390,7 +390,7 @@
 	d, _ := begin(t)
 	d.Heard(PeerUpdate{Host: d.backends[2], Verdict: Unmet})
 	if !d.cold(d.backends[2]) {
-		t.Error("the host counts as warm")
+		t.Error("the backend is not in slow start")
 	}
 }
 
@@ -407,16 +407,16 @@
 		runtime.now += time.Second
 		d.Listed([]Listing{endpoint}, false)
 		if !d.cold(backend) || backend.Records[0].Missed != 1 || len(backend.Kept) != 1 {
-			t.Errorf("restart %v: cold %v, %g failures, %d kept", restart, d.cold(backend), backend.Records[0].Missed, len(backend.Kept))
+			t.Errorf("restart %v: slow start %v, %g failures, %d prefixes", restart, d.cold(backend), backend.Records[0].Missed, len(backend.Kept))
 		}
 		endpoint.Booted, endpoint.Restart = runtime.now, true
 		d.Listed([]Listing{endpoint}, false)
 		if !d.cold(backend) || backend.Records[0].Missed != 0 || len(backend.Kept) != 0 {
-			t.Error("a new start went unseen")
+			t.Error("a new start was ignored")
 		}
 		runtime.now += 11 * time.Second
 		if d.cold(backend) {
-			t.Error("it stays cold")
+			t.Error("it stays in slow start")
 		}
 	}
 }
@@ -427,7 +427,7 @@
 		peers bool
 		price float64
 		most  int
-	}{{"not allowed", false, 0, 0}, {"free", true, 0, 8}, {"dear", true, 0.01, 2}} {
+	}{{"not allowed", false, 0, 0}, {"free of charge", true, 0, 8}, {"expensive", true, 0.01, 2}} {
 		settings := facts()
 		settings["policyLimits.peers"], settings["prices.peer"], settings["siblings"], settings["slotNo"] = tc.peers, tc.price, 50.0, 7.0
 		runtime := &door{}
@@ -437,7 +437,7 @@
 		}
 		d.share(PeerUpdate{})
 		if len(runtime.told) != tc.most || slices.Contains(runtime.told, 7) {
-			t.Errorf("%s: told %v", tc.name, runtime.told)
+			t.Errorf("%s: updated peers %v", tc.name, runtime.told)
 		}
 	}
 }
@@ -453,11 +453,11 @@
 		moves int // 1: it widens, -1: it narrows
 	}{
 		{"quick", 100 * time.Millisecond, true, Served, 1},
-		{"quick, by a request that another dispatcher cut off", 100 * time.Millisecond, false, Failed, 0},
-		{"a client that left early", 300 * time.Millisecond, false, Cancelled, 0},
-		{"a deadline that came early", 300 * time.Millisecond, false, TimedOut, -1},
+		{"quick, cancelled by another dispatcher", 100 * time.Millisecond, false, Failed, 0},
+		{"a client that disconnected early", 300 * time.Millisecond, false, Cancelled, 0},
+		{"an early deadline", 300 * time.Millisecond, false, TimedOut, -1},
 		{"late", 900 * time.Millisecond, true, Served, -1},
-		{"a client that left late", 900 * time.Millisecond, false, Cancelled, -1},
+		{"a client that disconnected late", 900 * time.Millisecond, false, Cancelled, -1},
 		{"rejected as full", time.Millisecond, false, Rejected, -1},
 	} {
 		d, runtime := begin(t)
@@ -509,13 +509,13 @@
 		switch {
 		case tc.keeps == 0 && d.outstanding == 0 && len(runtime.wakes) == 0:
 		case tc.keeps == 0 || d.outstanding != 1 || len(runtime.wakes) != 1 || runtime.delays[0] != tc.keeps:
-			t.Errorf("%+v: %d without a first token, wakes in %v", tc, d.outstanding, runtime.delays)
+			t.Errorf("%+v: %d without a first token, timers after %v", tc, d.outstanding, runtime.delays)
 		default:
 			next := ask(d)
 			d.enqueue(next)
 			runtime.wakes[0]()
 			if len(runtime.sent) != 1 || runtime.sent[0].Request != next {
-				t.Errorf("%+v: the place that comes free is not used", tc)
+				t.Errorf("%+v: the free place is not used", tc)
 			}
 		}
 	}
@@ -533,10 +533,10 @@
 	started := prefillBackends[slices.IndexFunc(prefillBackends, func(b *Backend) bool { return !slices.Contains(candidates, b) })]
 	started.Restart, started.Booted = true, runtime.now-time.Second
 	if got := d.homes(req, Reads, slices.Clone(prefillBackends)); !slices.Equal(got, append(candidates, started)) {
-		t.Errorf("%d homes", len(got))
+		t.Errorf("%d affinity candidates", len(got))
 	}
 	if share := d.warmth(started); share < 0.3 || share > 0.4 || d.warmth(candidates[0]) != 1 || d.press(started, 0) < 2*d.press(candidates[0], 0) {
-		t.Errorf("warmth %g, a press of %g against %g", share, d.press(started, 0), d.press(candidates[0], 0))
+		t.Errorf("capacity share %g, a load score of %g against %g", share, d.press(started, 0), d.press(candidates[0], 0))
 	}
 }
 
@@ -556,7 +556,7 @@
 		backend.Booted = runtime.now
 	}
 	if cold := d.coldBudget(d.backends[0]); warm == 0 || cold != warm {
-		t.Errorf("a part of %g is %g when all are cold", warm, cold)
+		t.Errorf("a budget of %g is %g when all are in slow start", warm, cold)
 	}
 }
 
@@ -569,12 +569,12 @@
 	candidates := slices.Clone(d.homes(req, Reads, slices.Clone(prefillBackends)))
 	without := slices.DeleteFunc(slices.Clone(prefillBackends), func(b *Backend) bool { return b == candidates[0] })
 	if left := d.homes(req, Reads, without); len(candidates) != 2 || !slices.Equal(left, candidates[1:]) {
-		t.Errorf("homes %v, with one doubted %v", candidates, left)
+		t.Errorf("affinity candidates %v, with one suspected %v", candidates, left)
 	}
 	d.asked.Add(runtime.now, 100)
 	d.begins.Add(req.Shared, runtime.now, 50)
 	if got := len(d.homes(req, Reads, prefillBackends)); got < 12 || got > 21 {
-		t.Errorf("a beginning of half the questions has %d homes of 22", got)
+		t.Errorf("a prefix of half the requests has %d affinity candidates of 22", got)
 	}
 }
 
@@ -588,7 +588,7 @@
 		d.typical[Writes].Add(0.001, 1)
 		d.learn(went(ask(d), backend, TimedOut, runtime.now), tc.took, false, false)
 		if got := backend.Records[0].Bad.Sum(runtime.now); got != tc.bad {
-			t.Errorf("after %v: %g against the host", tc.took, got)
+			t.Errorf("after %v: %g failures of the backend", tc.took, got)
 		}
 	}
 }
@@ -626,7 +626,7 @@
 		}
 	}
 	if granted < 20 || granted > 300 {
-		t.Errorf("a minute after a hundred failures it got %d of 1000", granted)
+		t.Errorf("a minute after 100 failures it got %d of 1000", granted)
 	}
 }
 
@@ -673,7 +673,7 @@
 		return d.coldBudget(slowStarting)
 	}
 	if decode, whole := budget(ToWrite), budget(Whole); decode <= 0 || decode > whole/10 {
-		t.Errorf("a cold mixed host's part is %.0f after 20 writes at a warm one, %.0f after 20 whole questions", decode, whole)
+		t.Errorf("the budget of a mixed backend is %.0f after 20 decodes at a warm one, %.0f after 20 whole requests", decode, whole)
 	}
 }
 
@@ -693,13 +693,13 @@
 	}
 	d.Listed([]Listing{{Host: d.backends[0], Standing: Ready, Units: 4}}, true)
 	if len(d.backends) != 2 || !slices.Contains(d.backends, busy) {
-		t.Errorf("%d hosts are held, of 1 that is there and 1 with a trip out", len(d.backends))
+		t.Errorf("%d backends, wanted 1 that is listed and 1 with an attempt in flight", len(d.backends))
 	}
 	d.Ended(req.Attempts[0], Result{Outcome: Served, Over: true})
 	d.Listed([]Listing{{Host: busy, Standing: Ready, Units: 4}}, false)
 	d.Listed([]Listing{{Host: busy, Standing: Ready, Units: 4}}, false)
 	if len(d.backends) != 2 {
-		t.Errorf("%d hosts after one came back", len(d.backends))
+		t.Errorf("%d backends after one came back", len(d.backends))
 	}
 }
 
@@ -717,14 +717,14 @@
 	d.remember(&Attempt{Request: req, Backend: d.backends[2]}, 0)
 	d.refresh()
 	if n := len(d.backends[2].Kept); n != 2 {
-		t.Errorf("%d texts are held, 2 are fresh", n)
+		t.Errorf("%d prefixes in the table, 2 are recent", n)
 	}
 	rarelyUsed := d.backends[3]
 	rarelyUsed.Kept[5] = Kept{10, runtime.now, 0}
 	runtime.now += keptFor + time.Second
 	d.refresh()
 	if len(rarelyUsed.Kept) != 0 {
-		t.Error("a text that is never used again is held for good")
+		t.Error("a prefix that is never used again stays in the table")
 	}
 }
 
@@ -736,7 +736,7 @@
 	d.Left(req)
 	d.giveUp(req)
 	if len(d.queue) != 0 || len(runtime.declined)+len(runtime.lost) != 0 {
-		t.Errorf("%d held, %d answers to a client that has gone", len(d.queue), len(runtime.declined)+len(runtime.lost))
+		t.Errorf("%d queued, %d answers to a disconnected client", len(d.queue), len(runtime.declined)+len(runtime.lost))
 	}
 }
 
@@ -753,6 +753,6 @@
 		d.settle(req)
 	}
 	if most := perHost * float64(len(d.backends)); d.window != most {
-		t.Errorf("the window is %g, %g at most", d.window, most)
+		t.Errorf("the window is %g, wanted %g", d.window, most)
 	}
 }
--- a/brain/candidates_test.go
+++ b/brain/candidates_test.go
@@ -43,7 +43,7 @@
 		ranked := Only(first.backends, (*Backend).ReadsOnly)
 		Order(ranked, req.Shared)
 		if len(candidates) != 2 || !slices.Equal(ids(candidates), ids(others)) || !slices.Equal(ids(candidates), ids(ranked[:2])) {
-			t.Errorf("beginning %d: %v and %v, wanted %v", req.Shared, ids(candidates), ids(others), ids(ranked[:2]))
+			t.Errorf("prefix %d: %v and %v, wanted %v", req.Shared, ids(candidates), ids(others), ids(ranked[:2]))
 		}
 	}
 }
@@ -65,7 +65,7 @@
 		}
 	}
 	if len(used) < 130 || len(used) > 260 {
-		t.Errorf("%d backends of 1,000 are homes to a tenth of the requests", len(used))
+		t.Errorf("a prefix of a tenth of the requests has %d affinity candidates of 1,000", len(used))
 	}
 }
 
@@ -79,13 +79,13 @@
 		runtime.now += time.Millisecond
 		req := ask(d)
 		if !slices.Contains(d.candidates(req), holder) {
-			t.Fatal("the backend that keeps the session is not among them")
+			t.Fatal("the backend that has the session cached is not a candidate")
 		}
 		req.State = prefillBackend
 		runtime.now += time.Millisecond
 		inRack := Only(d.candidates(req), func(b *Backend) bool { return b.Rack == prefillBackend.Rack && b.Answers() })
 		if len(inRack) != 3 {
-			t.Fatalf("%d backends of the state's rack are among them", len(inRack))
+			t.Fatalf("%d backends of the KV holder's rack are candidates", len(inRack))
 		}
 		if n := len(d.candidates(req)); n > 400 || n < stretch {
 			t.Fatalf("%d candidates", n)
@@ -127,7 +127,7 @@
 	}
 	d.Listed(endpoints, false)
 	if len(d.backends) != 100 || d.large() || len(d.byRole[Reads])+len(d.byRole[Writes]) != 100 {
-		t.Fatalf("%d backends are left, %d and %d by role", len(d.backends), len(d.byRole[Reads]), len(d.byRole[Writes]))
+		t.Fatalf("%d backends remain, %d and %d by role", len(d.backends), len(d.byRole[Reads]), len(d.byRole[Writes]))
 	}
 	for i := range 100 {
 		d.Listed([]Listing{{Host: &Backend{ID: uint32(5000 + i), Kind: i % 2, Rack: 1000 + i/6}, Standing: Ready, Units: 1}}, false)
@@ -154,7 +154,7 @@
 	ranked := Only(d.backends, (*Backend).ReadsOnly)
 	Order(ranked, req.Shared)
 	if got := d.homes(req, Reads, d.able(req, (*Backend).ReadsOnly)); !slices.Equal(ids(got), ids(ranked[:2])) {
-		t.Errorf("its homes are %v, wanted %v", ids(got), ids(ranked[:2]))
+		t.Errorf("its affinity candidates are %v, wanted %v", ids(got), ids(ranked[:2]))
 	}
 }
 
@@ -166,6 +166,6 @@
 	req := ask(d)
 	eligible := d.able(req, (*Backend).ReadsOnly)
 	if candidates := d.homes(req, Reads, slices.Clone(eligible)); len(candidates) != len(eligible) {
-		t.Errorf("%d of %d backends that were looked at are homes", len(candidates), len(eligible))
+		t.Errorf("%d of %d eligible backends are affinity candidates", len(candidates), len(eligible))
 	}
 }
--- a/brain/cost_test.go
+++ b/brain/cost_test.go
@@ -17,7 +17,7 @@
 )
 
 func (s fleetState) String() string {
-	return [...]string{"warm", "most in slow start", "all in slow start", "a third gone"}[s]
+	return [...]string{"warm", "most in slow start", "all in slow start", "a third removed"}[s]
 }
 
 // newLoadedFleet returns a dispatcher with backends, of which some have completed work, and with requests in
@@ -108,7 +108,7 @@
 			serve(d, runtime, number)
 		}
 		if took := time.Since(began) / rounds; took > costMost {
-			t.Errorf("%v: a request costs %v", state, took)
+			t.Errorf("%v: a request takes %v", state, took)
 		}
 	}
 }
@@ -122,6 +122,6 @@
 		d.Listed([]Listing{{Host: d.backends[i], Standing: Ready, Units: 1, Restart: true, Booted: runtime.now}}, false)
 	}
 	if took := time.Since(began) / rounds; took > costMost/10 {
-		t.Errorf("a change costs %v", took)
+		t.Errorf("a change takes %v", took)
 	}
 }
--- a/brain/ends_test.go
+++ b/brain/ends_test.go
@@ -34,7 +34,7 @@
 		if s.state[req] == nil {
 			delete(s.since, req)
 		} else if s.now-since > playedHold+10*time.Millisecond {
-			s.t.Errorf("a state waits for %v", s.now-since)
+			s.t.Errorf("a KV cache has been waiting for %v", s.now-since)
 			delete(s.since, req)
 		}
 	}
@@ -53,17 +53,17 @@
 	effect := req.Class.Effect
 	switch {
 	case s.final[req] > 0:
-		s.t.Errorf("a trip after the final answer")
+		s.t.Errorf("an attempt after the final answer")
 	case s.out[req] != nil:
-		s.t.Errorf("two trips out")
+		s.t.Errorf("two attempts in flight")
 	case s.drains[attempt.Backend]:
-		s.t.Errorf("a trip to a host that is not ready")
+		s.t.Errorf("an attempt at a backend that is not ready")
 	case attempt.Stage != ToRead && s.may[req] && effect == Unrepeatable:
-		s.t.Errorf("an unrepeatable question that may have run goes out again")
+		s.t.Errorf("a non-idempotent request that may have run is sent again")
 	case s.now >= req.Deadline || wait > req.Deadline-s.now:
-		s.t.Errorf("a trip past the client's time")
+		s.t.Errorf("an attempt beyond the client's deadline")
 	case attempt.Stage == ToWrite && s.state[req] == nil:
-		s.t.Errorf("a write without a state")
+		s.t.Errorf("a decode attempt without a KV cache")
 	}
 	s.out[req] = attempt
 	s.silent[attempt] = s.rng.IntN(4) == 0
@@ -110,20 +110,20 @@
 		s.t.Errorf("two final answers, the last %s", word)
 	}
 	if s.out[req] != nil {
-		s.t.Errorf("%s while a trip is out", word)
+		s.t.Errorf("%s while an attempt is in flight", word)
 	}
 	if s.now > req.Deadline {
-		s.t.Errorf("%s %v after the client's time", word, s.now-req.Deadline)
+		s.t.Errorf("%s %v after the client's deadline", word, s.now-req.Deadline)
 	}
 }
 
 func (s *played) Reject(req *Request, _ time.Duration) {
-	s.end(req, "declined")
+	s.end(req, "rejected")
 	if s.may[req] && req.Class.Effect == Unrepeatable {
-		s.t.Errorf("a decline of what may have run")
+		s.t.Errorf("a non-idempotent request that may have run is rejected")
 	}
 }
-func (s *played) Fail(req *Request) { s.end(req, "forfeited") }
+func (s *played) Fail(req *Request) { s.end(req, "failed") }
 
 // endAttempt ends the attempt that a request has in flight.
 func (s *played) finish(attempt *Attempt, outcome Outcome) {
@@ -152,7 +152,7 @@
 	}
 	s.d.Ended(attempt, Result{Outcome: outcome, Took: s.now - attempt.Sent, Over: finished || s.final[req] > 0, Note: note, Load: []float64{s.rng.Float64(), float64(s.rng.IntN(20))}})
 	if s.out[req] == nil && s.state[req] != nil {
-		s.t.Errorf("a state is held with no trip out, after %d", outcome)
+		s.t.Errorf("a KV cache is held with no attempt in flight, after outcome %d", outcome)
 	}
 }
 
@@ -243,15 +243,15 @@
 		}
 		for _, req := range requests {
 			if sim.final[req] != 1 || sim.state[req] != nil {
-				t.Errorf("seed %d, question %d: %d final answers, state %v", seed, req.ID, sim.final[req], sim.state[req] != nil)
+				t.Errorf("seed %d, request %d: %d final answers, KV cache held: %v", seed, req.ID, sim.final[req], sim.state[req] != nil)
 			}
 		}
 		if d.outstanding != 0 || len(d.queue) != 0 || d.streams != 0 {
-			t.Errorf("seed %d: %d without a first token, %d held, %g streams", seed, d.outstanding, len(d.queue), d.streams)
+			t.Errorf("seed %d: %d without a first token, %d queued, %g streams", seed, d.outstanding, len(d.queue), d.streams)
 		}
 		for _, backend := range backends {
 			if backend.Streams != 0 || backend.Tokens > 1e-6 || backend.Unread > 1e-6 || backend.Tokens < -1e-6 {
-				t.Errorf("seed %d, host %d: %d streams, %g tokens, %g unread", seed, backend.ID, backend.Streams, backend.Tokens, backend.Unread)
+				t.Errorf("seed %d, backend %d: %d streams, %g KV tokens, %g to prefill", seed, backend.ID, backend.Streams, backend.Tokens, backend.Unread)
 			}
 		}
 		if t.Failed() {
@@ -276,10 +276,10 @@
 		runtime.now += time.Second
 	}
 	if expected := d.firstToken.Or(0); expected < 0.5 || expected > 0.7 {
-		t.Errorf("first tokens are taken to come after %.2f s, where none comes within 0.7 s", expected)
+		t.Errorf("a first token is expected after %.2f s, but none comes within 0.7 s", expected)
 	}
 	attempt := &Attempt{Request: &Request{Class: d.classes[0], Deadline: runtime.now + 2*time.Second}, Sent: runtime.now, Stage: ToRead}
 	if got := d.patience(attempt); got != 2*time.Second {
-		t.Errorf("a trip leaves time for another into the jam: %v", got)
+		t.Errorf("an attempt under congestion leaves time for another: %v", got)
 	}
 }
--- a/brain/facts.go
+++ b/brain/facts.go
@@ -72,7 +72,7 @@
 func (s Facts) Lacks(names ...string) error {
 	for _, name := range names {
 		if _, ok := s[name].(float64); !ok {
-			return fmt.Errorf("setting %s is missing or no number", name)
+			return fmt.Errorf("read setting %s: missing or not a number", name)
 		}
 	}
 	return nil
@@ -122,13 +122,13 @@
 		switch {
 		case !stated || value == nil || isNumber && number == 0 && setting.noughtIsNone:
 		case !isNumber:
-			return fmt.Errorf("setting %s is no number", setting.name)
+			return fmt.Errorf("read setting %s: not a number", setting.name)
 		case !(number >= setting.least && number <= setting.most):
-			return fmt.Errorf("setting %s is %g, it must be from %g to %g", setting.name, number, setting.least, setting.most)
+			return fmt.Errorf("read setting %s: %g is not from %g to %g", setting.name, number, setting.least, setting.most)
 		}
 	}
 	if s.Num("requestClasses", 0) < 1 {
-		return fmt.Errorf("setting requestClasses is missing or states no service grade")
+		return fmt.Errorf("read setting requestClasses: missing or without a class")
 	}
 	return nil
 }
@@ -142,7 +142,7 @@
 			"repeatable": Idempotent, "by_key": Deduplicated, "once": Unrepeatable,
 		}[s.Text(prefix+"effect")]
 		if !known {
-			return nil, fmt.Errorf("setting %seffect is missing or unknown", prefix)
+			return nil, fmt.Errorf("read setting %seffect: missing or unknown", prefix)
 		}
 		// A class without a target has its deadline as target; one without a window is never repeated.
 		target := prefix + "aimUs"
@@ -150,11 +150,11 @@
 			target = prefix + "giveUpUs"
 		}
 		if err := s.Lacks(target); err != nil {
-			return nil, fmt.Errorf("%w, and neither is %saimUs stated", err, prefix)
+			return nil, fmt.Errorf("%w, and %saimUs is not stated either", err, prefix)
 		}
 		for _, name := range []string{target, prefix + "windowUs", prefix + "worth", prefix + "lateWorth"} {
 			if v := s.Num(name, 1); !(v >= 0 && v <= 1e15) || name == target && v < 1 {
-				return nil, fmt.Errorf("setting %s is %g, which makes no sense", name, v)
+				return nil, fmt.Errorf("read setting %s: %g is not from 0 to 1e15, or for a target from 1", name, v)
 			}
 		}
 		classes = append(classes, &Class{
--- a/brain/facts_test.go
+++ b/brain/facts_test.go
@@ -32,7 +32,7 @@
 			d.Listed([]Listing{{Host: &Backend{ID: 1}, Standing: Ready, Units: 1, Restart: true, Booted: time.Second}}, true)
 			d.Submit(&Request{ID: 1, Prompt: 100, Most: 10, Left: 4 * time.Second}, 0, 0)
 			if len(runtime.sent) != 1 {
-				t.Errorf("%s = %v: a host that has just started gets nothing", name, value)
+				t.Errorf("%s = %v: a backend that has just started gets nothing", name, value)
 			}
 		}
 	}
@@ -70,7 +70,7 @@
 		}
 		if err != nil {
 			if !strings.Contains(err.Error(), tc.name) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%s = %v: the error does not say the key in one line: %v", tc.name, tc.value, err)
+				t.Errorf("%s = %v: the error does not name the setting in one line: %v", tc.name, tc.value, err)
 			}
 			continue
 		}
@@ -79,7 +79,7 @@
 		req := &Request{ID: 1, Prompt: 100, Most: 10, Left: 4e9}
 		d.Submit(req, 0, 0)
 		if math.IsNaN(d.window) || math.IsNaN(backend.Room) {
-			t.Errorf("%s = %v: window %g, room %g", tc.name, tc.value, d.window, backend.Room)
+			t.Errorf("%s = %v: window %g, token limit %g", tc.name, tc.value, d.window, backend.Room)
 		}
 	}
 }
@@ -97,23 +97,23 @@
 	d.Submit(req, 0, 0)
 	d.Ended(runtime.sent[0], Result{Outcome: Broken})
 	if len(runtime.sent) != 2 {
-		t.Fatalf("%d trips", len(runtime.sent))
+		t.Fatalf("%d attempts", len(runtime.sent))
 	}
 	repeat := runtime.sent[1]
 	if d.MaySend(repeat) != Allowed {
-		t.Error("a repeat within the window does not stand")
+		t.Error("a repeat within the window may not be sent")
 	}
 	runtime.now = runtime.sent[0].Sent + req.Class.Window
 	if d.MaySend(repeat) == Allowed {
-		t.Error("a repeat stands after the window")
+		t.Error("a repeat after the window may be sent")
 	}
 	runtime.now = runtime.sent[0].Sent + req.Class.Window/2
 	repeat.Backend.Standing = Draining
 	if d.MaySend(repeat) == Allowed {
-		t.Error("a trip to a host that drains stands")
+		t.Error("an attempt at a draining backend may be sent")
 	}
 	repeat.Backend.Standing, req.Over = Ready, true
 	if d.MaySend(repeat) == Allowed {
-		t.Error("a trip stands after its question is over")
+		t.Error("an attempt of a finished request may be sent")
 	}
 }
--- a/brain/help_test.go
+++ b/brain/help_test.go
@@ -23,7 +23,7 @@
 func (f *door) Send(attempt *Attempt, wait time.Duration) {
 	f.sent, f.waits = append(f.sent, attempt), append(f.waits, wait)
 }
-func (f *door) Cancel(attempt *Attempt)                  { f.cancelled = append(f.cancelled, attempt) }
+func (f *door) Cancel(attempt *Attempt)              { f.cancelled = append(f.cancelled, attempt) }
 func (f *door) Release(req *Request)                 { f.released = append(f.released, req) }
 func (f *door) Reject(req *Request, _ time.Duration) { f.declined = append(f.declined, req) }
 func (f *door) Fail(req *Request)                    { f.lost = append(f.lost, req) }
--- a/brain/placement.go
+++ b/brain/placement.go
@@ -204,4 +204,6 @@
 }
 
 // uncachedTokens is how much of the prompt the backend would have to prefill.
-func (d *Dispatcher) unkept(backend *Backend, req *Request) float64 { return req.Prompt - d.keeps(backend, req) }
+func (d *Dispatcher) unkept(backend *Backend, req *Request) float64 {
+	return req.Prompt - d.keeps(backend, req)
+}
--- a/brain/policy.go
+++ b/brain/policy.go
@@ -63,7 +63,9 @@
 }
 
 // disallowed reports whether no attempt of the request may be made at the backend.
-func (d *Dispatcher) barred(req *Request, backend *Backend) bool { return d.mayChoose(req, backend) != Allowed }
+func (d *Dispatcher) barred(req *Request, backend *Backend) bool {
+	return d.mayChoose(req, backend) != Allowed
+}
 
 // MaySend returns, right before an attempt's first byte, whether it may still be sent. While it connected, its
 // client may have disconnected, its backend may have drained or restarted, and the deduplication window may
--- a/brain/policy_test.go
+++ b/brain/policy_test.go
@@ -13,11 +13,11 @@
 		change         func(d *Dispatcher, req *Request, backend *Backend)
 		choice, before Permission
 	}{
-		"nothing speaks against it": {func(*Dispatcher, *Request, *Backend) {}, Allowed, Allowed},
-		"the request is over":       {func(_ *Dispatcher, r *Request, _ *Backend) { r.Over = true }, RequestOver, RequestOver},
-		"the stop has begun":        {func(_ *Dispatcher, r *Request, _ *Backend) { r.Last = true }, NoFurtherAttempt, Allowed},
-		"its time is up":            {func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() }, DeadlinePassed, DeadlinePassed},
-		"the backend drains":        {func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Draining }, BackendNotReady, BackendNotReady},
+		"allowed": {func(*Dispatcher, *Request, *Backend) {}, Allowed, Allowed},
+		"the request is finished":       {func(_ *Dispatcher, r *Request, _ *Backend) { r.Over = true }, RequestOver, RequestOver},
+		"no further attempt is allowed":        {func(_ *Dispatcher, r *Request, _ *Backend) { r.Last = true }, NoFurtherAttempt, Allowed},
+		"the deadline has passed":            {func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() }, DeadlinePassed, DeadlinePassed},
+		"the backend is draining":        {func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Draining }, BackendNotReady, BackendNotReady},
 		"it may have run, and must not run twice": {func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect = Unrepeatable
 			went(req, backend, Broken, d.runtime.Now())
@@ -26,11 +26,11 @@
 			req.Class.Effect, req.Class.Window = Deduplicated, time.Second
 			went(req, backend, Broken, d.runtime.Now()-time.Second)
 		}, RepeatWindowClosed, RepeatWindowClosed},
-		"it may have run elsewhere": {func(d *Dispatcher, req *Request, backend *Backend) {
+		"it may have run in another group": {func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.Window, req.Class.Reach = Deduplicated, time.Minute, SameRack
 			went(req, &Backend{Role: Writes, Rack: backend.Rack + 1}, Broken, d.runtime.Now())
 		}, OtherGroup, OtherGroup},
-		"the backend started anew meanwhile": {func(d *Dispatcher, _ *Request, backend *Backend) {
+		"the backend restarted meanwhile": {func(d *Dispatcher, _ *Request, backend *Backend) {
 			backend.Restart, backend.Booted = true, d.runtime.Now()
 			backend.Sent.Add(d.runtime.Now(), 1e9)
 		}, SlowStartSpent, SlowStartSpent},
@@ -89,10 +89,10 @@
 func TestEachPermissionHasAName(t *testing.T) {
 	for v := Allowed; v <= StateDue; v++ {
 		if strings.HasPrefix(v.String(), "permission") {
-			t.Errorf("%d has none", v)
+			t.Errorf("permission %d has no name", v)
 		}
 	}
 	if !strings.HasPrefix((StateDue + 1).String(), "permission") {
-		t.Error("a name stands for no permission")
+		t.Error("a value that is no permission has a name")
 	}
 }
--- a/brain/release_test.go
+++ b/brain/release_test.go
@@ -23,7 +23,7 @@
 	wake := len(runtime.wakes) - 1
 	return d, runtime, req, runtime.sent[0], func() {
 		if runtime.delays[wake] != holdLimit {
-			t.Fatalf("the state is due after %v", runtime.delays[wake])
+			t.Fatalf("the KV cache is due after %v", runtime.delays[wake])
 		}
 		runtime.now += holdLimit
 		runtime.wakes[wake]()
@@ -39,11 +39,11 @@
 		t.Fatalf("released %d, cancelled %d", len(runtime.released), len(runtime.cancelled))
 	}
 	if got := d.MaySend(decode); got != StateDue {
-		t.Errorf("an attempt that is still to be sent is %v", got)
+		t.Errorf("before the first byte the attempt is %v", got)
 	}
 	d.Began(decode, time.Second) // it had arrived and fetched its KV cache
 	if req.State != nil || req.Released {
-		t.Error("the state is still held")
+		t.Error("the KV cache is still recorded as held")
 	}
 }
 
@@ -60,7 +60,7 @@
 			t.Errorf("outcome %d: released %d times", outcome, len(runtime.released))
 		}
 		if len(runtime.sent) != 2 || runtime.sent[1].Stage == ToWrite || req.State != nil || req.Released {
-			t.Errorf("outcome %d: sent %d, state %v", outcome, len(runtime.sent), req.State)
+			t.Errorf("outcome %d: sent %d, KV holder %v", outcome, len(runtime.sent), req.State)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 	d.Began(decode, 100*time.Millisecond)
 	due()
 	if len(runtime.released) != 0 {
-		t.Error("it is released")
+		t.Error("the KV cache is released")
 	}
 }
 
@@ -101,7 +101,7 @@
 	prefill.Ended, prefill.Next = false, d.onward(req)
 	d.Ended(prefill, Result{Outcome: Read, Ago: 100 * time.Millisecond})
 	if got := runtime.delays[len(runtime.delays)-1]; got != holdLimit-100*time.Millisecond {
-		t.Errorf("the state is due after %v", got)
+		t.Errorf("the KV cache is due after %v", got)
 	}
 }
 
@@ -123,11 +123,11 @@
 		further.Stage, req.Last = tc.stage, tc.outcome != Read
 		released := len(runtime.released)
 		if released != 1 || further == decode {
-			t.Fatalf("released %d times", released)
+			t.Fatalf("released %d times, wanted once", released)
 		}
 		d.Ended(further, Result{Outcome: tc.outcome, Over: tc.outcome == Served})
 		if got := len(runtime.released) - released; (got == 1) != tc.again || got > 1 {
-			t.Errorf("after %v at stage %v it is released %d times more", tc.outcome, tc.stage, got)
+			t.Errorf("after outcome %v at stage %v it is released %d more times", tc.outcome, tc.stage, got)
 		}
 	}
 }
