--- a/brain/brain.go
+++ b/brain/brain.go
@@ -22,8 +22,7 @@
 	keptFor = 20 * time.Second
 	// outcomeBucketWidth is a tenth of the time for which outcomes of attempts count for or against a backend.
 	evidence = 500 * time.Millisecond
-	// trustThreshold is what the draw from a suspected backend's success posterior must exceed for it to get
-	// work.
+	// trustThreshold is what the draw from a backend's success posterior must exceed for the backend to get work.
 	believe = 0.5
 	// queueSweepInterval is how often the queue is checked for requests that can no longer make their target.
 	sweep = 20 * time.Millisecond
--- a/brain/outcomes.go
+++ b/brain/outcomes.go
@@ -7,7 +7,7 @@
 
 // Outcomes: what attempts, own ones and those of peers, show about backends.
 
-// Began handles the first token of an attempt, duration after its send.
+// Began handles the first token of an attempt. duration is the time since its send.
 func (d *Dispatcher) Began(attempt *Attempt, duration time.Duration) {
 	if attempt.Ended || attempt.Began > 0 {
 		return
@@ -24,6 +24,7 @@
 // token limit.
 func (d *Dispatcher) learn(attempt *Attempt, duration time.Duration, succeeded, hasLoad bool) {
 	backend, now := attempt.Backend, d.runtime.Now()
+	// 300 tokens stand for the fixed part of an attempt's duration.
 	secondsPerToken := duration.Seconds() / (attempt.Left + 300)
 	slow := secondsPerToken > 4*d.typical[backend.Role].Or(secondsPerToken)
 	if succeeded {
--- a/brain/placement.go
+++ b/brain/placement.go
@@ -37,7 +37,7 @@
 }
 
 // loadScore is how loaded a backend looks for one more request that has tokens to prefill there: own streams
-// and prefill, a mean prompt counting as half a stream, scaled by the last load report. With many dispatchers
+// and prefill, a mean prompt (of 300 tokens at least) counting as half a stream, scaled by the last load report. With many dispatchers
 // the own load is nearly always zero; then load sent recently and the dispatcher's random bias decide.
 func (d *Dispatcher) press(backend *Backend, prefillTokens float64) float64 {
 	load := float64(backend.Streams) + 1 + backend.Lean + (backend.Unread+prefillTokens)/2/max(d.average, 300) +
--- a/brain/runtime.go
+++ b/brain/runtime.go
@@ -10,7 +10,7 @@
 	Send(attempt *Attempt, wait time.Duration)
 	// Cancel cancels an attempt in flight.
 	Cancel(attempt *Attempt)
-	// Release tells the prefill backend to drop the request's KV cache.
+	// Release asks for the release at the prefill backend of the request's KV cache.
 	Release(req *Request)
 	// Reject answers that the client may retry, after retryAfter if that is not 0.
 	Reject(req *Request, after time.Duration)
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -49,8 +49,8 @@
 	return req.Class.Reading.Or(1000) + decodeWork
 }
 
-// meanCompletedWork is the mean work per unit that backends of a role completed in a slow-start window for
-// this dispatcher: the warm ones, or those in slow start if none is warm. With most of them in slow start, the
+// meanCompletedWork is the mean work per unit that backends of a role completed for this dispatcher in a
+// slow-start window, averaged over five: the warm ones, or those in slow start if none is warm. With most of them in slow start, the
 // last value of the warm ones holds for backends that discovery reported as started: those in slow start
 // complete only what they are allowed, which would shrink each time.
 func (d *Dispatcher) carries(role Role, justStarted bool) float64 {
@@ -97,16 +97,16 @@
 }
 
 // slowStartBudget is this dispatcher's share of the work that a backend in slow start may be sent in a window.
-// What warm backends of its role completed over five windows bounds their capacity from below, however hard
-// they are loaded just now. With the stated multiple and share of that, and no more, a saturated role does not
+// What warm backends of its role completed over five windows never exceeds their capacity, however hard they
+// are loaded just now. With the stated multiple and share of that, and no more, a saturated role does not
 // overload a backend in slow start.
 func (d *Dispatcher) coldBudget(backend *Backend) float64 {
 	share := d.parameters.slowStartMultiple * d.parameters.slowStartShare
 	return share * d.carries(backend.Role, d.started(backend)) * backend.Units
 }
 
-// mayUseSlowStart returns whether a backend may have the given work in a window, a request's own included;
-// requestWork is the work of one request (rule 4). With many dispatchers the share of each is less than one
+// mayUseSlowStart returns whether a backend may have totalWork in a window, that of the request at hand included
+// (rule 4). With many dispatchers the share of each is less than one
 // request; it is then a probability, drawn per window. All dispatchers use the same draw shifted by their
 // index, so that the shares add up exactly and not only on average.
 func (d *Dispatcher) mayUseSlowStart(backend *Backend, workPerRequest, totalWork float64) Permission {
--- a/brain/state.go
+++ b/brain/state.go
@@ -49,7 +49,7 @@
 type admission struct {
 	window      float64       // limit on own requests without a first token
 	outstanding int           // requests that count against the window
-	jam         time.Duration // start of the last congestion: a request sent after the previous one was late
+	jam         time.Duration // when the last congestion was detected: a request sent after the one before it was late
 	least       float64       // how far requests sent before congestedAt may narrow the window
 	adjusted    bool          // some request has moved the window
 	credit      float64       // requests that the fractional part of the window allows
--- a/brain/types.go
+++ b/brain/types.go
@@ -130,7 +130,7 @@
 	Cut     time.Duration // when TokenLimit was last reduced
 
 	Util, Queue float64         // of the last load report
-	Sent        Ring            // work sent, for slow start
+	Sent        Ring            // work sent, for the slow-start budget
 	Given       Ring            // prefills and streams sent over a longer time
 	Carried     Ring            // work of attempts that succeeded
 	Records     []Record        // of all requests, then of each class
