--- a/brain/ends_test.go
+++ b/brain/ends_test.go
@@ -45,10 +45,12 @@
 	do func()
 }
 
-func (s *played) Wake(after time.Duration, do func()) { s.due = append(s.due, due{s.now + after, do}) }
-func (s *played) Tell(int, PeerUpdate)                {}
+func (s *played) Wake(delay time.Duration, callback func()) {
+	s.due = append(s.due, due{s.now + delay, callback})
+}
+func (s *played) Tell(int, PeerUpdate) {}
 
-func (s *played) Send(attempt *Attempt, wait time.Duration) {
+func (s *played) Send(attempt *Attempt, timeout time.Duration) {
 	req := attempt.Request
 	effect := req.Class.Effect
 	switch {
@@ -60,7 +62,7 @@
 		s.t.Errorf("an attempt at a backend that is not ready")
 	case attempt.Stage != ToRead && s.may[req] && effect == Unrepeatable:
 		s.t.Errorf("a non-idempotent request that may have run is sent again")
-	case s.now >= req.Deadline || wait > req.Deadline-s.now:
+	case s.now >= req.Deadline || timeout > req.Deadline-s.now:
 		s.t.Errorf("an attempt beyond the client's deadline")
 	case attempt.Stage == ToWrite && s.state[req] == nil:
 		s.t.Errorf("a decode attempt without a KV cache")
@@ -70,7 +72,7 @@
 	if !s.silent[attempt] {
 		delete(s.since, req)
 	}
-	s.Wake(wait, func() {
+	s.Wake(timeout, func() {
 		if s.out[req] == attempt && attempt.Began == 0 {
 			s.finish(attempt, TimedOut)
 		}
--- a/brain/help_test.go
+++ b/brain/help_test.go
@@ -20,15 +20,15 @@
 }
 
 func (f *door) Now() time.Duration { return f.now }
-func (f *door) Send(attempt *Attempt, wait time.Duration) {
-	f.sent, f.waits = append(f.sent, attempt), append(f.waits, wait)
+func (f *door) Send(attempt *Attempt, timeout time.Duration) {
+	f.sent, f.waits = append(f.sent, attempt), append(f.waits, timeout)
 }
 func (f *door) Cancel(attempt *Attempt)              { f.cancelled = append(f.cancelled, attempt) }
 func (f *door) Release(req *Request)                 { f.released = append(f.released, req) }
 func (f *door) Reject(req *Request, _ time.Duration) { f.declined = append(f.declined, req) }
 func (f *door) Fail(req *Request)                    { f.lost = append(f.lost, req) }
-func (f *door) Wake(after time.Duration, do func()) {
-	f.wakes, f.delays = append(f.wakes, do), append(f.delays, after)
+func (f *door) Wake(delay time.Duration, callback func()) {
+	f.wakes, f.delays = append(f.wakes, callback), append(f.delays, delay)
 }
 func (f *door) Watch(bool)                  {}
 func (f *door) Tell(peer int, _ PeerUpdate) { f.told = append(f.told, peer) }
--- a/brain/policy_test.go
+++ b/brain/policy_test.go
@@ -13,11 +13,11 @@
 		change         func(d *Dispatcher, req *Request, backend *Backend)
 		choice, before Permission
 	}{
-		"allowed": {func(*Dispatcher, *Request, *Backend) {}, Allowed, Allowed},
+		"allowed":                       {func(*Dispatcher, *Request, *Backend) {}, Allowed, Allowed},
 		"the request is finished":       {func(_ *Dispatcher, r *Request, _ *Backend) { r.Over = true }, RequestOver, RequestOver},
-		"no further attempt is allowed":        {func(_ *Dispatcher, r *Request, _ *Backend) { r.Last = true }, NoFurtherAttempt, Allowed},
-		"the deadline has passed":            {func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() }, DeadlinePassed, DeadlinePassed},
-		"the backend is draining":        {func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Draining }, BackendNotReady, BackendNotReady},
+		"no further attempt is allowed": {func(_ *Dispatcher, r *Request, _ *Backend) { r.Last = true }, NoFurtherAttempt, Allowed},
+		"the deadline has passed":       {func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() }, DeadlinePassed, DeadlinePassed},
+		"the backend is draining":       {func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Draining }, BackendNotReady, BackendNotReady},
 		"it may have run, and must not run twice": {func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect = Unrepeatable
 			went(req, backend, Broken, d.runtime.Now())
--- a/brain/runtime.go
+++ b/brain/runtime.go
@@ -7,21 +7,21 @@
 	// Now returns the time since a fixed start.
 	Now() time.Duration
 	// Send sends an attempt, which times out after timeout without a first token.
-	Send(attempt *Attempt, wait time.Duration)
+	Send(attempt *Attempt, timeout time.Duration)
 	// Cancel cancels an attempt in flight.
 	Cancel(attempt *Attempt)
-	// Release asks for the release at the prefill backend of the request's KV cache.
+	// Release has the KV cache released that a prefill backend may hold for the request.
 	Release(req *Request)
 	// Reject answers that the client may retry, after retryAfter if that is not 0.
-	Reject(req *Request, after time.Duration)
+	Reject(req *Request, retryAfter time.Duration)
 	// Fail answers with a failure that must not be retried blindly.
 	Fail(req *Request)
 	// Schedule calls callback after a delay.
-	Wake(after time.Duration, do func())
+	Wake(delay time.Duration, callback func())
 	// WatchEndpoints subscribes to service discovery, or unsubscribes.
-	Watch(on bool)
+	Watch(subscribe bool)
 	// SendPeerUpdate sends an update to the dispatcher with index peer.
 	Tell(peer int, update PeerUpdate)
 	// LogInfo logs a message.
-	Note(text string)
+	Note(message string)
 }
