--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -74,8 +74,8 @@
 func TestANarrowWindowRecovers(t *testing.T) {
 	d, runtime := fleetOf(t, 300)
 	d.window = 1.0 / 300
-	for n := 0; d.window < 1; n++ {
-		if n > 20 {
+	for round := 0; d.window < 1; round++ {
+		if round > 20 {
 			t.Fatalf("after 20 quick first tokens the window is %g", d.window)
 		}
 		req := ask(d)
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -11,64 +11,64 @@
 
 func TestGateBarsWhatTheRulesBar(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		set   func(d *Dispatcher, req *Request, backend *Backend)
-		bars  bool
-		reach Reach
+		name       string
+		prepare    func(d *Dispatcher, req *Request, backend *Backend)
+		disallowed bool
+		scope      Reach
 	}{
-		{name: "nothing against it", set: func(*Dispatcher, *Request, *Backend) {}},
-		{name: "finished", bars: true, set: func(_ *Dispatcher, r *Request, _ *Backend) { r.Over = true }},
-		{name: "an attempt is in flight", bars: true, set: func(_ *Dispatcher, req *Request, backend *Backend) {
+		{name: "nothing against it", prepare: func(*Dispatcher, *Request, *Backend) {}},
+		{name: "finished", disallowed: true, prepare: func(_ *Dispatcher, r *Request, _ *Backend) { r.Over = true }},
+		{name: "an attempt is in flight", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			went(req, backend, Rejected, 0).Ended = false
 		}},
-		{name: "deadline passed", bars: true, set: func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() }},
-		{name: "attempts used up", bars: true, set: func(_ *Dispatcher, req *Request, backend *Backend) {
+		{name: "deadline passed", disallowed: true, prepare: func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() }},
+		{name: "attempts used up", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			for range 4 {
 				went(req, backend, Rejected, 0)
 			}
 		}},
-		{name: "draining", bars: true, set: func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Draining }},
-		{name: "removed", bars: true, set: func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Gone }},
-		{name: "non-idempotent, may have run", bars: true, set: func(_ *Dispatcher, req *Request, backend *Backend) {
+		{name: "draining", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Draining }},
+		{name: "removed", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Gone }},
+		{name: "non-idempotent, may have run", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect = Unrepeatable
 			went(req, backend, TimedOut, 0)
 		}},
-		{name: "non-idempotent, proven not run", set: func(_ *Dispatcher, req *Request, backend *Backend) {
+		{name: "non-idempotent, proven not run", prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect = Unrepeatable
 			went(req, backend, Rejected, 0)
 		}},
-		{name: "non-idempotent, lost at a prefill backend", set: func(d *Dispatcher, req *Request, _ *Backend) {
+		{name: "non-idempotent, lost at a prefill backend", prepare: func(d *Dispatcher, req *Request, _ *Backend) {
 			req.Class.Effect = Unrepeatable
 			went(req, d.backends[0], Broken, 0)
 		}},
-		{name: "deduplicated, after its window", bars: true, set: func(d *Dispatcher, req *Request, backend *Backend) {
+		{name: "deduplicated, after its window", disallowed: true, prepare: func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.Window = Deduplicated, time.Second
 			went(req, backend, TimedOut, d.runtime.Now()-time.Second)
 		}},
-		{name: "deduplicated, in its window", set: func(d *Dispatcher, req *Request, backend *Backend) {
+		{name: "deduplicated, in its window", prepare: func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.Window = Deduplicated, time.Second
 			went(req, backend, TimedOut, d.runtime.Now()-time.Second/2)
 		}},
-		{name: "deduplicated, other rack", bars: true, reach: SameRack, set: func(d *Dispatcher, req *Request, _ *Backend) {
+		{name: "deduplicated, other rack", disallowed: true, scope: SameRack, prepare: func(d *Dispatcher, req *Request, _ *Backend) {
 			req.Class.Effect, req.Class.Window = Deduplicated, time.Minute
 			went(req, d.backends[3], TimedOut, d.runtime.Now())
 		}},
-		{name: "deduplicated, other zone", bars: true, reach: SameZone, set: func(d *Dispatcher, req *Request, _ *Backend) {
+		{name: "deduplicated, other zone", disallowed: true, scope: SameZone, prepare: func(d *Dispatcher, req *Request, _ *Backend) {
 			req.Class.Effect, req.Class.Window = Deduplicated, time.Minute
 			d.backends[3].Zone = 1
 			went(req, d.backends[3], TimedOut, d.runtime.Now())
 		}},
-		{name: "in slow start, budget used up", bars: true, set: func(d *Dispatcher, _ *Request, backend *Backend) {
+		{name: "in slow start, budget used up", disallowed: true, prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
 			backend.Restart, backend.Booted = true, d.runtime.Now()-time.Second
 			d.backends[3].Carried.Add(d.runtime.Now(), 50000)
 			backend.Sent.Add(d.runtime.Now(), 12000)
 		}},
-		{name: "in slow start, budget left", set: func(d *Dispatcher, _ *Request, backend *Backend) {
+		{name: "in slow start, budget left", prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
 			backend.Restart, backend.Booted = true, d.runtime.Now()-time.Second
 			d.backends[3].Carried.Add(d.runtime.Now(), 50000)
 			backend.Sent.Add(d.runtime.Now(), 100)
 		}},
-		{name: "in slow start while warm backends are heavily loaded", bars: true, set: func(d *Dispatcher, _ *Request, backend *Backend) {
+		{name: "in slow start while warm backends are heavily loaded", disallowed: true, prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
 			backend.Restart, backend.Booted = true, d.runtime.Now()-time.Second
 			d.backends[3].Sent.Add(d.runtime.Now(), 50000)
 			backend.Sent.Add(d.runtime.Now(), 100)
@@ -76,9 +76,9 @@
 	} {
 		d, _ := begin(t)
 		req := ask(d)
-		req.Class.Reach = tc.reach
-		tc.set(d, req, d.backends[2])
-		if got := d.barred(req, d.backends[2]); got != tc.bars {
+		req.Class.Reach = tc.scope
+		tc.prepare(d, req, d.backends[2])
+		if got := d.barred(req, d.backends[2]); got != tc.disallowed {
 			t.Errorf("%s: disallowed is %v", tc.name, got)
 		}
 	}
@@ -86,11 +86,11 @@
 
 func TestGiveUpDeclinesOnlyWhereTryingAgainIsHarmless(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		effect  Effect
-		reach   Reach
-		outcome Outcome
-		decline bool
+		name     string
+		effect   Effect
+		scope    Reach
+		outcome  Outcome
+		rejected bool
 	}{
 		{"idempotent that may have run", Idempotent, Everywhere, TimedOut, true},
 		{"non-idempotent that never ran", Unrepeatable, Everywhere, Rejected, true},
@@ -100,10 +100,10 @@
 	} {
 		d, runtime := begin(t)
 		req := ask(d)
-		req.Class.Effect, req.Class.Reach, req.State = tc.effect, tc.reach, d.backends[0]
+		req.Class.Effect, req.Class.Reach, req.State = tc.effect, tc.scope, d.backends[0]
 		went(req, d.backends[2], tc.outcome, 0)
 		d.giveUp(req)
-		if (len(runtime.declined) == 1) != tc.decline || (len(runtime.lost) == 1) == tc.decline || len(runtime.released) != 1 {
+		if (len(runtime.declined) == 1) != tc.rejected || (len(runtime.lost) == 1) == tc.rejected || len(runtime.released) != 1 {
 			t.Errorf("%s: rejected %d, failed %d, released %d", tc.name, len(runtime.declined), len(runtime.lost), len(runtime.released))
 		}
 	}
@@ -195,11 +195,11 @@
 
 func TestRouteReadsShortPromptsInPlaceOnceAnAverageIsKnown(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		average float64
-		kept    float64
-		stage   Stage
-		host    uint32
+		name      string
+		average   float64
+		cached    float64
+		stage     Stage
+		backendID uint32
 	}{
 		{"no mean known yet", 0, 1900, ToRead, 0},
 		{"short for the decode backend that has its prefix cached", 1000, 1900, Whole, 4},
@@ -207,9 +207,9 @@
 		d, runtime := begin(t)
 		d.average = tc.average
 		d.backends[4].Standing, d.backends[5].Standing = Gone, Gone
-		d.backends[3].Kept[7] = Kept{Tokens: tc.kept, At: d.runtime.Now()}
+		d.backends[3].Kept[7] = Kept{Tokens: tc.cached, At: d.runtime.Now()}
 		d.route(ask(d))
-		if len(runtime.sent) != 1 || runtime.sent[0].Stage != tc.stage || tc.host != 0 && runtime.sent[0].Backend.ID != tc.host {
+		if len(runtime.sent) != 1 || runtime.sent[0].Stage != tc.stage || tc.backendID != 0 && runtime.sent[0].Backend.ID != tc.backendID {
 			t.Errorf("%s: sent %+v", tc.name, runtime.sent)
 		}
 	}
@@ -258,11 +258,11 @@
 
 func TestPatienceLeavesTimeForAnotherTripWhereOneMayFollow(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		effect Effect
-		stage  Stage
-		number int
-		all    bool
+		name      string
+		effect    Effect
+		stage     Stage
+		number    int
+		wholeTime bool
 	}{
 		{"idempotent", Idempotent, Whole, 0, false},
 		{"non-idempotent at a prefill backend", Unrepeatable, ToRead, 0, false},
@@ -273,7 +273,7 @@
 		req := ask(d)
 		req.Class.Effect = tc.effect
 		wait := d.patience(&Attempt{Request: req, Stage: tc.stage, Number: tc.number, Sent: req.Taken})
-		if (wait == req.Deadline-req.Taken) != tc.all {
+		if (wait == req.Deadline-req.Taken) != tc.wholeTime {
 			t.Errorf("%s: the timeout is %v of %v", tc.name, wait, req.Deadline-req.Taken)
 		}
 	}
@@ -423,20 +423,20 @@
 
 func TestShareTellsAFewOthersAndNeverItself(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		peers bool
-		price float64
-		most  int
+		name    string
+		allowed bool
+		price   float64
+		peers   int
 	}{{"not allowed", false, 0, 0}, {"free of charge", true, 0, 8}, {"expensive", true, 0.01, 2}} {
 		settings := facts()
-		settings["policyLimits.peers"], settings["prices.peer"], settings["siblings"], settings["slotNo"] = tc.peers, tc.price, 50.0, 7.0
+		settings["policyLimits.peers"], settings["prices.peer"], settings["siblings"], settings["slotNo"] = tc.allowed, tc.price, 50.0, 7.0
 		runtime := &door{}
 		d, err := New(settings, 1, runtime)
 		if err != nil {
 			t.Fatal(err)
 		}
 		d.share(PeerUpdate{})
-		if len(runtime.told) != tc.most || slices.Contains(runtime.told, 7) {
+		if len(runtime.told) != tc.peers || slices.Contains(runtime.told, 7) {
 			t.Errorf("%s: updated peers %v", tc.name, runtime.told)
 		}
 	}
@@ -446,11 +446,11 @@
 // that widened the window while first tokens came seconds late.
 func TestTheWindowMovesByTheTimeToAFirstToken(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		out   time.Duration
-		began bool
-		ended Outcome
-		moves int // 1: it widens, -1: it narrows
+		name          string
+		elapsed       time.Duration
+		gotFirstToken bool
+		outcome       Outcome
+		direction     int // 1: it widens, -1: it narrows
 	}{
 		{"quick", 100 * time.Millisecond, true, Served, 1},
 		{"quick, cancelled by another dispatcher", 100 * time.Millisecond, false, Failed, 0},
@@ -463,15 +463,15 @@
 		d, runtime := begin(t)
 		d.window = 10
 		req := ask(d)
-		attempt := went(req, d.backends[2], tc.ended, runtime.now)
+		attempt := went(req, d.backends[2], tc.outcome, runtime.now)
 		req.Outstanding, req.Dispatched, d.outstanding, d.queue = true, runtime.now, 10, []*Request{ask(d)}
-		runtime.now += tc.out
-		if tc.began {
+		runtime.now += tc.elapsed
+		if tc.gotFirstToken {
 			attempt.Began = runtime.now
 		}
 		before := d.window
 		d.settle(req)
-		if cmp.Compare(d.window, before) != tc.moves {
+		if cmp.Compare(d.window, before) != tc.direction {
 			t.Errorf("%s: window %g -> %g", tc.name, before, d.window)
 		}
 		d.outstanding -= 9
@@ -488,10 +488,10 @@
 // wait behind it and time out too: prefill backends then do nothing but such work.
 func TestWhatWasGivenUpOnKeepsItsPlaceForAsLongAgain(t *testing.T) {
 	for _, tc := range []struct {
-		ended Outcome
-		took  time.Duration
-		ahead float64 // expected seconds to a first token
-		keeps time.Duration
+		outcome    Outcome
+		took       time.Duration
+		expected   float64 // expected seconds to a first token
+		keepsPlace time.Duration
 	}{
 		{TimedOut, 600 * time.Millisecond, 0.5, 600 * time.Millisecond}, {Cancelled, 200 * time.Millisecond, 0.5, 200 * time.Millisecond},
 		{TimedOut, 3 * time.Second, 0.5, time.Second}, {Read, 600 * time.Millisecond, 0.5, 0}, {Unreachable, 200 * time.Millisecond, 0.5, 0},
@@ -499,16 +499,16 @@
 	} {
 		d, runtime := begin(t)
 		d.window = 1
-		d.firstToken.Add(tc.ahead, 1)
+		d.firstToken.Add(tc.expected, 1)
 		req := ask(d)
-		went(req, d.backends[0], tc.ended, runtime.now)
+		went(req, d.backends[0], tc.outcome, runtime.now)
 		req.Outstanding, req.Dispatched, d.outstanding = true, runtime.now, 1
 		runtime.now += tc.took
 		runtime.wakes, runtime.delays = nil, nil
 		d.settle(req)
 		switch {
-		case tc.keeps == 0 && d.outstanding == 0 && len(runtime.wakes) == 0:
-		case tc.keeps == 0 || d.outstanding != 1 || len(runtime.wakes) != 1 || runtime.delays[0] != tc.keeps:
+		case tc.keepsPlace == 0 && d.outstanding == 0 && len(runtime.wakes) == 0:
+		case tc.keepsPlace == 0 || d.outstanding != 1 || len(runtime.wakes) != 1 || runtime.delays[0] != tc.keepsPlace:
 			t.Errorf("%+v: %d without a first token, timers after %v", tc, d.outstanding, runtime.delays)
 		default:
 			next := ask(d)
@@ -568,8 +568,8 @@
 	req, prefillBackends := ask(d), Only(d.backends, (*Backend).ReadsOnly)
 	candidates := slices.Clone(d.homes(req, Reads, slices.Clone(prefillBackends)))
 	without := slices.DeleteFunc(slices.Clone(prefillBackends), func(b *Backend) bool { return b == candidates[0] })
-	if left := d.homes(req, Reads, without); len(candidates) != 2 || !slices.Equal(left, candidates[1:]) {
-		t.Errorf("affinity candidates %v, with one suspected %v", candidates, left)
+	if remaining := d.homes(req, Reads, without); len(candidates) != 2 || !slices.Equal(remaining, candidates[1:]) {
+		t.Errorf("affinity candidates %v, with one suspected %v", candidates, remaining)
 	}
 	d.asked.Add(runtime.now, 100)
 	d.begins.Add(req.Shared, runtime.now, 50)
@@ -580,14 +580,14 @@
 
 func TestLearnHearsNothingInATripCutShort(t *testing.T) {
 	for _, tc := range []struct {
-		took time.Duration
-		bad  float64
+		took     time.Duration
+		failures float64
 	}{{100 * time.Millisecond, 0}, {2 * time.Second, 1}} {
 		d, runtime := begin(t)
 		backend := d.backends[2]
 		d.typical[Writes].Add(0.001, 1)
 		d.learn(went(ask(d), backend, TimedOut, runtime.now), tc.took, false, false)
-		if got := backend.Records[0].Bad.Sum(runtime.now); got != tc.bad {
+		if got := backend.Records[0].Bad.Sum(runtime.now); got != tc.failures {
 			t.Errorf("after %v: %g failures of the backend", tc.took, got)
 		}
 	}
@@ -595,20 +595,20 @@
 
 func TestMixedLosesWorkWhereWholeTripsAreSlower(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		pace  float64
-		taken bool
+		name            string
+		secondsPerToken float64
+		picked          bool
 	}{{"as quick", 1e-4, true}, {"slower", 1e-2, false}} {
 		d, _ := begin(t)
 		d.average = 1000
 		for i, backend := range d.backends {
 			backend.Lean, backend.Streams = 0, []int{3, 3, 8, 8, 0, 0}[i]
 		}
-		for role, pace := range []float64{1e-4, 1e-4, tc.pace} {
-			d.typical[role].Add(pace, 1)
+		for role, seconds := range []float64{1e-4, 1e-4, tc.secondsPerToken} {
+			d.typical[role].Add(seconds, 1)
 		}
-		if m := d.pickMixed(ask(d), d.backends[2:], d.backends[0]); (m != nil) != tc.taken {
-			t.Errorf("%s: got %v", tc.name, m)
+		if mixed := d.pickMixed(ask(d), d.backends[2:], d.backends[0]); (mixed != nil) != tc.picked {
+			t.Errorf("%s: got %v", tc.name, mixed)
 		}
 	}
 }
@@ -716,8 +716,8 @@
 	req := ask(d)
 	d.remember(&Attempt{Request: req, Backend: d.backends[2]}, 0)
 	d.refresh()
-	if n := len(d.backends[2].Kept); n != 2 {
-		t.Errorf("%d prefixes in the table, 2 are recent", n)
+	if entries := len(d.backends[2].Kept); entries != 2 {
+		t.Errorf("%d prefixes in the table, 2 are recent", entries)
 	}
 	rarelyUsed := d.backends[3]
 	rarelyUsed.Kept[5] = Kept{10, runtime.now, 0}
@@ -752,7 +752,7 @@
 		d.outstanding = int(d.window) + 1
 		d.settle(req)
 	}
-	if most := perHost * float64(len(d.backends)); d.window != most {
-		t.Errorf("the window is %g, wanted %g", d.window, most)
+	if limit := perHost * float64(len(d.backends)); d.window != limit {
+		t.Errorf("the window is %g, wanted %g", d.window, limit)
 	}
 }
--- a/brain/candidates_test.go
+++ b/brain/candidates_test.go
@@ -87,8 +87,8 @@
 		if len(inRack) != 3 {
 			t.Fatalf("%d backends of the KV holder's rack are candidates", len(inRack))
 		}
-		if n := len(d.candidates(req)); n > 400 || n < stretch {
-			t.Fatalf("%d candidates", n)
+		if count := len(d.candidates(req)); count > 400 || count < stretch {
+			t.Fatalf("%d candidates", count)
 		}
 	}
 }
@@ -109,12 +109,12 @@
 		d.Began(attempt, time.Millisecond)
 		d.Ended(attempt, Result{Outcome: Served, Over: true})
 	}
-	most := 0
-	for _, n := range used {
-		most = max(most, n)
+	maxUses := 0
+	for _, uses := range used {
+		maxUses = max(maxUses, uses)
 	}
-	if len(used) < 600 || most > 60 {
-		t.Errorf("%d of 1,000 backends are used, one of them %d times", len(used), most)
+	if len(used) < 600 || maxUses > 60 {
+		t.Errorf("%d of 1,000 backends are used, one of them %d times", len(used), maxUses)
 	}
 }
 
--- a/brain/ends_test.go
+++ b/brain/ends_test.go
@@ -107,15 +107,15 @@
 	}
 }
 
-func (s *played) end(req *Request, word string) {
+func (s *played) end(req *Request, outcome string) {
 	if s.final[req]++; s.final[req] > 1 {
-		s.t.Errorf("two final answers, the last %s", word)
+		s.t.Errorf("two final answers, the last %s", outcome)
 	}
 	if s.out[req] != nil {
-		s.t.Errorf("%s while an attempt is in flight", word)
+		s.t.Errorf("%s while an attempt is in flight", outcome)
 	}
 	if s.now > req.Deadline {
-		s.t.Errorf("%s %v after the client's deadline", word, s.now-req.Deadline)
+		s.t.Errorf("%s %v after the client's deadline", outcome, s.now-req.Deadline)
 	}
 }
 
@@ -131,7 +131,7 @@
 func (s *played) finish(attempt *Attempt, outcome Outcome) {
 	req := attempt.Request
 	delete(s.out, req)
-	if _, waits := s.since[req]; !waits {
+	if _, waiting := s.since[req]; !waiting {
 		s.since[req] = s.now
 	}
 	if attempt.Stage != ToRead && !outcome.NeverRan() {
--- a/brain/facts.go
+++ b/brain/facts.go
@@ -81,10 +81,10 @@
 // numericSettings are the settings that are used as divisors or counts, with their valid ranges. One that is
 // not stated, or that is 0 where 0 can only mean "none", gets the fallback, which has no effect.
 var figures = []struct {
-	name         string
-	least, most  float64
-	absent       float64
-	noughtIsNone bool
+	name             string
+	minimum, maximum float64
+	fallback         float64
+	zeroIsUnset      bool
 }{
 	{"siblings", 1, 1 << 16, 1, true},
 	{"policyLimits.maxAttempts", 1, 1e6, 1, true},
@@ -105,7 +105,7 @@
 	}
 	for _, setting := range figures {
 		if v := s.Num(setting.name, 0); v == 0 {
-			complete[setting.name] = setting.absent
+			complete[setting.name] = setting.fallback
 		}
 	}
 	return complete
@@ -120,11 +120,11 @@
 		value, stated := s[setting.name]
 		number, isNumber := value.(float64)
 		switch {
-		case !stated || value == nil || isNumber && number == 0 && setting.noughtIsNone:
+		case !stated || value == nil || isNumber && number == 0 && setting.zeroIsUnset:
 		case !isNumber:
 			return fmt.Errorf("read setting %s: not a number", setting.name)
-		case !(number >= setting.least && number <= setting.most):
-			return fmt.Errorf("read setting %s: %g is not from %g to %g", setting.name, number, setting.least, setting.most)
+		case !(number >= setting.minimum && number <= setting.maximum):
+			return fmt.Errorf("read setting %s: %g is not from %g to %g", setting.name, number, setting.minimum, setting.maximum)
 		}
 	}
 	if s.Num("requestClasses", 0) < 1 {
--- a/brain/policy_test.go
+++ b/brain/policy_test.go
@@ -10,8 +10,8 @@
 // the check before the first byte agree wherever both look.
 func TestEachReasonHasItsPermission(t *testing.T) {
 	for name, tc := range map[string]struct {
-		change         func(d *Dispatcher, req *Request, backend *Backend)
-		choice, before Permission
+		prepare            func(d *Dispatcher, req *Request, backend *Backend)
+		choice, beforeSend Permission
 	}{
 		"allowed":                       {func(*Dispatcher, *Request, *Backend) {}, Allowed, Allowed},
 		"the request is finished":       {func(_ *Dispatcher, r *Request, _ *Backend) { r.Over = true }, RequestOver, RequestOver},
@@ -37,13 +37,13 @@
 	} {
 		d, _ := begin(t)
 		backend, req := d.backends[2], ask(d)
-		tc.change(d, req, backend)
+		tc.prepare(d, req, backend)
 		if got := d.mayChoose(req, backend); got != tc.choice {
 			t.Errorf("%s: the choice is %v, wanted %v", name, got, tc.choice)
 		}
 		attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), Sent: d.runtime.Now()}
-		if got := d.MaySend(attempt); got != tc.before {
-			t.Errorf("%s: before the first byte it is %v, wanted %v", name, got, tc.before)
+		if got := d.MaySend(attempt); got != tc.beforeSend {
+			t.Errorf("%s: before the first byte it is %v, wanted %v", name, got, tc.beforeSend)
 		}
 	}
 }
@@ -64,7 +64,7 @@
 func TestARejectionKeepsItsPromise(t *testing.T) {
 	for name, tc := range map[string]struct {
 		effect  Effect
-		reach   Reach
+		scope   Reach
 		outcome Outcome
 		want    Permission
 	}{
@@ -78,7 +78,7 @@
 	} {
 		d, _ := begin(t)
 		req := ask(d)
-		req.Class.Effect, req.Class.Reach = tc.effect, tc.reach
+		req.Class.Effect, req.Class.Reach = tc.effect, tc.scope
 		went(req, d.backends[2], tc.outcome, d.runtime.Now())
 		if got := MayReject(req); got != tc.want {
 			t.Errorf("%s: %v, wanted %v", name, got, tc.want)
