--- a/brain/admission.go
+++ b/brain/admission.go
@@ -45,7 +45,7 @@
 		value *= d.parameters.surplusValue
 	}
 	if req.Again {
-		value *= req.Class.Late
+		value *= req.Class.LateValue
 	}
 	if !d.parameters.valueByWork {
 		value /= req.Prompt + req.Most + 1
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -167,12 +167,12 @@
 	req.Class = d.classes[min(classIndex, len(d.classes)-1)]
 	req.Taken, req.Deadline, req.Memory = now, now+req.Left, req.Prompt+answer*req.Most
 	req.Class.Offered.Add(now, 1)
-	req.TargetAt = now + req.Class.Target + time.Duration(req.Prompt/1000*float64(req.Class.TargetPerK))
+	req.TargetAt = now + req.Class.Target + time.Duration(req.Prompt/1000*float64(req.Class.TargetPer1000Tokens))
 	if tenantIndex < len(d.tenants) {
 		tenant := d.tenants[tenantIndex]
-		tenant.Taken.Add(now, 1)
+		tenant.Received.Add(now, 1)
 		share := d.parameters.share(tenant.Quota)
-		req.Surplus = tenant.Taken.Sum(now) > share*buckets*tenant.Taken.Width.Seconds()
+		req.Surplus = tenant.Received.Sum(now) > share*buckets*tenant.Received.Width.Seconds()
 	}
 	d.enqueue(req)
 	d.dispatch()
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -42,19 +42,19 @@
 			went(req, d.backends[0], Broken, 0)
 		}},
 		{name: "deduplicated, after its window", disallowed: true, prepare: func(d *Dispatcher, req *Request, backend *Backend) {
-			req.Class.Effect, req.Class.Window = Deduplicated, time.Second
+			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
 			went(req, backend, TimedOut, d.runtime.Now()-time.Second)
 		}},
 		{name: "deduplicated, in its window", prepare: func(d *Dispatcher, req *Request, backend *Backend) {
-			req.Class.Effect, req.Class.Window = Deduplicated, time.Second
+			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
 			went(req, backend, TimedOut, d.runtime.Now()-time.Second/2)
 		}},
 		{name: "deduplicated, other rack", disallowed: true, scope: SameRack, prepare: func(d *Dispatcher, req *Request, _ *Backend) {
-			req.Class.Effect, req.Class.Window = Deduplicated, time.Minute
+			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Minute
 			went(req, d.backends[3], TimedOut, d.runtime.Now())
 		}},
 		{name: "deduplicated, other zone", disallowed: true, scope: SameZone, prepare: func(d *Dispatcher, req *Request, _ *Backend) {
-			req.Class.Effect, req.Class.Window = Deduplicated, time.Minute
+			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Minute
 			d.backends[3].Zone = 1
 			went(req, d.backends[3], TimedOut, d.runtime.Now())
 		}},
@@ -76,7 +76,7 @@
 	} {
 		d, _ := begin(t)
 		req := ask(d)
-		req.Class.Reach = tc.scope
+		req.Class.DedupScope = tc.scope
 		tc.prepare(d, req, d.backends[2])
 		if got := d.barred(req, d.backends[2]); got != tc.disallowed {
 			t.Errorf("%s: disallowed is %v", tc.name, got)
@@ -100,7 +100,7 @@
 	} {
 		d, runtime := begin(t)
 		req := ask(d)
-		req.Class.Effect, req.Class.Reach, req.State = tc.effect, tc.scope, d.backends[0]
+		req.Class.Effect, req.Class.DedupScope, req.State = tc.effect, tc.scope, d.backends[0]
 		went(req, d.backends[2], tc.outcome, 0)
 		d.giveUp(req)
 		if (len(runtime.declined) == 1) != tc.rejected || (len(runtime.lost) == 1) == tc.rejected || len(runtime.released) != 1 {
@@ -162,7 +162,7 @@
 	d, runtime := begin(t)
 	first, behind := ask(d), ask(d)
 	behind.ID = 2
-	first.Class = &Class{Effect: Deduplicated, Reach: SameRack, Window: time.Minute, Value: 9, Target: time.Second}
+	first.Class = &Class{Effect: Deduplicated, DedupScope: SameRack, DedupWindow: time.Minute, Value: 9, Target: time.Second}
 	went(first, d.backends[2], TimedOut, runtime.now)
 	d.enqueue(first)
 	for _, backend := range d.backends {
--- a/brain/facts.go
+++ b/brain/facts.go
@@ -160,12 +160,12 @@
 		classes = append(classes, &Class{
 			Index:      i,
 			Effect:     effect,
-			Reach:      map[string]Reach{"zone": SameZone, "cell": SameRack}[s.Text(prefix+"group")],
-			Window:     s.Span(prefix + "windowUs"),
+			DedupScope:      map[string]Reach{"zone": SameZone, "cell": SameRack}[s.Text(prefix+"group")],
+			DedupWindow:     s.Span(prefix + "windowUs"),
 			Target:     s.Span(target),
-			TargetPerK: s.Span(fmt.Sprintf("familyInfo.aimUsPer1000PromptTokens.%d", i)),
+			TargetPer1000Tokens: s.Span(fmt.Sprintf("familyInfo.aimUsPer1000PromptTokens.%d", i)),
 			Value:      s.Num(prefix+"worth", 1),
-			Late:       s.Num(prefix+"lateWorth", 1),
+			LateValue:       s.Num(prefix+"lateWorth", 1),
 			Offered:    Ring{Width: admittedWidth},
 			Admitted:   Ring{Width: admittedWidth},
 		})
@@ -196,7 +196,7 @@
 	var tenants []*Tenant
 	for i := range int(s.Num("tenants", 0)) {
 		quota := s.Num(fmt.Sprintf("tenants.%d.quotaPerS", i), math.Inf(1))
-		tenants = append(tenants, &Tenant{Quota: quota, Taken: Ring{Width: 500 * time.Millisecond}})
+		tenants = append(tenants, &Tenant{Quota: quota, Received: Ring{Width: 500 * time.Millisecond}})
 	}
 	return tenants
 }
--- a/brain/facts_test.go
+++ b/brain/facts_test.go
@@ -103,11 +103,11 @@
 	if d.MaySend(repeat) != Allowed {
 		t.Error("a repeat within the window may not be sent")
 	}
-	runtime.now = runtime.sent[0].Sent + req.Class.Window
+	runtime.now = runtime.sent[0].Sent + req.Class.DedupWindow
 	if d.MaySend(repeat) == Allowed {
 		t.Error("a repeat after the window may be sent")
 	}
-	runtime.now = runtime.sent[0].Sent + req.Class.Window/2
+	runtime.now = runtime.sent[0].Sent + req.Class.DedupWindow/2
 	repeat.Backend.Standing = Draining
 	if d.MaySend(repeat) == Allowed {
 		t.Error("an attempt at a draining backend may be sent")
--- a/brain/policy.go
+++ b/brain/policy.go
@@ -105,9 +105,9 @@
 		return Allowed
 	case class.Effect == Unrepeatable:
 		return MayHaveRun
-	case d.runtime.Now() >= earlier.Sent+class.Window-repeatSlack:
+	case d.runtime.Now() >= earlier.Sent+class.DedupWindow-repeatSlack:
 		return RepeatWindowClosed
-	case !class.Reach.Joins(backend, earlier.Backend):
+	case !class.DedupScope.Joins(backend, earlier.Backend):
 		return OtherGroup
 	}
 	return Allowed
@@ -117,7 +117,7 @@
 // harmless (rule 2).
 func MayReject(req *Request) Permission {
 	class := req.Class
-	anywhere := class.Effect == Idempotent || class.Effect == Deduplicated && class.Reach == Everywhere
+	anywhere := class.Effect == Idempotent || class.Effect == Deduplicated && class.DedupScope == Everywhere
 	if !anywhere && req.MayHaveRun() != nil {
 		return MayHaveRun
 	}
--- a/brain/policy_test.go
+++ b/brain/policy_test.go
@@ -23,11 +23,11 @@
 			went(req, backend, Broken, d.runtime.Now())
 		}, MayHaveRun, MayHaveRun},
 		"it may have run, too long ago": {func(d *Dispatcher, req *Request, backend *Backend) {
-			req.Class.Effect, req.Class.Window = Deduplicated, time.Second
+			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
 			went(req, backend, Broken, d.runtime.Now()-time.Second)
 		}, RepeatWindowClosed, RepeatWindowClosed},
 		"it may have run in another group": {func(d *Dispatcher, req *Request, backend *Backend) {
-			req.Class.Effect, req.Class.Window, req.Class.Reach = Deduplicated, time.Minute, SameRack
+			req.Class.Effect, req.Class.DedupWindow, req.Class.DedupScope = Deduplicated, time.Minute, SameRack
 			went(req, &Backend{Role: Writes, Rack: backend.Rack + 1}, Broken, d.runtime.Now())
 		}, OtherGroup, OtherGroup},
 		"the backend restarted meanwhile": {func(d *Dispatcher, _ *Request, backend *Backend) {
@@ -78,7 +78,7 @@
 	} {
 		d, _ := begin(t)
 		req := ask(d)
-		req.Class.Effect, req.Class.Reach = tc.effect, tc.scope
+		req.Class.Effect, req.Class.DedupScope = tc.effect, tc.scope
 		went(req, d.backends[2], tc.outcome, d.runtime.Now())
 		if got := MayReject(req); got != tc.want {
 			t.Errorf("%s: %v, wanted %v", name, got, tc.want)
--- a/brain/types.go
+++ b/brain/types.go
@@ -77,12 +77,12 @@
 type Class struct {
 	Index      int
 	Effect     Effect
-	Reach      Reach
-	Window     time.Duration
+	DedupScope      Reach
+	DedupWindow     time.Duration
 	Target     time.Duration // time to first token
-	TargetPerK time.Duration // added for each 1,000 prompt tokens
+	TargetPer1000Tokens time.Duration // added for each 1,000 prompt tokens
 	Value      float64
-	Late       float64 // share of the value that remains after the latency target
+	LateValue       float64 // share of the value that remains after the latency target
 	Reading    Mean    // mean tokens to prefill, without cached ones
 	Writing    Mean    // mean duration of an answer's stream
 	Offered    Ring    // requests received recently
@@ -100,7 +100,7 @@
 // Tenant is a tenant with its quota.
 type Tenant struct {
 	Quota float64 // requests per second over all dispatchers
-	Taken Ring
+	Received Ring
 }
 
 // Backend is a backend as this dispatcher knows it. Loads are those of the dispatcher's own requests.
--- a/internal/baseline/informed.go
+++ b/internal/baseline/informed.go
@@ -41,7 +41,7 @@
 	best := brain.Least(p.up(q, p.able(q, brain.Reads)), func(h *brain.Backend) float64 {
 		return p.View.Load(h, q).prefillTime(q).Seconds()
 	})
-	target := q.Taken + q.Class.Target + time.Duration(q.Prompt/1000*float64(q.Class.TargetPerK))
+	target := q.Taken + q.Class.Target + time.Duration(q.Prompt/1000*float64(q.Class.TargetPer1000Tokens))
 	if best == nil || p.door.Now()+p.View.Load(best, q).prefillTime(q) > min(target, q.Deadline) {
 		p.giveUp(q)
 		return
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	g := grades[1]
-	if g.Effect != brain.Unrepeatable || g.Target != time.Second || g.Value != 5 || grades[0].TargetPerK != 60*time.Millisecond {
+	if g.Effect != brain.Unrepeatable || g.Target != time.Second || g.Value != 5 || grades[0].TargetPer1000Tokens != 60*time.Millisecond {
 		t.Errorf("%+v", g)
 	}
 	if f.Num("zone", -1) != 1 || f.Num("slotNo", -1) != 1 || f.RoleOf(0) != brain.Reads ||
