--- a/brain/admission.go
+++ b/brain/admission.go
@@ -12,7 +12,7 @@
 
 const (
 	// admissionBucketWidth is a tenth of the time for which a class's admitted requests are counted.
-	admittedWidth = 500 * time.Millisecond
+	admissionBucketWidth = 500 * time.Millisecond
 	// admittedPrior is the number of requests assumed to have been admitted in addition to those counted.
 	admittedPrior = 30.0
 	// fairness is the exponent of alpha-fair sharing: with 0 the class of least value would get nothing while
@@ -23,26 +23,26 @@
 // reweightQueue reorders the queue by the share of each class that was admitted recently: the lower it is, the
 // more the class's requests count. With a fixed order of classes the last one would wait for all others and be
 // rejected as late.
-func (d *Dispatcher) weighQueue() {
+func (d *Dispatcher) reweightQueue() {
 	for _, class := range d.classes {
 		class.Weight = math.Pow(class.admittedShare(d.runtime.Now()), -fairness)
 	}
 	for _, req := range d.queue {
-		req.Density = d.density(req)
+		req.ValueDensity = d.valueDensity(req)
 	}
-	slices.SortFunc(d.queue, compareRank)
+	slices.SortFunc(d.queue, compareQueueOrder)
 }
 
 // compareQueueOrder orders requests by value density, then newest first, as the newest have most time left.
-func compareRank(a, b *Request) int {
-	return cmp.Or(cmp.Compare(b.Density, a.Density), cmp.Compare(b.Taken, a.Taken), cmp.Compare(a.ID, b.ID))
+func compareQueueOrder(a, b *Request) int {
+	return cmp.Or(cmp.Compare(b.ValueDensity, a.ValueDensity), cmp.Compare(b.Taken, a.Taken), cmp.Compare(a.ID, b.ID))
 }
 
 // valueDensity is the value of a request divided by its work.
-func (d *Dispatcher) density(req *Request) float64 {
+func (d *Dispatcher) valueDensity(req *Request) float64 {
 	value := req.Class.Value * cmp.Or(req.Class.Weight, 1)
-	if req.Surplus {
-		value *= d.parameters.surplusValue
+	if req.OverQuota {
+		value *= d.parameters.overQuotaValue
 	}
 	if req.Again {
 		value *= req.Class.LateValue
@@ -55,12 +55,12 @@
 
 // enqueue puts a request into the queue. One whose deadline passes before the next sweep is given up at once.
 func (d *Dispatcher) enqueue(req *Request) {
-	if d.runtime.Now()+2*sweep > req.Deadline {
+	if d.runtime.Now()+2*queueSweepInterval > req.Deadline {
 		d.giveUp(req)
 		return
 	}
-	req.Density = d.density(req)
-	i, _ := slices.BinarySearchFunc(d.queue, req, compareRank)
+	req.ValueDensity = d.valueDensity(req)
+	i, _ := slices.BinarySearchFunc(d.queue, req, compareQueueOrder)
 	d.queue = slices.Insert(d.queue, i, req)
 }
 
@@ -71,30 +71,30 @@
 		req := d.queue[0]
 		first := len(req.Attempts) == 0
 		if d.route(req) {
-			d.admitted(req, first)
-		} else if len(req.Attempts) == 0 || d.takable(req) {
+			d.recordAdmission(req, first)
+		} else if len(req.Attempts) == 0 || d.anyAllowed(req) {
 			break
 		} else {
 			d.giveUp(req)
 		}
 		d.dequeue(req)
 	}
-	if len(d.queue) > 0 && !d.sweeping {
-		d.sweeping = true
-		d.runtime.Wake(sweep, d.sweepQueue)
+	if len(d.queue) > 0 && !d.sweepScheduled {
+		d.sweepScheduled = true
+		d.runtime.Wake(queueSweepInterval, d.sweepQueue)
 	}
 }
 
 // sweepQueue reorders the queue, sheds late requests and sends what the window allows.
 func (d *Dispatcher) sweepQueue() {
-	d.sweeping = false
-	d.weighQueue()
-	d.shed()
+	d.sweepScheduled = false
+	d.reweightQueue()
+	d.shedLate()
 	d.dispatch()
 }
 
 // recordAdmission records that a request was sent, for the first time or again.
-func (d *Dispatcher) admitted(req *Request, first bool) {
+func (d *Dispatcher) recordAdmission(req *Request, first bool) {
 	d.spendCredit()
 	if first {
 		req.Class.Admitted.Add(d.runtime.Now(), 1)
@@ -109,19 +109,19 @@
 // shedLate rejects queued requests that can no longer make their latency target. The longest wait indicates
 // overload; under overload the requests too far back in the queue, which have the least value density, are
 // rejected first.
-func (d *Dispatcher) shed() {
+func (d *Dispatcher) shedLate() {
 	now := d.runtime.Now()
 	overload := false
 	for _, req := range d.queue {
-		overload = overload || float64(now-req.Taken) > impatient*float64(req.TargetAt-req.Taken)
+		overload = overload || float64(now-req.Taken) > overloadWaitShare*float64(req.TargetAt-req.Taken)
 	}
-	expected := d.expectedFirstToken()
-	rate := d.window / max(expected, sweep.Seconds())
+	expected := d.expectedTimeToFirstToken()
+	rate := d.window / max(expected, queueSweepInterval.Seconds())
 	position := 0.0
 	for _, req := range slices.Clone(d.queue) {
 		timeToFirstToken := time.Duration((position/rate + expected) * float64(time.Second))
 		late := now+timeToFirstToken > req.TargetAt-(req.TargetAt-req.Taken)/4
-		if overload && late || now+2*sweep > req.Deadline {
+		if overload && late || now+2*queueSweepInterval > req.Deadline {
 			d.dequeue(req)
 			d.giveUp(req)
 			continue
@@ -136,10 +136,10 @@
 // backends can take, and a dispatcher that was idle may send two requests at once.
 func (d *Dispatcher) mayDispatch() bool {
 	now := d.runtime.Now()
-	rate := (d.window - d.wholePart()) / max(d.expectedFirstToken(), sweep.Seconds())
-	d.credit = min(d.credit+rate*max(now-d.credited, 0).Seconds(), burst)
-	d.credited = now
-	return float64(d.outstanding) < d.wholePart() || d.credit >= 1
+	rate := (d.window - d.wholePart()) / max(d.expectedTimeToFirstToken(), queueSweepInterval.Seconds())
+	d.sendCredit = min(d.sendCredit+rate*max(now-d.creditUpdatedAt, 0).Seconds(), maxBurst)
+	d.creditUpdatedAt = now
+	return float64(d.outstanding) < d.wholePart() || d.sendCredit >= 1
 }
 
 // wholePart is the part of the window that limits the number of outstanding requests.
@@ -149,28 +149,28 @@
 // dispatchers that wait at the same time.
 func (d *Dispatcher) spendCredit() {
 	if float64(d.outstanding) > d.wholePart() {
-		d.credit -= 0.5 + d.rng.Float()
+		d.sendCredit -= 0.5 + d.rng.Float()
 	}
 }
 
 // clearOutstanding ends a request's place in the window: it has its first token, returns to the queue or is
 // finished. There is one window over all backends, as a dispatcher's own attempts at any one backend are too
 // few to detect congestion.
-func (d *Dispatcher) settle(req *Request) {
+func (d *Dispatcher) clearOutstanding(req *Request) {
 	if !req.Outstanding {
 		return
 	}
 	req.Outstanding = false
-	d.awaiting = slices.DeleteFunc(d.awaiting, func(r *Request) bool { return r == req })
+	d.awaitingFirstToken = slices.DeleteFunc(d.awaitingFirstToken, func(r *Request) bool { return r == req })
 	now, attempt := d.runtime.Now(), req.Attempts[len(req.Attempts)-1]
 	d.adjustWindow(d.targetShare(req), req.Dispatched, attempt.Began > 0)
 	// A request that timed out or was cancelled still runs at its backend. Under congestion, one sent in its
 	// place at once would wait behind it and time out too, so it keeps its place for as long again.
-	congested := d.expectedFirstToken() > impatient*(req.TargetAt-req.Taken).Seconds()
+	congested := d.expectedTimeToFirstToken() > overloadWaitShare*(req.TargetAt-req.Taken).Seconds()
 	// The first token of a timed-out attempt would have come even later. If only attempts with a first token
 	// counted, latency would look low under congestion and more attempts would be sent into it.
 	if attempt.Began == 0 && attempt.Outcome == TimedOut {
-		d.firstToken.Add(max((now-req.Dispatched).Seconds(), d.firstToken.Or(0)), 0.1)
+		d.timeToFirstToken.Add(max((now-req.Dispatched).Seconds(), d.timeToFirstToken.Or(0)), 0.1)
 	}
 	if congested && attempt.Began == 0 && (attempt.Outcome == TimedOut || attempt.Outcome == Cancelled) {
 		d.runtime.Wake(min(now-attempt.Sent, req.TargetAt-req.Taken), func() { d.outstanding--; d.dispatch() })
@@ -193,40 +193,40 @@
 // a window that limits sending, it widens it. The factor per response time is the same for narrow and wide
 // windows. Over the fleet the windows never add up to less than one request.
 func (d *Dispatcher) adjustWindow(share float64, dispatchedAt time.Duration, gotFirstToken bool) {
-	d.adjusted = true
-	change := math.Exp((calm - share) / max(d.window*float64(1+d.listeners), 1))
+	d.windowAdjusted = true
+	change := math.Exp((neutralTargetShare - share) / max(d.window*float64(1+d.peerFanout), 1))
 	binding := d.window < 1 || len(d.queue) > 0 && float64(d.outstanding)+1 > d.window
 	switch {
-	case share > calm:
-		if dispatchedAt >= d.jam {
-			d.jam, d.least = d.runtime.Now(), d.window/2
+	case share > neutralTargetShare:
+		if dispatchedAt >= d.congestedAt {
+			d.congestedAt, d.windowFloor = d.runtime.Now(), d.window/2
 		}
 		// All requests outstanding when congestion begins report the same event, and together halve the window at
 		// most. Otherwise the failure of half the fleet would nearly close the window, which would then take
 		// minutes to recover for lack of samples.
-		d.window = max(d.window*change, d.least)
+		d.window = max(d.window*change, d.windowFloor)
 	case gotFirstToken && binding:
 		d.window *= change
 	}
-	d.window = max(min(d.window, perHost*float64(len(d.backends))), 1/d.parameters.dispatchers)
+	d.window = max(min(d.window, windowPerBackend*float64(len(d.backends))), 1/d.parameters.dispatchers)
 }
 
 // applyPeerShare applies the latency that a peer reports for one of its requests.
-func (d *Dispatcher) heardShare(update PeerUpdate) {
+func (d *Dispatcher) applyPeerShare(update PeerUpdate) {
 	if update.Share == 0 || update.Grade >= len(d.classes) {
 		return
 	}
 	took := time.Duration(update.Share * float64(d.classes[update.Grade].Target))
-	d.firstToken.Add(took.Seconds(), 0.1)
+	d.timeToFirstToken.Add(took.Seconds(), 0.1)
 	d.adjustWindow(update.Share, d.runtime.Now()-took, update.Share < 1)
 }
 
 // expectedTimeToFirstToken is in seconds: the recent mean, or the time that the oldest outstanding request has
 // waited if that is longer.
-func (d *Dispatcher) expectedFirstToken() float64 {
-	expected := d.firstToken.Or(impatient * d.classes[0].Target.Seconds())
-	if len(d.awaiting) > 0 {
-		expected = max(expected, (d.runtime.Now() - d.awaiting[0].Dispatched).Seconds())
+func (d *Dispatcher) expectedTimeToFirstToken() float64 {
+	expected := d.timeToFirstToken.Or(overloadWaitShare * d.classes[0].Target.Seconds())
+	if len(d.awaitingFirstToken) > 0 {
+		expected = max(expected, (d.runtime.Now() - d.awaitingFirstToken[0].Dispatched).Seconds())
 	}
 	return expected
 }
--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -9,8 +9,8 @@
 
 // countDispatches returns how many requests the window lets out in a time, checked at every queue sweep, if
 // none is ever outstanding.
-func allowed(d *Dispatcher, runtime *door, span time.Duration) (dispatched int) {
-	for end := runtime.now + span; runtime.now < end; runtime.now += sweep {
+func countDispatches(d *Dispatcher, runtime *fakeRuntime, span time.Duration) (dispatched int) {
+	for end := runtime.now + span; runtime.now < end; runtime.now += queueSweepInterval {
 		if d.mayDispatch() {
 			d.outstanding++
 			d.spendCredit()
@@ -22,12 +22,12 @@
 }
 
 // A window below one is a rate: that many requests per response time on average, despite the random spread.
-func TestAWindowBelowOneIsPacing(t *testing.T) {
+func TestWindowBelowOneIsARate(t *testing.T) {
 	for _, window := range []float64{0.1, 0.3, 0.9} {
-		d, runtime := fleetOf(t, 300)
-		d.window, d.credit, d.credited = window, 0, runtime.now
-		d.firstToken.Add(0.5, 1)
-		got := float64(allowed(d, runtime, 200*time.Second))
+		d, runtime := newDispatcherOf(t, 300)
+		d.window, d.sendCredit, d.creditUpdatedAt = window, 0, runtime.now
+		d.timeToFirstToken.Add(0.5, 1)
+		got := float64(countDispatches(d, runtime, 200*time.Second))
 		if want := window / 0.5 * 200; math.Abs(got-want) > 0.1*want {
 			t.Errorf("window %g sent %g, wanted %g", window, got, want)
 		}
@@ -35,15 +35,15 @@
 }
 
 // Dispatchers that begin to wait at the same time do not continue at the same time.
-func TestPacedDispatchersSpread(t *testing.T) {
+func TestPacedDispatchersSpreadOverTime(t *testing.T) {
 	times := map[time.Duration]bool{}
 	for seed := range uint64(50) {
-		d, runtime := fleetOf(t, 300)
+		d, runtime := newDispatcherOf(t, 300)
 		d.rng = NewPCG(seed)
-		d.window, d.credit, d.credited, d.outstanding = 0.5, 1, runtime.now, 1
-		d.firstToken.Add(0.5, 1)
+		d.window, d.sendCredit, d.creditUpdatedAt, d.outstanding = 0.5, 1, runtime.now, 1
+		d.timeToFirstToken.Add(0.5, 1)
 		d.spendCredit()
-		for d.outstanding = 0; !d.mayDispatch(); runtime.now += sweep {
+		for d.outstanding = 0; !d.mayDispatch(); runtime.now += queueSweepInterval {
 		}
 		times[runtime.now] = true
 	}
@@ -53,16 +53,16 @@
 }
 
 // At low load nothing is paced: an idle dispatcher sends two requests at once, even with the smallest window.
-func TestAnIdleDispatcherSendsAtOnce(t *testing.T) {
-	d, runtime := fleetOf(t, 300)
+func TestIdleDispatcherSendsAtOnce(t *testing.T) {
+	d, runtime := newDispatcherOf(t, 300)
 	for range 2 {
 		d.Submit(&Request{ID: 1, Prompt: 2000, Most: 400, Left: 4 * time.Second}, 0, 0)
 	}
 	if len(runtime.sent) != 2 {
 		t.Errorf("%d of 2 requests were sent at the start", len(runtime.sent))
 	}
-	d, runtime = fleetOf(t, 300)
-	d.window, d.credit, d.adjusted = 1.0/300, 0, true
+	d, runtime = newDispatcherOf(t, 300)
+	d.window, d.sendCredit, d.windowAdjusted = 1.0/300, 0, true
 	runtime.now += 10 * time.Minute
 	d.Submit(&Request{ID: 1, Prompt: 2000, Most: 400, Left: 4 * time.Second}, 0, 0)
 	if len(runtime.sent) != 1 {
@@ -71,18 +71,18 @@
 }
 
 // After congestion a nearly closed window opens by first tokens alone, without a step at one.
-func TestANarrowWindowRecovers(t *testing.T) {
-	d, runtime := fleetOf(t, 300)
+func TestNarrowWindowRecovers(t *testing.T) {
+	d, runtime := newDispatcherOf(t, 300)
 	d.window = 1.0 / 300
 	for round := 0; d.window < 1; round++ {
 		if round > 20 {
 			t.Fatalf("after 20 quick first tokens the window is %g", d.window)
 		}
-		req := ask(d)
-		went(req, d.backends[0], Served, runtime.now).Began = runtime.now
+		req := newRequest(d)
+		addAttempt(req, d.backends[0], Served, runtime.now).Began = runtime.now
 		req.Outstanding, req.Dispatched, d.outstanding = true, runtime.now, 1
 		before := d.window
-		d.settle(req)
+		d.clearOutstanding(req)
 		if d.window <= before || d.window > 2.1*before {
 			t.Fatalf("window %g -> %g", before, d.window)
 		}
@@ -91,16 +91,16 @@
 
 // With one late first token per request, a window of 20 narrows by the same factor per response time as one of
 // 0.5.
-func TestAWindowNarrowsAlikeHoweverWide(t *testing.T) {
+func TestWindowNarrowsByTheSameFactorAtAnySize(t *testing.T) {
 	for _, window := range []float64{0.5, 5, 20} {
-		d, runtime := fleetOf(t, 300)
+		d, runtime := newDispatcherOf(t, 300)
 		d.window = window
 		for range int(max(window, 1)) {
-			req := ask(d)
-			went(req, d.backends[0], TimedOut, runtime.now)
+			req := newRequest(d)
+			addAttempt(req, d.backends[0], TimedOut, runtime.now)
 			req.Outstanding, req.Dispatched = true, runtime.now
 			d.outstanding++
-			d.settle(req)
+			d.clearOutstanding(req)
 		}
 		if remaining := d.window / window; remaining < 0.6 || remaining > 0.8 {
 			t.Errorf("window %g: narrowed to %.2f of it", window, remaining)
@@ -110,9 +110,9 @@
 
 // Peer updates move the window like own requests; all peers that report together have the weight of one
 // request.
-func TestSharesThatOthersTellMoveTheWindow(t *testing.T) {
-	d, _ := fleetOf(t, 300)
-	d.window, d.listeners = 0.8, 7
+func TestPeerUpdatesMoveTheWindow(t *testing.T) {
+	d, _ := newDispatcherOf(t, 300)
+	d.window, d.peerFanout = 0.8, 7
 	before := d.window
 	d.Heard(PeerUpdate{Host: d.backends[0], Verdict: Badly, Share: 1})
 	if d.window >= before || d.window < 0.9*before {
@@ -132,29 +132,29 @@
 }
 
 // An outstanding request raises the expected time to first token before it has ended.
-func TestAnAwaitedFirstTokenSpeaksBeforeItComes(t *testing.T) {
-	d, runtime := begin(t)
-	d.firstToken.Add(0.1, 1)
-	req := ask(d)
-	if !d.send(req, d.backends[0], ToRead, d.onward(req)) {
+func TestOutstandingRequestRaisesExpectedTimeToFirstToken(t *testing.T) {
+	d, runtime := newDispatcher(t)
+	d.timeToFirstToken.Add(0.1, 1)
+	req := newRequest(d)
+	if !d.send(req, d.backends[0], ToRead, d.afterAttempt(req)) {
 		t.Fatal("not sent")
 	}
 	runtime.now += 2 * time.Second
-	if got := d.expectedFirstToken(); got != 2 {
+	if got := d.expectedTimeToFirstToken(); got != 2 {
 		t.Errorf("after 2 s a first token is expected in %g s", got)
 	}
 	d.Ended(req.Attempts[0], Result{Outcome: Unreachable, Over: true})
-	if got := d.expectedFirstToken(); got != 0.1 {
+	if got := d.expectedTimeToFirstToken(); got != 0.1 {
 		t.Errorf("once it has ended it is expected in %g s", got)
 	}
 }
 
 // The sum of all initial windows, and of all smallest ones, does not depend on the number of dispatchers, and
 // no dispatcher stops sending for good.
-func TestWindowsAddUpToTheSameForAnyFleet(t *testing.T) {
+func TestSumOfWindowsIsIndependentOfDispatcherCount(t *testing.T) {
 	for _, dispatchers := range []float64{1, 6, 300} {
-		d, runtime := fleetOf(t, dispatchers)
-		if sum := d.window * dispatchers; sum != perHost*6 {
+		d, runtime := newDispatcherOf(t, dispatchers)
+		if sum := d.window * dispatchers; sum != windowPerBackend*6 {
 			t.Errorf("%g dispatchers: the initial windows add up to %g", dispatchers, sum)
 		}
 		for range 500 {
@@ -167,36 +167,36 @@
 }
 
 // Whatever a dispatcher has gone through, it sends a request half an hour later.
-func TestNothingStopsTheSendingForGood(t *testing.T) {
-	for name, disturb := range map[string]func(*Dispatcher, *door){
-		"no backends for a while": func(d *Dispatcher, _ *door) {
+func TestDispatcherAlwaysResumesSending(t *testing.T) {
+	for name, disturb := range map[string]func(*Dispatcher, *fakeRuntime){
+		"no backends for a while": func(d *Dispatcher, _ *fakeRuntime) {
 			backends := d.backends
 			d.backends = nil
 			d.adjustWindow(0.1, 0, true)
 			d.backends = backends
 		},
-		"a clock that steps back": func(d *Dispatcher, runtime *door) {
+		"a clock that steps back": func(d *Dispatcher, runtime *fakeRuntime) {
 			d.mayDispatch()
 			runtime.now -= time.Hour
 			d.mayDispatch()
 		},
-		"a target of zero": func(d *Dispatcher, runtime *door) {
-			req := ask(d)
+		"a target of zero": func(d *Dispatcher, runtime *fakeRuntime) {
+			req := newRequest(d)
 			req.TargetAt = req.Taken
-			went(req, d.backends[0], Served, runtime.now).Began = runtime.now
+			addAttempt(req, d.backends[0], Served, runtime.now).Began = runtime.now
 			req.Outstanding, req.Dispatched, d.outstanding = true, runtime.now, 1
-			d.settle(req)
+			d.clearOutstanding(req)
 		},
-		"absurd load reports": func(d *Dispatcher, _ *door) {
+		"absurd load reports": func(d *Dispatcher, _ *fakeRuntime) {
 			for _, backend := range d.backends {
 				d.Heard(PeerUpdate{Host: backend, Loaded: true, Util: 1e9, Queue: 1e12, Share: 1, Verdict: Well})
 			}
 		},
 	} {
-		d, runtime := fleetOf(t, 300)
+		d, runtime := newDispatcherOf(t, 300)
 		disturb(d, runtime)
-		if math.IsNaN(d.window) || d.window <= 0 || math.IsNaN(d.credit) {
-			t.Errorf("%s: window %g, credit %g", name, d.window, d.credit)
+		if math.IsNaN(d.window) || d.window <= 0 || math.IsNaN(d.sendCredit) {
+			t.Errorf("%s: window %g, credit %g", name, d.window, d.sendCredit)
 		}
 		runtime.now += 30 * time.Minute
 		d.Submit(&Request{ID: 1, Prompt: 2000, Most: 400, Left: 4 * time.Second}, 0, 0)
@@ -208,15 +208,15 @@
 
 // A class of which little was admitted goes before one of twice its value; among its own requests the newest
 // stays first.
-func TestAClassThatIsLeftOutGoesFirst(t *testing.T) {
-	settings := facts()
+func TestQueuePrefersRarelyAdmittedClass(t *testing.T) {
+	settings := testSettings()
 	settings["requestClasses"] = 2.0
 	for key, value := range map[string]any{"aimUs": 1e6, "effect": "repeatable"} {
 		settings["requestClasses.1."+key] = value
 	}
 	settings["requestClasses.0.worth"], settings["requestClasses.1.worth"] = 2.0, 1.0
 	for admittedOfTheLast, want := range map[int][]uint64{100: {2, 1, 4, 3}, 20: {4, 3, 2, 1}} {
-		runtime := &door{now: 100 * time.Second}
+		runtime := &fakeRuntime{now: 100 * time.Second}
 		d, err := New(settings, 1, runtime)
 		if err != nil {
 			t.Fatal(err)
@@ -226,11 +226,11 @@
 			d.classes[i].Admitted.Add(runtime.now, float64(admitted))
 		}
 		for id := uint64(1); id <= 4; id++ {
-			req := ask(d)
+			req := newRequest(d)
 			req.ID, req.Class, req.Taken = id, d.classes[(id-1)/2], req.Taken+time.Duration(id)
 			d.enqueue(req)
 		}
-		d.weighQueue()
+		d.reweightQueue()
 		var order []uint64
 		for _, req := range d.queue {
 			order = append(order, req.ID)
--- a/brain/belief.go
+++ b/brain/belief.go
@@ -18,7 +18,7 @@
 
 // Believes returns the dispatcher's current estimates.
 func (d *Dispatcher) Believes() Belief {
-	summary := Belief{Window: d.window, Unbegun: d.outstanding, Held: len(d.queue), Average: d.average, Ahead: d.firstToken.Or(0), Streams: d.streams}
+	summary := Belief{Window: d.window, Unbegun: d.outstanding, Held: len(d.queue), Average: d.meanPrefillTokens, Ahead: d.timeToFirstToken.Or(0), Streams: d.streams}
 	meanRequest := Request{Memory: 1500}
 	for _, backend := range d.backends {
 		if backend.Standing != Ready {
@@ -26,16 +26,16 @@
 		}
 		if backend.Answers() {
 			summary.Room, summary.Tokens = summary.Room+backend.Room, summary.Tokens+backend.Tokens
-			if hasRoom(backend, &meanRequest) {
+			if hasCapacity(backend, &meanRequest) {
 				summary.Roomy++
 			}
 		} else {
 			summary.Unread += backend.Unread
 		}
-		if d.cold(backend) {
+		if d.inSlowStart(backend) {
 			summary.Cold++
 		}
-		if stats := &backend.Records[0]; stats.Bad.Sum(d.runtime.Now())+min(stats.Missed, 4) > 1+stats.Good.Sum(d.runtime.Now()) {
+		if stats := &backend.Records[0]; stats.Failures.Sum(d.runtime.Now())+min(stats.Missed, 4) > 1+stats.Successes.Sum(d.runtime.Now()) {
 			summary.Doubted++
 		}
 	}
@@ -43,7 +43,7 @@
 }
 
 // applyLoadReport stores a load report's values, given in the order of the report fields.
-func (d *Dispatcher) report(backend *Backend, values []float64) {
+func (d *Dispatcher) applyLoadReport(backend *Backend, values []float64) {
 	for i, v := range values[:min(len(values), len(d.parameters.reportFields))] {
 		switch d.parameters.reportFields[i] {
 		case "util":
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -9,63 +9,63 @@
 	"time"
 )
 
-func TestGateBarsWhatTheRulesBar(t *testing.T) {
+func TestDisallowedFollowsTheRules(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		prepare    func(d *Dispatcher, req *Request, backend *Backend)
 		disallowed bool
-		scope      Reach
+		scope      DedupScope
 	}{
 		{name: "nothing against it", prepare: func(*Dispatcher, *Request, *Backend) {}},
 		{name: "finished", disallowed: true, prepare: func(_ *Dispatcher, r *Request, _ *Backend) { r.Over = true }},
 		{name: "an attempt is in flight", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
-			went(req, backend, Rejected, 0).Ended = false
+			addAttempt(req, backend, Rejected, 0).Ended = false
 		}},
 		{name: "deadline passed", disallowed: true, prepare: func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() }},
 		{name: "attempts used up", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			for range 4 {
-				went(req, backend, Rejected, 0)
+				addAttempt(req, backend, Rejected, 0)
 			}
 		}},
 		{name: "draining", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Draining }},
 		{name: "removed", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Gone }},
 		{name: "non-idempotent, may have run", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect = Unrepeatable
-			went(req, backend, TimedOut, 0)
+			addAttempt(req, backend, TimedOut, 0)
 		}},
 		{name: "non-idempotent, proven not run", prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect = Unrepeatable
-			went(req, backend, Rejected, 0)
+			addAttempt(req, backend, Rejected, 0)
 		}},
 		{name: "non-idempotent, lost at a prefill backend", prepare: func(d *Dispatcher, req *Request, _ *Backend) {
 			req.Class.Effect = Unrepeatable
-			went(req, d.backends[0], Broken, 0)
+			addAttempt(req, d.backends[0], Broken, 0)
 		}},
 		{name: "deduplicated, after its window", disallowed: true, prepare: func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
-			went(req, backend, TimedOut, d.runtime.Now()-time.Second)
+			addAttempt(req, backend, TimedOut, d.runtime.Now()-time.Second)
 		}},
 		{name: "deduplicated, in its window", prepare: func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
-			went(req, backend, TimedOut, d.runtime.Now()-time.Second/2)
+			addAttempt(req, backend, TimedOut, d.runtime.Now()-time.Second/2)
 		}},
 		{name: "deduplicated, other rack", disallowed: true, scope: SameRack, prepare: func(d *Dispatcher, req *Request, _ *Backend) {
 			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Minute
-			went(req, d.backends[3], TimedOut, d.runtime.Now())
+			addAttempt(req, d.backends[3], TimedOut, d.runtime.Now())
 		}},
 		{name: "deduplicated, other zone", disallowed: true, scope: SameZone, prepare: func(d *Dispatcher, req *Request, _ *Backend) {
 			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Minute
 			d.backends[3].Zone = 1
-			went(req, d.backends[3], TimedOut, d.runtime.Now())
+			addAttempt(req, d.backends[3], TimedOut, d.runtime.Now())
 		}},
 		{name: "in slow start, budget used up", disallowed: true, prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
 			backend.Restart, backend.Booted = true, d.runtime.Now()-time.Second
-			d.backends[3].Carried.Add(d.runtime.Now(), 50000)
+			d.backends[3].CompletedWork.Add(d.runtime.Now(), 50000)
 			backend.Sent.Add(d.runtime.Now(), 12000)
 		}},
 		{name: "in slow start, budget left", prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
 			backend.Restart, backend.Booted = true, d.runtime.Now()-time.Second
-			d.backends[3].Carried.Add(d.runtime.Now(), 50000)
+			d.backends[3].CompletedWork.Add(d.runtime.Now(), 50000)
 			backend.Sent.Add(d.runtime.Now(), 100)
 		}},
 		{name: "in slow start while warm backends are heavily loaded", disallowed: true, prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
@@ -74,45 +74,45 @@
 			backend.Sent.Add(d.runtime.Now(), 100)
 		}},
 	} {
-		d, _ := begin(t)
-		req := ask(d)
+		d, _ := newDispatcher(t)
+		req := newRequest(d)
 		req.Class.DedupScope = tc.scope
 		tc.prepare(d, req, d.backends[2])
-		if got := d.barred(req, d.backends[2]); got != tc.disallowed {
+		if got := d.disallowed(req, d.backends[2]); got != tc.disallowed {
 			t.Errorf("%s: disallowed is %v", tc.name, got)
 		}
 	}
 }
 
-func TestGiveUpDeclinesOnlyWhereTryingAgainIsHarmless(t *testing.T) {
+func TestGiveUpRejectsOnlyWhereARetryIsHarmless(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		effect   Effect
-		scope    Reach
+		scope    DedupScope
 		outcome  Outcome
 		rejected bool
 	}{
-		{"idempotent that may have run", Idempotent, Everywhere, TimedOut, true},
-		{"non-idempotent that never ran", Unrepeatable, Everywhere, Rejected, true},
-		{"non-idempotent that may have run", Unrepeatable, Everywhere, Broken, false},
-		{"deduplicated everywhere", Deduplicated, Everywhere, TimedOut, true},
+		{"idempotent that may have run", Idempotent, WholeFleet, TimedOut, true},
+		{"non-idempotent that never ran", Unrepeatable, WholeFleet, Rejected, true},
+		{"non-idempotent that may have run", Unrepeatable, WholeFleet, Broken, false},
+		{"deduplicated everywhere", Deduplicated, WholeFleet, TimedOut, true},
 		{"deduplicated in its rack", Deduplicated, SameRack, TimedOut, false},
 	} {
-		d, runtime := begin(t)
-		req := ask(d)
+		d, runtime := newDispatcher(t)
+		req := newRequest(d)
 		req.Class.Effect, req.Class.DedupScope, req.State = tc.effect, tc.scope, d.backends[0]
-		went(req, d.backends[2], tc.outcome, 0)
+		addAttempt(req, d.backends[2], tc.outcome, 0)
 		d.giveUp(req)
-		if (len(runtime.declined) == 1) != tc.rejected || (len(runtime.lost) == 1) == tc.rejected || len(runtime.released) != 1 {
-			t.Errorf("%s: rejected %d, failed %d, released %d", tc.name, len(runtime.declined), len(runtime.lost), len(runtime.released))
+		if (len(runtime.rejected) == 1) != tc.rejected || (len(runtime.failed) == 1) == tc.rejected || len(runtime.released) != 1 {
+			t.Errorf("%s: rejected %d, failed %d, released %d", tc.name, len(runtime.rejected), len(runtime.failed), len(runtime.released))
 		}
 	}
 }
 
-func TestLeftReleasesAStateThatComesAfterTheClientHasGone(t *testing.T) {
-	d, runtime := begin(t)
-	req := ask(d)
-	attempt := went(req, d.backends[0], 0, d.runtime.Now())
+func TestKVCacheOfADisconnectedClientIsReleased(t *testing.T) {
+	d, runtime := newDispatcher(t)
+	req := newRequest(d)
+	attempt := addAttempt(req, d.backends[0], 0, d.runtime.Now())
 	attempt.Ended, req.Over, d.backends[0].Tokens = false, true, req.Memory
 	d.Ended(attempt, Result{Outcome: Read, Over: true})
 	if len(runtime.released) != 1 || d.backends[0].Tokens != 0 {
@@ -120,34 +120,34 @@
 	}
 }
 
-func TestHoldGivesUpWhatExpiresBeforeTheNextLook(t *testing.T) {
-	d, runtime := begin(t)
-	req := ask(d)
-	req.Deadline = d.runtime.Now() + sweep
+func TestEnqueueGivesUpRequestsThatExpireBeforeTheNextSweep(t *testing.T) {
+	d, runtime := newDispatcher(t)
+	req := newRequest(d)
+	req.Deadline = d.runtime.Now() + queueSweepInterval
 	d.enqueue(req)
-	if len(runtime.declined) != 1 || len(d.queue) != 0 {
-		t.Errorf("rejected %d, queued %d", len(runtime.declined), len(d.queue))
+	if len(runtime.rejected) != 1 || len(d.queue) != 0 {
+		t.Errorf("rejected %d, queued %d", len(runtime.rejected), len(d.queue))
 	}
 }
 
-func TestEndedTakesAHostWhoseConnectionFailsAsCold(t *testing.T) {
-	d, _ := begin(t)
-	req := ask(d)
-	attempt := went(req, d.backends[2], 0, d.runtime.Now())
+func TestUnreachableBackendIsInSlowStart(t *testing.T) {
+	d, _ := newDispatcher(t)
+	req := newRequest(d)
+	attempt := addAttempt(req, d.backends[2], 0, d.runtime.Now())
 	attempt.Ended = false
 	d.Ended(attempt, Result{Outcome: Unreachable, Over: true})
-	if !d.cold(d.backends[2]) {
+	if !d.inSlowStart(d.backends[2]) {
 		t.Error("the backend is not in slow start")
 	}
 }
 
-func TestTrustedForgetsNoHostQuite(t *testing.T) {
-	d, _ := begin(t)
+func TestSuspectedBackendStillGetsSomeWork(t *testing.T) {
+	d, _ := newDispatcher(t)
 	backend := d.backends[2]
-	backend.Records[0].Bad.Add(d.runtime.Now(), 8)
+	backend.Records[0].Failures.Add(d.runtime.Now(), 8)
 	granted := 0
 	for range 1000 {
-		if d.drawn(d.chance(backend, ask(d))) {
+		if d.drawTrust(d.successPosterior(backend, newRequest(d))) {
 			granted++
 		}
 	}
@@ -158,12 +158,12 @@
 
 // A request that no backend may take any more, as its group drains or its deduplication window has closed, is
 // given up at once: otherwise it would block the queue until its deadline.
-func TestServeGivesUpOnWhatNoHostMayTake(t *testing.T) {
-	d, runtime := begin(t)
-	first, behind := ask(d), ask(d)
+func TestDispatchGivesUpRequestsThatNoBackendMayTake(t *testing.T) {
+	d, runtime := newDispatcher(t)
+	first, behind := newRequest(d), newRequest(d)
 	behind.ID = 2
 	first.Class = &Class{Effect: Deduplicated, DedupScope: SameRack, DedupWindow: time.Minute, Value: 9, Target: time.Second}
-	went(first, d.backends[2], TimedOut, runtime.now)
+	addAttempt(first, d.backends[2], TimedOut, runtime.now)
 	d.enqueue(first)
 	for _, backend := range d.backends {
 		if backend.Rack == d.backends[2].Rack {
@@ -175,25 +175,25 @@
 		t.Fatal("the other request is first in the queue")
 	}
 	d.dispatch()
-	if len(runtime.sent) != 1 || runtime.sent[0].Request != behind || len(runtime.lost) != 1 || runtime.lost[0] != first || len(d.queue) != 0 {
-		t.Errorf("%d sent, %d failed, %d queued", len(runtime.sent), len(runtime.lost), len(d.queue))
+	if len(runtime.sent) != 1 || runtime.sent[0].Request != behind || len(runtime.failed) != 1 || runtime.failed[0] != first || len(d.queue) != 0 {
+		t.Errorf("%d sent, %d failed, %d queued", len(runtime.sent), len(runtime.failed), len(d.queue))
 	}
 }
 
-func TestShedGivesUpTheLeastDenseUnderOverload(t *testing.T) {
-	d, runtime := begin(t)
-	early, late := ask(d), ask(d)
+func TestShedRejectsTheLeastValueDenseUnderOverload(t *testing.T) {
+	d, runtime := newDispatcher(t)
+	early, late := newRequest(d), newRequest(d)
 	early.ID, late.ID = 1, 2
 	d.queue = []*Request{early, late}
 	runtime.now += 300 * time.Millisecond
 	d.window = 0.1 // one per 2.5 s at a time to first token of 0.25 s
-	d.shed()
-	if !slices.Equal(runtime.declined, []*Request{late}) {
-		t.Errorf("rejected %v", runtime.declined)
+	d.shedLate()
+	if !slices.Equal(runtime.rejected, []*Request{late}) {
+		t.Errorf("rejected %v", runtime.rejected)
 	}
 }
 
-func TestRouteReadsShortPromptsInPlaceOnceAnAverageIsKnown(t *testing.T) {
+func TestRoutePrefillsShortPromptsInPlaceOnceAMeanIsKnown(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		average   float64
@@ -204,59 +204,59 @@
 		{"no mean known yet", 0, 1900, ToRead, 0},
 		{"short for the decode backend that has its prefix cached", 1000, 1900, Whole, 4},
 	} {
-		d, runtime := begin(t)
-		d.average = tc.average
+		d, runtime := newDispatcher(t)
+		d.meanPrefillTokens = tc.average
 		d.backends[4].Standing, d.backends[5].Standing = Gone, Gone
 		d.backends[3].Kept[7] = Kept{Tokens: tc.cached, At: d.runtime.Now()}
-		d.route(ask(d))
+		d.route(newRequest(d))
 		if len(runtime.sent) != 1 || runtime.sent[0].Stage != tc.stage || tc.backendID != 0 && runtime.sent[0].Backend.ID != tc.backendID {
 			t.Errorf("%s: sent %+v", tc.name, runtime.sent)
 		}
 	}
 }
 
-func TestAnsweredReadsALostStateAnew(t *testing.T) {
-	d, runtime := begin(t)
-	req := ask(d)
-	attempt := went(req, d.backends[2], 0, d.runtime.Now())
-	attempt.Ended, attempt.Stage, attempt.Next, req.State = false, ToWrite, d.onward(req), d.backends[0]
+func TestLostKVCacheIsPrefilledAgain(t *testing.T) {
+	d, runtime := newDispatcher(t)
+	req := newRequest(d)
+	attempt := addAttempt(req, d.backends[2], 0, d.runtime.Now())
+	attempt.Ended, attempt.Stage, attempt.Next, req.State = false, ToWrite, d.afterAttempt(req), d.backends[0]
 	d.Ended(attempt, Result{Outcome: Rejected, Note: 1})
 	if len(runtime.sent) != 1 || runtime.sent[0].Stage != ToRead {
 		t.Errorf("sent %v", runtime.sent)
 	}
 }
 
-func TestNewNamesASettingThatIsMissingOrSenseless(t *testing.T) {
+func TestNewNamesMissingOrInvalidSetting(t *testing.T) {
 	for name, value := range map[string]any{"rules.coldFrom": -0.5, "siblings": -1.0, "requestClasses": 0.0,
 		// The scheduler divides by these or counts up to them.
 		"rules.tipAfterUs": 0.5, "rules.tipMultiple": -1.0, "rules.rampTimeUs": math.Inf(1), "policyLimits.maxAttempts": -1.0,
 		"requestClasses.0.aimUs": 0.0, "requestClasses.0.worth": math.NaN(), "prices.peer": math.NaN(), "prices.crossZone": -1.0} {
-		settings := facts()
+		settings := testSettings()
 		settings[name] = value
-		if _, err := New(settings, 1, &door{}); err == nil || !strings.Contains(err.Error(), name) {
+		if _, err := New(settings, 1, &fakeRuntime{}); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
 }
 
-func TestReaderLeansToTheRackWithFreerWriters(t *testing.T) {
-	d, _ := begin(t)
+func TestPrefillPrefersRackWithLessLoadedDecodeBackends(t *testing.T) {
+	d, _ := newDispatcher(t)
 	for i, backend := range d.backends[2:] {
 		backend.Size = 100
 		backend.Streams = 90 * (i % 2) // the decode backend and the mixed backend of the second rack are full
 	}
-	if backend := d.pickPrefill(ask(d), d.backends[2:]); backend == nil || backend.Rack != 0 {
+	if backend := d.pickPrefill(newRequest(d), d.backends[2:]); backend == nil || backend.Rack != 0 {
 		t.Errorf("got %+v", backend)
 	}
 	for _, backend := range d.backends[2:] {
 		backend.Streams = 90 - backend.Streams
 	}
-	if backend := d.pickPrefill(ask(d), d.backends[2:]); backend == nil || backend.Rack != 1 {
+	if backend := d.pickPrefill(newRequest(d), d.backends[2:]); backend == nil || backend.Rack != 1 {
 		t.Errorf("got %+v", backend)
 	}
 }
 
-func TestPatienceLeavesTimeForAnotherTripWhereOneMayFollow(t *testing.T) {
+func TestAttemptTimeoutLeavesTimeForAnotherAttempt(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		effect    Effect
@@ -269,46 +269,46 @@
 		{"non-idempotent at a decode backend", Unrepeatable, ToWrite, 1, true},
 		{"the last attempt allowed", Idempotent, Whole, 3, true},
 	} {
-		d, _ := begin(t)
-		req := ask(d)
+		d, _ := newDispatcher(t)
+		req := newRequest(d)
 		req.Class.Effect = tc.effect
-		wait := d.patience(&Attempt{Request: req, Stage: tc.stage, Number: tc.number, Sent: req.Taken})
+		wait := d.attemptTimeout(&Attempt{Request: req, Stage: tc.stage, Number: tc.number, Sent: req.Taken})
 		if (wait == req.Deadline-req.Taken) != tc.wholeTime {
 			t.Errorf("%s: the timeout is %v of %v", tc.name, wait, req.Deadline-req.Taken)
 		}
 	}
 }
 
-func TestEndedDoesNotTakeAHostForColdForABrokenConnection(t *testing.T) {
-	d, _ := begin(t)
-	attempt := went(ask(d), d.backends[2], 0, d.runtime.Now())
+func TestLostConnectionDoesNotCauseSlowStart(t *testing.T) {
+	d, _ := newDispatcher(t)
+	attempt := addAttempt(newRequest(d), d.backends[2], 0, d.runtime.Now())
 	attempt.Ended = false
 	d.Ended(attempt, Result{Outcome: Broken, Over: true})
-	if d.cold(d.backends[2]) {
+	if d.inSlowStart(d.backends[2]) {
 		t.Error("the backend is in slow start")
 	}
 }
 
 // What a fleet lets through per window equals the sum of all shares, not only on average, and every dispatcher
 // gets its turns.
-func TestBarredSpendsPartsBelowOneQuestionUpToTheirSum(t *testing.T) {
-	d, runtime := begin(t)
+func TestSlowStartSharesBelowOneRequestAddUp(t *testing.T) {
+	d, runtime := newDispatcher(t)
 	backend := d.backends[2]
 	for _, other := range d.backends {
 		if other.Role == Writes && other != backend {
-			other.Carried.Add(runtime.now, 1000) // a share of about a tenth of the request's work
+			other.CompletedWork.Add(runtime.now, 1000) // a share of about a tenth of the request's work
 		}
 	}
 	const fleet = 300
 	d.parameters.dispatchers = fleet
 	backend.Restart, backend.Booted = true, runtime.now
-	want := fleet * d.coldBudget(backend) / d.weight(ask(d), backend, Whole)
+	want := fleet * d.slowStartBudget(backend) / d.requestWork(newRequest(d), backend, Whole)
 	turns := map[int]int{}
 	for window := range 4 {
 		allowed := 0
 		for slot := range fleet {
-			d.parameters.number = float64(slot)
-			if !d.barred(ask(d), backend) {
+			d.parameters.index = float64(slot)
+			if !d.disallowed(newRequest(d), backend) {
 				allowed++
 				turns[slot]++
 			}
@@ -323,10 +323,10 @@
 	}
 }
 
-func TestNewLeansEachDispatcherToHostsOfItsOwn(t *testing.T) {
+func TestDispatchersPreferDifferentBackends(t *testing.T) {
 	first := map[uint32]int{}
 	for seed := range uint64(200) {
-		d, err := New(facts(), seed, &door{now: time.Second})
+		d, err := New(testSettings(), seed, &fakeRuntime{now: time.Second})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -335,29 +335,29 @@
 			endpoints = append(endpoints, Listing{Host: &Backend{ID: uint32(i), Kind: 1}, Standing: Ready, Units: float64(1 + i%2)})
 		}
 		d.Listed(endpoints, true)
-		first[Least(d.backends, d.next).ID]++
+		first[Least(d.backends, d.nextLoadScore).ID]++
 	}
 	if len(first) != 4 || first[1]+first[3] < 120 || first[1] > 120 || first[3] > 120 {
 		t.Errorf("first choices of 200 dispatchers: %v", first)
 	}
 }
 
-func TestTrustedTellsByGradeOfQuestion(t *testing.T) {
-	d, _ := begin(t)
+func TestOutcomesAreCountedPerClass(t *testing.T) {
+	d, _ := newDispatcher(t)
 	d.classes = append(d.classes, &Class{Index: 1})
 	backend, granted := d.backends[2], [2]int{}
 	backend.Records = make([]Record, 3)
 	for i := range backend.Records {
-		backend.Records[i].Good.Width, backend.Records[i].Bad.Width = time.Second, time.Second
+		backend.Records[i].Successes.Width, backend.Records[i].Failures.Width = time.Second, time.Second
 	}
 	for i := range 40 {
 		d.Heard(PeerUpdate{Host: backend, Grade: i % 2, Verdict: []Verdict{Well, Badly}[i%2]})
 	}
 	for i := range 200 {
-		req := ask(d)
+		req := newRequest(d)
 		req.Class = d.classes[i%2]
 		d.Heard(PeerUpdate{Host: backend, Grade: 0, Verdict: Well})
-		if d.drawn(d.chance(backend, req)) {
+		if d.drawTrust(d.successPosterior(backend, req)) {
 			granted[i%2]++
 		}
 	}
@@ -366,8 +366,8 @@
 	}
 }
 
-func TestAbleDrawsForOneDoubtfulHostAtATime(t *testing.T) {
-	d, _ := begin(t)
+func TestEligibleDrawsForOneSuspectedBackendAtATime(t *testing.T) {
+	d, _ := newDispatcher(t)
 	for range 30 {
 		backend := &Backend{Kind: 1}
 		d.Listed([]Listing{{Host: backend, Standing: Ready, Units: 1}}, false)
@@ -377,7 +377,7 @@
 	}
 	tried := 0
 	for range 500 {
-		if len(d.able(ask(d), (*Backend).Answers)) > 4 {
+		if len(d.eligible(newRequest(d), (*Backend).Answers)) > 4 {
 			tried++
 		}
 	}
@@ -387,18 +387,18 @@
 }
 
 func TestHeardTakesAnUnmetHostAsCold(t *testing.T) {
-	d, _ := begin(t)
+	d, _ := newDispatcher(t)
 	d.Heard(PeerUpdate{Host: d.backends[2], Verdict: Unmet})
-	if !d.cold(d.backends[2]) {
+	if !d.inSlowStart(d.backends[2]) {
 		t.Error("the backend is not in slow start")
 	}
 }
 
 // A full list repeats what it said before and knows only of processes: it must not end the slow start of a
 // backend that can't be reached, nor clear its failures.
-func TestAListThatRepeatsItselfUndoesNothing(t *testing.T) {
+func TestRepeatedEndpointListChangesNothing(t *testing.T) {
 	for _, restart := range []bool{true, false} {
-		d, runtime := begin(t)
+		d, runtime := newDispatcher(t)
 		backend := d.backends[2]
 		endpoint := Listing{Host: backend, Standing: Ready, Units: 4, Booted: -time.Hour, Restart: restart}
 		d.Listed([]Listing{endpoint}, false)
@@ -406,45 +406,45 @@
 		d.Heard(PeerUpdate{Host: backend, Verdict: Unmet})
 		runtime.now += time.Second
 		d.Listed([]Listing{endpoint}, false)
-		if !d.cold(backend) || backend.Records[0].Missed != 1 || len(backend.Kept) != 1 {
-			t.Errorf("restart %v: slow start %v, %g failures, %d prefixes", restart, d.cold(backend), backend.Records[0].Missed, len(backend.Kept))
+		if !d.inSlowStart(backend) || backend.Records[0].Missed != 1 || len(backend.Kept) != 1 {
+			t.Errorf("restart %v: slow start %v, %g failures, %d prefixes", restart, d.inSlowStart(backend), backend.Records[0].Missed, len(backend.Kept))
 		}
 		endpoint.Booted, endpoint.Restart = runtime.now, true
 		d.Listed([]Listing{endpoint}, false)
-		if !d.cold(backend) || backend.Records[0].Missed != 0 || len(backend.Kept) != 0 {
+		if !d.inSlowStart(backend) || backend.Records[0].Missed != 0 || len(backend.Kept) != 0 {
 			t.Error("a new start was ignored")
 		}
 		runtime.now += 11 * time.Second
-		if d.cold(backend) {
+		if d.inSlowStart(backend) {
 			t.Error("it stays in slow start")
 		}
 	}
 }
 
-func TestShareTellsAFewOthersAndNeverItself(t *testing.T) {
+func TestPeerUpdatesGoToAFewPeersAndNeverToSelf(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		allowed bool
 		price   float64
 		peers   int
 	}{{"not allowed", false, 0, 0}, {"free of charge", true, 0, 8}, {"expensive", true, 0.01, 2}} {
-		settings := facts()
+		settings := testSettings()
 		settings["policyLimits.peers"], settings["prices.peer"], settings["siblings"], settings["slotNo"] = tc.allowed, tc.price, 50.0, 7.0
-		runtime := &door{}
+		runtime := &fakeRuntime{}
 		d, err := New(settings, 1, runtime)
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.share(PeerUpdate{})
-		if len(runtime.told) != tc.peers || slices.Contains(runtime.told, 7) {
-			t.Errorf("%s: updated peers %v", tc.name, runtime.told)
+		d.sendPeerUpdates(PeerUpdate{})
+		if len(runtime.updatedPeers) != tc.peers || slices.Contains(runtime.updatedPeers, 7) {
+			t.Errorf("%s: updated peers %v", tc.name, runtime.updatedPeers)
 		}
 	}
 }
 
 // Requests that clients or deadlines ended early must not count as if their first tokens had come quickly:
 // that widened the window while first tokens came seconds late.
-func TestTheWindowMovesByTheTimeToAFirstToken(t *testing.T) {
+func TestWindowFollowsTimeToFirstToken(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
 		elapsed       time.Duration
@@ -460,23 +460,23 @@
 		{"a client that disconnected late", 900 * time.Millisecond, false, Cancelled, -1},
 		{"rejected as full", time.Millisecond, false, Rejected, -1},
 	} {
-		d, runtime := begin(t)
+		d, runtime := newDispatcher(t)
 		d.window = 10
-		req := ask(d)
-		attempt := went(req, d.backends[2], tc.outcome, runtime.now)
-		req.Outstanding, req.Dispatched, d.outstanding, d.queue = true, runtime.now, 10, []*Request{ask(d)}
+		req := newRequest(d)
+		attempt := addAttempt(req, d.backends[2], tc.outcome, runtime.now)
+		req.Outstanding, req.Dispatched, d.outstanding, d.queue = true, runtime.now, 10, []*Request{newRequest(d)}
 		runtime.now += tc.elapsed
 		if tc.gotFirstToken {
 			attempt.Began = runtime.now
 		}
 		before := d.window
-		d.settle(req)
+		d.clearOutstanding(req)
 		if cmp.Compare(d.window, before) != tc.direction {
 			t.Errorf("%s: window %g -> %g", tc.name, before, d.window)
 		}
 		d.outstanding -= 9
 		if d.queue = nil; d.outstanding != 0 {
-			runtime.wakes[len(runtime.wakes)-1]()
+			runtime.timers[len(runtime.timers)-1]()
 		}
 		if d.outstanding != 0 {
 			t.Errorf("%s: %d without a first token", tc.name, d.outstanding)
@@ -486,7 +486,7 @@
 
 // A prefill that timed out still runs at its backend. If its place were free at once, the next request would
 // wait behind it and time out too: prefill backends then do nothing but such work.
-func TestWhatWasGivenUpOnKeepsItsPlaceForAsLongAgain(t *testing.T) {
+func TestTimedOutRequestKeepsItsPlaceForAsLongAgain(t *testing.T) {
 	for _, tc := range []struct {
 		outcome    Outcome
 		took       time.Duration
@@ -497,23 +497,23 @@
 		{TimedOut, 3 * time.Second, 0.5, time.Second}, {Read, 600 * time.Millisecond, 0.5, 0}, {Unreachable, 200 * time.Millisecond, 0.5, 0},
 		{Rejected, 0, 0.5, 0}, {TimedOut, 3 * time.Second, 0.1, 0}, // an unresponsive backend holds up no others
 	} {
-		d, runtime := begin(t)
+		d, runtime := newDispatcher(t)
 		d.window = 1
-		d.firstToken.Add(tc.expected, 1)
-		req := ask(d)
-		went(req, d.backends[0], tc.outcome, runtime.now)
+		d.timeToFirstToken.Add(tc.expected, 1)
+		req := newRequest(d)
+		addAttempt(req, d.backends[0], tc.outcome, runtime.now)
 		req.Outstanding, req.Dispatched, d.outstanding = true, runtime.now, 1
 		runtime.now += tc.took
-		runtime.wakes, runtime.delays = nil, nil
-		d.settle(req)
+		runtime.timers, runtime.timerDelays = nil, nil
+		d.clearOutstanding(req)
 		switch {
-		case tc.keepsPlace == 0 && d.outstanding == 0 && len(runtime.wakes) == 0:
-		case tc.keepsPlace == 0 || d.outstanding != 1 || len(runtime.wakes) != 1 || runtime.delays[0] != tc.keepsPlace:
-			t.Errorf("%+v: %d without a first token, timers after %v", tc, d.outstanding, runtime.delays)
+		case tc.keepsPlace == 0 && d.outstanding == 0 && len(runtime.timers) == 0:
+		case tc.keepsPlace == 0 || d.outstanding != 1 || len(runtime.timers) != 1 || runtime.timerDelays[0] != tc.keepsPlace:
+			t.Errorf("%+v: %d without a first token, timers after %v", tc, d.outstanding, runtime.timerDelays)
 		default:
-			next := ask(d)
+			next := newRequest(d)
 			d.enqueue(next)
-			runtime.wakes[0]()
+			runtime.timers[0]()
 			if len(runtime.sent) != 1 || runtime.sent[0].Request != next {
 				t.Errorf("%+v: the free place is not used", tc)
 			}
@@ -523,31 +523,31 @@
 
 // Backends that have just started get prefill work while the others are congested. Otherwise each dispatcher
 // waits for a request whose prefix hashes to them.
-func TestHomesTakeInAColdHostWithAPartLeft(t *testing.T) {
-	d, runtime := begin(t)
+func TestAffinityCandidatesIncludeBackendsInSlowStart(t *testing.T) {
+	d, runtime := newDispatcher(t)
 	for i := range 20 {
 		d.Listed([]Listing{{Host: &Backend{ID: uint32(100 + i)}, Standing: Ready, Units: 1}}, false)
 	}
-	req, prefillBackends := ask(d), Only(d.backends, (*Backend).ReadsOnly)
-	candidates := d.homes(req, Reads, slices.Clone(prefillBackends))
+	req, prefillBackends := newRequest(d), Only(d.backends, (*Backend).PrefillOnly)
+	candidates := d.affinityCandidates(req, Reads, slices.Clone(prefillBackends))
 	started := prefillBackends[slices.IndexFunc(prefillBackends, func(b *Backend) bool { return !slices.Contains(candidates, b) })]
 	started.Restart, started.Booted = true, runtime.now-time.Second
-	if got := d.homes(req, Reads, slices.Clone(prefillBackends)); !slices.Equal(got, append(candidates, started)) {
+	if got := d.affinityCandidates(req, Reads, slices.Clone(prefillBackends)); !slices.Equal(got, append(candidates, started)) {
 		t.Errorf("%d affinity candidates", len(got))
 	}
-	if share := d.warmth(started); share < 0.3 || share > 0.4 || d.warmth(candidates[0]) != 1 || d.press(started, 0) < 2*d.press(candidates[0], 0) {
-		t.Errorf("capacity share %g, a load score of %g against %g", share, d.press(started, 0), d.press(candidates[0], 0))
+	if share := d.capacityShare(started); share < 0.3 || share > 0.4 || d.capacityShare(candidates[0]) != 1 || d.loadScore(started, 0) < 2*d.loadScore(candidates[0], 0) {
+		t.Errorf("capacity share %g, a load score of %g against %g", share, d.loadScore(started, 0), d.loadScore(candidates[0], 0))
 	}
 }
 
 // The budget in slow start does not shrink from window to window when all backends are in slow start and would
 // be measured by each other.
-func TestWhatWarmHostsDidIsRememberedWhileMostAreCold(t *testing.T) {
-	d, runtime := begin(t)
+func TestSlowStartBudgetIsKeptWhileAllAreInSlowStart(t *testing.T) {
+	d, runtime := newDispatcher(t)
 	for _, backend := range d.backends[:2] {
-		backend.Carried.Add(runtime.now, 20000)
+		backend.CompletedWork.Add(runtime.now, 20000)
 	}
-	warm := d.coldBudget(d.backends[0])
+	warm := d.slowStartBudget(d.backends[0])
 	for _, backend := range d.backends[:2] {
 		backend.Restart, backend.Booted = true, runtime.now
 	}
@@ -555,73 +555,73 @@
 	for _, backend := range d.backends[:2] {
 		backend.Booted = runtime.now
 	}
-	if cold := d.coldBudget(d.backends[0]); warm == 0 || cold != warm {
+	if cold := d.slowStartBudget(d.backends[0]); warm == 0 || cold != warm {
 		t.Errorf("a budget of %g is %g when all are in slow start", warm, cold)
 	}
 }
 
-func TestHomesStayWhenOneIsDoubtedAndGrowWithShare(t *testing.T) {
-	d, runtime := begin(t)
+func TestAffinityCandidatesAreStableAndGrowWithShare(t *testing.T) {
+	d, runtime := newDispatcher(t)
 	for i := range 20 {
 		d.Listed([]Listing{{Host: &Backend{ID: uint32(100 + i)}, Standing: Ready, Units: 1}}, false)
 	}
-	req, prefillBackends := ask(d), Only(d.backends, (*Backend).ReadsOnly)
-	candidates := slices.Clone(d.homes(req, Reads, slices.Clone(prefillBackends)))
+	req, prefillBackends := newRequest(d), Only(d.backends, (*Backend).PrefillOnly)
+	candidates := slices.Clone(d.affinityCandidates(req, Reads, slices.Clone(prefillBackends)))
 	without := slices.DeleteFunc(slices.Clone(prefillBackends), func(b *Backend) bool { return b == candidates[0] })
-	if remaining := d.homes(req, Reads, without); len(candidates) != 2 || !slices.Equal(remaining, candidates[1:]) {
+	if remaining := d.affinityCandidates(req, Reads, without); len(candidates) != 2 || !slices.Equal(remaining, candidates[1:]) {
 		t.Errorf("affinity candidates %v, with one suspected %v", candidates, remaining)
 	}
-	d.asked.Add(runtime.now, 100)
-	d.begins.Add(req.Shared, runtime.now, 50)
-	if got := len(d.homes(req, Reads, prefillBackends)); got < 12 || got > 21 {
+	d.prefillRequests.Add(runtime.now, 100)
+	d.prefixTable.Add(req.Shared, runtime.now, 50)
+	if got := len(d.affinityCandidates(req, Reads, prefillBackends)); got < 12 || got > 21 {
 		t.Errorf("a prefix of half the requests has %d affinity candidates of 22", got)
 	}
 }
 
-func TestLearnHearsNothingInATripCutShort(t *testing.T) {
+func TestAttemptCutShortCountsForNothing(t *testing.T) {
 	for _, tc := range []struct {
 		took     time.Duration
 		failures float64
 	}{{100 * time.Millisecond, 0}, {2 * time.Second, 1}} {
-		d, runtime := begin(t)
+		d, runtime := newDispatcher(t)
 		backend := d.backends[2]
-		d.typical[Writes].Add(0.001, 1)
-		d.learn(went(ask(d), backend, TimedOut, runtime.now), tc.took, false, false)
-		if got := backend.Records[0].Bad.Sum(runtime.now); got != tc.failures {
+		d.secondsPerToken[Writes].Add(0.001, 1)
+		d.recordOutcome(addAttempt(newRequest(d), backend, TimedOut, runtime.now), tc.took, false, false)
+		if got := backend.Records[0].Failures.Sum(runtime.now); got != tc.failures {
 			t.Errorf("after %v: %g failures of the backend", tc.took, got)
 		}
 	}
 }
 
-func TestMixedLosesWorkWhereWholeTripsAreSlower(t *testing.T) {
+func TestMixedGetsLessWorkWhereWholeAttemptsAreSlower(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
 		secondsPerToken float64
 		picked          bool
 	}{{"as quick", 1e-4, true}, {"slower", 1e-2, false}} {
-		d, _ := begin(t)
-		d.average = 1000
+		d, _ := newDispatcher(t)
+		d.meanPrefillTokens = 1000
 		for i, backend := range d.backends {
-			backend.Lean, backend.Streams = 0, []int{3, 3, 8, 8, 0, 0}[i]
+			backend.Bias, backend.Streams = 0, []int{3, 3, 8, 8, 0, 0}[i]
 		}
 		for role, seconds := range []float64{1e-4, 1e-4, tc.secondsPerToken} {
-			d.typical[role].Add(seconds, 1)
+			d.secondsPerToken[role].Add(seconds, 1)
 		}
-		if mixed := d.pickMixed(ask(d), d.backends[2:], d.backends[0]); (mixed != nil) != tc.picked {
+		if mixed := d.pickMixed(newRequest(d), d.backends[2:], d.backends[0]); (mixed != nil) != tc.picked {
 			t.Errorf("%s: got %v", tc.name, mixed)
 		}
 	}
 }
 
-func TestTrustedForgetsNoHostThatFailedForLong(t *testing.T) {
-	d, runtime := begin(t)
+func TestBackendThatFailedForLongStillGetsSomeWork(t *testing.T) {
+	d, runtime := newDispatcher(t)
 	backend, granted := d.backends[2], 0
 	for range 100 {
 		d.Heard(PeerUpdate{Host: backend, Verdict: Badly})
 	}
 	runtime.now += time.Minute
 	for range 1000 {
-		if d.drawn(d.chance(backend, ask(d))) {
+		if d.drawTrust(d.successPosterior(backend, newRequest(d))) {
 			granted++
 		}
 	}
@@ -632,25 +632,25 @@
 
 // Half a fleet failing under a few dispatchers ends dozens of attempts late at the same time, by one
 // congestion event. If each narrowed the window, it would close almost entirely and not recover for minutes.
-func TestWhatWasOutWhenAJamBeganHalvesTheWindowAtMost(t *testing.T) {
-	d, runtime := begin(t)
+func TestOneCongestionEventHalvesTheWindowAtMost(t *testing.T) {
+	d, runtime := newDispatcher(t)
 	d.window = 20
 	for range 60 {
-		req := ask(d)
+		req := newRequest(d)
 		req.Outstanding, req.Dispatched = true, runtime.now-2*time.Second
-		went(req, d.backends[0], TimedOut, runtime.now)
+		addAttempt(req, d.backends[0], TimedOut, runtime.now)
 		d.outstanding++
 		req.TargetAt = runtime.now + time.Second
-		d.settle(req)
+		d.clearOutstanding(req)
 	}
 	runtime.now += 3 * time.Second
 	if d.window != 10 {
 		t.Errorf("the window is %g", d.window)
 	}
-	req := ask(d) // a request sent after the congestion reports another one
+	req := newRequest(d) // a request sent after the congestion reports another one
 	req.Outstanding, req.Dispatched, d.outstanding = true, runtime.now-2*time.Second, d.outstanding+1
-	went(req, d.backends[0], Rejected, runtime.now)
-	d.settle(req)
+	addAttempt(req, d.backends[0], Rejected, runtime.now)
+	d.clearOutstanding(req)
 	if d.window >= 10 || d.window < 5 {
 		t.Errorf("after the next one it is %g", d.window)
 	}
@@ -658,19 +658,19 @@
 
 // Decode at warm mixed backends must not count as whole requests for those in slow start, which would be
 // overloaded by it.
-func TestWritesAtAMixedHostSpeakForLessThanWholeQuestions(t *testing.T) {
+func TestDecodeAtMixedBackendCountsLessThanWholeRequests(t *testing.T) {
 	budget := func(stage Stage) float64 {
-		d, runtime := begin(t)
-		d.classes[0].Reading.Add(3000, 1)
-		d.classes[0].Writing.Add(1, 1)
+		d, runtime := newDispatcher(t)
+		d.classes[0].PrefillTokens.Add(3000, 1)
+		d.classes[0].DecodeSeconds.Add(1, 1)
 		warm, slowStarting := d.backends[4], d.backends[5]
 		slowStarting.Booted, slowStarting.Restart = runtime.now, true
 		for range 20 {
-			req := ask(d)
+			req := newRequest(d)
 			req.Attempts = []*Attempt{{Request: req, Backend: warm, Stage: stage, Began: runtime.now, Next: func(Result) {}}}
 			d.Ended(req.Attempts[0], Result{Outcome: Served, Over: true})
 		}
-		return d.coldBudget(slowStarting)
+		return d.slowStartBudget(slowStarting)
 	}
 	if decode, whole := budget(ToWrite), budget(Whole); decode <= 0 || decode > whole/10 {
 		t.Errorf("the budget of a mixed backend is %.0f after 20 decodes at a warm one, %.0f after 20 whole requests", decode, whole)
@@ -679,9 +679,9 @@
 
 // Backends come and go while a dispatcher runs: removed ones without attempts in flight are dropped, so that
 // no decision visits them.
-func TestListedForgetsHostsThatAreGone(t *testing.T) {
-	d, _ := begin(t)
-	req := ask(d)
+func TestListedDropsRemovedBackends(t *testing.T) {
+	d, _ := newDispatcher(t)
+	req := newRequest(d)
 	busy := d.backends[2]
 	if !d.send(req, busy, Whole, func(Result) {}) {
 		t.Fatal("not sent")
@@ -705,23 +705,23 @@
 
 // Cached prefixes are forgotten by age, not by count: with more keys in use than the limit, a count would have
 // every attempt look through all of them and drop none.
-func TestRefreshForgetsKeptTextsByAge(t *testing.T) {
-	d, runtime := begin(t)
+func TestRefreshForgetsCachedPrefixesByAge(t *testing.T) {
+	d, runtime := newDispatcher(t)
 	for i := range 5000 {
-		req := ask(d)
+		req := newRequest(d)
 		req.Session, req.Shared = uint64(1000+i), 0
-		d.remember(&Attempt{Request: req, Backend: d.backends[2]}, 0)
+		d.recordCachedPrefix(&Attempt{Request: req, Backend: d.backends[2]}, 0)
 	}
-	runtime.now += keptFor + time.Second
-	req := ask(d)
-	d.remember(&Attempt{Request: req, Backend: d.backends[2]}, 0)
+	runtime.now += prefixTTL + time.Second
+	req := newRequest(d)
+	d.recordCachedPrefix(&Attempt{Request: req, Backend: d.backends[2]}, 0)
 	d.refresh()
 	if entries := len(d.backends[2].Kept); entries != 2 {
 		t.Errorf("%d prefixes in the table, 2 are recent", entries)
 	}
 	rarelyUsed := d.backends[3]
 	rarelyUsed.Kept[5] = Kept{10, runtime.now, 0}
-	runtime.now += keptFor + time.Second
+	runtime.now += prefixTTL + time.Second
 	d.refresh()
 	if len(rarelyUsed.Kept) != 0 {
 		t.Error("a prefix that is never used again stays in the table")
@@ -729,30 +729,30 @@
 }
 
 // A request whose client has disconnected leaves the queue, and no request is answered twice.
-func TestWhatIsOverIsNeitherHeldNorAnsweredAgain(t *testing.T) {
-	d, runtime := begin(t)
-	req := ask(d)
+func TestFinishedRequestIsNeitherQueuedNorAnsweredAgain(t *testing.T) {
+	d, runtime := newDispatcher(t)
+	req := newRequest(d)
 	d.enqueue(req)
 	d.Left(req)
 	d.giveUp(req)
-	if len(d.queue) != 0 || len(runtime.declined)+len(runtime.lost) != 0 {
-		t.Errorf("%d queued, %d answers to a disconnected client", len(d.queue), len(runtime.declined)+len(runtime.lost))
+	if len(d.queue) != 0 || len(runtime.rejected)+len(runtime.failed) != 0 {
+		t.Errorf("%d queued, %d answers to a disconnected client", len(d.queue), len(runtime.rejected)+len(runtime.failed))
 	}
 }
 
 // While the rules allow no backend, the queue widens the window with each first token that still comes.
 // Without a bound it reached 1e16 and flooded the fleet once backends were allowed again.
-func TestTheWindowHasABound(t *testing.T) {
-	d, _ := begin(t)
-	d.queue = []*Request{ask(d)}
+func TestWindowIsBounded(t *testing.T) {
+	d, _ := newDispatcher(t)
+	d.queue = []*Request{newRequest(d)}
 	for range 200 {
-		req := ask(d)
-		went(req, d.backends[2], Served, d.runtime.Now()).Began = d.runtime.Now()
+		req := newRequest(d)
+		addAttempt(req, d.backends[2], Served, d.runtime.Now()).Began = d.runtime.Now()
 		req.Outstanding, req.Dispatched = true, d.runtime.Now()
 		d.outstanding = int(d.window) + 1
-		d.settle(req)
+		d.clearOutstanding(req)
 	}
-	if limit := perHost * float64(len(d.backends)); d.window != limit {
+	if limit := windowPerBackend * float64(len(d.backends)); d.window != limit {
 		t.Errorf("the window is %g, wanted %g", d.window, limit)
 	}
 }
--- a/brain/candidates.go
+++ b/brain/candidates.go
@@ -14,139 +14,139 @@
 
 const (
 	// fullScanLimit is the fleet size up to which all backends are considered.
-	smallFleet = 128
+	fullScanLimit = 128
 	// sampleSize is the number of backends sampled in a larger fleet.
-	stretch = 128
+	sampleSize = 128
 	// In a large fleet maxAffinity is how many affinity candidates of a prefix are considered, and affinityRacks
 	// is for how many of them the backends of their rack are considered too.
-	homesMost = 16
-	homeRacks = 4
+	maxAffinity   = 16
+	affinityRacks = 4
 	// maxPrefixHolders is how many backends are remembered to have cached a prefix or session.
-	keepersMost = 8
+	maxPrefixHolders = 8
 	// rankSpace is the number of distinct ranks.
-	ranks = 1 << 64
+	rankSpace = 1 << 64
 	// capacityComparisonInterval is the shortest time between comparisons of capacities in a large fleet; each
 	// comparison visits all backends.
-	sizesAge = 250 * time.Millisecond
+	capacityComparisonInterval = 250 * time.Millisecond
 )
 
 // candidateSet is the candidates for one request at one time. They are reused while nothing of it changes.
 type candidateSet struct {
 	request  *Request
-	at       time.Duration
+	time     time.Duration
 	attempts int      // number of the request's attempts
-	state    *Backend // holder of the request's KV cache
-	hosts    []*Backend
-	homes    [3][]*Backend // affinity candidates of the request's prefix, by role
+	kvHolder *Backend // holder of the request's KV cache
+	backends []*Backend
+	affinity [3][]*Backend // affinity candidates of the request's prefix, by role
 	mark     uint64        // stored in the backends of the set to avoid duplicates
 }
 
 // roleMember is a backend with its id beside it, as ranking reads the ids of all backends of a role.
-type listedHost struct {
-	id   uint64
-	host *Backend
+type roleMember struct {
+	id      uint64
+	backend *Backend
 }
 
 // rankedBackend is a backend with its rank for a key.
-type ranked struct {
-	host *Backend
-	rank uint64
+type rankedBackend struct {
+	backend *Backend
+	rank    uint64
 }
 
 // isLarge reports whether the fleet is too large to consider all of it for each request.
-func (d *Dispatcher) large() bool { return len(d.backends) > smallFleet }
+func (d *Dispatcher) isLarge() bool { return len(d.backends) > fullScanLimit }
 
 // candidates returns the backends to consider for a request.
 func (d *Dispatcher) candidates(req *Request) []*Backend {
-	if !d.large() {
+	if !d.isLarge() {
 		return d.backends
 	}
-	set, now := &d.chosenFrom, d.runtime.Now()
-	if set.request == req && set.at == now && set.attempts == len(req.Attempts) && set.state == req.State {
-		return set.hosts
+	set, now := &d.lastCandidates, d.runtime.Now()
+	if set.request == req && set.time == now && set.attempts == len(req.Attempts) && set.kvHolder == req.State {
+		return set.backends
 	}
-	set.request, set.at, set.attempts, set.state, set.hosts = req, now, len(req.Attempts), req.State, set.hosts[:0]
+	set.request, set.time, set.attempts, set.kvHolder, set.backends = req, now, len(req.Attempts), req.State, set.backends[:0]
 	set.mark++
 	start := int(d.rng.Float() * float64(len(d.backends)))
-	for i := range stretch {
+	for i := range sampleSize {
 		set.add(d.backends[(start+i)%len(d.backends)])
 	}
 	if req.State != nil {
 		d.addRack(set, req.State) // only decode remains
-		return set.hosts
+		return set.backends
 	}
 	for _, role := range []Role{Reads, Both} {
-		set.homes[role] = d.firstHomes(cmp.Or(req.Shared, req.Session), role)
-		for i, candidate := range set.homes[role] {
+		set.affinity[role] = d.topRanked(cmp.Or(req.Shared, req.Session), role)
+		for i, candidate := range set.affinity[role] {
 			set.add(candidate)
-			if i < homeRacks {
+			if i < affinityRacks {
 				d.addRack(set, candidate)
 			}
 		}
 	}
 	for _, key := range []uint64{req.Session, req.Shared} {
-		for _, backend := range d.keepers[key] {
+		for _, backend := range d.prefixHolders[key] {
 			set.add(backend)
 		}
 	}
-	return set.hosts
+	return set.backends
 }
 
 // add adds a backend unless it is in the set.
 func (c *candidateSet) add(backend *Backend) {
-	if backend.mark != c.mark {
-		backend.mark = c.mark
-		c.hosts = append(c.hosts, backend)
+	if backend.candidateMark != c.mark {
+		backend.candidateMark = c.mark
+		c.backends = append(c.backends, backend)
 	}
 }
 
 // addRack adds the decode backends in a backend's rack, to which its KV cache can be moved at the lowest cost.
 func (d *Dispatcher) addRack(set *candidateSet, backend *Backend) {
-	for _, other := range d.racks[backend.Rack] {
+	for _, other := range d.decodeByRack[backend.Rack] {
 		set.add(other)
 	}
 }
 
 // affinityOrder returns the ready backends of a role by their rank for the request's prefix, which is the same
 // in every dispatcher: all of a small fleet, and the first ones of a large fleet.
-func (d *Dispatcher) homesInOrder(req *Request, role Role) []*Backend {
-	if !d.large() {
+func (d *Dispatcher) affinityOrder(req *Request, role Role) []*Backend {
+	if !d.isLarge() {
 		all := Only(d.backends, func(b *Backend) bool { return b.Role == role && b.Standing == Ready })
-		Order(all, cmp.Or(req.Shared, req.Session))
+		SortByHash(all, cmp.Or(req.Shared, req.Session))
 		return all
 	}
 	d.candidates(req)
-	return slices.Clone(d.chosenFrom.homes[role])
+	return slices.Clone(d.lastCandidates.affinity[role])
 }
 
 // topRanked returns the first ready backends of a role by rank for a key (rendezvous hashing).
-func (d *Dispatcher) firstHomes(key uint64, role Role) []*Backend {
-	top := d.firstRanks[:0]
+func (d *Dispatcher) topRanked(key uint64, role Role) []*Backend {
+	top := d.rankBuffer[:0]
 	for _, member := range d.byRole[role] {
 		rank := Mix(key, member.id)
-		if len(top) == homesMost && rank >= top[homesMost-1].rank || member.host.Standing != Ready {
+		if len(top) == maxAffinity && rank >= top[maxAffinity-1].rank || member.backend.Standing != Ready {
 			continue
 		}
-		i, _ := slices.BinarySearchFunc(top, rank, func(r ranked, rank uint64) int { return cmp.Compare(r.rank, rank) })
-		if len(top) == homesMost {
-			top = top[:homesMost-1]
+		i, _ := slices.BinarySearchFunc(top, rank, func(r rankedBackend, rank uint64) int { return cmp.Compare(r.rank, rank) })
+		if len(top) == maxAffinity {
+			top = top[:maxAffinity-1]
 		}
-		top = slices.Insert(top, i, ranked{member.host, rank})
+		top = slices.Insert(top, i, rankedBackend{member.backend, rank})
 	}
-	d.firstRanks = top
+	d.rankBuffer = top
 	backends := make([]*Backend, len(top))
 	for i, r := range top {
-		backends[i] = r.host
+		backends[i] = r.backend
 	}
 	return backends
 }
 
 // affinityCount is the number of affinity candidates of a prefix: two, or more in proportion to its share of
 // requests.
-func (d *Dispatcher) homesWanted(key uint64, role Role, ranked []*Backend) int {
-	share := d.begins.Sum(key, d.runtime.Now()) / (d.asked.Sum(d.runtime.Now()) + 10)
+func (d *Dispatcher) affinityCount(key uint64, role Role, ranked []*Backend) int {
+	share := d.prefixTable.Sum(key, d.runtime.Now()) / (d.prefillRequests.Sum(d.runtime.Now()) + 10)
 	count := len(ranked)
-	if d.large() {
+	if d.isLarge() {
 		count = len(d.byRole[role])
 	}
 	return max(2, int(2*share*float64(count)))
@@ -155,13 +155,13 @@
 // extendAffinity handles a prefix of a large fleet that has more affinity candidates than were ranked: it adds
 // those among the eligible backends. A backend is one of them if its rank is below the matching share of the
 // rank space.
-func (d *Dispatcher) withMoreHomes(candidates []*Backend, key uint64, role Role, count int, eligible []*Backend) []*Backend {
-	if !d.large() || count <= homesMost {
+func (d *Dispatcher) extendAffinity(candidates []*Backend, key uint64, role Role, count int, eligible []*Backend) []*Backend {
+	if !d.isLarge() || count <= maxAffinity {
 		return candidates
 	}
 	share := float64(count) / float64(len(d.byRole[role]))
 	for _, backend := range eligible {
-		if float64(Mix(key, uint64(backend.ID))) < share*ranks && !slices.Contains(candidates, backend) {
+		if float64(Mix(key, uint64(backend.ID))) < share*rankSpace && !slices.Contains(candidates, backend) {
 			candidates = append(candidates, backend)
 		}
 	}
@@ -169,68 +169,68 @@
 }
 
 // recordPrefixHolder records that a backend of a large fleet has cached a prefix or session.
-func (d *Dispatcher) keeperOf(key uint64, backend *Backend) {
-	if key == 0 || !d.large() {
+func (d *Dispatcher) recordPrefixHolder(key uint64, backend *Backend) {
+	if key == 0 || !d.isLarge() {
 		return
 	}
-	if d.keepers == nil {
-		d.keepers = map[uint64][]*Backend{}
+	if d.prefixHolders == nil {
+		d.prefixHolders = map[uint64][]*Backend{}
 	}
-	holders := slices.DeleteFunc(d.keepers[key], func(b *Backend) bool { return b == backend })
-	if len(holders) >= keepersMost {
+	holders := slices.DeleteFunc(d.prefixHolders[key], func(b *Backend) bool { return b == backend })
+	if len(holders) >= maxPrefixHolders {
 		holders = holders[1:]
 	}
-	d.keepers[key] = append(holders, backend)
+	d.prefixHolders[key] = append(holders, backend)
 }
 
 // dropStaleHolders drops backends that no longer have the prefix cached.
-func (d *Dispatcher) forgetKeepers() {
-	for key, holders := range d.keepers {
+func (d *Dispatcher) dropStaleHolders() {
+	for key, holders := range d.prefixHolders {
 		holders = slices.DeleteFunc(holders, func(b *Backend) bool { return !b.Held || b.Kept[key] == (Kept{}) })
-		if len(holders) == 0 || !d.large() {
-			delete(d.keepers, key)
+		if len(holders) == 0 || !d.isLarge() {
+			delete(d.prefixHolders, key)
 			continue
 		}
-		d.keepers[key] = holders
+		d.prefixHolders[key] = holders
 	}
 }
 
 // addBackend adds a new backend: in a large fleet at its place in the dispatcher's order, unless many are
 // added at once.
-func (d *Dispatcher) addHost(backend *Backend, bulk bool) {
-	backend.Held, backend.order = true, Mix(d.own, uint64(backend.ID))
-	d.ordered = d.ordered && !bulk
+func (d *Dispatcher) addBackend(backend *Backend, bulk bool) {
+	backend.Held, backend.order = true, Mix(d.orderSeed, uint64(backend.ID))
+	d.sorted = d.sorted && !bulk
 	position := len(d.backends)
-	if d.large() && d.ordered {
+	if d.isLarge() && d.sorted {
 		position, _ = slices.BinarySearchFunc(d.backends, backend.order, func(b *Backend, order uint64) int { return cmp.Compare(b.order, order) })
 	}
 	d.backends = slices.Insert(d.backends, position, backend)
-	d.byRole[backend.Role] = append(d.byRole[backend.Role], listedHost{uint64(backend.ID), backend})
+	d.byRole[backend.Role] = append(d.byRole[backend.Role], roleMember{uint64(backend.ID), backend})
 	if backend.Answers() {
-		if d.racks == nil {
-			d.racks = map[int][]*Backend{}
+		if d.decodeByRack == nil {
+			d.decodeByRack = map[int][]*Backend{}
 		}
-		d.racks[backend.Rack] = append(d.racks[backend.Rack], backend)
+		d.decodeByRack[backend.Rack] = append(d.decodeByRack[backend.Rack], backend)
 	}
 }
 
 // sortBackends restores the dispatcher's order of backends.
-func (d *Dispatcher) orderHosts() {
-	if d.large() && d.ordered {
+func (d *Dispatcher) sortBackends() {
+	if d.isLarge() && d.sorted {
 		return
 	}
 	slices.SortFunc(d.backends, func(a, b *Backend) int { return cmp.Compare(a.order, b.order) })
-	d.ordered = d.large()
+	d.sorted = d.isLarge()
 }
 
 // dropRemoved drops removed backends that have no attempts in flight.
-func (d *Dispatcher) dropHosts() {
-	isRemoved := func(l listedHost) bool { return !l.host.Held }
+func (d *Dispatcher) dropRemoved() {
+	isRemoved := func(l roleMember) bool { return !l.backend.Held }
 	d.backends = slices.DeleteFunc(d.backends, func(backend *Backend) bool {
 		backend.Held = backend.Standing != Gone || backend.Streams > 0 || backend.Tokens >= 1 // its load still counts
 		if !backend.Held && backend.Answers() {
-			if d.racks[backend.Rack] = slices.DeleteFunc(d.racks[backend.Rack], func(b *Backend) bool { return b == backend }); len(d.racks[backend.Rack]) == 0 {
-				delete(d.racks, backend.Rack)
+			if d.decodeByRack[backend.Rack] = slices.DeleteFunc(d.decodeByRack[backend.Rack], func(b *Backend) bool { return b == backend }); len(d.decodeByRack[backend.Rack]) == 0 {
+				delete(d.decodeByRack, backend.Rack)
 			}
 		}
 		return !backend.Held
@@ -241,17 +241,17 @@
 }
 
 // compareCapacities compares the backends' capacities, at limited frequency in a large fleet.
-func (d *Dispatcher) compareSizes() {
+func (d *Dispatcher) compareCapacities() {
 	now := d.runtime.Now()
-	if d.large() && d.compared > 0 && now-d.compared < sizesAge {
+	if d.isLarge() && d.capacitiesComparedAt > 0 && now-d.capacitiesComparedAt < capacityComparisonInterval {
 		return
 	}
-	d.compared = max(now, 1)
-	d.answering = Compare(d.backends)
+	d.capacitiesComparedAt = max(now, 1)
+	d.decodeCount = CompareCapacities(d.backends)
 }
 
 // minCostByRack returns the lowest cost of the backends in each rack.
-func freestByRack(backends []*Backend, cost func(*Backend) float64) map[int]float64 {
+func minCostByRack(backends []*Backend, cost func(*Backend) float64) map[int]float64 {
 	minCost := map[int]float64{}
 	for _, backend := range backends {
 		lowest, known := minCost[backend.Rack]
@@ -265,7 +265,7 @@
 // freeKVTokens is how many more KV cache tokens this dispatcher may use at decode backends, less those of
 // requests in prefill, which will need them for decode. In a large fleet it is extrapolated from the
 // candidates.
-func (d *Dispatcher) freeMemory(req *Request) float64 {
+func (d *Dispatcher) freeKVTokens(req *Request) float64 {
 	free, considered := 0.0, 0.0
 	candidates := d.candidates(req)
 	for _, backend := range candidates {
@@ -273,20 +273,20 @@
 			continue
 		}
 		considered++
-		if !d.barred(req, backend) {
+		if !d.disallowed(req, backend) {
 			free += max(backend.Room-backend.Tokens, 0)
 		}
 	}
-	if d.large() && !math.IsInf(free, 1) {
+	if d.isLarge() && !math.IsInf(free, 1) {
 		free *= max(float64(len(d.byRole[Writes])+len(d.byRole[Both]))/max(considered, 1), 1)
 	}
-	return free - d.reading()
+	return free - d.prefillKVTokens()
 }
 
 // prefillKVTokens is the number of own KV cache tokens at prefill-only backends.
-func (d *Dispatcher) reading() float64 {
-	if d.large() {
-		return d.atReaders
+func (d *Dispatcher) prefillKVTokens() float64 {
+	if d.isLarge() {
+		return d.prefillOnlyTokens
 	}
 	sum := 0.0
 	for _, backend := range d.backends {
--- a/brain/candidates_test.go
+++ b/brain/candidates_test.go
@@ -7,10 +7,10 @@
 )
 
 // newLargeFleet returns a dispatcher with 2,000 backends, of which a decision considers only some.
-func largeFleet(t *testing.T, seed uint64) (*Dispatcher, *door) {
+func newLargeFleet(t *testing.T, seed uint64) (*Dispatcher, *fakeRuntime) {
 	t.Helper()
-	runtime := &door{now: 100 * time.Second}
-	d, err := New(facts(), seed, runtime)
+	runtime := &fakeRuntime{now: 100 * time.Second}
+	d, err := New(testSettings(), seed, runtime)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,17 +31,17 @@
 
 // All dispatchers, whatever they sample, have the same two affinity candidates for a prefix: the first ones by
 // hash over all backends.
-func TestABeginningHasTheSameHomesInALargeFleet(t *testing.T) {
-	first, _ := largeFleet(t, 1)
-	second, _ := largeFleet(t, 2)
+func TestPrefixHasTheSameAffinityCandidatesInAllDispatchers(t *testing.T) {
+	first, _ := newLargeFleet(t, 1)
+	second, _ := newLargeFleet(t, 2)
 	for prefix := range uint64(20) {
-		req := ask(first)
+		req := newRequest(first)
 		req.Shared = prefix + 1
 		other := *req
-		candidates := first.homes(req, Reads, first.able(req, (*Backend).ReadsOnly))
-		others := second.homes(&other, Reads, second.able(&other, (*Backend).ReadsOnly))
-		ranked := Only(first.backends, (*Backend).ReadsOnly)
-		Order(ranked, req.Shared)
+		candidates := first.affinityCandidates(req, Reads, first.eligible(req, (*Backend).PrefillOnly))
+		others := second.affinityCandidates(&other, Reads, second.eligible(&other, (*Backend).PrefillOnly))
+		ranked := Only(first.backends, (*Backend).PrefillOnly)
+		SortByHash(ranked, req.Shared)
 		if len(candidates) != 2 || !slices.Equal(ids(candidates), ids(others)) || !slices.Equal(ids(candidates), ids(ranked[:2])) {
 			t.Errorf("prefix %d: %v and %v, wanted %v", req.Shared, ids(candidates), ids(others), ids(ranked[:2]))
 		}
@@ -50,17 +50,17 @@
 
 // A prefix of a tenth of all requests has a matching share of a large fleet as affinity candidates: by chance,
 // about that share of the sampled backends.
-func TestACommonBeginningHasManyHomesInALargeFleet(t *testing.T) {
-	d, runtime := largeFleet(t, 1)
+func TestCommonPrefixHasManyAffinityCandidates(t *testing.T) {
+	d, runtime := newLargeFleet(t, 1)
 	for range 1000 {
-		d.asked.Add(runtime.now, 1)
+		d.prefillRequests.Add(runtime.now, 1)
 	}
-	d.begins.Add(9, runtime.now, 100)
+	d.prefixTable.Add(9, runtime.now, 100)
 	used := map[uint32]bool{}
 	for range 100 {
 		runtime.now += time.Millisecond
-		req := ask(d)
-		for _, backend := range d.homes(req, Reads, d.able(req, (*Backend).ReadsOnly)) {
+		req := newRequest(d)
+		for _, backend := range d.affinityCandidates(req, Reads, d.eligible(req, (*Backend).PrefillOnly)) {
 			used[backend.ID] = true
 		}
 	}
@@ -70,14 +70,14 @@
 }
 
 // Backends that a request has a reason to go to are among its candidates, however few are sampled.
-func TestCandidatesOfALargeFleetHaveWhatSpeaksForThem(t *testing.T) {
-	d, runtime := largeFleet(t, 1)
+func TestCandidatesIncludePrefixHoldersAndTheKVHoldersRack(t *testing.T) {
+	d, runtime := newLargeFleet(t, 1)
 	holder := Only(d.backends, (*Backend).Answers)[700]
-	d.remember(&Attempt{Request: ask(d), Backend: holder}, 0)
-	prefillBackend := Only(d.backends, (*Backend).ReadsOnly)[300]
+	d.recordCachedPrefix(&Attempt{Request: newRequest(d), Backend: holder}, 0)
+	prefillBackend := Only(d.backends, (*Backend).PrefillOnly)[300]
 	for range 50 {
 		runtime.now += time.Millisecond
-		req := ask(d)
+		req := newRequest(d)
 		if !slices.Contains(d.candidates(req), holder) {
 			t.Fatal("the backend that has the session cached is not a candidate")
 		}
@@ -87,22 +87,22 @@
 		if len(inRack) != 3 {
 			t.Fatalf("%d backends of the KV holder's rack are candidates", len(inRack))
 		}
-		if count := len(d.candidates(req)); count > 400 || count < stretch {
+		if count := len(d.candidates(req)); count > 400 || count < sampleSize {
 			t.Fatalf("%d candidates", count)
 		}
 	}
 }
 
 // Over many requests most backends of a large fleet are used, and none too often.
-func TestEveryBackendOfALargeFleetIsUsed(t *testing.T) {
-	d, runtime := largeFleet(t, 1)
+func TestMostBackendsOfALargeFleetAreUsed(t *testing.T) {
+	d, runtime := newLargeFleet(t, 1)
 	used := map[*Backend]int{}
 	const requests = 3000
 	for number := range requests {
 		runtime.now += 10 * time.Millisecond
-		req := ask(d)
+		req := newRequest(d)
 		req.Session, req.Shared = 0, uint64(number+1)
-		req.State = Only(d.backends, (*Backend).ReadsOnly)[number%1000]
+		req.State = Only(d.backends, (*Backend).PrefillOnly)[number%1000]
 		d.pickDecode(req)
 		attempt := runtime.sent[len(runtime.sent)-1]
 		used[attempt.Backend]++
@@ -119,21 +119,21 @@
 }
 
 // A fleet that shrinks and grows across fullScanLimit keeps its order and all of its backends.
-func TestAFleetGrowsAndShrinksOverTheBound(t *testing.T) {
-	d, _ := largeFleet(t, 1)
+func TestFleetShrinksAndGrowsAcrossFullScanLimit(t *testing.T) {
+	d, _ := newLargeFleet(t, 1)
 	var endpoints []Listing
 	for _, backend := range d.backends[100:] {
 		endpoints = append(endpoints, Listing{Host: backend, Standing: Gone})
 	}
 	d.Listed(endpoints, false)
-	if len(d.backends) != 100 || d.large() || len(d.byRole[Reads])+len(d.byRole[Writes]) != 100 {
+	if len(d.backends) != 100 || d.isLarge() || len(d.byRole[Reads])+len(d.byRole[Writes]) != 100 {
 		t.Fatalf("%d backends remain, %d and %d by role", len(d.backends), len(d.byRole[Reads]), len(d.byRole[Writes]))
 	}
 	for i := range 100 {
 		d.Listed([]Listing{{Host: &Backend{ID: uint32(5000 + i), Kind: i % 2, Rack: 1000 + i/6}, Standing: Ready, Units: 1}}, false)
 	}
-	if !d.large() || !slices.IsSortedFunc(d.backends, func(a, b *Backend) int { return int(a.order>>1) - int(b.order>>1) }) {
-		t.Errorf("%d backends, in order %v", len(d.backends), d.ordered)
+	if !d.isLarge() || !slices.IsSortedFunc(d.backends, func(a, b *Backend) int { return int(a.order>>1) - int(b.order>>1) }) {
+		t.Errorf("%d backends, in order %v", len(d.backends), d.sorted)
 	}
 	if got := len(d.byRole[Reads]) + len(d.byRole[Writes]); got != 200 {
 		t.Errorf("%d backends by role", got)
@@ -142,30 +142,30 @@
 
 // A request whose KV cache finds no decode backend starts over in the same instant. It then has its own
 // affinity candidates, not those of the request considered before.
-func TestARequestThatStartsOverHasItsOwnHomes(t *testing.T) {
-	d, _ := largeFleet(t, 1)
-	other := ask(d)
+func TestRestartedRequestHasItsOwnAffinityCandidates(t *testing.T) {
+	d, _ := newLargeFleet(t, 1)
+	other := newRequest(d)
 	other.Shared = 77
 	d.candidates(other)
-	req := ask(d)
-	req.State = Only(d.backends, (*Backend).ReadsOnly)[0]
+	req := newRequest(d)
+	req.State = Only(d.backends, (*Backend).PrefillOnly)[0]
 	d.candidates(req)
 	req.State = nil
-	ranked := Only(d.backends, (*Backend).ReadsOnly)
-	Order(ranked, req.Shared)
-	if got := d.homes(req, Reads, d.able(req, (*Backend).ReadsOnly)); !slices.Equal(ids(got), ids(ranked[:2])) {
+	ranked := Only(d.backends, (*Backend).PrefillOnly)
+	SortByHash(ranked, req.Shared)
+	if got := d.affinityCandidates(req, Reads, d.eligible(req, (*Backend).PrefillOnly)); !slices.Equal(ids(got), ids(ranked[:2])) {
 		t.Errorf("its affinity candidates are %v, wanted %v", ids(got), ids(ranked[:2]))
 	}
 }
 
 // A prefix that all requests share has all backends as affinity candidates.
-func TestABeginningOfAllRequestsIsAtHomeEverywhere(t *testing.T) {
-	d, runtime := largeFleet(t, 1)
-	d.asked.Add(runtime.now, 1e6)
-	d.begins.Add(9, runtime.now, 1e6)
-	req := ask(d)
-	eligible := d.able(req, (*Backend).ReadsOnly)
-	if candidates := d.homes(req, Reads, slices.Clone(eligible)); len(candidates) != len(eligible) {
+func TestPrefixOfAllRequestsHasAllAffinityCandidates(t *testing.T) {
+	d, runtime := newLargeFleet(t, 1)
+	d.prefillRequests.Add(runtime.now, 1e6)
+	d.prefixTable.Add(9, runtime.now, 1e6)
+	req := newRequest(d)
+	eligible := d.eligible(req, (*Backend).PrefillOnly)
+	if candidates := d.affinityCandidates(req, Reads, slices.Clone(eligible)); len(candidates) != len(eligible) {
 		t.Errorf("%d of %d eligible backends are affinity candidates", len(candidates), len(eligible))
 	}
 }
--- a/brain/cost_test.go
+++ b/brain/cost_test.go
@@ -22,11 +22,11 @@
 
 // newLoadedFleet returns a dispatcher with backends, of which some have completed work, and with requests in
 // its queue.
-func measured(t testing.TB, backends int, state fleetState, waiting int) (*Dispatcher, *door) {
+func newLoadedFleet(t testing.TB, backends int, state fleetState, waiting int) (*Dispatcher, *fakeRuntime) {
 	t.Helper()
-	settings := facts()
+	settings := testSettings()
 	settings["siblings"] = 300.0
-	runtime := &door{now: 100 * time.Second}
+	runtime := &fakeRuntime{now: 100 * time.Second}
 	d, err := New(settings, 1, runtime)
 	if err != nil {
 		t.Fatal(err)
@@ -50,10 +50,10 @@
 	}
 	for i, backend := range d.backends {
 		if i%8 == 0 {
-			backend.Carried.Add(runtime.now, 50000)
+			backend.CompletedWork.Add(runtime.now, 50000)
 		}
 	}
-	d.window, d.credit = 0, 0
+	d.window, d.sendCredit = 0, 0
 	for i := range waiting {
 		d.Submit(&Request{ID: uint64(1e6 + i), Session: uint64(i%50 + 1), Prompt: 2000, Most: 400, Left: time.Hour}, 0, 0)
 	}
@@ -61,9 +61,9 @@
 }
 
 // serveOne submits one request and runs one to its end: prefill, decode, first token, end.
-func serve(d *Dispatcher, runtime *door, number int) {
+func serveOne(d *Dispatcher, runtime *fakeRuntime, number int) {
 	runtime.now += 10 * time.Millisecond
-	d.window, d.credit = 2, 0
+	d.window, d.sendCredit = 2, 0
 	d.Submit(&Request{ID: uint64(number), Session: uint64(number%200 + 1), Shared: uint64(number%20 + 1), Prompt: 2000, Prefix: 1500, Most: 400, Left: time.Hour}, 0, 0)
 	for served := false; !served && len(runtime.sent) > 0; {
 		attempt := runtime.sent[0]
@@ -76,7 +76,7 @@
 		d.Ended(attempt, Result{Outcome: Served, Took: 50 * time.Millisecond, Over: true})
 		served = true
 	}
-	runtime.wakes, runtime.delays, runtime.waits = runtime.wakes[:0], runtime.delays[:0], runtime.waits[:0]
+	runtime.timers, runtime.timerDelays, runtime.timeouts = runtime.timers[:0], runtime.timerDelays[:0], runtime.timeouts[:0]
 }
 
 // BenchmarkRequest measures the time per request by number and state of the backends and by queue length.
@@ -85,9 +85,9 @@
 		for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdGone} {
 			for _, waiting := range []int{1, 50, 500} {
 				b.Run(fmt.Sprintf("%d %v %d waiting", backends, state, waiting), func(b *testing.B) {
-					d, runtime := measured(b, backends, state, waiting)
+					d, runtime := newLoadedFleet(b, backends, state, waiting)
 					for number := 0; b.Loop(); number++ {
-						serve(d, runtime, number)
+						serveOne(d, runtime, number)
 					}
 				})
 			}
@@ -97,31 +97,31 @@
 
 // maxRequestTime is the limit on the mean time per request. Beyond it the event loop falls behind: 483 ms
 // stopped it.
-const costMost = 3 * time.Millisecond
+const maxRequestTime = 3 * time.Millisecond
 
-func TestARequestCostsLittleWithThousandsOfBackends(t *testing.T) {
+func TestRequestTimeWithThousandsOfBackends(t *testing.T) {
 	for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdGone} {
-		d, runtime := measured(t, 3200, state, 50)
+		d, runtime := newLoadedFleet(t, 3200, state, 50)
 		const rounds = 20
 		began := time.Now()
 		for number := range rounds {
-			serve(d, runtime, number)
+			serveOne(d, runtime, number)
 		}
-		if took := time.Since(began) / rounds; took > costMost {
+		if took := time.Since(began) / rounds; took > maxRequestTime {
 			t.Errorf("%v: a request takes %v", state, took)
 		}
 	}
 }
 
-func TestAChangeOfTheListCostsLittleWithThousandsOfBackends(t *testing.T) {
-	d, runtime := measured(t, 3200, allWarm, 0)
+func TestListChangeTimeWithThousandsOfBackends(t *testing.T) {
+	d, runtime := newLoadedFleet(t, 3200, allWarm, 0)
 	const rounds = 100
 	began := time.Now()
 	for i := range rounds {
 		runtime.now += time.Millisecond
 		d.Listed([]Listing{{Host: d.backends[i], Standing: Ready, Units: 1, Restart: true, Booted: runtime.now}}, false)
 	}
-	if took := time.Since(began) / rounds; took > costMost/10 {
+	if took := time.Since(began) / rounds; took > maxRequestTime/10 {
 		t.Errorf("a change takes %v", took)
 	}
 }
--- a/brain/facts.go
+++ b/brain/facts.go
@@ -69,7 +69,7 @@
 }
 
 // RequireNumbers returns an error for the first of the named settings that is not a number.
-func (s Facts) Lacks(names ...string) error {
+func (s Facts) RequireNumbers(names ...string) error {
 	for _, name := range names {
 		if _, ok := s[name].(float64); !ok {
 			return fmt.Errorf("read setting %s: missing or not a number", name)
@@ -80,7 +80,7 @@
 
 // numericSettings are the settings that are used as divisors or counts, with their valid ranges. One that is
 // not stated, or that is 0 where 0 can only mean "none", gets the fallback, which has no effect.
-var figures = []struct {
+var numericSettings = []struct {
 	name             string
 	minimum, maximum float64
 	fallback         float64
@@ -98,12 +98,12 @@
 
 // WithDefaults returns a copy with defaults for what is not stated. Without the slow-start rule no backend is
 // ever in slow start.
-func (s Facts) Complete() Facts {
+func (s Facts) WithDefaults() Facts {
 	complete := maps.Clone(s)
 	if s.Num("rules.tipMultiple", 0) == 0 || s.Num("rules.tipAfterUs", 0) == 0 {
 		complete["rules.rampTimeUs"] = 0.0
 	}
-	for _, setting := range figures {
+	for _, setting := range numericSettings {
 		if v := s.Num(setting.name, 0); v == 0 {
 			complete[setting.name] = setting.fallback
 		}
@@ -113,10 +113,10 @@
 
 // Validate returns an error for the first required setting that is missing or setting that is out of range.
 func (s Facts) Sound() error {
-	if err := s.Lacks("familyInfo.kindRole"); err != nil {
+	if err := s.RequireNumbers("familyInfo.kindRole"); err != nil {
 		return err
 	}
-	for _, setting := range figures {
+	for _, setting := range numericSettings {
 		value, stated := s[setting.name]
 		number, isNumber := value.(float64)
 		switch {
@@ -149,7 +149,7 @@
 		if s.Num(target, 0) == 0 {
 			target = prefix + "giveUpUs"
 		}
-		if err := s.Lacks(target); err != nil {
+		if err := s.RequireNumbers(target); err != nil {
 			return nil, fmt.Errorf("%w, and %saimUs is not stated either", err, prefix)
 		}
 		for _, name := range []string{target, prefix + "windowUs", prefix + "worth", prefix + "lateWorth"} {
@@ -158,16 +158,16 @@
 			}
 		}
 		classes = append(classes, &Class{
-			Index:      i,
-			Effect:     effect,
-			DedupScope:      map[string]Reach{"zone": SameZone, "cell": SameRack}[s.Text(prefix+"group")],
-			DedupWindow:     s.Span(prefix + "windowUs"),
-			Target:     s.Span(target),
+			Index:               i,
+			Effect:              effect,
+			DedupScope:          map[string]DedupScope{"zone": SameZone, "cell": SameRack}[s.Text(prefix+"group")],
+			DedupWindow:         s.Span(prefix + "windowUs"),
+			Target:              s.Span(target),
 			TargetPer1000Tokens: s.Span(fmt.Sprintf("familyInfo.aimUsPer1000PromptTokens.%d", i)),
-			Value:      s.Num(prefix+"worth", 1),
-			LateValue:       s.Num(prefix+"lateWorth", 1),
-			Offered:    Ring{Width: admittedWidth},
-			Admitted:   Ring{Width: admittedWidth},
+			Value:               s.Num(prefix+"worth", 1),
+			LateValue:           s.Num(prefix+"lateWorth", 1),
+			Offered:             Ring{Width: admissionBucketWidth},
+			Admitted:            Ring{Width: admissionBucketWidth},
 		})
 	}
 	return classes, nil
--- a/brain/facts_test.go
+++ b/brain/facts_test.go
@@ -8,7 +8,7 @@
 )
 
 // settingsWith returns the settings of a small deployment with one change; nil removes the setting.
-func stated(name string, value any) Facts {
+func settingsWith(name string, value any) Facts {
 	settings := Facts{"siblings": 3.0, "familyInfo.kindRole": 1.0, "familyInfo.kindRole.0": "both", "policyLimits.maxAttempts": 3.0,
 		"rules.tipMultiple": 2.5, "rules.tipAfterUs": 2e6, "rules.coldFrom": 0.4, "rules.rampTimeUs": 9e6,
 		"requestClasses": 1.0, "requestClasses.0.effect": "by_key", "requestClasses.0.aimUs": 1e6, "requestClasses.0.giveUpUs": 4e6,
@@ -21,11 +21,11 @@
 
 // Without the slow-start rule no backend is in slow start, not even one that has just started, and nothing is
 // divided by zero.
-func TestWithoutTheRuleOnColdHostsNoneIsCold(t *testing.T) {
+func TestWithoutSlowStartRuleNoBackendIsInSlowStart(t *testing.T) {
 	for _, name := range []string{"rules.tipMultiple", "rules.tipAfterUs", "rules.rampTimeUs"} {
 		for _, value := range []any{nil, 0.0} {
-			runtime := &door{now: time.Second}
-			d, err := New(stated(name, value), 1, runtime)
+			runtime := &fakeRuntime{now: time.Second}
+			d, err := New(settingsWith(name, value), 1, runtime)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -40,7 +40,7 @@
 
 // Settings that may be left out or stated as 0 don't keep a dispatcher from starting; invalid ones do, with an
 // error of one line that names the setting.
-func TestSettingsThatACustomerMayHave(t *testing.T) {
+func TestOptionalAndInvalidSettings(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		value any
@@ -63,7 +63,7 @@
 		{"requestClasses.0.worth", nil, false}, {"requestClasses.0.worth", 0.0, false}, {"requestClasses.0.worth", -1.0, true},
 		{"requestClasses.0.lateWorth", 0.0, false}, {"tenants", 0.0, false}, {"dcs", nil, false},
 	} {
-		d, err := New(stated(tc.name, tc.value), 1, &door{})
+		d, err := New(settingsWith(tc.name, tc.value), 1, &fakeRuntime{})
 		if (err != nil) != tc.fails {
 			t.Errorf("%s = %v: %v", tc.name, tc.value, err)
 			continue
@@ -85,9 +85,9 @@
 }
 
 // A repeat whose connection is made after the deduplication window has closed is not sent; before that it is.
-func TestARepeatWhoseWindowClosedIsNotSent(t *testing.T) {
-	runtime := &door{now: time.Second}
-	d, err := New(stated("siblings", 1.0), 1, runtime)
+func TestRepeatIsNotSentAfterDedupWindow(t *testing.T) {
+	runtime := &fakeRuntime{now: time.Second}
+	d, err := New(settingsWith("siblings", 1.0), 1, runtime)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/brain/help_test.go
+++ b/brain/help_test.go
@@ -8,33 +8,33 @@
 )
 
 // fakeRuntime records what the scheduler does; the test sets its clock.
-type door struct {
-	now                      time.Duration
-	sent                     []*Attempt
-	cancelled                []*Attempt
-	released, declined, lost []*Request
-	wakes                    []func()
-	delays                   []time.Duration // of the timers
-	waits                    []time.Duration
-	told                     []int
+type fakeRuntime struct {
+	now                        time.Duration
+	sent                       []*Attempt
+	cancelled                  []*Attempt
+	released, rejected, failed []*Request
+	timers                     []func()
+	timerDelays                []time.Duration // of the timers
+	timeouts                   []time.Duration
+	updatedPeers               []int
 }
 
-func (f *door) Now() time.Duration { return f.now }
-func (f *door) Send(attempt *Attempt, timeout time.Duration) {
-	f.sent, f.waits = append(f.sent, attempt), append(f.waits, timeout)
+func (f *fakeRuntime) Now() time.Duration { return f.now }
+func (f *fakeRuntime) Send(attempt *Attempt, timeout time.Duration) {
+	f.sent, f.timeouts = append(f.sent, attempt), append(f.timeouts, timeout)
 }
-func (f *door) Cancel(attempt *Attempt)              { f.cancelled = append(f.cancelled, attempt) }
-func (f *door) Release(req *Request)                 { f.released = append(f.released, req) }
-func (f *door) Reject(req *Request, _ time.Duration) { f.declined = append(f.declined, req) }
-func (f *door) Fail(req *Request)                    { f.lost = append(f.lost, req) }
-func (f *door) Wake(delay time.Duration, callback func()) {
-	f.wakes, f.delays = append(f.wakes, callback), append(f.delays, delay)
+func (f *fakeRuntime) Cancel(attempt *Attempt)              { f.cancelled = append(f.cancelled, attempt) }
+func (f *fakeRuntime) Release(req *Request)                 { f.released = append(f.released, req) }
+func (f *fakeRuntime) Reject(req *Request, _ time.Duration) { f.rejected = append(f.rejected, req) }
+func (f *fakeRuntime) Fail(req *Request)                    { f.failed = append(f.failed, req) }
+func (f *fakeRuntime) Wake(delay time.Duration, callback func()) {
+	f.timers, f.timerDelays = append(f.timers, callback), append(f.timerDelays, delay)
 }
-func (f *door) Watch(bool)                  {}
-func (f *door) Tell(peer int, _ PeerUpdate) { f.told = append(f.told, peer) }
-func (f *door) Note(string)                 {}
+func (f *fakeRuntime) Watch(bool)                  {}
+func (f *fakeRuntime) Tell(peer int, _ PeerUpdate) { f.updatedPeers = append(f.updatedPeers, peer) }
+func (f *fakeRuntime) Note(string)                 {}
 
-func facts() Facts {
+func testSettings() Facts {
 	return Facts{
 		"siblings":          1.0,
 		"rules.tipMultiple": 2.5, "rules.tipAfterUs": 2e6, "rules.coldFrom": 0.3, "rules.rampTimeUs": 10e6,
@@ -46,11 +46,11 @@
 }
 
 // newDispatcherOf returns one of several dispatchers, at 100 s, with six backends in its own order.
-func fleetOf(t *testing.T, dispatchers float64) (*Dispatcher, *door) {
+func newDispatcherOf(t *testing.T, dispatchers float64) (*Dispatcher, *fakeRuntime) {
 	t.Helper()
-	settings := facts()
+	settings := testSettings()
 	settings["siblings"] = dispatchers
-	runtime := &door{now: 100 * time.Second}
+	runtime := &fakeRuntime{now: 100 * time.Second}
 	d, err := New(settings, 1, runtime)
 	if err != nil {
 		t.Fatal(err)
@@ -65,22 +65,22 @@
 
 // newDispatcher returns a dispatcher at 100 s with two backends of each role (prefill backends 1 and 2, decode
 // backends 3 and 4, mixed backends 5 and 6) in the order of their ids.
-func begin(t *testing.T) (*Dispatcher, *door) {
+func newDispatcher(t *testing.T) (*Dispatcher, *fakeRuntime) {
 	t.Helper()
-	d, runtime := fleetOf(t, 1)
+	d, runtime := newDispatcherOf(t, 1)
 	slices.SortFunc(d.backends, func(a, b *Backend) int { return cmp.Compare(a.ID, b.ID) })
 	return d, runtime
 }
 
 // newRequest returns a request of 2,000 prompt tokens that is received now.
-func ask(d *Dispatcher) *Request {
+func newRequest(d *Dispatcher) *Request {
 	now := d.runtime.Now()
 	return &Request{ID: 1, Session: 7, Shared: 9, Prompt: 2000, Prefix: 1500, Most: 400, Memory: 2100, Class: d.classes[0],
 		Taken: now, Left: 4 * time.Second, TargetAt: now + time.Second, Deadline: now + 4*time.Second}
 }
 
 // addAttempt gives the request an attempt that has ended.
-func went(req *Request, backend *Backend, outcome Outcome, sent time.Duration) *Attempt {
+func addAttempt(req *Request, backend *Backend, outcome Outcome, sent time.Duration) *Attempt {
 	attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), Sent: sent, Ended: true, Outcome: outcome, Next: func(Result) {}}
 	req.Attempts = append(req.Attempts, attempt)
 	return attempt
--- a/brain/outcomes.go
+++ b/brain/outcomes.go
@@ -13,22 +13,22 @@
 		return
 	}
 	attempt.Began = d.runtime.Now()
-	attempt.Request.State, attempt.Request.Released, attempt.Request.Lingers = nil, false, false
-	d.settle(attempt.Request)
-	d.learn(attempt, duration, true, false)
-	d.firstToken.Add((attempt.Began - attempt.Request.Dispatched).Seconds(), 0.1)
+	attempt.Request.State, attempt.Request.Released, attempt.Request.ReleaseUnconfirmed = nil, false, false
+	d.clearOutstanding(attempt.Request)
+	d.recordOutcome(attempt, duration, true, false)
+	d.timeToFirstToken.Add((attempt.Began - attempt.Request.Dispatched).Seconds(), 0.1)
 	d.dispatch()
 }
 
 // recordOutcome counts an attempt for or against its backend, tells peers, and raises or lowers the backend's
 // token limit.
-func (d *Dispatcher) learn(attempt *Attempt, duration time.Duration, succeeded, hasLoad bool) {
+func (d *Dispatcher) recordOutcome(attempt *Attempt, duration time.Duration, succeeded, hasLoad bool) {
 	backend, now := attempt.Backend, d.runtime.Now()
 	// 300 tokens stand for the fixed part of an attempt's duration.
 	secondsPerToken := duration.Seconds() / (attempt.Left + 300)
-	slow := secondsPerToken > 4*d.typical[backend.Role].Or(secondsPerToken)
+	slow := secondsPerToken > 4*d.secondsPerToken[backend.Role].Or(secondsPerToken)
 	if succeeded {
-		d.typical[backend.Role].Add(secondsPerToken, 0.05)
+		d.secondsPerToken[backend.Role].Add(secondsPerToken, 0.05)
 	}
 	update := PeerUpdate{Host: backend, Grade: attempt.Request.Class.Index, Loaded: hasLoad, Util: backend.Util, Queue: backend.Queue}
 	targetTime := attempt.Request.TargetAt - attempt.Request.Taken
@@ -38,7 +38,7 @@
 	case succeeded && !slow:
 		update.Verdict = Well
 	case succeeded:
-		update.Verdict = Slowly
+		update.Verdict = VerdictSlow
 	case slow || attempt.Outcome != TimedOut || duration > targetTime: // one cut short by its client shows nothing
 		update.Verdict = Badly
 	}
@@ -46,13 +46,13 @@
 	if succeeded && attempt.Began > 0 || attempt.Began == 0 && attempt.Outcome == TimedOut {
 		update.Share = d.targetShare(attempt.Request)
 	}
-	d.share(update)
+	d.sendPeerUpdates(update)
 	tokens := attempt.Request.Memory
 	// Only latency shows that a backend is full; errors and resets count in the success posterior alone.
 	late := duration > targetTime/3 || now-attempt.Request.Taken > targetTime*7/10
 	if (late && succeeded || attempt.Outcome == TimedOut) && now-backend.Cut > duration {
 		backend.Room, backend.Cut = max(tokens, backend.Room*0.8), now
-	} else if !late && succeeded && (len(d.queue) > 0 || !hasRoom(backend, attempt.Request)) {
+	} else if !late && succeeded && (len(d.queue) > 0 || !hasCapacity(backend, attempt.Request)) {
 		backend.Room += tokens * tokens / backend.Room
 	}
 }
@@ -61,49 +61,49 @@
 func (d *Dispatcher) Ended(attempt *Attempt, result Result) {
 	req, backend, now := attempt.Request, attempt.Backend, d.runtime.Now()
 	attempt.Ended, attempt.Outcome = true, result.Outcome
-	d.weigh(attempt, -1)
-	d.report(backend, result.Load)
+	d.applyLoad(attempt, -1)
+	d.applyLoadReport(backend, result.Load)
 	hasLoad := len(result.Load) > 0 // without a report, peers get no load
 	req.Over = req.Over || result.Over
 	// Only an attempt that is known to have reached its backend took over the KV cache, if briefly.
-	if result.Outcome.arrived() {
+	if result.Outcome.provesArrival() {
 		req.Waits = now - result.Ago
 	}
 	switch result.Outcome {
 	case Read:
 		req.State, req.Released = backend, false
-		d.learn(attempt, result.Took, true, hasLoad)
+		d.recordOutcome(attempt, result.Took, true, hasLoad)
 	case Served:
 		if attempt.Began == 0 {
-			d.learn(attempt, result.Took, true, hasLoad)
+			d.recordOutcome(attempt, result.Took, true, hasLoad)
 		}
-		d.share(PeerUpdate{Host: backend, Loaded: hasLoad, Util: backend.Util, Queue: backend.Queue})
-		req.Class.Writing.Add(now.Seconds()-attempt.Began.Seconds(), 0.02)
+		d.sendPeerUpdates(PeerUpdate{Host: backend, Loaded: hasLoad, Util: backend.Util, Queue: backend.Queue})
+		req.Class.DecodeSeconds.Add(now.Seconds()-attempt.Began.Seconds(), 0.02)
 	case Rejected:
 		if result.Note == 1 {
 			req.State, req.Released = nil, false
 		}
 	case Failed, TimedOut, Unreachable, Broken:
-		d.learn(attempt, result.Took, false, hasLoad)
+		d.recordOutcome(attempt, result.Took, false, hasLoad)
 	}
 	if result.Outcome == Read || result.Outcome == Served {
-		d.remember(attempt, float64(result.Note))
-		backend.Carried.Add(now, d.weight(req, backend, attempt.Stage))
-		d.carriedChanged()
+		d.recordCachedPrefix(attempt, float64(result.Note))
+		backend.CompletedWork.Add(now, d.requestWork(req, backend, attempt.Stage))
+		d.invalidateCompletedWork()
 		if attempt.Stage != ToWrite {
 			uncached := max(req.Prompt-float64(result.Note), 0)
-			d.unread.Add(now, uncached)
-			d.asked.Add(now, 1)
-			d.begins.Add(cmp.Or(req.Shared, req.Session), now, 1)
-			req.Class.Reading.Add(uncached, 0.02)
+			d.prefillTokens.Add(now, uncached)
+			d.prefillRequests.Add(now, 1)
+			d.prefixTable.Add(cmp.Or(req.Shared, req.Session), now, 1)
+			req.Class.PrefillTokens.Add(uncached, 0.02)
 		}
 	}
 	if attempt.Began == 0 && result.Outcome != Served {
-		d.releaseAgain(req)
+		d.repeatRelease(req)
 	}
 	if req.Over {
-		d.settle(req)
-		d.letGo(req)
+		d.clearOutstanding(req)
+		d.releaseKV(req)
 	} else {
 		attempt.Next(result)
 	}
@@ -112,19 +112,19 @@
 
 // recordCachedPrefix updates the prefix table after prefill or a KV cache transfer, and the hit ratio from the
 // cached tokens that the backend reported.
-func (d *Dispatcher) remember(attempt *Attempt, cached float64) {
+func (d *Dispatcher) recordCachedPrefix(attempt *Attempt, cached float64) {
 	backend, req, now := attempt.Backend, attempt.Request, d.runtime.Now()
 	if attempt.Kept > 0 {
-		backend.Hits.Add(min(1, cached/attempt.Kept), 0.1)
+		backend.HitRatio.Add(min(1, cached/attempt.Kept), 0.1)
 	}
 	backend.Taken += max(req.Prompt-cached, 0)
 	if req.Session != 0 {
 		backend.Kept[req.Session] = Kept{req.Prompt, now, backend.Taken}
-		d.keeperOf(req.Session, backend)
+		d.recordPrefixHolder(req.Session, backend)
 	}
 	if req.Shared != 0 {
 		backend.Kept[req.Shared] = Kept{req.Prefix, now, backend.Taken}
-		d.keeperOf(req.Shared, backend)
+		d.recordPrefixHolder(req.Shared, backend)
 	}
 }
 
@@ -132,15 +132,15 @@
 // nothing counts against it. It is the worse one of all classes together and of the request's class, as a
 // backend may fail only one class. Consecutive failures count until the next success, but at most four: with
 // more the backend would never be tried again.
-func (d *Dispatcher) chance(backend *Backend, req *Request) (successes, failures float64) {
+func (d *Dispatcher) successPosterior(backend *Backend, req *Request) (successes, failures float64) {
 	successes = 1
 	for _, i := range []int{0, 1 + req.Class.Index} {
 		stats, now := &backend.Records[i], d.runtime.Now()
-		bad := 1 + stats.Bad.Sum(now) + min(stats.Missed, 4)
+		bad := 1 + stats.Failures.Sum(now) + min(stats.Missed, 4)
 		if bad <= 1 {
 			continue // nothing counts against it
 		}
-		if good := 2 + stats.Good.Sum(now); bad*successes >= failures*good {
+		if good := 2 + stats.Successes.Sum(now); bad*successes >= failures*good {
 			successes, failures = good, bad
 		}
 	}
@@ -148,8 +148,8 @@
 }
 
 // drawTrust draws from the posterior whether the backend gets work.
-func (d *Dispatcher) drawn(successes, failures float64) bool {
-	return failures == 0 || d.rng.Beta(successes, failures) > believe
+func (d *Dispatcher) drawTrust(successes, failures float64) bool {
+	return failures == 0 || d.rng.Beta(successes, failures) > trustThreshold
 }
 
 // Heard handles a peer's update. It counts like an own attempt.
@@ -157,27 +157,27 @@
 	if update.Loaded {
 		update.Host.Util, update.Host.Queue = update.Util, update.Queue
 	}
-	d.heardShare(update)
+	d.applyPeerShare(update)
 	for _, i := range []int{0, 1 + update.Grade} {
 		if i >= len(update.Host.Records) {
 			return
 		}
-		update.Host.Records[i].Take(d.runtime.Now(), update.Verdict, slowly)
+		update.Host.Records[i].Take(d.runtime.Now(), update.Verdict, slowFailureWeight)
 	}
 	// An unreachable backend may be restarting, which service discovery shows only seconds later, so it is in
 	// slow start until then. A lost connection alone doesn't show that: a burst of connection resets would put
 	// the whole fleet in slow start.
 	if update.Verdict == Unmet {
 		update.Host.Unmet = d.runtime.Now()
-		d.carriedChanged()
+		d.invalidateCompletedWork()
 	}
 }
 
 // sendPeerUpdates sends an update to a few peers, as many as the price of messages allows.
-func (d *Dispatcher) share(update PeerUpdate) {
-	peers, self := int(d.parameters.dispatchers)-1, int(d.parameters.number)
+func (d *Dispatcher) sendPeerUpdates(update PeerUpdate) {
+	peers, self := int(d.parameters.dispatchers)-1, int(d.parameters.index)
 	start := int(d.rng.Float() * float64(peers))
-	for i := range d.listeners {
+	for i := range d.peerFanout {
 		d.runtime.Tell((self+1+(start+i)%peers)%(peers+1), update)
 	}
 }
--- a/brain/parameters.go
+++ b/brain/parameters.go
@@ -8,15 +8,15 @@
 // parameters are the settings that decisions use, in typed form. Looking settings up by name for each of
 // thousands of backends would cost more than the decision itself.
 type parameters struct {
-	dispatchers  float64 // number of dispatchers that share the fleet
-	number       float64 // index of this one, from 0
-	zone         int
-	maxAttempts  int
-	cancelling   bool // attempts can be cancelled
-	retryAfter   bool // rejections say when to retry
-	retryMost    time.Duration
-	readsInPlace bool          // decode backends may prefill
-	holdLimit    time.Duration // how long a KV cache may wait for decode; 0: without limit
+	dispatchers      float64 // number of dispatchers that share the fleet
+	index            float64 // index of this one, from 0
+	zone             int
+	maxAttempts      int
+	canCancel        bool // attempts can be cancelled
+	retryAfter       bool // rejections say when to retry
+	maxRetryAfter    time.Duration
+	decodeMayPrefill bool          // decode backends may prefill
+	holdLimit        time.Duration // how long a KV cache may wait for decode; 0: without limit
 
 	slowStartMultiple float64       // work per window in slow start, as a multiple of present capacity
 	slowStartShare    float64       // share of capacity right after a start
@@ -25,7 +25,7 @@
 
 	crossZonePrice float64
 	peerPrice      float64
-	surplusValue   float64 // share of its value that a request over quota has
+	overQuotaValue float64 // share of its value that a request over quota has
 	valueByWork    bool    // the value of a request is stated per unit of work
 	reportFields   []string
 }
@@ -33,15 +33,15 @@
 // parametersOf reads the parameters from settings that have their defaults.
 func parametersOf(settings Facts) parameters {
 	return parameters{
-		dispatchers:  settings.Num("siblings", 1),
-		number:       settings.Num("slotNo", 0),
-		zone:         int(settings.Num("zone", 0)),
-		maxAttempts:  int(settings.Num("policyLimits.maxAttempts", 1)),
-		cancelling:   settings.Yes("policyLimits.cancelling"),
-		retryAfter:   settings.Yes("policyLimits.retryAfter"),
-		retryMost:    settings.Span("policyLimits.maxRetryAfterUs"),
-		readsInPlace: settings.Yes("familyInfo.localRead"),
-		holdLimit:    settings.Span("familyInfo.pinLimitUs"),
+		dispatchers:      settings.Num("siblings", 1),
+		index:            settings.Num("slotNo", 0),
+		zone:             int(settings.Num("zone", 0)),
+		maxAttempts:      int(settings.Num("policyLimits.maxAttempts", 1)),
+		canCancel:        settings.Yes("policyLimits.cancelling"),
+		retryAfter:       settings.Yes("policyLimits.retryAfter"),
+		maxRetryAfter:    settings.Span("policyLimits.maxRetryAfterUs"),
+		decodeMayPrefill: settings.Yes("familyInfo.localRead"),
+		holdLimit:        settings.Span("familyInfo.pinLimitUs"),
 
 		slowStartMultiple: settings.Num("rules.tipMultiple", 1),
 		slowStartShare:    settings.Num("rules.coldFrom", 0),
@@ -50,11 +50,11 @@
 
 		crossZonePrice: settings.Num("prices.crossZone", 0),
 		peerPrice:      settings.Num("prices.peer", 0),
-		surplusValue:   settings.Num("overShareWorth", 1),
+		overQuotaValue: settings.Num("overShareWorth", 1),
 		valueByWork:    settings.Text("valueBy") == "work",
 		reportFields:   settings.reportFields(),
 	}
 }
 
 // ownShare is this dispatcher's part of a total over all dispatchers.
-func (p *parameters) share(whole float64) float64 { return whole / math.Max(p.dispatchers, 1) }
+func (p *parameters) ownShare(whole float64) float64 { return whole / math.Max(p.dispatchers, 1) }
--- a/brain/policy.go
+++ b/brain/policy.go
@@ -13,19 +13,19 @@
 type Permission int
 
 const (
-	Allowed            Permission = iota
-	AttemptEnded                  // the attempt has ended
-	RequestOver                   // the request has its final answer, or its client has disconnected
-	NoFurtherAttempt              // the dispatcher allows no more, as it is stopping or throttles retries
-	OtherAttemptOut               // another attempt of the request is in flight
-	DeadlinePassed                // the request's deadline has passed
-	BackendNotReady               // the backend is draining or removed
-	AttemptsSpent                 // the request has used up its attempts
-	MayHaveRun                    // the request may have run and is not idempotent
-	RepeatWindowClosed            // the request may have run, and its deduplication window is over
-	OtherGroup                    // it may have run at a backend that does not deduplicate together with this one
-	SlowStartSpent                // the backend is in slow start and has had this dispatcher's share of its budget
-	StateDue                      // the KV cache has waited as long as leaves time to release it
+	Allowed              Permission = iota
+	AttemptEnded                    // the attempt has ended
+	RequestOver                     // the request has its final answer, or its client has disconnected
+	NoFurtherAttempt                // the dispatcher allows no more, as it is stopping or throttles retries
+	OtherAttemptInFlight            // another attempt of the request is in flight
+	DeadlinePassed                  // the request's deadline has passed
+	BackendNotReady                 // the backend is draining or removed
+	AttemptsSpent                   // the request has used up its attempts
+	MayHaveRun                      // the request may have run and is not idempotent
+	RepeatWindowClosed              // the request may have run, and its deduplication window is over
+	OtherGroup                      // it may have run at a backend that does not deduplicate together with this one
+	SlowStartSpent                  // the backend is in slow start and has had this dispatcher's share of its budget
+	KVReleaseDue                    // the KV cache has waited as long as leaves time to release it
 )
 
 // String returns the name in logs and counters.
@@ -41,7 +41,7 @@
 }
 
 // repeatMargin is how long before the end of the deduplication window a repeat is sent at the latest.
-const repeatSlack = 10 * time.Millisecond
+const repeatMargin = 10 * time.Millisecond
 
 // mayChoose returns whether a further attempt of the request may be made at the backend.
 func (d *Dispatcher) mayChoose(req *Request, backend *Backend) Permission {
@@ -51,19 +51,19 @@
 	case req.Last:
 		return NoFurtherAttempt
 	case req.Out() != nil:
-		return OtherAttemptOut
+		return OtherAttemptInFlight
 	case len(req.Attempts) >= d.parameters.maxAttempts:
 		return AttemptsSpent
 	}
-	if permission := d.mayReach(req, backend, len(req.Attempts)); permission != Allowed {
+	if permission := d.mayContact(req, backend, len(req.Attempts)); permission != Allowed {
 		return permission
 	}
-	work := d.weight(req, backend, Whole)
+	work := d.requestWork(req, backend, Whole)
 	return d.mayUseSlowStart(backend, work, backend.Sent.Sum(d.runtime.Now())+work)
 }
 
 // disallowed reports whether no attempt of the request may be made at the backend.
-func (d *Dispatcher) barred(req *Request, backend *Backend) bool {
+func (d *Dispatcher) disallowed(req *Request, backend *Backend) bool {
 	return d.mayChoose(req, backend) != Allowed
 }
 
@@ -78,16 +78,16 @@
 	case req.Over:
 		return RequestOver
 	case attempt.Stage == ToWrite && (req.State == nil || req.Released):
-		return StateDue
+		return KVReleaseDue
 	}
-	if permission := d.mayReach(req, backend, attempt.Number); permission != Allowed || attempt.SlowStart {
+	if permission := d.mayContact(req, backend, attempt.Number); permission != Allowed || attempt.SlowStart {
 		return permission
 	}
-	return d.mayUseSlowStart(backend, d.weight(req, backend, Whole), backend.Sent.Sum(d.runtime.Now()))
+	return d.mayUseSlowStart(backend, d.requestWork(req, backend, Whole), backend.Sent.Sum(d.runtime.Now()))
 }
 
 // mayContact returns whether the attempt with the given number may reach the backend now.
-func (d *Dispatcher) mayReach(req *Request, backend *Backend, number int) Permission {
+func (d *Dispatcher) mayContact(req *Request, backend *Backend, number int) Permission {
 	switch {
 	case d.runtime.Now() >= req.Deadline:
 		return DeadlinePassed
@@ -105,9 +105,9 @@
 		return Allowed
 	case class.Effect == Unrepeatable:
 		return MayHaveRun
-	case d.runtime.Now() >= earlier.Sent+class.DedupWindow-repeatSlack:
+	case d.runtime.Now() >= earlier.Sent+class.DedupWindow-repeatMargin:
 		return RepeatWindowClosed
-	case !class.DedupScope.Joins(backend, earlier.Backend):
+	case !class.DedupScope.Covers(backend, earlier.Backend):
 		return OtherGroup
 	}
 	return Allowed
@@ -117,7 +117,7 @@
 // harmless (rule 2).
 func MayReject(req *Request) Permission {
 	class := req.Class
-	anywhere := class.Effect == Idempotent || class.Effect == Deduplicated && class.DedupScope == Everywhere
+	anywhere := class.Effect == Idempotent || class.Effect == Deduplicated && class.DedupScope == WholeFleet
 	if !anywhere && req.MayHaveRun() != nil {
 		return MayHaveRun
 	}
--- a/brain/policy_test.go
+++ b/brain/policy_test.go
@@ -20,23 +20,23 @@
 		"the backend is draining":       {func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Draining }, BackendNotReady, BackendNotReady},
 		"it may have run, and must not run twice": {func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect = Unrepeatable
-			went(req, backend, Broken, d.runtime.Now())
+			addAttempt(req, backend, Broken, d.runtime.Now())
 		}, MayHaveRun, MayHaveRun},
 		"it may have run, too long ago": {func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
-			went(req, backend, Broken, d.runtime.Now()-time.Second)
+			addAttempt(req, backend, Broken, d.runtime.Now()-time.Second)
 		}, RepeatWindowClosed, RepeatWindowClosed},
 		"it may have run in another group": {func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.DedupWindow, req.Class.DedupScope = Deduplicated, time.Minute, SameRack
-			went(req, &Backend{Role: Writes, Rack: backend.Rack + 1}, Broken, d.runtime.Now())
+			addAttempt(req, &Backend{Role: Writes, Rack: backend.Rack + 1}, Broken, d.runtime.Now())
 		}, OtherGroup, OtherGroup},
 		"the backend restarted meanwhile": {func(d *Dispatcher, _ *Request, backend *Backend) {
 			backend.Restart, backend.Booted = true, d.runtime.Now()
 			backend.Sent.Add(d.runtime.Now(), 1e9)
 		}, SlowStartSpent, SlowStartSpent},
 	} {
-		d, _ := begin(t)
-		backend, req := d.backends[2], ask(d)
+		d, _ := newDispatcher(t)
+		backend, req := d.backends[2], newRequest(d)
 		tc.prepare(d, req, backend)
 		if got := d.mayChoose(req, backend); got != tc.choice {
 			t.Errorf("%s: the choice is %v, wanted %v", name, got, tc.choice)
@@ -50,36 +50,36 @@
 
 // An attempt that was counted towards the slow-start budget when it was chosen is not checked against it
 // again.
-func TestAnAttemptIsHeldToSlowStartOnce(t *testing.T) {
-	d, _ := begin(t)
+func TestAttemptIsCheckedAgainstSlowStartOnce(t *testing.T) {
+	d, _ := newDispatcher(t)
 	backend := d.backends[2]
 	backend.Restart, backend.Booted = true, d.runtime.Now()
 	backend.Sent.Add(d.runtime.Now(), 1e9)
-	if got := d.MaySend(&Attempt{Request: ask(d), Backend: backend, SlowStart: true}); got != Allowed {
+	if got := d.MaySend(&Attempt{Request: newRequest(d), Backend: backend, SlowStart: true}); got != Allowed {
 		t.Errorf("%v", got)
 	}
 }
 
 // A request may be rejected, which tells the client that a retry is harmless, only where that is true.
-func TestARejectionKeepsItsPromise(t *testing.T) {
+func TestRejectionOnlyWhereARetryIsHarmless(t *testing.T) {
 	for name, tc := range map[string]struct {
 		effect  Effect
-		scope   Reach
+		scope   DedupScope
 		outcome Outcome
 		want    Permission
 	}{
-		"idempotent, may have run":                  {Idempotent, Everywhere, Broken, Allowed},
-		"deduplicated everywhere, may have run":     {Deduplicated, Everywhere, TimedOut, Allowed},
+		"idempotent, may have run":                  {Idempotent, WholeFleet, Broken, Allowed},
+		"deduplicated everywhere, may have run":     {Deduplicated, WholeFleet, TimedOut, Allowed},
 		"deduplicated in a zone, may have run":      {Deduplicated, SameZone, TimedOut, MayHaveRun},
-		"non-idempotent, may have run":              {Unrepeatable, Everywhere, Cancelled, MayHaveRun},
-		"non-idempotent, a rejection by a backend":  {Unrepeatable, Everywhere, Rejected, Allowed},
-		"non-idempotent, never reached its backend": {Unrepeatable, Everywhere, Unreachable, Allowed},
-		"non-idempotent, not sent":                  {Unrepeatable, Everywhere, NotSent, Allowed},
+		"non-idempotent, may have run":              {Unrepeatable, WholeFleet, Cancelled, MayHaveRun},
+		"non-idempotent, a rejection by a backend":  {Unrepeatable, WholeFleet, Rejected, Allowed},
+		"non-idempotent, never reached its backend": {Unrepeatable, WholeFleet, Unreachable, Allowed},
+		"non-idempotent, not sent":                  {Unrepeatable, WholeFleet, NotSent, Allowed},
 	} {
-		d, _ := begin(t)
-		req := ask(d)
+		d, _ := newDispatcher(t)
+		req := newRequest(d)
 		req.Class.Effect, req.Class.DedupScope = tc.effect, tc.scope
-		went(req, d.backends[2], tc.outcome, d.runtime.Now())
+		addAttempt(req, d.backends[2], tc.outcome, d.runtime.Now())
 		if got := MayReject(req); got != tc.want {
 			t.Errorf("%s: %v, wanted %v", name, got, tc.want)
 		}
@@ -87,12 +87,12 @@
 }
 
 func TestEachPermissionHasAName(t *testing.T) {
-	for v := Allowed; v <= StateDue; v++ {
+	for v := Allowed; v <= KVReleaseDue; v++ {
 		if strings.HasPrefix(v.String(), "permission") {
 			t.Errorf("permission %d has no name", v)
 		}
 	}
-	if !strings.HasPrefix((StateDue + 1).String(), "permission") {
+	if !strings.HasPrefix((KVReleaseDue + 1).String(), "permission") {
 		t.Error("a value that is no permission has a name")
 	}
 }
--- a/brain/release.go
+++ b/brain/release.go
@@ -19,27 +19,27 @@
 )
 
 // mayHoldKV returns whether a KV cache may go on waiting for a backend to be chosen.
-func (d *Dispatcher) mayHold(req *Request) Permission {
+func (d *Dispatcher) mayHoldKV(req *Request) Permission {
 	limit := d.parameters.holdLimit
-	if req.Released || limit > 0 && d.runtime.Now()-req.Waits > part(limit, holdForChoice) {
-		return StateDue
+	if req.Released || limit > 0 && d.runtime.Now()-req.Waits > fraction(limit, holdForChoice) {
+		return KVReleaseDue
 	}
 	return Allowed
 }
 
 // connectTimeout is the connection timeout of an attempt that fetches a KV cache; 0: the usual one.
-func (d *Dispatcher) connectTime() time.Duration {
-	return part(d.parameters.holdLimit, holdForConnection)
+func (d *Dispatcher) connectTimeout() time.Duration {
+	return fraction(d.parameters.holdLimit, holdForConnection)
 }
 
 // fraction returns a share of a duration.
-func part(whole time.Duration, share float64) time.Duration {
+func fraction(whole time.Duration, share float64) time.Duration {
 	return time.Duration(float64(whole) * share)
 }
 
 // scheduleRelease schedules the release of an attempt's KV cache for when it is due, unless the attempt has
 // its first token by then.
-func (d *Dispatcher) releaseWhenDue(attempt *Attempt) {
+func (d *Dispatcher) scheduleRelease(attempt *Attempt) {
 	limit := d.parameters.holdLimit
 	if attempt.Stage != ToWrite || limit <= 0 {
 		return
@@ -56,25 +56,25 @@
 
 // releaseKV releases the KV cache that waits for the request. Every step that ends calls it. What was released
 // during an attempt is released again after it: the attempt may have arrived and left the KV cache in place.
-func (d *Dispatcher) letGo(req *Request) {
+func (d *Dispatcher) releaseKV(req *Request) {
 	if req.State == nil || req.Out() != nil {
 		return
 	}
-	req.State, req.Released, req.Lingers = nil, false, true
+	req.State, req.Released, req.ReleaseUnconfirmed = nil, false, true
 	d.runtime.Release(req)
 }
 
 // repeatRelease repeats an earlier release at the end of a further attempt: when the first one was received
 // that attempt may have been in flight, and a backend keeps the KV cache of a request that it is serving.
-func (d *Dispatcher) releaseAgain(req *Request) {
-	if req.Lingers && req.State == nil && req.Out() == nil {
+func (d *Dispatcher) repeatRelease(req *Request) {
+	if req.ReleaseUnconfirmed && req.State == nil && req.Out() == nil {
 		d.runtime.Release(req)
 	}
 }
 
 // provesArrival reports whether the outcome proves that the attempt reached its backend. A lost connection or
 // a timeout does not: the KV cache may have been waiting all the time.
-func (o Outcome) arrived() bool {
+func (o Outcome) provesArrival() bool {
 	switch o {
 	case Served, Read, Failed, Rejected:
 		return true
--- a/brain/release_test.go
+++ b/brain/release_test.go
@@ -9,36 +9,36 @@
 
 // newWaitingKV returns a dispatcher with a hold limit, and a request whose prefill has just ended and whose
 // decode attempt is in flight. due lets the time pass until the KV cache is due.
-func waiting(t *testing.T) (d *Dispatcher, runtime *door, req *Request, decode *Attempt, due func()) {
+func newWaitingKV(t *testing.T) (d *Dispatcher, runtime *fakeRuntime, req *Request, decode *Attempt, due func()) {
 	t.Helper()
-	d, runtime = begin(t)
+	d, runtime = newDispatcher(t)
 	d.parameters.holdLimit = holdLimit
-	req = ask(d)
-	prefill := went(req, d.backends[0], 0, runtime.now)
-	prefill.Ended, prefill.Next = false, d.onward(req)
+	req = newRequest(d)
+	prefill := addAttempt(req, d.backends[0], 0, runtime.now)
+	prefill.Ended, prefill.Next = false, d.afterAttempt(req)
 	d.Ended(prefill, Result{Outcome: Read})
 	if len(runtime.sent) != 1 || runtime.sent[0].Stage != ToWrite {
 		t.Fatalf("sent %v", runtime.sent)
 	}
-	wake := len(runtime.wakes) - 1
+	wake := len(runtime.timers) - 1
 	return d, runtime, req, runtime.sent[0], func() {
-		if runtime.delays[wake] != holdLimit {
-			t.Fatalf("the KV cache is due after %v", runtime.delays[wake])
+		if runtime.timerDelays[wake] != holdLimit {
+			t.Fatalf("the KV cache is due after %v", runtime.timerDelays[wake])
 		}
 		runtime.now += holdLimit
-		runtime.wakes[wake]()
+		runtime.timers[wake]()
 	}
 }
 
 // A request that was written has not necessarily arrived: its KV cache is released when due, attempt in flight
 // or not.
-func TestAStateIsReleasedAtItsTimeBesideAnAttempt(t *testing.T) {
-	d, runtime, req, decode, due := waiting(t)
+func TestKVCacheIsReleasedWhenDueDuringAnAttempt(t *testing.T) {
+	d, runtime, req, decode, due := newWaitingKV(t)
 	due()
 	if len(runtime.released) != 1 || len(runtime.cancelled) != 0 {
 		t.Fatalf("released %d, cancelled %d", len(runtime.released), len(runtime.cancelled))
 	}
-	if got := d.MaySend(decode); got != StateDue {
+	if got := d.MaySend(decode); got != KVReleaseDue {
 		t.Errorf("before the first byte the attempt is %v", got)
 	}
 	d.Began(decode, time.Second) // it had arrived and fetched its KV cache
@@ -49,9 +49,9 @@
 
 // A released KV cache is never assumed to exist: the next attempt prefills, whatever the outcome of the last
 // one.
-func TestAReleasedStateIsNotUsedAgain(t *testing.T) {
+func TestReleasedKVCacheIsNotUsedAgain(t *testing.T) {
 	for _, outcome := range []Outcome{Rejected, Failed, TimedOut, Unreachable, Broken, NotSent} {
-		d, runtime, req, decode, due := waiting(t)
+		d, runtime, req, decode, due := newWaitingKV(t)
 		due()
 		d.Ended(decode, Result{Outcome: outcome})
 		// The attempt may have waited for the KV cache all the time and left it in place: it is released once
@@ -65,8 +65,8 @@
 	}
 }
 
-func TestAStateThatIsTakenInTimeIsNotReleased(t *testing.T) {
-	d, runtime, _, decode, due := waiting(t)
+func TestFetchedKVCacheIsNotReleased(t *testing.T) {
+	d, runtime, _, decode, due := newWaitingKV(t)
 	d.Began(decode, 100*time.Millisecond)
 	due()
 	if len(runtime.released) != 0 {
@@ -76,14 +76,14 @@
 
 // Only an answer proves that an attempt arrived: with any other outcome the KV cache has been waiting all the
 // time.
-func TestAnEndThatProvesNoArrivalGivesAStateNoFurtherTime(t *testing.T) {
+func TestOnlyProvenArrivalRestartsTheHoldTime(t *testing.T) {
 	for _, tc := range []struct {
 		outcome Outcome
 		again   Stage
 	}{
 		{Rejected, ToWrite}, {Failed, ToWrite}, {TimedOut, ToRead}, {Broken, ToRead}, {Unreachable, ToRead}, {NotSent, ToRead},
 	} {
-		d, runtime, _, decode, _ := waiting(t)
+		d, runtime, _, decode, _ := newWaitingKV(t)
 		runtime.now += holdLimit * 4 / 5
 		d.Ended(decode, Result{Outcome: tc.outcome})
 		if len(runtime.sent) != 2 || (runtime.sent[1].Stage == ToWrite) != (tc.again == ToWrite) {
@@ -93,21 +93,21 @@
 }
 
 // If the end of a prefill is reported late, the delay counts towards the hold limit.
-func TestAReadsEndCountsFromWhenItCame(t *testing.T) {
-	d, runtime := begin(t)
+func TestHoldTimeCountsFromTheEndOfPrefill(t *testing.T) {
+	d, runtime := newDispatcher(t)
 	d.parameters.holdLimit = holdLimit
-	req := ask(d)
-	prefill := went(req, d.backends[0], 0, runtime.now)
-	prefill.Ended, prefill.Next = false, d.onward(req)
+	req := newRequest(d)
+	prefill := addAttempt(req, d.backends[0], 0, runtime.now)
+	prefill.Ended, prefill.Next = false, d.afterAttempt(req)
 	d.Ended(prefill, Result{Outcome: Read, Ago: 100 * time.Millisecond})
-	if got := runtime.delays[len(runtime.delays)-1]; got != holdLimit-100*time.Millisecond {
+	if got := runtime.timerDelays[len(runtime.timerDelays)-1]; got != holdLimit-100*time.Millisecond {
 		t.Errorf("the KV cache is due after %v", got)
 	}
 }
 
 // A release may be received while a further attempt is in flight, and do nothing. It is repeated at the end of
 // each further attempt, unless that one has a KV cache of its own or has begun to answer.
-func TestAReleaseIsRepeatedBehindFurtherAttempts(t *testing.T) {
+func TestReleaseIsRepeatedAfterFurtherAttempts(t *testing.T) {
 	for _, tc := range []struct {
 		outcome Outcome
 		stage   Stage
@@ -116,7 +116,7 @@
 		{TimedOut, Whole, true}, {Broken, Whole, true}, {Failed, Whole, true}, {Rejected, Whole, true}, {Unreachable, Whole, true}, {TimedOut, ToRead, true},
 		{Read, ToRead, false}, {Served, Whole, false},
 	} {
-		d, runtime, req, decode, _ := waiting(t)
+		d, runtime, req, decode, _ := newWaitingKV(t)
 		runtime.now += holdLimit
 		d.Ended(decode, Result{Outcome: TimedOut}) // the KV cache is released, and the request starts over
 		further := runtime.sent[len(runtime.sent)-1]
--- a/brain/ring.go
+++ b/brain/ring.go
@@ -3,44 +3,44 @@
 import "time"
 
 // bucketCount is the number of buckets in a rolling sum.
-const buckets = 10
+const bucketCount = 10
 
 // RollingSum sums amounts over the last ten time buckets, each BucketWidth wide.
 type Ring struct {
 	Width time.Duration
-	sums  [buckets]float64
-	at    int64
+	sums  [bucketCount]float64
+	last  int64
 }
 
 // advance clears the buckets between the last one used and that of now.
-func (r *Ring) turn(now time.Duration) {
+func (r *Ring) advance(now time.Duration) {
 	bucket := int64(now / r.Width)
-	if bucket-r.at >= buckets {
-		r.sums, r.at = [buckets]float64{}, bucket
+	if bucket-r.last >= bucketCount {
+		r.sums, r.last = [bucketCount]float64{}, bucket
 	}
-	for r.at < bucket {
-		r.at++
-		r.sums[r.at%buckets] = 0
+	for r.last < bucket {
+		r.last++
+		r.sums[r.last%bucketCount] = 0
 	}
 }
 
 // Add adds an amount to the bucket of now.
 func (r *Ring) Add(now time.Duration, amount float64) {
-	r.turn(now)
-	r.sums[r.at%buckets] += amount
+	r.advance(now)
+	r.sums[r.last%bucketCount] += amount
 }
 
 // Sum returns the sum over the last ten buckets. It doesn't modify the receiver: most sums of a large fleet
 // are zero and are read often.
 func (r *Ring) Sum(now time.Duration) float64 {
 	current := int64(now / r.Width)
-	if current-r.at >= buckets {
+	if current-r.last >= bucketCount {
 		return 0
 	}
 	sum := 0.0
-	for bucket := max(current, r.at) - buckets + 1; bucket <= r.at; bucket++ {
+	for bucket := max(current, r.last) - bucketCount + 1; bucket <= r.last; bucket++ {
 		if bucket >= 0 {
-			sum += r.sums[bucket%buckets]
+			sum += r.sums[bucket%bucketCount]
 		}
 	}
 	return sum
@@ -48,24 +48,24 @@
 
 // PerSecond returns the mean rate per second over the last ten buckets, or since the start if that is shorter.
 func (r *Ring) PerS(now time.Duration) float64 {
-	return r.Sum(now) / min(max(now, r.Width), buckets*r.Width).Seconds()
+	return r.Sum(now) / min(max(now, r.Width), bucketCount*r.Width).Seconds()
 }
 
 // RunningMean is an exact mean at first and an exponential moving average later.
 type Mean struct {
-	Value float64
-	n     float64
+	Value   float64
+	samples float64
 }
 
 // Add adds a sample with weight pace, or 1/n for the n-th sample if that is larger.
 func (m *Mean) Add(sample, pace float64) {
-	m.n++
-	m.Value += (sample - m.Value) * max(pace, 1/m.n)
+	m.samples++
+	m.Value += (sample - m.Value) * max(pace, 1/m.samples)
 }
 
 // ValueOr returns the mean, or fallback without samples.
 func (m *Mean) Or(fallback float64) float64 {
-	if m.n == 0 {
+	if m.samples == 0 {
 		return fallback
 	}
 	return m.Value
@@ -74,33 +74,33 @@
 // KeyedSums keeps a rolling sum for each key.
 type Tally struct {
 	Width time.Duration
-	rings map[uint64]*Ring
+	sums  map[uint64]*Ring
 }
 
 // Add adds an amount to the sum of a key.
 func (t *Tally) Add(key uint64, now time.Duration, amount float64) {
-	if t.rings == nil {
-		t.rings = map[uint64]*Ring{}
+	if t.sums == nil {
+		t.sums = map[uint64]*Ring{}
 	}
-	if t.rings[key] == nil {
-		t.rings[key] = &Ring{Width: t.Width}
+	if t.sums[key] == nil {
+		t.sums[key] = &Ring{Width: t.Width}
 	}
-	t.rings[key].Add(now, amount)
+	t.sums[key].Add(now, amount)
 }
 
 // Sum returns the sum of a key.
 func (t *Tally) Sum(key uint64, now time.Duration) float64 {
-	if r := t.rings[key]; r != nil {
+	if r := t.sums[key]; r != nil {
 		return r.Sum(now)
 	}
 	return 0
 }
 
 // DropEmpty drops keys whose sum is zero.
-func (t *Tally) Forget(now time.Duration) {
-	for key, r := range t.rings {
+func (t *Tally) DropEmpty(now time.Duration) {
+	for key, r := range t.sums {
 		if r.Sum(now) == 0 {
-			delete(t.rings, key)
+			delete(t.sums, key)
 		}
 	}
 }
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -8,30 +8,30 @@
 // Slow start (rule 4): which backends are in it, and what this dispatcher may send them.
 
 // roleWork is the work that backends of each role completed recently, for warm ones and those in slow start.
-type carriedWork struct {
-	at    time.Duration // when it was summed up
-	known bool
-	sum   [3][2]float64 // by role; second index 1: in slow start
-	count [3][2]float64
+type roleWork struct {
+	summedAt time.Duration // when it was summed up
+	valid    bool
+	sum      [3][2]float64 // by role; second index 1: in slow start
+	count    [3][2]float64
 }
 
 // completedWorkMaxAge is how old the sum may be in a large fleet, as summing visits all backends.
-const carriedAge = 100 * time.Millisecond
+const completedWorkMaxAge = 100 * time.Millisecond
 
 // inSlowStart reports whether a backend is treated as in slow start.
-func (d *Dispatcher) cold(backend *Backend) bool {
-	return d.started(backend) || backend.Unmet > 0 && d.runtime.Now() < backend.Unmet+d.parameters.slowStartTime
+func (d *Dispatcher) inSlowStart(backend *Backend) bool {
+	return d.recentlyStarted(backend) || backend.Unmet > 0 && d.runtime.Now() < backend.Unmet+d.parameters.slowStartTime
 }
 
 // recentlyStarted reports whether service discovery reported a start within the slow-start time.
-func (d *Dispatcher) started(backend *Backend) bool {
+func (d *Dispatcher) recentlyStarted(backend *Backend) bool {
 	return backend.Restart && d.runtime.Now() < backend.Booted+d.parameters.slowStartTime
 }
 
 // capacityShare is the share of its capacity that a backend has: it rises from the stated share to 1 over the
 // slow-start time.
-func (d *Dispatcher) warmth(backend *Backend) float64 {
-	if !d.started(backend) {
+func (d *Dispatcher) capacityShare(backend *Backend) float64 {
+	if !d.recentlyStarted(backend) {
 		return 1
 	}
 	initialShare, slowStartTime := max(d.parameters.slowStartShare, 0.1), d.parameters.slowStartTime
@@ -41,58 +41,58 @@
 // requestWork is the mean work of the request's class, in the unit of the slow-start rule. At a mixed backend
 // decode alone counts less than a whole request: otherwise warm ones that only decode would vouch for prefill
 // too.
-func (d *Dispatcher) weight(req *Request, backend *Backend, stage Stage) float64 {
-	decodeWork := 100 * req.Class.Writing.Or(2)
+func (d *Dispatcher) requestWork(req *Request, backend *Backend, stage Stage) float64 {
+	decodeWork := 100 * req.Class.DecodeSeconds.Or(2)
 	if backend.Mixed() && stage == ToWrite {
 		return decodeWork
 	}
-	return req.Class.Reading.Or(1000) + decodeWork
+	return req.Class.PrefillTokens.Or(1000) + decodeWork
 }
 
 // meanCompletedWork is the mean work per unit that backends of a role completed for this dispatcher in a
 // slow-start window, averaged over five: the warm ones, or those in slow start if none is warm. With most of them in slow start, the
 // last value of the warm ones holds for backends that discovery reported as started: those in slow start
 // complete only what they are allowed, which would shrink each time.
-func (d *Dispatcher) carries(role Role, justStarted bool) float64 {
-	completed := d.carriedNow()
+func (d *Dispatcher) meanCompletedWork(role Role, justStarted bool) float64 {
+	completed := d.completedWorkNow()
 	sums, counts := completed.sum[role], completed.count[role]
 	if counts[0] == 0 {
 		sums[0], counts[0] = sums[1], max(counts[1], 1)
 	} else if counts[0] >= counts[1] {
-		d.carried[role] = sums[0] / counts[0]
+		d.warmWork[role] = sums[0] / counts[0]
 	}
-	if justStarted && counts[0] <= counts[1] && d.carried[role] > 0 {
-		return d.carried[role]
+	if justStarted && counts[0] <= counts[1] && d.warmWork[role] > 0 {
+		return d.warmWork[role]
 	}
 	return sums[0] / counts[0]
 }
 
 // completedWorkNow sums up completed work: once per instant, however many backends are considered, and at
 // limited frequency in a large fleet.
-func (d *Dispatcher) carriedNow() *carriedWork {
-	now, work := d.runtime.Now(), &d.work
-	if work.known && (now == work.at || d.large() && now > work.at && now-work.at < carriedAge) {
+func (d *Dispatcher) completedWorkNow() *roleWork {
+	now, work := d.runtime.Now(), &d.completedWork
+	if work.valid && (now == work.summedAt || d.isLarge() && now > work.summedAt && now-work.summedAt < completedWorkMaxAge) {
 		return work
 	}
-	*work = carriedWork{at: now, known: true}
+	*work = roleWork{summedAt: now, valid: true}
 	for _, backend := range d.backends {
 		if backend.Standing != Ready {
 			continue
 		}
 		i := 0
-		if d.cold(backend) {
+		if d.inSlowStart(backend) {
 			i = 1
 		}
-		work.sum[backend.Role][i] += backend.Carried.Sum(now) / 5 / backend.Units
+		work.sum[backend.Role][i] += backend.CompletedWork.Sum(now) / 5 / backend.Units
 		work.count[backend.Role][i]++
 	}
 	return work
 }
 
 // invalidateCompletedWork marks the sum as outdated.
-func (d *Dispatcher) carriedChanged() {
-	if !d.large() {
-		d.work.known = false
+func (d *Dispatcher) invalidateCompletedWork() {
+	if !d.isLarge() {
+		d.completedWork.valid = false
 	}
 }
 
@@ -100,9 +100,9 @@
 // What warm backends of its role completed over five windows never exceeds their capacity, however hard they
 // are loaded just now. With the stated multiple and share of that, and no more, a saturated role does not
 // overload a backend in slow start.
-func (d *Dispatcher) coldBudget(backend *Backend) float64 {
+func (d *Dispatcher) slowStartBudget(backend *Backend) float64 {
 	share := d.parameters.slowStartMultiple * d.parameters.slowStartShare
-	return share * d.carries(backend.Role, d.started(backend)) * backend.Units
+	return share * d.meanCompletedWork(backend.Role, d.recentlyStarted(backend)) * backend.Units
 }
 
 // mayUseSlowStart returns whether a backend may have totalWork in a window, that of the request at hand included
@@ -110,7 +110,7 @@
 // request; it is then a probability, drawn per window. All dispatchers use the same draw shifted by their
 // index, so that the shares add up exactly and not only on average.
 func (d *Dispatcher) mayUseSlowStart(backend *Backend, workPerRequest, totalWork float64) Permission {
-	if !d.cold(backend) {
+	if !d.inSlowStart(backend) {
 		return Allowed
 	}
 	now, window, start := d.runtime.Now(), d.parameters.slowStartWindow, max(backend.Unmet, 0)
@@ -118,8 +118,8 @@
 		start = backend.Booted
 	}
 	draw := float64(Mix(uint64((now-start)/window), uint64(backend.ID))>>11) / (1 << 53)
-	_, chance := math.Modf(draw + d.parameters.number/d.parameters.dispatchers)
-	if totalWork > d.coldBudget(backend)+chance*workPerRequest {
+	_, chance := math.Modf(draw + d.parameters.index/d.parameters.dispatchers)
+	if totalWork > d.slowStartBudget(backend)+chance*workPerRequest {
 		return SlowStartSpent
 	}
 	return Allowed
--- a/brain/types.go
+++ b/brain/types.go
@@ -29,18 +29,18 @@
 )
 
 // DedupScope is the group of backends that recognizes repeats of a deduplicated request.
-type Reach int
+type DedupScope int
 
 const (
 	// The group is the whole fleet, a zone, or a rack.
-	Everywhere Reach = iota
+	WholeFleet DedupScope = iota
 	SameZone
 	SameRack
 )
 
 // Covers reports whether two backends belong to the same group.
-func (s Reach) Joins(a, b *Backend) bool {
-	return s == Everywhere || a.Zone == b.Zone && (s == SameZone || a.Rack == b.Rack)
+func (s DedupScope) Covers(a, b *Backend) bool {
+	return s == WholeFleet || a.Zone == b.Zone && (s == SameZone || a.Rack == b.Rack)
 }
 
 // BackendState is the state of a backend according to service discovery.
@@ -75,19 +75,19 @@
 
 // Class is a priority class of requests with its recent statistics.
 type Class struct {
-	Index      int
-	Effect     Effect
-	DedupScope      Reach
-	DedupWindow     time.Duration
-	Target     time.Duration // time to first token
+	Index               int
+	Effect              Effect
+	DedupScope          DedupScope
+	DedupWindow         time.Duration
+	Target              time.Duration // time to first token
 	TargetPer1000Tokens time.Duration // added for each 1,000 prompt tokens
-	Value      float64
-	LateValue       float64 // share of the value that remains after the latency target
-	Reading    Mean    // mean tokens to prefill, without cached ones
-	Writing    Mean    // mean duration of an answer's stream
-	Offered    Ring    // requests received recently
-	Admitted   Ring    // those of them that were sent to a backend
-	Weight     float64 // factor on the value in the queue, above 1 if few were admitted; 0: not computed yet
+	Value               float64
+	LateValue           float64 // share of the value that remains after the latency target
+	PrefillTokens       Mean    // mean tokens to prefill, without cached ones
+	DecodeSeconds       Mean    // mean duration of an answer's stream
+	Offered             Ring    // requests received recently
+	Admitted            Ring    // those of them that were sent to a backend
+	Weight              float64 // factor on the value in the queue, above 1 if few were admitted; 0: not computed yet
 }
 
 // admittedShare is the share of the class's recent requests that were sent to a backend. The prior keeps a few
@@ -99,29 +99,29 @@
 
 // Tenant is a tenant with its quota.
 type Tenant struct {
-	Quota float64 // requests per second over all dispatchers
+	Quota    float64 // requests per second over all dispatchers
 	Received Ring
 }
 
 // Backend is a backend as this dispatcher knows it. Loads are those of the dispatcher's own requests.
 type Backend struct {
-	ID       uint32 // identifies the backend in hashes and peer updates
-	Zone     int
-	Rack     int
-	Kind     int
-	Role     Role
-	Memory   float64 // KV cache size in tokens
-	Units    float64
-	Far      float64 // cost factor of a backend in another zone, 1 in the dispatcher's own
-	Lean     float64 // imaginary streams, drawn once, so that dispatchers prefer different backends
-	Size     float64 // capacity relative to the mean of its role
-	Booted   time.Duration
-	Restart  bool          // discovery reported StartedAt as a start or restart
-	Unmet    time.Duration // when it was last found unreachable; 0: never
-	Standing BackendState
-	Held     bool   // is in the dispatcher's list of backends
-	order    uint64 // sort key in that list
-	mark     uint64 // the last candidate set that it was in
+	ID            uint32 // identifies the backend in hashes and peer updates
+	Zone          int
+	Rack          int
+	Kind          int
+	Role          Role
+	Memory        float64 // KV cache size in tokens
+	Units         float64
+	Far           float64 // cost factor of a backend in another zone, 1 in the dispatcher's own
+	Bias          float64 // imaginary streams, drawn once, so that dispatchers prefer different backends
+	Size          float64 // capacity relative to the mean of its role
+	Booted        time.Duration
+	Restart       bool          // discovery reported StartedAt as a start or restart
+	Unmet         time.Duration // when it was last found unreachable; 0: never
+	Standing      BackendState
+	Held          bool   // is in the dispatcher's list of backends
+	order         uint64 // sort key in that list
+	candidateMark uint64 // the last candidate set that it was in
 
 	Streams int           // requests in flight that are or will be decoded here
 	Tokens  float64       // KV cache tokens of the requests in flight
@@ -129,21 +129,21 @@
 	Room    float64       // adaptive limit on KVTokens
 	Cut     time.Duration // when TokenLimit was last reduced
 
-	Util, Queue float64         // of the last load report
-	Sent        Ring            // work sent, for the slow-start budget
-	Given       Ring            // prefills and streams sent over a longer time
-	Carried     Ring            // work of attempts that succeeded
-	Records     []Record        // of all requests, then of each class
-	Kept        map[uint64]Kept // prefix table: by prefix or session key
-	Hits        Mean            // reported over expected cached tokens
-	Taken       float64         // prompt tokens that this dispatcher's requests added to its cache
+	Util, Queue   float64         // of the last load report
+	Sent          Ring            // work sent, for the slow-start budget
+	RecentLoad    Ring            // prefills and streams sent over a longer time
+	CompletedWork Ring            // work of attempts that succeeded
+	Records       []Record        // of all requests, then of each class
+	Kept          map[uint64]Kept // prefix table: by prefix or session key
+	HitRatio      Mean            // reported over expected cached tokens
+	Taken         float64         // prompt tokens that this dispatcher's requests added to its cache
 }
 
 // Decodes reports whether the backend decodes.
 func (b *Backend) Answers() bool { return b.Role != Reads }
 
 // PrefillOnly reports whether the backend only prefills.
-func (b *Backend) ReadsOnly() bool { return b.Role == Reads }
+func (b *Backend) PrefillOnly() bool { return b.Role == Reads }
 
 // Mixed reports whether the backend both prefills and decodes.
 func (b *Backend) Mixed() bool { return b.Role == Both }
@@ -161,7 +161,7 @@
 
 // CompareCapacities sets RelativeCapacity of each backend and returns how many ready ones decode. Stated
 // capacity units compare backends of one role only.
-func Compare(backends []*Backend) (decoding float64) {
+func CompareCapacities(backends []*Backend) (decoding float64) {
 	var units, counts [3]float64
 	for _, backend := range backends {
 		if backend.Standing == Ready {
@@ -178,12 +178,12 @@
 }
 
 // SortByHash sorts backends by rendezvous hash of their ids with a key.
-func Order(backends []*Backend, key uint64) {
+func SortByHash(backends []*Backend, key uint64) {
 	slices.SortFunc(backends, func(a, b *Backend) int { return cmp.Compare(Mix(key, uint64(a.ID)), Mix(key, uint64(b.ID))) })
 }
 
 // ForgetPrefixes drops prefixes that were last used before a time.
-func (b *Backend) Forget(before time.Duration) {
+func (b *Backend) ForgetPrefixes(before time.Duration) {
 	for key, k := range b.Kept {
 		if k.At < before {
 			delete(b.Kept, key)
@@ -204,7 +204,7 @@
 }
 
 // MeanOf returns the mean cost of the backends.
-func Average(backends []*Backend, cost func(*Backend) float64) float64 {
+func MeanOf(backends []*Backend, cost func(*Backend) float64) float64 {
 	sum := 0.0
 	for _, backend := range backends {
 		sum += cost(backend)
@@ -214,20 +214,20 @@
 
 // OutcomeStats counts recent outcomes of attempts at a backend.
 type Record struct {
-	Good, Bad Ring
-	Missed    float64 // since the last success
+	Successes, Failures Ring
+	Missed              float64 // since the last success
 }
 
 // Observe counts the outcome of an attempt. A slow one counts as a failure of weight slowWeight.
 func (r *Record) Take(now time.Duration, verdict Verdict, slowWeight float64) {
 	switch verdict {
 	case Well:
-		r.Good.Add(now, 1)
+		r.Successes.Add(now, 1)
 		r.Missed = 0
-	case Slowly:
-		r.Bad.Add(now, slowWeight)
+	case VerdictSlow:
+		r.Failures.Add(now, slowWeight)
 	case Badly, Unmet:
-		r.Bad.Add(now, 1)
+		r.Failures.Add(now, 1)
 		r.Missed++
 	}
 }
@@ -246,9 +246,9 @@
 type Verdict int
 
 const (
-	Silent Verdict = iota // nothing
+	VerdictNone Verdict = iota // nothing
 	Well
-	Slowly
+	VerdictSlow
 	Badly
 	Unmet // no connection
 )
@@ -262,30 +262,30 @@
 
 // Request is a request that this dispatcher received.
 type Request struct {
-	ID          uint64
-	Session     uint64 // key of its session; 0: none
-	Shared      uint64 // key of its shared prefix; 0: none
-	Prompt      float64
-	Prefix      float64 // tokens of the prompt's shared prefix
-	Most        float64 // maximum output tokens
-	Memory      float64 // KV cache tokens that it is expected to need for decode
-	Class       *Class
-	Again       bool          // the client says that it is a retry
-	Left        time.Duration // time the client gives from receipt
-	Taken       time.Duration
-	Dispatched  time.Duration // when it last left the queue
-	Outstanding bool          // was sent and has no first token
-	Over        bool          // has its final answer, or its client has disconnected
-	Last        bool          // no further attempt is allowed
-	Surplus     bool          // beyond its tenant's quota
-	Density     float64       // value for its work, the queue's order
-	Attempts    []*Attempt
-	State       *Backend      // prefill backend that holds its KV cache for decode
-	Waits       time.Duration // since when the KV cache has been waiting, with no attempt known to have arrived
-	Lingers     bool          // a released KV cache may still be there
-	Released    bool          // released while an attempt was in flight: the KV cache may or may not be there
-	TargetAt    time.Duration
-	Deadline    time.Duration
+	ID                 uint64
+	Session            uint64 // key of its session; 0: none
+	Shared             uint64 // key of its shared prefix; 0: none
+	Prompt             float64
+	Prefix             float64 // tokens of the prompt's shared prefix
+	Most               float64 // maximum output tokens
+	Memory             float64 // KV cache tokens that it is expected to need for decode
+	Class              *Class
+	Again              bool          // the client says that it is a retry
+	Left               time.Duration // time the client gives from receipt
+	Taken              time.Duration
+	Dispatched         time.Duration // when it last left the queue
+	Outstanding        bool          // was sent and has no first token
+	Over               bool          // has its final answer, or its client has disconnected
+	Last               bool          // no further attempt is allowed
+	OverQuota          bool          // beyond its tenant's quota
+	ValueDensity       float64       // value for its work, the queue's order
+	Attempts           []*Attempt
+	State              *Backend      // prefill backend that holds its KV cache for decode
+	Waits              time.Duration // since when the KV cache has been waiting, with no attempt known to have arrived
+	ReleaseUnconfirmed bool          // a released KV cache may still be there
+	Released           bool          // released while an attempt was in flight: the KV cache may or may not be there
+	TargetAt           time.Duration
+	Deadline           time.Duration
 }
 
 // InFlight returns the attempt in flight, if any.
