--- a/brain/admission.go
+++ b/brain/admission.go
@@ -48,7 +48,7 @@
 		value *= req.Class.LateValue
 	}
 	if !d.parameters.valueByWork {
-		value /= req.Prompt + req.Most + 1
+		value /= req.PromptTokens + req.Most + 1
 	}
 	return value
 }
@@ -213,12 +213,12 @@
 
 // applyPeerShare applies the latency that a peer reports for one of its requests.
 func (d *Dispatcher) applyPeerShare(update PeerUpdate) {
-	if update.Share == 0 || update.Grade >= len(d.classes) {
+	if update.TargetShare == 0 || update.ClassIndex >= len(d.classes) {
 		return
 	}
-	took := time.Duration(update.Share * float64(d.classes[update.Grade].Target))
+	took := time.Duration(update.TargetShare * float64(d.classes[update.ClassIndex].Target))
 	d.timeToFirstToken.Add(took.Seconds(), 0.1)
-	d.adjustWindow(update.Share, d.runtime.Now()-took, update.Share < 1)
+	d.adjustWindow(update.TargetShare, d.runtime.Now()-took, update.TargetShare < 1)
 }
 
 // expectedTimeToFirstToken is in seconds: the recent mean, or the time that the oldest outstanding request has
--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -56,7 +56,7 @@
 func TestIdleDispatcherSendsAtOnce(t *testing.T) {
 	d, runtime := newDispatcherOf(t, 300)
 	for range 2 {
-		d.Submit(&Request{ID: 1, Prompt: 2000, Most: 400, Left: 4 * time.Second}, 0, 0)
+		d.Submit(&Request{ID: 1, PromptTokens: 2000, Most: 400, Left: 4 * time.Second}, 0, 0)
 	}
 	if len(runtime.sent) != 2 {
 		t.Errorf("%d of 2 requests were sent at the start", len(runtime.sent))
@@ -64,7 +64,7 @@
 	d, runtime = newDispatcherOf(t, 300)
 	d.window, d.sendCredit, d.windowAdjusted = 1.0/300, 0, true
 	runtime.now += 10 * time.Minute
-	d.Submit(&Request{ID: 1, Prompt: 2000, Most: 400, Left: 4 * time.Second}, 0, 0)
+	d.Submit(&Request{ID: 1, PromptTokens: 2000, Most: 400, Left: 4 * time.Second}, 0, 0)
 	if len(runtime.sent) != 1 {
 		t.Error("the first request after a long idle time waits")
 	}
@@ -114,18 +114,18 @@
 	d, _ := newDispatcherOf(t, 300)
 	d.window, d.peerFanout = 0.8, 7
 	before := d.window
-	d.Heard(PeerUpdate{Host: d.backends[0], Verdict: Badly, Share: 1})
+	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: Badly, TargetShare: 1})
 	if d.window >= before || d.window < 0.9*before {
 		t.Errorf("a late first token: window %g -> %g", before, d.window)
 	}
 	before = d.window
-	d.Heard(PeerUpdate{Host: d.backends[0], Verdict: Well, Share: 0.1})
+	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: Well, TargetShare: 0.1})
 	if d.window <= before || d.window > 1.3*before {
 		t.Errorf("a quick first token: window %g -> %g", before, d.window)
 	}
 	before = d.window
-	d.Heard(PeerUpdate{Host: d.backends[0], Verdict: Badly})
-	d.Heard(PeerUpdate{Host: d.backends[0], Grade: 200, Share: 1})
+	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: Badly})
+	d.Heard(PeerUpdate{Backend: d.backends[0], ClassIndex: 200, TargetShare: 1})
 	if d.window != before {
 		t.Errorf("updates without a share or of no known class: window %g -> %g", before, d.window)
 	}
@@ -189,7 +189,7 @@
 		},
 		"absurd load reports": func(d *Dispatcher, _ *fakeRuntime) {
 			for _, backend := range d.backends {
-				d.Heard(PeerUpdate{Host: backend, Loaded: true, Util: 1e9, Queue: 1e12, Share: 1, Verdict: Well})
+				d.Heard(PeerUpdate{Backend: backend, HasLoad: true, Util: 1e9, QueueLength: 1e12, TargetShare: 1, Verdict: Well})
 			}
 		},
 	} {
@@ -199,7 +199,7 @@
 			t.Errorf("%s: window %g, credit %g", name, d.window, d.sendCredit)
 		}
 		runtime.now += 30 * time.Minute
-		d.Submit(&Request{ID: 1, Prompt: 2000, Most: 400, Left: 4 * time.Second}, 0, 0)
+		d.Submit(&Request{ID: 1, PromptTokens: 2000, Most: 400, Left: 4 * time.Second}, 0, 0)
 		if len(runtime.sent) != 1 {
 			t.Errorf("%s: half an hour later nothing is sent", name)
 		}
--- a/brain/belief.go
+++ b/brain/belief.go
@@ -21,21 +21,21 @@
 	summary := Belief{Window: d.window, Unbegun: d.outstanding, Held: len(d.queue), Average: d.meanPrefillTokens, Ahead: d.timeToFirstToken.Or(0), Streams: d.streams}
 	meanRequest := Request{Memory: 1500}
 	for _, backend := range d.backends {
-		if backend.Standing != Ready {
+		if backend.State != Ready {
 			continue
 		}
-		if backend.Answers() {
-			summary.Room, summary.Tokens = summary.Room+backend.Room, summary.Tokens+backend.Tokens
+		if backend.Decodes() {
+			summary.Room, summary.Tokens = summary.Room+backend.TokenLimit, summary.Tokens+backend.KVTokens
 			if hasCapacity(backend, &meanRequest) {
 				summary.Roomy++
 			}
 		} else {
-			summary.Unread += backend.Unread
+			summary.Unread += backend.PrefillBacklog
 		}
 		if d.inSlowStart(backend) {
 			summary.Cold++
 		}
-		if stats := &backend.Records[0]; stats.Failures.Sum(d.runtime.Now())+min(stats.Missed, 4) > 1+stats.Successes.Sum(d.runtime.Now()) {
+		if stats := &backend.Outcomes[0]; stats.Failures.Sum(d.runtime.Now())+min(stats.ConsecutiveFailures, 4) > 1+stats.Successes.Sum(d.runtime.Now()) {
 			summary.Doubted++
 		}
 	}
@@ -49,7 +49,7 @@
 		case "util":
 			backend.Util = v
 		case "queue":
-			backend.Queue = v
+			backend.QueueLength = v
 		}
 	}
 }
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -107,31 +107,31 @@
 	anyRemoved := whole
 	if whole {
 		for _, backend := range d.backends {
-			backend.Standing = Gone
+			backend.State = Gone
 		}
 	}
 	for _, endpoint := range endpoints {
 		backend := endpoint.Host
-		if backend.Kept == nil {
+		if backend.PrefixTable == nil {
 			d.initBackend(backend)
 		}
-		if !backend.Held {
+		if !backend.Tracked {
 			d.addBackend(backend, len(endpoints) > fullScanLimit)
 		}
-		if backend.Kept == nil || endpoint.Restart && endpoint.Booted != backend.Booted {
-			backend.Kept = map[uint64]Kept{}
+		if backend.PrefixTable == nil || endpoint.Restart && endpoint.Booted != backend.StartedAt {
+			backend.PrefixTable = map[uint64]Kept{}
 			emptyStats := Record{Successes: Ring{Width: outcomeBucketWidth}, Failures: Ring{Width: outcomeBucketWidth}}
-			backend.Records = slices.Repeat([]Record{emptyStats}, 1+len(d.classes))
+			backend.Outcomes = slices.Repeat([]Record{emptyStats}, 1+len(d.classes))
 		}
 		anyRemoved = anyRemoved || endpoint.Standing == Gone
-		backend.Standing, backend.Units, backend.Booted, backend.Restart = endpoint.Standing, max(endpoint.Units, 0.01), endpoint.Booted, endpoint.Restart
-		if backend.Size == 0 {
-			backend.Size = 1 // until capacities are compared
+		backend.State, backend.CapacityUnits, backend.StartedAt, backend.StartReported = endpoint.Standing, max(endpoint.Units, 0.01), endpoint.Booted, endpoint.Restart
+		if backend.RelativeCapacity == 0 {
+			backend.RelativeCapacity = 1 // until capacities are compared
 		}
 	}
 	if anyRemoved || d.removedInUse {
 		d.dropRemoved()
-		d.removedInUse = slices.ContainsFunc(d.backends, func(b *Backend) bool { return b.Standing == Gone })
+		d.removedInUse = slices.ContainsFunc(d.backends, func(b *Backend) bool { return b.State == Gone })
 	}
 	d.sortBackends()
 	d.invalidateCompletedWork()
@@ -144,14 +144,14 @@
 
 // initBackend sets the fields that are fixed once a backend has been discovered.
 func (d *Dispatcher) initBackend(backend *Backend) {
-	backend.Role, backend.Memory = d.settings.RoleOf(backend.Kind), d.settings.MemoryOf(backend.Kind)
-	backend.Sent.Width = max(d.parameters.slowStartWindow/(bucketCount-1), 1)
+	backend.Role, backend.KVCapacity = d.settings.RoleOf(backend.Kind), d.settings.MemoryOf(backend.Kind)
+	backend.SentWork.Width = max(d.parameters.slowStartWindow/(bucketCount-1), 1)
 	backend.CompletedWork.Width = max(d.parameters.slowStartWindow*5/bucketCount, 1)
-	backend.RecentLoad.Width, backend.Far, backend.Bias = recentLoadBucketWidth, 1, -math.Log(d.rng.Float())
+	backend.RecentLoad.Width, backend.DistanceFactor, backend.Bias = recentLoadBucketWidth, 1, -math.Log(d.rng.Float())
 	if backend.Zone != d.parameters.zone {
-		backend.Far += 25 * d.parameters.crossZonePrice
+		backend.DistanceFactor += 25 * d.parameters.crossZonePrice
 	}
-	backend.Room = backend.Memory / d.parameters.dispatchers
+	backend.TokenLimit = backend.KVCapacity / d.parameters.dispatchers
 }
 
 // ListFailed resubscribes after a second where service discovery is by subscription.
@@ -165,9 +165,9 @@
 func (d *Dispatcher) Submit(req *Request, classIndex, tenantIndex int) {
 	now := d.runtime.Now()
 	req.Class = d.classes[min(classIndex, len(d.classes)-1)]
-	req.Taken, req.Deadline, req.Memory = now, now+req.Left, req.Prompt+expectedOutputShare*req.Most
+	req.Taken, req.Deadline, req.Memory = now, now+req.Left, req.PromptTokens+expectedOutputShare*req.Most
 	req.Class.Offered.Add(now, 1)
-	req.TargetAt = now + req.Class.Target + time.Duration(req.Prompt/1000*float64(req.Class.TargetPer1000Tokens))
+	req.TargetAt = now + req.Class.Target + time.Duration(req.PromptTokens/1000*float64(req.Class.TargetPer1000Tokens))
 	if tenantIndex < len(d.tenants) {
 		tenant := d.tenants[tenantIndex]
 		tenant.Received.Add(now, 1)
@@ -206,7 +206,7 @@
 	cached := d.cachedTokens(backend, req)
 	attempt.Kept = cached / max(backend.HitRatio.Or(1), 0.01)
 	if stage != ToWrite {
-		attempt.Left = req.Prompt - cached
+		attempt.Left = req.PromptTokens - cached
 	} else {
 		attempt.Connect = d.connectTimeout() // leaves time for another decode backend and for a release (rule 5)
 	}
@@ -217,7 +217,7 @@
 		d.awaitingFirstToken = append(d.awaitingFirstToken, req)
 		d.outstanding++
 	}
-	backend.Sent.Add(now, d.requestWork(req, backend, stage))
+	backend.SentWork.Add(now, d.requestWork(req, backend, stage))
 	req.Attempts = append(req.Attempts, attempt)
 	d.scheduleRelease(attempt)
 	d.runtime.Send(attempt, d.attemptTimeout(attempt))
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -27,8 +27,8 @@
 				addAttempt(req, backend, Rejected, 0)
 			}
 		}},
-		{name: "draining", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Draining }},
-		{name: "removed", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Gone }},
+		{name: "draining", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Draining }},
+		{name: "removed", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Gone }},
 		{name: "non-idempotent, may have run", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect = Unrepeatable
 			addAttempt(req, backend, TimedOut, 0)
@@ -59,19 +59,19 @@
 			addAttempt(req, d.backends[3], TimedOut, d.runtime.Now())
 		}},
 		{name: "in slow start, budget used up", disallowed: true, prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
-			backend.Restart, backend.Booted = true, d.runtime.Now()-time.Second
+			backend.StartReported, backend.StartedAt = true, d.runtime.Now()-time.Second
 			d.backends[3].CompletedWork.Add(d.runtime.Now(), 50000)
-			backend.Sent.Add(d.runtime.Now(), 12000)
+			backend.SentWork.Add(d.runtime.Now(), 12000)
 		}},
 		{name: "in slow start, budget left", prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
-			backend.Restart, backend.Booted = true, d.runtime.Now()-time.Second
+			backend.StartReported, backend.StartedAt = true, d.runtime.Now()-time.Second
 			d.backends[3].CompletedWork.Add(d.runtime.Now(), 50000)
-			backend.Sent.Add(d.runtime.Now(), 100)
+			backend.SentWork.Add(d.runtime.Now(), 100)
 		}},
 		{name: "in slow start while warm backends are heavily loaded", disallowed: true, prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
-			backend.Restart, backend.Booted = true, d.runtime.Now()-time.Second
-			d.backends[3].Sent.Add(d.runtime.Now(), 50000)
-			backend.Sent.Add(d.runtime.Now(), 100)
+			backend.StartReported, backend.StartedAt = true, d.runtime.Now()-time.Second
+			d.backends[3].SentWork.Add(d.runtime.Now(), 50000)
+			backend.SentWork.Add(d.runtime.Now(), 100)
 		}},
 	} {
 		d, _ := newDispatcher(t)
@@ -113,10 +113,10 @@
 	d, runtime := newDispatcher(t)
 	req := newRequest(d)
 	attempt := addAttempt(req, d.backends[0], 0, d.runtime.Now())
-	attempt.Ended, req.Over, d.backends[0].Tokens = false, true, req.Memory
+	attempt.Ended, req.Over, d.backends[0].KVTokens = false, true, req.Memory
 	d.Ended(attempt, Result{Outcome: Read, Over: true})
-	if len(runtime.released) != 1 || d.backends[0].Tokens != 0 {
-		t.Errorf("released %d, tokens %g", len(runtime.released), d.backends[0].Tokens)
+	if len(runtime.released) != 1 || d.backends[0].KVTokens != 0 {
+		t.Errorf("released %d, tokens %g", len(runtime.released), d.backends[0].KVTokens)
 	}
 }
 
@@ -144,7 +144,7 @@
 func TestSuspectedBackendStillGetsSomeWork(t *testing.T) {
 	d, _ := newDispatcher(t)
 	backend := d.backends[2]
-	backend.Records[0].Failures.Add(d.runtime.Now(), 8)
+	backend.Outcomes[0].Failures.Add(d.runtime.Now(), 8)
 	granted := 0
 	for range 1000 {
 		if d.drawTrust(d.successPosterior(backend, newRequest(d))) {
@@ -167,7 +167,7 @@
 	d.enqueue(first)
 	for _, backend := range d.backends {
 		if backend.Rack == d.backends[2].Rack {
-			backend.Standing = Draining
+			backend.State = Draining
 		}
 	}
 	d.enqueue(behind)
@@ -206,8 +206,8 @@
 	} {
 		d, runtime := newDispatcher(t)
 		d.meanPrefillTokens = tc.average
-		d.backends[4].Standing, d.backends[5].Standing = Gone, Gone
-		d.backends[3].Kept[7] = Kept{Tokens: tc.cached, At: d.runtime.Now()}
+		d.backends[4].State, d.backends[5].State = Gone, Gone
+		d.backends[3].PrefixTable[7] = Kept{Tokens: tc.cached, UsedAt: d.runtime.Now()}
 		d.route(newRequest(d))
 		if len(runtime.sent) != 1 || runtime.sent[0].Stage != tc.stage || tc.backendID != 0 && runtime.sent[0].Backend.ID != tc.backendID {
 			t.Errorf("%s: sent %+v", tc.name, runtime.sent)
@@ -242,7 +242,7 @@
 func TestPrefillPrefersRackWithLessLoadedDecodeBackends(t *testing.T) {
 	d, _ := newDispatcher(t)
 	for i, backend := range d.backends[2:] {
-		backend.Size = 100
+		backend.RelativeCapacity = 100
 		backend.Streams = 90 * (i % 2) // the decode backend and the mixed backend of the second rack are full
 	}
 	if backend := d.pickPrefill(newRequest(d), d.backends[2:]); backend == nil || backend.Rack != 0 {
@@ -301,7 +301,7 @@
 	}
 	const fleet = 300
 	d.parameters.dispatchers = fleet
-	backend.Restart, backend.Booted = true, runtime.now
+	backend.StartReported, backend.StartedAt = true, runtime.now
 	want := fleet * d.slowStartBudget(backend) / d.requestWork(newRequest(d), backend, Whole)
 	turns := map[int]int{}
 	for window := range 4 {
@@ -346,17 +346,17 @@
 	d, _ := newDispatcher(t)
 	d.classes = append(d.classes, &Class{Index: 1})
 	backend, granted := d.backends[2], [2]int{}
-	backend.Records = make([]Record, 3)
-	for i := range backend.Records {
-		backend.Records[i].Successes.Width, backend.Records[i].Failures.Width = time.Second, time.Second
+	backend.Outcomes = make([]Record, 3)
+	for i := range backend.Outcomes {
+		backend.Outcomes[i].Successes.Width, backend.Outcomes[i].Failures.Width = time.Second, time.Second
 	}
 	for i := range 40 {
-		d.Heard(PeerUpdate{Host: backend, Grade: i % 2, Verdict: []Verdict{Well, Badly}[i%2]})
+		d.Heard(PeerUpdate{Backend: backend, ClassIndex: i % 2, Verdict: []Verdict{Well, Badly}[i%2]})
 	}
 	for i := range 200 {
 		req := newRequest(d)
 		req.Class = d.classes[i%2]
-		d.Heard(PeerUpdate{Host: backend, Grade: 0, Verdict: Well})
+		d.Heard(PeerUpdate{Backend: backend, ClassIndex: 0, Verdict: Well})
 		if d.drawTrust(d.successPosterior(backend, req)) {
 			granted[i%2]++
 		}
@@ -372,12 +372,12 @@
 		backend := &Backend{Kind: 1}
 		d.Listed([]Listing{{Host: backend, Standing: Ready, Units: 1}}, false)
 		for range 4 {
-			d.Heard(PeerUpdate{Host: backend, Verdict: Badly})
+			d.Heard(PeerUpdate{Backend: backend, Verdict: Badly})
 		}
 	}
 	tried := 0
 	for range 500 {
-		if len(d.eligible(newRequest(d), (*Backend).Answers)) > 4 {
+		if len(d.eligible(newRequest(d), (*Backend).Decodes)) > 4 {
 			tried++
 		}
 	}
@@ -388,7 +388,7 @@
 
 func TestHeardTakesAnUnmetHostAsCold(t *testing.T) {
 	d, _ := newDispatcher(t)
-	d.Heard(PeerUpdate{Host: d.backends[2], Verdict: Unmet})
+	d.Heard(PeerUpdate{Backend: d.backends[2], Verdict: Unmet})
 	if !d.inSlowStart(d.backends[2]) {
 		t.Error("the backend is not in slow start")
 	}
@@ -402,16 +402,16 @@
 		backend := d.backends[2]
 		endpoint := Listing{Host: backend, Standing: Ready, Units: 4, Booted: -time.Hour, Restart: restart}
 		d.Listed([]Listing{endpoint}, false)
-		backend.Kept[7] = Kept{100, runtime.now, 0}
-		d.Heard(PeerUpdate{Host: backend, Verdict: Unmet})
+		backend.PrefixTable[7] = Kept{100, runtime.now, 0}
+		d.Heard(PeerUpdate{Backend: backend, Verdict: Unmet})
 		runtime.now += time.Second
 		d.Listed([]Listing{endpoint}, false)
-		if !d.inSlowStart(backend) || backend.Records[0].Missed != 1 || len(backend.Kept) != 1 {
-			t.Errorf("restart %v: slow start %v, %g failures, %d prefixes", restart, d.inSlowStart(backend), backend.Records[0].Missed, len(backend.Kept))
+		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 1 || len(backend.PrefixTable) != 1 {
+			t.Errorf("restart %v: slow start %v, %g failures, %d prefixes", restart, d.inSlowStart(backend), backend.Outcomes[0].ConsecutiveFailures, len(backend.PrefixTable))
 		}
 		endpoint.Booted, endpoint.Restart = runtime.now, true
 		d.Listed([]Listing{endpoint}, false)
-		if !d.inSlowStart(backend) || backend.Records[0].Missed != 0 || len(backend.Kept) != 0 {
+		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 0 || len(backend.PrefixTable) != 0 {
 			t.Error("a new start was ignored")
 		}
 		runtime.now += 11 * time.Second
@@ -531,7 +531,7 @@
 	req, prefillBackends := newRequest(d), Only(d.backends, (*Backend).PrefillOnly)
 	candidates := d.affinityCandidates(req, Reads, slices.Clone(prefillBackends))
 	started := prefillBackends[slices.IndexFunc(prefillBackends, func(b *Backend) bool { return !slices.Contains(candidates, b) })]
-	started.Restart, started.Booted = true, runtime.now-time.Second
+	started.StartReported, started.StartedAt = true, runtime.now-time.Second
 	if got := d.affinityCandidates(req, Reads, slices.Clone(prefillBackends)); !slices.Equal(got, append(candidates, started)) {
 		t.Errorf("%d affinity candidates", len(got))
 	}
@@ -549,11 +549,11 @@
 	}
 	warm := d.slowStartBudget(d.backends[0])
 	for _, backend := range d.backends[:2] {
-		backend.Restart, backend.Booted = true, runtime.now
+		backend.StartReported, backend.StartedAt = true, runtime.now
 	}
 	runtime.now += 30 * time.Second // completed work has expired
 	for _, backend := range d.backends[:2] {
-		backend.Booted = runtime.now
+		backend.StartedAt = runtime.now
 	}
 	if cold := d.slowStartBudget(d.backends[0]); warm == 0 || cold != warm {
 		t.Errorf("a budget of %g is %g when all are in slow start", warm, cold)
@@ -572,7 +572,7 @@
 		t.Errorf("affinity candidates %v, with one suspected %v", candidates, remaining)
 	}
 	d.prefillRequests.Add(runtime.now, 100)
-	d.prefixTable.Add(req.Shared, runtime.now, 50)
+	d.prefixTable.Add(req.PrefixKey, runtime.now, 50)
 	if got := len(d.affinityCandidates(req, Reads, prefillBackends)); got < 12 || got > 21 {
 		t.Errorf("a prefix of half the requests has %d affinity candidates of 22", got)
 	}
@@ -587,7 +587,7 @@
 		backend := d.backends[2]
 		d.secondsPerToken[Writes].Add(0.001, 1)
 		d.recordOutcome(addAttempt(newRequest(d), backend, TimedOut, runtime.now), tc.took, false, false)
-		if got := backend.Records[0].Failures.Sum(runtime.now); got != tc.failures {
+		if got := backend.Outcomes[0].Failures.Sum(runtime.now); got != tc.failures {
 			t.Errorf("after %v: %g failures of the backend", tc.took, got)
 		}
 	}
@@ -617,7 +617,7 @@
 	d, runtime := newDispatcher(t)
 	backend, granted := d.backends[2], 0
 	for range 100 {
-		d.Heard(PeerUpdate{Host: backend, Verdict: Badly})
+		d.Heard(PeerUpdate{Backend: backend, Verdict: Badly})
 	}
 	runtime.now += time.Minute
 	for range 1000 {
@@ -664,7 +664,7 @@
 		d.classes[0].PrefillTokens.Add(3000, 1)
 		d.classes[0].DecodeSeconds.Add(1, 1)
 		warm, slowStarting := d.backends[4], d.backends[5]
-		slowStarting.Booted, slowStarting.Restart = runtime.now, true
+		slowStarting.StartedAt, slowStarting.StartReported = runtime.now, true
 		for range 20 {
 			req := newRequest(d)
 			req.Attempts = []*Attempt{{Request: req, Backend: warm, Stage: stage, Began: runtime.now, Next: func(Result) {}}}
@@ -709,21 +709,21 @@
 	d, runtime := newDispatcher(t)
 	for i := range 5000 {
 		req := newRequest(d)
-		req.Session, req.Shared = uint64(1000+i), 0
+		req.SessionKey, req.PrefixKey = uint64(1000+i), 0
 		d.recordCachedPrefix(&Attempt{Request: req, Backend: d.backends[2]}, 0)
 	}
 	runtime.now += prefixTTL + time.Second
 	req := newRequest(d)
 	d.recordCachedPrefix(&Attempt{Request: req, Backend: d.backends[2]}, 0)
 	d.refresh()
-	if entries := len(d.backends[2].Kept); entries != 2 {
+	if entries := len(d.backends[2].PrefixTable); entries != 2 {
 		t.Errorf("%d prefixes in the table, 2 are recent", entries)
 	}
 	rarelyUsed := d.backends[3]
-	rarelyUsed.Kept[5] = Kept{10, runtime.now, 0}
+	rarelyUsed.PrefixTable[5] = Kept{10, runtime.now, 0}
 	runtime.now += prefixTTL + time.Second
 	d.refresh()
-	if len(rarelyUsed.Kept) != 0 {
+	if len(rarelyUsed.PrefixTable) != 0 {
 		t.Error("a prefix that is never used again stays in the table")
 	}
 }
--- a/brain/candidates.go
+++ b/brain/candidates.go
@@ -76,7 +76,7 @@
 		return set.backends
 	}
 	for _, role := range []Role{Reads, Both} {
-		set.affinity[role] = d.topRanked(cmp.Or(req.Shared, req.Session), role)
+		set.affinity[role] = d.topRanked(cmp.Or(req.PrefixKey, req.SessionKey), role)
 		for i, candidate := range set.affinity[role] {
 			set.add(candidate)
 			if i < affinityRacks {
@@ -84,7 +84,7 @@
 			}
 		}
 	}
-	for _, key := range []uint64{req.Session, req.Shared} {
+	for _, key := range []uint64{req.SessionKey, req.PrefixKey} {
 		for _, backend := range d.prefixHolders[key] {
 			set.add(backend)
 		}
@@ -111,8 +111,8 @@
 // in every dispatcher: all of a small fleet, and the first ones of a large fleet.
 func (d *Dispatcher) affinityOrder(req *Request, role Role) []*Backend {
 	if !d.isLarge() {
-		all := Only(d.backends, func(b *Backend) bool { return b.Role == role && b.Standing == Ready })
-		SortByHash(all, cmp.Or(req.Shared, req.Session))
+		all := Only(d.backends, func(b *Backend) bool { return b.Role == role && b.State == Ready })
+		SortByHash(all, cmp.Or(req.PrefixKey, req.SessionKey))
 		return all
 	}
 	d.candidates(req)
@@ -124,7 +124,7 @@
 	top := d.rankBuffer[:0]
 	for _, member := range d.byRole[role] {
 		rank := Mix(key, member.id)
-		if len(top) == maxAffinity && rank >= top[maxAffinity-1].rank || member.backend.Standing != Ready {
+		if len(top) == maxAffinity && rank >= top[maxAffinity-1].rank || member.backend.State != Ready {
 			continue
 		}
 		i, _ := slices.BinarySearchFunc(top, rank, func(r rankedBackend, rank uint64) int { return cmp.Compare(r.rank, rank) })
@@ -186,7 +186,7 @@
 // dropStaleHolders drops backends that no longer have the prefix cached.
 func (d *Dispatcher) dropStaleHolders() {
 	for key, holders := range d.prefixHolders {
-		holders = slices.DeleteFunc(holders, func(b *Backend) bool { return !b.Held || b.Kept[key] == (Kept{}) })
+		holders = slices.DeleteFunc(holders, func(b *Backend) bool { return !b.Tracked || b.PrefixTable[key] == (Kept{}) })
 		if len(holders) == 0 || !d.isLarge() {
 			delete(d.prefixHolders, key)
 			continue
@@ -198,7 +198,7 @@
 // addBackend adds a new backend: in a large fleet at its place in the dispatcher's order, unless many are
 // added at once.
 func (d *Dispatcher) addBackend(backend *Backend, bulk bool) {
-	backend.Held, backend.order = true, Mix(d.orderSeed, uint64(backend.ID))
+	backend.Tracked, backend.order = true, Mix(d.orderSeed, uint64(backend.ID))
 	d.sorted = d.sorted && !bulk
 	position := len(d.backends)
 	if d.isLarge() && d.sorted {
@@ -206,7 +206,7 @@
 	}
 	d.backends = slices.Insert(d.backends, position, backend)
 	d.byRole[backend.Role] = append(d.byRole[backend.Role], roleMember{uint64(backend.ID), backend})
-	if backend.Answers() {
+	if backend.Decodes() {
 		if d.decodeByRack == nil {
 			d.decodeByRack = map[int][]*Backend{}
 		}
@@ -225,15 +225,15 @@
 
 // dropRemoved drops removed backends that have no attempts in flight.
 func (d *Dispatcher) dropRemoved() {
-	isRemoved := func(l roleMember) bool { return !l.backend.Held }
+	isRemoved := func(l roleMember) bool { return !l.backend.Tracked }
 	d.backends = slices.DeleteFunc(d.backends, func(backend *Backend) bool {
-		backend.Held = backend.Standing != Gone || backend.Streams > 0 || backend.Tokens >= 1 // its load still counts
-		if !backend.Held && backend.Answers() {
+		backend.Tracked = backend.State != Gone || backend.Streams > 0 || backend.KVTokens >= 1 // its load still counts
+		if !backend.Tracked && backend.Decodes() {
 			if d.decodeByRack[backend.Rack] = slices.DeleteFunc(d.decodeByRack[backend.Rack], func(b *Backend) bool { return b == backend }); len(d.decodeByRack[backend.Rack]) == 0 {
 				delete(d.decodeByRack, backend.Rack)
 			}
 		}
-		return !backend.Held
+		return !backend.Tracked
 	})
 	for role := range d.byRole {
 		d.byRole[role] = slices.DeleteFunc(d.byRole[role], isRemoved)
@@ -269,12 +269,12 @@
 	free, considered := 0.0, 0.0
 	candidates := d.candidates(req)
 	for _, backend := range candidates {
-		if !backend.Answers() {
+		if !backend.Decodes() {
 			continue
 		}
 		considered++
 		if !d.disallowed(req, backend) {
-			free += max(backend.Room-backend.Tokens, 0)
+			free += max(backend.TokenLimit-backend.KVTokens, 0)
 		}
 	}
 	if d.isLarge() && !math.IsInf(free, 1) {
@@ -291,7 +291,7 @@
 	sum := 0.0
 	for _, backend := range d.backends {
 		if backend.Role == Reads {
-			sum += backend.Tokens
+			sum += backend.KVTokens
 		}
 	}
 	return sum
--- a/brain/candidates_test.go
+++ b/brain/candidates_test.go
@@ -36,14 +36,14 @@
 	second, _ := newLargeFleet(t, 2)
 	for prefix := range uint64(20) {
 		req := newRequest(first)
-		req.Shared = prefix + 1
+		req.PrefixKey = prefix + 1
 		other := *req
 		candidates := first.affinityCandidates(req, Reads, first.eligible(req, (*Backend).PrefillOnly))
 		others := second.affinityCandidates(&other, Reads, second.eligible(&other, (*Backend).PrefillOnly))
 		ranked := Only(first.backends, (*Backend).PrefillOnly)
-		SortByHash(ranked, req.Shared)
+		SortByHash(ranked, req.PrefixKey)
 		if len(candidates) != 2 || !slices.Equal(ids(candidates), ids(others)) || !slices.Equal(ids(candidates), ids(ranked[:2])) {
-			t.Errorf("prefix %d: %v and %v, wanted %v", req.Shared, ids(candidates), ids(others), ids(ranked[:2]))
+			t.Errorf("prefix %d: %v and %v, wanted %v", req.PrefixKey, ids(candidates), ids(others), ids(ranked[:2]))
 		}
 	}
 }
@@ -72,7 +72,7 @@
 // Backends that a request has a reason to go to are among its candidates, however few are sampled.
 func TestCandidatesIncludePrefixHoldersAndTheKVHoldersRack(t *testing.T) {
 	d, runtime := newLargeFleet(t, 1)
-	holder := Only(d.backends, (*Backend).Answers)[700]
+	holder := Only(d.backends, (*Backend).Decodes)[700]
 	d.recordCachedPrefix(&Attempt{Request: newRequest(d), Backend: holder}, 0)
 	prefillBackend := Only(d.backends, (*Backend).PrefillOnly)[300]
 	for range 50 {
@@ -83,7 +83,7 @@
 		}
 		req.State = prefillBackend
 		runtime.now += time.Millisecond
-		inRack := Only(d.candidates(req), func(b *Backend) bool { return b.Rack == prefillBackend.Rack && b.Answers() })
+		inRack := Only(d.candidates(req), func(b *Backend) bool { return b.Rack == prefillBackend.Rack && b.Decodes() })
 		if len(inRack) != 3 {
 			t.Fatalf("%d backends of the KV holder's rack are candidates", len(inRack))
 		}
@@ -101,7 +101,7 @@
 	for number := range requests {
 		runtime.now += 10 * time.Millisecond
 		req := newRequest(d)
-		req.Session, req.Shared = 0, uint64(number+1)
+		req.SessionKey, req.PrefixKey = 0, uint64(number+1)
 		req.State = Only(d.backends, (*Backend).PrefillOnly)[number%1000]
 		d.pickDecode(req)
 		attempt := runtime.sent[len(runtime.sent)-1]
@@ -145,14 +145,14 @@
 func TestRestartedRequestHasItsOwnAffinityCandidates(t *testing.T) {
 	d, _ := newLargeFleet(t, 1)
 	other := newRequest(d)
-	other.Shared = 77
+	other.PrefixKey = 77
 	d.candidates(other)
 	req := newRequest(d)
 	req.State = Only(d.backends, (*Backend).PrefillOnly)[0]
 	d.candidates(req)
 	req.State = nil
 	ranked := Only(d.backends, (*Backend).PrefillOnly)
-	SortByHash(ranked, req.Shared)
+	SortByHash(ranked, req.PrefixKey)
 	if got := d.affinityCandidates(req, Reads, d.eligible(req, (*Backend).PrefillOnly)); !slices.Equal(ids(got), ids(ranked[:2])) {
 		t.Errorf("its affinity candidates are %v, wanted %v", ids(got), ids(ranked[:2]))
 	}
--- a/brain/cost_test.go
+++ b/brain/cost_test.go
@@ -55,7 +55,7 @@
 	}
 	d.window, d.sendCredit = 0, 0
 	for i := range waiting {
-		d.Submit(&Request{ID: uint64(1e6 + i), Session: uint64(i%50 + 1), Prompt: 2000, Most: 400, Left: time.Hour}, 0, 0)
+		d.Submit(&Request{ID: uint64(1e6 + i), SessionKey: uint64(i%50 + 1), PromptTokens: 2000, Most: 400, Left: time.Hour}, 0, 0)
 	}
 	return d, runtime
 }
@@ -64,7 +64,7 @@
 func serveOne(d *Dispatcher, runtime *fakeRuntime, number int) {
 	runtime.now += 10 * time.Millisecond
 	d.window, d.sendCredit = 2, 0
-	d.Submit(&Request{ID: uint64(number), Session: uint64(number%200 + 1), Shared: uint64(number%20 + 1), Prompt: 2000, Prefix: 1500, Most: 400, Left: time.Hour}, 0, 0)
+	d.Submit(&Request{ID: uint64(number), SessionKey: uint64(number%200 + 1), PrefixKey: uint64(number%20 + 1), PromptTokens: 2000, Prefix: 1500, Most: 400, Left: time.Hour}, 0, 0)
 	for served := false; !served && len(runtime.sent) > 0; {
 		attempt := runtime.sent[0]
 		runtime.sent = runtime.sent[1:]
--- a/brain/ends_test.go
+++ b/brain/ends_test.go
@@ -141,7 +141,7 @@
 	switch {
 	case outcome == Read:
 		s.kvHolders[req], s.kvWaitingSince[req] = attempt.Backend, s.now
-		note = int(req.Prompt / 2)
+		note = int(req.PromptTokens / 2)
 	case attempt.Stage == ToWrite && (attempt.Began > 0 || outcome == Served):
 		delete(s.kvHolders, req)
 	case outcome == Rejected && attempt.Stage == ToWrite && (s.kvHolders[req] == nil || s.rng.IntN(2) == 0):
@@ -192,7 +192,7 @@
 		for step := range 1500 {
 			sim.advance(time.Duration(sim.rng.IntN(4)) * time.Millisecond)
 			if step < 1000 && sim.rng.IntN(3) == 0 {
-				req := &Request{ID: uint64(len(requests) + 1), Session: uint64(sim.rng.IntN(30)), Shared: uint64(sim.rng.IntN(5)), Prompt: float64(sim.rng.IntN(4000)),
+				req := &Request{ID: uint64(len(requests) + 1), SessionKey: uint64(sim.rng.IntN(30)), PrefixKey: uint64(sim.rng.IntN(5)), PromptTokens: float64(sim.rng.IntN(4000)),
 					Most: float64(sim.rng.IntN(200)), Again: sim.rng.IntN(5) == 0, Left: time.Duration(100+sim.rng.IntN(1500)) * time.Millisecond}
 				requests = append(requests, req)
 				d.Submit(req, sim.rng.IntN(3), 0)
@@ -201,7 +201,7 @@
 				list(backends[sim.rng.IntN(len(backends))], BackendState(sim.rng.IntN(3)))
 			}
 			if sim.rng.IntN(40) == 0 {
-				d.Heard(PeerUpdate{Host: backends[sim.rng.IntN(len(backends))], Grade: sim.rng.IntN(3), Verdict: Verdict(sim.rng.IntN(5))})
+				d.Heard(PeerUpdate{Backend: backends[sim.rng.IntN(len(backends))], ClassIndex: sim.rng.IntN(3), Verdict: Verdict(sim.rng.IntN(5))})
 			}
 			for _, req := range requests {
 				attempt := sim.inFlight[req]
@@ -252,8 +252,8 @@
 			t.Errorf("seed %d: %d without a first token, %d queued, %g streams", seed, d.outstanding, len(d.queue), d.streams)
 		}
 		for _, backend := range backends {
-			if backend.Streams != 0 || backend.Tokens > 1e-6 || backend.Unread > 1e-6 || backend.Tokens < -1e-6 {
-				t.Errorf("seed %d, backend %d: %d streams, %g KV tokens, %g to prefill", seed, backend.ID, backend.Streams, backend.Tokens, backend.Unread)
+			if backend.Streams != 0 || backend.KVTokens > 1e-6 || backend.PrefillBacklog > 1e-6 || backend.KVTokens < -1e-6 {
+				t.Errorf("seed %d, backend %d: %d streams, %g KV tokens, %g to prefill", seed, backend.ID, backend.Streams, backend.KVTokens, backend.PrefillBacklog)
 			}
 		}
 		if t.Failed() {
--- a/brain/facts_test.go
+++ b/brain/facts_test.go
@@ -30,7 +30,7 @@
 				t.Fatal(err)
 			}
 			d.Listed([]Listing{{Host: &Backend{ID: 1}, Standing: Ready, Units: 1, Restart: true, Booted: time.Second}}, true)
-			d.Submit(&Request{ID: 1, Prompt: 100, Most: 10, Left: 4 * time.Second}, 0, 0)
+			d.Submit(&Request{ID: 1, PromptTokens: 100, Most: 10, Left: 4 * time.Second}, 0, 0)
 			if len(runtime.sent) != 1 {
 				t.Errorf("%s = %v: a backend that has just started gets nothing", name, value)
 			}
@@ -76,10 +76,10 @@
 		}
 		backend := &Backend{ID: 1}
 		d.Listed([]Listing{{Host: backend, Standing: Ready, Units: 1, Restart: true}}, true)
-		req := &Request{ID: 1, Prompt: 100, Most: 10, Left: 4e9}
+		req := &Request{ID: 1, PromptTokens: 100, Most: 10, Left: 4e9}
 		d.Submit(req, 0, 0)
-		if math.IsNaN(d.window) || math.IsNaN(backend.Room) {
-			t.Errorf("%s = %v: window %g, token limit %g", tc.name, tc.value, d.window, backend.Room)
+		if math.IsNaN(d.window) || math.IsNaN(backend.TokenLimit) {
+			t.Errorf("%s = %v: window %g, token limit %g", tc.name, tc.value, d.window, backend.TokenLimit)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 	}
 	endpoints := []Listing{{Host: &Backend{ID: 1}, Standing: Ready, Units: 1}, {Host: &Backend{ID: 2}, Standing: Ready, Units: 1}}
 	d.Listed(endpoints, true)
-	req := &Request{ID: 1, Prompt: 100, Most: 10, Left: 4 * time.Second}
+	req := &Request{ID: 1, PromptTokens: 100, Most: 10, Left: 4 * time.Second}
 	d.Submit(req, 0, 0)
 	d.Ended(runtime.sent[0], Result{Outcome: Broken})
 	if len(runtime.sent) != 2 {
@@ -108,11 +108,11 @@
 		t.Error("a repeat after the window may be sent")
 	}
 	runtime.now = runtime.sent[0].Sent + req.Class.DedupWindow/2
-	repeat.Backend.Standing = Draining
+	repeat.Backend.State = Draining
 	if d.MaySend(repeat) == Allowed {
 		t.Error("an attempt at a draining backend may be sent")
 	}
-	repeat.Backend.Standing, req.Over = Ready, true
+	repeat.Backend.State, req.Over = Ready, true
 	if d.MaySend(repeat) == Allowed {
 		t.Error("an attempt of a finished request may be sent")
 	}
--- a/brain/help_test.go
+++ b/brain/help_test.go
@@ -75,7 +75,7 @@
 // newRequest returns a request of 2,000 prompt tokens that is received now.
 func newRequest(d *Dispatcher) *Request {
 	now := d.runtime.Now()
-	return &Request{ID: 1, Session: 7, Shared: 9, Prompt: 2000, Prefix: 1500, Most: 400, Memory: 2100, Class: d.classes[0],
+	return &Request{ID: 1, SessionKey: 7, PrefixKey: 9, PromptTokens: 2000, Prefix: 1500, Most: 400, Memory: 2100, Class: d.classes[0],
 		Taken: now, Left: 4 * time.Second, TargetAt: now + time.Second, Deadline: now + 4*time.Second}
 }
 
--- a/brain/outcomes.go
+++ b/brain/outcomes.go
@@ -30,7 +30,7 @@
 	if succeeded {
 		d.secondsPerToken[backend.Role].Add(secondsPerToken, 0.05)
 	}
-	update := PeerUpdate{Host: backend, Grade: attempt.Request.Class.Index, Loaded: hasLoad, Util: backend.Util, Queue: backend.Queue}
+	update := PeerUpdate{Backend: backend, ClassIndex: attempt.Request.Class.Index, HasLoad: hasLoad, Util: backend.Util, QueueLength: backend.QueueLength}
 	targetTime := attempt.Request.TargetAt - attempt.Request.Taken
 	switch {
 	case attempt.Outcome == Unreachable:
@@ -44,16 +44,16 @@
 	}
 	d.Heard(update)
 	if succeeded && attempt.Began > 0 || attempt.Began == 0 && attempt.Outcome == TimedOut {
-		update.Share = d.targetShare(attempt.Request)
+		update.TargetShare = d.targetShare(attempt.Request)
 	}
 	d.sendPeerUpdates(update)
 	tokens := attempt.Request.Memory
 	// Only latency shows that a backend is full; errors and resets count in the success posterior alone.
 	late := duration > targetTime/3 || now-attempt.Request.Taken > targetTime*7/10
-	if (late && succeeded || attempt.Outcome == TimedOut) && now-backend.Cut > duration {
-		backend.Room, backend.Cut = max(tokens, backend.Room*0.8), now
+	if (late && succeeded || attempt.Outcome == TimedOut) && now-backend.LimitReducedAt > duration {
+		backend.TokenLimit, backend.LimitReducedAt = max(tokens, backend.TokenLimit*0.8), now
 	} else if !late && succeeded && (len(d.queue) > 0 || !hasCapacity(backend, attempt.Request)) {
-		backend.Room += tokens * tokens / backend.Room
+		backend.TokenLimit += tokens * tokens / backend.TokenLimit
 	}
 }
 
@@ -77,7 +77,7 @@
 		if attempt.Began == 0 {
 			d.recordOutcome(attempt, result.Took, true, hasLoad)
 		}
-		d.sendPeerUpdates(PeerUpdate{Host: backend, Loaded: hasLoad, Util: backend.Util, Queue: backend.Queue})
+		d.sendPeerUpdates(PeerUpdate{Backend: backend, HasLoad: hasLoad, Util: backend.Util, QueueLength: backend.QueueLength})
 		req.Class.DecodeSeconds.Add(now.Seconds()-attempt.Began.Seconds(), 0.02)
 	case Rejected:
 		if result.Note == 1 {
@@ -91,10 +91,10 @@
 		backend.CompletedWork.Add(now, d.requestWork(req, backend, attempt.Stage))
 		d.invalidateCompletedWork()
 		if attempt.Stage != ToWrite {
-			uncached := max(req.Prompt-float64(result.Note), 0)
+			uncached := max(req.PromptTokens-float64(result.Note), 0)
 			d.prefillTokens.Add(now, uncached)
 			d.prefillRequests.Add(now, 1)
-			d.prefixTable.Add(cmp.Or(req.Shared, req.Session), now, 1)
+			d.prefixTable.Add(cmp.Or(req.PrefixKey, req.SessionKey), now, 1)
 			req.Class.PrefillTokens.Add(uncached, 0.02)
 		}
 	}
@@ -117,14 +117,14 @@
 	if attempt.Kept > 0 {
 		backend.HitRatio.Add(min(1, cached/attempt.Kept), 0.1)
 	}
-	backend.Taken += max(req.Prompt-cached, 0)
-	if req.Session != 0 {
-		backend.Kept[req.Session] = Kept{req.Prompt, now, backend.Taken}
-		d.recordPrefixHolder(req.Session, backend)
+	backend.CacheInsertedTokens += max(req.PromptTokens-cached, 0)
+	if req.SessionKey != 0 {
+		backend.PrefixTable[req.SessionKey] = Kept{req.PromptTokens, now, backend.CacheInsertedTokens}
+		d.recordPrefixHolder(req.SessionKey, backend)
 	}
-	if req.Shared != 0 {
-		backend.Kept[req.Shared] = Kept{req.Prefix, now, backend.Taken}
-		d.recordPrefixHolder(req.Shared, backend)
+	if req.PrefixKey != 0 {
+		backend.PrefixTable[req.PrefixKey] = Kept{req.Prefix, now, backend.CacheInsertedTokens}
+		d.recordPrefixHolder(req.PrefixKey, backend)
 	}
 }
 
@@ -135,8 +135,8 @@
 func (d *Dispatcher) successPosterior(backend *Backend, req *Request) (successes, failures float64) {
 	successes = 1
 	for _, i := range []int{0, 1 + req.Class.Index} {
-		stats, now := &backend.Records[i], d.runtime.Now()
-		bad := 1 + stats.Failures.Sum(now) + min(stats.Missed, 4)
+		stats, now := &backend.Outcomes[i], d.runtime.Now()
+		bad := 1 + stats.Failures.Sum(now) + min(stats.ConsecutiveFailures, 4)
 		if bad <= 1 {
 			continue // nothing counts against it
 		}
@@ -154,21 +154,21 @@
 
 // Heard handles a peer's update. It counts like an own attempt.
 func (d *Dispatcher) Heard(update PeerUpdate) {
-	if update.Loaded {
-		update.Host.Util, update.Host.Queue = update.Util, update.Queue
+	if update.HasLoad {
+		update.Backend.Util, update.Backend.QueueLength = update.Util, update.QueueLength
 	}
 	d.applyPeerShare(update)
-	for _, i := range []int{0, 1 + update.Grade} {
-		if i >= len(update.Host.Records) {
+	for _, i := range []int{0, 1 + update.ClassIndex} {
+		if i >= len(update.Backend.Outcomes) {
 			return
 		}
-		update.Host.Records[i].Take(d.runtime.Now(), update.Verdict, slowFailureWeight)
+		update.Backend.Outcomes[i].Observe(d.runtime.Now(), update.Verdict, slowFailureWeight)
 	}
 	// An unreachable backend may be restarting, which service discovery shows only seconds later, so it is in
 	// slow start until then. A lost connection alone doesn't show that: a burst of connection resets would put
 	// the whole fleet in slow start.
 	if update.Verdict == Unmet {
-		update.Host.Unmet = d.runtime.Now()
+		update.Backend.UnreachableAt = d.runtime.Now()
 		d.invalidateCompletedWork()
 	}
 }
--- a/brain/placement.go
+++ b/brain/placement.go
@@ -40,9 +40,9 @@
 // and prefill, a mean prompt (of 300 tokens at least) counting as half a stream, scaled by the last load report. With many dispatchers
 // the own load is nearly always zero; then load sent recently and the dispatcher's random bias decide.
 func (d *Dispatcher) loadScore(backend *Backend, prefillTokens float64) float64 {
-	load := float64(backend.Streams) + 1 + backend.Bias + (backend.Unread+prefillTokens)/2/max(d.meanPrefillTokens, 300) +
+	load := float64(backend.Streams) + 1 + backend.Bias + (backend.PrefillBacklog+prefillTokens)/2/max(d.meanPrefillTokens, 300) +
 		recentLoadWeight*backend.RecentLoad.Sum(d.runtime.Now())/(1+d.streams/max(d.decodeCount, 1))
-	return load / (backend.Size * d.capacityShare(backend)) * (1 + backend.Util + backend.Queue/5) * backend.Far
+	return load / (backend.RelativeCapacity * d.capacityShare(backend)) * (1 + backend.Util + backend.QueueLength/5) * backend.DistanceFactor
 }
 
 // nextLoadScore is the load score for a request with nothing to prefill.
@@ -51,7 +51,7 @@
 // route sends a request to its first backend: in place at a decode backend, whole at a mixed one, or to
 // prefill. It reports false without free capacity.
 func (d *Dispatcher) route(req *Request) bool {
-	decodeBackends := d.eligible(req, (*Backend).Answers)
+	decodeBackends := d.eligible(req, (*Backend).Decodes)
 	withCapacity := Only(decodeBackends, func(b *Backend) bool { return hasCapacity(b, req) })
 	if len(withCapacity) == 0 && len(decodeBackends) > 0 || d.freeKVTokens(req) < req.Memory {
 		return false
@@ -68,7 +68,7 @@
 
 // hasCapacity reports whether the request fits the backend's token limit. An idle backend always has capacity.
 func hasCapacity(backend *Backend, req *Request) bool {
-	return backend.Streams == 0 || backend.Tokens+req.Memory <= backend.Room
+	return backend.Streams == 0 || backend.KVTokens+req.Memory <= backend.TokenLimit
 }
 
 // pickInPlaceDecode picks a decode backend that should prefill a short prompt itself, by cached prefix and
@@ -116,7 +116,7 @@
 // suspected. Backends in slow start that may be sent work are always included: few prefixes hash to the few
 // backends whose turn it is.
 func (d *Dispatcher) affinityCandidates(req *Request, role Role, eligible []*Backend) []*Backend {
-	key := cmp.Or(req.Shared, req.Session)
+	key := cmp.Or(req.PrefixKey, req.SessionKey)
 	ordered := d.affinityOrder(req, role)
 	count := d.affinityCount(key, role, ordered)
 	ordered = d.extendAffinity(ordered, key, role, count, eligible)
@@ -153,7 +153,7 @@
 	if d.mayHoldKV(req) != Allowed {
 		return false
 	}
-	backend := Least(d.eligible(req, (*Backend).Answers), func(backend *Backend) float64 {
+	backend := Least(d.eligible(req, (*Backend).Decodes), func(backend *Backend) float64 {
 		if req.State != nil && backend.Rack != req.State.Rack {
 			return d.nextLoadScore(backend) * crossRackPenalty
 		}
@@ -175,7 +175,7 @@
 
 // anyAllowed reports whether the rules allow the request at any decode backend.
 func (d *Dispatcher) anyAllowed(req *Request) bool {
-	return slices.ContainsFunc(d.backends, func(b *Backend) bool { return b.Answers() && !d.disallowed(req, b) })
+	return slices.ContainsFunc(d.backends, func(b *Backend) bool { return b.Decodes() && !d.disallowed(req, b) })
 }
 
 // restart starts a request over if a backend may still take it, else gives it up at once.
@@ -193,17 +193,17 @@
 // used, over all dispatchers, evict it in the end; the estimate is scaled by how well past ones were met.
 func (d *Dispatcher) cachedTokens(backend *Backend, req *Request) float64 {
 	cached := 0.0
-	for _, key := range []uint64{req.Session, req.Shared} {
-		prefix, ok := backend.Kept[key]
-		inserted := (backend.Taken - prefix.Taken) * d.parameters.dispatchers
-		if ok && key != 0 && d.runtime.Now()-prefix.At < prefixTTL && inserted < backend.Memory-backend.Tokens {
+	for _, key := range []uint64{req.SessionKey, req.PrefixKey} {
+		prefix, ok := backend.PrefixTable[key]
+		inserted := (backend.CacheInsertedTokens - prefix.InsertedTokens) * d.parameters.dispatchers
+		if ok && key != 0 && d.runtime.Now()-prefix.UsedAt < prefixTTL && inserted < backend.KVCapacity-backend.KVTokens {
 			cached = max(cached, prefix.Tokens)
 		}
 	}
-	return min(cached, req.Prompt) * backend.HitRatio.Or(1)
+	return min(cached, req.PromptTokens) * backend.HitRatio.Or(1)
 }
 
 // uncachedTokens is how much of the prompt the backend would have to prefill.
 func (d *Dispatcher) uncachedTokens(backend *Backend, req *Request) float64 {
-	return req.Prompt - d.cachedTokens(backend, req)
+	return req.PromptTokens - d.cachedTokens(backend, req)
 }
--- a/brain/policy.go
+++ b/brain/policy.go
@@ -59,7 +59,7 @@
 		return permission
 	}
 	work := d.requestWork(req, backend, Whole)
-	return d.mayUseSlowStart(backend, work, backend.Sent.Sum(d.runtime.Now())+work)
+	return d.mayUseSlowStart(backend, work, backend.SentWork.Sum(d.runtime.Now())+work)
 }
 
 // disallowed reports whether no attempt of the request may be made at the backend.
@@ -83,7 +83,7 @@
 	if permission := d.mayContact(req, backend, attempt.Number); permission != Allowed || attempt.SlowStart {
 		return permission
 	}
-	return d.mayUseSlowStart(backend, d.requestWork(req, backend, Whole), backend.Sent.Sum(d.runtime.Now()))
+	return d.mayUseSlowStart(backend, d.requestWork(req, backend, Whole), backend.SentWork.Sum(d.runtime.Now()))
 }
 
 // mayContact returns whether the attempt with the given number may reach the backend now.
@@ -91,7 +91,7 @@
 	switch {
 	case d.runtime.Now() >= req.Deadline:
 		return DeadlinePassed
-	case backend.Standing != Ready:
+	case backend.State != Ready:
 		return BackendNotReady
 	}
 	return d.mayRepeat(req, backend, number)
--- a/brain/policy_test.go
+++ b/brain/policy_test.go
@@ -17,7 +17,7 @@
 		"the request is finished":       {func(_ *Dispatcher, r *Request, _ *Backend) { r.Over = true }, RequestOver, RequestOver},
 		"no further attempt is allowed": {func(_ *Dispatcher, r *Request, _ *Backend) { r.Last = true }, NoFurtherAttempt, Allowed},
 		"the deadline has passed":       {func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() }, DeadlinePassed, DeadlinePassed},
-		"the backend is draining":       {func(_ *Dispatcher, _ *Request, b *Backend) { b.Standing = Draining }, BackendNotReady, BackendNotReady},
+		"the backend is draining":       {func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Draining }, BackendNotReady, BackendNotReady},
 		"it may have run, and must not run twice": {func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect = Unrepeatable
 			addAttempt(req, backend, Broken, d.runtime.Now())
@@ -31,8 +31,8 @@
 			addAttempt(req, &Backend{Role: Writes, Rack: backend.Rack + 1}, Broken, d.runtime.Now())
 		}, OtherGroup, OtherGroup},
 		"the backend restarted meanwhile": {func(d *Dispatcher, _ *Request, backend *Backend) {
-			backend.Restart, backend.Booted = true, d.runtime.Now()
-			backend.Sent.Add(d.runtime.Now(), 1e9)
+			backend.StartReported, backend.StartedAt = true, d.runtime.Now()
+			backend.SentWork.Add(d.runtime.Now(), 1e9)
 		}, SlowStartSpent, SlowStartSpent},
 	} {
 		d, _ := newDispatcher(t)
@@ -53,8 +53,8 @@
 func TestAttemptIsCheckedAgainstSlowStartOnce(t *testing.T) {
 	d, _ := newDispatcher(t)
 	backend := d.backends[2]
-	backend.Restart, backend.Booted = true, d.runtime.Now()
-	backend.Sent.Add(d.runtime.Now(), 1e9)
+	backend.StartReported, backend.StartedAt = true, d.runtime.Now()
+	backend.SentWork.Add(d.runtime.Now(), 1e9)
 	if got := d.MaySend(&Attempt{Request: newRequest(d), Backend: backend, SlowStart: true}); got != Allowed {
 		t.Errorf("%v", got)
 	}
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -20,12 +20,12 @@
 
 // inSlowStart reports whether a backend is treated as in slow start.
 func (d *Dispatcher) inSlowStart(backend *Backend) bool {
-	return d.recentlyStarted(backend) || backend.Unmet > 0 && d.runtime.Now() < backend.Unmet+d.parameters.slowStartTime
+	return d.recentlyStarted(backend) || backend.UnreachableAt > 0 && d.runtime.Now() < backend.UnreachableAt+d.parameters.slowStartTime
 }
 
 // recentlyStarted reports whether service discovery reported a start within the slow-start time.
 func (d *Dispatcher) recentlyStarted(backend *Backend) bool {
-	return backend.Restart && d.runtime.Now() < backend.Booted+d.parameters.slowStartTime
+	return backend.StartReported && d.runtime.Now() < backend.StartedAt+d.parameters.slowStartTime
 }
 
 // capacityShare is the share of its capacity that a backend has: it rises from the stated share to 1 over the
@@ -35,7 +35,7 @@
 		return 1
 	}
 	initialShare, slowStartTime := max(d.parameters.slowStartShare, 0.1), d.parameters.slowStartTime
-	return initialShare + (1-initialShare)*float64(max(d.runtime.Now()-backend.Booted, 0))/float64(slowStartTime)
+	return initialShare + (1-initialShare)*float64(max(d.runtime.Now()-backend.StartedAt, 0))/float64(slowStartTime)
 }
 
 // requestWork is the mean work of the request's class, in the unit of the slow-start rule. At a mixed backend
@@ -76,14 +76,14 @@
 	}
 	*work = roleWork{summedAt: now, valid: true}
 	for _, backend := range d.backends {
-		if backend.Standing != Ready {
+		if backend.State != Ready {
 			continue
 		}
 		i := 0
 		if d.inSlowStart(backend) {
 			i = 1
 		}
-		work.sum[backend.Role][i] += backend.CompletedWork.Sum(now) / 5 / backend.Units
+		work.sum[backend.Role][i] += backend.CompletedWork.Sum(now) / 5 / backend.CapacityUnits
 		work.count[backend.Role][i]++
 	}
 	return work
@@ -102,7 +102,7 @@
 // overload a backend in slow start.
 func (d *Dispatcher) slowStartBudget(backend *Backend) float64 {
 	share := d.parameters.slowStartMultiple * d.parameters.slowStartShare
-	return share * d.meanCompletedWork(backend.Role, d.recentlyStarted(backend)) * backend.Units
+	return share * d.meanCompletedWork(backend.Role, d.recentlyStarted(backend)) * backend.CapacityUnits
 }
 
 // mayUseSlowStart returns whether a backend may have totalWork in a window, that of the request at hand included
@@ -113,9 +113,9 @@
 	if !d.inSlowStart(backend) {
 		return Allowed
 	}
-	now, window, start := d.runtime.Now(), d.parameters.slowStartWindow, max(backend.Unmet, 0)
-	if backend.Restart && backend.Booted > start {
-		start = backend.Booted
+	now, window, start := d.runtime.Now(), d.parameters.slowStartWindow, max(backend.UnreachableAt, 0)
+	if backend.StartReported && backend.StartedAt > start {
+		start = backend.StartedAt
 	}
 	draw := float64(Mix(uint64((now-start)/window), uint64(backend.ID))>>11) / (1 << 53)
 	_, chance := math.Modf(draw + d.parameters.index/d.parameters.dispatchers)
--- a/brain/types.go
+++ b/brain/types.go
@@ -110,37 +110,37 @@
 	Rack          int
 	Kind          int
 	Role          Role
-	Memory        float64 // KV cache size in tokens
-	Units         float64
-	Far           float64 // cost factor of a backend in another zone, 1 in the dispatcher's own
+	KVCapacity        float64 // KV cache size in tokens
+	CapacityUnits         float64
+	DistanceFactor           float64 // cost factor of a backend in another zone, 1 in the dispatcher's own
 	Bias          float64 // imaginary streams, drawn once, so that dispatchers prefer different backends
-	Size          float64 // capacity relative to the mean of its role
-	Booted        time.Duration
-	Restart       bool          // discovery reported StartedAt as a start or restart
-	Unmet         time.Duration // when it was last found unreachable; 0: never
-	Standing      BackendState
-	Held          bool   // is in the dispatcher's list of backends
+	RelativeCapacity          float64 // capacity relative to the mean of its role
+	StartedAt        time.Duration
+	StartReported       bool          // discovery reported StartedAt as a start or restart
+	UnreachableAt         time.Duration // when it was last found unreachable; 0: never
+	State      BackendState
+	Tracked          bool   // is in the dispatcher's list of backends
 	order         uint64 // sort key in that list
 	candidateMark uint64 // the last candidate set that it was in
 
 	Streams int           // requests in flight that are or will be decoded here
-	Tokens  float64       // KV cache tokens of the requests in flight
-	Unread  float64       // prompt tokens still to be prefilled
-	Room    float64       // adaptive limit on KVTokens
-	Cut     time.Duration // when TokenLimit was last reduced
+	KVTokens  float64       // KV cache tokens of the requests in flight
+	PrefillBacklog  float64       // prompt tokens still to be prefilled
+	TokenLimit    float64       // adaptive limit on KVTokens
+	LimitReducedAt     time.Duration // when TokenLimit was last reduced
 
-	Util, Queue   float64         // of the last load report
-	Sent          Ring            // work sent, for the slow-start budget
+	Util, QueueLength   float64         // of the last load report
+	SentWork          Ring            // work sent, for the slow-start budget
 	RecentLoad    Ring            // prefills and streams sent over a longer time
 	CompletedWork Ring            // work of attempts that succeeded
-	Records       []Record        // of all requests, then of each class
-	Kept          map[uint64]Kept // prefix table: by prefix or session key
+	Outcomes       []Record        // of all requests, then of each class
+	PrefixTable          map[uint64]Kept // prefix table: by prefix or session key
 	HitRatio      Mean            // reported over expected cached tokens
-	Taken         float64         // prompt tokens that this dispatcher's requests added to its cache
+	CacheInsertedTokens         float64         // prompt tokens that this dispatcher's requests added to its cache
 }
 
 // Decodes reports whether the backend decodes.
-func (b *Backend) Answers() bool { return b.Role != Reads }
+func (b *Backend) Decodes() bool { return b.Role != Reads }
 
 // PrefillOnly reports whether the backend only prefills.
 func (b *Backend) PrefillOnly() bool { return b.Role == Reads }
@@ -164,14 +164,14 @@
 func CompareCapacities(backends []*Backend) (decoding float64) {
 	var units, counts [3]float64
 	for _, backend := range backends {
-		if backend.Standing == Ready {
-			units[backend.Role], counts[backend.Role] = units[backend.Role]+backend.Units, counts[backend.Role]+1
+		if backend.State == Ready {
+			units[backend.Role], counts[backend.Role] = units[backend.Role]+backend.CapacityUnits, counts[backend.Role]+1
 		}
 	}
 	for _, backend := range backends {
-		backend.Size = 1.0
+		backend.RelativeCapacity = 1.0
 		if units[backend.Role] > 0 {
-			backend.Size = backend.Units * counts[backend.Role] / units[backend.Role]
+			backend.RelativeCapacity = backend.CapacityUnits * counts[backend.Role] / units[backend.Role]
 		}
 	}
 	return counts[Writes] + counts[Both]
@@ -184,9 +184,9 @@
 
 // ForgetPrefixes drops prefixes that were last used before a time.
 func (b *Backend) ForgetPrefixes(before time.Duration) {
-	for key, k := range b.Kept {
-		if k.At < before {
-			delete(b.Kept, key)
+	for key, k := range b.PrefixTable {
+		if k.UsedAt < before {
+			delete(b.PrefixTable, key)
 		}
 	}
 }
@@ -215,31 +215,31 @@
 // OutcomeStats counts recent outcomes of attempts at a backend.
 type Record struct {
 	Successes, Failures Ring
-	Missed              float64 // since the last success
+	ConsecutiveFailures              float64 // since the last success
 }
 
 // Observe counts the outcome of an attempt. A slow one counts as a failure of weight slowWeight.
-func (r *Record) Take(now time.Duration, verdict Verdict, slowWeight float64) {
+func (r *Record) Observe(now time.Duration, verdict Verdict, slowWeight float64) {
 	switch verdict {
 	case Well:
 		r.Successes.Add(now, 1)
-		r.Missed = 0
+		r.ConsecutiveFailures = 0
 	case VerdictSlow:
 		r.Failures.Add(now, slowWeight)
 	case Badly, Unmet:
 		r.Failures.Add(now, 1)
-		r.Missed++
+		r.ConsecutiveFailures++
 	}
 }
 
 // PeerUpdate is what a dispatcher tells another about one of its attempts.
 type PeerUpdate struct {
-	Host        *Backend
-	Grade       int
+	Backend        *Backend
+	ClassIndex       int
 	Verdict     Verdict
-	Loaded      bool // Util and QueueLength come from this attempt's load report
-	Util, Queue float64
-	Share       float64 // share of the latency target that the first token took; 1: given up on, 0: not reported
+	HasLoad      bool // Util and QueueLength come from this attempt's load report
+	Util, QueueLength float64
+	TargetShare       float64 // share of the latency target that the first token took; 1: given up on, 0: not reported
 }
 
 // Verdict is what an attempt says about its backend.
@@ -256,16 +256,16 @@
 // CachedPrefix is a prefix that a backend is expected to have cached.
 type Kept struct {
 	Tokens float64
-	At     time.Duration
-	Taken  float64 // the backend's CacheInsertedTokens at that time
+	UsedAt     time.Duration
+	InsertedTokens  float64 // the backend's CacheInsertedTokens at that time
 }
 
 // Request is a request that this dispatcher received.
 type Request struct {
 	ID                 uint64
-	Session            uint64 // key of its session; 0: none
-	Shared             uint64 // key of its shared prefix; 0: none
-	Prompt             float64
+	SessionKey            uint64 // key of its session; 0: none
+	PrefixKey             uint64 // key of its shared prefix; 0: none
+	PromptTokens             float64
 	Prefix             float64 // tokens of the prompt's shared prefix
 	Most               float64 // maximum output tokens
 	Memory             float64 // KV cache tokens that it is expected to need for decode
@@ -336,8 +336,8 @@
 // ApplyLoad adds the attempt's load to its backend (sign 1) or removes it (sign -1), and returns the change in
 // streams.
 func (a *Attempt) Weigh(sign float64) float64 {
-	a.Backend.Unread += sign * a.Left
-	a.Backend.Tokens += sign * a.Request.Memory
+	a.Backend.PrefillBacklog += sign * a.Left
+	a.Backend.KVTokens += sign * a.Request.Memory
 	if a.Stage == ToRead {
 		return 0
 	}
--- a/cmd/benchlink/instance.go
+++ b/cmd/benchlink/instance.go
@@ -84,7 +84,7 @@
 		in.module.Listed(in.listings(e.Entries()), e.U8(11) != 0)
 	case wire.Incoming:
 		q := &brain.Request{
-			ID: e.U64(3), Session: e.U64(11), Shared: e.U64(24), Prompt: figure(e.F32(32)), Prefix: figure(e.F32(45)), Most: figure(e.F32(20)),
+			ID: e.U64(3), SessionKey: e.U64(11), PrefixKey: e.U64(24), PromptTokens: figure(e.F32(32)), Prefix: figure(e.F32(45)), Most: figure(e.F32(20)),
 			Again: e.U8(19)&2 != 0, Left: micros(e.U32(41)),
 		}
 		in.questions[q.ID] = q
@@ -113,7 +113,7 @@
 	case wire.Datagram:
 		if n, err := news.Decode(e.Span(7), in.hosts); err != nil {
 			in.Note(fmt.Sprintf("message of %d dropped: %v", e.U32(3), err))
-		} else if n.Host != nil {
+		} else if n.Backend != nil {
 			in.module.Heard(n)
 		}
 	case wire.Due:
--- a/cmd/benchlink/same_test.go
+++ b/cmd/benchlink/same_test.go
@@ -377,9 +377,9 @@
 			in.take(event(t, e, nil), uint64(i)*1000+500)
 		}
 		for _, h := range in.hosts {
-			for _, v := range []float64{h.Units, h.Size, h.Util, h.Queue, h.Tokens, h.Unread, h.Room, h.Taken} {
+			for _, v := range []float64{h.CapacityUnits, h.RelativeCapacity, h.Util, h.QueueLength, h.KVTokens, h.PrefillBacklog, h.TokenLimit, h.CacheInsertedTokens} {
 				if math.IsNaN(v) || v < 0 {
-					t.Fatalf("host %d holds %v", h.ID, []float64{h.Units, h.Size, h.Util, h.Queue, h.Tokens, h.Unread, h.Room, h.Taken})
+					t.Fatalf("host %d holds %v", h.ID, []float64{h.CapacityUnits, h.RelativeCapacity, h.Util, h.QueueLength, h.KVTokens, h.PrefillBacklog, h.TokenLimit, h.CacheInsertedTokens})
 				}
 			}
 		}
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -41,7 +41,7 @@
 func (p *Policy) Listed(lines []brain.Listing, whole bool) {
 	if whole {
 		for _, h := range p.hosts {
-			h.Standing = brain.Gone
+			h.State = brain.Gone
 		}
 	}
 	for _, l := range lines {
@@ -53,14 +53,14 @@
 			l.Host.Role = p.facts.RoleOf(l.Host.Kind)
 			p.hosts = append(p.hosts, l.Host)
 		}
-		l.Host.Standing, l.Host.Units = l.Standing, l.Units
+		l.Host.State, l.Host.CapacityUnits = l.Standing, l.Units
 	}
 }
 
 func (p *Policy) Submit(q *brain.Request, grade, _ int) {
 	q.Class = p.grade[min(grade, len(p.grade)-1)]
 	q.Taken, q.Deadline = p.door.Now(), p.door.Now()+q.Left
-	q.Memory = q.Prompt + q.Most
+	q.Memory = q.PromptTokens + q.Most
 	p.begin(q)
 }
 
@@ -73,7 +73,7 @@
 		return brain.RequestOver
 	case p.door.Now() >= t.Request.Deadline:
 		return brain.DeadlinePassed
-	case t.Backend.Standing != brain.Ready:
+	case t.Backend.State != brain.Ready:
 		return brain.BackendNotReady
 	}
 	return brain.Allowed
@@ -109,7 +109,7 @@
 	if t := q.MayHaveRun(); t != nil && role != brain.Reads && q.Class.Effect != brain.Idempotent {
 		return nil
 	}
-	return brain.Only(p.hosts, func(h *brain.Backend) bool { return h.Role == role && h.Standing == brain.Ready && !q.FailedAt(h) })
+	return brain.Only(p.hosts, func(h *brain.Backend) bool { return h.Role == role && h.State == brain.Ready && !q.FailedAt(h) })
 }
 
 func (p *Policy) pick(hosts []*brain.Backend) *brain.Backend {
@@ -122,7 +122,7 @@
 		best := hosts[start]
 		for i := range hosts {
 			h := hosts[(start+i)%len(hosts)]
-			if float64(h.Streams)+h.Unread/1000 < float64(best.Streams)+best.Unread/1000 {
+			if float64(h.Streams)+h.PrefillBacklog/1000 < float64(best.Streams)+best.PrefillBacklog/1000 {
 				best = h
 			}
 		}
@@ -134,7 +134,7 @@
 func (p *Policy) send(q *brain.Request, h *brain.Backend, stage brain.Stage) {
 	t := &brain.Attempt{Request: q, Backend: h, Number: len(q.Attempts), Sent: p.door.Now(), Stage: stage}
 	if stage != brain.ToWrite {
-		t.Left = q.Prompt
+		t.Left = q.PromptTokens
 	}
 	t.Weigh(1)
 	q.Attempts = append(q.Attempts, t)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -69,7 +69,7 @@
 	r.Took = l.now - t.Sent
 	l.Tally.ended(t, r)
 	l.Log.Debug("trip over", "id", a.Ask.ID, "box", f.Backend.Name, "stage", f.Stage(), "number", t.Number, "outcome", r.Outcome, "took", r.Took, "wait", f.Wait,
-		"prompt", t.Request.Prompt, "left", t.Left, "kept", r.Note)
+		"prompt", t.Request.PromptTokens, "left", t.Left, "kept", r.Note)
 	switch {
 	case r.Outcome == brain.Read:
 		a.waiting[f.Backend] = true
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -75,7 +75,7 @@
 func (l *Loop) forgetGone() {
 	l.gone = slices.DeleteFunc(l.gone, func(b *Backend) bool {
 		switch {
-		case b.Known.Standing != brain.Gone || l.backends[b.Name] != b:
+		case b.Known.State != brain.Gone || l.backends[b.Name] != b:
 			return true
 		case b.out == 0 && l.now-b.gone >= goneKept:
 			l.forgetBox(b)
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -239,7 +239,7 @@
 	a.from = l.now
 	k := a.Ask
 	a.Request = &brain.Request{
-		ID: l.lastID, Session: Number(k.Session), Shared: Number(k.Shared), Prompt: float64(k.Tokens), Prefix: float64(k.Prefix),
+		ID: l.lastID, SessionKey: Number(k.Session), PrefixKey: Number(k.Shared), PromptTokens: float64(k.Tokens), Prefix: float64(k.Prefix),
 		Most: float64(k.Most), Again: k.Again, Left: left,
 	}
 	l.Tally.Taken++
@@ -325,7 +325,7 @@
 // News takes a peer's message.
 func (l *Loop) News(raw []byte) error {
 	got, err := news.Decode(raw, l.hosts)
-	if err == nil && got.Host != nil {
+	if err == nil && got.Backend != nil {
 		l.Heard(got)
 	}
 	return err
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -197,16 +197,16 @@
 	line.Start, line.UpMs = 7, 1000
 	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
 	host := l.backends["w1"].Known
-	booted := host.Booted
+	booted := host.StartedAt
 	h.now += 3 * time.Second
 	line.UpMs = 4007
 	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-	if host.Booted != booted || !host.Restart {
-		t.Errorf("booted %v, then %v", booted, host.Booted)
+	if host.StartedAt != booted || !host.StartReported {
+		t.Errorf("booted %v, then %v", booted, host.StartedAt)
 	}
 	line.Start, line.UpMs = 8, 10
 	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-	if host.Booted == booted {
+	if host.StartedAt == booted {
 		t.Error("a new start went unseen")
 	}
 }
@@ -217,8 +217,8 @@
 	l.Do(func() {
 		l.Listed([]boxlist.Box{box("r1", "reader", "ready"), box("w1", "writer", "draining"), box("x", "nonesuch", "ready")}, true)
 	})
-	if gone.Known.Standing != brain.Gone || l.backends["w1"].Known.Standing != brain.Draining || l.backends["x"] != nil {
-		t.Errorf("w2 %d, w1 %d, x %v", gone.Known.Standing, l.backends["w1"].Known.Standing, l.backends["x"])
+	if gone.Known.State != brain.Gone || l.backends["w1"].Known.State != brain.Draining || l.backends["x"] != nil {
+		t.Errorf("w2 %d, w1 %d, x %v", gone.Known.State, l.backends["w1"].Known.State, l.backends["x"])
 	}
 	select {
 	case <-gone.Drained:
@@ -288,8 +288,8 @@
 		change(&line)
 		l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
 		now := l.backends["w1"].Known
-		if now == old || old.Standing != brain.Gone || now.Standing != brain.Ready || l.hosts[now.ID] != now || l.byHost[old] != nil {
-			t.Errorf("another %s: the same host, standing %d", name, old.Standing)
+		if now == old || old.State != brain.Gone || now.State != brain.Ready || l.hosts[now.ID] != now || l.byHost[old] != nil {
+			t.Errorf("another %s: the same host, standing %d", name, old.State)
 		}
 	}
 }
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -220,7 +220,7 @@
 // Answers tells whether a backend that answers is ready.
 func (l *Loop) Answers() bool {
 	for _, b := range l.backends {
-		if b.Known.Standing == brain.Ready && b.Known.Kept != nil && b.Known.Answers() {
+		if b.Known.State == brain.Ready && b.Known.PrefixTable != nil && b.Known.Decodes() {
 			return true
 		}
 	}
@@ -299,8 +299,8 @@
 		var boxes []map[string]any
 		for _, b := range l.backends {
 			h := b.Known
-			boxes = append(boxes, map[string]any{"name": b.Name, "at": b.At, "standing": [...]string{"draining", "ready", "gone"}[h.Standing],
-				"role": [...]string{"reader", "writer", "mixed"}[h.Role], "streams": h.Streams, "tokens": h.Tokens, "util": h.Util, "queue": h.Queue})
+			boxes = append(boxes, map[string]any{"name": b.Name, "at": b.At, "standing": [...]string{"draining", "ready", "gone"}[h.State],
+				"role": [...]string{"reader", "writer", "mixed"}[h.Role], "streams": h.Streams, "tokens": h.KVTokens, "util": h.Util, "queue": h.QueueLength})
 		}
 		out["boxes"] = boxes
 	})
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -30,7 +30,7 @@
 	if r.Outcome != brain.Read && r.Outcome != brain.Served {
 		return
 	}
-	p, prompt := &y.Prefills[t.Stage], t.Request.Prompt
+	p, prompt := &y.Prefills[t.Stage], t.Request.PromptTokens
 	p.Trips, p.Prompt, p.Kept = p.Trips+1, p.Prompt+int64(prompt), p.Kept+int64(r.Note)
 	if t.Stage != brain.ToWrite {
 		p.Expected += int64(prompt - t.Left)
--- a/internal/dispatch/trips.go
+++ b/internal/dispatch/trips.go
@@ -104,7 +104,7 @@
 	e := kserve.Errand{
 		Stage: f.Stage(),
 		From:  c.loop.Epoch, Question: q.ID, Trip: f.Planned.Number, Mark: cmp.Or(a.Ask.ID, f.Key), Grade: a.Grade, Channel: a.Channel,
-		Session: q.Session, Shared: q.Shared, Tokens: int(q.Prompt), Prefix: int(q.Prefix), Most: int(q.Most),
+		Session: q.SessionKey, Shared: q.PrefixKey, Tokens: int(q.PromptTokens), Prefix: int(q.Prefix), Most: int(q.Most),
 		WaitUs: f.Wait.Microseconds(),
 	}
 	if f.State != nil {
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -23,7 +23,7 @@
 	if peer < 0 || peer >= len(d.w.dispatchers) {
 		return
 	}
-	to, name := d.w.dispatchers[peer], d.w.byID[n.Host.ID].make.Name
+	to, name := d.w.dispatchers[peer], d.w.byID[n.Backend.ID].make.Name
 	d.w.after(2*time.Millisecond, func() {
 		if !to.up {
 			return
@@ -31,7 +31,7 @@
 		to.do(func() {
 			if h := to.loop.HostOf(name); h != nil {
 				n := n
-				n.Host = h // each dispatcher has its own
+				n.Backend = h // each dispatcher has its own
 				to.loop.Heard(n)
 			}
 		})
@@ -199,7 +199,7 @@
 		return
 	}
 	q := t.flight.Planned.Request
-	j := &engine.Job{Key: t.line.Key, Session: q.Session, Shared: q.Shared, Prompt: int(q.Prompt), Prefix: int(q.Prefix)}
+	j := &engine.Job{Key: t.line.Key, Session: q.SessionKey, Shared: q.PrefixKey, Prompt: int(q.PromptTokens), Prefix: int(q.Prefix)}
 	t.job = j
 	switch t.line.Stage {
 	case kserve.StageRead:
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -33,7 +33,7 @@
 func (h *house) standing(name string) (s brain.BackendState) {
 	h.node.loop.Call(context.Background(), func() {
 		if known := h.node.loop.HostOf(name); known != nil {
-			s = known.Standing
+			s = known.State
 		}
 	})
 	return s
@@ -57,7 +57,7 @@
 func TestADrainBetweenChoiceAndSendIsKept(t *testing.T) {
 	h := enter(t, nil)
 	a := h.submit("q1", 0, func(*dispatch.ClientRequest) {
-		h.node.loop.HostOf("r1").Standing = brain.Draining
+		h.node.loop.HostOf("r1").State = brain.Draining
 	})
 	h.until("it is over", func() bool { return len(a.Final()) == 1 })
 	if n := len(h.site.Seen("r1", "POST")); n != 0 {
@@ -67,7 +67,7 @@
 		if b := h.node.loop.Believes(); b.Cold != 0 || h.node.loop.Tally.Outcomes[brain.NotSent] != 1 {
 			t.Errorf("an attempt that was not sent speaks against its backend: %+v, outcomes %v", b, h.node.loop.Tally.Outcomes)
 		}
-		h.node.loop.HostOf("r1").Standing = brain.Ready
+		h.node.loop.HostOf("r1").State = brain.Ready
 	})
 	h.settled()
 }
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -145,7 +145,7 @@
 		still := h.site.Out() + h.site.Held() + int(h.node.frontend.asked.Load()) + int(h.node.frontend.held.Load()) + int(h.node.transport.releasing.Load())
 		h.node.loop.Call(context.Background(), func() {
 			for _, b := range []*hosts.Box{h.reader, h.writers[0], h.writers[1]} {
-				if m := h.node.loop.HostOf(b.UID); m != nil && (m.Streams != 0 || m.Tokens != 0 || m.Unread != 0) {
+				if m := h.node.loop.HostOf(b.UID); m != nil && (m.Streams != 0 || m.KVTokens != 0 || m.PrefillBacklog != 0) {
 					still++
 				}
 			}
@@ -222,8 +222,8 @@
 	}
 	h.settled()
 	h.node.loop.Call(context.Background(), func() {
-		if r := h.node.loop.HostOf("r1"); r.Util != 0.5 || r.Queue != 2 {
-			t.Errorf("the reader's report is taken for %g, %g", r.Util, r.Queue)
+		if r := h.node.loop.HostOf("r1"); r.Util != 0.5 || r.QueueLength != 2 {
+			t.Errorf("the reader's report is taken for %g, %g", r.Util, r.QueueLength)
 		}
 	})
 }
@@ -572,7 +572,7 @@
 		t.Errorf("%+v after %d trips", got, len(h.site.Seen("", "POST")))
 	}
 	h.node.loop.Call(context.Background(), func() {
-		if r := h.node.loop.HostOf("r1").Records[0]; r.Missed != 0 {
+		if r := h.node.loop.HostOf("r1").Outcomes[0]; r.ConsecutiveFailures != 0 {
 			t.Error("it speaks against the box")
 		}
 	})
@@ -679,7 +679,7 @@
 	h.site.Change(func() { h.reader.State = "terminating" })
 	h.until("the change is known", func() bool {
 		standing := brain.Ready
-		h.node.loop.Call(context.Background(), func() { standing = h.node.loop.HostOf("r1").Standing })
+		h.node.loop.Call(context.Background(), func() { standing = h.node.loop.HostOf("r1").State })
 		return standing == brain.Draining
 	})
 }
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -204,8 +204,8 @@
 		if h := n.loop.HostOf(name); h == nil && p.reads+p.writes == 0 {
 			delete(n.transport.passed, name)
 		} else if h != nil {
-			n.log.Debug("box", "name", name, "role", h.Role, "standing", h.Standing, "streams", h.Streams, "writes", p.writes, "unread", h.Unread, "reads", p.reads,
-				"tokens", h.Tokens, "room", h.Room, "util", h.Util, "queue", h.Queue, "said", p.load, "sent", p.sent)
+			n.log.Debug("box", "name", name, "role", h.Role, "standing", h.State, "streams", h.Streams, "writes", p.writes, "unread", h.PrefillBacklog, "reads", p.reads,
+				"tokens", h.KVTokens, "room", h.TokenLimit, "util", h.Util, "queue", h.QueueLength, "said", p.load, "sent", p.sent)
 		}
 	}
 }
