--- a/brain/admission.go
+++ b/brain/admission.go
@@ -35,7 +35,7 @@
 
 // compareQueueOrder orders requests by value density, then newest first, as the newest have most time left.
 func compareQueueOrder(a, b *Request) int {
-	return cmp.Or(cmp.Compare(b.ValueDensity, a.ValueDensity), cmp.Compare(b.Taken, a.Taken), cmp.Compare(a.ID, b.ID))
+	return cmp.Or(cmp.Compare(b.ValueDensity, a.ValueDensity), cmp.Compare(b.ReceivedAt, a.ReceivedAt), cmp.Compare(a.ID, b.ID))
 }
 
 // valueDensity is the value of a request divided by its work.
@@ -44,11 +44,11 @@
 	if req.OverQuota {
 		value *= d.parameters.overQuotaValue
 	}
-	if req.Again {
+	if req.ClientRetry {
 		value *= req.Class.LateValue
 	}
 	if !d.parameters.valueByWork {
-		value /= req.PromptTokens + req.Most + 1
+		value /= req.PromptTokens + req.MaxOutputTokens + 1
 	}
 	return value
 }
@@ -81,7 +81,7 @@
 	}
 	if len(d.queue) > 0 && !d.sweepScheduled {
 		d.sweepScheduled = true
-		d.runtime.Wake(queueSweepInterval, d.sweepQueue)
+		d.runtime.Schedule(queueSweepInterval, d.sweepQueue)
 	}
 }
 
@@ -113,14 +113,14 @@
 	now := d.runtime.Now()
 	overload := false
 	for _, req := range d.queue {
-		overload = overload || float64(now-req.Taken) > overloadWaitShare*float64(req.TargetAt-req.Taken)
+		overload = overload || float64(now-req.ReceivedAt) > overloadWaitShare*float64(req.TargetAt-req.ReceivedAt)
 	}
 	expected := d.expectedTimeToFirstToken()
 	rate := d.window / max(expected, queueSweepInterval.Seconds())
 	position := 0.0
 	for _, req := range slices.Clone(d.queue) {
 		timeToFirstToken := time.Duration((position/rate + expected) * float64(time.Second))
-		late := now+timeToFirstToken > req.TargetAt-(req.TargetAt-req.Taken)/4
+		late := now+timeToFirstToken > req.TargetAt-(req.TargetAt-req.ReceivedAt)/4
 		if overload && late || now+2*queueSweepInterval > req.Deadline {
 			d.dequeue(req)
 			d.giveUp(req)
@@ -163,17 +163,17 @@
 	req.Outstanding = false
 	d.awaitingFirstToken = slices.DeleteFunc(d.awaitingFirstToken, func(r *Request) bool { return r == req })
 	now, attempt := d.runtime.Now(), req.Attempts[len(req.Attempts)-1]
-	d.adjustWindow(d.targetShare(req), req.Dispatched, attempt.Began > 0)
+	d.adjustWindow(d.targetShare(req), req.DispatchedAt, attempt.FirstTokenAt > 0)
 	// A request that timed out or was cancelled still runs at its backend. Under congestion, one sent in its
 	// place at once would wait behind it and time out too, so it keeps its place for as long again.
-	congested := d.expectedTimeToFirstToken() > overloadWaitShare*(req.TargetAt-req.Taken).Seconds()
+	congested := d.expectedTimeToFirstToken() > overloadWaitShare*(req.TargetAt-req.ReceivedAt).Seconds()
 	// The first token of a timed-out attempt would have come even later. If only attempts with a first token
 	// counted, latency would look low under congestion and more attempts would be sent into it.
-	if attempt.Began == 0 && attempt.Outcome == TimedOut {
-		d.timeToFirstToken.Add(max((now-req.Dispatched).Seconds(), d.timeToFirstToken.Or(0)), 0.1)
+	if attempt.FirstTokenAt == 0 && attempt.Outcome == TimedOut {
+		d.timeToFirstToken.Add(max((now-req.DispatchedAt).Seconds(), d.timeToFirstToken.Or(0)), 0.1)
 	}
-	if congested && attempt.Began == 0 && (attempt.Outcome == TimedOut || attempt.Outcome == Cancelled) {
-		d.runtime.Wake(min(now-attempt.Sent, req.TargetAt-req.Taken), func() { d.outstanding--; d.dispatch() })
+	if congested && attempt.FirstTokenAt == 0 && (attempt.Outcome == TimedOut || attempt.Outcome == Cancelled) {
+		d.runtime.Schedule(min(now-attempt.SentAt, req.TargetAt-req.ReceivedAt), func() { d.outstanding--; d.dispatch() })
 	} else {
 		d.outstanding--
 	}
@@ -183,10 +183,10 @@
 // token this is a lower bound: it never indicates low latency.
 func (d *Dispatcher) targetShare(req *Request) float64 {
 	attempt := req.Attempts[len(req.Attempts)-1]
-	if attempt.Began == 0 && (attempt.Outcome == Rejected || attempt.Outcome == TimedOut) {
+	if attempt.FirstTokenAt == 0 && (attempt.Outcome == Rejected || attempt.Outcome == TimedOut) {
 		return 1
 	}
-	return min(float64(d.runtime.Now()-req.Dispatched)/float64(max(req.TargetAt-req.Taken, 1)), 1)
+	return min(float64(d.runtime.Now()-req.DispatchedAt)/float64(max(req.TargetAt-req.ReceivedAt, 1)), 1)
 }
 
 // adjustWindow narrows the window if the share is above neutralTargetShare; otherwise, given a first token and
@@ -226,7 +226,7 @@
 func (d *Dispatcher) expectedTimeToFirstToken() float64 {
 	expected := d.timeToFirstToken.Or(overloadWaitShare * d.classes[0].Target.Seconds())
 	if len(d.awaitingFirstToken) > 0 {
-		expected = max(expected, (d.runtime.Now() - d.awaitingFirstToken[0].Dispatched).Seconds())
+		expected = max(expected, (d.runtime.Now() - d.awaitingFirstToken[0].DispatchedAt).Seconds())
 	}
 	return expected
 }
--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -56,7 +56,7 @@
 func TestIdleDispatcherSendsAtOnce(t *testing.T) {
 	d, runtime := newDispatcherOf(t, 300)
 	for range 2 {
-		d.Submit(&Request{ID: 1, PromptTokens: 2000, Most: 400, Left: 4 * time.Second}, 0, 0)
+		d.Submit(&Request{ID: 1, PromptTokens: 2000, MaxOutputTokens: 400, Timeout: 4 * time.Second}, 0, 0)
 	}
 	if len(runtime.sent) != 2 {
 		t.Errorf("%d of 2 requests were sent at the start", len(runtime.sent))
@@ -64,7 +64,7 @@
 	d, runtime = newDispatcherOf(t, 300)
 	d.window, d.sendCredit, d.windowAdjusted = 1.0/300, 0, true
 	runtime.now += 10 * time.Minute
-	d.Submit(&Request{ID: 1, PromptTokens: 2000, Most: 400, Left: 4 * time.Second}, 0, 0)
+	d.Submit(&Request{ID: 1, PromptTokens: 2000, MaxOutputTokens: 400, Timeout: 4 * time.Second}, 0, 0)
 	if len(runtime.sent) != 1 {
 		t.Error("the first request after a long idle time waits")
 	}
@@ -79,8 +79,8 @@
 			t.Fatalf("after 20 quick first tokens the window is %g", d.window)
 		}
 		req := newRequest(d)
-		addAttempt(req, d.backends[0], Served, runtime.now).Began = runtime.now
-		req.Outstanding, req.Dispatched, d.outstanding = true, runtime.now, 1
+		addAttempt(req, d.backends[0], Served, runtime.now).FirstTokenAt = runtime.now
+		req.Outstanding, req.DispatchedAt, d.outstanding = true, runtime.now, 1
 		before := d.window
 		d.clearOutstanding(req)
 		if d.window <= before || d.window > 2.1*before {
@@ -98,7 +98,7 @@
 		for range int(max(window, 1)) {
 			req := newRequest(d)
 			addAttempt(req, d.backends[0], TimedOut, runtime.now)
-			req.Outstanding, req.Dispatched = true, runtime.now
+			req.Outstanding, req.DispatchedAt = true, runtime.now
 			d.outstanding++
 			d.clearOutstanding(req)
 		}
@@ -143,7 +143,7 @@
 	if got := d.expectedTimeToFirstToken(); got != 2 {
 		t.Errorf("after 2 s a first token is expected in %g s", got)
 	}
-	d.Ended(req.Attempts[0], Result{Outcome: Unreachable, Over: true})
+	d.Ended(req.Attempts[0], Result{Outcome: Unreachable, Finished: true})
 	if got := d.expectedTimeToFirstToken(); got != 0.1 {
 		t.Errorf("once it has ended it is expected in %g s", got)
 	}
@@ -182,9 +182,9 @@
 		},
 		"a target of zero": func(d *Dispatcher, runtime *fakeRuntime) {
 			req := newRequest(d)
-			req.TargetAt = req.Taken
-			addAttempt(req, d.backends[0], Served, runtime.now).Began = runtime.now
-			req.Outstanding, req.Dispatched, d.outstanding = true, runtime.now, 1
+			req.TargetAt = req.ReceivedAt
+			addAttempt(req, d.backends[0], Served, runtime.now).FirstTokenAt = runtime.now
+			req.Outstanding, req.DispatchedAt, d.outstanding = true, runtime.now, 1
 			d.clearOutstanding(req)
 		},
 		"absurd load reports": func(d *Dispatcher, _ *fakeRuntime) {
@@ -199,7 +199,7 @@
 			t.Errorf("%s: window %g, credit %g", name, d.window, d.sendCredit)
 		}
 		runtime.now += 30 * time.Minute
-		d.Submit(&Request{ID: 1, PromptTokens: 2000, Most: 400, Left: 4 * time.Second}, 0, 0)
+		d.Submit(&Request{ID: 1, PromptTokens: 2000, MaxOutputTokens: 400, Timeout: 4 * time.Second}, 0, 0)
 		if len(runtime.sent) != 1 {
 			t.Errorf("%s: half an hour later nothing is sent", name)
 		}
@@ -227,7 +227,7 @@
 		}
 		for id := uint64(1); id <= 4; id++ {
 			req := newRequest(d)
-			req.ID, req.Class, req.Taken = id, d.classes[(id-1)/2], req.Taken+time.Duration(id)
+			req.ID, req.Class, req.ReceivedAt = id, d.classes[(id-1)/2], req.ReceivedAt+time.Duration(id)
 			d.enqueue(req)
 		}
 		d.reweightQueue()
--- a/brain/belief.go
+++ b/brain/belief.go
@@ -19,7 +19,7 @@
 // Believes returns the dispatcher's current estimates.
 func (d *Dispatcher) Believes() Belief {
 	summary := Belief{Window: d.window, Unbegun: d.outstanding, Held: len(d.queue), Average: d.meanPrefillTokens, Ahead: d.timeToFirstToken.Or(0), Streams: d.streams}
-	meanRequest := Request{Memory: 1500}
+	meanRequest := Request{KVTokens: 1500}
 	for _, backend := range d.backends {
 		if backend.State != Ready {
 			continue
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -74,11 +74,11 @@
 		d.peerFanout = min(int(peerUpdateBudget/cost), int(d.parameters.dispatchers)-1)
 	}
 	if settings.Text("discovery") == "subscribe" {
-		runtime.Watch(true)
+		runtime.WatchEndpoints(true)
 	}
 	// A random phase for each dispatcher: ones that start together would otherwise all switch to the same
 	// backends at the same moment.
-	runtime.Wake(time.Duration(d.rng.Float()*float64(refreshInterval)), d.refresh)
+	runtime.Schedule(time.Duration(d.rng.Float()*float64(refreshInterval)), d.refresh)
 	return d, nil
 }
 
@@ -98,7 +98,7 @@
 	d.dropStaleHolders()
 	d.capacitiesComparedAt = 0
 	d.compareCapacities()
-	d.runtime.Wake(refreshInterval, d.refresh)
+	d.runtime.Schedule(refreshInterval, d.refresh)
 }
 
 // Listed applies a change of the endpoint list. With whole set, backends that are not in endpoints have been
@@ -111,20 +111,20 @@
 		}
 	}
 	for _, endpoint := range endpoints {
-		backend := endpoint.Host
+		backend := endpoint.Backend
 		if backend.PrefixTable == nil {
 			d.initBackend(backend)
 		}
 		if !backend.Tracked {
 			d.addBackend(backend, len(endpoints) > fullScanLimit)
 		}
-		if backend.PrefixTable == nil || endpoint.Restart && endpoint.Booted != backend.StartedAt {
+		if backend.PrefixTable == nil || endpoint.StartReported && endpoint.StartedAt != backend.StartedAt {
 			backend.PrefixTable = map[uint64]Kept{}
 			emptyStats := Record{Successes: Ring{Width: outcomeBucketWidth}, Failures: Ring{Width: outcomeBucketWidth}}
 			backend.Outcomes = slices.Repeat([]Record{emptyStats}, 1+len(d.classes))
 		}
-		anyRemoved = anyRemoved || endpoint.Standing == Gone
-		backend.State, backend.CapacityUnits, backend.StartedAt, backend.StartReported = endpoint.Standing, max(endpoint.Units, 0.01), endpoint.Booted, endpoint.Restart
+		anyRemoved = anyRemoved || endpoint.State == Gone
+		backend.State, backend.CapacityUnits, backend.StartedAt, backend.StartReported = endpoint.State, max(endpoint.CapacityUnits, 0.01), endpoint.StartedAt, endpoint.StartReported
 		if backend.RelativeCapacity == 0 {
 			backend.RelativeCapacity = 1 // until capacities are compared
 		}
@@ -157,7 +157,7 @@
 // ListFailed resubscribes after a second where service discovery is by subscription.
 func (d *Dispatcher) ListFailed() {
 	if d.settings.Text("discovery") == "subscribe" {
-		d.runtime.Wake(time.Second, func() { d.runtime.Watch(true) })
+		d.runtime.Schedule(time.Second, func() { d.runtime.WatchEndpoints(true) })
 	}
 }
 
@@ -165,7 +165,7 @@
 func (d *Dispatcher) Submit(req *Request, classIndex, tenantIndex int) {
 	now := d.runtime.Now()
 	req.Class = d.classes[min(classIndex, len(d.classes)-1)]
-	req.Taken, req.Deadline, req.Memory = now, now+req.Left, req.PromptTokens+expectedOutputShare*req.Most
+	req.ReceivedAt, req.Deadline, req.KVTokens = now, now+req.Timeout, req.PromptTokens+expectedOutputShare*req.MaxOutputTokens
 	req.Class.Offered.Add(now, 1)
 	req.TargetAt = now + req.Class.Target + time.Duration(req.PromptTokens/1000*float64(req.Class.TargetPer1000Tokens))
 	if tenantIndex < len(d.tenants) {
@@ -180,10 +180,10 @@
 
 // giveUp ends a request without an answer: rejected if a retry by its client is harmless, else failed.
 func (d *Dispatcher) giveUp(req *Request) {
-	if req.Over {
+	if req.Finished {
 		return
 	}
-	req.Over = true
+	req.Finished = true
 	d.releaseKV(req)
 	if MayReject(req) != Allowed {
 		d.runtime.Fail(req)
@@ -191,7 +191,7 @@
 	}
 	var retryAfter time.Duration
 	if d.parameters.retryAfter {
-		retryAfter = min(d.parameters.maxRetryAfter, req.TargetAt-req.Taken)
+		retryAfter = min(d.parameters.maxRetryAfter, req.TargetAt-req.ReceivedAt)
 	}
 	d.runtime.Reject(req, retryAfter)
 }
@@ -202,18 +202,18 @@
 		return false
 	}
 	now := d.runtime.Now()
-	attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), Sent: now, Stage: stage, SlowStart: d.inSlowStart(backend), Next: onResult}
+	attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), SentAt: now, Stage: stage, SlowStart: d.inSlowStart(backend), OnResult: onResult}
 	cached := d.cachedTokens(backend, req)
-	attempt.Kept = cached / max(backend.HitRatio.Or(1), 0.01)
+	attempt.CachedTokens = cached / max(backend.HitRatio.Or(1), 0.01)
 	if stage != ToWrite {
-		attempt.Left = req.PromptTokens - cached
+		attempt.PrefillTokens = req.PromptTokens - cached
 	} else {
-		attempt.Connect = d.connectTimeout() // leaves time for another decode backend and for a release (rule 5)
+		attempt.ConnectTimeout = d.connectTimeout() // leaves time for another decode backend and for a release (rule 5)
 	}
 	streams := d.applyLoad(attempt, 1)
-	backend.RecentLoad.Add(now, streams+attempt.Left/2/max(d.meanPrefillTokens, 300))
+	backend.RecentLoad.Add(now, streams+attempt.PrefillTokens/2/max(d.meanPrefillTokens, 300))
 	if !req.Outstanding {
-		req.Outstanding, req.Dispatched = true, now
+		req.Outstanding, req.DispatchedAt = true, now
 		d.awaitingFirstToken = append(d.awaitingFirstToken, req)
 		d.outstanding++
 	}
@@ -227,10 +227,10 @@
 // applyLoad adds the attempt's load to the totals and to its backend (sign 1) or removes it (sign -1), and
 // returns the change in streams.
 func (d *Dispatcher) applyLoad(attempt *Attempt, sign float64) float64 {
-	streams := attempt.Weigh(sign)
+	streams := attempt.ApplyLoad(sign)
 	d.streams += streams
 	if attempt.Backend.Role == Reads {
-		d.prefillOnlyTokens += sign * attempt.Request.Memory
+		d.prefillOnlyTokens += sign * attempt.Request.KVTokens
 	}
 	return streams
 }
@@ -239,7 +239,7 @@
 // follow, so that an unresponsive backend leaves time for one. Shorter timeouts only fill backends that go on
 // with work that was given up.
 func (d *Dispatcher) attemptTimeout(attempt *Attempt) time.Duration {
-	timeLeft := attempt.Request.Deadline - attempt.Sent
+	timeLeft := attempt.Request.Deadline - attempt.SentAt
 	if timeLeft.Seconds()/4 < d.timeToFirstToken.Or(0) || attempt.Stage != ToRead && attempt.Request.Class.Effect != Idempotent ||
 		attempt.Number+1 >= d.parameters.maxAttempts {
 		return timeLeft
@@ -250,13 +250,13 @@
 // Left ends a request whose client has disconnected. An attempt without a first token is cancelled if
 // cancelling is supported.
 func (d *Dispatcher) Left(req *Request) {
-	if req.Over {
+	if req.Finished {
 		return
 	}
-	req.Over = true
+	req.Finished = true
 	d.clearOutstanding(req)
 	d.dequeue(req)
-	if attempt := req.Out(); attempt != nil && attempt.Began == 0 && d.parameters.canCancel {
+	if attempt := req.InFlight(); attempt != nil && attempt.FirstTokenAt == 0 && d.parameters.canCancel {
 		d.runtime.Cancel(attempt)
 	}
 	d.releaseKV(req)
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -17,7 +17,7 @@
 		scope      DedupScope
 	}{
 		{name: "nothing against it", prepare: func(*Dispatcher, *Request, *Backend) {}},
-		{name: "finished", disallowed: true, prepare: func(_ *Dispatcher, r *Request, _ *Backend) { r.Over = true }},
+		{name: "finished", disallowed: true, prepare: func(_ *Dispatcher, r *Request, _ *Backend) { r.Finished = true }},
 		{name: "an attempt is in flight", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			addAttempt(req, backend, Rejected, 0).Ended = false
 		}},
@@ -100,7 +100,7 @@
 	} {
 		d, runtime := newDispatcher(t)
 		req := newRequest(d)
-		req.Class.Effect, req.Class.DedupScope, req.State = tc.effect, tc.scope, d.backends[0]
+		req.Class.Effect, req.Class.DedupScope, req.KVHolder = tc.effect, tc.scope, d.backends[0]
 		addAttempt(req, d.backends[2], tc.outcome, 0)
 		d.giveUp(req)
 		if (len(runtime.rejected) == 1) != tc.rejected || (len(runtime.failed) == 1) == tc.rejected || len(runtime.released) != 1 {
@@ -113,8 +113,8 @@
 	d, runtime := newDispatcher(t)
 	req := newRequest(d)
 	attempt := addAttempt(req, d.backends[0], 0, d.runtime.Now())
-	attempt.Ended, req.Over, d.backends[0].KVTokens = false, true, req.Memory
-	d.Ended(attempt, Result{Outcome: Read, Over: true})
+	attempt.Ended, req.Finished, d.backends[0].KVTokens = false, true, req.KVTokens
+	d.Ended(attempt, Result{Outcome: Read, Finished: true})
 	if len(runtime.released) != 1 || d.backends[0].KVTokens != 0 {
 		t.Errorf("released %d, tokens %g", len(runtime.released), d.backends[0].KVTokens)
 	}
@@ -135,7 +135,7 @@
 	req := newRequest(d)
 	attempt := addAttempt(req, d.backends[2], 0, d.runtime.Now())
 	attempt.Ended = false
-	d.Ended(attempt, Result{Outcome: Unreachable, Over: true})
+	d.Ended(attempt, Result{Outcome: Unreachable, Finished: true})
 	if !d.inSlowStart(d.backends[2]) {
 		t.Error("the backend is not in slow start")
 	}
@@ -219,8 +219,8 @@
 	d, runtime := newDispatcher(t)
 	req := newRequest(d)
 	attempt := addAttempt(req, d.backends[2], 0, d.runtime.Now())
-	attempt.Ended, attempt.Stage, attempt.Next, req.State = false, ToWrite, d.afterAttempt(req), d.backends[0]
-	d.Ended(attempt, Result{Outcome: Rejected, Note: 1})
+	attempt.Ended, attempt.Stage, attempt.OnResult, req.KVHolder = false, ToWrite, d.afterAttempt(req), d.backends[0]
+	d.Ended(attempt, Result{Outcome: Rejected, Detail: 1})
 	if len(runtime.sent) != 1 || runtime.sent[0].Stage != ToRead {
 		t.Errorf("sent %v", runtime.sent)
 	}
@@ -272,9 +272,9 @@
 		d, _ := newDispatcher(t)
 		req := newRequest(d)
 		req.Class.Effect = tc.effect
-		wait := d.attemptTimeout(&Attempt{Request: req, Stage: tc.stage, Number: tc.number, Sent: req.Taken})
-		if (wait == req.Deadline-req.Taken) != tc.wholeTime {
-			t.Errorf("%s: the timeout is %v of %v", tc.name, wait, req.Deadline-req.Taken)
+		wait := d.attemptTimeout(&Attempt{Request: req, Stage: tc.stage, Number: tc.number, SentAt: req.ReceivedAt})
+		if (wait == req.Deadline-req.ReceivedAt) != tc.wholeTime {
+			t.Errorf("%s: the timeout is %v of %v", tc.name, wait, req.Deadline-req.ReceivedAt)
 		}
 	}
 }
@@ -283,7 +283,7 @@
 	d, _ := newDispatcher(t)
 	attempt := addAttempt(newRequest(d), d.backends[2], 0, d.runtime.Now())
 	attempt.Ended = false
-	d.Ended(attempt, Result{Outcome: Broken, Over: true})
+	d.Ended(attempt, Result{Outcome: Broken, Finished: true})
 	if d.inSlowStart(d.backends[2]) {
 		t.Error("the backend is in slow start")
 	}
@@ -332,7 +332,7 @@
 		}
 		var endpoints []Listing
 		for i := range 4 {
-			endpoints = append(endpoints, Listing{Host: &Backend{ID: uint32(i), Kind: 1}, Standing: Ready, Units: float64(1 + i%2)})
+			endpoints = append(endpoints, Listing{Backend: &Backend{ID: uint32(i), Kind: 1}, State: Ready, CapacityUnits: float64(1 + i%2)})
 		}
 		d.Listed(endpoints, true)
 		first[Least(d.backends, d.nextLoadScore).ID]++
@@ -370,7 +370,7 @@
 	d, _ := newDispatcher(t)
 	for range 30 {
 		backend := &Backend{Kind: 1}
-		d.Listed([]Listing{{Host: backend, Standing: Ready, Units: 1}}, false)
+		d.Listed([]Listing{{Backend: backend, State: Ready, CapacityUnits: 1}}, false)
 		for range 4 {
 			d.Heard(PeerUpdate{Backend: backend, Verdict: Badly})
 		}
@@ -400,7 +400,7 @@
 	for _, restart := range []bool{true, false} {
 		d, runtime := newDispatcher(t)
 		backend := d.backends[2]
-		endpoint := Listing{Host: backend, Standing: Ready, Units: 4, Booted: -time.Hour, Restart: restart}
+		endpoint := Listing{Backend: backend, State: Ready, CapacityUnits: 4, StartedAt: -time.Hour, StartReported: restart}
 		d.Listed([]Listing{endpoint}, false)
 		backend.PrefixTable[7] = Kept{100, runtime.now, 0}
 		d.Heard(PeerUpdate{Backend: backend, Verdict: Unmet})
@@ -409,7 +409,7 @@
 		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 1 || len(backend.PrefixTable) != 1 {
 			t.Errorf("restart %v: slow start %v, %g failures, %d prefixes", restart, d.inSlowStart(backend), backend.Outcomes[0].ConsecutiveFailures, len(backend.PrefixTable))
 		}
-		endpoint.Booted, endpoint.Restart = runtime.now, true
+		endpoint.StartedAt, endpoint.StartReported = runtime.now, true
 		d.Listed([]Listing{endpoint}, false)
 		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 0 || len(backend.PrefixTable) != 0 {
 			t.Error("a new start was ignored")
@@ -464,10 +464,10 @@
 		d.window = 10
 		req := newRequest(d)
 		attempt := addAttempt(req, d.backends[2], tc.outcome, runtime.now)
-		req.Outstanding, req.Dispatched, d.outstanding, d.queue = true, runtime.now, 10, []*Request{newRequest(d)}
+		req.Outstanding, req.DispatchedAt, d.outstanding, d.queue = true, runtime.now, 10, []*Request{newRequest(d)}
 		runtime.now += tc.elapsed
 		if tc.gotFirstToken {
-			attempt.Began = runtime.now
+			attempt.FirstTokenAt = runtime.now
 		}
 		before := d.window
 		d.clearOutstanding(req)
@@ -502,7 +502,7 @@
 		d.timeToFirstToken.Add(tc.expected, 1)
 		req := newRequest(d)
 		addAttempt(req, d.backends[0], tc.outcome, runtime.now)
-		req.Outstanding, req.Dispatched, d.outstanding = true, runtime.now, 1
+		req.Outstanding, req.DispatchedAt, d.outstanding = true, runtime.now, 1
 		runtime.now += tc.took
 		runtime.timers, runtime.timerDelays = nil, nil
 		d.clearOutstanding(req)
@@ -526,7 +526,7 @@
 func TestAffinityCandidatesIncludeBackendsInSlowStart(t *testing.T) {
 	d, runtime := newDispatcher(t)
 	for i := range 20 {
-		d.Listed([]Listing{{Host: &Backend{ID: uint32(100 + i)}, Standing: Ready, Units: 1}}, false)
+		d.Listed([]Listing{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}}, false)
 	}
 	req, prefillBackends := newRequest(d), Only(d.backends, (*Backend).PrefillOnly)
 	candidates := d.affinityCandidates(req, Reads, slices.Clone(prefillBackends))
@@ -563,7 +563,7 @@
 func TestAffinityCandidatesAreStableAndGrowWithShare(t *testing.T) {
 	d, runtime := newDispatcher(t)
 	for i := range 20 {
-		d.Listed([]Listing{{Host: &Backend{ID: uint32(100 + i)}, Standing: Ready, Units: 1}}, false)
+		d.Listed([]Listing{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}}, false)
 	}
 	req, prefillBackends := newRequest(d), Only(d.backends, (*Backend).PrefillOnly)
 	candidates := slices.Clone(d.affinityCandidates(req, Reads, slices.Clone(prefillBackends)))
@@ -637,7 +637,7 @@
 	d.window = 20
 	for range 60 {
 		req := newRequest(d)
-		req.Outstanding, req.Dispatched = true, runtime.now-2*time.Second
+		req.Outstanding, req.DispatchedAt = true, runtime.now-2*time.Second
 		addAttempt(req, d.backends[0], TimedOut, runtime.now)
 		d.outstanding++
 		req.TargetAt = runtime.now + time.Second
@@ -648,7 +648,7 @@
 		t.Errorf("the window is %g", d.window)
 	}
 	req := newRequest(d) // a request sent after the congestion reports another one
-	req.Outstanding, req.Dispatched, d.outstanding = true, runtime.now-2*time.Second, d.outstanding+1
+	req.Outstanding, req.DispatchedAt, d.outstanding = true, runtime.now-2*time.Second, d.outstanding+1
 	addAttempt(req, d.backends[0], Rejected, runtime.now)
 	d.clearOutstanding(req)
 	if d.window >= 10 || d.window < 5 {
@@ -667,8 +667,8 @@
 		slowStarting.StartedAt, slowStarting.StartReported = runtime.now, true
 		for range 20 {
 			req := newRequest(d)
-			req.Attempts = []*Attempt{{Request: req, Backend: warm, Stage: stage, Began: runtime.now, Next: func(Result) {}}}
-			d.Ended(req.Attempts[0], Result{Outcome: Served, Over: true})
+			req.Attempts = []*Attempt{{Request: req, Backend: warm, Stage: stage, FirstTokenAt: runtime.now, OnResult: func(Result) {}}}
+			d.Ended(req.Attempts[0], Result{Outcome: Served, Finished: true})
 		}
 		return d.slowStartBudget(slowStarting)
 	}
@@ -688,16 +688,16 @@
 	}
 	for i := range 300 {
 		backend := &Backend{ID: uint32(100 + i), Kind: 1}
-		d.Listed([]Listing{{Host: backend, Standing: Ready, Units: 4}}, false)
-		d.Listed([]Listing{{Host: backend, Standing: Gone}}, false)
+		d.Listed([]Listing{{Backend: backend, State: Ready, CapacityUnits: 4}}, false)
+		d.Listed([]Listing{{Backend: backend, State: Gone}}, false)
 	}
-	d.Listed([]Listing{{Host: d.backends[0], Standing: Ready, Units: 4}}, true)
+	d.Listed([]Listing{{Backend: d.backends[0], State: Ready, CapacityUnits: 4}}, true)
 	if len(d.backends) != 2 || !slices.Contains(d.backends, busy) {
 		t.Errorf("%d backends, wanted 1 that is listed and 1 with an attempt in flight", len(d.backends))
 	}
-	d.Ended(req.Attempts[0], Result{Outcome: Served, Over: true})
-	d.Listed([]Listing{{Host: busy, Standing: Ready, Units: 4}}, false)
-	d.Listed([]Listing{{Host: busy, Standing: Ready, Units: 4}}, false)
+	d.Ended(req.Attempts[0], Result{Outcome: Served, Finished: true})
+	d.Listed([]Listing{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
+	d.Listed([]Listing{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
 	if len(d.backends) != 2 {
 		t.Errorf("%d backends after one came back", len(d.backends))
 	}
@@ -747,8 +747,8 @@
 	d.queue = []*Request{newRequest(d)}
 	for range 200 {
 		req := newRequest(d)
-		addAttempt(req, d.backends[2], Served, d.runtime.Now()).Began = d.runtime.Now()
-		req.Outstanding, req.Dispatched = true, d.runtime.Now()
+		addAttempt(req, d.backends[2], Served, d.runtime.Now()).FirstTokenAt = d.runtime.Now()
+		req.Outstanding, req.DispatchedAt = true, d.runtime.Now()
 		d.outstanding = int(d.window) + 1
 		d.clearOutstanding(req)
 	}
--- a/brain/candidates.go
+++ b/brain/candidates.go
@@ -62,17 +62,17 @@
 		return d.backends
 	}
 	set, now := &d.lastCandidates, d.runtime.Now()
-	if set.request == req && set.time == now && set.attempts == len(req.Attempts) && set.kvHolder == req.State {
+	if set.request == req && set.time == now && set.attempts == len(req.Attempts) && set.kvHolder == req.KVHolder {
 		return set.backends
 	}
-	set.request, set.time, set.attempts, set.kvHolder, set.backends = req, now, len(req.Attempts), req.State, set.backends[:0]
+	set.request, set.time, set.attempts, set.kvHolder, set.backends = req, now, len(req.Attempts), req.KVHolder, set.backends[:0]
 	set.mark++
 	start := int(d.rng.Float() * float64(len(d.backends)))
 	for i := range sampleSize {
 		set.add(d.backends[(start+i)%len(d.backends)])
 	}
-	if req.State != nil {
-		d.addRack(set, req.State) // only decode remains
+	if req.KVHolder != nil {
+		d.addRack(set, req.KVHolder) // only decode remains
 		return set.backends
 	}
 	for _, role := range []Role{Reads, Both} {
--- a/brain/candidates_test.go
+++ b/brain/candidates_test.go
@@ -16,7 +16,7 @@
 	}
 	var endpoints []Listing
 	for i := range 2000 {
-		endpoints = append(endpoints, Listing{Host: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 6}, Standing: Ready, Units: 1})
+		endpoints = append(endpoints, Listing{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 6}, State: Ready, CapacityUnits: 1})
 	}
 	d.Listed(endpoints, true)
 	return d, runtime
@@ -81,7 +81,7 @@
 		if !slices.Contains(d.candidates(req), holder) {
 			t.Fatal("the backend that has the session cached is not a candidate")
 		}
-		req.State = prefillBackend
+		req.KVHolder = prefillBackend
 		runtime.now += time.Millisecond
 		inRack := Only(d.candidates(req), func(b *Backend) bool { return b.Rack == prefillBackend.Rack && b.Decodes() })
 		if len(inRack) != 3 {
@@ -102,12 +102,12 @@
 		runtime.now += 10 * time.Millisecond
 		req := newRequest(d)
 		req.SessionKey, req.PrefixKey = 0, uint64(number+1)
-		req.State = Only(d.backends, (*Backend).PrefillOnly)[number%1000]
+		req.KVHolder = Only(d.backends, (*Backend).PrefillOnly)[number%1000]
 		d.pickDecode(req)
 		attempt := runtime.sent[len(runtime.sent)-1]
 		used[attempt.Backend]++
 		d.Began(attempt, time.Millisecond)
-		d.Ended(attempt, Result{Outcome: Served, Over: true})
+		d.Ended(attempt, Result{Outcome: Served, Finished: true})
 	}
 	maxUses := 0
 	for _, uses := range used {
@@ -123,14 +123,14 @@
 	d, _ := newLargeFleet(t, 1)
 	var endpoints []Listing
 	for _, backend := range d.backends[100:] {
-		endpoints = append(endpoints, Listing{Host: backend, Standing: Gone})
+		endpoints = append(endpoints, Listing{Backend: backend, State: Gone})
 	}
 	d.Listed(endpoints, false)
 	if len(d.backends) != 100 || d.isLarge() || len(d.byRole[Reads])+len(d.byRole[Writes]) != 100 {
 		t.Fatalf("%d backends remain, %d and %d by role", len(d.backends), len(d.byRole[Reads]), len(d.byRole[Writes]))
 	}
 	for i := range 100 {
-		d.Listed([]Listing{{Host: &Backend{ID: uint32(5000 + i), Kind: i % 2, Rack: 1000 + i/6}, Standing: Ready, Units: 1}}, false)
+		d.Listed([]Listing{{Backend: &Backend{ID: uint32(5000 + i), Kind: i % 2, Rack: 1000 + i/6}, State: Ready, CapacityUnits: 1}}, false)
 	}
 	if !d.isLarge() || !slices.IsSortedFunc(d.backends, func(a, b *Backend) int { return int(a.order>>1) - int(b.order>>1) }) {
 		t.Errorf("%d backends, in order %v", len(d.backends), d.sorted)
@@ -148,9 +148,9 @@
 	other.PrefixKey = 77
 	d.candidates(other)
 	req := newRequest(d)
-	req.State = Only(d.backends, (*Backend).PrefillOnly)[0]
+	req.KVHolder = Only(d.backends, (*Backend).PrefillOnly)[0]
 	d.candidates(req)
-	req.State = nil
+	req.KVHolder = nil
 	ranked := Only(d.backends, (*Backend).PrefillOnly)
 	SortByHash(ranked, req.PrefixKey)
 	if got := d.affinityCandidates(req, Reads, d.eligible(req, (*Backend).PrefillOnly)); !slices.Equal(ids(got), ids(ranked[:2])) {
--- a/brain/cost_test.go
+++ b/brain/cost_test.go
@@ -33,9 +33,9 @@
 	}
 	var endpoints []Listing
 	for i := range backends {
-		endpoint := Listing{Host: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 5, Zone: i % 3}, Standing: Ready, Units: 1}
+		endpoint := Listing{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 5, Zone: i % 3}, State: Ready, CapacityUnits: 1}
 		if state == allInSlowStart || state == mostInSlowStart && i%10 < 6 {
-			endpoint.Restart, endpoint.Booted = true, runtime.now-time.Second
+			endpoint.StartReported, endpoint.StartedAt = true, runtime.now-time.Second
 		}
 		endpoints = append(endpoints, endpoint)
 	}
@@ -43,7 +43,7 @@
 	if state == thirdGone {
 		for i := range endpoints {
 			if i%3 == 0 {
-				endpoints[i].Standing = Gone
+				endpoints[i].State = Gone
 				d.Listed(endpoints[i:i+1], false)
 			}
 		}
@@ -55,7 +55,7 @@
 	}
 	d.window, d.sendCredit = 0, 0
 	for i := range waiting {
-		d.Submit(&Request{ID: uint64(1e6 + i), SessionKey: uint64(i%50 + 1), PromptTokens: 2000, Most: 400, Left: time.Hour}, 0, 0)
+		d.Submit(&Request{ID: uint64(1e6 + i), SessionKey: uint64(i%50 + 1), PromptTokens: 2000, MaxOutputTokens: 400, Timeout: time.Hour}, 0, 0)
 	}
 	return d, runtime
 }
@@ -64,16 +64,16 @@
 func serveOne(d *Dispatcher, runtime *fakeRuntime, number int) {
 	runtime.now += 10 * time.Millisecond
 	d.window, d.sendCredit = 2, 0
-	d.Submit(&Request{ID: uint64(number), SessionKey: uint64(number%200 + 1), PrefixKey: uint64(number%20 + 1), PromptTokens: 2000, Prefix: 1500, Most: 400, Left: time.Hour}, 0, 0)
+	d.Submit(&Request{ID: uint64(number), SessionKey: uint64(number%200 + 1), PrefixKey: uint64(number%20 + 1), PromptTokens: 2000, PrefixTokens: 1500, MaxOutputTokens: 400, Timeout: time.Hour}, 0, 0)
 	for served := false; !served && len(runtime.sent) > 0; {
 		attempt := runtime.sent[0]
 		runtime.sent = runtime.sent[1:]
 		if attempt.Stage == ToRead {
-			d.Ended(attempt, Result{Outcome: Read, Took: 20 * time.Millisecond, Note: 100})
+			d.Ended(attempt, Result{Outcome: Read, Duration: 20 * time.Millisecond, Detail: 100})
 			continue
 		}
 		d.Began(attempt, 5*time.Millisecond)
-		d.Ended(attempt, Result{Outcome: Served, Took: 50 * time.Millisecond, Over: true})
+		d.Ended(attempt, Result{Outcome: Served, Duration: 50 * time.Millisecond, Finished: true})
 		served = true
 	}
 	runtime.timers, runtime.timerDelays, runtime.timeouts = runtime.timers[:0], runtime.timerDelays[:0], runtime.timeouts[:0]
@@ -119,7 +119,7 @@
 	began := time.Now()
 	for i := range rounds {
 		runtime.now += time.Millisecond
-		d.Listed([]Listing{{Host: d.backends[i], Standing: Ready, Units: 1, Restart: true, Booted: runtime.now}}, false)
+		d.Listed([]Listing{{Backend: d.backends[i], State: Ready, CapacityUnits: 1, StartReported: true, StartedAt: runtime.now}}, false)
 	}
 	if took := time.Since(began) / rounds; took > maxRequestTime/10 {
 		t.Errorf("a change takes %v", took)
--- a/brain/ends_test.go
+++ b/brain/ends_test.go
@@ -45,7 +45,7 @@
 	callback func()
 }
 
-func (s *simulation) Wake(delay time.Duration, callback func()) {
+func (s *simulation) Schedule(delay time.Duration, callback func()) {
 	s.timers = append(s.timers, timer{s.now + delay, callback})
 }
 func (s *simulation) Tell(int, PeerUpdate) {}
@@ -72,8 +72,8 @@
 	if !s.silent[attempt] {
 		delete(s.kvWaitingSince, req)
 	}
-	s.Wake(timeout, func() {
-		if s.inFlight[req] == attempt && attempt.Began == 0 {
+	s.Schedule(timeout, func() {
+		if s.inFlight[req] == attempt && attempt.FirstTokenAt == 0 {
 			s.endAttempt(attempt, TimedOut)
 		}
 	})
@@ -142,17 +142,17 @@
 	case outcome == Read:
 		s.kvHolders[req], s.kvWaitingSince[req] = attempt.Backend, s.now
 		note = int(req.PromptTokens / 2)
-	case attempt.Stage == ToWrite && (attempt.Began > 0 || outcome == Served):
+	case attempt.Stage == ToWrite && (attempt.FirstTokenAt > 0 || outcome == Served):
 		delete(s.kvHolders, req)
 	case outcome == Rejected && attempt.Stage == ToWrite && (s.kvHolders[req] == nil || s.rng.IntN(2) == 0):
 		delete(s.kvHolders, req) // the prefill backend had none
 		note = 1
 	}
-	finished := outcome == Served || attempt.Began > 0
+	finished := outcome == Served || attempt.FirstTokenAt > 0
 	if finished && s.finalAnswers[req] == 0 {
 		s.finalAnswers[req]++
 	}
-	s.dispatcher.Ended(attempt, Result{Outcome: outcome, Took: s.now - attempt.Sent, Over: finished || s.finalAnswers[req] > 0, Note: note, Load: []float64{s.rng.Float64(), float64(s.rng.IntN(20))}})
+	s.dispatcher.Ended(attempt, Result{Outcome: outcome, Duration: s.now - attempt.SentAt, Finished: finished || s.finalAnswers[req] > 0, Detail: note, LoadReport: []float64{s.rng.Float64(), float64(s.rng.IntN(20))}})
 	if s.inFlight[req] == nil && s.kvHolders[req] != nil {
 		s.t.Errorf("a KV cache is held with no attempt in flight, after outcome %d", outcome)
 	}
@@ -183,7 +183,7 @@
 		}
 		list := func(backend *Backend, s BackendState) {
 			sim.notReady[backend] = s != Ready
-			d.Listed([]Listing{{Host: backend, Standing: s, Units: 1, Booted: sim.now, Restart: s == Ready && sim.rng.IntN(3) == 0}}, false)
+			d.Listed([]Listing{{Backend: backend, State: s, CapacityUnits: 1, StartedAt: sim.now, StartReported: s == Ready && sim.rng.IntN(3) == 0}}, false)
 		}
 		for _, backend := range backends {
 			list(backend, Ready)
@@ -193,7 +193,7 @@
 			sim.advance(time.Duration(sim.rng.IntN(4)) * time.Millisecond)
 			if step < 1000 && sim.rng.IntN(3) == 0 {
 				req := &Request{ID: uint64(len(requests) + 1), SessionKey: uint64(sim.rng.IntN(30)), PrefixKey: uint64(sim.rng.IntN(5)), PromptTokens: float64(sim.rng.IntN(4000)),
-					Most: float64(sim.rng.IntN(200)), Again: sim.rng.IntN(5) == 0, Left: time.Duration(100+sim.rng.IntN(1500)) * time.Millisecond}
+					MaxOutputTokens: float64(sim.rng.IntN(200)), ClientRetry: sim.rng.IntN(5) == 0, Timeout: time.Duration(100+sim.rng.IntN(1500)) * time.Millisecond}
 				requests = append(requests, req)
 				d.Submit(req, sim.rng.IntN(3), 0)
 			}
@@ -207,9 +207,9 @@
 				attempt := sim.inFlight[req]
 				switch {
 				case attempt == nil:
-				case attempt.Began > 0 && sim.rng.IntN(30) == 0:
+				case attempt.FirstTokenAt > 0 && sim.rng.IntN(30) == 0:
 					sim.endAttempt(attempt, []Outcome{Served, Served, Served, Broken}[sim.rng.IntN(4)])
-				case attempt.Began > 0:
+				case attempt.FirstTokenAt > 0:
 				case sim.rng.IntN(25) > 0:
 				case sim.silent[attempt]:
 					if sim.rng.IntN(4) == 0 {
@@ -220,7 +220,7 @@
 				case attempt.Stage == ToRead:
 					sim.endAttempt(attempt, []Outcome{Read, Read, Read, Read, Failed, Rejected, TimedOut, Unreachable, Broken}[sim.rng.IntN(9)])
 				case sim.rng.IntN(3) > 0:
-					d.Began(attempt, sim.now-attempt.Sent)
+					d.Began(attempt, sim.now-attempt.SentAt)
 					if attempt.Stage == ToWrite {
 						delete(sim.kvHolders, req)
 					}
@@ -273,14 +273,14 @@
 		d.dispatch()
 		attempt := runtime.sent[len(runtime.sent)-1]
 		runtime.now += 700 * time.Millisecond
-		req.Last = true
-		d.Ended(attempt, Result{Outcome: TimedOut, Took: 700 * time.Millisecond})
+		req.NoMoreAttempts = true
+		d.Ended(attempt, Result{Outcome: TimedOut, Duration: 700 * time.Millisecond})
 		runtime.now += time.Second
 	}
 	if expected := d.timeToFirstToken.Or(0); expected < 0.5 || expected > 0.7 {
 		t.Errorf("a first token is expected after %.2f s, but none comes within 0.7 s", expected)
 	}
-	attempt := &Attempt{Request: &Request{Class: d.classes[0], Deadline: runtime.now + 2*time.Second}, Sent: runtime.now, Stage: ToRead}
+	attempt := &Attempt{Request: &Request{Class: d.classes[0], Deadline: runtime.now + 2*time.Second}, SentAt: runtime.now, Stage: ToRead}
 	if got := d.attemptTimeout(attempt); got != 2*time.Second {
 		t.Errorf("an attempt under congestion leaves time for another: %v", got)
 	}
--- a/brain/facts_test.go
+++ b/brain/facts_test.go
@@ -29,8 +29,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.Listed([]Listing{{Host: &Backend{ID: 1}, Standing: Ready, Units: 1, Restart: true, Booted: time.Second}}, true)
-			d.Submit(&Request{ID: 1, PromptTokens: 100, Most: 10, Left: 4 * time.Second}, 0, 0)
+			d.Listed([]Listing{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1, StartReported: true, StartedAt: time.Second}}, true)
+			d.Submit(&Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4 * time.Second}, 0, 0)
 			if len(runtime.sent) != 1 {
 				t.Errorf("%s = %v: a backend that has just started gets nothing", name, value)
 			}
@@ -75,8 +75,8 @@
 			continue
 		}
 		backend := &Backend{ID: 1}
-		d.Listed([]Listing{{Host: backend, Standing: Ready, Units: 1, Restart: true}}, true)
-		req := &Request{ID: 1, PromptTokens: 100, Most: 10, Left: 4e9}
+		d.Listed([]Listing{{Backend: backend, State: Ready, CapacityUnits: 1, StartReported: true}}, true)
+		req := &Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4e9}
 		d.Submit(req, 0, 0)
 		if math.IsNaN(d.window) || math.IsNaN(backend.TokenLimit) {
 			t.Errorf("%s = %v: window %g, token limit %g", tc.name, tc.value, d.window, backend.TokenLimit)
@@ -91,9 +91,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	endpoints := []Listing{{Host: &Backend{ID: 1}, Standing: Ready, Units: 1}, {Host: &Backend{ID: 2}, Standing: Ready, Units: 1}}
+	endpoints := []Listing{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1}, {Backend: &Backend{ID: 2}, State: Ready, CapacityUnits: 1}}
 	d.Listed(endpoints, true)
-	req := &Request{ID: 1, PromptTokens: 100, Most: 10, Left: 4 * time.Second}
+	req := &Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4 * time.Second}
 	d.Submit(req, 0, 0)
 	d.Ended(runtime.sent[0], Result{Outcome: Broken})
 	if len(runtime.sent) != 2 {
@@ -103,16 +103,16 @@
 	if d.MaySend(repeat) != Allowed {
 		t.Error("a repeat within the window may not be sent")
 	}
-	runtime.now = runtime.sent[0].Sent + req.Class.DedupWindow
+	runtime.now = runtime.sent[0].SentAt + req.Class.DedupWindow
 	if d.MaySend(repeat) == Allowed {
 		t.Error("a repeat after the window may be sent")
 	}
-	runtime.now = runtime.sent[0].Sent + req.Class.DedupWindow/2
+	runtime.now = runtime.sent[0].SentAt + req.Class.DedupWindow/2
 	repeat.Backend.State = Draining
 	if d.MaySend(repeat) == Allowed {
 		t.Error("an attempt at a draining backend may be sent")
 	}
-	repeat.Backend.State, req.Over = Ready, true
+	repeat.Backend.State, req.Finished = Ready, true
 	if d.MaySend(repeat) == Allowed {
 		t.Error("an attempt of a finished request may be sent")
 	}
--- a/brain/help_test.go
+++ b/brain/help_test.go
@@ -27,10 +27,10 @@
 func (f *fakeRuntime) Release(req *Request)                 { f.released = append(f.released, req) }
 func (f *fakeRuntime) Reject(req *Request, _ time.Duration) { f.rejected = append(f.rejected, req) }
 func (f *fakeRuntime) Fail(req *Request)                    { f.failed = append(f.failed, req) }
-func (f *fakeRuntime) Wake(delay time.Duration, callback func()) {
+func (f *fakeRuntime) Schedule(delay time.Duration, callback func()) {
 	f.timers, f.timerDelays = append(f.timers, callback), append(f.timerDelays, delay)
 }
-func (f *fakeRuntime) Watch(bool)                  {}
+func (f *fakeRuntime) WatchEndpoints(bool)                  {}
 func (f *fakeRuntime) Tell(peer int, _ PeerUpdate) { f.updatedPeers = append(f.updatedPeers, peer) }
 func (f *fakeRuntime) Note(string)                 {}
 
@@ -57,7 +57,7 @@
 	}
 	var endpoints []Listing
 	for i := range 6 {
-		endpoints = append(endpoints, Listing{Host: &Backend{ID: uint32(i + 1), Kind: i / 2, Rack: i % 2}, Standing: Ready, Units: 4})
+		endpoints = append(endpoints, Listing{Backend: &Backend{ID: uint32(i + 1), Kind: i / 2, Rack: i % 2}, State: Ready, CapacityUnits: 4})
 	}
 	d.Listed(endpoints, true)
 	return d, runtime
@@ -75,13 +75,13 @@
 // newRequest returns a request of 2,000 prompt tokens that is received now.
 func newRequest(d *Dispatcher) *Request {
 	now := d.runtime.Now()
-	return &Request{ID: 1, SessionKey: 7, PrefixKey: 9, PromptTokens: 2000, Prefix: 1500, Most: 400, Memory: 2100, Class: d.classes[0],
-		Taken: now, Left: 4 * time.Second, TargetAt: now + time.Second, Deadline: now + 4*time.Second}
+	return &Request{ID: 1, SessionKey: 7, PrefixKey: 9, PromptTokens: 2000, PrefixTokens: 1500, MaxOutputTokens: 400, KVTokens: 2100, Class: d.classes[0],
+		ReceivedAt: now, Timeout: 4 * time.Second, TargetAt: now + time.Second, Deadline: now + 4*time.Second}
 }
 
 // addAttempt gives the request an attempt that has ended.
 func addAttempt(req *Request, backend *Backend, outcome Outcome, sent time.Duration) *Attempt {
-	attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), Sent: sent, Ended: true, Outcome: outcome, Next: func(Result) {}}
+	attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), SentAt: sent, Ended: true, Outcome: outcome, OnResult: func(Result) {}}
 	req.Attempts = append(req.Attempts, attempt)
 	return attempt
 }
--- a/brain/outcomes.go
+++ b/brain/outcomes.go
@@ -9,14 +9,14 @@
 
 // Began handles the first token of an attempt. duration is the time since its send.
 func (d *Dispatcher) Began(attempt *Attempt, duration time.Duration) {
-	if attempt.Ended || attempt.Began > 0 {
+	if attempt.Ended || attempt.FirstTokenAt > 0 {
 		return
 	}
-	attempt.Began = d.runtime.Now()
-	attempt.Request.State, attempt.Request.Released, attempt.Request.ReleaseUnconfirmed = nil, false, false
+	attempt.FirstTokenAt = d.runtime.Now()
+	attempt.Request.KVHolder, attempt.Request.Released, attempt.Request.ReleaseUnconfirmed = nil, false, false
 	d.clearOutstanding(attempt.Request)
 	d.recordOutcome(attempt, duration, true, false)
-	d.timeToFirstToken.Add((attempt.Began - attempt.Request.Dispatched).Seconds(), 0.1)
+	d.timeToFirstToken.Add((attempt.FirstTokenAt - attempt.Request.DispatchedAt).Seconds(), 0.1)
 	d.dispatch()
 }
 
@@ -25,13 +25,13 @@
 func (d *Dispatcher) recordOutcome(attempt *Attempt, duration time.Duration, succeeded, hasLoad bool) {
 	backend, now := attempt.Backend, d.runtime.Now()
 	// 300 tokens stand for the fixed part of an attempt's duration.
-	secondsPerToken := duration.Seconds() / (attempt.Left + 300)
+	secondsPerToken := duration.Seconds() / (attempt.PrefillTokens + 300)
 	slow := secondsPerToken > 4*d.secondsPerToken[backend.Role].Or(secondsPerToken)
 	if succeeded {
 		d.secondsPerToken[backend.Role].Add(secondsPerToken, 0.05)
 	}
 	update := PeerUpdate{Backend: backend, ClassIndex: attempt.Request.Class.Index, HasLoad: hasLoad, Util: backend.Util, QueueLength: backend.QueueLength}
-	targetTime := attempt.Request.TargetAt - attempt.Request.Taken
+	targetTime := attempt.Request.TargetAt - attempt.Request.ReceivedAt
 	switch {
 	case attempt.Outcome == Unreachable:
 		update.Verdict = Unmet
@@ -43,13 +43,13 @@
 		update.Verdict = Badly
 	}
 	d.Heard(update)
-	if succeeded && attempt.Began > 0 || attempt.Began == 0 && attempt.Outcome == TimedOut {
+	if succeeded && attempt.FirstTokenAt > 0 || attempt.FirstTokenAt == 0 && attempt.Outcome == TimedOut {
 		update.TargetShare = d.targetShare(attempt.Request)
 	}
 	d.sendPeerUpdates(update)
-	tokens := attempt.Request.Memory
+	tokens := attempt.Request.KVTokens
 	// Only latency shows that a backend is full; errors and resets count in the success posterior alone.
-	late := duration > targetTime/3 || now-attempt.Request.Taken > targetTime*7/10
+	late := duration > targetTime/3 || now-attempt.Request.ReceivedAt > targetTime*7/10
 	if (late && succeeded || attempt.Outcome == TimedOut) && now-backend.LimitReducedAt > duration {
 		backend.TokenLimit, backend.LimitReducedAt = max(tokens, backend.TokenLimit*0.8), now
 	} else if !late && succeeded && (len(d.queue) > 0 || !hasCapacity(backend, attempt.Request)) {
@@ -62,50 +62,50 @@
 	req, backend, now := attempt.Request, attempt.Backend, d.runtime.Now()
 	attempt.Ended, attempt.Outcome = true, result.Outcome
 	d.applyLoad(attempt, -1)
-	d.applyLoadReport(backend, result.Load)
-	hasLoad := len(result.Load) > 0 // without a report, peers get no load
-	req.Over = req.Over || result.Over
+	d.applyLoadReport(backend, result.LoadReport)
+	hasLoad := len(result.LoadReport) > 0 // without a report, peers get no load
+	req.Finished = req.Finished || result.Finished
 	// Only an attempt that is known to have reached its backend took over the KV cache, if briefly.
 	if result.Outcome.provesArrival() {
-		req.Waits = now - result.Ago
+		req.KVWaitingSince = now - result.Delay
 	}
 	switch result.Outcome {
 	case Read:
-		req.State, req.Released = backend, false
-		d.recordOutcome(attempt, result.Took, true, hasLoad)
+		req.KVHolder, req.Released = backend, false
+		d.recordOutcome(attempt, result.Duration, true, hasLoad)
 	case Served:
-		if attempt.Began == 0 {
-			d.recordOutcome(attempt, result.Took, true, hasLoad)
+		if attempt.FirstTokenAt == 0 {
+			d.recordOutcome(attempt, result.Duration, true, hasLoad)
 		}
 		d.sendPeerUpdates(PeerUpdate{Backend: backend, HasLoad: hasLoad, Util: backend.Util, QueueLength: backend.QueueLength})
-		req.Class.DecodeSeconds.Add(now.Seconds()-attempt.Began.Seconds(), 0.02)
+		req.Class.DecodeSeconds.Add(now.Seconds()-attempt.FirstTokenAt.Seconds(), 0.02)
 	case Rejected:
-		if result.Note == 1 {
-			req.State, req.Released = nil, false
+		if result.Detail == 1 {
+			req.KVHolder, req.Released = nil, false
 		}
 	case Failed, TimedOut, Unreachable, Broken:
-		d.recordOutcome(attempt, result.Took, false, hasLoad)
+		d.recordOutcome(attempt, result.Duration, false, hasLoad)
 	}
 	if result.Outcome == Read || result.Outcome == Served {
-		d.recordCachedPrefix(attempt, float64(result.Note))
+		d.recordCachedPrefix(attempt, float64(result.Detail))
 		backend.CompletedWork.Add(now, d.requestWork(req, backend, attempt.Stage))
 		d.invalidateCompletedWork()
 		if attempt.Stage != ToWrite {
-			uncached := max(req.PromptTokens-float64(result.Note), 0)
+			uncached := max(req.PromptTokens-float64(result.Detail), 0)
 			d.prefillTokens.Add(now, uncached)
 			d.prefillRequests.Add(now, 1)
 			d.prefixTable.Add(cmp.Or(req.PrefixKey, req.SessionKey), now, 1)
 			req.Class.PrefillTokens.Add(uncached, 0.02)
 		}
 	}
-	if attempt.Began == 0 && result.Outcome != Served {
+	if attempt.FirstTokenAt == 0 && result.Outcome != Served {
 		d.repeatRelease(req)
 	}
-	if req.Over {
+	if req.Finished {
 		d.clearOutstanding(req)
 		d.releaseKV(req)
 	} else {
-		attempt.Next(result)
+		attempt.OnResult(result)
 	}
 	d.dispatch()
 }
@@ -114,8 +114,8 @@
 // cached tokens that the backend reported.
 func (d *Dispatcher) recordCachedPrefix(attempt *Attempt, cached float64) {
 	backend, req, now := attempt.Backend, attempt.Request, d.runtime.Now()
-	if attempt.Kept > 0 {
-		backend.HitRatio.Add(min(1, cached/attempt.Kept), 0.1)
+	if attempt.CachedTokens > 0 {
+		backend.HitRatio.Add(min(1, cached/attempt.CachedTokens), 0.1)
 	}
 	backend.CacheInsertedTokens += max(req.PromptTokens-cached, 0)
 	if req.SessionKey != 0 {
@@ -123,7 +123,7 @@
 		d.recordPrefixHolder(req.SessionKey, backend)
 	}
 	if req.PrefixKey != 0 {
-		backend.PrefixTable[req.PrefixKey] = Kept{req.Prefix, now, backend.CacheInsertedTokens}
+		backend.PrefixTable[req.PrefixKey] = Kept{req.PrefixTokens, now, backend.CacheInsertedTokens}
 		d.recordPrefixHolder(req.PrefixKey, backend)
 	}
 }
--- a/brain/placement.go
+++ b/brain/placement.go
@@ -53,7 +53,7 @@
 func (d *Dispatcher) route(req *Request) bool {
 	decodeBackends := d.eligible(req, (*Backend).Decodes)
 	withCapacity := Only(decodeBackends, func(b *Backend) bool { return hasCapacity(b, req) })
-	if len(withCapacity) == 0 && len(decodeBackends) > 0 || d.freeKVTokens(req) < req.Memory {
+	if len(withCapacity) == 0 && len(decodeBackends) > 0 || d.freeKVTokens(req) < req.KVTokens {
 		return false
 	}
 	if backend := d.pickInPlaceDecode(req, withCapacity); backend != nil {
@@ -68,7 +68,7 @@
 
 // hasCapacity reports whether the request fits the backend's token limit. An idle backend always has capacity.
 func hasCapacity(backend *Backend, req *Request) bool {
-	return backend.Streams == 0 || backend.KVTokens+req.Memory <= backend.TokenLimit
+	return backend.Streams == 0 || backend.KVTokens+req.KVTokens <= backend.TokenLimit
 }
 
 // pickInPlaceDecode picks a decode backend that should prefill a short prompt itself, by cached prefix and
@@ -154,7 +154,7 @@
 		return false
 	}
 	backend := Least(d.eligible(req, (*Backend).Decodes), func(backend *Backend) float64 {
-		if req.State != nil && backend.Rack != req.State.Rack {
+		if req.KVHolder != nil && backend.Rack != req.KVHolder.Rack {
 			return d.nextLoadScore(backend) * crossRackPenalty
 		}
 		return d.nextLoadScore(backend)
@@ -166,7 +166,7 @@
 // anything else starts over.
 func (d *Dispatcher) afterAttempt(req *Request) func(Result) {
 	return func(result Result) {
-		if req.State != nil && d.pickDecode(req) {
+		if req.KVHolder != nil && d.pickDecode(req) {
 			return
 		}
 		d.restart(req)
--- a/brain/policy.go
+++ b/brain/policy.go
@@ -46,11 +46,11 @@
 // mayChoose returns whether a further attempt of the request may be made at the backend.
 func (d *Dispatcher) mayChoose(req *Request, backend *Backend) Permission {
 	switch {
-	case req.Over:
+	case req.Finished:
 		return RequestOver
-	case req.Last:
+	case req.NoMoreAttempts:
 		return NoFurtherAttempt
-	case req.Out() != nil:
+	case req.InFlight() != nil:
 		return OtherAttemptInFlight
 	case len(req.Attempts) >= d.parameters.maxAttempts:
 		return AttemptsSpent
@@ -75,9 +75,9 @@
 	switch {
 	case attempt.Ended:
 		return AttemptEnded
-	case req.Over:
+	case req.Finished:
 		return RequestOver
-	case attempt.Stage == ToWrite && (req.State == nil || req.Released):
+	case attempt.Stage == ToWrite && (req.KVHolder == nil || req.Released):
 		return KVReleaseDue
 	}
 	if permission := d.mayContact(req, backend, attempt.Number); permission != Allowed || attempt.SlowStart {
@@ -105,7 +105,7 @@
 		return Allowed
 	case class.Effect == Unrepeatable:
 		return MayHaveRun
-	case d.runtime.Now() >= earlier.Sent+class.DedupWindow-repeatMargin:
+	case d.runtime.Now() >= earlier.SentAt+class.DedupWindow-repeatMargin:
 		return RepeatWindowClosed
 	case !class.DedupScope.Covers(backend, earlier.Backend):
 		return OtherGroup
--- a/brain/policy_test.go
+++ b/brain/policy_test.go
@@ -14,8 +14,8 @@
 		choice, beforeSend Permission
 	}{
 		"allowed":                       {func(*Dispatcher, *Request, *Backend) {}, Allowed, Allowed},
-		"the request is finished":       {func(_ *Dispatcher, r *Request, _ *Backend) { r.Over = true }, RequestOver, RequestOver},
-		"no further attempt is allowed": {func(_ *Dispatcher, r *Request, _ *Backend) { r.Last = true }, NoFurtherAttempt, Allowed},
+		"the request is finished":       {func(_ *Dispatcher, r *Request, _ *Backend) { r.Finished = true }, RequestOver, RequestOver},
+		"no further attempt is allowed": {func(_ *Dispatcher, r *Request, _ *Backend) { r.NoMoreAttempts = true }, NoFurtherAttempt, Allowed},
 		"the deadline has passed":       {func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() }, DeadlinePassed, DeadlinePassed},
 		"the backend is draining":       {func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Draining }, BackendNotReady, BackendNotReady},
 		"it may have run, and must not run twice": {func(d *Dispatcher, req *Request, backend *Backend) {
@@ -41,7 +41,7 @@
 		if got := d.mayChoose(req, backend); got != tc.choice {
 			t.Errorf("%s: the choice is %v, wanted %v", name, got, tc.choice)
 		}
-		attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), Sent: d.runtime.Now()}
+		attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), SentAt: d.runtime.Now()}
 		if got := d.MaySend(attempt); got != tc.beforeSend {
 			t.Errorf("%s: before the first byte it is %v, wanted %v", name, got, tc.beforeSend)
 		}
--- a/brain/release.go
+++ b/brain/release.go
@@ -21,7 +21,7 @@
 // mayHoldKV returns whether a KV cache may go on waiting for a backend to be chosen.
 func (d *Dispatcher) mayHoldKV(req *Request) Permission {
 	limit := d.parameters.holdLimit
-	if req.Released || limit > 0 && d.runtime.Now()-req.Waits > fraction(limit, holdForChoice) {
+	if req.Released || limit > 0 && d.runtime.Now()-req.KVWaitingSince > fraction(limit, holdForChoice) {
 		return KVReleaseDue
 	}
 	return Allowed
@@ -45,8 +45,8 @@
 		return
 	}
 	req := attempt.Request
-	d.runtime.Wake(req.Waits+limit-d.runtime.Now(), func() {
-		if attempt.Ended || attempt.Began > 0 || req.State == nil || req.Released {
+	d.runtime.Schedule(req.KVWaitingSince+limit-d.runtime.Now(), func() {
+		if attempt.Ended || attempt.FirstTokenAt > 0 || req.KVHolder == nil || req.Released {
 			return
 		}
 		req.Released = true
@@ -57,17 +57,17 @@
 // releaseKV releases the KV cache that waits for the request. Every step that ends calls it. What was released
 // during an attempt is released again after it: the attempt may have arrived and left the KV cache in place.
 func (d *Dispatcher) releaseKV(req *Request) {
-	if req.State == nil || req.Out() != nil {
+	if req.KVHolder == nil || req.InFlight() != nil {
 		return
 	}
-	req.State, req.Released, req.ReleaseUnconfirmed = nil, false, true
+	req.KVHolder, req.Released, req.ReleaseUnconfirmed = nil, false, true
 	d.runtime.Release(req)
 }
 
 // repeatRelease repeats an earlier release at the end of a further attempt: when the first one was received
 // that attempt may have been in flight, and a backend keeps the KV cache of a request that it is serving.
 func (d *Dispatcher) repeatRelease(req *Request) {
-	if req.ReleaseUnconfirmed && req.State == nil && req.Out() == nil {
+	if req.ReleaseUnconfirmed && req.KVHolder == nil && req.InFlight() == nil {
 		d.runtime.Release(req)
 	}
 }
--- a/brain/release_test.go
+++ b/brain/release_test.go
@@ -15,7 +15,7 @@
 	d.parameters.holdLimit = holdLimit
 	req = newRequest(d)
 	prefill := addAttempt(req, d.backends[0], 0, runtime.now)
-	prefill.Ended, prefill.Next = false, d.afterAttempt(req)
+	prefill.Ended, prefill.OnResult = false, d.afterAttempt(req)
 	d.Ended(prefill, Result{Outcome: Read})
 	if len(runtime.sent) != 1 || runtime.sent[0].Stage != ToWrite {
 		t.Fatalf("sent %v", runtime.sent)
@@ -42,7 +42,7 @@
 		t.Errorf("before the first byte the attempt is %v", got)
 	}
 	d.Began(decode, time.Second) // it had arrived and fetched its KV cache
-	if req.State != nil || req.Released {
+	if req.KVHolder != nil || req.Released {
 		t.Error("the KV cache is still recorded as held")
 	}
 }
@@ -59,8 +59,8 @@
 		if len(runtime.released) != 2 {
 			t.Errorf("outcome %d: released %d times", outcome, len(runtime.released))
 		}
-		if len(runtime.sent) != 2 || runtime.sent[1].Stage == ToWrite || req.State != nil || req.Released {
-			t.Errorf("outcome %d: sent %d, KV holder %v", outcome, len(runtime.sent), req.State)
+		if len(runtime.sent) != 2 || runtime.sent[1].Stage == ToWrite || req.KVHolder != nil || req.Released {
+			t.Errorf("outcome %d: sent %d, KV holder %v", outcome, len(runtime.sent), req.KVHolder)
 		}
 	}
 }
@@ -98,8 +98,8 @@
 	d.parameters.holdLimit = holdLimit
 	req := newRequest(d)
 	prefill := addAttempt(req, d.backends[0], 0, runtime.now)
-	prefill.Ended, prefill.Next = false, d.afterAttempt(req)
-	d.Ended(prefill, Result{Outcome: Read, Ago: 100 * time.Millisecond})
+	prefill.Ended, prefill.OnResult = false, d.afterAttempt(req)
+	d.Ended(prefill, Result{Outcome: Read, Delay: 100 * time.Millisecond})
 	if got := runtime.timerDelays[len(runtime.timerDelays)-1]; got != holdLimit-100*time.Millisecond {
 		t.Errorf("the KV cache is due after %v", got)
 	}
@@ -120,12 +120,12 @@
 		runtime.now += holdLimit
 		d.Ended(decode, Result{Outcome: TimedOut}) // the KV cache is released, and the request starts over
 		further := runtime.sent[len(runtime.sent)-1]
-		further.Stage, req.Last = tc.stage, tc.outcome != Read
+		further.Stage, req.NoMoreAttempts = tc.stage, tc.outcome != Read
 		released := len(runtime.released)
 		if released != 1 || further == decode {
 			t.Fatalf("released %d times, wanted once", released)
 		}
-		d.Ended(further, Result{Outcome: tc.outcome, Over: tc.outcome == Served})
+		d.Ended(further, Result{Outcome: tc.outcome, Finished: tc.outcome == Served})
 		if got := len(runtime.released) - released; (got == 1) != tc.again || got > 1 {
 			t.Errorf("after outcome %v at stage %v it is released %d more times", tc.outcome, tc.stage, got)
 		}
--- a/brain/runtime.go
+++ b/brain/runtime.go
@@ -17,9 +17,9 @@
 	// Fail answers with a failure that must not be retried blindly.
 	Fail(req *Request)
 	// Schedule calls callback after a delay.
-	Wake(delay time.Duration, callback func())
+	Schedule(delay time.Duration, callback func())
 	// WatchEndpoints subscribes to service discovery, or unsubscribes.
-	Watch(subscribe bool)
+	WatchEndpoints(subscribe bool)
 	// SendPeerUpdate sends an update to the dispatcher with index peer.
 	Tell(peer int, update PeerUpdate)
 	// LogInfo logs a message.
--- a/brain/types.go
+++ b/brain/types.go
@@ -266,22 +266,22 @@
 	SessionKey            uint64 // key of its session; 0: none
 	PrefixKey             uint64 // key of its shared prefix; 0: none
 	PromptTokens             float64
-	Prefix             float64 // tokens of the prompt's shared prefix
-	Most               float64 // maximum output tokens
-	Memory             float64 // KV cache tokens that it is expected to need for decode
+	PrefixTokens             float64 // tokens of the prompt's shared prefix
+	MaxOutputTokens               float64 // maximum output tokens
+	KVTokens             float64 // KV cache tokens that it is expected to need for decode
 	Class              *Class
-	Again              bool          // the client says that it is a retry
-	Left               time.Duration // time the client gives from receipt
-	Taken              time.Duration
-	Dispatched         time.Duration // when it last left the queue
+	ClientRetry              bool          // the client says that it is a retry
+	Timeout               time.Duration // time the client gives from receipt
+	ReceivedAt              time.Duration
+	DispatchedAt         time.Duration // when it last left the queue
 	Outstanding        bool          // was sent and has no first token
-	Over               bool          // has its final answer, or its client has disconnected
-	Last               bool          // no further attempt is allowed
+	Finished               bool          // has its final answer, or its client has disconnected
+	NoMoreAttempts               bool          // no further attempt is allowed
 	OverQuota          bool          // beyond its tenant's quota
 	ValueDensity       float64       // value for its work, the queue's order
 	Attempts           []*Attempt
-	State              *Backend      // prefill backend that holds its KV cache for decode
-	Waits              time.Duration // since when the KV cache has been waiting, with no attempt known to have arrived
+	KVHolder              *Backend      // prefill backend that holds its KV cache for decode
+	KVWaitingSince              time.Duration // since when the KV cache has been waiting, with no attempt known to have arrived
 	ReleaseUnconfirmed bool          // a released KV cache may still be there
 	Released           bool          // released while an attempt was in flight: the KV cache may or may not be there
 	TargetAt           time.Duration
@@ -289,7 +289,7 @@
 }
 
 // InFlight returns the attempt in flight, if any.
-func (r *Request) Out() *Attempt {
+func (r *Request) InFlight() *Attempt {
 	if n := len(r.Attempts); n > 0 && !r.Attempts[n-1].Ended {
 		return r.Attempts[n-1]
 	}
@@ -321,23 +321,23 @@
 	Request   *Request
 	Backend   *Backend
 	Number    int // its index among the request's attempts
-	Sent      time.Duration
-	Began     time.Duration // when the first token came; 0: not yet
-	Left      float64       // expected tokens to prefill
-	Kept      float64       // expected cached tokens, before correction by the backend's hit ratio
+	SentAt      time.Duration
+	FirstTokenAt     time.Duration // when the first token came; 0: not yet
+	PrefillTokens      float64       // expected tokens to prefill
+	CachedTokens      float64       // expected cached tokens, before correction by the backend's hit ratio
 	Stage     Stage
-	Connect   time.Duration // connection timeout, if shorter than the usual one; 0: the usual one
+	ConnectTimeout   time.Duration // connection timeout, if shorter than the usual one; 0: the usual one
 	SlowStart bool          // the backend was in slow start when chosen: the work counts towards its budget
 	Ended     bool
 	Outcome   Outcome
-	Next      func(Result) // continues the request with the attempt's result
+	OnResult      func(Result) // continues the request with the attempt's result
 }
 
 // ApplyLoad adds the attempt's load to its backend (sign 1) or removes it (sign -1), and returns the change in
 // streams.
-func (a *Attempt) Weigh(sign float64) float64 {
-	a.Backend.PrefillBacklog += sign * a.Left
-	a.Backend.KVTokens += sign * a.Request.Memory
+func (a *Attempt) ApplyLoad(sign float64) float64 {
+	a.Backend.PrefillBacklog += sign * a.PrefillTokens
+	a.Backend.KVTokens += sign * a.Request.KVTokens
 	if a.Stage == ToRead {
 		return 0
 	}
@@ -357,18 +357,18 @@
 // Result is the result of an attempt.
 type Result struct {
 	Outcome Outcome
-	Took    time.Duration // from send to end
-	Ago     time.Duration // how long ago the attempt ended, if the result was delivered late
-	Over    bool          // the client has its final answer
-	Note    int           // cached tokens; for a rejected decode, 1: the prefill backend holds no KV cache
-	Load    []float64     // load report in the order of the settings' report fields
+	Duration    time.Duration // from send to end
+	Delay     time.Duration // how long ago the attempt ended, if the result was delivered late
+	Finished    bool          // the client has its final answer
+	Detail    int           // cached tokens; for a rejected decode, 1: the prefill backend holds no KV cache
+	LoadReport    []float64     // load report in the order of the settings' report fields
 }
 
 // Endpoint is an entry of the endpoint list.
 type Listing struct {
-	Host     *Backend
-	Standing BackendState
-	Units    float64
-	Booted   time.Duration
-	Restart  bool
+	Backend     *Backend
+	State BackendState
+	CapacityUnits    float64
+	StartedAt   time.Duration
+	StartReported  bool
 }
--- a/cmd/benchlink/instance.go
+++ b/cmd/benchlink/instance.go
@@ -84,8 +84,8 @@
 		in.module.Listed(in.listings(e.Entries()), e.U8(11) != 0)
 	case wire.Incoming:
 		q := &brain.Request{
-			ID: e.U64(3), SessionKey: e.U64(11), PrefixKey: e.U64(24), PromptTokens: figure(e.F32(32)), Prefix: figure(e.F32(45)), Most: figure(e.F32(20)),
-			Again: e.U8(19)&2 != 0, Left: micros(e.U32(41)),
+			ID: e.U64(3), SessionKey: e.U64(11), PrefixKey: e.U64(24), PromptTokens: figure(e.F32(32)), PrefixTokens: figure(e.F32(45)), MaxOutputTokens: figure(e.F32(20)),
+			ClientRetry: e.U8(19)&2 != 0, Timeout: micros(e.U32(41)),
 		}
 		in.questions[q.ID] = q
 		in.module.Submit(q, int(e.U8(36)), int(e.U16(49)))
@@ -100,8 +100,8 @@
 				load[i] = figure(v)
 			}
 			in.module.Ended(t, brain.Result{
-				Outcome: outcomeOf(e.U16(16)), Took: micros(e.U32(18)), Over: e.U8(22) != 0,
-				Note: int(e.U32(23)), Load: load,
+				Outcome: outcomeOf(e.U16(16)), Duration: micros(e.U32(18)), Finished: e.U8(22) != 0,
+				Detail: int(e.U32(23)), LoadReport: load,
 			})
 			in.forget(t.Request)
 		}
@@ -133,7 +133,7 @@
 }
 
 func (in *instance) forget(q *brain.Request) {
-	if q.Over && q.Out() == nil {
+	if q.Finished && q.InFlight() == nil {
 		delete(in.questions, q.ID)
 	}
 }
@@ -147,8 +147,8 @@
 			in.hosts[e.Host] = h
 		}
 		lines[i] = brain.Listing{
-			Host: h, Standing: brain.BackendState(e.Readiness), Units: figure(e.Units), Restart: e.BootUs != 0,
-			Booted: time.Duration(int64(e.BootUs)-int64(in.began)) * time.Microsecond,
+			Backend: h, State: brain.BackendState(e.Readiness), CapacityUnits: figure(e.Units), StartReported: e.BootUs != 0,
+			StartedAt: time.Duration(int64(e.BootUs)-int64(in.began)) * time.Microsecond,
 		}
 	}
 	return lines
@@ -174,13 +174,13 @@
 	in.forget(q)
 }
 
-func (in *instance) Wake(after time.Duration, do func()) {
+func (in *instance) Schedule(after time.Duration, do func()) {
 	in.lastWake++
 	in.wakes[in.lastWake] = do
 	in.reply.WakeAt(in.who, uint32(after.Microseconds()), in.lastWake)
 }
 
-func (in *instance) Watch(on bool) { in.reply.Tail(in.who, on) }
+func (in *instance) WatchEndpoints(on bool) { in.reply.Tail(in.who, on) }
 
 func (in *instance) Tell(peer int, n brain.PeerUpdate) {
 	in.reply.Post(in.who, uint32(peer), news.Encode(n))
--- a/cmd/benchlink/same_test.go
+++ b/cmd/benchlink/same_test.go
@@ -193,8 +193,8 @@
 	asked := map[uint64]*dispatch.ClientRequest{}
 	codes := map[brain.Outcome]uint16{brain.Served: 200, brain.Read: 210, brain.Failed: 500, brain.Rejected: 503, brain.TimedOut: 504, brain.Unreachable: 502, brain.Broken: 598}
 	end := func(id uint64, f *dispatch.Attempt, o brain.Outcome, note int) {
-		took := (c.now - f.Planned.Sent).Microseconds()
-		over := o == brain.Served || f.Planned.Began > 0
+		took := (c.now - f.Planned.SentAt).Microseconds()
+		over := o == brain.Served || f.Planned.FirstTokenAt > 0
 		load := []float64{0.5, 3}
 		var r rec
 		r[0], r[11] = wire.Resolved, byte(f.Planned.Number)
@@ -202,7 +202,7 @@
 		r.u32(12, f.Planned.Backend.ID)
 		binary.BigEndian.PutUint16(r[16:], codes[o])
 		r.u32(18, uint32(took))
-		if over || f.Planned.Request.Over {
+		if over || f.Planned.Request.Finished {
 			r[22] = 1
 		}
 		r.u32(23, uint32(note))
@@ -211,7 +211,7 @@
 		r.f32(32, load[1])
 		b.take(r, nil)
 		delete(c.flights, id)
-		loop.Do(func() { loop.Ended(f, brain.Result{Outcome: o, Note: note, Load: load}) })
+		loop.Do(func() { loop.Ended(f, brain.Result{Outcome: o, Detail: note, LoadReport: load}) })
 	}
 	tick()
 	list(func(int) int { return 1 })
@@ -245,17 +245,17 @@
 		slices.Sort(ids)
 		for _, id := range ids {
 			f := c.flights[id]
-			age := c.now - f.Planned.Sent
+			age := c.now - f.Planned.SentAt
 			switch p := rng.Float64(); {
-			case age >= f.Wait && f.Planned.Began == 0:
+			case age >= f.Wait && f.Planned.FirstTokenAt == 0:
 				end(id, f, brain.TimedOut, 0)
 			case p < 0.001:
 				end(id, f, brain.Failed, 0)
 			case p < 0.002:
 				end(id, f, brain.Broken, 0)
-			case f.Planned.Began > 0 && p < 0.05:
+			case f.Planned.FirstTokenAt > 0 && p < 0.05:
 				end(id, f, brain.Served, 40)
-			case f.Planned.Began > 0:
+			case f.Planned.FirstTokenAt > 0:
 			case p < 0.0021:
 				end(id, f, brain.Unreachable, 0)
 			case p < 0.003:
@@ -270,7 +270,7 @@
 				r.u32(16, uint32(age.Microseconds()))
 				b.take(r, nil)
 				loop.Do(func() { loop.Began(f) })
-			case p < 0.122 && !f.Planned.Request.Over:
+			case p < 0.122 && !f.Planned.Request.Finished:
 				var r rec
 				r[0] = wire.Aborted
 				r.u64(3, id)
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -47,20 +47,20 @@
 	for _, l := range lines {
 		known := false
 		for _, h := range p.hosts {
-			known = known || h == l.Host
+			known = known || h == l.Backend
 		}
 		if !known {
-			l.Host.Role = p.facts.RoleOf(l.Host.Kind)
-			p.hosts = append(p.hosts, l.Host)
+			l.Backend.Role = p.facts.RoleOf(l.Backend.Kind)
+			p.hosts = append(p.hosts, l.Backend)
 		}
-		l.Host.State, l.Host.CapacityUnits = l.Standing, l.Units
+		l.Backend.State, l.Backend.CapacityUnits = l.State, l.CapacityUnits
 	}
 }
 
 func (p *Policy) Submit(q *brain.Request, grade, _ int) {
 	q.Class = p.grade[min(grade, len(p.grade)-1)]
-	q.Taken, q.Deadline = p.door.Now(), p.door.Now()+q.Left
-	q.Memory = q.PromptTokens + q.Most
+	q.ReceivedAt, q.Deadline = p.door.Now(), p.door.Now()+q.Timeout
+	q.KVTokens = q.PromptTokens + q.MaxOutputTokens
 	p.begin(q)
 }
 
@@ -69,7 +69,7 @@
 	switch {
 	case t.Ended:
 		return brain.AttemptEnded
-	case t.Request.Over:
+	case t.Request.Finished:
 		return brain.RequestOver
 	case p.door.Now() >= t.Request.Deadline:
 		return brain.DeadlinePassed
@@ -132,36 +132,36 @@
 }
 
 func (p *Policy) send(q *brain.Request, h *brain.Backend, stage brain.Stage) {
-	t := &brain.Attempt{Request: q, Backend: h, Number: len(q.Attempts), Sent: p.door.Now(), Stage: stage}
+	t := &brain.Attempt{Request: q, Backend: h, Number: len(q.Attempts), SentAt: p.door.Now(), Stage: stage}
 	if stage != brain.ToWrite {
-		t.Left = q.PromptTokens
+		t.PrefillTokens = q.PromptTokens
 	}
-	t.Weigh(1)
+	t.ApplyLoad(1)
 	q.Attempts = append(q.Attempts, t)
-	p.door.Send(t, q.Deadline-t.Sent)
+	p.door.Send(t, q.Deadline-t.SentAt)
 }
 
 func (p *Policy) Began(t *brain.Attempt, _ time.Duration) {
-	t.Began = p.door.Now()
-	t.Request.State = nil
+	t.FirstTokenAt = p.door.Now()
+	t.Request.KVHolder = nil
 }
 
 func (p *Policy) Ended(t *brain.Attempt, r brain.Result) {
 	q := t.Request
 	t.Ended, t.Outcome = true, r.Outcome
-	t.Weigh(-1)
-	q.Over = q.Over || r.Over
+	t.ApplyLoad(-1)
+	q.Finished = q.Finished || r.Finished
 	switch {
 	case r.Outcome == brain.Read:
-		q.State = t.Backend
-	case r.Outcome == brain.Rejected && r.Note == 1:
-		q.State = nil
+		q.KVHolder = t.Backend
+	case r.Outcome == brain.Rejected && r.Detail == 1:
+		q.KVHolder = nil
 	}
-	if q.Over {
+	if q.Finished {
 		p.letGo(q)
 		return
 	}
-	if q.State != nil {
+	if q.KVHolder != nil {
 		if able := append(p.able(q, brain.Writes), p.able(q, brain.Both)...); len(able) > 0 {
 			p.send(q, p.pickDecode(q, able), brain.ToWrite)
 			return
@@ -172,14 +172,14 @@
 }
 
 func (p *Policy) letGo(q *brain.Request) {
-	if q.State != nil && q.Out() == nil {
-		q.State = nil
+	if q.KVHolder != nil && q.InFlight() == nil {
+		q.KVHolder = nil
 		p.door.Release(q)
 	}
 }
 
 func (p *Policy) giveUp(q *brain.Request) {
-	q.Over = true
+	q.Finished = true
 	if q.Class.Effect != brain.Idempotent && q.MayHaveRun() != nil {
 		p.door.Fail(q)
 		return
@@ -188,11 +188,11 @@
 }
 
 func (p *Policy) Left(q *brain.Request) {
-	if q.Over {
+	if q.Finished {
 		return
 	}
-	q.Over = true
-	if t := q.Out(); t != nil && t.Began == 0 {
+	q.Finished = true
+	if t := q.InFlight(); t != nil && t.FirstTokenAt == 0 {
 		p.door.Cancel(t)
 	}
 	p.letGo(q)
--- a/internal/baseline/informed.go
+++ b/internal/baseline/informed.go
@@ -41,13 +41,13 @@
 	best := brain.Least(p.up(q, p.able(q, brain.Reads)), func(h *brain.Backend) float64 {
 		return p.View.Load(h, q).prefillTime(q).Seconds()
 	})
-	target := q.Taken + q.Class.Target + time.Duration(q.PromptTokens/1000*float64(q.Class.TargetPer1000Tokens))
+	target := q.ReceivedAt + q.Class.Target + time.Duration(q.PromptTokens/1000*float64(q.Class.TargetPer1000Tokens))
 	if best == nil || p.door.Now()+p.View.Load(best, q).prefillTime(q) > min(target, q.Deadline) {
 		p.giveUp(q)
 		return
 	}
 	p.send(q, best, brain.ToRead)
-	p.View.Sent(q.Out(), q.PromptTokens-p.View.Load(best, q).Cached)
+	p.View.Sent(q.InFlight(), q.PromptTokens-p.View.Load(best, q).Cached)
 }
 
 // pickDecode takes the backend that answers: of Informed the one with the fewest running answers.
--- a/internal/dispatch/accounts.go
+++ b/internal/dispatch/accounts.go
@@ -150,7 +150,7 @@
 			record := func(what string, month int64, tokens float64, done func()) {
 				if book == nil {
 					if done != nil {
-						l.Wake(0, done)
+						l.Schedule(0, done)
 					}
 					return
 				}
@@ -167,7 +167,7 @@
 					panic(err) // plain fields
 				}
 				if book == nil {
-					l.Wake(0, done)
+					l.Schedule(0, done)
 					return
 				}
 				write(ledger.Record{At: began.UnixMilli() + l.now.Milliseconds(), Budget: &ledger.Budget{Name: t.Name, What: "set", Terms: string(raw)}}, done)
@@ -184,7 +184,7 @@
 		sends[t.Name] = func(a budget.Ask) {
 			if at == d.Place.Number {
 				// Never in the middle of the purse's own step.
-				l.Wake(0, func() {
+				l.Schedule(0, func() {
 					b.Keepers[a.Name].Asked(l.now, b.Month(l.now), a, func(w budget.Lend) { p.Lent(l.now, w) })
 				})
 				return
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -36,7 +36,7 @@
 
 // Began takes word of an attempt's first token.
 func (l *Loop) Began(f *Attempt) {
-	if f.late || f.Planned.Ended || f.Planned.Began > 0 {
+	if f.late || f.Planned.Ended || f.Planned.FirstTokenAt > 0 {
 		return // its time was up first: the attempt ends as timed out
 	}
 	a := f.Request
@@ -47,7 +47,7 @@
 	} else {
 		a.began <- f
 	}
-	l.module.Began(f.Planned, l.now-f.Planned.Sent)
+	l.module.Began(f.Planned, l.now-f.Planned.SentAt)
 	l.Tally.began(f.Planned)
 	l.forget(a)
 }
@@ -62,21 +62,21 @@
 	if f.Backend.out--; f.Backend.out == 0 && l.backends[f.Backend.Name] != f.Backend {
 		defer delete(l.byHost, t.Backend)
 	}
-	if r.Outcome == brain.Served && t.Began == 0 {
+	if r.Outcome == brain.Served && t.FirstTokenAt == 0 {
 		r.Outcome = brain.TimedOut // its first token came too late to be shown, and the rest with it
 	}
 	l.accountEnded(f, r)
-	r.Took = l.now - t.Sent
+	r.Duration = l.now - t.SentAt
 	l.Tally.ended(t, r)
-	l.Log.Debug("trip over", "id", a.Ask.ID, "box", f.Backend.Name, "stage", f.Stage(), "number", t.Number, "outcome", r.Outcome, "took", r.Took, "wait", f.Wait,
-		"prompt", t.Request.PromptTokens, "left", t.Left, "kept", r.Note)
+	l.Log.Debug("trip over", "id", a.Ask.ID, "box", f.Backend.Name, "stage", f.Stage(), "number", t.Number, "outcome", r.Outcome, "took", r.Duration, "wait", f.Wait,
+		"prompt", t.Request.PromptTokens, "left", t.PrefillTokens, "kept", r.Detail)
 	switch {
 	case r.Outcome == brain.Read:
 		a.waiting[f.Backend] = true
 	case t.Stage == brain.ToRead && r.Outcome != brain.Unreachable && r.Outcome != brain.NotSent && r.Outcome != brain.Rejected:
 		// The read may have ended at the backend just as it was given up on here: its state must not stay there.
 		l.release(f.Backend, a)
-	case r.Outcome == brain.Rejected && r.Note == 1 && f.State != nil:
+	case r.Outcome == brain.Rejected && r.Detail == 1 && f.State != nil:
 		// The prefill backend could not give the state just now; it may hold it all the same.
 		l.release(f.State, a)
 		delete(a.waiting, f.State)
@@ -84,14 +84,14 @@
 	if f.Unfit {
 		l.answer(a, kserve.Final{Final: kserve.Forfeited, Error: "no box can use it"})
 	}
-	r.Over = a.answered || a.left || r.Outcome == brain.Served || t.Began > 0
+	r.Finished = a.answered || a.left || r.Outcome == brain.Served || t.FirstTokenAt > 0
 	if r.Outcome == brain.Served {
 		l.answer(a, kserve.Final{Final: kserve.Satisfied})
-	} else if t.Began > 0 && !a.left {
+	} else if t.FirstTokenAt > 0 && !a.left {
 		l.answer(a, kserve.Final{Final: kserve.Forfeited, Error: "the stream broke at its box"})
 	}
-	if l.Guard != nil && !r.Over && cost(r.Outcome) && !l.Guard.MayTryAgain(l.now) {
-		a.Request.Last = true
+	if l.Guard != nil && !r.Finished && cost(r.Outcome) && !l.Guard.MayTryAgain(l.now) {
+		a.Request.NoMoreAttempts = true
 	}
 	l.module.Ended(t, r)
 	l.forget(a)
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -40,7 +40,7 @@
 		if b != nil && b.place != place && line.Standing != boxlist.Gone {
 			// Another machine under the old name: what is known of that one says nothing of this.
 			l.retire(b)
-			out = append(out, brain.Listing{Host: b.Known, Standing: brain.Gone})
+			out = append(out, brain.Listing{Backend: b.Known, State: brain.Gone})
 			l.forgetBox(b)
 			b = nil
 		}
@@ -133,7 +133,7 @@
 		b.booted, b.dated = l.now-time.Duration(line.UpMs)*time.Millisecond, line.UpMs >= 0
 	}
 	b.Start = line.Start
-	return brain.Listing{Host: b.Known, Standing: standing, Units: max(line.Units, 0.01), Booted: b.booted, Restart: line.UpMs >= 0}
+	return brain.Listing{Backend: b.Known, State: standing, CapacityUnits: max(line.Units, 0.01), StartedAt: b.booted, StartReported: line.UpMs >= 0}
 }
 
 // allowed leaves out addresses that make no sense or lie outside of what the deployment allows, with a note.
--- a/internal/dispatch/books.go
+++ b/internal/dispatch/books.go
@@ -48,9 +48,9 @@
 				}
 			}
 		}
-		l.Wake(tending, tend)
+		l.Schedule(tending, tend)
 	}
-	l.Wake(tending, tend)
+	l.Schedule(tending, tend)
 }
 
 // pay has a request's worst case set aside in every budget that it falls under, one after the other, then lets it in.
@@ -77,10 +77,10 @@
 			}
 			switch {
 			case a.answered || a.left: // meanwhile
-				a.Request.Over = true
+				a.Request.Finished = true
 				l.forget(a)
 			case !v.OK:
-				a.Request.Over, a.unpaid = true, true
+				a.Request.Finished, a.unpaid = true, true
 				l.answer(a, kserve.Final{Final: kserve.Declined, Error: "the budget of " + p.Terms.Name + " is used up", Harmless: true, AfterMs: v.After.Milliseconds()})
 				l.forget(a)
 			default:
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -239,14 +239,14 @@
 	a.from = l.now
 	k := a.Ask
 	a.Request = &brain.Request{
-		ID: l.lastID, SessionKey: Number(k.Session), PrefixKey: Number(k.Shared), PromptTokens: float64(k.Tokens), Prefix: float64(k.Prefix),
-		Most: float64(k.Most), Again: k.Again, Left: left,
+		ID: l.lastID, SessionKey: Number(k.Session), PrefixKey: Number(k.Shared), PromptTokens: float64(k.Tokens), PrefixTokens: float64(k.Prefix),
+		MaxOutputTokens: float64(k.Most), ClientRetry: k.Again, Timeout: left,
 	}
 	l.Tally.Taken++
 	a.channel = channel
 	if l.Guard != nil {
 		if admit, after, ticket := l.Guard.Arrive(l.now, k.Again, channel, k.Ticket); !admit {
-			a.Request.Over = true
+			a.Request.Finished = true
 			l.Tally.Damped++
 			l.answer(a, kserve.Final{Final: kserve.Declined, Error: "too many ask again just now", Harmless: true, AfterMs: after.Milliseconds(), Ticket: ticket})
 			return
@@ -254,8 +254,8 @@
 	}
 	l.requests[a.Request] = a
 	// The module answers every request in its time; if ever it did not, its client must not be left hanging.
-	l.Wake(left+overdue, func() {
-		begun := a.flight != nil && a.flight.Planned.Began > 0
+	l.Schedule(left+overdue, func() {
+		begun := a.flight != nil && a.flight.Planned.FirstTokenAt > 0
 		if !a.answered && !a.left && !begun {
 			l.Tally.Overdue++
 			l.Log.Error("question overdue", "question", a.Request.ID)
@@ -265,7 +265,7 @@
 		}
 	})
 	l.pay(a, func() {
-		a.Request.Left = left - (l.now - a.from)
+		a.Request.Timeout = left - (l.now - a.from)
 		l.module.Submit(a.Request, grade, channel)
 		l.forget(a)
 	})
@@ -293,7 +293,7 @@
 	l.accountOver(a, f.Final, f.Error)
 	if l.Guard != nil && !a.unpaid && f.Trips+int(f.AfterMs) > 0 {
 		well, q := f.Final == kserve.Satisfied, a.Request
-		inTime := well && len(q.Attempts) > 0 && q.Attempts[len(q.Attempts)-1].Began <= q.TargetAt
+		inTime := well && len(q.Attempts) > 0 && q.Attempts[len(q.Attempts)-1].FirstTokenAt <= q.TargetAt
 		l.Guard.Answered(l.now, well, !a.Ask.Again && a.Ask.Ticket == "", inTime, a.channel)
 	}
 	switch f.Final {
@@ -315,7 +315,7 @@
 
 // forget drops a request that is over and has no attempt out.
 func (l *Loop) forget(a *ClientRequest) {
-	if a.Request.Over && a.Request.Out() == nil {
+	if a.Request.Finished && a.Request.InFlight() == nil {
 		delete(l.requests, a.Request)
 		a.Matter = nil // timers know the request for seconds more
 		l.settle(a)
@@ -340,7 +340,7 @@
 	a.End()
 	l.accountOver(a, "left", "")
 	l.Tally.Left++
-	if a.flight != nil && a.flight.Planned.Began > 0 {
+	if a.flight != nil && a.flight.Planned.FirstTokenAt > 0 {
 		a.flight.Off(ErrLeft)
 	}
 	l.module.Left(a.Request)
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -168,7 +168,7 @@
 	asks(l, 4*time.Second)
 	reader := h.last().Backend.Name
 	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Rejected, Note: 1}) })
+	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Rejected, Detail: 1}) })
 	if len(h.released) != 1 || h.released[0] != reader {
 		t.Errorf("released at %v, the state was at %s", h.released, reader)
 	}
--- a/internal/dispatch/runtime.go
+++ b/internal/dispatch/runtime.go
@@ -16,7 +16,7 @@
 	a := l.requests[t.Request]
 	f := &Attempt{Planned: t, Request: a, Backend: l.byHost[t.Backend], Wait: wait, Until: l.now + wait, Tokens: make(chan []byte, tokenRoom), Key: l.Key(a)}
 	if t.Stage == brain.ToWrite {
-		f.State = l.byHost[t.Request.State]
+		f.State = l.byHost[t.Request.KVHolder]
 	}
 	a.flight = f
 	f.Backend.out++
@@ -24,8 +24,8 @@
 	if l.Guard != nil {
 		l.Guard.Sent(l.now, t.Number > 0 && cost(t.Request.Attempts[t.Number-1].Outcome))
 	}
-	l.Wake(wait, func() {
-		if !t.Ended && t.Began == 0 {
+	l.Schedule(wait, func() {
+		if !t.Ended && t.FirstTokenAt == 0 {
 			f.late = true
 			f.Off(ErrLate)
 		}
@@ -64,11 +64,11 @@
 	l.answer(l.requests[q], kserve.Final{Final: kserve.Forfeited, Error: "given up on; it may have run"})
 }
 
-func (l *Loop) Wake(after time.Duration, do func()) {
+func (l *Loop) Schedule(after time.Duration, do func()) {
 	l.wakes.At(l.now+max(after, 0), do)
 }
 
-func (l *Loop) Watch(bool) {} // this list pushes unasked
+func (l *Loop) WatchEndpoints(bool) {} // this list pushes unasked
 
 func (l *Loop) Tell(peer int, n brain.PeerUpdate) { l.carrier.Tell(peer, n) }
 
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -236,9 +236,9 @@
 			if f != nil {
 				f.Off(ErrLeft) // nobody waits for it, and what it holds has to be released before the end
 			}
-		case f != nil && f.Planned.Began > 0:
+		case f != nil && f.Planned.FirstTokenAt > 0:
 		case f != nil:
-			q.Last = true
+			q.NoMoreAttempts = true
 			f.late = true
 			f.Off(ErrLate)
 		default:
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -31,9 +31,9 @@
 		return
 	}
 	p, prompt := &y.Prefills[t.Stage], t.Request.PromptTokens
-	p.Trips, p.Prompt, p.Kept = p.Trips+1, p.Prompt+int64(prompt), p.Kept+int64(r.Note)
+	p.Trips, p.Prompt, p.Kept = p.Trips+1, p.Prompt+int64(prompt), p.Kept+int64(r.Detail)
 	if t.Stage != brain.ToWrite {
-		p.Expected += int64(prompt - t.Left)
+		p.Expected += int64(prompt - t.PrefillTokens)
 	}
 }
 
@@ -41,9 +41,9 @@
 func (y *Tally) began(t *brain.Attempt) {
 	q := t.Request
 	y.Began++
-	if t.Began <= q.TargetAt {
+	if t.FirstTokenAt <= q.TargetAt {
 		y.InTime++
 	}
-	y.Held += q.Dispatched - q.Taken
-	y.First += t.Began - q.Taken
+	y.Held += q.DispatchedAt - q.ReceivedAt
+	y.First += t.FirstTokenAt - q.ReceivedAt
 }
--- a/internal/dispatch/trips.go
+++ b/internal/dispatch/trips.go
@@ -104,7 +104,7 @@
 	e := kserve.Errand{
 		Stage: f.Stage(),
 		From:  c.loop.Epoch, Question: q.ID, Trip: f.Planned.Number, Mark: cmp.Or(a.Ask.ID, f.Key), Grade: a.Grade, Channel: a.Channel,
-		Session: q.SessionKey, Shared: q.PrefixKey, Tokens: int(q.PromptTokens), Prefix: int(q.Prefix), Most: int(q.Most),
+		Session: q.SessionKey, Shared: q.PrefixKey, Tokens: int(q.PromptTokens), Prefix: int(q.PrefixTokens), Most: int(q.MaxOutputTokens),
 		WaitUs: f.Wait.Microseconds(),
 	}
 	if f.State != nil {
@@ -116,9 +116,9 @@
 		seen := c.fly(f, host, text, e)
 		f.Off(nil)
 		outcome, note := seen.Outcome(f.Planned.Stage)
-		result := brain.Result{Outcome: outcome, Note: note}
+		result := brain.Result{Outcome: outcome, Detail: note}
 		if seen.Told != nil {
-			result.Load = seen.Told.Load
+			result.LoadReport = seen.Told.Load
 			f.Count = seen.Told.Count
 		}
 		close(f.Tokens)
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -98,7 +98,7 @@
 		return
 	}
 	wait, limit := w.connectTime(), dialTime
-	if least := f.Planned.Connect; least > 0 {
+	if least := f.Planned.ConnectTimeout; least > 0 {
 		limit = min(limit, least)
 	}
 	if wait > limit {
@@ -126,7 +126,7 @@
 }
 
 func (t *attempt) back(r brain.Result) {
-	r.Load = t.to.load()
+	r.LoadReport = t.to.load()
 	t.w.after(hop, func() { t.tell(r) })
 }
 
@@ -199,7 +199,7 @@
 		return
 	}
 	q := t.flight.Planned.Request
-	j := &engine.Job{Key: t.line.Key, Session: q.SessionKey, Shared: q.PrefixKey, Prompt: int(q.PromptTokens), Prefix: int(q.Prefix)}
+	j := &engine.Job{Key: t.line.Key, Session: q.SessionKey, Shared: q.PrefixKey, Prompt: int(q.PromptTokens), Prefix: int(q.PrefixTokens)}
 	t.job = j
 	switch t.line.Stage {
 	case kserve.StageRead:
@@ -211,7 +211,7 @@
 	default:
 		j.Stage = engine.Whole
 	}
-	j.Answer = standin.AnswerTokens(w.day.TalkOf(t.line.Grade).Answer, t.line.Try, int(q.Most))
+	j.Answer = standin.AnswerTokens(w.day.TalkOf(t.line.Grade).Answer, t.line.Try, int(q.MaxOutputTokens))
 	if j.Stage == engine.Read {
 		j.Answer = 1
 	}
@@ -258,7 +258,7 @@
 		return
 	}
 	t.from.do(func() { t.loop.Began(t.flight) })
-	if t.off != nil || t.flight.Planned.Began == 0 {
+	if t.off != nil || t.flight.Planned.FirstTokenAt == 0 {
 		return
 	}
 	if c := t.from.of[t.flight.Request]; c != nil {
@@ -287,7 +287,7 @@
 		}
 		if t.line.Stage != kserve.StageRead {
 			t.end(kserve.OutcomeAnswered)
-			t.back(brain.Result{Outcome: brain.Served, Note: kept})
+			t.back(brain.Result{Outcome: brain.Served, Detail: kept})
 			return
 		}
 		if upTo, ok := b.released[t.line.Key]; ok && t.line.Trip <= upTo {
@@ -297,7 +297,7 @@
 		}
 		w.put(record.Line{What: record.Held, Box: b.make.Name, Key: t.line.Key, Try: t.line.Try, Grade: t.line.Grade})
 		t.end(kserve.OutcomeRead)
-		t.back(brain.Result{Outcome: brain.Read, Note: kept})
+		t.back(brain.Result{Outcome: brain.Read, Detail: kept})
 		if b.crashes > 0 && w.rng.Float64() < b.crashes {
 			start := b.start
 			w.after(2*time.Millisecond, func() { // the dispatcher knows of the read
@@ -311,7 +311,7 @@
 		t.back(brain.Result{Outcome: brain.Rejected})
 	case engine.NoState:
 		t.end(kserve.OutcomeNoState)
-		t.back(brain.Result{Outcome: brain.Rejected, Note: 1})
+		t.back(brain.Result{Outcome: brain.Rejected, Detail: 1})
 	}
 }
 
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -51,7 +51,7 @@
 			system.Sleep(within, dialWait)
 			continue
 		}
-		if until, bounded := within.Deadline(); bounded && f.Planned.Connect > 0 {
+		if until, bounded := within.Deadline(); bounded && f.Planned.ConnectTimeout > 0 {
 			conn.SetWriteDeadline(until) // a request that is not taken leaves a state waiting as no connection does
 		}
 		stop, err := c.put(ctx, f, conn, m)
@@ -67,7 +67,7 @@
 
 // connectLimit is how long an attempt's connection may take.
 func (c *transport) connectLimit(f *dispatch.Attempt) time.Duration {
-	if t := f.Planned.Connect; t > 0 {
+	if t := f.Planned.ConnectTimeout; t > 0 {
 		return min(t, c.boxes.Limit)
 	}
 	return c.boxes.Limit
@@ -135,7 +135,7 @@
 		return nil, nil, errStale // its backend is gone
 	}
 	waits := ctx
-	if f.Planned.Connect > 0 { // a state waits, for which no descriptor may be free in time
+	if f.Planned.ConnectTimeout > 0 { // a state waits, for which no descriptor may be free in time
 		bounded, done := context.WithTimeout(ctx, c.connectLimit(f))
 		defer done()
 		waits = bounded
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -129,7 +129,7 @@
 			"outcome", dispatch.OutcomeName(r.Outcome), "arrived", f.Arrived.Load(), "wait", f.Wait)
 	}
 	c.loop.Post(func() {
-		r.Ago = c.since() - ended
+		r.Delay = c.since() - ended
 		c.loop.Ended(f, r)
 	})
 }
@@ -142,7 +142,7 @@
 	}
 	load := ""
 	c.pass(f, 1, "")
-	if limit := f.Planned.Connect; limit > 0 {
+	if limit := f.Planned.ConnectTimeout; limit > 0 {
 		defer time.AfterFunc(arrivalTimes*limit, func() { c.checkArrival(f, conn) }).Stop()
 	}
 	defer func() {
@@ -192,9 +192,9 @@
 			f.Unfit = true
 			return brain.Result{Outcome: brain.Cancelled}
 		}
-		r.Outcome, r.Note = chat.Outcome(f.Planned.Stage, resp, body)
+		r.Outcome, r.Detail = chat.Outcome(f.Planned.Stage, resp, body)
 		load = resp.Header.Get("X-Server-Load")
-		r.Load = chat.Load(load, c.fields)
+		r.LoadReport = chat.Load(load, c.fields)
 		return r
 	}
 	if len(resp.TransferEncoding) != 1 || resp.TransferEncoding[0] != "chunked" {
@@ -208,7 +208,7 @@
 			if load = stream.Report; load == "" {
 				load = resp.Header.Get("X-Server-Load")
 			}
-			return brain.Result{Outcome: brain.Served, Note: stream.Kept, Load: chat.Load(load, c.fields)}
+			return brain.Result{Outcome: brain.Served, Detail: stream.Kept, LoadReport: chat.Load(load, c.fields)}
 		}
 		if err != nil {
 			if errors.Is(err, chat.ErrSpoilt) {
