--- a/brain/admission.go
+++ b/brain/admission.go
@@ -170,7 +170,7 @@
 	// The first token of a timed-out attempt would have come even later. If only attempts with a first token
 	// counted, latency would look low under congestion and more attempts would be sent into it.
 	if attempt.FirstTokenAt == 0 && attempt.Outcome == TimedOut {
-		d.timeToFirstToken.Add(max((now-req.DispatchedAt).Seconds(), d.timeToFirstToken.Or(0)), 0.1)
+		d.timeToFirstToken.Add(max((now-req.DispatchedAt).Seconds(), d.timeToFirstToken.ValueOr(0)), 0.1)
 	}
 	if congested && attempt.FirstTokenAt == 0 && (attempt.Outcome == TimedOut || attempt.Outcome == Cancelled) {
 		d.runtime.Schedule(min(now-attempt.SentAt, req.TargetAt-req.ReceivedAt), func() { d.outstanding--; d.dispatch() })
@@ -224,7 +224,7 @@
 // expectedTimeToFirstToken is in seconds: the recent mean, or the time that the oldest outstanding request has
 // waited if that is longer.
 func (d *Dispatcher) expectedTimeToFirstToken() float64 {
-	expected := d.timeToFirstToken.Or(overloadWaitShare * d.classes[0].Target.Seconds())
+	expected := d.timeToFirstToken.ValueOr(overloadWaitShare * d.classes[0].Target.Seconds())
 	if len(d.awaitingFirstToken) > 0 {
 		expected = max(expected, (d.runtime.Now() - d.awaitingFirstToken[0].DispatchedAt).Seconds())
 	}
--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -114,17 +114,17 @@
 	d, _ := newDispatcherOf(t, 300)
 	d.window, d.peerFanout = 0.8, 7
 	before := d.window
-	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: Badly, TargetShare: 1})
+	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: VerdictBad, TargetShare: 1})
 	if d.window >= before || d.window < 0.9*before {
 		t.Errorf("a late first token: window %g -> %g", before, d.window)
 	}
 	before = d.window
-	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: Well, TargetShare: 0.1})
+	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: VerdictGood, TargetShare: 0.1})
 	if d.window <= before || d.window > 1.3*before {
 		t.Errorf("a quick first token: window %g -> %g", before, d.window)
 	}
 	before = d.window
-	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: Badly})
+	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: VerdictBad})
 	d.Heard(PeerUpdate{Backend: d.backends[0], ClassIndex: 200, TargetShare: 1})
 	if d.window != before {
 		t.Errorf("updates without a share or of no known class: window %g -> %g", before, d.window)
@@ -136,7 +136,7 @@
 	d, runtime := newDispatcher(t)
 	d.timeToFirstToken.Add(0.1, 1)
 	req := newRequest(d)
-	if !d.send(req, d.backends[0], ToRead, d.afterAttempt(req)) {
+	if !d.send(req, d.backends[0], StagePrefill, d.afterAttempt(req)) {
 		t.Fatal("not sent")
 	}
 	runtime.now += 2 * time.Second
@@ -189,7 +189,7 @@
 		},
 		"absurd load reports": func(d *Dispatcher, _ *fakeRuntime) {
 			for _, backend := range d.backends {
-				d.Heard(PeerUpdate{Backend: backend, HasLoad: true, Util: 1e9, QueueLength: 1e12, TargetShare: 1, Verdict: Well})
+				d.Heard(PeerUpdate{Backend: backend, HasLoad: true, Util: 1e9, QueueLength: 1e12, TargetShare: 1, Verdict: VerdictGood})
 			}
 		},
 	} {
--- a/brain/belief.go
+++ b/brain/belief.go
@@ -1,7 +1,7 @@
 package brain
 
 // Summary is a snapshot of the dispatcher's estimates for logs. The output format of String is stable.
-type Belief struct {
+type Summary struct {
 	Window  float64 // limit on own requests without a first token
 	Unbegun int     // own requests that count against the window
 	Held    int     // queued requests
@@ -17,8 +17,8 @@
 }
 
 // Believes returns the dispatcher's current estimates.
-func (d *Dispatcher) Believes() Belief {
-	summary := Belief{Window: d.window, Unbegun: d.outstanding, Held: len(d.queue), Average: d.meanPrefillTokens, Ahead: d.timeToFirstToken.Or(0), Streams: d.streams}
+func (d *Dispatcher) Believes() Summary {
+	summary := Summary{Window: d.window, Unbegun: d.outstanding, Held: len(d.queue), Average: d.meanPrefillTokens, Ahead: d.timeToFirstToken.ValueOr(0), Streams: d.streams}
 	meanRequest := Request{KVTokens: 1500}
 	for _, backend := range d.backends {
 		if backend.State != Ready {
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -56,20 +56,20 @@
 )
 
 // New returns a dispatcher with the given settings. The seed determines all of its random draws.
-func New(settings Facts, seed uint64, runtime Runtime) (*Dispatcher, error) {
-	if err := settings.Sound(); err != nil {
+func New(settings Settings, seed uint64, runtime Runtime) (*Dispatcher, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
 	settings = settings.WithDefaults()
 	d := &Dispatcher{settings: settings, parameters: parametersOf(settings), runtime: runtime, rng: NewPCG(seed)}
 	d.orderSeed, d.sendCredit = Mix(seed, 1), maxBurst
-	d.prefillTokens.Width, d.prefillRequests.Width, d.prefixTable.Width = refreshInterval, refreshInterval, refreshInterval
+	d.prefillTokens.BucketWidth, d.prefillRequests.BucketWidth, d.prefixTable.BucketWidth = refreshInterval, refreshInterval, refreshInterval
 	var err error
-	if d.classes, err = settings.Grades(); err != nil {
+	if d.classes, err = settings.Classes(); err != nil {
 		return nil, err
 	}
-	d.tenants = settings.Channels()
-	if settings.Yes("policyLimits.peers") {
+	d.tenants = settings.Tenants()
+	if settings.Bool("policyLimits.peers") {
 		cost := max(d.parameters.peerPrice*peerUpdateBytes/256, peerUpdateBudget/8)
 		d.peerFanout = min(int(peerUpdateBudget/cost), int(d.parameters.dispatchers)-1)
 	}
@@ -103,11 +103,11 @@
 
 // Listed applies a change of the endpoint list. With whole set, backends that are not in endpoints have been
 // removed.
-func (d *Dispatcher) Listed(endpoints []Listing, whole bool) {
+func (d *Dispatcher) Listed(endpoints []Endpoint, whole bool) {
 	anyRemoved := whole
 	if whole {
 		for _, backend := range d.backends {
-			backend.State = Gone
+			backend.State = Removed
 		}
 	}
 	for _, endpoint := range endpoints {
@@ -119,11 +119,11 @@
 			d.addBackend(backend, len(endpoints) > fullScanLimit)
 		}
 		if backend.PrefixTable == nil || endpoint.StartReported && endpoint.StartedAt != backend.StartedAt {
-			backend.PrefixTable = map[uint64]Kept{}
-			emptyStats := Record{Successes: Ring{Width: outcomeBucketWidth}, Failures: Ring{Width: outcomeBucketWidth}}
-			backend.Outcomes = slices.Repeat([]Record{emptyStats}, 1+len(d.classes))
+			backend.PrefixTable = map[uint64]CachedPrefix{}
+			emptyStats := OutcomeStats{Successes: RollingSum{BucketWidth: outcomeBucketWidth}, Failures: RollingSum{BucketWidth: outcomeBucketWidth}}
+			backend.Outcomes = slices.Repeat([]OutcomeStats{emptyStats}, 1+len(d.classes))
 		}
-		anyRemoved = anyRemoved || endpoint.State == Gone
+		anyRemoved = anyRemoved || endpoint.State == Removed
 		backend.State, backend.CapacityUnits, backend.StartedAt, backend.StartReported = endpoint.State, max(endpoint.CapacityUnits, 0.01), endpoint.StartedAt, endpoint.StartReported
 		if backend.RelativeCapacity == 0 {
 			backend.RelativeCapacity = 1 // until capacities are compared
@@ -131,7 +131,7 @@
 	}
 	if anyRemoved || d.removedInUse {
 		d.dropRemoved()
-		d.removedInUse = slices.ContainsFunc(d.backends, func(b *Backend) bool { return b.State == Gone })
+		d.removedInUse = slices.ContainsFunc(d.backends, func(b *Backend) bool { return b.State == Removed })
 	}
 	d.sortBackends()
 	d.invalidateCompletedWork()
@@ -144,10 +144,10 @@
 
 // initBackend sets the fields that are fixed once a backend has been discovered.
 func (d *Dispatcher) initBackend(backend *Backend) {
-	backend.Role, backend.KVCapacity = d.settings.RoleOf(backend.Kind), d.settings.MemoryOf(backend.Kind)
-	backend.SentWork.Width = max(d.parameters.slowStartWindow/(bucketCount-1), 1)
-	backend.CompletedWork.Width = max(d.parameters.slowStartWindow*5/bucketCount, 1)
-	backend.RecentLoad.Width, backend.DistanceFactor, backend.Bias = recentLoadBucketWidth, 1, -math.Log(d.rng.Float())
+	backend.Role, backend.KVCapacity = d.settings.RoleOf(backend.Kind), d.settings.KVCapacityOf(backend.Kind)
+	backend.SentWork.BucketWidth = max(d.parameters.slowStartWindow/(bucketCount-1), 1)
+	backend.CompletedWork.BucketWidth = max(d.parameters.slowStartWindow*5/bucketCount, 1)
+	backend.RecentLoad.BucketWidth, backend.DistanceFactor, backend.Bias = recentLoadBucketWidth, 1, -math.Log(d.rng.Float())
 	if backend.Zone != d.parameters.zone {
 		backend.DistanceFactor += 25 * d.parameters.crossZonePrice
 	}
@@ -172,7 +172,7 @@
 		tenant := d.tenants[tenantIndex]
 		tenant.Received.Add(now, 1)
 		share := d.parameters.ownShare(tenant.Quota)
-		req.OverQuota = tenant.Received.Sum(now) > share*bucketCount*tenant.Received.Width.Seconds()
+		req.OverQuota = tenant.Received.Sum(now) > share*bucketCount*tenant.Received.BucketWidth.Seconds()
 	}
 	d.enqueue(req)
 	d.dispatch()
@@ -204,8 +204,8 @@
 	now := d.runtime.Now()
 	attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), SentAt: now, Stage: stage, SlowStart: d.inSlowStart(backend), OnResult: onResult}
 	cached := d.cachedTokens(backend, req)
-	attempt.CachedTokens = cached / max(backend.HitRatio.Or(1), 0.01)
-	if stage != ToWrite {
+	attempt.CachedTokens = cached / max(backend.HitRatio.ValueOr(1), 0.01)
+	if stage != StageDecode {
 		attempt.PrefillTokens = req.PromptTokens - cached
 	} else {
 		attempt.ConnectTimeout = d.connectTimeout() // leaves time for another decode backend and for a release (rule 5)
@@ -229,7 +229,7 @@
 func (d *Dispatcher) applyLoad(attempt *Attempt, sign float64) float64 {
 	streams := attempt.ApplyLoad(sign)
 	d.streams += streams
-	if attempt.Backend.Role == Reads {
+	if attempt.Backend.Role == RolePrefill {
 		d.prefillOnlyTokens += sign * attempt.Request.KVTokens
 	}
 	return streams
@@ -240,7 +240,7 @@
 // with work that was given up.
 func (d *Dispatcher) attemptTimeout(attempt *Attempt) time.Duration {
 	timeLeft := attempt.Request.Deadline - attempt.SentAt
-	if timeLeft.Seconds()/4 < d.timeToFirstToken.Or(0) || attempt.Stage != ToRead && attempt.Request.Class.Effect != Idempotent ||
+	if timeLeft.Seconds()/4 < d.timeToFirstToken.ValueOr(0) || attempt.Stage != StagePrefill && attempt.Request.Class.Effect != Idempotent ||
 		attempt.Number+1 >= d.parameters.maxAttempts {
 		return timeLeft
 	}
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -28,18 +28,18 @@
 			}
 		}},
 		{name: "draining", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Draining }},
-		{name: "removed", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Gone }},
+		{name: "removed", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Removed }},
 		{name: "non-idempotent, may have run", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
-			req.Class.Effect = Unrepeatable
+			req.Class.Effect = NonIdempotent
 			addAttempt(req, backend, TimedOut, 0)
 		}},
 		{name: "non-idempotent, proven not run", prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
-			req.Class.Effect = Unrepeatable
+			req.Class.Effect = NonIdempotent
 			addAttempt(req, backend, Rejected, 0)
 		}},
 		{name: "non-idempotent, lost at a prefill backend", prepare: func(d *Dispatcher, req *Request, _ *Backend) {
-			req.Class.Effect = Unrepeatable
-			addAttempt(req, d.backends[0], Broken, 0)
+			req.Class.Effect = NonIdempotent
+			addAttempt(req, d.backends[0], ConnectionLost, 0)
 		}},
 		{name: "deduplicated, after its window", disallowed: true, prepare: func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
@@ -93,8 +93,8 @@
 		rejected bool
 	}{
 		{"idempotent that may have run", Idempotent, WholeFleet, TimedOut, true},
-		{"non-idempotent that never ran", Unrepeatable, WholeFleet, Rejected, true},
-		{"non-idempotent that may have run", Unrepeatable, WholeFleet, Broken, false},
+		{"non-idempotent that never ran", NonIdempotent, WholeFleet, Rejected, true},
+		{"non-idempotent that may have run", NonIdempotent, WholeFleet, ConnectionLost, false},
 		{"deduplicated everywhere", Deduplicated, WholeFleet, TimedOut, true},
 		{"deduplicated in its rack", Deduplicated, SameRack, TimedOut, false},
 	} {
@@ -114,7 +114,7 @@
 	req := newRequest(d)
 	attempt := addAttempt(req, d.backends[0], 0, d.runtime.Now())
 	attempt.Ended, req.Finished, d.backends[0].KVTokens = false, true, req.KVTokens
-	d.Ended(attempt, Result{Outcome: Read, Finished: true})
+	d.Ended(attempt, Result{Outcome: Prefilled, Finished: true})
 	if len(runtime.released) != 1 || d.backends[0].KVTokens != 0 {
 		t.Errorf("released %d, tokens %g", len(runtime.released), d.backends[0].KVTokens)
 	}
@@ -201,13 +201,13 @@
 		stage     Stage
 		backendID uint32
 	}{
-		{"no mean known yet", 0, 1900, ToRead, 0},
-		{"short for the decode backend that has its prefix cached", 1000, 1900, Whole, 4},
+		{"no mean known yet", 0, 1900, StagePrefill, 0},
+		{"short for the decode backend that has its prefix cached", 1000, 1900, StageWhole, 4},
 	} {
 		d, runtime := newDispatcher(t)
 		d.meanPrefillTokens = tc.average
-		d.backends[4].State, d.backends[5].State = Gone, Gone
-		d.backends[3].PrefixTable[7] = Kept{Tokens: tc.cached, UsedAt: d.runtime.Now()}
+		d.backends[4].State, d.backends[5].State = Removed, Removed
+		d.backends[3].PrefixTable[7] = CachedPrefix{Tokens: tc.cached, UsedAt: d.runtime.Now()}
 		d.route(newRequest(d))
 		if len(runtime.sent) != 1 || runtime.sent[0].Stage != tc.stage || tc.backendID != 0 && runtime.sent[0].Backend.ID != tc.backendID {
 			t.Errorf("%s: sent %+v", tc.name, runtime.sent)
@@ -219,9 +219,9 @@
 	d, runtime := newDispatcher(t)
 	req := newRequest(d)
 	attempt := addAttempt(req, d.backends[2], 0, d.runtime.Now())
-	attempt.Ended, attempt.Stage, attempt.OnResult, req.KVHolder = false, ToWrite, d.afterAttempt(req), d.backends[0]
+	attempt.Ended, attempt.Stage, attempt.OnResult, req.KVHolder = false, StageDecode, d.afterAttempt(req), d.backends[0]
 	d.Ended(attempt, Result{Outcome: Rejected, Detail: 1})
-	if len(runtime.sent) != 1 || runtime.sent[0].Stage != ToRead {
+	if len(runtime.sent) != 1 || runtime.sent[0].Stage != StagePrefill {
 		t.Errorf("sent %v", runtime.sent)
 	}
 }
@@ -264,10 +264,10 @@
 		number    int
 		wholeTime bool
 	}{
-		{"idempotent", Idempotent, Whole, 0, false},
-		{"non-idempotent at a prefill backend", Unrepeatable, ToRead, 0, false},
-		{"non-idempotent at a decode backend", Unrepeatable, ToWrite, 1, true},
-		{"the last attempt allowed", Idempotent, Whole, 3, true},
+		{"idempotent", Idempotent, StageWhole, 0, false},
+		{"non-idempotent at a prefill backend", NonIdempotent, StagePrefill, 0, false},
+		{"non-idempotent at a decode backend", NonIdempotent, StageDecode, 1, true},
+		{"the last attempt allowed", Idempotent, StageWhole, 3, true},
 	} {
 		d, _ := newDispatcher(t)
 		req := newRequest(d)
@@ -283,7 +283,7 @@
 	d, _ := newDispatcher(t)
 	attempt := addAttempt(newRequest(d), d.backends[2], 0, d.runtime.Now())
 	attempt.Ended = false
-	d.Ended(attempt, Result{Outcome: Broken, Finished: true})
+	d.Ended(attempt, Result{Outcome: ConnectionLost, Finished: true})
 	if d.inSlowStart(d.backends[2]) {
 		t.Error("the backend is in slow start")
 	}
@@ -295,14 +295,14 @@
 	d, runtime := newDispatcher(t)
 	backend := d.backends[2]
 	for _, other := range d.backends {
-		if other.Role == Writes && other != backend {
+		if other.Role == RoleDecode && other != backend {
 			other.CompletedWork.Add(runtime.now, 1000) // a share of about a tenth of the request's work
 		}
 	}
 	const fleet = 300
 	d.parameters.dispatchers = fleet
 	backend.StartReported, backend.StartedAt = true, runtime.now
-	want := fleet * d.slowStartBudget(backend) / d.requestWork(newRequest(d), backend, Whole)
+	want := fleet * d.slowStartBudget(backend) / d.requestWork(newRequest(d), backend, StageWhole)
 	turns := map[int]int{}
 	for window := range 4 {
 		allowed := 0
@@ -330,12 +330,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var endpoints []Listing
+		var endpoints []Endpoint
 		for i := range 4 {
-			endpoints = append(endpoints, Listing{Backend: &Backend{ID: uint32(i), Kind: 1}, State: Ready, CapacityUnits: float64(1 + i%2)})
+			endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint32(i), Kind: 1}, State: Ready, CapacityUnits: float64(1 + i%2)})
 		}
 		d.Listed(endpoints, true)
-		first[Least(d.backends, d.nextLoadScore).ID]++
+		first[MinBy(d.backends, d.nextLoadScore).ID]++
 	}
 	if len(first) != 4 || first[1]+first[3] < 120 || first[1] > 120 || first[3] > 120 {
 		t.Errorf("first choices of 200 dispatchers: %v", first)
@@ -346,17 +346,17 @@
 	d, _ := newDispatcher(t)
 	d.classes = append(d.classes, &Class{Index: 1})
 	backend, granted := d.backends[2], [2]int{}
-	backend.Outcomes = make([]Record, 3)
+	backend.Outcomes = make([]OutcomeStats, 3)
 	for i := range backend.Outcomes {
-		backend.Outcomes[i].Successes.Width, backend.Outcomes[i].Failures.Width = time.Second, time.Second
+		backend.Outcomes[i].Successes.BucketWidth, backend.Outcomes[i].Failures.BucketWidth = time.Second, time.Second
 	}
 	for i := range 40 {
-		d.Heard(PeerUpdate{Backend: backend, ClassIndex: i % 2, Verdict: []Verdict{Well, Badly}[i%2]})
+		d.Heard(PeerUpdate{Backend: backend, ClassIndex: i % 2, Verdict: []Verdict{VerdictGood, VerdictBad}[i%2]})
 	}
 	for i := range 200 {
 		req := newRequest(d)
 		req.Class = d.classes[i%2]
-		d.Heard(PeerUpdate{Backend: backend, ClassIndex: 0, Verdict: Well})
+		d.Heard(PeerUpdate{Backend: backend, ClassIndex: 0, Verdict: VerdictGood})
 		if d.drawTrust(d.successPosterior(backend, req)) {
 			granted[i%2]++
 		}
@@ -370,9 +370,9 @@
 	d, _ := newDispatcher(t)
 	for range 30 {
 		backend := &Backend{Kind: 1}
-		d.Listed([]Listing{{Backend: backend, State: Ready, CapacityUnits: 1}}, false)
+		d.Listed([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 1}}, false)
 		for range 4 {
-			d.Heard(PeerUpdate{Backend: backend, Verdict: Badly})
+			d.Heard(PeerUpdate{Backend: backend, Verdict: VerdictBad})
 		}
 	}
 	tried := 0
@@ -388,7 +388,7 @@
 
 func TestHeardTakesAnUnmetHostAsCold(t *testing.T) {
 	d, _ := newDispatcher(t)
-	d.Heard(PeerUpdate{Backend: d.backends[2], Verdict: Unmet})
+	d.Heard(PeerUpdate{Backend: d.backends[2], Verdict: VerdictUnreachable})
 	if !d.inSlowStart(d.backends[2]) {
 		t.Error("the backend is not in slow start")
 	}
@@ -400,17 +400,17 @@
 	for _, restart := range []bool{true, false} {
 		d, runtime := newDispatcher(t)
 		backend := d.backends[2]
-		endpoint := Listing{Backend: backend, State: Ready, CapacityUnits: 4, StartedAt: -time.Hour, StartReported: restart}
-		d.Listed([]Listing{endpoint}, false)
-		backend.PrefixTable[7] = Kept{100, runtime.now, 0}
-		d.Heard(PeerUpdate{Backend: backend, Verdict: Unmet})
+		endpoint := Endpoint{Backend: backend, State: Ready, CapacityUnits: 4, StartedAt: -time.Hour, StartReported: restart}
+		d.Listed([]Endpoint{endpoint}, false)
+		backend.PrefixTable[7] = CachedPrefix{100, runtime.now, 0}
+		d.Heard(PeerUpdate{Backend: backend, Verdict: VerdictUnreachable})
 		runtime.now += time.Second
-		d.Listed([]Listing{endpoint}, false)
+		d.Listed([]Endpoint{endpoint}, false)
 		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 1 || len(backend.PrefixTable) != 1 {
 			t.Errorf("restart %v: slow start %v, %g failures, %d prefixes", restart, d.inSlowStart(backend), backend.Outcomes[0].ConsecutiveFailures, len(backend.PrefixTable))
 		}
 		endpoint.StartedAt, endpoint.StartReported = runtime.now, true
-		d.Listed([]Listing{endpoint}, false)
+		d.Listed([]Endpoint{endpoint}, false)
 		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 0 || len(backend.PrefixTable) != 0 {
 			t.Error("a new start was ignored")
 		}
@@ -494,7 +494,7 @@
 		keepsPlace time.Duration
 	}{
 		{TimedOut, 600 * time.Millisecond, 0.5, 600 * time.Millisecond}, {Cancelled, 200 * time.Millisecond, 0.5, 200 * time.Millisecond},
-		{TimedOut, 3 * time.Second, 0.5, time.Second}, {Read, 600 * time.Millisecond, 0.5, 0}, {Unreachable, 200 * time.Millisecond, 0.5, 0},
+		{TimedOut, 3 * time.Second, 0.5, time.Second}, {Prefilled, 600 * time.Millisecond, 0.5, 0}, {Unreachable, 200 * time.Millisecond, 0.5, 0},
 		{Rejected, 0, 0.5, 0}, {TimedOut, 3 * time.Second, 0.1, 0}, // an unresponsive backend holds up no others
 	} {
 		d, runtime := newDispatcher(t)
@@ -526,13 +526,13 @@
 func TestAffinityCandidatesIncludeBackendsInSlowStart(t *testing.T) {
 	d, runtime := newDispatcher(t)
 	for i := range 20 {
-		d.Listed([]Listing{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}}, false)
+		d.Listed([]Endpoint{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}}, false)
 	}
-	req, prefillBackends := newRequest(d), Only(d.backends, (*Backend).PrefillOnly)
-	candidates := d.affinityCandidates(req, Reads, slices.Clone(prefillBackends))
+	req, prefillBackends := newRequest(d), Filter(d.backends, (*Backend).PrefillOnly)
+	candidates := d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends))
 	started := prefillBackends[slices.IndexFunc(prefillBackends, func(b *Backend) bool { return !slices.Contains(candidates, b) })]
 	started.StartReported, started.StartedAt = true, runtime.now-time.Second
-	if got := d.affinityCandidates(req, Reads, slices.Clone(prefillBackends)); !slices.Equal(got, append(candidates, started)) {
+	if got := d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends)); !slices.Equal(got, append(candidates, started)) {
 		t.Errorf("%d affinity candidates", len(got))
 	}
 	if share := d.capacityShare(started); share < 0.3 || share > 0.4 || d.capacityShare(candidates[0]) != 1 || d.loadScore(started, 0) < 2*d.loadScore(candidates[0], 0) {
@@ -563,17 +563,17 @@
 func TestAffinityCandidatesAreStableAndGrowWithShare(t *testing.T) {
 	d, runtime := newDispatcher(t)
 	for i := range 20 {
-		d.Listed([]Listing{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}}, false)
+		d.Listed([]Endpoint{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}}, false)
 	}
-	req, prefillBackends := newRequest(d), Only(d.backends, (*Backend).PrefillOnly)
-	candidates := slices.Clone(d.affinityCandidates(req, Reads, slices.Clone(prefillBackends)))
+	req, prefillBackends := newRequest(d), Filter(d.backends, (*Backend).PrefillOnly)
+	candidates := slices.Clone(d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends)))
 	without := slices.DeleteFunc(slices.Clone(prefillBackends), func(b *Backend) bool { return b == candidates[0] })
-	if remaining := d.affinityCandidates(req, Reads, without); len(candidates) != 2 || !slices.Equal(remaining, candidates[1:]) {
+	if remaining := d.affinityCandidates(req, RolePrefill, without); len(candidates) != 2 || !slices.Equal(remaining, candidates[1:]) {
 		t.Errorf("affinity candidates %v, with one suspected %v", candidates, remaining)
 	}
 	d.prefillRequests.Add(runtime.now, 100)
 	d.prefixTable.Add(req.PrefixKey, runtime.now, 50)
-	if got := len(d.affinityCandidates(req, Reads, prefillBackends)); got < 12 || got > 21 {
+	if got := len(d.affinityCandidates(req, RolePrefill, prefillBackends)); got < 12 || got > 21 {
 		t.Errorf("a prefix of half the requests has %d affinity candidates of 22", got)
 	}
 }
@@ -585,7 +585,7 @@
 	}{{100 * time.Millisecond, 0}, {2 * time.Second, 1}} {
 		d, runtime := newDispatcher(t)
 		backend := d.backends[2]
-		d.secondsPerToken[Writes].Add(0.001, 1)
+		d.secondsPerToken[RoleDecode].Add(0.001, 1)
 		d.recordOutcome(addAttempt(newRequest(d), backend, TimedOut, runtime.now), tc.took, false, false)
 		if got := backend.Outcomes[0].Failures.Sum(runtime.now); got != tc.failures {
 			t.Errorf("after %v: %g failures of the backend", tc.took, got)
@@ -617,7 +617,7 @@
 	d, runtime := newDispatcher(t)
 	backend, granted := d.backends[2], 0
 	for range 100 {
-		d.Heard(PeerUpdate{Backend: backend, Verdict: Badly})
+		d.Heard(PeerUpdate{Backend: backend, Verdict: VerdictBad})
 	}
 	runtime.now += time.Minute
 	for range 1000 {
@@ -672,7 +672,7 @@
 		}
 		return d.slowStartBudget(slowStarting)
 	}
-	if decode, whole := budget(ToWrite), budget(Whole); decode <= 0 || decode > whole/10 {
+	if decode, whole := budget(StageDecode), budget(StageWhole); decode <= 0 || decode > whole/10 {
 		t.Errorf("the budget of a mixed backend is %.0f after 20 decodes at a warm one, %.0f after 20 whole requests", decode, whole)
 	}
 }
@@ -683,21 +683,21 @@
 	d, _ := newDispatcher(t)
 	req := newRequest(d)
 	busy := d.backends[2]
-	if !d.send(req, busy, Whole, func(Result) {}) {
+	if !d.send(req, busy, StageWhole, func(Result) {}) {
 		t.Fatal("not sent")
 	}
 	for i := range 300 {
 		backend := &Backend{ID: uint32(100 + i), Kind: 1}
-		d.Listed([]Listing{{Backend: backend, State: Ready, CapacityUnits: 4}}, false)
-		d.Listed([]Listing{{Backend: backend, State: Gone}}, false)
+		d.Listed([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 4}}, false)
+		d.Listed([]Endpoint{{Backend: backend, State: Removed}}, false)
 	}
-	d.Listed([]Listing{{Backend: d.backends[0], State: Ready, CapacityUnits: 4}}, true)
+	d.Listed([]Endpoint{{Backend: d.backends[0], State: Ready, CapacityUnits: 4}}, true)
 	if len(d.backends) != 2 || !slices.Contains(d.backends, busy) {
 		t.Errorf("%d backends, wanted 1 that is listed and 1 with an attempt in flight", len(d.backends))
 	}
 	d.Ended(req.Attempts[0], Result{Outcome: Served, Finished: true})
-	d.Listed([]Listing{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
-	d.Listed([]Listing{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
+	d.Listed([]Endpoint{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
+	d.Listed([]Endpoint{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
 	if len(d.backends) != 2 {
 		t.Errorf("%d backends after one came back", len(d.backends))
 	}
@@ -720,7 +720,7 @@
 		t.Errorf("%d prefixes in the table, 2 are recent", entries)
 	}
 	rarelyUsed := d.backends[3]
-	rarelyUsed.PrefixTable[5] = Kept{10, runtime.now, 0}
+	rarelyUsed.PrefixTable[5] = CachedPrefix{10, runtime.now, 0}
 	runtime.now += prefixTTL + time.Second
 	d.refresh()
 	if len(rarelyUsed.PrefixTable) != 0 {
--- a/brain/candidates.go
+++ b/brain/candidates.go
@@ -75,7 +75,7 @@
 		d.addRack(set, req.KVHolder) // only decode remains
 		return set.backends
 	}
-	for _, role := range []Role{Reads, Both} {
+	for _, role := range []Role{RolePrefill, RoleMixed} {
 		set.affinity[role] = d.topRanked(cmp.Or(req.PrefixKey, req.SessionKey), role)
 		for i, candidate := range set.affinity[role] {
 			set.add(candidate)
@@ -111,7 +111,7 @@
 // in every dispatcher: all of a small fleet, and the first ones of a large fleet.
 func (d *Dispatcher) affinityOrder(req *Request, role Role) []*Backend {
 	if !d.isLarge() {
-		all := Only(d.backends, func(b *Backend) bool { return b.Role == role && b.State == Ready })
+		all := Filter(d.backends, func(b *Backend) bool { return b.Role == role && b.State == Ready })
 		SortByHash(all, cmp.Or(req.PrefixKey, req.SessionKey))
 		return all
 	}
@@ -186,7 +186,7 @@
 // dropStaleHolders drops backends that no longer have the prefix cached.
 func (d *Dispatcher) dropStaleHolders() {
 	for key, holders := range d.prefixHolders {
-		holders = slices.DeleteFunc(holders, func(b *Backend) bool { return !b.Tracked || b.PrefixTable[key] == (Kept{}) })
+		holders = slices.DeleteFunc(holders, func(b *Backend) bool { return !b.Tracked || b.PrefixTable[key] == (CachedPrefix{}) })
 		if len(holders) == 0 || !d.isLarge() {
 			delete(d.prefixHolders, key)
 			continue
@@ -227,7 +227,7 @@
 func (d *Dispatcher) dropRemoved() {
 	isRemoved := func(l roleMember) bool { return !l.backend.Tracked }
 	d.backends = slices.DeleteFunc(d.backends, func(backend *Backend) bool {
-		backend.Tracked = backend.State != Gone || backend.Streams > 0 || backend.KVTokens >= 1 // its load still counts
+		backend.Tracked = backend.State != Removed || backend.Streams > 0 || backend.KVTokens >= 1 // its load still counts
 		if !backend.Tracked && backend.Decodes() {
 			if d.decodeByRack[backend.Rack] = slices.DeleteFunc(d.decodeByRack[backend.Rack], func(b *Backend) bool { return b == backend }); len(d.decodeByRack[backend.Rack]) == 0 {
 				delete(d.decodeByRack, backend.Rack)
@@ -278,7 +278,7 @@
 		}
 	}
 	if d.isLarge() && !math.IsInf(free, 1) {
-		free *= max(float64(len(d.byRole[Writes])+len(d.byRole[Both]))/max(considered, 1), 1)
+		free *= max(float64(len(d.byRole[RoleDecode])+len(d.byRole[RoleMixed]))/max(considered, 1), 1)
 	}
 	return free - d.prefillKVTokens()
 }
@@ -290,7 +290,7 @@
 	}
 	sum := 0.0
 	for _, backend := range d.backends {
-		if backend.Role == Reads {
+		if backend.Role == RolePrefill {
 			sum += backend.KVTokens
 		}
 	}
--- a/brain/candidates_test.go
+++ b/brain/candidates_test.go
@@ -14,9 +14,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var endpoints []Listing
+	var endpoints []Endpoint
 	for i := range 2000 {
-		endpoints = append(endpoints, Listing{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 6}, State: Ready, CapacityUnits: 1})
+		endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 6}, State: Ready, CapacityUnits: 1})
 	}
 	d.Listed(endpoints, true)
 	return d, runtime
@@ -38,9 +38,9 @@
 		req := newRequest(first)
 		req.PrefixKey = prefix + 1
 		other := *req
-		candidates := first.affinityCandidates(req, Reads, first.eligible(req, (*Backend).PrefillOnly))
-		others := second.affinityCandidates(&other, Reads, second.eligible(&other, (*Backend).PrefillOnly))
-		ranked := Only(first.backends, (*Backend).PrefillOnly)
+		candidates := first.affinityCandidates(req, RolePrefill, first.eligible(req, (*Backend).PrefillOnly))
+		others := second.affinityCandidates(&other, RolePrefill, second.eligible(&other, (*Backend).PrefillOnly))
+		ranked := Filter(first.backends, (*Backend).PrefillOnly)
 		SortByHash(ranked, req.PrefixKey)
 		if len(candidates) != 2 || !slices.Equal(ids(candidates), ids(others)) || !slices.Equal(ids(candidates), ids(ranked[:2])) {
 			t.Errorf("prefix %d: %v and %v, wanted %v", req.PrefixKey, ids(candidates), ids(others), ids(ranked[:2]))
@@ -60,7 +60,7 @@
 	for range 100 {
 		runtime.now += time.Millisecond
 		req := newRequest(d)
-		for _, backend := range d.affinityCandidates(req, Reads, d.eligible(req, (*Backend).PrefillOnly)) {
+		for _, backend := range d.affinityCandidates(req, RolePrefill, d.eligible(req, (*Backend).PrefillOnly)) {
 			used[backend.ID] = true
 		}
 	}
@@ -72,9 +72,9 @@
 // Backends that a request has a reason to go to are among its candidates, however few are sampled.
 func TestCandidatesIncludePrefixHoldersAndTheKVHoldersRack(t *testing.T) {
 	d, runtime := newLargeFleet(t, 1)
-	holder := Only(d.backends, (*Backend).Decodes)[700]
+	holder := Filter(d.backends, (*Backend).Decodes)[700]
 	d.recordCachedPrefix(&Attempt{Request: newRequest(d), Backend: holder}, 0)
-	prefillBackend := Only(d.backends, (*Backend).PrefillOnly)[300]
+	prefillBackend := Filter(d.backends, (*Backend).PrefillOnly)[300]
 	for range 50 {
 		runtime.now += time.Millisecond
 		req := newRequest(d)
@@ -83,7 +83,7 @@
 		}
 		req.KVHolder = prefillBackend
 		runtime.now += time.Millisecond
-		inRack := Only(d.candidates(req), func(b *Backend) bool { return b.Rack == prefillBackend.Rack && b.Decodes() })
+		inRack := Filter(d.candidates(req), func(b *Backend) bool { return b.Rack == prefillBackend.Rack && b.Decodes() })
 		if len(inRack) != 3 {
 			t.Fatalf("%d backends of the KV holder's rack are candidates", len(inRack))
 		}
@@ -102,7 +102,7 @@
 		runtime.now += 10 * time.Millisecond
 		req := newRequest(d)
 		req.SessionKey, req.PrefixKey = 0, uint64(number+1)
-		req.KVHolder = Only(d.backends, (*Backend).PrefillOnly)[number%1000]
+		req.KVHolder = Filter(d.backends, (*Backend).PrefillOnly)[number%1000]
 		d.pickDecode(req)
 		attempt := runtime.sent[len(runtime.sent)-1]
 		used[attempt.Backend]++
@@ -121,21 +121,21 @@
 // A fleet that shrinks and grows across fullScanLimit keeps its order and all of its backends.
 func TestFleetShrinksAndGrowsAcrossFullScanLimit(t *testing.T) {
 	d, _ := newLargeFleet(t, 1)
-	var endpoints []Listing
+	var endpoints []Endpoint
 	for _, backend := range d.backends[100:] {
-		endpoints = append(endpoints, Listing{Backend: backend, State: Gone})
+		endpoints = append(endpoints, Endpoint{Backend: backend, State: Removed})
 	}
 	d.Listed(endpoints, false)
-	if len(d.backends) != 100 || d.isLarge() || len(d.byRole[Reads])+len(d.byRole[Writes]) != 100 {
-		t.Fatalf("%d backends remain, %d and %d by role", len(d.backends), len(d.byRole[Reads]), len(d.byRole[Writes]))
+	if len(d.backends) != 100 || d.isLarge() || len(d.byRole[RolePrefill])+len(d.byRole[RoleDecode]) != 100 {
+		t.Fatalf("%d backends remain, %d and %d by role", len(d.backends), len(d.byRole[RolePrefill]), len(d.byRole[RoleDecode]))
 	}
 	for i := range 100 {
-		d.Listed([]Listing{{Backend: &Backend{ID: uint32(5000 + i), Kind: i % 2, Rack: 1000 + i/6}, State: Ready, CapacityUnits: 1}}, false)
+		d.Listed([]Endpoint{{Backend: &Backend{ID: uint32(5000 + i), Kind: i % 2, Rack: 1000 + i/6}, State: Ready, CapacityUnits: 1}}, false)
 	}
 	if !d.isLarge() || !slices.IsSortedFunc(d.backends, func(a, b *Backend) int { return int(a.order>>1) - int(b.order>>1) }) {
 		t.Errorf("%d backends, in order %v", len(d.backends), d.sorted)
 	}
-	if got := len(d.byRole[Reads]) + len(d.byRole[Writes]); got != 200 {
+	if got := len(d.byRole[RolePrefill]) + len(d.byRole[RoleDecode]); got != 200 {
 		t.Errorf("%d backends by role", got)
 	}
 }
@@ -148,12 +148,12 @@
 	other.PrefixKey = 77
 	d.candidates(other)
 	req := newRequest(d)
-	req.KVHolder = Only(d.backends, (*Backend).PrefillOnly)[0]
+	req.KVHolder = Filter(d.backends, (*Backend).PrefillOnly)[0]
 	d.candidates(req)
 	req.KVHolder = nil
-	ranked := Only(d.backends, (*Backend).PrefillOnly)
+	ranked := Filter(d.backends, (*Backend).PrefillOnly)
 	SortByHash(ranked, req.PrefixKey)
-	if got := d.affinityCandidates(req, Reads, d.eligible(req, (*Backend).PrefillOnly)); !slices.Equal(ids(got), ids(ranked[:2])) {
+	if got := d.affinityCandidates(req, RolePrefill, d.eligible(req, (*Backend).PrefillOnly)); !slices.Equal(ids(got), ids(ranked[:2])) {
 		t.Errorf("its affinity candidates are %v, wanted %v", ids(got), ids(ranked[:2]))
 	}
 }
@@ -165,7 +165,7 @@
 	d.prefixTable.Add(9, runtime.now, 1e6)
 	req := newRequest(d)
 	eligible := d.eligible(req, (*Backend).PrefillOnly)
-	if candidates := d.affinityCandidates(req, Reads, slices.Clone(eligible)); len(candidates) != len(eligible) {
+	if candidates := d.affinityCandidates(req, RolePrefill, slices.Clone(eligible)); len(candidates) != len(eligible) {
 		t.Errorf("%d of %d eligible backends are affinity candidates", len(candidates), len(eligible))
 	}
 }
--- a/brain/cost_test.go
+++ b/brain/cost_test.go
@@ -31,9 +31,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var endpoints []Listing
+	var endpoints []Endpoint
 	for i := range backends {
-		endpoint := Listing{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 5, Zone: i % 3}, State: Ready, CapacityUnits: 1}
+		endpoint := Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 5, Zone: i % 3}, State: Ready, CapacityUnits: 1}
 		if state == allInSlowStart || state == mostInSlowStart && i%10 < 6 {
 			endpoint.StartReported, endpoint.StartedAt = true, runtime.now-time.Second
 		}
@@ -43,7 +43,7 @@
 	if state == thirdGone {
 		for i := range endpoints {
 			if i%3 == 0 {
-				endpoints[i].State = Gone
+				endpoints[i].State = Removed
 				d.Listed(endpoints[i:i+1], false)
 			}
 		}
@@ -68,8 +68,8 @@
 	for served := false; !served && len(runtime.sent) > 0; {
 		attempt := runtime.sent[0]
 		runtime.sent = runtime.sent[1:]
-		if attempt.Stage == ToRead {
-			d.Ended(attempt, Result{Outcome: Read, Duration: 20 * time.Millisecond, Detail: 100})
+		if attempt.Stage == StagePrefill {
+			d.Ended(attempt, Result{Outcome: Prefilled, Duration: 20 * time.Millisecond, Detail: 100})
 			continue
 		}
 		d.Began(attempt, 5*time.Millisecond)
@@ -119,7 +119,7 @@
 	began := time.Now()
 	for i := range rounds {
 		runtime.now += time.Millisecond
-		d.Listed([]Listing{{Backend: d.backends[i], State: Ready, CapacityUnits: 1, StartReported: true, StartedAt: runtime.now}}, false)
+		d.Listed([]Endpoint{{Backend: d.backends[i], State: Ready, CapacityUnits: 1, StartReported: true, StartedAt: runtime.now}}, false)
 	}
 	if took := time.Since(began) / rounds; took > maxRequestTime/10 {
 		t.Errorf("a change takes %v", took)
--- a/brain/ends_test.go
+++ b/brain/ends_test.go
@@ -48,7 +48,7 @@
 func (s *simulation) Schedule(delay time.Duration, callback func()) {
 	s.timers = append(s.timers, timer{s.now + delay, callback})
 }
-func (s *simulation) Tell(int, PeerUpdate) {}
+func (s *simulation) SendPeerUpdate(int, PeerUpdate) {}
 
 func (s *simulation) Send(attempt *Attempt, timeout time.Duration) {
 	req := attempt.Request
@@ -60,11 +60,11 @@
 		s.t.Errorf("two attempts in flight")
 	case s.notReady[attempt.Backend]:
 		s.t.Errorf("an attempt at a backend that is not ready")
-	case attempt.Stage != ToRead && s.mayHaveRun[req] && effect == Unrepeatable:
+	case attempt.Stage != StagePrefill && s.mayHaveRun[req] && effect == NonIdempotent:
 		s.t.Errorf("a non-idempotent request that may have run is sent again")
 	case s.now >= req.Deadline || timeout > req.Deadline-s.now:
 		s.t.Errorf("an attempt beyond the client's deadline")
-	case attempt.Stage == ToWrite && s.kvHolders[req] == nil:
+	case attempt.Stage == StageDecode && s.kvHolders[req] == nil:
 		s.t.Errorf("a decode attempt without a KV cache")
 	}
 	s.inFlight[req] = attempt
@@ -121,7 +121,7 @@
 
 func (s *simulation) Reject(req *Request, _ time.Duration) {
 	s.checkFinalAnswer(req, "rejected")
-	if s.mayHaveRun[req] && req.Class.Effect == Unrepeatable {
+	if s.mayHaveRun[req] && req.Class.Effect == NonIdempotent {
 		s.t.Errorf("a non-idempotent request that may have run is rejected")
 	}
 }
@@ -134,17 +134,17 @@
 	if _, waiting := s.kvWaitingSince[req]; !waiting {
 		s.kvWaitingSince[req] = s.now
 	}
-	if attempt.Stage != ToRead && !outcome.NeverRan() {
+	if attempt.Stage != StagePrefill && !outcome.NeverRan() {
 		s.mayHaveRun[req] = true
 	}
 	note := 0
 	switch {
-	case outcome == Read:
+	case outcome == Prefilled:
 		s.kvHolders[req], s.kvWaitingSince[req] = attempt.Backend, s.now
 		note = int(req.PromptTokens / 2)
-	case attempt.Stage == ToWrite && (attempt.FirstTokenAt > 0 || outcome == Served):
+	case attempt.Stage == StageDecode && (attempt.FirstTokenAt > 0 || outcome == Served):
 		delete(s.kvHolders, req)
-	case outcome == Rejected && attempt.Stage == ToWrite && (s.kvHolders[req] == nil || s.rng.IntN(2) == 0):
+	case outcome == Rejected && attempt.Stage == StageDecode && (s.kvHolders[req] == nil || s.rng.IntN(2) == 0):
 		delete(s.kvHolders, req) // the prefill backend had none
 		note = 1
 	}
@@ -183,7 +183,7 @@
 		}
 		list := func(backend *Backend, s BackendState) {
 			sim.notReady[backend] = s != Ready
-			d.Listed([]Listing{{Backend: backend, State: s, CapacityUnits: 1, StartedAt: sim.now, StartReported: s == Ready && sim.rng.IntN(3) == 0}}, false)
+			d.Listed([]Endpoint{{Backend: backend, State: s, CapacityUnits: 1, StartedAt: sim.now, StartReported: s == Ready && sim.rng.IntN(3) == 0}}, false)
 		}
 		for _, backend := range backends {
 			list(backend, Ready)
@@ -208,24 +208,24 @@
 				switch {
 				case attempt == nil:
 				case attempt.FirstTokenAt > 0 && sim.rng.IntN(30) == 0:
-					sim.endAttempt(attempt, []Outcome{Served, Served, Served, Broken}[sim.rng.IntN(4)])
+					sim.endAttempt(attempt, []Outcome{Served, Served, Served, ConnectionLost}[sim.rng.IntN(4)])
 				case attempt.FirstTokenAt > 0:
 				case sim.rng.IntN(25) > 0:
 				case sim.silent[attempt]:
 					if sim.rng.IntN(4) == 0 {
-						sim.endAttempt(attempt, []Outcome{Unreachable, Broken}[sim.rng.IntN(2)])
+						sim.endAttempt(attempt, []Outcome{Unreachable, ConnectionLost}[sim.rng.IntN(2)])
 					}
-				case attempt.Stage == ToWrite && sim.kvHolders[req] == nil:
+				case attempt.Stage == StageDecode && sim.kvHolders[req] == nil:
 					sim.endAttempt(attempt, Rejected) // it arrives after the release
-				case attempt.Stage == ToRead:
-					sim.endAttempt(attempt, []Outcome{Read, Read, Read, Read, Failed, Rejected, TimedOut, Unreachable, Broken}[sim.rng.IntN(9)])
+				case attempt.Stage == StagePrefill:
+					sim.endAttempt(attempt, []Outcome{Prefilled, Prefilled, Prefilled, Prefilled, Failed, Rejected, TimedOut, Unreachable, ConnectionLost}[sim.rng.IntN(9)])
 				case sim.rng.IntN(3) > 0:
 					d.Began(attempt, sim.now-attempt.SentAt)
-					if attempt.Stage == ToWrite {
+					if attempt.Stage == StageDecode {
 						delete(sim.kvHolders, req)
 					}
 				default:
-					sim.endAttempt(attempt, []Outcome{Failed, Rejected, TimedOut, Unreachable, Broken}[sim.rng.IntN(5)])
+					sim.endAttempt(attempt, []Outcome{Failed, Rejected, TimedOut, Unreachable, ConnectionLost}[sim.rng.IntN(5)])
 				}
 				if sim.finalAnswers[req] == 0 && sim.rng.IntN(400) == 0 {
 					sim.finalAnswers[req]++ // its client disconnects
@@ -237,7 +237,7 @@
 			sim.advance(2 * time.Millisecond)
 			for _, req := range requests {
 				if attempt := sim.inFlight[req]; attempt != nil && sim.now < req.Deadline {
-					sim.endAttempt(attempt, Broken)
+					sim.endAttempt(attempt, ConnectionLost)
 				} else if attempt != nil {
 					sim.endAttempt(attempt, Cancelled)
 				}
@@ -277,10 +277,10 @@
 		d.Ended(attempt, Result{Outcome: TimedOut, Duration: 700 * time.Millisecond})
 		runtime.now += time.Second
 	}
-	if expected := d.timeToFirstToken.Or(0); expected < 0.5 || expected > 0.7 {
+	if expected := d.timeToFirstToken.ValueOr(0); expected < 0.5 || expected > 0.7 {
 		t.Errorf("a first token is expected after %.2f s, but none comes within 0.7 s", expected)
 	}
-	attempt := &Attempt{Request: &Request{Class: d.classes[0], Deadline: runtime.now + 2*time.Second}, SentAt: runtime.now, Stage: ToRead}
+	attempt := &Attempt{Request: &Request{Class: d.classes[0], Deadline: runtime.now + 2*time.Second}, SentAt: runtime.now, Stage: StagePrefill}
 	if got := d.attemptTimeout(attempt); got != 2*time.Second {
 		t.Errorf("an attempt under congestion leaves time for another: %v", got)
 	}
--- a/brain/facts.go
+++ b/brain/facts.go
@@ -11,17 +11,17 @@
 )
 
 // Settings are the settings of a dispatcher under dotted names such as "rules.coldFrom" or "kinds.0".
-type Facts map[string]any
+type Settings map[string]any
 
 // FlattenSettings converts an object of nested settings.
-func Flat(object map[string]any) Facts {
-	settings := Facts{}
+func FlattenSettings(object map[string]any) Settings {
+	settings := Settings{}
 	flatten(settings, "", object)
 	return settings
 }
 
 // flatten stores nested values under dotted names. A list also stores its length under its own name.
-func flatten(into Facts, name string, value any) {
+func flatten(into Settings, name string, value any) {
 	qualified := func(part string) string {
 		if name == "" {
 			return part
@@ -44,7 +44,7 @@
 }
 
 // Number returns a numeric setting, or fallback if it isn't one.
-func (s Facts) Num(name string, fallback float64) float64 {
+func (s Settings) Number(name string, fallback float64) float64 {
 	if v, ok := s[name].(float64); ok {
 		return v
 	}
@@ -52,24 +52,24 @@
 }
 
 // Text returns a string setting, or "".
-func (s Facts) Text(name string) string {
+func (s Settings) Text(name string) string {
 	text, _ := s[name].(string)
 	return text
 }
 
 // Bool returns a boolean setting, or false.
-func (s Facts) Yes(name string) bool {
+func (s Settings) Bool(name string) bool {
 	flag, _ := s[name].(bool)
 	return flag
 }
 
 // Duration returns a setting stated in microseconds, or 0.
-func (s Facts) Span(name string) time.Duration {
-	return time.Duration(s.Num(name, 0)) * time.Microsecond
+func (s Settings) Duration(name string) time.Duration {
+	return time.Duration(s.Number(name, 0)) * time.Microsecond
 }
 
 // RequireNumbers returns an error for the first of the named settings that is not a number.
-func (s Facts) RequireNumbers(names ...string) error {
+func (s Settings) RequireNumbers(names ...string) error {
 	for _, name := range names {
 		if _, ok := s[name].(float64); !ok {
 			return fmt.Errorf("read setting %s: missing or not a number", name)
@@ -98,13 +98,13 @@
 
 // WithDefaults returns a copy with defaults for what is not stated. Without the slow-start rule no backend is
 // ever in slow start.
-func (s Facts) WithDefaults() Facts {
+func (s Settings) WithDefaults() Settings {
 	complete := maps.Clone(s)
-	if s.Num("rules.tipMultiple", 0) == 0 || s.Num("rules.tipAfterUs", 0) == 0 {
+	if s.Number("rules.tipMultiple", 0) == 0 || s.Number("rules.tipAfterUs", 0) == 0 {
 		complete["rules.rampTimeUs"] = 0.0
 	}
 	for _, setting := range numericSettings {
-		if v := s.Num(setting.name, 0); v == 0 {
+		if v := s.Number(setting.name, 0); v == 0 {
 			complete[setting.name] = setting.fallback
 		}
 	}
@@ -112,7 +112,7 @@
 }
 
 // Validate returns an error for the first required setting that is missing or setting that is out of range.
-func (s Facts) Sound() error {
+func (s Settings) Validate() error {
 	if err := s.RequireNumbers("familyInfo.kindRole"); err != nil {
 		return err
 	}
@@ -127,33 +127,33 @@
 			return fmt.Errorf("read setting %s: %g is not from %g to %g", setting.name, number, setting.minimum, setting.maximum)
 		}
 	}
-	if s.Num("requestClasses", 0) < 1 {
+	if s.Number("requestClasses", 0) < 1 {
 		return fmt.Errorf("read setting requestClasses: missing or without a class")
 	}
 	return nil
 }
 
 // Classes returns the priority classes.
-func (s Facts) Grades() ([]*Class, error) {
+func (s Settings) Classes() ([]*Class, error) {
 	var classes []*Class
-	for i := range int(s.Num("requestClasses", 0)) {
+	for i := range int(s.Number("requestClasses", 0)) {
 		prefix := fmt.Sprintf("requestClasses.%d.", i)
 		effect, known := map[string]Effect{
-			"repeatable": Idempotent, "by_key": Deduplicated, "once": Unrepeatable,
+			"repeatable": Idempotent, "by_key": Deduplicated, "once": NonIdempotent,
 		}[s.Text(prefix+"effect")]
 		if !known {
 			return nil, fmt.Errorf("read setting %seffect: missing or unknown", prefix)
 		}
 		// A class without a target has its deadline as target; one without a window is never repeated.
 		target := prefix + "aimUs"
-		if s.Num(target, 0) == 0 {
+		if s.Number(target, 0) == 0 {
 			target = prefix + "giveUpUs"
 		}
 		if err := s.RequireNumbers(target); err != nil {
 			return nil, fmt.Errorf("%w, and %saimUs is not stated either", err, prefix)
 		}
 		for _, name := range []string{target, prefix + "windowUs", prefix + "worth", prefix + "lateWorth"} {
-			if v := s.Num(name, 1); !(v >= 0 && v <= 1e15) || name == target && v < 1 {
+			if v := s.Number(name, 1); !(v >= 0 && v <= 1e15) || name == target && v < 1 {
 				return nil, fmt.Errorf("read setting %s: %g is not from 0 to 1e15, or for a target from 1", name, v)
 			}
 		}
@@ -161,21 +161,21 @@
 			Index:               i,
 			Effect:              effect,
 			DedupScope:          map[string]DedupScope{"zone": SameZone, "cell": SameRack}[s.Text(prefix+"group")],
-			DedupWindow:         s.Span(prefix + "windowUs"),
-			Target:              s.Span(target),
-			TargetPer1000Tokens: s.Span(fmt.Sprintf("familyInfo.aimUsPer1000PromptTokens.%d", i)),
-			Value:               s.Num(prefix+"worth", 1),
-			LateValue:           s.Num(prefix+"lateWorth", 1),
-			Offered:             Ring{Width: admissionBucketWidth},
-			Admitted:            Ring{Width: admissionBucketWidth},
+			DedupWindow:         s.Duration(prefix + "windowUs"),
+			Target:              s.Duration(target),
+			TargetPer1000Tokens: s.Duration(fmt.Sprintf("familyInfo.aimUsPer1000PromptTokens.%d", i)),
+			Value:               s.Number(prefix+"worth", 1),
+			LateValue:           s.Number(prefix+"lateWorth", 1),
+			Offered:             RollingSum{BucketWidth: admissionBucketWidth},
+			Admitted:            RollingSum{BucketWidth: admissionBucketWidth},
 		})
 	}
 	return classes, nil
 }
 
 // Names returns the names in a list of names, or of objects that have a name.
-func (s Facts) Names(list string) []string {
-	names := make([]string, int(s.Num(list, 0)))
+func (s Settings) Names(list string) []string {
+	names := make([]string, int(s.Number(list, 0)))
 	for i := range names {
 		key := fmt.Sprintf("%s.%d", list, i)
 		names[i] = cmp.Or(s.Text(key), s.Text(key+".name"))
@@ -184,7 +184,7 @@
 }
 
 // Index returns the index of a name in such a list, -1 if it is not there.
-func (s Facts) Index(list, name string) int {
+func (s Settings) Index(list, name string) int {
 	if name == "" {
 		return -1
 	}
@@ -192,31 +192,31 @@
 }
 
 // Tenants returns the tenants. One without a quota has no limit.
-func (s Facts) Channels() []*Tenant {
+func (s Settings) Tenants() []*Tenant {
 	var tenants []*Tenant
-	for i := range int(s.Num("tenants", 0)) {
-		quota := s.Num(fmt.Sprintf("tenants.%d.quotaPerS", i), math.Inf(1))
-		tenants = append(tenants, &Tenant{Quota: quota, Received: Ring{Width: 500 * time.Millisecond}})
+	for i := range int(s.Number("tenants", 0)) {
+		quota := s.Number(fmt.Sprintf("tenants.%d.quotaPerS", i), math.Inf(1))
+		tenants = append(tenants, &Tenant{Quota: quota, Received: RollingSum{BucketWidth: 500 * time.Millisecond}})
 	}
 	return tenants
 }
 
 // RoleOf returns the role of a kind of backend.
-func (s Facts) RoleOf(kind int) Role {
-	return map[string]Role{"read": Reads, "write": Writes, "both": Both}[s.Text(fmt.Sprintf("familyInfo.kindRole.%d", kind))]
+func (s Settings) RoleOf(kind int) Role {
+	return map[string]Role{"read": RolePrefill, "write": RoleDecode, "both": RoleMixed}[s.Text(fmt.Sprintf("familyInfo.kindRole.%d", kind))]
 }
 
 // KVCapacityOf returns the KV cache size of a kind of backend in tokens; unlimited if it is not stated.
-func (s Facts) MemoryOf(kind int) float64 {
-	return s.Num(fmt.Sprintf("familyInfo.tokensByKind.%d", kind), math.Inf(1))
+func (s Settings) KVCapacityOf(kind int) float64 {
+	return s.Number(fmt.Sprintf("familyInfo.tokensByKind.%d", kind), math.Inf(1))
 }
 
 // reportFields returns the names of a load report's values in order.
-func (s Facts) reportFields() []string {
+func (s Settings) reportFields() []string {
 	var fields []string
 	for i := 0; ; i++ {
 		name := s.Text(fmt.Sprintf("report.fields.%d", i))
-		if name == "" && i >= int(s.Num("report.fields", 0)) {
+		if name == "" && i >= int(s.Number("report.fields", 0)) {
 			return fields
 		}
 		fields = append(fields, name)
--- a/brain/facts_test.go
+++ b/brain/facts_test.go
@@ -8,8 +8,8 @@
 )
 
 // settingsWith returns the settings of a small deployment with one change; nil removes the setting.
-func settingsWith(name string, value any) Facts {
-	settings := Facts{"siblings": 3.0, "familyInfo.kindRole": 1.0, "familyInfo.kindRole.0": "both", "policyLimits.maxAttempts": 3.0,
+func settingsWith(name string, value any) Settings {
+	settings := Settings{"siblings": 3.0, "familyInfo.kindRole": 1.0, "familyInfo.kindRole.0": "both", "policyLimits.maxAttempts": 3.0,
 		"rules.tipMultiple": 2.5, "rules.tipAfterUs": 2e6, "rules.coldFrom": 0.4, "rules.rampTimeUs": 9e6,
 		"requestClasses": 1.0, "requestClasses.0.effect": "by_key", "requestClasses.0.aimUs": 1e6, "requestClasses.0.giveUpUs": 4e6,
 		"requestClasses.0.windowUs": 1e6, "requestClasses.0.worth": 1.0}
@@ -29,7 +29,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.Listed([]Listing{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1, StartReported: true, StartedAt: time.Second}}, true)
+			d.Listed([]Endpoint{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1, StartReported: true, StartedAt: time.Second}}, true)
 			d.Submit(&Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4 * time.Second}, 0, 0)
 			if len(runtime.sent) != 1 {
 				t.Errorf("%s = %v: a backend that has just started gets nothing", name, value)
@@ -75,7 +75,7 @@
 			continue
 		}
 		backend := &Backend{ID: 1}
-		d.Listed([]Listing{{Backend: backend, State: Ready, CapacityUnits: 1, StartReported: true}}, true)
+		d.Listed([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 1, StartReported: true}}, true)
 		req := &Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4e9}
 		d.Submit(req, 0, 0)
 		if math.IsNaN(d.window) || math.IsNaN(backend.TokenLimit) {
@@ -91,11 +91,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	endpoints := []Listing{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1}, {Backend: &Backend{ID: 2}, State: Ready, CapacityUnits: 1}}
+	endpoints := []Endpoint{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1}, {Backend: &Backend{ID: 2}, State: Ready, CapacityUnits: 1}}
 	d.Listed(endpoints, true)
 	req := &Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4 * time.Second}
 	d.Submit(req, 0, 0)
-	d.Ended(runtime.sent[0], Result{Outcome: Broken})
+	d.Ended(runtime.sent[0], Result{Outcome: ConnectionLost})
 	if len(runtime.sent) != 2 {
 		t.Fatalf("%d attempts", len(runtime.sent))
 	}
--- a/brain/help_test.go
+++ b/brain/help_test.go
@@ -31,11 +31,11 @@
 	f.timers, f.timerDelays = append(f.timers, callback), append(f.timerDelays, delay)
 }
 func (f *fakeRuntime) WatchEndpoints(bool)                  {}
-func (f *fakeRuntime) Tell(peer int, _ PeerUpdate) { f.updatedPeers = append(f.updatedPeers, peer) }
-func (f *fakeRuntime) Note(string)                 {}
+func (f *fakeRuntime) SendPeerUpdate(peer int, _ PeerUpdate) { f.updatedPeers = append(f.updatedPeers, peer) }
+func (f *fakeRuntime) LogInfo(string)                 {}
 
-func testSettings() Facts {
-	return Facts{
+func testSettings() Settings {
+	return Settings{
 		"siblings":          1.0,
 		"rules.tipMultiple": 2.5, "rules.tipAfterUs": 2e6, "rules.coldFrom": 0.3, "rules.rampTimeUs": 10e6,
 		"familyInfo.kindRole": 3.0, "familyInfo.localRead": true,
@@ -55,9 +55,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var endpoints []Listing
+	var endpoints []Endpoint
 	for i := range 6 {
-		endpoints = append(endpoints, Listing{Backend: &Backend{ID: uint32(i + 1), Kind: i / 2, Rack: i % 2}, State: Ready, CapacityUnits: 4})
+		endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i / 2, Rack: i % 2}, State: Ready, CapacityUnits: 4})
 	}
 	d.Listed(endpoints, true)
 	return d, runtime
--- a/brain/outcomes.go
+++ b/brain/outcomes.go
@@ -26,7 +26,7 @@
 	backend, now := attempt.Backend, d.runtime.Now()
 	// 300 tokens stand for the fixed part of an attempt's duration.
 	secondsPerToken := duration.Seconds() / (attempt.PrefillTokens + 300)
-	slow := secondsPerToken > 4*d.secondsPerToken[backend.Role].Or(secondsPerToken)
+	slow := secondsPerToken > 4*d.secondsPerToken[backend.Role].ValueOr(secondsPerToken)
 	if succeeded {
 		d.secondsPerToken[backend.Role].Add(secondsPerToken, 0.05)
 	}
@@ -34,13 +34,13 @@
 	targetTime := attempt.Request.TargetAt - attempt.Request.ReceivedAt
 	switch {
 	case attempt.Outcome == Unreachable:
-		update.Verdict = Unmet
+		update.Verdict = VerdictUnreachable
 	case succeeded && !slow:
-		update.Verdict = Well
+		update.Verdict = VerdictGood
 	case succeeded:
 		update.Verdict = VerdictSlow
 	case slow || attempt.Outcome != TimedOut || duration > targetTime: // one cut short by its client shows nothing
-		update.Verdict = Badly
+		update.Verdict = VerdictBad
 	}
 	d.Heard(update)
 	if succeeded && attempt.FirstTokenAt > 0 || attempt.FirstTokenAt == 0 && attempt.Outcome == TimedOut {
@@ -70,7 +70,7 @@
 		req.KVWaitingSince = now - result.Delay
 	}
 	switch result.Outcome {
-	case Read:
+	case Prefilled:
 		req.KVHolder, req.Released = backend, false
 		d.recordOutcome(attempt, result.Duration, true, hasLoad)
 	case Served:
@@ -83,14 +83,14 @@
 		if result.Detail == 1 {
 			req.KVHolder, req.Released = nil, false
 		}
-	case Failed, TimedOut, Unreachable, Broken:
+	case Failed, TimedOut, Unreachable, ConnectionLost:
 		d.recordOutcome(attempt, result.Duration, false, hasLoad)
 	}
-	if result.Outcome == Read || result.Outcome == Served {
+	if result.Outcome == Prefilled || result.Outcome == Served {
 		d.recordCachedPrefix(attempt, float64(result.Detail))
 		backend.CompletedWork.Add(now, d.requestWork(req, backend, attempt.Stage))
 		d.invalidateCompletedWork()
-		if attempt.Stage != ToWrite {
+		if attempt.Stage != StageDecode {
 			uncached := max(req.PromptTokens-float64(result.Detail), 0)
 			d.prefillTokens.Add(now, uncached)
 			d.prefillRequests.Add(now, 1)
@@ -119,11 +119,11 @@
 	}
 	backend.CacheInsertedTokens += max(req.PromptTokens-cached, 0)
 	if req.SessionKey != 0 {
-		backend.PrefixTable[req.SessionKey] = Kept{req.PromptTokens, now, backend.CacheInsertedTokens}
+		backend.PrefixTable[req.SessionKey] = CachedPrefix{req.PromptTokens, now, backend.CacheInsertedTokens}
 		d.recordPrefixHolder(req.SessionKey, backend)
 	}
 	if req.PrefixKey != 0 {
-		backend.PrefixTable[req.PrefixKey] = Kept{req.PrefixTokens, now, backend.CacheInsertedTokens}
+		backend.PrefixTable[req.PrefixKey] = CachedPrefix{req.PrefixTokens, now, backend.CacheInsertedTokens}
 		d.recordPrefixHolder(req.PrefixKey, backend)
 	}
 }
@@ -167,7 +167,7 @@
 	// An unreachable backend may be restarting, which service discovery shows only seconds later, so it is in
 	// slow start until then. A lost connection alone doesn't show that: a burst of connection resets would put
 	// the whole fleet in slow start.
-	if update.Verdict == Unmet {
+	if update.Verdict == VerdictUnreachable {
 		update.Backend.UnreachableAt = d.runtime.Now()
 		d.invalidateCompletedWork()
 	}
@@ -178,6 +178,6 @@
 	peers, self := int(d.parameters.dispatchers)-1, int(d.parameters.index)
 	start := int(d.rng.Float() * float64(peers))
 	for i := range d.peerFanout {
-		d.runtime.Tell((self+1+(start+i)%peers)%(peers+1), update)
+		d.runtime.SendPeerUpdate((self+1+(start+i)%peers)%(peers+1), update)
 	}
 }
--- a/brain/parameters.go
+++ b/brain/parameters.go
@@ -31,26 +31,26 @@
 }
 
 // parametersOf reads the parameters from settings that have their defaults.
-func parametersOf(settings Facts) parameters {
+func parametersOf(settings Settings) parameters {
 	return parameters{
-		dispatchers:      settings.Num("siblings", 1),
-		index:            settings.Num("slotNo", 0),
-		zone:             int(settings.Num("zone", 0)),
-		maxAttempts:      int(settings.Num("policyLimits.maxAttempts", 1)),
-		canCancel:        settings.Yes("policyLimits.cancelling"),
-		retryAfter:       settings.Yes("policyLimits.retryAfter"),
-		maxRetryAfter:    settings.Span("policyLimits.maxRetryAfterUs"),
-		decodeMayPrefill: settings.Yes("familyInfo.localRead"),
-		holdLimit:        settings.Span("familyInfo.pinLimitUs"),
-
-		slowStartMultiple: settings.Num("rules.tipMultiple", 1),
-		slowStartShare:    settings.Num("rules.coldFrom", 0),
-		slowStartWindow:   settings.Span("rules.tipAfterUs"),
-		slowStartTime:     settings.Span("rules.rampTimeUs"),
-
-		crossZonePrice: settings.Num("prices.crossZone", 0),
-		peerPrice:      settings.Num("prices.peer", 0),
-		overQuotaValue: settings.Num("overShareWorth", 1),
+		dispatchers:      settings.Number("siblings", 1),
+		index:            settings.Number("slotNo", 0),
+		zone:             int(settings.Number("zone", 0)),
+		maxAttempts:      int(settings.Number("policyLimits.maxAttempts", 1)),
+		canCancel:        settings.Bool("policyLimits.cancelling"),
+		retryAfter:       settings.Bool("policyLimits.retryAfter"),
+		maxRetryAfter:    settings.Duration("policyLimits.maxRetryAfterUs"),
+		decodeMayPrefill: settings.Bool("familyInfo.localRead"),
+		holdLimit:        settings.Duration("familyInfo.pinLimitUs"),
+
+		slowStartMultiple: settings.Number("rules.tipMultiple", 1),
+		slowStartShare:    settings.Number("rules.coldFrom", 0),
+		slowStartWindow:   settings.Duration("rules.tipAfterUs"),
+		slowStartTime:     settings.Duration("rules.rampTimeUs"),
+
+		crossZonePrice: settings.Number("prices.crossZone", 0),
+		peerPrice:      settings.Number("prices.peer", 0),
+		overQuotaValue: settings.Number("overShareWorth", 1),
 		valueByWork:    settings.Text("valueBy") == "work",
 		reportFields:   settings.reportFields(),
 	}
--- a/brain/placement.go
+++ b/brain/placement.go
@@ -52,18 +52,18 @@
 // prefill. It reports false without free capacity.
 func (d *Dispatcher) route(req *Request) bool {
 	decodeBackends := d.eligible(req, (*Backend).Decodes)
-	withCapacity := Only(decodeBackends, func(b *Backend) bool { return hasCapacity(b, req) })
+	withCapacity := Filter(decodeBackends, func(b *Backend) bool { return hasCapacity(b, req) })
 	if len(withCapacity) == 0 && len(decodeBackends) > 0 || d.freeKVTokens(req) < req.KVTokens {
 		return false
 	}
 	if backend := d.pickInPlaceDecode(req, withCapacity); backend != nil {
-		return d.send(req, backend, Whole, d.afterAttempt(req))
+		return d.send(req, backend, StageWhole, d.afterAttempt(req))
 	}
 	prefillBackend := d.pickPrefill(req, decodeBackends)
 	if backend := d.pickMixed(req, withCapacity, prefillBackend); backend != nil {
-		return d.send(req, backend, Whole, d.afterAttempt(req))
+		return d.send(req, backend, StageWhole, d.afterAttempt(req))
 	}
-	return d.send(req, prefillBackend, ToRead, d.afterAttempt(req))
+	return d.send(req, prefillBackend, StagePrefill, d.afterAttempt(req))
 }
 
 // hasCapacity reports whether the request fits the backend's token limit. An idle backend always has capacity.
@@ -78,11 +78,11 @@
 	if !d.parameters.decodeMayPrefill {
 		return nil
 	}
-	limitFactor := min(max(d.secondsPerToken[Reads].Or(0)/max(d.secondsPerToken[Writes].Or(0), 1e-6), 1), 4)
-	eligible := Only(withCapacity, func(backend *Backend) bool {
-		return backend.Role == Writes && d.uncachedTokens(backend, req) < shortPromptShare*limitFactor*d.meanPrefillTokens
+	limitFactor := min(max(d.secondsPerToken[RolePrefill].ValueOr(0)/max(d.secondsPerToken[RoleDecode].ValueOr(0), 1e-6), 1), 4)
+	eligible := Filter(withCapacity, func(backend *Backend) bool {
+		return backend.Role == RoleDecode && d.uncachedTokens(backend, req) < shortPromptShare*limitFactor*d.meanPrefillTokens
 	})
-	return Least(eligible, func(b *Backend) float64 { return d.nextLoadScore(b) / (1 + d.cachedTokens(b, req)) })
+	return MinBy(eligible, func(b *Backend) float64 { return d.nextLoadScore(b) / (1 + d.cachedTokens(b, req)) })
 }
 
 // pickMixed picks a mixed backend that should serve the request whole, or nil. It is picked if its load score
@@ -91,8 +91,8 @@
 // prefill and decode apart.
 func (d *Dispatcher) pickMixed(req *Request, withCapacity []*Backend, prefillBackend *Backend) *Backend {
 	wholeScore := func(b *Backend) float64 { return d.loadScore(b, d.uncachedTokens(b, req)) }
-	mixed := Least(d.affinityCandidates(req, Both, Only(withCapacity, (*Backend).Mixed)), wholeScore)
-	decodeBackend := Least(Only(withCapacity, func(b *Backend) bool { return b.Role == Writes }), d.nextLoadScore)
+	mixed := MinBy(d.affinityCandidates(req, RoleMixed, Filter(withCapacity, (*Backend).Mixed)), wholeScore)
+	decodeBackend := MinBy(Filter(withCapacity, func(b *Backend) bool { return b.Role == RoleDecode }), d.nextLoadScore)
 	if d.meanPrefillTokens == 0 && prefillBackend != nil || mixed == nil {
 		return nil
 	}
@@ -100,8 +100,8 @@
 		return mixed
 	}
 	uncached := d.uncachedTokens(prefillBackend, req)
-	separateTime := (uncached+300)*d.secondsPerToken[Reads].Or(0) + 300*d.secondsPerToken[Writes].Or(0)
-	slowdown := min(max((uncached+300)*d.secondsPerToken[Both].Or(0)/max(separateTime, 1e-6), 1), 4)
+	separateTime := (uncached+300)*d.secondsPerToken[RolePrefill].ValueOr(0) + 300*d.secondsPerToken[RoleDecode].ValueOr(0)
+	slowdown := min(max((uncached+300)*d.secondsPerToken[RoleMixed].ValueOr(0)/max(separateTime, 1e-6), 1), 4)
 	if 2*slowdown*wholeScore(mixed) > d.nextLoadScore(decodeBackend)+d.loadScore(prefillBackend, uncached) {
 		return nil
 	}
@@ -125,12 +125,12 @@
 	for count < len(ordered) && !slices.ContainsFunc(ordered[:count], usable) {
 		count++
 	}
-	candidates := Only(ordered[:min(count, len(ordered))], func(b *Backend) bool { return slices.Contains(eligible, b) })
+	candidates := Filter(ordered[:min(count, len(ordered))], func(b *Backend) bool { return slices.Contains(eligible, b) })
 	if len(candidates) == 0 {
 		SortByHash(eligible, key)
 		candidates = slices.Clone(eligible[:min(count, len(eligible))])
 	}
-	return append(candidates, Only(eligible, func(b *Backend) bool { return d.recentlyStarted(b) && !slices.Contains(candidates, b) })...)
+	return append(candidates, Filter(eligible, func(b *Backend) bool { return d.recentlyStarted(b) && !slices.Contains(candidates, b) })...)
 }
 
 // pickPrefill picks the prefill backend with the lowest load in uncached tokens from the prefix's affinity
@@ -138,7 +138,7 @@
 // decode backend in the rack.
 func (d *Dispatcher) pickPrefill(req *Request, decodeBackends []*Backend) *Backend {
 	minScore := minCostByRack(decodeBackends, d.nextLoadScore)
-	return Least(d.affinityCandidates(req, Reads, d.eligible(req, (*Backend).PrefillOnly)), func(backend *Backend) float64 {
+	return MinBy(d.affinityCandidates(req, RolePrefill, d.eligible(req, (*Backend).PrefillOnly)), func(backend *Backend) float64 {
 		rackScore, found := minScore[backend.Rack]
 		if !found {
 			rackScore = d.nextLoadScore(backend) // no decode backend in the rack
@@ -153,13 +153,13 @@
 	if d.mayHoldKV(req) != Allowed {
 		return false
 	}
-	backend := Least(d.eligible(req, (*Backend).Decodes), func(backend *Backend) float64 {
+	backend := MinBy(d.eligible(req, (*Backend).Decodes), func(backend *Backend) float64 {
 		if req.KVHolder != nil && backend.Rack != req.KVHolder.Rack {
 			return d.nextLoadScore(backend) * crossRackPenalty
 		}
 		return d.nextLoadScore(backend)
 	})
-	return d.send(req, backend, ToWrite, d.afterAttempt(req))
+	return d.send(req, backend, StageDecode, d.afterAttempt(req))
 }
 
 // afterAttempt returns what to do with an attempt's result: a KV cache that waits goes to a decode backend,
@@ -200,7 +200,7 @@
 			cached = max(cached, prefix.Tokens)
 		}
 	}
-	return min(cached, req.PromptTokens) * backend.HitRatio.Or(1)
+	return min(cached, req.PromptTokens) * backend.HitRatio.ValueOr(1)
 }
 
 // uncachedTokens is how much of the prompt the backend would have to prefill.
--- a/brain/policy.go
+++ b/brain/policy.go
@@ -15,7 +15,7 @@
 const (
 	Allowed              Permission = iota
 	AttemptEnded                    // the attempt has ended
-	RequestOver                     // the request has its final answer, or its client has disconnected
+	RequestFinished                     // the request has its final answer, or its client has disconnected
 	NoFurtherAttempt                // the dispatcher allows no more, as it is stopping or throttles retries
 	OtherAttemptInFlight            // another attempt of the request is in flight
 	DeadlinePassed                  // the request's deadline has passed
@@ -47,7 +47,7 @@
 func (d *Dispatcher) mayChoose(req *Request, backend *Backend) Permission {
 	switch {
 	case req.Finished:
-		return RequestOver
+		return RequestFinished
 	case req.NoMoreAttempts:
 		return NoFurtherAttempt
 	case req.InFlight() != nil:
@@ -58,7 +58,7 @@
 	if permission := d.mayContact(req, backend, len(req.Attempts)); permission != Allowed {
 		return permission
 	}
-	work := d.requestWork(req, backend, Whole)
+	work := d.requestWork(req, backend, StageWhole)
 	return d.mayUseSlowStart(backend, work, backend.SentWork.Sum(d.runtime.Now())+work)
 }
 
@@ -76,14 +76,14 @@
 	case attempt.Ended:
 		return AttemptEnded
 	case req.Finished:
-		return RequestOver
-	case attempt.Stage == ToWrite && (req.KVHolder == nil || req.Released):
+		return RequestFinished
+	case attempt.Stage == StageDecode && (req.KVHolder == nil || req.Released):
 		return KVReleaseDue
 	}
 	if permission := d.mayContact(req, backend, attempt.Number); permission != Allowed || attempt.SlowStart {
 		return permission
 	}
-	return d.mayUseSlowStart(backend, d.requestWork(req, backend, Whole), backend.SentWork.Sum(d.runtime.Now()))
+	return d.mayUseSlowStart(backend, d.requestWork(req, backend, StageWhole), backend.SentWork.Sum(d.runtime.Now()))
 }
 
 // mayContact returns whether the attempt with the given number may reach the backend now.
@@ -101,9 +101,9 @@
 func (d *Dispatcher) mayRepeat(req *Request, backend *Backend, number int) Permission {
 	earlier, class := req.MayHaveRunBefore(number), req.Class
 	switch {
-	case earlier == nil || backend.Role == Reads || class.Effect == Idempotent:
+	case earlier == nil || backend.Role == RolePrefill || class.Effect == Idempotent:
 		return Allowed
-	case class.Effect == Unrepeatable:
+	case class.Effect == NonIdempotent:
 		return MayHaveRun
 	case d.runtime.Now() >= earlier.SentAt+class.DedupWindow-repeatMargin:
 		return RepeatWindowClosed
--- a/brain/policy_test.go
+++ b/brain/policy_test.go
@@ -14,21 +14,21 @@
 		choice, beforeSend Permission
 	}{
 		"allowed":                       {func(*Dispatcher, *Request, *Backend) {}, Allowed, Allowed},
-		"the request is finished":       {func(_ *Dispatcher, r *Request, _ *Backend) { r.Finished = true }, RequestOver, RequestOver},
+		"the request is finished":       {func(_ *Dispatcher, r *Request, _ *Backend) { r.Finished = true }, RequestFinished, RequestFinished},
 		"no further attempt is allowed": {func(_ *Dispatcher, r *Request, _ *Backend) { r.NoMoreAttempts = true }, NoFurtherAttempt, Allowed},
 		"the deadline has passed":       {func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() }, DeadlinePassed, DeadlinePassed},
 		"the backend is draining":       {func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Draining }, BackendNotReady, BackendNotReady},
 		"it may have run, and must not run twice": {func(d *Dispatcher, req *Request, backend *Backend) {
-			req.Class.Effect = Unrepeatable
-			addAttempt(req, backend, Broken, d.runtime.Now())
+			req.Class.Effect = NonIdempotent
+			addAttempt(req, backend, ConnectionLost, d.runtime.Now())
 		}, MayHaveRun, MayHaveRun},
 		"it may have run, too long ago": {func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
-			addAttempt(req, backend, Broken, d.runtime.Now()-time.Second)
+			addAttempt(req, backend, ConnectionLost, d.runtime.Now()-time.Second)
 		}, RepeatWindowClosed, RepeatWindowClosed},
 		"it may have run in another group": {func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.DedupWindow, req.Class.DedupScope = Deduplicated, time.Minute, SameRack
-			addAttempt(req, &Backend{Role: Writes, Rack: backend.Rack + 1}, Broken, d.runtime.Now())
+			addAttempt(req, &Backend{Role: RoleDecode, Rack: backend.Rack + 1}, ConnectionLost, d.runtime.Now())
 		}, OtherGroup, OtherGroup},
 		"the backend restarted meanwhile": {func(d *Dispatcher, _ *Request, backend *Backend) {
 			backend.StartReported, backend.StartedAt = true, d.runtime.Now()
@@ -68,13 +68,13 @@
 		outcome Outcome
 		want    Permission
 	}{
-		"idempotent, may have run":                  {Idempotent, WholeFleet, Broken, Allowed},
+		"idempotent, may have run":                  {Idempotent, WholeFleet, ConnectionLost, Allowed},
 		"deduplicated everywhere, may have run":     {Deduplicated, WholeFleet, TimedOut, Allowed},
 		"deduplicated in a zone, may have run":      {Deduplicated, SameZone, TimedOut, MayHaveRun},
-		"non-idempotent, may have run":              {Unrepeatable, WholeFleet, Cancelled, MayHaveRun},
-		"non-idempotent, a rejection by a backend":  {Unrepeatable, WholeFleet, Rejected, Allowed},
-		"non-idempotent, never reached its backend": {Unrepeatable, WholeFleet, Unreachable, Allowed},
-		"non-idempotent, not sent":                  {Unrepeatable, WholeFleet, NotSent, Allowed},
+		"non-idempotent, may have run":              {NonIdempotent, WholeFleet, Cancelled, MayHaveRun},
+		"non-idempotent, a rejection by a backend":  {NonIdempotent, WholeFleet, Rejected, Allowed},
+		"non-idempotent, never reached its backend": {NonIdempotent, WholeFleet, Unreachable, Allowed},
+		"non-idempotent, not sent":                  {NonIdempotent, WholeFleet, NotSent, Allowed},
 	} {
 		d, _ := newDispatcher(t)
 		req := newRequest(d)
--- a/brain/release.go
+++ b/brain/release.go
@@ -41,7 +41,7 @@
 // its first token by then.
 func (d *Dispatcher) scheduleRelease(attempt *Attempt) {
 	limit := d.parameters.holdLimit
-	if attempt.Stage != ToWrite || limit <= 0 {
+	if attempt.Stage != StageDecode || limit <= 0 {
 		return
 	}
 	req := attempt.Request
@@ -76,7 +76,7 @@
 // a timeout does not: the KV cache may have been waiting all the time.
 func (o Outcome) provesArrival() bool {
 	switch o {
-	case Served, Read, Failed, Rejected:
+	case Served, Prefilled, Failed, Rejected:
 		return true
 	}
 	return false
--- a/brain/release_test.go
+++ b/brain/release_test.go
@@ -16,8 +16,8 @@
 	req = newRequest(d)
 	prefill := addAttempt(req, d.backends[0], 0, runtime.now)
 	prefill.Ended, prefill.OnResult = false, d.afterAttempt(req)
-	d.Ended(prefill, Result{Outcome: Read})
-	if len(runtime.sent) != 1 || runtime.sent[0].Stage != ToWrite {
+	d.Ended(prefill, Result{Outcome: Prefilled})
+	if len(runtime.sent) != 1 || runtime.sent[0].Stage != StageDecode {
 		t.Fatalf("sent %v", runtime.sent)
 	}
 	wake := len(runtime.timers) - 1
@@ -50,7 +50,7 @@
 // A released KV cache is never assumed to exist: the next attempt prefills, whatever the outcome of the last
 // one.
 func TestReleasedKVCacheIsNotUsedAgain(t *testing.T) {
-	for _, outcome := range []Outcome{Rejected, Failed, TimedOut, Unreachable, Broken, NotSent} {
+	for _, outcome := range []Outcome{Rejected, Failed, TimedOut, Unreachable, ConnectionLost, NotSent} {
 		d, runtime, req, decode, due := newWaitingKV(t)
 		due()
 		d.Ended(decode, Result{Outcome: outcome})
@@ -59,7 +59,7 @@
 		if len(runtime.released) != 2 {
 			t.Errorf("outcome %d: released %d times", outcome, len(runtime.released))
 		}
-		if len(runtime.sent) != 2 || runtime.sent[1].Stage == ToWrite || req.KVHolder != nil || req.Released {
+		if len(runtime.sent) != 2 || runtime.sent[1].Stage == StageDecode || req.KVHolder != nil || req.Released {
 			t.Errorf("outcome %d: sent %d, KV holder %v", outcome, len(runtime.sent), req.KVHolder)
 		}
 	}
@@ -81,12 +81,12 @@
 		outcome Outcome
 		again   Stage
 	}{
-		{Rejected, ToWrite}, {Failed, ToWrite}, {TimedOut, ToRead}, {Broken, ToRead}, {Unreachable, ToRead}, {NotSent, ToRead},
+		{Rejected, StageDecode}, {Failed, StageDecode}, {TimedOut, StagePrefill}, {ConnectionLost, StagePrefill}, {Unreachable, StagePrefill}, {NotSent, StagePrefill},
 	} {
 		d, runtime, _, decode, _ := newWaitingKV(t)
 		runtime.now += holdLimit * 4 / 5
 		d.Ended(decode, Result{Outcome: tc.outcome})
-		if len(runtime.sent) != 2 || (runtime.sent[1].Stage == ToWrite) != (tc.again == ToWrite) {
+		if len(runtime.sent) != 2 || (runtime.sent[1].Stage == StageDecode) != (tc.again == StageDecode) {
 			t.Errorf("outcome %d: sent %+v", tc.outcome, runtime.sent[1:])
 		}
 	}
@@ -99,7 +99,7 @@
 	req := newRequest(d)
 	prefill := addAttempt(req, d.backends[0], 0, runtime.now)
 	prefill.Ended, prefill.OnResult = false, d.afterAttempt(req)
-	d.Ended(prefill, Result{Outcome: Read, Delay: 100 * time.Millisecond})
+	d.Ended(prefill, Result{Outcome: Prefilled, Delay: 100 * time.Millisecond})
 	if got := runtime.timerDelays[len(runtime.timerDelays)-1]; got != holdLimit-100*time.Millisecond {
 		t.Errorf("the KV cache is due after %v", got)
 	}
@@ -113,14 +113,14 @@
 		stage   Stage
 		again   bool
 	}{
-		{TimedOut, Whole, true}, {Broken, Whole, true}, {Failed, Whole, true}, {Rejected, Whole, true}, {Unreachable, Whole, true}, {TimedOut, ToRead, true},
-		{Read, ToRead, false}, {Served, Whole, false},
+		{TimedOut, StageWhole, true}, {ConnectionLost, StageWhole, true}, {Failed, StageWhole, true}, {Rejected, StageWhole, true}, {Unreachable, StageWhole, true}, {TimedOut, StagePrefill, true},
+		{Prefilled, StagePrefill, false}, {Served, StageWhole, false},
 	} {
 		d, runtime, req, decode, _ := newWaitingKV(t)
 		runtime.now += holdLimit
 		d.Ended(decode, Result{Outcome: TimedOut}) // the KV cache is released, and the request starts over
 		further := runtime.sent[len(runtime.sent)-1]
-		further.Stage, req.NoMoreAttempts = tc.stage, tc.outcome != Read
+		further.Stage, req.NoMoreAttempts = tc.stage, tc.outcome != Prefilled
 		released := len(runtime.released)
 		if released != 1 || further == decode {
 			t.Fatalf("released %d times, wanted once", released)
--- a/brain/ring.go
+++ b/brain/ring.go
@@ -6,15 +6,15 @@
 const bucketCount = 10
 
 // RollingSum sums amounts over the last ten time buckets, each BucketWidth wide.
-type Ring struct {
-	Width time.Duration
+type RollingSum struct {
+	BucketWidth time.Duration
 	sums  [bucketCount]float64
 	last  int64
 }
 
 // advance clears the buckets between the last one used and that of now.
-func (r *Ring) advance(now time.Duration) {
-	bucket := int64(now / r.Width)
+func (r *RollingSum) advance(now time.Duration) {
+	bucket := int64(now / r.BucketWidth)
 	if bucket-r.last >= bucketCount {
 		r.sums, r.last = [bucketCount]float64{}, bucket
 	}
@@ -25,15 +25,15 @@
 }
 
 // Add adds an amount to the bucket of now.
-func (r *Ring) Add(now time.Duration, amount float64) {
+func (r *RollingSum) Add(now time.Duration, amount float64) {
 	r.advance(now)
 	r.sums[r.last%bucketCount] += amount
 }
 
 // Sum returns the sum over the last ten buckets. It doesn't modify the receiver: most sums of a large fleet
 // are zero and are read often.
-func (r *Ring) Sum(now time.Duration) float64 {
-	current := int64(now / r.Width)
+func (r *RollingSum) Sum(now time.Duration) float64 {
+	current := int64(now / r.BucketWidth)
 	if current-r.last >= bucketCount {
 		return 0
 	}
@@ -47,24 +47,24 @@
 }
 
 // PerSecond returns the mean rate per second over the last ten buckets, or since the start if that is shorter.
-func (r *Ring) PerS(now time.Duration) float64 {
-	return r.Sum(now) / min(max(now, r.Width), bucketCount*r.Width).Seconds()
+func (r *RollingSum) PerSecond(now time.Duration) float64 {
+	return r.Sum(now) / min(max(now, r.BucketWidth), bucketCount*r.BucketWidth).Seconds()
 }
 
 // RunningMean is an exact mean at first and an exponential moving average later.
-type Mean struct {
+type RunningMean struct {
 	Value   float64
 	samples float64
 }
 
 // Add adds a sample with weight pace, or 1/n for the n-th sample if that is larger.
-func (m *Mean) Add(sample, pace float64) {
+func (m *RunningMean) Add(sample, pace float64) {
 	m.samples++
 	m.Value += (sample - m.Value) * max(pace, 1/m.samples)
 }
 
 // ValueOr returns the mean, or fallback without samples.
-func (m *Mean) Or(fallback float64) float64 {
+func (m *RunningMean) ValueOr(fallback float64) float64 {
 	if m.samples == 0 {
 		return fallback
 	}
@@ -72,24 +72,24 @@
 }
 
 // KeyedSums keeps a rolling sum for each key.
-type Tally struct {
-	Width time.Duration
-	sums  map[uint64]*Ring
+type KeyedSums struct {
+	BucketWidth time.Duration
+	sums  map[uint64]*RollingSum
 }
 
 // Add adds an amount to the sum of a key.
-func (t *Tally) Add(key uint64, now time.Duration, amount float64) {
+func (t *KeyedSums) Add(key uint64, now time.Duration, amount float64) {
 	if t.sums == nil {
-		t.sums = map[uint64]*Ring{}
+		t.sums = map[uint64]*RollingSum{}
 	}
 	if t.sums[key] == nil {
-		t.sums[key] = &Ring{Width: t.Width}
+		t.sums[key] = &RollingSum{BucketWidth: t.BucketWidth}
 	}
 	t.sums[key].Add(now, amount)
 }
 
 // Sum returns the sum of a key.
-func (t *Tally) Sum(key uint64, now time.Duration) float64 {
+func (t *KeyedSums) Sum(key uint64, now time.Duration) float64 {
 	if r := t.sums[key]; r != nil {
 		return r.Sum(now)
 	}
@@ -97,7 +97,7 @@
 }
 
 // DropEmpty drops keys whose sum is zero.
-func (t *Tally) DropEmpty(now time.Duration) {
+func (t *KeyedSums) DropEmpty(now time.Duration) {
 	for key, r := range t.sums {
 		if r.Sum(now) == 0 {
 			delete(t.sums, key)
--- a/brain/runtime.go
+++ b/brain/runtime.go
@@ -21,7 +21,7 @@
 	// WatchEndpoints subscribes to service discovery, or unsubscribes.
 	WatchEndpoints(subscribe bool)
 	// SendPeerUpdate sends an update to the dispatcher with index peer.
-	Tell(peer int, update PeerUpdate)
+	SendPeerUpdate(peer int, update PeerUpdate)
 	// LogInfo logs a message.
-	Note(message string)
+	LogInfo(message string)
 }
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -42,11 +42,11 @@
 // decode alone counts less than a whole request: otherwise warm ones that only decode would vouch for prefill
 // too.
 func (d *Dispatcher) requestWork(req *Request, backend *Backend, stage Stage) float64 {
-	decodeWork := 100 * req.Class.DecodeSeconds.Or(2)
-	if backend.Mixed() && stage == ToWrite {
+	decodeWork := 100 * req.Class.DecodeSeconds.ValueOr(2)
+	if backend.Mixed() && stage == StageDecode {
 		return decodeWork
 	}
-	return req.Class.PrefillTokens.Or(1000) + decodeWork
+	return req.Class.PrefillTokens.ValueOr(1000) + decodeWork
 }
 
 // meanCompletedWork is the mean work per unit that backends of a role completed for this dispatcher in a
--- a/brain/state.go
+++ b/brain/state.go
@@ -4,7 +4,7 @@
 
 // Dispatcher is the scheduler of one dispatcher. It is not safe for concurrent use.
 type Dispatcher struct {
-	settings   Facts
+	settings   Settings
 	parameters parameters
 	runtime    Runtime
 	rng        *PCG
@@ -34,11 +34,11 @@
 
 // estimates are load and latency as seen by own attempts and peer updates.
 type estimates struct {
-	prefillTokens, prefillRequests Ring       // tokens to prefill, and of how many requests
-	prefixTable                    Tally      // prefix table: requests by prefix key
+	prefillTokens, prefillRequests RollingSum       // tokens to prefill, and of how many requests
+	prefixTable                    KeyedSums      // prefix table: requests by prefix key
 	meanPrefillTokens              float64    // tokens to prefill per request, as of the last refresh; 0: unknown
-	timeToFirstToken               Mean       // seconds
-	secondsPerToken                [3]Mean    // per token to prefill, by role of the backend
+	timeToFirstToken               RunningMean       // seconds
+	secondsPerToken                [3]RunningMean    // per token to prefill, by role of the backend
 	completedWork                  roleWork   // completed work as last summed up
 	warmWork                       [3]float64 // work per unit that warm backends of each role last completed
 	streams                        float64    // own streams in flight
--- a/brain/types.go
+++ b/brain/types.go
@@ -12,9 +12,9 @@
 
 const (
 	// Backends that only prefill, only decode, or do both.
-	Reads Role = iota
-	Writes
-	Both
+	RolePrefill Role = iota
+	RoleDecode
+	RoleMixed
 )
 
 // Effect says whether running a request twice does harm.
@@ -25,7 +25,7 @@
 	// while, within a group of backends. NonIdempotent requests may run once.
 	Idempotent Effect = iota
 	Deduplicated
-	Unrepeatable
+	NonIdempotent
 )
 
 // DedupScope is the group of backends that recognizes repeats of a deduplicated request.
@@ -50,7 +50,7 @@
 	// Only Ready backends get new attempts; Draining ones finish those that they have.
 	Draining BackendState = iota
 	Ready
-	Gone
+	Removed
 )
 
 // Outcome is how an attempt ended.
@@ -58,19 +58,19 @@
 
 const (
 	Served Outcome = iota // the answer is complete
-	Read
+	Prefilled
 	Failed      // the backend answered with an error
 	Rejected    // the backend refused the request before running it
 	TimedOut    // no first token within the attempt's timeout
 	Unreachable // no connection could be made
-	Broken      // the connection was lost after the request was sent
+	ConnectionLost      // the connection was lost after the request was sent
 	Cancelled   // the dispatcher or the client cancelled it
 	NotSent     // nothing was sent
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
 func (o Outcome) NeverRan() bool {
-	return o == Rejected || o == Unreachable || o == NotSent || o == Read
+	return o == Rejected || o == Unreachable || o == NotSent || o == Prefilled
 }
 
 // Class is a priority class of requests with its recent statistics.
@@ -83,10 +83,10 @@
 	TargetPer1000Tokens time.Duration // added for each 1,000 prompt tokens
 	Value               float64
 	LateValue           float64 // share of the value that remains after the latency target
-	PrefillTokens       Mean    // mean tokens to prefill, without cached ones
-	DecodeSeconds       Mean    // mean duration of an answer's stream
-	Offered             Ring    // requests received recently
-	Admitted            Ring    // those of them that were sent to a backend
+	PrefillTokens       RunningMean    // mean tokens to prefill, without cached ones
+	DecodeSeconds       RunningMean    // mean duration of an answer's stream
+	Offered             RollingSum    // requests received recently
+	Admitted            RollingSum    // those of them that were sent to a backend
 	Weight              float64 // factor on the value in the queue, above 1 if few were admitted; 0: not computed yet
 }
 
@@ -100,7 +100,7 @@
 // Tenant is a tenant with its quota.
 type Tenant struct {
 	Quota    float64 // requests per second over all dispatchers
-	Received Ring
+	Received RollingSum
 }
 
 // Backend is a backend as this dispatcher knows it. Loads are those of the dispatcher's own requests.
@@ -130,26 +130,26 @@
 	LimitReducedAt     time.Duration // when TokenLimit was last reduced
 
 	Util, QueueLength   float64         // of the last load report
-	SentWork          Ring            // work sent, for the slow-start budget
-	RecentLoad    Ring            // prefills and streams sent over a longer time
-	CompletedWork Ring            // work of attempts that succeeded
-	Outcomes       []Record        // of all requests, then of each class
-	PrefixTable          map[uint64]Kept // prefix table: by prefix or session key
-	HitRatio      Mean            // reported over expected cached tokens
+	SentWork          RollingSum            // work sent, for the slow-start budget
+	RecentLoad    RollingSum            // prefills and streams sent over a longer time
+	CompletedWork RollingSum            // work of attempts that succeeded
+	Outcomes       []OutcomeStats        // of all requests, then of each class
+	PrefixTable          map[uint64]CachedPrefix // prefix table: by prefix or session key
+	HitRatio      RunningMean            // reported over expected cached tokens
 	CacheInsertedTokens         float64         // prompt tokens that this dispatcher's requests added to its cache
 }
 
 // Decodes reports whether the backend decodes.
-func (b *Backend) Decodes() bool { return b.Role != Reads }
+func (b *Backend) Decodes() bool { return b.Role != RolePrefill }
 
 // PrefillOnly reports whether the backend only prefills.
-func (b *Backend) PrefillOnly() bool { return b.Role == Reads }
+func (b *Backend) PrefillOnly() bool { return b.Role == RolePrefill }
 
 // Mixed reports whether the backend both prefills and decodes.
-func (b *Backend) Mixed() bool { return b.Role == Both }
+func (b *Backend) Mixed() bool { return b.Role == RoleMixed }
 
 // Filter returns the backends that match.
-func Only(backends []*Backend, matches func(*Backend) bool) []*Backend {
+func Filter(backends []*Backend, matches func(*Backend) bool) []*Backend {
 	var matched []*Backend
 	for _, backend := range backends {
 		if matches(backend) {
@@ -174,7 +174,7 @@
 			backend.RelativeCapacity = backend.CapacityUnits * counts[backend.Role] / units[backend.Role]
 		}
 	}
-	return counts[Writes] + counts[Both]
+	return counts[RoleDecode] + counts[RoleMixed]
 }
 
 // SortByHash sorts backends by rendezvous hash of their ids with a key.
@@ -192,7 +192,7 @@
 }
 
 // MinBy returns the backend with the lowest cost, nil if there is none of finite cost.
-func Least(backends []*Backend, cost func(*Backend) float64) *Backend {
+func MinBy(backends []*Backend, cost func(*Backend) float64) *Backend {
 	var best *Backend
 	lowest := math.Inf(1)
 	for _, backend := range backends {
@@ -213,20 +213,20 @@
 }
 
 // OutcomeStats counts recent outcomes of attempts at a backend.
-type Record struct {
-	Successes, Failures Ring
+type OutcomeStats struct {
+	Successes, Failures RollingSum
 	ConsecutiveFailures              float64 // since the last success
 }
 
 // Observe counts the outcome of an attempt. A slow one counts as a failure of weight slowWeight.
-func (r *Record) Observe(now time.Duration, verdict Verdict, slowWeight float64) {
+func (r *OutcomeStats) Observe(now time.Duration, verdict Verdict, slowWeight float64) {
 	switch verdict {
-	case Well:
+	case VerdictGood:
 		r.Successes.Add(now, 1)
 		r.ConsecutiveFailures = 0
 	case VerdictSlow:
 		r.Failures.Add(now, slowWeight)
-	case Badly, Unmet:
+	case VerdictBad, VerdictUnreachable:
 		r.Failures.Add(now, 1)
 		r.ConsecutiveFailures++
 	}
@@ -247,14 +247,14 @@
 
 const (
 	VerdictNone Verdict = iota // nothing
-	Well
+	VerdictGood
 	VerdictSlow
-	Badly
-	Unmet // no connection
+	VerdictBad
+	VerdictUnreachable // no connection
 )
 
 // CachedPrefix is a prefix that a backend is expected to have cached.
-type Kept struct {
+type CachedPrefix struct {
 	Tokens float64
 	UsedAt     time.Duration
 	InsertedTokens  float64 // the backend's CacheInsertedTokens at that time
@@ -302,7 +302,7 @@
 // MayHaveRunBefore is MayHaveRun among the attempts before the one with the given number.
 func (r *Request) MayHaveRunBefore(number int) *Attempt {
 	for _, attempt := range r.Attempts[:number] {
-		if attempt.Backend.Role != Reads && !(attempt.Ended && attempt.Outcome.NeverRan()) {
+		if attempt.Backend.Role != RolePrefill && !(attempt.Ended && attempt.Outcome.NeverRan()) {
 			return attempt
 		}
 	}
@@ -312,7 +312,7 @@
 // FailedAt reports whether an attempt at the backend ended without success.
 func (r *Request) FailedAt(backend *Backend) bool {
 	return slices.ContainsFunc(r.Attempts, func(attempt *Attempt) bool {
-		return attempt.Backend == backend && attempt.Ended && attempt.Outcome != Read
+		return attempt.Backend == backend && attempt.Ended && attempt.Outcome != Prefilled
 	})
 }
 
@@ -338,7 +338,7 @@
 func (a *Attempt) ApplyLoad(sign float64) float64 {
 	a.Backend.PrefillBacklog += sign * a.PrefillTokens
 	a.Backend.KVTokens += sign * a.Request.KVTokens
-	if a.Stage == ToRead {
+	if a.Stage == StagePrefill {
 		return 0
 	}
 	a.Backend.Streams += int(sign)
@@ -349,9 +349,9 @@
 type Stage int
 
 const (
-	ToRead  Stage = iota // prefill and hold the KV cache
-	ToWrite              // fetch the KV cache and decode
-	Whole                // prefill and decode at one backend
+	StagePrefill  Stage = iota // prefill and hold the KV cache
+	StageDecode              // fetch the KV cache and decode
+	StageWhole                // prefill and decode at one backend
 )
 
 // Result is the result of an attempt.
@@ -365,7 +365,7 @@
 }
 
 // Endpoint is an entry of the endpoint list.
-type Listing struct {
+type Endpoint struct {
 	Backend     *Backend
 	State BackendState
 	CapacityUnits    float64
--- a/cmd/benchlink/instance.go
+++ b/cmd/benchlink/instance.go
@@ -26,14 +26,14 @@
 // outcomes gives the module's word for each status code of the wire.
 var outcomes = map[uint16]brain.Outcome{
 	200: brain.Served,
-	210: brain.Read,
+	210: brain.Prefilled,
 	410: brain.NotSent,
 	499: brain.Cancelled,
 	500: brain.Failed,
 	502: brain.Unreachable,
 	503: brain.Rejected,
 	504: brain.TimedOut,
-	598: brain.Broken,
+	598: brain.ConnectionLost,
 }
 
 // outcomeOf is the module's word for a status; one that is unknown proves nothing.
@@ -54,7 +54,7 @@
 		reply.BailOut(in.who, "bootInfo: "+err.Error())
 		return nil
 	}
-	module, err := brain.New(brain.Flat(info), e.U64(3), in)
+	module, err := brain.New(brain.FlattenSettings(info), e.U64(3), in)
 	if err != nil {
 		reply.BailOut(in.who, "bootInfo: "+err.Error())
 		return nil
@@ -112,7 +112,7 @@
 		}
 	case wire.Datagram:
 		if n, err := news.Decode(e.Span(7), in.hosts); err != nil {
-			in.Note(fmt.Sprintf("message of %d dropped: %v", e.U32(3), err))
+			in.LogInfo(fmt.Sprintf("message of %d dropped: %v", e.U32(3), err))
 		} else if n.Backend != nil {
 			in.module.Heard(n)
 		}
@@ -138,15 +138,15 @@
 	}
 }
 
-func (in *instance) listings(entries []wire.Entry) []brain.Listing {
-	lines := make([]brain.Listing, len(entries))
+func (in *instance) listings(entries []wire.Entry) []brain.Endpoint {
+	lines := make([]brain.Endpoint, len(entries))
 	for i, e := range entries {
 		h := in.hosts[e.Host]
 		if h == nil {
 			h = &brain.Backend{ID: e.Host, Zone: int(e.Zone), Rack: int(e.Rack), Kind: int(e.Machine)}
 			in.hosts[e.Host] = h
 		}
-		lines[i] = brain.Listing{
+		lines[i] = brain.Endpoint{
 			Backend: h, State: brain.BackendState(e.Readiness), CapacityUnits: figure(e.Units), StartReported: e.BootUs != 0,
 			StartedAt: time.Duration(int64(e.BootUs)-int64(in.began)) * time.Microsecond,
 		}
@@ -182,8 +182,8 @@
 
 func (in *instance) WatchEndpoints(on bool) { in.reply.Tail(in.who, on) }
 
-func (in *instance) Tell(peer int, n brain.PeerUpdate) {
+func (in *instance) SendPeerUpdate(peer int, n brain.PeerUpdate) {
 	in.reply.Post(in.who, uint32(peer), news.Encode(n))
 }
 
-func (in *instance) Note(text string) { in.reply.NoteDown(in.who, text) }
+func (in *instance) LogInfo(text string) { in.reply.NoteDown(in.who, text) }
--- a/cmd/benchlink/same_test.go
+++ b/cmd/benchlink/same_test.go
@@ -191,7 +191,7 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	asked := map[uint64]*dispatch.ClientRequest{}
-	codes := map[brain.Outcome]uint16{brain.Served: 200, brain.Read: 210, brain.Failed: 500, brain.Rejected: 503, brain.TimedOut: 504, brain.Unreachable: 502, brain.Broken: 598}
+	codes := map[brain.Outcome]uint16{brain.Served: 200, brain.Prefilled: 210, brain.Failed: 500, brain.Rejected: 503, brain.TimedOut: 504, brain.Unreachable: 502, brain.ConnectionLost: 598}
 	end := func(id uint64, f *dispatch.Attempt, o brain.Outcome, note int) {
 		took := (c.now - f.Planned.SentAt).Microseconds()
 		over := o == brain.Served || f.Planned.FirstTokenAt > 0
@@ -252,7 +252,7 @@
 			case p < 0.001:
 				end(id, f, brain.Failed, 0)
 			case p < 0.002:
-				end(id, f, brain.Broken, 0)
+				end(id, f, brain.ConnectionLost, 0)
 			case f.Planned.FirstTokenAt > 0 && p < 0.05:
 				end(id, f, brain.Served, 40)
 			case f.Planned.FirstTokenAt > 0:
@@ -260,8 +260,8 @@
 				end(id, f, brain.Unreachable, 0)
 			case p < 0.003:
 				end(id, f, brain.Rejected, 0)
-			case p < 0.12 && f.Planned.Stage == brain.ToRead:
-				end(id, f, brain.Read, 100)
+			case p < 0.12 && f.Planned.Stage == brain.StagePrefill:
+				end(id, f, brain.Prefilled, 100)
 			case p < 0.12:
 				var r rec
 				r[0], r[11] = wire.First, byte(f.Planned.Number)
--- a/internal/addresses/addresses.go
+++ b/internal/addresses/addresses.go
@@ -125,9 +125,9 @@
 // Address is one address with what is known of it.
 type Address struct {
 	Spec
-	good, bad brain.Ring
+	good, bad brain.RollingSum
 	missed    float64
-	took      brain.Mean // seconds to a proof
+	took      brain.RunningMean // seconds to a proof
 	LastTry   time.Duration
 	tried     bool
 	Last      Result
@@ -154,14 +154,14 @@
 		return "not tried yet"
 	}
 	well, badly := a.chance(now)
-	return fmt.Sprintf("%s %.1f s ago; chance %.2f; proof %.1f ms", a.Last, (now - a.LastAt).Seconds(), well/(well+badly), 1000*a.took.Or(0))
+	return fmt.Sprintf("%s %.1f s ago; chance %.2f; proof %.1f ms", a.Last, (now - a.LastAt).Seconds(), well/(well+badly), 1000*a.took.ValueOr(0))
 }
 
 // Book is what a dispatcher knows of one box's addresses.
 type Book struct {
 	list   []*Address
 	chance *brain.PCG
-	proofs brain.Mean // seconds, over all of them
+	proofs brain.RunningMean // seconds, over all of them
 }
 
 // NewBook starts a book; seed is that of its draws.
@@ -178,7 +178,7 @@
 		}
 		i := slices.IndexFunc(b.list, same)
 		if i < 0 {
-			next = append(next, &Address{Spec: s, good: brain.Ring{Width: evidence}, bad: brain.Ring{Width: evidence}})
+			next = append(next, &Address{Spec: s, good: brain.RollingSum{BucketWidth: evidence}, bad: brain.RollingSum{BucketWidth: evidence}})
 			continue
 		}
 		b.list[i].Prefer = s.Prefer
@@ -231,7 +231,7 @@
 	}
 	slices.SortStableFunc(all, func(x, y drawn) int {
 		return cmp.Or(cmp.Compare(x.late, y.late), cmp.Compare(x.Prefer, y.Prefer), cmp.Compare(y.precedence(), x.precedence()),
-			cmp.Compare(x.took.Or(0), y.took.Or(0)))
+			cmp.Compare(x.took.ValueOr(0), y.took.ValueOr(0)))
 	})
 	var out []*Address
 	for len(all) > 0 {
@@ -256,7 +256,7 @@
 
 // Stagger is how long one attempt is given before the next begins beside it, and an idle connection to prove itself.
 func (b *Book) Stagger() time.Duration {
-	s := time.Duration(staggerTimes * b.proofs.Or(staggerFirst.Seconds()/staggerTimes) * float64(time.Second))
+	s := time.Duration(staggerTimes * b.proofs.ValueOr(staggerFirst.Seconds()/staggerTimes) * float64(time.Second))
 	return min(max(s, staggerLeast), staggerMost)
 }
 
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -19,14 +19,14 @@
 	name  string
 	door  brain.Runtime
 	rng   *brain.PCG
-	facts brain.Facts
+	facts brain.Settings
 	hosts []*brain.Backend
 	next  int
 	grade []*brain.Class
 }
 
 // New makes a policy by its name.
-func New(name string, facts brain.Facts, seed uint64, door brain.Runtime) (*Policy, error) {
+func New(name string, facts brain.Settings, seed uint64, door brain.Runtime) (*Policy, error) {
 	known := false
 	for _, n := range Names {
 		known = known || n == name
@@ -34,14 +34,14 @@
 	if !known {
 		return nil, fmt.Errorf("policy %q is none of %v", name, Names)
 	}
-	grades, err := facts.Grades()
+	grades, err := facts.Classes()
 	return &Policy{name: name, door: door, rng: brain.NewPCG(seed), facts: facts, grade: grades}, err
 }
 
-func (p *Policy) Listed(lines []brain.Listing, whole bool) {
+func (p *Policy) Listed(lines []brain.Endpoint, whole bool) {
 	if whole {
 		for _, h := range p.hosts {
-			h.State = brain.Gone
+			h.State = brain.Removed
 		}
 	}
 	for _, l := range lines {
@@ -70,7 +70,7 @@
 	case t.Ended:
 		return brain.AttemptEnded
 	case t.Request.Finished:
-		return brain.RequestOver
+		return brain.RequestFinished
 	case p.door.Now() >= t.Request.Deadline:
 		return brain.DeadlinePassed
 	case t.Backend.State != brain.Ready:
@@ -85,17 +85,17 @@
 		p.beginInformed(q)
 		return
 	}
-	mixed, writers, readers := p.able(q, brain.Both), p.able(q, brain.Writes), p.able(q, brain.Reads)
+	mixed, writers, readers := p.able(q, brain.RoleMixed), p.able(q, brain.RoleDecode), p.able(q, brain.RolePrefill)
 	whole := append(append([]*brain.Backend(nil), mixed...), writers...)
 	switch {
-	case p.name == "always_in_place" && len(whole) > 0 && p.facts.Yes("familyInfo.localRead"):
-		p.send(q, p.pick(whole), brain.Whole)
+	case p.name == "always_in_place" && len(whole) > 0 && p.facts.Bool("familyInfo.localRead"):
+		p.send(q, p.pick(whole), brain.StageWhole)
 	case p.name == "always_apart" && len(readers) > 0, len(mixed) == 0 && len(readers) > 0:
-		p.send(q, p.pick(readers), brain.ToRead)
+		p.send(q, p.pick(readers), brain.StagePrefill)
 	case len(mixed) > 0 && (len(readers) == 0 || p.rng.Float() < float64(len(mixed))/float64(len(mixed)+len(writers))):
-		p.send(q, p.pick(mixed), brain.Whole)
+		p.send(q, p.pick(mixed), brain.StageWhole)
 	case len(readers) > 0:
-		p.send(q, p.pick(readers), brain.ToRead)
+		p.send(q, p.pick(readers), brain.StagePrefill)
 	default:
 		p.giveUp(q)
 	}
@@ -103,13 +103,13 @@
 
 // able lists hosts of a role that may take the question now.
 func (p *Policy) able(q *brain.Request, role brain.Role) []*brain.Backend {
-	if p.door.Now() >= q.Deadline || len(q.Attempts) >= int(p.facts.Num("policyLimits.maxAttempts", 1)) {
+	if p.door.Now() >= q.Deadline || len(q.Attempts) >= int(p.facts.Number("policyLimits.maxAttempts", 1)) {
 		return nil
 	}
-	if t := q.MayHaveRun(); t != nil && role != brain.Reads && q.Class.Effect != brain.Idempotent {
+	if t := q.MayHaveRun(); t != nil && role != brain.RolePrefill && q.Class.Effect != brain.Idempotent {
 		return nil
 	}
-	return brain.Only(p.hosts, func(h *brain.Backend) bool { return h.Role == role && h.State == brain.Ready && !q.FailedAt(h) })
+	return brain.Filter(p.hosts, func(h *brain.Backend) bool { return h.Role == role && h.State == brain.Ready && !q.FailedAt(h) })
 }
 
 func (p *Policy) pick(hosts []*brain.Backend) *brain.Backend {
@@ -133,7 +133,7 @@
 
 func (p *Policy) send(q *brain.Request, h *brain.Backend, stage brain.Stage) {
 	t := &brain.Attempt{Request: q, Backend: h, Number: len(q.Attempts), SentAt: p.door.Now(), Stage: stage}
-	if stage != brain.ToWrite {
+	if stage != brain.StageDecode {
 		t.PrefillTokens = q.PromptTokens
 	}
 	t.ApplyLoad(1)
@@ -152,7 +152,7 @@
 	t.ApplyLoad(-1)
 	q.Finished = q.Finished || r.Finished
 	switch {
-	case r.Outcome == brain.Read:
+	case r.Outcome == brain.Prefilled:
 		q.KVHolder = t.Backend
 	case r.Outcome == brain.Rejected && r.Detail == 1:
 		q.KVHolder = nil
@@ -162,8 +162,8 @@
 		return
 	}
 	if q.KVHolder != nil {
-		if able := append(p.able(q, brain.Writes), p.able(q, brain.Both)...); len(able) > 0 {
-			p.send(q, p.pickDecode(q, able), brain.ToWrite)
+		if able := append(p.able(q, brain.RoleDecode), p.able(q, brain.RoleMixed)...); len(able) > 0 {
+			p.send(q, p.pickDecode(q, able), brain.StageDecode)
 			return
 		}
 	}
@@ -184,7 +184,7 @@
 		p.door.Fail(q)
 		return
 	}
-	p.door.Reject(q, p.facts.Span("policyLimits.maxRetryAfterUs"))
+	p.door.Reject(q, p.facts.Duration("policyLimits.maxRetryAfterUs"))
 }
 
 func (p *Policy) Left(q *brain.Request) {
--- a/internal/baseline/informed.go
+++ b/internal/baseline/informed.go
@@ -33,12 +33,12 @@
 
 // up lists the backends that are seen to work.
 func (p *Policy) up(q *brain.Request, hosts []*brain.Backend) []*brain.Backend {
-	return brain.Only(hosts, func(h *brain.Backend) bool { return p.View.Load(h, q).Up })
+	return brain.Filter(hosts, func(h *brain.Backend) bool { return p.View.Load(h, q).Up })
 }
 
 // beginInformed sends a request to the backend that will have read it first, or rejects it.
 func (p *Policy) beginInformed(q *brain.Request) {
-	best := brain.Least(p.up(q, p.able(q, brain.Reads)), func(h *brain.Backend) float64 {
+	best := brain.MinBy(p.up(q, p.able(q, brain.RolePrefill)), func(h *brain.Backend) float64 {
 		return p.View.Load(h, q).prefillTime(q).Seconds()
 	})
 	target := q.ReceivedAt + q.Class.Target + time.Duration(q.PromptTokens/1000*float64(q.Class.TargetPer1000Tokens))
@@ -46,7 +46,7 @@
 		p.giveUp(q)
 		return
 	}
-	p.send(q, best, brain.ToRead)
+	p.send(q, best, brain.StagePrefill)
 	p.View.Sent(q.InFlight(), q.PromptTokens-p.View.Load(best, q).Cached)
 }
 
@@ -55,7 +55,7 @@
 	if p.name != Informed {
 		return p.pick(able)
 	}
-	best := brain.Least(p.up(q, able), func(h *brain.Backend) float64 { return p.View.Load(h, q).Streams })
+	best := brain.MinBy(p.up(q, able), func(h *brain.Backend) float64 { return p.View.Load(h, q).Streams })
 	if best == nil {
 		return able[0]
 	}
--- a/internal/chat/answer.go
+++ b/internal/chat/answer.go
@@ -29,14 +29,14 @@
 func Outcome(stage brain.Stage, resp *http.Response, body []byte) (o brain.Outcome, note int) {
 	never := resp.Header.Get("X-Not-Processed") == "1"
 	switch code := resp.StatusCode; {
-	case code == http.StatusAccepted && stage == brain.ToRead:
+	case code == http.StatusAccepted && stage == brain.StagePrefill:
 		var said struct {
 			Kept float64 `json:"cached_tokens"`
 		}
 		if json.Unmarshal(body, &said) != nil {
-			return brain.Read, 0
+			return brain.Prefilled, 0
 		}
-		return brain.Read, kept(said.Kept)
+		return brain.Prefilled, kept(said.Kept)
 	case never && (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout):
 		return brain.Rejected, 0
 	case never && code == http.StatusGone:
--- a/internal/chat/answer_test.go
+++ b/internal/chat/answer_test.go
@@ -79,16 +79,16 @@
 		want  brain.Outcome
 		note  int
 	}{
-		{brain.ToRead, 202, "", `{"cached_tokens":4096}`, brain.Read, 4096},
-		{brain.ToRead, 202, "", `{"cached_tokens":-1}`, brain.Read, 0},
-		{brain.Whole, 202, "", `{}`, brain.Failed, 0},
-		{brain.Whole, 500, "1", ``, brain.Failed, 0},
-		{brain.Whole, 503, "1", ``, brain.Rejected, 0},
-		{brain.Whole, 504, "1", ``, brain.Rejected, 0},
-		{brain.Whole, 503, "", ``, brain.Failed, 0},
-		{brain.ToWrite, 410, "1", ``, brain.Rejected, 1},
-		{brain.ToWrite, 410, "", ``, brain.Failed, 0},
-		{brain.ToWrite, 400, "", ``, brain.Failed, 0},
+		{brain.StagePrefill, 202, "", `{"cached_tokens":4096}`, brain.Prefilled, 4096},
+		{brain.StagePrefill, 202, "", `{"cached_tokens":-1}`, brain.Prefilled, 0},
+		{brain.StageWhole, 202, "", `{}`, brain.Failed, 0},
+		{brain.StageWhole, 500, "1", ``, brain.Failed, 0},
+		{brain.StageWhole, 503, "1", ``, brain.Rejected, 0},
+		{brain.StageWhole, 504, "1", ``, brain.Rejected, 0},
+		{brain.StageWhole, 503, "", ``, brain.Failed, 0},
+		{brain.StageDecode, 410, "1", ``, brain.Rejected, 1},
+		{brain.StageDecode, 410, "", ``, brain.Failed, 0},
+		{brain.StageDecode, 400, "", ``, brain.Failed, 0},
 	} {
 		resp := &http.Response{StatusCode: c.code, Header: http.Header{}}
 		if c.never != "" {
@@ -160,9 +160,9 @@
 	f.Add(503, "", []byte(`{}`))
 	f.Fuzz(func(t *testing.T, status int, mark string, body []byte) {
 		resp := &http.Response{StatusCode: status, Header: http.Header{"X-Not-Processed": {mark}}}
-		for _, stage := range []brain.Stage{brain.ToRead, brain.ToWrite, brain.Whole} {
+		for _, stage := range []brain.Stage{brain.StagePrefill, brain.StageDecode, brain.StageWhole} {
 			o, note := Outcome(stage, resp, body)
-			if o == brain.Served || o == brain.Rejected && mark != "1" || o == brain.Read && stage != brain.ToRead || note < 0 || note > tokensMost {
+			if o == brain.Served || o == brain.Rejected && mark != "1" || o == brain.Prefilled && stage != brain.StagePrefill || note < 0 || note > tokensMost {
 				t.Errorf("%d %q at stage %d: %d, %d", status, mark, stage, o, note)
 			}
 		}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -31,7 +31,7 @@
 
 // Stage is the attempt's stage in the words of the wire.
 func (f *Attempt) Stage() string {
-	return [...]string{brain.ToRead: kserve.StageRead, brain.ToWrite: kserve.StageWrite, brain.Whole: kserve.StageWhole}[f.Planned.Stage]
+	return [...]string{brain.StagePrefill: kserve.StageRead, brain.StageDecode: kserve.StageWrite, brain.StageWhole: kserve.StageWhole}[f.Planned.Stage]
 }
 
 // Began takes word of an attempt's first token.
@@ -71,9 +71,9 @@
 	l.Log.Debug("trip over", "id", a.Ask.ID, "box", f.Backend.Name, "stage", f.Stage(), "number", t.Number, "outcome", r.Outcome, "took", r.Duration, "wait", f.Wait,
 		"prompt", t.Request.PromptTokens, "left", t.PrefillTokens, "kept", r.Detail)
 	switch {
-	case r.Outcome == brain.Read:
+	case r.Outcome == brain.Prefilled:
 		a.waiting[f.Backend] = true
-	case t.Stage == brain.ToRead && r.Outcome != brain.Unreachable && r.Outcome != brain.NotSent && r.Outcome != brain.Rejected:
+	case t.Stage == brain.StagePrefill && r.Outcome != brain.Unreachable && r.Outcome != brain.NotSent && r.Outcome != brain.Rejected:
 		// The read may have ended at the backend just as it was given up on here: its state must not stay there.
 		l.release(f.Backend, a)
 	case r.Outcome == brain.Rejected && r.Detail == 1 && f.State != nil:
@@ -98,7 +98,7 @@
 }
 
 // cost tells whether an attempt that ended so may have cost its backend work for nothing.
-func cost(o brain.Outcome) bool { return o == brain.Failed || o == brain.TimedOut || o == brain.Broken }
+func cost(o brain.Outcome) bool { return o == brain.Failed || o == brain.TimedOut || o == brain.ConnectionLost }
 
 // MaySend tells, when a connection for an attempt is there, whether the attempt may still go out: while it was waited for, the backend may
 // have been told to drain, the request may have ended, and a repeat may have come too late.
@@ -107,7 +107,7 @@
 	case f.late:
 		return brain.DeadlinePassed
 	case f.Request.left, f.Request.answered, f.Request.Over():
-		return brain.RequestOver
+		return brain.RequestFinished
 	}
 	return l.module.MaySend(f.Planned)
 }
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -32,7 +32,7 @@
 
 // Listed takes lines of the backend list.
 func (l *Loop) Listed(lines []boxlist.Box, whole bool) {
-	var out []brain.Listing
+	var out []brain.Endpoint
 	named := map[string]bool{}
 	for _, line := range lines {
 		named[line.Name] = true
@@ -40,7 +40,7 @@
 		if b != nil && b.place != place && line.Standing != boxlist.Gone {
 			// Another machine under the old name: what is known of that one says nothing of this.
 			l.retire(b)
-			out = append(out, brain.Listing{Backend: b.Known, State: brain.Gone})
+			out = append(out, brain.Endpoint{Backend: b.Known, State: brain.Removed})
 			l.forgetBox(b)
 			b = nil
 		}
@@ -75,7 +75,7 @@
 func (l *Loop) forgetGone() {
 	l.gone = slices.DeleteFunc(l.gone, func(b *Backend) bool {
 		switch {
-		case b.Known.State != brain.Gone || l.backends[b.Name] != b:
+		case b.Known.State != brain.Removed || l.backends[b.Name] != b:
 			return true
 		case b.out == 0 && l.now-b.gone >= goneKept:
 			l.forgetBox(b)
@@ -111,9 +111,9 @@
 	}
 }
 
-func (l *Loop) listing(b *Backend, line boxlist.Box) brain.Listing {
-	standing := map[string]brain.BackendState{boxlist.Ready: brain.Ready, boxlist.Draining: brain.Draining, boxlist.Gone: brain.Gone}[line.Standing]
-	if standing == brain.Gone {
+func (l *Loop) listing(b *Backend, line boxlist.Box) brain.Endpoint {
+	standing := map[string]brain.BackendState{boxlist.Ready: brain.Ready, boxlist.Draining: brain.Draining, boxlist.Gone: brain.Removed}[line.Standing]
+	if standing == brain.Removed {
 		l.retire(b)
 	} else {
 		l.accountListed(b, false)
@@ -133,7 +133,7 @@
 		b.booted, b.dated = l.now-time.Duration(line.UpMs)*time.Millisecond, line.UpMs >= 0
 	}
 	b.Start = line.Start
-	return brain.Listing{Backend: b.Known, State: standing, CapacityUnits: max(line.Units, 0.01), StartedAt: b.booted, StartReported: line.UpMs >= 0}
+	return brain.Endpoint{Backend: b.Known, State: standing, CapacityUnits: max(line.Units, 0.01), StartedAt: b.booted, StartReported: line.UpMs >= 0}
 }
 
 // allowed leaves out addresses that make no sense or lie outside of what the deployment allows, with a note.
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -85,7 +85,7 @@
 }
 
 // NewLoop makes a loop and its module. since is the clock, a span since the start.
-func NewLoop(facts brain.Facts, seed uint64, places Places, carrier Transport, since func() time.Duration, epoch string, log *slog.Logger) (*Loop, error) {
+func NewLoop(facts brain.Settings, seed uint64, places Places, carrier Transport, since func() time.Duration, epoch string, log *slog.Logger) (*Loop, error) {
 	if places.Allows == nil {
 		places.Allows = func(addresses.Spec) bool { return true }
 	}
@@ -101,7 +101,7 @@
 
 // Module is what a loop hosts: brain.Dispatcher, or a baseline to compare it with.
 type Module interface {
-	Listed(lines []brain.Listing, whole bool)
+	Listed(lines []brain.Endpoint, whole bool)
 	Submit(q *brain.Request, grade, channel int)
 	Began(t *brain.Attempt, took time.Duration)
 	Ended(t *brain.Attempt, r brain.Result)
@@ -356,8 +356,8 @@
 }
 
 // Believes is what the module takes to be so; nothing of a module that does not say.
-func (l *Loop) Believes() (b brain.Belief) {
-	if m, ok := l.module.(interface{ Believes() brain.Belief }); ok {
+func (l *Loop) Believes() (b brain.Summary) {
+	if m, ok := l.module.(interface{ Believes() brain.Summary }); ok {
 		b = m.Believes()
 	}
 	return b
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -90,7 +90,7 @@
 		t.Fatalf("the flight was called off for %v", context.Cause(f.ctx))
 	}
 	l.Do(func() { l.Ended(f, brain.Result{Outcome: brain.TimedOut}) })
-	l.Do(func() { l.Ended(f, brain.Result{Outcome: brain.Read}) })
+	l.Do(func() { l.Ended(f, brain.Result{Outcome: brain.Prefilled}) })
 	if len(h.released) != 1 {
 		t.Errorf("releases %v: a read cut off may have left its state", h.released)
 	}
@@ -104,9 +104,9 @@
 func TestAFirstTokenAfterTheTripsTimeDoesNotCount(t *testing.T) {
 	l, h := settled(t, "idempotent")
 	a := asks(l, 4*time.Second)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
+	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Prefilled}) })
 	f := h.last()
-	if f.Planned.Stage != brain.ToWrite || f.State == nil {
+	if f.Planned.Stage != brain.StageDecode || f.State == nil {
 		t.Fatalf("stage %d, state %v", f.Planned.Stage, f.State)
 	}
 	h.now += f.Wait
@@ -121,7 +121,7 @@
 func TestAnAnswerThatCameWholeAfterItsTimeIsNoAnswer(t *testing.T) {
 	l, h := settled(t, "unrepeatable")
 	a := asks(l, 4*time.Second)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
+	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Prefilled}) })
 	f := h.last()
 	h.now += f.Wait
 	l.Due()
@@ -135,7 +135,7 @@
 func TestAClientThatLeavesMidStreamEndsItsTrip(t *testing.T) {
 	l, h := settled(t, "unrepeatable")
 	a := asks(l, 4*time.Second)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
+	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Prefilled}) })
 	f := h.last()
 	l.Do(func() { l.Began(f) })
 	l.Do(func() { l.Left(a) })
@@ -151,9 +151,9 @@
 func TestAnUnrepeatableQuestionThatMayHaveRunIsForfeited(t *testing.T) {
 	l, h := settled(t, "unrepeatable")
 	a := asks(l, 4*time.Second)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
+	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Prefilled}) })
 	n := len(h.flights)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Broken}) })
+	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.ConnectionLost}) })
 	if f := final(t, a); f.Final != kserve.Forfeited || f.Harmless || len(h.flights) != n {
 		t.Errorf("%+v after a broken trip, and %d more trips", f, len(h.flights)-n)
 	}
@@ -167,7 +167,7 @@
 	l, h := settled(t, "idempotent")
 	asks(l, 4*time.Second)
 	reader := h.last().Backend.Name
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
+	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Prefilled}) })
 	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Rejected, Detail: 1}) })
 	if len(h.released) != 1 || h.released[0] != reader {
 		t.Errorf("released at %v, the state was at %s", h.released, reader)
@@ -183,7 +183,7 @@
 	if f := final(t, a); f.Final != kserve.Forfeited || l.Tally.Overdue != 1 {
 		t.Errorf("%+v, overdue %d", f, l.Tally.Overdue)
 	}
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
+	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Prefilled}) })
 	if len(h.released) == 0 || len(h.flights) != 1 {
 		t.Errorf("released %v, flights %d", h.released, len(h.flights))
 	}
@@ -217,7 +217,7 @@
 	l.Do(func() {
 		l.Listed([]boxlist.Box{box("r1", "reader", "ready"), box("w1", "writer", "draining"), box("x", "nonesuch", "ready")}, true)
 	})
-	if gone.Known.State != brain.Gone || l.backends["w1"].Known.State != brain.Draining || l.backends["x"] != nil {
+	if gone.Known.State != brain.Removed || l.backends["w1"].Known.State != brain.Draining || l.backends["x"] != nil {
 		t.Errorf("w2 %d, w1 %d, x %v", gone.Known.State, l.backends["w1"].Known.State, l.backends["x"])
 	}
 	select {
@@ -266,7 +266,7 @@
 	if len(l.backends) != 2 || len(l.hosts) != 2 || len(l.byHost) != 2 || l.backends[busy.Backend.Name] == nil {
 		t.Fatalf("%d boxes, %d hosts, %d by host are held, of 1 listed and 1 with a trip", len(l.backends), len(l.hosts), len(l.byHost))
 	}
-	l.Do(func() { l.Ended(busy, brain.Result{Outcome: brain.Read}) })
+	l.Do(func() { l.Ended(busy, brain.Result{Outcome: brain.Prefilled}) })
 	l.Do(func() { l.Listed(nil, false) })
 	h.now += 2 * goneKept
 	l.Do(func() { l.Listed(nil, false) })
@@ -288,7 +288,7 @@
 		change(&line)
 		l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
 		now := l.backends["w1"].Known
-		if now == old || old.State != brain.Gone || now.State != brain.Ready || l.hosts[now.ID] != now || l.byHost[old] != nil {
+		if now == old || old.State != brain.Removed || now.State != brain.Ready || l.hosts[now.ID] != now || l.byHost[old] != nil {
 			t.Errorf("another %s: the same host, standing %d", name, old.State)
 		}
 	}
--- a/internal/dispatch/runtime.go
+++ b/internal/dispatch/runtime.go
@@ -15,7 +15,7 @@
 func (l *Loop) Send(t *brain.Attempt, wait time.Duration) {
 	a := l.requests[t.Request]
 	f := &Attempt{Planned: t, Request: a, Backend: l.byHost[t.Backend], Wait: wait, Until: l.now + wait, Tokens: make(chan []byte, tokenRoom), Key: l.Key(a)}
-	if t.Stage == brain.ToWrite {
+	if t.Stage == brain.StageDecode {
 		f.State = l.byHost[t.Request.KVHolder]
 	}
 	a.flight = f
@@ -70,6 +70,6 @@
 
 func (l *Loop) WatchEndpoints(bool) {} // this list pushes unasked
 
-func (l *Loop) Tell(peer int, n brain.PeerUpdate) { l.carrier.Tell(peer, n) }
+func (l *Loop) SendPeerUpdate(peer int, n brain.PeerUpdate) { l.carrier.Tell(peer, n) }
 
-func (l *Loop) Note(text string) { l.Log.Info(text) }
+func (l *Loop) LogInfo(text string) { l.Log.Info(text) }
--- a/internal/dispatch/tally.go
+++ b/internal/dispatch/tally.go
@@ -11,7 +11,7 @@
 type Tally struct {
 	Taken, Satisfied, Declined, Forfeited, Left, Overdue, Trips, Damped int64
 	Outcomes                                                            [brain.NotSent + 1]int64
-	Prefills                                                            [brain.Whole + 1]Prefills // by stage
+	Prefills                                                            [brain.StageWhole + 1]Prefills // by stage
 	Began, InTime                                                       int64                     // first tokens, and those by the promised time
 	Held, First                                                         time.Duration             // of requests that began: before the last way out, and in all
 }
@@ -27,12 +27,12 @@
 // ended takes note of an attempt's end.
 func (y *Tally) ended(t *brain.Attempt, r brain.Result) {
 	y.Outcomes[r.Outcome]++
-	if r.Outcome != brain.Read && r.Outcome != brain.Served {
+	if r.Outcome != brain.Prefilled && r.Outcome != brain.Served {
 		return
 	}
 	p, prompt := &y.Prefills[t.Stage], t.Request.PromptTokens
 	p.Trips, p.Prompt, p.Kept = p.Trips+1, p.Prompt+int64(prompt), p.Kept+int64(r.Detail)
-	if t.Stage != brain.ToWrite {
+	if t.Stage != brain.StageDecode {
 		p.Expected += int64(prompt - t.PrefillTokens)
 	}
 }
--- a/internal/dispatch/trips.go
+++ b/internal/dispatch/trips.go
@@ -43,9 +43,9 @@
 func (s Seen) Outcome(stage brain.Stage) (o brain.Outcome, note int) {
 	if t := s.Told; t != nil {
 		switch {
-		case t.Outcome == kserve.OutcomeRead && stage == brain.ToRead:
-			return brain.Read, t.Kept
-		case t.Outcome == kserve.OutcomeAnswered && stage != brain.ToRead:
+		case t.Outcome == kserve.OutcomeRead && stage == brain.StagePrefill:
+			return brain.Prefilled, t.Kept
+		case t.Outcome == kserve.OutcomeAnswered && stage != brain.StagePrefill:
 			return brain.Served, t.Kept
 		case t.Outcome == kserve.OutcomeFull:
 			return brain.Rejected, 0
@@ -66,7 +66,7 @@
 	case errors.Is(s.Cause, ErrLeft):
 		return brain.Cancelled, 0
 	}
-	return brain.Broken, 0
+	return brain.ConnectionLost, 0
 }
 
 // Attempts takes attempts to backends over HTTP.
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -145,7 +145,7 @@
 // broke is an attempt whose backend died.
 func (t *attempt) broke() {
 	t.end("broke")
-	t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.Broken}) })
+	t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.ConnectionLost}) })
 }
 
 // closed is an attempt whose dispatcher has closed the connection.
@@ -172,7 +172,7 @@
 		return
 	}
 	if !b.up {
-		t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.Broken}) })
+		t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.ConnectionLost}) })
 		return
 	}
 	t.came, t.start = true, b.start
@@ -297,7 +297,7 @@
 		}
 		w.put(record.Line{What: record.Held, Box: b.make.Name, Key: t.line.Key, Try: t.line.Try, Grade: t.line.Grade})
 		t.end(kserve.OutcomeRead)
-		t.back(brain.Result{Outcome: brain.Read, Detail: kept})
+		t.back(brain.Result{Outcome: brain.Prefilled, Detail: kept})
 		if b.crashes > 0 && w.rng.Float64() < b.crashes {
 			start := b.start
 			w.after(2*time.Millisecond, func() { // the dispatcher knows of the read
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -34,7 +34,7 @@
 
 // Decode reads what Encode wrote; a host that is not on the own list stays nil.
 func Decode(raw []byte, hosts map[uint32]*brain.Backend) (brain.PeerUpdate, error) {
-	if len(raw) != 8 || raw[5]>>1 > byte(brain.Unmet) {
+	if len(raw) != 8 || raw[5]>>1 > byte(brain.VerdictUnreachable) {
 		return brain.PeerUpdate{}, fmt.Errorf("%d bytes are no news of a trip: %x", len(raw), raw[:min(len(raw), 16)])
 	}
 	n := brain.PeerUpdate{Backend: hosts[binary.BigEndian.Uint32(raw)], ClassIndex: int(raw[4]), Verdict: brain.Verdict(raw[5] >> 1)}
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -9,7 +9,7 @@
 func TestDecodeReadsWhatEncodeWroteAndDropsTheRest(t *testing.T) {
 	h := &brain.Backend{ID: 77}
 	hosts := map[uint32]*brain.Backend{77: h}
-	said := brain.PeerUpdate{Backend: h, ClassIndex: 2, Verdict: brain.Badly, HasLoad: true, Util: 0.5, QueueLength: 3}
+	said := brain.PeerUpdate{Backend: h, ClassIndex: 2, Verdict: brain.VerdictBad, HasLoad: true, Util: 0.5, QueueLength: 3}
 	raw := Encode(said)
 	if got, err := Decode(raw, hosts); err != nil || got != said {
 		t.Errorf("heard %+v, %v", got, err)
@@ -30,7 +30,7 @@
 	h := &brain.Backend{ID: 77}
 	hosts := map[uint32]*brain.Backend{77: h}
 	for _, share := range []float64{0.005, 0.5, 1} {
-		raw := Encode(brain.PeerUpdate{Backend: h, Verdict: brain.Well, TargetShare: share})
+		raw := Encode(brain.PeerUpdate{Backend: h, Verdict: brain.VerdictGood, TargetShare: share})
 		if got, err := Decode(raw, hosts); err != nil || got.TargetShare != share || got.HasLoad {
 			t.Errorf("%g: heard %+v, %v", share, got, err)
 		}
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -104,9 +104,9 @@
 // maySend asks the loop, again where the process stood still meanwhile: what came by then has to be read before the answer counts.
 func (c *transport) maySend(ctx context.Context, f *dispatch.Attempt) brain.Permission {
 	for {
-		asked, may := time.Now(), brain.RequestOver
+		asked, may := time.Now(), brain.RequestFinished
 		if !c.loop.Call(ctx, func() { may = c.loop.MaySend(f) }) {
-			return brain.RequestOver
+			return brain.RequestFinished
 		}
 		if may != brain.Allowed || !c.pulse.stalledSince(asked, time.Now()) {
 			return may
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -61,10 +61,10 @@
 	refused map[string]int64
 }
 
-func newFrontend(loop *dispatch.Loop, facts brain.Facts, bodies int64, observed *monitor.Monitor, beating *pulse, log *slog.Logger) *frontend {
+func newFrontend(loop *dispatch.Loop, facts brain.Settings, bodies int64, observed *monitor.Monitor, beating *pulse, log *slog.Logger) *frontend {
 	f := &frontend{
 		loop: loop, grades: map[string]int{}, tenants: map[string]int{}, ids: newIDRegister(longestDeadline(facts) + idsSpan), refused: map[string]int64{},
-		cut: make(chan struct{}), after: facts.Span("policyLimits.maxRetryAfterUs"), open: int64(facts.Num("policyLimits.maxOpen", 1e4)), bodies: bodies,
+		cut: make(chan struct{}), after: facts.Duration("policyLimits.maxRetryAfterUs"), open: int64(facts.Number("policyLimits.maxOpen", 1e4)), bodies: bodies,
 		monitor: observed, pulse: beating, classes: monitorClasses(facts), log: log,
 	}
 	for i, name := range facts.Names("requestClasses") {
--- a/internal/platform/observe.go
+++ b/internal/platform/observe.go
@@ -55,38 +55,38 @@
 }
 
 // monitorTerms are the rules' bounds by the settings.
-func monitorTerms(facts brain.Facts) monitor.Terms {
-	terms := monitor.Terms{Gone: goneSlack, Told: toldSlack, DrainGrace: facts.Span("rules.drainGraceUs")}
+func monitorTerms(facts brain.Settings) monitor.Terms {
+	terms := monitor.Terms{Gone: goneSlack, Told: toldSlack, DrainGrace: facts.Duration("rules.drainGraceUs")}
 	if terms.DrainGrace == 0 {
 		terms.DrainGrace = drainGraceElse
 	}
-	if limit := facts.Span("familyInfo.pinLimitUs"); limit > 0 {
+	if limit := facts.Duration("familyInfo.pinLimitUs"); limit > 0 {
 		terms.Hold = limit + holdSlack
 	}
 	return terms
 }
 
 // monitorClasses are the requests' classes by their numbers, as far as running again matters.
-func monitorClasses(facts brain.Facts) (classes []monitor.Class) {
-	grades, err := facts.Grades()
+func monitorClasses(facts brain.Settings) (classes []monitor.Class) {
+	grades, err := facts.Classes()
 	if err != nil {
 		return nil // the loop, which needs them, says so
 	}
 	for _, g := range grades {
 		classes = append(classes, map[brain.Effect]monitor.Class{
-			brain.Idempotent: monitor.Idempotent, brain.Deduplicated: monitor.Deduplicated, brain.Unrepeatable: monitor.NonIdempotent,
+			brain.Idempotent: monitor.Idempotent, brain.Deduplicated: monitor.Deduplicated, brain.NonIdempotent: monitor.NonIdempotent,
 		}[g.Effect])
 	}
 	return classes
 }
 
 // hasEffect tells whether an attempt has one that must not come twice: at a prefill backend it has none, however it ends.
-func hasEffect(f *dispatch.Attempt) bool { return f.Planned.Stage != brain.ToRead }
+func hasEffect(f *dispatch.Attempt) bool { return f.Planned.Stage != brain.StagePrefill }
 
 // proves is what the end of an attempt proves.
 func proves(o brain.Outcome) monitor.End {
 	switch {
-	case o == brain.Read:
+	case o == brain.Prefilled:
 		return monitor.StateKept
 	case o.NeverRan():
 		return monitor.NeverRan
--- a/internal/platform/place.go
+++ b/internal/platform/place.go
@@ -76,7 +76,7 @@
 	case p.Limits.MemoryMB < 0 || p.Limits.Sockets < 0:
 		return errors.New("limits make no sense")
 	}
-	return brain.Flat(p.Settings).Sound()
+	return brain.FlattenSettings(p.Settings).Validate()
 }
 
 // chance is the seed for the module.
--- a/internal/platform/place_test.go
+++ b/internal/platform/place_test.go
@@ -43,7 +43,7 @@
 
 // A zone that the settings do not name is none of those that they do: repeats that are dropped in one zone are not sent to it.
 func TestAZoneThatIsNotNamedIsNoOther(t *testing.T) {
-	facts := brain.Flat(map[string]any{"dcs": []any{"a", "b"}})
+	facts := brain.FlattenSettings(map[string]any{"dcs": []any{"a", "b"}})
 	seen := map[int]string{}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		n := zoneNumber(facts, name)
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -34,7 +34,7 @@
 // node is one dispatcher with its ways in and out.
 type node struct {
 	place     Place
-	facts     brain.Facts
+	facts     brain.Settings
 	log       *slog.Logger
 	life      context.Context // of attempts, which outlive the wish to stop
 	end       context.CancelFunc
@@ -64,7 +64,7 @@
 
 // open makes a dispatcher that listens, and knows the list that it was started with.
 func open(ctx context.Context, p Place, sys system.System, log *slog.Logger) (*node, error) {
-	room, facts := p.room(), brain.Flat(p.Settings)
+	room, facts := p.room(), brain.FlattenSettings(p.Settings)
 	began := time.Now()
 	since := func() time.Duration { return time.Since(began) }
 	n := &node{place: p, facts: facts, log: log, served: make(chan struct{})}
@@ -72,7 +72,7 @@
 	n.pulse = newPulse(time.Now())
 	n.monitor = monitor.New(monitorTerms(facts), since, log)
 	boxes := &reach.Boxes{
-		Limit: max(facts.Span("policyLimits.dialTimeoutUs"), 10*time.Millisecond), Most: room.boxes, Since: since, Life: n.life, Group: &n.trips, Dial: sys.Dial, Bare: true,
+		Limit: max(facts.Duration("policyLimits.dialTimeoutUs"), 10*time.Millisecond), Most: room.boxes, Since: since, Life: n.life, Group: &n.trips, Dial: sys.Dial, Bare: true,
 	}
 	n.transport = &transport{
 		fields: facts.Names("report.fields"), boxes: boxes, life: n.life, group: &n.trips, log: log, notable: &notableLog{log: log}, monitor: n.monitor, pulse: n.pulse, passed: map[string]*passed{},
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	if n.peers = (&dispatch.Peers{}); p.PeerListen != "" {
-		if n.peers, err = dispatch.ListenPeers(int(facts.Num("slotNo", 0)), p.PeerListen, p.Peers, sys.ListenUDP); err != nil {
+		if n.peers, err = dispatch.ListenPeers(int(facts.Number("slotNo", 0)), p.PeerListen, p.Peers, sys.ListenUDP); err != nil {
 			listener.Close()
 			return nil, fmt.Errorf("siblings: %w", err)
 		}
@@ -130,11 +130,11 @@
 
 // zoneNumber is a zone's number in the settings. One that they do not name gets a number of its own, as it is not the first of those
 // that they do: what drops repeats in one zone knows nothing of another's.
-func zoneNumber(facts brain.Facts, name string) int {
+func zoneNumber(facts brain.Settings, name string) int {
 	if i := facts.Index("dcs", name); i >= 0 || name == "" {
 		return max(i, 0)
 	}
-	return int(facts.Num("dcs", 0)) + 1 + int(dispatch.HostID(name))
+	return int(facts.Number("dcs", 0)) + 1 + int(dispatch.HostID(name))
 }
 
 func (n *node) run(ctx context.Context, again <-chan os.Signal, read func() (Place, error)) (err error) {
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -38,7 +38,7 @@
 
 // stopTimesOf derives the times of a shutdown from the settings: SIGKILL comes no sooner than the longest deadline, counted as 3 s
 // where it is longer, and 0.7 s more.
-func stopTimesOf(facts brain.Facts) stopTimes {
+func stopTimesOf(facts brain.Settings) stopTimes {
 	longest := longestDeadline(facts)
 	if longest == 0 {
 		longest = killAfterMost
@@ -53,10 +53,10 @@
 }
 
 // longestDeadline is that of the class which waits longest; 0: one states none.
-func longestDeadline(facts brain.Facts) time.Duration {
+func longestDeadline(facts brain.Settings) time.Duration {
 	longest := time.Duration(0)
 	for i := range facts.Names("requestClasses") {
-		deadline := facts.Span(fmt.Sprintf("requestClasses.%d.giveUpUs", i))
+		deadline := facts.Duration(fmt.Sprintf("requestClasses.%d.giveUpUs", i))
 		if deadline <= 0 {
 			return 0
 		}
@@ -71,7 +71,7 @@
 	n.log.Info("stopping", "open", n.frontend.asked.Load(), "accept", times.accept, "move", times.move, "answer", times.answer)
 	n.frontend.stopping.Store(true)
 	n.limiter.drain()
-	if n.facts.Yes("familyInfo.resume") {
+	if n.facts.Bool("familyInfo.resume") {
 		defer time.AfterFunc(times.move, func() { close(n.frontend.cut) }).Stop()
 	}
 	defer time.AfterFunc(times.answer, n.answerAll).Stop()
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -30,7 +30,7 @@
 		for _, d := range c.deadlinesUs {
 			classes = append(classes, map[string]any{"name": "a", "giveUpUs": d})
 		}
-		got := stopTimesOf(brain.Flat(map[string]any{"requestClasses": classes}))
+		got := stopTimesOf(brain.FlattenSettings(map[string]any{"requestClasses": classes}))
 		if got != c.want {
 			t.Errorf("%s: %+v, want %+v", name, got, c.want)
 		}
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -93,7 +93,7 @@
 		p = &passed{}
 		c.passed[f.Backend.Name] = p
 	}
-	if f.Planned.Stage == brain.ToRead {
+	if f.Planned.Stage == brain.StagePrefill {
 		p.reads += out
 	} else {
 		p.writes += out
@@ -124,7 +124,7 @@
 func (c *transport) tellEnd(f *dispatch.Attempt, id string, r brain.Result) {
 	ended := c.since()
 	switch r.Outcome {
-	case brain.TimedOut, brain.Broken, brain.Unreachable:
+	case brain.TimedOut, brain.ConnectionLost, brain.Unreachable:
 		c.notable.Info("an attempt has failed", "id", id, "backend", f.Backend.Name, "stage", f.Stage(), "number", f.Planned.Number,
 			"outcome", dispatch.OutcomeName(r.Outcome), "arrived", f.Arrived.Load(), "wait", f.Wait)
 	}
@@ -159,7 +159,7 @@
 		case errors.Is(cause, dispatch.ErrLeft):
 			return brain.Result{Outcome: brain.Cancelled}
 		}
-		return brain.Result{Outcome: brain.Broken}
+		return brain.Result{Outcome: brain.ConnectionLost}
 	}
 	if _, err := conn.Bytes().Peek(1); err != nil {
 		c.heard.silent(host)
@@ -180,7 +180,7 @@
 			break
 		}
 	}
-	if resp.StatusCode != http.StatusOK || f.Planned.Stage == brain.ToRead {
+	if resp.StatusCode != http.StatusOK || f.Planned.Stage == brain.StagePrefill {
 		body, err := io.ReadAll(io.LimitReader(resp.Body, shortMost+1))
 		if err != nil || len(body) > shortMost {
 			c.Spoilt.Add(1)
--- a/internal/setup/facts.go
+++ b/internal/setup/facts.go
@@ -16,9 +16,9 @@
 )
 
 // Facts gives the module its plain map: the one table from the operators' keys to the module's names.
-func (d *Dispatcher) Facts() brain.Facts {
+func (d *Dispatcher) Facts() brain.Settings {
 	us := func(s Span) float64 { return float64(time.Duration(s).Microseconds()) }
-	f := brain.Facts{
+	f := brain.Settings{
 		"siblings": float64(d.Place.Siblings), "slotNo": float64(d.Place.Number),
 		"zone": float64(d.ZoneNumber(d.Place.Zone)), "discovery": "automatic", "overShareWorth": d.Limits.OverShare,
 		"prices.peer": d.Limits.NewsPrice, "prices.crossZone": d.Limits.ZonePrice,
--- a/internal/setup/fuzz_test.go
+++ b/internal/setup/fuzz_test.go
@@ -22,10 +22,10 @@
 			}
 			return
 		}
-		if err := d.Facts().Sound(); err != nil {
+		if err := d.Facts().Validate(); err != nil {
 			t.Fatalf("%q passes, but the module says %v", raw, err)
 		}
-		if _, err := brain.Facts.Grades(d.Facts()); err != nil {
+		if _, err := brain.Settings.Classes(d.Facts()); err != nil {
 			t.Fatalf("%q passes, but the module says %v", raw, err)
 		}
 	})
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -76,19 +76,19 @@
 		t.Fatal(err)
 	}
 	f := d.Facts()
-	if err := f.Sound(); err != nil {
+	if err := f.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	grades, err := f.Grades()
+	grades, err := f.Classes()
 	if err != nil {
 		t.Fatal(err)
 	}
 	g := grades[1]
-	if g.Effect != brain.Unrepeatable || g.Target != time.Second || g.Value != 5 || grades[0].TargetPer1000Tokens != 60*time.Millisecond {
+	if g.Effect != brain.NonIdempotent || g.Target != time.Second || g.Value != 5 || grades[0].TargetPer1000Tokens != 60*time.Millisecond {
 		t.Errorf("%+v", g)
 	}
-	if f.Num("zone", -1) != 1 || f.Num("slotNo", -1) != 1 || f.RoleOf(0) != brain.Reads ||
-		f.MemoryOf(0) != 200000 || f.Channels()[0].Quota != 12.5 || !f.Yes("familyInfo.localRead") {
+	if f.Number("zone", -1) != 1 || f.Number("slotNo", -1) != 1 || f.RoleOf(0) != brain.RolePrefill ||
+		f.KVCapacityOf(0) != 200000 || f.Tenants()[0].Quota != 12.5 || !f.Bool("familyInfo.localRead") {
 		t.Errorf("%v", f)
 	}
 }
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -65,10 +65,10 @@
 type Guard struct {
 	heed  time.Duration // the longest wait that clients follow
 	rng   *brain.PCG
-	first brain.Ring // tries that are a question's first
-	again brain.Ring
-	good  brain.Ring // answered
-	bad   brain.Ring // declined or forfeited
+	first brain.RollingSum // tries that are a question's first
+	again brain.RollingSum
+	good  brain.RollingSum // answered
+	bad   brain.RollingSum // declined or forfeited
 	on    bool
 
 	rate     float64 // what can be answered in a second
@@ -83,7 +83,7 @@
 	swept    int64
 	abroad   bucket     // for tickets of other dispatchers
 	further  bucket     // for trips after one that failed
-	trips    brain.Ring // first ones of their questions
+	trips    brain.RollingSum // first ones of their questions
 
 	Counts Counts
 }
@@ -101,7 +101,7 @@
 
 type channel struct {
 	budget bucket
-	good   brain.Ring
+	good   brain.RollingSum
 }
 
 type usedTicket struct {
@@ -134,11 +134,11 @@
 
 // New makes a guard. heed is the longest wait that clients follow; channels is how many there are.
 func New(heed time.Duration, channels int, seed uint64, seal Seal) *Guard {
-	g := &Guard{heed: heed, rng: brain.NewPCG(seed), first: brain.Ring{Width: sight}, again: brain.Ring{Width: sight}, good: brain.Ring{Width: sight}, bad: brain.Ring{Width: sight}, trips: brain.Ring{Width: sight},
+	g := &Guard{heed: heed, rng: brain.NewPCG(seed), first: brain.RollingSum{BucketWidth: sight}, again: brain.RollingSum{BucketWidth: sight}, good: brain.RollingSum{BucketWidth: sight}, bad: brain.RollingSum{BucketWidth: sight}, trips: brain.RollingSum{BucketWidth: sight},
 		slots: map[int64]float64{}, standby: map[int64]float64{}, seal: seal, used: map[usedTicket]bool{}, share: 1, further: bucket{tokens: furtherBurst * furtherLeast}}
 	for range max(channels, 1) {
 		// Many dispatchers start together: their budgets must not fill in step.
-		g.channels = append(g.channels, &channel{good: brain.Ring{Width: sight}, budget: bucket{tokens: g.rng.Float()}})
+		g.channels = append(g.channels, &channel{good: brain.RollingSum{BucketWidth: sight}, budget: bucket{tokens: g.rng.Float()}})
 	}
 	return g
 }
@@ -182,7 +182,7 @@
 		return true, 0, ""
 	}
 	c := g.channel(chanNumber)
-	allowed := max(g.share*budgetShare*c.good.PerS(now), budgetLeast)
+	allowed := max(g.share*budgetShare*c.good.PerSecond(now), budgetLeast)
 	if c.budget.take(now, allowed, max(budgetBurst*allowed, 1)) {
 		g.Counts.Budgeted++
 		return true, 0, ""
@@ -233,7 +233,7 @@
 // MayTryAgain tells, when a trip failed that may have cost work, whether its question may have a further one. Without a
 // limit all that an outage breaks is asked of the boxes that are left, a trip for each that the terms allow.
 func (g *Guard) MayTryAgain(now time.Duration) bool {
-	perS := furtherShare*g.trips.PerS(now) + furtherLeast
+	perS := furtherShare*g.trips.PerSecond(now) + furtherLeast
 	if !g.further.has(now, perS, furtherBurst*perS) {
 		g.Counts.Spent++
 		return false
@@ -245,7 +245,7 @@
 
 // Answered takes word of a question's end: whether it was answered, and for a first try whether in its promised time.
 func (g *Guard) Answered(now time.Duration, well, first, inTime bool, chanNumber int) {
-	if perS := max(g.first.PerS(now), 0.1); first && inTime {
+	if perS := max(g.first.PerSecond(now), 0.1); first && inTime {
 		g.share = min(g.share+shareUp/perS, 1)
 	} else if first {
 		g.share = max(g.share*math.Pow(shareDown, 1/max(0.1*perS, 1)), leastShare)
@@ -261,13 +261,13 @@
 // Rate is how many questions a second this dispatcher can have answered, as far as it knows: while some are declined, what
 // is answered; else rising from there.
 func (g *Guard) Rate(now time.Duration) float64 {
-	seen := max(g.good.PerS(now), leastRate)
+	seen := max(g.good.PerSecond(now), leastRate)
 	if g.rateAt == 0 {
 		g.rate = seen
 	}
 	span := (now - g.rateAt).Seconds()
 	g.rateAt = now
-	if g.bad.PerS(now) > 0.05*seen {
+	if g.bad.PerSecond(now) > 0.05*seen {
 		// Toward what is answered, over some seconds.
 		g.rate += (seen - g.rate) * min(span/3, 1)
 	} else {
@@ -284,7 +284,7 @@
 		return 0, ""
 	}
 	rate := g.Rate(now)
-	room := g.share * max(rate-g.first.PerS(now), leastRoom*rate) * slotWidth.Seconds()
+	room := g.share * max(rate-g.first.PerSecond(now), leastRoom*rate) * slotWidth.Seconds()
 	from, to := int64((now+firstWait)/slotWidth), int64((now+g.heed)/slotWidth)
 	to = min(max(to, from), from+mostSlots)
 	g.sweep(int64(now / slotWidth))
