--- a/brain/admission.go
+++ b/brain/admission.go
@@ -35,7 +35,8 @@
 
 // compareQueueOrder orders requests by value density, then newest first, as the newest have most time left.
 func compareQueueOrder(a, b *Request) int {
-	return cmp.Or(cmp.Compare(b.ValueDensity, a.ValueDensity), cmp.Compare(b.ReceivedAt, a.ReceivedAt), cmp.Compare(a.ID, b.ID))
+	return cmp.Or(cmp.Compare(b.ValueDensity, a.ValueDensity), cmp.Compare(b.ReceivedAt, a.ReceivedAt),
+		cmp.Compare(a.ID, b.ID))
 }
 
 // valueDensity is the value of a request divided by its work.
--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -189,7 +189,8 @@
 		},
 		"absurd load reports": func(d *Dispatcher, _ *fakeRuntime) {
 			for _, backend := range d.backends {
-				d.Heard(PeerUpdate{Backend: backend, HasLoad: true, Util: 1e9, QueueLength: 1e12, TargetShare: 1, Verdict: VerdictGood})
+				d.Heard(PeerUpdate{Backend: backend, HasLoad: true, Util: 1e9, QueueLength: 1e12, TargetShare: 1,
+					Verdict: VerdictGood})
 			}
 		},
 	} {
--- a/brain/belief.go
+++ b/brain/belief.go
@@ -18,7 +18,8 @@
 
 // Believes returns the dispatcher's current estimates.
 func (d *Dispatcher) Believes() Summary {
-	summary := Summary{Window: d.window, Unbegun: d.outstanding, Held: len(d.queue), Average: d.meanPrefillTokens, Ahead: d.timeToFirstToken.ValueOr(0), Streams: d.streams}
+	summary := Summary{Window: d.window, Unbegun: d.outstanding, Held: len(d.queue), Average: d.meanPrefillTokens,
+		Ahead: d.timeToFirstToken.ValueOr(0), Streams: d.streams}
 	meanRequest := Request{KVTokens: 1500}
 	for _, backend := range d.backends {
 		if backend.State != Ready {
@@ -35,7 +36,8 @@
 		if d.inSlowStart(backend) {
 			summary.Cold++
 		}
-		if stats := &backend.Outcomes[0]; stats.Failures.Sum(d.runtime.Now())+min(stats.ConsecutiveFailures, 4) > 1+stats.Successes.Sum(d.runtime.Now()) {
+		if stats := &backend.Outcomes[0]; stats.Failures.Sum(d.runtime.Now())+min(stats.ConsecutiveFailures, 4) >
+			1+stats.Successes.Sum(d.runtime.Now()) {
 			summary.Doubted++
 		}
 	}
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -63,7 +63,8 @@
 	settings = settings.WithDefaults()
 	d := &Dispatcher{settings: settings, parameters: parametersOf(settings), runtime: runtime, rng: NewPCG(seed)}
 	d.orderSeed, d.sendCredit = Mix(seed, 1), maxBurst
-	d.prefillTokens.BucketWidth, d.prefillRequests.BucketWidth, d.prefixTable.BucketWidth = refreshInterval, refreshInterval, refreshInterval
+	d.prefillTokens.BucketWidth, d.prefillRequests.BucketWidth, d.prefixTable.BucketWidth =
+		refreshInterval, refreshInterval, refreshInterval
 	var err error
 	if d.classes, err = settings.Classes(); err != nil {
 		return nil, err
@@ -120,11 +121,13 @@
 		}
 		if backend.PrefixTable == nil || endpoint.StartReported && endpoint.StartedAt != backend.StartedAt {
 			backend.PrefixTable = map[uint64]CachedPrefix{}
-			emptyStats := OutcomeStats{Successes: RollingSum{BucketWidth: outcomeBucketWidth}, Failures: RollingSum{BucketWidth: outcomeBucketWidth}}
+			emptyStats := OutcomeStats{Successes: RollingSum{BucketWidth: outcomeBucketWidth},
+				Failures: RollingSum{BucketWidth: outcomeBucketWidth}}
 			backend.Outcomes = slices.Repeat([]OutcomeStats{emptyStats}, 1+len(d.classes))
 		}
 		anyRemoved = anyRemoved || endpoint.State == Removed
-		backend.State, backend.CapacityUnits, backend.StartedAt, backend.StartReported = endpoint.State, max(endpoint.CapacityUnits, 0.01), endpoint.StartedAt, endpoint.StartReported
+		backend.State, backend.CapacityUnits, backend.StartedAt, backend.StartReported =
+			endpoint.State, max(endpoint.CapacityUnits, 0.01), endpoint.StartedAt, endpoint.StartReported
 		if backend.RelativeCapacity == 0 {
 			backend.RelativeCapacity = 1 // until capacities are compared
 		}
@@ -147,7 +150,8 @@
 	backend.Role, backend.KVCapacity = d.settings.RoleOf(backend.Kind), d.settings.KVCapacityOf(backend.Kind)
 	backend.SentWork.BucketWidth = max(d.parameters.slowStartWindow/(bucketCount-1), 1)
 	backend.CompletedWork.BucketWidth = max(d.parameters.slowStartWindow*5/bucketCount, 1)
-	backend.RecentLoad.BucketWidth, backend.DistanceFactor, backend.Bias = recentLoadBucketWidth, 1, -math.Log(d.rng.Float())
+	backend.RecentLoad.BucketWidth, backend.DistanceFactor, backend.Bias =
+		recentLoadBucketWidth, 1, -math.Log(d.rng.Float())
 	if backend.Zone != d.parameters.zone {
 		backend.DistanceFactor += 25 * d.parameters.crossZonePrice
 	}
@@ -165,7 +169,8 @@
 func (d *Dispatcher) Submit(req *Request, classIndex, tenantIndex int) {
 	now := d.runtime.Now()
 	req.Class = d.classes[min(classIndex, len(d.classes)-1)]
-	req.ReceivedAt, req.Deadline, req.KVTokens = now, now+req.Timeout, req.PromptTokens+expectedOutputShare*req.MaxOutputTokens
+	req.ReceivedAt, req.Deadline, req.KVTokens =
+		now, now+req.Timeout, req.PromptTokens+expectedOutputShare*req.MaxOutputTokens
 	req.Class.Offered.Add(now, 1)
 	req.TargetAt = now + req.Class.Target + time.Duration(req.PromptTokens/1000*float64(req.Class.TargetPer1000Tokens))
 	if tenantIndex < len(d.tenants) {
@@ -202,7 +207,8 @@
 		return false
 	}
 	now := d.runtime.Now()
-	attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), SentAt: now, Stage: stage, SlowStart: d.inSlowStart(backend), OnResult: onResult}
+	attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), SentAt: now, Stage: stage,
+		SlowStart: d.inSlowStart(backend), OnResult: onResult}
 	cached := d.cachedTokens(backend, req)
 	attempt.CachedTokens = cached / max(backend.HitRatio.ValueOr(1), 0.01)
 	if stage != StageDecode {
@@ -240,7 +246,8 @@
 // with work that was given up.
 func (d *Dispatcher) attemptTimeout(attempt *Attempt) time.Duration {
 	timeLeft := attempt.Request.Deadline - attempt.SentAt
-	if timeLeft.Seconds()/4 < d.timeToFirstToken.ValueOr(0) || attempt.Stage != StagePrefill && attempt.Request.Class.Effect != Idempotent ||
+	if timeLeft.Seconds()/4 < d.timeToFirstToken.ValueOr(0) ||
+		attempt.Stage != StagePrefill && attempt.Request.Class.Effect != Idempotent ||
 		attempt.Number+1 >= d.parameters.maxAttempts {
 		return timeLeft
 	}
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -21,7 +21,9 @@
 		{name: "an attempt is in flight", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			addAttempt(req, backend, Rejected, 0).Ended = false
 		}},
-		{name: "deadline passed", disallowed: true, prepare: func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() }},
+		{name: "deadline passed", disallowed: true, prepare: func(d *Dispatcher, r *Request, _ *Backend) {
+			r.Deadline = d.runtime.Now()
+		}},
 		{name: "attempts used up", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			for range 4 {
 				addAttempt(req, backend, Rejected, 0)
@@ -29,10 +31,11 @@
 		}},
 		{name: "draining", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Draining }},
 		{name: "removed", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Removed }},
-		{name: "non-idempotent, may have run", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
-			req.Class.Effect = NonIdempotent
-			addAttempt(req, backend, TimedOut, 0)
-		}},
+		{name: "non-idempotent, may have run", disallowed: true,
+			prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
+				req.Class.Effect = NonIdempotent
+				addAttempt(req, backend, TimedOut, 0)
+			}},
 		{name: "non-idempotent, proven not run", prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect = NonIdempotent
 			addAttempt(req, backend, Rejected, 0)
@@ -41,23 +44,26 @@
 			req.Class.Effect = NonIdempotent
 			addAttempt(req, d.backends[0], ConnectionLost, 0)
 		}},
-		{name: "deduplicated, after its window", disallowed: true, prepare: func(d *Dispatcher, req *Request, backend *Backend) {
-			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
-			addAttempt(req, backend, TimedOut, d.runtime.Now()-time.Second)
-		}},
+		{name: "deduplicated, after its window", disallowed: true,
+			prepare: func(d *Dispatcher, req *Request, backend *Backend) {
+				req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
+				addAttempt(req, backend, TimedOut, d.runtime.Now()-time.Second)
+			}},
 		{name: "deduplicated, in its window", prepare: func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
 			addAttempt(req, backend, TimedOut, d.runtime.Now()-time.Second/2)
 		}},
-		{name: "deduplicated, other rack", disallowed: true, scope: SameRack, prepare: func(d *Dispatcher, req *Request, _ *Backend) {
-			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Minute
-			addAttempt(req, d.backends[3], TimedOut, d.runtime.Now())
-		}},
-		{name: "deduplicated, other zone", disallowed: true, scope: SameZone, prepare: func(d *Dispatcher, req *Request, _ *Backend) {
-			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Minute
-			d.backends[3].Zone = 1
-			addAttempt(req, d.backends[3], TimedOut, d.runtime.Now())
-		}},
+		{name: "deduplicated, other rack", disallowed: true, scope: SameRack,
+			prepare: func(d *Dispatcher, req *Request, _ *Backend) {
+				req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Minute
+				addAttempt(req, d.backends[3], TimedOut, d.runtime.Now())
+			}},
+		{name: "deduplicated, other zone", disallowed: true, scope: SameZone,
+			prepare: func(d *Dispatcher, req *Request, _ *Backend) {
+				req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Minute
+				d.backends[3].Zone = 1
+				addAttempt(req, d.backends[3], TimedOut, d.runtime.Now())
+			}},
 		{name: "in slow start, budget used up", disallowed: true, prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
 			backend.StartReported, backend.StartedAt = true, d.runtime.Now()-time.Second
 			d.backends[3].CompletedWork.Add(d.runtime.Now(), 50000)
@@ -68,11 +74,12 @@
 			d.backends[3].CompletedWork.Add(d.runtime.Now(), 50000)
 			backend.SentWork.Add(d.runtime.Now(), 100)
 		}},
-		{name: "in slow start while warm backends are heavily loaded", disallowed: true, prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
-			backend.StartReported, backend.StartedAt = true, d.runtime.Now()-time.Second
-			d.backends[3].SentWork.Add(d.runtime.Now(), 50000)
-			backend.SentWork.Add(d.runtime.Now(), 100)
-		}},
+		{name: "in slow start while warm backends are heavily loaded", disallowed: true,
+			prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
+				backend.StartReported, backend.StartedAt = true, d.runtime.Now()-time.Second
+				d.backends[3].SentWork.Add(d.runtime.Now(), 50000)
+				backend.SentWork.Add(d.runtime.Now(), 100)
+			}},
 	} {
 		d, _ := newDispatcher(t)
 		req := newRequest(d)
@@ -103,8 +110,10 @@
 		req.Class.Effect, req.Class.DedupScope, req.KVHolder = tc.effect, tc.scope, d.backends[0]
 		addAttempt(req, d.backends[2], tc.outcome, 0)
 		d.giveUp(req)
-		if (len(runtime.rejected) == 1) != tc.rejected || (len(runtime.failed) == 1) == tc.rejected || len(runtime.released) != 1 {
-			t.Errorf("%s: rejected %d, failed %d, released %d", tc.name, len(runtime.rejected), len(runtime.failed), len(runtime.released))
+		if (len(runtime.rejected) == 1) != tc.rejected || (len(runtime.failed) == 1) == tc.rejected ||
+			len(runtime.released) != 1 {
+			t.Errorf("%s: rejected %d, failed %d, released %d", tc.name, len(runtime.rejected), len(runtime.failed),
+				len(runtime.released))
 		}
 	}
 }
@@ -162,7 +171,8 @@
 	d, runtime := newDispatcher(t)
 	first, behind := newRequest(d), newRequest(d)
 	behind.ID = 2
-	first.Class = &Class{Effect: Deduplicated, DedupScope: SameRack, DedupWindow: time.Minute, Value: 9, Target: time.Second}
+	first.Class = &Class{Effect: Deduplicated, DedupScope: SameRack, DedupWindow: time.Minute, Value: 9,
+		Target: time.Second}
 	addAttempt(first, d.backends[2], TimedOut, runtime.now)
 	d.enqueue(first)
 	for _, backend := range d.backends {
@@ -175,7 +185,8 @@
 		t.Fatal("the other request is first in the queue")
 	}
 	d.dispatch()
-	if len(runtime.sent) != 1 || runtime.sent[0].Request != behind || len(runtime.failed) != 1 || runtime.failed[0] != first || len(d.queue) != 0 {
+	if len(runtime.sent) != 1 || runtime.sent[0].Request != behind || len(runtime.failed) != 1 ||
+		runtime.failed[0] != first || len(d.queue) != 0 {
 		t.Errorf("%d sent, %d failed, %d queued", len(runtime.sent), len(runtime.failed), len(d.queue))
 	}
 }
@@ -209,7 +220,8 @@
 		d.backends[4].State, d.backends[5].State = Removed, Removed
 		d.backends[3].PrefixTable[7] = CachedPrefix{Tokens: tc.cached, UsedAt: d.runtime.Now()}
 		d.route(newRequest(d))
-		if len(runtime.sent) != 1 || runtime.sent[0].Stage != tc.stage || tc.backendID != 0 && runtime.sent[0].Backend.ID != tc.backendID {
+		if len(runtime.sent) != 1 || runtime.sent[0].Stage != tc.stage ||
+			tc.backendID != 0 && runtime.sent[0].Backend.ID != tc.backendID {
 			t.Errorf("%s: sent %+v", tc.name, runtime.sent)
 		}
 	}
@@ -230,7 +242,8 @@
 	for name, value := range map[string]any{"rules.coldFrom": -0.5, "siblings": -1.0, "requestClasses": 0.0,
 		// The scheduler divides by these or counts up to them.
 		"rules.tipAfterUs": 0.5, "rules.tipMultiple": -1.0, "rules.rampTimeUs": math.Inf(1), "policyLimits.maxAttempts": -1.0,
-		"requestClasses.0.aimUs": 0.0, "requestClasses.0.worth": math.NaN(), "prices.peer": math.NaN(), "prices.crossZone": -1.0} {
+		"requestClasses.0.aimUs": 0.0, "requestClasses.0.worth": math.NaN(), "prices.peer": math.NaN(),
+		"prices.crossZone": -1.0} {
 		settings := testSettings()
 		settings[name] = value
 		if _, err := New(settings, 1, &fakeRuntime{}); err == nil || !strings.Contains(err.Error(), name) {
@@ -332,7 +345,8 @@
 		}
 		var endpoints []Endpoint
 		for i := range 4 {
-			endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint32(i), Kind: 1}, State: Ready, CapacityUnits: float64(1 + i%2)})
+			endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint32(i), Kind: 1}, State: Ready,
+				CapacityUnits: float64(1 + i%2)})
 		}
 		d.Listed(endpoints, true)
 		first[MinBy(d.backends, d.nextLoadScore).ID]++
@@ -407,7 +421,8 @@
 		runtime.now += time.Second
 		d.Listed([]Endpoint{endpoint}, false)
 		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 1 || len(backend.PrefixTable) != 1 {
-			t.Errorf("restart %v: slow start %v, %g failures, %d prefixes", restart, d.inSlowStart(backend), backend.Outcomes[0].ConsecutiveFailures, len(backend.PrefixTable))
+			t.Errorf("restart %v: slow start %v, %g failures, %d prefixes", restart, d.inSlowStart(backend),
+				backend.Outcomes[0].ConsecutiveFailures, len(backend.PrefixTable))
 		}
 		endpoint.StartedAt, endpoint.StartReported = runtime.now, true
 		d.Listed([]Endpoint{endpoint}, false)
@@ -429,7 +444,8 @@
 		peers   int
 	}{{"not allowed", false, 0, 0}, {"free of charge", true, 0, 8}, {"expensive", true, 0.01, 2}} {
 		settings := testSettings()
-		settings["policyLimits.peers"], settings["prices.peer"], settings["siblings"], settings["slotNo"] = tc.allowed, tc.price, 50.0, 7.0
+		settings["policyLimits.peers"], settings["prices.peer"], settings["siblings"], settings["slotNo"] =
+			tc.allowed, tc.price, 50.0, 7.0
 		runtime := &fakeRuntime{}
 		d, err := New(settings, 1, runtime)
 		if err != nil {
@@ -493,8 +509,10 @@
 		expected   float64 // expected seconds to a first token
 		keepsPlace time.Duration
 	}{
-		{TimedOut, 600 * time.Millisecond, 0.5, 600 * time.Millisecond}, {Cancelled, 200 * time.Millisecond, 0.5, 200 * time.Millisecond},
-		{TimedOut, 3 * time.Second, 0.5, time.Second}, {Prefilled, 600 * time.Millisecond, 0.5, 0}, {Unreachable, 200 * time.Millisecond, 0.5, 0},
+		{TimedOut, 600 * time.Millisecond, 0.5, 600 * time.Millisecond},
+		{Cancelled, 200 * time.Millisecond, 0.5, 200 * time.Millisecond},
+		{TimedOut, 3 * time.Second, 0.5, time.Second}, {Prefilled, 600 * time.Millisecond, 0.5, 0},
+		{Unreachable, 200 * time.Millisecond, 0.5, 0},
 		{Rejected, 0, 0.5, 0}, {TimedOut, 3 * time.Second, 0.1, 0}, // an unresponsive backend holds up no others
 	} {
 		d, runtime := newDispatcher(t)
@@ -530,13 +548,17 @@
 	}
 	req, prefillBackends := newRequest(d), Filter(d.backends, (*Backend).PrefillOnly)
 	candidates := d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends))
-	started := prefillBackends[slices.IndexFunc(prefillBackends, func(b *Backend) bool { return !slices.Contains(candidates, b) })]
+	started := prefillBackends[slices.IndexFunc(prefillBackends,
+		func(b *Backend) bool { return !slices.Contains(candidates, b) })]
 	started.StartReported, started.StartedAt = true, runtime.now-time.Second
-	if got := d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends)); !slices.Equal(got, append(candidates, started)) {
+	if got := d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends)); !slices.Equal(got,
+		append(candidates, started)) {
 		t.Errorf("%d affinity candidates", len(got))
 	}
-	if share := d.capacityShare(started); share < 0.3 || share > 0.4 || d.capacityShare(candidates[0]) != 1 || d.loadScore(started, 0) < 2*d.loadScore(candidates[0], 0) {
-		t.Errorf("capacity share %g, a load score of %g against %g", share, d.loadScore(started, 0), d.loadScore(candidates[0], 0))
+	if share := d.capacityShare(started); share < 0.3 || share > 0.4 || d.capacityShare(candidates[0]) != 1 ||
+		d.loadScore(started, 0) < 2*d.loadScore(candidates[0], 0) {
+		t.Errorf("capacity share %g, a load score of %g against %g", share, d.loadScore(started, 0),
+			d.loadScore(candidates[0], 0))
 	}
 }
 
@@ -568,7 +590,8 @@
 	req, prefillBackends := newRequest(d), Filter(d.backends, (*Backend).PrefillOnly)
 	candidates := slices.Clone(d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends)))
 	without := slices.DeleteFunc(slices.Clone(prefillBackends), func(b *Backend) bool { return b == candidates[0] })
-	if remaining := d.affinityCandidates(req, RolePrefill, without); len(candidates) != 2 || !slices.Equal(remaining, candidates[1:]) {
+	if remaining := d.affinityCandidates(req, RolePrefill, without); len(candidates) != 2 ||
+		!slices.Equal(remaining, candidates[1:]) {
 		t.Errorf("affinity candidates %v, with one suspected %v", candidates, remaining)
 	}
 	d.prefillRequests.Add(runtime.now, 100)
@@ -667,13 +690,15 @@
 		slowStarting.StartedAt, slowStarting.StartReported = runtime.now, true
 		for range 20 {
 			req := newRequest(d)
-			req.Attempts = []*Attempt{{Request: req, Backend: warm, Stage: stage, FirstTokenAt: runtime.now, OnResult: func(Result) {}}}
+			req.Attempts = []*Attempt{{Request: req, Backend: warm, Stage: stage, FirstTokenAt: runtime.now,
+				OnResult: func(Result) {}}}
 			d.Ended(req.Attempts[0], Result{Outcome: Served, Finished: true})
 		}
 		return d.slowStartBudget(slowStarting)
 	}
 	if decode, whole := budget(StageDecode), budget(StageWhole); decode <= 0 || decode > whole/10 {
-		t.Errorf("the budget of a mixed backend is %.0f after 20 decodes at a warm one, %.0f after 20 whole requests", decode, whole)
+		t.Errorf("the budget of a mixed backend is %.0f after 20 decodes at a warm one, %.0f after 20 whole requests",
+			decode, whole)
 	}
 }
 
--- a/brain/candidates.go
+++ b/brain/candidates.go
@@ -65,7 +65,8 @@
 	if set.request == req && set.time == now && set.attempts == len(req.Attempts) && set.kvHolder == req.KVHolder {
 		return set.backends
 	}
-	set.request, set.time, set.attempts, set.kvHolder, set.backends = req, now, len(req.Attempts), req.KVHolder, set.backends[:0]
+	set.request, set.time, set.attempts, set.kvHolder, set.backends =
+		req, now, len(req.Attempts), req.KVHolder, set.backends[:0]
 	set.mark++
 	start := int(d.rng.Float() * float64(len(d.backends)))
 	for i := range sampleSize {
@@ -127,7 +128,9 @@
 		if len(top) == maxAffinity && rank >= top[maxAffinity-1].rank || member.backend.State != Ready {
 			continue
 		}
-		i, _ := slices.BinarySearchFunc(top, rank, func(r rankedBackend, rank uint64) int { return cmp.Compare(r.rank, rank) })
+		i, _ := slices.BinarySearchFunc(top, rank, func(r rankedBackend, rank uint64) int {
+			return cmp.Compare(r.rank, rank)
+		})
 		if len(top) == maxAffinity {
 			top = top[:maxAffinity-1]
 		}
@@ -155,7 +158,9 @@
 // extendAffinity handles a prefix of a large fleet that has more affinity candidates than were ranked: it adds
 // those among the eligible backends. A backend is one of them if its rank is below the matching share of the
 // rank space.
-func (d *Dispatcher) extendAffinity(candidates []*Backend, key uint64, role Role, count int, eligible []*Backend) []*Backend {
+func (d *Dispatcher) extendAffinity(
+	candidates []*Backend, key uint64, role Role, count int, eligible []*Backend,
+) []*Backend {
 	if !d.isLarge() || count <= maxAffinity {
 		return candidates
 	}
@@ -186,7 +191,9 @@
 // dropStaleHolders drops backends that no longer have the prefix cached.
 func (d *Dispatcher) dropStaleHolders() {
 	for key, holders := range d.prefixHolders {
-		holders = slices.DeleteFunc(holders, func(b *Backend) bool { return !b.Tracked || b.PrefixTable[key] == (CachedPrefix{}) })
+		holders = slices.DeleteFunc(holders, func(b *Backend) bool {
+			return !b.Tracked || b.PrefixTable[key] == (CachedPrefix{})
+		})
 		if len(holders) == 0 || !d.isLarge() {
 			delete(d.prefixHolders, key)
 			continue
@@ -202,7 +209,8 @@
 	d.sorted = d.sorted && !bulk
 	position := len(d.backends)
 	if d.isLarge() && d.sorted {
-		position, _ = slices.BinarySearchFunc(d.backends, backend.order, func(b *Backend, order uint64) int { return cmp.Compare(b.order, order) })
+		position, _ = slices.BinarySearchFunc(d.backends, backend.order,
+			func(b *Backend, order uint64) int { return cmp.Compare(b.order, order) })
 	}
 	d.backends = slices.Insert(d.backends, position, backend)
 	d.byRole[backend.Role] = append(d.byRole[backend.Role], roleMember{uint64(backend.ID), backend})
@@ -229,7 +237,8 @@
 	d.backends = slices.DeleteFunc(d.backends, func(backend *Backend) bool {
 		backend.Tracked = backend.State != Removed || backend.Streams > 0 || backend.KVTokens >= 1 // its load still counts
 		if !backend.Tracked && backend.Decodes() {
-			if d.decodeByRack[backend.Rack] = slices.DeleteFunc(d.decodeByRack[backend.Rack], func(b *Backend) bool { return b == backend }); len(d.decodeByRack[backend.Rack]) == 0 {
+			if d.decodeByRack[backend.Rack] = slices.DeleteFunc(d.decodeByRack[backend.Rack],
+				func(b *Backend) bool { return b == backend }); len(d.decodeByRack[backend.Rack]) == 0 {
 				delete(d.decodeByRack, backend.Rack)
 			}
 		}
--- a/brain/candidates_test.go
+++ b/brain/candidates_test.go
@@ -16,7 +16,8 @@
 	}
 	var endpoints []Endpoint
 	for i := range 2000 {
-		endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 6}, State: Ready, CapacityUnits: 1})
+		endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 6}, State: Ready,
+			CapacityUnits: 1})
 	}
 	d.Listed(endpoints, true)
 	return d, runtime
@@ -42,7 +43,8 @@
 		others := second.affinityCandidates(&other, RolePrefill, second.eligible(&other, (*Backend).PrefillOnly))
 		ranked := Filter(first.backends, (*Backend).PrefillOnly)
 		SortByHash(ranked, req.PrefixKey)
-		if len(candidates) != 2 || !slices.Equal(ids(candidates), ids(others)) || !slices.Equal(ids(candidates), ids(ranked[:2])) {
+		if len(candidates) != 2 || !slices.Equal(ids(candidates), ids(others)) ||
+			!slices.Equal(ids(candidates), ids(ranked[:2])) {
 			t.Errorf("prefix %d: %v and %v, wanted %v", req.PrefixKey, ids(candidates), ids(others), ids(ranked[:2]))
 		}
 	}
@@ -127,12 +129,15 @@
 	}
 	d.Listed(endpoints, false)
 	if len(d.backends) != 100 || d.isLarge() || len(d.byRole[RolePrefill])+len(d.byRole[RoleDecode]) != 100 {
-		t.Fatalf("%d backends remain, %d and %d by role", len(d.backends), len(d.byRole[RolePrefill]), len(d.byRole[RoleDecode]))
+		t.Fatalf("%d backends remain, %d and %d by role", len(d.backends), len(d.byRole[RolePrefill]),
+			len(d.byRole[RoleDecode]))
 	}
 	for i := range 100 {
-		d.Listed([]Endpoint{{Backend: &Backend{ID: uint32(5000 + i), Kind: i % 2, Rack: 1000 + i/6}, State: Ready, CapacityUnits: 1}}, false)
+		d.Listed([]Endpoint{{Backend: &Backend{ID: uint32(5000 + i), Kind: i % 2, Rack: 1000 + i/6}, State: Ready,
+			CapacityUnits: 1}}, false)
 	}
-	if !d.isLarge() || !slices.IsSortedFunc(d.backends, func(a, b *Backend) int { return int(a.order>>1) - int(b.order>>1) }) {
+	if !d.isLarge() || !slices.IsSortedFunc(d.backends,
+		func(a, b *Backend) int { return int(a.order>>1) - int(b.order>>1) }) {
 		t.Errorf("%d backends, in order %v", len(d.backends), d.sorted)
 	}
 	if got := len(d.byRole[RolePrefill]) + len(d.byRole[RoleDecode]); got != 200 {
@@ -153,7 +158,8 @@
 	req.KVHolder = nil
 	ranked := Filter(d.backends, (*Backend).PrefillOnly)
 	SortByHash(ranked, req.PrefixKey)
-	if got := d.affinityCandidates(req, RolePrefill, d.eligible(req, (*Backend).PrefillOnly)); !slices.Equal(ids(got), ids(ranked[:2])) {
+	if got := d.affinityCandidates(req, RolePrefill, d.eligible(req, (*Backend).PrefillOnly)); !slices.Equal(
+		ids(got), ids(ranked[:2])) {
 		t.Errorf("its affinity candidates are %v, wanted %v", ids(got), ids(ranked[:2]))
 	}
 }
--- a/brain/cost_test.go
+++ b/brain/cost_test.go
@@ -33,7 +33,8 @@
 	}
 	var endpoints []Endpoint
 	for i := range backends {
-		endpoint := Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 5, Zone: i % 3}, State: Ready, CapacityUnits: 1}
+		endpoint := Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 5, Zone: i % 3}, State: Ready,
+			CapacityUnits: 1}
 		if state == allInSlowStart || state == mostInSlowStart && i%10 < 6 {
 			endpoint.StartReported, endpoint.StartedAt = true, runtime.now-time.Second
 		}
@@ -55,7 +56,8 @@
 	}
 	d.window, d.sendCredit = 0, 0
 	for i := range waiting {
-		d.Submit(&Request{ID: uint64(1e6 + i), SessionKey: uint64(i%50 + 1), PromptTokens: 2000, MaxOutputTokens: 400, Timeout: time.Hour}, 0, 0)
+		d.Submit(&Request{ID: uint64(1e6 + i), SessionKey: uint64(i%50 + 1), PromptTokens: 2000, MaxOutputTokens: 400,
+			Timeout: time.Hour}, 0, 0)
 	}
 	return d, runtime
 }
@@ -64,7 +66,8 @@
 func serveOne(d *Dispatcher, runtime *fakeRuntime, number int) {
 	runtime.now += 10 * time.Millisecond
 	d.window, d.sendCredit = 2, 0
-	d.Submit(&Request{ID: uint64(number), SessionKey: uint64(number%200 + 1), PrefixKey: uint64(number%20 + 1), PromptTokens: 2000, PrefixTokens: 1500, MaxOutputTokens: 400, Timeout: time.Hour}, 0, 0)
+	d.Submit(&Request{ID: uint64(number), SessionKey: uint64(number%200 + 1), PrefixKey: uint64(number%20 + 1),
+		PromptTokens: 2000, PrefixTokens: 1500, MaxOutputTokens: 400, Timeout: time.Hour}, 0, 0)
 	for served := false; !served && len(runtime.sent) > 0; {
 		attempt := runtime.sent[0]
 		runtime.sent = runtime.sent[1:]
@@ -76,7 +79,8 @@
 		d.Ended(attempt, Result{Outcome: Served, Duration: 50 * time.Millisecond, Finished: true})
 		served = true
 	}
-	runtime.timers, runtime.timerDelays, runtime.timeouts = runtime.timers[:0], runtime.timerDelays[:0], runtime.timeouts[:0]
+	runtime.timers, runtime.timerDelays, runtime.timeouts =
+		runtime.timers[:0], runtime.timerDelays[:0], runtime.timeouts[:0]
 }
 
 // BenchmarkRequest measures the time per request by number and state of the backends and by queue length.
@@ -119,7 +123,8 @@
 	began := time.Now()
 	for i := range rounds {
 		runtime.now += time.Millisecond
-		d.Listed([]Endpoint{{Backend: d.backends[i], State: Ready, CapacityUnits: 1, StartReported: true, StartedAt: runtime.now}}, false)
+		d.Listed([]Endpoint{{Backend: d.backends[i], State: Ready, CapacityUnits: 1, StartReported: true,
+			StartedAt: runtime.now}}, false)
 	}
 	if took := time.Since(began) / rounds; took > maxRequestTime/10 {
 		t.Errorf("a change takes %v", took)
--- a/brain/ends_test.go
+++ b/brain/ends_test.go
@@ -152,7 +152,9 @@
 	if finished && s.finalAnswers[req] == 0 {
 		s.finalAnswers[req]++
 	}
-	s.dispatcher.Ended(attempt, Result{Outcome: outcome, Duration: s.now - attempt.SentAt, Finished: finished || s.finalAnswers[req] > 0, Detail: note, LoadReport: []float64{s.rng.Float64(), float64(s.rng.IntN(20))}})
+	s.dispatcher.Ended(attempt, Result{Outcome: outcome, Duration: s.now - attempt.SentAt,
+		Finished: finished || s.finalAnswers[req] > 0, Detail: note,
+		LoadReport: []float64{s.rng.Float64(), float64(s.rng.IntN(20))}})
 	if s.inFlight[req] == nil && s.kvHolders[req] != nil {
 		s.t.Errorf("a KV cache is held with no attempt in flight, after outcome %d", outcome)
 	}
@@ -162,15 +164,18 @@
 // count, no KV cache.
 func TestRulesHoldAndNothingLeaksUnderRandomEvents(t *testing.T) {
 	for seed := range uint64(150) {
-		sim := &simulation{fakeRuntime: &fakeRuntime{now: time.Second}, t: t, rng: rand.New(rand.NewPCG(seed, 3)), finalAnswers: map[*Request]int{}, inFlight: map[*Request]*Attempt{},
+		sim := &simulation{fakeRuntime: &fakeRuntime{now: time.Second}, t: t, rng: rand.New(rand.NewPCG(seed, 3)),
+			finalAnswers: map[*Request]int{}, inFlight: map[*Request]*Attempt{},
 			kvHolders: map[*Request]*Backend{}, notReady: map[*Backend]bool{}, mayHaveRun: map[*Request]bool{},
 			silent: map[*Attempt]bool{}, kvWaitingSince: map[*Request]time.Duration{}}
 		settings := testSettings()
-		settings["requestClasses"], settings["siblings"], settings["policyLimits.retryAfter"], settings["report.fields.0"], settings["report.fields.1"] = 3.0, 1.0, true, "util", "queue"
+		settings["requestClasses"], settings["siblings"], settings["policyLimits.retryAfter"], settings["report.fields.0"],
+			settings["report.fields.1"] = 3.0, 1.0, true, "util", "queue"
 		settings["familyInfo.pinLimitUs"] = float64(simulatedHoldLimit.Microseconds())
 		for i, effect := range []string{"repeatable", "by_key", "once"} {
 			key := fmt.Sprintf("requestClasses.%d.", i)
-			settings[key+"aimUs"], settings[key+"effect"], settings[key+"windowUs"], settings[key+"worth"] = 5e5, effect, 1e6, float64(i+1)
+			settings[key+"aimUs"], settings[key+"effect"], settings[key+"windowUs"], settings[key+"worth"] =
+				5e5, effect, 1e6, float64(i+1)
 		}
 		d, err := New(settings, seed, sim)
 		if err != nil {
@@ -183,7 +188,8 @@
 		}
 		list := func(backend *Backend, s BackendState) {
 			sim.notReady[backend] = s != Ready
-			d.Listed([]Endpoint{{Backend: backend, State: s, CapacityUnits: 1, StartedAt: sim.now, StartReported: s == Ready && sim.rng.IntN(3) == 0}}, false)
+			d.Listed([]Endpoint{{Backend: backend, State: s, CapacityUnits: 1, StartedAt: sim.now,
+				StartReported: s == Ready && sim.rng.IntN(3) == 0}}, false)
 		}
 		for _, backend := range backends {
 			list(backend, Ready)
@@ -192,8 +198,10 @@
 		for step := range 1500 {
 			sim.advance(time.Duration(sim.rng.IntN(4)) * time.Millisecond)
 			if step < 1000 && sim.rng.IntN(3) == 0 {
-				req := &Request{ID: uint64(len(requests) + 1), SessionKey: uint64(sim.rng.IntN(30)), PrefixKey: uint64(sim.rng.IntN(5)), PromptTokens: float64(sim.rng.IntN(4000)),
-					MaxOutputTokens: float64(sim.rng.IntN(200)), ClientRetry: sim.rng.IntN(5) == 0, Timeout: time.Duration(100+sim.rng.IntN(1500)) * time.Millisecond}
+				req := &Request{ID: uint64(len(requests) + 1), SessionKey: uint64(sim.rng.IntN(30)),
+					PrefixKey: uint64(sim.rng.IntN(5)), PromptTokens: float64(sim.rng.IntN(4000)),
+					MaxOutputTokens: float64(sim.rng.IntN(200)), ClientRetry: sim.rng.IntN(5) == 0,
+					Timeout: time.Duration(100+sim.rng.IntN(1500)) * time.Millisecond}
 				requests = append(requests, req)
 				d.Submit(req, sim.rng.IntN(3), 0)
 			}
@@ -201,7 +209,8 @@
 				list(backends[sim.rng.IntN(len(backends))], BackendState(sim.rng.IntN(3)))
 			}
 			if sim.rng.IntN(40) == 0 {
-				d.Heard(PeerUpdate{Backend: backends[sim.rng.IntN(len(backends))], ClassIndex: sim.rng.IntN(3), Verdict: Verdict(sim.rng.IntN(5))})
+				d.Heard(PeerUpdate{Backend: backends[sim.rng.IntN(len(backends))], ClassIndex: sim.rng.IntN(3),
+					Verdict: Verdict(sim.rng.IntN(5))})
 			}
 			for _, req := range requests {
 				attempt := sim.inFlight[req]
@@ -218,7 +227,8 @@
 				case attempt.Stage == StageDecode && sim.kvHolders[req] == nil:
 					sim.endAttempt(attempt, Rejected) // it arrives after the release
 				case attempt.Stage == StagePrefill:
-					sim.endAttempt(attempt, []Outcome{Prefilled, Prefilled, Prefilled, Prefilled, Failed, Rejected, TimedOut, Unreachable, ConnectionLost}[sim.rng.IntN(9)])
+					sim.endAttempt(attempt, []Outcome{Prefilled, Prefilled, Prefilled, Prefilled, Failed, Rejected, TimedOut,
+						Unreachable, ConnectionLost}[sim.rng.IntN(9)])
 				case sim.rng.IntN(3) > 0:
 					d.Began(attempt, sim.now-attempt.SentAt)
 					if attempt.Stage == StageDecode {
@@ -245,7 +255,8 @@
 		}
 		for _, req := range requests {
 			if sim.finalAnswers[req] != 1 || sim.kvHolders[req] != nil {
-				t.Errorf("seed %d, request %d: %d final answers, KV cache held: %v", seed, req.ID, sim.finalAnswers[req], sim.kvHolders[req] != nil)
+				t.Errorf("seed %d, request %d: %d final answers, KV cache held: %v", seed, req.ID, sim.finalAnswers[req],
+					sim.kvHolders[req] != nil)
 			}
 		}
 		if d.outstanding != 0 || len(d.queue) != 0 || d.streams != 0 {
@@ -253,7 +264,8 @@
 		}
 		for _, backend := range backends {
 			if backend.Streams != 0 || backend.KVTokens > 1e-6 || backend.PrefillBacklog > 1e-6 || backend.KVTokens < -1e-6 {
-				t.Errorf("seed %d, backend %d: %d streams, %g KV tokens, %g to prefill", seed, backend.ID, backend.Streams, backend.KVTokens, backend.PrefillBacklog)
+				t.Errorf("seed %d, backend %d: %d streams, %g KV tokens, %g to prefill", seed, backend.ID, backend.Streams,
+					backend.KVTokens, backend.PrefillBacklog)
 			}
 		}
 		if t.Failed() {
@@ -280,7 +292,8 @@
 	if expected := d.timeToFirstToken.ValueOr(0); expected < 0.5 || expected > 0.7 {
 		t.Errorf("a first token is expected after %.2f s, but none comes within 0.7 s", expected)
 	}
-	attempt := &Attempt{Request: &Request{Class: d.classes[0], Deadline: runtime.now + 2*time.Second}, SentAt: runtime.now, Stage: StagePrefill}
+	attempt := &Attempt{Request: &Request{Class: d.classes[0], Deadline: runtime.now + 2*time.Second},
+		SentAt: runtime.now, Stage: StagePrefill}
 	if got := d.attemptTimeout(attempt); got != 2*time.Second {
 		t.Errorf("an attempt under congestion leaves time for another: %v", got)
 	}
--- a/brain/facts.go
+++ b/brain/facts.go
@@ -203,7 +203,9 @@
 
 // RoleOf returns the role of a kind of backend.
 func (s Settings) RoleOf(kind int) Role {
-	return map[string]Role{"read": RolePrefill, "write": RoleDecode, "both": RoleMixed}[s.Text(fmt.Sprintf("familyInfo.kindRole.%d", kind))]
+	return map[string]Role{
+		"read": RolePrefill, "write": RoleDecode, "both": RoleMixed,
+	}[s.Text(fmt.Sprintf("familyInfo.kindRole.%d", kind))]
 }
 
 // KVCapacityOf returns the KV cache size of a kind of backend in tokens; unlimited if it is not stated.
--- a/brain/facts_test.go
+++ b/brain/facts_test.go
@@ -9,9 +9,11 @@
 
 // settingsWith returns the settings of a small deployment with one change; nil removes the setting.
 func settingsWith(name string, value any) Settings {
-	settings := Settings{"siblings": 3.0, "familyInfo.kindRole": 1.0, "familyInfo.kindRole.0": "both", "policyLimits.maxAttempts": 3.0,
-		"rules.tipMultiple": 2.5, "rules.tipAfterUs": 2e6, "rules.coldFrom": 0.4, "rules.rampTimeUs": 9e6,
-		"requestClasses": 1.0, "requestClasses.0.effect": "by_key", "requestClasses.0.aimUs": 1e6, "requestClasses.0.giveUpUs": 4e6,
+	settings := Settings{"siblings": 3.0, "familyInfo.kindRole": 1.0, "familyInfo.kindRole.0": "both",
+		"policyLimits.maxAttempts": 3.0,
+		"rules.tipMultiple":        2.5, "rules.tipAfterUs": 2e6, "rules.coldFrom": 0.4, "rules.rampTimeUs": 9e6,
+		"requestClasses": 1.0, "requestClasses.0.effect": "by_key", "requestClasses.0.aimUs": 1e6,
+		"requestClasses.0.giveUpUs": 4e6,
 		"requestClasses.0.windowUs": 1e6, "requestClasses.0.worth": 1.0}
 	if settings[name] = value; value == nil {
 		delete(settings, name)
@@ -29,7 +31,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.Listed([]Endpoint{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1, StartReported: true, StartedAt: time.Second}}, true)
+			d.Listed([]Endpoint{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1, StartReported: true,
+				StartedAt: time.Second}}, true)
 			d.Submit(&Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4 * time.Second}, 0, 0)
 			if len(runtime.sent) != 1 {
 				t.Errorf("%s = %v: a backend that has just started gets nothing", name, value)
@@ -46,8 +49,10 @@
 		value any
 		fails bool
 	}{
-		{"siblings", nil, false}, {"siblings", 0.0, false}, {"siblings", -1.0, true}, {"siblings", math.NaN(), true}, {"siblings", "3", true},
-		{"policyLimits.maxAttempts", nil, false}, {"policyLimits.maxAttempts", 0.0, false}, {"policyLimits.maxAttempts", -2.0, true},
+		{"siblings", nil, false}, {"siblings", 0.0, false}, {"siblings", -1.0, true}, {"siblings", math.NaN(), true},
+		{"siblings", "3", true},
+		{"policyLimits.maxAttempts", nil, false}, {"policyLimits.maxAttempts", 0.0, false},
+		{"policyLimits.maxAttempts", -2.0, true},
 		{"policyLimits.maxAttempts", math.Inf(1), true},
 		{"rules.tipMultiple", nil, false}, {"rules.tipMultiple", 0.0, false}, {"rules.tipMultiple", -1.0, true},
 		{"rules.tipAfterUs", nil, false}, {"rules.tipAfterUs", 0.0, false}, {"rules.tipAfterUs", 1e300, true},
@@ -56,11 +61,14 @@
 		{"prices.peer", -1.0, true}, {"something.else", "unknown", false}, {"something.more", math.NaN(), false},
 		{"familyInfo.kindRole", nil, true}, {"requestClasses", nil, true}, {"requestClasses", 0.0, true},
 		{"requestClasses.0.effect", nil, true}, {"requestClasses.0.effect", "sometimes", true},
-		{"requestClasses.0.aimUs", nil, false}, {"requestClasses.0.aimUs", 0.0, false}, {"requestClasses.0.aimUs", -5.0, true},
+		{"requestClasses.0.aimUs", nil, false}, {"requestClasses.0.aimUs", 0.0, false},
+		{"requestClasses.0.aimUs", -5.0, true},
 		{"requestClasses.0.aimUs", math.Inf(1), true},
-		{"requestClasses.0.windowUs", nil, false}, {"requestClasses.0.windowUs", 0.0, false}, {"requestClasses.0.windowUs", 1.0, false},
+		{"requestClasses.0.windowUs", nil, false}, {"requestClasses.0.windowUs", 0.0, false},
+		{"requestClasses.0.windowUs", 1.0, false},
 		{"requestClasses.0.windowUs", -1.0, true},
-		{"requestClasses.0.worth", nil, false}, {"requestClasses.0.worth", 0.0, false}, {"requestClasses.0.worth", -1.0, true},
+		{"requestClasses.0.worth", nil, false}, {"requestClasses.0.worth", 0.0, false},
+		{"requestClasses.0.worth", -1.0, true},
 		{"requestClasses.0.lateWorth", 0.0, false}, {"tenants", 0.0, false}, {"dcs", nil, false},
 	} {
 		d, err := New(settingsWith(tc.name, tc.value), 1, &fakeRuntime{})
@@ -91,7 +99,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	endpoints := []Endpoint{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1}, {Backend: &Backend{ID: 2}, State: Ready, CapacityUnits: 1}}
+	endpoints := []Endpoint{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1},
+		{Backend: &Backend{ID: 2}, State: Ready, CapacityUnits: 1}}
 	d.Listed(endpoints, true)
 	req := &Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4 * time.Second}
 	d.Submit(req, 0, 0)
--- a/brain/help_test.go
+++ b/brain/help_test.go
@@ -30,9 +30,11 @@
 func (f *fakeRuntime) Schedule(delay time.Duration, callback func()) {
 	f.timers, f.timerDelays = append(f.timers, callback), append(f.timerDelays, delay)
 }
-func (f *fakeRuntime) WatchEndpoints(bool)                  {}
-func (f *fakeRuntime) SendPeerUpdate(peer int, _ PeerUpdate) { f.updatedPeers = append(f.updatedPeers, peer) }
-func (f *fakeRuntime) LogInfo(string)                 {}
+func (f *fakeRuntime) WatchEndpoints(bool) {}
+func (f *fakeRuntime) SendPeerUpdate(peer int, _ PeerUpdate) {
+	f.updatedPeers = append(f.updatedPeers, peer)
+}
+func (f *fakeRuntime) LogInfo(string) {}
 
 func testSettings() Settings {
 	return Settings{
@@ -57,7 +59,8 @@
 	}
 	var endpoints []Endpoint
 	for i := range 6 {
-		endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i / 2, Rack: i % 2}, State: Ready, CapacityUnits: 4})
+		endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i / 2, Rack: i % 2}, State: Ready,
+			CapacityUnits: 4})
 	}
 	d.Listed(endpoints, true)
 	return d, runtime
@@ -75,13 +78,15 @@
 // newRequest returns a request of 2,000 prompt tokens that is received now.
 func newRequest(d *Dispatcher) *Request {
 	now := d.runtime.Now()
-	return &Request{ID: 1, SessionKey: 7, PrefixKey: 9, PromptTokens: 2000, PrefixTokens: 1500, MaxOutputTokens: 400, KVTokens: 2100, Class: d.classes[0],
+	return &Request{ID: 1, SessionKey: 7, PrefixKey: 9, PromptTokens: 2000, PrefixTokens: 1500, MaxOutputTokens: 400,
+		KVTokens: 2100, Class: d.classes[0],
 		ReceivedAt: now, Timeout: 4 * time.Second, TargetAt: now + time.Second, Deadline: now + 4*time.Second}
 }
 
 // addAttempt gives the request an attempt that has ended.
 func addAttempt(req *Request, backend *Backend, outcome Outcome, sent time.Duration) *Attempt {
-	attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), SentAt: sent, Ended: true, Outcome: outcome, OnResult: func(Result) {}}
+	attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), SentAt: sent, Ended: true,
+		Outcome: outcome, OnResult: func(Result) {}}
 	req.Attempts = append(req.Attempts, attempt)
 	return attempt
 }
--- a/brain/outcomes.go
+++ b/brain/outcomes.go
@@ -30,7 +30,8 @@
 	if succeeded {
 		d.secondsPerToken[backend.Role].Add(secondsPerToken, 0.05)
 	}
-	update := PeerUpdate{Backend: backend, ClassIndex: attempt.Request.Class.Index, HasLoad: hasLoad, Util: backend.Util, QueueLength: backend.QueueLength}
+	update := PeerUpdate{Backend: backend, ClassIndex: attempt.Request.Class.Index, HasLoad: hasLoad, Util: backend.Util,
+		QueueLength: backend.QueueLength}
 	targetTime := attempt.Request.TargetAt - attempt.Request.ReceivedAt
 	switch {
 	case attempt.Outcome == Unreachable:
@@ -77,7 +78,8 @@
 		if attempt.FirstTokenAt == 0 {
 			d.recordOutcome(attempt, result.Duration, true, hasLoad)
 		}
-		d.sendPeerUpdates(PeerUpdate{Backend: backend, HasLoad: hasLoad, Util: backend.Util, QueueLength: backend.QueueLength})
+		d.sendPeerUpdates(PeerUpdate{Backend: backend, HasLoad: hasLoad, Util: backend.Util,
+			QueueLength: backend.QueueLength})
 		req.Class.DecodeSeconds.Add(now.Seconds()-attempt.FirstTokenAt.Seconds(), 0.02)
 	case Rejected:
 		if result.Detail == 1 {
--- a/brain/placement.go
+++ b/brain/placement.go
@@ -37,12 +37,15 @@
 }
 
 // loadScore is how loaded a backend looks for one more request that has tokens to prefill there: own streams
-// and prefill, a mean prompt (of 300 tokens at least) counting as half a stream, scaled by the last load report. With many dispatchers
-// the own load is nearly always zero; then load sent recently and the dispatcher's random bias decide.
+// and prefill, a mean prompt (of at least 300 tokens) counting as half a stream, scaled by the last load
+// report. With many dispatchers the own load is nearly always zero; then load sent recently and the
+// dispatcher's random bias decide.
 func (d *Dispatcher) loadScore(backend *Backend, prefillTokens float64) float64 {
-	load := float64(backend.Streams) + 1 + backend.Bias + (backend.PrefillBacklog+prefillTokens)/2/max(d.meanPrefillTokens, 300) +
+	load := float64(backend.Streams) + 1 + backend.Bias +
+		(backend.PrefillBacklog+prefillTokens)/2/max(d.meanPrefillTokens, 300) +
 		recentLoadWeight*backend.RecentLoad.Sum(d.runtime.Now())/(1+d.streams/max(d.decodeCount, 1))
-	return load / (backend.RelativeCapacity * d.capacityShare(backend)) * (1 + backend.Util + backend.QueueLength/5) * backend.DistanceFactor
+	return load / (backend.RelativeCapacity * d.capacityShare(backend)) *
+		(1 + backend.Util + backend.QueueLength/5) * backend.DistanceFactor
 }
 
 // nextLoadScore is the load score for a request with nothing to prefill.
@@ -78,7 +81,8 @@
 	if !d.parameters.decodeMayPrefill {
 		return nil
 	}
-	limitFactor := min(max(d.secondsPerToken[RolePrefill].ValueOr(0)/max(d.secondsPerToken[RoleDecode].ValueOr(0), 1e-6), 1), 4)
+	limitFactor := min(max(d.secondsPerToken[RolePrefill].ValueOr(0)/
+		max(d.secondsPerToken[RoleDecode].ValueOr(0), 1e-6), 1), 4)
 	eligible := Filter(withCapacity, func(backend *Backend) bool {
 		return backend.Role == RoleDecode && d.uncachedTokens(backend, req) < shortPromptShare*limitFactor*d.meanPrefillTokens
 	})
@@ -130,7 +134,9 @@
 		SortByHash(eligible, key)
 		candidates = slices.Clone(eligible[:min(count, len(eligible))])
 	}
-	return append(candidates, Filter(eligible, func(b *Backend) bool { return d.recentlyStarted(b) && !slices.Contains(candidates, b) })...)
+	return append(candidates, Filter(eligible, func(b *Backend) bool {
+		return d.recentlyStarted(b) && !slices.Contains(candidates, b)
+	})...)
 }
 
 // pickPrefill picks the prefill backend with the lowest load in uncached tokens from the prefix's affinity
@@ -138,13 +144,14 @@
 // decode backend in the rack.
 func (d *Dispatcher) pickPrefill(req *Request, decodeBackends []*Backend) *Backend {
 	minScore := minCostByRack(decodeBackends, d.nextLoadScore)
-	return MinBy(d.affinityCandidates(req, RolePrefill, d.eligible(req, (*Backend).PrefillOnly)), func(backend *Backend) float64 {
-		rackScore, found := minScore[backend.Rack]
-		if !found {
-			rackScore = d.nextLoadScore(backend) // no decode backend in the rack
-		}
-		return d.loadScore(backend, d.uncachedTokens(backend, req)) * rackScore
-	})
+	return MinBy(d.affinityCandidates(req, RolePrefill, d.eligible(req, (*Backend).PrefillOnly)),
+		func(backend *Backend) float64 {
+			rackScore, found := minScore[backend.Rack]
+			if !found {
+				rackScore = d.nextLoadScore(backend) // no decode backend in the rack
+			}
+			return d.loadScore(backend, d.uncachedTokens(backend, req)) * rackScore
+		})
 }
 
 // pickDecode sends a request whose prefill has ended to the decode backend with the lowest load, preferring
--- a/brain/policy.go
+++ b/brain/policy.go
@@ -15,7 +15,7 @@
 const (
 	Allowed              Permission = iota
 	AttemptEnded                    // the attempt has ended
-	RequestFinished                     // the request has its final answer, or its client has disconnected
+	RequestFinished                 // the request has its final answer, or its client has disconnected
 	NoFurtherAttempt                // the dispatcher allows no more, as it is stopping or throttles retries
 	OtherAttemptInFlight            // another attempt of the request is in flight
 	DeadlinePassed                  // the request's deadline has passed
@@ -31,7 +31,8 @@
 // String returns the name in logs and counters.
 func (p Permission) String() string {
 	names := [...]string{
-		"allowed", "attempt ended", "request over", "no further attempt", "other attempt out", "deadline passed", "backend not ready", "attempts spent",
+		"allowed", "attempt ended", "request over", "no further attempt", "other attempt out", "deadline passed",
+		"backend not ready", "attempts spent",
 		"may have run", "repeat window closed", "other group", "slow start spent", "state due",
 	}
 	if p < 0 || int(p) >= len(names) {
--- a/brain/policy_test.go
+++ b/brain/policy_test.go
@@ -13,11 +13,15 @@
 		prepare            func(d *Dispatcher, req *Request, backend *Backend)
 		choice, beforeSend Permission
 	}{
-		"allowed":                       {func(*Dispatcher, *Request, *Backend) {}, Allowed, Allowed},
-		"the request is finished":       {func(_ *Dispatcher, r *Request, _ *Backend) { r.Finished = true }, RequestFinished, RequestFinished},
-		"no further attempt is allowed": {func(_ *Dispatcher, r *Request, _ *Backend) { r.NoMoreAttempts = true }, NoFurtherAttempt, Allowed},
-		"the deadline has passed":       {func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() }, DeadlinePassed, DeadlinePassed},
-		"the backend is draining":       {func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Draining }, BackendNotReady, BackendNotReady},
+		"allowed": {func(*Dispatcher, *Request, *Backend) {}, Allowed, Allowed},
+		"the request is finished": {func(_ *Dispatcher, r *Request, _ *Backend) { r.Finished = true },
+			RequestFinished, RequestFinished},
+		"no further attempt is allowed": {func(_ *Dispatcher, r *Request, _ *Backend) { r.NoMoreAttempts = true },
+			NoFurtherAttempt, Allowed},
+		"the deadline has passed": {func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() },
+			DeadlinePassed, DeadlinePassed},
+		"the backend is draining": {func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Draining },
+			BackendNotReady, BackendNotReady},
 		"it may have run, and must not run twice": {func(d *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect = NonIdempotent
 			addAttempt(req, backend, ConnectionLost, d.runtime.Now())
--- a/brain/release_test.go
+++ b/brain/release_test.go
@@ -81,7 +81,8 @@
 		outcome Outcome
 		again   Stage
 	}{
-		{Rejected, StageDecode}, {Failed, StageDecode}, {TimedOut, StagePrefill}, {ConnectionLost, StagePrefill}, {Unreachable, StagePrefill}, {NotSent, StagePrefill},
+		{Rejected, StageDecode}, {Failed, StageDecode}, {TimedOut, StagePrefill}, {ConnectionLost, StagePrefill},
+		{Unreachable, StagePrefill}, {NotSent, StagePrefill},
 	} {
 		d, runtime, _, decode, _ := newWaitingKV(t)
 		runtime.now += holdLimit * 4 / 5
@@ -113,7 +114,8 @@
 		stage   Stage
 		again   bool
 	}{
-		{TimedOut, StageWhole, true}, {ConnectionLost, StageWhole, true}, {Failed, StageWhole, true}, {Rejected, StageWhole, true}, {Unreachable, StageWhole, true}, {TimedOut, StagePrefill, true},
+		{TimedOut, StageWhole, true}, {ConnectionLost, StageWhole, true}, {Failed, StageWhole, true},
+		{Rejected, StageWhole, true}, {Unreachable, StageWhole, true}, {TimedOut, StagePrefill, true},
 		{Prefilled, StagePrefill, false}, {Served, StageWhole, false},
 	} {
 		d, runtime, req, decode, _ := newWaitingKV(t)
--- a/brain/ring.go
+++ b/brain/ring.go
@@ -8,8 +8,8 @@
 // RollingSum sums amounts over the last ten time buckets, each BucketWidth wide.
 type RollingSum struct {
 	BucketWidth time.Duration
-	sums  [bucketCount]float64
-	last  int64
+	sums        [bucketCount]float64
+	last        int64
 }
 
 // advance clears the buckets between the last one used and that of now.
@@ -74,7 +74,7 @@
 // KeyedSums keeps a rolling sum for each key.
 type KeyedSums struct {
 	BucketWidth time.Duration
-	sums  map[uint64]*RollingSum
+	sums        map[uint64]*RollingSum
 }
 
 // Add adds an amount to the sum of a key.
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -20,7 +20,8 @@
 
 // inSlowStart reports whether a backend is treated as in slow start.
 func (d *Dispatcher) inSlowStart(backend *Backend) bool {
-	return d.recentlyStarted(backend) || backend.UnreachableAt > 0 && d.runtime.Now() < backend.UnreachableAt+d.parameters.slowStartTime
+	return d.recentlyStarted(backend) ||
+		backend.UnreachableAt > 0 && d.runtime.Now() < backend.UnreachableAt+d.parameters.slowStartTime
 }
 
 // recentlyStarted reports whether service discovery reported a start within the slow-start time.
@@ -50,9 +51,9 @@
 }
 
 // meanCompletedWork is the mean work per unit that backends of a role completed for this dispatcher in a
-// slow-start window, averaged over five: the warm ones, or those in slow start if none is warm. With most of them in slow start, the
-// last value of the warm ones holds for backends that discovery reported as started: those in slow start
-// complete only what they are allowed, which would shrink each time.
+// slow-start window, averaged over five: the warm ones, or those in slow start if none is warm. With most of
+// them in slow start, the last value of the warm ones holds for backends that discovery reported as started:
+// those in slow start complete only what they are allowed, which would shrink each time.
 func (d *Dispatcher) meanCompletedWork(role Role, justStarted bool) float64 {
 	completed := d.completedWorkNow()
 	sums, counts := completed.sum[role], completed.count[role]
@@ -71,7 +72,8 @@
 // limited frequency in a large fleet.
 func (d *Dispatcher) completedWorkNow() *roleWork {
 	now, work := d.runtime.Now(), &d.completedWork
-	if work.valid && (now == work.summedAt || d.isLarge() && now > work.summedAt && now-work.summedAt < completedWorkMaxAge) {
+	if work.valid && (now == work.summedAt ||
+		d.isLarge() && now > work.summedAt && now-work.summedAt < completedWorkMaxAge) {
 		return work
 	}
 	*work = roleWork{summedAt: now, valid: true}
--- a/brain/types.go
+++ b/brain/types.go
@@ -59,13 +59,13 @@
 const (
 	Served Outcome = iota // the answer is complete
 	Prefilled
-	Failed      // the backend answered with an error
-	Rejected    // the backend refused the request before running it
-	TimedOut    // no first token within the attempt's timeout
-	Unreachable // no connection could be made
-	ConnectionLost      // the connection was lost after the request was sent
-	Cancelled   // the dispatcher or the client cancelled it
-	NotSent     // nothing was sent
+	Failed         // the backend answered with an error
+	Rejected       // the backend refused the request before running it
+	TimedOut       // no first token within the attempt's timeout
+	Unreachable    // no connection could be made
+	ConnectionLost // the connection was lost after the request was sent
+	Cancelled      // the dispatcher or the client cancelled it
+	NotSent        // nothing was sent
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
@@ -82,12 +82,12 @@
 	Target              time.Duration // time to first token
 	TargetPer1000Tokens time.Duration // added for each 1,000 prompt tokens
 	Value               float64
-	LateValue           float64 // share of the value that remains after the latency target
-	PrefillTokens       RunningMean    // mean tokens to prefill, without cached ones
-	DecodeSeconds       RunningMean    // mean duration of an answer's stream
-	Offered             RollingSum    // requests received recently
-	Admitted            RollingSum    // those of them that were sent to a backend
-	Weight              float64 // factor on the value in the queue, above 1 if few were admitted; 0: not computed yet
+	LateValue           float64     // share of the value that remains after the latency target
+	PrefillTokens       RunningMean // mean tokens to prefill, without cached ones
+	DecodeSeconds       RunningMean // mean duration of an answer's stream
+	Offered             RollingSum  // requests received recently
+	Admitted            RollingSum  // those of them that were sent to a backend
+	Weight              float64     // factor on the value in the queue, above 1 if few were admitted; 0: not computed yet
 }
 
 // admittedShare is the share of the class's recent requests that were sent to a backend. The prior keeps a few
@@ -105,38 +105,38 @@
 
 // Backend is a backend as this dispatcher knows it. Loads are those of the dispatcher's own requests.
 type Backend struct {
-	ID            uint32 // identifies the backend in hashes and peer updates
-	Zone          int
-	Rack          int
-	Kind          int
-	Role          Role
-	KVCapacity        float64 // KV cache size in tokens
-	CapacityUnits         float64
-	DistanceFactor           float64 // cost factor of a backend in another zone, 1 in the dispatcher's own
-	Bias          float64 // imaginary streams, drawn once, so that dispatchers prefer different backends
-	RelativeCapacity          float64 // capacity relative to the mean of its role
+	ID               uint32 // identifies the backend in hashes and peer updates
+	Zone             int
+	Rack             int
+	Kind             int
+	Role             Role
+	KVCapacity       float64 // KV cache size in tokens
+	CapacityUnits    float64
+	DistanceFactor   float64 // cost factor of a backend in another zone, 1 in the dispatcher's own
+	Bias             float64 // imaginary streams, drawn once, so that dispatchers prefer different backends
+	RelativeCapacity float64 // capacity relative to the mean of its role
 	StartedAt        time.Duration
-	StartReported       bool          // discovery reported StartedAt as a start or restart
-	UnreachableAt         time.Duration // when it was last found unreachable; 0: never
-	State      BackendState
+	StartReported    bool          // discovery reported StartedAt as a start or restart
+	UnreachableAt    time.Duration // when it was last found unreachable; 0: never
+	State            BackendState
 	Tracked          bool   // is in the dispatcher's list of backends
-	order         uint64 // sort key in that list
-	candidateMark uint64 // the last candidate set that it was in
-
-	Streams int           // requests in flight that are or will be decoded here
-	KVTokens  float64       // KV cache tokens of the requests in flight
-	PrefillBacklog  float64       // prompt tokens still to be prefilled
-	TokenLimit    float64       // adaptive limit on KVTokens
-	LimitReducedAt     time.Duration // when TokenLimit was last reduced
-
-	Util, QueueLength   float64         // of the last load report
-	SentWork          RollingSum            // work sent, for the slow-start budget
-	RecentLoad    RollingSum            // prefills and streams sent over a longer time
-	CompletedWork RollingSum            // work of attempts that succeeded
-	Outcomes       []OutcomeStats        // of all requests, then of each class
-	PrefixTable          map[uint64]CachedPrefix // prefix table: by prefix or session key
-	HitRatio      RunningMean            // reported over expected cached tokens
-	CacheInsertedTokens         float64         // prompt tokens that this dispatcher's requests added to its cache
+	order            uint64 // sort key in that list
+	candidateMark    uint64 // the last candidate set that it was in
+
+	Streams        int           // requests in flight that are or will be decoded here
+	KVTokens       float64       // KV cache tokens of the requests in flight
+	PrefillBacklog float64       // prompt tokens still to be prefilled
+	TokenLimit     float64       // adaptive limit on KVTokens
+	LimitReducedAt time.Duration // when TokenLimit was last reduced
+
+	Util, QueueLength   float64                 // of the last load report
+	SentWork            RollingSum              // work sent, for the slow-start budget
+	RecentLoad          RollingSum              // prefills and streams sent over a longer time
+	CompletedWork       RollingSum              // work of attempts that succeeded
+	Outcomes            []OutcomeStats          // of all requests, then of each class
+	PrefixTable         map[uint64]CachedPrefix // prefix table: by prefix or session key
+	HitRatio            RunningMean             // reported over expected cached tokens
+	CacheInsertedTokens float64                 // prompt tokens that this dispatcher's requests added to its cache
 }
 
 // Decodes reports whether the backend decodes.
@@ -179,7 +179,10 @@
 
 // SortByHash sorts backends by rendezvous hash of their ids with a key.
 func SortByHash(backends []*Backend, key uint64) {
-	slices.SortFunc(backends, func(a, b *Backend) int { return cmp.Compare(Mix(key, uint64(a.ID)), Mix(key, uint64(b.ID))) })
+	slices.SortFunc(backends, func(a, b *Backend) int {
+		return cmp.Compare(Mix(key, uint64(a.ID)),
+			Mix(key, uint64(b.ID)))
+	})
 }
 
 // ForgetPrefixes drops prefixes that were last used before a time.
@@ -215,7 +218,7 @@
 // OutcomeStats counts recent outcomes of attempts at a backend.
 type OutcomeStats struct {
 	Successes, Failures RollingSum
-	ConsecutiveFailures              float64 // since the last success
+	ConsecutiveFailures float64 // since the last success
 }
 
 // Observe counts the outcome of an attempt. A slow one counts as a failure of weight slowWeight.
@@ -234,10 +237,10 @@
 
 // PeerUpdate is what a dispatcher tells another about one of its attempts.
 type PeerUpdate struct {
-	Backend        *Backend
-	ClassIndex       int
-	Verdict     Verdict
-	HasLoad      bool // Util and QueueLength come from this attempt's load report
+	Backend           *Backend
+	ClassIndex        int
+	Verdict           Verdict
+	HasLoad           bool // Util and QueueLength come from this attempt's load report
 	Util, QueueLength float64
 	TargetShare       float64 // share of the latency target that the first token took; 1: given up on, 0: not reported
 }
@@ -255,33 +258,33 @@
 
 // CachedPrefix is a prefix that a backend is expected to have cached.
 type CachedPrefix struct {
-	Tokens float64
-	UsedAt     time.Duration
-	InsertedTokens  float64 // the backend's CacheInsertedTokens at that time
+	Tokens         float64
+	UsedAt         time.Duration
+	InsertedTokens float64 // the backend's CacheInsertedTokens at that time
 }
 
 // Request is a request that this dispatcher received.
 type Request struct {
 	ID                 uint64
-	SessionKey            uint64 // key of its session; 0: none
-	PrefixKey             uint64 // key of its shared prefix; 0: none
-	PromptTokens             float64
-	PrefixTokens             float64 // tokens of the prompt's shared prefix
-	MaxOutputTokens               float64 // maximum output tokens
-	KVTokens             float64 // KV cache tokens that it is expected to need for decode
+	SessionKey         uint64 // key of its session; 0: none
+	PrefixKey          uint64 // key of its shared prefix; 0: none
+	PromptTokens       float64
+	PrefixTokens       float64 // tokens of the prompt's shared prefix
+	MaxOutputTokens    float64 // maximum output tokens
+	KVTokens           float64 // KV cache tokens that it is expected to need for decode
 	Class              *Class
-	ClientRetry              bool          // the client says that it is a retry
-	Timeout               time.Duration // time the client gives from receipt
-	ReceivedAt              time.Duration
-	DispatchedAt         time.Duration // when it last left the queue
+	ClientRetry        bool          // the client says that it is a retry
+	Timeout            time.Duration // time the client gives from receipt
+	ReceivedAt         time.Duration
+	DispatchedAt       time.Duration // when it last left the queue
 	Outstanding        bool          // was sent and has no first token
-	Finished               bool          // has its final answer, or its client has disconnected
-	NoMoreAttempts               bool          // no further attempt is allowed
+	Finished           bool          // has its final answer, or its client has disconnected
+	NoMoreAttempts     bool          // no further attempt is allowed
 	OverQuota          bool          // beyond its tenant's quota
 	ValueDensity       float64       // value for its work, the queue's order
 	Attempts           []*Attempt
-	KVHolder              *Backend      // prefill backend that holds its KV cache for decode
-	KVWaitingSince              time.Duration // since when the KV cache has been waiting, with no attempt known to have arrived
+	KVHolder           *Backend      // prefill backend that holds its KV cache for decode
+	KVWaitingSince     time.Duration // since when it waits, with no attempt known to have arrived
 	ReleaseUnconfirmed bool          // a released KV cache may still be there
 	Released           bool          // released while an attempt was in flight: the KV cache may or may not be there
 	TargetAt           time.Duration
@@ -318,19 +321,19 @@
 
 // Attempt is one send of a request to a backend.
 type Attempt struct {
-	Request   *Request
-	Backend   *Backend
-	Number    int // its index among the request's attempts
-	SentAt      time.Duration
-	FirstTokenAt     time.Duration // when the first token came; 0: not yet
-	PrefillTokens      float64       // expected tokens to prefill
-	CachedTokens      float64       // expected cached tokens, before correction by the backend's hit ratio
-	Stage     Stage
-	ConnectTimeout   time.Duration // connection timeout, if shorter than the usual one; 0: the usual one
-	SlowStart bool          // the backend was in slow start when chosen: the work counts towards its budget
-	Ended     bool
-	Outcome   Outcome
-	OnResult      func(Result) // continues the request with the attempt's result
+	Request        *Request
+	Backend        *Backend
+	Number         int // its index among the request's attempts
+	SentAt         time.Duration
+	FirstTokenAt   time.Duration // when the first token came; 0: not yet
+	PrefillTokens  float64       // expected tokens to prefill
+	CachedTokens   float64       // expected cached tokens, before correction by the backend's hit ratio
+	Stage          Stage
+	ConnectTimeout time.Duration // connection timeout, if shorter than the usual one; 0: the usual one
+	SlowStart      bool          // the backend was in slow start when chosen: the work counts towards its budget
+	Ended          bool
+	Outcome        Outcome
+	OnResult       func(Result) // continues the request with the attempt's result
 }
 
 // ApplyLoad adds the attempt's load to its backend (sign 1) or removes it (sign -1), and returns the change in
@@ -349,26 +352,26 @@
 type Stage int
 
 const (
-	StagePrefill  Stage = iota // prefill and hold the KV cache
-	StageDecode              // fetch the KV cache and decode
+	StagePrefill Stage = iota // prefill and hold the KV cache
+	StageDecode               // fetch the KV cache and decode
 	StageWhole                // prefill and decode at one backend
 )
 
 // Result is the result of an attempt.
 type Result struct {
-	Outcome Outcome
-	Duration    time.Duration // from send to end
-	Delay     time.Duration // how long ago the attempt ended, if the result was delivered late
-	Finished    bool          // the client has its final answer
-	Detail    int           // cached tokens; for a rejected decode, 1: the prefill backend holds no KV cache
-	LoadReport    []float64     // load report in the order of the settings' report fields
+	Outcome    Outcome
+	Duration   time.Duration // from send to end
+	Delay      time.Duration // how long ago the attempt ended, if the result was delivered late
+	Finished   bool          // the client has its final answer
+	Detail     int           // cached tokens; for a rejected decode, 1: the prefill backend holds no KV cache
+	LoadReport []float64     // load report in the order of the settings' report fields
 }
 
 // Endpoint is an entry of the endpoint list.
 type Endpoint struct {
-	Backend     *Backend
-	State BackendState
-	CapacityUnits    float64
-	StartedAt   time.Duration
-	StartReported  bool
+	Backend       *Backend
+	State         BackendState
+	CapacityUnits float64
+	StartedAt     time.Duration
+	StartReported bool
 }
