--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -577,8 +577,8 @@
 	for _, backend := range d.backends[:2] {
 		backend.StartedAt = runtime.now
 	}
-	if cold := d.slowStartBudget(d.backends[0]); warm == 0 || cold != warm {
-		t.Errorf("a budget of %g is %g when all are in slow start", warm, cold)
+	if allStarting := d.slowStartBudget(d.backends[0]); warm == 0 || allStarting != warm {
+		t.Errorf("a budget of %g is %g when all are in slow start", warm, allStarting)
 	}
 }
 
--- a/brain/summary.go
+++ b/brain/summary.go
@@ -1,44 +1,55 @@
 package brain
 
-// Summary is a snapshot of the dispatcher's estimates for logs. The output format of String is stable.
+import "fmt"
+
+// Summary is a snapshot of the dispatcher's estimates for logs.
 type Summary struct {
-	Window  float64 // limit on own requests without a first token
-	Unbegun int     // own requests that count against the window
-	Held    int     // queued requests
-	Average float64 // mean tokens to prefill
-	Ahead   float64 // expected seconds to a first token
-	Streams float64 // own streams in flight
-	Room    float64 // token limits of the backends that decode, summed
-	Tokens  float64 // own KV cache tokens at these
-	Unread  float64 // own tokens to prefill at prefill-only backends
-	Roomy   int     // decode backends that would take one more request of mean size
-	Cold    int     // backends in slow start
-	Doubted int     // backends more likely to fail than not
+	Window            float64 // limit on own requests without a first token
+	Outstanding       int     // own requests that count against the window
+	Queued            int     // queued requests
+	MeanPrefillTokens float64 // mean tokens to prefill
+	TimeToFirstToken  float64 // expected seconds to a first token
+	Streams           float64 // own streams in flight
+	TokenLimit        float64 // token limits of the backends that decode, summed
+	KVTokens          float64 // own KV cache tokens at these
+	PrefillBacklog    float64 // own tokens to prefill at prefill-only backends
+	WithCapacity      int     // decode backends that would take one more request of mean size
+	InSlowStart       int     // backends in slow start
+	Suspected         int     // backends more likely to fail than not
+}
+
+// String prints the summary for logs, whose readers match the names of the fields in it.
+func (s Summary) String() string {
+	return fmt.Sprintf("{Window:%v Unbegun:%v Held:%v Average:%v Ahead:%v Streams:%v "+
+		"Room:%v Tokens:%v Unread:%v Roomy:%v Cold:%v Doubted:%v}",
+		s.Window, s.Outstanding, s.Queued, s.MeanPrefillTokens, s.TimeToFirstToken, s.Streams,
+		s.TokenLimit, s.KVTokens, s.PrefillBacklog, s.WithCapacity, s.InSlowStart, s.Suspected)
 }
 
 // Believes returns the dispatcher's current estimates.
 func (d *Dispatcher) Believes() Summary {
-	summary := Summary{Window: d.window, Unbegun: d.outstanding, Held: len(d.queue), Average: d.meanPrefillTokens,
-		Ahead: d.timeToFirstToken.ValueOr(0), Streams: d.streams}
+	summary := Summary{Window: d.window, Outstanding: d.outstanding, Queued: len(d.queue),
+		MeanPrefillTokens: d.meanPrefillTokens,
+		TimeToFirstToken:  d.timeToFirstToken.ValueOr(0), Streams: d.streams}
 	meanRequest := Request{KVTokens: 1500}
 	for _, backend := range d.backends {
 		if backend.State != Ready {
 			continue
 		}
 		if backend.Decodes() {
-			summary.Room, summary.Tokens = summary.Room+backend.TokenLimit, summary.Tokens+backend.KVTokens
+			summary.TokenLimit, summary.KVTokens = summary.TokenLimit+backend.TokenLimit, summary.KVTokens+backend.KVTokens
 			if hasCapacity(backend, &meanRequest) {
-				summary.Roomy++
+				summary.WithCapacity++
 			}
 		} else {
-			summary.Unread += backend.PrefillBacklog
+			summary.PrefillBacklog += backend.PrefillBacklog
 		}
 		if d.inSlowStart(backend) {
-			summary.Cold++
+			summary.InSlowStart++
 		}
 		if stats := &backend.Outcomes[0]; stats.Failures.Sum(d.runtime.Now())+min(stats.ConsecutiveFailures, 4) >
 			1+stats.Successes.Sum(d.runtime.Now()) {
-			summary.Doubted++
+			summary.Suspected++
 		}
 	}
 	return summary
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("%d attempts to a backend that drains", n)
 	}
 	h.node.loop.Call(context.Background(), func() {
-		if b := h.node.loop.Believes(); b.Cold != 0 || h.node.loop.Tally.Outcomes[brain.NotSent] != 1 {
+		if b := h.node.loop.Believes(); b.InSlowStart != 0 || h.node.loop.Tally.Outcomes[brain.NotSent] != 1 {
 			t.Errorf("an attempt that was not sent speaks against its backend: %+v, outcomes %v", b, h.node.loop.Tally.Outcomes)
 		}
 		h.node.loop.HostOf("r1").State = brain.Ready
@@ -353,8 +353,8 @@
 		}
 		failing.Store(nil)
 		h.node.loop.Call(context.Background(), func() {
-			if b := h.node.loop.Believes(); b.Cold != 0 || b.Doubted != 0 {
-				t.Errorf("%v: %d backends are taken for restarting, %d for failing", errno, b.Cold, b.Doubted)
+			if b := h.node.loop.Believes(); b.InSlowStart != 0 || b.Suspected != 0 {
+				t.Errorf("%v: %d backends are taken for restarting, %d for failing", errno, b.InSlowStart, b.Suspected)
 			}
 		})
 		if got := h.says(h.ask("hut-booking")); got.status != 200 {
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -557,7 +557,7 @@
 		t.Errorf("%+v", got)
 	}
 	h.node.loop.Call(context.Background(), func() {
-		if b := h.node.loop.Believes(); b.Cold != 0 || h.node.loop.Tally.Outcomes[brain.Unreachable] != 0 {
+		if b := h.node.loop.Believes(); b.InSlowStart != 0 || h.node.loop.Tally.Outcomes[brain.Unreachable] != 0 {
 			t.Errorf("%+v, outcomes %v", b, h.node.loop.Tally.Outcomes)
 		}
 	})
