--- a/brain/types.go
+++ b/brain/types.go
@@ -11,9 +11,11 @@
 type Role int
 
 const (
-	// Backends that only prefill, only decode, or do both.
+	// RolePrefill is for backends that only prefill.
 	RolePrefill Role = iota
+	// RoleDecode is for backends that decode KV caches of prefill backends, and may prefill short prompts.
 	RoleDecode
+	// RoleMixed is for backends that do both.
 	RoleMixed
 )
 
@@ -21,10 +23,11 @@
 type Effect int
 
 const (
-	// Idempotent requests may run any number of times. Repeats of Deduplicated ones are recognized by key for a
-	// while, within a group of backends. NonIdempotent requests may run once.
+	// Idempotent requests may run any number of times.
 	Idempotent Effect = iota
+	// Deduplicated requests have repeats that are recognized by key, for a while and within a group of backends.
 	Deduplicated
+	// NonIdempotent requests may run only once.
 	NonIdempotent
 )
 
@@ -32,9 +35,11 @@
 type DedupScope int
 
 const (
-	// The group is the whole fleet, a zone, or a rack.
+	// WholeFleet means that all backends are one group.
 	WholeFleet DedupScope = iota
+	// SameZone means that the backends of a zone are a group.
 	SameZone
+	// SameRack means that the backends of a rack in a zone are a group.
 	SameRack
 )
 
@@ -47,9 +52,11 @@
 type BackendState int
 
 const (
-	// Only Ready backends get new attempts; Draining ones finish those that they have.
+	// Draining backends finish their attempts and get no new ones.
 	Draining BackendState = iota
+	// Ready backends get new attempts.
 	Ready
+	// Removed backends are no longer in the endpoint list.
 	Removed
 )
 
@@ -57,15 +64,15 @@
 type Outcome int
 
 const (
-	Served Outcome = iota // the answer is complete
-	Prefilled
-	Failed         // the backend answered with an error
-	Rejected       // the backend refused the request before running it
-	TimedOut       // no first token within the attempt's timeout
-	Unreachable    // no connection could be made
-	ConnectionLost // the connection was lost after the request was sent
-	Cancelled      // the dispatcher or the client cancelled it
-	NotSent        // nothing was sent
+	Served         Outcome = iota // the answer is complete
+	Prefilled                     // prefill is complete, and the backend holds the KV cache
+	Failed                        // the backend answered with an error
+	Rejected                      // the backend refused the request before running it
+	TimedOut                      // no first token within the attempt's timeout
+	Unreachable                   // no connection could be made
+	ConnectionLost                // the connection was lost after the request was sent
+	Cancelled                     // the dispatcher or the client cancelled it
+	NotSent                       // nothing was sent
 )
 
 // NeverRan reports whether the outcome proves that the attempt had no effect.
@@ -78,16 +85,16 @@
 	Index               int
 	Effect              Effect
 	DedupScope          DedupScope
-	DedupWindow         time.Duration
+	DedupWindow         time.Duration // for which repeats are recognized
 	Target              time.Duration // time to first token
 	TargetPer1000Tokens time.Duration // added for each 1,000 prompt tokens
-	Value               float64
-	LateValue           float64     // share of the value that remains after the latency target
-	PrefillTokens       RunningMean // mean tokens to prefill, without cached ones
-	DecodeSeconds       RunningMean // mean duration of an answer's stream
-	Offered             RollingSum  // requests received recently
-	Admitted            RollingSum  // those of them that were sent to a backend
-	Weight              float64     // factor on the value in the queue, above 1 if few were admitted; 0: not computed yet
+	Value               float64       // of serving a request within its latency target
+	LateValue           float64       // share of the value that remains after the latency target
+	PrefillTokens       RunningMean   // mean tokens to prefill, without cached ones
+	DecodeSeconds       RunningMean   // mean duration of an answer's stream in seconds
+	Offered             RollingSum    // requests received recently
+	Admitted            RollingSum    // those of them that were sent to a backend
+	Weight              float64       // factor on the value in the queue, rising as fewer are admitted; 0: not set
 }
 
 // admittedShare is the share of the class's recent requests that were sent to a backend. The prior keeps a few
@@ -110,12 +117,12 @@
 	Rack             int
 	Kind             int
 	Role             Role
-	KVCapacity       float64 // KV cache size in tokens
-	CapacityUnits    float64
-	DistanceFactor   float64 // cost factor of a backend in another zone, 1 in the dispatcher's own
-	Bias             float64 // imaginary streams, drawn once, so that dispatchers prefer different backends
-	RelativeCapacity float64 // capacity relative to the mean of its role
-	StartedAt        time.Duration
+	KVCapacity       float64       // KV cache size in tokens
+	CapacityUnits    float64       // stated capacity, comparable within a role
+	DistanceFactor   float64       // cost factor of a backend in another zone, 1 in the dispatcher's own
+	Bias             float64       // imaginary streams, drawn once, so that dispatchers prefer different backends
+	RelativeCapacity float64       // capacity relative to the mean of its role
+	StartedAt        time.Duration // as listed by service discovery
 	StartReported    bool          // discovery reported StartedAt as a start or restart
 	UnreachableAt    time.Duration // when it was last found unreachable; 0: never
 	State            BackendState
@@ -249,11 +256,11 @@
 type Verdict int
 
 const (
-	VerdictNone Verdict = iota // nothing
-	VerdictGood
-	VerdictSlow
-	VerdictBad
-	VerdictUnreachable // no connection
+	VerdictNone        Verdict = iota // says nothing
+	VerdictGood                       // success
+	VerdictSlow                       // success with a slow first token
+	VerdictBad                        // failure
+	VerdictUnreachable                // no connection
 )
 
 // CachedPrefix is a prefix that a backend is expected to have cached.
@@ -270,11 +277,11 @@
 	PrefixKey          uint64 // key of its shared prefix; 0: none
 	PromptTokens       float64
 	PrefixTokens       float64 // tokens of the prompt's shared prefix
-	MaxOutputTokens    float64 // maximum output tokens
+	MaxOutputTokens    float64
 	KVTokens           float64 // KV cache tokens that it is expected to need for decode
 	Class              *Class
 	ClientRetry        bool          // the client says that it is a retry
-	Timeout            time.Duration // time the client gives from receipt
+	Timeout            time.Duration // from receipt to Deadline
 	ReceivedAt         time.Duration
 	DispatchedAt       time.Duration // when it last left the queue
 	Outstanding        bool          // was sent and has no first token
