--- a/brain/brain.go
+++ b/brain/brain.go
@@ -113,14 +113,14 @@
 	}
 	for _, endpoint := range endpoints {
 		backend := endpoint.Backend
-		if backend.PrefixTable == nil {
+		if backend.CachedPrefixes == nil {
 			d.initBackend(backend)
 		}
 		if !backend.Tracked {
 			d.addBackend(backend, len(endpoints) > fullScanLimit)
 		}
-		if backend.PrefixTable == nil || endpoint.StartReported && endpoint.StartedAt != backend.StartedAt {
-			backend.PrefixTable = map[uint64]CachedPrefix{}
+		if backend.CachedPrefixes == nil || endpoint.StartReported && endpoint.StartedAt != backend.StartedAt {
+			backend.CachedPrefixes = map[uint64]CachedPrefix{}
 			emptyStats := OutcomeStats{Successes: RollingSum{BucketWidth: outcomeBucketWidth},
 				Failures: RollingSum{BucketWidth: outcomeBucketWidth}}
 			backend.Outcomes = slices.Repeat([]OutcomeStats{emptyStats}, 1+len(d.classes))
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -218,7 +218,7 @@
 		d, runtime := newDispatcher(t)
 		d.meanPrefillTokens = tc.average
 		d.backends[4].State, d.backends[5].State = Removed, Removed
-		d.backends[3].PrefixTable[7] = CachedPrefix{Tokens: tc.cached, UsedAt: d.runtime.Now()}
+		d.backends[3].CachedPrefixes[7] = CachedPrefix{Tokens: tc.cached, UsedAt: d.runtime.Now()}
 		d.route(newRequest(d))
 		if len(runtime.sent) != 1 || runtime.sent[0].Stage != tc.stage ||
 			tc.backendID != 0 && runtime.sent[0].Backend.ID != tc.backendID {
@@ -416,17 +416,17 @@
 		backend := d.backends[2]
 		endpoint := Endpoint{Backend: backend, State: Ready, CapacityUnits: 4, StartedAt: -time.Hour, StartReported: restart}
 		d.Listed([]Endpoint{endpoint}, false)
-		backend.PrefixTable[7] = CachedPrefix{100, runtime.now, 0}
+		backend.CachedPrefixes[7] = CachedPrefix{100, runtime.now, 0}
 		d.Heard(PeerUpdate{Backend: backend, Verdict: VerdictUnreachable})
 		runtime.now += time.Second
 		d.Listed([]Endpoint{endpoint}, false)
-		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 1 || len(backend.PrefixTable) != 1 {
+		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 1 || len(backend.CachedPrefixes) != 1 {
 			t.Errorf("restart %v: slow start %v, %g failures, %d prefixes", restart, d.inSlowStart(backend),
-				backend.Outcomes[0].ConsecutiveFailures, len(backend.PrefixTable))
+				backend.Outcomes[0].ConsecutiveFailures, len(backend.CachedPrefixes))
 		}
 		endpoint.StartedAt, endpoint.StartReported = runtime.now, true
 		d.Listed([]Endpoint{endpoint}, false)
-		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 0 || len(backend.PrefixTable) != 0 {
+		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 0 || len(backend.CachedPrefixes) != 0 {
 			t.Error("a new start was ignored")
 		}
 		runtime.now += 11 * time.Second
@@ -741,14 +741,14 @@
 	req := newRequest(d)
 	d.recordCachedPrefix(&Attempt{Request: req, Backend: d.backends[2]}, 0)
 	d.refresh()
-	if entries := len(d.backends[2].PrefixTable); entries != 2 {
+	if entries := len(d.backends[2].CachedPrefixes); entries != 2 {
 		t.Errorf("%d prefixes in the table, 2 are recent", entries)
 	}
 	rarelyUsed := d.backends[3]
-	rarelyUsed.PrefixTable[5] = CachedPrefix{10, runtime.now, 0}
+	rarelyUsed.CachedPrefixes[5] = CachedPrefix{10, runtime.now, 0}
 	runtime.now += prefixTTL + time.Second
 	d.refresh()
-	if len(rarelyUsed.PrefixTable) != 0 {
+	if len(rarelyUsed.CachedPrefixes) != 0 {
 		t.Error("a prefix that is never used again stays in the table")
 	}
 }
--- a/brain/candidates.go
+++ b/brain/candidates.go
@@ -192,7 +192,7 @@
 func (d *Dispatcher) dropStaleHolders() {
 	for key, holders := range d.prefixHolders {
 		holders = slices.DeleteFunc(holders, func(b *Backend) bool {
-			return !b.Tracked || b.PrefixTable[key] == (CachedPrefix{})
+			return !b.Tracked || b.CachedPrefixes[key] == (CachedPrefix{})
 		})
 		if len(holders) == 0 || !d.isLarge() {
 			delete(d.prefixHolders, key)
--- a/brain/cost_test.go
+++ b/brain/cost_test.go
@@ -13,7 +13,7 @@
 	allWarm fleetState = iota
 	mostInSlowStart
 	allInSlowStart
-	thirdGone
+	thirdRemoved
 )
 
 func (s fleetState) String() string {
@@ -41,7 +41,7 @@
 		endpoints = append(endpoints, endpoint)
 	}
 	d.Listed(endpoints, true)
-	if state == thirdGone {
+	if state == thirdRemoved {
 		for i := range endpoints {
 			if i%3 == 0 {
 				endpoints[i].State = Removed
@@ -86,7 +86,7 @@
 // BenchmarkRequest measures the time per request by number and state of the backends and by queue length.
 func BenchmarkRequest(b *testing.B) {
 	for _, backends := range []int{10, 79, 800, 3200} {
-		for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdGone} {
+		for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdRemoved} {
 			for _, waiting := range []int{1, 50, 500} {
 				b.Run(fmt.Sprintf("%d %v %d waiting", backends, state, waiting), func(b *testing.B) {
 					d, runtime := newLoadedFleet(b, backends, state, waiting)
@@ -104,7 +104,7 @@
 const maxRequestTime = 3 * time.Millisecond
 
 func TestRequestTimeWithThousandsOfBackends(t *testing.T) {
-	for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdGone} {
+	for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdRemoved} {
 		d, runtime := newLoadedFleet(t, 3200, state, 50)
 		const rounds = 20
 		began := time.Now()
--- a/brain/outcomes.go
+++ b/brain/outcomes.go
@@ -112,8 +112,8 @@
 	d.dispatch()
 }
 
-// recordCachedPrefix updates the prefix table after prefill or a KV cache transfer, and the hit ratio from the
-// cached tokens that the backend reported.
+// recordCachedPrefix updates the backend's cached prefixes after prefill or a KV cache transfer, and the hit
+// ratio from the cached tokens that the backend reported.
 func (d *Dispatcher) recordCachedPrefix(attempt *Attempt, cached float64) {
 	backend, req, now := attempt.Backend, attempt.Request, d.runtime.Now()
 	if attempt.CachedTokens > 0 {
@@ -121,11 +121,11 @@
 	}
 	backend.CacheInsertedTokens += max(req.PromptTokens-cached, 0)
 	if req.SessionKey != 0 {
-		backend.PrefixTable[req.SessionKey] = CachedPrefix{req.PromptTokens, now, backend.CacheInsertedTokens}
+		backend.CachedPrefixes[req.SessionKey] = CachedPrefix{req.PromptTokens, now, backend.CacheInsertedTokens}
 		d.recordPrefixHolder(req.SessionKey, backend)
 	}
 	if req.PrefixKey != 0 {
-		backend.PrefixTable[req.PrefixKey] = CachedPrefix{req.PrefixTokens, now, backend.CacheInsertedTokens}
+		backend.CachedPrefixes[req.PrefixKey] = CachedPrefix{req.PrefixTokens, now, backend.CacheInsertedTokens}
 		d.recordPrefixHolder(req.PrefixKey, backend)
 	}
 }
--- a/brain/placement.go
+++ b/brain/placement.go
@@ -201,7 +201,7 @@
 func (d *Dispatcher) cachedTokens(backend *Backend, req *Request) float64 {
 	cached := 0.0
 	for _, key := range []uint64{req.SessionKey, req.PrefixKey} {
-		prefix, ok := backend.PrefixTable[key]
+		prefix, ok := backend.CachedPrefixes[key]
 		inserted := (backend.CacheInsertedTokens - prefix.InsertedTokens) * d.parameters.dispatchers
 		if ok && key != 0 && d.runtime.Now()-prefix.UsedAt < prefixTTL && inserted < backend.KVCapacity-backend.KVTokens {
 			cached = max(cached, prefix.Tokens)
--- a/brain/state.go
+++ b/brain/state.go
@@ -35,7 +35,7 @@
 // estimates are load and latency as seen by own attempts and peer updates.
 type estimates struct {
 	prefillTokens, prefillRequests RollingSum     // tokens to prefill, and of how many requests
-	prefixTable                    KeyedSums      // prefix table: requests by prefix key
+	prefixTable                    KeyedSums      // number of requests by prefix key
 	meanPrefillTokens              float64        // tokens to prefill per request, as of the last refresh; 0: unknown
 	timeToFirstToken               RunningMean    // seconds
 	secondsPerToken                [3]RunningMean // per token to prefill, by role of the backend
--- a/brain/types.go
+++ b/brain/types.go
@@ -141,7 +141,7 @@
 	RecentLoad          RollingSum              // prefills and streams sent over a longer time
 	CompletedWork       RollingSum              // work of attempts that succeeded
 	Outcomes            []OutcomeStats          // of all requests, then of each class
-	PrefixTable         map[uint64]CachedPrefix // prefix table: by prefix or session key
+	CachedPrefixes      map[uint64]CachedPrefix // by prefix or session key
 	HitRatio            RunningMean             // reported over expected cached tokens
 	CacheInsertedTokens float64                 // prompt tokens that this dispatcher's requests added to its cache
 }
@@ -194,9 +194,9 @@
 
 // ForgetPrefixes drops prefixes that were last used before a time.
 func (b *Backend) ForgetPrefixes(before time.Duration) {
-	for key, k := range b.PrefixTable {
+	for key, k := range b.CachedPrefixes {
 		if k.UsedAt < before {
-			delete(b.PrefixTable, key)
+			delete(b.CachedPrefixes, key)
 		}
 	}
 }
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -220,7 +220,7 @@
 // Answers tells whether a backend that answers is ready.
 func (l *Loop) Answers() bool {
 	for _, b := range l.backends {
-		if b.Known.State == brain.Ready && b.Known.PrefixTable != nil && b.Known.Decodes() {
+		if b.Known.State == brain.Ready && b.Known.CachedPrefixes != nil && b.Known.Decodes() {
 			return true
 		}
 	}
