--- a/brain/settings.go
+++ b/brain/settings.go
@@ -30,13 +30,13 @@
 	}
 	switch v := value.(type) {
 	case map[string]any:
-		for k, x := range v {
-			flatten(into, qualified(k), x)
+		for key, element := range v {
+			flatten(into, qualified(key), element)
 		}
 	case []any:
 		into[name] = float64(len(v))
-		for i, x := range v {
-			flatten(into, qualified(strconv.Itoa(i)), x)
+		for i, element := range v {
+			flatten(into, qualified(strconv.Itoa(i)), element)
 		}
 	default:
 		into[name] = v
--- a/brain/types.go
+++ b/brain/types.go
@@ -194,8 +194,8 @@
 
 // ForgetPrefixes drops prefixes that were last used before a time.
 func (b *Backend) ForgetPrefixes(before time.Duration) {
-	for key, k := range b.CachedPrefixes {
-		if k.UsedAt < before {
+	for key, prefix := range b.CachedPrefixes {
+		if prefix.UsedAt < before {
 			delete(b.CachedPrefixes, key)
 		}
 	}
