--- a/brain/summary.go
+++ b/brain/summary.go
@@ -27,7 +27,7 @@
 }
 
 // Believes returns the dispatcher's current estimates.
-func (d *Dispatcher) Believes() Summary {
+func (d *Dispatcher) Estimates() Summary {
 	summary := Summary{Window: d.window, Outstanding: d.outstanding, Queued: len(d.queue),
 		MeanPrefillTokens: d.meanPrefillTokens,
 		TimeToFirstToken:  d.timeToFirstToken.ValueOr(0), Streams: d.streams}
--- a/internal/day/troubles.go
+++ b/internal/day/troubles.go
@@ -28,7 +28,7 @@
 func (r *run) trouble(ctx context.Context, t Trouble, wait func(time.Duration) bool) error {
 	r.book.Put(record.Line{What: record.Note, Word: t.Kind + " begins"})
 	r.say("        %s begins", t.Kind)
-	hit, length := r.hit(t), t.Length.D()
+	hit, length := r.hit(t), t.Length.Std()
 	faults := func(change func(*standin.Faults)) {
 		for _, b := range hit {
 			b.Do(change)
@@ -97,17 +97,17 @@
 		err = r.back(hit)
 	case "drain":
 		for _, b := range hit {
-			r.list.Publish(b, boxlist.Draining, r.day.List.Notice.D())
+			r.list.Publish(b, boxlist.Draining, r.day.List.Notice.Std())
 		}
 		wait(length)
 		for _, b := range hit {
 			b.Kill("drained")
-			r.list.Publish(b, boxlist.Gone, r.day.List.Notice.D())
+			r.list.Publish(b, boxlist.Removed, r.day.List.Notice.Std())
 		}
 		wait(length + time.Second)
 		err = r.back(hit)
 	case "list_stale":
-		r.list.Stale(t.By.D())
+		r.list.Stale(t.By.Std())
 		wait(length)
 		r.list.Stale(0)
 	case "list_gap":
@@ -140,8 +140,8 @@
 // lose kills a box; the list notices after a while, unless it is back before.
 func (r *run) lose(b *standin.Box, why string, away time.Duration) {
 	b.Kill(why)
-	if silent := r.day.List.Silent.D(); away > silent {
-		r.list.Publish(b, boxlist.Gone, silent)
+	if silent := r.day.List.Silent.Std(); away > silent {
+		r.list.Publish(b, boxlist.Removed, silent)
 	}
 }
 
@@ -154,7 +154,7 @@
 		if err := b.Boot(true); err != nil {
 			return err
 		}
-		r.list.Publish(b, boxlist.Ready, r.day.List.Notice.D())
+		r.list.Publish(b, boxlist.Ready, r.day.List.Notice.Std())
 	}
 	return nil
 }
@@ -206,7 +206,7 @@
 		}()
 	}
 	all.Wait()
-	if !wait(t.Length.D()) {
+	if !wait(t.Length.Std()) {
 		return nil
 	}
 	for _, n := range t.Dispatchers {
@@ -245,16 +245,16 @@
 	case "drop":
 		for _, b := range hit {
 			r.list.Drop(b, t.Addresses)
-			r.list.Publish(b, boxlist.Ready, r.day.List.Notice.D())
+			r.list.Publish(b, boxlist.Ready, r.day.List.Notice.Std())
 		}
 		wait()
 		for _, b := range hit {
 			r.list.Drop(b, nil)
-			r.list.Publish(b, boxlist.Ready, r.day.List.Notice.D())
+			r.list.Publish(b, boxlist.Ready, r.day.List.Notice.Std())
 		}
 		return nil
 	}
-	err := each(func(b *standin.Box, i int) error { return b.Gate(i).Set(mode, t.By.D(), t.Bytes) })
+	err := each(func(b *standin.Box, i int) error { return b.Gate(i).Set(mode, t.By.Std(), t.Bytes) })
 	wait()
 	return errors.Join(err, each(func(b *standin.Box, i int) error { return b.Gate(i).Set(standin.GateServes, 0, 0) }))
 }
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -64,17 +64,17 @@
 				if d.up && d.open[c] {
 					delete(d.open, c)
 					delete(d.of, c.asked)
-					d.do(func() { d.loop.Left(c.asked) })
+					d.do(func() { d.loop.ClientDisconnected(c.asked) })
 				}
 			}
 		})
 	}
 	d.open[c] = true
-	c.asked = &dispatch.ClientRequest{Ask: kserve.Ask{ID: c.id, Session: wish.Session, Shared: wish.Shared, Tokens: wish.Tokens, Prefix: wish.Prefix, Most: wish.Most,
-		Again: try > 0, Ticket: ticket}, Grade: wish.Grade, Channel: wish.Channel}
+	c.asked = &dispatch.ClientRequest{Params: kserve.Request{ID: c.id, Session: wish.Session, SharedPrefix: wish.Shared, PromptTokens: wish.Tokens, PrefixTokens: wish.Prefix, MaxTokens: wish.Most,
+		IsRetry: try > 0, RetryTicket: ticket}, Class: wish.Grade, Tenant: wish.Channel}
 	d.of[c.asked] = c
-	c.asked.Tell = func(f kserve.Final) { w.after(hop, func() { c.final(f) }) }
-	grade, channel := w.day.GradeNumber(wish.Grade), max(w.day.ChannelNumber(wish.Channel), 0)
+	c.asked.OnFinal = func(f kserve.FinalResponse) { w.after(hop, func() { c.final(f) }) }
+	grade, channel := w.day.ClassIndex(wish.Grade), max(w.day.TenantIndex(wish.Channel), 0)
 	w.after(hop, func() {
 		if c.over && wish.Leaves == 0 || !d.open[c] {
 			return
@@ -83,20 +83,20 @@
 	})
 }
 
-func (c *client) final(f kserve.Final) {
+func (c *client) final(f kserve.FinalResponse) {
 	if c.over {
 		return
 	}
 	c.over = true
 	delete(c.d.open, c)
 	delete(c.d.of, c.asked)
-	c.put(record.Final, f.Final, func(l *record.Line) { l.AfterMs, l.Trips = f.AfterMs, f.Trips })
-	if f.Final != kserve.Satisfied && (f.Final == kserve.Declined || c.wish.Safe) {
-		ticket := f.Ticket
+	c.put(record.Final, f.Outcome, func(l *record.Line) { l.AfterMs, l.Trips = f.RetryAfterMs, f.Attempts })
+	if f.Outcome != kserve.Served && (f.Outcome == kserve.Rejected || c.wish.Safe) {
+		ticket := f.RetryTicket
 		if !c.wish.Honours {
 			ticket = ""
 		}
-		c.again(time.Duration(f.AfterMs)*time.Millisecond, ticket)
+		c.again(time.Duration(f.RetryAfterMs)*time.Millisecond, ticket)
 	}
 }
 
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -44,7 +44,7 @@
 
 // ReadTrace reads arrivals from CSV with a header, or from JSON lines; the file's ending says which. Times need not be in
 // order. What is wrong is named with its line.
-func ReadTrace(file string, terms setup.Terms) ([]standin.Wish, error) {
+func ReadTrace(file string, terms setup.Deployment) ([]standin.Wish, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, err
@@ -61,20 +61,20 @@
 	}
 	wishes := make([]standin.Wish, len(all))
 	for i, a := range all {
-		n := max(terms.GradeNumber(a.Grade), 0)
-		if a.Grade != "" && terms.GradeNumber(a.Grade) < 0 {
+		n := max(terms.ClassIndex(a.Grade), 0)
+		if a.Grade != "" && terms.ClassIndex(a.Grade) < 0 {
 			return nil, fmt.Errorf("%s: arrival %d: grade %q is unknown", file, i+1, a.Grade)
 		}
 		if a.AtMs < 0 || a.Tokens < 1 || a.Prefix < 0 || a.Prefix > a.Tokens || a.Most < 0 {
 			return nil, fmt.Errorf("%s: arrival %d: senseless: %+v", file, i+1, a)
 		}
-		g := terms.Grades[n]
+		g := terms.Classes[n]
 		k := float64(a.Tokens) / 1000
 		w := standin.Wish{At: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Grade: g.Name, Channel: a.Channel, Session: a.Session,
-			Shared: a.Shared, Prefix: a.Prefix, Tokens: a.Tokens, Most: a.Most, Promised: g.Promised.D() + time.Duration(k*float64(g.PerK)),
-			Expiry: g.Expiry.D() + 2*time.Duration(k*float64(g.PerK)), Patience: 1, Safe: g.Effect == "idempotent"}
+			Shared: a.Shared, Prefix: a.Prefix, Tokens: a.Tokens, Most: a.Most, Promised: g.LatencyTarget.Std() + time.Duration(k*float64(g.TargetPer1000Tokens)),
+			Expiry: g.Deadline.Std() + 2*time.Duration(k*float64(g.TargetPer1000Tokens)), Patience: 1, Safe: g.Effect == "idempotent"}
 		if w.Most == 0 {
-			w.Most = g.Most
+			w.Most = g.DefaultMaxTokens
 		}
 		wishes[i] = w
 	}
--- a/internal/platform/heard_test.go
+++ b/internal/platform/heard_test.go
@@ -9,12 +9,12 @@
 )
 
 // named are so many backends, and what names an order of them.
-func named(names ...string) (hosts map[string]*reach.Host, in func([]*reach.Host) []string) {
-	hosts = map[string]*reach.Host{}
+func named(names ...string) (hosts map[string]*reach.Pool, in func([]*reach.Pool) []string) {
+	hosts = map[string]*reach.Pool{}
 	for _, name := range names {
-		hosts[name] = &reach.Host{Name: name}
+		hosts[name] = &reach.Pool{Name: name}
 	}
-	return hosts, func(order []*reach.Host) (names []string) {
+	return hosts, func(order []*reach.Pool) (names []string) {
 		for _, h := range order {
 			names = append(names, h.Name)
 		}
--- a/internal/platform/place_test.go
+++ b/internal/platform/place_test.go
@@ -33,7 +33,7 @@
 // Descriptors for clients, attempts and releases are never more than there are, from the least limit on that leaves any.
 func TestSharesOfTheDescriptorsFit(t *testing.T) {
 	for sockets := 64; sockets <= 4096; sockets++ {
-		p := Place{}
+		p := Config{}
 		p.Limits.Sockets = sockets
 		if r := p.room(); r.clients+r.boxes+r.releases+ownSockets > sockets {
 			t.Fatalf("of %d descriptors %+v are taken beside %d", sockets, r, ownSockets)
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -57,7 +57,7 @@
 questions_a_second = 12.5
 `
 
-func load(t *testing.T, text string) (Dispatcher, error) {
+func load(t *testing.T, text string) (DispatcherConfig, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "d.toml")
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := d.Facts()
+	f := d.SchedulerParameters()
 	if err := f.Validate(); err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatalf("%v in\n%s", err, out.String())
 	}
-	if again.Grades[1] != d.Grades[1] || again.Rules != d.Rules || again.Limits != d.Limits || again.Place.Margin != d.Place.Margin {
+	if again.Classes[1] != d.Classes[1] || again.Rules != d.Rules || again.Limits != d.Limits || again.Instance.ResponseMargin != d.Instance.ResponseMargin {
 		t.Errorf("%+v became %+v", d, again)
 	}
 }
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -226,10 +226,10 @@
 func (b *Box) share() float64 {
 	r := b.fleet.Terms.Rules
 	since := b.fleet.Book.Since() - b.started
-	if !b.cold || since >= r.ColdRamp.D() {
+	if !b.cold || since >= r.SlowStartRamp.Std() {
 		return 1
 	}
-	return r.ColdShare + (1-r.ColdShare)*float64(since)/float64(r.ColdRamp.D())
+	return r.SlowStartShare + (1-r.SlowStartShare)*float64(since)/float64(r.SlowStartRamp.Std())
 }
 
 // drive runs an engine's steps in real time until its process ends.
@@ -297,15 +297,15 @@
 }
 
 // work is what a trip asks of the box, in seconds of its full capacity: the mean of its grade.
-func (b *Box) work(e kserve.Errand) float64 {
+func (b *Box) work(e kserve.AttemptParams) float64 {
 	m := b.Engine
-	read := b.fleet.leftToRead(e.Grade) / m.ReadPerS
+	read := b.fleet.leftToRead(e.Class) / m.ReadPerS
 	step := m.Step.Seconds() + float64(m.Slots)*m.PerAnswer.Seconds() + float64(m.Slots)*m.PerContextK.Seconds()
-	write := b.fleet.Talk[e.Grade].Answer * step / float64(m.Slots)
-	switch e.Stage {
-	case kserve.StageRead:
+	write := b.fleet.Talk[e.Class].Answer * step / float64(m.Slots)
+	switch e.Phase {
+	case kserve.PhasePrefill:
 		return read
-	case kserve.StageWrite:
+	case kserve.PhaseDecode:
 		return write
 	}
 	return read + write
@@ -316,18 +316,18 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, now := b.fleet.Terms.Rules, b.fleet.Book.Since()
-	if !b.cold || now-b.started > r.ColdRamp.D() {
+	if !b.cold || now-b.started > r.SlowStartRamp.Std() {
 		return false
 	}
 	b.sent = append(b.sent, sent{now, work})
-	for len(b.sent) > 0 && b.sent[0].at < now-r.ColdWindow.D() {
+	for len(b.sent) > 0 && b.sent[0].at < now-r.SlowStartWindow.Std() {
 		b.sent = b.sent[1:]
 	}
 	sum := 0.0
 	for _, s := range b.sent {
 		sum += s.work
 	}
-	b.fell = b.fell || sum > r.ColdMultiple*b.share()*r.ColdWindow.D().Seconds()*coldSlack
+	b.fell = b.fell || sum > r.SlowStartMultiple*b.share()*r.SlowStartWindow.Std().Seconds()*coldSlack
 	return b.fell
 }
 
@@ -339,7 +339,7 @@
 	defer b.mu.Unlock()
 	values := b.engine.Report()
 	var out []float64
-	for _, name := range b.fleet.Terms.Report {
+	for _, name := range b.fleet.Terms.ReportFields {
 		out = append(out, values[name])
 	}
 	return out
@@ -364,12 +364,12 @@
 
 // trip serves one trip from its bytes to its end.
 func (b *Box) trip(w http.ResponseWriter, r *http.Request) {
-	e, _, err := kserve.ReadErrand(http.MaxBytesReader(w, r.Body, 16<<20))
+	e, _, err := kserve.ReadAttemptParams(http.MaxBytesReader(w, r.Body, 16<<20))
 	if err != nil {
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return
 	}
-	line := record.Line{Box: b.Name, Try: e.Mark, Grade: e.Grade, Key: e.Key(), Stage: e.Stage, Trip: e.Trip}
+	line := record.Line{Box: b.Name, Try: e.DedupKey, Grade: e.Class, Key: e.RequestKey(), Stage: e.Phase, Trip: e.Attempt}
 	put := func(what, word string) {
 		l := line
 		l.What, l.Word = what, word
@@ -397,7 +397,7 @@
 	word := "broke"
 	var spent func() (read, kept, answer int)
 	count := b.count(e)
-	costs := func(end string) *kserve.Count {
+	costs := func(end string) *kserve.UsageRecord {
 		if spent == nil {
 			return count(end, 0, 0, 0)
 		}
@@ -408,7 +408,7 @@
 
 	b.mu.Lock()
 	start, faults, life := b.Start, b.faults, b.life
-	fails := b.rng.Float64() < faults.Fail && (faults.FailGrade == "" || faults.FailGrade == e.Grade)
+	fails := b.rng.Float64() < faults.Fail && (faults.FailGrade == "" || faults.FailGrade == e.Class)
 	resets, resetsNow := b.rng.Float64() < faults.Reset, b.rng.Float64() < faults.ResetAtOnce
 	crashes := b.rng.Float64() < faults.CrashAfterRead
 	b.mu.Unlock()
@@ -418,16 +418,16 @@
 		panic(http.ErrAbortHandler)
 	}
 	effect := func() {
-		if b.fleet.runs(b, e.Grade, cmp.Or(e.Mark, e.Key())) {
+		if b.fleet.runs(b, e.Class, cmp.Or(e.DedupKey, e.RequestKey())) {
 			put(record.Ran, "")
 		} else {
 			put(record.Repeat, "")
 		}
 	}
-	answer := func(status int, told kserve.Told) {
+	answer := func(status int, told kserve.AttemptResult) {
 		told.Load = b.load()
 		word = told.Outcome
-		told.Count = costs(word)
+		told.Usage = costs(word)
 		kserve.WriteJSON(w, status, told)
 	}
 	ctx := r.Context()
@@ -436,27 +436,27 @@
 		<-ctx.Done()
 		return
 	case fails:
-		if e.Stage != kserve.StageRead { // an error may come after the effect
+		if e.Phase != kserve.PhasePrefill { // an error may come after the effect
 			effect()
 		}
-		answer(http.StatusInternalServerError, kserve.Told{Outcome: kserve.OutcomeFailed, Error: "internal error"})
+		answer(http.StatusInternalServerError, kserve.AttemptResult{Outcome: kserve.OutcomeFailed, Error: "internal error"})
 		return
 	}
 	if faults.Ignore {
 		ctx = life
 	}
 	j := &run{bell: make(chan struct{}, 1)}
-	j.job = engine.Job{Key: e.Key(), Session: e.Session, Shared: e.Shared, Prompt: e.Tokens, Prefix: e.Prefix, Answer: 1}
-	switch e.Stage {
-	case kserve.StageRead:
+	j.job = engine.Job{Key: e.RequestKey(), Session: e.Session, Shared: e.SharedPrefix, Prompt: e.PromptTokens, Prefix: e.PrefixTokens, Answer: 1}
+	switch e.Phase {
+	case kserve.PhasePrefill:
 		j.job.Stage = engine.Read
-	case kserve.StageWrite:
+	case kserve.PhaseDecode:
 		j.job.Stage = engine.Write
 	default:
 		j.job.Stage = engine.Whole
 	}
-	if e.Stage != kserve.StageRead {
-		j.job.Answer = b.fleet.answerTokens(e.Grade, e.Mark, e.Most)
+	if e.Phase != kserve.PhasePrefill {
+		j.job.Answer = b.fleet.answerTokens(e.Class, e.DedupKey, e.MaxTokens)
 	}
 	j.job.Token = func(n int) { j.tokens.Store(int64(n)); j.ring() }
 	j.job.Ended = func(how engine.End, kept int) {
@@ -483,16 +483,16 @@
 			}
 		}()
 	}
-	if e.Stage == kserve.StageRead {
+	if e.Phase == kserve.PhasePrefill {
 		ended := j.job.Ended
 		j.job.Ended = func(how engine.End, kept int) { // the box is locked
 			if how == engine.Done {
-				if l, ok := b.letGo[e.Key()]; ok && e.Trip <= l.trip {
-					eng.Release(e.Key()) // it was released before it was read
+				if l, ok := b.letGo[e.RequestKey()]; ok && e.Attempt <= l.trip {
+					eng.Release(e.RequestKey()) // it was released before it was read
 					how = engine.Dropped
 				} else {
-					b.tries[e.Key()] = e.Mark
-					b.fleet.Book.Put(record.Line{What: record.Held, Box: b.Name, Key: e.Key(), Try: e.Mark, Grade: e.Grade})
+					b.tries[e.RequestKey()] = e.DedupKey
+					b.fleet.Book.Put(record.Line{What: record.Held, Box: b.Name, Key: e.RequestKey(), Try: e.DedupKey, Grade: e.Class})
 				}
 			}
 			ended(how, kept)
@@ -549,25 +549,25 @@
 			continue
 		}
 		kept := int(j.kept.Load())
-		if e.Stage != kserve.StageWrite && end == engine.Done {
-			b.fleet.sawRead(e.Grade, float64(e.Tokens-kept))
+		if e.Phase != kserve.PhaseDecode && end == engine.Done {
+			b.fleet.sawRead(e.Class, float64(e.PromptTokens-kept))
 		}
 		switch {
-		case end == engine.Done && e.Stage == kserve.StageRead:
-			answer(http.StatusOK, kserve.Told{Outcome: kserve.OutcomeRead, Kept: kept})
+		case end == engine.Done && e.Phase == kserve.PhasePrefill:
+			answer(http.StatusOK, kserve.AttemptResult{Outcome: kserve.OutcomePrefilled, CachedTokens: kept})
 			ctl.Flush()
 			if crashes {
 				// A moment later, so that the dispatcher knows of the read and sends on.
 				time.AfterFunc(2*time.Millisecond, func() { b.Kill("crashed after reading") })
 			}
 		case end == engine.Done:
-			if kserve.WriteEvent(w, "end", kserve.Told{Outcome: kserve.OutcomeAnswered, Kept: kept, Load: b.load(), Count: costs(kserve.OutcomeAnswered)}) == nil && ctl.Flush() == nil {
-				word = kserve.OutcomeAnswered
+			if kserve.WriteEvent(w, "end", kserve.AttemptResult{Outcome: kserve.OutcomeCompleted, CachedTokens: kept, Load: b.load(), Usage: costs(kserve.OutcomeCompleted)}) == nil && ctl.Flush() == nil {
+				word = kserve.OutcomeCompleted
 			}
 		case end == engine.Full || end == engine.TooBig:
-			answer(http.StatusServiceUnavailable, kserve.Told{Outcome: kserve.OutcomeFull, Error: end.String()})
+			answer(http.StatusServiceUnavailable, kserve.AttemptResult{Outcome: kserve.OutcomeFull, Error: end.String()})
 		case end == engine.NoState:
-			answer(http.StatusServiceUnavailable, kserve.Told{Outcome: kserve.OutcomeNoState, Error: "no state could be fetched"})
+			answer(http.StatusServiceUnavailable, kserve.AttemptResult{Outcome: kserve.OutcomeNoKVCache, Error: "no state could be fetched"})
 		default: // the process died, or the work was dropped: the connection says so
 			panic(http.ErrAbortHandler)
 		}
@@ -599,16 +599,16 @@
 }
 
 func (b *Box) release(w http.ResponseWriter, r *http.Request) {
-	list, err := kserve.ReadRelease(http.MaxBytesReader(w, r.Body, 1<<20))
+	list, err := kserve.ReadReleases(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return
 	}
 	_, _, start := b.UpFor()
 	done := 0
 	for _, x := range list {
 		b.mu.Lock()
-		b.letGo[x.Key] = releasedUpTo{x.Trip, b.fleet.Book.Since()}
+		b.letGo[x.RequestKey] = releasedUpTo{x.LastAttempt, b.fleet.Book.Since()}
 		if len(b.letGo) > letGoMost {
 			for key, l := range b.letGo {
 				if b.fleet.Book.Since()-l.at > letGoTime {
@@ -617,7 +617,7 @@
 			}
 		}
 		b.mu.Unlock()
-		if b.let(start, x.Key, "released") {
+		if b.let(start, x.RequestKey, "released") {
 			done++
 		}
 	}
@@ -637,9 +637,9 @@
 
 // state gives a waiting state to a writer, which takes as long as the links need; until then it waits on.
 func (b *Box) state(w http.ResponseWriter, r *http.Request) {
-	key, err := kserve.ReadFetch(http.MaxBytesReader(w, r.Body, 1<<20))
+	key, err := kserve.ReadKVFetch(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return
 	}
 	b.mu.Lock()
@@ -673,15 +673,15 @@
 }
 
 // fetch takes the state from the reader that the trip names, by whichever of its addresses serves.
-func (b *Box) fetch(ctx context.Context, e kserve.Errand) error {
-	if len(e.State) == 0 {
+func (b *Box) fetch(ctx context.Context, e kserve.AttemptParams) error {
+	if len(e.KVCacheAddresses) == 0 {
 		return errors.New("no state was named")
 	}
-	conn, err := b.fleet.reader(e.Reader, e.State).Get(ctx)
+	conn, err := b.fleet.reader(e.PrefillBackend, e.KVCacheAddresses).Get(ctx)
 	if err != nil {
 		return err
 	}
-	r, err := kserve.NewFetch(ctx, reach.URL(e.Reader), b.fleet.Terms.Model, e.Key())
+	r, err := kserve.NewKVFetchRequest(ctx, reach.URL(e.PrefillBackend), b.fleet.Terms.Model, e.RequestKey())
 	if err != nil {
 		return err
 	}
@@ -689,10 +689,10 @@
 	r.Header.Set("Zone", b.Zone)
 	resp, err := conn.Do(ctx, r)
 	if err != nil {
-		conn.Lost()
+		conn.ReportFailed()
 		return err
 	}
-	conn.Served()
+	conn.ReportServed()
 	defer resp.Body.Close()
 	io.Copy(io.Discard, io.LimitReader(resp.Body, 4096))
 	if resp.StatusCode != http.StatusOK {
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -72,11 +72,11 @@
 	ticket := ""
 	for try := 0; ; try++ {
 		word, after, sent, next := c.try(ctx, w, try, ticket)
-		if ctx.Err() != nil || word == kserve.Satisfied || word == "left" || try >= w.Retries {
+		if ctx.Err() != nil || word == kserve.Served || word == "left" || try >= w.Retries {
 			return
 		}
 		// What may have run is only asked again where that does no harm.
-		if sent && word != kserve.Declined && !w.Safe {
+		if sent && word != kserve.Rejected && !w.Safe {
 			return
 		}
 		wait := w.NextWait(try, after)
@@ -136,7 +136,7 @@
 	if ticket != "" {
 		params["ticket"] = ticket
 	}
-	body, err := json.Marshal(kserve.Prompt{ID: id, Parameters: params})
+	body, err := json.Marshal(kserve.GenerateRequest{ID: id, Parameters: params})
 	if err != nil {
 		panic(err)
 	}
@@ -158,7 +158,7 @@
 		if cause == nil {
 			cause = err
 		}
-		sent := !kserve.Unsent(err)
+		sent := !kserve.IsDialError(err)
 		if !sent {
 			put(record.Cut, "unreached: "+cause.Error(), nil)
 		} else {
@@ -175,25 +175,25 @@
 		return broke(err)
 	}
 	defer resp.Body.Close()
-	final := func(f kserve.Final) (string, time.Duration, bool, string) {
-		put(record.Final, f.Final, func(l *record.Line) {
-			l.AfterMs, l.Trips, l.Took = f.AfterMs, f.Trips, time.Since(began).Microseconds()
+	final := func(f kserve.FinalResponse) (string, time.Duration, bool, string) {
+		put(record.Final, f.Outcome, func(l *record.Line) {
+			l.AfterMs, l.Trips, l.Took = f.RetryAfterMs, f.Attempts, time.Since(began).Microseconds()
 		})
-		return f.Final, time.Duration(f.AfterMs) * time.Millisecond, true, f.Ticket
+		return f.Outcome, time.Duration(f.RetryAfterMs) * time.Millisecond, true, f.RetryTicket
 	}
 	if resp.StatusCode != http.StatusOK {
-		var f kserve.Final
+		var f kserve.FinalResponse
 		raw, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
 		if err != nil {
 			return broke(err)
 		}
-		if json.Unmarshal(raw, &f) != nil || f.Final == "" {
+		if json.Unmarshal(raw, &f) != nil || f.Outcome == "" {
 			put(record.Final, fmt.Sprintf("fault %d: %.200s", resp.StatusCode, raw), nil)
 			return "fault", 0, true, ""
 		}
 		return final(f)
 	}
-	events := kserve.NewEvents(resp.Body)
+	events := kserve.NewEventReader(resp.Body)
 	first := false
 	for {
 		ev, err := events.Next()
@@ -211,8 +211,8 @@
 			}
 			continue
 		}
-		var f kserve.Final
-		if json.Unmarshal(ev.Data, &f) != nil || f.Final == "" {
+		var f kserve.FinalResponse
+		if json.Unmarshal(ev.Data, &f) != nil || f.Outcome == "" {
 			put(record.Extra, "an event that is no final answer: "+ev.Name, nil)
 			continue
 		}
--- a/internal/standin/counts.go
+++ b/internal/standin/counts.go
@@ -17,7 +17,7 @@
 
 type counted struct {
 	last, forgot uint64
-	list         []kserve.Count
+	list         []kserve.UsageRecord
 	open         int
 }
 
@@ -32,14 +32,14 @@
 }
 
 // begin takes word of a trip; the function that it returns counts it, once.
-func (b *Box) count(e kserve.Errand) func(end string, read, kept, answer int) *kserve.Count {
+func (b *Box) count(e kserve.AttemptParams) func(end string, read, kept, answer int) *kserve.UsageRecord {
 	c := &b.counts
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	of := c.of(e.From)
+	of := c.of(e.DispatcherEpoch)
 	of.open++
-	var done *kserve.Count
-	return func(end string, read, kept, answer int) *kserve.Count {
+	var done *kserve.UsageRecord
+	return func(end string, read, kept, answer int) *kserve.UsageRecord {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if done != nil {
@@ -47,10 +47,10 @@
 		}
 		of.open--
 		of.last++
-		done = &kserve.Count{Number: of.last, Key: e.Key(), Trip: e.Trip, Mark: e.Mark, Stage: e.Stage, Channel: e.Channel, Grade: e.Grade, Read: read, Kept: kept,
-			Answer: answer, End: end}
+		done = &kserve.UsageRecord{Number: of.last, RequestKey: e.RequestKey(), Attempt: e.Attempt, DedupKey: e.DedupKey, Phase: e.Phase, Tenant: e.Tenant, Class: e.Class, PrefillTokens: read, CachedTokens: kept,
+			OutputTokens: answer, EndReason: end}
 		of.list = append(of.list, *done)
-		b.fleet.Book.Put(record.Line{What: record.Counted, Box: b.Name, Key: e.Key(), Trip: e.Trip, Try: e.Mark, Stage: e.Stage, Grade: e.Grade, Word: end,
+		b.fleet.Book.Put(record.Line{What: record.Counted, Box: b.Name, Key: e.RequestKey(), Trip: e.Attempt, Try: e.DedupKey, Stage: e.Phase, Grade: e.Class, Word: end,
 			Tokens: read, Kept: kept, Answer: answer})
 		return done
 	}
@@ -58,20 +58,20 @@
 
 // tell answers an inquiry.
 func (b *Box) tell(w http.ResponseWriter, r *http.Request) {
-	q, err := kserve.ReadInquiry(http.MaxBytesReader(w, r.Body, 64<<10))
+	q, err := kserve.ReadUsageQuery(http.MaxBytesReader(w, r.Body, 64<<10))
 	if err != nil {
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return
 	}
 	c := &b.counts
 	c.mu.Lock()
-	of := c.of(q.From)
+	of := c.of(q.DispatcherEpoch)
 	for len(of.list) > 0 && of.list[0].Number <= q.After {
 		of.forgot = of.list[0].Number
 		of.list = of.list[1:]
 	}
-	out := kserve.Counts{Open: of.open, Forgot: of.forgot, Counts: append([]kserve.Count{}, of.list[:min(len(of.list), kserve.MostCounts)]...)}
-	out.More = len(out.Counts) < len(of.list)
+	out := kserve.UsageReport{InFlight: of.open, ForgottenThrough: of.forgot, Records: append([]kserve.UsageRecord{}, of.list[:min(len(of.list), kserve.MaxUsageRecords)]...)}
+	out.More = len(out.Records) < len(of.list)
 	c.mu.Unlock()
 	kserve.WriteJSON(w, http.StatusOK, out)
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -29,7 +29,7 @@
 
 // Fleet is what boxes of a run share: the record, links, and what a mark was seen with.
 type Fleet struct {
-	Terms setup.Terms
+	Terms setup.Deployment
 	Book  *record.Book
 	Links Links
 	Talk  map[string]Talk // by grade
@@ -39,7 +39,7 @@
 	reads    map[string]*mean // tokens left to read, by grade
 	seen     map[mark]time.Duration
 	racks    map[string]*lane
-	ways     *reach.Boxes // from writers to readers
+	ways     *reach.Manager // from writers to readers
 	life     context.Context
 	end      context.CancelFunc
 	starts   uint64
@@ -56,14 +56,14 @@
 type mark struct{ group, try string }
 
 // NewFleet makes an empty fleet.
-func NewFleet(terms setup.Terms, book *record.Book, links Links, talk map[string]Talk) *Fleet {
+func NewFleet(terms setup.Deployment, book *record.Book, links Links, talk map[string]Talk) *Fleet {
 	f := &Fleet{
 		Terms: terms, Book: book, Links: links, Talk: talk, slowLink: 1,
 		reads: map[string]*mean{}, seen: map[mark]time.Duration{}, racks: map[string]*lane{},
 	}
 	f.life, f.end = context.WithCancel(context.Background())
-	f.ways = &reach.Boxes{Limit: 500 * time.Millisecond, Most: 1024, Since: book.Since, Life: f.life, Group: &errgroup.Group{}}
-	f.ways.Group.Go(f.ways.Tend)
+	f.ways = &reach.Manager{DialTimeout: 500 * time.Millisecond, MaxConnsPerBackend: 1024, Now: book.Since, Context: f.life, Group: &errgroup.Group{}}
+	f.ways.Group.Go(f.ways.Run)
 	return f
 }
 
@@ -74,14 +74,14 @@
 }
 
 // reader is the way to a reader at the addresses that a trip names.
-func (f *Fleet) reader(name string, at []string) *reach.Host {
+func (f *Fleet) reader(name string, at []string) *reach.Pool {
 	var specs []addresses.Spec
 	for _, a := range at {
 		if s, err := reach.ParseListen(a); err == nil {
 			specs = append(specs, s)
 		}
 	}
-	return f.ways.Set(name, specs, xxhash.Sum64String(name))
+	return f.ways.SetAddresses(name, specs, xxhash.Sum64String(name))
 }
 
 // SlowLinks makes all links so many times slower.
@@ -149,17 +149,17 @@
 // runs tells whether a trip's effect is a new one: within its window a group of boxes drops a deduplicated
 // question's repeats.
 func (f *Fleet) runs(b *Box, grade, try string) bool {
-	i := f.Terms.GradeNumber(grade)
-	if i < 0 || f.Terms.Grades[i].Effect != "deduplicated" {
+	i := f.Terms.ClassIndex(grade)
+	if i < 0 || f.Terms.Classes[i].Effect != "deduplicated" {
 		return true
 	}
-	g := f.Terms.Grades[i]
-	group := map[string]string{"zone": b.Zone, "rack": b.Rack}[g.Reach]
+	g := f.Terms.Classes[i]
+	group := map[string]string{"zone": b.Zone, "rack": b.Rack}[g.DedupScope]
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Book.Since()
 	at, known := f.seen[mark{group, try}]
-	if known && now-at < g.Window.D() {
+	if known && now-at < g.DedupWindow.Std() {
 		return false
 	}
 	f.seen[mark{group, try}] = now
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -143,7 +143,7 @@
 	switch g.mode {
 	case GateRefuses:
 		if g.Spec.Network == addresses.Unix {
-			os.Remove(g.Spec.At)
+			os.Remove(g.Spec.Addr)
 		}
 		return nil
 	case GateBlackhole:
@@ -162,9 +162,9 @@
 
 func (g *Gate) listen() error {
 	if g.Spec.Network == addresses.Unix {
-		os.Remove(g.Spec.At)
+		os.Remove(g.Spec.Addr)
 	}
-	l, err := listen(g.Spec.Network, g.Spec.At)
+	l, err := listen(g.Spec.Network, g.Spec.Addr)
 	if err != nil {
 		return err
 	}
@@ -185,7 +185,7 @@
 
 // blackhole listens so that connections are neither made nor refused.
 func (g *Gate) blackhole() error {
-	l, err := listen(g.Spec.Network, g.Spec.At)
+	l, err := listen(g.Spec.Network, g.Spec.Addr)
 	if err != nil {
 		return err
 	}
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -35,7 +35,7 @@
 
 type change struct {
 	visible time.Duration
-	box     boxlist.Box
+	box     boxlist.Endpoint
 	started time.Duration
 	cold    bool
 }
@@ -100,8 +100,8 @@
 	if n := len(l.changes); n > 0 {
 		visible = max(visible, l.changes[n-1].visible)
 	}
-	l.changes = append(l.changes, change{visible, boxlist.Box{
-		Name: b.Name, Addresses: l.named(b), Kind: b.Kind, Zone: b.Zone, Rack: b.Rack, Standing: standing, Units: b.Units, Start: start,
+	l.changes = append(l.changes, change{visible, boxlist.Endpoint{
+		Name: b.Name, Addresses: l.named(b), Kind: b.Kind, Zone: b.Zone, Rack: b.Rack, State: standing, Units: b.Units, Incarnation: start,
 	}, now - up, cold})
 }
 
@@ -126,11 +126,11 @@
 }
 
 // line is a change as it is said now.
-func (c change) line(now time.Duration) boxlist.Box {
+func (c change) line(now time.Duration) boxlist.Endpoint {
 	b := c.box
-	b.UpMs = -1
+	b.UptimeMs = -1
 	if c.cold {
-		b.UpMs = (now - c.started).Milliseconds()
+		b.UptimeMs = (now - c.started).Milliseconds()
 	}
 	return b
 }
@@ -145,7 +145,7 @@
 }
 
 // next makes the push that brings a dispatcher from version have to what is visible; nil: there is nothing new.
-func (l *List) next(have int, whole bool) *boxlist.Push {
+func (l *List) next(have int, whole bool) *boxlist.Update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.fleet.Book.Since()
@@ -154,16 +154,16 @@
 		return nil
 	}
 	if !whole {
-		return &boxlist.Push{Version: uint64(have + 1), Base: uint64(have), Boxes: []boxlist.Box{l.changes[have].line(now)}}
+		return &boxlist.Update{Version: uint64(have + 1), Base: uint64(have), Endpoints: []boxlist.Endpoint{l.changes[have].line(now)}}
 	}
 	last := map[string]int{}
 	for i := range n {
 		last[l.changes[i].box.Name] = i
 	}
-	p := &boxlist.Push{Version: uint64(n), Whole: true}
+	p := &boxlist.Update{Version: uint64(n), Full: true}
 	for i := range n {
-		if c := l.changes[i]; last[c.box.Name] == i && c.box.Standing != boxlist.Gone {
-			p.Boxes = append(p.Boxes, c.line(now))
+		if c := l.changes[i]; last[c.box.Name] == i && c.box.State != boxlist.Removed {
+			p.Endpoints = append(p.Endpoints, c.line(now))
 		}
 	}
 	return p
@@ -181,11 +181,11 @@
 	for {
 		p := l.next(have, whole)
 		if p == nil && time.Since(beat) >= listBeat {
-			p = &boxlist.Push{Version: uint64(have), Base: uint64(have)}
+			p = &boxlist.Update{Version: uint64(have), Base: uint64(have)}
 		}
 		if p != nil {
 			l.mu.Lock()
-			lost := l.skip && len(p.Boxes) > 0 && !p.Whole
+			lost := l.skip && len(p.Endpoints) > 0 && !p.Full
 			if lost {
 				l.skip = false
 			}
@@ -206,25 +206,25 @@
 }
 
 // told takes down what a dispatcher was told; a box that a whole list leaves out is gone.
-func (l *List) told(who string, p *boxlist.Push, known map[string]bool) map[string]bool {
+func (l *List) told(who string, p *boxlist.Update, known map[string]bool) map[string]bool {
 	if known == nil {
 		known = map[string]bool{}
 	}
-	if p.Whole {
+	if p.Full {
 		in := map[string]bool{}
-		for _, b := range p.Boxes {
+		for _, b := range p.Endpoints {
 			in[b.Name] = true
 		}
 		for name := range known {
 			if !in[name] {
-				l.fleet.Book.Put(record.Line{What: record.Told, Dispatcher: who, Box: name, Word: boxlist.Gone})
+				l.fleet.Book.Put(record.Line{What: record.Told, Dispatcher: who, Box: name, Word: boxlist.Removed})
 			}
 		}
 		known = map[string]bool{}
 	}
-	for _, b := range p.Boxes {
+	for _, b := range p.Endpoints {
 		known[b.Name] = true
-		l.fleet.Book.Put(record.Line{What: record.Told, Dispatcher: who, Box: b.Name, Word: b.Standing, Start: b.Start})
+		l.fleet.Book.Put(record.Line{What: record.Told, Dispatcher: who, Box: b.Name, Word: b.State, Start: b.Incarnation})
 	}
 	return known
 }
