--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -7,228 +7,234 @@
 	"time"
 )
 
-// allowed counts how many requests that find nothing else out a window lets out in some time, looked at every 20 ms.
-func countDispatches(d *Dispatcher, out *fakeRuntime, span time.Duration) (n int) {
-	for end := out.now + span; out.now < end; out.now += queueSweepInterval {
+// countDispatches returns how many requests the window lets out in a time, checked at every queue sweep, if
+// none is ever outstanding.
+func countDispatches(d *Dispatcher, runtime *fakeRuntime, span time.Duration) (dispatched int) {
+	for end := runtime.now + span; runtime.now < end; runtime.now += queueSweepInterval {
 		if d.mayDispatch() {
 			d.outstanding++
 			d.spendCredit()
 			d.outstanding--
-			n++
+			dispatched++
 		}
 	}
-	return n
+	return dispatched
 }
 
-// A window below one is a rate: so many in each response time, on the mean, whatever the chance that spreads them.
+// A window below one is a rate: that many requests per response time on average, despite the random spread.
 func TestWindowBelowOneIsARate(t *testing.T) {
 	for _, window := range []float64{0.1, 0.3, 0.9} {
-		d, out := newDispatcherOf(t, 300)
-		d.window, d.sendCredit, d.creditUpdatedAt = window, 0, out.now
+		d, runtime := newDispatcherOf(t, 300)
+		d.window, d.sendCredit, d.creditUpdatedAt = window, 0, runtime.now
 		d.timeToFirstToken.Add(0.5, 1)
-		got := float64(countDispatches(d, out, 200*time.Second))
+		got := float64(countDispatches(d, runtime, 200*time.Second))
 		if want := window / 0.5 * 200; math.Abs(got-want) > 0.1*want {
-			t.Errorf("window %g let %g out, wanted %g", window, got, want)
+			t.Errorf("window %g sent %g, wanted %g", window, got, want)
 		}
 	}
 }
 
-// Dispatchers that begin to wait in one moment do not go on in one moment.
+// Dispatchers that begin to wait at the same time do not continue at the same time.
 func TestPacedDispatchersSpreadOverTime(t *testing.T) {
 	times := map[time.Duration]bool{}
 	for seed := range uint64(50) {
-		d, out := newDispatcherOf(t, 300)
+		d, runtime := newDispatcherOf(t, 300)
 		d.rng = NewPCG(seed)
-		d.window, d.sendCredit, d.creditUpdatedAt, d.outstanding = 0.5, 1, out.now, 1
+		d.window, d.sendCredit, d.creditUpdatedAt, d.outstanding = 0.5, 1, runtime.now, 1
 		d.timeToFirstToken.Add(0.5, 1)
 		d.spendCredit()
-		for d.outstanding = 0; !d.mayDispatch(); out.now += queueSweepInterval {
+		for d.outstanding = 0; !d.mayDispatch(); runtime.now += queueSweepInterval {
 		}
-		times[out.now] = true
+		times[runtime.now] = true
 	}
 	if len(times) < 20 {
-		t.Errorf("50 dispatchers went on at %d times", len(times))
+		t.Errorf("50 dispatchers continued at %d different times", len(times))
 	}
 }
 
-// With little load nothing is paced: a dispatcher that had nothing to send sends two at once, also with the least window.
+// At low load nothing is paced: an idle dispatcher sends two requests at once, even with the smallest window.
 func TestIdleDispatcherSendsAtOnce(t *testing.T) {
-	d, out := newDispatcherOf(t, 300)
+	d, runtime := newDispatcherOf(t, 300)
 	for range 2 {
 		d.Submit(&Request{ID: 1, PromptTokens: 2000, MaxOutputTokens: 400, Timeout: 4 * time.Second}, 0, 0)
 	}
-	if len(out.sent) != 2 {
-		t.Errorf("%d of 2 were sent at the start", len(out.sent))
+	if len(runtime.sent) != 2 {
+		t.Errorf("%d of 2 requests were sent at the start", len(runtime.sent))
 	}
-	d, out = newDispatcherOf(t, 300)
+	d, runtime = newDispatcherOf(t, 300)
 	d.window, d.sendCredit, d.windowAdjusted = 1.0/300, 0, true
-	out.now += 10 * time.Minute
+	runtime.now += 10 * time.Minute
 	d.Submit(&Request{ID: 1, PromptTokens: 2000, MaxOutputTokens: 400, Timeout: 4 * time.Second}, 0, 0)
-	if len(out.sent) != 1 {
-		t.Error("after a long rest the first request waits")
+	if len(runtime.sent) != 1 {
+		t.Error("the first request after a long idle time waits")
 	}
 }
 
-// Congestion over, a window that was nearly shut opens by first tokens alone, without a cliff at one.
+// After congestion a nearly closed window opens by first tokens alone, without a step at one.
 func TestNarrowWindowRecovers(t *testing.T) {
-	d, out := newDispatcherOf(t, 300)
+	d, runtime := newDispatcherOf(t, 300)
 	d.window = 1.0 / 300
-	for n := 0; d.window < 1; n++ {
-		if n > 20 {
+	for round := 0; d.window < 1; round++ {
+		if round > 20 {
 			t.Fatalf("after 20 quick first tokens the window is %g", d.window)
 		}
-		q := newRequest(d)
-		addAttempt(q, d.backends[0], Served, out.now).FirstTokenAt = out.now
-		q.Outstanding, q.DispatchedAt, d.outstanding = true, out.now, 1
+		req := newRequest(d)
+		addAttempt(req, d.backends[0], Served, runtime.now).FirstTokenAt = runtime.now
+		req.Outstanding, req.DispatchedAt, d.outstanding = true, runtime.now, 1
 		before := d.window
-		d.clearOutstanding(q)
+		d.clearOutstanding(req)
 		if d.window <= before || d.window > 2.1*before {
-			t.Fatalf("%g -> %g", before, d.window)
+			t.Fatalf("window %g -> %g", before, d.window)
 		}
 	}
 }
 
-// One late first token each, and a window of twenty narrows as much in a response time as one of a half.
+// With one late first token per request, a window of 20 narrows by the same factor per response time as one of
+// 0.5.
 func TestWindowNarrowsByTheSameFactorAtAnySize(t *testing.T) {
 	for _, window := range []float64{0.5, 5, 20} {
-		d, out := newDispatcherOf(t, 300)
+		d, runtime := newDispatcherOf(t, 300)
 		d.window = window
 		for range int(max(window, 1)) {
-			q := newRequest(d)
-			addAttempt(q, d.backends[0], TimedOut, out.now)
-			q.Outstanding, q.DispatchedAt = true, out.now
+			req := newRequest(d)
+			addAttempt(req, d.backends[0], TimedOut, runtime.now)
+			req.Outstanding, req.DispatchedAt = true, runtime.now
 			d.outstanding++
-			d.clearOutstanding(q)
+			d.clearOutstanding(req)
 		}
-		if left := d.window / window; left < 0.6 || left > 0.8 {
-			t.Errorf("window %g: %.2f of it is left", window, left)
+		if remaining := d.window / window; remaining < 0.6 || remaining > 0.8 {
+			t.Errorf("window %g: narrowed to %.2f of it", window, remaining)
 		}
 	}
 }
 
-// What others tell of their requests moves the own window as an own request does; all that tell together have the say of one.
+// Peer updates move the window like own requests; all peers that report together have the weight of one
+// request.
 func TestPeerUpdatesMoveTheWindow(t *testing.T) {
 	d, _ := newDispatcherOf(t, 300)
 	d.window, d.peerFanout = 0.8, 7
 	before := d.window
 	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: VerdictBad, TargetShare: 1})
 	if d.window >= before || d.window < 0.9*before {
-		t.Errorf("a late one: %g -> %g", before, d.window)
+		t.Errorf("a late first token: window %g -> %g", before, d.window)
 	}
 	before = d.window
 	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: VerdictGood, TargetShare: 0.1})
 	if d.window <= before || d.window > 1.3*before {
-		t.Errorf("a quick one: %g -> %g", before, d.window)
+		t.Errorf("a quick first token: window %g -> %g", before, d.window)
 	}
 	before = d.window
 	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: VerdictBad})
 	d.Heard(PeerUpdate{Backend: d.backends[0], ClassIndex: 200, TargetShare: 1})
 	if d.window != before {
-		t.Errorf("news with no share, or of no class: %g -> %g", before, d.window)
+		t.Errorf("updates without a share or of no known class: window %g -> %g", before, d.window)
 	}
 }
 
-// A request that is out tells at once how long first tokens take, before it has ended.
+// An outstanding request raises the expected time to first token before it has ended.
 func TestOutstandingRequestRaisesExpectedTimeToFirstToken(t *testing.T) {
-	d, out := newDispatcher(t)
+	d, runtime := newDispatcher(t)
 	d.timeToFirstToken.Add(0.1, 1)
-	q := newRequest(d)
-	if !d.send(q, d.backends[0], StagePrefill, d.afterAttempt(q)) {
+	req := newRequest(d)
+	if !d.send(req, d.backends[0], StagePrefill, d.afterAttempt(req)) {
 		t.Fatal("not sent")
 	}
-	out.now += 2 * time.Second
+	runtime.now += 2 * time.Second
 	if got := d.expectedTimeToFirstToken(); got != 2 {
 		t.Errorf("after 2 s a first token is expected in %g s", got)
 	}
-	d.Ended(q.Attempts[0], Result{Outcome: Unreachable, Finished: true})
+	d.Ended(req.Attempts[0], Result{Outcome: Unreachable, Finished: true})
 	if got := d.expectedTimeToFirstToken(); got != 0.1 {
-		t.Errorf("once it has ended, in %g s", got)
+		t.Errorf("once it has ended it is expected in %g s", got)
 	}
 }
 
-// What a fleet begins with, and the least that it goes down to, does not grow with the number of dispatchers; nothing stops
-// the sending for good.
+// The sum of all initial windows, and of all smallest ones, does not depend on the number of dispatchers, and
+// no dispatcher stops sending for good.
 func TestSumOfWindowsIsIndependentOfDispatcherCount(t *testing.T) {
 	for _, dispatchers := range []float64{1, 6, 300} {
-		d, out := newDispatcherOf(t, dispatchers)
+		d, runtime := newDispatcherOf(t, dispatchers)
 		if sum := d.window * dispatchers; sum != windowPerBackend*6 {
-			t.Errorf("%g dispatchers begin with %g", dispatchers, sum)
+			t.Errorf("%g dispatchers: the initial windows add up to %g", dispatchers, sum)
 		}
 		for range 500 {
-			d.adjustWindow(1, out.now, false)
+			d.adjustWindow(1, runtime.now, false)
 		}
 		if sum := d.window * dispatchers; math.Abs(sum-1) > 1e-9 {
-			t.Errorf("%g dispatchers go down to %g", dispatchers, sum)
+			t.Errorf("%g dispatchers: the smallest windows add up to %g", dispatchers, sum)
 		}
 	}
 }
 
+// Whatever a dispatcher has gone through, it sends a request half an hour later.
 func TestDispatcherAlwaysResumesSending(t *testing.T) {
-	for name, bad := range map[string]func(*Dispatcher, *fakeRuntime){
-		"no hosts for a while": func(d *Dispatcher, _ *fakeRuntime) {
-			hosts := d.backends
+	for name, disturb := range map[string]func(*Dispatcher, *fakeRuntime){
+		"no backends for a while": func(d *Dispatcher, _ *fakeRuntime) {
+			backends := d.backends
 			d.backends = nil
 			d.adjustWindow(0.1, 0, true)
-			d.backends = hosts
+			d.backends = backends
 		},
-		"a clock that steps back": func(d *Dispatcher, out *fakeRuntime) {
+		"a clock that steps back": func(d *Dispatcher, runtime *fakeRuntime) {
 			d.mayDispatch()
-			out.now -= time.Hour
+			runtime.now -= time.Hour
 			d.mayDispatch()
 		},
-		"a target of nought": func(d *Dispatcher, out *fakeRuntime) {
-			q := newRequest(d)
-			q.TargetAt = q.ReceivedAt
-			addAttempt(q, d.backends[0], Served, out.now).FirstTokenAt = out.now
-			q.Outstanding, q.DispatchedAt, d.outstanding = true, out.now, 1
-			d.clearOutstanding(q)
+		"a target of zero": func(d *Dispatcher, runtime *fakeRuntime) {
+			req := newRequest(d)
+			req.TargetAt = req.ReceivedAt
+			addAttempt(req, d.backends[0], Served, runtime.now).FirstTokenAt = runtime.now
+			req.Outstanding, req.DispatchedAt, d.outstanding = true, runtime.now, 1
+			d.clearOutstanding(req)
 		},
-		"absurd reports": func(d *Dispatcher, _ *fakeRuntime) {
-			for _, h := range d.backends {
-				d.Heard(PeerUpdate{Backend: h, HasLoad: true, Util: 1e9, QueueLength: 1e12, TargetShare: 1, Verdict: VerdictGood})
+		"absurd load reports": func(d *Dispatcher, _ *fakeRuntime) {
+			for _, backend := range d.backends {
+				d.Heard(PeerUpdate{Backend: backend, HasLoad: true, Util: 1e9, QueueLength: 1e12, TargetShare: 1,
+					Verdict: VerdictGood})
 			}
 		},
 	} {
-		d, out := newDispatcherOf(t, 300)
-		bad(d, out)
+		d, runtime := newDispatcherOf(t, 300)
+		disturb(d, runtime)
 		if math.IsNaN(d.window) || d.window <= 0 || math.IsNaN(d.sendCredit) {
 			t.Errorf("%s: window %g, credit %g", name, d.window, d.sendCredit)
 		}
-		out.now += 30 * time.Minute
+		runtime.now += 30 * time.Minute
 		d.Submit(&Request{ID: 1, PromptTokens: 2000, MaxOutputTokens: 400, Timeout: 4 * time.Second}, 0, 0)
-		if len(out.sent) != 1 {
+		if len(runtime.sent) != 1 {
 			t.Errorf("%s: half an hour later nothing is sent", name)
 		}
 	}
 }
 
-// A class of which little was admitted goes before one of twice its value; among its own requests the newest stays first.
+// A class of which little was admitted goes before one of twice its value; among its own requests the newest
+// stays first.
 func TestQueuePrefersRarelyAdmittedClass(t *testing.T) {
-	f := testSettings()
-	f["requestClasses"] = 2.0
+	settings := testSettings()
+	settings["requestClasses"] = 2.0
 	for key, value := range map[string]any{"aimUs": 1e6, "effect": "repeatable"} {
-		f["requestClasses.1."+key] = value
+		settings["requestClasses.1."+key] = value
 	}
-	f["requestClasses.0.worth"], f["requestClasses.1.worth"] = 2.0, 1.0
+	settings["requestClasses.0.worth"], settings["requestClasses.1.worth"] = 2.0, 1.0
 	for admittedOfTheLast, want := range map[int][]uint64{100: {2, 1, 4, 3}, 20: {4, 3, 2, 1}} {
-		out := &fakeRuntime{now: 100 * time.Second}
-		d, err := New(f, 1, out)
+		runtime := &fakeRuntime{now: 100 * time.Second}
+		d, err := New(settings, 1, runtime)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i, admitted := range []int{100, admittedOfTheLast} {
-			d.classes[i].Offered.Add(out.now, 100)
-			d.classes[i].Admitted.Add(out.now, float64(admitted))
+			d.classes[i].Offered.Add(runtime.now, 100)
+			d.classes[i].Admitted.Add(runtime.now, float64(admitted))
 		}
 		for id := uint64(1); id <= 4; id++ {
-			q := newRequest(d)
-			q.ID, q.Class, q.ReceivedAt = id, d.classes[(id-1)/2], q.ReceivedAt+time.Duration(id)
-			d.enqueue(q)
+			req := newRequest(d)
+			req.ID, req.Class, req.ReceivedAt = id, d.classes[(id-1)/2], req.ReceivedAt+time.Duration(id)
+			d.enqueue(req)
 		}
 		d.reweightQueue()
 		var order []uint64
-		for _, q := range d.queue {
-			order = append(order, q.ID)
+		for _, req := range d.queue {
+			order = append(order, req.ID)
 		}
 		if !slices.Equal(order, want) {
 			t.Errorf("with %d of 100 admitted the queue is %v, wanted %v", admittedOfTheLast, order, want)
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -1,10 +1,8 @@
-// Package brain decides, for one dispatcher, where each request goes.
-//
-// The calling program makes a Dispatcher with New and calls it with what happens: Listed and ListFailed
-// for the list of backends, Submit for a request, Began and Ended for its attempts, Left when its client has
-// gone, Heard for what another dispatcher tells. It acts through the Runtime of runtime.go alone; types.go has
-// what it is handed. Each attempt carries in Next what is to be done with its result. The ordinary path is
-// that of docs/design.md: inPlace, pickMixed, pickPrefill, then pickDecode.
+// Package brain is the scheduler of one dispatcher: it decides which backend prefills and decodes each
+// request, and which requests wait or are rejected. It does no I/O and reads no clock of its own: it is called
+// with events (endpoint list, requests, attempts, peer updates) from one goroutine and acts only through
+// Runtime. Begin with New and the methods of Dispatcher; the usual path of a request is Submit, route,
+// pickPrefill, pickDecode.
 package brain
 
 import (
@@ -14,63 +12,89 @@
 )
 
 const (
-	refreshInterval       = 5 * time.Second        // how often the average is taken anew (design)
-	shortPromptShare      = 0.25                   // shorter prompts are read in place (design)
-	prefixTTL             = 20 * time.Second       // a prefix key unused for longer is taken for forgotten
-	outcomeBucketWidth    = 500 * time.Millisecond // a tenth of how long attempts speak for or against a backend
-	trustThreshold        = 0.5                    // a doubtful backend gets work if its draw is above this
-	queueSweepInterval    = 20 * time.Millisecond  // how often held requests are looked at
-	windowPerBackend      = 4.0                    // requests without a first token for each backend, to begin with
-	neutralTargetShare    = 0.7                    // of the promised span to a first token, at which the window stays
-	recentLoadBucketWidth = 3 * time.Second        // a tenth of how long what a backend was given counts
-	recentLoadWeight      = 0.5                    // how much that counts beside what it holds now
-	peerUpdateBudget      = 0.0007                 // of the benefit, at most, for telling others of one attempt
-	slowFailureWeight     = 0.25                   // of a failure, that a late first token weighs against its backend
-	crossRackPenalty      = 1.5                    // how much fuller a decode backend in another rack than the state counts
-	expectedOutputShare   = 0.25                   // of the longest answer, that a request is taken to need
-	peerUpdateBytes       = 8                      // bytes of what is told
-	maxLoadFactor         = 3.0                    // times as full as the mean, from which a home is not chosen alone
-	maxBurst              = 2.0                    // requests that a window's last part lets out at once, at most
-	overloadWaitShare     = 0.25                   // of the promised time: an oldest wait beyond it means overload
+	// refreshInterval is how often the mean of the tokens to prefill is recomputed and stale entries are
+	// dropped.
+	refreshInterval = 5 * time.Second
+	// shortPromptShare is the share of the mean tokens to prefill below which a decode backend prefills a prompt
+	// itself.
+	shortPromptShare = 0.25
+	// prefixTTL is the time after which an unused prefix is assumed to have been evicted from a backend's cache.
+	prefixTTL = 20 * time.Second
+	// outcomeBucketWidth is a tenth of the time for which outcomes of attempts count for or against a backend.
+	outcomeBucketWidth = 500 * time.Millisecond
+	// trustThreshold is what the draw from a backend's success posterior must exceed for the backend to get work.
+	trustThreshold = 0.5
+	// queueSweepInterval is how often the queue is checked for requests that can no longer make their target.
+	queueSweepInterval = 20 * time.Millisecond
+	// windowPerBackend is how many requests without a first token the window initially has for each backend of
+	// the fleet; also the largest window of one dispatcher, per backend.
+	windowPerBackend = 4.0
+	// neutralTargetShare is the share of the latency target that a first token may take without narrowing the
+	// window.
+	neutralTargetShare = 0.7
+	// recentLoadBucketWidth is a tenth of the time for which load sent to a backend counts as recent.
+	recentLoadBucketWidth = 3 * time.Second
+	// recentLoadWeight is the weight of recently sent load relative to load in flight.
+	recentLoadWeight = 0.5
+	// peerUpdateBudget is the largest cost of peer updates about one attempt, as a share of a request's value.
+	peerUpdateBudget = 0.0007
+	// slowFailureWeight is the part of a failure that a slow first token counts as.
+	slowFailureWeight = 0.25
+	// crossRackPenalty is the factor on the load of a decode backend outside the rack that holds the KV cache.
+	crossRackPenalty = 1.5
+	// expectedOutputShare is the share of the maximum output that a request is assumed to produce.
+	expectedOutputShare = 0.25
+	// peerUpdateBytes is the encoded size of a peer update.
+	peerUpdateBytes = 8
+	// maxLoadFactor is the load, relative to the mean, from which an affinity candidate is considered
+	// overloaded.
+	maxLoadFactor = 3.0
+	// maxBurst is how many requests the fractional part of the window lets out at once, at most.
+	maxBurst = 2.0
+	// overloadWaitShare is the share of the latency target beyond which a wait indicates overload.
+	overloadWaitShare = 0.25
 )
 
-// New starts an instance from its settings and the seed for its chance.
-func New(facts Settings, seed uint64, runtime Runtime) (*Dispatcher, error) {
-	if err := facts.Validate(); err != nil {
+// New returns a dispatcher with the given settings. The seed determines all of its random draws.
+func New(settings Settings, seed uint64, runtime Runtime) (*Dispatcher, error) {
+	if err := settings.Validate(); err != nil {
 		return nil, err
 	}
-	facts = facts.WithDefaults()
-	d := &Dispatcher{settings: facts, parameters: parametersOf(facts), runtime: runtime, rng: NewPCG(seed)}
+	settings = settings.WithDefaults()
+	d := &Dispatcher{settings: settings, parameters: parametersOf(settings), runtime: runtime, rng: NewPCG(seed)}
 	d.orderSeed, d.sendCredit = Mix(seed, 1), maxBurst
-	d.prefillTokens.BucketWidth, d.prefillRequests.BucketWidth, d.prefixTable.BucketWidth = refreshInterval, refreshInterval, refreshInterval
+	d.prefillTokens.BucketWidth, d.prefillRequests.BucketWidth, d.prefixTable.BucketWidth =
+		refreshInterval, refreshInterval, refreshInterval
 	var err error
-	if d.classes, err = facts.Classes(); err != nil {
+	if d.classes, err = settings.Classes(); err != nil {
 		return nil, err
 	}
-	d.tenants = facts.Tenants()
-	if facts.Bool("policyLimits.peers") {
-		dear := max(d.parameters.peerPrice*peerUpdateBytes/256, peerUpdateBudget/8)
-		d.peerFanout = min(int(peerUpdateBudget/dear), int(d.parameters.dispatchers)-1)
+	d.tenants = settings.Tenants()
+	if settings.Bool("policyLimits.peers") {
+		cost := max(d.parameters.peerPrice*peerUpdateBytes/256, peerUpdateBudget/8)
+		d.peerFanout = min(int(peerUpdateBudget/cost), int(d.parameters.dispatchers)-1)
 	}
-	if facts.Text("discovery") == "subscribe" {
+	if settings.Text("discovery") == "subscribe" {
 		runtime.WatchEndpoints(true)
 	}
-	// Its own phase: dispatchers that start together would all turn to the same backends in one moment.
+	// A random phase for each dispatcher: ones that start together would otherwise all switch to the same
+	// backends at the same moment.
 	runtime.Schedule(time.Duration(d.rng.Float()*float64(refreshInterval)), d.refresh)
 	return d, nil
 }
 
+// refresh recomputes the mean of the tokens to prefill and drops stale state.
 func (d *Dispatcher) refresh() {
 	now := d.runtime.Now()
-	if n := d.prefillRequests.Sum(now); n > 0 {
-		d.meanPrefillTokens = d.prefillTokens.Sum(now) / n
+	if requests := d.prefillRequests.Sum(now); requests > 0 {
+		d.meanPrefillTokens = d.prefillTokens.Sum(now) / requests
 	}
 	d.prefixTable.DropEmpty(now)
 	for role := range d.warmWork {
 		d.meanCompletedWork(Role(role), false)
 	}
-	for _, h := range d.backends {
-		h.ForgetPrefixes(now - prefixTTL)
+	for _, backend := range d.backends {
+		backend.ForgetPrefixes(now - prefixTTL)
 	}
 	d.dropStaleHolders()
 	d.capacitiesComparedAt = 0
@@ -78,36 +102,39 @@
 	d.runtime.Schedule(refreshInterval, d.refresh)
 }
 
-// Listed takes what the list says of backends; a whole list leaves out those that are gone.
-func (d *Dispatcher) Listed(lines []Endpoint, whole bool) {
-	gone := whole
+// Listed applies a change of the endpoint list. With whole set, backends that are not in endpoints have been
+// removed.
+func (d *Dispatcher) Listed(endpoints []Endpoint, whole bool) {
+	anyRemoved := whole
 	if whole {
-		for _, h := range d.backends {
-			h.State = Removed
+		for _, backend := range d.backends {
+			backend.State = Removed
 		}
 	}
-	for _, l := range lines {
-		h := l.Backend
-		if h.CachedPrefixes == nil {
-			d.initBackend(h)
+	for _, endpoint := range endpoints {
+		backend := endpoint.Backend
+		if backend.CachedPrefixes == nil {
+			d.initBackend(backend)
 		}
-		if !h.Tracked {
-			d.addBackend(h, len(lines) > fullScanLimit)
+		if !backend.Tracked {
+			d.addBackend(backend, len(endpoints) > fullScanLimit)
 		}
-		if h.CachedPrefixes == nil || l.StartReported && l.StartedAt != h.StartedAt {
-			h.CachedPrefixes = map[uint64]CachedPrefix{}
-			fresh := OutcomeStats{Successes: RollingSum{BucketWidth: outcomeBucketWidth}, Failures: RollingSum{BucketWidth: outcomeBucketWidth}}
-			h.Outcomes = slices.Repeat([]OutcomeStats{fresh}, 1+len(d.classes))
+		if backend.CachedPrefixes == nil || endpoint.StartReported && endpoint.StartedAt != backend.StartedAt {
+			backend.CachedPrefixes = map[uint64]CachedPrefix{}
+			emptyStats := OutcomeStats{Successes: RollingSum{BucketWidth: outcomeBucketWidth},
+				Failures: RollingSum{BucketWidth: outcomeBucketWidth}}
+			backend.Outcomes = slices.Repeat([]OutcomeStats{emptyStats}, 1+len(d.classes))
 		}
-		gone = gone || l.State == Removed
-		h.State, h.CapacityUnits, h.StartedAt, h.StartReported = l.State, max(l.CapacityUnits, 0.01), l.StartedAt, l.StartReported
-		if h.RelativeCapacity == 0 {
-			h.RelativeCapacity = 1 // until sizes are compared
+		anyRemoved = anyRemoved || endpoint.State == Removed
+		backend.State, backend.CapacityUnits, backend.StartedAt, backend.StartReported =
+			endpoint.State, max(endpoint.CapacityUnits, 0.01), endpoint.StartedAt, endpoint.StartReported
+		if backend.RelativeCapacity == 0 {
+			backend.RelativeCapacity = 1 // until capacities are compared
 		}
 	}
-	if gone || d.removedInUse {
+	if anyRemoved || d.removedInUse {
 		d.dropRemoved()
-		d.removedInUse = slices.ContainsFunc(d.backends, func(h *Backend) bool { return h.State == Removed })
+		d.removedInUse = slices.ContainsFunc(d.backends, func(b *Backend) bool { return b.State == Removed })
 	}
 	d.sortBackends()
 	d.invalidateCompletedWork()
@@ -118,119 +145,126 @@
 	d.dispatch()
 }
 
-// meet sets what does not change of a backend that is seen for the first time.
-func (d *Dispatcher) initBackend(h *Backend) {
-	h.Role, h.KVCapacity = d.settings.RoleOf(h.Kind), d.settings.KVCapacityOf(h.Kind)
-	h.SentWork.BucketWidth = max(d.parameters.slowStartWindow/(bucketCount-1), 1)
-	h.CompletedWork.BucketWidth = max(d.parameters.slowStartWindow*5/bucketCount, 1)
-	h.RecentLoad.BucketWidth, h.DistanceFactor, h.Bias = recentLoadBucketWidth, 1, -math.Log(d.rng.Float())
-	if h.Zone != d.parameters.zone {
-		h.DistanceFactor += 25 * d.parameters.crossZonePrice
-	}
-	h.TokenLimit = h.KVCapacity / d.parameters.dispatchers
+// initBackend sets the fields that are fixed once a backend has been discovered.
+func (d *Dispatcher) initBackend(backend *Backend) {
+	backend.Role, backend.KVCapacity = d.settings.RoleOf(backend.Kind), d.settings.KVCapacityOf(backend.Kind)
+	backend.SentWork.BucketWidth = max(d.parameters.slowStartWindow/(bucketCount-1), 1)
+	backend.CompletedWork.BucketWidth = max(d.parameters.slowStartWindow*5/bucketCount, 1)
+	backend.RecentLoad.BucketWidth, backend.DistanceFactor, backend.Bias =
+		recentLoadBucketWidth, 1, -math.Log(d.rng.Float())
+	if backend.Zone != d.parameters.zone {
+		backend.DistanceFactor += 25 * d.parameters.crossZonePrice
+	}
+	backend.TokenLimit = backend.KVCapacity / d.parameters.dispatchers
 }
 
-// ListFailed asks again, a little later, where the list has to be asked for.
+// ListFailed resubscribes after a second where service discovery is by subscription.
 func (d *Dispatcher) ListFailed() {
 	if d.settings.Text("discovery") == "subscribe" {
 		d.runtime.Schedule(time.Second, func() { d.runtime.WatchEndpoints(true) })
 	}
 }
 
-// Submit takes a request.
-func (d *Dispatcher) Submit(q *Request, grade, channel int) {
+// Submit accepts a request of a class and a tenant (both by index), and queues or sends it.
+func (d *Dispatcher) Submit(req *Request, classIndex, tenantIndex int) {
 	now := d.runtime.Now()
-	q.Class = d.classes[min(grade, len(d.classes)-1)]
-	q.ReceivedAt, q.Deadline, q.KVTokens = now, now+q.Timeout, q.PromptTokens+expectedOutputShare*q.MaxOutputTokens
-	q.Class.Offered.Add(now, 1)
-	q.TargetAt = now + q.Class.Target + time.Duration(q.PromptTokens/1000*float64(q.Class.TargetPer1000Tokens))
-	if channel < len(d.tenants) {
-		c := d.tenants[channel]
-		c.Received.Add(now, 1)
-		share := d.parameters.ownShare(c.Quota)
-		q.OverQuota = c.Received.Sum(now) > share*bucketCount*c.Received.BucketWidth.Seconds()
-	}
-	d.enqueue(q)
+	req.Class = d.classes[min(classIndex, len(d.classes)-1)]
+	req.ReceivedAt, req.Deadline, req.KVTokens =
+		now, now+req.Timeout, req.PromptTokens+expectedOutputShare*req.MaxOutputTokens
+	req.Class.Offered.Add(now, 1)
+	req.TargetAt = now + req.Class.Target + time.Duration(req.PromptTokens/1000*float64(req.Class.TargetPer1000Tokens))
+	if tenantIndex < len(d.tenants) {
+		tenant := d.tenants[tenantIndex]
+		tenant.Received.Add(now, 1)
+		share := d.parameters.ownShare(tenant.Quota)
+		req.OverQuota = tenant.Received.Sum(now) > share*bucketCount*tenant.Received.BucketWidth.Seconds()
+	}
+	d.enqueue(req)
 	d.dispatch()
 }
 
-// giveUp answers a request finally: declined where that promise can be kept, else forfeited.
-func (d *Dispatcher) giveUp(q *Request) {
-	if q.Finished {
+// giveUp ends a request without an answer: rejected if a retry by its client is harmless, else failed.
+func (d *Dispatcher) giveUp(req *Request) {
+	if req.Finished {
 		return
 	}
-	q.Finished = true
-	d.releaseKV(q)
-	if MayReject(q) != Allowed {
-		d.runtime.Fail(q)
+	req.Finished = true
+	d.releaseKV(req)
+	if MayReject(req) != Allowed {
+		d.runtime.Fail(req)
 		return
 	}
-	var after time.Duration
+	var retryAfter time.Duration
 	if d.parameters.retryAfter {
-		after = min(d.parameters.maxRetryAfter, q.TargetAt-q.ReceivedAt)
+		retryAfter = min(d.parameters.maxRetryAfter, req.TargetAt-req.ReceivedAt)
 	}
-	d.runtime.Reject(q, after)
+	d.runtime.Reject(req, retryAfter)
 }
 
-// send makes an attempt unless the gate bars it.
-func (d *Dispatcher) send(q *Request, h *Backend, stage Stage, next func(Result)) bool {
-	if h == nil || d.disallowed(q, h) {
+// send starts an attempt and reports whether the rules allow it.
+func (d *Dispatcher) send(req *Request, backend *Backend, stage Stage, onResult func(Result)) bool {
+	if backend == nil || d.disallowed(req, backend) {
 		return false
 	}
 	now := d.runtime.Now()
-	t := &Attempt{Request: q, Backend: h, Number: len(q.Attempts), SentAt: now, Stage: stage, SlowStart: d.inSlowStart(h), OnResult: next}
-	kept := d.cachedTokens(h, q)
-	t.CachedTokens = kept / max(h.HitRatio.ValueOr(1), 0.01)
+	attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), SentAt: now, Stage: stage,
+		SlowStart: d.inSlowStart(backend), OnResult: onResult}
+	cached := d.cachedTokens(backend, req)
+	attempt.CachedTokens = cached / max(backend.HitRatio.ValueOr(1), 0.01)
 	if stage != StageDecode {
-		t.PrefillTokens = q.PromptTokens - kept
+		attempt.PrefillTokens = req.PromptTokens - cached
 	} else {
-		t.ConnectTimeout = d.connectTimeout() // other decode backends, and a release, are in time (rule 5)
+		attempt.ConnectTimeout = d.connectTimeout() // leaves time for another decode backend and for a release (rule 5)
 	}
-	streams := d.applyLoad(t, 1)
-	h.RecentLoad.Add(now, streams+t.PrefillTokens/2/max(d.meanPrefillTokens, 300))
-	if !q.Outstanding {
-		q.Outstanding, q.DispatchedAt = true, now
-		d.awaitingFirstToken = append(d.awaitingFirstToken, q)
+	streams := d.applyLoad(attempt, 1)
+	backend.RecentLoad.Add(now, streams+attempt.PrefillTokens/2/max(d.meanPrefillTokens, 300))
+	if !req.Outstanding {
+		req.Outstanding, req.DispatchedAt = true, now
+		d.awaitingFirstToken = append(d.awaitingFirstToken, req)
 		d.outstanding++
 	}
-	h.SentWork.Add(now, d.requestWork(q, h, stage))
-	q.Attempts = append(q.Attempts, t)
-	d.scheduleRelease(t)
-	d.runtime.Send(t, d.attemptTimeout(t))
+	backend.SentWork.Add(now, d.requestWork(req, backend, stage))
+	req.Attempts = append(req.Attempts, attempt)
+	d.scheduleRelease(attempt)
+	d.runtime.Send(attempt, d.attemptTimeout(attempt))
 	return true
 }
 
-// weigh counts what an attempt takes at its backend, or takes it away again, and tells the change in streams.
-func (d *Dispatcher) applyLoad(t *Attempt, sign float64) float64 {
-	streams := t.ApplyLoad(sign)
+// applyLoad adds the attempt's load to the totals and to its backend (sign 1) or removes it (sign -1), and
+// returns the change in streams.
+func (d *Dispatcher) applyLoad(attempt *Attempt, sign float64) float64 {
+	streams := attempt.ApplyLoad(sign)
 	d.streams += streams
-	if t.Backend.Role == RolePrefill {
-		d.prefillOnlyTokens += sign * t.Request.KVTokens
+	if attempt.Backend.Role == RolePrefill {
+		d.prefillOnlyTokens += sign * attempt.Request.KVTokens
 	}
 	return streams
 }
 
-// patience is how long an attempt may take: three quarters of what is left where another attempt may follow it,
-// so that a silent backend leaves time for one. Shorter waits only fill backends that go on with dropped work.
-func (d *Dispatcher) attemptTimeout(t *Attempt) time.Duration {
-	left := t.Request.Deadline - t.SentAt
-	if left.Seconds()/4 < d.timeToFirstToken.ValueOr(0) || t.Stage != StagePrefill && t.Request.Class.Effect != Idempotent ||
-		t.Number+1 >= d.parameters.maxAttempts {
-		return left
-	}
-	return left * 3 / 4
+// attemptTimeout is how long an attempt may take: three quarters of the time left if another attempt may
+// follow, so that an unresponsive backend leaves time for one. Shorter timeouts only fill backends that go on
+// with work that was given up.
+func (d *Dispatcher) attemptTimeout(attempt *Attempt) time.Duration {
+	timeLeft := attempt.Request.Deadline - attempt.SentAt
+	if timeLeft.Seconds()/4 < d.timeToFirstToken.ValueOr(0) ||
+		attempt.Stage != StagePrefill && attempt.Request.Class.Effect != Idempotent ||
+		attempt.Number+1 >= d.parameters.maxAttempts {
+		return timeLeft
+	}
+	return timeLeft * 3 / 4
 }
 
-// Left takes word that the client has gone.
-func (d *Dispatcher) Left(q *Request) {
-	if q.Finished {
+// Left ends a request whose client has disconnected. An attempt without a first token is cancelled if
+// cancelling is supported.
+func (d *Dispatcher) Left(req *Request) {
+	if req.Finished {
 		return
 	}
-	q.Finished = true
-	d.clearOutstanding(q)
-	d.dequeue(q)
-	if t := q.InFlight(); t != nil && t.FirstTokenAt == 0 && d.parameters.canCancel {
-		d.runtime.Cancel(t)
+	req.Finished = true
+	d.clearOutstanding(req)
+	d.dequeue(req)
+	if attempt := req.InFlight(); attempt != nil && attempt.FirstTokenAt == 0 && d.parameters.canCancel {
+		d.runtime.Cancel(attempt)
 	}
-	d.releaseKV(q)
+	d.releaseKV(req)
 }
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -10,230 +10,243 @@
 )
 
 func TestDisallowedFollowsTheRules(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		set   func(d *Dispatcher, q *Request, h *Backend)
-		bars  bool
-		reach DedupScope
+	for _, tc := range []struct {
+		name       string
+		prepare    func(d *Dispatcher, req *Request, backend *Backend)
+		disallowed bool
+		scope      DedupScope
 	}{
-		{name: "nothing against it", set: func(*Dispatcher, *Request, *Backend) {}},
-		{name: "answered", bars: true, set: func(_ *Dispatcher, q *Request, _ *Backend) { q.Finished = true }},
-		{name: "a trip is out", bars: true, set: func(_ *Dispatcher, q *Request, h *Backend) {
-			addAttempt(q, h, Rejected, 0).Ended = false
+		{name: "nothing against it", prepare: func(*Dispatcher, *Request, *Backend) {}},
+		{name: "finished", disallowed: true, prepare: func(_ *Dispatcher, r *Request, _ *Backend) { r.Finished = true }},
+		{name: "an attempt is in flight", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
+			addAttempt(req, backend, Rejected, 0).Ended = false
 		}},
-		{name: "expired", bars: true, set: func(d *Dispatcher, q *Request, _ *Backend) { q.Deadline = d.runtime.Now() }},
-		{name: "trips used up", bars: true, set: func(_ *Dispatcher, q *Request, h *Backend) {
+		{name: "deadline passed", disallowed: true, prepare: func(d *Dispatcher, r *Request, _ *Backend) {
+			r.Deadline = d.runtime.Now()
+		}},
+		{name: "attempts used up", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			for range 4 {
-				addAttempt(q, h, Rejected, 0)
+				addAttempt(req, backend, Rejected, 0)
 			}
 		}},
-		{name: "draining", bars: true, set: func(_ *Dispatcher, _ *Request, h *Backend) { h.State = Draining }},
-		{name: "gone", bars: true, set: func(_ *Dispatcher, _ *Request, h *Backend) { h.State = Removed }},
-		{name: "unrepeatable, may have run", bars: true, set: func(_ *Dispatcher, q *Request, h *Backend) {
-			q.Class.Effect = NonIdempotent
-			addAttempt(q, h, TimedOut, 0)
-		}},
-		{name: "unrepeatable, proven not run", set: func(_ *Dispatcher, q *Request, h *Backend) {
-			q.Class.Effect = NonIdempotent
-			addAttempt(q, h, Rejected, 0)
-		}},
-		{name: "unrepeatable, lost at a reader", set: func(d *Dispatcher, q *Request, _ *Backend) {
-			q.Class.Effect = NonIdempotent
-			addAttempt(q, d.backends[0], ConnectionLost, 0)
-		}},
-		{name: "deduplicated, past its window", bars: true, set: func(d *Dispatcher, q *Request, h *Backend) {
-			q.Class.Effect, q.Class.DedupWindow = Deduplicated, time.Second
-			addAttempt(q, h, TimedOut, d.runtime.Now()-time.Second)
-		}},
-		{name: "deduplicated, in its window", set: func(d *Dispatcher, q *Request, h *Backend) {
-			q.Class.Effect, q.Class.DedupWindow = Deduplicated, time.Second
-			addAttempt(q, h, TimedOut, d.runtime.Now()-time.Second/2)
+		{name: "draining", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Draining }},
+		{name: "removed", disallowed: true, prepare: func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Removed }},
+		{name: "non-idempotent, may have run", disallowed: true,
+			prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
+				req.Class.Effect = NonIdempotent
+				addAttempt(req, backend, TimedOut, 0)
+			}},
+		{name: "non-idempotent, proven not run", prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
+			req.Class.Effect = NonIdempotent
+			addAttempt(req, backend, Rejected, 0)
 		}},
-		{name: "deduplicated, other rack", bars: true, reach: SameRack, set: func(d *Dispatcher, q *Request, _ *Backend) {
-			q.Class.Effect, q.Class.DedupWindow = Deduplicated, time.Minute
-			addAttempt(q, d.backends[3], TimedOut, d.runtime.Now())
+		{name: "non-idempotent, lost at a prefill backend", prepare: func(d *Dispatcher, req *Request, _ *Backend) {
+			req.Class.Effect = NonIdempotent
+			addAttempt(req, d.backends[0], ConnectionLost, 0)
 		}},
-		{name: "deduplicated, other zone", bars: true, reach: SameZone, set: func(d *Dispatcher, q *Request, _ *Backend) {
-			q.Class.Effect, q.Class.DedupWindow = Deduplicated, time.Minute
-			d.backends[3].Zone = 1
-			addAttempt(q, d.backends[3], TimedOut, d.runtime.Now())
+		{name: "deduplicated, after its window", disallowed: true,
+			prepare: func(d *Dispatcher, req *Request, backend *Backend) {
+				req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
+				addAttempt(req, backend, TimedOut, d.runtime.Now()-time.Second)
+			}},
+		{name: "deduplicated, in its window", prepare: func(d *Dispatcher, req *Request, backend *Backend) {
+			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
+			addAttempt(req, backend, TimedOut, d.runtime.Now()-time.Second/2)
 		}},
-		{name: "cold and at its budget", bars: true, set: func(d *Dispatcher, _ *Request, h *Backend) {
-			h.StartReported, h.StartedAt = true, d.runtime.Now()-time.Second
+		{name: "deduplicated, other rack", disallowed: true, scope: SameRack,
+			prepare: func(d *Dispatcher, req *Request, _ *Backend) {
+				req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Minute
+				addAttempt(req, d.backends[3], TimedOut, d.runtime.Now())
+			}},
+		{name: "deduplicated, other zone", disallowed: true, scope: SameZone,
+			prepare: func(d *Dispatcher, req *Request, _ *Backend) {
+				req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Minute
+				d.backends[3].Zone = 1
+				addAttempt(req, d.backends[3], TimedOut, d.runtime.Now())
+			}},
+		{name: "in slow start, budget used up", disallowed: true, prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
+			backend.StartReported, backend.StartedAt = true, d.runtime.Now()-time.Second
 			d.backends[3].CompletedWork.Add(d.runtime.Now(), 50000)
-			h.SentWork.Add(d.runtime.Now(), 12000)
+			backend.SentWork.Add(d.runtime.Now(), 12000)
 		}},
-		{name: "cold with budget left", set: func(d *Dispatcher, _ *Request, h *Backend) {
-			h.StartReported, h.StartedAt = true, d.runtime.Now()-time.Second
+		{name: "in slow start, budget left", prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
+			backend.StartReported, backend.StartedAt = true, d.runtime.Now()-time.Second
 			d.backends[3].CompletedWork.Add(d.runtime.Now(), 50000)
-			h.SentWork.Add(d.runtime.Now(), 100)
-		}},
-		{name: "cold while warm hosts are pushed hard", bars: true, set: func(d *Dispatcher, _ *Request, h *Backend) {
-			h.StartReported, h.StartedAt = true, d.runtime.Now()-time.Second
-			d.backends[3].SentWork.Add(d.runtime.Now(), 50000)
-			h.SentWork.Add(d.runtime.Now(), 100)
+			backend.SentWork.Add(d.runtime.Now(), 100)
 		}},
+		{name: "in slow start while warm backends are heavily loaded", disallowed: true,
+			prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
+				backend.StartReported, backend.StartedAt = true, d.runtime.Now()-time.Second
+				d.backends[3].SentWork.Add(d.runtime.Now(), 50000)
+				backend.SentWork.Add(d.runtime.Now(), 100)
+			}},
 	} {
 		d, _ := newDispatcher(t)
-		q := newRequest(d)
-		q.Class.DedupScope = c.reach
-		c.set(d, q, d.backends[2])
-		if got := d.disallowed(q, d.backends[2]); got != c.bars {
-			t.Errorf("%s: barred is %v", c.name, got)
+		req := newRequest(d)
+		req.Class.DedupScope = tc.scope
+		tc.prepare(d, req, d.backends[2])
+		if got := d.disallowed(req, d.backends[2]); got != tc.disallowed {
+			t.Errorf("%s: disallowed is %v", tc.name, got)
 		}
 	}
 }
 
 func TestGiveUpRejectsOnlyWhereARetryIsHarmless(t *testing.T) {
-	for _, c := range []struct {
-		name    string
-		effect  Effect
-		reach   DedupScope
-		outcome Outcome
-		decline bool
+	for _, tc := range []struct {
+		name     string
+		effect   Effect
+		scope    DedupScope
+		outcome  Outcome
+		rejected bool
 	}{
 		{"idempotent that may have run", Idempotent, WholeFleet, TimedOut, true},
-		{"unrepeatable that never ran", NonIdempotent, WholeFleet, Rejected, true},
-		{"unrepeatable that may have run", NonIdempotent, WholeFleet, ConnectionLost, false},
+		{"non-idempotent that never ran", NonIdempotent, WholeFleet, Rejected, true},
+		{"non-idempotent that may have run", NonIdempotent, WholeFleet, ConnectionLost, false},
 		{"deduplicated everywhere", Deduplicated, WholeFleet, TimedOut, true},
 		{"deduplicated in its rack", Deduplicated, SameRack, TimedOut, false},
 	} {
-		d, out := newDispatcher(t)
-		q := newRequest(d)
-		q.Class.Effect, q.Class.DedupScope, q.KVHolder = c.effect, c.reach, d.backends[0]
-		addAttempt(q, d.backends[2], c.outcome, 0)
-		d.giveUp(q)
-		if (len(out.rejected) == 1) != c.decline || (len(out.failed) == 1) == c.decline || len(out.released) != 1 {
-			t.Errorf("%s: declined %d, forfeited %d, released %d", c.name, len(out.rejected), len(out.failed), len(out.released))
+		d, runtime := newDispatcher(t)
+		req := newRequest(d)
+		req.Class.Effect, req.Class.DedupScope, req.KVHolder = tc.effect, tc.scope, d.backends[0]
+		addAttempt(req, d.backends[2], tc.outcome, 0)
+		d.giveUp(req)
+		if (len(runtime.rejected) == 1) != tc.rejected || (len(runtime.failed) == 1) == tc.rejected ||
+			len(runtime.released) != 1 {
+			t.Errorf("%s: rejected %d, failed %d, released %d", tc.name, len(runtime.rejected), len(runtime.failed),
+				len(runtime.released))
 		}
 	}
 }
 
 func TestKVCacheOfADisconnectedClientIsReleased(t *testing.T) {
-	d, out := newDispatcher(t)
-	q := newRequest(d)
-	trip := addAttempt(q, d.backends[0], 0, d.runtime.Now())
-	trip.Ended, q.Finished, d.backends[0].KVTokens = false, true, q.KVTokens
-	d.Ended(trip, Result{Outcome: Prefilled, Finished: true})
-	if len(out.released) != 1 || d.backends[0].KVTokens != 0 {
-		t.Errorf("released %d, tokens %g", len(out.released), d.backends[0].KVTokens)
+	d, runtime := newDispatcher(t)
+	req := newRequest(d)
+	attempt := addAttempt(req, d.backends[0], 0, d.runtime.Now())
+	attempt.Ended, req.Finished, d.backends[0].KVTokens = false, true, req.KVTokens
+	d.Ended(attempt, Result{Outcome: Prefilled, Finished: true})
+	if len(runtime.released) != 1 || d.backends[0].KVTokens != 0 {
+		t.Errorf("released %d, tokens %g", len(runtime.released), d.backends[0].KVTokens)
 	}
 }
 
 func TestEnqueueGivesUpRequestsThatExpireBeforeTheNextSweep(t *testing.T) {
-	d, out := newDispatcher(t)
-	q := newRequest(d)
-	q.Deadline = d.runtime.Now() + queueSweepInterval
-	d.enqueue(q)
-	if len(out.rejected) != 1 || len(d.queue) != 0 {
-		t.Errorf("declined %d, held %d", len(out.rejected), len(d.queue))
+	d, runtime := newDispatcher(t)
+	req := newRequest(d)
+	req.Deadline = d.runtime.Now() + queueSweepInterval
+	d.enqueue(req)
+	if len(runtime.rejected) != 1 || len(d.queue) != 0 {
+		t.Errorf("rejected %d, queued %d", len(runtime.rejected), len(d.queue))
 	}
 }
 
 func TestUnreachableBackendIsInSlowStart(t *testing.T) {
 	d, _ := newDispatcher(t)
-	q := newRequest(d)
-	trip := addAttempt(q, d.backends[2], 0, d.runtime.Now())
-	trip.Ended = false
-	d.Ended(trip, Result{Outcome: Unreachable, Finished: true})
+	req := newRequest(d)
+	attempt := addAttempt(req, d.backends[2], 0, d.runtime.Now())
+	attempt.Ended = false
+	d.Ended(attempt, Result{Outcome: Unreachable, Finished: true})
 	if !d.inSlowStart(d.backends[2]) {
-		t.Error("the host counts as warm")
+		t.Error("the backend is not in slow start")
 	}
 }
 
 func TestSuspectedBackendStillGetsSomeWork(t *testing.T) {
 	d, _ := newDispatcher(t)
-	h := d.backends[2]
-	h.Outcomes[0].Failures.Add(d.runtime.Now(), 8)
-	given := 0
+	backend := d.backends[2]
+	backend.Outcomes[0].Failures.Add(d.runtime.Now(), 8)
+	granted := 0
 	for range 1000 {
-		if d.drawTrust(d.successPosterior(h, newRequest(d))) {
-			given++
+		if d.drawTrust(d.successPosterior(backend, newRequest(d))) {
+			granted++
 		}
 	}
-	if given == 0 || given > 300 {
-		t.Errorf("a doubtful host got %d of 1000", given)
+	if granted == 0 || granted > 300 {
+		t.Errorf("a suspected backend got %d of 1000", granted)
 	}
 }
 
-// A request that no backend may take any more, as its group drains or its window is over, must not hold up all behind it until
-// its time is up: it is given up on at once.
+// A request that no backend may take any more, as its group drains or its deduplication window has closed, is
+// given up at once: otherwise it would block the queue until its deadline.
 func TestDispatchGivesUpRequestsThatNoBackendMayTake(t *testing.T) {
-	d, out := newDispatcher(t)
+	d, runtime := newDispatcher(t)
 	first, behind := newRequest(d), newRequest(d)
 	behind.ID = 2
-	first.Class = &Class{Effect: Deduplicated, DedupScope: SameRack, DedupWindow: time.Minute, Value: 9, Target: time.Second}
-	addAttempt(first, d.backends[2], TimedOut, out.now)
+	first.Class = &Class{Effect: Deduplicated, DedupScope: SameRack, DedupWindow: time.Minute, Value: 9,
+		Target: time.Second}
+	addAttempt(first, d.backends[2], TimedOut, runtime.now)
 	d.enqueue(first)
-	for _, h := range d.backends {
-		if h.Rack == d.backends[2].Rack {
-			h.State = Draining
+	for _, backend := range d.backends {
+		if backend.Rack == d.backends[2].Rack {
+			backend.State = Draining
 		}
 	}
 	d.enqueue(behind)
 	if d.queue[0] != first {
-		t.Fatal("the other one is in front")
+		t.Fatal("the other request is first in the queue")
 	}
 	d.dispatch()
-	if len(out.sent) != 1 || out.sent[0].Request != behind || len(out.failed) != 1 || out.failed[0] != first || len(d.queue) != 0 {
-		t.Errorf("%d sent, %d forfeited, %d held", len(out.sent), len(out.failed), len(d.queue))
+	if len(runtime.sent) != 1 || runtime.sent[0].Request != behind || len(runtime.failed) != 1 ||
+		runtime.failed[0] != first || len(d.queue) != 0 {
+		t.Errorf("%d sent, %d failed, %d queued", len(runtime.sent), len(runtime.failed), len(d.queue))
 	}
 }
 
 func TestShedRejectsTheLeastValueDenseUnderOverload(t *testing.T) {
-	d, out := newDispatcher(t)
+	d, runtime := newDispatcher(t)
 	early, late := newRequest(d), newRequest(d)
 	early.ID, late.ID = 1, 2
 	d.queue = []*Request{early, late}
-	out.now += 300 * time.Millisecond
-	d.window = 0.1 // one in 2.5 s, by a first token's 0.25 s
+	runtime.now += 300 * time.Millisecond
+	d.window = 0.1 // one per 2.5 s at a time to first token of 0.25 s
 	d.shedLate()
-	if !slices.Equal(out.rejected, []*Request{late}) {
-		t.Errorf("declined %v", out.rejected)
+	if !slices.Equal(runtime.rejected, []*Request{late}) {
+		t.Errorf("rejected %v", runtime.rejected)
 	}
 }
 
 func TestRoutePrefillsShortPromptsInPlaceOnceAMeanIsKnown(t *testing.T) {
-	for _, c := range []struct {
-		name    string
-		average float64
-		kept    float64
-		stage   Stage
-		host    uint32
+	for _, tc := range []struct {
+		name      string
+		average   float64
+		cached    float64
+		stage     Stage
+		backendID uint32
 	}{
-		{"fresh router", 0, 1900, StagePrefill, 0},
-		{"short for the writer that keeps it", 1000, 1900, StageWhole, 4},
+		{"no mean known yet", 0, 1900, StagePrefill, 0},
+		{"short for the decode backend that has its prefix cached", 1000, 1900, StageWhole, 4},
 	} {
-		d, out := newDispatcher(t)
-		d.meanPrefillTokens = c.average
+		d, runtime := newDispatcher(t)
+		d.meanPrefillTokens = tc.average
 		d.backends[4].State, d.backends[5].State = Removed, Removed
-		d.backends[3].CachedPrefixes[7] = CachedPrefix{Tokens: c.kept, UsedAt: d.runtime.Now()}
+		d.backends[3].CachedPrefixes[7] = CachedPrefix{Tokens: tc.cached, UsedAt: d.runtime.Now()}
 		d.route(newRequest(d))
-		if len(out.sent) != 1 || out.sent[0].Stage != c.stage || c.host != 0 && out.sent[0].Backend.ID != c.host {
-			t.Errorf("%s: sent %+v", c.name, out.sent)
+		if len(runtime.sent) != 1 || runtime.sent[0].Stage != tc.stage ||
+			tc.backendID != 0 && runtime.sent[0].Backend.ID != tc.backendID {
+			t.Errorf("%s: sent %+v", tc.name, runtime.sent)
 		}
 	}
 }
 
 func TestLostKVCacheIsPrefilledAgain(t *testing.T) {
-	d, out := newDispatcher(t)
-	q := newRequest(d)
-	trip := addAttempt(q, d.backends[2], 0, d.runtime.Now())
-	trip.Ended, trip.Stage, trip.OnResult, q.KVHolder = false, StageDecode, d.afterAttempt(q), d.backends[0]
-	d.Ended(trip, Result{Outcome: Rejected, Detail: 1})
-	if len(out.sent) != 1 || out.sent[0].Stage != StagePrefill {
-		t.Errorf("sent %v", out.sent)
+	d, runtime := newDispatcher(t)
+	req := newRequest(d)
+	attempt := addAttempt(req, d.backends[2], 0, d.runtime.Now())
+	attempt.Ended, attempt.Stage, attempt.OnResult, req.KVHolder = false, StageDecode, d.afterAttempt(req), d.backends[0]
+	d.Ended(attempt, Result{Outcome: Rejected, Detail: 1})
+	if len(runtime.sent) != 1 || runtime.sent[0].Stage != StagePrefill {
+		t.Errorf("sent %v", runtime.sent)
 	}
 }
 
 func TestNewNamesMissingOrInvalidSetting(t *testing.T) {
 	for name, value := range map[string]any{"rules.coldFrom": -0.5, "siblings": -1.0, "requestClasses": 0.0,
-		// The module divides by these, or counts up to them.
+		// The scheduler divides by these or counts up to them.
 		"rules.tipAfterUs": 0.5, "rules.tipMultiple": -1.0, "rules.rampTimeUs": math.Inf(1), "policyLimits.maxAttempts": -1.0,
-		"requestClasses.0.aimUs": 0.0, "requestClasses.0.worth": math.NaN(), "prices.peer": math.NaN(), "prices.crossZone": -1.0} {
-		f := testSettings()
-		f[name] = value
-		if _, err := New(f, 1, &fakeRuntime{}); err == nil || !strings.Contains(err.Error(), name) {
+		"requestClasses.0.aimUs": 0.0, "requestClasses.0.worth": math.NaN(), "prices.peer": math.NaN(),
+		"prices.crossZone": -1.0} {
+		settings := testSettings()
+		settings[name] = value
+		if _, err := New(settings, 1, &fakeRuntime{}); err == nil || !strings.Contains(err.Error(), name) {
 			t.Errorf("%s: got %v", name, err)
 		}
 	}
@@ -241,84 +254,85 @@
 
 func TestPrefillPrefersRackWithLessLoadedDecodeBackends(t *testing.T) {
 	d, _ := newDispatcher(t)
-	for i, h := range d.backends[2:] {
-		h.RelativeCapacity = 100
-		h.Streams = 90 * (i % 2) // the decode backend and the mixed backend of the second rack are full
+	for i, backend := range d.backends[2:] {
+		backend.RelativeCapacity = 100
+		backend.Streams = 90 * (i % 2) // the decode backend and the mixed backend of the second rack are full
 	}
-	if h := d.pickPrefill(newRequest(d), d.backends[2:]); h == nil || h.Rack != 0 {
-		t.Errorf("got %+v", h)
+	if backend := d.pickPrefill(newRequest(d), d.backends[2:]); backend == nil || backend.Rack != 0 {
+		t.Errorf("got %+v", backend)
 	}
-	for _, h := range d.backends[2:] {
-		h.Streams = 90 - h.Streams
+	for _, backend := range d.backends[2:] {
+		backend.Streams = 90 - backend.Streams
 	}
-	if h := d.pickPrefill(newRequest(d), d.backends[2:]); h == nil || h.Rack != 1 {
-		t.Errorf("got %+v", h)
+	if backend := d.pickPrefill(newRequest(d), d.backends[2:]); backend == nil || backend.Rack != 1 {
+		t.Errorf("got %+v", backend)
 	}
 }
 
 func TestAttemptTimeoutLeavesTimeForAnotherAttempt(t *testing.T) {
-	for _, c := range []struct {
-		name   string
-		effect Effect
-		stage  Stage
-		number int
-		all    bool
+	for _, tc := range []struct {
+		name      string
+		effect    Effect
+		stage     Stage
+		number    int
+		wholeTime bool
 	}{
 		{"idempotent", Idempotent, StageWhole, 0, false},
-		{"unrepeatable at a reader", NonIdempotent, StagePrefill, 0, false},
-		{"unrepeatable at a writer", NonIdempotent, StageDecode, 1, true},
-		{"the last trip allowed", Idempotent, StageWhole, 3, true},
+		{"non-idempotent at a prefill backend", NonIdempotent, StagePrefill, 0, false},
+		{"non-idempotent at a decode backend", NonIdempotent, StageDecode, 1, true},
+		{"the last attempt allowed", Idempotent, StageWhole, 3, true},
 	} {
 		d, _ := newDispatcher(t)
-		q := newRequest(d)
-		q.Class.Effect = c.effect
-		wait := d.attemptTimeout(&Attempt{Request: q, Stage: c.stage, Number: c.number, SentAt: q.ReceivedAt})
-		if (wait == q.Deadline-q.ReceivedAt) != c.all {
-			t.Errorf("%s: waits %v of %v", c.name, wait, q.Deadline-q.ReceivedAt)
+		req := newRequest(d)
+		req.Class.Effect = tc.effect
+		wait := d.attemptTimeout(&Attempt{Request: req, Stage: tc.stage, Number: tc.number, SentAt: req.ReceivedAt})
+		if (wait == req.Deadline-req.ReceivedAt) != tc.wholeTime {
+			t.Errorf("%s: the timeout is %v of %v", tc.name, wait, req.Deadline-req.ReceivedAt)
 		}
 	}
 }
 
 func TestLostConnectionDoesNotCauseSlowStart(t *testing.T) {
 	d, _ := newDispatcher(t)
-	trip := addAttempt(newRequest(d), d.backends[2], 0, d.runtime.Now())
-	trip.Ended = false
-	d.Ended(trip, Result{Outcome: ConnectionLost, Finished: true})
+	attempt := addAttempt(newRequest(d), d.backends[2], 0, d.runtime.Now())
+	attempt.Ended = false
+	d.Ended(attempt, Result{Outcome: ConnectionLost, Finished: true})
 	if d.inSlowStart(d.backends[2]) {
-		t.Error("the host counts as cold")
+		t.Error("the backend is in slow start")
 	}
 }
 
-// What a whole fleet lets through in a window is what all parts come to, not only on average; and each dispatcher has its turns.
+// What a fleet lets through per window equals the sum of all shares, not only on average, and every dispatcher
+// gets its turns.
 func TestSlowStartSharesBelowOneRequestAddUp(t *testing.T) {
-	d, out := newDispatcher(t)
-	h := d.backends[2]
-	for _, o := range d.backends {
-		if o.Role == RoleDecode && o != h {
-			o.CompletedWork.Add(out.now, 1000) // a part of about a tenth of the request's weight
+	d, runtime := newDispatcher(t)
+	backend := d.backends[2]
+	for _, other := range d.backends {
+		if other.Role == RoleDecode && other != backend {
+			other.CompletedWork.Add(runtime.now, 1000) // a share of about a tenth of the request's work
 		}
 	}
 	const fleet = 300
 	d.parameters.dispatchers = fleet
-	h.StartReported, h.StartedAt = true, out.now
-	want := fleet * d.slowStartBudget(h) / d.requestWork(newRequest(d), h, StageWhole)
+	backend.StartReported, backend.StartedAt = true, runtime.now
+	want := fleet * d.slowStartBudget(backend) / d.requestWork(newRequest(d), backend, StageWhole)
 	turns := map[int]int{}
 	for window := range 4 {
-		let := 0
+		allowed := 0
 		for slot := range fleet {
 			d.parameters.index = float64(slot)
-			if !d.disallowed(newRequest(d), h) {
-				let++
+			if !d.disallowed(newRequest(d), backend) {
+				allowed++
 				turns[slot]++
 			}
 		}
-		if math.Abs(float64(let)-want) > 1 || want < 10 || want > 60 {
-			t.Errorf("window %d: %d of %d let one through, they come to %.1f", window, let, fleet, want)
+		if math.Abs(float64(allowed)-want) > 1 || want < 10 || want > 60 {
+			t.Errorf("window %d: %d of %d dispatchers may send one, the shares add up to %.1f", window, allowed, fleet, want)
 		}
-		out.now += 2 * time.Second
+		runtime.now += 2 * time.Second
 	}
 	if len(turns) < int(2*want) {
-		t.Errorf("only %d ever have a turn", len(turns))
+		t.Errorf("only %d dispatchers ever have a turn", len(turns))
 	}
 }
 
@@ -329,11 +343,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		var lines []Endpoint
+		var endpoints []Endpoint
 		for i := range 4 {
-			lines = append(lines, Endpoint{Backend: &Backend{ID: uint32(i), Kind: 1}, State: Ready, CapacityUnits: float64(1 + i%2)})
+			endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint32(i), Kind: 1}, State: Ready,
+				CapacityUnits: float64(1 + i%2)})
 		}
-		d.Listed(lines, true)
+		d.Listed(endpoints, true)
 		first[MinBy(d.backends, d.nextLoadScore).ID]++
 	}
 	if len(first) != 4 || first[1]+first[3] < 120 || first[1] > 120 || first[3] > 120 {
@@ -344,34 +359,34 @@
 func TestOutcomesAreCountedPerClass(t *testing.T) {
 	d, _ := newDispatcher(t)
 	d.classes = append(d.classes, &Class{Index: 1})
-	h, given := d.backends[2], [2]int{}
-	h.Outcomes = make([]OutcomeStats, 3)
-	for i := range h.Outcomes {
-		h.Outcomes[i].Successes.BucketWidth, h.Outcomes[i].Failures.BucketWidth = time.Second, time.Second
+	backend, granted := d.backends[2], [2]int{}
+	backend.Outcomes = make([]OutcomeStats, 3)
+	for i := range backend.Outcomes {
+		backend.Outcomes[i].Successes.BucketWidth, backend.Outcomes[i].Failures.BucketWidth = time.Second, time.Second
 	}
 	for i := range 40 {
-		d.Heard(PeerUpdate{Backend: h, ClassIndex: i % 2, Verdict: []Verdict{VerdictGood, VerdictBad}[i%2]})
+		d.Heard(PeerUpdate{Backend: backend, ClassIndex: i % 2, Verdict: []Verdict{VerdictGood, VerdictBad}[i%2]})
 	}
 	for i := range 200 {
-		q := newRequest(d)
-		q.Class = d.classes[i%2]
-		d.Heard(PeerUpdate{Backend: h, ClassIndex: 0, Verdict: VerdictGood})
-		if d.drawTrust(d.successPosterior(h, q)) {
-			given[i%2]++
+		req := newRequest(d)
+		req.Class = d.classes[i%2]
+		d.Heard(PeerUpdate{Backend: backend, ClassIndex: 0, Verdict: VerdictGood})
+		if d.drawTrust(d.successPosterior(backend, req)) {
+			granted[i%2]++
 		}
 	}
-	if given[0] < 90 || given[1] > 10 {
-		t.Errorf("trusted %v of 100 each", given)
+	if granted[0] < 90 || granted[1] > 10 {
+		t.Errorf("granted %v of 100 each", granted)
 	}
 }
 
 func TestEligibleDrawsForOneSuspectedBackendAtATime(t *testing.T) {
 	d, _ := newDispatcher(t)
 	for range 30 {
-		h := &Backend{Kind: 1}
-		d.Listed([]Endpoint{{Backend: h, State: Ready, CapacityUnits: 1}}, false)
+		backend := &Backend{Kind: 1}
+		d.Listed([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 1}}, false)
 		for range 4 {
-			d.Heard(PeerUpdate{Backend: h, Verdict: VerdictBad})
+			d.Heard(PeerUpdate{Backend: backend, Verdict: VerdictBad})
 		}
 	}
 	tried := 0
@@ -381,7 +396,7 @@
 		}
 	}
 	if tried == 0 || tried > 150 {
-		t.Errorf("a doubtful host was among them %d times of 500", tried)
+		t.Errorf("a suspected backend was eligible %d times of 500", tried)
 	}
 }
 
@@ -389,364 +404,380 @@
 	d, _ := newDispatcher(t)
 	d.Heard(PeerUpdate{Backend: d.backends[2], Verdict: VerdictUnreachable})
 	if !d.inSlowStart(d.backends[2]) {
-		t.Error("the host counts as warm")
+		t.Error("the backend is not in slow start")
 	}
 }
 
-// A whole list says again what it said before, and knows only of processes: it must make a backend that can't be reached neither
-// warm nor trusted.
+// A full list repeats what it said before and knows only of processes: it must not end the slow start of a
+// backend that can't be reached, nor clear its failures.
 func TestRepeatedEndpointListChangesNothing(t *testing.T) {
 	for _, restart := range []bool{true, false} {
-		d, out := newDispatcher(t)
-		h := d.backends[2]
-		line := Endpoint{Backend: h, State: Ready, CapacityUnits: 4, StartedAt: -time.Hour, StartReported: restart}
-		d.Listed([]Endpoint{line}, false)
-		h.CachedPrefixes[7] = CachedPrefix{100, out.now, 0}
-		d.Heard(PeerUpdate{Backend: h, Verdict: VerdictUnreachable})
-		out.now += time.Second
-		d.Listed([]Endpoint{line}, false)
-		if !d.inSlowStart(h) || h.Outcomes[0].ConsecutiveFailures != 1 || len(h.CachedPrefixes) != 1 {
-			t.Errorf("restart %v: cold %v, %g failures, %d kept", restart, d.inSlowStart(h), h.Outcomes[0].ConsecutiveFailures, len(h.CachedPrefixes))
+		d, runtime := newDispatcher(t)
+		backend := d.backends[2]
+		endpoint := Endpoint{Backend: backend, State: Ready, CapacityUnits: 4, StartedAt: -time.Hour, StartReported: restart}
+		d.Listed([]Endpoint{endpoint}, false)
+		backend.CachedPrefixes[7] = CachedPrefix{100, runtime.now, 0}
+		d.Heard(PeerUpdate{Backend: backend, Verdict: VerdictUnreachable})
+		runtime.now += time.Second
+		d.Listed([]Endpoint{endpoint}, false)
+		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 1 || len(backend.CachedPrefixes) != 1 {
+			t.Errorf("restart %v: slow start %v, %g failures, %d prefixes", restart, d.inSlowStart(backend),
+				backend.Outcomes[0].ConsecutiveFailures, len(backend.CachedPrefixes))
 		}
-		line.StartedAt, line.StartReported = out.now, true
-		d.Listed([]Endpoint{line}, false)
-		if !d.inSlowStart(h) || h.Outcomes[0].ConsecutiveFailures != 0 || len(h.CachedPrefixes) != 0 {
-			t.Error("a new start went unseen")
+		endpoint.StartedAt, endpoint.StartReported = runtime.now, true
+		d.Listed([]Endpoint{endpoint}, false)
+		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 0 || len(backend.CachedPrefixes) != 0 {
+			t.Error("a new start was ignored")
 		}
-		out.now += 11 * time.Second
-		if d.inSlowStart(h) {
-			t.Error("it stays cold")
+		runtime.now += 11 * time.Second
+		if d.inSlowStart(backend) {
+			t.Error("it stays in slow start")
 		}
 	}
 }
 
 func TestPeerUpdatesGoToAFewPeersAndNeverToSelf(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		peers bool
-		price float64
-		most  int
-	}{{"not allowed", false, 0, 0}, {"free", true, 0, 8}, {"dear", true, 0.01, 2}} {
-		f := testSettings()
-		f["policyLimits.peers"], f["prices.peer"], f["siblings"], f["slotNo"] = c.peers, c.price, 50.0, 7.0
-		out := &fakeRuntime{}
-		d, err := New(f, 1, out)
+	for _, tc := range []struct {
+		name    string
+		allowed bool
+		price   float64
+		peers   int
+	}{{"not allowed", false, 0, 0}, {"free of charge", true, 0, 8}, {"expensive", true, 0.01, 2}} {
+		settings := testSettings()
+		settings["policyLimits.peers"], settings["prices.peer"], settings["siblings"], settings["slotNo"] =
+			tc.allowed, tc.price, 50.0, 7.0
+		runtime := &fakeRuntime{}
+		d, err := New(settings, 1, runtime)
 		if err != nil {
 			t.Fatal(err)
 		}
 		d.sendPeerUpdates(PeerUpdate{})
-		if len(out.updatedPeers) != c.most || slices.Contains(out.updatedPeers, 7) {
-			t.Errorf("%s: told %v", c.name, out.updatedPeers)
+		if len(runtime.updatedPeers) != tc.peers || slices.Contains(runtime.updatedPeers, 7) {
+			t.Errorf("%s: updated peers %v", tc.name, runtime.updatedPeers)
 		}
 	}
 }
 
-// Requests that were given up on early, by clients or their deadlines, once counted as if their first tokens had come quickly:
-// while first tokens came seconds late, the window widened.
+// Requests that clients or deadlines ended early must not count as if their first tokens had come quickly:
+// that widened the window while first tokens came seconds late.
 func TestWindowFollowsTimeToFirstToken(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		out   time.Duration
-		began bool
-		ended Outcome
-		moves int // 1: it widens, -1: it narrows
+	for _, tc := range []struct {
+		name          string
+		elapsed       time.Duration
+		gotFirstToken bool
+		outcome       Outcome
+		direction     int // 1: it widens, -1: it narrows
 	}{
 		{"quick", 100 * time.Millisecond, true, Served, 1},
-		{"quick, by a request that another dispatcher cut off", 100 * time.Millisecond, false, Failed, 0},
-		{"a client that left early", 300 * time.Millisecond, false, Cancelled, 0},
-		{"a deadline that came early", 300 * time.Millisecond, false, TimedOut, -1},
+		{"quick, cancelled by another dispatcher", 100 * time.Millisecond, false, Failed, 0},
+		{"a client that disconnected early", 300 * time.Millisecond, false, Cancelled, 0},
+		{"an early deadline", 300 * time.Millisecond, false, TimedOut, -1},
 		{"late", 900 * time.Millisecond, true, Served, -1},
-		{"a client that left late", 900 * time.Millisecond, false, Cancelled, -1},
+		{"a client that disconnected late", 900 * time.Millisecond, false, Cancelled, -1},
 		{"rejected as full", time.Millisecond, false, Rejected, -1},
 	} {
-		d, out := newDispatcher(t)
+		d, runtime := newDispatcher(t)
 		d.window = 10
-		q := newRequest(d)
-		trip := addAttempt(q, d.backends[2], c.ended, out.now)
-		q.Outstanding, q.DispatchedAt, d.outstanding, d.queue = true, out.now, 10, []*Request{newRequest(d)}
-		out.now += c.out
-		if c.began {
-			trip.FirstTokenAt = out.now
+		req := newRequest(d)
+		attempt := addAttempt(req, d.backends[2], tc.outcome, runtime.now)
+		req.Outstanding, req.DispatchedAt, d.outstanding, d.queue = true, runtime.now, 10, []*Request{newRequest(d)}
+		runtime.now += tc.elapsed
+		if tc.gotFirstToken {
+			attempt.FirstTokenAt = runtime.now
 		}
 		before := d.window
-		d.clearOutstanding(q)
-		if cmp.Compare(d.window, before) != c.moves {
-			t.Errorf("%s: window %g -> %g", c.name, before, d.window)
+		d.clearOutstanding(req)
+		if cmp.Compare(d.window, before) != tc.direction {
+			t.Errorf("%s: window %g -> %g", tc.name, before, d.window)
 		}
 		d.outstanding -= 9
 		if d.queue = nil; d.outstanding != 0 {
-			out.timers[len(out.timers)-1]()
+			runtime.timers[len(runtime.timers)-1]()
 		}
 		if d.outstanding != 0 {
-			t.Errorf("%s: %d without a first token", c.name, d.outstanding)
+			t.Errorf("%s: %d without a first token", tc.name, d.outstanding)
 		}
 	}
 }
 
-// Timed-out reads still ran at their backends while the next stood behind them and timed out too: prefill backends did nothing else for 15 s.
+// A prefill that timed out still runs at its backend. If its place were free at once, the next request would
+// wait behind it and time out too: prefill backends then do nothing but such work.
 func TestTimedOutRequestKeepsItsPlaceForAsLongAgain(t *testing.T) {
-	for _, c := range []struct {
-		ended Outcome
-		took  time.Duration
-		ahead float64 // seconds in which first tokens come lately
-		keeps time.Duration
+	for _, tc := range []struct {
+		outcome    Outcome
+		took       time.Duration
+		expected   float64 // expected seconds to a first token
+		keepsPlace time.Duration
 	}{
-		{TimedOut, 600 * time.Millisecond, 0.5, 600 * time.Millisecond}, {Cancelled, 200 * time.Millisecond, 0.5, 200 * time.Millisecond},
-		{TimedOut, 3 * time.Second, 0.5, time.Second}, {Prefilled, 600 * time.Millisecond, 0.5, 0}, {Unreachable, 200 * time.Millisecond, 0.5, 0},
-		{Rejected, 0, 0.5, 0}, {TimedOut, 3 * time.Second, 0.1, 0}, // a backend that hangs holds up no others
+		{TimedOut, 600 * time.Millisecond, 0.5, 600 * time.Millisecond},
+		{Cancelled, 200 * time.Millisecond, 0.5, 200 * time.Millisecond},
+		{TimedOut, 3 * time.Second, 0.5, time.Second}, {Prefilled, 600 * time.Millisecond, 0.5, 0},
+		{Unreachable, 200 * time.Millisecond, 0.5, 0},
+		{Rejected, 0, 0.5, 0}, {TimedOut, 3 * time.Second, 0.1, 0}, // an unresponsive backend holds up no others
 	} {
-		d, out := newDispatcher(t)
+		d, runtime := newDispatcher(t)
 		d.window = 1
-		d.timeToFirstToken.Add(c.ahead, 1)
-		q := newRequest(d)
-		addAttempt(q, d.backends[0], c.ended, out.now)
-		q.Outstanding, q.DispatchedAt, d.outstanding = true, out.now, 1
-		out.now += c.took
-		out.timers, out.timerDelays = nil, nil
-		d.clearOutstanding(q)
+		d.timeToFirstToken.Add(tc.expected, 1)
+		req := newRequest(d)
+		addAttempt(req, d.backends[0], tc.outcome, runtime.now)
+		req.Outstanding, req.DispatchedAt, d.outstanding = true, runtime.now, 1
+		runtime.now += tc.took
+		runtime.timers, runtime.timerDelays = nil, nil
+		d.clearOutstanding(req)
 		switch {
-		case c.keeps == 0 && d.outstanding == 0 && len(out.timers) == 0:
-		case c.keeps == 0 || d.outstanding != 1 || len(out.timers) != 1 || out.timerDelays[0] != c.keeps:
-			t.Errorf("%+v: %d without a first token, wakes in %v", c, d.outstanding, out.timerDelays)
+		case tc.keepsPlace == 0 && d.outstanding == 0 && len(runtime.timers) == 0:
+		case tc.keepsPlace == 0 || d.outstanding != 1 || len(runtime.timers) != 1 || runtime.timerDelays[0] != tc.keepsPlace:
+			t.Errorf("%+v: %d without a first token, timers after %v", tc, d.outstanding, runtime.timerDelays)
 		default:
 			next := newRequest(d)
 			d.enqueue(next)
-			out.timers[0]()
-			if len(out.sent) != 1 || out.sent[0].Request != next {
-				t.Errorf("%+v: the place that comes free is not used", c)
+			runtime.timers[0]()
+			if len(runtime.sent) != 1 || runtime.sent[0].Request != next {
+				t.Errorf("%+v: the free place is not used", tc)
 			}
 		}
 	}
 }
 
-// Backends that had just started got one read a second while the others were jammed: each dispatcher waited for a request of theirs.
+// Backends that have just started get prefill work while the others are congested. Otherwise each dispatcher
+// waits for a request whose prefix hashes to them.
 func TestAffinityCandidatesIncludeBackendsInSlowStart(t *testing.T) {
-	d, out := newDispatcher(t)
+	d, runtime := newDispatcher(t)
 	for i := range 20 {
 		d.Listed([]Endpoint{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}}, false)
 	}
-	q, readers := newRequest(d), Filter(d.backends, (*Backend).PrefillOnly)
-	homes := d.affinityCandidates(q, RolePrefill, slices.Clone(readers))
-	cold := readers[slices.IndexFunc(readers, func(h *Backend) bool { return !slices.Contains(homes, h) })]
-	cold.StartReported, cold.StartedAt = true, out.now-time.Second
-	if got := d.affinityCandidates(q, RolePrefill, slices.Clone(readers)); !slices.Equal(got, append(homes, cold)) {
-		t.Errorf("%d homes", len(got))
+	req, prefillBackends := newRequest(d), Filter(d.backends, (*Backend).PrefillOnly)
+	candidates := d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends))
+	started := prefillBackends[slices.IndexFunc(prefillBackends,
+		func(b *Backend) bool { return !slices.Contains(candidates, b) })]
+	started.StartReported, started.StartedAt = true, runtime.now-time.Second
+	if got := d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends)); !slices.Equal(got,
+		append(candidates, started)) {
+		t.Errorf("%d affinity candidates", len(got))
 	}
-	if w := d.capacityShare(cold); w < 0.3 || w > 0.4 || d.capacityShare(homes[0]) != 1 || d.loadScore(cold, 0) < 2*d.loadScore(homes[0], 0) {
-		t.Errorf("warmth %g, a press of %g against %g", w, d.loadScore(cold, 0), d.loadScore(homes[0], 0))
+	if share := d.capacityShare(started); share < 0.3 || share > 0.4 || d.capacityShare(candidates[0]) != 1 ||
+		d.loadScore(started, 0) < 2*d.loadScore(candidates[0], 0) {
+		t.Errorf("capacity share %g, a load score of %g against %g", share, d.loadScore(started, 0),
+			d.loadScore(candidates[0], 0))
 	}
 }
 
-// Cold backends that speak for each other were let have less from window to window, until nothing went anywhere.
+// The budget in slow start does not shrink from window to window when all backends are in slow start and would
+// be measured by each other.
 func TestSlowStartBudgetIsKeptWhileAllAreInSlowStart(t *testing.T) {
-	d, out := newDispatcher(t)
-	for _, h := range d.backends[:2] {
-		h.CompletedWork.Add(out.now, 20000)
+	d, runtime := newDispatcher(t)
+	for _, backend := range d.backends[:2] {
+		backend.CompletedWork.Add(runtime.now, 20000)
 	}
 	warm := d.slowStartBudget(d.backends[0])
-	for _, h := range d.backends[:2] {
-		h.StartReported, h.StartedAt = true, out.now
+	for _, backend := range d.backends[:2] {
+		backend.StartReported, backend.StartedAt = true, runtime.now
 	}
-	out.now += 30 * time.Second // nothing that was carried counts any more
-	for _, h := range d.backends[:2] {
-		h.StartedAt = out.now
+	runtime.now += 30 * time.Second // completed work has expired
+	for _, backend := range d.backends[:2] {
+		backend.StartedAt = runtime.now
 	}
-	if cold := d.slowStartBudget(d.backends[0]); warm == 0 || cold != warm {
-		t.Errorf("a part of %g is %g when all are cold", warm, cold)
+	if allStarting := d.slowStartBudget(d.backends[0]); warm == 0 || allStarting != warm {
+		t.Errorf("a budget of %g is %g when all are in slow start", warm, allStarting)
 	}
 }
 
 func TestAffinityCandidatesAreStableAndGrowWithShare(t *testing.T) {
-	d, out := newDispatcher(t)
+	d, runtime := newDispatcher(t)
 	for i := range 20 {
 		d.Listed([]Endpoint{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}}, false)
 	}
-	q, readers := newRequest(d), Filter(d.backends, (*Backend).PrefillOnly)
-	two := slices.Clone(d.affinityCandidates(q, RolePrefill, slices.Clone(readers)))
-	without := slices.DeleteFunc(slices.Clone(readers), func(h *Backend) bool { return h == two[0] })
-	if left := d.affinityCandidates(q, RolePrefill, without); len(two) != 2 || !slices.Equal(left, two[1:]) {
-		t.Errorf("homes %v, with one doubted %v", two, left)
+	req, prefillBackends := newRequest(d), Filter(d.backends, (*Backend).PrefillOnly)
+	candidates := slices.Clone(d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends)))
+	without := slices.DeleteFunc(slices.Clone(prefillBackends), func(b *Backend) bool { return b == candidates[0] })
+	if remaining := d.affinityCandidates(req, RolePrefill, without); len(candidates) != 2 ||
+		!slices.Equal(remaining, candidates[1:]) {
+		t.Errorf("affinity candidates %v, with one suspected %v", candidates, remaining)
 	}
-	d.prefillRequests.Add(out.now, 100)
-	d.prefixTable.Add(q.PrefixKey, out.now, 50)
-	if got := len(d.affinityCandidates(q, RolePrefill, readers)); got < 12 || got > 21 {
-		t.Errorf("a beginning of half the questions has %d homes of 22", got)
+	d.prefillRequests.Add(runtime.now, 100)
+	d.prefixTable.Add(req.PrefixKey, runtime.now, 50)
+	if got := len(d.affinityCandidates(req, RolePrefill, prefillBackends)); got < 12 || got > 21 {
+		t.Errorf("a prefix of half the requests has %d affinity candidates of 22", got)
 	}
 }
 
 func TestAttemptCutShortCountsForNothing(t *testing.T) {
-	for _, c := range []struct {
-		took time.Duration
-		bad  float64
+	for _, tc := range []struct {
+		took     time.Duration
+		failures float64
 	}{{100 * time.Millisecond, 0}, {2 * time.Second, 1}} {
-		d, out := newDispatcher(t)
-		h := d.backends[2]
+		d, runtime := newDispatcher(t)
+		backend := d.backends[2]
 		d.secondsPerToken[RoleDecode].Add(0.001, 1)
-		d.recordOutcome(addAttempt(newRequest(d), h, TimedOut, out.now), c.took, false, false)
-		if got := h.Outcomes[0].Failures.Sum(out.now); got != c.bad {
-			t.Errorf("after %v: %g against the host", c.took, got)
+		d.recordOutcome(addAttempt(newRequest(d), backend, TimedOut, runtime.now), tc.took, false, false)
+		if got := backend.Outcomes[0].Failures.Sum(runtime.now); got != tc.failures {
+			t.Errorf("after %v: %g failures of the backend", tc.took, got)
 		}
 	}
 }
 
 func TestMixedGetsLessWorkWhereWholeAttemptsAreSlower(t *testing.T) {
-	for _, c := range []struct {
-		name  string
-		pace  float64
-		taken bool
+	for _, tc := range []struct {
+		name            string
+		secondsPerToken float64
+		picked          bool
 	}{{"as quick", 1e-4, true}, {"slower", 1e-2, false}} {
 		d, _ := newDispatcher(t)
 		d.meanPrefillTokens = 1000
-		for i, h := range d.backends {
-			h.Bias, h.Streams = 0, []int{3, 3, 8, 8, 0, 0}[i]
+		for i, backend := range d.backends {
+			backend.Bias, backend.Streams = 0, []int{3, 3, 8, 8, 0, 0}[i]
 		}
-		for role, pace := range []float64{1e-4, 1e-4, c.pace} {
-			d.secondsPerToken[role].Add(pace, 1)
+		for role, seconds := range []float64{1e-4, 1e-4, tc.secondsPerToken} {
+			d.secondsPerToken[role].Add(seconds, 1)
 		}
-		if m := d.pickMixed(newRequest(d), d.backends[2:], d.backends[0]); (m != nil) != c.taken {
-			t.Errorf("%s: got %v", c.name, m)
+		if mixed := d.pickMixed(newRequest(d), d.backends[2:], d.backends[0]); (mixed != nil) != tc.picked {
+			t.Errorf("%s: got %v", tc.name, mixed)
 		}
 	}
 }
 
 func TestBackendThatFailedForLongStillGetsSomeWork(t *testing.T) {
-	d, out := newDispatcher(t)
-	h, given := d.backends[2], 0
+	d, runtime := newDispatcher(t)
+	backend, granted := d.backends[2], 0
 	for range 100 {
-		d.Heard(PeerUpdate{Backend: h, Verdict: VerdictBad})
+		d.Heard(PeerUpdate{Backend: backend, Verdict: VerdictBad})
 	}
-	out.now += time.Minute
+	runtime.now += time.Minute
 	for range 1000 {
-		if d.drawTrust(d.successPosterior(h, newRequest(d))) {
-			given++
+		if d.drawTrust(d.successPosterior(backend, newRequest(d))) {
+			granted++
 		}
 	}
-	if given < 20 || given > 300 {
-		t.Errorf("a minute after a hundred failures it got %d of 1000", given)
+	if granted < 20 || granted > 300 {
+		t.Errorf("a minute after 100 failures it got %d of 1000", granted)
 	}
 }
 
-// Half a fleet dying under a few dispatchers ends dozens of attempts late in one moment: they tell of one jam. Were each
-// to narrow the window, it would close to nothing, and learn nothing for minutes.
+// Half a fleet failing under a few dispatchers ends dozens of attempts late at the same time, by one
+// congestion event. If each narrowed the window, it would close almost entirely and not recover for minutes.
 func TestOneCongestionEventHalvesTheWindowAtMost(t *testing.T) {
-	d, out := newDispatcher(t)
+	d, runtime := newDispatcher(t)
 	d.window = 20
 	for range 60 {
-		q := newRequest(d)
-		q.Outstanding, q.DispatchedAt = true, out.now-2*time.Second
-		addAttempt(q, d.backends[0], TimedOut, out.now)
+		req := newRequest(d)
+		req.Outstanding, req.DispatchedAt = true, runtime.now-2*time.Second
+		addAttempt(req, d.backends[0], TimedOut, runtime.now)
 		d.outstanding++
-		q.TargetAt = out.now + time.Second
-		d.clearOutstanding(q)
+		req.TargetAt = runtime.now + time.Second
+		d.clearOutstanding(req)
 	}
-	out.now += 3 * time.Second
+	runtime.now += 3 * time.Second
 	if d.window != 10 {
 		t.Errorf("the window is %g", d.window)
 	}
-	q := newRequest(d) // one let out after the jam was told of another
-	q.Outstanding, q.DispatchedAt, d.outstanding = true, out.now-2*time.Second, d.outstanding+1
-	addAttempt(q, d.backends[0], Rejected, out.now)
-	d.clearOutstanding(q)
+	req := newRequest(d) // a request sent after the congestion reports another one
+	req.Outstanding, req.DispatchedAt, d.outstanding = true, runtime.now-2*time.Second, d.outstanding+1
+	addAttempt(req, d.backends[0], Rejected, runtime.now)
+	d.clearOutstanding(req)
 	if d.window >= 10 || d.window < 5 {
 		t.Errorf("after the next one it is %g", d.window)
 	}
 }
 
-// Warm mixed backends that only wrote spoke for cold ones that were sent whole requests: pushed over on the emulator.
+// Decode at warm mixed backends must not count as whole requests for those in slow start, which would be
+// overloaded by it.
 func TestDecodeAtMixedBackendCountsLessThanWholeRequests(t *testing.T) {
 	budget := func(stage Stage) float64 {
-		d, out := newDispatcher(t)
+		d, runtime := newDispatcher(t)
 		d.classes[0].PrefillTokens.Add(3000, 1)
 		d.classes[0].DecodeSeconds.Add(1, 1)
-		warm, cold := d.backends[4], d.backends[5]
-		cold.StartedAt, cold.StartReported = out.now, true
+		warm, slowStarting := d.backends[4], d.backends[5]
+		slowStarting.StartedAt, slowStarting.StartReported = runtime.now, true
 		for range 20 {
-			q := newRequest(d)
-			q.Attempts = []*Attempt{{Request: q, Backend: warm, Stage: stage, FirstTokenAt: out.now, OnResult: func(Result) {}}}
-			d.Ended(q.Attempts[0], Result{Outcome: Served, Finished: true})
+			req := newRequest(d)
+			req.Attempts = []*Attempt{{Request: req, Backend: warm, Stage: stage, FirstTokenAt: runtime.now,
+				OnResult: func(Result) {}}}
+			d.Ended(req.Attempts[0], Result{Outcome: Served, Finished: true})
 		}
-		return d.slowStartBudget(cold)
+		return d.slowStartBudget(slowStarting)
 	}
-	if write, whole := budget(StageDecode), budget(StageWhole); write <= 0 || write > whole/10 {
-		t.Errorf("a cold mixed host's part is %.0f after 20 writes at a warm one, %.0f after 20 whole questions", write, whole)
+	if decode, whole := budget(StageDecode), budget(StageWhole); decode <= 0 || decode > whole/10 {
+		t.Errorf("the budget of a mixed backend is %.0f after 20 decodes at a warm one, %.0f after 20 whole requests",
+			decode, whole)
 	}
 }
 
-// Backends come and go for as long as a dispatcher runs: one that is gone, with nothing out, is walked over by no choice.
+// Backends come and go while a dispatcher runs: removed ones without attempts in flight are dropped, so that
+// no decision visits them.
 func TestListedDropsRemovedBackends(t *testing.T) {
 	d, _ := newDispatcher(t)
-	q := newRequest(d)
+	req := newRequest(d)
 	busy := d.backends[2]
-	if !d.send(q, busy, StageWhole, func(Result) {}) {
+	if !d.send(req, busy, StageWhole, func(Result) {}) {
 		t.Fatal("not sent")
 	}
 	for i := range 300 {
-		h := &Backend{ID: uint32(100 + i), Kind: 1}
-		d.Listed([]Endpoint{{Backend: h, State: Ready, CapacityUnits: 4}}, false)
-		d.Listed([]Endpoint{{Backend: h, State: Removed}}, false)
+		backend := &Backend{ID: uint32(100 + i), Kind: 1}
+		d.Listed([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 4}}, false)
+		d.Listed([]Endpoint{{Backend: backend, State: Removed}}, false)
 	}
 	d.Listed([]Endpoint{{Backend: d.backends[0], State: Ready, CapacityUnits: 4}}, true)
 	if len(d.backends) != 2 || !slices.Contains(d.backends, busy) {
-		t.Errorf("%d hosts are held, of 1 that is there and 1 with a trip out", len(d.backends))
+		t.Errorf("%d backends, wanted 1 that is listed and 1 with an attempt in flight", len(d.backends))
 	}
-	d.Ended(q.Attempts[0], Result{Outcome: Served, Finished: true})
+	d.Ended(req.Attempts[0], Result{Outcome: Served, Finished: true})
 	d.Listed([]Endpoint{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
 	d.Listed([]Endpoint{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
 	if len(d.backends) != 2 {
-		t.Errorf("%d hosts after one came back", len(d.backends))
+		t.Errorf("%d backends after one came back", len(d.backends))
 	}
 }
 
-// What backends are thought to have kept is forgotten by age, not when a count is passed: with more keys than that in use, all of
-// them were looked through at each attempt, and none dropped.
+// Cached prefixes are forgotten by age, not by count: with more keys in use than the limit, a count would have
+// every attempt look through all of them and drop none.
 func TestRefreshForgetsCachedPrefixesByAge(t *testing.T) {
-	d, out := newDispatcher(t)
+	d, runtime := newDispatcher(t)
 	for i := range 5000 {
-		q := newRequest(d)
-		q.SessionKey, q.PrefixKey = uint64(1000+i), 0
-		d.recordCachedPrefix(&Attempt{Request: q, Backend: d.backends[2]}, 0)
+		req := newRequest(d)
+		req.SessionKey, req.PrefixKey = uint64(1000+i), 0
+		d.recordCachedPrefix(&Attempt{Request: req, Backend: d.backends[2]}, 0)
 	}
-	out.now += prefixTTL + time.Second
-	q := newRequest(d)
-	d.recordCachedPrefix(&Attempt{Request: q, Backend: d.backends[2]}, 0)
+	runtime.now += prefixTTL + time.Second
+	req := newRequest(d)
+	d.recordCachedPrefix(&Attempt{Request: req, Backend: d.backends[2]}, 0)
 	d.refresh()
-	if n := len(d.backends[2].CachedPrefixes); n != 2 {
-		t.Errorf("%d texts are held, 2 are fresh", n)
+	if entries := len(d.backends[2].CachedPrefixes); entries != 2 {
+		t.Errorf("%d prefixes in the table, 2 are recent", entries)
 	}
-	few := d.backends[3]
-	few.CachedPrefixes[5] = CachedPrefix{10, out.now, 0}
-	out.now += prefixTTL + time.Second
+	rarelyUsed := d.backends[3]
+	rarelyUsed.CachedPrefixes[5] = CachedPrefix{10, runtime.now, 0}
+	runtime.now += prefixTTL + time.Second
 	d.refresh()
-	if len(few.CachedPrefixes) != 0 {
-		t.Error("a text that is never used again is held for good")
+	if len(rarelyUsed.CachedPrefixes) != 0 {
+		t.Error("a prefix that is never used again stays in the table")
 	}
 }
 
-// A request whose client has gone must not stand in front of others, and none is answered twice.
+// A request whose client has disconnected leaves the queue, and no request is answered twice.
 func TestFinishedRequestIsNeitherQueuedNorAnsweredAgain(t *testing.T) {
-	d, out := newDispatcher(t)
-	q := newRequest(d)
-	d.enqueue(q)
-	d.Left(q)
-	d.giveUp(q)
-	if len(d.queue) != 0 || len(out.rejected)+len(out.failed) != 0 {
-		t.Errorf("%d held, %d answers to a client that has gone", len(d.queue), len(out.rejected)+len(out.failed))
+	d, runtime := newDispatcher(t)
+	req := newRequest(d)
+	d.enqueue(req)
+	d.Left(req)
+	d.giveUp(req)
+	if len(d.queue) != 0 || len(runtime.rejected)+len(runtime.failed) != 0 {
+		t.Errorf("%d queued, %d answers to a disconnected client", len(d.queue), len(runtime.rejected)+len(runtime.failed))
 	}
 }
 
-// While the gate bars every backend, what is held widens the window with each answer that still begins. Without a bound it stood at
-// 1e16 when the gate opened, and flooded the fleet.
+// While the rules allow no backend, the queue widens the window with each first token that still comes.
+// Without a bound it reached 1e16 and flooded the fleet once backends were allowed again.
 func TestWindowIsBounded(t *testing.T) {
 	d, _ := newDispatcher(t)
 	d.queue = []*Request{newRequest(d)}
 	for range 200 {
-		q := newRequest(d)
-		addAttempt(q, d.backends[2], Served, d.runtime.Now()).FirstTokenAt = d.runtime.Now()
-		q.Outstanding, q.DispatchedAt = true, d.runtime.Now()
+		req := newRequest(d)
+		addAttempt(req, d.backends[2], Served, d.runtime.Now()).FirstTokenAt = d.runtime.Now()
+		req.Outstanding, req.DispatchedAt = true, d.runtime.Now()
 		d.outstanding = int(d.window) + 1
-		d.clearOutstanding(q)
+		d.clearOutstanding(req)
 	}
-	if most := windowPerBackend * float64(len(d.backends)); d.window != most {
-		t.Errorf("the window is %g, %g at most", d.window, most)
+	if limit := windowPerBackend * float64(len(d.backends)); d.window != limit {
+		t.Errorf("the window is %g, wanted %g", d.window, limit)
 	}
 }
--- a/brain/candidates.go
+++ b/brain/candidates.go
@@ -7,208 +7,222 @@
 	"time"
 )
 
-// Which backends a choice looks at. In a small fleet these are all. In one of thousands a choice that walked all of them would hold up
-// the event loop, and everything that is due with it; there these are the backends that the request has a reason to go to, and a stretch
-// that chance draws from the rest. The best of some hundreds that were drawn is about as good as the best of all.
+// Candidates: which backends are considered for a request. In a small fleet these are all backends. In a fleet
+// of thousands, looking at all of them would delay the event loop and all timers due meanwhile, so the
+// candidates are the backends that the request has a reason to go to and a random sample of the rest. The best
+// of a sample of some hundred is about as good as the best of all.
 
 const (
-	// smallFleet is up to how many backends all are looked at.
+	// fullScanLimit is the fleet size up to which all backends are considered.
 	fullScanLimit = 128
-	// stretch is how many are drawn of a larger fleet.
+	// sampleSize is the number of backends sampled in a larger fleet.
 	sampleSize = 128
-	// homesMost is how many homes of a beginning are looked at there, and homeRacks of how many of them the racks are.
+	// In a large fleet maxAffinity is how many affinity candidates of a prefix are considered, and affinityRacks
+	// is for how many of them the backends of their rack are considered too.
 	maxAffinity   = 16
 	affinityRacks = 4
-	// keepersMost is how many backends are remembered to keep one beginning or session there.
+	// maxPrefixHolders is how many backends are remembered to have cached a prefix or session.
 	maxPrefixHolders = 8
-	// ranks is how many places there are in the order of a key.
+	// rankSpace is the number of distinct ranks.
 	rankSpace = 1 << 64
-	// sizesAge is how old the comparison of backends' sizes may be there: it walks all of them.
+	// capacityComparisonInterval is the shortest time between comparisons of capacities in a large fleet; each
+	// comparison visits all backends.
 	capacityComparisonInterval = 250 * time.Millisecond
 )
 
-// candidateSet are the candidates of one choice.
+// candidateSet is the candidates for one request at one time. They are reused while nothing of it changes.
 type candidateSet struct {
 	request  *Request
 	time     time.Duration
-	attempts int      // that the request had
-	kvHolder *Backend // that waited for it
+	attempts int      // number of the request's attempts
+	kvHolder *Backend // holder of the request's KV cache
 	backends []*Backend
-	affinity [3][]*Backend // of the request's beginning, by role
-	mark     uint64        // that the backends among them bear
+	affinity [3][]*Backend // affinity candidates of the request's prefix, by role
+	mark     uint64        // stored in the backends of the set to avoid duplicates
 }
 
-// listedHost is a backend of a role, with its number beside it: all of a large fleet are gone through for their ranks.
+// roleMember is a backend with its id beside it, as ranking reads the ids of all backends of a role.
 type roleMember struct {
 	id      uint64
 	backend *Backend
 }
 
-// ranked is a backend with its place in the order of a key.
+// rankedBackend is a backend with its rank for a key.
 type rankedBackend struct {
 	backend *Backend
 	rank    uint64
 }
 
-// large tells whether the fleet is too large for a choice to look at all of it.
+// isLarge reports whether the fleet is too large to consider all of it for each request.
 func (d *Dispatcher) isLarge() bool { return len(d.backends) > fullScanLimit }
 
-// candidates are the backends that a choice for the request looks at.
-func (d *Dispatcher) candidates(q *Request) []*Backend {
+// candidates returns the backends to consider for a request.
+func (d *Dispatcher) candidates(req *Request) []*Backend {
 	if !d.isLarge() {
 		return d.backends
 	}
-	c, now := &d.lastCandidates, d.runtime.Now()
-	if c.request == q && c.time == now && c.attempts == len(q.Attempts) && c.kvHolder == q.KVHolder {
-		return c.backends
+	set, now := &d.lastCandidates, d.runtime.Now()
+	if set.request == req && set.time == now && set.attempts == len(req.Attempts) && set.kvHolder == req.KVHolder {
+		return set.backends
 	}
-	c.request, c.time, c.attempts, c.kvHolder, c.backends = q, now, len(q.Attempts), q.KVHolder, c.backends[:0]
-	c.mark++
-	first := int(d.rng.Float() * float64(len(d.backends)))
+	set.request, set.time, set.attempts, set.kvHolder, set.backends =
+		req, now, len(req.Attempts), req.KVHolder, set.backends[:0]
+	set.mark++
+	start := int(d.rng.Float() * float64(len(d.backends)))
 	for i := range sampleSize {
-		c.add(d.backends[(first+i)%len(d.backends)])
+		set.add(d.backends[(start+i)%len(d.backends)])
 	}
-	if q.KVHolder != nil {
-		d.addRack(c, q.KVHolder) // it only has to be answered
-		return c.backends
+	if req.KVHolder != nil {
+		d.addRack(set, req.KVHolder) // only decode remains
+		return set.backends
 	}
 	for _, role := range []Role{RolePrefill, RoleMixed} {
-		c.affinity[role] = d.topRanked(cmp.Or(q.PrefixKey, q.SessionKey), role)
-		for i, home := range c.affinity[role] {
-			c.add(home)
+		set.affinity[role] = d.topRanked(cmp.Or(req.PrefixKey, req.SessionKey), role)
+		for i, candidate := range set.affinity[role] {
+			set.add(candidate)
 			if i < affinityRacks {
-				d.addRack(c, home)
+				d.addRack(set, candidate)
 			}
 		}
 	}
-	for _, key := range []uint64{q.SessionKey, q.PrefixKey} {
-		for _, h := range d.prefixHolders[key] {
-			c.add(h)
+	for _, key := range []uint64{req.SessionKey, req.PrefixKey} {
+		for _, backend := range d.prefixHolders[key] {
+			set.add(backend)
 		}
 	}
-	return c.backends
+	return set.backends
 }
 
-// add puts a backend among the candidates, once.
-func (c *candidateSet) add(h *Backend) {
-	if h.candidateMark != c.mark {
-		h.candidateMark = c.mark
-		c.backends = append(c.backends, h)
+// add adds a backend unless it is in the set.
+func (c *candidateSet) add(backend *Backend) {
+	if backend.candidateMark != c.mark {
+		backend.candidateMark = c.mark
+		c.backends = append(c.backends, backend)
 	}
 }
 
-// addRack puts the backends of a backend's rack that answer among the candidates, to which a state is moved at least cost.
-func (d *Dispatcher) addRack(c *candidateSet, h *Backend) {
-	for _, o := range d.decodeByRack[h.Rack] {
-		c.add(o)
+// addRack adds the decode backends in a backend's rack, to which its KV cache can be moved at the lowest cost.
+func (d *Dispatcher) addRack(set *candidateSet, backend *Backend) {
+	for _, other := range d.decodeByRack[backend.Rack] {
+		set.add(other)
 	}
 }
 
-// homesInOrder are the ready backends of a role in the order of the request's beginning, alike in every dispatcher: all of a small
-// fleet, and the first ones of a large one.
-func (d *Dispatcher) affinityOrder(q *Request, role Role) []*Backend {
+// affinityOrder returns the ready backends of a role by their rank for the request's prefix, which is the same
+// in every dispatcher: all of a small fleet, and the first ones of a large fleet.
+func (d *Dispatcher) affinityOrder(req *Request, role Role) []*Backend {
 	if !d.isLarge() {
-		all := Filter(d.backends, func(h *Backend) bool { return h.Role == role && h.State == Ready })
-		SortByHash(all, cmp.Or(q.PrefixKey, q.SessionKey))
+		all := Filter(d.backends, func(b *Backend) bool { return b.Role == role && b.State == Ready })
+		SortByHash(all, cmp.Or(req.PrefixKey, req.SessionKey))
 		return all
 	}
-	d.candidates(q)
+	d.candidates(req)
 	return slices.Clone(d.lastCandidates.affinity[role])
 }
 
-// firstHomes are the first ready backends of a role in the order of a key.
+// topRanked returns the first ready backends of a role by rank for a key (rendezvous hashing).
 func (d *Dispatcher) topRanked(key uint64, role Role) []*Backend {
-	first := d.rankBuffer[:0]
-	for _, l := range d.byRole[role] {
-		rank := Mix(key, l.id)
-		if len(first) == maxAffinity && rank >= first[maxAffinity-1].rank || l.backend.State != Ready {
+	top := d.rankBuffer[:0]
+	for _, member := range d.byRole[role] {
+		rank := Mix(key, member.id)
+		if len(top) == maxAffinity && rank >= top[maxAffinity-1].rank || member.backend.State != Ready {
 			continue
 		}
-		i, _ := slices.BinarySearchFunc(first, rank, func(r rankedBackend, rank uint64) int { return cmp.Compare(r.rank, rank) })
-		if len(first) == maxAffinity {
-			first = first[:maxAffinity-1]
+		i, _ := slices.BinarySearchFunc(top, rank, func(r rankedBackend, rank uint64) int {
+			return cmp.Compare(r.rank, rank)
+		})
+		if len(top) == maxAffinity {
+			top = top[:maxAffinity-1]
 		}
-		first = slices.Insert(first, i, rankedBackend{l.backend, rank})
+		top = slices.Insert(top, i, rankedBackend{member.backend, rank})
 	}
-	d.rankBuffer = first
-	homes := make([]*Backend, len(first))
-	for i, r := range first {
-		homes[i] = r.backend
+	d.rankBuffer = top
+	backends := make([]*Backend, len(top))
+	for i, r := range top {
+		backends[i] = r.backend
 	}
-	return homes
+	return backends
 }
 
-// homesWanted is how many homes a beginning has: two, or as many as its share of the requests asks for.
-func (d *Dispatcher) affinityCount(key uint64, role Role, homes []*Backend) int {
+// affinityCount is the number of affinity candidates of a prefix: two, or more in proportion to its share of
+// requests.
+func (d *Dispatcher) affinityCount(key uint64, role Role, ranked []*Backend) int {
 	share := d.prefixTable.Sum(key, d.runtime.Now()) / (d.prefillRequests.Sum(d.runtime.Now()) + 10)
-	count := len(homes)
+	count := len(ranked)
 	if d.isLarge() {
 		count = len(d.byRole[role])
 	}
 	return max(2, int(2*share*float64(count)))
 }
 
-// withMoreHomes adds, where a beginning of a large fleet has more homes than were ordered, those among the candidates: a home's rank is
-// under the same part of all ranks as homes are of all backends.
-func (d *Dispatcher) extendAffinity(homes []*Backend, key uint64, role Role, wanted int, able []*Backend) []*Backend {
-	if !d.isLarge() || wanted <= maxAffinity {
-		return homes
+// extendAffinity handles a prefix of a large fleet that has more affinity candidates than were ranked: it adds
+// those among the eligible backends. A backend is one of them if its rank is below the matching share of the
+// rank space.
+func (d *Dispatcher) extendAffinity(
+	candidates []*Backend, key uint64, role Role, count int, eligible []*Backend,
+) []*Backend {
+	if !d.isLarge() || count <= maxAffinity {
+		return candidates
 	}
-	share := float64(wanted) / float64(len(d.byRole[role]))
-	for _, h := range able {
-		if float64(Mix(key, uint64(h.ID))) < share*rankSpace && !slices.Contains(homes, h) {
-			homes = append(homes, h)
+	share := float64(count) / float64(len(d.byRole[role]))
+	for _, backend := range eligible {
+		if float64(Mix(key, uint64(backend.ID))) < share*rankSpace && !slices.Contains(candidates, backend) {
+			candidates = append(candidates, backend)
 		}
 	}
-	return homes
+	return candidates
 }
 
-// keeperOf takes note that a backend of a large fleet keeps a beginning or session.
-func (d *Dispatcher) recordPrefixHolder(key uint64, h *Backend) {
+// recordPrefixHolder records that a backend of a large fleet has cached a prefix or session.
+func (d *Dispatcher) recordPrefixHolder(key uint64, backend *Backend) {
 	if key == 0 || !d.isLarge() {
 		return
 	}
 	if d.prefixHolders == nil {
 		d.prefixHolders = map[uint64][]*Backend{}
 	}
-	known := slices.DeleteFunc(d.prefixHolders[key], func(o *Backend) bool { return o == h })
-	if len(known) >= maxPrefixHolders {
-		known = known[1:]
+	holders := slices.DeleteFunc(d.prefixHolders[key], func(b *Backend) bool { return b == backend })
+	if len(holders) >= maxPrefixHolders {
+		holders = holders[1:]
 	}
-	d.prefixHolders[key] = append(known, h)
+	d.prefixHolders[key] = append(holders, backend)
 }
 
-// forgetKeepers drops those that keep nothing any more.
+// dropStaleHolders drops backends that no longer have the prefix cached.
 func (d *Dispatcher) dropStaleHolders() {
-	for key, known := range d.prefixHolders {
-		known = slices.DeleteFunc(known, func(h *Backend) bool { return !h.Tracked || h.CachedPrefixes[key] == (CachedPrefix{}) })
-		if len(known) == 0 || !d.isLarge() {
+	for key, holders := range d.prefixHolders {
+		holders = slices.DeleteFunc(holders, func(b *Backend) bool {
+			return !b.Tracked || b.CachedPrefixes[key] == (CachedPrefix{})
+		})
+		if len(holders) == 0 || !d.isLarge() {
 			delete(d.prefixHolders, key)
 			continue
 		}
-		d.prefixHolders[key] = known
+		d.prefixHolders[key] = holders
 	}
 }
 
-// addHost puts a backend that is new among the others: in a large fleet in this dispatcher's own order, unless many are added at once.
-func (d *Dispatcher) addBackend(h *Backend, many bool) {
-	h.Tracked, h.order = true, Mix(d.orderSeed, uint64(h.ID))
-	d.sorted = d.sorted && !many
-	i := len(d.backends)
+// addBackend adds a new backend: in a large fleet at its place in the dispatcher's order, unless many are
+// added at once.
+func (d *Dispatcher) addBackend(backend *Backend, bulk bool) {
+	backend.Tracked, backend.order = true, Mix(d.orderSeed, uint64(backend.ID))
+	d.sorted = d.sorted && !bulk
+	position := len(d.backends)
 	if d.isLarge() && d.sorted {
-		i, _ = slices.BinarySearchFunc(d.backends, h.order, func(o *Backend, order uint64) int { return cmp.Compare(o.order, order) })
+		position, _ = slices.BinarySearchFunc(d.backends, backend.order,
+			func(b *Backend, order uint64) int { return cmp.Compare(b.order, order) })
 	}
-	d.backends = slices.Insert(d.backends, i, h)
-	d.byRole[h.Role] = append(d.byRole[h.Role], roleMember{uint64(h.ID), h})
-	if h.Decodes() {
+	d.backends = slices.Insert(d.backends, position, backend)
+	d.byRole[backend.Role] = append(d.byRole[backend.Role], roleMember{uint64(backend.ID), backend})
+	if backend.Decodes() {
 		if d.decodeByRack == nil {
 			d.decodeByRack = map[int][]*Backend{}
 		}
-		d.decodeByRack[h.Rack] = append(d.decodeByRack[h.Rack], h)
+		d.decodeByRack[backend.Rack] = append(d.decodeByRack[backend.Rack], backend)
 	}
 }
 
-// orderHosts puts the backends in this dispatcher's own order, if they are not in it.
+// sortBackends restores the dispatcher's order of backends.
 func (d *Dispatcher) sortBackends() {
 	if d.isLarge() && d.sorted {
 		return
@@ -217,24 +231,25 @@
 	d.sorted = d.isLarge()
 }
 
-// dropHosts forgets the backends that are gone and have nothing out.
+// dropRemoved drops removed backends that have no attempts in flight.
 func (d *Dispatcher) dropRemoved() {
-	gone := func(l roleMember) bool { return !l.backend.Tracked }
-	d.backends = slices.DeleteFunc(d.backends, func(h *Backend) bool {
-		h.Tracked = h.State != Removed || h.Streams > 0 || h.KVTokens >= 1 // what is out there still counts
-		if !h.Tracked && h.Decodes() {
-			if d.decodeByRack[h.Rack] = slices.DeleteFunc(d.decodeByRack[h.Rack], func(o *Backend) bool { return o == h }); len(d.decodeByRack[h.Rack]) == 0 {
-				delete(d.decodeByRack, h.Rack)
+	isRemoved := func(l roleMember) bool { return !l.backend.Tracked }
+	d.backends = slices.DeleteFunc(d.backends, func(backend *Backend) bool {
+		backend.Tracked = backend.State != Removed || backend.Streams > 0 || backend.KVTokens >= 1 // its load still counts
+		if !backend.Tracked && backend.Decodes() {
+			if d.decodeByRack[backend.Rack] = slices.DeleteFunc(d.decodeByRack[backend.Rack],
+				func(b *Backend) bool { return b == backend }); len(d.decodeByRack[backend.Rack]) == 0 {
+				delete(d.decodeByRack, backend.Rack)
 			}
 		}
-		return !h.Tracked
+		return !backend.Tracked
 	})
 	for role := range d.byRole {
-		d.byRole[role] = slices.DeleteFunc(d.byRole[role], gone)
+		d.byRole[role] = slices.DeleteFunc(d.byRole[role], isRemoved)
 	}
 }
 
-// compareSizes compares the backends' capacities, less often where the fleet is large.
+// compareCapacities compares the backends' capacities, at limited frequency in a large fleet.
 func (d *Dispatcher) compareCapacities() {
 	now := d.runtime.Now()
 	if d.isLarge() && d.capacitiesComparedAt > 0 && now-d.capacitiesComparedAt < capacityComparisonInterval {
@@ -244,47 +259,48 @@
 	d.decodeCount = CompareCapacities(d.backends)
 }
 
-// freestByRack is the least cost of the backends in each rack.
-func minCostByRack(hosts []*Backend, cost func(*Backend) float64) map[int]float64 {
-	freest := map[int]float64{}
-	for _, h := range hosts {
-		least, known := freest[h.Rack]
-		if c := cost(h); !known || c < least {
-			freest[h.Rack] = c
+// minCostByRack returns the lowest cost of the backends in each rack.
+func minCostByRack(backends []*Backend, cost func(*Backend) float64) map[int]float64 {
+	minCost := map[int]float64{}
+	for _, backend := range backends {
+		lowest, known := minCost[backend.Rack]
+		if c := cost(backend); !known || c < lowest {
+			minCost[backend.Rack] = c
 		}
 	}
-	return freest
+	return minCost
 }
 
-// freeMemory is how many tokens this dispatcher may still have at backends that answer, less those that are being read and will need
-// room to be answered. Of a large fleet the candidates stand for all.
-func (d *Dispatcher) freeKVTokens(q *Request) float64 {
-	free, looked := 0.0, 0.0
-	candidates := d.candidates(q)
-	for _, h := range candidates {
-		if !h.Decodes() {
+// freeKVTokens is how many more KV cache tokens this dispatcher may use at decode backends, less those of
+// requests in prefill, which will need them for decode. In a large fleet it is extrapolated from the
+// candidates.
+func (d *Dispatcher) freeKVTokens(req *Request) float64 {
+	free, considered := 0.0, 0.0
+	candidates := d.candidates(req)
+	for _, backend := range candidates {
+		if !backend.Decodes() {
 			continue
 		}
-		looked++
-		if !d.disallowed(q, h) {
-			free += max(h.TokenLimit-h.KVTokens, 0)
+		considered++
+		if !d.disallowed(req, backend) {
+			free += max(backend.TokenLimit-backend.KVTokens, 0)
 		}
 	}
 	if d.isLarge() && !math.IsInf(free, 1) {
-		free *= max(float64(len(d.byRole[RoleDecode])+len(d.byRole[RoleMixed]))/max(looked, 1), 1)
+		free *= max(float64(len(d.byRole[RoleDecode])+len(d.byRole[RoleMixed]))/max(considered, 1), 1)
 	}
 	return free - d.prefillKVTokens()
 }
 
-// reading is how many own tokens are at backends that only read.
+// prefillKVTokens is the number of own KV cache tokens at prefill-only backends.
 func (d *Dispatcher) prefillKVTokens() float64 {
 	if d.isLarge() {
 		return d.prefillOnlyTokens
 	}
 	sum := 0.0
-	for _, h := range d.backends {
-		if h.Role == RolePrefill {
-			sum += h.KVTokens
+	for _, backend := range d.backends {
+		if backend.Role == RolePrefill {
+			sum += backend.KVTokens
 		}
 	}
 	return sum
--- a/brain/candidates_test.go
+++ b/brain/candidates_test.go
@@ -6,131 +6,138 @@
 	"time"
 )
 
-// largeFleet makes a dispatcher of a fleet of which a choice looks at some backends only.
+// newLargeFleet returns a dispatcher with 2,000 backends, of which a decision considers only some.
 func newLargeFleet(t *testing.T, seed uint64) (*Dispatcher, *fakeRuntime) {
 	t.Helper()
-	out := &fakeRuntime{now: 100 * time.Second}
-	d, err := New(testSettings(), seed, out)
+	runtime := &fakeRuntime{now: 100 * time.Second}
+	d, err := New(testSettings(), seed, runtime)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var lines []Endpoint
+	var endpoints []Endpoint
 	for i := range 2000 {
-		lines = append(lines, Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 6}, State: Ready, CapacityUnits: 1})
+		endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 6}, State: Ready,
+			CapacityUnits: 1})
 	}
-	d.Listed(lines, true)
-	return d, out
+	d.Listed(endpoints, true)
+	return d, runtime
 }
 
-func ids(hosts []*Backend) (numbers []uint32) {
-	for _, h := range hosts {
-		numbers = append(numbers, h.ID)
+func ids(backends []*Backend) (result []uint32) {
+	for _, backend := range backends {
+		result = append(result, backend.ID)
 	}
-	return numbers
+	return result
 }
 
-// Whatever each dispatcher draws, a beginning has the same two homes in all of them, and they are those that its hash comes to over all.
+// All dispatchers, whatever they sample, have the same two affinity candidates for a prefix: the first ones by
+// hash over all backends.
 func TestPrefixHasTheSameAffinityCandidatesInAllDispatchers(t *testing.T) {
 	first, _ := newLargeFleet(t, 1)
 	second, _ := newLargeFleet(t, 2)
-	for beginning := range uint64(20) {
-		q := newRequest(first)
-		q.PrefixKey = beginning + 1
-		other := *q
-		homes := first.affinityCandidates(q, RolePrefill, first.eligible(q, (*Backend).PrefillOnly))
-		also := second.affinityCandidates(&other, RolePrefill, second.eligible(&other, (*Backend).PrefillOnly))
-		all := Filter(first.backends, (*Backend).PrefillOnly)
-		SortByHash(all, q.PrefixKey)
-		if len(homes) != 2 || !slices.Equal(ids(homes), ids(also)) || !slices.Equal(ids(homes), ids(all[:2])) {
-			t.Errorf("beginning %d: %v and %v, wanted %v", q.PrefixKey, ids(homes), ids(also), ids(all[:2]))
+	for prefix := range uint64(20) {
+		req := newRequest(first)
+		req.PrefixKey = prefix + 1
+		other := *req
+		candidates := first.affinityCandidates(req, RolePrefill, first.eligible(req, (*Backend).PrefillOnly))
+		others := second.affinityCandidates(&other, RolePrefill, second.eligible(&other, (*Backend).PrefillOnly))
+		ranked := Filter(first.backends, (*Backend).PrefillOnly)
+		SortByHash(ranked, req.PrefixKey)
+		if len(candidates) != 2 || !slices.Equal(ids(candidates), ids(others)) ||
+			!slices.Equal(ids(candidates), ids(ranked[:2])) {
+			t.Errorf("prefix %d: %v and %v, wanted %v", req.PrefixKey, ids(candidates), ids(others), ids(ranked[:2]))
 		}
 	}
 }
 
-// A beginning that a tenth of the requests share has as large a part of a large fleet: by chance, about as many of those that are drawn.
+// A prefix of a tenth of all requests has a matching share of a large fleet as affinity candidates: by chance,
+// about that share of the sampled backends.
 func TestCommonPrefixHasManyAffinityCandidates(t *testing.T) {
-	d, out := newLargeFleet(t, 1)
+	d, runtime := newLargeFleet(t, 1)
 	for range 1000 {
-		d.prefillRequests.Add(out.now, 1)
+		d.prefillRequests.Add(runtime.now, 1)
 	}
-	d.prefixTable.Add(9, out.now, 100)
+	d.prefixTable.Add(9, runtime.now, 100)
 	used := map[uint32]bool{}
 	for range 100 {
-		out.now += time.Millisecond
-		q := newRequest(d)
-		for _, h := range d.affinityCandidates(q, RolePrefill, d.eligible(q, (*Backend).PrefillOnly)) {
-			used[h.ID] = true
+		runtime.now += time.Millisecond
+		req := newRequest(d)
+		for _, backend := range d.affinityCandidates(req, RolePrefill, d.eligible(req, (*Backend).PrefillOnly)) {
+			used[backend.ID] = true
 		}
 	}
 	if len(used) < 130 || len(used) > 260 {
-		t.Errorf("%d backends of 1,000 are homes to a tenth of the requests", len(used))
+		t.Errorf("a prefix of a tenth of the requests has %d affinity candidates of 1,000", len(used))
 	}
 }
 
-// What a request has a reason to go to is among its candidates, however few are drawn.
+// Backends that a request has a reason to go to are among its candidates, however few are sampled.
 func TestCandidatesIncludePrefixHoldersAndTheKVHoldersRack(t *testing.T) {
-	d, out := newLargeFleet(t, 1)
-	keeper := Filter(d.backends, (*Backend).Decodes)[700]
-	d.recordCachedPrefix(&Attempt{Request: newRequest(d), Backend: keeper}, 0)
-	reader := Filter(d.backends, (*Backend).PrefillOnly)[300]
+	d, runtime := newLargeFleet(t, 1)
+	holder := Filter(d.backends, (*Backend).Decodes)[700]
+	d.recordCachedPrefix(&Attempt{Request: newRequest(d), Backend: holder}, 0)
+	prefillBackend := Filter(d.backends, (*Backend).PrefillOnly)[300]
 	for range 50 {
-		out.now += time.Millisecond
-		q := newRequest(d)
-		if !slices.Contains(d.candidates(q), keeper) {
-			t.Fatal("the backend that keeps the session is not among them")
+		runtime.now += time.Millisecond
+		req := newRequest(d)
+		if !slices.Contains(d.candidates(req), holder) {
+			t.Fatal("the backend that has the session cached is not a candidate")
 		}
-		q.KVHolder = reader
-		out.now += time.Millisecond
-		near := Filter(d.candidates(q), func(h *Backend) bool { return h.Rack == reader.Rack && h.Decodes() })
-		if len(near) != 3 {
-			t.Fatalf("%d backends of the state's rack are among them", len(near))
+		req.KVHolder = prefillBackend
+		runtime.now += time.Millisecond
+		inRack := Filter(d.candidates(req), func(b *Backend) bool { return b.Rack == prefillBackend.Rack && b.Decodes() })
+		if len(inRack) != 3 {
+			t.Fatalf("%d backends of the KV holder's rack are candidates", len(inRack))
 		}
-		if n := len(d.candidates(q)); n > 400 || n < sampleSize {
-			t.Fatalf("%d candidates", n)
+		if count := len(d.candidates(req)); count > 400 || count < sampleSize {
+			t.Fatalf("%d candidates", count)
 		}
 	}
 }
 
-// Over many requests each backend of a large fleet has its turn.
+// Over many requests most backends of a large fleet are used, and none too often.
 func TestMostBackendsOfALargeFleetAreUsed(t *testing.T) {
-	d, out := newLargeFleet(t, 1)
+	d, runtime := newLargeFleet(t, 1)
 	used := map[*Backend]int{}
 	const requests = 3000
 	for number := range requests {
-		out.now += 10 * time.Millisecond
-		q := newRequest(d)
-		q.SessionKey, q.PrefixKey = 0, uint64(number+1)
-		q.KVHolder = Filter(d.backends, (*Backend).PrefillOnly)[number%1000]
-		d.pickDecode(q)
-		trip := out.sent[len(out.sent)-1]
-		used[trip.Backend]++
-		d.Began(trip, time.Millisecond)
-		d.Ended(trip, Result{Outcome: Served, Finished: true})
-	}
-	most := 0
-	for _, n := range used {
-		most = max(most, n)
-	}
-	if len(used) < 600 || most > 60 {
-		t.Errorf("%d of 1,000 backends are used, one of them %d times", len(used), most)
+		runtime.now += 10 * time.Millisecond
+		req := newRequest(d)
+		req.SessionKey, req.PrefixKey = 0, uint64(number+1)
+		req.KVHolder = Filter(d.backends, (*Backend).PrefillOnly)[number%1000]
+		d.pickDecode(req)
+		attempt := runtime.sent[len(runtime.sent)-1]
+		used[attempt.Backend]++
+		d.Began(attempt, time.Millisecond)
+		d.Ended(attempt, Result{Outcome: Served, Finished: true})
+	}
+	maxUses := 0
+	for _, uses := range used {
+		maxUses = max(maxUses, uses)
+	}
+	if len(used) < 600 || maxUses > 60 {
+		t.Errorf("%d of 1,000 backends are used, one of them %d times", len(used), maxUses)
 	}
 }
 
-// A fleet that shrinks and grows over the bound keeps its order and loses nobody.
+// A fleet that shrinks and grows across fullScanLimit keeps its order and all of its backends.
 func TestFleetShrinksAndGrowsAcrossFullScanLimit(t *testing.T) {
 	d, _ := newLargeFleet(t, 1)
-	var lines []Endpoint
-	for _, h := range d.backends[100:] {
-		lines = append(lines, Endpoint{Backend: h, State: Removed})
+	var endpoints []Endpoint
+	for _, backend := range d.backends[100:] {
+		endpoints = append(endpoints, Endpoint{Backend: backend, State: Removed})
 	}
-	d.Listed(lines, false)
+	d.Listed(endpoints, false)
 	if len(d.backends) != 100 || d.isLarge() || len(d.byRole[RolePrefill])+len(d.byRole[RoleDecode]) != 100 {
-		t.Fatalf("%d backends are left, %d and %d by role", len(d.backends), len(d.byRole[RolePrefill]), len(d.byRole[RoleDecode]))
+		t.Fatalf("%d backends remain, %d and %d by role", len(d.backends), len(d.byRole[RolePrefill]),
+			len(d.byRole[RoleDecode]))
 	}
 	for i := range 100 {
-		d.Listed([]Endpoint{{Backend: &Backend{ID: uint32(5000 + i), Kind: i % 2, Rack: 1000 + i/6}, State: Ready, CapacityUnits: 1}}, false)
+		d.Listed([]Endpoint{{Backend: &Backend{ID: uint32(5000 + i), Kind: i % 2, Rack: 1000 + i/6}, State: Ready,
+			CapacityUnits: 1}}, false)
 	}
-	if !d.isLarge() || !slices.IsSortedFunc(d.backends, func(a, b *Backend) int { return int(a.order>>1) - int(b.order>>1) }) {
+	if !d.isLarge() || !slices.IsSortedFunc(d.backends,
+		func(a, b *Backend) int { return int(a.order>>1) - int(b.order>>1) }) {
 		t.Errorf("%d backends, in order %v", len(d.backends), d.sorted)
 	}
 	if got := len(d.byRole[RolePrefill]) + len(d.byRole[RoleDecode]); got != 200 {
@@ -138,32 +145,33 @@
 	}
 }
 
-// A state that finds no backend to take it starts its request over in the same moment: its homes are then its own, not those of whoever
-// was looked at before.
+// A request whose KV cache finds no decode backend starts over in the same instant. It then has its own
+// affinity candidates, not those of the request considered before.
 func TestRestartedRequestHasItsOwnAffinityCandidates(t *testing.T) {
 	d, _ := newLargeFleet(t, 1)
 	other := newRequest(d)
 	other.PrefixKey = 77
 	d.candidates(other)
-	q := newRequest(d)
-	q.KVHolder = Filter(d.backends, (*Backend).PrefillOnly)[0]
-	d.candidates(q)
-	q.KVHolder = nil
-	all := Filter(d.backends, (*Backend).PrefillOnly)
-	SortByHash(all, q.PrefixKey)
-	if got := d.affinityCandidates(q, RolePrefill, d.eligible(q, (*Backend).PrefillOnly)); !slices.Equal(ids(got), ids(all[:2])) {
-		t.Errorf("its homes are %v, wanted %v", ids(got), ids(all[:2]))
+	req := newRequest(d)
+	req.KVHolder = Filter(d.backends, (*Backend).PrefillOnly)[0]
+	d.candidates(req)
+	req.KVHolder = nil
+	ranked := Filter(d.backends, (*Backend).PrefillOnly)
+	SortByHash(ranked, req.PrefixKey)
+	if got := d.affinityCandidates(req, RolePrefill, d.eligible(req, (*Backend).PrefillOnly)); !slices.Equal(
+		ids(got), ids(ranked[:2])) {
+		t.Errorf("its affinity candidates are %v, wanted %v", ids(got), ids(ranked[:2]))
 	}
 }
 
-// A beginning that all requests share is at home everywhere.
+// A prefix that all requests share has all backends as affinity candidates.
 func TestPrefixOfAllRequestsHasAllAffinityCandidates(t *testing.T) {
-	d, out := newLargeFleet(t, 1)
-	d.prefillRequests.Add(out.now, 1e6)
-	d.prefixTable.Add(9, out.now, 1e6)
-	q := newRequest(d)
-	able := d.eligible(q, (*Backend).PrefillOnly)
-	if homes := d.affinityCandidates(q, RolePrefill, slices.Clone(able)); len(homes) != len(able) {
-		t.Errorf("%d of %d backends that were looked at are homes", len(homes), len(able))
+	d, runtime := newLargeFleet(t, 1)
+	d.prefillRequests.Add(runtime.now, 1e6)
+	d.prefixTable.Add(9, runtime.now, 1e6)
+	req := newRequest(d)
+	eligible := d.eligible(req, (*Backend).PrefillOnly)
+	if candidates := d.affinityCandidates(req, RolePrefill, slices.Clone(eligible)); len(candidates) != len(eligible) {
+		t.Errorf("%d of %d eligible backends are affinity candidates", len(candidates), len(eligible))
 	}
 }
--- a/brain/cost_test.go
+++ b/brain/cost_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// fleetState is in what state the backends of a measured fleet are.
+// fleetState is the state of the backends of a benchmarked fleet.
 type fleetState int
 
 const (
@@ -17,76 +17,81 @@
 )
 
 func (s fleetState) String() string {
-	return [...]string{"warm", "most in slow start", "all in slow start", "a third gone"}[s]
+	return [...]string{"warm", "most in slow start", "all in slow start", "a third removed"}[s]
 }
 
-// measured makes a dispatcher of so many backends, of which some have done work lately, with so many requests waiting.
+// newLoadedFleet returns a dispatcher with backends, of which some have completed work, and with requests in
+// its queue.
 func newLoadedFleet(t testing.TB, backends int, state fleetState, waiting int) (*Dispatcher, *fakeRuntime) {
 	t.Helper()
-	f := testSettings()
-	f["siblings"] = 300.0
-	out := &fakeRuntime{now: 100 * time.Second}
-	d, err := New(f, 1, out)
+	settings := testSettings()
+	settings["siblings"] = 300.0
+	runtime := &fakeRuntime{now: 100 * time.Second}
+	d, err := New(settings, 1, runtime)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var lines []Endpoint
+	var endpoints []Endpoint
 	for i := range backends {
-		l := Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 5, Zone: i % 3}, State: Ready, CapacityUnits: 1}
+		endpoint := Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 5, Zone: i % 3}, State: Ready,
+			CapacityUnits: 1}
 		if state == allInSlowStart || state == mostInSlowStart && i%10 < 6 {
-			l.StartReported, l.StartedAt = true, out.now-time.Second
+			endpoint.StartReported, endpoint.StartedAt = true, runtime.now-time.Second
 		}
-		lines = append(lines, l)
+		endpoints = append(endpoints, endpoint)
 	}
-	d.Listed(lines, true)
+	d.Listed(endpoints, true)
 	if state == thirdRemoved {
-		for i := range lines {
+		for i := range endpoints {
 			if i%3 == 0 {
-				lines[i].State = Removed
-				d.Listed(lines[i:i+1], false)
+				endpoints[i].State = Removed
+				d.Listed(endpoints[i:i+1], false)
 			}
 		}
 	}
-	for i, h := range d.backends {
+	for i, backend := range d.backends {
 		if i%8 == 0 {
-			h.CompletedWork.Add(out.now, 50000)
+			backend.CompletedWork.Add(runtime.now, 50000)
 		}
 	}
 	d.window, d.sendCredit = 0, 0
 	for i := range waiting {
-		d.Submit(&Request{ID: uint64(1e6 + i), SessionKey: uint64(i%50 + 1), PromptTokens: 2000, MaxOutputTokens: 400, Timeout: time.Hour}, 0, 0)
+		d.Submit(&Request{ID: uint64(1e6 + i), SessionKey: uint64(i%50 + 1), PromptTokens: 2000, MaxOutputTokens: 400,
+			Timeout: time.Hour}, 0, 0)
 	}
-	return d, out
+	return d, runtime
 }
 
-// serve takes one request in, and one through the module: prefill and decode chosen, begun and ended.
-func serveOne(d *Dispatcher, out *fakeRuntime, number int) {
-	out.now += 10 * time.Millisecond
+// serveOne submits one request and runs one to its end: prefill, decode, first token, end.
+func serveOne(d *Dispatcher, runtime *fakeRuntime, number int) {
+	runtime.now += 10 * time.Millisecond
 	d.window, d.sendCredit = 2, 0
-	d.Submit(&Request{ID: uint64(number), SessionKey: uint64(number%200 + 1), PrefixKey: uint64(number%20 + 1), PromptTokens: 2000, PrefixTokens: 1500, MaxOutputTokens: 400, Timeout: time.Hour}, 0, 0)
-	for served := false; !served && len(out.sent) > 0; {
-		t := out.sent[0]
-		out.sent = out.sent[1:]
-		if t.Stage == StagePrefill {
-			d.Ended(t, Result{Outcome: Prefilled, Duration: 20 * time.Millisecond, Detail: 100})
+	d.Submit(&Request{ID: uint64(number), SessionKey: uint64(number%200 + 1), PrefixKey: uint64(number%20 + 1),
+		PromptTokens: 2000, PrefixTokens: 1500, MaxOutputTokens: 400, Timeout: time.Hour}, 0, 0)
+	for served := false; !served && len(runtime.sent) > 0; {
+		attempt := runtime.sent[0]
+		runtime.sent = runtime.sent[1:]
+		if attempt.Stage == StagePrefill {
+			d.Ended(attempt, Result{Outcome: Prefilled, Duration: 20 * time.Millisecond, Detail: 100})
 			continue
 		}
-		d.Began(t, 5*time.Millisecond)
-		d.Ended(t, Result{Outcome: Served, Duration: 50 * time.Millisecond, Finished: true})
+		d.Began(attempt, 5*time.Millisecond)
+		d.Ended(attempt, Result{Outcome: Served, Duration: 50 * time.Millisecond, Finished: true})
 		served = true
 	}
-	out.timers, out.timerDelays, out.timeouts = out.timers[:0], out.timerDelays[:0], out.timeouts[:0]
+	runtime.timers, runtime.timerDelays, runtime.timeouts =
+		runtime.timers[:0], runtime.timerDelays[:0], runtime.timeouts[:0]
 }
 
-// What one request costs, over the number of backends, their state and the requests that wait.
+// BenchmarkRequest measures the time per request by number and state of the backends and by queue length.
 func BenchmarkRequest(b *testing.B) {
 	for _, backends := range []int{10, 79, 800, 3200} {
 		for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdRemoved} {
 			for _, waiting := range []int{1, 50, 500} {
 				b.Run(fmt.Sprintf("%d %v %d waiting", backends, state, waiting), func(b *testing.B) {
-					d, out := newLoadedFleet(b, backends, state, waiting)
+					d, runtime := newLoadedFleet(b, backends, state, waiting)
 					for number := 0; b.Loop(); number++ {
-						serveOne(d, out, number)
+						serveOne(d, runtime, number)
 					}
 				})
 			}
@@ -94,32 +99,34 @@
 	}
 }
 
-// costMost is for one request on average, far above what it costs and far below what stops the loop: it was 483 ms.
+// maxRequestTime is the limit on the mean time per request. Beyond it the event loop falls behind: 483 ms
+// stopped it.
 const maxRequestTime = 3 * time.Millisecond
 
 func TestRequestTimeWithThousandsOfBackends(t *testing.T) {
 	for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdRemoved} {
-		d, out := newLoadedFleet(t, 3200, state, 50)
+		d, runtime := newLoadedFleet(t, 3200, state, 50)
 		const rounds = 20
 		began := time.Now()
 		for number := range rounds {
-			serveOne(d, out, number)
+			serveOne(d, runtime, number)
 		}
 		if took := time.Since(began) / rounds; took > maxRequestTime {
-			t.Errorf("%v: a request costs %v", state, took)
+			t.Errorf("%v: a request takes %v", state, took)
 		}
 	}
 }
 
 func TestListChangeTimeWithThousandsOfBackends(t *testing.T) {
-	d, out := newLoadedFleet(t, 3200, allWarm, 0)
+	d, runtime := newLoadedFleet(t, 3200, allWarm, 0)
 	const rounds = 100
 	began := time.Now()
 	for i := range rounds {
-		out.now += time.Millisecond
-		d.Listed([]Endpoint{{Backend: d.backends[i], State: Ready, CapacityUnits: 1, StartReported: true, StartedAt: out.now}}, false)
+		runtime.now += time.Millisecond
+		d.Listed([]Endpoint{{Backend: d.backends[i], State: Ready, CapacityUnits: 1, StartReported: true,
+			StartedAt: runtime.now}}, false)
 	}
 	if took := time.Since(began) / rounds; took > maxRequestTime/10 {
-		t.Errorf("a change costs %v", took)
+		t.Errorf("a change takes %v", took)
 	}
 }
--- a/brain/outcomes.go
+++ b/brain/outcomes.go
@@ -5,173 +5,181 @@
 	"time"
 )
 
-// Outcomes: what the ends of own attempts, and what peers tell of theirs, say of backends.
+// Outcomes: what attempts, own ones and those of peers, show about backends.
 
-// Began takes word that an answer has started.
-func (d *Dispatcher) Began(t *Attempt, took time.Duration) {
-	if t.Ended || t.FirstTokenAt > 0 {
+// Began handles the first token of an attempt. duration is the time since its send.
+func (d *Dispatcher) Began(attempt *Attempt, duration time.Duration) {
+	if attempt.Ended || attempt.FirstTokenAt > 0 {
 		return
 	}
-	t.FirstTokenAt = d.runtime.Now()
-	t.Request.KVHolder, t.Request.Released, t.Request.ReleaseUnconfirmed = nil, false, false
-	d.clearOutstanding(t.Request)
-	d.recordOutcome(t, took, true, false)
-	d.timeToFirstToken.Add((t.FirstTokenAt - t.Request.DispatchedAt).Seconds(), 0.1)
+	attempt.FirstTokenAt = d.runtime.Now()
+	attempt.Request.KVHolder, attempt.Request.Released, attempt.Request.ReleaseUnconfirmed = nil, false, false
+	d.clearOutstanding(attempt.Request)
+	d.recordOutcome(attempt, duration, true, false)
+	d.timeToFirstToken.Add((attempt.FirstTokenAt - attempt.Request.DispatchedAt).Seconds(), 0.1)
 	d.dispatch()
 }
 
-// learn lets an attempt speak for or against its backend, and widens or narrows what it is trusted with.
-func (d *Dispatcher) recordOutcome(t *Attempt, took time.Duration, fine, loaded bool) {
-	h, now := t.Backend, d.runtime.Now()
-	unit := took.Seconds() / (t.PrefillTokens + 300)
-	slow := unit > 4*d.secondsPerToken[h.Role].ValueOr(unit)
-	if fine {
-		d.secondsPerToken[h.Role].Add(unit, 0.05)
-	}
-	news := PeerUpdate{Backend: h, ClassIndex: t.Request.Class.Index, HasLoad: loaded, Util: h.Util, QueueLength: h.QueueLength}
-	span := t.Request.TargetAt - t.Request.ReceivedAt
+// recordOutcome counts an attempt for or against its backend, tells peers, and raises or lowers the backend's
+// token limit.
+func (d *Dispatcher) recordOutcome(attempt *Attempt, duration time.Duration, succeeded, hasLoad bool) {
+	backend, now := attempt.Backend, d.runtime.Now()
+	// 300 tokens stand for the fixed part of an attempt's duration.
+	secondsPerToken := duration.Seconds() / (attempt.PrefillTokens + 300)
+	slow := secondsPerToken > 4*d.secondsPerToken[backend.Role].ValueOr(secondsPerToken)
+	if succeeded {
+		d.secondsPerToken[backend.Role].Add(secondsPerToken, 0.05)
+	}
+	update := PeerUpdate{Backend: backend, ClassIndex: attempt.Request.Class.Index, HasLoad: hasLoad, Util: backend.Util,
+		QueueLength: backend.QueueLength}
+	targetTime := attempt.Request.TargetAt - attempt.Request.ReceivedAt
 	switch {
-	case t.Outcome == Unreachable:
-		news.Verdict = VerdictUnreachable
-	case fine && !slow:
-		news.Verdict = VerdictGood
-	case fine:
-		news.Verdict = VerdictSlow
-	case slow || t.Outcome != TimedOut || took > span: // one cut short by its client says nothing
-		news.Verdict = VerdictBad
-	}
-	d.Heard(news)
-	if fine && t.FirstTokenAt > 0 || t.FirstTokenAt == 0 && t.Outcome == TimedOut {
-		news.TargetShare = d.targetShare(t.Request)
-	}
-	d.sendPeerUpdates(news)
-	one := t.Request.KVTokens
-	// Only time tells of a full backend; errors and resets speak through the posterior alone.
-	late := took > span/3 || now-t.Request.ReceivedAt > span*7/10
-	if (late && fine || t.Outcome == TimedOut) && now-h.LimitReducedAt > took {
-		h.TokenLimit, h.LimitReducedAt = max(one, h.TokenLimit*0.8), now
-	} else if !late && fine && (len(d.queue) > 0 || !hasCapacity(h, t.Request)) {
-		h.TokenLimit += one * one / h.TokenLimit
+	case attempt.Outcome == Unreachable:
+		update.Verdict = VerdictUnreachable
+	case succeeded && !slow:
+		update.Verdict = VerdictGood
+	case succeeded:
+		update.Verdict = VerdictSlow
+	case slow || attempt.Outcome != TimedOut || duration > targetTime: // one cut short by its client shows nothing
+		update.Verdict = VerdictBad
+	}
+	d.Heard(update)
+	if succeeded && attempt.FirstTokenAt > 0 || attempt.FirstTokenAt == 0 && attempt.Outcome == TimedOut {
+		update.TargetShare = d.targetShare(attempt.Request)
+	}
+	d.sendPeerUpdates(update)
+	tokens := attempt.Request.KVTokens
+	// Only latency shows that a backend is full; errors and resets count in the success posterior alone.
+	late := duration > targetTime/3 || now-attempt.Request.ReceivedAt > targetTime*7/10
+	if (late && succeeded || attempt.Outcome == TimedOut) && now-backend.LimitReducedAt > duration {
+		backend.TokenLimit, backend.LimitReducedAt = max(tokens, backend.TokenLimit*0.8), now
+	} else if !late && succeeded && (len(d.queue) > 0 || !hasCapacity(backend, attempt.Request)) {
+		backend.TokenLimit += tokens * tokens / backend.TokenLimit
 	}
 }
 
-// Ended takes the end of an attempt, and hands its result to what the attempt left behind.
-func (d *Dispatcher) Ended(t *Attempt, r Result) {
-	q, h, now := t.Request, t.Backend, d.runtime.Now()
-	t.Ended, t.Outcome = true, r.Outcome
-	d.applyLoad(t, -1)
-	d.applyLoadReport(h, r.LoadReport)
-	loaded := len(r.LoadReport) > 0 // what came with no report tells others of no load
-	q.Finished = q.Finished || r.Finished
-	// Only an attempt that came to its backend takes the state, if for a while.
-	if r.Outcome.provesArrival() {
-		q.KVWaitingSince = now - r.Delay
-	}
-	switch r.Outcome {
+// Ended handles the end of an attempt and passes the result to its OnResult.
+func (d *Dispatcher) Ended(attempt *Attempt, result Result) {
+	req, backend, now := attempt.Request, attempt.Backend, d.runtime.Now()
+	attempt.Ended, attempt.Outcome = true, result.Outcome
+	d.applyLoad(attempt, -1)
+	d.applyLoadReport(backend, result.LoadReport)
+	hasLoad := len(result.LoadReport) > 0 // without a report, peers get no load
+	req.Finished = req.Finished || result.Finished
+	// Only an attempt that is known to have reached its backend took over the KV cache, if briefly.
+	if result.Outcome.provesArrival() {
+		req.KVWaitingSince = now - result.Delay
+	}
+	switch result.Outcome {
 	case Prefilled:
-		q.KVHolder, q.Released = h, false
-		d.recordOutcome(t, r.Duration, true, loaded)
+		req.KVHolder, req.Released = backend, false
+		d.recordOutcome(attempt, result.Duration, true, hasLoad)
 	case Served:
-		if t.FirstTokenAt == 0 {
-			d.recordOutcome(t, r.Duration, true, loaded)
+		if attempt.FirstTokenAt == 0 {
+			d.recordOutcome(attempt, result.Duration, true, hasLoad)
 		}
-		d.sendPeerUpdates(PeerUpdate{Backend: h, HasLoad: loaded, Util: h.Util, QueueLength: h.QueueLength})
-		q.Class.DecodeSeconds.Add(now.Seconds()-t.FirstTokenAt.Seconds(), 0.02)
+		d.sendPeerUpdates(PeerUpdate{Backend: backend, HasLoad: hasLoad, Util: backend.Util,
+			QueueLength: backend.QueueLength})
+		req.Class.DecodeSeconds.Add(now.Seconds()-attempt.FirstTokenAt.Seconds(), 0.02)
 	case Rejected:
-		if r.Detail == 1 {
-			q.KVHolder, q.Released = nil, false
+		if result.Detail == 1 {
+			req.KVHolder, req.Released = nil, false
 		}
 	case Failed, TimedOut, Unreachable, ConnectionLost:
-		d.recordOutcome(t, r.Duration, false, loaded)
+		d.recordOutcome(attempt, result.Duration, false, hasLoad)
 	}
-	if r.Outcome == Prefilled || r.Outcome == Served {
-		d.recordCachedPrefix(t, float64(r.Detail))
-		h.CompletedWork.Add(now, d.requestWork(q, h, t.Stage))
+	if result.Outcome == Prefilled || result.Outcome == Served {
+		d.recordCachedPrefix(attempt, float64(result.Detail))
+		backend.CompletedWork.Add(now, d.requestWork(req, backend, attempt.Stage))
 		d.invalidateCompletedWork()
-		if t.Stage != StageDecode {
-			left := max(q.PromptTokens-float64(r.Detail), 0)
-			d.prefillTokens.Add(now, left)
+		if attempt.Stage != StageDecode {
+			uncached := max(req.PromptTokens-float64(result.Detail), 0)
+			d.prefillTokens.Add(now, uncached)
 			d.prefillRequests.Add(now, 1)
-			d.prefixTable.Add(cmp.Or(q.PrefixKey, q.SessionKey), now, 1)
-			q.Class.PrefillTokens.Add(left, 0.02)
+			d.prefixTable.Add(cmp.Or(req.PrefixKey, req.SessionKey), now, 1)
+			req.Class.PrefillTokens.Add(uncached, 0.02)
 		}
 	}
-	if t.FirstTokenAt == 0 && r.Outcome != Served {
-		d.repeatRelease(q)
+	if attempt.FirstTokenAt == 0 && result.Outcome != Served {
+		d.repeatRelease(req)
 	}
-	if q.Finished {
-		d.clearOutstanding(q)
-		d.releaseKV(q)
+	if req.Finished {
+		d.clearOutstanding(req)
+		d.releaseKV(req)
 	} else {
-		t.OnResult(r)
+		attempt.OnResult(result)
 	}
 	d.dispatch()
 }
 
-// remember feeds the table with what a backend has just read or fetched, and the kept tokens it reported.
-func (d *Dispatcher) recordCachedPrefix(t *Attempt, kept float64) {
-	h, q, now := t.Backend, t.Request, d.runtime.Now()
-	if t.CachedTokens > 0 {
-		h.HitRatio.Add(min(1, kept/t.CachedTokens), 0.1)
-	}
-	h.CacheInsertedTokens += max(q.PromptTokens-kept, 0)
-	if q.SessionKey != 0 {
-		h.CachedPrefixes[q.SessionKey] = CachedPrefix{q.PromptTokens, now, h.CacheInsertedTokens}
-		d.recordPrefixHolder(q.SessionKey, h)
-	}
-	if q.PrefixKey != 0 {
-		h.CachedPrefixes[q.PrefixKey] = CachedPrefix{q.PrefixTokens, now, h.CacheInsertedTokens}
-		d.recordPrefixHolder(q.PrefixKey, h)
+// recordCachedPrefix updates the backend's cached prefixes after prefill or a KV cache transfer, and the hit
+// ratio from the cached tokens that the backend reported.
+func (d *Dispatcher) recordCachedPrefix(attempt *Attempt, cached float64) {
+	backend, req, now := attempt.Backend, attempt.Request, d.runtime.Now()
+	if attempt.CachedTokens > 0 {
+		backend.HitRatio.Add(min(1, cached/attempt.CachedTokens), 0.1)
+	}
+	backend.CacheInsertedTokens += max(req.PromptTokens-cached, 0)
+	if req.SessionKey != 0 {
+		backend.CachedPrefixes[req.SessionKey] = CachedPrefix{req.PromptTokens, now, backend.CacheInsertedTokens}
+		d.recordPrefixHolder(req.SessionKey, backend)
+	}
+	if req.PrefixKey != 0 {
+		backend.CachedPrefixes[req.PrefixKey] = CachedPrefix{req.PrefixTokens, now, backend.CacheInsertedTokens}
+		d.recordPrefixHolder(req.PrefixKey, backend)
 	}
 }
 
-// chance is the posterior of a backend's success: the worse of what attempts of any class say and of the own, as
-// a backend may fail one only. Failures since the last good attempt stay, four at most: more would forget it.
-func (d *Dispatcher) successPosterior(h *Backend, q *Request) (well, badly float64) {
-	well = 1
-	for _, i := range []int{0, 1 + q.Class.Index} {
-		r, now := &h.Outcomes[i], d.runtime.Now()
-		bad := 1 + r.Failures.Sum(now) + min(r.ConsecutiveFailures, 4)
+// successPosterior returns the parameters of the Beta posterior of a backend's success, or failures 0 if
+// nothing counts against it. It is the worse one of all classes together and of the request's class, as a
+// backend may fail only one class. Consecutive failures count until the next success, but at most four: with
+// more the backend would never be tried again.
+func (d *Dispatcher) successPosterior(backend *Backend, req *Request) (successes, failures float64) {
+	successes = 1
+	for _, i := range []int{0, 1 + req.Class.Index} {
+		stats, now := &backend.Outcomes[i], d.runtime.Now()
+		bad := 1 + stats.Failures.Sum(now) + min(stats.ConsecutiveFailures, 4)
 		if bad <= 1 {
-			continue // nothing speaks against it
+			continue // nothing counts against it
 		}
-		if good := 2 + r.Successes.Sum(now); bad*well >= badly*good {
-			well, badly = good, bad
+		if good := 2 + stats.Successes.Sum(now); bad*successes >= failures*good {
+			successes, failures = good, bad
 		}
 	}
-	return well, badly
+	return successes, failures
 }
 
-// drawn draws from that whether the backend is given work.
-func (d *Dispatcher) drawTrust(well, badly float64) bool {
-	return badly == 0 || d.rng.Beta(well, badly) > trustThreshold
+// drawTrust draws from the posterior whether the backend gets work.
+func (d *Dispatcher) drawTrust(successes, failures float64) bool {
+	return failures == 0 || d.rng.Beta(successes, failures) > trustThreshold
 }
 
-// Heard takes what another dispatcher tells of a backend; it counts like an own attempt.
-func (d *Dispatcher) Heard(n PeerUpdate) {
-	if n.HasLoad {
-		n.Backend.Util, n.Backend.QueueLength = n.Util, n.QueueLength
-	}
-	d.applyPeerShare(n)
-	for _, i := range []int{0, 1 + n.ClassIndex} {
-		if i >= len(n.Backend.Outcomes) {
+// Heard handles a peer's update. It counts like an own attempt.
+func (d *Dispatcher) Heard(update PeerUpdate) {
+	if update.HasLoad {
+		update.Backend.Util, update.Backend.QueueLength = update.Util, update.QueueLength
+	}
+	d.applyPeerShare(update)
+	for _, i := range []int{0, 1 + update.ClassIndex} {
+		if i >= len(update.Backend.Outcomes) {
 			return
 		}
-		n.Backend.Outcomes[i].Observe(d.runtime.Now(), n.Verdict, slowFailureWeight)
+		update.Backend.Outcomes[i].Observe(d.runtime.Now(), update.Verdict, slowFailureWeight)
 	}
-	// A backend that can't be reached may be restarting, which the list tells seconds later: cold till then.
-	// A broken connection alone says nothing of that; taken so, a rash of resets shuts out the fleet.
-	if n.Verdict == VerdictUnreachable {
-		n.Backend.UnreachableAt = d.runtime.Now()
+	// An unreachable backend may be restarting, which service discovery shows only seconds later, so it is in
+	// slow start until then. A lost connection alone doesn't show that: a burst of connection resets would put
+	// the whole fleet in slow start.
+	if update.Verdict == VerdictUnreachable {
+		update.Backend.UnreachableAt = d.runtime.Now()
 		d.invalidateCompletedWork()
 	}
 }
 
-// share tells a few others of an own attempt: at most what the price of messages allows.
-func (d *Dispatcher) sendPeerUpdates(n PeerUpdate) {
-	others, own := int(d.parameters.dispatchers)-1, int(d.parameters.index)
-	first := int(d.rng.Float() * float64(others))
+// sendPeerUpdates sends an update to a few peers, as many as the price of messages allows.
+func (d *Dispatcher) sendPeerUpdates(update PeerUpdate) {
+	peers, self := int(d.parameters.dispatchers)-1, int(d.parameters.index)
+	start := int(d.rng.Float() * float64(peers))
 	for i := range d.peerFanout {
-		d.runtime.SendPeerUpdate((own+1+(first+i)%others)%(others+1), n)
+		d.runtime.SendPeerUpdate((self+1+(start+i)%peers)%(peers+1), update)
 	}
 }
--- a/brain/parameters.go
+++ b/brain/parameters.go
@@ -5,56 +5,56 @@
 	"time"
 )
 
-// parameters are the settings that decisions read, read once: a look-up by name for each backend of thousands would cost more than
-// the decision.
+// parameters are the settings that decisions use, in typed form. Looking settings up by name for each of
+// thousands of backends would cost more than the decision itself.
 type parameters struct {
-	dispatchers      float64 // that share the fleet, this one among them
-	index            float64 // this one's, from 0
+	dispatchers      float64 // number of dispatchers that share the fleet
+	index            float64 // index of this one, from 0
 	zone             int
 	maxAttempts      int
-	canCancel        bool // an attempt may be called off
-	retryAfter       bool // a rejection may say when to try again
+	canCancel        bool // attempts can be cancelled
+	retryAfter       bool // rejections say when to retry
 	maxRetryAfter    time.Duration
-	decodeMayPrefill bool          // decode backends may read prompts
-	holdLimit        time.Duration // for which a state may wait with no attempt out; 0: for any time
+	decodeMayPrefill bool          // decode backends may prefill
+	holdLimit        time.Duration // how long a KV cache may wait for decode; 0: without limit
 
-	slowStartMultiple float64       // of its present capacity, that a backend in slow start may be sent in a window
-	slowStartShare    float64       // of its capacity, that a backend has right after its start
-	slowStartWindow   time.Duration // in which that work counts
-	slowStartTime     time.Duration // after which a backend is warm
+	slowStartMultiple float64       // work per window in slow start, as a multiple of present capacity
+	slowStartShare    float64       // share of capacity right after a start
+	slowStartWindow   time.Duration // window in which that work counts
+	slowStartTime     time.Duration // duration of slow start
 
 	crossZonePrice float64
 	peerPrice      float64
-	overQuotaValue float64 // part of its value that a request beyond its tenant's share has
-	valueByWork    bool    // the value of a request is stated for its work
+	overQuotaValue float64 // share of its value that a request over quota has
+	valueByWork    bool    // the value of a request is stated per unit of work
 	reportFields   []string
 }
 
-// parametersOf reads the parameters from complete facts.
-func parametersOf(f Settings) parameters {
+// parametersOf reads the parameters from settings that have their defaults.
+func parametersOf(settings Settings) parameters {
 	return parameters{
-		dispatchers:      f.Number("siblings", 1),
-		index:            f.Number("slotNo", 0),
-		zone:             int(f.Number("zone", 0)),
-		maxAttempts:      int(f.Number("policyLimits.maxAttempts", 1)),
-		canCancel:        f.Bool("policyLimits.cancelling"),
-		retryAfter:       f.Bool("policyLimits.retryAfter"),
-		maxRetryAfter:    f.Duration("policyLimits.maxRetryAfterUs"),
-		decodeMayPrefill: f.Bool("familyInfo.localRead"),
-		holdLimit:        f.Duration("familyInfo.pinLimitUs"),
-
-		slowStartMultiple: f.Number("rules.tipMultiple", 1),
-		slowStartShare:    f.Number("rules.coldFrom", 0),
-		slowStartWindow:   f.Duration("rules.tipAfterUs"),
-		slowStartTime:     f.Duration("rules.rampTimeUs"),
-
-		crossZonePrice: f.Number("prices.crossZone", 0),
-		peerPrice:      f.Number("prices.peer", 0),
-		overQuotaValue: f.Number("overShareWorth", 1),
-		valueByWork:    f.Text("valueBy") == "work",
-		reportFields:   f.reportFields(),
+		dispatchers:      settings.Number("siblings", 1),
+		index:            settings.Number("slotNo", 0),
+		zone:             int(settings.Number("zone", 0)),
+		maxAttempts:      int(settings.Number("policyLimits.maxAttempts", 1)),
+		canCancel:        settings.Bool("policyLimits.cancelling"),
+		retryAfter:       settings.Bool("policyLimits.retryAfter"),
+		maxRetryAfter:    settings.Duration("policyLimits.maxRetryAfterUs"),
+		decodeMayPrefill: settings.Bool("familyInfo.localRead"),
+		holdLimit:        settings.Duration("familyInfo.pinLimitUs"),
+
+		slowStartMultiple: settings.Number("rules.tipMultiple", 1),
+		slowStartShare:    settings.Number("rules.coldFrom", 0),
+		slowStartWindow:   settings.Duration("rules.tipAfterUs"),
+		slowStartTime:     settings.Duration("rules.rampTimeUs"),
+
+		crossZonePrice: settings.Number("prices.crossZone", 0),
+		peerPrice:      settings.Number("prices.peer", 0),
+		overQuotaValue: settings.Number("overShareWorth", 1),
+		valueByWork:    settings.Text("valueBy") == "work",
+		reportFields:   settings.reportFields(),
 	}
 }
 
-// share is this dispatcher's part of something that all have together.
+// ownShare is this dispatcher's part of a total over all dispatchers.
 func (p *parameters) ownShare(whole float64) float64 { return whole / math.Max(p.dispatchers, 1) }
--- a/brain/placement.go
+++ b/brain/placement.go
@@ -5,29 +5,29 @@
 	"slices"
 )
 
-// Placement: where a request is read and where it is answered. The ordinary path is the design page's; each departure stands in docs/design.md.
-
-// able lists the backends of the given roles that the gate lets through: the trusted ones, or all if none
-// is. Of those more likely to fail than not, one at a time is drawn for: failing backends look idle, and if
-// each had its own draw, one of many would be taken for nearly every request.
-func (d *Dispatcher) eligible(q *Request, want func(*Backend) bool) []*Backend {
-	var all, trusted, doubtful []*Backend
-	for _, h := range d.candidates(q) {
-		if !want(h) || d.disallowed(q, h) {
+// Placement: where a request is prefilled and where it is decoded.
+
+// eligible returns the backends of the wanted roles that the rules allow: the trusted ones, or all if none is
+// trusted. Among suspected ones (more likely to fail than not) only one is drawn for at a time: failing
+// backends look idle, and with a draw for each, one of many would be picked for nearly every request.
+func (d *Dispatcher) eligible(req *Request, matches func(*Backend) bool) []*Backend {
+	var all, trusted, suspected []*Backend
+	for _, backend := range d.candidates(req) {
+		if !matches(backend) || d.disallowed(req, backend) {
 			continue
 		}
-		all = append(all, h)
-		if well, badly := d.successPosterior(h, q); q.FailedAt(h) {
+		all = append(all, backend)
+		if successes, failures := d.successPosterior(backend, req); req.FailedAt(backend) {
 			continue
-		} else if badly > well {
-			doubtful = append(doubtful, h)
-		} else if d.drawTrust(well, badly) {
-			trusted = append(trusted, h)
+		} else if failures > successes {
+			suspected = append(suspected, backend)
+		} else if d.drawTrust(successes, failures) {
+			trusted = append(trusted, backend)
 		}
 	}
-	if n := len(doubtful); n > 0 {
-		if h := doubtful[int(d.rng.Float()*float64(n))]; d.drawTrust(d.successPosterior(h, q)) {
-			trusted = append(trusted, h)
+	if count := len(suspected); count > 0 {
+		if backend := suspected[int(d.rng.Float()*float64(count))]; d.drawTrust(d.successPosterior(backend, req)) {
+			trusted = append(trusted, backend)
 		}
 	}
 	if len(trusted) == 0 {
@@ -36,164 +36,181 @@
 	return trusted
 }
 
-// press is how full a backend looks for one more request, of which left tokens are to be read there: own
-// streams and reading, an average prompt weighing as half a stream, then what it last reported. Over many
-// dispatchers these are nearly always nought: then what it was given lately tells, and a lean of its own.
-func (d *Dispatcher) loadScore(h *Backend, left float64) float64 {
-	n := float64(h.Streams) + 1 + h.Bias + (h.PrefillBacklog+left)/2/max(d.meanPrefillTokens, 300) +
-		recentLoadWeight*h.RecentLoad.Sum(d.runtime.Now())/(1+d.streams/max(d.decodeCount, 1))
-	return n / (h.RelativeCapacity * d.capacityShare(h)) * (1 + h.Util + h.QueueLength/5) * h.DistanceFactor
+// loadScore is how loaded a backend looks for one more request that has tokens to prefill there: own streams
+// and prefill, a mean prompt (of at least 300 tokens) counting as half a stream, scaled by the last load
+// report. With many dispatchers the own load is nearly always zero; then load sent recently and the
+// dispatcher's random bias decide.
+func (d *Dispatcher) loadScore(backend *Backend, prefillTokens float64) float64 {
+	load := float64(backend.Streams) + 1 + backend.Bias +
+		(backend.PrefillBacklog+prefillTokens)/2/max(d.meanPrefillTokens, 300) +
+		recentLoadWeight*backend.RecentLoad.Sum(d.runtime.Now())/(1+d.streams/max(d.decodeCount, 1))
+	return load / (backend.RelativeCapacity * d.capacityShare(backend)) *
+		(1 + backend.Util + backend.QueueLength/5) * backend.DistanceFactor
 }
 
-func (d *Dispatcher) nextLoadScore(h *Backend) float64 { return d.loadScore(h, 0) }
+// nextLoadScore is the load score for a request with nothing to prefill.
+func (d *Dispatcher) nextLoadScore(backend *Backend) float64 { return d.loadScore(backend, 0) }
 
-// route takes the first step: read in place, whole at a mixed backend, or at a prefill backend. False: no room.
-func (d *Dispatcher) route(q *Request) bool {
-	answering := d.eligible(q, (*Backend).Decodes)
-	roomy := Filter(answering, func(h *Backend) bool { return hasCapacity(h, q) })
-	if len(roomy) == 0 && len(answering) > 0 || d.freeKVTokens(q) < q.KVTokens {
+// route sends a request to its first backend: in place at a decode backend, whole at a mixed one, or to
+// prefill. It reports false without free capacity.
+func (d *Dispatcher) route(req *Request) bool {
+	decodeBackends := d.eligible(req, (*Backend).Decodes)
+	withCapacity := Filter(decodeBackends, func(b *Backend) bool { return hasCapacity(b, req) })
+	if len(withCapacity) == 0 && len(decodeBackends) > 0 || d.freeKVTokens(req) < req.KVTokens {
 		return false
 	}
-	if h := d.pickInPlaceDecode(q, roomy); h != nil {
-		return d.send(q, h, StageWhole, d.afterAttempt(q))
+	if backend := d.pickInPlaceDecode(req, withCapacity); backend != nil {
+		return d.send(req, backend, StageWhole, d.afterAttempt(req))
 	}
-	reader := d.pickPrefill(q, answering)
-	if h := d.pickMixed(q, roomy, reader); h != nil {
-		return d.send(q, h, StageWhole, d.afterAttempt(q))
+	prefillBackend := d.pickPrefill(req, decodeBackends)
+	if backend := d.pickMixed(req, withCapacity, prefillBackend); backend != nil {
+		return d.send(req, backend, StageWhole, d.afterAttempt(req))
 	}
-	return d.send(q, reader, StagePrefill, d.afterAttempt(q))
+	return d.send(req, prefillBackend, StagePrefill, d.afterAttempt(req))
 }
 
-// hasRoom tells whether a backend may take the request within its room; an idle one always may.
-func hasCapacity(h *Backend, q *Request) bool {
-	return h.Streams == 0 || h.KVTokens+q.KVTokens <= h.TokenLimit
+// hasCapacity reports whether the request fits the backend's token limit. An idle backend always has capacity.
+func hasCapacity(backend *Backend, req *Request) bool {
+	return backend.Streams == 0 || backend.KVTokens+req.KVTokens <= backend.TokenLimit
 }
 
-// inPlace finds the decode backend that should read a short request itself, by kept prefix against load. While
-// a token takes longer at prefill backends than at decode backends, the cut rises with that, up to fourfold.
-func (d *Dispatcher) pickInPlaceDecode(q *Request, roomy []*Backend) *Backend {
+// pickInPlaceDecode picks a decode backend that should prefill a short prompt itself, by cached prefix and
+// load. The limit for a short prompt rises up to fourfold while a token takes longer at prefill backends than
+// at decode backends.
+func (d *Dispatcher) pickInPlaceDecode(req *Request, withCapacity []*Backend) *Backend {
 	if !d.parameters.decodeMayPrefill {
 		return nil
 	}
-	tilt := min(max(d.secondsPerToken[RolePrefill].ValueOr(0)/max(d.secondsPerToken[RoleDecode].ValueOr(0), 1e-6), 1), 4)
-	short := Filter(roomy, func(h *Backend) bool {
-		return h.Role == RoleDecode && d.uncachedTokens(h, q) < shortPromptShare*tilt*d.meanPrefillTokens
+	limitFactor := min(max(d.secondsPerToken[RolePrefill].ValueOr(0)/
+		max(d.secondsPerToken[RoleDecode].ValueOr(0), 1e-6), 1), 4)
+	eligible := Filter(withCapacity, func(backend *Backend) bool {
+		return backend.Role == RoleDecode && d.uncachedTokens(backend, req) < shortPromptShare*limitFactor*d.meanPrefillTokens
 	})
-	return MinBy(short, func(h *Backend) float64 { return d.nextLoadScore(h) / (1 + d.cachedTokens(h, q)) })
+	return MinBy(eligible, func(b *Backend) float64 { return d.nextLoadScore(b) / (1 + d.cachedTokens(b, req)) })
 }
 
-// pickMixed finds the pickMixed backend that should take a request whole: its share is what it carries with less press
-// than the best decode backend and the prefill backend together. What is read there also holds up the answers that run there,
-// and so counts twice; more where whole attempts take longer lately than a read and a write.
-func (d *Dispatcher) pickMixed(q *Request, roomy []*Backend, reader *Backend) *Backend {
-	whole := func(h *Backend) float64 { return d.loadScore(h, d.uncachedTokens(h, q)) }
-	m := MinBy(d.affinityCandidates(q, RoleMixed, Filter(roomy, (*Backend).Mixed)), whole)
-	w := MinBy(Filter(roomy, func(h *Backend) bool { return h.Role == RoleDecode }), d.nextLoadScore)
-	if d.meanPrefillTokens == 0 && reader != nil || m == nil {
+// pickMixed picks a mixed backend that should serve the request whole, or nil. It is picked if its load score
+// is below that of the best decode backend and the prefill backend together. The score counts twice because
+// prefill also delays the answers streamed there, and more if whole attempts have lately been slower than
+// prefill and decode apart.
+func (d *Dispatcher) pickMixed(req *Request, withCapacity []*Backend, prefillBackend *Backend) *Backend {
+	wholeScore := func(b *Backend) float64 { return d.loadScore(b, d.uncachedTokens(b, req)) }
+	mixed := MinBy(d.affinityCandidates(req, RoleMixed, Filter(withCapacity, (*Backend).Mixed)), wholeScore)
+	decodeBackend := MinBy(Filter(withCapacity, func(b *Backend) bool { return b.Role == RoleDecode }), d.nextLoadScore)
+	if d.meanPrefillTokens == 0 && prefillBackend != nil || mixed == nil {
 		return nil
 	}
-	if w == nil || reader == nil {
-		return m
+	if decodeBackend == nil || prefillBackend == nil {
+		return mixed
 	}
-	unkept := d.uncachedTokens(reader, q)
-	apart := (unkept+300)*d.secondsPerToken[RolePrefill].ValueOr(0) + 300*d.secondsPerToken[RoleDecode].ValueOr(0)
-	slower := min(max((unkept+300)*d.secondsPerToken[RoleMixed].ValueOr(0)/max(apart, 1e-6), 1), 4)
-	if 2*slower*whole(m) > d.nextLoadScore(w)+d.loadScore(reader, unkept) {
+	uncached := d.uncachedTokens(prefillBackend, req)
+	separateTime := (uncached+300)*d.secondsPerToken[RolePrefill].ValueOr(0) + 300*d.secondsPerToken[RoleDecode].ValueOr(0)
+	slowdown := min(max((uncached+300)*d.secondsPerToken[RoleMixed].ValueOr(0)/max(separateTime, 1e-6), 1), 4)
+	if 2*slowdown*wholeScore(mixed) > d.nextLoadScore(decodeBackend)+d.loadScore(prefillBackend, uncached) {
 		return nil
 	}
-	return m
+	return mixed
 }
 
-// homes are the two of the backends to which the request's beginning is hashed, in every dispatcher alike: they
-// keep it, though no dispatcher sends it often enough to know. A beginning so common that two would read more
-// than their part, and one rack's link carry it, has as many as its share of requests asks for; one whose
-// homes all look much fuller than the mean has the next in order too, as hashing with bounded loads does.
-// Where one of them is doubted the other serves; only if all are, others read the text anew. Cold backends that
-// may be sent something stand beside them: for the few whose turn it is, few beginnings are at home there.
-func (d *Dispatcher) affinityCandidates(q *Request, role Role, able []*Backend) []*Backend {
-	key := cmp.Or(q.PrefixKey, q.SessionKey)
-	all := d.affinityOrder(q, role)
-	n := d.affinityCount(key, role, all)
-	all = d.extendAffinity(all, key, role, n, able)
-	most := maxLoadFactor * MeanOf(able, d.nextLoadScore)
-	fits := func(h *Backend) bool { return slices.Contains(able, h) && d.nextLoadScore(h) < most }
-	for n < len(all) && !slices.ContainsFunc(all[:n], fits) {
-		n++
-	}
-	homes := Filter(all[:min(n, len(all))], func(h *Backend) bool { return slices.Contains(able, h) })
-	if len(homes) == 0 {
-		SortByHash(able, key)
-		homes = slices.Clone(able[:min(n, len(able))])
-	}
-	return append(homes, Filter(able, func(h *Backend) bool { return d.recentlyStarted(h) && !slices.Contains(homes, h) })...)
+// affinityCandidates returns the eligible backends to which the request's prefix hashes. All dispatchers agree
+// on them, so they have the prefix cached even if this dispatcher rarely sends it. There are two, and more for
+// a prefix so common that two would get more than their share of prefill or one rack's link would carry it
+// all. If all of them are far above the mean load, the next in order are added, as in consistent hashing with
+// bounded loads. If one is suspected the other serves; others prefill the prefix anew only if all are
+// suspected. Backends in slow start that may be sent work are always included: few prefixes hash to the few
+// backends whose turn it is.
+func (d *Dispatcher) affinityCandidates(req *Request, role Role, eligible []*Backend) []*Backend {
+	key := cmp.Or(req.PrefixKey, req.SessionKey)
+	ordered := d.affinityOrder(req, role)
+	count := d.affinityCount(key, role, ordered)
+	ordered = d.extendAffinity(ordered, key, role, count, eligible)
+	maxLoad := maxLoadFactor * MeanOf(eligible, d.nextLoadScore)
+	usable := func(b *Backend) bool { return slices.Contains(eligible, b) && d.nextLoadScore(b) < maxLoad }
+	for count < len(ordered) && !slices.ContainsFunc(ordered[:count], usable) {
+		count++
+	}
+	candidates := Filter(ordered[:min(count, len(ordered))], func(b *Backend) bool { return slices.Contains(eligible, b) })
+	if len(candidates) == 0 {
+		SortByHash(eligible, key)
+		candidates = slices.Clone(eligible[:min(count, len(eligible))])
+	}
+	return append(candidates, Filter(eligible, func(b *Backend) bool {
+		return d.recentlyStarted(b) && !slices.Contains(candidates, b)
+	})...)
 }
 
-// pickPrefill hashes the request's beginning to two prefill backends and takes the one with fewer own reads, by their
-// tokens. As a state best stays in its rack, the prefill backend counts for less whose rack has a freer decode backend.
-func (d *Dispatcher) pickPrefill(q *Request, answering []*Backend) *Backend {
-	freest := minCostByRack(answering, d.nextLoadScore)
-	return MinBy(d.affinityCandidates(q, RolePrefill, d.eligible(q, (*Backend).PrefillOnly)), func(h *Backend) float64 {
-		near, known := freest[h.Rack]
-		if !known {
-			near = d.nextLoadScore(h) // a rack without decode backends
-		}
-		return d.loadScore(h, d.uncachedTokens(h, q)) * near
-	})
+// pickPrefill picks the prefill backend with the lowest load in uncached tokens from the prefix's affinity
+// candidates. As the KV cache should stay in its rack, the score is multiplied by that of the least loaded
+// decode backend in the rack.
+func (d *Dispatcher) pickPrefill(req *Request, decodeBackends []*Backend) *Backend {
+	minScore := minCostByRack(decodeBackends, d.nextLoadScore)
+	return MinBy(d.affinityCandidates(req, RolePrefill, d.eligible(req, (*Backend).PrefillOnly)),
+		func(backend *Backend) float64 {
+			rackScore, found := minScore[backend.Rack]
+			if !found {
+				rackScore = d.nextLoadScore(backend) // no decode backend in the rack
+			}
+			return d.loadScore(backend, d.uncachedTokens(backend, req)) * rackScore
+		})
 }
 
-// pickDecode picks the decode backend once the read has ended: fewest own streams, least reported load, near the state.
-func (d *Dispatcher) pickDecode(q *Request) bool {
-	if d.mayHoldKV(q) != Allowed {
+// pickDecode sends a request whose prefill has ended to the decode backend with the lowest load, preferring
+// the rack that holds its KV cache. It reports false if the KV cache may not wait or no backend can be used.
+func (d *Dispatcher) pickDecode(req *Request) bool {
+	if d.mayHoldKV(req) != Allowed {
 		return false
 	}
-	h := MinBy(d.eligible(q, (*Backend).Decodes), func(h *Backend) float64 {
-		if q.KVHolder != nil && h.Rack != q.KVHolder.Rack {
-			return d.nextLoadScore(h) * crossRackPenalty
+	backend := MinBy(d.eligible(req, (*Backend).Decodes), func(backend *Backend) float64 {
+		if req.KVHolder != nil && backend.Rack != req.KVHolder.Rack {
+			return d.nextLoadScore(backend) * crossRackPenalty
 		}
-		return d.nextLoadScore(h)
+		return d.nextLoadScore(backend)
 	})
-	return d.send(q, h, StageDecode, d.afterAttempt(q))
+	return d.send(req, backend, StageDecode, d.afterAttempt(req))
 }
 
-// onward takes the result of an attempt: a state that waits goes to a decode backend, all else starts over.
-func (d *Dispatcher) afterAttempt(q *Request) func(Result) {
-	return func(r Result) {
-		if q.KVHolder != nil && d.pickDecode(q) {
+// afterAttempt returns what to do with an attempt's result: a KV cache that waits goes to a decode backend,
+// anything else starts over.
+func (d *Dispatcher) afterAttempt(req *Request) func(Result) {
+	return func(result Result) {
+		if req.KVHolder != nil && d.pickDecode(req) {
 			return
 		}
-		d.restart(q)
+		d.restart(req)
 	}
 }
 
-func (d *Dispatcher) anyAllowed(q *Request) bool {
-	return slices.ContainsFunc(d.backends, func(h *Backend) bool { return h.Decodes() && !d.disallowed(q, h) })
+// anyAllowed reports whether the rules allow the request at any decode backend.
+func (d *Dispatcher) anyAllowed(req *Request) bool {
+	return slices.ContainsFunc(d.backends, func(b *Backend) bool { return b.Decodes() && !d.disallowed(req, b) })
 }
 
-// again starts a request over, if a backend may still take it, else gives it up at once.
-func (d *Dispatcher) restart(q *Request) {
-	d.clearOutstanding(q)
-	d.releaseKV(q)
-	if !d.anyAllowed(q) {
-		d.giveUp(q)
+// restart starts a request over if a backend may still take it, else gives it up at once.
+func (d *Dispatcher) restart(req *Request) {
+	d.clearOutstanding(req)
+	d.releaseKV(req)
+	if !d.anyAllowed(req) {
+		d.giveUp(req)
 		return
 	}
-	d.enqueue(q)
+	d.enqueue(req)
 }
 
-// keeps is how much of the prompt the backend should have kept, by the ageing table: what it has taken in
-// since pushes old texts out, and reports of less than expected lower all that is expected of it.
-func (d *Dispatcher) cachedTokens(h *Backend, q *Request) float64 {
-	kept := 0.0
-	for _, key := range []uint64{q.SessionKey, q.PrefixKey} {
-		k, ok := h.CachedPrefixes[key]
-		since := (h.CacheInsertedTokens - k.InsertedTokens) * d.parameters.dispatchers
-		if ok && key != 0 && d.runtime.Now()-k.UsedAt < prefixTTL && since < h.KVCapacity-h.KVTokens {
-			kept = max(kept, k.Tokens)
+// cachedTokens estimates how much of the prompt the backend has cached. Tokens inserted since the prefix was
+// used, over all dispatchers, evict it in the end; the estimate is scaled by how well past ones were met.
+func (d *Dispatcher) cachedTokens(backend *Backend, req *Request) float64 {
+	cached := 0.0
+	for _, key := range []uint64{req.SessionKey, req.PrefixKey} {
+		prefix, ok := backend.CachedPrefixes[key]
+		inserted := (backend.CacheInsertedTokens - prefix.InsertedTokens) * d.parameters.dispatchers
+		if ok && key != 0 && d.runtime.Now()-prefix.UsedAt < prefixTTL && inserted < backend.KVCapacity-backend.KVTokens {
+			cached = max(cached, prefix.Tokens)
 		}
 	}
-	return min(kept, q.PromptTokens) * h.HitRatio.ValueOr(1)
+	return min(cached, req.PromptTokens) * backend.HitRatio.ValueOr(1)
 }
 
-func (d *Dispatcher) uncachedTokens(h *Backend, q *Request) float64 {
-	return q.PromptTokens - d.cachedTokens(h, q)
+// uncachedTokens is how much of the prompt the backend would have to prefill.
+func (d *Dispatcher) uncachedTokens(backend *Backend, req *Request) float64 {
+	return req.PromptTokens - d.cachedTokens(backend, req)
 }
--- a/brain/policy.go
+++ b/brain/policy.go
@@ -5,116 +5,121 @@
 	"time"
 )
 
-// What the rules allow now: the only place that decides whether an attempt may be sent, a request run again or rejected, a backend in
-// slow start given work, or a state kept waiting. The choice of a backend and the check right before an attempt's first byte ask the
-// same functions.
+// Policy: the only place that decides whether an attempt may be sent, a request run again or rejected, a
+// backend in slow start given work, or a KV cache kept waiting. The choice of a backend and the check right
+// before an attempt's first byte use the same functions.
 
-// Permission is whether something is allowed, and if not, why.
+// Permission says whether something is allowed, and if not, why.
 type Permission int
 
 const (
 	Allowed              Permission = iota
-	AttemptEnded                    // the attempt is over already
-	RequestFinished                 // the request has its final answer, or its client has gone
-	NoFurtherAttempt                // the dispatcher allows none, as it stops or damps retries
-	OtherAttemptInFlight            // another attempt of the request is out
-	DeadlinePassed                  // the client's time is up
-	BackendNotReady                 // the backend drains or is gone
-	AttemptsSpent                   // the request has had as many attempts as it may have
-	MayHaveRun                      // the request may have run, and may not run twice
-	RepeatWindowClosed              // the request may have run, and the time in which repeats are dropped is over
-	OtherGroup                      // the request may have run at a backend that does not share what it knows of repeats with this one
-	SlowStartSpent                  // the backend is in slow start and has had this dispatcher's part of what it bears
-	KVReleaseDue                    // the state has waited for as long as leaves time to release it
+	AttemptEnded                    // the attempt has ended
+	RequestFinished                 // the request has its final answer, or its client has disconnected
+	NoFurtherAttempt                // the dispatcher allows no more, as it is stopping or throttles retries
+	OtherAttemptInFlight            // another attempt of the request is in flight
+	DeadlinePassed                  // the request's deadline has passed
+	BackendNotReady                 // the backend is draining or removed
+	AttemptsSpent                   // the request has used up its attempts
+	MayHaveRun                      // the request may have run and is not idempotent
+	RepeatWindowClosed              // the request may have run, and its deduplication window is over
+	OtherGroup                      // it may have run at a backend that does not deduplicate together with this one
+	SlowStartSpent                  // the backend is in slow start and has had this dispatcher's share of its budget
+	KVReleaseDue                    // the KV cache has waited as long as leaves time to release it
 )
 
-// String is how logs and counters name it.
-func (v Permission) String() string {
+// String returns the name in logs and counters.
+func (p Permission) String() string {
 	names := [...]string{
-		"allowed", "attempt ended", "request over", "no further attempt", "other attempt out", "deadline passed", "backend not ready", "attempts spent",
+		"allowed", "attempt ended", "request over", "no further attempt", "other attempt out", "deadline passed",
+		"backend not ready", "attempts spent",
 		"may have run", "repeat window closed", "other group", "slow start spent", "state due",
 	}
-	if v < 0 || int(v) >= len(names) {
-		return fmt.Sprintf("permission %d", int(v))
+	if p < 0 || int(p) >= len(names) {
+		return fmt.Sprintf("permission %d", int(p))
 	}
-	return names[v]
+	return names[p]
 }
 
-// repeatSlack is how long before the end of its window a repeat is sent at the latest.
+// repeatMargin is how long before the end of the deduplication window a repeat is sent at the latest.
 const repeatMargin = 10 * time.Millisecond
 
-// mayChoose tells whether a further attempt of the request may be made at the backend.
-func (d *Dispatcher) mayChoose(q *Request, h *Backend) Permission {
+// mayChoose returns whether a further attempt of the request may be made at the backend.
+func (d *Dispatcher) mayChoose(req *Request, backend *Backend) Permission {
 	switch {
-	case q.Finished:
+	case req.Finished:
 		return RequestFinished
-	case q.NoMoreAttempts:
+	case req.NoMoreAttempts:
 		return NoFurtherAttempt
-	case q.InFlight() != nil:
+	case req.InFlight() != nil:
 		return OtherAttemptInFlight
-	case len(q.Attempts) >= d.parameters.maxAttempts:
+	case len(req.Attempts) >= d.parameters.maxAttempts:
 		return AttemptsSpent
 	}
-	if v := d.mayContact(q, h, len(q.Attempts)); v != Allowed {
-		return v
+	if permission := d.mayContact(req, backend, len(req.Attempts)); permission != Allowed {
+		return permission
 	}
-	work := d.requestWork(q, h, StageWhole)
-	return d.mayUseSlowStart(h, work, h.SentWork.Sum(d.runtime.Now())+work)
+	work := d.requestWork(req, backend, StageWhole)
+	return d.mayUseSlowStart(backend, work, backend.SentWork.Sum(d.runtime.Now())+work)
 }
 
-// barred tells whether no attempt of the request may be made at the backend.
-func (d *Dispatcher) disallowed(q *Request, h *Backend) bool { return d.mayChoose(q, h) != Allowed }
+// disallowed reports whether no attempt of the request may be made at the backend.
+func (d *Dispatcher) disallowed(req *Request, backend *Backend) bool {
+	return d.mayChoose(req, backend) != Allowed
+}
 
-// MaySend tells, right before an attempt's first byte, whether it may still go out. While its connection was made its client may have
-// gone, its backend may drain or have started anew, and the window for repeats may have closed (rules 1 to 4).
-func (d *Dispatcher) MaySend(t *Attempt) Permission {
-	q, h := t.Request, t.Backend
+// MaySend returns, right before an attempt's first byte, whether it may still be sent. While it connected, its
+// client may have disconnected, its backend may have drained or restarted, and the deduplication window may
+// have closed (rules 1 to 4).
+func (d *Dispatcher) MaySend(attempt *Attempt) Permission {
+	req, backend := attempt.Request, attempt.Backend
 	switch {
-	case t.Ended:
+	case attempt.Ended:
 		return AttemptEnded
-	case q.Finished:
+	case req.Finished:
 		return RequestFinished
-	case t.Stage == StageDecode && (q.KVHolder == nil || q.Released):
+	case attempt.Stage == StageDecode && (req.KVHolder == nil || req.Released):
 		return KVReleaseDue
 	}
-	if v := d.mayContact(q, h, t.Number); v != Allowed || t.SlowStart {
-		return v
+	if permission := d.mayContact(req, backend, attempt.Number); permission != Allowed || attempt.SlowStart {
+		return permission
 	}
-	return d.mayUseSlowStart(h, d.requestWork(q, h, StageWhole), h.SentWork.Sum(d.runtime.Now()))
+	return d.mayUseSlowStart(backend, d.requestWork(req, backend, StageWhole), backend.SentWork.Sum(d.runtime.Now()))
 }
 
-// mayReach tells whether the attempt of that number may reach the backend now.
-func (d *Dispatcher) mayContact(q *Request, h *Backend, number int) Permission {
+// mayContact returns whether the attempt with the given number may reach the backend now.
+func (d *Dispatcher) mayContact(req *Request, backend *Backend, number int) Permission {
 	switch {
-	case d.runtime.Now() >= q.Deadline:
+	case d.runtime.Now() >= req.Deadline:
 		return DeadlinePassed
-	case h.State != Ready:
+	case backend.State != Ready:
 		return BackendNotReady
 	}
-	return d.mayRepeat(q, h, number)
+	return d.mayRepeat(req, backend, number)
 }
 
-// mayRepeat tells whether the attempt of that number at the backend has no effect a second time (rule 2).
-func (d *Dispatcher) mayRepeat(q *Request, h *Backend, number int) Permission {
-	t, g := q.MayHaveRunBefore(number), q.Class
+// mayRepeat returns whether the attempt with the given number does no harm by running a second time (rule 2).
+func (d *Dispatcher) mayRepeat(req *Request, backend *Backend, number int) Permission {
+	earlier, class := req.MayHaveRunBefore(number), req.Class
 	switch {
-	case t == nil || h.Role == RolePrefill || g.Effect == Idempotent:
+	case earlier == nil || backend.Role == RolePrefill || class.Effect == Idempotent:
 		return Allowed
-	case g.Effect == NonIdempotent:
+	case class.Effect == NonIdempotent:
 		return MayHaveRun
-	case d.runtime.Now() >= t.SentAt+g.DedupWindow-repeatMargin:
+	case d.runtime.Now() >= earlier.SentAt+class.DedupWindow-repeatMargin:
 		return RepeatWindowClosed
-	case !g.DedupScope.Covers(h, t.Backend):
+	case !class.DedupScope.Covers(backend, earlier.Backend):
 		return OtherGroup
 	}
 	return Allowed
 }
 
-// MayReject tells whether a request may be answered with the promise that trying again is harmless (rule 2).
-func MayReject(q *Request) Permission {
-	g := q.Class
-	anywhere := g.Effect == Idempotent || g.Effect == Deduplicated && g.DedupScope == WholeFleet
-	if !anywhere && q.MayHaveRun() != nil {
+// MayReject returns whether a request may be answered with a rejection, which tells the client that a retry is
+// harmless (rule 2).
+func MayReject(req *Request) Permission {
+	class := req.Class
+	anywhere := class.Effect == Idempotent || class.Effect == Deduplicated && class.DedupScope == WholeFleet
+	if !anywhere && req.MayHaveRun() != nil {
 		return MayHaveRun
 	}
 	return Allowed
--- a/brain/policy_test.go
+++ b/brain/policy_test.go
@@ -6,64 +6,69 @@
 	"time"
 )
 
-// Each reason why an attempt may not be made, or not be sent any more, has its own permission; the choice and the check before the first
-// byte agree wherever both look.
+// Each reason why an attempt may not be made, or may no longer be sent, has its own permission. The choice and
+// the check before the first byte agree wherever both look.
 func TestEachReasonHasItsPermission(t *testing.T) {
-	for name, c := range map[string]struct {
-		change         func(d *Dispatcher, q *Request, h *Backend)
-		choice, before Permission
+	for name, tc := range map[string]struct {
+		prepare            func(d *Dispatcher, req *Request, backend *Backend)
+		choice, beforeSend Permission
 	}{
-		"nothing speaks against it": {func(*Dispatcher, *Request, *Backend) {}, Allowed, Allowed},
-		"the request is over":       {func(_ *Dispatcher, q *Request, _ *Backend) { q.Finished = true }, RequestFinished, RequestFinished},
-		"the stop has begun":        {func(_ *Dispatcher, q *Request, _ *Backend) { q.NoMoreAttempts = true }, NoFurtherAttempt, Allowed},
-		"its time is up":            {func(d *Dispatcher, q *Request, _ *Backend) { q.Deadline = d.runtime.Now() }, DeadlinePassed, DeadlinePassed},
-		"the backend drains":        {func(_ *Dispatcher, _ *Request, h *Backend) { h.State = Draining }, BackendNotReady, BackendNotReady},
-		"it may have run, and must not run twice": {func(d *Dispatcher, q *Request, h *Backend) {
-			q.Class.Effect = NonIdempotent
-			addAttempt(q, h, ConnectionLost, d.runtime.Now())
+		"allowed": {func(*Dispatcher, *Request, *Backend) {}, Allowed, Allowed},
+		"the request is finished": {func(_ *Dispatcher, r *Request, _ *Backend) { r.Finished = true },
+			RequestFinished, RequestFinished},
+		"no further attempt is allowed": {func(_ *Dispatcher, r *Request, _ *Backend) { r.NoMoreAttempts = true },
+			NoFurtherAttempt, Allowed},
+		"the deadline has passed": {func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() },
+			DeadlinePassed, DeadlinePassed},
+		"the backend is draining": {func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Draining },
+			BackendNotReady, BackendNotReady},
+		"it may have run, and must not run twice": {func(d *Dispatcher, req *Request, backend *Backend) {
+			req.Class.Effect = NonIdempotent
+			addAttempt(req, backend, ConnectionLost, d.runtime.Now())
 		}, MayHaveRun, MayHaveRun},
-		"it may have run, too long ago": {func(d *Dispatcher, q *Request, h *Backend) {
-			q.Class.Effect, q.Class.DedupWindow = Deduplicated, time.Second
-			addAttempt(q, h, ConnectionLost, d.runtime.Now()-time.Second)
+		"it may have run, too long ago": {func(d *Dispatcher, req *Request, backend *Backend) {
+			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
+			addAttempt(req, backend, ConnectionLost, d.runtime.Now()-time.Second)
 		}, RepeatWindowClosed, RepeatWindowClosed},
-		"it may have run elsewhere": {func(d *Dispatcher, q *Request, h *Backend) {
-			q.Class.Effect, q.Class.DedupWindow, q.Class.DedupScope = Deduplicated, time.Minute, SameRack
-			addAttempt(q, &Backend{Role: RoleDecode, Rack: h.Rack + 1}, ConnectionLost, d.runtime.Now())
+		"it may have run in another group": {func(d *Dispatcher, req *Request, backend *Backend) {
+			req.Class.Effect, req.Class.DedupWindow, req.Class.DedupScope = Deduplicated, time.Minute, SameRack
+			addAttempt(req, &Backend{Role: RoleDecode, Rack: backend.Rack + 1}, ConnectionLost, d.runtime.Now())
 		}, OtherGroup, OtherGroup},
-		"the backend started anew meanwhile": {func(d *Dispatcher, _ *Request, h *Backend) {
-			h.StartReported, h.StartedAt = true, d.runtime.Now()
-			h.SentWork.Add(d.runtime.Now(), 1e9)
+		"the backend restarted meanwhile": {func(d *Dispatcher, _ *Request, backend *Backend) {
+			backend.StartReported, backend.StartedAt = true, d.runtime.Now()
+			backend.SentWork.Add(d.runtime.Now(), 1e9)
 		}, SlowStartSpent, SlowStartSpent},
 	} {
 		d, _ := newDispatcher(t)
-		h, q := d.backends[2], newRequest(d)
-		c.change(d, q, h)
-		if got := d.mayChoose(q, h); got != c.choice {
-			t.Errorf("%s: the choice is %v, wanted %v", name, got, c.choice)
+		backend, req := d.backends[2], newRequest(d)
+		tc.prepare(d, req, backend)
+		if got := d.mayChoose(req, backend); got != tc.choice {
+			t.Errorf("%s: the choice is %v, wanted %v", name, got, tc.choice)
 		}
-		trip := &Attempt{Request: q, Backend: h, Number: len(q.Attempts), SentAt: d.runtime.Now()}
-		if got := d.MaySend(trip); got != c.before {
-			t.Errorf("%s: before the first byte it is %v, wanted %v", name, got, c.before)
+		attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), SentAt: d.runtime.Now()}
+		if got := d.MaySend(attempt); got != tc.beforeSend {
+			t.Errorf("%s: before the first byte it is %v, wanted %v", name, got, tc.beforeSend)
 		}
 	}
 }
 
-// An attempt that was counted against the slow-start budget when it was chosen is not held to it a second time.
+// An attempt that was counted towards the slow-start budget when it was chosen is not checked against it
+// again.
 func TestAttemptIsCheckedAgainstSlowStartOnce(t *testing.T) {
 	d, _ := newDispatcher(t)
-	h := d.backends[2]
-	h.StartReported, h.StartedAt = true, d.runtime.Now()
-	h.SentWork.Add(d.runtime.Now(), 1e9)
-	if got := d.MaySend(&Attempt{Request: newRequest(d), Backend: h, SlowStart: true}); got != Allowed {
+	backend := d.backends[2]
+	backend.StartReported, backend.StartedAt = true, d.runtime.Now()
+	backend.SentWork.Add(d.runtime.Now(), 1e9)
+	if got := d.MaySend(&Attempt{Request: newRequest(d), Backend: backend, SlowStart: true}); got != Allowed {
 		t.Errorf("%v", got)
 	}
 }
 
-// A request may be rejected, with the promise that trying again is harmless, only where that holds.
+// A request may be rejected, which tells the client that a retry is harmless, only where that is true.
 func TestRejectionOnlyWhereARetryIsHarmless(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, tc := range map[string]struct {
 		effect  Effect
-		reach   DedupScope
+		scope   DedupScope
 		outcome Outcome
 		want    Permission
 	}{
@@ -76,11 +81,11 @@
 		"non-idempotent, not sent":                  {NonIdempotent, WholeFleet, NotSent, Allowed},
 	} {
 		d, _ := newDispatcher(t)
-		q := newRequest(d)
-		q.Class.Effect, q.Class.DedupScope = c.effect, c.reach
-		addAttempt(q, d.backends[2], c.outcome, d.runtime.Now())
-		if got := MayReject(q); got != c.want {
-			t.Errorf("%s: %v, wanted %v", name, got, c.want)
+		req := newRequest(d)
+		req.Class.Effect, req.Class.DedupScope = tc.effect, tc.scope
+		addAttempt(req, d.backends[2], tc.outcome, d.runtime.Now())
+		if got := MayReject(req); got != tc.want {
+			t.Errorf("%s: %v, wanted %v", name, got, tc.want)
 		}
 	}
 }
@@ -88,10 +93,10 @@
 func TestEachPermissionHasAName(t *testing.T) {
 	for v := Allowed; v <= KVReleaseDue; v++ {
 		if strings.HasPrefix(v.String(), "permission") {
-			t.Errorf("%d has none", v)
+			t.Errorf("permission %d has no name", v)
 		}
 	}
 	if !strings.HasPrefix((KVReleaseDue + 1).String(), "permission") {
-		t.Error("a name stands for no permission")
+		t.Error("a value that is no permission has a name")
 	}
 }
--- a/brain/release_test.go
+++ b/brain/release_test.go
@@ -7,123 +7,129 @@
 
 const holdLimit = 500 * time.Millisecond
 
-// waiting makes a dispatcher with a limit on held state, and a request of which a read has just ended and a decode attempt is out. due
-// passes the time until its state is due.
-func newWaitingKV(t *testing.T) (d *Dispatcher, out *fakeRuntime, q *Request, decode *Attempt, due func()) {
+// newWaitingKV returns a dispatcher with a hold limit, and a request whose prefill has just ended and whose
+// decode attempt is in flight. due lets the time pass until the KV cache is due.
+func newWaitingKV(t *testing.T) (d *Dispatcher, runtime *fakeRuntime, req *Request, decode *Attempt, due func()) {
 	t.Helper()
-	d, out = newDispatcher(t)
+	d, runtime = newDispatcher(t)
 	d.parameters.holdLimit = holdLimit
-	q = newRequest(d)
-	read := addAttempt(q, d.backends[0], 0, out.now)
-	read.Ended, read.OnResult = false, d.afterAttempt(q)
-	d.Ended(read, Result{Outcome: Prefilled})
-	if len(out.sent) != 1 || out.sent[0].Stage != StageDecode {
-		t.Fatalf("sent %v", out.sent)
+	req = newRequest(d)
+	prefill := addAttempt(req, d.backends[0], 0, runtime.now)
+	prefill.Ended, prefill.OnResult = false, d.afterAttempt(req)
+	d.Ended(prefill, Result{Outcome: Prefilled})
+	if len(runtime.sent) != 1 || runtime.sent[0].Stage != StageDecode {
+		t.Fatalf("sent %v", runtime.sent)
 	}
-	wake := len(out.timers) - 1
-	return d, out, q, out.sent[0], func() {
-		if out.timerDelays[wake] != holdLimit {
-			t.Fatalf("the state is due after %v", out.timerDelays[wake])
+	wake := len(runtime.timers) - 1
+	return d, runtime, req, runtime.sent[0], func() {
+		if runtime.timerDelays[wake] != holdLimit {
+			t.Fatalf("the KV cache is due after %v", runtime.timerDelays[wake])
 		}
-		out.now += holdLimit
-		out.timers[wake]()
+		runtime.now += holdLimit
+		runtime.timers[wake]()
 	}
 }
 
-// A request that was written is not one that has arrived: its state is released in time, whether the attempt is out or not.
+// A request that was written has not necessarily arrived: its KV cache is released when due, attempt in flight
+// or not.
 func TestKVCacheIsReleasedWhenDueDuringAnAttempt(t *testing.T) {
-	d, out, q, decode, due := newWaitingKV(t)
+	d, runtime, req, decode, due := newWaitingKV(t)
 	due()
-	if len(out.released) != 1 || len(out.cancelled) != 0 {
-		t.Fatalf("released %d, cancelled %d", len(out.released), len(out.cancelled))
+	if len(runtime.released) != 1 || len(runtime.cancelled) != 0 {
+		t.Fatalf("released %d, cancelled %d", len(runtime.released), len(runtime.cancelled))
 	}
 	if got := d.MaySend(decode); got != KVReleaseDue {
-		t.Errorf("an attempt that is still to be sent is %v", got)
+		t.Errorf("before the first byte the attempt is %v", got)
 	}
-	d.Began(decode, time.Second) // it had arrived, and had its state
-	if q.KVHolder != nil || q.Released {
-		t.Error("the state is still held")
+	d.Began(decode, time.Second) // it had arrived and fetched its KV cache
+	if req.KVHolder != nil || req.Released {
+		t.Error("the KV cache is still recorded as held")
 	}
 }
 
-// Nothing takes a released state for one that is there: what comes next is a read, whatever the attempt's end says.
+// A released KV cache is never assumed to exist: the next attempt prefills, whatever the outcome of the last
+// one.
 func TestReleasedKVCacheIsNotUsedAgain(t *testing.T) {
 	for _, outcome := range []Outcome{Rejected, Failed, TimedOut, Unreachable, ConnectionLost, NotSent} {
-		d, out, q, decode, due := newWaitingKV(t)
+		d, runtime, req, decode, due := newWaitingKV(t)
 		due()
 		d.Ended(decode, Result{Outcome: outcome})
-		// The attempt may have waited for the state all the while, and have left it: it is released once more.
-		if len(out.released) != 2 {
-			t.Errorf("outcome %d: released %d times", outcome, len(out.released))
+		// The attempt may have waited for the KV cache all the time and left it in place: it is released once
+		// more.
+		if len(runtime.released) != 2 {
+			t.Errorf("outcome %d: released %d times", outcome, len(runtime.released))
 		}
-		if len(out.sent) != 2 || out.sent[1].Stage == StageDecode || q.KVHolder != nil || q.Released {
-			t.Errorf("outcome %d: sent %d, state %v", outcome, len(out.sent), q.KVHolder)
+		if len(runtime.sent) != 2 || runtime.sent[1].Stage == StageDecode || req.KVHolder != nil || req.Released {
+			t.Errorf("outcome %d: sent %d, KV holder %v", outcome, len(runtime.sent), req.KVHolder)
 		}
 	}
 }
 
 func TestFetchedKVCacheIsNotReleased(t *testing.T) {
-	d, out, _, decode, due := newWaitingKV(t)
+	d, runtime, _, decode, due := newWaitingKV(t)
 	d.Began(decode, 100*time.Millisecond)
 	due()
-	if len(out.released) != 0 {
-		t.Error("it is released")
+	if len(runtime.released) != 0 {
+		t.Error("the KV cache is released")
 	}
 }
 
-// Only an answer proves that an attempt has come to its backend: with any other end the state has waited all the while.
+// Only an answer proves that an attempt arrived: with any other outcome the KV cache has been waiting all the
+// time.
 func TestOnlyProvenArrivalRestartsTheHoldTime(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		outcome Outcome
 		again   Stage
 	}{
-		{Rejected, StageDecode}, {Failed, StageDecode}, {TimedOut, StagePrefill}, {ConnectionLost, StagePrefill}, {Unreachable, StagePrefill}, {NotSent, StagePrefill},
+		{Rejected, StageDecode}, {Failed, StageDecode}, {TimedOut, StagePrefill}, {ConnectionLost, StagePrefill},
+		{Unreachable, StagePrefill}, {NotSent, StagePrefill},
 	} {
-		d, out, _, decode, _ := newWaitingKV(t)
-		out.now += holdLimit * 4 / 5
-		d.Ended(decode, Result{Outcome: c.outcome})
-		if len(out.sent) != 2 || (out.sent[1].Stage == StageDecode) != (c.again == StageDecode) {
-			t.Errorf("outcome %d: sent %+v", c.outcome, out.sent[1:])
+		d, runtime, _, decode, _ := newWaitingKV(t)
+		runtime.now += holdLimit * 4 / 5
+		d.Ended(decode, Result{Outcome: tc.outcome})
+		if len(runtime.sent) != 2 || (runtime.sent[1].Stage == StageDecode) != (tc.again == StageDecode) {
+			t.Errorf("outcome %d: sent %+v", tc.outcome, runtime.sent[1:])
 		}
 	}
 }
 
-// Word of a read's end that had to wait takes from the state's time.
+// If the end of a prefill is reported late, the delay counts towards the hold limit.
 func TestHoldTimeCountsFromTheEndOfPrefill(t *testing.T) {
-	d, out := newDispatcher(t)
+	d, runtime := newDispatcher(t)
 	d.parameters.holdLimit = holdLimit
-	q := newRequest(d)
-	read := addAttempt(q, d.backends[0], 0, out.now)
-	read.Ended, read.OnResult = false, d.afterAttempt(q)
-	d.Ended(read, Result{Outcome: Prefilled, Delay: 100 * time.Millisecond})
-	if got := out.timerDelays[len(out.timerDelays)-1]; got != holdLimit-100*time.Millisecond {
-		t.Errorf("the state is due after %v", got)
+	req := newRequest(d)
+	prefill := addAttempt(req, d.backends[0], 0, runtime.now)
+	prefill.Ended, prefill.OnResult = false, d.afterAttempt(req)
+	d.Ended(prefill, Result{Outcome: Prefilled, Delay: 100 * time.Millisecond})
+	if got := runtime.timerDelays[len(runtime.timerDelays)-1]; got != holdLimit-100*time.Millisecond {
+		t.Errorf("the KV cache is due after %v", got)
 	}
 }
 
-// A release may be heard once a further attempt is out, and do nothing: it is repeated at the end of each, unless that one has a state
-// of its own or has begun to answer.
+// A release may be received while a further attempt is in flight, and do nothing. It is repeated at the end of
+// each further attempt, unless that one has a KV cache of its own or has begun to answer.
 func TestReleaseIsRepeatedAfterFurtherAttempts(t *testing.T) {
-	for _, c := range []struct {
+	for _, tc := range []struct {
 		outcome Outcome
 		stage   Stage
 		again   bool
 	}{
-		{TimedOut, StageWhole, true}, {ConnectionLost, StageWhole, true}, {Failed, StageWhole, true}, {Rejected, StageWhole, true}, {Unreachable, StageWhole, true}, {TimedOut, StagePrefill, true},
+		{TimedOut, StageWhole, true}, {ConnectionLost, StageWhole, true}, {Failed, StageWhole, true},
+		{Rejected, StageWhole, true}, {Unreachable, StageWhole, true}, {TimedOut, StagePrefill, true},
 		{Prefilled, StagePrefill, false}, {Served, StageWhole, false},
 	} {
-		d, out, q, decode, _ := newWaitingKV(t)
-		out.now += holdLimit
-		d.Ended(decode, Result{Outcome: TimedOut}) // the state is released, and the request starts over
-		further := out.sent[len(out.sent)-1]
-		further.Stage, q.NoMoreAttempts = c.stage, c.outcome != Prefilled
-		released := len(out.released)
+		d, runtime, req, decode, _ := newWaitingKV(t)
+		runtime.now += holdLimit
+		d.Ended(decode, Result{Outcome: TimedOut}) // the KV cache is released, and the request starts over
+		further := runtime.sent[len(runtime.sent)-1]
+		further.Stage, req.NoMoreAttempts = tc.stage, tc.outcome != Prefilled
+		released := len(runtime.released)
 		if released != 1 || further == decode {
-			t.Fatalf("released %d times", released)
+			t.Fatalf("released %d times, wanted once", released)
 		}
-		d.Ended(further, Result{Outcome: c.outcome, Finished: c.outcome == Served})
-		if got := len(out.released) - released; (got == 1) != c.again || got > 1 {
-			t.Errorf("after %v at stage %v it is released %d times more", c.outcome, c.stage, got)
+		d.Ended(further, Result{Outcome: tc.outcome, Finished: tc.outcome == Served})
+		if got := len(runtime.released) - released; (got == 1) != tc.again || got > 1 {
+			t.Errorf("after outcome %v at stage %v it is released %d more times", tc.outcome, tc.stage, got)
 		}
 	}
 }
--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -7,114 +7,121 @@
 
 // Slow start (rule 4): which backends are in it, and what this dispatcher may send them.
 
-// carriedWork is what backends of each role carried lately, warm ones and those in slow start apart.
+// roleWork is the work that backends of each role completed recently, for warm ones and those in slow start.
 type roleWork struct {
 	summedAt time.Duration // when it was summed up
 	valid    bool
-	sum      [3][2]float64 // by role, and whether in slow start
+	sum      [3][2]float64 // by role; second index 1: in slow start
 	count    [3][2]float64
 }
 
-// carriedAge is how old the sum may be where a fleet is large: it walks all backends.
+// completedWorkMaxAge is how old the sum may be in a large fleet, as summing visits all backends.
 const completedWorkMaxAge = 100 * time.Millisecond
 
-// cold tells whether a backend is taken to be in slow start.
-func (d *Dispatcher) inSlowStart(h *Backend) bool {
-	return d.recentlyStarted(h) || h.UnreachableAt > 0 && d.runtime.Now() < h.UnreachableAt+d.parameters.slowStartTime
+// inSlowStart reports whether a backend is treated as in slow start.
+func (d *Dispatcher) inSlowStart(backend *Backend) bool {
+	return d.recentlyStarted(backend) ||
+		backend.UnreachableAt > 0 && d.runtime.Now() < backend.UnreachableAt+d.parameters.slowStartTime
 }
 
-// started tells whether the list told of a start within the ramp.
-func (d *Dispatcher) recentlyStarted(h *Backend) bool {
-	return h.StartReported && d.runtime.Now() < h.StartedAt+d.parameters.slowStartTime
+// recentlyStarted reports whether service discovery reported a start within the slow-start time.
+func (d *Dispatcher) recentlyStarted(backend *Backend) bool {
+	return backend.StartReported && d.runtime.Now() < backend.StartedAt+d.parameters.slowStartTime
 }
 
-// warmth is the part of its capacity that a backend has: it warms from the stated share within the stated time.
-func (d *Dispatcher) capacityShare(h *Backend) float64 {
-	if !d.recentlyStarted(h) {
+// capacityShare is the share of its capacity that a backend has: it rises from the stated share to 1 over the
+// slow-start time.
+func (d *Dispatcher) capacityShare(backend *Backend) float64 {
+	if !d.recentlyStarted(backend) {
 		return 1
 	}
-	from, ramp := max(d.parameters.slowStartShare, 0.1), d.parameters.slowStartTime
-	return from + (1-from)*float64(max(d.runtime.Now()-h.StartedAt, 0))/float64(ramp)
+	initialShare, slowStartTime := max(d.parameters.slowStartShare, 0.1), d.parameters.slowStartTime
+	return initialShare + (1-initialShare)*float64(max(d.runtime.Now()-backend.StartedAt, 0))/float64(slowStartTime)
 }
 
-// weight is the mean work of the request's class, the measure of the rule on cold backends. At a mixed backend an
-// answer alone weighs less than a whole request: warm ones that only write must not speak for reading too.
-func (d *Dispatcher) requestWork(q *Request, h *Backend, stage Stage) float64 {
-	write := 100 * q.Class.DecodeSeconds.ValueOr(2)
-	if h.Mixed() && stage == StageDecode {
-		return write
+// requestWork is the mean work of the request's class, in the unit of the slow-start rule. At a mixed backend
+// decode alone counts less than a whole request: otherwise warm ones that only decode would vouch for prefill
+// too.
+func (d *Dispatcher) requestWork(req *Request, backend *Backend, stage Stage) float64 {
+	decodeWork := 100 * req.Class.DecodeSeconds.ValueOr(2)
+	if backend.Mixed() && stage == StageDecode {
+		return decodeWork
 	}
-	return q.Class.PrefillTokens.ValueOr(1000) + write
+	return req.Class.PrefillTokens.ValueOr(1000) + decodeWork
 }
 
-// carries is what backends of a role ended well in a window for this dispatcher, on the mean and for a unit: the
-// warm ones, or where none is the cold ones. With most cold, what the warm ones did is not forgotten for
-// those that the list tells of: cold ones do what they are let, and less each time.
-func (d *Dispatcher) meanCompletedWork(role Role, fresh bool) float64 {
-	work := d.completedWorkNow()
-	sum, n := work.sum[role], work.count[role]
-	if n[0] == 0 {
-		sum[0], n[0] = sum[1], max(n[1], 1)
-	} else if n[0] >= n[1] {
-		d.warmWork[role] = sum[0] / n[0]
+// meanCompletedWork is the mean work per unit that backends of a role completed for this dispatcher in a
+// slow-start window, averaged over five: the warm ones, or those in slow start if none is warm. With most of
+// them in slow start, the last value of the warm ones holds for backends that discovery reported as started:
+// those in slow start complete only what they are allowed, which would shrink each time.
+func (d *Dispatcher) meanCompletedWork(role Role, justStarted bool) float64 {
+	completed := d.completedWorkNow()
+	sums, counts := completed.sum[role], completed.count[role]
+	if counts[0] == 0 {
+		sums[0], counts[0] = sums[1], max(counts[1], 1)
+	} else if counts[0] >= counts[1] {
+		d.warmWork[role] = sums[0] / counts[0]
 	}
-	if fresh && n[0] <= n[1] && d.warmWork[role] > 0 {
+	if justStarted && counts[0] <= counts[1] && d.warmWork[role] > 0 {
 		return d.warmWork[role]
 	}
-	return sum[0] / n[0]
+	return sums[0] / counts[0]
 }
 
-// carriedNow sums up what backends carried: once at each time, however many of them are looked at then, and less often where the
-// fleet is large.
+// completedWorkNow sums up completed work: once per instant, however many backends are considered, and at
+// limited frequency in a large fleet.
 func (d *Dispatcher) completedWorkNow() *roleWork {
-	now, w := d.runtime.Now(), &d.completedWork
-	if w.valid && (now == w.summedAt || d.isLarge() && now > w.summedAt && now-w.summedAt < completedWorkMaxAge) {
-		return w
+	now, work := d.runtime.Now(), &d.completedWork
+	if work.valid && (now == work.summedAt ||
+		d.isLarge() && now > work.summedAt && now-work.summedAt < completedWorkMaxAge) {
+		return work
 	}
-	*w = roleWork{summedAt: now, valid: true}
-	for _, h := range d.backends {
-		if h.State != Ready {
+	*work = roleWork{summedAt: now, valid: true}
+	for _, backend := range d.backends {
+		if backend.State != Ready {
 			continue
 		}
 		i := 0
-		if d.inSlowStart(h) {
+		if d.inSlowStart(backend) {
 			i = 1
 		}
-		w.sum[h.Role][i] += h.CompletedWork.Sum(now) / 5 / h.CapacityUnits
-		w.count[h.Role][i]++
+		work.sum[backend.Role][i] += backend.CompletedWork.Sum(now) / 5 / backend.CapacityUnits
+		work.count[backend.Role][i]++
 	}
-	return w
+	return work
 }
 
-// carriedChanged takes note that the sum is out of date.
+// invalidateCompletedWork marks the sum as outdated.
 func (d *Dispatcher) invalidateCompletedWork() {
 	if !d.isLarge() {
 		d.completedWork.valid = false
 	}
 }
 
-// coldBudget is this dispatcher's part of what a cold backend may be sent in a window. What warm backends of its
-// role ended well over five windows is their capacity at most, however hard they are pushed just now. With
-// the stated multiple and cold share of that, and no more, a saturated role pushes no cold backend over.
-func (d *Dispatcher) slowStartBudget(h *Backend) float64 {
-	part := d.parameters.slowStartMultiple * d.parameters.slowStartShare
-	return part * d.meanCompletedWork(h.Role, d.recentlyStarted(h)) * h.CapacityUnits
+// slowStartBudget is this dispatcher's share of the work that a backend in slow start may be sent in a window.
+// What warm backends of its role completed over five windows never exceeds their capacity, however hard they
+// are loaded just now. With the stated multiple and share of that, and no more, a saturated role does not
+// overload a backend in slow start.
+func (d *Dispatcher) slowStartBudget(backend *Backend) float64 {
+	share := d.parameters.slowStartMultiple * d.parameters.slowStartShare
+	return share * d.meanCompletedWork(backend.Role, d.recentlyStarted(backend)) * backend.CapacityUnits
 }
 
-// mayUseSlowStart tells whether a backend may have so much work in a window, a request's own included, of which one is the work of
-// one (rule 4). With many dispatchers a part is less than one request: then it is a chance of one, drawn for each window. All draw
-// alike and shift by their number: so the parts add up, and not only on average.
-func (d *Dispatcher) mayUseSlowStart(h *Backend, one, sent float64) Permission {
-	if !d.inSlowStart(h) {
+// mayUseSlowStart returns whether a backend may have totalWork in a window, that of the request at hand included
+// (rule 4). With many dispatchers the share of each is less than one
+// request; it is then a probability, drawn per window. All dispatchers use the same draw shifted by their
+// index, so that the shares add up exactly and not only on average.
+func (d *Dispatcher) mayUseSlowStart(backend *Backend, workPerRequest, totalWork float64) Permission {
+	if !d.inSlowStart(backend) {
 		return Allowed
 	}
-	now, window, turn := d.runtime.Now(), d.parameters.slowStartWindow, max(h.UnreachableAt, 0)
-	if h.StartReported && h.StartedAt > turn {
-		turn = h.StartedAt
+	now, window, start := d.runtime.Now(), d.parameters.slowStartWindow, max(backend.UnreachableAt, 0)
+	if backend.StartReported && backend.StartedAt > start {
+		start = backend.StartedAt
 	}
-	draw := float64(Mix(uint64((now-turn)/window), uint64(h.ID))>>11) / (1 << 53)
+	draw := float64(Mix(uint64((now-start)/window), uint64(backend.ID))>>11) / (1 << 53)
 	_, chance := math.Modf(draw + d.parameters.index/d.parameters.dispatchers)
-	if sent > d.slowStartBudget(h)+chance*one {
+	if totalWork > d.slowStartBudget(backend)+chance*workPerRequest {
 		return SlowStartSpent
 	}
 	return Allowed
