--- a/brain/state.go
+++ b/brain/state.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Dispatcher is one instance of the module.
+// Dispatcher is the scheduler of one dispatcher. It is not safe for concurrent use.
 type Dispatcher struct {
 	settings   Settings
 	parameters parameters
@@ -10,51 +10,51 @@
 	rng        *PCG
 	classes    []*Class
 	tenants    []*Tenant
-	peerFanout int // how many others hear of each attempt, by what that costs
+	peerFanout int // how many peers get an update on each attempt
 
 	fleet
 	estimates
 	admission
 }
 
-// fleet is which backends there are, and how a choice finds those that it looks at.
+// fleet is the known backends with the indexes that placement uses.
 type fleet struct {
-	orderSeed            uint64                // drawn at the start: orders the backends differently in each dispatcher
-	backends             []*Backend            // in that order, by which ties go: in one order all would pick the same
-	byRole               [3][]roleMember       // the same by role
-	decodeByRack         map[int][]*Backend    // those that answer, by rack
-	prefixHolders        map[uint64][]*Backend // of beginnings and sessions, in a large fleet
-	decodeCount          float64               // how many backends may have streams
-	removedInUse         bool                  // some backends are gone and have something out
-	sorted               bool                  // the backends of a large fleet are in order
-	capacitiesComparedAt time.Duration         // when sizes were compared last
+	orderSeed            uint64                // random per dispatcher, so that each has its own order of backends
+	backends             []*Backend            // in that order; with a common one, ties would go to one backend
+	byRole               [3][]roleMember       // by role, unordered
+	decodeByRack         map[int][]*Backend    // backends that decode, by rack
+	prefixHolders        map[uint64][]*Backend // backends that have cached a prefix or session; only in a large fleet
+	decodeCount          float64               // number of ready backends that decode
+	removedInUse         bool                  // some removed backends still have attempts in flight
+	sorted               bool                  // backends of a large fleet are sorted
+	capacitiesComparedAt time.Duration         // when capacities were last compared; 0: must be compared
 	lastCandidates       candidateSet
 	rankBuffer           []rankedBackend
 }
 
-// estimates are what own attempts, and what peers tell of theirs, say of load and time.
+// estimates are load and latency as seen by own attempts and peer updates.
 type estimates struct {
-	prefillTokens, prefillRequests RollingSum     // tokens left to read, and of how many requests
-	prefixTable                    KeyedSums      // the same by shared beginning
-	meanPrefillTokens              float64        // of tokens left to read, as last refreshed; 0 in a fresh router
-	timeToFirstToken               RunningMean    // seconds from going out to a first token, lately
-	secondsPerToken                [3]RunningMean // seconds for a token left to read, at backends of each role
-	completedWork                  roleWork       // what backends did in a window of rule 4, as last summed up
-	warmWork                       [3]float64     // what warm backends of each role did then, as last seen
-	streams                        float64        // own streams
-	prefillOnlyTokens              float64        // own tokens at backends that only read
+	prefillTokens, prefillRequests RollingSum     // tokens to prefill, and of how many requests
+	prefixTable                    KeyedSums      // number of requests by prefix key
+	meanPrefillTokens              float64        // tokens to prefill per request, as of the last refresh; 0: unknown
+	timeToFirstToken               RunningMean    // seconds
+	secondsPerToken                [3]RunningMean // per token to prefill, by role of the backend
+	completedWork                  roleWork       // completed work as last summed up
+	warmWork                       [3]float64     // work per unit that warm backends of each role last completed
+	streams                        float64        // own streams in flight
+	prefillOnlyTokens              float64        // own KV cache tokens at prefill-only backends
 }
 
 // admission is the queue and the concurrency window.
 type admission struct {
-	window             float64       // how many own requests may be out without a first token
-	outstanding        int           // how many are, or are taken to be
-	congestedAt        time.Duration // when a request that was let out after the last such time came late
-	windowFloor        float64       // to which what was out by then may narrow the window
-	windowAdjusted     bool          // a request has told of the window
-	sendCredit         float64       // for requests beyond the window's whole part
-	creditUpdatedAt    time.Duration // when it was last brought up to date
+	window             float64       // limit on own requests without a first token
+	outstanding        int           // requests that count against the window
+	congestedAt        time.Duration // last congestion: when a request sent after the one before was late
+	windowFloor        float64       // how far requests sent before congestedAt may narrow the window
+	windowAdjusted     bool          // some request has moved the window
+	sendCredit         float64       // requests that the fractional part of the window allows
+	creditUpdatedAt    time.Duration // when sendCredit was last brought up to date
 	queue              []*Request
-	awaitingFirstToken []*Request // out without a first token, longest first
-	sweepScheduled     bool
+	awaitingFirstToken []*Request // sent without a first token, oldest first
+	sweepScheduled     bool       // a queue sweep is scheduled
 }
