--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -114,18 +114,18 @@
 	d, _ := newDispatcherOf(t, 300)
 	d.window, d.peerFanout = 0.8, 7
 	before := d.window
-	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: VerdictBad, TargetShare: 1})
+	d.PeerUpdated(PeerUpdate{Backend: d.backends[0], Verdict: VerdictBad, TargetShare: 1})
 	if d.window >= before || d.window < 0.9*before {
 		t.Errorf("a late first token: window %g -> %g", before, d.window)
 	}
 	before = d.window
-	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: VerdictGood, TargetShare: 0.1})
+	d.PeerUpdated(PeerUpdate{Backend: d.backends[0], Verdict: VerdictGood, TargetShare: 0.1})
 	if d.window <= before || d.window > 1.3*before {
 		t.Errorf("a quick first token: window %g -> %g", before, d.window)
 	}
 	before = d.window
-	d.Heard(PeerUpdate{Backend: d.backends[0], Verdict: VerdictBad})
-	d.Heard(PeerUpdate{Backend: d.backends[0], ClassIndex: 200, TargetShare: 1})
+	d.PeerUpdated(PeerUpdate{Backend: d.backends[0], Verdict: VerdictBad})
+	d.PeerUpdated(PeerUpdate{Backend: d.backends[0], ClassIndex: 200, TargetShare: 1})
 	if d.window != before {
 		t.Errorf("updates without a share or of no known class: window %g -> %g", before, d.window)
 	}
@@ -143,7 +143,7 @@
 	if got := d.expectedTimeToFirstToken(); got != 2 {
 		t.Errorf("after 2 s a first token is expected in %g s", got)
 	}
-	d.Ended(req.Attempts[0], Result{Outcome: Unreachable, Finished: true})
+	d.AttemptDone(req.Attempts[0], Result{Outcome: Unreachable, Finished: true})
 	if got := d.expectedTimeToFirstToken(); got != 0.1 {
 		t.Errorf("once it has ended it is expected in %g s", got)
 	}
@@ -189,7 +189,7 @@
 		},
 		"absurd load reports": func(d *Dispatcher, _ *fakeRuntime) {
 			for _, backend := range d.backends {
-				d.Heard(PeerUpdate{Backend: backend, HasLoad: true, Util: 1e9, QueueLength: 1e12, TargetShare: 1,
+				d.PeerUpdated(PeerUpdate{Backend: backend, HasLoad: true, Util: 1e9, QueueLength: 1e12, TargetShare: 1,
 					Verdict: VerdictGood})
 			}
 		},
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -102,9 +102,9 @@
 	d.runtime.Schedule(refreshInterval, d.refresh)
 }
 
-// Listed applies a change of the endpoint list. With whole set, backends that are not in endpoints have been
+// UpdateEndpoints applies a change of the endpoint list. With whole set, backends that are not in endpoints have been
 // removed.
-func (d *Dispatcher) Listed(endpoints []Endpoint, whole bool) {
+func (d *Dispatcher) UpdateEndpoints(endpoints []Endpoint, whole bool) {
 	anyRemoved := whole
 	if whole {
 		for _, backend := range d.backends {
@@ -158,8 +158,8 @@
 	backend.TokenLimit = backend.KVCapacity / d.parameters.dispatchers
 }
 
-// ListFailed resubscribes after a second where service discovery is by subscription.
-func (d *Dispatcher) ListFailed() {
+// DiscoveryFailed resubscribes after a second where service discovery is by subscription.
+func (d *Dispatcher) DiscoveryFailed() {
 	if d.settings.Text("discovery") == "subscribe" {
 		d.runtime.Schedule(time.Second, func() { d.runtime.WatchEndpoints(true) })
 	}
@@ -256,7 +256,7 @@
 
 // Left ends a request whose client has disconnected. An attempt without a first token is cancelled if
 // cancelling is supported.
-func (d *Dispatcher) Left(req *Request) {
+func (d *Dispatcher) ClientDisconnected(req *Request) {
 	if req.Finished {
 		return
 	}
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -123,7 +123,7 @@
 	req := newRequest(d)
 	attempt := addAttempt(req, d.backends[0], 0, d.runtime.Now())
 	attempt.Ended, req.Finished, d.backends[0].KVTokens = false, true, req.KVTokens
-	d.Ended(attempt, Result{Outcome: Prefilled, Finished: true})
+	d.AttemptDone(attempt, Result{Outcome: Prefilled, Finished: true})
 	if len(runtime.released) != 1 || d.backends[0].KVTokens != 0 {
 		t.Errorf("released %d, tokens %g", len(runtime.released), d.backends[0].KVTokens)
 	}
@@ -144,7 +144,7 @@
 	req := newRequest(d)
 	attempt := addAttempt(req, d.backends[2], 0, d.runtime.Now())
 	attempt.Ended = false
-	d.Ended(attempt, Result{Outcome: Unreachable, Finished: true})
+	d.AttemptDone(attempt, Result{Outcome: Unreachable, Finished: true})
 	if !d.inSlowStart(d.backends[2]) {
 		t.Error("the backend is not in slow start")
 	}
@@ -232,7 +232,7 @@
 	req := newRequest(d)
 	attempt := addAttempt(req, d.backends[2], 0, d.runtime.Now())
 	attempt.Ended, attempt.Stage, attempt.OnResult, req.KVHolder = false, StageDecode, d.afterAttempt(req), d.backends[0]
-	d.Ended(attempt, Result{Outcome: Rejected, Detail: 1})
+	d.AttemptDone(attempt, Result{Outcome: Rejected, Detail: 1})
 	if len(runtime.sent) != 1 || runtime.sent[0].Stage != StagePrefill {
 		t.Errorf("sent %v", runtime.sent)
 	}
@@ -296,7 +296,7 @@
 	d, _ := newDispatcher(t)
 	attempt := addAttempt(newRequest(d), d.backends[2], 0, d.runtime.Now())
 	attempt.Ended = false
-	d.Ended(attempt, Result{Outcome: ConnectionLost, Finished: true})
+	d.AttemptDone(attempt, Result{Outcome: ConnectionLost, Finished: true})
 	if d.inSlowStart(d.backends[2]) {
 		t.Error("the backend is in slow start")
 	}
@@ -348,7 +348,7 @@
 			endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint32(i), Kind: 1}, State: Ready,
 				CapacityUnits: float64(1 + i%2)})
 		}
-		d.Listed(endpoints, true)
+		d.UpdateEndpoints(endpoints, true)
 		first[MinBy(d.backends, d.nextLoadScore).ID]++
 	}
 	if len(first) != 4 || first[1]+first[3] < 120 || first[1] > 120 || first[3] > 120 {
@@ -365,12 +365,12 @@
 		backend.Outcomes[i].Successes.BucketWidth, backend.Outcomes[i].Failures.BucketWidth = time.Second, time.Second
 	}
 	for i := range 40 {
-		d.Heard(PeerUpdate{Backend: backend, ClassIndex: i % 2, Verdict: []Verdict{VerdictGood, VerdictBad}[i%2]})
+		d.PeerUpdated(PeerUpdate{Backend: backend, ClassIndex: i % 2, Verdict: []Verdict{VerdictGood, VerdictBad}[i%2]})
 	}
 	for i := range 200 {
 		req := newRequest(d)
 		req.Class = d.classes[i%2]
-		d.Heard(PeerUpdate{Backend: backend, ClassIndex: 0, Verdict: VerdictGood})
+		d.PeerUpdated(PeerUpdate{Backend: backend, ClassIndex: 0, Verdict: VerdictGood})
 		if d.drawTrust(d.successPosterior(backend, req)) {
 			granted[i%2]++
 		}
@@ -384,9 +384,9 @@
 	d, _ := newDispatcher(t)
 	for range 30 {
 		backend := &Backend{Kind: 1}
-		d.Listed([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 1}}, false)
+		d.UpdateEndpoints([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 1}}, false)
 		for range 4 {
-			d.Heard(PeerUpdate{Backend: backend, Verdict: VerdictBad})
+			d.PeerUpdated(PeerUpdate{Backend: backend, Verdict: VerdictBad})
 		}
 	}
 	tried := 0
@@ -400,9 +400,9 @@
 	}
 }
 
-func TestHeardTakesAnUnmetHostAsCold(t *testing.T) {
+func TestPeerUpdateOfUnreachableBackendCausesSlowStart(t *testing.T) {
 	d, _ := newDispatcher(t)
-	d.Heard(PeerUpdate{Backend: d.backends[2], Verdict: VerdictUnreachable})
+	d.PeerUpdated(PeerUpdate{Backend: d.backends[2], Verdict: VerdictUnreachable})
 	if !d.inSlowStart(d.backends[2]) {
 		t.Error("the backend is not in slow start")
 	}
@@ -415,17 +415,17 @@
 		d, runtime := newDispatcher(t)
 		backend := d.backends[2]
 		endpoint := Endpoint{Backend: backend, State: Ready, CapacityUnits: 4, StartedAt: -time.Hour, StartReported: restart}
-		d.Listed([]Endpoint{endpoint}, false)
+		d.UpdateEndpoints([]Endpoint{endpoint}, false)
 		backend.CachedPrefixes[7] = CachedPrefix{100, runtime.now, 0}
-		d.Heard(PeerUpdate{Backend: backend, Verdict: VerdictUnreachable})
+		d.PeerUpdated(PeerUpdate{Backend: backend, Verdict: VerdictUnreachable})
 		runtime.now += time.Second
-		d.Listed([]Endpoint{endpoint}, false)
+		d.UpdateEndpoints([]Endpoint{endpoint}, false)
 		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 1 || len(backend.CachedPrefixes) != 1 {
 			t.Errorf("restart %v: slow start %v, %g failures, %d prefixes", restart, d.inSlowStart(backend),
 				backend.Outcomes[0].ConsecutiveFailures, len(backend.CachedPrefixes))
 		}
 		endpoint.StartedAt, endpoint.StartReported = runtime.now, true
-		d.Listed([]Endpoint{endpoint}, false)
+		d.UpdateEndpoints([]Endpoint{endpoint}, false)
 		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 0 || len(backend.CachedPrefixes) != 0 {
 			t.Error("a new start was ignored")
 		}
@@ -544,7 +544,7 @@
 func TestAffinityCandidatesIncludeBackendsInSlowStart(t *testing.T) {
 	d, runtime := newDispatcher(t)
 	for i := range 20 {
-		d.Listed([]Endpoint{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}}, false)
+		d.UpdateEndpoints([]Endpoint{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}}, false)
 	}
 	req, prefillBackends := newRequest(d), Filter(d.backends, (*Backend).PrefillOnly)
 	candidates := d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends))
@@ -585,7 +585,7 @@
 func TestAffinityCandidatesAreStableAndGrowWithShare(t *testing.T) {
 	d, runtime := newDispatcher(t)
 	for i := range 20 {
-		d.Listed([]Endpoint{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}}, false)
+		d.UpdateEndpoints([]Endpoint{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}}, false)
 	}
 	req, prefillBackends := newRequest(d), Filter(d.backends, (*Backend).PrefillOnly)
 	candidates := slices.Clone(d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends)))
@@ -640,7 +640,7 @@
 	d, runtime := newDispatcher(t)
 	backend, granted := d.backends[2], 0
 	for range 100 {
-		d.Heard(PeerUpdate{Backend: backend, Verdict: VerdictBad})
+		d.PeerUpdated(PeerUpdate{Backend: backend, Verdict: VerdictBad})
 	}
 	runtime.now += time.Minute
 	for range 1000 {
@@ -692,7 +692,7 @@
 			req := newRequest(d)
 			req.Attempts = []*Attempt{{Request: req, Backend: warm, Stage: stage, FirstTokenAt: runtime.now,
 				OnResult: func(Result) {}}}
-			d.Ended(req.Attempts[0], Result{Outcome: Served, Finished: true})
+			d.AttemptDone(req.Attempts[0], Result{Outcome: Served, Finished: true})
 		}
 		return d.slowStartBudget(slowStarting)
 	}
@@ -713,16 +713,16 @@
 	}
 	for i := range 300 {
 		backend := &Backend{ID: uint32(100 + i), Kind: 1}
-		d.Listed([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 4}}, false)
-		d.Listed([]Endpoint{{Backend: backend, State: Removed}}, false)
+		d.UpdateEndpoints([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 4}}, false)
+		d.UpdateEndpoints([]Endpoint{{Backend: backend, State: Removed}}, false)
 	}
-	d.Listed([]Endpoint{{Backend: d.backends[0], State: Ready, CapacityUnits: 4}}, true)
+	d.UpdateEndpoints([]Endpoint{{Backend: d.backends[0], State: Ready, CapacityUnits: 4}}, true)
 	if len(d.backends) != 2 || !slices.Contains(d.backends, busy) {
 		t.Errorf("%d backends, wanted 1 that is listed and 1 with an attempt in flight", len(d.backends))
 	}
-	d.Ended(req.Attempts[0], Result{Outcome: Served, Finished: true})
-	d.Listed([]Endpoint{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
-	d.Listed([]Endpoint{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
+	d.AttemptDone(req.Attempts[0], Result{Outcome: Served, Finished: true})
+	d.UpdateEndpoints([]Endpoint{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
+	d.UpdateEndpoints([]Endpoint{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
 	if len(d.backends) != 2 {
 		t.Errorf("%d backends after one came back", len(d.backends))
 	}
@@ -758,7 +758,7 @@
 	d, runtime := newDispatcher(t)
 	req := newRequest(d)
 	d.enqueue(req)
-	d.Left(req)
+	d.ClientDisconnected(req)
 	d.giveUp(req)
 	if len(d.queue) != 0 || len(runtime.rejected)+len(runtime.failed) != 0 {
 		t.Errorf("%d queued, %d answers to a disconnected client", len(d.queue), len(runtime.rejected)+len(runtime.failed))
--- a/brain/candidates_test.go
+++ b/brain/candidates_test.go
@@ -19,7 +19,7 @@
 		endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 6}, State: Ready,
 			CapacityUnits: 1})
 	}
-	d.Listed(endpoints, true)
+	d.UpdateEndpoints(endpoints, true)
 	return d, runtime
 }
 
@@ -108,8 +108,8 @@
 		d.pickDecode(req)
 		attempt := runtime.sent[len(runtime.sent)-1]
 		used[attempt.Backend]++
-		d.Began(attempt, time.Millisecond)
-		d.Ended(attempt, Result{Outcome: Served, Finished: true})
+		d.FirstToken(attempt, time.Millisecond)
+		d.AttemptDone(attempt, Result{Outcome: Served, Finished: true})
 	}
 	maxUses := 0
 	for _, uses := range used {
@@ -127,13 +127,13 @@
 	for _, backend := range d.backends[100:] {
 		endpoints = append(endpoints, Endpoint{Backend: backend, State: Removed})
 	}
-	d.Listed(endpoints, false)
+	d.UpdateEndpoints(endpoints, false)
 	if len(d.backends) != 100 || d.isLarge() || len(d.byRole[RolePrefill])+len(d.byRole[RoleDecode]) != 100 {
 		t.Fatalf("%d backends remain, %d and %d by role", len(d.backends), len(d.byRole[RolePrefill]),
 			len(d.byRole[RoleDecode]))
 	}
 	for i := range 100 {
-		d.Listed([]Endpoint{{Backend: &Backend{ID: uint32(5000 + i), Kind: i % 2, Rack: 1000 + i/6}, State: Ready,
+		d.UpdateEndpoints([]Endpoint{{Backend: &Backend{ID: uint32(5000 + i), Kind: i % 2, Rack: 1000 + i/6}, State: Ready,
 			CapacityUnits: 1}}, false)
 	}
 	if !d.isLarge() || !slices.IsSortedFunc(d.backends,
--- a/brain/cost_test.go
+++ b/brain/cost_test.go
@@ -40,12 +40,12 @@
 		}
 		endpoints = append(endpoints, endpoint)
 	}
-	d.Listed(endpoints, true)
+	d.UpdateEndpoints(endpoints, true)
 	if state == thirdRemoved {
 		for i := range endpoints {
 			if i%3 == 0 {
 				endpoints[i].State = Removed
-				d.Listed(endpoints[i:i+1], false)
+				d.UpdateEndpoints(endpoints[i:i+1], false)
 			}
 		}
 	}
@@ -72,11 +72,11 @@
 		attempt := runtime.sent[0]
 		runtime.sent = runtime.sent[1:]
 		if attempt.Stage == StagePrefill {
-			d.Ended(attempt, Result{Outcome: Prefilled, Duration: 20 * time.Millisecond, Detail: 100})
+			d.AttemptDone(attempt, Result{Outcome: Prefilled, Duration: 20 * time.Millisecond, Detail: 100})
 			continue
 		}
-		d.Began(attempt, 5*time.Millisecond)
-		d.Ended(attempt, Result{Outcome: Served, Duration: 50 * time.Millisecond, Finished: true})
+		d.FirstToken(attempt, 5*time.Millisecond)
+		d.AttemptDone(attempt, Result{Outcome: Served, Duration: 50 * time.Millisecond, Finished: true})
 		served = true
 	}
 	runtime.timers, runtime.timerDelays, runtime.timeouts =
@@ -123,7 +123,7 @@
 	began := time.Now()
 	for i := range rounds {
 		runtime.now += time.Millisecond
-		d.Listed([]Endpoint{{Backend: d.backends[i], State: Ready, CapacityUnits: 1, StartReported: true,
+		d.UpdateEndpoints([]Endpoint{{Backend: d.backends[i], State: Ready, CapacityUnits: 1, StartReported: true,
 			StartedAt: runtime.now}}, false)
 	}
 	if took := time.Since(began) / rounds; took > maxRequestTime/10 {
--- a/brain/helpers_test.go
+++ b/brain/helpers_test.go
@@ -62,7 +62,7 @@
 		endpoints = append(endpoints, Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i / 2, Rack: i % 2}, State: Ready,
 			CapacityUnits: 4})
 	}
-	d.Listed(endpoints, true)
+	d.UpdateEndpoints(endpoints, true)
 	return d, runtime
 }
 
--- a/brain/lifecycle_test.go
+++ b/brain/lifecycle_test.go
@@ -152,7 +152,7 @@
 	if finished && s.finalAnswers[req] == 0 {
 		s.finalAnswers[req]++
 	}
-	s.dispatcher.Ended(attempt, Result{Outcome: outcome, Duration: s.now - attempt.SentAt,
+	s.dispatcher.AttemptDone(attempt, Result{Outcome: outcome, Duration: s.now - attempt.SentAt,
 		Finished: finished || s.finalAnswers[req] > 0, Detail: note,
 		LoadReport: []float64{s.rng.Float64(), float64(s.rng.IntN(20))}})
 	if s.inFlight[req] == nil && s.kvHolders[req] != nil {
@@ -188,7 +188,7 @@
 		}
 		list := func(backend *Backend, s BackendState) {
 			sim.notReady[backend] = s != Ready
-			d.Listed([]Endpoint{{Backend: backend, State: s, CapacityUnits: 1, StartedAt: sim.now,
+			d.UpdateEndpoints([]Endpoint{{Backend: backend, State: s, CapacityUnits: 1, StartedAt: sim.now,
 				StartReported: s == Ready && sim.rng.IntN(3) == 0}}, false)
 		}
 		for _, backend := range backends {
@@ -209,7 +209,7 @@
 				list(backends[sim.rng.IntN(len(backends))], BackendState(sim.rng.IntN(3)))
 			}
 			if sim.rng.IntN(40) == 0 {
-				d.Heard(PeerUpdate{Backend: backends[sim.rng.IntN(len(backends))], ClassIndex: sim.rng.IntN(3),
+				d.PeerUpdated(PeerUpdate{Backend: backends[sim.rng.IntN(len(backends))], ClassIndex: sim.rng.IntN(3),
 					Verdict: Verdict(sim.rng.IntN(5))})
 			}
 			for _, req := range requests {
@@ -230,7 +230,7 @@
 					sim.endAttempt(attempt, []Outcome{Prefilled, Prefilled, Prefilled, Prefilled, Failed, Rejected, TimedOut,
 						Unreachable, ConnectionLost}[sim.rng.IntN(9)])
 				case sim.rng.IntN(3) > 0:
-					d.Began(attempt, sim.now-attempt.SentAt)
+					d.FirstToken(attempt, sim.now-attempt.SentAt)
 					if attempt.Stage == StageDecode {
 						delete(sim.kvHolders, req)
 					}
@@ -239,7 +239,7 @@
 				}
 				if sim.finalAnswers[req] == 0 && sim.rng.IntN(400) == 0 {
 					sim.finalAnswers[req]++ // its client disconnects
-					d.Left(req)
+					d.ClientDisconnected(req)
 				}
 			}
 		}
@@ -286,7 +286,7 @@
 		attempt := runtime.sent[len(runtime.sent)-1]
 		runtime.now += 700 * time.Millisecond
 		req.NoMoreAttempts = true
-		d.Ended(attempt, Result{Outcome: TimedOut, Duration: 700 * time.Millisecond})
+		d.AttemptDone(attempt, Result{Outcome: TimedOut, Duration: 700 * time.Millisecond})
 		runtime.now += time.Second
 	}
 	if expected := d.timeToFirstToken.ValueOr(0); expected < 0.5 || expected > 0.7 {
--- a/brain/outcomes.go
+++ b/brain/outcomes.go
@@ -7,8 +7,8 @@
 
 // Outcomes: what attempts, own ones and those of peers, show about backends.
 
-// Began handles the first token of an attempt. duration is the time since its send.
-func (d *Dispatcher) Began(attempt *Attempt, duration time.Duration) {
+// FirstToken handles the first token of an attempt. duration is the time since its send.
+func (d *Dispatcher) FirstToken(attempt *Attempt, duration time.Duration) {
 	if attempt.Ended || attempt.FirstTokenAt > 0 {
 		return
 	}
@@ -43,7 +43,7 @@
 	case slow || attempt.Outcome != TimedOut || duration > targetTime: // one cut short by its client shows nothing
 		update.Verdict = VerdictBad
 	}
-	d.Heard(update)
+	d.PeerUpdated(update)
 	if succeeded && attempt.FirstTokenAt > 0 || attempt.FirstTokenAt == 0 && attempt.Outcome == TimedOut {
 		update.TargetShare = d.targetShare(attempt.Request)
 	}
@@ -58,8 +58,8 @@
 	}
 }
 
-// Ended handles the end of an attempt and passes the result to its OnResult.
-func (d *Dispatcher) Ended(attempt *Attempt, result Result) {
+// AttemptDone handles the end of an attempt and passes the result to its OnResult.
+func (d *Dispatcher) AttemptDone(attempt *Attempt, result Result) {
 	req, backend, now := attempt.Request, attempt.Backend, d.runtime.Now()
 	attempt.Ended, attempt.Outcome = true, result.Outcome
 	d.applyLoad(attempt, -1)
@@ -154,8 +154,8 @@
 	return failures == 0 || d.rng.Beta(successes, failures) > trustThreshold
 }
 
-// Heard handles a peer's update. It counts like an own attempt.
-func (d *Dispatcher) Heard(update PeerUpdate) {
+// PeerUpdated handles a peer's update. It counts like an own attempt.
+func (d *Dispatcher) PeerUpdated(update PeerUpdate) {
 	if update.HasLoad {
 		update.Backend.Util, update.Backend.QueueLength = update.Util, update.QueueLength
 	}
--- a/brain/release_test.go
+++ b/brain/release_test.go
@@ -16,7 +16,7 @@
 	req = newRequest(d)
 	prefill := addAttempt(req, d.backends[0], 0, runtime.now)
 	prefill.Ended, prefill.OnResult = false, d.afterAttempt(req)
-	d.Ended(prefill, Result{Outcome: Prefilled})
+	d.AttemptDone(prefill, Result{Outcome: Prefilled})
 	if len(runtime.sent) != 1 || runtime.sent[0].Stage != StageDecode {
 		t.Fatalf("sent %v", runtime.sent)
 	}
@@ -41,7 +41,7 @@
 	if got := d.MaySend(decode); got != KVReleaseDue {
 		t.Errorf("before the first byte the attempt is %v", got)
 	}
-	d.Began(decode, time.Second) // it had arrived and fetched its KV cache
+	d.FirstToken(decode, time.Second) // it had arrived and fetched its KV cache
 	if req.KVHolder != nil || req.Released {
 		t.Error("the KV cache is still recorded as held")
 	}
@@ -53,7 +53,7 @@
 	for _, outcome := range []Outcome{Rejected, Failed, TimedOut, Unreachable, ConnectionLost, NotSent} {
 		d, runtime, req, decode, due := newWaitingKV(t)
 		due()
-		d.Ended(decode, Result{Outcome: outcome})
+		d.AttemptDone(decode, Result{Outcome: outcome})
 		// The attempt may have waited for the KV cache all the time and left it in place: it is released once
 		// more.
 		if len(runtime.released) != 2 {
@@ -67,7 +67,7 @@
 
 func TestFetchedKVCacheIsNotReleased(t *testing.T) {
 	d, runtime, _, decode, due := newWaitingKV(t)
-	d.Began(decode, 100*time.Millisecond)
+	d.FirstToken(decode, 100*time.Millisecond)
 	due()
 	if len(runtime.released) != 0 {
 		t.Error("the KV cache is released")
@@ -86,7 +86,7 @@
 	} {
 		d, runtime, _, decode, _ := newWaitingKV(t)
 		runtime.now += holdLimit * 4 / 5
-		d.Ended(decode, Result{Outcome: tc.outcome})
+		d.AttemptDone(decode, Result{Outcome: tc.outcome})
 		if len(runtime.sent) != 2 || (runtime.sent[1].Stage == StageDecode) != (tc.again == StageDecode) {
 			t.Errorf("outcome %d: sent %+v", tc.outcome, runtime.sent[1:])
 		}
@@ -100,7 +100,7 @@
 	req := newRequest(d)
 	prefill := addAttempt(req, d.backends[0], 0, runtime.now)
 	prefill.Ended, prefill.OnResult = false, d.afterAttempt(req)
-	d.Ended(prefill, Result{Outcome: Prefilled, Delay: 100 * time.Millisecond})
+	d.AttemptDone(prefill, Result{Outcome: Prefilled, Delay: 100 * time.Millisecond})
 	if got := runtime.timerDelays[len(runtime.timerDelays)-1]; got != holdLimit-100*time.Millisecond {
 		t.Errorf("the KV cache is due after %v", got)
 	}
@@ -120,14 +120,14 @@
 	} {
 		d, runtime, req, decode, _ := newWaitingKV(t)
 		runtime.now += holdLimit
-		d.Ended(decode, Result{Outcome: TimedOut}) // the KV cache is released, and the request starts over
+		d.AttemptDone(decode, Result{Outcome: TimedOut}) // the KV cache is released, and the request starts over
 		further := runtime.sent[len(runtime.sent)-1]
 		further.Stage, req.NoMoreAttempts = tc.stage, tc.outcome != Prefilled
 		released := len(runtime.released)
 		if released != 1 || further == decode {
 			t.Fatalf("released %d times, wanted once", released)
 		}
-		d.Ended(further, Result{Outcome: tc.outcome, Finished: tc.outcome == Served})
+		d.AttemptDone(further, Result{Outcome: tc.outcome, Finished: tc.outcome == Served})
 		if got := len(runtime.released) - released; (got == 1) != tc.again || got > 1 {
 			t.Errorf("after outcome %v at stage %v it is released %d more times", tc.outcome, tc.stage, got)
 		}
--- a/brain/settings_test.go
+++ b/brain/settings_test.go
@@ -31,7 +31,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.Listed([]Endpoint{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1, StartReported: true,
+			d.UpdateEndpoints([]Endpoint{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1, StartReported: true,
 				StartedAt: time.Second}}, true)
 			d.Submit(&Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4 * time.Second}, 0, 0)
 			if len(runtime.sent) != 1 {
@@ -83,7 +83,7 @@
 			continue
 		}
 		backend := &Backend{ID: 1}
-		d.Listed([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 1, StartReported: true}}, true)
+		d.UpdateEndpoints([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 1, StartReported: true}}, true)
 		req := &Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4e9}
 		d.Submit(req, 0, 0)
 		if math.IsNaN(d.window) || math.IsNaN(backend.TokenLimit) {
@@ -101,10 +101,10 @@
 	}
 	endpoints := []Endpoint{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1},
 		{Backend: &Backend{ID: 2}, State: Ready, CapacityUnits: 1}}
-	d.Listed(endpoints, true)
+	d.UpdateEndpoints(endpoints, true)
 	req := &Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4 * time.Second}
 	d.Submit(req, 0, 0)
-	d.Ended(runtime.sent[0], Result{Outcome: ConnectionLost})
+	d.AttemptDone(runtime.sent[0], Result{Outcome: ConnectionLost})
 	if len(runtime.sent) != 2 {
 		t.Fatalf("%d attempts", len(runtime.sent))
 	}
--- a/brain/summary.go
+++ b/brain/summary.go
@@ -26,7 +26,7 @@
 		s.TokenLimit, s.KVTokens, s.PrefillBacklog, s.WithCapacity, s.InSlowStart, s.Suspected)
 }
 
-// Believes returns the dispatcher's current estimates.
+// Estimates returns the dispatcher's current estimates.
 func (d *Dispatcher) Estimates() Summary {
 	summary := Summary{Window: d.window, Outstanding: d.outstanding, Queued: len(d.queue),
 		MeanPrefillTokens: d.meanPrefillTokens,
--- a/cmd/benchlink/instance.go
+++ b/cmd/benchlink/instance.go
@@ -82,10 +82,10 @@
 	switch e.Code() {
 	case wire.EventEndpoints:
 		if e.U8(11) == 3 {
-			in.scheduler.ListFailed()
+			in.scheduler.DiscoveryFailed()
 			return
 		}
-		in.scheduler.Listed(in.listings(e.Entries()), e.U8(11) != 0)
+		in.scheduler.UpdateEndpoints(in.listings(e.Entries()), e.U8(11) != 0)
 	case wire.EventRequest:
 		request := &brain.Request{
 			ID: e.U64(3), SessionKey: e.U64(11), PrefixKey: e.U64(24),
@@ -96,7 +96,7 @@
 		in.scheduler.Submit(request, int(e.U8(36)), int(e.U16(49)))
 	case wire.EventFirstByte:
 		if attempt := in.attempt(e); attempt != nil {
-			in.scheduler.Began(attempt, micros(e.U32(16)))
+			in.scheduler.FirstToken(attempt, micros(e.U32(16)))
 		}
 	case wire.EventOutcome:
 		if attempt := in.attempt(e); attempt != nil && !attempt.Ended {
@@ -104,7 +104,7 @@
 			for i, v := range load {
 				load[i] = nonNegative(v)
 			}
-			in.scheduler.Ended(attempt, brain.Result{
+			in.scheduler.AttemptDone(attempt, brain.Result{
 				Outcome: outcomeOf(e.U16(16)), Duration: micros(e.U32(18)), Finished: e.U8(22) != 0,
 				Detail: int(e.U32(23)), LoadReport: load,
 			})
@@ -112,14 +112,14 @@
 		}
 	case wire.EventClientGone:
 		if request := in.requests[e.U64(3)]; request != nil {
-			in.scheduler.Left(request)
+			in.scheduler.ClientDisconnected(request)
 			in.forgetEnded(request)
 		}
 	case wire.EventPeerMessage:
 		if update, err := news.Decode(e.Span(7), in.backends); err != nil {
 			in.LogInfo(fmt.Sprintf("message of %d dropped: %v", e.U32(3), err))
 		} else if update.Backend != nil {
-			in.scheduler.Heard(update)
+			in.scheduler.PeerUpdated(update)
 		}
 	case wire.EventTimer:
 		if callback := in.timers[e.U32(3)]; callback != nil {
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -38,7 +38,7 @@
 	return &Policy{name: name, door: door, rng: brain.NewPCG(seed), facts: facts, grade: grades}, err
 }
 
-func (p *Policy) Listed(lines []brain.Endpoint, whole bool) {
+func (p *Policy) UpdateEndpoints(lines []brain.Endpoint, whole bool) {
 	if whole {
 		for _, h := range p.hosts {
 			h.State = brain.Removed
@@ -141,12 +141,12 @@
 	p.door.Send(t, q.Deadline-t.SentAt)
 }
 
-func (p *Policy) Began(t *brain.Attempt, _ time.Duration) {
+func (p *Policy) FirstToken(t *brain.Attempt, _ time.Duration) {
 	t.FirstTokenAt = p.door.Now()
 	t.Request.KVHolder = nil
 }
 
-func (p *Policy) Ended(t *brain.Attempt, r brain.Result) {
+func (p *Policy) AttemptDone(t *brain.Attempt, r brain.Result) {
 	q := t.Request
 	t.Ended, t.Outcome = true, r.Outcome
 	t.ApplyLoad(-1)
@@ -187,7 +187,7 @@
 	p.door.Reject(q, p.facts.Duration("policyLimits.maxRetryAfterUs"))
 }
 
-func (p *Policy) Left(q *brain.Request) {
+func (p *Policy) ClientDisconnected(q *brain.Request) {
 	if q.Finished {
 		return
 	}
@@ -198,4 +198,4 @@
 	p.letGo(q)
 }
 
-func (p *Policy) Heard(brain.PeerUpdate) {}
+func (p *Policy) PeerUpdated(brain.PeerUpdate) {}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -50,7 +50,7 @@
 	} else {
 		request.started <- attempt
 	}
-	l.scheduler.Began(attempt.Scheduled, l.now-attempt.Scheduled.SentAt)
+	l.scheduler.FirstToken(attempt.Scheduled, l.now-attempt.Scheduled.SentAt)
 	l.Counters.began(attempt.Scheduled)
 	l.forgetIfOver(request)
 }
@@ -99,7 +99,7 @@
 	if l.RetryThrottle != nil && !result.Finished && wastesWork(result.Outcome) && !l.RetryThrottle.AllowReattempt(l.now) {
 		request.Scheduled.NoMoreAttempts = true
 	}
-	l.scheduler.Ended(scheduled, result)
+	l.scheduler.AttemptDone(scheduled, result)
 	l.forgetIfOver(request)
 }
 
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -72,7 +72,7 @@
 			}
 		}
 	}
-	l.scheduler.Listed(listings, complete)
+	l.scheduler.UpdateEndpoints(listings, complete)
 	l.forgetRemoved()
 }
 
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -113,12 +113,12 @@
 
 // Scheduler is the scheduler that a loop hosts: the one of this project, or a baseline to compare it with.
 type Scheduler interface {
-	Listed(listings []brain.Endpoint, complete bool)
+	UpdateEndpoints(listings []brain.Endpoint, complete bool)
 	Submit(request *brain.Request, class, tenant int)
-	Began(attempt *brain.Attempt, took time.Duration)
-	Ended(attempt *brain.Attempt, result brain.Result)
-	Left(request *brain.Request)
-	Heard(update brain.PeerUpdate)
+	FirstToken(attempt *brain.Attempt, took time.Duration)
+	AttemptDone(attempt *brain.Attempt, result brain.Result)
+	ClientDisconnected(request *brain.Request)
+	PeerUpdated(update brain.PeerUpdate)
 	MaySend(attempt *brain.Attempt) brain.Permission
 }
 
@@ -278,7 +278,7 @@
 			l.Counters.Overdue++
 			l.Log.Error("request without an answer at its deadline", "question", request.Scheduled.ID)
 			l.answer(request, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no answer came in time"})
-			l.scheduler.Left(request.Scheduled)
+			l.scheduler.ClientDisconnected(request.Scheduled)
 			l.forgetIfOver(request)
 		}
 	})
@@ -364,7 +364,7 @@
 	if request.inFlight != nil && request.inFlight.Scheduled.FirstTokenAt > 0 {
 		request.inFlight.Cancel(ErrNotNeeded)
 	}
-	l.scheduler.Left(request.Scheduled)
+	l.scheduler.ClientDisconnected(request.Scheduled)
 	l.forgetIfOver(request)
 }
 
@@ -385,4 +385,4 @@
 }
 
 // ApplyPeerUpdate hands a peer's update to the scheduler.
-func (l *Loop) ApplyPeerUpdate(update brain.PeerUpdate) { l.scheduler.Heard(update) }
+func (l *Loop) ApplyPeerUpdate(update brain.PeerUpdate) { l.scheduler.PeerUpdated(update) }
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -261,7 +261,7 @@
 			} else {
 				l.Fail(scheduled)
 			}
-			l.scheduler.Left(scheduled)
+			l.scheduler.ClientDisconnected(scheduled)
 			l.forgetIfOver(request)
 		}
 	}
@@ -272,7 +272,7 @@
 	for scheduled, request := range l.requests {
 		if !request.answered && !request.disconnected {
 			l.Fail(scheduled)
-			l.scheduler.Left(scheduled)
+			l.scheduler.ClientDisconnected(scheduled)
 		}
 		if request.inFlight != nil {
 			request.inFlight.Cancel(ErrNotNeeded)
--- a/internal/stages/table_test.go
+++ b/internal/stages/table_test.go
@@ -155,7 +155,7 @@
 		silent: elsewhere{"internal/budget", "TestAQuestionIsNotHeldForAKeeperThatIsSilent"}, slow: elsewhere{"internal/budget", "TestNoInterleavingOfLeasesOvershootsTheStatedBound"},
 		malformed: socket(words([]byte{9, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9})), cutOff: socket(words([]byte{1, 0})), oversized: socket(words(make([]byte, 3000))),
 		doubled: elsewhere{"internal/budget", "TestNoInterleavingOfLeasesOvershootsTheStatedBound"}, leaves: noTime, timeUp: noTime, drains: noBox,
-		cold: elsewhere{"brain", "TestHeardTakesAnUnmetHostAsCold"}, killed: elsewhere{"internal/budget", "TestARateGoesOnWithoutItsKeeperInEqualParts"},
+		cold: elsewhere{"brain", "TestPeerUpdateOfUnreachableBackendCausesSlowStart"}, killed: elsewhere{"internal/budget", "TestARateGoesOnWithoutItsKeeperInEqualParts"},
 	},
 	booking: {
 		refuses: elsewhere{"internal/storm", "TestRetriesAreSpreadOverFreeCapacity"}, full: elsewhere{"internal/budget", "TestWhatIsUsedUpIsDeclinedWithTheTimeOfItsRenewal"},
