--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -378,8 +378,8 @@
 
 // Estimates returns the scheduler's estimates, or zero values if the scheduler does not report any.
 func (l *Loop) Estimates() (estimates brain.Summary) {
-	if reporter, ok := l.scheduler.(interface{ Believes() brain.Summary }); ok {
-		estimates = reporter.Believes()
+	if reporter, ok := l.scheduler.(interface{ Estimates() brain.Summary }); ok {
+		estimates = reporter.Estimates()
 	}
 	return estimates
 }
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -330,3 +330,12 @@
 		}
 	}
 }
+
+// The event loop asks the scheduler for its estimates by an optional method, so a change of that method's name would
+// compile and leave zeros in the log.
+func TestLoopReportsTheEstimatesOfItsScheduler(t *testing.T) {
+	l, _ := newTestLoop(t, "idempotent")
+	if estimates := l.Estimates(); estimates.Window == 0 {
+		t.Errorf("the scheduler's concurrency window is reported as zero: %+v", estimates)
+	}
+}
