--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -33,9 +33,9 @@
 	config    setup.DispatcherConfig
 	events    *record.Book // what the test backends recorded
 	fleet     *standin.Fleet
-	discovery *standin.List
-	prefill   *standin.Box
-	decode    *standin.Box
+	discovery *standin.Discovery
+	prefill   *standin.Backend
+	decode    *standin.Backend
 	baseURL   string
 	stop      func()
 	ended     chan error
@@ -72,11 +72,11 @@
 	if s.events, err = record.Open("", record.Head{}); err != nil {
 		t.Fatal(err)
 	}
-	talk := standin.Talk{New: 200, Answer: 20, Prefix: 100}
-	s.fleet = standin.NewFleet(s.config.Deployment, s.events, standin.Links{Near: 1e6, Far: 1e6, Zone: 1},
-		map[string]standin.Talk{"trail-info": talk, "hut-booking": talk})
-	s.discovery = s.fleet.NewList(s.config.Instance.DiscoveryAddr)
-	if err := s.discovery.Open(); err != nil {
+	talk := standin.ClassProfile{NewTokens: 200, AnswerTokens: 20, PrefixTokens: 100}
+	s.fleet = standin.NewFleet(s.config.Deployment, s.events, standin.Links{SameRack: 1e6, CrossRack: 1e6, ZoneFactor: 1},
+		map[string]standin.ClassProfile{"trail-info": talk, "hut-booking": talk})
+	s.discovery = s.fleet.NewDiscovery(s.config.Instance.DiscoveryAddr)
+	if err := s.discovery.Start(); err != nil {
 		t.Fatal(err)
 	}
 	s.prefill, s.decode = s.startBackend("reader"), s.startBackend("writer")
@@ -97,7 +97,7 @@
 		s.stop()
 		s.prefill.Kill("end")
 		s.decode.Kill("end")
-		s.discovery.Shut()
+		s.discovery.Stop()
 		s.fleet.Close()
 		http.DefaultClient.CloseIdleConnections()
 		goleak.VerifyNone(t, before)
@@ -127,9 +127,9 @@
 }
 
 // startBackend starts a test backend of a kind and lists it as ready.
-func (s *testService) startBackend(kind string) *standin.Box {
+func (s *testService) startBackend(kind string) *standin.Backend {
 	s.t.Helper()
-	backend := s.fleet.NewBox(standin.Make{
+	backend := s.fleet.NewBackend(standin.Config{
 		Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1,
 		Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: freeAddress(s.t)}},
 		Engine: engine.Make{
@@ -255,7 +255,7 @@
 
 func TestBrokenStreamEndsWithErrorEvent(t *testing.T) {
 	s := startService(t, nil)
-	s.decode.Do(func(faults *standin.Faults) { faults.Reset = 1 })
+	s.decode.UpdateFaults(func(faults *standin.Faults) { faults.ResetShare = 1 })
 	status, body, _ := s.post(modelPath+"generate_stream", strings.NewReader(
 		`{"text_input":"x","parameters":{"max_tokens":40}}`))
 	if status != 200 || !strings.Contains(body, " word") || strings.Count(body, "event: error") != 1 ||
@@ -266,7 +266,7 @@
 
 func TestNonIdempotentRequestFailsAndRunsOnceAfterDecodeConnectionReset(t *testing.T) {
 	s := startService(t, nil)
-	s.decode.Do(func(faults *standin.Faults) { faults.ResetAtOnce = 1 })
+	s.decode.UpdateFaults(func(faults *standin.Faults) { faults.EarlyResetShare = 1 })
 	status, body, _ := s.post(modelPath+"generate", strings.NewReader(
 		`{"id":"once","text_input":"x","parameters":{"grade":"hut-booking"}}`))
 	if status != 502 || !strings.Contains(body, `"final":"forfeited"`) || strings.Contains(body, `"harmless":true`) {
@@ -381,7 +381,7 @@
 	s := startService(t, func(config *setup.DispatcherConfig) {
 		config.Instance.ShutdownTimeout = setup.Duration(400 * time.Millisecond)
 	})
-	s.decode.Do(func(faults *standin.Faults) { faults.Slow = 50 })
+	s.decode.UpdateFaults(func(faults *standin.Faults) { faults.SlowFactor = 50 })
 	answer := make(chan string, 1)
 	go func() {
 		_, body, _ := s.post(modelPath+"generate_stream", strings.NewReader(`{"text_input":"x"}`))
@@ -400,7 +400,7 @@
 
 func TestRequestsBeyondOpenLimitAreRejected(t *testing.T) {
 	s := startService(t, func(config *setup.DispatcherConfig) { config.Limits.MaxOpenRequests = 2 })
-	s.decode.Do(func(faults *standin.Faults) { faults.Slow = 10 })
+	s.decode.UpdateFaults(func(faults *standin.Faults) { faults.SlowFactor = 10 })
 	var clients sync.WaitGroup
 	var mu sync.Mutex
 	counts := map[int]int{}
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -140,12 +140,12 @@
 }
 
 // startSite returns a site with one backend, its discovery agent, and a follower that has received the backend.
-func startSite(t *testing.T) (*hosts.Site, *hosts.Box, *hosts.Agent, *testFollower) {
+func startSite(t *testing.T) (*hosts.Platform, *hosts.Backend, *hosts.Agent, *testFollower) {
 	site := hosts.New()
 	t.Cleanup(site.Close)
-	backend := site.Box("a", hosts.Reader)
-	agent := site.Agent()
-	follower := startFollower(t, agent.At)
+	backend := site.AddBackend("a", hosts.PrefillKind)
+	agent := site.AddAgent()
+	follower := startFollower(t, agent.Address)
 	follower.waitForState(t, "a", boxlist.Ready)
 	return site, backend, agent, follower
 }
@@ -172,12 +172,12 @@
 func TestWatchResumesAfterInterruption(t *testing.T) {
 	site, backend, agent, follower := startSite(t)
 	for i, interrupt := range []func(){
-		agent.Cut,
-		func() { agent.Say("20\r\n{\"rev\":9"); agent.Cut() },
-		func() { agent.Say(hosts.Chunk("{\"rev\":\n")) },
+		agent.CloseConns,
+		func() { agent.WriteRaw("20\r\n{\"rev\":9"); agent.CloseConns() },
+		func() { agent.WriteRaw(hosts.EncodeChunk("{\"rev\":\n")) },
 	} {
 		interrupt()
-		site.Change(func() { backend.State = []string{"terminating", "in_service", "terminating"}[i] })
+		site.UpdateDiscovery(func() { backend.State = []string{"terminating", "in_service", "terminating"}[i] })
 		follower.waitForState(t, "a", []string{boxlist.Draining, boxlist.Ready, boxlist.Draining}[i])
 	}
 }
@@ -185,9 +185,9 @@
 // A watch that has gone silent is reopened, and silence removes nothing from the list.
 func TestSilentWatchIsReopened(t *testing.T) {
 	site, backend, agent, follower := startSite(t)
-	agent.SetMute(true)
-	site.Change(func() { backend.State = "terminating" })
-	agent.SetMute(false)
+	agent.SetSilent(true)
+	site.UpdateDiscovery(func() { backend.State = "terminating" })
+	agent.SetSilent(false)
 	follower.waitForState(t, "a", boxlist.Draining)
 	if follower.WatchFailures() == 0 {
 		t.Error("the silent watch was not closed")
@@ -198,21 +198,21 @@
 func TestWatchDecodesListsInAnyFraming(t *testing.T) {
 	site := hosts.New()
 	t.Cleanup(site.Close)
-	backend := site.Box("a", hosts.Reader)
-	agent := site.Agent()
+	backend := site.AddBackend("a", hosts.PrefillKind)
+	agent := site.AddAgent()
 	agent.SetIndent(true)
-	follower := startFollower(t, agent.At)
+	follower := startFollower(t, agent.Address)
 	follower.waitForState(t, "a", boxlist.Ready)
-	site.Change(func() { backend.State = "terminating" })
+	site.UpdateDiscovery(func() { backend.State = "terminating" })
 	follower.waitForState(t, "a", boxlist.Draining)
 	message := func(revision int, state string) string {
 		return fmt.Sprintf(`{"rev":%d,"all":false,"targets":[{"uid":"a","endpoint":%q,"state":%q,"capacity_hint":1}]}`,
-			revision, backend.At, state)
+			revision, backend.Address, state)
 	}
-	agent.Say(hosts.Chunk("\n") + hosts.Chunk(message(10, "terminating")+message(11, "in_service")+"\n"))
+	agent.WriteRaw(hosts.EncodeChunk("\n") + hosts.EncodeChunk(message(10, "terminating")+message(11, "in_service")+"\n"))
 	follower.waitForState(t, "a", boxlist.Ready)
-	for _, c := range []byte(hosts.Chunk("\n  " + message(12, "terminating"))) {
-		agent.Say(string(c))
+	for _, c := range []byte(hosts.EncodeChunk("\n  " + message(12, "terminating"))) {
+		agent.WriteRaw(string(c))
 	}
 	follower.waitForState(t, "a", boxlist.Draining)
 	if n := follower.WatchFailures(); n != 0 {
@@ -224,12 +224,12 @@
 // stalls in the middle of its response.
 func TestChangeDuringSilentWatchIsKnownInTime(t *testing.T) {
 	site, backend, agent, follower := startSite(t)
-	agent.SetMute(true)
+	agent.SetSilent(true)
 	start := time.Now()
-	site.Change(func() { backend.State = "terminating" })
-	agent.SetStop(90)
-	agent.SetMute(false)
-	time.AfterFunc(silenceTimeout+attemptInterval/2, func() { agent.SetStop(0) })
+	site.UpdateDiscovery(func() { backend.State = "terminating" })
+	agent.SetTruncateAfter(90)
+	agent.SetSilent(false)
+	time.AfterFunc(silenceTimeout+attemptInterval/2, func() { agent.SetTruncateAfter(0) })
 	follower.waitForState(t, "a", boxlist.Draining)
 	if took := time.Since(start); took > 5900*time.Millisecond {
 		t.Errorf("the change was known after %v", took)
@@ -248,38 +248,38 @@
 			silenceLimit,
 			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
 				agent := agents[0]
-				agent.SetMute(true)
+				agent.SetSilent(true)
 				drain()
 				eventually(t, func() bool { return follower.WatchFailures() == 1 })
-				eventually(t, func() bool { return len(agent.Targets()) > 2 }) // another request, without a response
-				agent.SetMute(false)
+				eventually(t, func() bool { return len(agent.RequestURIs()) > 2 }) // another request, without a response
+				agent.SetSilent(false)
 			},
 		},
 		"silent in the middle of the list": {
 			silenceLimit,
 			func(agents []*hosts.Agent, _ *testFollower, drain func()) {
 				agent := agents[0]
-				agent.SetMute(true)
+				agent.SetSilent(true)
 				drain()
-				agent.SetStop(60)
-				agent.SetMute(false)
-				eventually(t, func() bool { return len(agent.Targets()) > 2 })
-				agent.SetStop(0)
+				agent.SetTruncateAfter(60)
+				agent.SetSilent(false)
+				eventually(t, func() bool { return len(agent.RequestURIs()) > 2 })
+				agent.SetTruncateAfter(0)
 			},
 		},
 		"slow from now on, and reset right before the change": {
 			silenceLimit,
 			func(agents []*hosts.Agent, _ *testFollower, drain func()) {
-				agents[0].SetSlow(2 * time.Second)
-				agents[0].Cut()
+				agents[0].SetDelay(2 * time.Second)
+				agents[0].CloseConns()
 				drain()
 			},
 		},
 		"address changed to a slow agent": {
 			addressChangeLimit,
 			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
-				agents[1].SetSlow(2 * time.Second)
-				follower.SetAddress(agents[1].At)
+				agents[1].SetDelay(2 * time.Second)
+				follower.SetAddress(agents[1].Address)
 				drain()
 			},
 		},
@@ -287,7 +287,7 @@
 			time.Second,
 			func(agents []*hosts.Agent, _ *testFollower, drain func()) {
 				agent := agents[0]
-				agent.Cut()
+				agent.CloseConns()
 				drain()
 			},
 		},
@@ -295,8 +295,8 @@
 			time.Second,
 			func(agents []*hosts.Agent, _ *testFollower, drain func()) {
 				agent := agents[0]
-				agent.Say("80\r\n{\"rev\":")
-				agent.Cut()
+				agent.WriteRaw("80\r\n{\"rev\":")
+				agent.CloseConns()
 				drain()
 			},
 		},
@@ -304,11 +304,11 @@
 			addressChangeLimit,
 			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
 				agent := agents[0]
-				agent.SetMute(true)
-				agent.Cut()
-				eventually(t, func() bool { return len(agent.Targets()) > 2 }) // the request
+				agent.SetSilent(true)
+				agent.CloseConns()
+				eventually(t, func() bool { return len(agent.RequestURIs()) > 2 }) // the request
 				drain()
-				follower.SetAddress(agents[1].At)
+				follower.SetAddress(agents[1].Address)
 			},
 		},
 		"address changed twice, first to a silent agent": {
@@ -316,38 +316,38 @@
 			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
 				agent := agents[0]
 				silent, last := agents[1], agents[2]
-				silent.SetMute(true)
+				silent.SetSilent(true)
 				drain()
-				agent.SetMute(true)
-				follower.SetAddress(silent.At)
-				eventually(t, func() bool { return len(silent.Targets()) > 0 })
-				follower.SetAddress(last.At)
+				agent.SetSilent(true)
+				follower.SetAddress(silent.Address)
+				eventually(t, func() bool { return len(silent.RequestURIs()) > 0 })
+				follower.SetAddress(last.Address)
 			},
 		},
 		"change during an outage": {
 			2500 * time.Millisecond,
 			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
 				agent := agents[0]
-				agent.SetMute(true)
-				agent.Cut()
+				agent.SetSilent(true)
+				agent.CloseConns()
 				eventually(t, func() bool { return follower.WatchFailures() > 1 })
 				drain()
-				agent.SetMute(false)
+				agent.SetSilent(false)
 			},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			site := hosts.New()
 			t.Cleanup(site.Close)
-			backend := site.Box("a", hosts.Reader)
-			agents := []*hosts.Agent{site.Agent(), site.Agent(), site.Agent()}
-			follower := startFollower(t, agents[0].At)
+			backend := site.AddBackend("a", hosts.PrefillKind)
+			agents := []*hosts.Agent{site.AddAgent(), site.AddAgent(), site.AddAgent()}
+			follower := startFollower(t, agents[0].Address)
 			follower.waitForState(t, "a", boxlist.Ready)
-			eventually(t, func() bool { return agents[0].Watched() == 1 })
+			eventually(t, func() bool { return agents[0].WatchCount() == 1 })
 			start := time.Now()
 			tc.fault(agents, follower, func() {
 				start = time.Now()
-				site.Change(func() { backend.State = "terminating" })
+				site.UpdateDiscovery(func() { backend.State = "terminating" })
 			})
 			follower.waitForState(t, "a", boxlist.Draining)
 			if took := time.Since(start); took > tc.within {
@@ -374,24 +374,24 @@
 		if time.Now().After(end) {
 			t.Fatal("the watch was not closed")
 		}
-		agent.Say(hosts.Chunk(" {"))
+		agent.WriteRaw(hosts.EncodeChunk(" {"))
 	}
 }
 
 func TestFullListIsFetchedFromNewAddress(t *testing.T) {
 	site := hosts.New()
 	t.Cleanup(site.Close)
-	site.Box("a", hosts.Reader)
-	b := site.Box("b", hosts.Reader)
+	site.AddBackend("a", hosts.PrefillKind)
+	b := site.AddBackend("b", hosts.PrefillKind)
 	b.State = "terminated"
-	first, second := site.Agent(), site.Agent()
-	follower := startFollower(t, first.At)
+	first, second := site.AddAgent(), site.AddAgent()
+	follower := startFollower(t, first.Address)
 	follower.waitForState(t, "a", boxlist.Ready)
-	first.SetMute(true)
-	site.Change(func() { b.State = "in_service" })
-	follower.SetAddress(second.At)
+	first.SetSilent(true)
+	site.UpdateDiscovery(func() { b.State = "in_service" })
+	follower.SetAddress(second.Address)
 	follower.waitForState(t, "b", boxlist.Ready)
-	if requested := second.Targets(); len(requested) == 0 || requested[0] != "/v1/endpoints" {
+	if requested := second.RequestURIs(); len(requested) == 0 || requested[0] != "/v1/endpoints" {
 		t.Errorf("requested %q from the new address", requested)
 	}
 }
