--- a/internal/day/makes.go
+++ b/internal/day/makes.go
@@ -57,11 +57,11 @@
 }
 
 // TalkOf tells how the questions of a grade look.
-func (d *Day) TalkOf(grade string) standin.Talk {
+func (d *Day) TalkOf(grade string) standin.ClassProfile {
 	for _, t := range d.Traffic {
 		if t.Grade == grade {
-			return standin.Talk{New: t.New, Answer: t.Answer, Prefix: t.Prefix}
+			return standin.ClassProfile{NewTokens: t.New, AnswerTokens: t.Answer, PrefixTokens: t.Prefix}
 		}
 	}
-	return standin.Talk{New: 1, Answer: 1}
+	return standin.ClassProfile{NewTokens: 1, AnswerTokens: 1}
 }
--- a/internal/day/plan.go
+++ b/internal/day/plan.go
@@ -27,9 +27,9 @@
 }
 
 // Plan draws all that clients will ask; arrivals don't wait for answers. The same script has the same plan.
-func (d *Day) Plan() []standin.Wish {
+func (d *Day) Plan() []standin.Request {
 	rng := d.rng(1)
-	var wishes []standin.Wish
+	var wishes []standin.Request
 	open := map[string][]*session{}
 	sum := 0.0
 	for _, t := range d.Traffic {
@@ -93,8 +93,8 @@
 			s.tokens = s.prefix
 		}
 		long := 1.0
-		w := standin.Wish{At: at, Name: fmt.Sprintf("q%d", len(wishes)), Grade: tr.Grade, Channel: s.channel, Session: s.name, Shared: s.shared,
-			Prefix: s.prefix, Retries: d.Clients.Retries, Wait: d.Clients.Wait.D(), Doubles: d.Clients.Doubles, Honours: rng.Float64() < d.Clients.Honour}
+		w := standin.Request{SubmitAt: at, Name: fmt.Sprintf("q%d", len(wishes)), Class: tr.Grade, Tenant: s.channel, Session: s.name, PrefixID: s.shared,
+			PrefixTokens: s.prefix, Retries: d.Clients.Retries, RetryWait: d.Clients.Wait.D(), ExponentialBackoff: d.Clients.Doubles, HonoursRetryAfter: rng.Float64() < d.Clients.Honour}
 		g := d.Grades[d.GradeNumber(tr.Grade)]
 		quit, givesUp, slowly := false, 0.0, time.Duration(0)
 		for _, t := range d.Troubles {
@@ -110,19 +110,19 @@
 			}
 		}
 		s.tokens += max(int(tr.New*long*math.Exp(0.6*rng.NormFloat64()-0.18)), 8)
-		w.Tokens = s.tokens
-		w.Most = max(g.Most, 1)
-		k := float64(w.Tokens) / 1000
-		w.Promised = g.Promised.D() + time.Duration(k*float64(g.PerK))
-		w.Expiry = g.Expiry.D() + 2*time.Duration(k*float64(g.PerK))
-		w.Patience = d.Clients.PatienceMin + rng.Float64()*(d.Clients.PatienceMax-d.Clients.PatienceMin)
+		w.PromptTokens = s.tokens
+		w.MaxTokens = max(g.Most, 1)
+		k := float64(w.PromptTokens) / 1000
+		w.LatencyTarget = g.Promised.D() + time.Duration(k*float64(g.PerK))
+		w.Deadline = g.Expiry.D() + 2*time.Duration(k*float64(g.PerK))
+		w.PatienceShare = d.Clients.PatienceMin + rng.Float64()*(d.Clients.PatienceMax-d.Clients.PatienceMin)
 		if givesUp > 0 {
-			w.Patience = min(w.Patience, givesUp*float64(w.Promised)/float64(w.Expiry))
+			w.PatienceShare = min(w.PatienceShare, givesUp*float64(w.LatencyTarget)/float64(w.Deadline))
 		}
-		w.Slowly = slowly
-		w.Safe = g.Effect == "idempotent" || g.Effect == "deduplicated" && (g.Reach == "" || g.Reach == "all")
+		w.ReadDelay = slowly
+		w.Idempotent = g.Effect == "idempotent" || g.Effect == "deduplicated" && (g.Reach == "" || g.Reach == "all")
 		if quit { // some before the first token, some while the answer streams
-			w.Leaves = time.Duration((0.2 + 1.2*rng.Float64()) * float64(w.Promised))
+			w.LeaveAfter = time.Duration((0.2 + 1.2*rng.Float64()) * float64(w.LatencyTarget))
 		}
 		wishes = append(wishes, w)
 		if s.turns--; s.turns > 0 {
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -42,8 +42,8 @@
 	stage       Stage
 	book        *record.Book
 	fleet       *standin.Fleet
-	list        *standin.List
-	boxes       map[string]*standin.Box
+	list        *standin.Discovery
+	boxes       map[string]*standin.Backend
 	dispatchers []*process
 	dir         string
 	group       *errgroup.Group
@@ -70,7 +70,7 @@
 
 // Play plays a day and judges it.
 func Play(ctx context.Context, d Day, stage Stage) (judge.Verdict, error) {
-	r := &run{day: d, stage: stage, boxes: map[string]*standin.Box{}}
+	r := &run{day: d, stage: stage, boxes: map[string]*standin.Backend{}}
 	head := record.Head{Day: d.Head.Name, Seed: d.Head.Seed, Terms: d.Terms, Boxes: r.places()}
 	var err error
 	if r.book, err = record.Open(stage.Record, head); err != nil {
@@ -144,17 +144,17 @@
 		return err
 	}
 	next := func() string { p := ports[0]; ports = ports[1:]; return fmt.Sprintf("127.0.0.1:%d", p) }
-	talk := map[string]standin.Talk{}
+	talk := map[string]standin.ClassProfile{}
 	for _, t := range r.day.Traffic {
-		talk[t.Grade] = standin.Talk{New: t.New, Answer: t.Answer, Prefix: t.Prefix}
+		talk[t.Grade] = standin.ClassProfile{NewTokens: t.New, AnswerTokens: t.Answer, PrefixTokens: t.Prefix}
 	}
-	r.fleet = standin.NewFleet(r.day.Terms, r.book, standin.Links{Near: r.day.Links.Near, Far: r.day.Links.Far, Zone: r.day.Links.Zone}, talk)
+	r.fleet = standin.NewFleet(r.day.Terms, r.book, standin.Links{SameRack: r.day.Links.Near, CrossRack: r.day.Links.Far, ZoneFactor: r.day.Links.Zone}, talk)
 	defer r.fleet.Close()
-	r.list = r.fleet.NewList(next())
-	if err := r.list.Open(); err != nil {
+	r.list = r.fleet.NewDiscovery(next())
+	if err := r.list.Start(); err != nil {
 		return err
 	}
-	defer r.list.Shut()
+	defer r.list.Stop()
 	for _, m := range r.makes() {
 		for i := range m.Addresses {
 			switch a := &m.Addresses[i]; a.Network {
@@ -166,7 +166,7 @@
 				a.At = next()
 			}
 		}
-		b := r.fleet.NewBox(m)
+		b := r.fleet.NewBackend(m)
 		r.boxes[m.Name] = b
 		if err := b.Boot(false); err != nil {
 			return err
@@ -211,11 +211,11 @@
 		defer close(ended)
 		var asking sync.WaitGroup
 		for _, w := range wishes {
-			if !wait(ctx, w.At) {
+			if !wait(ctx, w.SubmitAt) {
 				break
 			}
 			asking.Add(1)
-			go func() { defer asking.Done(); clients.Ask(ctx, w) }()
+			go func() { defer asking.Done(); clients.Submit(ctx, w) }()
 		}
 		asking.Wait()
 		return nil
@@ -279,8 +279,8 @@
 	return out
 }
 
-func (r *run) makes() []standin.Make {
-	var out []standin.Make
+func (r *run) makes() []standin.Config {
+	var out []standin.Config
 	for _, m := range r.day.Makes() {
 		var at []addresses.Spec
 		for _, network := range m.Boxes.Addresses {
@@ -289,7 +289,7 @@
 		if len(at) == 0 {
 			at = append(at, addresses.Spec{Network: addresses.TCP4})
 		}
-		out = append(out, standin.Make{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Addresses: at,
+		out = append(out, standin.Config{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Addresses: at,
 			Seed: r.day.Head.Seed, Engine: m.Engine})
 	}
 	return out
--- a/internal/day/play_test.go
+++ b/internal/day/play_test.go
@@ -211,7 +211,7 @@
 	}
 	turns := 0
 	for _, w := range a {
-		if w.Tokens < 1 || w.Prefix > w.Tokens || w.Expiry <= w.Promised {
+		if w.PromptTokens < 1 || w.PrefixTokens > w.PromptTokens || w.Deadline <= w.LatencyTarget {
 			t.Fatalf("senseless: %+v", w)
 		}
 		if w.Session != "s"+strings.TrimPrefix(w.Name, "q") {
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -33,9 +33,9 @@
 	d      setup.Dispatcher
 	book   *record.Book
 	fleet  *standin.Fleet
-	list   *standin.List
-	reader *standin.Box
-	writer *standin.Box
+	list   *standin.Discovery
+	reader *standin.Backend
+	writer *standin.Backend
 	base   string
 	stop   func()
 	ended  chan error
@@ -61,10 +61,10 @@
 	if h.book, err = record.Open("", record.Head{}); err != nil {
 		t.Fatal(err)
 	}
-	talk := standin.Talk{New: 200, Answer: 20, Prefix: 100}
-	h.fleet = standin.NewFleet(h.d.Terms, h.book, standin.Links{Near: 1e6, Far: 1e6, Zone: 1}, map[string]standin.Talk{"trail-info": talk, "hut-booking": talk})
-	h.list = h.fleet.NewList(h.d.Place.Boxes)
-	if err := h.list.Open(); err != nil {
+	talk := standin.ClassProfile{NewTokens: 200, AnswerTokens: 20, PrefixTokens: 100}
+	h.fleet = standin.NewFleet(h.d.Terms, h.book, standin.Links{SameRack: 1e6, CrossRack: 1e6, ZoneFactor: 1}, map[string]standin.ClassProfile{"trail-info": talk, "hut-booking": talk})
+	h.list = h.fleet.NewDiscovery(h.d.Place.Boxes)
+	if err := h.list.Start(); err != nil {
 		t.Fatal(err)
 	}
 	h.reader, h.writer = h.box("reader"), h.box("writer")
@@ -84,7 +84,7 @@
 		h.stop()
 		h.reader.Kill("end")
 		h.writer.Kill("end")
-		h.list.Shut()
+		h.list.Stop()
 		h.fleet.Close()
 		http.DefaultClient.CloseIdleConnections()
 		goleak.VerifyNone(t, before)
@@ -112,9 +112,9 @@
 	return l.Addr().String()
 }
 
-func (h *house) box(kind string) *standin.Box {
+func (h *house) box(kind string) *standin.Backend {
 	h.t.Helper()
-	b := h.fleet.NewBox(standin.Make{Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: address(h.t)}},
+	b := h.fleet.NewBackend(standin.Config{Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: address(h.t)}},
 		Engine: engine.Make{Reads: kind == "reader", Writes: kind == "writer", Slots: 64, Queue: 300, Blocks: 6000, BlockTokens: 32, Chunk: 4096, Step: 5 * time.Millisecond,
 			ReadPerS: 50000, StateLife: 8 * time.Second}})
 	if err := b.Boot(false); err != nil {
@@ -227,7 +227,7 @@
 
 func TestABrokenStreamEndsWithAnErrorEvent(t *testing.T) {
 	h := open(t, nil)
-	h.writer.Do(func(f *standin.Faults) { f.Reset = 1 })
+	h.writer.UpdateFaults(func(f *standin.Faults) { f.ResetShare = 1 })
 	status, body, _ := h.post(lodge+"generate_stream", strings.NewReader(`{"text_input":"x","parameters":{"max_tokens":40}}`))
 	if status != 200 || !strings.Contains(body, " word") || strings.Count(body, "event: error") != 1 || !strings.Contains(body, `"final":"forfeited"`) {
 		t.Errorf("%d %s", status, body)
@@ -236,7 +236,7 @@
 
 func TestAnUnrepeatableQuestionWhoseWriterResetsIsForfeitedAndItsStateGone(t *testing.T) {
 	h := open(t, nil)
-	h.writer.Do(func(f *standin.Faults) { f.ResetAtOnce = 1 })
+	h.writer.UpdateFaults(func(f *standin.Faults) { f.EarlyResetShare = 1 })
 	status, body, _ := h.post(lodge+"generate", strings.NewReader(`{"id":"once","text_input":"x","parameters":{"grade":"hut-booking"}}`))
 	if status != 502 || !strings.Contains(body, `"final":"forfeited"`) || strings.Contains(body, `"harmless":true`) {
 		t.Errorf("%d %s", status, body)
@@ -341,7 +341,7 @@
 // A stop that waits for a stuck answer is bounded, and the request gets its final answer.
 func TestStoppingForfeitsWhatDoesNotEnd(t *testing.T) {
 	h := open(t, func(d *setup.Dispatcher) { d.Place.Stop = setup.Span(400 * time.Millisecond) })
-	h.writer.Do(func(f *standin.Faults) { f.Slow = 50 })
+	h.writer.UpdateFaults(func(f *standin.Faults) { f.SlowFactor = 50 })
 	got := make(chan string, 1)
 	go func() {
 		_, body, _ := h.post(lodge+"generate_stream", strings.NewReader(`{"text_input":"x"}`))
@@ -360,7 +360,7 @@
 
 func TestTooManyOpenQuestionsAreDeclinedAtTheDoor(t *testing.T) {
 	h := open(t, func(d *setup.Dispatcher) { d.Limits.Open = 2 })
-	h.writer.Do(func(f *standin.Faults) { f.Slow = 10 })
+	h.writer.UpdateFaults(func(f *standin.Faults) { f.SlowFactor = 10 })
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	counts := map[int]int{}
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -122,12 +122,12 @@
 }
 
 // watching is a follower that knows a site's one backend.
-func watching(t *testing.T) (*hosts.Site, *hosts.Box, *hosts.Agent, *following) {
+func watching(t *testing.T) (*hosts.Platform, *hosts.Backend, *hosts.Agent, *following) {
 	site := hosts.New()
 	t.Cleanup(site.Close)
-	box := site.Box("a", hosts.Reader)
-	agent := site.Agent()
-	f := follow(t, agent.At)
+	box := site.AddBackend("a", hosts.PrefillKind)
+	agent := site.AddAgent()
+	f := follow(t, agent.Address)
 	f.until(t, "a", boxlist.Ready)
 	return site, box, agent, f
 }
@@ -154,12 +154,12 @@
 func TestAWatchGoesOnAfterWhateverCutsIt(t *testing.T) {
 	site, box, agent, f := watching(t)
 	for i, cut := range []func(){
-		agent.Cut,
-		func() { agent.Say("20\r\n{\"rev\":9"); agent.Cut() },
-		func() { agent.Say(hosts.Chunk("{\"rev\":\n")) },
+		agent.CloseConns,
+		func() { agent.WriteRaw("20\r\n{\"rev\":9"); agent.CloseConns() },
+		func() { agent.WriteRaw(hosts.EncodeChunk("{\"rev\":\n")) },
 	} {
 		cut()
-		site.Change(func() { box.State = []string{"terminating", "in_service", "terminating"}[i] })
+		site.UpdateDiscovery(func() { box.State = []string{"terminating", "in_service", "terminating"}[i] })
 		f.until(t, "a", []string{boxlist.Draining, boxlist.Ready, boxlist.Draining}[i])
 	}
 }
@@ -167,9 +167,9 @@
 // A watch that has gone silent is taken up anew, and silence takes nothing off the list.
 func TestASilentWatchIsTakenUpAnew(t *testing.T) {
 	site, box, agent, f := watching(t)
-	agent.SetMute(true)
-	site.Change(func() { box.State = "terminating" })
-	agent.SetMute(false)
+	agent.SetSilent(true)
+	site.UpdateDiscovery(func() { box.State = "terminating" })
+	agent.SetSilent(false)
 	f.until(t, "a", boxlist.Draining)
 	if f.Lost() == 0 {
 		t.Error("the silent watch was not given up")
@@ -180,20 +180,20 @@
 func TestAWatchReadsListsInAnyForm(t *testing.T) {
 	site := hosts.New()
 	t.Cleanup(site.Close)
-	box := site.Box("a", hosts.Reader)
-	agent := site.Agent()
+	box := site.AddBackend("a", hosts.PrefillKind)
+	agent := site.AddAgent()
 	agent.SetIndent(true)
-	f := follow(t, agent.At)
+	f := follow(t, agent.Address)
 	f.until(t, "a", boxlist.Ready)
-	site.Change(func() { box.State = "terminating" })
+	site.UpdateDiscovery(func() { box.State = "terminating" })
 	f.until(t, "a", boxlist.Draining)
 	say := func(rev int, state string) string {
-		return fmt.Sprintf(`{"rev":%d,"all":false,"targets":[{"uid":"a","endpoint":%q,"state":%q,"capacity_hint":1}]}`, rev, box.At, state)
+		return fmt.Sprintf(`{"rev":%d,"all":false,"targets":[{"uid":"a","endpoint":%q,"state":%q,"capacity_hint":1}]}`, rev, box.Address, state)
 	}
-	agent.Say(hosts.Chunk("\n") + hosts.Chunk(say(10, "terminating")+say(11, "in_service")+"\n"))
+	agent.WriteRaw(hosts.EncodeChunk("\n") + hosts.EncodeChunk(say(10, "terminating")+say(11, "in_service")+"\n"))
 	f.until(t, "a", boxlist.Ready)
-	for _, c := range []byte(hosts.Chunk("\n  " + say(12, "terminating"))) {
-		agent.Say(string(c))
+	for _, c := range []byte(hosts.EncodeChunk("\n  " + say(12, "terminating"))) {
+		agent.WriteRaw(string(c))
 	}
 	f.until(t, "a", boxlist.Draining)
 	if n := f.Lost(); n != 0 {
@@ -204,12 +204,12 @@
 // A change counts as told 6 s after the watch fell silent, also where the watch that is opened in its place stops half-way.
 func TestASilentWatchIsMadeGoodInTime(t *testing.T) {
 	site, box, agent, f := watching(t)
-	agent.SetMute(true)
+	agent.SetSilent(true)
 	began := time.Now()
-	site.Change(func() { box.State = "terminating" })
-	agent.SetStop(90)
-	agent.SetMute(false)
-	time.AfterFunc(silence+answer/2, func() { agent.SetStop(0) })
+	site.UpdateDiscovery(func() { box.State = "terminating" })
+	agent.SetTruncateAfter(90)
+	agent.SetSilent(false)
+	time.AfterFunc(silence+answer/2, func() { agent.SetTruncateAfter(0) })
 	f.until(t, "a", boxlist.Draining)
 	if took := time.Since(began); took > 5900*time.Millisecond {
 		t.Errorf("it is known after %v", took)
@@ -225,81 +225,81 @@
 	}{
 		"silent in the first seconds, and again when opened anew": {silent, func(agents []*hosts.Agent, f *following, drain func()) {
 			agent := agents[0]
-			agent.SetMute(true)
+			agent.SetSilent(true)
 			drain()
 			await(t, func() bool { return f.Lost() == 1 })
-			await(t, func() bool { return len(agent.Targets()) > 2 }) // asked anew, with no answer
-			agent.SetMute(false)
+			await(t, func() bool { return len(agent.RequestURIs()) > 2 }) // asked anew, with no answer
+			agent.SetSilent(false)
 		}},
 		"silent in the middle of the list": {silent, func(agents []*hosts.Agent, f *following, drain func()) {
 			agent := agents[0]
-			agent.SetMute(true)
+			agent.SetSilent(true)
 			drain()
-			agent.SetStop(60)
-			agent.SetMute(false)
-			await(t, func() bool { return len(agent.Targets()) > 2 })
-			agent.SetStop(0)
+			agent.SetTruncateAfter(60)
+			agent.SetSilent(false)
+			await(t, func() bool { return len(agent.RequestURIs()) > 2 })
+			agent.SetTruncateAfter(0)
 		}},
 		"slow for good, and reset right before the change": {silent, func(agents []*hosts.Agent, _ *following, drain func()) {
-			agents[0].SetSlow(2 * time.Second)
-			agents[0].Cut()
+			agents[0].SetDelay(2 * time.Second)
+			agents[0].CloseConns()
 			drain()
 		}},
 		"moved to a slow one": {moved, func(agents []*hosts.Agent, f *following, drain func()) {
-			agents[1].SetSlow(2 * time.Second)
-			f.Move(agents[1].At)
+			agents[1].SetDelay(2 * time.Second)
+			f.Move(agents[1].Address)
 			drain()
 		}},
 		"reset right before the change": {time.Second, func(agents []*hosts.Agent, _ *following, drain func()) {
 			agent := agents[0]
-			agent.Cut()
+			agent.CloseConns()
 			drain()
 		}},
 		"reset right behind the change's first bytes": {time.Second, func(agents []*hosts.Agent, _ *following, drain func()) {
 			agent := agents[0]
-			agent.Say("80\r\n{\"rev\":")
-			agent.Cut()
+			agent.WriteRaw("80\r\n{\"rev\":")
+			agent.CloseConns()
 			drain()
 		}},
 		"moved while a call is out": {moved, func(agents []*hosts.Agent, f *following, drain func()) {
 			agent := agents[0]
-			agent.SetMute(true)
-			agent.Cut()
-			await(t, func() bool { return len(agent.Targets()) > 2 }) // the call
+			agent.SetSilent(true)
+			agent.CloseConns()
+			await(t, func() bool { return len(agent.RequestURIs()) > 2 }) // the call
 			drain()
-			f.Move(agents[1].At)
+			f.Move(agents[1].Address)
 		}},
 		"moved twice, to an address that says nothing": {moved, func(agents []*hosts.Agent, f *following, drain func()) {
 			agent := agents[0]
 			mute, there := agents[1], agents[2]
-			mute.SetMute(true)
+			mute.SetSilent(true)
 			drain()
-			agent.SetMute(true)
-			f.Move(mute.At)
-			await(t, func() bool { return len(mute.Targets()) > 0 })
-			f.Move(there.At)
+			agent.SetSilent(true)
+			f.Move(mute.Address)
+			await(t, func() bool { return len(mute.RequestURIs()) > 0 })
+			f.Move(there.Address)
 		}},
 		"back after an outage with the change": {2500 * time.Millisecond, func(agents []*hosts.Agent, f *following, drain func()) {
 			agent := agents[0]
-			agent.SetMute(true)
-			agent.Cut()
+			agent.SetSilent(true)
+			agent.CloseConns()
 			await(t, func() bool { return f.Lost() > 1 })
 			drain()
-			agent.SetMute(false)
+			agent.SetSilent(false)
 		}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			site := hosts.New()
 			t.Cleanup(site.Close)
-			box := site.Box("a", hosts.Reader)
-			agents := []*hosts.Agent{site.Agent(), site.Agent(), site.Agent()}
-			f := follow(t, agents[0].At)
+			box := site.AddBackend("a", hosts.PrefillKind)
+			agents := []*hosts.Agent{site.AddAgent(), site.AddAgent(), site.AddAgent()}
+			f := follow(t, agents[0].Address)
 			f.until(t, "a", boxlist.Ready)
-			await(t, func() bool { return agents[0].Watched() == 1 })
+			await(t, func() bool { return agents[0].WatchCount() == 1 })
 			began := time.Now()
 			c.cross(agents, f, func() {
 				began = time.Now()
-				site.Change(func() { box.State = "terminating" })
+				site.UpdateDiscovery(func() { box.State = "terminating" })
 			})
 			f.until(t, "a", boxlist.Draining)
 			if took := time.Since(began); took > c.within {
@@ -326,24 +326,24 @@
 		if time.Now().After(end) {
 			t.Fatal("the watch is kept")
 		}
-		agent.Say(hosts.Chunk(" {"))
+		agent.WriteRaw(hosts.EncodeChunk(" {"))
 	}
 }
 
 func TestANewAddressIsAskedForItsWholeList(t *testing.T) {
 	site := hosts.New()
 	t.Cleanup(site.Close)
-	site.Box("a", hosts.Reader)
-	b := site.Box("b", hosts.Reader)
+	site.AddBackend("a", hosts.PrefillKind)
+	b := site.AddBackend("b", hosts.PrefillKind)
 	b.State = "terminated"
-	one, two := site.Agent(), site.Agent()
-	f := follow(t, one.At)
+	one, two := site.AddAgent(), site.AddAgent()
+	f := follow(t, one.Address)
 	f.until(t, "a", boxlist.Ready)
-	one.SetMute(true)
-	site.Change(func() { b.State = "in_service" })
-	f.Move(two.At)
+	one.SetSilent(true)
+	site.UpdateDiscovery(func() { b.State = "in_service" })
+	f.Move(two.Address)
 	f.until(t, "b", boxlist.Ready)
-	if asked := two.Targets(); len(asked) == 0 || asked[0] != "/v1/endpoints" {
+	if asked := two.RequestURIs(); len(asked) == 0 || asked[0] != "/v1/endpoints" {
 		t.Errorf("asked for %q", asked)
 	}
 }
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -211,7 +211,7 @@
 	default:
 		j.Stage = engine.Whole
 	}
-	j.Answer = standin.AnswerTokens(w.day.TalkOf(t.line.Grade).Answer, t.line.Try, int(q.Most))
+	j.Answer = standin.AnswerTokens(w.day.TalkOf(t.line.Grade).AnswerTokens, t.line.Try, int(q.Most))
 	if j.Stage == engine.Read {
 		j.Answer = 1
 	}
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -131,12 +131,12 @@
 	m, talk := b.make.Engine, b.w.day.TalkOf(grade)
 	sum := b.w.reads[grade]
 	if sum == nil {
-		sum = &[2]float64{talk.New + float64(talk.Prefix)/4, 1}
+		sum = &[2]float64{talk.NewTokens + float64(talk.PrefixTokens)/4, 1}
 		b.w.reads[grade] = sum
 	}
 	read := sum[0] / sum[1] / m.ReadPerS
 	step := m.Step.Seconds() + float64(m.Slots)*m.PerAnswer.Seconds() + float64(m.Slots)*m.PerContextK.Seconds()
-	write := talk.Answer * step / float64(m.Slots)
+	write := talk.AnswerTokens * step / float64(m.Slots)
 	switch stage {
 	case kserve.StageRead:
 		return read
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -69,7 +69,7 @@
 		w.observe()
 	}
 	for i := range w.wishes {
-		w.at(w.wishes[i].At, func() { w.ask(&w.wishes[i], 0, "") })
+		w.at(w.wishes[i].SubmitAt, func() { w.ask(&w.wishes[i], 0, "") })
 	}
 	for _, t := range d.Troubles {
 		w.at(t.At.D(), func() { w.inject(t) })
@@ -104,7 +104,7 @@
 	now    time.Duration
 	events agenda.Agenda
 	rng    *rand.Rand
-	wishes []standin.Wish
+	wishes []standin.Request
 	lines  []record.Line
 	each   func(record.Line)
 	sum    hash.Hash64
--- a/internal/fleet/storm_test.go
+++ b/internal/fleet/storm_test.go
@@ -115,7 +115,7 @@
 	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Span(10e9), Length: setup.Span(20e9), Size: 3, Channel: "web-app"}}
 	of := map[string]string{}
 	for _, w := range d.Plan() {
-		of[w.Name] = w.Channel
+		of[w.Name] = w.Tenant
 	}
 	share := func(guard bool) (by map[string]float64) {
 		d := d
--- a/internal/hosts/hosts.go
+++ b/internal/hosts/hosts.go
@@ -23,8 +23,8 @@
 
 // Kinds of boxes, and what they are called in the settings.
 const (
-	Reader = "prompt-side"
-	Writer = "answer-side"
+	PrefillKind = "prompt-side"
+	DecodeKind  = "answer-side"
 )
 
 // Settings are those of a small deployment, in the form in which the platform hands them over.
@@ -38,57 +38,57 @@
 
 // Exchange is one request whose last byte has come to a box.
 type Exchange struct {
-	Box    *Box
-	Method string
-	Target string
-	ID     string
-	Head   http.Header
-	Body   string
-	Left   <-chan struct{} // closed when the dispatcher has closed the connection
-	w      net.Conn
-	over   bool
-}
-
-// Site is a set of boxes, their discovery and the record of both.
-type Site struct {
-	mu     sync.Mutex
-	boxes  []*Box
-	seen   []*Exchange
-	out    map[string]int // requests by id that are out
-	held   map[string]string
-	waits  map[string]time.Time // by id, since when a state is held with no request out
-	Faults []string             // rules that were broken, as the boxes saw it
-	Pin    time.Duration        // for which a state may wait with no request out
-	agents []*Agent
-	rev    int64
-	wait   sync.WaitGroup
-}
-
-func New() *Site {
-	return &Site{out: map[string]int{}, held: map[string]string{}, waits: map[string]time.Time{}, rev: 1, Pin: 850 * time.Millisecond}
-}
-
-// Box is one box.
-type Box struct {
-	UID   string
-	Kind  string
-	At    string
-	State string
-	// Do answers in place of the box's own way; it tells whether the connection may be used again.
-	Do    func(e *Exchange) bool
-	greet func(c net.Conn) bool
-	site  *Site
-	l     net.Listener
-	conns map[net.Conn]bool
-}
-
-// Box adds a box that is in service.
-func (s *Site) Box(uid, kind string) *Box {
+	Backend      *Backend
+	Method       string
+	URI          string
+	ID           string
+	Header       http.Header
+	Body         string
+	ClientClosed <-chan struct{} // closed when the dispatcher has closed the connection
+	w            net.Conn
+	over         bool
+}
+
+// Platform is a set of boxes, their discovery and the record of both.
+type Platform struct {
+	mu         sync.Mutex
+	boxes      []*Backend
+	seen       []*Exchange
+	out        map[string]int // requests by id that are out
+	held       map[string]string
+	waits      map[string]time.Time // by id, since when a state is held with no request out
+	Violations []string             // rules that were broken, as the boxes saw it
+	PinLimit   time.Duration        // for which a state may wait with no request out
+	agents     []*Agent
+	rev        int64
+	wait       sync.WaitGroup
+}
+
+func New() *Platform {
+	return &Platform{out: map[string]int{}, held: map[string]string{}, waits: map[string]time.Time{}, rev: 1, PinLimit: 850 * time.Millisecond}
+}
+
+// Backend is one box.
+type Backend struct {
+	UID     string
+	Kind    string
+	Address string
+	State   string
+	// Handler answers in place of the box's own way; it tells whether the connection may be used again.
+	Handler func(e *Exchange) bool
+	greet   func(c net.Conn) bool
+	site    *Platform
+	l       net.Listener
+	conns   map[net.Conn]bool
+}
+
+// AddBackend adds a box that is in service.
+func (s *Platform) AddBackend(uid, kind string) *Backend {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	b := &Box{UID: uid, Kind: kind, At: l.Addr().String(), State: "in_service", site: s, l: l, conns: map[net.Conn]bool{}}
+	b := &Backend{UID: uid, Kind: kind, Address: l.Addr().String(), State: "in_service", site: s, l: l, conns: map[net.Conn]bool{}}
 	s.mu.Lock()
 	s.boxes = append(s.boxes, b)
 	s.mu.Unlock()
@@ -97,7 +97,7 @@
 }
 
 // accept takes connections until the listener closes; conns has those that are open.
-func (s *Site) accept(l net.Listener, conns map[net.Conn]bool, serve func(net.Conn)) {
+func (s *Platform) accept(l net.Listener, conns map[net.Conn]bool, serve func(net.Conn)) {
 	s.wait.Go(func() {
 		for {
 			c, err := l.Accept()
@@ -112,15 +112,15 @@
 	})
 }
 
-// Greet has each connection handed over before a request is read of it; what it returns tells whether requests are to be read.
-func (b *Box) Greet(greet func(c net.Conn) bool) {
+// OnConnect has each connection handed over before a request is read of it; what it returns tells whether requests are to be read.
+func (b *Backend) OnConnect(greet func(c net.Conn) bool) {
 	b.site.mu.Lock()
 	defer b.site.mu.Unlock()
 	b.greet = greet
 }
 
 // Kill ends a box's process: its connections are reset, and new ones refused.
-func (b *Box) Kill() {
+func (b *Backend) Kill() {
 	b.l.Close()
 	b.site.mu.Lock()
 	defer b.site.mu.Unlock()
@@ -139,8 +139,8 @@
 }
 
 // Reopen has connections taken again at the old address.
-func (b *Box) Reopen() {
-	l, err := net.Listen("tcp", b.At)
+func (b *Backend) Reopen() {
+	l, err := net.Listen("tcp", b.Address)
 	if err != nil {
 		panic(err)
 	}
@@ -151,10 +151,10 @@
 }
 
 // CloseListener has new connections refused; those that stand go on.
-func (b *Box) CloseListener() { b.l.Close() }
+func (b *Backend) CloseListener() { b.l.Close() }
 
-// Rest closes the connections on which nothing is out, as a box does with those that stood idle.
-func (b *Box) Rest() {
+// CloseIdle closes the connections on which nothing is out, as a box does with those that stood idle.
+func (b *Backend) CloseIdle() {
 	b.site.mu.Lock()
 	defer b.site.mu.Unlock()
 	for c, idle := range b.conns {
@@ -164,7 +164,7 @@
 	}
 }
 
-func (b *Box) serve(c net.Conn) {
+func (b *Backend) serve(c net.Conn) {
 	s := b.site
 	defer func() {
 		c.Close()
@@ -189,7 +189,7 @@
 			return
 		}
 		left := make(chan struct{})
-		e := &Exchange{Box: b, Method: r.Method, Target: r.RequestURI, ID: r.Header.Get("X-Request-Id"), Head: r.Header, Body: string(body), Left: left, w: c}
+		e := &Exchange{Backend: b, Method: r.Method, URI: r.RequestURI, ID: r.Header.Get("X-Request-Id"), Header: r.Header, Body: string(body), ClientClosed: left, w: c}
 		s.mu.Lock()
 		b.conns[c] = false
 		s.seen = append(s.seen, e)
@@ -197,7 +197,7 @@
 			s.out[e.ID]++
 			s.waited(e.ID)
 		}
-		do := b.Do
+		do := b.Handler
 		s.mu.Unlock()
 		s.alone(e.ID)
 		// Whoever waits for the far side to leave reads on; what comes is the next request's first byte.
@@ -228,23 +228,23 @@
 
 // Serve is a box's own way: a reader reads and holds, a writer answers, a call releases.
 func (e *Exchange) Serve() bool {
-	s := e.Box.site
+	s := e.Backend.site
 	switch {
 	case e.Method == http.MethodDelete:
 		s.mu.Lock()
-		s.take(strings.TrimPrefix(e.Target, "/v1/holds/"))
+		s.take(strings.TrimPrefix(e.URI, "/v1/holds/"))
 		s.mu.Unlock()
-		return e.Write("HTTP/1.1 204 No Content\r\n\r\n")
-	case e.Box.Kind == Reader:
-		e.Hold()
-		return e.Write("HTTP/1.1 202 Accepted\r\nX-Server-Load: util=0.5,queue=2,x0=0.25\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
+		return e.WriteRaw("HTTP/1.1 204 No Content\r\n\r\n")
+	case e.Backend.Kind == PrefillKind:
+		e.HoldKVCache()
+		return e.WriteRaw("HTTP/1.1 202 Accepted\r\nX-Server-Load: util=0.5,queue=2,x0=0.25\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
 	}
-	return e.Write(Opening) && e.Write(Chunk(Event("a"))+Chunk(Event("b"))) && e.Write(Chunk(Usage+Done)+Last)
+	return e.WriteRaw(StreamHead) && e.WriteRaw(EncodeChunk(TextEvent("a"))+EncodeChunk(TextEvent("b"))) && e.WriteRaw(EncodeChunk(UsageEvent+DoneEvent)+LastChunk)
 }
 
 // end takes note that the request is not out any more.
 func (e *Exchange) end() {
-	s := e.Box.site
+	s := e.Backend.site
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !e.over && e.ID != "" {
@@ -257,26 +257,26 @@
 }
 
 // waited ends a state's wait, and take the state with it; the site is locked.
-func (s *Site) waited(id string) {
-	if since, ok := s.waits[id]; ok && time.Since(since) > s.Pin {
-		s.Faults = append(s.Faults, fmt.Sprintf("a state for %s waited for %v", id, time.Since(since)))
+func (s *Platform) waited(id string) {
+	if since, ok := s.waits[id]; ok && time.Since(since) > s.PinLimit {
+		s.Violations = append(s.Violations, fmt.Sprintf("a state for %s waited for %v", id, time.Since(since)))
 	}
 	delete(s.waits, id)
 }
 
-func (s *Site) take(id string) {
+func (s *Platform) take(id string) {
 	s.waited(id)
 	delete(s.held, id)
 }
 
-// Vanish has the box's machine say nothing: connections that stand stay, and new ones neither come up nor are refused.
-func (b *Box) Vanish() {
+// Blackhole has the box's machine say nothing: connections that stand stay, and new ones neither come up nor are refused.
+func (b *Backend) Blackhole() {
 	b.l.Close()
-	l, err := net.Listen("tcp", b.At)
+	l, err := net.Listen("tcp", b.Address)
 	if err != nil {
 		panic(err)
 	}
-	stuck, err := standin.Fill(l)
+	stuck, err := standin.FillBacklog(l)
 	if err != nil {
 		panic(err)
 	}
@@ -289,7 +289,7 @@
 }
 
 // alone takes note of a fault if another copy of a request is out. A box may see a moment late that its connection was closed.
-func (s *Site) alone(id string) {
+func (s *Platform) alone(id string) {
 	if id == "" {
 		return
 	}
@@ -297,7 +297,7 @@
 		s.mu.Lock()
 		n := s.out[id]
 		if n > 1 && time.Now().After(end) {
-			s.Faults = append(s.Faults, "a second copy of "+id+" is out")
+			s.Violations = append(s.Violations, "a second copy of "+id+" is out")
 			n = 1
 		}
 		s.mu.Unlock()
@@ -307,21 +307,21 @@
 	}
 }
 
-// Hold takes note that a question's state waits at the box.
-func (e *Exchange) Hold() {
-	e.Box.site.mu.Lock()
-	defer e.Box.site.mu.Unlock()
-	e.Box.site.held[e.ID] = e.Box.UID
+// HoldKVCache takes note that a question's state waits at the box.
+func (e *Exchange) HoldKVCache() {
+	e.Backend.site.mu.Lock()
+	defer e.Backend.site.mu.Unlock()
+	e.Backend.site.held[e.ID] = e.Backend.UID
 }
 
-// Write writes bytes as they are. With the opening of an answer a writer has taken the state.
-func (e *Exchange) Write(raw string) bool {
-	if strings.HasPrefix(raw, Opening) && e.Box.Kind == Writer {
-		e.Box.site.mu.Lock()
-		e.Box.site.take(e.ID)
-		e.Box.site.mu.Unlock()
+// WriteRaw writes bytes as they are. With the opening of an answer a writer has taken the state.
+func (e *Exchange) WriteRaw(raw string) bool {
+	if strings.HasPrefix(raw, StreamHead) && e.Backend.Kind == DecodeKind {
+		e.Backend.site.mu.Lock()
+		e.Backend.site.take(e.ID)
+		e.Backend.site.mu.Unlock()
 	}
-	if strings.HasSuffix(raw, Last) || strings.HasPrefix(raw, "HTTP/1.1 ") && raw[9] > '1' && !strings.HasPrefix(raw, "HTTP/1.1 200") {
+	if strings.HasSuffix(raw, LastChunk) || strings.HasPrefix(raw, "HTTP/1.1 ") && raw[9] > '1' && !strings.HasPrefix(raw, "HTTP/1.1 200") {
 		e.end() // with its last byte the dispatcher may send the next
 	}
 	_, err := io.WriteString(e.w, raw)
@@ -330,20 +330,20 @@
 
 // Pieces of an answer.
 const (
-	Opening = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	Usage   = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":400,\"completion_tokens\":2,\"prompt_tokens_details\":{\"cached_tokens\":40}}}\n\n: X-Server-Load: util=0.6,queue=1,x0=0.5\n\n"
-	Done    = "data: [DONE]\n\n"
-	Last    = "0\r\n\r\n"
+	StreamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	UsageEvent = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":400,\"completion_tokens\":2,\"prompt_tokens_details\":{\"cached_tokens\":40}}}\n\n: X-Server-Load: util=0.6,queue=1,x0=0.5\n\n"
+	DoneEvent  = "data: [DONE]\n\n"
+	LastChunk  = "0\r\n\r\n"
 )
 
-func Event(text string) string {
+func TextEvent(text string) string {
 	return fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", text)
 }
 
-func Chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+func EncodeChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// Refuse is an answer without a stream.
-func Refuse(code int, never bool) string {
+// Rejection is an answer without a stream.
+func Rejection(code int, never bool) string {
 	mark := ""
 	if never {
 		mark = "X-Not-Processed: 1\r\n"
@@ -351,27 +351,27 @@
 	return fmt.Sprintf("HTTP/1.1 %d No\r\n%sContent-Length: 0\r\n\r\n", code, mark)
 }
 
-// Seen lists what came to a box, or to all with an empty name, under a method.
-func (s *Site) Seen(uid, method string) []*Exchange {
+// Requests lists what came to a box, or to all with an empty name, under a method.
+func (s *Platform) Requests(uid, method string) []*Exchange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []*Exchange
 	for _, e := range s.seen {
-		if (uid == "" || e.Box.UID == uid) && e.Method == method {
+		if (uid == "" || e.Backend.UID == uid) && e.Method == method {
 			found = append(found, e)
 		}
 	}
 	return found
 }
 
-// Held counts states that wait, Out requests that are out.
-func (s *Site) Held() int {
+// HeldCount counts states that wait, Out requests that are out.
+func (s *Platform) HeldCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.held)
 }
 
-func (s *Site) Out() int {
+func (s *Platform) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
@@ -381,8 +381,8 @@
 	return n
 }
 
-// Change changes what discovery says of boxes and tells its agents.
-func (s *Site) Change(change func()) {
+// UpdateDiscovery changes what discovery says of boxes and tells its agents.
+func (s *Platform) UpdateDiscovery(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -405,10 +405,10 @@
 }
 
 // list is what discovery says; the site is locked.
-func (s *Site) list(whole bool) []byte {
+func (s *Platform) list(whole bool) []byte {
 	targets := []Target{}
 	for i, b := range s.boxes {
-		targets = append(targets, Target{b.UID, b.At, "hall-1", b.Kind, i % 2, b.State, 1, 0})
+		targets = append(targets, Target{b.UID, b.Address, "hall-1", b.Kind, i % 2, b.State, 1, 0})
 	}
 	raw, err := json.Marshal(map[string]any{"rev": s.rev, "all": whole, "targets": targets})
 	if err != nil {
@@ -417,8 +417,8 @@
 	return raw
 }
 
-// List is the whole list.
-func (s *Site) List() []byte {
+// DiscoveryList is the whole list.
+func (s *Platform) DiscoveryList() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list(true)
@@ -426,8 +426,8 @@
 
 // Agent is discovery at one address.
 type Agent struct {
-	At      string
-	site    *Site
+	Address string
+	site    *Platform
 	l       net.Listener
 	watches map[net.Conn]bool
 	conns   map[net.Conn]bool
@@ -438,13 +438,13 @@
 	stop    int           // bytes of its next answers to a watch, after which it says no more; 0: all of them
 }
 
-// Agent opens another one.
-func (s *Site) Agent() *Agent {
+// AddAgent opens another one.
+func (s *Platform) AddAgent() *Agent {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	a := &Agent{At: l.Addr().String(), site: s, l: l, watches: map[net.Conn]bool{}, conns: map[net.Conn]bool{}}
+	a := &Agent{Address: l.Addr().String(), site: s, l: l, watches: map[net.Conn]bool{}, conns: map[net.Conn]bool{}}
 	s.mu.Lock()
 	s.agents = append(s.agents, a)
 	s.mu.Unlock()
@@ -482,7 +482,7 @@
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(raw), raw)
 		default:
 			raw := string(a.form(s.list(true))) + "\n"
-			whole := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Chunk(raw)
+			whole := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + EncodeChunk(raw)
 			if a.stop > 0 {
 				io.WriteString(c, whole[:min(a.stop, len(whole))])
 				break
@@ -508,7 +508,7 @@
 		return
 	}
 	for c := range a.watches {
-		io.WriteString(c, Chunk(string(a.form(raw))+"\n"))
+		io.WriteString(c, EncodeChunk(string(a.form(raw))+"\n"))
 	}
 }
 
@@ -529,21 +529,21 @@
 	a.indent = indent
 }
 
-func (a *Agent) SetStop(after int) {
+func (a *Agent) SetTruncateAfter(after int) {
 	a.site.mu.Lock()
 	defer a.site.mu.Unlock()
 	a.stop = after
 }
 
-// SetSlow has it answer so much later.
-func (a *Agent) SetSlow(by time.Duration) {
+// SetDelay has it answer so much later.
+func (a *Agent) SetDelay(by time.Duration) {
 	a.site.mu.Lock()
 	defer a.site.mu.Unlock()
 	a.slow = by
 }
 
-// Say writes bytes to the watches as they are.
-func (a *Agent) Say(raw string) {
+// WriteRaw writes bytes to the watches as they are.
+func (a *Agent) WriteRaw(raw string) {
 	a.site.mu.Lock()
 	defer a.site.mu.Unlock()
 	for c := range a.watches {
@@ -551,8 +551,8 @@
 	}
 }
 
-// Cut ends the watches; the agent goes on listening.
-func (a *Agent) Cut() {
+// CloseConns ends the watches; the agent goes on listening.
+func (a *Agent) CloseConns() {
 	a.site.mu.Lock()
 	defer a.site.mu.Unlock()
 	for c := range a.conns {
@@ -560,28 +560,28 @@
 	}
 }
 
-// SetMute has it say nothing, or speak again; Targets lists what it was asked for.
-func (a *Agent) SetMute(mute bool) {
+// SetSilent has it say nothing, or speak again; Targets lists what it was asked for.
+func (a *Agent) SetSilent(mute bool) {
 	a.site.mu.Lock()
 	defer a.site.mu.Unlock()
 	a.mute = mute
 }
 
-func (a *Agent) Targets() []string {
+func (a *Agent) RequestURIs() []string {
 	a.site.mu.Lock()
 	defer a.site.mu.Unlock()
 	return slices.Clone(a.asked)
 }
 
-// Watched tells how many watches there are.
-func (a *Agent) Watched() int {
+// WatchCount tells how many watches there are.
+func (a *Agent) WatchCount() int {
 	a.site.mu.Lock()
 	defer a.site.mu.Unlock()
 	return len(a.watches)
 }
 
 // Close ends all of it.
-func (s *Site) Close() {
+func (s *Platform) Close() {
 	s.mu.Lock()
 	boxes, agents := slices.Clone(s.boxes), slices.Clone(s.agents)
 	s.mu.Unlock()
@@ -590,7 +590,7 @@
 	}
 	for _, a := range agents {
 		a.l.Close()
-		a.Cut()
+		a.CloseConns()
 	}
 	done := make(chan struct{})
 	go func() { s.wait.Wait(); close(done) }()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -33,7 +33,7 @@
 			}
 			continue
 		}
-		if err != nil || len(wishes) != 2 || wishes[0].Grade != "quick" || wishes[0].At != 100*time.Millisecond || wishes[0].Most != 70 || wishes[1].Safe {
+		if err != nil || len(wishes) != 2 || wishes[0].Class != "quick" || wishes[0].SubmitAt != 100*time.Millisecond || wishes[0].MaxTokens != 70 || wishes[1].Idempotent {
 			t.Errorf("%s: %v %+v", c.name, err, wishes)
 		}
 	}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -123,7 +123,7 @@
 	if r.book, err = record.Open("", record.Head{}); err != nil {
 		return nil, err
 	}
-	r.fleet = standin.NewFleet(d.Terms, r.book, standin.Links{Near: 1e12, Far: 1e12, Zone: 1}, map[string]standin.Talk{"measured": {New: 1, Answer: 8}})
+	r.fleet = standin.NewFleet(d.Terms, r.book, standin.Links{SameRack: 1e12, CrossRack: 1e12, ZoneFactor: 1}, map[string]standin.ClassProfile{"measured": {NewTokens: 1, AnswerTokens: 8}})
 	var addrs []string
 	for range 4 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -134,13 +134,13 @@
 		addrs = append(addrs, l.Addr().String())
 		l.Close()
 	}
-	list := r.fleet.NewList(addrs[0])
-	if err := list.Open(); err != nil {
+	list := r.fleet.NewDiscovery(addrs[0])
+	if err := list.Start(); err != nil {
 		return nil, err
 	}
-	var boxes []*standin.Box
+	var boxes []*standin.Backend
 	for i, kind := range []string{"reader", "writer"} {
-		b := r.fleet.NewBox(standin.Make{Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Engine: standin.Instant, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: addrs[1+i]}}})
+		b := r.fleet.NewBackend(standin.Config{Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Engine: standin.InstantEngine, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: addrs[1+i]}}})
 		if err := b.Boot(false); err != nil {
 			return nil, err
 		}
@@ -169,7 +169,7 @@
 		for _, b := range boxes {
 			b.Kill("end")
 		}
-		list.Shut()
+		list.Stop()
 		r.fleet.Close()
 		r.http.CloseIdleConnections()
 	}
@@ -309,8 +309,8 @@
 			resp.Body.Close()
 		}()
 		if i == 0 {
-			r.fleet.Hold(true)
-			defer r.fleet.Hold(false)
+			r.fleet.HoldAnswers(true)
+			defer r.fleet.HoldAnswers(false)
 		}
 	}
 	for range 500 {
@@ -322,7 +322,7 @@
 	r.plan.Say("%d of %d streams are open", open.Load(), n)
 	mb := r.memory()
 	cancel()
-	r.fleet.Hold(false)
+	r.fleet.HoldAnswers(false)
 	all.Wait()
 	return mb
 }
--- a/internal/measure/ways.go
+++ b/internal/measure/ways.go
@@ -49,7 +49,7 @@
 // come while the fault is on.
 func Ways(ctx context.Context, trips int, say func(string, ...any)) ([]Way, error) {
 	var out []Way
-	for _, fault := range []string{standin.GateServes, standin.GateRefuses, standin.GateBlackhole, standin.GateStalls, standin.GateStallsNext, standin.GateSlow, standin.GateResets, standin.GateFlaps} {
+	for _, fault := range []string{standin.EndpointServes, standin.EndpointRefuses, standin.EndpointBlackhole, standin.EndpointStalls, standin.EndpointStallsAfterResponse, standin.EndpointSlow, standin.EndpointResets, standin.EndpointFlaps} {
 		for _, n := range []int{1, 3} {
 			for _, who := range []string{"raced", "sequential", "plain"} {
 				w, err := way(ctx, fault, n, who, trips)
@@ -82,7 +82,7 @@
 	}
 	terms := setup.DefaultTerms()
 	terms.Grades = []setup.Grade{{Name: "g", Effect: "idempotent"}}
-	fleet := standin.NewFleet(terms, book, standin.Links{Near: 1e9, Far: 1e9, Zone: 1}, map[string]standin.Talk{"g": {New: 1, Answer: 1}})
+	fleet := standin.NewFleet(terms, book, standin.Links{SameRack: 1e9, CrossRack: 1e9, ZoneFactor: 1}, map[string]standin.ClassProfile{"g": {NewTokens: 1, AnswerTokens: 1}})
 	defer fleet.Close()
 	dir, err := os.MkdirTemp("", "slt")
 	if err != nil {
@@ -103,7 +103,7 @@
 		s.Prefer = len(at) // the one that goes wrong comes first for all of them
 		at = append(at, s)
 	}
-	b := fleet.NewBox(standin.Make{Name: "w1", Kind: "writer", Addresses: at, Engine: standin.Instant})
+	b := fleet.NewBackend(standin.Config{Name: "w1", Kind: "writer", Addresses: at, Engine: standin.InstantEngine})
 	if err := b.Boot(false); err != nil {
 		return w, err
 	}
@@ -141,11 +141,11 @@
 	for i := range trips {
 		switch i {
 		case trips / 4:
-			if err := b.Gate(0).Set(fault, 50*time.Millisecond, 600); err != nil {
+			if err := b.Endpoint(0).SetMode(fault, 50*time.Millisecond, 600); err != nil {
 				return w, err
 			}
 		case trips * 3 / 4:
-			if err := b.Gate(0).Set(standin.GateServes, 0, 0); err != nil {
+			if err := b.Endpoint(0).SetMode(standin.EndpointServes, 0, 0); err != nil {
 				return w, err
 			}
 		}
--- a/internal/platform/accept_test.go
+++ b/internal/platform/accept_test.go
@@ -139,9 +139,9 @@
 		}
 	}
 	waited := time.Since(began)
-	for _, e := range h.site.Seen("", "POST") {
-		if left, _ := strconv.Atoi(e.Head.Get("X-Timeout-Ms")); time.Duration(left)*time.Millisecond > 3*time.Second-waited+300*time.Millisecond {
-			t.Errorf("%s is told %d ms for %s, which waited for some %v", e.Box.UID, left, e.ID, waited)
+	for _, e := range h.site.Requests("", "POST") {
+		if left, _ := strconv.Atoi(e.Header.Get("X-Timeout-Ms")); time.Duration(left)*time.Millisecond > 3*time.Second-waited+300*time.Millisecond {
+			t.Errorf("%s is told %d ms for %s, which waited for some %v", e.Backend.UID, left, e.ID, waited)
 		}
 	}
 	if waited < 400*time.Millisecond {
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -60,7 +60,7 @@
 		h.node.loop.HostOf("r1").Standing = brain.Draining
 	})
 	h.until("it is over", func() bool { return len(a.Final()) == 1 })
-	if n := len(h.site.Seen("r1", "POST")); n != 0 {
+	if n := len(h.site.Requests("r1", "POST")); n != 0 {
 		t.Errorf("%d attempts to a backend that drains", n)
 	}
 	h.node.loop.Call(context.Background(), func() {
@@ -79,7 +79,7 @@
 			h := enter(t, func(h *house, p *Place) { p.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling })
 			h.submit("q1", 0, func(a *dispatch.ClientRequest) { h.node.loop.Left(a) })
 			h.settled()
-			if n := len(h.site.Seen("", "POST")); n != 0 {
+			if n := len(h.site.Requests("", "POST")); n != 0 {
 				t.Errorf("%d attempts for a client that has gone", n)
 			}
 		})
@@ -91,19 +91,19 @@
 	h := enter(t, nil)
 	const stuck = 300 * time.Millisecond
 	h.submit("q1", 1, func(*dispatch.ClientRequest) { time.Sleep(stuck) }) // the loop is busy
-	h.until("it is out", func() bool { return len(h.site.Seen("r1", "POST")) == 1 })
-	told, err := time.ParseDuration(h.site.Seen("r1", "POST")[0].Head.Get("X-Timeout-Ms") + "ms")
+	h.until("it is out", func() bool { return len(h.site.Requests("r1", "POST")) == 1 })
+	told, err := time.ParseDuration(h.site.Requests("r1", "POST")[0].Header.Get("X-Timeout-Ms") + "ms")
 	if err != nil || told > 3*time.Second-stuck {
 		t.Errorf("told %v, %v", told, err)
 	}
-	h.until("all is over", func() bool { return h.site.Out() == 0 })
+	h.until("all is over", func() bool { return h.site.InFlight() == 0 })
 }
 
 // A connection that breaks within the request proves that it never ran: also what must not be repeated is sent again.
 func TestARequestThatIsCutOffInTheMiddleIsSentAgain(t *testing.T) {
 	h := enter(t, nil)
 	var tries atomic.Int64
-	h.reader.Greet(func(c net.Conn) bool {
+	h.reader.OnConnect(func(c net.Conn) bool {
 		if tries.Add(1) > 1 {
 			return true
 		}
@@ -148,9 +148,9 @@
 	t.Run("1xx without end", func(t *testing.T) {
 		h := enter(t, nil)
 		h.first(func(e *hosts.Exchange) bool {
-			for e.Write("HTTP/1.1 103 Early Hints\r\n\r\n") {
+			for e.WriteRaw("HTTP/1.1 103 Early Hints\r\n\r\n") {
 				select {
-				case <-e.Left:
+				case <-e.ClientClosed:
 					return false
 				case <-time.After(time.Millisecond):
 				}
@@ -165,12 +165,12 @@
 	t.Run("a refusal before the last byte", func(t *testing.T) {
 		h := enter(t, nil)
 		var tries atomic.Int64
-		h.reader.Greet(func(c net.Conn) bool {
+		h.reader.OnConnect(func(c net.Conn) bool {
 			if tries.Add(1) > 1 {
 				return true
 			}
 			io.ReadFull(c, make([]byte, 50))
-			io.WriteString(c, hosts.Refuse(503, true))
+			io.WriteString(c, hosts.Rejection(503, true))
 			return false
 		})
 		if got := h.says(h.ask("hut-booking")); got.status != 200 {
@@ -186,20 +186,20 @@
 		t.Run(fmt.Sprintf("cancelling %t", cancelling), func(t *testing.T) {
 			h := enter(t, func(h *house, p *Place) { p.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling })
 			c := h.client()
-			h.reader.Do = func(e *hosts.Exchange) bool {
+			h.reader.Handler = func(e *hosts.Exchange) bool {
 				if e.Method != "POST" {
 					return e.Serve()
 				}
-				e.Hold()
+				e.HoldKVCache()
 				c.Close()
 				h.until("the client is seen to go", func() bool { return h.node.frontend.asked.Load() == 0 })
-				e.Write("HTTP/1.1 202 Accepted\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
+				e.WriteRaw("HTTP/1.1 202 Accepted\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
 				return true
 			}
 			io.WriteString(c, h.ask("trail-info"))
-			h.until("it was read", func() bool { return len(h.site.Seen("r1", "POST")) == 1 })
+			h.until("it was read", func() bool { return len(h.site.Requests("r1", "POST")) == 1 })
 			h.settled()
-			if n := len(h.site.Seen("w1", "POST")) + len(h.site.Seen("w2", "POST")); n != 0 {
+			if n := len(h.site.Requests("w1", "POST")) + len(h.site.Requests("w2", "POST")); n != 0 {
 				t.Errorf("%d attempts after the client has gone", n)
 			}
 		})
@@ -211,10 +211,10 @@
 	h := enter(t, func(h *house, p *Place) { p.Limits.Sockets = 64 })
 	const requests = 8 // more than there are descriptors for calls at a time
 	there := make(chan bool, requests)
-	h.reader.Do = func(e *hosts.Exchange) bool {
-		e.Hold()
+	h.reader.Handler = func(e *hosts.Exchange) bool {
+		e.HoldKVCache()
 		there <- true
-		<-e.Left
+		<-e.ClientClosed
 		return false
 	}
 	var clients []*client
@@ -230,15 +230,15 @@
 			t.Fatal("not all are read")
 		}
 	}
-	h.reader.Vanish()
-	h.writers[0].Vanish()
+	h.reader.Blackhole()
+	h.writers[0].Blackhole()
 	for _, c := range clients {
 		c.Close()
 	}
-	h.until("all attempts are over", func() bool { return h.site.Out() == 0 })
+	h.until("all attempts are over", func() bool { return h.site.InFlight() == 0 })
 	began := time.Now()
-	h.until("all states are released", func() bool { return h.site.Held() == 0 })
-	if took := time.Since(began); took > h.site.Pin {
+	h.until("all states are released", func() bool { return h.site.HeldCount() == 0 })
+	if took := time.Since(began); took > h.site.PinLimit {
 		t.Errorf("the last state is released after %v", took)
 	}
 	h.settled()
@@ -256,7 +256,7 @@
 		there <- true
 		select {
 		case <-hold:
-		case <-e.Left:
+		case <-e.ClientClosed:
 		}
 		return e.Serve()
 	})
@@ -286,7 +286,7 @@
 		t.Errorf("the open one: %+v", got)
 	}
 	h.settled()
-	if n := len(h.site.Seen("r1", "POST")); n != 2 {
+	if n := len(h.site.Requests("r1", "POST")); n != 2 {
 		t.Errorf("%d requests were taken", n)
 	}
 }
@@ -326,7 +326,7 @@
 func localFailures(h *house) *atomic.Pointer[syscall.Errno] {
 	failing := new(atomic.Pointer[syscall.Errno])
 	h.system.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-		if errno := failing.Load(); errno != nil && address != h.agent.At {
+		if errno := failing.Load(); errno != nil && address != h.agent.Address {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", *errno)}
 		}
 		return system.Real().Dial(ctx, network, address)
@@ -370,7 +370,7 @@
 	t.Run("no descriptor", func(t *testing.T) {
 		h := enter(t, nil)
 		done, hogged := make(chan struct{}), make(chan struct{})
-		h.reader.Do = func(e *hosts.Exchange) bool {
+		h.reader.Handler = func(e *hosts.Exchange) bool {
 			if e.Method == "POST" { // while it reads, others take all descriptors, and wait for the last
 				go func() {
 					defer close(hogged)
@@ -399,7 +399,7 @@
 	t.Run("the request is not taken", func(t *testing.T) {
 		h := enter(t, nil)
 		for _, w := range h.writers {
-			w.Greet(func(c net.Conn) bool {
+			w.OnConnect(func(c net.Conn) bool {
 				c.(*net.TCPConn).SetReadBuffer(1 << 10)
 				raw, err := c.(*net.TCPConn).SyscallConn()
 				if err != nil {
@@ -422,6 +422,6 @@
 		if got := h.says(h.ask("hut-booking", "Content-Length: 12", fmt.Sprintf("Content-Length: %d", len(body)), `{"model":""}`, body)); got.status == 200 {
 			t.Errorf("%+v", got)
 		}
-		h.until("the state is released", func() bool { return h.site.Held() == 0 })
+		h.until("the state is released", func() bool { return h.site.HeldCount() == 0 })
 	})
 }
--- a/internal/platform/behind_test.go
+++ b/internal/platform/behind_test.go
@@ -21,7 +21,7 @@
 		t.Errorf("the answer came after %v", took)
 	}
 	time.Sleep(time.Until(began.Add(held + 200*time.Millisecond)))
-	if seen := h.site.Seen("", "POST"); len(seen) != 0 {
+	if seen := h.site.Requests("", "POST"); len(seen) != 0 {
 		t.Errorf("%d attempts were made", len(seen))
 	}
 	if late := h.node.frontend.Late.Load(); late != 1 {
--- a/internal/platform/conn_test.go
+++ b/internal/platform/conn_test.go
@@ -129,12 +129,12 @@
 	}
 	c.Close()
 	select {
-	case <-e.Left:
+	case <-e.ClientClosed:
 	case <-time.After(100 * time.Millisecond):
 		t.Error("its attempt goes on")
 	}
 	h.settled()
-	if n := len(h.site.Seen("", "POST")); n != 1 {
+	if n := len(h.site.Requests("", "POST")); n != 1 {
 		t.Errorf("%d attempts", n)
 	}
 }
@@ -143,10 +143,10 @@
 func TestAConnectionThatOverrunsIsClosedAfterItsAnswer(t *testing.T) {
 	h := enter(t, nil)
 	hold := make(chan struct{})
-	h.reader.Do = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
+	h.reader.Handler = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
 	c := h.client()
 	io.WriteString(c, h.ask("trail-info"))
-	h.until("it is out", func() bool { return len(h.site.Seen("r1", "POST")) == 1 })
+	h.until("it is out", func() bool { return len(h.site.Requests("r1", "POST")) == 1 })
 	io.WriteString(c, strings.Repeat(h.ask("hut-booking"), 4*aheadMost/300))
 	close(hold)
 	if got := c.said(); got.status != 200 || !got.whole {
@@ -156,7 +156,7 @@
 		t.Errorf("then %v", err)
 	}
 	h.settled()
-	if n := len(h.site.Seen("r1", "POST")); n != 1 {
+	if n := len(h.site.Requests("r1", "POST")); n != 1 {
 		t.Errorf("%d requests are taken", n)
 	}
 }
@@ -165,11 +165,11 @@
 func TestNoCloseResetsAConnection(t *testing.T) {
 	for name, change := range map[string]func(h *house){
 		"a stream that breaks": func(h *house) {
-			h.write(func(e *hosts.Exchange) bool { e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a"))); return false })
+			h.write(func(e *hosts.Exchange) bool { e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a"))); return false })
 		},
 		"an answer at a stop": func(h *house) { h.node.frontend.stopping.Store(true) },
 		"an answer of failure": func(h *house) {
-			h.reader.Do = func(e *hosts.Exchange) bool { return e.Write(hosts.Refuse(400, false)) }
+			h.reader.Handler = func(e *hosts.Exchange) bool { return e.WriteRaw(hosts.Rejection(400, false)) }
 			h.node.frontend.stopping.Store(true)
 		},
 	} {
@@ -255,8 +255,8 @@
 // is back, and serves.
 func TestFullDescriptorsLeaveRoomForDiscovery(t *testing.T) {
 	h := enter(t, func(h *house, p *Place) { p.Limits.Sockets = 64 })
-	h.agent.SetMute(true)
-	h.agent.Cut()
+	h.agent.SetSilent(true)
+	h.agent.CloseConns()
 	for range 150 {
 		c, err := net.Dial("tcp", h.at)
 		if err != nil {
@@ -265,9 +265,9 @@
 		defer c.Close()
 		io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
 	}
-	h.site.Change(func() { h.writers[0].State = "terminating" })
-	h.agent.SetMute(false)
-	h.until("the drain is known", func() bool { return h.standing("w1") == brain.Draining && h.agent.Watched() == 1 })
+	h.site.UpdateDiscovery(func() { h.writers[0].State = "terminating" })
+	h.agent.SetSilent(false)
+	h.until("the drain is known", func() bool { return h.standing("w1") == brain.Draining && h.agent.WatchCount() == 1 })
 	c := h.client()
 	io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusOK {
@@ -276,7 +276,7 @@
 	if got := h.says(h.ask("hut-booking")); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
-	if n := len(h.site.Seen("w1", "POST")); n != 0 {
+	if n := len(h.site.Requests("w1", "POST")); n != 0 {
 		t.Errorf("%d attempts to a backend that drains", n)
 	}
 }
@@ -382,10 +382,10 @@
 			t.Fatalf("%+v", got)
 		}
 	}
-	for _, e := range h.site.Seen("", "POST") {
-		left, _ := strconv.Atoi(e.Head.Get("X-Timeout-Ms"))
+	for _, e := range h.site.Requests("", "POST") {
+		left, _ := strconv.Atoi(e.Header.Get("X-Timeout-Ms"))
 		if e.ID == "q2" && time.Duration(left)*time.Millisecond > 3*time.Second-answer+100*time.Millisecond {
-			t.Errorf("%s is told %d ms", e.Box.UID, left)
+			t.Errorf("%s is told %d ms", e.Backend.UID, left)
 		}
 	}
 }
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -28,10 +28,10 @@
 // house is a dispatcher in this process with a prefill backend and two decode backends.
 type house struct {
 	t       *testing.T
-	site    *hosts.Site
+	site    *hosts.Platform
 	agent   *hosts.Agent
-	reader  *hosts.Box
-	writers []*hosts.Box
+	reader  *hosts.Backend
+	writers []*hosts.Backend
 	node    *node
 	at      string
 	again   chan os.Signal
@@ -47,10 +47,10 @@
 	t.Helper()
 	before := goleak.IgnoreCurrent()
 	h := &house{t: t, site: hosts.New(), again: make(chan os.Signal, 1), ended: make(chan error, 1), system: system.Real()}
-	h.reader = h.site.Box("r1", hosts.Reader)
-	h.writers = []*hosts.Box{h.site.Box("w1", hosts.Writer), h.site.Box("w2", hosts.Writer)}
-	h.agent = h.site.Agent()
-	p := Place{Name: "n1", Listen: "127.0.0.1:0", Discovery: h.agent.At, Seed: "8c1f30d27a5be964"}
+	h.reader = h.site.AddBackend("r1", hosts.PrefillKind)
+	h.writers = []*hosts.Backend{h.site.AddBackend("w1", hosts.DecodeKind), h.site.AddBackend("w2", hosts.DecodeKind)}
+	h.agent = h.site.AddAgent()
+	p := Place{Name: "n1", Listen: "127.0.0.1:0", Discovery: h.agent.Address, Seed: "8c1f30d27a5be964"}
 	if err := json.Unmarshal([]byte(hosts.Settings), &p.Settings); err != nil {
 		t.Fatal(err)
 	}
@@ -85,7 +85,7 @@
 		case <-time.After(15 * time.Second):
 			t.Error("it does not end")
 		}
-		for _, f := range h.site.Faults {
+		for _, f := range h.site.Violations {
 			t.Error("rule broken: " + f)
 		}
 		if broken := h.node.monitor.Counts(); broken != "" {
@@ -110,13 +110,13 @@
 // write has both decode backends answer so; first only the first attempt to either, and the others well.
 func (h *house) write(do func(e *hosts.Exchange) bool) {
 	for _, w := range h.writers {
-		w.Do = do
+		w.Handler = do
 	}
 }
 
 func (h *house) first(do func(e *hosts.Exchange) bool) {
 	h.write(func(e *hosts.Exchange) bool {
-		if e.Method == "POST" && len(h.site.Seen("w1", "POST"))+len(h.site.Seen("w2", "POST")) == 1 {
+		if e.Method == "POST" && len(h.site.Requests("w1", "POST"))+len(h.site.Requests("w2", "POST")) == 1 {
 			return do(e)
 		}
 		return e.Serve()
@@ -126,13 +126,13 @@
 // holdReads has the prefill backend hold a state for each request and answer none; what comes is handed over.
 func (h *house) holdReads() <-chan *hosts.Exchange {
 	there := make(chan *hosts.Exchange, 1)
-	h.reader.Do = func(e *hosts.Exchange) bool {
+	h.reader.Handler = func(e *hosts.Exchange) bool {
 		if e.Method != "POST" {
 			return e.Serve()
 		}
-		e.Hold()
+		e.HoldKVCache()
 		there <- e
-		<-e.Left
+		<-e.ClientClosed
 		return false
 	}
 	return there
@@ -142,9 +142,9 @@
 func (h *house) settled() {
 	h.t.Helper()
 	h.until("nothing is left of the questions", func() bool {
-		still := h.site.Out() + h.site.Held() + int(h.node.frontend.asked.Load()) + int(h.node.frontend.held.Load()) + int(h.node.transport.releasing.Load())
+		still := h.site.InFlight() + h.site.HeldCount() + int(h.node.frontend.asked.Load()) + int(h.node.frontend.held.Load()) + int(h.node.transport.releasing.Load())
 		h.node.loop.Call(context.Background(), func() {
-			for _, b := range []*hosts.Box{h.reader, h.writers[0], h.writers[1]} {
+			for _, b := range []*hosts.Backend{h.reader, h.writers[0], h.writers[1]} {
 				if m := h.node.loop.HostOf(b.UID); m != nil && (m.Streams != 0 || m.Tokens != 0 || m.Unread != 0) {
 					still++
 				}
@@ -212,12 +212,12 @@
 func TestAQuestionGoesThroughByteForByte(t *testing.T) {
 	h := enter(t, nil)
 	got := h.says(h.ask("hut-booking"))
-	if got.status != 200 || got.text != hosts.Event("a")+hosts.Event("b")+hosts.Usage+hosts.Done || !got.whole {
+	if got.status != 200 || got.text != hosts.TextEvent("a")+hosts.TextEvent("b")+hosts.UsageEvent+hosts.DoneEvent || !got.whole {
 		t.Errorf("%+v", got)
 	}
-	for _, e := range h.site.Seen("", "POST") {
-		if e.Target != "/v1/chat/completions?x=1" || e.Body != `{"model":""}` || e.ID != "q1" || e.Head.Get("X-Timeout-Ms") == "" {
-			t.Errorf("%s %s %q as %s, %v", e.Box.UID, e.Target, e.Body, e.ID, e.Head)
+	for _, e := range h.site.Requests("", "POST") {
+		if e.URI != "/v1/chat/completions?x=1" || e.Body != `{"model":""}` || e.ID != "q1" || e.Header.Get("X-Timeout-Ms") == "" {
+			t.Errorf("%s %s %q as %s, %v", e.Backend.UID, e.URI, e.Body, e.ID, e.Header)
 		}
 	}
 	h.settled()
@@ -236,7 +236,7 @@
 		"many chunks":   "1\r\n{\r\n7;a=b\r\n\"model\"\r\n0004\r\n:\"\"}\r\n0\r\n\r\n",
 		"with trailers": "c\r\n{\"model\":\"\"}\r\n0\r\nA: b\r\nC: d\r\n\r\n",
 	} {
-		before := len(h.site.Seen("", "POST"))
+		before := len(h.site.Requests("", "POST"))
 		c := h.client()
 		for _, b := range []byte(h.chunked("hut-booking", body)) { // in pieces of a byte
 			c.Write([]byte{b})
@@ -247,13 +247,13 @@
 				t.Errorf("%s: %+v", name, got)
 			}
 		}
-		seen := h.site.Seen("", "POST")
+		seen := h.site.Requests("", "POST")
 		if len(seen) != before+4 {
 			t.Errorf("%s: %d attempts", name, len(seen)-before)
 		}
 		for _, e := range seen[before:] {
-			if e.Body != `{"model":""}` || e.Head.Get("Content-Length") != "12" {
-				t.Errorf("%s: %q, %v", name, e.Body, e.Head)
+			if e.Body != `{"model":""}` || e.Header.Get("Content-Length") != "12" {
+				t.Errorf("%s: %q, %v", name, e.Body, e.Header)
 			}
 		}
 		c.Close()
@@ -265,30 +265,30 @@
 // proven not to have run, another may follow for both.
 func TestEachEndOfATripIsTakenForWhatItProves(t *testing.T) {
 	spoilt := func(raw string) func(e *hosts.Exchange) bool {
-		return func(e *hosts.Exchange) bool { e.Write(raw); <-e.Left; return false }
+		return func(e *hosts.Exchange) bool { e.WriteRaw(raw); <-e.ClientClosed; return false }
 	}
 	says := func(raw string) func(e *hosts.Exchange) bool {
-		return func(e *hosts.Exchange) bool { return e.Write(raw) }
+		return func(e *hosts.Exchange) bool { return e.WriteRaw(raw) }
 	}
 	for _, c := range []struct {
 		name string
 		do   func(e *hosts.Exchange) bool
 		once int // the status that the client of an unrepeatable request gets
 	}{
-		{"turned away", says(hosts.Refuse(503, true)), 200},
-		{"over at the box", says(hosts.Refuse(504, true)), 200},
-		{"state gone", says(hosts.Refuse(410, true)), 200},
-		{"503 of somebody", says(hosts.Refuse(503, false)), 502},
-		{"error", says(hosts.Refuse(500, false)), 502},
+		{"turned away", says(hosts.Rejection(503, true)), 200},
+		{"over at the box", says(hosts.Rejection(504, true)), 200},
+		{"state gone", says(hosts.Rejection(410, true)), 200},
+		{"503 of somebody", says(hosts.Rejection(503, false)), 502},
+		{"error", says(hosts.Rejection(500, false)), 502},
 		{"reset", func(*hosts.Exchange) bool { return false }, 502},
 		{"noise", spoilt("\x00\x01\x02\x03 noise\r\n\r\n"), 502},
 		{"endless head", spoilt("HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 9000)), 502},
 		{"a head that stops", spoilt("HTTP/1.1 200 OK\r\nX-"), 502},
-		{"no chunk", spoilt(hosts.Opening + "zz\r\n"), 502},
-		{"a chunk of 3 GB", spoilt(hosts.Opening + "c0000000\r\n" + hosts.Event("a")), 502},
-		{"length and no chunks", spoilt("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" + hosts.Event("a")), 502},
-		{"a 1xx in front", func(e *hosts.Exchange) bool { e.Write("HTTP/1.1 103 Early Hints\r\n\r\n"); return e.Serve() }, 200},
-		{"a second answer behind", func(e *hosts.Exchange) bool { return e.Serve() && e.Write(hosts.Opening+hosts.Chunk(hosts.Event("z"))) }, 200},
+		{"no chunk", spoilt(hosts.StreamHead + "zz\r\n"), 502},
+		{"a chunk of 3 GB", spoilt(hosts.StreamHead + "c0000000\r\n" + hosts.TextEvent("a")), 502},
+		{"length and no chunks", spoilt("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" + hosts.TextEvent("a")), 502},
+		{"a 1xx in front", func(e *hosts.Exchange) bool { e.WriteRaw("HTTP/1.1 103 Early Hints\r\n\r\n"); return e.Serve() }, 200},
+		{"a second answer behind", func(e *hosts.Exchange) bool { return e.Serve() && e.WriteRaw(hosts.StreamHead+hosts.EncodeChunk(hosts.TextEvent("z"))) }, 200},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := enter(t, nil)
@@ -308,7 +308,7 @@
 // An unrepeatable request must not be asked again while its first attempt may have run; an idempotent one may.
 func TestAnIdempotentQuestionOutlivesASpoiltAnswer(t *testing.T) {
 	h := enter(t, nil)
-	h.first(func(e *hosts.Exchange) bool { return e.Write("HTTP/1.1 200 OK\r\n\x01\x02\r\n") && false })
+	h.first(func(e *hosts.Exchange) bool { return e.WriteRaw("HTTP/1.1 200 OK\r\n\x01\x02\r\n") && false })
 	if got := h.says(h.ask("trail-info")); got.status != 200 || !got.whole {
 		t.Errorf("%+v", got)
 	}
@@ -317,14 +317,14 @@
 
 // A stream that breaks after its first event ends the client's connection without the last chunk, soon.
 func TestABrokenStreamIsNotEndedAsWhole(t *testing.T) {
-	for name, tail := range map[string]string{"between chunks": "", "in a chunk": "20\r\ndata", "a chunk's size": "zz\r\n", "early end": hosts.Last} {
+	for name, tail := range map[string]string{"between chunks": "", "in a chunk": "20\r\ndata", "a chunk's size": "zz\r\n", "early end": hosts.LastChunk} {
 		t.Run(name, func(t *testing.T) {
 			h := enter(t, nil)
 			h.write(func(e *hosts.Exchange) bool {
-				e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")) + tail)
+				e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")) + tail)
 				return false
 			})
-			if got := h.says(h.ask("trail-info")); got.status != 200 || got.text != hosts.Event("a") || got.whole {
+			if got := h.says(h.ask("trail-info")); got.status != 200 || got.text != hosts.TextEvent("a") || got.whole {
 				t.Errorf("%+v", got)
 			}
 			h.settled()
@@ -336,21 +336,21 @@
 func TestAStateIsLetGoWhereNoConnectionComesUp(t *testing.T) {
 	h := enter(t, func(h *house, p *Place) {
 		p.Settings["familyInfo"].(map[string]any)["pinLimitUs"] = 300_000.0
-		h.site.Pin = 500 * time.Millisecond
-		h.site.Box("r2", hosts.Writer).State = "terminating" // it takes no requests, but that call
+		h.site.PinLimit = 500 * time.Millisecond
+		h.site.AddBackend("r2", hosts.DecodeKind).State = "terminating" // it takes no requests, but that call
 	})
-	h.reader.Do = func(e *hosts.Exchange) bool {
+	h.reader.Handler = func(e *hosts.Exchange) bool {
 		if e.Method == "POST" {
 			for _, b := range append(h.writers, h.reader) {
-				b.Vanish()
+				b.Blackhole()
 			}
 		}
 		return e.Serve()
 	}
 	c := h.client()
 	io.WriteString(c, h.ask("trail-info"))
-	h.until("it is read", func() bool { return h.site.Held() == 1 })
-	h.until("it is released", func() bool { return h.site.Held() == 0 })
+	h.until("it is read", func() bool { return h.site.HeldCount() == 1 })
+	h.until("it is released", func() bool { return h.site.HeldCount() == 0 })
 	c.Close()
 	h.settled()
 }
@@ -359,8 +359,8 @@
 func TestASilentStreamIsGivenUp(t *testing.T) {
 	h := enter(t, nil)
 	h.write(func(e *hosts.Exchange) bool {
-		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
-		<-e.Left
+		e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
+		<-e.ClientClosed
 		return false
 	})
 	began := time.Now()
@@ -432,11 +432,11 @@
 func TestTheIDOfAnOpenQuestionIsRefused(t *testing.T) {
 	h := enter(t, nil)
 	hold := make(chan struct{})
-	h.reader.Do = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
+	h.reader.Handler = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
 	raw := h.ask("hut-booking")
 	c := h.client()
 	io.WriteString(c, raw)
-	h.until("it is read", func() bool { return len(h.site.Seen("r1", "POST")) == 1 })
+	h.until("it is read", func() bool { return len(h.site.Requests("r1", "POST")) == 1 })
 	if got := h.says(raw); got.status != 409 || !got.closes {
 		t.Errorf("%+v", got)
 	}
@@ -459,16 +459,16 @@
 				}
 				switch at {
 				case "reading":
-					e.Hold() // it ends well just as the attempt is called off
+					e.HoldKVCache() // it ends well just as the attempt is called off
 				case "streaming":
-					e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
+					e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
 				}
 				there <- e
-				<-e.Left
+				<-e.ClientClosed
 				return false
 			}
 			if at == "reading" {
-				h.reader.Do = stay
+				h.reader.Handler = stay
 			} else {
 				h.write(stay)
 			}
@@ -492,15 +492,15 @@
 	time.Sleep(20 * time.Millisecond)
 	c.Close()
 	select {
-	case <-e.Left:
+	case <-e.ClientClosed:
 	case <-time.After(100 * time.Millisecond):
 		t.Error("its trip goes on")
 	}
 	h.settled()
-	if n := len(h.site.Seen("", "POST")); n != 1 {
+	if n := len(h.site.Requests("", "POST")); n != 1 {
 		t.Errorf("%d trips", n)
 	}
-	h.reader.Do = nil
+	h.reader.Handler = nil
 	c = h.client()
 	io.WriteString(c, h.ask("trail-info"))
 	io.WriteString(c, h.ask("hut-booking")+h.ask("trail-info"))
@@ -515,21 +515,21 @@
 // A state is released also where the backend that may hold it can't be reached: any backend takes the call.
 func TestAStateIsReleasedThroughAnotherBox(t *testing.T) {
 	h := enter(t, nil)
-	h.reader.Do = func(e *hosts.Exchange) bool {
+	h.reader.Handler = func(e *hosts.Exchange) bool {
 		if e.Method != "POST" {
 			return e.Serve()
 		}
-		e.Hold()
-		h.reader.Do = nil
-		<-e.Left
+		e.HoldKVCache()
+		h.reader.Handler = nil
+		<-e.ClientClosed
 		return false
 	}
 	c := h.client()
 	io.WriteString(c, h.ask("trail-info"))
-	h.until("it is read", func() bool { return h.site.Held() == 1 })
+	h.until("it is read", func() bool { return h.site.HeldCount() == 1 })
 	h.reader.CloseListener()
 	c.Close()
-	h.until("a box was told", func() bool { return len(h.site.Seen("", "DELETE")) > 0 })
+	h.until("a box was told", func() bool { return len(h.site.Requests("", "DELETE")) > 0 })
 	h.settled()
 }
 
@@ -542,7 +542,7 @@
 		}
 		h.settled()
 		for _, b := range append(h.writers, h.reader) {
-			b.Rest()
+			b.CloseIdle()
 		}
 	}
 }
@@ -567,9 +567,9 @@
 // What a backend says of the request itself is passed on, and speaks neither against the backend nor for an attempt elsewhere.
 func TestAQuestionThatNoBoxCanUseIsNotRepeated(t *testing.T) {
 	h := enter(t, nil)
-	h.reader.Do = func(e *hosts.Exchange) bool { return e.Write(hosts.Refuse(400, false)) }
-	if got := h.says(h.ask("trail-info")); got.status != 502 || len(h.site.Seen("", "POST")) != 1 {
-		t.Errorf("%+v after %d trips", got, len(h.site.Seen("", "POST")))
+	h.reader.Handler = func(e *hosts.Exchange) bool { return e.WriteRaw(hosts.Rejection(400, false)) }
+	if got := h.says(h.ask("trail-info")); got.status != 502 || len(h.site.Requests("", "POST")) != 1 {
+		t.Errorf("%+v after %d trips", got, len(h.site.Requests("", "POST")))
 	}
 	h.node.loop.Call(context.Background(), func() {
 		if r := h.node.loop.HostOf("r1").Records[0]; r.Missed != 0 {
@@ -618,9 +618,9 @@
 	for _, stopping := range []bool{false, true} {
 		t.Run(fmt.Sprintf("stopping %t", stopping), func(t *testing.T) {
 			h := enter(t, nil)
-			other := h.site.Agent()
+			other := h.site.AddAgent()
 			p := h.node.place
-			p.Discovery = other.At
+			p.Discovery = other.Address
 			raw, err := json.Marshal(p)
 			if err != nil {
 				t.Fatal(err)
@@ -642,14 +642,14 @@
 			h.again <- syscall.SIGHUP
 			time.Sleep(100 * time.Millisecond)
 			write(raw)
-			h.until("discovery is followed at its new address", func() bool { return other.Watched() == 1 })
+			h.until("discovery is followed at its new address", func() bool { return other.WatchCount() == 1 })
 		})
 	}
 }
 
 func TestTheConfigurationIsReadAnew(t *testing.T) {
 	h := enter(t, nil)
-	other := h.site.Agent()
+	other := h.site.AddAgent()
 	h.read = func() (Place, error) { return Load(t.TempDir()+"/absent.json", os.Getenv) }
 	h.again <- syscall.SIGHUP
 	torn := t.TempDir() + "/torn.json"
@@ -659,12 +659,12 @@
 	h.until("the absent one was looked for", func() bool { return len(h.again) == 0 })
 	h.read = func() (Place, error) { return Load(torn, os.Getenv) }
 	h.again <- syscall.SIGHUP
-	if got := h.says(h.ask("hut-booking")); got.status != 200 || other.Watched() != 0 {
-		t.Errorf("%+v, %d watches on the new address", got, other.Watched())
+	if got := h.says(h.ask("hut-booking")); got.status != 200 || other.WatchCount() != 0 {
+		t.Errorf("%+v, %d watches on the new address", got, other.WatchCount())
 	}
 	h.until("the torn one was read", func() bool { return len(h.again) == 0 })
 	p := h.node.place
-	p.Discovery = other.At
+	p.Discovery = other.Address
 	raw, err := json.Marshal(p)
 	if err != nil {
 		t.Fatal(err)
@@ -675,8 +675,8 @@
 	}
 	h.read = func() (Place, error) { return Load(whole, os.Getenv) }
 	h.again <- syscall.SIGHUP
-	h.until("discovery was followed", func() bool { return other.Watched() == 1 && h.agent.Watched() == 0 })
-	h.site.Change(func() { h.reader.State = "terminating" })
+	h.until("discovery was followed", func() bool { return other.WatchCount() == 1 && h.agent.WatchCount() == 0 })
+	h.site.UpdateDiscovery(func() { h.reader.State = "terminating" })
 	h.until("the change is known", func() bool {
 		standing := brain.Ready
 		h.node.loop.Call(context.Background(), func() { standing = h.node.loop.HostOf("r1").Standing })
@@ -692,13 +692,13 @@
 			return e.Serve()
 		}
 		if e.ID == "q2" {
-			<-e.Left // never begins
+			<-e.ClientClosed // never begins
 			return false
 		}
-		e.Write(hosts.Opening)
-		for e.Write(hosts.Chunk(hosts.Event("a"))) {
+		e.WriteRaw(hosts.StreamHead)
+		for e.WriteRaw(hosts.EncodeChunk(hosts.TextEvent("a"))) {
 			select {
-			case <-e.Left:
+			case <-e.ClientClosed:
 				return false
 			case <-time.After(20 * time.Millisecond):
 			}
@@ -708,7 +708,7 @@
 	long, never, late := h.client(), h.client(), h.client()
 	io.WriteString(long, h.ask("trail-info"))
 	io.WriteString(never, h.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
-	h.until("both are out", func() bool { return len(h.site.Seen("w1", "POST"))+len(h.site.Seen("w2", "POST")) == 2 })
+	h.until("both are out", func() bool { return len(h.site.Requests("w1", "POST"))+len(h.site.Requests("w2", "POST")) == 2 })
 	h.quit()
 	h.until("it wants no new clients", func() bool { return h.node.frontend.stopping.Load() })
 	io.WriteString(late, h.ask("trail-info"))
@@ -727,13 +727,13 @@
 func TestAStreamIsNotCutBeforeItsFirstEvent(t *testing.T) {
 	h := enter(t, nil)
 	h.write(func(e *hosts.Exchange) bool {
-		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
-		<-e.Left
+		e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
+		<-e.ClientClosed
 		return false
 	})
 	close(h.node.frontend.cut)
 	for range 20 {
-		if got := h.says(h.ask("trail-info")); got.status != 200 || got.text != hosts.Event("a") || got.whole {
+		if got := h.says(h.ask("trail-info")); got.status != 200 || got.text != hosts.TextEvent("a") || got.whole {
 			t.Fatalf("%+v", got)
 		}
 	}
@@ -745,14 +745,14 @@
 func TestChurnLeavesNothingBehind(t *testing.T) {
 	h := enter(t, nil)
 	for i := range 40 {
-		var fresh *hosts.Box
-		h.site.Change(func() {})
-		fresh = h.site.Box(fmt.Sprintf("n%d", i), hosts.Writer)
-		h.site.Change(func() {})
+		var fresh *hosts.Backend
+		h.site.UpdateDiscovery(func() {})
+		fresh = h.site.AddBackend(fmt.Sprintf("n%d", i), hosts.DecodeKind)
+		h.site.UpdateDiscovery(func() {})
 		if got := h.says(h.ask("trail-info")); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
-		h.site.Change(func() { fresh.State = "terminated" })
+		h.site.UpdateDiscovery(func() { fresh.State = "terminated" })
 		h.until("it is forgotten as a way", func() bool {
 			known := 0
 			h.node.loop.Call(context.Background(), func() { known = len(h.node.transport.hosts) })
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -52,13 +52,13 @@
 	h := enter(t, func(h *house, p *Place) { shortDeadlines(p, 1e6) })
 	h.write(func(e *hosts.Exchange) bool {
 		if e.Method != "POST" || e.ID == "q1" {
-			<-e.Left // it never begins
+			<-e.ClientClosed // it never begins
 			return false
 		}
-		e.Write(hosts.Opening)
-		for e.Write(hosts.Chunk(hosts.Event("a"))) {
+		e.WriteRaw(hosts.StreamHead)
+		for e.WriteRaw(hosts.EncodeChunk(hosts.TextEvent("a"))) {
 			select {
-			case <-e.Left:
+			case <-e.ClientClosed:
 				return false
 			case <-time.After(20 * time.Millisecond):
 			}
@@ -68,7 +68,7 @@
 	never, long := h.client(), h.client()
 	io.WriteString(never, h.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
 	io.WriteString(long, h.ask("trail-info"))
-	h.until("both are out", func() bool { return len(h.site.Seen("w1", "POST"))+len(h.site.Seen("w2", "POST")) == 2 })
+	h.until("both are out", func() bool { return len(h.site.Requests("w1", "POST"))+len(h.site.Requests("w2", "POST")) == 2 })
 	const kill = 1700 * time.Millisecond
 	began := time.Now()
 	h.quit()
@@ -120,7 +120,7 @@
 	if got := c.said(); got.status != 200 || got.closes {
 		t.Fatalf("%+v", got)
 	}
-	before := len(h.site.Seen("r1", "POST"))
+	before := len(h.site.Requests("r1", "POST"))
 	h.until("its connection is idle", func() bool {
 		idle := 0
 		h.node.limiter.mu.Lock()
@@ -139,7 +139,7 @@
 	}
 	h.quit()
 	h.until("it has ended", func() bool { return h.node.limiter.count() == 0 })
-	if n := len(h.site.Seen("r1", "POST")); n != before {
+	if n := len(h.site.Requests("r1", "POST")); n != before {
 		t.Error("the request was taken all the same")
 	}
 }
@@ -149,10 +149,10 @@
 	h := enter(t, nil)
 	there, finish := make(chan bool), make(chan bool)
 	h.write(func(e *hosts.Exchange) bool {
-		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
+		e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
 		there <- true
 		<-finish
-		return e.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
+		return e.WriteRaw(hosts.EncodeChunk(hosts.UsageEvent+hosts.DoneEvent) + hosts.LastChunk)
 	})
 	c := h.client()
 	io.WriteString(c, h.ask("trail-info"))
@@ -172,12 +172,12 @@
 func TestAStreamAtItsEndIsNotCut(t *testing.T) {
 	h := enter(t, nil)
 	passed, finish := make(chan bool), make(chan bool)
-	final := strings.Replace(hosts.Event("z"), "null", `"stop"`, 1)
+	final := strings.Replace(hosts.TextEvent("z"), "null", `"stop"`, 1)
 	h.write(func(e *hosts.Exchange) bool {
-		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")) + hosts.Chunk(final))
+		e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")) + hosts.EncodeChunk(final))
 		passed <- true
 		<-finish
-		return e.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
+		return e.WriteRaw(hosts.EncodeChunk(hosts.UsageEvent+hosts.DoneEvent) + hosts.LastChunk)
 	})
 	c := h.client()
 	io.WriteString(c, h.ask("trail-info"))
@@ -213,7 +213,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("it does not end")
 	}
-	if n := h.site.Held(); n != 0 {
+	if n := h.site.HeldCount(); n != 0 {
 		t.Errorf("%d states are held after the end", n)
 	}
 }
@@ -230,19 +230,19 @@
 		if e.Method != "POST" {
 			return e.Serve()
 		}
-		e.Write(hosts.Opening)
+		e.WriteRaw(hosts.StreamHead)
 		for {
 			select {
 			case <-ends:
-				return e.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
+				return e.WriteRaw(hosts.EncodeChunk(hosts.UsageEvent+hosts.DoneEvent) + hosts.LastChunk)
 			case <-time.After(20 * time.Millisecond):
-				e.Write(hosts.Chunk(hosts.Event("a")))
+				e.WriteRaw(hosts.EncodeChunk(hosts.TextEvent("a")))
 			}
 		}
 	})
 	long := h.client()
 	io.WriteString(long, h.ask("trail-info"))
-	h.until("the stream has begun", func() bool { return len(h.site.Seen("w1", "POST"))+len(h.site.Seen("w2", "POST")) == 1 })
+	h.until("the stream has begun", func() bool { return len(h.site.Requests("w1", "POST"))+len(h.site.Requests("w2", "POST")) == 1 })
 	there := h.holdReads()
 	c := h.client()
 	io.WriteString(c, h.ask("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
@@ -251,7 +251,7 @@
 	h.until("it is seen to go", func() bool { return h.node.frontend.asked.Load() == 1 })
 	began := time.Now()
 	h.quit()
-	h.until("the state is released", func() bool { return h.site.Held() == 0 })
+	h.until("the state is released", func() bool { return h.site.HeldCount() == 0 })
 	if took := time.Since(began); took > 1700*time.Millisecond {
 		t.Errorf("it is released %v after SIGTERM, SIGKILL may come after 1.7 s", took)
 	}
@@ -266,8 +266,8 @@
 func TestAnOldListWaitsForDiscoverys(t *testing.T) {
 	t.Run("discovery answers", func(t *testing.T) {
 		h := enter(t, func(h *house, p *Place) {
-			p.Known = h.site.List()
-			h.site.Change(func() { h.writers[0].State = "terminating" })
+			p.Known = h.site.DiscoveryList()
+			h.site.UpdateDiscovery(func() { h.writers[0].State = "terminating" })
 		})
 		if h.standing("w1") != brain.Draining {
 			t.Error("it is ready before it has discovery's list")
@@ -276,8 +276,8 @@
 	t.Run("discovery is down", func(t *testing.T) {
 		began := time.Now()
 		h := enter(t, func(h *house, p *Place) {
-			p.Known = h.site.List()
-			h.agent.SetMute(true)
+			p.Known = h.site.DiscoveryList()
+			h.agent.SetSilent(true)
 		})
 		if took := time.Since(began); took < firstListWait || took > 2*firstListWait {
 			t.Errorf("it is ready after %v", took)
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -44,7 +44,7 @@
 	}
 	terms := setup.DefaultTerms()
 	terms.Grades = []setup.Grade{{Name: "g", Effect: "unrepeatable"}}
-	s := &site{t: t, book: book, fleet: standin.NewFleet(terms, book, standin.Links{Near: 1e9, Far: 1e9}, map[string]standin.Talk{"g": {New: 1, Answer: 1}})}
+	s := &site{t: t, book: book, fleet: standin.NewFleet(terms, book, standin.Links{SameRack: 1e9, CrossRack: 1e9}, map[string]standin.ClassProfile{"g": {NewTokens: 1, AnswerTokens: 1}})}
 	life, end := context.WithCancel(context.Background())
 	group := &errgroup.Group{}
 	s.boxes = &reach.Boxes{Limit: 250 * time.Millisecond, Most: 64, Since: book.Since, Life: life, Group: group}
@@ -69,7 +69,7 @@
 }
 
 // box starts a box and tells the way to it. Its addresses are, in order: a socket, IPv6, IPv4.
-func (s *site) box(name string) (*standin.Box, *reach.Host) {
+func (s *site) box(name string) (*standin.Backend, *reach.Host) {
 	s.t.Helper()
 	dir, err := os.MkdirTemp("", "r") // a socket's path must be short
 	if err != nil {
@@ -77,7 +77,7 @@
 	}
 	at := []addresses.Spec{{Network: addresses.Unix, At: filepath.Join(dir, name)}, {Network: addresses.TCP6, At: free(s.t, "tcp6", "[::1]:0")},
 		{Network: addresses.TCP4, At: free(s.t, "tcp4", "127.0.0.1:0")}}
-	b := s.fleet.NewBox(standin.Make{Name: name, Kind: "writer", Addresses: at, Engine: standin.Instant})
+	b := s.fleet.NewBackend(standin.Config{Name: name, Kind: "writer", Addresses: at, Engine: standin.InstantEngine})
 	if err := b.Boot(false); err != nil {
 		s.t.Fatal(err)
 	}
@@ -120,13 +120,13 @@
 
 func TestFailOverCostsAConnectionAndNoTrip(t *testing.T) {
 	for mode, most := range map[string]time.Duration{
-		standin.GateRefuses: 50 * time.Millisecond, standin.GateStalls: 250 * time.Millisecond, standin.GateBlackhole: 250 * time.Millisecond,
+		standin.EndpointRefuses: 50 * time.Millisecond, standin.EndpointStalls: 250 * time.Millisecond, standin.EndpointBlackhole: 250 * time.Millisecond,
 	} {
 		t.Run(mode, func(t *testing.T) {
 			s := newSite(t)
 			b, h := s.box("w1")
 			for _, i := range []int{0, 1} {
-				if err := b.Gate(i).Set(mode, 0, 0); err != nil {
+				if err := b.Endpoint(i).SetMode(mode, 0, 0); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -145,9 +145,9 @@
 func TestAllAddressesFailingIsToldPromptly(t *testing.T) {
 	s := newSite(t)
 	b, h := s.box("w1")
-	for mode, most := range map[string]time.Duration{standin.GateRefuses: 100 * time.Millisecond, standin.GateStalls: 400 * time.Millisecond} {
+	for mode, most := range map[string]time.Duration{standin.EndpointRefuses: 100 * time.Millisecond, standin.EndpointStalls: 400 * time.Millisecond} {
 		for i := range 3 {
-			b.Gate(i).Set(mode, 0, 0)
+			b.Endpoint(i).SetMode(mode, 0, 0)
 		}
 		began := time.Now()
 		sent, err := s.trip(h, 2*time.Second)
@@ -156,7 +156,7 @@
 		}
 	}
 	// One comes back: real traffic or a background try finds it, whatever is thought of it.
-	b.Gate(2).Set(standin.GateServes, 0, 0)
+	b.Endpoint(2).SetMode(standin.EndpointServes, 0, 0)
 	for end := time.Now().Add(8 * time.Second); ; {
 		if _, err := s.trip(h, time.Second); err == nil {
 			break
@@ -175,7 +175,7 @@
 		s.trip(h, time.Second)
 	}
 	time.Sleep(2 * addresses.FreshFor)
-	b.Gate(0).Set(standin.GateStalls, 0, 0)
+	b.Endpoint(0).SetMode(standin.EndpointStalls, 0, 0)
 	began := time.Now()
 	if _, err := s.trip(h, time.Second); err != nil || time.Since(began) > 250*time.Millisecond {
 		t.Errorf("%v after %v", err, time.Since(began))
@@ -189,12 +189,12 @@
 func TestATripThatStallsAfterTheProofIsSentOnce(t *testing.T) {
 	s := newSite(t)
 	b, h := s.box("w1")
-	b.Gate(0).Set(standin.GateStallsNext, 0, 0)
+	b.Endpoint(0).SetMode(standin.EndpointStallsAfterResponse, 0, 0)
 	sent, err := s.trip(h, 300*time.Millisecond)
 	if !sent || err == nil {
 		t.Errorf("sent %v, %v", sent, err)
 	}
-	b.Gate(0).Set(standin.GateServes, 0, 0)
+	b.Endpoint(0).SetMode(standin.EndpointServes, 0, 0)
 	time.Sleep(100 * time.Millisecond)
 	times, _ := s.reached()
 	for key, n := range times {
@@ -214,7 +214,7 @@
 		s.trip(h2, time.Second)
 	}
 	for i := range 3 {
-		one.Gate(i).Swap(two.Gate(i))
+		one.Endpoint(i).Swap(two.Endpoint(i))
 	}
 	before, _ := s.reached()
 	sent, err := s.trip(h1, time.Second)
@@ -305,8 +305,8 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := newSite(t)
 	b, h := s.box("w1")
-	modes := []string{standin.GateServes, standin.GateServes, standin.GateServes, standin.GateRefuses, standin.GateBlackhole, standin.GateStalls, standin.GateStallsNext,
-		standin.GateSlow, standin.GateResets, standin.GateFlaps}
+	modes := []string{standin.EndpointServes, standin.EndpointServes, standin.EndpointServes, standin.EndpointRefuses, standin.EndpointBlackhole, standin.EndpointStalls, standin.EndpointStallsAfterResponse,
+		standin.EndpointSlow, standin.EndpointResets, standin.EndpointFlaps}
 	const least, changes = 10000, 30 // a quick machine makes the trips before anything has gone wrong
 	var made, changed atomic.Int64
 	stop, done := make(chan struct{}), make(chan struct{})
@@ -318,7 +318,7 @@
 				return
 			case <-time.After(time.Duration(20+rng.IntN(60)) * time.Millisecond):
 			}
-			b.Gate(rng.IntN(3)).Set(modes[rng.IntN(len(modes))], time.Duration(1+rng.IntN(20))*time.Millisecond, rng.IntN(2000))
+			b.Endpoint(rng.IntN(3)).SetMode(modes[rng.IntN(len(modes))], time.Duration(1+rng.IntN(20))*time.Millisecond, rng.IntN(2000))
 			changed.Add(1)
 		}
 	}()
@@ -347,7 +347,7 @@
 	close(stop)
 	<-done
 	for i := range 3 {
-		b.Gate(i).Set(standin.GateServes, 0, 0)
+		b.Endpoint(i).SetMode(standin.EndpointServes, 0, 0)
 	}
 	time.Sleep(200 * time.Millisecond) // what was held back by a gate arrives late, or never
 	times, by := s.reached()
--- a/internal/stages/bytes_test.go
+++ b/internal/stages/bytes_test.go
@@ -216,9 +216,9 @@
 			seen := s.watch.Load()
 			s.push <- line(s)
 			s.struck.Add(1)
-			s.ask(1, func(w *standin.Wish) { w.Name += "-meanwhile"; w.Session = w.Name })
+			s.ask(1, func(w *standin.Request) { w.Name += "-meanwhile"; w.Session = w.Name })
 			s.until("the list is followed again", func() bool { return s.watch.Load() > seen || s.state()["list_age_s"].(float64) < 2 })
-			s.ask(1, func(w *standin.Wish) { w.Name += "-after"; w.Session = w.Name })
+			s.ask(1, func(w *standin.Request) { w.Name += "-after"; w.Session = w.Name })
 			s.satisfied(9)
 		}
 	}
--- a/internal/stages/more_test.go
+++ b/internal/stages/more_test.go
@@ -66,14 +66,14 @@
 	for _, b := range s.boxes {
 		b.proof = func(c *call) { c.strike(); <-c.r.Context().Done() }
 	}
-	return func() { s.ask(2, func(w *standin.Wish) { w.Leaves = 60 * time.Millisecond }) }
+	return func() { s.ask(2, func(w *standin.Request) { w.LeaveAfter = 60 * time.Millisecond }) }
 }
 
 func noTimeToConnect(s *site) func() {
 	for _, b := range s.boxes {
 		b.proof = func(c *call) { c.strike(); <-c.r.Context().Done() }
 	}
-	return func() { s.ask(2, func(w *standin.Wish) { w.Patience = 0.3 }) }
+	return func() { s.ask(2, func(w *standin.Request) { w.PatienceShare = 0.3 }) }
 }
 
 // leavesBeforeItsRead has clients leave while their prompts are read by a reader that keeps the state all the same.
@@ -87,7 +87,7 @@
 		}
 	})
 	return func() {
-		s.ask(2, func(w *standin.Wish) { w.Leaves = 100 * time.Millisecond })
+		s.ask(2, func(w *standin.Request) { w.LeaveAfter = 100 * time.Millisecond })
 		s.until("no state waits", func() bool { return s.waiting() == 0 })
 	}
 }
@@ -97,7 +97,7 @@
 	return func() {
 		gone := make(chan bool)
 		go func() {
-			s.ask(1, func(w *standin.Wish) { w.Name += "-leaves"; w.Session, w.Leaves = w.Name, 150*time.Millisecond })
+			s.ask(1, func(w *standin.Request) { w.Name += "-leaves"; w.Session, w.LeaveAfter = w.Name, 150*time.Millisecond })
 			close(gone)
 		}()
 		do()
--- a/internal/stages/site_test.go
+++ b/internal/stages/site_test.go
@@ -393,12 +393,12 @@
 }
 
 // wish is a question of a grade.
-func wish(name, grade string) standin.Wish {
-	return standin.Wish{Name: name, Grade: grade, Session: name, Tokens: 500, Most: 8, Promised: 600 * time.Millisecond, Expiry: 1200 * time.Millisecond, Patience: 1}
+func wish(name, grade string) standin.Request {
+	return standin.Request{Name: name, Class: grade, Session: name, PromptTokens: 500, MaxTokens: 8, LatencyTarget: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond, PatienceShare: 1}
 }
 
 // ask asks some questions of each grade side by side and waits until all have their answers.
-func (s *site) ask(n int, change func(*standin.Wish)) {
+func (s *site) ask(n int, change func(*standin.Request)) {
 	var all sync.WaitGroup
 	for i := range n {
 		for _, g := range s.d.Grades {
@@ -406,7 +406,7 @@
 			if change != nil {
 				change(&w)
 			}
-			all.Go(func() { s.clients.Ask(context.Background(), w) })
+			all.Go(func() { s.clients.Submit(context.Background(), w) })
 		}
 	}
 	all.Wait()
--- a/internal/stages/window_test.go
+++ b/internal/stages/window_test.go
@@ -35,8 +35,8 @@
 		})
 	})
 	w := wish("q", "deduplicated")
-	w.Expiry, w.Promised = 2*time.Second, time.Second
-	s.clients.Ask(context.Background(), w)
+	w.Deadline, w.LatencyTarget = 2*time.Second, time.Second
+	s.clients.Submit(context.Background(), w)
 	first := map[string]int64{}
 	for _, l := range s.book.Lines() {
 		if l.What != record.Trip || l.Grade != "deduplicated" || l.Stage == kserve.StageRead {
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -21,8 +21,8 @@
 	"sloetrestle/internal/record"
 )
 
-// Make is how a box is built.
-type Make struct {
+// Config is how a box is built.
+type Config struct {
 	Name, Kind, Role, Zone, Rack string
 	Units                        float64
 	Addresses                    []addresses.Spec
@@ -30,50 +30,50 @@
 	Engine                       engine.Make
 }
 
-// Instant is an engine that takes next to no time, for what is not about engines.
-var Instant = engine.Make{Reads: true, Writes: true, Slots: 1 << 20, Queue: 1 << 20, Blocks: 1 << 40, BlockTokens: 1 << 20, Chunk: 1 << 30, Step: time.Microsecond,
+// InstantEngine is an engine that takes next to no time, for what is not about engines.
+var InstantEngine = engine.Make{Reads: true, Writes: true, Slots: 1 << 20, Queue: 1 << 20, Blocks: 1 << 40, BlockTokens: 1 << 20, Chunk: 1 << 30, Step: time.Microsecond,
 	ReadPerS: 1e12, StateLife: 8 * time.Second}
 
 // Faults are what a box does wrong just now.
 type Faults struct {
-	Slow           float64 // times; 0 and 1: none
-	Fail           float64 // share of trips answered with an error at once
-	FailGrade      string  // only of this grade
-	Hang           bool    // takes trips and says nothing
-	Reset          float64 // share of answers cut off mid-stream
-	ResetAtOnce    float64 // share of writes cut off when they have begun to run, before a token
-	CrashAfterRead float64 // share of reads after which it dies
-	Ignore         bool    // a cancel does not stop its work
-	Neighbour      float64 // share of its machine that another program takes
-	AgeBy          float64 // share by which its pace falls each second
-	EvictFresh     bool    // memory pressure takes a state that has just been fetched
+	SlowFactor             float64 // times; 0 and 1: none
+	ErrorShare             float64 // share of trips answered with an error at once
+	ErrorClass             string  // only of this grade
+	Hang                   bool    // takes trips and says nothing
+	ResetShare             float64 // share of answers cut off mid-stream
+	EarlyResetShare        float64 // share of writes cut off when they have begun to run, before a token
+	CrashAfterPrefillShare float64 // share of reads after which it dies
+	IgnoreCancel           bool    // a cancel does not stop its work
+	NeighbourShare         float64 // share of its machine that another program takes
+	AgingRate              float64 // share by which its pace falls each second
+	EvictFetched           bool    // memory pressure takes a state that has just been fetched
 }
 
-// Box is one stand-in model host.
-type Box struct {
-	Make
+// Backend is one stand-in model host.
+type Backend struct {
+	Config
 	fleet *Fleet
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	faults   Faults
-	server   *http.Server
-	stop     context.CancelFunc
-	life     context.Context
-	gates    []*Gate
-	Start    uint64
-	started  time.Duration // on the record's clock
-	cold     bool
-	up       bool
-	fell     bool
-	engine   *engine.Engine
-	wake     chan struct{}     // the engine may have something to do
-	tries    map[string]string // of the states that wait, by key
-	unkept   map[string]bool   // states to be let go of once the fetch that is on has failed
-	letGo    map[string]releasedUpTo
-	sent     []sent
-	counts   counts
-	handlers sync.WaitGroup
+	mu          sync.Mutex
+	rng         *rand.Rand
+	faults      Faults
+	server      *http.Server
+	stop        context.CancelFunc
+	life        context.Context
+	gates       []*Endpoint
+	StartNumber uint64
+	started     time.Duration // on the record's clock
+	cold        bool
+	up          bool
+	fell        bool
+	engine      *engine.Engine
+	wake        chan struct{}     // the engine may have something to do
+	tries       map[string]string // of the states that wait, by key
+	unkept      map[string]bool   // states to be let go of once the fetch that is on has failed
+	letGo       map[string]releasedUpTo
+	sent        []sent
+	counts      counts
+	handlers    sync.WaitGroup
 }
 
 type sent struct {
@@ -81,17 +81,17 @@
 	work float64
 }
 
-// NewBox adds a box to the fleet; Boot starts it.
-func (f *Fleet) NewBox(m Make) *Box {
-	b := &Box{Make: m, fleet: f, rng: chanceOf(m.Seed, m.Name)}
+// NewBackend adds a box to the fleet; Boot starts it.
+func (f *Fleet) NewBackend(m Config) *Backend {
+	b := &Backend{Config: m, fleet: f, rng: chanceOf(m.Seed, m.Name)}
 	for _, s := range m.Addresses {
-		b.gates = append(b.gates, &Gate{Spec: s})
+		b.gates = append(b.gates, &Endpoint{Spec: s})
 	}
 	return b
 }
 
 // Boot starts the box's process; a cold one ramps up.
-func (b *Box) Boot(cold bool) error {
+func (b *Backend) Boot(cold bool) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.up {
@@ -109,7 +109,7 @@
 	var life context.Context
 	life, b.stop = context.WithCancel(context.Background())
 	b.life = life
-	b.Start, b.started, b.cold, b.up, b.fell = b.fleet.start(), b.fleet.Book.Since(), cold, true, false
+	b.StartNumber, b.started, b.cold, b.up, b.fell = b.fleet.start(), b.fleet.Record.Since(), cold, true, false
 	b.letGo, b.tries, b.unkept, b.sent = map[string]releasedUpTo{}, map[string]string{}, map[string]bool{}, nil
 	b.engine, b.wake = engine.New(b.Engine, b.started, cold), make(chan struct{}, 1)
 	b.apply()
@@ -135,12 +135,12 @@
 	server := b.server
 	b.handlers.Add(1)
 	go func() { defer b.handlers.Done(); server.Serve(front) }()
-	b.fleet.Book.Put(record.Line{What: record.Up, Box: b.Name, Start: b.Start, Cold: cold})
+	b.fleet.Record.Put(record.Line{What: record.Up, Box: b.Name, Start: b.StartNumber, Cold: cold})
 	return nil
 }
 
-// Gate is one of the box's addresses.
-func (b *Box) Gate(i int) *Gate { return b.gates[i] }
+// Endpoint is one of the box's addresses.
+func (b *Backend) Endpoint(i int) *Endpoint { return b.gates[i] }
 
 // listen binds an address that a killed process may have had a moment ago.
 func listen(network, addr string) (net.Listener, error) {
@@ -156,16 +156,16 @@
 }
 
 // Kill ends the process outright: connections break and what it held is lost.
-func (b *Box) Kill(why string) {
+func (b *Backend) Kill(why string) {
 	b.mu.Lock()
 	if !b.up {
 		b.mu.Unlock()
 		return
 	}
 	b.up = false
-	b.fleet.Book.Put(record.Line{What: record.Down, Box: b.Name, Start: b.Start, Word: why})
+	b.fleet.Record.Put(record.Line{What: record.Down, Box: b.Name, Start: b.StartNumber, Word: why})
 	for key, try := range b.tries {
-		b.fleet.Book.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: "lost"})
+		b.fleet.Record.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: "lost"})
 	}
 	clear(b.tries)
 	b.engine.Stop()
@@ -180,21 +180,21 @@
 }
 
 // Up tells whether its process runs.
-func (b *Box) Up() bool {
+func (b *Backend) Up() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.up
 }
 
-// UpFor is how long it has been up, and whether it started cold.
-func (b *Box) UpFor() (time.Duration, bool, uint64) {
+// Uptime is how long it has been up, and whether it started cold.
+func (b *Backend) Uptime() (time.Duration, bool, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.fleet.Book.Since() - b.started, b.cold, b.Start
+	return b.fleet.Record.Since() - b.started, b.cold, b.StartNumber
 }
 
-// Do changes the faults.
-func (b *Box) Do(change func(*Faults)) {
+// UpdateFaults changes the faults.
+func (b *Backend) UpdateFaults(change func(*Faults)) {
 	b.mu.Lock()
 	change(&b.faults)
 	b.apply()
@@ -202,19 +202,19 @@
 }
 
 // apply hands the engine those faults that are its own; the box is locked.
-func (b *Box) apply() {
+func (b *Backend) apply() {
 	if b.engine == nil {
 		return
 	}
-	now := b.fleet.Book.Since()
-	b.engine.Slow, b.engine.Neighbour, b.engine.EvictFresh = b.faults.Slow, b.faults.Neighbour, b.faults.EvictFresh
-	if b.engine.AgeBy != b.faults.AgeBy {
-		b.engine.Age(now, b.faults.AgeBy)
+	now := b.fleet.Record.Since()
+	b.engine.Slow, b.engine.Neighbour, b.engine.EvictFresh = b.faults.SlowFactor, b.faults.NeighbourShare, b.faults.EvictFetched
+	if b.engine.AgeBy != b.faults.AgingRate {
+		b.engine.Age(now, b.faults.AgingRate)
 	}
 }
 
-// Forget drops the kept texts.
-func (b *Box) Forget() {
+// DropCache drops the kept texts.
+func (b *Backend) DropCache() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.up {
@@ -223,9 +223,9 @@
 }
 
 // share is which part of its capacity the box can do now.
-func (b *Box) share() float64 {
+func (b *Backend) share() float64 {
 	r := b.fleet.Terms.Rules
-	since := b.fleet.Book.Since() - b.started
+	since := b.fleet.Record.Since() - b.started
 	if !b.cold || since >= r.ColdRamp.D() {
 		return 1
 	}
@@ -233,12 +233,12 @@
 }
 
 // drive runs an engine's steps in real time until its process ends.
-func (b *Box) drive(ctx context.Context, e *engine.Engine, wake chan struct{}) {
+func (b *Backend) drive(ctx context.Context, e *engine.Engine, wake chan struct{}) {
 	defer b.handlers.Done()
 	var due time.Duration // when the step that is on ends, by plan: what a timer oversleeps is not added up
 	for {
 		b.mu.Lock()
-		now := b.fleet.Book.Since()
+		now := b.fleet.Record.Since()
 		wait, ok := e.Loading(now), false
 		if wait == 0 {
 			wait, ok = e.Begin(max(due, now-maxBehind))
@@ -251,7 +251,7 @@
 				due = now
 			}
 			due += wait
-			if sleep(ctx, due-b.fleet.Book.Since()) != nil {
+			if sleep(ctx, due-b.fleet.Record.Since()) != nil {
 				return
 			}
 			b.mu.Lock()
@@ -270,7 +270,7 @@
 			case <-ctx.Done():
 				return
 			}
-			due = b.fleet.Book.Since()
+			due = b.fleet.Record.Since()
 		}
 	}
 }
@@ -279,7 +279,7 @@
 const maxBehind = 20 * time.Millisecond
 
 // nudge has the engine look for something to do.
-func (b *Box) nudge() {
+func (b *Backend) nudge() {
 	select {
 	case b.wake <- struct{}{}:
 	default:
@@ -287,21 +287,21 @@
 }
 
 // expired takes down the states that the engine has dropped by itself; the box is locked.
-func (b *Box) expired() {
+func (b *Backend) expired() {
 	for key, try := range b.tries {
 		if _, waits := b.engine.Waits(key); !waits && !b.engine.Moves(key) {
 			delete(b.tries, key)
-			b.fleet.Book.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: "expired"})
+			b.fleet.Record.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: "expired"})
 		}
 	}
 }
 
 // work is what a trip asks of the box, in seconds of its full capacity: the mean of its grade.
-func (b *Box) work(e kserve.Errand) float64 {
+func (b *Backend) work(e kserve.Errand) float64 {
 	m := b.Engine
 	read := b.fleet.leftToRead(e.Grade) / m.ReadPerS
 	step := m.Step.Seconds() + float64(m.Slots)*m.PerAnswer.Seconds() + float64(m.Slots)*m.PerContextK.Seconds()
-	write := b.fleet.Talk[e.Grade].Answer * step / float64(m.Slots)
+	write := b.fleet.Profiles[e.Grade].AnswerTokens * step / float64(m.Slots)
 	switch e.Stage {
 	case kserve.StageRead:
 		return read
@@ -312,10 +312,10 @@
 }
 
 // weigh counts a trip's work against what a cold box bears, and tells whether it falls over.
-func (b *Box) weigh(work float64) bool {
+func (b *Backend) weigh(work float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r, now := b.fleet.Terms.Rules, b.fleet.Book.Since()
+	r, now := b.fleet.Terms.Rules, b.fleet.Record.Since()
 	if !b.cold || now-b.started > r.ColdRamp.D() {
 		return false
 	}
@@ -334,7 +334,7 @@
 // coldSlack is a little room for chance in what a cold box bears.
 const coldSlack = 1.1
 
-func (b *Box) load() []float64 {
+func (b *Backend) load() []float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	values := b.engine.Report()
@@ -363,7 +363,7 @@
 }
 
 // trip serves one trip from its bytes to its end.
-func (b *Box) trip(w http.ResponseWriter, r *http.Request) {
+func (b *Backend) trip(w http.ResponseWriter, r *http.Request) {
 	e, _, err := kserve.ReadErrand(http.MaxBytesReader(w, r.Body, 16<<20))
 	if err != nil {
 		kserve.WriteFault(w, err)
@@ -373,7 +373,7 @@
 	put := func(what, word string) {
 		l := line
 		l.What, l.Word = what, word
-		b.fleet.Book.Put(l)
+		b.fleet.Record.Put(l)
 	}
 	work := b.work(e)
 	got := line
@@ -381,16 +381,16 @@
 	if c := connOf(r.Context()); c != nil {
 		got.Address = c.gate.Spec.String()
 		arrived, gone := c.times()
-		got.Arrived = b.fleet.Book.Stamp(arrived)
+		got.Arrived = b.fleet.Record.Stamp(arrived)
 		if !gone.IsZero() {
 			// Its dispatcher has closed already: such a trip is not begun.
-			got.Gone = b.fleet.Book.Stamp(gone)
-			b.fleet.Book.Put(got)
+			got.Gone = b.fleet.Record.Stamp(gone)
+			b.fleet.Record.Put(got)
 			put(record.End, "dropped")
 			return
 		}
 	}
-	b.fleet.Book.Put(got)
+	b.fleet.Record.Put(got)
 	// Whoever asked may go while the box works on: that is taken down on its own.
 	unwatch := context.AfterFunc(r.Context(), func() { put(record.Closed, "") })
 	defer unwatch()
@@ -407,13 +407,13 @@
 	defer func() { costs(word); put(record.End, word) }()
 
 	b.mu.Lock()
-	start, faults, life := b.Start, b.faults, b.life
-	fails := b.rng.Float64() < faults.Fail && (faults.FailGrade == "" || faults.FailGrade == e.Grade)
-	resets, resetsNow := b.rng.Float64() < faults.Reset, b.rng.Float64() < faults.ResetAtOnce
-	crashes := b.rng.Float64() < faults.CrashAfterRead
+	start, faults, life := b.StartNumber, b.faults, b.life
+	fails := b.rng.Float64() < faults.ErrorShare && (faults.ErrorClass == "" || faults.ErrorClass == e.Grade)
+	resets, resetsNow := b.rng.Float64() < faults.ResetShare, b.rng.Float64() < faults.EarlyResetShare
+	crashes := b.rng.Float64() < faults.CrashAfterPrefillShare
 	b.mu.Unlock()
 	if b.weigh(work) {
-		b.fleet.Book.Put(record.Line{What: record.Fell, Box: b.Name, Start: start})
+		b.fleet.Record.Put(record.Line{What: record.Fell, Box: b.Name, Start: start})
 		go b.Kill("pushed over")
 		panic(http.ErrAbortHandler)
 	}
@@ -442,7 +442,7 @@
 		answer(http.StatusInternalServerError, kserve.Told{Outcome: kserve.OutcomeFailed, Error: "internal error"})
 		return
 	}
-	if faults.Ignore {
+	if faults.IgnoreCancel {
 		ctx = life
 	}
 	j := &run{bell: make(chan struct{}, 1)}
@@ -465,7 +465,7 @@
 		j.ring()
 	}
 	b.mu.Lock()
-	if !b.up || b.Start != start {
+	if !b.up || b.StartNumber != start {
 		b.mu.Unlock()
 		return
 	}
@@ -492,7 +492,7 @@
 					how = engine.Dropped
 				} else {
 					b.tries[e.Key()] = e.Mark
-					b.fleet.Book.Put(record.Line{What: record.Held, Box: b.Name, Key: e.Key(), Try: e.Mark, Grade: e.Grade})
+					b.fleet.Record.Put(record.Line{What: record.Held, Box: b.Name, Key: e.Key(), Try: e.Mark, Grade: e.Grade})
 				}
 			}
 			ended(how, kept)
@@ -503,7 +503,7 @@
 		defer b.mu.Unlock()
 		return j.job.Spent()
 	}
-	eng.Submit(b.fleet.Book.Since(), &j.job)
+	eng.Submit(b.fleet.Record.Since(), &j.job)
 	b.nudge()
 	b.mu.Unlock()
 	defer func() {
@@ -576,10 +576,10 @@
 }
 
 // let ends the waiting of a state; false if none waits.
-func (b *Box) let(start uint64, key, why string) bool {
+func (b *Backend) let(start uint64, key, why string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.Start != start || !b.up {
+	if b.StartNumber != start || !b.up {
 		return false
 	}
 	try, held := b.tries[key]
@@ -594,24 +594,24 @@
 	delete(b.unkept, key)
 	b.engine.Release(key)
 	b.nudge()
-	b.fleet.Book.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: why})
+	b.fleet.Record.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: why})
 	return true
 }
 
-func (b *Box) release(w http.ResponseWriter, r *http.Request) {
+func (b *Backend) release(w http.ResponseWriter, r *http.Request) {
 	list, err := kserve.ReadRelease(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
 		kserve.WriteFault(w, err)
 		return
 	}
-	_, _, start := b.UpFor()
+	_, _, start := b.Uptime()
 	done := 0
 	for _, x := range list {
 		b.mu.Lock()
-		b.letGo[x.Key] = releasedUpTo{x.Trip, b.fleet.Book.Since()}
+		b.letGo[x.Key] = releasedUpTo{x.Trip, b.fleet.Record.Since()}
 		if len(b.letGo) > letGoMost {
 			for key, l := range b.letGo {
-				if b.fleet.Book.Since()-l.at > letGoTime {
+				if b.fleet.Record.Since()-l.at > letGoTime {
 					delete(b.letGo, key)
 				}
 			}
@@ -636,14 +636,14 @@
 )
 
 // state gives a waiting state to a writer, which takes as long as the links need; until then it waits on.
-func (b *Box) state(w http.ResponseWriter, r *http.Request) {
+func (b *Backend) state(w http.ResponseWriter, r *http.Request) {
 	key, err := kserve.ReadFetch(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
 		kserve.WriteFault(w, err)
 		return
 	}
 	b.mu.Lock()
-	start := b.Start
+	start := b.StartNumber
 	tokens, ok := 0, false
 	if b.up {
 		tokens, ok = b.engine.Waits(key)
@@ -658,7 +658,7 @@
 	if b.fleet.move(r.Context(), b, r.Header.Get("Rack"), r.Header.Get("Zone"), float64(tokens)) != nil {
 		b.mu.Lock()
 		unkept := b.unkept[key]
-		if b.Start == start && b.up {
+		if b.StartNumber == start && b.up {
 			b.engine.Moving(key, false)
 		}
 		b.mu.Unlock()
@@ -673,7 +673,7 @@
 }
 
 // fetch takes the state from the reader that the trip names, by whichever of its addresses serves.
-func (b *Box) fetch(ctx context.Context, e kserve.Errand) error {
+func (b *Backend) fetch(ctx context.Context, e kserve.Errand) error {
 	if len(e.State) == 0 {
 		return errors.New("no state was named")
 	}
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -17,43 +17,43 @@
 	"sloetrestle/internal/record"
 )
 
-// Wish is one question that a client will ask.
-type Wish struct {
-	At       time.Duration
-	Name     string // of the question; its tries are Name.0, Name.1 …
-	Grade    string
-	Channel  string
-	Session  string
-	Shared   string
-	Tokens   int
-	Prefix   int
-	Most     int
-	Promised time.Duration
-	Expiry   time.Duration
-	Patience float64       // of the expiry, after which a try is given up
-	Leaves   time.Duration // it leaves then, whatever it has got; 0: it does not
-	Retries  int
-	Wait     time.Duration // before the next try
-	Doubles  bool          // the wait doubles with each try, and is drawn between half and all of it
-	Honours  bool          // follows Retry-After
-	Slowly   time.Duration // between pieces that it takes
-	Safe     bool          // it may be asked again after any failure
+// Request is one question that a client will ask.
+type Request struct {
+	SubmitAt           time.Duration
+	Name               string // of the question; its tries are Name.0, Name.1 …
+	Class              string
+	Tenant             string
+	Session            string
+	PrefixID           string
+	PromptTokens       int
+	PrefixTokens       int
+	MaxTokens          int
+	LatencyTarget      time.Duration
+	Deadline           time.Duration
+	PatienceShare      float64       // of the expiry, after which a try is given up
+	LeaveAfter         time.Duration // it leaves then, whatever it has got; 0: it does not
+	Retries            int
+	RetryWait          time.Duration // before the next try
+	ExponentialBackoff bool          // the wait doubles with each try, and is drawn between half and all of it
+	HonoursRetryAfter  bool          // follows Retry-After
+	ReadDelay          time.Duration // between pieces that it takes
+	Idempotent         bool          // it may be asked again after any failure
 }
 
-// Front tells a client where to ask; "" when it knows of none.
-type Front func(seed uint64) (dispatcher, address string)
+// PickDispatcher tells a client where to ask; "" when it knows of none.
+type PickDispatcher func(seed uint64) (dispatcher, address string)
 
 // Clients ask questions.
 type Clients struct {
-	Book  *record.Book
-	Model string
-	Front Front
-	http  *http.Client
-	tr    *http.Transport
+	Record         *record.Book
+	Model          string
+	PickDispatcher PickDispatcher
+	http           *http.Client
+	tr             *http.Transport
 }
 
 // NewClients makes clients that share connections as a front does.
-func NewClients(book *record.Book, model string, front Front) *Clients {
+func NewClients(book *record.Book, model string, front PickDispatcher) *Clients {
 	tr := &http.Transport{MaxIdleConnsPerHost: 256, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	return &Clients{book, model, front, &http.Client{Transport: tr}, tr}
 }
@@ -67,8 +67,8 @@
 // past is how long a client listens on after its answer, for what should not come.
 const past = 30 * time.Millisecond
 
-// Ask asks one question until it is satisfied or has no tries left.
-func (c *Clients) Ask(ctx context.Context, w Wish) {
+// Submit asks one question until it is satisfied or has no tries left.
+func (c *Clients) Submit(ctx context.Context, w Request) {
 	ticket := ""
 	for try := 0; ; try++ {
 		word, after, sent, next := c.try(ctx, w, try, ticket)
@@ -76,14 +76,14 @@
 			return
 		}
 		// What may have run is only asked again where that does no harm.
-		if sent && word != kserve.Declined && !w.Safe {
+		if sent && word != kserve.Declined && !w.Idempotent {
 			return
 		}
-		wait := w.NextWait(try, after)
+		wait := w.RetryDelay(try, after)
 		if wait > mostWait { // such as until a budget renews: this one goes home
 			return
 		}
-		if ticket = ""; w.Honours {
+		if ticket = ""; w.HonoursRetryAfter {
 			ticket = next
 		}
 		if sleep(ctx, wait) != nil {
@@ -92,46 +92,46 @@
 	}
 }
 
-// NextWait is how long a client waits after a try: what it was told if it follows that, else its own way.
-func (w Wish) NextWait(try int, told time.Duration) time.Duration {
-	if w.Honours && told > 0 {
+// RetryDelay is how long a client waits after a try: what it was told if it follows that, else its own way.
+func (w Request) RetryDelay(try int, told time.Duration) time.Duration {
+	if w.HonoursRetryAfter && told > 0 {
 		return told
 	}
-	if !w.Doubles {
-		return w.Wait
+	if !w.ExponentialBackoff {
+		return w.RetryWait
 	}
-	rng := rand.New(rand.NewPCG(uint64(w.At), uint64(try)))
-	return time.Duration(float64(w.Wait) * math.Pow(2, float64(min(try, 8))) * (0.5 + rng.Float64()/2))
+	rng := rand.New(rand.NewPCG(uint64(w.SubmitAt), uint64(try)))
+	return time.Duration(float64(w.RetryWait) * math.Pow(2, float64(min(try, 8))) * (0.5 + rng.Float64()/2))
 }
 
 // try makes one try; sent tells whether a dispatcher may have taken it.
-func (c *Clients) try(ctx context.Context, w Wish, try int, ticket string) (word string, after time.Duration, sent bool, next string) {
+func (c *Clients) try(ctx context.Context, w Request, try int, ticket string) (word string, after time.Duration, sent bool, next string) {
 	id := fmt.Sprintf("%s.%d", w.Name, try)
-	who, addr := c.Front(uint64(w.At) + uint64(try)*7919)
-	line := record.Line{Try: id, Question: w.Name, Grade: w.Grade, Dispatcher: who}
+	who, addr := c.PickDispatcher(uint64(w.SubmitAt) + uint64(try)*7919)
+	line := record.Line{Try: id, Question: w.Name, Grade: w.Class, Dispatcher: who}
 	put := func(what, word string, more func(*record.Line)) {
 		l := line
 		l.What, l.Word = what, word
 		if more != nil {
 			more(&l)
 		}
-		c.Book.Put(l)
+		c.Record.Put(l)
 	}
-	left := time.Duration(float64(w.Expiry) * w.Patience)
+	left := time.Duration(float64(w.Deadline) * w.PatienceShare)
 	follows := ""
-	if w.Honours {
+	if w.HonoursRetryAfter {
 		follows = "follows"
 	}
 	put(record.Asked, follows, func(l *record.Line) {
-		l.ExpiryUs, l.PromiseUs, l.Tokens = left.Microseconds(), w.Promised.Microseconds(), w.Tokens
+		l.ExpiryUs, l.PromiseUs, l.Tokens = left.Microseconds(), w.LatencyTarget.Microseconds(), w.PromptTokens
 	})
 	if addr == "" {
 		put(record.Cut, "no dispatcher is known", nil)
 		return "cut", 0, false, ""
 	}
 	params := kserve.Params{
-		"grade": w.Grade, "channel": w.Channel, "session": w.Session, "shared": w.Shared, "prompt_tokens": w.Tokens,
-		"shared_tokens": w.Prefix, "max_tokens": w.Most, "timeout": left.Microseconds(), "again": try > 0,
+		"grade": w.Class, "channel": w.Tenant, "session": w.Session, "shared": w.PrefixID, "prompt_tokens": w.PromptTokens,
+		"shared_tokens": w.PrefixTokens, "max_tokens": w.MaxTokens, "timeout": left.Microseconds(), "again": try > 0,
 	}
 	if ticket != "" {
 		params["ticket"] = ticket
@@ -142,8 +142,8 @@
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if w.Leaves > 0 {
-		defer time.AfterFunc(w.Leaves, func() { cancel(errQuit) }).Stop()
+	if w.LeaveAfter > 0 {
+		defer time.AfterFunc(w.LeaveAfter, func() { cancel(errQuit) }).Stop()
 	}
 	// A try without a first token is given up a little after its time.
 	patience := time.AfterFunc(left+200*time.Millisecond, func() { cancel(errPatience) })
@@ -206,8 +206,8 @@
 				patience.Stop()
 				put(record.First, "", func(l *record.Line) { l.Took = time.Since(began).Microseconds() })
 			}
-			if w.Slowly > 0 {
-				sleep(ctx, w.Slowly)
+			if w.ReadDelay > 0 {
+				sleep(ctx, w.ReadDelay)
 			}
 			continue
 		}
--- a/internal/standin/counts.go
+++ b/internal/standin/counts.go
@@ -32,7 +32,7 @@
 }
 
 // begin takes word of a trip; the function that it returns counts it, once.
-func (b *Box) count(e kserve.Errand) func(end string, read, kept, answer int) *kserve.Count {
+func (b *Backend) count(e kserve.Errand) func(end string, read, kept, answer int) *kserve.Count {
 	c := &b.counts
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,14 +50,14 @@
 		done = &kserve.Count{Number: of.last, Key: e.Key(), Trip: e.Trip, Mark: e.Mark, Stage: e.Stage, Channel: e.Channel, Grade: e.Grade, Read: read, Kept: kept,
 			Answer: answer, End: end}
 		of.list = append(of.list, *done)
-		b.fleet.Book.Put(record.Line{What: record.Counted, Box: b.Name, Key: e.Key(), Trip: e.Trip, Try: e.Mark, Stage: e.Stage, Grade: e.Grade, Word: end,
+		b.fleet.Record.Put(record.Line{What: record.Counted, Box: b.Name, Key: e.Key(), Trip: e.Trip, Try: e.Mark, Stage: e.Stage, Grade: e.Grade, Word: end,
 			Tokens: read, Kept: kept, Answer: answer})
 		return done
 	}
 }
 
 // tell answers an inquiry.
-func (b *Box) tell(w http.ResponseWriter, r *http.Request) {
+func (b *Backend) tell(w http.ResponseWriter, r *http.Request) {
 	q, err := kserve.ReadInquiry(http.MaxBytesReader(w, r.Body, 64<<10))
 	if err != nil {
 		kserve.WriteFault(w, err)
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -22,17 +22,17 @@
 
 // Links are the ways that read states take between boxes.
 type Links struct {
-	Near float64 // tokens a second to a box of the same rack
-	Far  float64 // over the one link of a rack
-	Zone float64 // how many times as long a token takes to another zone
+	SameRack   float64 // tokens a second to a box of the same rack
+	CrossRack  float64 // over the one link of a rack
+	ZoneFactor float64 // how many times as long a token takes to another zone
 }
 
 // Fleet is what boxes of a run share: the record, links, and what a mark was seen with.
 type Fleet struct {
-	Terms setup.Terms
-	Book  *record.Book
-	Links Links
-	Talk  map[string]Talk // by grade
+	Terms    setup.Terms
+	Record   *record.Book
+	Links    Links
+	Profiles map[string]ClassProfile // by grade
 
 	mu       sync.Mutex
 	slowLink float64
@@ -46,19 +46,19 @@
 	held     chan struct{} // while it is open, answers stop after their first token
 }
 
-// Talk is how the questions of a grade look.
-type Talk struct {
-	New    float64 // tokens that a turn adds, mean
-	Answer float64 // tokens of an answer, mean
-	Prefix int     // tokens of a shared beginning
+// ClassProfile is how the questions of a grade look.
+type ClassProfile struct {
+	NewTokens    float64 // tokens that a turn adds, mean
+	AnswerTokens float64 // tokens of an answer, mean
+	PrefixTokens int     // tokens of a shared beginning
 }
 
 type mark struct{ group, try string }
 
 // NewFleet makes an empty fleet.
-func NewFleet(terms setup.Terms, book *record.Book, links Links, talk map[string]Talk) *Fleet {
+func NewFleet(terms setup.Terms, book *record.Book, links Links, talk map[string]ClassProfile) *Fleet {
 	f := &Fleet{
-		Terms: terms, Book: book, Links: links, Talk: talk, slowLink: 1,
+		Terms: terms, Record: book, Links: links, Profiles: talk, slowLink: 1,
 		reads: map[string]*mean{}, seen: map[mark]time.Duration{}, racks: map[string]*lane{},
 	}
 	f.life, f.end = context.WithCancel(context.Background())
@@ -84,15 +84,15 @@
 	return f.ways.Set(name, specs, xxhash.Sum64String(name))
 }
 
-// SlowLinks makes all links so many times slower.
-func (f *Fleet) SlowLinks(times float64) {
+// SetLinkSlowdown makes all links so many times slower.
+func (f *Fleet) SetLinkSlowdown(times float64) {
 	f.mu.Lock()
 	f.slowLink = times
 	f.mu.Unlock()
 }
 
-// Hold makes answers stop after their first token, until it is called with false.
-func (f *Fleet) Hold(on bool) {
+// HoldAnswers makes answers stop after their first token, until it is called with false.
+func (f *Fleet) HoldAnswers(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if on {
@@ -132,7 +132,7 @@
 	defer f.mu.Unlock()
 	m := f.reads[grade]
 	if m == nil {
-		m = &mean{f.Talk[grade].New + float64(f.Talk[grade].Prefix)/4, 1}
+		m = &mean{f.Profiles[grade].NewTokens + float64(f.Profiles[grade].PrefixTokens)/4, 1}
 		f.reads[grade] = m
 	}
 	return m.sum / m.n
@@ -148,7 +148,7 @@
 
 // runs tells whether a trip's effect is a new one: within its window a group of boxes drops a deduplicated
 // question's repeats.
-func (f *Fleet) runs(b *Box, grade, try string) bool {
+func (f *Fleet) runs(b *Backend, grade, try string) bool {
 	i := f.Terms.GradeNumber(grade)
 	if i < 0 || f.Terms.Grades[i].Effect != "deduplicated" {
 		return true
@@ -157,7 +157,7 @@
 	group := map[string]string{"zone": b.Zone, "rack": b.Rack}[g.Reach]
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := f.Book.Since()
+	now := f.Record.Since()
 	at, known := f.seen[mark{group, try}]
 	if known && now-at < g.Window.D() {
 		return false
@@ -168,7 +168,7 @@
 
 // answerTokens is how long the answer to a try truly is.
 func (f *Fleet) answerTokens(grade, try string, most int) int {
-	return AnswerTokens(f.Talk[grade].Answer, try, most)
+	return AnswerTokens(f.Profiles[grade].AnswerTokens, try, most)
 }
 
 // AnswerTokens draws an answer's length about a mean: the same for a try at every box, and told to no one.
@@ -179,7 +179,7 @@
 }
 
 // move takes as long as tokens need between two boxes. A rack's link is shared: moves over it follow one another.
-func (f *Fleet) move(ctx context.Context, from *Box, toRack, toZone string, tokens float64) error {
+func (f *Fleet) move(ctx context.Context, from *Backend, toRack, toZone string, tokens float64) error {
 	f.mu.Lock()
 	slow := f.slowLink
 	link := f.racks[from.Rack]
@@ -189,13 +189,13 @@
 	}
 	f.mu.Unlock()
 	if toRack == from.Rack {
-		return sleep(ctx, seconds(tokens/f.Links.Near))
+		return sleep(ctx, seconds(tokens/f.Links.SameRack))
 	}
 	times := slow
 	if toZone != from.Zone {
-		times *= max(f.Links.Zone, 1)
+		times *= max(f.Links.ZoneFactor, 1)
 	}
-	return link.use(ctx, seconds(tokens/f.Links.Far*times))
+	return link.use(ctx, seconds(tokens/f.Links.CrossRack*times))
 }
 
 // lane is something that one after the other uses.
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -15,19 +15,19 @@
 
 // Ways that one address of a box may go wrong.
 const (
-	GateServes     = ""
-	GateRefuses    = "refuse"      // nobody listens
-	GateBlackhole  = "blackhole"   // connections are neither made nor refused
-	GateStalls     = "stall"       // they are made, and nothing is read
-	GateStallsNext = "stall_after" // one request is answered, then nothing is read
-	GateSlow       = "slow"        // each read takes a while longer
-	GateResets     = "reset"       // connections are reset after so many bytes
-	GateFlaps      = "flap"        // it refuses and serves in turn
-	GateSwapped    = "swap"        // another box's process listens here
+	EndpointServes              = ""
+	EndpointRefuses             = "refuse"      // nobody listens
+	EndpointBlackhole           = "blackhole"   // connections are neither made nor refused
+	EndpointStalls              = "stall"       // they are made, and nothing is read
+	EndpointStallsAfterResponse = "stall_after" // one request is answered, then nothing is read
+	EndpointSlow                = "slow"        // each read takes a while longer
+	EndpointResets              = "reset"       // connections are reset after so many bytes
+	EndpointFlaps               = "flap"        // it refuses and serves in turn
+	EndpointSwapped             = "swap"        // another box's process listens here
 )
 
-// Gate is one address of a box, which may go wrong by itself.
-type Gate struct {
+// Endpoint is one address of a box, which may go wrong by itself.
+type Endpoint struct {
 	Spec addresses.Spec
 
 	mu       sync.Mutex
@@ -64,7 +64,7 @@
 func (d *door) Addr() net.Addr { return &net.TCPAddr{} }
 
 // open starts listening; connections go to the door.
-func (g *Gate) Open(to *door) error {
+func (g *Endpoint) Open(to *door) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.to, g.open = to, true
@@ -75,7 +75,7 @@
 }
 
 // Close ends listening and all connections.
-func (g *Gate) Close() {
+func (g *Endpoint) Close() {
 	g.mu.Lock()
 	g.open = false
 	g.unlisten()
@@ -85,7 +85,7 @@
 }
 
 // breakAll resets the connections; the gate is locked.
-func (g *Gate) breakAll() {
+func (g *Endpoint) breakAll() {
 	for c := range g.conns {
 		if t, ok := c.Conn.(*net.TCPConn); ok {
 			t.SetLinger(0)
@@ -97,7 +97,7 @@
 	g.changed = make(chan struct{})
 }
 
-func (g *Gate) unlisten() {
+func (g *Endpoint) unlisten() {
 	if g.listener != nil {
 		g.listener.Close()
 		g.listener = nil
@@ -108,8 +108,8 @@
 	g.stuck = nil
 }
 
-// Set changes how the address goes wrong. by is the delay of slow and the period of flap, bytes those of reset.
-func (g *Gate) Set(mode string, by time.Duration, bytes int) error {
+// SetMode changes how the address goes wrong. by is the delay of slow and the period of flap, bytes those of reset.
+func (g *Endpoint) SetMode(mode string, by time.Duration, bytes int) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.mode, g.by, g.bytes = mode, by, bytes
@@ -120,14 +120,14 @@
 	if !g.open {
 		return nil
 	}
-	if mode == GateRefuses || mode == GateBlackhole {
+	if mode == EndpointRefuses || mode == EndpointBlackhole {
 		g.breakAll()
 	}
 	return g.fit()
 }
 
 // Swap hands this gate's connections to another box's process, and back.
-func (g *Gate) Swap(o *Gate) {
+func (g *Endpoint) Swap(o *Endpoint) {
 	g.mu.Lock()
 	o.mu.Lock()
 	g.to, o.to = o.to, g.to
@@ -138,15 +138,15 @@
 }
 
 // fit makes the listening fit the mode; the gate is locked.
-func (g *Gate) fit() error {
+func (g *Endpoint) fit() error {
 	g.unlisten()
 	switch g.mode {
-	case GateRefuses:
+	case EndpointRefuses:
 		if g.Spec.Network == addresses.Unix {
 			os.Remove(g.Spec.At)
 		}
 		return nil
-	case GateBlackhole:
+	case EndpointBlackhole:
 		if g.Spec.Network != addresses.Unix {
 			return g.blackhole()
 		}
@@ -154,13 +154,13 @@
 	if err := g.listen(); err != nil {
 		return err
 	}
-	if g.mode == GateFlaps {
+	if g.mode == EndpointFlaps {
 		g.flap()
 	}
 	return nil
 }
 
-func (g *Gate) listen() error {
+func (g *Endpoint) listen() error {
 	if g.Spec.Network == addresses.Unix {
 		os.Remove(g.Spec.At)
 	}
@@ -184,19 +184,19 @@
 }
 
 // blackhole listens so that connections are neither made nor refused.
-func (g *Gate) blackhole() error {
+func (g *Endpoint) blackhole() error {
 	l, err := listen(g.Spec.Network, g.Spec.At)
 	if err != nil {
 		return err
 	}
 	g.listener = l
-	g.stuck, err = Fill(l)
+	g.stuck, err = FillBacklog(l)
 	return err
 }
 
-// Fill leaves a listener room for one waiting connection and takes it: what comes after is neither made nor refused while those
+// FillBacklog leaves a listener room for one waiting connection and takes it: what comes after is neither made nor refused while those
 // connections stand.
-func Fill(l net.Listener) (stuck []net.Conn, err error) {
+func FillBacklog(l net.Listener) (stuck []net.Conn, err error) {
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		return nil, err
@@ -215,7 +215,7 @@
 }
 
 // flap alternates while the mode lasts; the gate is locked.
-func (g *Gate) flap() {
+func (g *Endpoint) flap() {
 	changed, by := g.changed, max(g.by, 10*time.Millisecond)
 	g.work.Add(1)
 	go func() {
@@ -227,7 +227,7 @@
 			case <-time.After(by):
 			}
 			g.mu.Lock()
-			if g.mode != GateFlaps || !g.open {
+			if g.mode != EndpointFlaps || !g.open {
 				g.mu.Unlock()
 				return
 			}
@@ -244,7 +244,7 @@
 	}()
 }
 
-func (g *Gate) admit(conn net.Conn) {
+func (g *Endpoint) admit(conn net.Conn) {
 	c := &gated{Conn: conn, gate: g, ended: make(chan struct{}), pieces: make(chan piece, 16)}
 	g.mu.Lock()
 	if !g.open || len(g.conns) > 4096 {
@@ -270,7 +270,7 @@
 // however late the box's process gets to read it: a trip has reached the box's machine by then.
 type gated struct {
 	net.Conn
-	gate   *Gate
+	gate   *Endpoint
 	once   sync.Once
 	ended  chan struct{}
 	pieces chan piece
@@ -340,7 +340,7 @@
 		wrote, read := c.wrote, c.read
 		c.mu.Unlock()
 		switch {
-		case mode == GateStalls || mode == GateBlackhole || mode == GateStallsNext && wrote:
+		case mode == EndpointStalls || mode == EndpointBlackhole || mode == EndpointStallsAfterResponse && wrote:
 			select {
 			case <-changed:
 			case <-c.late.done():
@@ -349,9 +349,9 @@
 				return net.ErrClosed
 			}
 			continue
-		case mode == GateSlow:
+		case mode == EndpointSlow:
 			return sleepOr(c.ended, by)
-		case mode == GateResets && read >= most:
+		case mode == EndpointResets && read >= most:
 			if t, ok := c.Conn.(*net.TCPConn); ok {
 				t.SetLinger(0)
 			}
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -17,8 +17,8 @@
 	"sloetrestle/internal/record"
 )
 
-// List is the stand-in box list: it pushes changes to every dispatcher, late, and knows only of processes.
-type List struct {
+// Discovery is the stand-in box list: it pushes changes to every dispatcher, late, and knows only of processes.
+type Discovery struct {
 	fleet   *Fleet
 	Address string
 
@@ -45,11 +45,11 @@
 	listBeat = time.Second
 )
 
-// NewList makes the list; Open starts it.
-func (f *Fleet) NewList(addr string) *List { return &List{fleet: f, Address: addr} }
+// NewDiscovery makes the list; Open starts it.
+func (f *Fleet) NewDiscovery(addr string) *Discovery { return &Discovery{fleet: f, Address: addr} }
 
-// Open starts serving, also again after Shut.
-func (l *List) Open() error {
+// Start starts serving, also again after Shut.
+func (l *Discovery) Start() error {
 	listener, err := listen("tcp", l.Address)
 	if err != nil {
 		return err
@@ -67,8 +67,8 @@
 	return nil
 }
 
-// Shut ends it: dispatchers hear nothing until it opens again.
-func (l *List) Shut() {
+// Stop ends it: dispatchers hear nothing until it opens again.
+func (l *Discovery) Stop() {
 	l.mu.Lock()
 	server := l.server
 	l.stop()
@@ -77,25 +77,25 @@
 	l.served.Wait()
 }
 
-// Stale makes all that it says later; Skip loses the next push.
-func (l *List) Stale(by time.Duration) {
+// SetDelay makes all that it says later; Skip loses the next push.
+func (l *Discovery) SetDelay(by time.Duration) {
 	l.mu.Lock()
 	l.stale = by
 	l.mu.Unlock()
 }
 
-func (l *List) Skip() {
+func (l *Discovery) DropNextPush() {
 	l.mu.Lock()
 	l.skip = true
 	l.mu.Unlock()
 }
 
 // Publish says of a box what will be visible after a while; changes become visible in their order.
-func (l *List) Publish(b *Box, standing string, after time.Duration) {
-	up, cold, start := b.UpFor()
+func (l *Discovery) Publish(b *Backend, standing string, after time.Duration) {
+	up, cold, start := b.Uptime()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.fleet.Book.Since()
+	now := l.fleet.Record.Since()
 	visible := now + after + l.stale
 	if n := len(l.changes); n > 0 {
 		visible = max(visible, l.changes[n-1].visible)
@@ -105,8 +105,8 @@
 	}, now - up, cold})
 }
 
-// Drop leaves addresses of a box out of what the list says from now on.
-func (l *List) Drop(b *Box, which []int) {
+// OmitAddresses leaves addresses of a box out of what the list says from now on.
+func (l *Discovery) OmitAddresses(b *Backend, which []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.dropped == nil {
@@ -115,7 +115,7 @@
 	l.dropped[b.Name] = which
 }
 
-func (l *List) named(b *Box) []addresses.Spec {
+func (l *Discovery) named(b *Backend) []addresses.Spec {
 	var at []addresses.Spec
 	for i, a := range b.Addresses {
 		if !slices.Contains(l.dropped[b.Name], i) {
@@ -136,7 +136,7 @@
 }
 
 // visible counts the changes that may be known now.
-func (l *List) visible(now time.Duration) int {
+func (l *Discovery) visible(now time.Duration) int {
 	n := 0
 	for n < len(l.changes) && l.changes[n].visible <= now {
 		n++
@@ -145,10 +145,10 @@
 }
 
 // next makes the push that brings a dispatcher from version have to what is visible; nil: there is nothing new.
-func (l *List) next(have int, whole bool) *boxlist.Push {
+func (l *Discovery) next(have int, whole bool) *boxlist.Push {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.fleet.Book.Since()
+	now := l.fleet.Record.Since()
 	n := l.visible(now)
 	if !whole && have >= n {
 		return nil
@@ -169,7 +169,7 @@
 	return p
 }
 
-func (l *List) watch(w http.ResponseWriter, r *http.Request) {
+func (l *Discovery) watch(w http.ResponseWriter, r *http.Request) {
 	who := r.URL.Query().Get("dispatcher")
 	have, _ := strconv.Atoi(r.URL.Query().Get("have"))
 	l.mu.Lock()
@@ -206,7 +206,7 @@
 }
 
 // told takes down what a dispatcher was told; a box that a whole list leaves out is gone.
-func (l *List) told(who string, p *boxlist.Push, known map[string]bool) map[string]bool {
+func (l *Discovery) told(who string, p *boxlist.Push, known map[string]bool) map[string]bool {
 	if known == nil {
 		known = map[string]bool{}
 	}
@@ -217,14 +217,14 @@
 		}
 		for name := range known {
 			if !in[name] {
-				l.fleet.Book.Put(record.Line{What: record.Told, Dispatcher: who, Box: name, Word: boxlist.Gone})
+				l.fleet.Record.Put(record.Line{What: record.Told, Dispatcher: who, Box: name, Word: boxlist.Gone})
 			}
 		}
 		known = map[string]bool{}
 	}
 	for _, b := range p.Boxes {
 		known[b.Name] = true
-		l.fleet.Book.Put(record.Line{What: record.Told, Dispatcher: who, Box: b.Name, Word: b.Standing, Start: b.Start})
+		l.fleet.Record.Put(record.Line{What: record.Told, Dispatcher: who, Box: b.Name, Word: b.Standing, Start: b.Start})
 	}
 	return known
 }
