--- a/internal/hosts/hosts.go
+++ b/internal/hosts/hosts.go
@@ -45,27 +45,27 @@
 	Header       http.Header
 	Body         string
 	ClientClosed <-chan struct{} // closed when the dispatcher has closed the connection
-	w            net.Conn
-	over         bool
+	conn         net.Conn
+	finished     bool
 }
 
 // Platform is a set of boxes, their discovery and the record of both.
 type Platform struct {
 	mu         sync.Mutex
-	boxes      []*Backend
-	seen       []*Exchange
-	out        map[string]int // requests by id that are out
-	held       map[string]string
-	waits      map[string]time.Time // by id, since when a state is held with no request out
+	backends   []*Backend
+	requests   []*Exchange
+	inFlight   map[string]int // requests by id that are out
+	heldBy     map[string]string
+	idleSince  map[string]time.Time // by id, since when a state is held with no request out
 	Violations []string             // rules that were broken, as the boxes saw it
 	PinLimit   time.Duration        // for which a state may wait with no request out
 	agents     []*Agent
 	rev        int64
-	wait       sync.WaitGroup
+	handlers   sync.WaitGroup
 }
 
 func New() *Platform {
-	return &Platform{out: map[string]int{}, held: map[string]string{}, waits: map[string]time.Time{}, rev: 1, PinLimit: 850 * time.Millisecond}
+	return &Platform{inFlight: map[string]int{}, heldBy: map[string]string{}, idleSince: map[string]time.Time{}, rev: 1, PinLimit: 850 * time.Millisecond}
 }
 
 // Backend is one box.
@@ -75,11 +75,11 @@
 	Address string
 	State   string
 	// Handler answers in place of the box's own way; it tells whether the connection may be used again.
-	Handler func(e *Exchange) bool
-	greet   func(c net.Conn) bool
-	site    *Platform
-	l       net.Listener
-	conns   map[net.Conn]bool
+	Handler   func(e *Exchange) bool
+	onConnect func(c net.Conn) bool
+	platform  *Platform
+	listener  net.Listener
+	conns     map[net.Conn]bool
 }
 
 // AddBackend adds a box that is in service.
@@ -88,9 +88,9 @@
 	if err != nil {
 		panic(err)
 	}
-	b := &Backend{UID: uid, Kind: kind, Address: l.Addr().String(), State: "in_service", site: s, l: l, conns: map[net.Conn]bool{}}
+	b := &Backend{UID: uid, Kind: kind, Address: l.Addr().String(), State: "in_service", platform: s, listener: l, conns: map[net.Conn]bool{}}
 	s.mu.Lock()
-	s.boxes = append(s.boxes, b)
+	s.backends = append(s.backends, b)
 	s.mu.Unlock()
 	s.accept(l, b.conns, b.serve)
 	return b
@@ -98,7 +98,7 @@
 
 // accept takes connections until the listener closes; conns has those that are open.
 func (s *Platform) accept(l net.Listener, conns map[net.Conn]bool, serve func(net.Conn)) {
-	s.wait.Go(func() {
+	s.handlers.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
@@ -107,33 +107,33 @@
 			s.mu.Lock()
 			conns[c] = true
 			s.mu.Unlock()
-			s.wait.Go(func() { serve(c) })
+			s.handlers.Go(func() { serve(c) })
 		}
 	})
 }
 
 // OnConnect has each connection handed over before a request is read of it; what it returns tells whether requests are to be read.
 func (b *Backend) OnConnect(greet func(c net.Conn) bool) {
-	b.site.mu.Lock()
-	defer b.site.mu.Unlock()
-	b.greet = greet
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
+	b.onConnect = greet
 }
 
 // Kill ends a box's process: its connections are reset, and new ones refused.
 func (b *Backend) Kill() {
-	b.l.Close()
-	b.site.mu.Lock()
-	defer b.site.mu.Unlock()
+	b.listener.Close()
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
 	for c := range b.conns {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
 		c.Close()
 	}
-	for id, at := range b.site.held {
+	for id, at := range b.platform.heldBy {
 		if at == b.UID {
-			delete(b.site.held, id)
-			delete(b.site.waits, id)
+			delete(b.platform.heldBy, id)
+			delete(b.platform.idleSince, id)
 		}
 	}
 }
@@ -144,19 +144,19 @@
 	if err != nil {
 		panic(err)
 	}
-	b.site.mu.Lock()
-	b.l = l
-	b.site.mu.Unlock()
-	b.site.accept(l, b.conns, b.serve)
+	b.platform.mu.Lock()
+	b.listener = l
+	b.platform.mu.Unlock()
+	b.platform.accept(l, b.conns, b.serve)
 }
 
 // CloseListener has new connections refused; those that stand go on.
-func (b *Backend) CloseListener() { b.l.Close() }
+func (b *Backend) CloseListener() { b.listener.Close() }
 
 // CloseIdle closes the connections on which nothing is out, as a box does with those that stood idle.
 func (b *Backend) CloseIdle() {
-	b.site.mu.Lock()
-	defer b.site.mu.Unlock()
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
 	for c, idle := range b.conns {
 		if idle {
 			c.Close()
@@ -165,7 +165,7 @@
 }
 
 func (b *Backend) serve(c net.Conn) {
-	s := b.site
+	s := b.platform
 	defer func() {
 		c.Close()
 		s.mu.Lock()
@@ -173,7 +173,7 @@
 		s.mu.Unlock()
 	}()
 	s.mu.Lock()
-	greet := b.greet
+	greet := b.onConnect
 	s.mu.Unlock()
 	if greet != nil && !greet(c) {
 		return
@@ -189,17 +189,17 @@
 			return
 		}
 		left := make(chan struct{})
-		e := &Exchange{Backend: b, Method: r.Method, URI: r.RequestURI, ID: r.Header.Get("X-Request-Id"), Header: r.Header, Body: string(body), ClientClosed: left, w: c}
+		e := &Exchange{Backend: b, Method: r.Method, URI: r.RequestURI, ID: r.Header.Get("X-Request-Id"), Header: r.Header, Body: string(body), ClientClosed: left, conn: c}
 		s.mu.Lock()
 		b.conns[c] = false
-		s.seen = append(s.seen, e)
+		s.requests = append(s.requests, e)
 		if e.ID != "" {
-			s.out[e.ID]++
-			s.waited(e.ID)
+			s.inFlight[e.ID]++
+			s.endIdleHold(e.ID)
 		}
 		do := b.Handler
 		s.mu.Unlock()
-		s.alone(e.ID)
+		s.checkSingleCopy(e.ID)
 		// Whoever waits for the far side to leave reads on; what comes is the next request's first byte.
 		watched := make(chan struct{})
 		go func() {
@@ -212,7 +212,7 @@
 			do = (*Exchange).Serve
 		}
 		keep := do(e)
-		e.end()
+		e.finish()
 		s.mu.Lock()
 		b.conns[c] = true
 		s.mu.Unlock()
@@ -228,11 +228,11 @@
 
 // Serve is a box's own way: a reader reads and holds, a writer answers, a call releases.
 func (e *Exchange) Serve() bool {
-	s := e.Backend.site
+	s := e.Backend.platform
 	switch {
 	case e.Method == http.MethodDelete:
 		s.mu.Lock()
-		s.take(strings.TrimPrefix(e.URI, "/v1/holds/"))
+		s.removeKVCache(strings.TrimPrefix(e.URI, "/v1/holds/"))
 		s.mu.Unlock()
 		return e.WriteRaw("HTTP/1.1 204 No Content\r\n\r\n")
 	case e.Backend.Kind == PrefillKind:
@@ -242,36 +242,36 @@
 	return e.WriteRaw(StreamHead) && e.WriteRaw(EncodeChunk(TextEvent("a"))+EncodeChunk(TextEvent("b"))) && e.WriteRaw(EncodeChunk(UsageEvent+DoneEvent)+LastChunk)
 }
 
-// end takes note that the request is not out any more.
-func (e *Exchange) end() {
-	s := e.Backend.site
+// finish takes note that the request is not out any more.
+func (e *Exchange) finish() {
+	s := e.Backend.platform
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !e.over && e.ID != "" {
-		s.out[e.ID]--
-		if s.held[e.ID] != "" && s.out[e.ID] == 0 {
-			s.waits[e.ID] = time.Now()
+	if !e.finished && e.ID != "" {
+		s.inFlight[e.ID]--
+		if s.heldBy[e.ID] != "" && s.inFlight[e.ID] == 0 {
+			s.idleSince[e.ID] = time.Now()
 		}
 	}
-	e.over = true
+	e.finished = true
 }
 
-// waited ends a state's wait, and take the state with it; the site is locked.
-func (s *Platform) waited(id string) {
-	if since, ok := s.waits[id]; ok && time.Since(since) > s.PinLimit {
+// endIdleHold ends a state's wait, and take the state with it; the site is locked.
+func (s *Platform) endIdleHold(id string) {
+	if since, ok := s.idleSince[id]; ok && time.Since(since) > s.PinLimit {
 		s.Violations = append(s.Violations, fmt.Sprintf("a state for %s waited for %v", id, time.Since(since)))
 	}
-	delete(s.waits, id)
+	delete(s.idleSince, id)
 }
 
-func (s *Platform) take(id string) {
-	s.waited(id)
-	delete(s.held, id)
+func (s *Platform) removeKVCache(id string) {
+	s.endIdleHold(id)
+	delete(s.heldBy, id)
 }
 
 // Blackhole has the box's machine say nothing: connections that stand stay, and new ones neither come up nor are refused.
 func (b *Backend) Blackhole() {
-	b.l.Close()
+	b.listener.Close()
 	l, err := net.Listen("tcp", b.Address)
 	if err != nil {
 		panic(err)
@@ -280,22 +280,22 @@
 	if err != nil {
 		panic(err)
 	}
-	b.site.mu.Lock()
-	defer b.site.mu.Unlock()
-	b.l = l
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
+	b.listener = l
 	for _, c := range stuck {
 		b.conns[c] = false // closed with the box
 	}
 }
 
-// alone takes note of a fault if another copy of a request is out. A box may see a moment late that its connection was closed.
-func (s *Platform) alone(id string) {
+// checkSingleCopy takes note of a fault if another copy of a request is out. A box may see a moment late that its connection was closed.
+func (s *Platform) checkSingleCopy(id string) {
 	if id == "" {
 		return
 	}
 	for end := time.Now().Add(50 * time.Millisecond); ; time.Sleep(time.Millisecond) {
 		s.mu.Lock()
-		n := s.out[id]
+		n := s.inFlight[id]
 		if n > 1 && time.Now().After(end) {
 			s.Violations = append(s.Violations, "a second copy of "+id+" is out")
 			n = 1
@@ -309,22 +309,22 @@
 
 // HoldKVCache takes note that a question's state waits at the box.
 func (e *Exchange) HoldKVCache() {
-	e.Backend.site.mu.Lock()
-	defer e.Backend.site.mu.Unlock()
-	e.Backend.site.held[e.ID] = e.Backend.UID
+	e.Backend.platform.mu.Lock()
+	defer e.Backend.platform.mu.Unlock()
+	e.Backend.platform.heldBy[e.ID] = e.Backend.UID
 }
 
 // WriteRaw writes bytes as they are. With the opening of an answer a writer has taken the state.
 func (e *Exchange) WriteRaw(raw string) bool {
 	if strings.HasPrefix(raw, StreamHead) && e.Backend.Kind == DecodeKind {
-		e.Backend.site.mu.Lock()
-		e.Backend.site.take(e.ID)
-		e.Backend.site.mu.Unlock()
+		e.Backend.platform.mu.Lock()
+		e.Backend.platform.removeKVCache(e.ID)
+		e.Backend.platform.mu.Unlock()
 	}
 	if strings.HasSuffix(raw, LastChunk) || strings.HasPrefix(raw, "HTTP/1.1 ") && raw[9] > '1' && !strings.HasPrefix(raw, "HTTP/1.1 200") {
-		e.end() // with its last byte the dispatcher may send the next
+		e.finish() // with its last byte the dispatcher may send the next
 	}
-	_, err := io.WriteString(e.w, raw)
+	_, err := io.WriteString(e.conn, raw)
 	return err == nil
 }
 
@@ -356,7 +356,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []*Exchange
-	for _, e := range s.seen {
+	for _, e := range s.requests {
 		if (uid == "" || e.Backend.UID == uid) && e.Method == method {
 			found = append(found, e)
 		}
@@ -368,14 +368,14 @@
 func (s *Platform) HeldCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.held)
+	return len(s.heldBy)
 }
 
 func (s *Platform) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, k := range s.out {
+	for _, k := range s.inFlight {
 		n += k
 	}
 	return n
@@ -388,7 +388,7 @@
 	change()
 	s.rev++
 	for _, a := range s.agents {
-		a.tell(s.list(false))
+		a.push(s.discoveryList(false))
 	}
 }
 
@@ -404,10 +404,10 @@
 	Boot     int64   `json:"boot_ms"`
 }
 
-// list is what discovery says; the site is locked.
-func (s *Platform) list(whole bool) []byte {
+// discoveryList is what discovery says; the site is locked.
+func (s *Platform) discoveryList(whole bool) []byte {
 	targets := []Target{}
-	for i, b := range s.boxes {
+	for i, b := range s.backends {
 		targets = append(targets, Target{b.UID, b.Address, "hall-1", b.Kind, i % 2, b.State, 1, 0})
 	}
 	raw, err := json.Marshal(map[string]any{"rev": s.rev, "all": whole, "targets": targets})
@@ -421,21 +421,21 @@
 func (s *Platform) DiscoveryList() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.list(true)
+	return s.discoveryList(true)
 }
 
 // Agent is discovery at one address.
 type Agent struct {
-	Address string
-	site    *Platform
-	l       net.Listener
-	watches map[net.Conn]bool
-	conns   map[net.Conn]bool
-	asked   []string
-	mute    bool // it takes connections and says nothing
-	indent  bool
-	slow    time.Duration // before it answers
-	stop    int           // bytes of its next answers to a watch, after which it says no more; 0: all of them
+	Address       string
+	platform      *Platform
+	listener      net.Listener
+	watches       map[net.Conn]bool
+	conns         map[net.Conn]bool
+	requestURIs   []string
+	silent        bool // it takes connections and says nothing
+	indent        bool
+	delay         time.Duration // before it answers
+	truncateAfter int           // bytes of its next answers to a watch, after which it says no more; 0: all of them
 }
 
 // AddAgent opens another one.
@@ -444,7 +444,7 @@
 	if err != nil {
 		panic(err)
 	}
-	a := &Agent{Address: l.Addr().String(), site: s, l: l, watches: map[net.Conn]bool{}, conns: map[net.Conn]bool{}}
+	a := &Agent{Address: l.Addr().String(), platform: s, listener: l, watches: map[net.Conn]bool{}, conns: map[net.Conn]bool{}}
 	s.mu.Lock()
 	s.agents = append(s.agents, a)
 	s.mu.Unlock()
@@ -453,7 +453,7 @@
 }
 
 func (a *Agent) serve(c net.Conn) {
-	s := a.site
+	s := a.platform
 	defer func() {
 		c.Close()
 		s.mu.Lock()
@@ -468,23 +468,23 @@
 			return
 		}
 		s.mu.Lock()
-		slow := a.slow
+		slow := a.delay
 		s.mu.Unlock()
 		if slow > 0 && !waitWhileOpen(c, from, slow) {
 			return
 		}
 		s.mu.Lock()
-		a.asked = append(a.asked, r.RequestURI)
+		a.requestURIs = append(a.requestURIs, r.RequestURI)
 		switch {
-		case a.mute:
+		case a.silent:
 		case r.URL.Query().Get("stream") == "":
-			raw := a.form(s.list(true))
+			raw := a.format(s.discoveryList(true))
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(raw), raw)
 		default:
-			raw := string(a.form(s.list(true))) + "\n"
+			raw := string(a.format(s.discoveryList(true))) + "\n"
 			whole := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + EncodeChunk(raw)
-			if a.stop > 0 {
-				io.WriteString(c, whole[:min(a.stop, len(whole))])
+			if a.truncateAfter > 0 {
+				io.WriteString(c, whole[:min(a.truncateAfter, len(whole))])
 				break
 			}
 			a.watches[c] = true
@@ -502,18 +502,18 @@
 	return err == nil || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// tell writes a change to the watches; the site is locked.
-func (a *Agent) tell(raw []byte) {
-	if a.mute {
+// push writes a change to the watches; the site is locked.
+func (a *Agent) push(raw []byte) {
+	if a.silent {
 		return
 	}
 	for c := range a.watches {
-		io.WriteString(c, EncodeChunk(string(a.form(raw))+"\n"))
+		io.WriteString(c, EncodeChunk(string(a.format(raw))+"\n"))
 	}
 }
 
-// form is how the agent writes a list.
-func (a *Agent) form(raw []byte) []byte {
+// format is how the agent writes a list.
+func (a *Agent) format(raw []byte) []byte {
 	if !a.indent {
 		return raw
 	}
@@ -524,28 +524,28 @@
 
 // SetIndent has it write lists over many lines; SetStop has it stop in the middle of its next answers to a watch.
 func (a *Agent) SetIndent(indent bool) {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
 	a.indent = indent
 }
 
 func (a *Agent) SetTruncateAfter(after int) {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
-	a.stop = after
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
+	a.truncateAfter = after
 }
 
 // SetDelay has it answer so much later.
 func (a *Agent) SetDelay(by time.Duration) {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
-	a.slow = by
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
+	a.delay = by
 }
 
 // WriteRaw writes bytes to the watches as they are.
 func (a *Agent) WriteRaw(raw string) {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
 	for c := range a.watches {
 		io.WriteString(c, raw)
 	}
@@ -553,8 +553,8 @@
 
 // CloseConns ends the watches; the agent goes on listening.
 func (a *Agent) CloseConns() {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
 	for c := range a.conns {
 		c.Close()
 	}
@@ -562,38 +562,38 @@
 
 // SetSilent has it say nothing, or speak again; Targets lists what it was asked for.
 func (a *Agent) SetSilent(mute bool) {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
-	a.mute = mute
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
+	a.silent = mute
 }
 
 func (a *Agent) RequestURIs() []string {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
-	return slices.Clone(a.asked)
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
+	return slices.Clone(a.requestURIs)
 }
 
 // WatchCount tells how many watches there are.
 func (a *Agent) WatchCount() int {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
 	return len(a.watches)
 }
 
 // Close ends all of it.
 func (s *Platform) Close() {
 	s.mu.Lock()
-	boxes, agents := slices.Clone(s.boxes), slices.Clone(s.agents)
+	boxes, agents := slices.Clone(s.backends), slices.Clone(s.agents)
 	s.mu.Unlock()
 	for _, b := range boxes {
 		b.Kill()
 	}
 	for _, a := range agents {
-		a.l.Close()
+		a.listener.Close()
 		a.CloseConns()
 	}
 	done := make(chan struct{})
-	go func() { s.wait.Wait(); close(done) }()
+	go func() { s.handlers.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -54,38 +54,38 @@
 	Config
 	fleet *Fleet
 
-	mu          sync.Mutex
-	rng         *rand.Rand
-	faults      Faults
-	server      *http.Server
-	stop        context.CancelFunc
-	life        context.Context
-	gates       []*Endpoint
-	StartNumber uint64
-	started     time.Duration // on the record's clock
-	cold        bool
-	up          bool
-	fell        bool
-	engine      *engine.Engine
-	wake        chan struct{}     // the engine may have something to do
-	tries       map[string]string // of the states that wait, by key
-	unkept      map[string]bool   // states to be let go of once the fetch that is on has failed
-	letGo       map[string]releasedUpTo
-	sent        []sent
-	counts      counts
-	handlers    sync.WaitGroup
+	mu                sync.Mutex
+	rng               *rand.Rand
+	faults            Faults
+	server            *http.Server
+	cancel            context.CancelFunc
+	ctx               context.Context
+	endpoints         []*Endpoint
+	StartNumber       uint64
+	startedAt         time.Duration // on the record's clock
+	slowStart         bool
+	running           bool
+	overloaded        bool
+	engine            *engine.Engine
+	wake              chan struct{}     // the engine may have something to do
+	heldTries         map[string]string // of the states that wait, by key
+	releaseAfterFetch map[string]bool   // states to be let go of once the fetch that is on has failed
+	releases          map[string]releaseRecord
+	recentWork        []workSample
+	usage             usageCounts
+	handlers          sync.WaitGroup
 }
 
-type sent struct {
-	at   time.Duration
-	work float64
+type workSample struct {
+	receivedAt time.Duration
+	work       float64
 }
 
 // NewBackend adds a box to the fleet; Boot starts it.
 func (f *Fleet) NewBackend(m Config) *Backend {
-	b := &Backend{Config: m, fleet: f, rng: chanceOf(m.Seed, m.Name)}
+	b := &Backend{Config: m, fleet: f, rng: newRand(m.Seed, m.Name)}
 	for _, s := range m.Addresses {
-		b.gates = append(b.gates, &Endpoint{Spec: s})
+		b.endpoints = append(b.endpoints, &Endpoint{Spec: s})
 	}
 	return b
 }
@@ -94,34 +94,34 @@
 func (b *Backend) Boot(cold bool) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.up {
+	if b.running {
 		return nil
 	}
-	front := newDoor()
-	for i, g := range b.gates {
+	front := newConnListener()
+	for i, g := range b.endpoints {
 		if err := g.Open(front); err != nil {
-			for _, g := range b.gates[:i] {
+			for _, g := range b.endpoints[:i] {
 				g.Close()
 			}
 			return err
 		}
 	}
 	var life context.Context
-	life, b.stop = context.WithCancel(context.Background())
-	b.life = life
-	b.StartNumber, b.started, b.cold, b.up, b.fell = b.fleet.start(), b.fleet.Record.Since(), cold, true, false
-	b.letGo, b.tries, b.unkept, b.sent = map[string]releasedUpTo{}, map[string]string{}, map[string]bool{}, nil
-	b.engine, b.wake = engine.New(b.Engine, b.started, cold), make(chan struct{}, 1)
-	b.apply()
+	life, b.cancel = context.WithCancel(context.Background())
+	b.ctx = life
+	b.StartNumber, b.startedAt, b.slowStart, b.running, b.overloaded = b.fleet.nextStartNumber(), b.fleet.Record.Since(), cold, true, false
+	b.releases, b.heldTries, b.releaseAfterFetch, b.recentWork = map[string]releaseRecord{}, map[string]string{}, map[string]bool{}, nil
+	b.engine, b.wake = engine.New(b.Engine, b.startedAt, cold), make(chan struct{}, 1)
+	b.applyEngineFaults()
 	b.handlers.Add(1)
-	go b.drive(life, b.engine, b.wake)
+	go b.runEngine(life, b.engine, b.wake)
 	mux := http.NewServeMux()
 	at := "POST /v2/models/" + b.fleet.Terms.Model
-	mux.HandleFunc(at+"/generate", b.trip)
-	mux.HandleFunc(at+"/generate_stream", b.trip)
-	mux.HandleFunc(at+"/release", b.release)
-	mux.HandleFunc(at+"/state", b.state)
-	mux.HandleFunc(at+"/counts", b.tell)
+	mux.HandleFunc(at+"/generate", b.handleAttempt)
+	mux.HandleFunc(at+"/generate_stream", b.handleAttempt)
+	mux.HandleFunc(at+"/release", b.handleRelease)
+	mux.HandleFunc(at+"/state", b.handleFetch)
+	mux.HandleFunc(at+"/counts", b.handleCounts)
 	mux.HandleFunc("GET /v2", func(w http.ResponseWriter, r *http.Request) {
 		kserve.WriteJSON(w, http.StatusOK, map[string]any{"name": b.Name})
 	})
@@ -129,7 +129,7 @@
 		Handler: mux, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 5 * time.Second,
 		BaseContext: func(net.Listener) context.Context { return life },
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, cameBy{}, c)
+			return context.WithValue(ctx, connKey{}, c)
 		},
 	}
 	server := b.server
@@ -140,10 +140,10 @@
 }
 
 // Endpoint is one of the box's addresses.
-func (b *Backend) Endpoint(i int) *Endpoint { return b.gates[i] }
+func (b *Backend) Endpoint(i int) *Endpoint { return b.endpoints[i] }
 
-// listen binds an address that a killed process may have had a moment ago.
-func listen(network, addr string) (net.Listener, error) {
+// listenWithRetry binds an address that a killed process may have had a moment ago.
+func listenWithRetry(network, addr string) (net.Listener, error) {
 	var err error
 	for range 50 {
 		var l net.Listener
@@ -158,22 +158,22 @@
 // Kill ends the process outright: connections break and what it held is lost.
 func (b *Backend) Kill(why string) {
 	b.mu.Lock()
-	if !b.up {
+	if !b.running {
 		b.mu.Unlock()
 		return
 	}
-	b.up = false
+	b.running = false
 	b.fleet.Record.Put(record.Line{What: record.Down, Box: b.Name, Start: b.StartNumber, Word: why})
-	for key, try := range b.tries {
+	for key, try := range b.heldTries {
 		b.fleet.Record.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: "lost"})
 	}
-	clear(b.tries)
+	clear(b.heldTries)
 	b.engine.Stop()
-	b.stop()
+	b.cancel()
 	server := b.server
 	b.mu.Unlock()
 	server.Close()
-	for _, g := range b.gates {
+	for _, g := range b.endpoints {
 		g.Close()
 	}
 	b.handlers.Wait()
@@ -183,26 +183,26 @@
 func (b *Backend) Up() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.up
+	return b.running
 }
 
 // Uptime is how long it has been up, and whether it started cold.
 func (b *Backend) Uptime() (time.Duration, bool, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.fleet.Record.Since() - b.started, b.cold, b.StartNumber
+	return b.fleet.Record.Since() - b.startedAt, b.slowStart, b.StartNumber
 }
 
 // UpdateFaults changes the faults.
 func (b *Backend) UpdateFaults(change func(*Faults)) {
 	b.mu.Lock()
 	change(&b.faults)
-	b.apply()
+	b.applyEngineFaults()
 	b.mu.Unlock()
 }
 
-// apply hands the engine those faults that are its own; the box is locked.
-func (b *Backend) apply() {
+// applyEngineFaults hands the engine those faults that are its own; the box is locked.
+func (b *Backend) applyEngineFaults() {
 	if b.engine == nil {
 		return
 	}
@@ -217,23 +217,23 @@
 func (b *Backend) DropCache() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.up {
+	if b.running {
 		b.engine.Forget()
 	}
 }
 
-// share is which part of its capacity the box can do now.
-func (b *Backend) share() float64 {
+// slowStartShare is which part of its capacity the box can do now.
+func (b *Backend) slowStartShare() float64 {
 	r := b.fleet.Terms.Rules
-	since := b.fleet.Record.Since() - b.started
-	if !b.cold || since >= r.ColdRamp.D() {
+	since := b.fleet.Record.Since() - b.startedAt
+	if !b.slowStart || since >= r.ColdRamp.D() {
 		return 1
 	}
 	return r.ColdShare + (1-r.ColdShare)*float64(since)/float64(r.ColdRamp.D())
 }
 
-// drive runs an engine's steps in real time until its process ends.
-func (b *Backend) drive(ctx context.Context, e *engine.Engine, wake chan struct{}) {
+// runEngine runs an engine's steps in real time until its process ends.
+func (b *Backend) runEngine(ctx context.Context, e *engine.Engine, wake chan struct{}) {
 	defer b.handlers.Done()
 	var due time.Duration // when the step that is on ends, by plan: what a timer oversleeps is not added up
 	for {
@@ -241,13 +241,13 @@
 		now := b.fleet.Record.Since()
 		wait, ok := e.Loading(now), false
 		if wait == 0 {
-			wait, ok = e.Begin(max(due, now-maxBehind))
+			wait, ok = e.Begin(max(due, now-maxStepLag))
 		}
-		b.expired()
+		b.recordExpired()
 		b.mu.Unlock()
 		switch {
 		case ok:
-			if due < now-maxBehind {
+			if due < now-maxStepLag {
 				due = now
 			}
 			due += wait
@@ -275,31 +275,31 @@
 	}
 }
 
-// maxBehind is how far a step may lag behind its plan; a machine that lags more plays slower engines.
-const maxBehind = 20 * time.Millisecond
+// maxStepLag is how far a step may lag behind its plan; a machine that lags more plays slower engines.
+const maxStepLag = 20 * time.Millisecond
 
-// nudge has the engine look for something to do.
-func (b *Backend) nudge() {
+// wakeEngine has the engine look for something to do.
+func (b *Backend) wakeEngine() {
 	select {
 	case b.wake <- struct{}{}:
 	default:
 	}
 }
 
-// expired takes down the states that the engine has dropped by itself; the box is locked.
-func (b *Backend) expired() {
-	for key, try := range b.tries {
+// recordExpired takes down the states that the engine has dropped by itself; the box is locked.
+func (b *Backend) recordExpired() {
+	for key, try := range b.heldTries {
 		if _, waits := b.engine.Waits(key); !waits && !b.engine.Moves(key) {
-			delete(b.tries, key)
+			delete(b.heldTries, key)
 			b.fleet.Record.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: "expired"})
 		}
 	}
 }
 
-// work is what a trip asks of the box, in seconds of its full capacity: the mean of its grade.
-func (b *Backend) work(e kserve.Errand) float64 {
+// meanWork is what a trip asks of the box, in seconds of its full capacity: the mean of its grade.
+func (b *Backend) meanWork(e kserve.Errand) float64 {
 	m := b.Engine
-	read := b.fleet.leftToRead(e.Grade) / m.ReadPerS
+	read := b.fleet.meanUncached(e.Grade) / m.ReadPerS
 	step := m.Step.Seconds() + float64(m.Slots)*m.PerAnswer.Seconds() + float64(m.Slots)*m.PerContextK.Seconds()
 	write := b.fleet.Profiles[e.Grade].AnswerTokens * step / float64(m.Slots)
 	switch e.Stage {
@@ -311,30 +311,30 @@
 	return read + write
 }
 
-// weigh counts a trip's work against what a cold box bears, and tells whether it falls over.
-func (b *Backend) weigh(work float64) bool {
+// overloads counts a trip's work against what a cold box bears, and tells whether it falls over.
+func (b *Backend) overloads(work float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r, now := b.fleet.Terms.Rules, b.fleet.Record.Since()
-	if !b.cold || now-b.started > r.ColdRamp.D() {
+	if !b.slowStart || now-b.startedAt > r.ColdRamp.D() {
 		return false
 	}
-	b.sent = append(b.sent, sent{now, work})
-	for len(b.sent) > 0 && b.sent[0].at < now-r.ColdWindow.D() {
-		b.sent = b.sent[1:]
+	b.recentWork = append(b.recentWork, workSample{now, work})
+	for len(b.recentWork) > 0 && b.recentWork[0].receivedAt < now-r.ColdWindow.D() {
+		b.recentWork = b.recentWork[1:]
 	}
 	sum := 0.0
-	for _, s := range b.sent {
+	for _, s := range b.recentWork {
 		sum += s.work
 	}
-	b.fell = b.fell || sum > r.ColdMultiple*b.share()*r.ColdWindow.D().Seconds()*coldSlack
-	return b.fell
+	b.overloaded = b.overloaded || sum > r.ColdMultiple*b.slowStartShare()*r.ColdWindow.D().Seconds()*slowStartSlack
+	return b.overloaded
 }
 
-// coldSlack is a little room for chance in what a cold box bears.
-const coldSlack = 1.1
+// slowStartSlack is a little room for chance in what a cold box bears.
+const slowStartSlack = 1.1
 
-func (b *Backend) load() []float64 {
+func (b *Backend) loadReport() []float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	values := b.engine.Report()
@@ -345,25 +345,25 @@
 	return out
 }
 
-// run is a job in an engine, as its handler sees it. The engine's calls must not wait: tokens are counted, and written out
+// engineJob is a job in an engine, as its handler sees it. The engine's calls must not wait: tokens are counted, and written out
 // by the handler at the client's pace.
-type run struct {
-	job    engine.Job
-	tokens atomic.Int64
-	kept   atomic.Int64
-	end    atomic.Int64 // 1 + engine.End
-	bell   chan struct{}
+type engineJob struct {
+	job          engine.Job
+	tokens       atomic.Int64
+	cachedTokens atomic.Int64
+	end          atomic.Int64 // 1 + engine.End
+	changed      chan struct{}
 }
 
-func (r *run) ring() {
+func (r *engineJob) notify() {
 	select {
-	case r.bell <- struct{}{}:
+	case r.changed <- struct{}{}:
 	default:
 	}
 }
 
-// trip serves one trip from its bytes to its end.
-func (b *Backend) trip(w http.ResponseWriter, r *http.Request) {
+// handleAttempt serves one trip from its bytes to its end.
+func (b *Backend) handleAttempt(w http.ResponseWriter, r *http.Request) {
 	e, _, err := kserve.ReadErrand(http.MaxBytesReader(w, r.Body, 16<<20))
 	if err != nil {
 		kserve.WriteFault(w, err)
@@ -375,12 +375,12 @@
 		l.What, l.Word = what, word
 		b.fleet.Record.Put(l)
 	}
-	work := b.work(e)
+	work := b.meanWork(e)
 	got := line
 	got.What, got.Work = record.Trip, work
-	if c := connOf(r.Context()); c != nil {
-		got.Address = c.gate.Spec.String()
-		arrived, gone := c.times()
+	if c := connFromContext(r.Context()); c != nil {
+		got.Address = c.endpoint.Spec.String()
+		arrived, gone := c.timestamps()
 		got.Arrived = b.fleet.Record.Stamp(arrived)
 		if !gone.IsZero() {
 			// Its dispatcher has closed already: such a trip is not begun.
@@ -396,7 +396,7 @@
 	defer unwatch()
 	word := "broke"
 	var spent func() (read, kept, answer int)
-	count := b.count(e)
+	count := b.countAttempt(e)
 	costs := func(end string) *kserve.Count {
 		if spent == nil {
 			return count(end, 0, 0, 0)
@@ -407,25 +407,25 @@
 	defer func() { costs(word); put(record.End, word) }()
 
 	b.mu.Lock()
-	start, faults, life := b.StartNumber, b.faults, b.life
+	start, faults, life := b.StartNumber, b.faults, b.ctx
 	fails := b.rng.Float64() < faults.ErrorShare && (faults.ErrorClass == "" || faults.ErrorClass == e.Grade)
 	resets, resetsNow := b.rng.Float64() < faults.ResetShare, b.rng.Float64() < faults.EarlyResetShare
 	crashes := b.rng.Float64() < faults.CrashAfterPrefillShare
 	b.mu.Unlock()
-	if b.weigh(work) {
+	if b.overloads(work) {
 		b.fleet.Record.Put(record.Line{What: record.Fell, Box: b.Name, Start: start})
 		go b.Kill("pushed over")
 		panic(http.ErrAbortHandler)
 	}
 	effect := func() {
-		if b.fleet.runs(b, e.Grade, cmp.Or(e.Mark, e.Key())) {
+		if b.fleet.isNewEffect(b, e.Grade, cmp.Or(e.Mark, e.Key())) {
 			put(record.Ran, "")
 		} else {
 			put(record.Repeat, "")
 		}
 	}
 	answer := func(status int, told kserve.Told) {
-		told.Load = b.load()
+		told.Load = b.loadReport()
 		word = told.Outcome
 		told.Count = costs(word)
 		kserve.WriteJSON(w, status, told)
@@ -445,7 +445,7 @@
 	if faults.IgnoreCancel {
 		ctx = life
 	}
-	j := &run{bell: make(chan struct{}, 1)}
+	j := &engineJob{changed: make(chan struct{}, 1)}
 	j.job = engine.Job{Key: e.Key(), Session: e.Session, Shared: e.Shared, Prompt: e.Tokens, Prefix: e.Prefix, Answer: 1}
 	switch e.Stage {
 	case kserve.StageRead:
@@ -458,14 +458,14 @@
 	if e.Stage != kserve.StageRead {
 		j.job.Answer = b.fleet.answerTokens(e.Grade, e.Mark, e.Most)
 	}
-	j.job.Token = func(n int) { j.tokens.Store(int64(n)); j.ring() }
+	j.job.Token = func(n int) { j.tokens.Store(int64(n)); j.notify() }
 	j.job.Ended = func(how engine.End, kept int) {
-		j.kept.Store(int64(kept))
+		j.cachedTokens.Store(int64(kept))
 		j.end.Store(1 + int64(how))
-		j.ring()
+		j.notify()
 	}
 	b.mu.Lock()
-	if !b.up || b.StartNumber != start {
+	if !b.running || b.StartNumber != start {
 		b.mu.Unlock()
 		return
 	}
@@ -474,12 +474,12 @@
 		b.handlers.Add(1)
 		go func() {
 			defer b.handlers.Done()
-			err := b.fetch(ctx, e)
+			err := b.fetchKVCache(ctx, e)
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			if b.engine == eng && b.up {
+			if b.engine == eng && b.running {
 				arrived(err == nil)
-				b.nudge()
+				b.wakeEngine()
 			}
 		}()
 	}
@@ -487,11 +487,11 @@
 		ended := j.job.Ended
 		j.job.Ended = func(how engine.End, kept int) { // the box is locked
 			if how == engine.Done {
-				if l, ok := b.letGo[e.Key()]; ok && e.Trip <= l.trip {
+				if l, ok := b.releases[e.Key()]; ok && e.Trip <= l.attempt {
 					eng.Release(e.Key()) // it was released before it was read
 					how = engine.Dropped
 				} else {
-					b.tries[e.Key()] = e.Mark
+					b.heldTries[e.Key()] = e.Mark
 					b.fleet.Record.Put(record.Line{What: record.Held, Box: b.Name, Key: e.Key(), Try: e.Mark, Grade: e.Grade})
 				}
 			}
@@ -504,20 +504,20 @@
 		return j.job.Spent()
 	}
 	eng.Submit(b.fleet.Record.Since(), &j.job)
-	b.nudge()
+	b.wakeEngine()
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
-		if b.engine == eng && b.up {
+		if b.engine == eng && b.running {
 			eng.Cancel(&j.job)
-			b.nudge()
+			b.wakeEngine()
 		}
 		b.mu.Unlock()
 	}()
 	out, ctl := 0, http.NewResponseController(w)
 	for {
 		select {
-		case <-j.bell:
+		case <-j.changed:
 		case <-ctx.Done():
 			return
 		}
@@ -542,15 +542,15 @@
 				}
 			}
 			if out == 0 {
-				b.fleet.holds(ctx)
+				b.fleet.waitWhileHeld(ctx)
 			}
 		}
 		if end < 0 {
 			continue
 		}
-		kept := int(j.kept.Load())
+		kept := int(j.cachedTokens.Load())
 		if e.Stage != kserve.StageWrite && end == engine.Done {
-			b.fleet.sawRead(e.Grade, float64(e.Tokens-kept))
+			b.fleet.observeUncached(e.Grade, float64(e.Tokens-kept))
 		}
 		switch {
 		case end == engine.Done && e.Stage == kserve.StageRead:
@@ -561,7 +561,7 @@
 				time.AfterFunc(2*time.Millisecond, func() { b.Kill("crashed after reading") })
 			}
 		case end == engine.Done:
-			if kserve.WriteEvent(w, "end", kserve.Told{Outcome: kserve.OutcomeAnswered, Kept: kept, Load: b.load(), Count: costs(kserve.OutcomeAnswered)}) == nil && ctl.Flush() == nil {
+			if kserve.WriteEvent(w, "end", kserve.Told{Outcome: kserve.OutcomeAnswered, Kept: kept, Load: b.loadReport(), Count: costs(kserve.OutcomeAnswered)}) == nil && ctl.Flush() == nil {
 				word = kserve.OutcomeAnswered
 			}
 		case end == engine.Full || end == engine.TooBig:
@@ -575,30 +575,30 @@
 	}
 }
 
-// let ends the waiting of a state; false if none waits.
-func (b *Backend) let(start uint64, key, why string) bool {
+// releaseKVCache ends the waiting of a state; false if none waits.
+func (b *Backend) releaseKVCache(start uint64, key, why string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.StartNumber != start || !b.up {
+	if b.StartNumber != start || !b.running {
 		return false
 	}
-	try, held := b.tries[key]
+	try, held := b.heldTries[key]
 	if !held {
 		return false
 	}
 	if b.engine.Moves(key) && why != "taken" {
-		b.unkept[key] = true
+		b.releaseAfterFetch[key] = true
 		return true
 	}
-	delete(b.tries, key)
-	delete(b.unkept, key)
+	delete(b.heldTries, key)
+	delete(b.releaseAfterFetch, key)
 	b.engine.Release(key)
-	b.nudge()
+	b.wakeEngine()
 	b.fleet.Record.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: why})
 	return true
 }
 
-func (b *Backend) release(w http.ResponseWriter, r *http.Request) {
+func (b *Backend) handleRelease(w http.ResponseWriter, r *http.Request) {
 	list, err := kserve.ReadRelease(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
 		kserve.WriteFault(w, err)
@@ -608,35 +608,35 @@
 	done := 0
 	for _, x := range list {
 		b.mu.Lock()
-		b.letGo[x.Key] = releasedUpTo{x.Trip, b.fleet.Record.Since()}
-		if len(b.letGo) > letGoMost {
-			for key, l := range b.letGo {
-				if b.fleet.Record.Since()-l.at > letGoTime {
-					delete(b.letGo, key)
+		b.releases[x.Key] = releaseRecord{x.Trip, b.fleet.Record.Since()}
+		if len(b.releases) > maxReleases {
+			for key, l := range b.releases {
+				if b.fleet.Record.Since()-l.releasedAt > releaseRetention {
+					delete(b.releases, key)
 				}
 			}
 		}
 		b.mu.Unlock()
-		if b.let(start, x.Key, "released") {
+		if b.releaseKVCache(start, x.Key, "released") {
 			done++
 		}
 	}
 	kserve.WriteJSON(w, http.StatusOK, map[string]int{"released": done})
 }
 
-// releasedUpTo remembers a release, for reads of the same question that come after it.
-type releasedUpTo struct {
-	trip int
-	at   time.Duration
+// releaseRecord remembers a release, for reads of the same question that come after it.
+type releaseRecord struct {
+	attempt    int
+	releasedAt time.Duration
 }
 
 const (
-	letGoMost = 4096
-	letGoTime = 30 * time.Second
+	maxReleases      = 4096
+	releaseRetention = 30 * time.Second
 )
 
-// state gives a waiting state to a writer, which takes as long as the links need; until then it waits on.
-func (b *Backend) state(w http.ResponseWriter, r *http.Request) {
+// handleFetch gives a waiting state to a writer, which takes as long as the links need; until then it waits on.
+func (b *Backend) handleFetch(w http.ResponseWriter, r *http.Request) {
 	key, err := kserve.ReadFetch(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
 		kserve.WriteFault(w, err)
@@ -645,7 +645,7 @@
 	b.mu.Lock()
 	start := b.StartNumber
 	tokens, ok := 0, false
-	if b.up {
+	if b.running {
 		tokens, ok = b.engine.Waits(key)
 	}
 	if !ok {
@@ -655,29 +655,29 @@
 	}
 	b.engine.Moving(key, true)
 	b.mu.Unlock()
-	if b.fleet.move(r.Context(), b, r.Header.Get("Rack"), r.Header.Get("Zone"), float64(tokens)) != nil {
+	if b.fleet.transfer(r.Context(), b, r.Header.Get("Rack"), r.Header.Get("Zone"), float64(tokens)) != nil {
 		b.mu.Lock()
-		unkept := b.unkept[key]
-		if b.StartNumber == start && b.up {
+		unkept := b.releaseAfterFetch[key]
+		if b.StartNumber == start && b.running {
 			b.engine.Moving(key, false)
 		}
 		b.mu.Unlock()
 		if unkept {
-			b.let(start, key, "released")
+			b.releaseKVCache(start, key, "released")
 		}
 		return
 	}
-	if b.let(start, key, "taken") {
+	if b.releaseKVCache(start, key, "taken") {
 		kserve.WriteJSON(w, http.StatusOK, map[string]int{"tokens": tokens})
 	}
 }
 
-// fetch takes the state from the reader that the trip names, by whichever of its addresses serves.
-func (b *Backend) fetch(ctx context.Context, e kserve.Errand) error {
+// fetchKVCache takes the state from the reader that the trip names, by whichever of its addresses serves.
+func (b *Backend) fetchKVCache(ctx context.Context, e kserve.Errand) error {
 	if len(e.State) == 0 {
 		return errors.New("no state was named")
 	}
-	conn, err := b.fleet.reader(e.Reader, e.State).Get(ctx)
+	conn, err := b.fleet.prefillPool(e.Reader, e.State).Get(ctx)
 	if err != nil {
 		return err
 	}
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -49,7 +49,7 @@
 	Model          string
 	PickDispatcher PickDispatcher
 	http           *http.Client
-	tr             *http.Transport
+	transport      *http.Transport
 }
 
 // NewClients makes clients that share connections as a front does.
@@ -59,19 +59,19 @@
 }
 
 // Close ends their connections.
-func (c *Clients) Close() { c.tr.CloseIdleConnections() }
+func (c *Clients) Close() { c.transport.CloseIdleConnections() }
 
-// mostWait is the longest that a client comes back after.
-const mostWait = 30 * time.Second
+// maxRetryDelay is the longest that a client comes back after.
+const maxRetryDelay = 30 * time.Second
 
-// past is how long a client listens on after its answer, for what should not come.
-const past = 30 * time.Millisecond
+// extraEventWait is how long a client listens on after its answer, for what should not come.
+const extraEventWait = 30 * time.Millisecond
 
 // Submit asks one question until it is satisfied or has no tries left.
 func (c *Clients) Submit(ctx context.Context, w Request) {
 	ticket := ""
 	for try := 0; ; try++ {
-		word, after, sent, next := c.try(ctx, w, try, ticket)
+		word, after, sent, next := c.submitOnce(ctx, w, try, ticket)
 		if ctx.Err() != nil || word == kserve.Satisfied || word == "left" || try >= w.Retries {
 			return
 		}
@@ -80,7 +80,7 @@
 			return
 		}
 		wait := w.RetryDelay(try, after)
-		if wait > mostWait { // such as until a budget renews: this one goes home
+		if wait > maxRetryDelay { // such as until a budget renews: this one goes home
 			return
 		}
 		if ticket = ""; w.HonoursRetryAfter {
@@ -104,8 +104,8 @@
 	return time.Duration(float64(w.RetryWait) * math.Pow(2, float64(min(try, 8))) * (0.5 + rng.Float64()/2))
 }
 
-// try makes one try; sent tells whether a dispatcher may have taken it.
-func (c *Clients) try(ctx context.Context, w Request, try int, ticket string) (word string, after time.Duration, sent bool, next string) {
+// submitOnce makes one try; sent tells whether a dispatcher may have taken it.
+func (c *Clients) submitOnce(ctx context.Context, w Request, try int, ticket string) (word string, after time.Duration, sent bool, next string) {
 	id := fmt.Sprintf("%s.%d", w.Name, try)
 	who, addr := c.PickDispatcher(uint64(w.SubmitAt) + uint64(try)*7919)
 	line := record.Line{Try: id, Question: w.Name, Grade: w.Class, Dispatcher: who}
@@ -143,14 +143,14 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	if w.LeaveAfter > 0 {
-		defer time.AfterFunc(w.LeaveAfter, func() { cancel(errQuit) }).Stop()
+		defer time.AfterFunc(w.LeaveAfter, func() { cancel(errClientLeft) }).Stop()
 	}
 	// A try without a first token is given up a little after its time.
-	patience := time.AfterFunc(left+200*time.Millisecond, func() { cancel(errPatience) })
+	patience := time.AfterFunc(left+200*time.Millisecond, func() { cancel(errNoAnswer) })
 	defer patience.Stop()
 	began := time.Now()
 	broke := func(err error) (string, time.Duration, bool, string) {
-		if errors.Is(context.Cause(ctx), errQuit) {
+		if errors.Is(context.Cause(ctx), errClientLeft) {
 			put(record.Quit, "", nil)
 			return "left", 0, true, ""
 		}
@@ -217,7 +217,7 @@
 			continue
 		}
 		word, after, sent, next = final(f)
-		time.AfterFunc(past, func() { cancel(errPatience) })
+		time.AfterFunc(extraEventWait, func() { cancel(errNoAnswer) })
 		if ev, err := events.Next(); err == nil {
 			put(record.Extra, ev.Name, nil)
 		}
@@ -226,6 +226,6 @@
 }
 
 var (
-	errQuit     = errors.New("the client left")
-	errPatience = errors.New("no answer in time")
+	errClientLeft = errors.New("the client left")
+	errNoAnswer   = errors.New("no answer in time")
 )
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -22,27 +22,27 @@
 	fleet   *Fleet
 	Address string
 
-	mu      sync.Mutex
-	changes []change
-	stale   time.Duration // by which it is later than usual
-	skip    bool          // the next push to each dispatcher is lost
-	life    context.Context
-	stop    context.CancelFunc
-	server  *http.Server
-	served  sync.WaitGroup
-	dropped map[string][]int
+	mu         sync.Mutex
+	changes    []listChange
+	extraDelay time.Duration // by which it is later than usual
+	dropNext   bool          // the next push to each dispatcher is lost
+	ctx        context.Context
+	cancel     context.CancelFunc
+	server     *http.Server
+	serving    sync.WaitGroup
+	omitted    map[string][]int
 }
 
-type change struct {
-	visible time.Duration
-	box     boxlist.Box
-	started time.Duration
-	cold    bool
+type listChange struct {
+	visibleAt time.Duration
+	backend   boxlist.Box
+	startedAt time.Duration
+	slowStart bool
 }
 
 const (
-	listStep = 10 * time.Millisecond // how often a connection is looked after
-	listBeat = time.Second
+	watchPollInterval = 10 * time.Millisecond // how often a connection is looked after
+	heartbeatInterval = time.Second
 )
 
 // NewDiscovery makes the list; Open starts it.
@@ -50,20 +50,20 @@
 
 // Start starts serving, also again after Shut.
 func (l *Discovery) Start() error {
-	listener, err := listen("tcp", l.Address)
+	listener, err := listenWithRetry("tcp", l.Address)
 	if err != nil {
 		return err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.life, l.stop = context.WithCancel(context.Background())
-	life := l.life
+	l.ctx, l.cancel = context.WithCancel(context.Background())
+	life := l.ctx
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/boxes/watch", l.watch)
 	l.server = &http.Server{Handler: mux, ErrorLog: log.New(io.Discard, "", 0), BaseContext: func(net.Listener) context.Context { return life }}
 	server := l.server
-	l.served.Add(1)
-	go func() { defer l.served.Done(); server.Serve(listener) }()
+	l.serving.Add(1)
+	go func() { defer l.serving.Done(); server.Serve(listener) }()
 	return nil
 }
 
@@ -71,22 +71,22 @@
 func (l *Discovery) Stop() {
 	l.mu.Lock()
 	server := l.server
-	l.stop()
+	l.cancel()
 	l.mu.Unlock()
 	server.Close()
-	l.served.Wait()
+	l.serving.Wait()
 }
 
 // SetDelay makes all that it says later; Skip loses the next push.
 func (l *Discovery) SetDelay(by time.Duration) {
 	l.mu.Lock()
-	l.stale = by
+	l.extraDelay = by
 	l.mu.Unlock()
 }
 
 func (l *Discovery) DropNextPush() {
 	l.mu.Lock()
-	l.skip = true
+	l.dropNext = true
 	l.mu.Unlock()
 }
 
@@ -96,12 +96,12 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.fleet.Record.Since()
-	visible := now + after + l.stale
+	visible := now + after + l.extraDelay
 	if n := len(l.changes); n > 0 {
-		visible = max(visible, l.changes[n-1].visible)
+		visible = max(visible, l.changes[n-1].visibleAt)
 	}
-	l.changes = append(l.changes, change{visible, boxlist.Box{
-		Name: b.Name, Addresses: l.named(b), Kind: b.Kind, Zone: b.Zone, Rack: b.Rack, Standing: standing, Units: b.Units, Start: start,
+	l.changes = append(l.changes, listChange{visible, boxlist.Box{
+		Name: b.Name, Addresses: l.listedAddresses(b), Kind: b.Kind, Zone: b.Zone, Rack: b.Rack, Standing: standing, Units: b.Units, Start: start,
 	}, now - up, cold})
 }
 
@@ -109,61 +109,61 @@
 func (l *Discovery) OmitAddresses(b *Backend, which []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.dropped == nil {
-		l.dropped = map[string][]int{}
+	if l.omitted == nil {
+		l.omitted = map[string][]int{}
 	}
-	l.dropped[b.Name] = which
+	l.omitted[b.Name] = which
 }
 
-func (l *Discovery) named(b *Backend) []addresses.Spec {
+func (l *Discovery) listedAddresses(b *Backend) []addresses.Spec {
 	var at []addresses.Spec
 	for i, a := range b.Addresses {
-		if !slices.Contains(l.dropped[b.Name], i) {
+		if !slices.Contains(l.omitted[b.Name], i) {
 			at = append(at, a)
 		}
 	}
 	return at
 }
 
-// line is a change as it is said now.
-func (c change) line(now time.Duration) boxlist.Box {
-	b := c.box
+// entry is a change as it is said now.
+func (c listChange) entry(now time.Duration) boxlist.Box {
+	b := c.backend
 	b.UpMs = -1
-	if c.cold {
-		b.UpMs = (now - c.started).Milliseconds()
+	if c.slowStart {
+		b.UpMs = (now - c.startedAt).Milliseconds()
 	}
 	return b
 }
 
-// visible counts the changes that may be known now.
-func (l *Discovery) visible(now time.Duration) int {
+// countVisible counts the changes that may be known now.
+func (l *Discovery) countVisible(now time.Duration) int {
 	n := 0
-	for n < len(l.changes) && l.changes[n].visible <= now {
+	for n < len(l.changes) && l.changes[n].visibleAt <= now {
 		n++
 	}
 	return n
 }
 
-// next makes the push that brings a dispatcher from version have to what is visible; nil: there is nothing new.
-func (l *Discovery) next(have int, whole bool) *boxlist.Push {
+// nextPush makes the push that brings a dispatcher from version have to what is visible; nil: there is nothing new.
+func (l *Discovery) nextPush(have int, whole bool) *boxlist.Push {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.fleet.Record.Since()
-	n := l.visible(now)
+	n := l.countVisible(now)
 	if !whole && have >= n {
 		return nil
 	}
 	if !whole {
-		return &boxlist.Push{Version: uint64(have + 1), Base: uint64(have), Boxes: []boxlist.Box{l.changes[have].line(now)}}
+		return &boxlist.Push{Version: uint64(have + 1), Base: uint64(have), Boxes: []boxlist.Box{l.changes[have].entry(now)}}
 	}
 	last := map[string]int{}
 	for i := range n {
-		last[l.changes[i].box.Name] = i
+		last[l.changes[i].backend.Name] = i
 	}
 	p := &boxlist.Push{Version: uint64(n), Whole: true}
 	for i := range n {
-		if c := l.changes[i]; last[c.box.Name] == i && c.box.Standing != boxlist.Gone {
-			p.Boxes = append(p.Boxes, c.line(now))
+		if c := l.changes[i]; last[c.backend.Name] == i && c.backend.Standing != boxlist.Gone {
+			p.Boxes = append(p.Boxes, c.entry(now))
 		}
 	}
 	return p
@@ -179,15 +179,15 @@
 	beat := time.Now()
 	var known map[string]bool
 	for {
-		p := l.next(have, whole)
-		if p == nil && time.Since(beat) >= listBeat {
+		p := l.nextPush(have, whole)
+		if p == nil && time.Since(beat) >= heartbeatInterval {
 			p = &boxlist.Push{Version: uint64(have), Base: uint64(have)}
 		}
 		if p != nil {
 			l.mu.Lock()
-			lost := l.skip && len(p.Boxes) > 0 && !p.Whole
+			lost := l.dropNext && len(p.Boxes) > 0 && !p.Whole
 			if lost {
-				l.skip = false
+				l.dropNext = false
 			}
 			l.mu.Unlock()
 			have, whole, beat = int(p.Version), false, time.Now()
@@ -195,18 +195,18 @@
 				if out.Encode(p) != nil || ctl.Flush() != nil {
 					return
 				}
-				known = l.told(who, p, known)
+				known = l.recordNotified(who, p, known)
 			}
 			continue
 		}
-		if sleep(r.Context(), listStep) != nil {
+		if sleep(r.Context(), watchPollInterval) != nil {
 			return
 		}
 	}
 }
 
-// told takes down what a dispatcher was told; a box that a whole list leaves out is gone.
-func (l *Discovery) told(who string, p *boxlist.Push, known map[string]bool) map[string]bool {
+// recordNotified takes down what a dispatcher was told; a box that a whole list leaves out is gone.
+func (l *Discovery) recordNotified(who string, p *boxlist.Push, known map[string]bool) map[string]bool {
 	if known == nil {
 		known = map[string]bool{}
 	}
