--- a/internal/hosts/hosts.go
+++ b/internal/hosts/hosts.go
@@ -1,6 +1,6 @@
-// Package hosts is what the project plays itself of the users' platform, from the platform's own pages: boxes that speak its
-// protocol with scripted faults, and the agent of its discovery. It keeps a record of what reached it, and knows nothing of the
-// dispatcher. Begin with Site.
+// Package hosts provides test backends of the users' platform, written from the platform's own documentation:
+// backends that speak its protocol with scripted faults, and the agent of its service discovery. They record what
+// reached them and know nothing of the dispatcher. Start with Platform.
 package hosts
 
 import (
@@ -21,13 +21,13 @@
 	"sloetrestle/internal/standin"
 )
 
-// Kinds of boxes, and what they are called in the settings.
+// Kinds of backends, as the settings name them.
 const (
 	PrefillKind = "prompt-side"
 	DecodeKind  = "answer-side"
 )
 
-// Settings are those of a small deployment, in the form in which the platform hands them over.
+// Settings are the settings of a small deployment, in the form in which the platform provides them.
 const Settings = `{"siblings":1,"slotNo":0,"discovery":"automatic","dcs":["hall-1"],"kinds":["prompt-side","answer-side"],
 "familyInfo":{"kindRole":["read","write"],"localRead":false,"resume":true,"tokensByKind":[200000,200000],"pinLimitUs":500000},
 "policyLimits":{"cancelling":true,"maxAttempts":4,"connIdleUs":30000000,"dialTimeoutUs":250000,"retryAfter":true,"maxRetryAfterUs":2000000,"maxOpen":1000},
@@ -36,7 +36,7 @@
 {"name":"hut-booking","effect":"once","aimUs":800000,"worth":5,"lateWorth":0.3,"giveUpUs":4000000}],
 "tenants":[{"name":"web-app","quotaPerS":1000}],"overShareWorth":0.05,"valueBy":"work"}`
 
-// Exchange is one request whose last byte has come to a box.
+// Exchange is one request that a backend has received completely.
 type Exchange struct {
 	Backend      *Backend
 	Method       string
@@ -49,111 +49,120 @@
 	finished     bool
 }
 
-// Platform is a set of boxes, their discovery and the record of both.
+// Platform is a set of backends, their service discovery and the record of both.
 type Platform struct {
 	mu         sync.Mutex
 	backends   []*Backend
 	requests   []*Exchange
-	inFlight   map[string]int // requests by id that are out
-	heldBy     map[string]string
-	idleSince  map[string]time.Time // by id, since when a state is held with no request out
-	Violations []string             // rules that were broken, as the boxes saw it
-	PinLimit   time.Duration        // for which a state may wait with no request out
+	inFlight   map[string]int       // copies of a request in flight, by request id
+	heldBy     map[string]string    // uid of the backend that holds the KV cache, by request id
+	idleSince  map[string]time.Time // by request id: since when a KV cache is held with no copy in flight
+	Violations []string             // rules that were broken, as the backends saw it
+	PinLimit   time.Duration        // how long a KV cache may be held with no copy of the request in flight
 	agents     []*Agent
 	rev        int64
 	handlers   sync.WaitGroup
 }
 
+// New returns a platform without backends.
 func New() *Platform {
-	return &Platform{inFlight: map[string]int{}, heldBy: map[string]string{}, idleSince: map[string]time.Time{}, rev: 1, PinLimit: 850 * time.Millisecond}
+	return &Platform{
+		inFlight: map[string]int{}, heldBy: map[string]string{}, idleSince: map[string]time.Time{},
+		rev: 1, PinLimit: 850 * time.Millisecond,
+	}
 }
 
-// Backend is one box.
+// Backend is one test backend.
 type Backend struct {
 	UID     string
 	Kind    string
 	Address string
 	State   string
-	// Handler answers in place of the box's own way; it tells whether the connection may be used again.
+	// Handler replaces the backend's default response. It reports whether the connection may be used again.
 	Handler   func(e *Exchange) bool
 	onConnect func(c net.Conn) bool
 	platform  *Platform
 	listener  net.Listener
-	conns     map[net.Conn]bool
+	conns     map[net.Conn]bool // open connections; true while no request is in progress
 }
 
-// AddBackend adds a box that is in service.
+// AddBackend adds a backend that is in service, on a loopback address.
 func (s *Platform) AddBackend(uid, kind string) *Backend {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	b := &Backend{UID: uid, Kind: kind, Address: l.Addr().String(), State: "in_service", platform: s, listener: l, conns: map[net.Conn]bool{}}
+	backend := &Backend{
+		UID: uid, Kind: kind, Address: listener.Addr().String(), State: "in_service",
+		platform: s, listener: listener, conns: map[net.Conn]bool{},
+	}
 	s.mu.Lock()
-	s.backends = append(s.backends, b)
+	s.backends = append(s.backends, backend)
 	s.mu.Unlock()
-	s.accept(l, b.conns, b.serve)
-	return b
+	s.accept(listener, backend.conns, backend.serve)
+	return backend
 }
 
-// accept takes connections until the listener closes; conns has those that are open.
-func (s *Platform) accept(l net.Listener, conns map[net.Conn]bool, serve func(net.Conn)) {
+// accept serves connections until the listener closes. conns holds the open ones, marked idle until serve says otherwise.
+func (s *Platform) accept(listener net.Listener, conns map[net.Conn]bool, serve func(net.Conn)) {
 	s.handlers.Go(func() {
 		for {
-			c, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			s.mu.Lock()
-			conns[c] = true
+			conns[conn] = true
 			s.mu.Unlock()
-			s.handlers.Go(func() { serve(c) })
+			s.handlers.Go(func() { serve(conn) })
 		}
 	})
 }
 
-// OnConnect has each connection handed over before a request is read of it; what it returns tells whether requests are to be read.
-func (b *Backend) OnConnect(greet func(c net.Conn) bool) {
+// OnConnect sets a function that gets each connection before a request is read from it. It reports whether
+// requests are to be read.
+func (b *Backend) OnConnect(onConnect func(c net.Conn) bool) {
 	b.platform.mu.Lock()
 	defer b.platform.mu.Unlock()
-	b.onConnect = greet
+	b.onConnect = onConnect
 }
 
-// Kill ends a box's process: its connections are reset, and new ones refused.
+// Kill ends the backend's process: its connections are reset, new ones are refused, and the KV caches it held are
+// lost.
 func (b *Backend) Kill() {
 	b.listener.Close()
 	b.platform.mu.Lock()
 	defer b.platform.mu.Unlock()
-	for c := range b.conns {
-		if t, ok := c.(*net.TCPConn); ok {
+	for conn := range b.conns {
+		if t, ok := conn.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
-		c.Close()
+		conn.Close()
 	}
-	for id, at := range b.platform.heldBy {
-		if at == b.UID {
+	for id, uid := range b.platform.heldBy {
+		if uid == b.UID {
 			delete(b.platform.heldBy, id)
 			delete(b.platform.idleSince, id)
 		}
 	}
 }
 
-// Reopen has connections taken again at the old address.
+// Reopen listens again at the old address.
 func (b *Backend) Reopen() {
-	l, err := net.Listen("tcp", b.Address)
+	listener, err := net.Listen("tcp", b.Address)
 	if err != nil {
 		panic(err)
 	}
 	b.platform.mu.Lock()
-	b.listener = l
+	b.listener = listener
 	b.platform.mu.Unlock()
-	b.platform.accept(l, b.conns, b.serve)
+	b.platform.accept(listener, b.conns, b.serve)
 }
 
-// CloseListener has new connections refused; those that stand go on.
+// CloseListener makes the backend refuse new connections; open ones stay.
 func (b *Backend) CloseListener() { b.listener.Close() }
 
-// CloseIdle closes the connections on which nothing is out, as a box does with those that stood idle.
+// CloseIdle closes the connections without a request in progress, as a backend does when its idle timeout passes.
 func (b *Backend) CloseIdle() {
 	b.platform.mu.Lock()
 	defer b.platform.mu.Unlock()
@@ -164,60 +173,64 @@
 	}
 }
 
-func (b *Backend) serve(c net.Conn) {
-	s := b.platform
+func (b *Backend) serve(conn net.Conn) {
+	platform := b.platform
 	defer func() {
-		c.Close()
-		s.mu.Lock()
-		delete(b.conns, c)
-		s.mu.Unlock()
+		conn.Close()
+		platform.mu.Lock()
+		delete(b.conns, conn)
+		platform.mu.Unlock()
 	}()
-	s.mu.Lock()
-	greet := b.onConnect
-	s.mu.Unlock()
-	if greet != nil && !greet(c) {
+	platform.mu.Lock()
+	onConnect := b.onConnect
+	platform.mu.Unlock()
+	if onConnect != nil && !onConnect(conn) {
 		return
 	}
-	from := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 	for {
-		r, err := http.ReadRequest(from)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		body, err := io.ReadAll(r.Body)
+		body, err := io.ReadAll(request.Body)
 		if err != nil {
 			return
 		}
-		left := make(chan struct{})
-		e := &Exchange{Backend: b, Method: r.Method, URI: r.RequestURI, ID: r.Header.Get("X-Request-Id"), Header: r.Header, Body: string(body), ClientClosed: left, conn: c}
-		s.mu.Lock()
-		b.conns[c] = false
-		s.requests = append(s.requests, e)
-		if e.ID != "" {
-			s.inFlight[e.ID]++
-			s.endIdleHold(e.ID)
+		clientClosed := make(chan struct{})
+		exchange := &Exchange{
+			Backend: b, Method: request.Method, URI: request.RequestURI, ID: request.Header.Get("X-Request-Id"),
+			Header: request.Header, Body: string(body), ClientClosed: clientClosed, conn: conn,
 		}
-		do := b.Handler
-		s.mu.Unlock()
-		s.checkSingleCopy(e.ID)
-		// Whoever waits for the far side to leave reads on; what comes is the next request's first byte.
+		platform.mu.Lock()
+		b.conns[conn] = false
+		platform.requests = append(platform.requests, exchange)
+		if exchange.ID != "" {
+			platform.inFlight[exchange.ID]++
+			platform.endIdleHold(exchange.ID)
+		}
+		handler := b.Handler
+		platform.mu.Unlock()
+		platform.checkSingleCopy(exchange.ID)
+		// Watch for the dispatcher closing the connection: a byte that arrives instead belongs to the next
+		// request.
 		watched := make(chan struct{})
 		go func() {
 			defer close(watched)
-			if _, err := from.Peek(1); err != nil {
-				close(left)
+			if _, err := reader.Peek(1); err != nil {
+				close(clientClosed)
 			}
 		}()
-		if do == nil {
-			do = (*Exchange).Serve
+		if handler == nil {
+			handler = (*Exchange).Serve
 		}
-		keep := do(e)
-		e.finish()
-		s.mu.Lock()
-		b.conns[c] = true
-		s.mu.Unlock()
+		keep := handler(exchange)
+		exchange.finish()
+		platform.mu.Lock()
+		b.conns[conn] = true
+		platform.mu.Unlock()
 		if !keep {
-			c.Close()
+			conn.Close()
 		}
 		<-watched
 		if !keep {
@@ -226,132 +239,150 @@
 	}
 }
 
-// Serve is a box's own way: a reader reads and holds, a writer answers, a call releases.
+// Serve is the default response. A prefill backend holds a KV cache, a decode backend answers with a short stream,
+// and a DELETE releases the KV cache.
 func (e *Exchange) Serve() bool {
-	s := e.Backend.platform
+	platform := e.Backend.platform
 	switch {
 	case e.Method == http.MethodDelete:
-		s.mu.Lock()
-		s.removeKVCache(strings.TrimPrefix(e.URI, "/v1/holds/"))
-		s.mu.Unlock()
+		platform.mu.Lock()
+		platform.removeKVCache(strings.TrimPrefix(e.URI, "/v1/holds/"))
+		platform.mu.Unlock()
 		return e.WriteRaw("HTTP/1.1 204 No Content\r\n\r\n")
 	case e.Backend.Kind == PrefillKind:
 		e.HoldKVCache()
-		return e.WriteRaw("HTTP/1.1 202 Accepted\r\nX-Server-Load: util=0.5,queue=2,x0=0.25\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
+		return e.WriteRaw("HTTP/1.1 202 Accepted\r\nX-Server-Load: util=0.5,queue=2,x0=0.25\r\n" +
+			"Content-Length: 21\r\n\r\n{\"cached_tokens\":100}")
 	}
-	return e.WriteRaw(StreamHead) && e.WriteRaw(EncodeChunk(TextEvent("a"))+EncodeChunk(TextEvent("b"))) && e.WriteRaw(EncodeChunk(UsageEvent+DoneEvent)+LastChunk)
+	return e.WriteRaw(StreamHead) &&
+		e.WriteRaw(EncodeChunk(TextEvent("a"))+EncodeChunk(TextEvent("b"))) &&
+		e.WriteRaw(EncodeChunk(UsageEvent+DoneEvent)+LastChunk)
 }
 
-// finish takes note that the request is not out any more.
+// finish notes that the request is no longer in flight. Repeated calls have no effect.
 func (e *Exchange) finish() {
-	s := e.Backend.platform
-	s.mu.Lock()
-	defer s.mu.Unlock()
+	platform := e.Backend.platform
+	platform.mu.Lock()
+	defer platform.mu.Unlock()
 	if !e.finished && e.ID != "" {
-		s.inFlight[e.ID]--
-		if s.heldBy[e.ID] != "" && s.inFlight[e.ID] == 0 {
-			s.idleSince[e.ID] = time.Now()
+		platform.inFlight[e.ID]--
+		if platform.heldBy[e.ID] != "" && platform.inFlight[e.ID] == 0 {
+			platform.idleSince[e.ID] = time.Now()
 		}
 	}
 	e.finished = true
 }
 
-// endIdleHold ends a state's wait, and take the state with it; the site is locked.
+// endIdleHold ends the time during which a KV cache was held with no copy of its request in flight, and records a
+// violation if that was longer than PinLimit. s.mu must be held.
 func (s *Platform) endIdleHold(id string) {
 	if since, ok := s.idleSince[id]; ok && time.Since(since) > s.PinLimit {
-		s.Violations = append(s.Violations, fmt.Sprintf("a state for %s waited for %v", id, time.Since(since)))
+		s.Violations = append(s.Violations,
+			fmt.Sprintf("the KV cache of %s was held for %v without a request in flight", id, time.Since(since)))
 	}
 	delete(s.idleSince, id)
 }
 
+// removeKVCache notes that a request's KV cache is no longer held. s.mu must be held.
 func (s *Platform) removeKVCache(id string) {
 	s.endIdleHold(id)
 	delete(s.heldBy, id)
 }
 
-// Blackhole has the box's machine say nothing: connections that stand stay, and new ones neither come up nor are refused.
+// Blackhole makes the backend's machine unresponsive: open connections stay, and new ones are neither accepted nor
+// refused.
 func (b *Backend) Blackhole() {
 	b.listener.Close()
-	l, err := net.Listen("tcp", b.Address)
+	listener, err := net.Listen("tcp", b.Address)
 	if err != nil {
 		panic(err)
 	}
-	stuck, err := standin.FillBacklog(l)
+	fillers, err := standin.FillBacklog(listener)
 	if err != nil {
 		panic(err)
 	}
 	b.platform.mu.Lock()
 	defer b.platform.mu.Unlock()
-	b.listener = l
-	for _, c := range stuck {
-		b.conns[c] = false // closed with the box
+	b.listener = listener
+	for _, c := range fillers {
+		b.conns[c] = false // closed by Kill
 	}
 }
 
-// checkSingleCopy takes note of a fault if another copy of a request is out. A box may see a moment late that its connection was closed.
+// checkSingleCopy records a violation if another copy of the request is in flight. It waits briefly first, because
+// a backend may notice late that the dispatcher closed the connection of the other copy.
 func (s *Platform) checkSingleCopy(id string) {
 	if id == "" {
 		return
 	}
 	for end := time.Now().Add(50 * time.Millisecond); ; time.Sleep(time.Millisecond) {
 		s.mu.Lock()
-		n := s.inFlight[id]
-		if n > 1 && time.Now().After(end) {
-			s.Violations = append(s.Violations, "a second copy of "+id+" is out")
-			n = 1
+		copies := s.inFlight[id]
+		if copies > 1 && time.Now().After(end) {
+			s.Violations = append(s.Violations, "a second copy of "+id+" is in flight")
+			copies = 1
 		}
 		s.mu.Unlock()
-		if n <= 1 {
+		if copies <= 1 {
 			return
 		}
 	}
 }
 
-// HoldKVCache takes note that a question's state waits at the box.
+// HoldKVCache notes that the backend holds the KV cache of the request.
 func (e *Exchange) HoldKVCache() {
 	e.Backend.platform.mu.Lock()
 	defer e.Backend.platform.mu.Unlock()
 	e.Backend.platform.heldBy[e.ID] = e.Backend.UID
 }
 
-// WriteRaw writes bytes as they are. With the opening of an answer a writer has taken the state.
+// WriteRaw writes bytes unchanged and reports whether that succeeded. When a decode backend sends the head of its
+// stream, it has fetched the KV cache; with the last byte of a response the request is no longer in flight.
 func (e *Exchange) WriteRaw(raw string) bool {
 	if strings.HasPrefix(raw, StreamHead) && e.Backend.Kind == DecodeKind {
 		e.Backend.platform.mu.Lock()
 		e.Backend.platform.removeKVCache(e.ID)
 		e.Backend.platform.mu.Unlock()
 	}
-	if strings.HasSuffix(raw, LastChunk) || strings.HasPrefix(raw, "HTTP/1.1 ") && raw[9] > '1' && !strings.HasPrefix(raw, "HTTP/1.1 200") {
-		e.finish() // with its last byte the dispatcher may send the next
+	if strings.HasSuffix(raw, LastChunk) ||
+		strings.HasPrefix(raw, "HTTP/1.1 ") && raw[9] > '1' && !strings.HasPrefix(raw, "HTTP/1.1 200") {
+		e.finish() // after the last byte the dispatcher may send the next attempt
 	}
 	_, err := io.WriteString(e.conn, raw)
 	return err == nil
 }
 
-// Pieces of an answer.
+// Parts of a streamed response: its head, the usage event with a load report, the event that ends the stream, and
+// the last chunk.
 const (
 	StreamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	UsageEvent = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":400,\"completion_tokens\":2,\"prompt_tokens_details\":{\"cached_tokens\":40}}}\n\n: X-Server-Load: util=0.6,queue=1,x0=0.5\n\n"
-	DoneEvent  = "data: [DONE]\n\n"
-	LastChunk  = "0\r\n\r\n"
+	UsageEvent = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":400,\"completion_tokens\":2," +
+		"\"prompt_tokens_details\":{\"cached_tokens\":40}}}\n\n" +
+		": X-Server-Load: util=0.6,queue=1,x0=0.5\n\n"
+	DoneEvent = "data: [DONE]\n\n"
+	LastChunk = "0\r\n\r\n"
 )
 
+// TextEvent returns a stream event with a piece of text.
 func TextEvent(text string) string {
-	return fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", text)
+	return fmt.Sprintf(
+		"data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", text)
 }
 
+// EncodeChunk returns text as one chunk of the chunked transfer encoding.
 func EncodeChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
-// Rejection is an answer without a stream.
-func Rejection(code int, never bool) string {
-	mark := ""
-	if never {
-		mark = "X-Not-Processed: 1\r\n"
+// Rejection returns a response without a stream. With notProcessed it carries the header that says that the
+// request was not processed.
+func Rejection(code int, notProcessed bool) string {
+	header := ""
+	if notProcessed {
+		header = "X-Not-Processed: 1\r\n"
 	}
-	return fmt.Sprintf("HTTP/1.1 %d No\r\n%sContent-Length: 0\r\n\r\n", code, mark)
+	return fmt.Sprintf("HTTP/1.1 %d No\r\n%sContent-Length: 0\r\n\r\n", code, header)
 }
 
-// Requests lists what came to a box, or to all with an empty name, under a method.
+// Requests lists the requests with a method that a backend received; an empty uid stands for all backends.
 func (s *Platform) Requests(uid, method string) []*Exchange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -364,24 +395,25 @@
 	return found
 }
 
-// HeldCount counts states that wait, Out requests that are out.
+// HeldCount returns the number of KV caches held.
 func (s *Platform) HeldCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.heldBy)
 }
 
+// InFlight returns the number of requests in flight.
 func (s *Platform) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	n := 0
-	for _, k := range s.inFlight {
-		n += k
+	total := 0
+	for _, count := range s.inFlight {
+		total += count
 	}
-	return n
+	return total
 }
 
-// UpdateDiscovery changes what discovery says of boxes and tells its agents.
+// UpdateDiscovery changes what service discovery lists and pushes the new list to the watches.
 func (s *Platform) UpdateDiscovery(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -392,7 +424,7 @@
 	}
 }
 
-// Target is a line of discovery's list.
+// Target is a backend in the list of service discovery.
 type Target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -404,27 +436,27 @@
 	Boot     int64   `json:"boot_ms"`
 }
 
-// discoveryList is what discovery says; the site is locked.
-func (s *Platform) discoveryList(whole bool) []byte {
+// discoveryList encodes the list of service discovery. s.mu must be held.
+func (s *Platform) discoveryList(full bool) []byte {
 	targets := []Target{}
 	for i, b := range s.backends {
 		targets = append(targets, Target{b.UID, b.Address, "hall-1", b.Kind, i % 2, b.State, 1, 0})
 	}
-	raw, err := json.Marshal(map[string]any{"rev": s.rev, "all": whole, "targets": targets})
+	raw, err := json.Marshal(map[string]any{"rev": s.rev, "all": full, "targets": targets})
 	if err != nil {
 		panic(err)
 	}
 	return raw
 }
 
-// DiscoveryList is the whole list.
+// DiscoveryList returns the full list of service discovery, encoded.
 func (s *Platform) DiscoveryList() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.discoveryList(true)
 }
 
-// Agent is discovery at one address.
+// Agent is the service discovery at one address.
 type Agent struct {
 	Address       string
 	platform      *Platform
@@ -432,77 +464,80 @@
 	watches       map[net.Conn]bool
 	conns         map[net.Conn]bool
 	requestURIs   []string
-	silent        bool // it takes connections and says nothing
+	silent        bool // accepts connections and sends nothing
 	indent        bool
-	delay         time.Duration // before it answers
-	truncateAfter int           // bytes of its next answers to a watch, after which it says no more; 0: all of them
+	delay         time.Duration // before a response
+	truncateAfter int           // bytes of a response to a watch, after which nothing more is sent; 0: no limit
 }
 
-// AddAgent opens another one.
+// AddAgent starts another agent, on a loopback address.
 func (s *Platform) AddAgent() *Agent {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	a := &Agent{Address: l.Addr().String(), platform: s, listener: l, watches: map[net.Conn]bool{}, conns: map[net.Conn]bool{}}
+	agent := &Agent{
+		Address: listener.Addr().String(), platform: s, listener: listener,
+		watches: map[net.Conn]bool{}, conns: map[net.Conn]bool{},
+	}
 	s.mu.Lock()
-	s.agents = append(s.agents, a)
+	s.agents = append(s.agents, agent)
 	s.mu.Unlock()
-	s.accept(l, a.conns, a.serve)
-	return a
+	s.accept(listener, agent.conns, agent.serve)
+	return agent
 }
 
-func (a *Agent) serve(c net.Conn) {
-	s := a.platform
+func (a *Agent) serve(conn net.Conn) {
+	platform := a.platform
 	defer func() {
-		c.Close()
-		s.mu.Lock()
-		delete(a.watches, c)
-		delete(a.conns, c)
-		s.mu.Unlock()
+		conn.Close()
+		platform.mu.Lock()
+		delete(a.watches, conn)
+		delete(a.conns, conn)
+		platform.mu.Unlock()
 	}()
-	from := bufio.NewReader(c)
+	reader := bufio.NewReader(conn)
 	for {
-		r, err := http.ReadRequest(from)
+		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		s.mu.Lock()
-		slow := a.delay
-		s.mu.Unlock()
-		if slow > 0 && !waitWhileOpen(c, from, slow) {
+		platform.mu.Lock()
+		delay := a.delay
+		platform.mu.Unlock()
+		if delay > 0 && !waitWhileOpen(conn, reader, delay) {
 			return
 		}
-		s.mu.Lock()
-		a.requestURIs = append(a.requestURIs, r.RequestURI)
+		platform.mu.Lock()
+		a.requestURIs = append(a.requestURIs, request.RequestURI)
 		switch {
 		case a.silent:
-		case r.URL.Query().Get("stream") == "":
-			raw := a.format(s.discoveryList(true))
-			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(raw), raw)
+		case request.URL.Query().Get("stream") == "":
+			raw := a.format(platform.discoveryList(true))
+			fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(raw), raw)
 		default:
-			raw := string(a.format(s.discoveryList(true))) + "\n"
-			whole := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + EncodeChunk(raw)
+			raw := string(a.format(platform.discoveryList(true))) + "\n"
+			response := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + EncodeChunk(raw)
 			if a.truncateAfter > 0 {
-				io.WriteString(c, whole[:min(a.truncateAfter, len(whole))])
+				io.WriteString(conn, response[:min(a.truncateAfter, len(response))])
 				break
 			}
-			a.watches[c] = true
-			io.WriteString(c, whole)
+			a.watches[conn] = true
+			io.WriteString(conn, response)
 		}
-		s.mu.Unlock()
+		platform.mu.Unlock()
 	}
 }
 
-// waitWhileOpen waits for so long; false: the far side has closed before.
-func waitWhileOpen(c net.Conn, from *bufio.Reader, wait time.Duration) bool {
-	c.SetReadDeadline(time.Now().Add(wait))
-	defer c.SetReadDeadline(time.Time{})
-	_, err := from.Peek(1)
+// waitWhileOpen waits for a duration. It returns false if the peer has closed the connection before.
+func waitWhileOpen(conn net.Conn, reader *bufio.Reader, wait time.Duration) bool {
+	conn.SetReadDeadline(time.Now().Add(wait))
+	defer conn.SetReadDeadline(time.Time{})
+	_, err := reader.Peek(1)
 	return err == nil || errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// push writes a change to the watches; the site is locked.
+// push writes a list to the watches. The platform's mu must be held.
 func (a *Agent) push(raw []byte) {
 	if a.silent {
 		return
@@ -512,7 +547,7 @@
 	}
 }
 
-// format is how the agent writes a list.
+// format returns a list in the form in which the agent writes it.
 func (a *Agent) format(raw []byte) []byte {
 	if !a.indent {
 		return raw
@@ -522,27 +557,29 @@
 	return b.Bytes()
 }
 
-// SetIndent has it write lists over many lines; SetStop has it stop in the middle of its next answers to a watch.
+// SetIndent makes the agent write a list over many lines.
 func (a *Agent) SetIndent(indent bool) {
 	a.platform.mu.Lock()
 	defer a.platform.mu.Unlock()
 	a.indent = indent
 }
 
-func (a *Agent) SetTruncateAfter(after int) {
+// SetTruncateAfter makes the agent stop in the middle of a response to a watch, after limit bytes; 0 removes the
+// limit.
+func (a *Agent) SetTruncateAfter(limit int) {
 	a.platform.mu.Lock()
 	defer a.platform.mu.Unlock()
-	a.truncateAfter = after
+	a.truncateAfter = limit
 }
 
-// SetDelay has it answer so much later.
-func (a *Agent) SetDelay(by time.Duration) {
+// SetDelay sets the delay of a response.
+func (a *Agent) SetDelay(delay time.Duration) {
 	a.platform.mu.Lock()
 	defer a.platform.mu.Unlock()
-	a.delay = by
+	a.delay = delay
 }
 
-// WriteRaw writes bytes to the watches as they are.
+// WriteRaw writes bytes unchanged to the watches.
 func (a *Agent) WriteRaw(raw string) {
 	a.platform.mu.Lock()
 	defer a.platform.mu.Unlock()
@@ -551,7 +588,7 @@
 	}
 }
 
-// CloseConns ends the watches; the agent goes on listening.
+// CloseConns closes all connections; the agent still listens.
 func (a *Agent) CloseConns() {
 	a.platform.mu.Lock()
 	defer a.platform.mu.Unlock()
@@ -560,32 +597,33 @@
 	}
 }
 
-// SetSilent has it say nothing, or speak again; Targets lists what it was asked for.
-func (a *Agent) SetSilent(mute bool) {
+// SetSilent makes the agent send nothing, or respond again.
+func (a *Agent) SetSilent(silent bool) {
 	a.platform.mu.Lock()
 	defer a.platform.mu.Unlock()
-	a.silent = mute
+	a.silent = silent
 }
 
+// RequestURIs lists the URIs of the requests that the agent received.
 func (a *Agent) RequestURIs() []string {
 	a.platform.mu.Lock()
 	defer a.platform.mu.Unlock()
 	return slices.Clone(a.requestURIs)
 }
 
-// WatchCount tells how many watches there are.
+// WatchCount returns the number of open watches.
 func (a *Agent) WatchCount() int {
 	a.platform.mu.Lock()
 	defer a.platform.mu.Unlock()
 	return len(a.watches)
 }
 
-// Close ends all of it.
+// Close ends all backends and agents. It panics if their goroutines don't end within 10 seconds.
 func (s *Platform) Close() {
 	s.mu.Lock()
-	boxes, agents := slices.Clone(s.backends), slices.Clone(s.agents)
+	backends, agents := slices.Clone(s.backends), slices.Clone(s.agents)
 	s.mu.Unlock()
-	for _, b := range boxes {
+	for _, b := range backends {
 		b.Kill()
 	}
 	for _, a := range agents {
@@ -597,6 +635,6 @@
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
-		panic("a scripted box does not end")
+		panic("test backend did not stop within 10s")
 	}
 }
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -17,33 +17,34 @@
 	"sloetrestle/internal/record"
 )
 
-// Request is one question that a client will ask.
+// Request describes one request of a client, with how the client waits for it and submits it again.
 type Request struct {
-	SubmitAt           time.Duration
-	Name               string // of the question; its tries are Name.0, Name.1 …
+	SubmitAt           time.Duration // since the start of the run; also seeds the random choices of the request
+	Name               string        // of the request; its tries are Name.0, Name.1 …
 	Class              string
 	Tenant             string
 	Session            string
-	PrefixID           string
+	PrefixID           string // prefix that requests share
 	PromptTokens       int
 	PrefixTokens       int
 	MaxTokens          int
 	LatencyTarget      time.Duration
-	Deadline           time.Duration
-	PatienceShare      float64       // of the expiry, after which a try is given up
-	LeaveAfter         time.Duration // it leaves then, whatever it has got; 0: it does not
+	Deadline           time.Duration // after submission
+	PatienceShare      float64       // share of Deadline after which a try without a first token is given up
+	LeaveAfter         time.Duration // the client disconnects then, whatever it has received; 0: never
 	Retries            int
-	RetryWait          time.Duration // before the next try
-	ExponentialBackoff bool          // the wait doubles with each try, and is drawn between half and all of it
-	HonoursRetryAfter  bool          // follows Retry-After
-	ReadDelay          time.Duration // between pieces that it takes
-	Idempotent         bool          // it may be asked again after any failure
+	RetryWait          time.Duration // backoff before the next try
+	ExponentialBackoff bool          // RetryWait doubles with each try and is drawn between half and all of it
+	HonoursRetryAfter  bool          // waits as long as Retry-After says and sends the retry ticket that came with it
+	ReadDelay          time.Duration // pause after each event, as of a slow client
+	Idempotent         bool          // it may be submitted again after any failure
 }
 
-// PickDispatcher tells a client where to ask; "" when it knows of none.
+// PickDispatcher returns the dispatcher that a client submits to and its address. An empty address means that none
+// is known.
 type PickDispatcher func(seed uint64) (dispatcher, address string)
 
-// Clients ask questions.
+// Clients submits requests to dispatchers and records the outcome of each try.
 type Clients struct {
 	Record         *record.Book
 	Model          string
@@ -52,104 +53,110 @@
 	transport      *http.Transport
 }
 
-// NewClients makes clients that share connections as a front does.
-func NewClients(book *record.Book, model string, front PickDispatcher) *Clients {
-	tr := &http.Transport{MaxIdleConnsPerHost: 256, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
-	return &Clients{book, model, front, &http.Client{Transport: tr}, tr}
+// NewClients returns clients that share their connections, as the clients behind an HTTP frontend do.
+func NewClients(rec *record.Book, model string, pick PickDispatcher) *Clients {
+	transport := &http.Transport{MaxIdleConnsPerHost: 256, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
+	return &Clients{rec, model, pick, &http.Client{Transport: transport}, transport}
 }
 
-// Close ends their connections.
+// Close closes the idle connections.
 func (c *Clients) Close() { c.transport.CloseIdleConnections() }
 
-// maxRetryDelay is the longest that a client comes back after.
+// maxRetryDelay is the longest delay after which a client still submits again.
 const maxRetryDelay = 30 * time.Second
 
-// extraEventWait is how long a client listens on after its answer, for what should not come.
+// extraEventWait is how long a client reads on after the final event, to notice events that must not follow it.
 const extraEventWait = 30 * time.Millisecond
 
-// Submit asks one question until it is satisfied or has no tries left.
-func (c *Clients) Submit(ctx context.Context, w Request) {
+// Submit submits a request until it is served or has no tries left. It returns early when the context ends, when
+// the client disconnects, when the delay is too long, and when a request that isn't idempotent may have run.
+func (c *Clients) Submit(ctx context.Context, request Request) {
 	ticket := ""
 	for try := 0; ; try++ {
-		word, after, sent, next := c.submitOnce(ctx, w, try, ticket)
-		if ctx.Err() != nil || word == kserve.Satisfied || word == "left" || try >= w.Retries {
+		outcome, retryAfter, sent, nextTicket := c.submitOnce(ctx, request, try, ticket)
+		if ctx.Err() != nil || outcome == kserve.Satisfied || outcome == "left" || try >= request.Retries {
 			return
 		}
-		// What may have run is only asked again where that does no harm.
-		if sent && word != kserve.Declined && !w.Idempotent {
+		// What may have run is only submitted again where that does no harm.
+		if sent && outcome != kserve.Declined && !request.Idempotent {
 			return
 		}
-		wait := w.RetryDelay(try, after)
-		if wait > maxRetryDelay { // such as until a budget renews: this one goes home
+		delay := request.RetryDelay(try, retryAfter)
+		if delay > maxRetryDelay { // for example until a token budget is renewed: the client gives up
 			return
 		}
-		if ticket = ""; w.HonoursRetryAfter {
-			ticket = next
+		if ticket = ""; request.HonoursRetryAfter {
+			ticket = nextTicket
 		}
-		if sleep(ctx, wait) != nil {
+		if sleep(ctx, delay) != nil {
 			return
 		}
 	}
 }
 
-// RetryDelay is how long a client waits after a try: what it was told if it follows that, else its own way.
-func (w Request) RetryDelay(try int, told time.Duration) time.Duration {
-	if w.HonoursRetryAfter && told > 0 {
-		return told
+// RetryDelay returns how long the client waits after a try: as long as the response says if the client honours
+// that, otherwise its own wait.
+func (r Request) RetryDelay(try int, retryAfter time.Duration) time.Duration {
+	if r.HonoursRetryAfter && retryAfter > 0 {
+		return retryAfter
 	}
-	if !w.ExponentialBackoff {
-		return w.RetryWait
+	if !r.ExponentialBackoff {
+		return r.RetryWait
 	}
-	rng := rand.New(rand.NewPCG(uint64(w.SubmitAt), uint64(try)))
-	return time.Duration(float64(w.RetryWait) * math.Pow(2, float64(min(try, 8))) * (0.5 + rng.Float64()/2))
+	rng := rand.New(rand.NewPCG(uint64(r.SubmitAt), uint64(try)))
+	return time.Duration(float64(r.RetryWait) * math.Pow(2, float64(min(try, 8))) * (0.5 + rng.Float64()/2))
 }
 
-// submitOnce makes one try; sent tells whether a dispatcher may have taken it.
-func (c *Clients) submitOnce(ctx context.Context, w Request, try int, ticket string) (word string, after time.Duration, sent bool, next string) {
-	id := fmt.Sprintf("%s.%d", w.Name, try)
-	who, addr := c.PickDispatcher(uint64(w.SubmitAt) + uint64(try)*7919)
-	line := record.Line{Try: id, Question: w.Name, Grade: w.Class, Dispatcher: who}
-	put := func(what, word string, more func(*record.Line)) {
-		l := line
-		l.What, l.Word = what, word
-		if more != nil {
-			more(&l)
+// submitOnce makes one try. sent reports whether a dispatcher may have received it.
+func (c *Clients) submitOnce(
+	ctx context.Context, request Request, try int, ticket string,
+) (outcome string, retryAfter time.Duration, sent bool, nextTicket string) {
+	tryID := fmt.Sprintf("%s.%d", request.Name, try)
+	dispatcher, addr := c.PickDispatcher(uint64(request.SubmitAt) + uint64(try)*7919)
+	line := record.Line{Try: tryID, Question: request.Name, Grade: request.Class, Dispatcher: dispatcher}
+	put := func(what, outcome string, fill func(*record.Line)) {
+		entry := line
+		entry.What, entry.Word = what, outcome
+		if fill != nil {
+			fill(&entry)
 		}
-		c.Record.Put(l)
+		c.Record.Put(entry)
 	}
-	left := time.Duration(float64(w.Deadline) * w.PatienceShare)
-	follows := ""
-	if w.HonoursRetryAfter {
-		follows = "follows"
+	timeout := time.Duration(float64(request.Deadline) * request.PatienceShare)
+	honours := ""
+	if request.HonoursRetryAfter {
+		honours = "follows"
 	}
-	put(record.Asked, follows, func(l *record.Line) {
-		l.ExpiryUs, l.PromiseUs, l.Tokens = left.Microseconds(), w.LatencyTarget.Microseconds(), w.PromptTokens
+	put(record.Asked, honours, func(entry *record.Line) {
+		entry.ExpiryUs, entry.PromiseUs, entry.Tokens =
+			timeout.Microseconds(), request.LatencyTarget.Microseconds(), request.PromptTokens
 	})
 	if addr == "" {
 		put(record.Cut, "no dispatcher is known", nil)
 		return "cut", 0, false, ""
 	}
 	params := kserve.Params{
-		"grade": w.Class, "channel": w.Tenant, "session": w.Session, "shared": w.PrefixID, "prompt_tokens": w.PromptTokens,
-		"shared_tokens": w.PrefixTokens, "max_tokens": w.MaxTokens, "timeout": left.Microseconds(), "again": try > 0,
+		"grade": request.Class, "channel": request.Tenant, "session": request.Session, "shared": request.PrefixID,
+		"prompt_tokens": request.PromptTokens, "shared_tokens": request.PrefixTokens, "max_tokens": request.MaxTokens,
+		"timeout": timeout.Microseconds(), "again": try > 0,
 	}
 	if ticket != "" {
 		params["ticket"] = ticket
 	}
-	body, err := json.Marshal(kserve.Prompt{ID: id, Parameters: params})
+	body, err := json.Marshal(kserve.Prompt{ID: tryID, Parameters: params})
 	if err != nil {
 		panic(err)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	if w.LeaveAfter > 0 {
-		defer time.AfterFunc(w.LeaveAfter, func() { cancel(errClientLeft) }).Stop()
+	if request.LeaveAfter > 0 {
+		defer time.AfterFunc(request.LeaveAfter, func() { cancel(errClientLeft) }).Stop()
 	}
-	// A try without a first token is given up a little after its time.
-	patience := time.AfterFunc(left+200*time.Millisecond, func() { cancel(errNoAnswer) })
+	// A try without a first token is given up a little after its timeout.
+	patience := time.AfterFunc(timeout+200*time.Millisecond, func() { cancel(errNoAnswer) })
 	defer patience.Stop()
-	began := time.Now()
-	broke := func(err error) (string, time.Duration, bool, string) {
+	startedAt := time.Now()
+	fail := func(err error) (string, time.Duration, bool, string) {
 		if errors.Is(context.Cause(ctx), errClientLeft) {
 			put(record.Quit, "", nil)
 			return "left", 0, true, ""
@@ -166,62 +173,64 @@
 		}
 		return "cut", 0, sent, ""
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/v2/models/"+c.Model+"/generate_stream", strings.NewReader(string(body)))
+	httpRequest, err := http.NewRequestWithContext(ctx, http.MethodPost,
+		"http://"+addr+"/v2/models/"+c.Model+"/generate_stream", strings.NewReader(string(body)))
 	if err != nil {
 		panic(err)
 	}
-	resp, err := c.http.Do(r)
+	resp, err := c.http.Do(httpRequest)
 	if err != nil {
-		return broke(err)
+		return fail(err)
 	}
 	defer resp.Body.Close()
-	final := func(f kserve.Final) (string, time.Duration, bool, string) {
-		put(record.Final, f.Final, func(l *record.Line) {
-			l.AfterMs, l.Trips, l.Took = f.AfterMs, f.Trips, time.Since(began).Microseconds()
+	finish := func(finalEvent kserve.Final) (string, time.Duration, bool, string) {
+		put(record.Final, finalEvent.Final, func(entry *record.Line) {
+			entry.AfterMs, entry.Trips, entry.Took =
+				finalEvent.AfterMs, finalEvent.Trips, time.Since(startedAt).Microseconds()
 		})
-		return f.Final, time.Duration(f.AfterMs) * time.Millisecond, true, f.Ticket
+		return finalEvent.Final, time.Duration(finalEvent.AfterMs) * time.Millisecond, true, finalEvent.Ticket
 	}
 	if resp.StatusCode != http.StatusOK {
-		var f kserve.Final
+		var finalEvent kserve.Final
 		raw, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
 		if err != nil {
-			return broke(err)
+			return fail(err)
 		}
-		if json.Unmarshal(raw, &f) != nil || f.Final == "" {
+		if json.Unmarshal(raw, &finalEvent) != nil || finalEvent.Final == "" {
 			put(record.Final, fmt.Sprintf("fault %d: %.200s", resp.StatusCode, raw), nil)
 			return "fault", 0, true, ""
 		}
-		return final(f)
+		return finish(finalEvent)
 	}
 	events := kserve.NewEvents(resp.Body)
 	first := false
 	for {
-		ev, err := events.Next()
+		event, err := events.Next()
 		if err != nil {
-			return broke(err)
+			return fail(err)
 		}
-		if ev.Name == "" {
+		if event.Name == "" {
 			if !first {
 				first = true
 				patience.Stop()
-				put(record.First, "", func(l *record.Line) { l.Took = time.Since(began).Microseconds() })
+				put(record.First, "", func(entry *record.Line) { entry.Took = time.Since(startedAt).Microseconds() })
 			}
-			if w.ReadDelay > 0 {
-				sleep(ctx, w.ReadDelay)
+			if request.ReadDelay > 0 {
+				sleep(ctx, request.ReadDelay)
 			}
 			continue
 		}
-		var f kserve.Final
-		if json.Unmarshal(ev.Data, &f) != nil || f.Final == "" {
-			put(record.Extra, "an event that is no final answer: "+ev.Name, nil)
+		var finalEvent kserve.Final
+		if json.Unmarshal(event.Data, &finalEvent) != nil || finalEvent.Final == "" {
+			put(record.Extra, "an event that is no final answer: "+event.Name, nil)
 			continue
 		}
-		word, after, sent, next = final(f)
+		outcome, retryAfter, sent, nextTicket = finish(finalEvent)
 		time.AfterFunc(extraEventWait, func() { cancel(errNoAnswer) })
-		if ev, err := events.Next(); err == nil {
-			put(record.Extra, ev.Name, nil)
+		if event, err := events.Next(); err == nil {
+			put(record.Extra, event.Name, nil)
 		}
-		return word, after, sent, next
+		return outcome, retryAfter, sent, nextTicket
 	}
 }
 
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -1,7 +1,6 @@
-// Package standin is what the project plays itself around a dispatcher: boxes of the three roles, the box list,
-// and clients, on loopback sockets and with scripted faults. They are models in real time, not measurements of
-// engines, and take down what they see in a record.Book. They know nothing of a dispatcher but its requests. Begin
-// with Fleet.
+// Package standin provides fake backends of the three roles, a fake service discovery and clients, on loopback
+// sockets and with scripted faults. They are real-time models, not measurements of engines; what they observe goes
+// into the record of the run. They see of a dispatcher only its requests and its connections. Start with Fleet.
 package standin
 
 import (
@@ -20,63 +19,67 @@
 	"sloetrestle/internal/setup"
 )
 
-// Links are the ways that read states take between boxes.
+// Links gives the speed at which KV caches move between backends.
 type Links struct {
-	SameRack   float64 // tokens a second to a box of the same rack
-	CrossRack  float64 // over the one link of a rack
-	ZoneFactor float64 // how many times as long a token takes to another zone
+	SameRack   float64 // tokens per second to a backend of the same rack
+	CrossRack  float64 // tokens per second over the single link that a rack shares
+	ZoneFactor float64 // factor on the time of a token that goes to another zone
 }
 
-// Fleet is what boxes of a run share: the record, links, and what a mark was seen with.
+// Fleet holds what the backends of a run share: the record, the links between them, and the effects of requests
+// that backends of the same group have already carried out.
 type Fleet struct {
 	Terms    setup.Terms
 	Record   *record.Book
 	Links    Links
-	Profiles map[string]ClassProfile // by grade
+	Profiles map[string]ClassProfile // by class
 
 	mu           sync.Mutex
 	linkSlowdown float64
-	uncached     map[string]*runningMean // tokens left to read, by grade
-	effects      map[effectKey]time.Duration
+	uncached     map[string]*runningMean     // uncached prompt tokens, by class
+	effects      map[effectKey]time.Duration // when an effect was last carried out
 	rackLinks    map[string]*sharedLink
-	pools        *reach.Boxes // from writers to readers
+	pools        *reach.Boxes // from decode backends to prefill backends
 	ctx          context.Context
 	cancel       context.CancelFunc
 	starts       uint64
 	answersHeld  chan struct{} // while it is open, answers stop after their first token
 }
 
-// ClassProfile is how the questions of a grade look.
+// ClassProfile describes the requests of a class.
 type ClassProfile struct {
-	NewTokens    float64 // tokens that a turn adds, mean
-	AnswerTokens float64 // tokens of an answer, mean
-	PrefixTokens int     // tokens of a shared beginning
+	NewTokens    float64 // mean tokens that a turn adds to the prompt
+	AnswerTokens float64 // mean tokens of an answer
+	PrefixTokens int     // tokens of a shared prefix
 }
 
+// effectKey identifies an effect within a group of backends.
 type effectKey struct{ group, try string }
 
-// NewFleet makes an empty fleet.
-func NewFleet(terms setup.Terms, book *record.Book, links Links, talk map[string]ClassProfile) *Fleet {
-	f := &Fleet{
-		Terms: terms, Record: book, Links: links, Profiles: talk, linkSlowdown: 1,
+// NewFleet returns a fleet without backends and starts the upkeep of its connection pools; Close ends it.
+func NewFleet(terms setup.Terms, rec *record.Book, links Links, profiles map[string]ClassProfile) *Fleet {
+	fleet := &Fleet{
+		Terms: terms, Record: rec, Links: links, Profiles: profiles, linkSlowdown: 1,
 		uncached: map[string]*runningMean{}, effects: map[effectKey]time.Duration{}, rackLinks: map[string]*sharedLink{},
 	}
-	f.ctx, f.cancel = context.WithCancel(context.Background())
-	f.pools = &reach.Boxes{Limit: 500 * time.Millisecond, Most: 1024, Since: book.Since, Life: f.ctx, Group: &errgroup.Group{}}
-	f.pools.Group.Go(f.pools.Tend)
-	return f
+	fleet.ctx, fleet.cancel = context.WithCancel(context.Background())
+	fleet.pools = &reach.Boxes{
+		Limit: 500 * time.Millisecond, Most: 1024, Since: rec.Since, Life: fleet.ctx, Group: &errgroup.Group{},
+	}
+	fleet.pools.Group.Go(fleet.pools.Tend)
+	return fleet
 }
 
-// Close ends the ways between boxes.
+// Close ends the connections between backends.
 func (f *Fleet) Close() {
 	f.cancel()
 	f.pools.Group.Wait()
 }
 
-// prefillPool is the way to a reader at the addresses that a trip names.
-func (f *Fleet) prefillPool(name string, at []string) *reach.Host {
+// prefillPool returns the connection pool of a prefill backend at the addresses that an attempt names.
+func (f *Fleet) prefillPool(name string, addrs []string) *reach.Host {
 	var specs []addresses.Spec
-	for _, a := range at {
+	for _, a := range addrs {
 		if s, err := reach.ParseListen(a); err == nil {
 			specs = append(specs, s)
 		}
@@ -84,18 +87,18 @@
 	return f.pools.Set(name, specs, xxhash.Sum64String(name))
 }
 
-// SetLinkSlowdown makes all links so many times slower.
-func (f *Fleet) SetLinkSlowdown(times float64) {
+// SetLinkSlowdown makes all links between racks slower by a factor; 1 is the normal speed.
+func (f *Fleet) SetLinkSlowdown(factor float64) {
 	f.mu.Lock()
-	f.linkSlowdown = times
+	f.linkSlowdown = factor
 	f.mu.Unlock()
 }
 
-// HoldAnswers makes answers stop after their first token, until it is called with false.
-func (f *Fleet) HoldAnswers(on bool) {
+// HoldAnswers makes answers stop after their first token until it is called with false.
+func (f *Fleet) HoldAnswers(hold bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if on {
+	if hold {
 		f.answersHeld = make(chan struct{})
 	} else if f.answersHeld != nil {
 		close(f.answersHeld)
@@ -103,7 +106,7 @@
 	}
 }
 
-// waitWhileHeld waits while answers are held.
+// waitWhileHeld blocks while answers are held.
 func (f *Fleet) waitWhileHeld(ctx context.Context) {
 	f.mu.Lock()
 	held := f.answersHeld
@@ -116,7 +119,7 @@
 	}
 }
 
-// nextStartNumber numbers the starts of boxes.
+// nextStartNumber returns a number that no earlier start of a backend in this fleet had.
 func (f *Fleet) nextStartNumber() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -126,62 +129,66 @@
 
 type runningMean struct{ sum, count float64 }
 
-// meanUncached is the mean of what a grade's prompts had left to read so far.
-func (f *Fleet) meanUncached(grade string) float64 {
+// meanUncached returns the mean number of uncached prompt tokens of a class so far. The first value is an estimate
+// from the class's profile.
+func (f *Fleet) meanUncached(class string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.uncached[grade]
-	if m == nil {
-		m = &runningMean{f.Profiles[grade].NewTokens + float64(f.Profiles[grade].PrefixTokens)/4, 1}
-		f.uncached[grade] = m
+	uncached := f.uncached[class]
+	if uncached == nil {
+		uncached = &runningMean{f.Profiles[class].NewTokens + float64(f.Profiles[class].PrefixTokens)/4, 1}
+		f.uncached[class] = uncached
 	}
-	return m.sum / m.count
+	return uncached.sum / uncached.count
 }
 
-func (f *Fleet) observeUncached(grade string, left float64) {
-	f.meanUncached(grade)
+// observeUncached adds a prompt's uncached tokens to the mean of its class.
+func (f *Fleet) observeUncached(class string, tokens float64) {
+	f.meanUncached(class)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.uncached[grade].sum += left
-	f.uncached[grade].count++
+	f.uncached[class].sum += tokens
+	f.uncached[class].count++
 }
 
-// isNewEffect tells whether a trip's effect is a new one: within its window a group of boxes drops a deduplicated
-// question's repeats.
-func (f *Fleet) isNewEffect(b *Backend, grade, try string) bool {
-	i := f.Terms.GradeNumber(grade)
-	if i < 0 || f.Terms.Grades[i].Effect != "deduplicated" {
+// isNewEffect reports whether an attempt has an effect of its own. In a deduplicated class the backends of a group
+// (a zone or a rack) drop repeats of a key that come within the deduplication window.
+func (f *Fleet) isNewEffect(b *Backend, className, try string) bool {
+	classIndex := f.Terms.GradeNumber(className)
+	if classIndex < 0 || f.Terms.Grades[classIndex].Effect != "deduplicated" {
 		return true
 	}
-	g := f.Terms.Grades[i]
-	group := map[string]string{"zone": b.Zone, "rack": b.Rack}[g.Reach]
+	class := f.Terms.Grades[classIndex]
+	group := map[string]string{"zone": b.Zone, "rack": b.Rack}[class.Reach]
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Record.Since()
-	at, known := f.effects[effectKey{group, try}]
-	if known && now-at < g.Window.D() {
+	seenAt, known := f.effects[effectKey{group, try}]
+	if known && now-seenAt < class.Window.D() {
 		return false
 	}
 	f.effects[effectKey{group, try}] = now
 	return true
 }
 
-// answerTokens is how long the answer to a try truly is.
-func (f *Fleet) answerTokens(grade, try string, most int) int {
-	return AnswerTokens(f.Profiles[grade].AnswerTokens, try, most)
+// answerTokens returns the true length of the answer to a try, in tokens.
+func (f *Fleet) answerTokens(class, try string, maxTokens int) int {
+	return AnswerTokens(f.Profiles[class].AnswerTokens, try, maxTokens)
 }
 
-// AnswerTokens draws an answer's length about a mean: the same for a try at every box, and told to no one.
-func AnswerTokens(mean float64, try string, most int) int {
+// AnswerTokens draws the length of an answer, in tokens, between 0.4 and 1.6 times a mean. It depends on the try
+// alone, so that all backends give the same answer; no dispatcher is told the length.
+func AnswerTokens(mean float64, try string, maxTokens int) int {
 	rng := rand.New(rand.NewPCG(xxhash.Sum64String(try), 7))
 	n := int(math.Round(mean * (0.4 + 1.2*rng.Float64())))
-	return min(max(n, 1), max(most, 1))
+	return min(max(n, 1), max(maxTokens, 1))
 }
 
-// transfer takes as long as tokens need between two boxes. A rack's link is shared: moves over it follow one another.
+// transfer blocks for as long as a KV cache of that many tokens needs from one backend to another. The link of a
+// rack is shared: transfers over it follow one another.
 func (f *Fleet) transfer(ctx context.Context, from *Backend, toRack, toZone string, tokens float64) error {
 	f.mu.Lock()
-	slow := f.linkSlowdown
+	slowdown := f.linkSlowdown
 	link := f.rackLinks[from.Rack]
 	if link == nil {
 		link = &sharedLink{}
@@ -191,33 +198,33 @@
 	if toRack == from.Rack {
 		return sleep(ctx, secondsToDuration(tokens/f.Links.SameRack))
 	}
-	times := slow
+	factor := slowdown
 	if toZone != from.Zone {
-		times *= max(f.Links.ZoneFactor, 1)
+		factor *= max(f.Links.ZoneFactor, 1)
 	}
-	return link.use(ctx, secondsToDuration(tokens/f.Links.CrossRack*times))
+	return link.use(ctx, secondsToDuration(tokens/f.Links.CrossRack*factor))
 }
 
-// sharedLink is something that one after the other uses.
+// sharedLink serves one transfer at a time.
 type sharedLink struct {
 	mu     sync.Mutex
 	freeAt time.Time
 }
 
-// use waits for the lane, then takes it for so long.
-func (l *sharedLink) use(ctx context.Context, d time.Duration) error {
+// use waits until the link is free, then occupies it for a duration.
+func (l *sharedLink) use(ctx context.Context, occupied time.Duration) error {
 	l.mu.Lock()
 	now := time.Now()
 	if l.freeAt.Before(now) {
 		l.freeAt = now
 	}
-	l.freeAt = l.freeAt.Add(d)
+	l.freeAt = l.freeAt.Add(occupied)
 	until := l.freeAt
 	l.mu.Unlock()
 	err := sleep(ctx, time.Until(until))
-	if err != nil { // what was called off leaves its turn to others
+	if err != nil { // a cancelled transfer gives its time on the link back
 		l.mu.Lock()
-		l.freeAt = l.freeAt.Add(-min(max(time.Until(until), 0), d))
+		l.freeAt = l.freeAt.Add(-min(max(time.Until(until), 0), occupied))
 		l.mu.Unlock()
 	}
 	return err
@@ -225,6 +232,7 @@
 
 func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
+// sleep waits for a duration; it returns early with the context's cause when the context ends.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -239,7 +247,7 @@
 	}
 }
 
-// newRand makes a generator for a name.
+// newRand returns a random generator that depends on a seed and a name.
 func newRand(seed uint64, name string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(name)))
 }
