--- a/internal/hosts/hosts.go
+++ b/internal/hosts/hosts.go
@@ -58,7 +58,7 @@
 	heldBy     map[string]string    // uid of the backend that holds the KV cache, by request id
 	idleSince  map[string]time.Time // by request id: since when a KV cache is held with no copy in flight
 	Violations []string             // rules that were broken, as the backends saw it
-	PinLimit   time.Duration        // how long a KV cache may be held with no copy of the request in flight
+	HoldLimit  time.Duration        // how long a KV cache may be held with no copy of the request in flight
 	agents     []*Agent
 	rev        int64
 	handlers   sync.WaitGroup
@@ -68,7 +68,7 @@
 func New() *Platform {
 	return &Platform{
 		inFlight: map[string]int{}, heldBy: map[string]string{}, idleSince: map[string]time.Time{},
-		rev: 1, PinLimit: 850 * time.Millisecond,
+		rev: 1, HoldLimit: 850 * time.Millisecond,
 	}
 }
 
@@ -274,9 +274,9 @@
 }
 
 // endIdleHold ends the time during which a KV cache was held with no copy of its request in flight, and records a
-// violation if that was longer than PinLimit. s.mu must be held.
+// violation if that was longer than HoldLimit. s.mu must be held.
 func (s *Platform) endIdleHold(id string) {
-	if since, ok := s.idleSince[id]; ok && time.Since(since) > s.PinLimit {
+	if since, ok := s.idleSince[id]; ok && time.Since(since) > s.HoldLimit {
 		s.Violations = append(s.Violations,
 			fmt.Sprintf("the KV cache of %s was held for %v without a request in flight", id, time.Since(since)))
 	}
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -238,7 +238,7 @@
 	h.until("all attempts are over", func() bool { return h.site.InFlight() == 0 })
 	began := time.Now()
 	h.until("all states are released", func() bool { return h.site.HeldCount() == 0 })
-	if took := time.Since(began); took > h.site.PinLimit {
+	if took := time.Since(began); took > h.site.HoldLimit {
 		t.Errorf("the last state is released after %v", took)
 	}
 	h.settled()
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -336,7 +336,7 @@
 func TestAStateIsLetGoWhereNoConnectionComesUp(t *testing.T) {
 	h := enter(t, func(h *house, p *Place) {
 		p.Settings["familyInfo"].(map[string]any)["pinLimitUs"] = 300_000.0
-		h.site.PinLimit = 500 * time.Millisecond
+		h.site.HoldLimit = 500 * time.Millisecond
 		h.site.AddBackend("r2", hosts.DecodeKind).State = "terminating" // it takes no requests, but that call
 	})
 	h.reader.Handler = func(e *hosts.Exchange) bool {
