--- a/internal/hosts/hosts.go
+++ b/internal/hosts/hosts.go
@@ -87,34 +87,34 @@
 }
 
 // AddBackend adds a backend that is in service, on a loopback address.
-func (s *Platform) AddBackend(uid, kind string) *Backend {
+func (p *Platform) AddBackend(uid, kind string) *Backend {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
 	backend := &Backend{
 		UID: uid, Kind: kind, Address: listener.Addr().String(), State: "in_service",
-		platform: s, listener: listener, conns: map[net.Conn]bool{},
+		platform: p, listener: listener, conns: map[net.Conn]bool{},
 	}
-	s.mu.Lock()
-	s.backends = append(s.backends, backend)
-	s.mu.Unlock()
-	s.accept(listener, backend.conns, backend.serve)
+	p.mu.Lock()
+	p.backends = append(p.backends, backend)
+	p.mu.Unlock()
+	p.accept(listener, backend.conns, backend.serve)
 	return backend
 }
 
 // accept serves connections until the listener closes. conns holds the open ones, marked idle until serve says otherwise.
-func (s *Platform) accept(listener net.Listener, conns map[net.Conn]bool, serve func(net.Conn)) {
-	s.handlers.Go(func() {
+func (p *Platform) accept(listener net.Listener, conns map[net.Conn]bool, serve func(net.Conn)) {
+	p.handlers.Go(func() {
 		for {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			s.mu.Lock()
+			p.mu.Lock()
 			conns[conn] = true
-			s.mu.Unlock()
-			s.handlers.Go(func() { serve(conn) })
+			p.mu.Unlock()
+			p.handlers.Go(func() { serve(conn) })
 		}
 	})
 }
@@ -274,19 +274,19 @@
 }
 
 // endIdleHold ends the time during which a KV cache was held with no copy of its request in flight, and records a
-// violation if that was longer than HoldLimit. s.mu must be held.
-func (s *Platform) endIdleHold(id string) {
-	if since, ok := s.idleSince[id]; ok && time.Since(since) > s.HoldLimit {
-		s.Violations = append(s.Violations,
+// violation if that was longer than HoldLimit. p.mu must be held.
+func (p *Platform) endIdleHold(id string) {
+	if since, ok := p.idleSince[id]; ok && time.Since(since) > p.HoldLimit {
+		p.Violations = append(p.Violations,
 			fmt.Sprintf("the KV cache of %s was held for %v without a request in flight", id, time.Since(since)))
 	}
-	delete(s.idleSince, id)
+	delete(p.idleSince, id)
 }
 
-// removeKVCache notes that a request's KV cache is no longer held. s.mu must be held.
-func (s *Platform) removeKVCache(id string) {
-	s.endIdleHold(id)
-	delete(s.heldBy, id)
+// removeKVCache notes that a request's KV cache is no longer held. p.mu must be held.
+func (p *Platform) removeKVCache(id string) {
+	p.endIdleHold(id)
+	delete(p.heldBy, id)
 }
 
 // Blackhole makes the backend's machine unresponsive: open connections stay, and new ones are neither accepted nor
@@ -311,18 +311,18 @@
 
 // checkSingleCopy records a violation if another copy of the request is in flight. It waits briefly first, because
 // a backend may notice late that the dispatcher closed the connection of the other copy.
-func (s *Platform) checkSingleCopy(id string) {
+func (p *Platform) checkSingleCopy(id string) {
 	if id == "" {
 		return
 	}
 	for end := time.Now().Add(50 * time.Millisecond); ; time.Sleep(time.Millisecond) {
-		s.mu.Lock()
-		copies := s.inFlight[id]
+		p.mu.Lock()
+		copies := p.inFlight[id]
 		if copies > 1 && time.Now().After(end) {
-			s.Violations = append(s.Violations, "a second copy of "+id+" is in flight")
+			p.Violations = append(p.Violations, "a second copy of "+id+" is in flight")
 			copies = 1
 		}
-		s.mu.Unlock()
+		p.mu.Unlock()
 		if copies <= 1 {
 			return
 		}
@@ -383,11 +383,11 @@
 }
 
 // Requests lists the requests with a method that a backend received; an empty uid stands for all backends.
-func (s *Platform) Requests(uid, method string) []*Exchange {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (p *Platform) Requests(uid, method string) []*Exchange {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	var found []*Exchange
-	for _, e := range s.requests {
+	for _, e := range p.requests {
 		if (uid == "" || e.Backend.UID == uid) && e.Method == method {
 			found = append(found, e)
 		}
@@ -396,31 +396,31 @@
 }
 
 // HeldCount returns the number of KV caches held.
-func (s *Platform) HeldCount() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.heldBy)
+func (p *Platform) HeldCount() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.heldBy)
 }
 
 // InFlight returns the number of requests in flight.
-func (s *Platform) InFlight() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (p *Platform) InFlight() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	total := 0
-	for _, count := range s.inFlight {
+	for _, count := range p.inFlight {
 		total += count
 	}
 	return total
 }
 
 // UpdateDiscovery changes what service discovery lists and pushes the new list to the watches.
-func (s *Platform) UpdateDiscovery(change func()) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (p *Platform) UpdateDiscovery(change func()) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	change()
-	s.rev++
-	for _, a := range s.agents {
-		a.push(s.discoveryList(false))
+	p.rev++
+	for _, a := range p.agents {
+		a.push(p.discoveryList(false))
 	}
 }
 
@@ -436,13 +436,13 @@
 	Boot     int64   `json:"boot_ms"`
 }
 
-// discoveryList encodes the list of service discovery. s.mu must be held.
-func (s *Platform) discoveryList(full bool) []byte {
+// discoveryList encodes the list of service discovery. p.mu must be held.
+func (p *Platform) discoveryList(full bool) []byte {
 	targets := []Target{}
-	for i, b := range s.backends {
+	for i, b := range p.backends {
 		targets = append(targets, Target{b.UID, b.Address, "hall-1", b.Kind, i % 2, b.State, 1, 0})
 	}
-	raw, err := json.Marshal(map[string]any{"rev": s.rev, "all": full, "targets": targets})
+	raw, err := json.Marshal(map[string]any{"rev": p.rev, "all": full, "targets": targets})
 	if err != nil {
 		panic(err)
 	}
@@ -450,10 +450,10 @@
 }
 
 // DiscoveryList returns the full list of service discovery, encoded.
-func (s *Platform) DiscoveryList() []byte {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.discoveryList(true)
+func (p *Platform) DiscoveryList() []byte {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.discoveryList(true)
 }
 
 // Agent is the service discovery at one address.
@@ -471,19 +471,19 @@
 }
 
 // AddAgent starts another agent, on a loopback address.
-func (s *Platform) AddAgent() *Agent {
+func (p *Platform) AddAgent() *Agent {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
 	agent := &Agent{
-		Address: listener.Addr().String(), platform: s, listener: listener,
+		Address: listener.Addr().String(), platform: p, listener: listener,
 		watches: map[net.Conn]bool{}, conns: map[net.Conn]bool{},
 	}
-	s.mu.Lock()
-	s.agents = append(s.agents, agent)
-	s.mu.Unlock()
-	s.accept(listener, agent.conns, agent.serve)
+	p.mu.Lock()
+	p.agents = append(p.agents, agent)
+	p.mu.Unlock()
+	p.accept(listener, agent.conns, agent.serve)
 	return agent
 }
 
@@ -619,10 +619,10 @@
 }
 
 // Close ends all backends and agents. It panics if their goroutines don't end within 10 seconds.
-func (s *Platform) Close() {
-	s.mu.Lock()
-	backends, agents := slices.Clone(s.backends), slices.Clone(s.agents)
-	s.mu.Unlock()
+func (p *Platform) Close() {
+	p.mu.Lock()
+	backends, agents := slices.Clone(p.backends), slices.Clone(p.agents)
+	p.mu.Unlock()
 	for _, b := range backends {
 		b.Kill()
 	}
@@ -631,7 +631,7 @@
 		a.CloseConns()
 	}
 	done := make(chan struct{})
-	go func() { s.handlers.Wait(); close(done) }()
+	go func() { p.handlers.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -286,7 +286,7 @@
 	closed       chan struct{}
 	chunks       chan chunk
 	unread       []byte
-	delayed      bool // the wait that the endpoint's mode asks for is over for unread
+	modeApplied  bool // whether the endpoint's mode has been applied to unread
 	readDeadline readDeadline
 	readErr      error
 
@@ -397,7 +397,7 @@
 				}
 				return 0, c.readErr
 			}
-			c.unread, c.delayed = next.data, false
+			c.unread, c.modeApplied = next.data, false
 			c.mu.Lock()
 			c.bytesRead += len(next.data)
 			c.lastArrival = next.arrivedAt
@@ -406,11 +406,11 @@
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
-	if !c.delayed {
+	if !c.modeApplied {
 		if err := c.waitForMode(); err != nil {
 			return 0, err
 		}
-		c.delayed = true
+		c.modeApplied = true
 	}
 	n := copy(p, c.unread)
 	c.unread = c.unread[n:]
