--- a/internal/hosts/hosts.go
+++ b/internal/hosts/hosts.go
@@ -28,11 +28,16 @@
 )
 
 // Settings are the settings of a small deployment, in the form in which the platform provides them.
-const Settings = `{"siblings":1,"slotNo":0,"discovery":"automatic","dcs":["hall-1"],"kinds":["prompt-side","answer-side"],
-"familyInfo":{"kindRole":["read","write"],"localRead":false,"resume":true,"tokensByKind":[200000,200000],"pinLimitUs":500000},
-"policyLimits":{"cancelling":true,"maxAttempts":4,"connIdleUs":30000000,"dialTimeoutUs":250000,"retryAfter":true,"maxRetryAfterUs":2000000,"maxOpen":1000},
-"report":{"fields":["util","queue","x0"],"source":"piggyback"},"rules":{"tipMultiple":2.5,"tipAfterUs":2000000,"coldFrom":0.4,"rampTimeUs":9000000},
-"requestClasses":[{"name":"trail-info","effect":"repeatable","aimUs":1500000,"worth":2,"lateWorth":0.1,"giveUpUs":6000000},
+const Settings = `{"siblings":1,"slotNo":0,"discovery":"automatic","dcs":["hall-1"],` +
+	`"kinds":["prompt-side","answer-side"],
+"familyInfo":{"kindRole":["read","write"],"localRead":false,"resume":true,` +
+	`"tokensByKind":[200000,200000],"pinLimitUs":500000},
+"policyLimits":{"cancelling":true,"maxAttempts":4,"connIdleUs":30000000,"dialTimeoutUs":250000,` +
+	`"retryAfter":true,"maxRetryAfterUs":2000000,"maxOpen":1000},
+"report":{"fields":["util","queue","x0"],"source":"piggyback"},` +
+	`"rules":{"tipMultiple":2.5,"tipAfterUs":2000000,"coldFrom":0.4,"rampTimeUs":9000000},
+"requestClasses":[{"name":"trail-info","effect":"repeatable","aimUs":1500000,"worth":2,` +
+	`"lateWorth":0.1,"giveUpUs":6000000},
 {"name":"hut-booking","effect":"once","aimUs":800000,"worth":5,"lateWorth":0.3,"giveUpUs":4000000}],
 "tenants":[{"name":"web-app","quotaPerS":1000}],"overShareWorth":0.05,"valueBy":"work"}`
 
@@ -103,7 +108,8 @@
 	return backend
 }
 
-// accept serves connections until the listener closes. conns holds the open ones, marked idle until serve says otherwise.
+// accept serves connections until the listener closes. conns holds the open ones, marked idle until serve says
+// otherwise.
 func (p *Platform) accept(listener net.Listener, conns map[net.Conn]bool, serve func(net.Conn)) {
 	p.handlers.Go(func() {
 		for {
