--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -315,7 +315,7 @@
 	waiting        []*want
 	emergency      float64 // bucket of a rate, while the keeper is silent
 	filled         time.Duration
-	demand         brain.Ring // tokens
+	demand         brain.RollingSum // tokens
 	largest        float64
 	after          time.Duration // when there may be more, as the keeper last said
 	Counts         Counts
@@ -343,7 +343,7 @@
 
 // NewPurse makes one, with nothing in it.
 func NewPurse(t Terms, holder string, of int, m Month, send func(Ask)) *Purse {
-	return &Purse{Terms: t, Holder: holder, Of: max(of, 1), Send: send, month: m.Number, largest: 1, demand: brain.Ring{Width: demandWidth}}
+	return &Purse{Terms: t, Holder: holder, Of: max(of, 1), Send: send, month: m.Number, largest: 1, demand: brain.RollingSum{BucketWidth: demandWidth}}
 }
 
 // turn goes on to another month: what was lent of the last one is gone.
@@ -452,7 +452,7 @@
 			least = max(w.tokens-p.free(now), 1)
 		}
 	}
-	target := queue + p.demand.PerS(now)*leaseSpan.Seconds()
+	target := queue + p.demand.PerSecond(now)*leaseSpan.Seconds()
 	if target > 0 {
 		target += p.largest
 	}
@@ -463,7 +463,7 @@
 // Tend is called now and then: it asks ahead of need, again where nobody answered, and gives back what is idle.
 func (p *Purse) Tend(now time.Duration) {
 	more, least := p.want(now)
-	short := more > 0 && (least > 0 || p.free(now) < p.demand.PerS(now)*leaseSpan.Seconds()/2)
+	short := more > 0 && (least > 0 || p.free(now) < p.demand.PerSecond(now)*leaseSpan.Seconds()/2)
 	unheard := p.sentAny && p.answered < p.number
 	if unheard && now-p.heard > silence && !p.silent {
 		p.silent = true
@@ -476,7 +476,7 @@
 			p.ownPart(now, w.tokens, w.then)
 		}
 	}
-	idle := p.free(now) - p.demand.PerS(now)*idleSpan.Seconds() - p.largest
+	idle := p.free(now) - p.demand.PerSecond(now)*idleSpan.Seconds() - p.largest
 	if idle > 0 && !unheard && p.free(now) > 0 {
 		p.returned += idle
 		p.ask(now)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -15,7 +15,7 @@
 // wire carries messages between purses and a keeper in virtual time, and loses, repeats and delays them.
 type wire struct {
 	now    time.Duration
-	queue  agenda.Agenda
+	queue  agenda.Queue
 	rng    *rand.Rand
 	loss   float64
 	slow   time.Duration
@@ -30,10 +30,10 @@
 	marks  map[string]bool // emergency parts that were begun, by dispatcher and month
 }
 
-func (w *wire) after(d time.Duration, do func()) { w.queue.At(w.now+d, do) }
+func (w *wire) after(d time.Duration, do func()) { w.queue.Schedule(w.now+d, do) }
 
 func (w *wire) run(until time.Duration) {
-	w.queue.Run(until, func(at time.Duration) { w.now = at })
+	w.queue.RunUntil(until, func(at time.Duration) { w.now = at })
 	w.now = until
 }
 
--- a/internal/day/troubles.go
+++ b/internal/day/troubles.go
@@ -28,7 +28,7 @@
 func (r *run) trouble(ctx context.Context, t Trouble, wait func(time.Duration) bool) error {
 	r.book.Put(record.Line{What: record.Note, Word: t.Kind + " begins"})
 	r.say("        %s begins", t.Kind)
-	hit, length := r.hit(t), t.Length.D()
+	hit, length := r.hit(t), t.Length.Std()
 	faults := func(change func(*standin.Faults)) {
 		for _, b := range hit {
 			b.UpdateFaults(change)
@@ -97,17 +97,17 @@
 		err = r.back(hit)
 	case "drain":
 		for _, b := range hit {
-			r.list.Publish(b, boxlist.Draining, r.day.List.Notice.D())
+			r.list.Publish(b, boxlist.Draining, r.day.List.Notice.Std())
 		}
 		wait(length)
 		for _, b := range hit {
 			b.Kill("drained")
-			r.list.Publish(b, boxlist.Gone, r.day.List.Notice.D())
+			r.list.Publish(b, boxlist.Removed, r.day.List.Notice.Std())
 		}
 		wait(length + time.Second)
 		err = r.back(hit)
 	case "list_stale":
-		r.list.SetDelay(t.By.D())
+		r.list.SetDelay(t.By.Std())
 		wait(length)
 		r.list.SetDelay(0)
 	case "list_gap":
@@ -140,8 +140,8 @@
 // lose kills a box; the list notices after a while, unless it is back before.
 func (r *run) lose(b *standin.Backend, why string, away time.Duration) {
 	b.Kill(why)
-	if silent := r.day.List.Silent.D(); away > silent {
-		r.list.Publish(b, boxlist.Gone, silent)
+	if silent := r.day.List.Silent.Std(); away > silent {
+		r.list.Publish(b, boxlist.Removed, silent)
 	}
 }
 
@@ -154,7 +154,7 @@
 		if err := b.Boot(true); err != nil {
 			return err
 		}
-		r.list.Publish(b, boxlist.Ready, r.day.List.Notice.D())
+		r.list.Publish(b, boxlist.Ready, r.day.List.Notice.Std())
 	}
 	return nil
 }
@@ -206,7 +206,7 @@
 		}()
 	}
 	all.Wait()
-	if !wait(t.Length.D()) {
+	if !wait(t.Length.Std()) {
 		return nil
 	}
 	for _, n := range t.Dispatchers {
@@ -245,16 +245,16 @@
 	case "drop":
 		for _, b := range hit {
 			r.list.OmitAddresses(b, t.Addresses)
-			r.list.Publish(b, boxlist.Ready, r.day.List.Notice.D())
+			r.list.Publish(b, boxlist.Ready, r.day.List.Notice.Std())
 		}
 		wait()
 		for _, b := range hit {
 			r.list.OmitAddresses(b, nil)
-			r.list.Publish(b, boxlist.Ready, r.day.List.Notice.D())
+			r.list.Publish(b, boxlist.Ready, r.day.List.Notice.Std())
 		}
 		return nil
 	}
-	err := each(func(b *standin.Backend, i int) error { return b.Endpoint(i).SetMode(mode, t.By.D(), t.Bytes) })
+	err := each(func(b *standin.Backend, i int) error { return b.Endpoint(i).SetMode(mode, t.By.Std(), t.Bytes) })
 	wait()
 	return errors.Join(err, each(func(b *standin.Backend, i int) error { return b.Endpoint(i).SetMode(standin.EndpointServes, 0, 0) }))
 }
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -15,14 +15,14 @@
 	if len(w.day.Budgets) == 0 {
 		return
 	}
-	b := &dispatch.Books{Month: month, Keepers: map[string]*budget.Keeper{}}
+	b := &dispatch.Accounting{Month: month, OwnedBudgets: map[string]*budget.Keeper{}}
 	of := len(w.dispatchers)
 	if n := w.day.Head.Dispatchers; n > of {
 		of = n
 	}
 	loop := d.loop
 	for _, s := range w.day.Budgets {
-		t, at := s.Terms(), 0
+		t, at := s.TokenLimits(), 0
 		if w.day.Head.SplitBudgets { // the plain way, to compare with: an equal part for each
 			part := float64(of)
 			t.PerS, t.Burst, t.Monthly, t.Borrow = t.PerS/part, t.Burst/part, t.Monthly/part, t.Borrow/part
@@ -32,7 +32,7 @@
 		}
 		if at == d.number {
 			key := fmt.Sprintf("%s %d", t.Name, at)
-			b.Keepers[t.Name] = budget.NewKeeper(t, w.now, month(w.now), w.lent[key], 0, 0, func(what string, _ int64, tokens float64, done func()) {
+			b.OwnedBudgets[t.Name] = budget.NewKeeper(t, w.now, month(w.now), w.lent[key], 0, 0, func(what string, _ int64, tokens float64, done func()) {
 				w.after(commitTime, func() {
 					if what == "lent" {
 						w.lent[key] = max(w.lent[key], tokens)
@@ -51,7 +51,7 @@
 					return
 				}
 				k.do(func() {
-					k.books.Keepers[a.Name].Asked(w.now, month(w.now), a, func(l budget.Lend) {
+					k.books.OwnedBudgets[a.Name].Asked(w.now, month(w.now), a, func(l budget.Lend) {
 						w.after(hop, func() {
 							if d.loop == loop && d.up {
 								d.do(func() { p.Lent(w.now, l) })
@@ -61,11 +61,11 @@
 				})
 			})
 		})
-		b.Purses = append(b.Purses, p)
+		b.Budgets = append(b.Budgets, p)
 		w.purses = append(w.purses, p)
 	}
 	d.books = b
-	loop.Keep(b)
+	loop.SetAccounting(b)
 }
 
 const commitTime = 22 * time.Millisecond // half a group's wait, and a disk's sync
@@ -91,7 +91,7 @@
 		out[p.Terms.Name] = u
 	}
 	for _, s := range w.day.Budgets {
-		if t := s.Terms(); t.Monthly > 0 {
+		if t := s.TokenLimits(); t.Monthly > 0 {
 			u := out[t.Name]
 			u.Share = u.Used / t.Monthly
 			out[t.Name] = u
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -64,17 +64,17 @@
 				if d.up && d.open[c] {
 					delete(d.open, c)
 					delete(d.of, c.asked)
-					d.do(func() { d.loop.Left(c.asked) })
+					d.do(func() { d.loop.ClientDisconnected(c.asked) })
 				}
 			}
 		})
 	}
 	d.open[c] = true
-	c.asked = &dispatch.ClientRequest{Ask: kserve.Ask{ID: c.id, Session: wish.Session, Shared: wish.PrefixID, Tokens: wish.PromptTokens, Prefix: wish.PrefixTokens, Most: wish.MaxTokens,
-		Again: try > 0, Ticket: ticket}, Grade: wish.Class, Channel: wish.Tenant}
+	c.asked = &dispatch.ClientRequest{Params: kserve.Request{ID: c.id, Session: wish.Session, SharedPrefix: wish.PrefixID, PromptTokens: wish.PromptTokens, PrefixTokens: wish.PrefixTokens, MaxTokens: wish.MaxTokens,
+		IsRetry: try > 0, RetryTicket: ticket}, Class: wish.Class, Tenant: wish.Tenant}
 	d.of[c.asked] = c
-	c.asked.Tell = func(f kserve.Final) { w.after(hop, func() { c.final(f) }) }
-	grade, channel := w.day.GradeNumber(wish.Class), max(w.day.ChannelNumber(wish.Tenant), 0)
+	c.asked.OnFinal = func(f kserve.FinalResponse) { w.after(hop, func() { c.final(f) }) }
+	grade, channel := w.day.ClassIndex(wish.Class), max(w.day.TenantIndex(wish.Tenant), 0)
 	w.after(hop, func() {
 		if c.over && wish.LeaveAfter == 0 || !d.open[c] {
 			return
@@ -83,20 +83,20 @@
 	})
 }
 
-func (c *client) final(f kserve.Final) {
+func (c *client) final(f kserve.FinalResponse) {
 	if c.over {
 		return
 	}
 	c.over = true
 	delete(c.d.open, c)
 	delete(c.d.of, c.asked)
-	c.put(record.Final, f.Final, func(l *record.Line) { l.AfterMs, l.Trips = f.AfterMs, f.Trips })
-	if f.Final != kserve.Satisfied && (f.Final == kserve.Declined || c.wish.Idempotent) {
-		ticket := f.Ticket
+	c.put(record.Final, f.Outcome, func(l *record.Line) { l.AfterMs, l.Trips = f.RetryAfterMs, f.Attempts })
+	if f.Outcome != kserve.Served && (f.Outcome == kserve.Rejected || c.wish.Idempotent) {
+		ticket := f.RetryTicket
 		if !c.wish.HonoursRetryAfter {
 			ticket = ""
 		}
-		c.again(time.Duration(f.AfterMs)*time.Millisecond, ticket)
+		c.again(time.Duration(f.RetryAfterMs)*time.Millisecond, ticket)
 	}
 }
 
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -44,7 +44,7 @@
 
 // ReadTrace reads arrivals from CSV with a header, or from JSON lines; the file's ending says which. Times need not be in
 // order. What is wrong is named with its line.
-func ReadTrace(file string, terms setup.Terms) ([]standin.Request, error) {
+func ReadTrace(file string, terms setup.Deployment) ([]standin.Request, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, err
@@ -61,20 +61,20 @@
 	}
 	wishes := make([]standin.Request, len(all))
 	for i, a := range all {
-		n := max(terms.GradeNumber(a.Grade), 0)
-		if a.Grade != "" && terms.GradeNumber(a.Grade) < 0 {
+		n := max(terms.ClassIndex(a.Grade), 0)
+		if a.Grade != "" && terms.ClassIndex(a.Grade) < 0 {
 			return nil, fmt.Errorf("%s: arrival %d: grade %q is unknown", file, i+1, a.Grade)
 		}
 		if a.AtMs < 0 || a.Tokens < 1 || a.Prefix < 0 || a.Prefix > a.Tokens || a.Most < 0 {
 			return nil, fmt.Errorf("%s: arrival %d: senseless: %+v", file, i+1, a)
 		}
-		g := terms.Grades[n]
+		g := terms.Classes[n]
 		k := float64(a.Tokens) / 1000
 		w := standin.Request{SubmitAt: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Class: g.Name, Tenant: a.Channel, Session: a.Session,
-			PrefixID: a.Shared, PrefixTokens: a.Prefix, PromptTokens: a.Tokens, MaxTokens: a.Most, LatencyTarget: g.Promised.D() + time.Duration(k*float64(g.PerK)),
-			Deadline: g.Expiry.D() + 2*time.Duration(k*float64(g.PerK)), PatienceShare: 1, Idempotent: g.Effect == "idempotent"}
+			PrefixID: a.Shared, PrefixTokens: a.Prefix, PromptTokens: a.Tokens, MaxTokens: a.Most, LatencyTarget: g.LatencyTarget.Std() + time.Duration(k*float64(g.TargetPer1000Tokens)),
+			Deadline: g.Deadline.Std() + 2*time.Duration(k*float64(g.TargetPer1000Tokens)), PatienceShare: 1, Idempotent: g.Effect == "idempotent"}
 		if w.MaxTokens == 0 {
-			w.MaxTokens = g.Most
+			w.MaxTokens = g.DefaultMaxTokens
 		}
 		wishes[i] = w
 	}
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -236,10 +236,10 @@
 func (b *Backend) slowStartShare() float64 {
 	rules := b.fleet.Terms.Rules
 	uptime := b.fleet.Record.Since() - b.startedAt
-	if !b.slowStart || uptime >= rules.ColdRamp.D() {
+	if !b.slowStart || uptime >= rules.SlowStartRamp.Std() {
 		return 1
 	}
-	return rules.ColdShare + (1-rules.ColdShare)*float64(uptime)/float64(rules.ColdRamp.D())
+	return rules.SlowStartShare + (1-rules.SlowStartShare)*float64(uptime)/float64(rules.SlowStartRamp.Std())
 }
 
 // runEngine runs an engine's steps in real time until the process ends.
@@ -308,16 +308,16 @@
 }
 
 // meanWork returns the mean work of an attempt of this class and stage, in seconds of the backend's full capacity.
-func (b *Backend) meanWork(attempt kserve.Errand) float64 {
+func (b *Backend) meanWork(attempt kserve.AttemptParams) float64 {
 	config := b.Engine
-	prefill := b.fleet.meanUncached(attempt.Grade) / config.ReadPerS
+	prefill := b.fleet.meanUncached(attempt.Class) / config.ReadPerS
 	step := config.Step.Seconds() + float64(config.Slots)*config.PerAnswer.Seconds() +
 		float64(config.Slots)*config.PerContextK.Seconds()
-	decode := b.fleet.Profiles[attempt.Grade].AnswerTokens * step / float64(config.Slots)
-	switch attempt.Stage {
-	case kserve.StageRead:
+	decode := b.fleet.Profiles[attempt.Class].AnswerTokens * step / float64(config.Slots)
+	switch attempt.Phase {
+	case kserve.PhasePrefill:
 		return prefill
-	case kserve.StageWrite:
+	case kserve.PhaseDecode:
 		return decode
 	}
 	return prefill + decode
@@ -329,11 +329,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	rules, now := b.fleet.Terms.Rules, b.fleet.Record.Since()
-	if !b.slowStart || now-b.startedAt > rules.ColdRamp.D() {
+	if !b.slowStart || now-b.startedAt > rules.SlowStartRamp.Std() {
 		return false
 	}
 	b.recentWork = append(b.recentWork, workSample{now, work})
-	for len(b.recentWork) > 0 && b.recentWork[0].receivedAt < now-rules.ColdWindow.D() {
+	for len(b.recentWork) > 0 && b.recentWork[0].receivedAt < now-rules.SlowStartWindow.Std() {
 		b.recentWork = b.recentWork[1:]
 	}
 	total := 0.0
@@ -341,7 +341,7 @@
 		total += sample.work
 	}
 	b.overloaded = b.overloaded ||
-		total > rules.ColdMultiple*b.slowStartShare()*rules.ColdWindow.D().Seconds()*slowStartSlack
+		total > rules.SlowStartMultiple*b.slowStartShare()*rules.SlowStartWindow.Std().Seconds()*slowStartSlack
 	return b.overloaded
 }
 
@@ -354,7 +354,7 @@
 	defer b.mu.Unlock()
 	values := b.engine.Report()
 	var report []float64
-	for _, name := range b.fleet.Terms.Report {
+	for _, name := range b.fleet.Terms.ReportFields {
 		report = append(report, values[name])
 	}
 	return report
@@ -380,14 +380,14 @@
 
 // handleAttempt serves one attempt from the arrival of its body to its end.
 func (b *Backend) handleAttempt(w http.ResponseWriter, r *http.Request) {
-	attempt, _, err := kserve.ReadErrand(http.MaxBytesReader(w, r.Body, 16<<20))
+	attempt, _, err := kserve.ReadAttemptParams(http.MaxBytesReader(w, r.Body, 16<<20))
 	if err != nil {
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return
 	}
 	line := record.Line{
-		Box: b.Name, Try: attempt.Mark, Grade: attempt.Grade, Key: attempt.Key(),
-		Stage: attempt.Stage, Trip: attempt.Trip,
+		Box: b.Name, Try: attempt.DedupKey, Grade: attempt.Class, Key: attempt.RequestKey(),
+		Stage: attempt.Phase, Trip: attempt.Attempt,
 	}
 	put := func(what, outcome string) {
 		entry := line
@@ -416,7 +416,7 @@
 	outcome := "broke"
 	var usage func() (prefilled, cached, generated int)
 	count := b.countAttempt(attempt)
-	countOnce := func(end string) *kserve.Count {
+	countOnce := func(end string) *kserve.UsageRecord {
 		if usage == nil {
 			return count(end, 0, 0, 0)
 		}
@@ -427,7 +427,7 @@
 
 	b.mu.Lock()
 	startNumber, faults, backendCtx := b.StartNumber, b.faults, b.ctx
-	fail := b.rng.Float64() < faults.ErrorShare && (faults.ErrorClass == "" || faults.ErrorClass == attempt.Grade)
+	fail := b.rng.Float64() < faults.ErrorShare && (faults.ErrorClass == "" || faults.ErrorClass == attempt.Class)
 	reset, resetEarly := b.rng.Float64() < faults.ResetShare, b.rng.Float64() < faults.EarlyResetShare
 	crash := b.rng.Float64() < faults.CrashAfterPrefillShare
 	b.mu.Unlock()
@@ -437,16 +437,16 @@
 		panic(http.ErrAbortHandler)
 	}
 	recordEffect := func() {
-		if b.fleet.isNewEffect(b, attempt.Grade, cmp.Or(attempt.Mark, attempt.Key())) {
+		if b.fleet.isNewEffect(b, attempt.Class, cmp.Or(attempt.DedupKey, attempt.RequestKey())) {
 			put(record.Ran, "")
 		} else {
 			put(record.Repeat, "")
 		}
 	}
-	respond := func(status int, result kserve.Told) {
+	respond := func(status int, result kserve.AttemptResult) {
 		result.Load = b.loadReport()
 		outcome = result.Outcome
-		result.Count = countOnce(outcome)
+		result.Usage = countOnce(outcome)
 		kserve.WriteJSON(w, status, result)
 	}
 	ctx := r.Context()
@@ -455,10 +455,10 @@
 		<-ctx.Done()
 		return
 	case fail:
-		if attempt.Stage != kserve.StageRead { // an error may come after the effect
+		if attempt.Phase != kserve.PhasePrefill { // an error may come after the effect
 			recordEffect()
 		}
-		respond(http.StatusInternalServerError, kserve.Told{Outcome: kserve.OutcomeFailed, Error: "internal error"})
+		respond(http.StatusInternalServerError, kserve.AttemptResult{Outcome: kserve.OutcomeFailed, Error: "internal error"})
 		return
 	}
 	if faults.IgnoreCancel {
@@ -466,19 +466,19 @@
 	}
 	run := &engineJob{changed: make(chan struct{}, 1)}
 	run.job = engine.Job{
-		Key: attempt.Key(), Session: attempt.Session, Shared: attempt.Shared,
-		Prompt: attempt.Tokens, Prefix: attempt.Prefix, Answer: 1,
+		Key: attempt.RequestKey(), Session: attempt.Session, Shared: attempt.SharedPrefix,
+		Prompt: attempt.PromptTokens, Prefix: attempt.PrefixTokens, Answer: 1,
 	}
-	switch attempt.Stage {
-	case kserve.StageRead:
+	switch attempt.Phase {
+	case kserve.PhasePrefill:
 		run.job.Stage = engine.Read
-	case kserve.StageWrite:
+	case kserve.PhaseDecode:
 		run.job.Stage = engine.Write
 	default:
 		run.job.Stage = engine.Whole
 	}
-	if attempt.Stage != kserve.StageRead {
-		run.job.Answer = b.fleet.answerTokens(attempt.Grade, attempt.Mark, attempt.Most)
+	if attempt.Phase != kserve.PhasePrefill {
+		run.job.Answer = b.fleet.answerTokens(attempt.Class, attempt.DedupKey, attempt.MaxTokens)
 	}
 	run.job.Token = func(ready int) { run.tokens.Store(int64(ready)); run.notify() }
 	run.job.Ended = func(end engine.End, cached int) {
@@ -505,17 +505,17 @@
 			}
 		}()
 	}
-	if attempt.Stage == kserve.StageRead {
+	if attempt.Phase == kserve.PhasePrefill {
 		ended := run.job.Ended
 		run.job.Ended = func(end engine.End, cached int) { // b.mu is held
 			if end == engine.Done {
-				if entry, ok := b.releases[attempt.Key()]; ok && attempt.Trip <= entry.attempt {
-					eng.Release(attempt.Key()) // it was released before the prefill ended
+				if entry, ok := b.releases[attempt.RequestKey()]; ok && attempt.Attempt <= entry.attempt {
+					eng.Release(attempt.RequestKey()) // it was released before the prefill ended
 					end = engine.Dropped
 				} else {
-					b.heldTries[attempt.Key()] = attempt.Mark
+					b.heldTries[attempt.RequestKey()] = attempt.DedupKey
 					b.fleet.Record.Put(record.Line{
-						What: record.Held, Box: b.Name, Key: attempt.Key(), Try: attempt.Mark, Grade: attempt.Grade,
+						What: record.Held, Box: b.Name, Key: attempt.RequestKey(), Try: attempt.DedupKey, Grade: attempt.Class,
 					})
 				}
 			}
@@ -573,12 +573,12 @@
 			continue
 		}
 		cached := int(run.cachedTokens.Load())
-		if attempt.Stage != kserve.StageWrite && end == engine.Done {
-			b.fleet.observeUncached(attempt.Grade, float64(attempt.Tokens-cached))
+		if attempt.Phase != kserve.PhaseDecode && end == engine.Done {
+			b.fleet.observeUncached(attempt.Class, float64(attempt.PromptTokens-cached))
 		}
 		switch {
-		case end == engine.Done && attempt.Stage == kserve.StageRead:
-			respond(http.StatusOK, kserve.Told{Outcome: kserve.OutcomeRead, Kept: cached})
+		case end == engine.Done && attempt.Phase == kserve.PhasePrefill:
+			respond(http.StatusOK, kserve.AttemptResult{Outcome: kserve.OutcomePrefilled, CachedTokens: cached})
 			controller.Flush()
 			if crash {
 				// Crash a moment later, so that the dispatcher receives the prefill's response and sends the
@@ -586,17 +586,17 @@
 				time.AfterFunc(2*time.Millisecond, func() { b.Kill("crashed after reading") })
 			}
 		case end == engine.Done:
-			if kserve.WriteEvent(w, "end", kserve.Told{
-				Outcome: kserve.OutcomeAnswered, Kept: cached, Load: b.loadReport(),
-				Count: countOnce(kserve.OutcomeAnswered),
+			if kserve.WriteEvent(w, "end", kserve.AttemptResult{
+				Outcome: kserve.OutcomeCompleted, CachedTokens: cached, Load: b.loadReport(),
+				Usage: countOnce(kserve.OutcomeCompleted),
 			}) == nil && controller.Flush() == nil {
-				outcome = kserve.OutcomeAnswered
+				outcome = kserve.OutcomeCompleted
 			}
 		case end == engine.Full || end == engine.TooBig:
-			respond(http.StatusServiceUnavailable, kserve.Told{Outcome: kserve.OutcomeFull, Error: end.String()})
+			respond(http.StatusServiceUnavailable, kserve.AttemptResult{Outcome: kserve.OutcomeFull, Error: end.String()})
 		case end == engine.NoState:
 			respond(http.StatusServiceUnavailable,
-				kserve.Told{Outcome: kserve.OutcomeNoState, Error: "no state could be fetched"})
+				kserve.AttemptResult{Outcome: kserve.OutcomeNoKVCache, Error: "no state could be fetched"})
 		default: // the process died or the work was dropped: abort the connection
 			panic(http.ErrAbortHandler)
 		}
@@ -630,16 +630,16 @@
 
 // handleRelease releases the KV caches of the requests that a dispatcher lists, and remembers the releases.
 func (b *Backend) handleRelease(w http.ResponseWriter, r *http.Request) {
-	entries, err := kserve.ReadRelease(http.MaxBytesReader(w, r.Body, 1<<20))
+	entries, err := kserve.ReadReleases(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return
 	}
 	_, _, startNumber := b.Uptime()
 	released := 0
 	for _, entry := range entries {
 		b.mu.Lock()
-		b.releases[entry.Key] = releaseRecord{entry.Trip, b.fleet.Record.Since()}
+		b.releases[entry.RequestKey] = releaseRecord{entry.LastAttempt, b.fleet.Record.Since()}
 		if len(b.releases) > maxReleases {
 			for key, release := range b.releases {
 				if b.fleet.Record.Since()-release.releasedAt > releaseRetention {
@@ -648,7 +648,7 @@
 			}
 		}
 		b.mu.Unlock()
-		if b.releaseKVCache(startNumber, entry.Key, "released") {
+		if b.releaseKVCache(startNumber, entry.RequestKey, "released") {
 			released++
 		}
 	}
@@ -670,9 +670,9 @@
 // handleFetch transfers a held KV cache to a decode backend, which takes as long as the links need. The cache
 // stays held until the transfer is complete.
 func (b *Backend) handleFetch(w http.ResponseWriter, r *http.Request) {
-	key, err := kserve.ReadFetch(http.MaxBytesReader(w, r.Body, 1<<20))
+	key, err := kserve.ReadKVFetch(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return
 	}
 	b.mu.Lock()
@@ -707,15 +707,15 @@
 
 // fetchKVCache fetches the KV cache from the prefill backend that the attempt names, at whichever of its addresses
 // responds.
-func (b *Backend) fetchKVCache(ctx context.Context, attempt kserve.Errand) error {
-	if len(attempt.State) == 0 {
+func (b *Backend) fetchKVCache(ctx context.Context, attempt kserve.AttemptParams) error {
+	if len(attempt.KVCacheAddresses) == 0 {
 		return errors.New("fetching the KV cache: the attempt names no prefill address")
 	}
-	conn, err := b.fleet.prefillPool(attempt.Reader, attempt.State).Get(ctx)
+	conn, err := b.fleet.prefillPool(attempt.PrefillBackend, attempt.KVCacheAddresses).Get(ctx)
 	if err != nil {
 		return err
 	}
-	request, err := kserve.NewFetch(ctx, reach.URL(attempt.Reader), b.fleet.Terms.Model, attempt.Key())
+	request, err := kserve.NewKVFetchRequest(ctx, reach.URL(attempt.PrefillBackend), b.fleet.Terms.Model, attempt.RequestKey())
 	if err != nil {
 		return err
 	}
@@ -723,10 +723,10 @@
 	request.Header.Set("Zone", b.Zone)
 	resp, err := conn.Do(ctx, request)
 	if err != nil {
-		conn.Lost()
+		conn.ReportFailed()
 		return err
 	}
-	conn.Served()
+	conn.ReportServed()
 	defer resp.Body.Close()
 	io.Copy(io.Discard, io.LimitReader(resp.Body, 4096))
 	if resp.StatusCode != http.StatusOK {
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -74,11 +74,11 @@
 	ticket := ""
 	for try := 0; ; try++ {
 		outcome, retryAfter, sent, nextTicket := c.submitOnce(ctx, request, try, ticket)
-		if ctx.Err() != nil || outcome == kserve.Satisfied || outcome == "left" || try >= request.Retries {
+		if ctx.Err() != nil || outcome == kserve.Served || outcome == "left" || try >= request.Retries {
 			return
 		}
 		// What may have run is only submitted again where that does no harm.
-		if sent && outcome != kserve.Declined && !request.Idempotent {
+		if sent && outcome != kserve.Rejected && !request.Idempotent {
 			return
 		}
 		delay := request.RetryDelay(try, retryAfter)
@@ -143,7 +143,7 @@
 	if ticket != "" {
 		params["ticket"] = ticket
 	}
-	body, err := json.Marshal(kserve.Prompt{ID: tryID, Parameters: params})
+	body, err := json.Marshal(kserve.GenerateRequest{ID: tryID, Parameters: params})
 	if err != nil {
 		panic(err)
 	}
@@ -165,7 +165,7 @@
 		if cause == nil {
 			cause = err
 		}
-		sent := !kserve.Unsent(err)
+		sent := !kserve.IsDialError(err)
 		if !sent {
 			put(record.Cut, "unreached: "+cause.Error(), nil)
 		} else {
@@ -183,26 +183,26 @@
 		return fail(err)
 	}
 	defer resp.Body.Close()
-	finish := func(finalEvent kserve.Final) (string, time.Duration, bool, string) {
-		put(record.Final, finalEvent.Final, func(entry *record.Line) {
+	finish := func(finalEvent kserve.FinalResponse) (string, time.Duration, bool, string) {
+		put(record.Final, finalEvent.Outcome, func(entry *record.Line) {
 			entry.AfterMs, entry.Trips, entry.Took =
-				finalEvent.AfterMs, finalEvent.Trips, time.Since(startedAt).Microseconds()
+				finalEvent.RetryAfterMs, finalEvent.Attempts, time.Since(startedAt).Microseconds()
 		})
-		return finalEvent.Final, time.Duration(finalEvent.AfterMs) * time.Millisecond, true, finalEvent.Ticket
+		return finalEvent.Outcome, time.Duration(finalEvent.RetryAfterMs) * time.Millisecond, true, finalEvent.RetryTicket
 	}
 	if resp.StatusCode != http.StatusOK {
-		var finalEvent kserve.Final
+		var finalEvent kserve.FinalResponse
 		raw, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
 		if err != nil {
 			return fail(err)
 		}
-		if json.Unmarshal(raw, &finalEvent) != nil || finalEvent.Final == "" {
+		if json.Unmarshal(raw, &finalEvent) != nil || finalEvent.Outcome == "" {
 			put(record.Final, fmt.Sprintf("fault %d: %.200s", resp.StatusCode, raw), nil)
 			return "fault", 0, true, ""
 		}
 		return finish(finalEvent)
 	}
-	events := kserve.NewEvents(resp.Body)
+	events := kserve.NewEventReader(resp.Body)
 	first := false
 	for {
 		event, err := events.Next()
@@ -220,8 +220,8 @@
 			}
 			continue
 		}
-		var finalEvent kserve.Final
-		if json.Unmarshal(event.Data, &finalEvent) != nil || finalEvent.Final == "" {
+		var finalEvent kserve.FinalResponse
+		if json.Unmarshal(event.Data, &finalEvent) != nil || finalEvent.Outcome == "" {
 			put(record.Extra, "an event that is no final answer: "+event.Name, nil)
 			continue
 		}
--- a/internal/standin/counts.go
+++ b/internal/standin/counts.go
@@ -19,7 +19,7 @@
 // dispatcherUsage is what a backend has counted for one start of a dispatcher.
 type dispatcherUsage struct {
 	lastNumber, lastDropped uint64
-	unacknowledged          []kserve.Count
+	unacknowledged          []kserve.UsageRecord
 	open                    int // attempts that have begun and not ended
 }
 
@@ -37,15 +37,15 @@
 // countAttempt notes that an attempt has begun and returns a function that counts its usage. Only the first call
 // of that function counts; later calls return the same entry.
 func (b *Backend) countAttempt(
-	attempt kserve.Errand,
-) func(outcome string, prefilled, cached, generated int) *kserve.Count {
+	attempt kserve.AttemptParams,
+) func(outcome string, prefilled, cached, generated int) *kserve.UsageRecord {
 	counts := &b.usage
 	counts.mu.Lock()
 	defer counts.mu.Unlock()
-	usage := counts.forDispatcher(attempt.From)
+	usage := counts.forDispatcher(attempt.DispatcherEpoch)
 	usage.open++
-	var counted *kserve.Count
-	return func(outcome string, prefilled, cached, generated int) *kserve.Count {
+	var counted *kserve.UsageRecord
+	return func(outcome string, prefilled, cached, generated int) *kserve.UsageRecord {
 		counts.mu.Lock()
 		defer counts.mu.Unlock()
 		if counted != nil {
@@ -53,14 +53,14 @@
 		}
 		usage.open--
 		usage.lastNumber++
-		counted = &kserve.Count{
-			Number: usage.lastNumber, Key: attempt.Key(), Trip: attempt.Trip, Mark: attempt.Mark, Stage: attempt.Stage,
-			Channel: attempt.Channel, Grade: attempt.Grade, Read: prefilled, Kept: cached, Answer: generated, End: outcome,
+		counted = &kserve.UsageRecord{
+			Number: usage.lastNumber, RequestKey: attempt.RequestKey(), Attempt: attempt.Attempt, DedupKey: attempt.DedupKey, Phase: attempt.Phase,
+			Tenant: attempt.Tenant, Class: attempt.Class, PrefillTokens: prefilled, CachedTokens: cached, OutputTokens: generated, EndReason: outcome,
 		}
 		usage.unacknowledged = append(usage.unacknowledged, *counted)
 		b.fleet.Record.Put(record.Line{
-			What: record.Counted, Box: b.Name, Key: attempt.Key(), Trip: attempt.Trip, Try: attempt.Mark,
-			Stage: attempt.Stage, Grade: attempt.Grade, Word: outcome, Tokens: prefilled, Kept: cached, Answer: generated,
+			What: record.Counted, Box: b.Name, Key: attempt.RequestKey(), Trip: attempt.Attempt, Try: attempt.DedupKey,
+			Stage: attempt.Phase, Grade: attempt.Class, Word: outcome, Tokens: prefilled, Kept: cached, Answer: generated,
 		})
 		return counted
 	}
@@ -69,23 +69,23 @@
 // handleCounts answers a dispatcher's inquiry with the entries that follow the last one it has. Entries up to that
 // one are dropped.
 func (b *Backend) handleCounts(w http.ResponseWriter, r *http.Request) {
-	inquiry, err := kserve.ReadInquiry(http.MaxBytesReader(w, r.Body, 64<<10))
+	inquiry, err := kserve.ReadUsageQuery(http.MaxBytesReader(w, r.Body, 64<<10))
 	if err != nil {
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return
 	}
 	counts := &b.usage
 	counts.mu.Lock()
-	usage := counts.forDispatcher(inquiry.From)
+	usage := counts.forDispatcher(inquiry.DispatcherEpoch)
 	for len(usage.unacknowledged) > 0 && usage.unacknowledged[0].Number <= inquiry.After {
 		usage.lastDropped = usage.unacknowledged[0].Number
 		usage.unacknowledged = usage.unacknowledged[1:]
 	}
-	response := kserve.Counts{
-		Open: usage.open, Forgot: usage.lastDropped,
-		Counts: append([]kserve.Count{}, usage.unacknowledged[:min(len(usage.unacknowledged), kserve.MostCounts)]...),
+	response := kserve.UsageReport{
+		InFlight: usage.open, ForgottenThrough: usage.lastDropped,
+		Records: append([]kserve.UsageRecord{}, usage.unacknowledged[:min(len(usage.unacknowledged), kserve.MaxUsageRecords)]...),
 	}
-	response.More = len(response.Counts) < len(usage.unacknowledged)
+	response.More = len(response.Records) < len(usage.unacknowledged)
 	counts.mu.Unlock()
 	kserve.WriteJSON(w, http.StatusOK, response)
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -37,7 +37,7 @@
 // listChange is a published change: the new state of one backend.
 type listChange struct {
 	visibleAt time.Duration
-	backend   boxlist.Box
+	backend   boxlist.Endpoint
 	startedAt time.Duration // when the process of the backend started
 	slowStart bool
 }
@@ -108,9 +108,9 @@
 	if n := len(d.changes); n > 0 {
 		visible = max(visible, d.changes[n-1].visibleAt)
 	}
-	d.changes = append(d.changes, listChange{visible, boxlist.Box{
-		Name: b.Name, Addresses: d.listedAddresses(b), Kind: b.Kind, Zone: b.Zone, Rack: b.Rack, Standing: state,
-		Units: b.Units, Start: startNumber,
+	d.changes = append(d.changes, listChange{visible, boxlist.Endpoint{
+		Name: b.Name, Addresses: d.listedAddresses(b), Kind: b.Kind, Zone: b.Zone, Rack: b.Rack, State: state,
+		Units: b.Units, Incarnation: startNumber,
 	}, now - uptime, slowStart})
 }
 
@@ -136,11 +136,11 @@
 }
 
 // entry returns the change as it is pushed now. UpMs is -1 for a backend that isn't warming up.
-func (c listChange) entry(now time.Duration) boxlist.Box {
+func (c listChange) entry(now time.Duration) boxlist.Endpoint {
 	b := c.backend
-	b.UpMs = -1
+	b.UptimeMs = -1
 	if c.slowStart {
-		b.UpMs = (now - c.startedAt).Milliseconds()
+		b.UptimeMs = (now - c.startedAt).Milliseconds()
 	}
 	return b
 }
@@ -156,7 +156,7 @@
 
 // nextPush returns the next push for a dispatcher: the full list, or the one change after its version. It returns
 // nil when there is nothing new.
-func (d *Discovery) nextPush(version int, full bool) *boxlist.Push {
+func (d *Discovery) nextPush(version int, full bool) *boxlist.Update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.fleet.Record.Since()
@@ -165,18 +165,18 @@
 		return nil
 	}
 	if !full {
-		return &boxlist.Push{
-			Version: uint64(version + 1), Base: uint64(version), Boxes: []boxlist.Box{d.changes[version].entry(now)},
+		return &boxlist.Update{
+			Version: uint64(version + 1), Base: uint64(version), Endpoints: []boxlist.Endpoint{d.changes[version].entry(now)},
 		}
 	}
 	last := map[string]int{}
 	for i := range n {
 		last[d.changes[i].backend.Name] = i
 	}
-	push := &boxlist.Push{Version: uint64(n), Whole: true}
+	push := &boxlist.Update{Version: uint64(n), Full: true}
 	for i := range n {
-		if change := d.changes[i]; last[change.backend.Name] == i && change.backend.Standing != boxlist.Gone {
-			push.Boxes = append(push.Boxes, change.entry(now))
+		if change := d.changes[i]; last[change.backend.Name] == i && change.backend.State != boxlist.Removed {
+			push.Endpoints = append(push.Endpoints, change.entry(now))
 		}
 	}
 	return push
@@ -195,11 +195,11 @@
 	for {
 		push := d.nextPush(version, full)
 		if push == nil && time.Since(lastSent) >= heartbeatInterval {
-			push = &boxlist.Push{Version: uint64(version), Base: uint64(version)}
+			push = &boxlist.Update{Version: uint64(version), Base: uint64(version)}
 		}
 		if push != nil {
 			d.mu.Lock()
-			lost := d.dropNext && len(push.Boxes) > 0 && !push.Whole
+			lost := d.dropNext && len(push.Endpoints) > 0 && !push.Full
 			if lost {
 				d.dropNext = false
 			}
@@ -221,26 +221,26 @@
 
 // recordNotified records of which changes a dispatcher has been notified. A backend that a full list omits counts
 // as removed.
-func (d *Discovery) recordNotified(dispatcher string, push *boxlist.Push, known map[string]bool) map[string]bool {
+func (d *Discovery) recordNotified(dispatcher string, push *boxlist.Update, known map[string]bool) map[string]bool {
 	if known == nil {
 		known = map[string]bool{}
 	}
-	if push.Whole {
+	if push.Full {
 		listed := map[string]bool{}
-		for _, b := range push.Boxes {
+		for _, b := range push.Endpoints {
 			listed[b.Name] = true
 		}
 		for name := range known {
 			if !listed[name] {
-				d.fleet.Record.Put(record.Line{What: record.Told, Dispatcher: dispatcher, Box: name, Word: boxlist.Gone})
+				d.fleet.Record.Put(record.Line{What: record.Told, Dispatcher: dispatcher, Box: name, Word: boxlist.Removed})
 			}
 		}
 		known = map[string]bool{}
 	}
-	for _, b := range push.Boxes {
+	for _, b := range push.Endpoints {
 		known[b.Name] = true
 		d.fleet.Record.Put(record.Line{
-			What: record.Told, Dispatcher: dispatcher, Box: b.Name, Word: b.Standing, Start: b.Start,
+			What: record.Told, Dispatcher: dispatcher, Box: b.Name, Word: b.State, Start: b.Incarnation,
 		})
 	}
 	return known
--- a/internal/standin/endpoint.go
+++ b/internal/standin/endpoint.go
@@ -149,7 +149,7 @@
 	switch e.mode {
 	case EndpointRefuses:
 		if e.Spec.Network == addresses.Unix {
-			os.Remove(e.Spec.At)
+			os.Remove(e.Spec.Addr)
 		}
 		return nil
 	case EndpointBlackhole:
@@ -169,9 +169,9 @@
 // startListener listens and hands accepted connections over. e.mu must be held.
 func (e *Endpoint) startListener() error {
 	if e.Spec.Network == addresses.Unix {
-		os.Remove(e.Spec.At)
+		os.Remove(e.Spec.Addr)
 	}
-	listener, err := listenWithRetry(e.Spec.Network, e.Spec.At)
+	listener, err := listenWithRetry(e.Spec.Network, e.Spec.Addr)
 	if err != nil {
 		return err
 	}
@@ -192,7 +192,7 @@
 
 // startBlackhole listens such that connections are neither accepted nor refused. e.mu must be held.
 func (e *Endpoint) startBlackhole() error {
-	listener, err := listenWithRetry(e.Spec.Network, e.Spec.At)
+	listener, err := listenWithRetry(e.Spec.Network, e.Spec.Addr)
 	if err != nil {
 		return err
 	}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -29,7 +29,7 @@
 // Fleet holds what the backends of a run share: the record, the links between them, and the effects of requests
 // that backends of the same group have already carried out.
 type Fleet struct {
-	Terms    setup.Terms
+	Terms    setup.Deployment
 	Record   *record.Book
 	Links    Links
 	Profiles map[string]ClassProfile // by class
@@ -39,7 +39,7 @@
 	uncached     map[string]*runningMean     // uncached prompt tokens, by class
 	effects      map[effectKey]time.Duration // when an effect was last carried out
 	rackLinks    map[string]*sharedLink
-	pools        *reach.Boxes // from decode backends to prefill backends
+	pools        *reach.Manager // from decode backends to prefill backends
 	ctx          context.Context
 	cancel       context.CancelFunc
 	starts       uint64
@@ -57,16 +57,16 @@
 type effectKey struct{ group, try string }
 
 // NewFleet returns a fleet without backends and starts the upkeep of its connection pools; Close ends it.
-func NewFleet(terms setup.Terms, rec *record.Book, links Links, profiles map[string]ClassProfile) *Fleet {
+func NewFleet(terms setup.Deployment, rec *record.Book, links Links, profiles map[string]ClassProfile) *Fleet {
 	fleet := &Fleet{
 		Terms: terms, Record: rec, Links: links, Profiles: profiles, linkSlowdown: 1,
 		uncached: map[string]*runningMean{}, effects: map[effectKey]time.Duration{}, rackLinks: map[string]*sharedLink{},
 	}
 	fleet.ctx, fleet.cancel = context.WithCancel(context.Background())
-	fleet.pools = &reach.Boxes{
-		Limit: 500 * time.Millisecond, Most: 1024, Since: rec.Since, Life: fleet.ctx, Group: &errgroup.Group{},
+	fleet.pools = &reach.Manager{
+		DialTimeout: 500 * time.Millisecond, MaxConnsPerBackend: 1024, Now: rec.Since, Context: fleet.ctx, Group: &errgroup.Group{},
 	}
-	fleet.pools.Group.Go(fleet.pools.Tend)
+	fleet.pools.Group.Go(fleet.pools.Run)
 	return fleet
 }
 
@@ -77,14 +77,14 @@
 }
 
 // prefillPool returns the connection pool of a prefill backend at the addresses that an attempt names.
-func (f *Fleet) prefillPool(name string, addrs []string) *reach.Host {
+func (f *Fleet) prefillPool(name string, addrs []string) *reach.Pool {
 	var specs []addresses.Spec
 	for _, a := range addrs {
 		if s, err := reach.ParseListen(a); err == nil {
 			specs = append(specs, s)
 		}
 	}
-	return f.pools.Set(name, specs, xxhash.Sum64String(name))
+	return f.pools.SetAddresses(name, specs, xxhash.Sum64String(name))
 }
 
 // SetLinkSlowdown makes all links between racks slower by a factor; 1 is the normal speed.
@@ -154,17 +154,17 @@
 // isNewEffect reports whether an attempt has an effect of its own. In a deduplicated class the backends of a group
 // (a zone or a rack) drop repeats of a key that come within the deduplication window.
 func (f *Fleet) isNewEffect(b *Backend, className, try string) bool {
-	classIndex := f.Terms.GradeNumber(className)
-	if classIndex < 0 || f.Terms.Grades[classIndex].Effect != "deduplicated" {
+	classIndex := f.Terms.ClassIndex(className)
+	if classIndex < 0 || f.Terms.Classes[classIndex].Effect != "deduplicated" {
 		return true
 	}
-	class := f.Terms.Grades[classIndex]
-	group := map[string]string{"zone": b.Zone, "rack": b.Rack}[class.Reach]
+	class := f.Terms.Classes[classIndex]
+	group := map[string]string{"zone": b.Zone, "rack": b.Rack}[class.DedupScope]
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.Record.Since()
 	seenAt, known := f.effects[effectKey{group, try}]
-	if known && now-seenAt < class.Window.D() {
+	if known && now-seenAt < class.DedupWindow.Std() {
 		return false
 	}
 	f.effects[effectKey{group, try}] = now
