--- a/internal/standin/counts.go
+++ b/internal/standin/counts.go
@@ -8,19 +8,22 @@
 	"sloetrestle/internal/record"
 )
 
-// counts are what a box has counted, by the starts of dispatchers. They are the box's own, as on its disk: its process may
-// die and start anew.
+// usageCounts holds the attempts that a backend has counted, by the start of the dispatcher that sent them. They
+// outlive the backend's process, as if they were on disk, so that a dispatcher can still collect them after a
+// restart.
 type usageCounts struct {
 	mu           sync.Mutex
 	byDispatcher map[string]*dispatcherUsage
 }
 
+// dispatcherUsage is what a backend has counted for one start of a dispatcher.
 type dispatcherUsage struct {
 	lastNumber, lastDropped uint64
 	unacknowledged          []kserve.UsageRecord
-	open                    int
+	open                    int // attempts that have begun and not ended
 }
 
+// forDispatcher returns the counts for a start of a dispatcher, creating them when needed.
 func (c *usageCounts) forDispatcher(from string) *dispatcherUsage {
 	if c.byDispatcher == nil {
 		c.byDispatcher = map[string]*dispatcherUsage{}
@@ -31,47 +34,58 @@
 	return c.byDispatcher[from]
 }
 
-// begin takes word of a trip; the function that it returns counts it, once.
-func (b *Backend) countAttempt(e kserve.AttemptParams) func(end string, read, kept, answer int) *kserve.UsageRecord {
-	c := &b.usage
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	of := c.forDispatcher(e.DispatcherEpoch)
-	of.open++
-	var done *kserve.UsageRecord
-	return func(end string, read, kept, answer int) *kserve.UsageRecord {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if done != nil {
-			return done
+// countAttempt notes that an attempt has begun and returns a function that counts its usage. Only the first call
+// of that function counts; later calls return the same entry.
+func (b *Backend) countAttempt(
+	attempt kserve.AttemptParams,
+) func(outcome string, prefilled, cached, generated int) *kserve.UsageRecord {
+	counts := &b.usage
+	counts.mu.Lock()
+	defer counts.mu.Unlock()
+	usage := counts.forDispatcher(attempt.DispatcherEpoch)
+	usage.open++
+	var counted *kserve.UsageRecord
+	return func(outcome string, prefilled, cached, generated int) *kserve.UsageRecord {
+		counts.mu.Lock()
+		defer counts.mu.Unlock()
+		if counted != nil {
+			return counted
 		}
-		of.open--
-		of.lastNumber++
-		done = &kserve.UsageRecord{Number: of.lastNumber, RequestKey: e.RequestKey(), Attempt: e.Attempt, DedupKey: e.DedupKey, Phase: e.Phase, Tenant: e.Tenant, Class: e.Class, PrefillTokens: read, CachedTokens: kept,
-			OutputTokens: answer, EndReason: end}
-		of.unacknowledged = append(of.unacknowledged, *done)
-		b.fleet.Record.Put(record.Line{What: record.Counted, Box: b.Name, Key: e.RequestKey(), Trip: e.Attempt, Try: e.DedupKey, Stage: e.Phase, Grade: e.Class, Word: end,
-			Tokens: read, Kept: kept, Answer: answer})
-		return done
+		usage.open--
+		usage.lastNumber++
+		counted = &kserve.UsageRecord{
+			Number: usage.lastNumber, RequestKey: attempt.RequestKey(), Attempt: attempt.Attempt, DedupKey: attempt.DedupKey, Phase: attempt.Phase,
+			Tenant: attempt.Tenant, Class: attempt.Class, PrefillTokens: prefilled, CachedTokens: cached, OutputTokens: generated, EndReason: outcome,
+		}
+		usage.unacknowledged = append(usage.unacknowledged, *counted)
+		b.fleet.Record.Put(record.Line{
+			What: record.Counted, Box: b.Name, Key: attempt.RequestKey(), Trip: attempt.Attempt, Try: attempt.DedupKey,
+			Stage: attempt.Phase, Grade: attempt.Class, Word: outcome, Tokens: prefilled, Kept: cached, Answer: generated,
+		})
+		return counted
 	}
 }
 
-// tell answers an inquiry.
+// handleCounts answers a dispatcher's inquiry with the entries that follow the last one it has. Entries up to that
+// one are dropped.
 func (b *Backend) handleCounts(w http.ResponseWriter, r *http.Request) {
-	q, err := kserve.ReadUsageQuery(http.MaxBytesReader(w, r.Body, 64<<10))
+	inquiry, err := kserve.ReadUsageQuery(http.MaxBytesReader(w, r.Body, 64<<10))
 	if err != nil {
 		kserve.WriteError(w, err)
 		return
 	}
-	c := &b.usage
-	c.mu.Lock()
-	of := c.forDispatcher(q.DispatcherEpoch)
-	for len(of.unacknowledged) > 0 && of.unacknowledged[0].Number <= q.After {
-		of.lastDropped = of.unacknowledged[0].Number
-		of.unacknowledged = of.unacknowledged[1:]
+	counts := &b.usage
+	counts.mu.Lock()
+	usage := counts.forDispatcher(inquiry.DispatcherEpoch)
+	for len(usage.unacknowledged) > 0 && usage.unacknowledged[0].Number <= inquiry.After {
+		usage.lastDropped = usage.unacknowledged[0].Number
+		usage.unacknowledged = usage.unacknowledged[1:]
+	}
+	response := kserve.UsageReport{
+		InFlight: usage.open, ForgottenThrough: usage.lastDropped,
+		Records: append([]kserve.UsageRecord{}, usage.unacknowledged[:min(len(usage.unacknowledged), kserve.MaxUsageRecords)]...),
 	}
-	out := kserve.UsageReport{InFlight: of.open, ForgottenThrough: of.lastDropped, Records: append([]kserve.UsageRecord{}, of.unacknowledged[:min(len(of.unacknowledged), kserve.MaxUsageRecords)]...)}
-	out.More = len(out.Records) < len(of.unacknowledged)
-	c.mu.Unlock()
-	kserve.WriteJSON(w, http.StatusOK, out)
+	response.More = len(response.Records) < len(usage.unacknowledged)
+	counts.mu.Unlock()
+	kserve.WriteJSON(w, http.StatusOK, response)
 }
