--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -122,9 +122,15 @@
 
 // Counts show what was found out, and how.
 type Counts struct {
-	Inline, Asked, Found, Twice, Unproven, Costless, Cut int64
-	Missing                                              int
-	OldEpochs                                            int
+	Inline    int64 `json:"Inline"`
+	Asked     int64 `json:"Asked"`
+	Found     int64 `json:"Found"`
+	Twice     int64 `json:"Twice"`
+	Unproven  int64 `json:"Unproven"`
+	Costless  int64 `json:"Costless"`
+	Cut       int64 `json:"Cut"`
+	Missing   int   `json:"Missing"`
+	OldEpochs int   `json:"OldEpochs"`
 }
 
 // New makes a tracker. known are numbers from the ledger by box and epoch; old are epochs that are not closed in it.
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -53,11 +53,11 @@
 	Name     string
 	Holder   string // a dispatcher's start
 	Month    int64
-	Lent     float64 // all that it has been lent this month, as far as it knows
-	Returned float64 // of that, all that it has given back
-	Own      float64 // all that it used beside it, while it could not hear the keeper
-	Want     float64 // more
-	Least    float64 // a smaller lease is of no use
+	Lent     float64 `cbor:"Lent"`     // all that it has been lent this month, as far as it knows
+	Returned float64 `cbor:"Returned"` // of that, all that it has given back
+	Own      float64 `cbor:"Own"`      // all that it used beside it, while it could not hear the keeper
+	Want     float64 `cbor:"Want"`     // more
+	Least    float64 `cbor:"Least"`    // a smaller lease is of no use
 	Number   uint64
 }
 
@@ -66,8 +66,8 @@
 	Name   string
 	Holder string
 	Month  int64
-	Lent   float64       // in all, this month
-	After  time.Duration // where less was lent than wanted: when there may be more
+	Lent   float64       `cbor:"Lent"`  // in all, this month
+	After  time.Duration `cbor:"After"` // where less was lent than wanted: when there may be more
 	Number uint64        // of the ask
 	Terms  Terms
 }
@@ -323,8 +323,12 @@
 
 // Counts show when a limit acted.
 type Counts struct {
-	Passed, Declined, Waited, Emergencies, Asks int64
-	Used                                        float64
+	Passed      int64   `json:"Passed"`
+	Declined    int64   `json:"Declined"`
+	Waited      int64   `json:"Waited"`
+	Emergencies int64   `json:"Emergencies"`
+	Asks        int64   `json:"Asks"`
+	Used        float64 `json:"Used"`
 }
 
 // want is a question that waits for a lease, for the length of a message's way at most.
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -13,10 +13,10 @@
 
 // Record is one line of the account; one of its parts is set. Later versions add numbers and never reuse them.
 type Record struct {
-	At       int64     `cbor:"1,keyasint"` // milliseconds since 1970 by its dispatcher's clock, never before the record ahead of it
+	At       int64     `cbor:"1,keyasint" json:"At"` // milliseconds since 1970 by its dispatcher's clock, never before the record ahead of it
 	Epoch    *Epoch    `cbor:"2,keyasint,omitempty" json:",omitempty"`
-	Question *Question `cbor:"3,keyasint,omitempty" json:",omitempty"`
-	Trip     *Trip     `cbor:"4,keyasint,omitempty" json:",omitempty"`
+	Question *Question `cbor:"3,keyasint,omitempty" json:"Question,omitempty"`
+	Trip     *Trip     `cbor:"4,keyasint,omitempty" json:"Trip,omitempty"`
 	Budget   *Budget   `cbor:"5,keyasint,omitempty" json:",omitempty"`
 }
 
@@ -29,31 +29,31 @@
 // Question is the end of one, as its dispatcher gave it.
 type Question struct {
 	Key     string `cbor:"1,keyasint"` // epoch/number, alike in all its trips
-	Mark    string `cbor:"2,keyasint,omitempty" json:",omitempty"`
-	Channel string `cbor:"3,keyasint,omitempty"`
-	Grade   string `cbor:"4,keyasint"`
-	Final   string `cbor:"5,keyasint"` // satisfied, declined, forfeited, or left
-	Prompt  int    `cbor:"6,keyasint"`
-	Answer  int    `cbor:"7,keyasint,omitempty"` // tokens that went to the client
-	Trips   int    `cbor:"8,keyasint,omitempty"`
-	Why     string `cbor:"9,keyasint,omitempty"`
+	Mark    string `cbor:"2,keyasint,omitempty" json:"Mark,omitempty"`
+	Channel string `cbor:"3,keyasint,omitempty" json:"Channel"`
+	Grade   string `cbor:"4,keyasint" json:"Grade"`
+	Final   string `cbor:"5,keyasint" json:"Final"` // satisfied, declined, forfeited, or left
+	Prompt  int    `cbor:"6,keyasint" json:"Prompt"`
+	Answer  int    `cbor:"7,keyasint,omitempty" json:"Answer"` // tokens that went to the client
+	Trips   int    `cbor:"8,keyasint,omitempty" json:"Trips"`
+	Why     string `cbor:"9,keyasint,omitempty" json:"Why"`
 }
 
 // Trip is what a box counted for one; with Number 0 it is what the dispatcher saw of a trip whose box can't be asked any more.
 type Trip struct {
-	Box     string `cbor:"1,keyasint"`
+	Box     string `cbor:"1,keyasint" json:"Box"`
 	Epoch   string `cbor:"2,keyasint"` // of the dispatcher
 	Number  uint64 `cbor:"3,keyasint,omitempty"`
 	Key     string `cbor:"4,keyasint"`
-	Trip    int    `cbor:"5,keyasint,omitempty"`
-	Mark    string `cbor:"6,keyasint,omitempty"`
-	Stage   string `cbor:"7,keyasint"`
-	Channel string `cbor:"8,keyasint,omitempty"`
-	Grade   string `cbor:"9,keyasint"`
-	Read    int    `cbor:"10,keyasint,omitempty"` // prompt tokens read
-	Kept    int    `cbor:"11,keyasint,omitempty"` // prompt tokens found kept
-	Answer  int    `cbor:"12,keyasint,omitempty"` // answer tokens made
-	End     string `cbor:"13,keyasint"`
+	Trip    int    `cbor:"5,keyasint,omitempty" json:"Trip"`
+	Mark    string `cbor:"6,keyasint,omitempty" json:"Mark"`
+	Stage   string `cbor:"7,keyasint" json:"Stage"`
+	Channel string `cbor:"8,keyasint,omitempty" json:"Channel"`
+	Grade   string `cbor:"9,keyasint" json:"Grade"`
+	Read    int    `cbor:"10,keyasint,omitempty" json:"Read"`   // prompt tokens read
+	Kept    int    `cbor:"11,keyasint,omitempty" json:"Kept"`   // prompt tokens found kept
+	Answer  int    `cbor:"12,keyasint,omitempty" json:"Answer"` // answer tokens made
+	End     string `cbor:"13,keyasint" json:"End"`
 }
 
 // Proven tells whether a box stated it.
@@ -62,8 +62,8 @@
 // Budget is a change of a budget's state: see internal/budget for what its words mean.
 type Budget struct {
 	Name   string  `cbor:"1,keyasint"`
-	What   string  `cbor:"2,keyasint"`
-	Period int64   `cbor:"3,keyasint,omitempty"`
+	What   string  `cbor:"2,keyasint" json:"What"`
+	Period int64   `cbor:"3,keyasint,omitempty" json:"Period"`
 	Tokens float64 `cbor:"4,keyasint,omitempty"`
 	Terms  string  `cbor:"5,keyasint,omitempty"`
 }
