--- a/cmd/sloetrestle/bill.go
+++ b/cmd/sloetrestle/bill.go
@@ -53,12 +53,12 @@
 }
 
 // sheet reads them all. Damage is told, and what can be read is read.
-func (f *folders) sheet(errs io.Writer) (*ledger.Sheet, error) {
+func (f *folders) sheet(errs io.Writer) (*ledger.Collector, error) {
 	list, key, err := f.open()
 	if err != nil {
 		return nil, err
 	}
-	s := ledger.NewSheet()
+	s := ledger.NewCollector()
 	for _, folder := range list {
 		damage, err := ledger.Read(folder, key, s.Add)
 		if err != nil {
@@ -130,8 +130,8 @@
 func printBill(out io.Writer, lines []ledger.Line, asCSV, asJSON bool) error {
 	head := []string{"channel", "grade", "cause", "questions", "trips", "read_tokens", "kept_tokens", "answer_tokens", "unproven_trips"}
 	row := func(l ledger.Line) []string {
-		return []string{l.Channel, l.Grade, string(l.Cause), strconv.Itoa(l.Questions), strconv.Itoa(l.Trips), strconv.Itoa(l.Read), strconv.Itoa(l.Kept),
-			strconv.Itoa(l.Answer), strconv.Itoa(l.Unproven)}
+		return []string{l.Tenant, l.Class, string(l.Payer), strconv.Itoa(l.Requests), strconv.Itoa(l.Attempts), strconv.Itoa(l.PrefillTokens), strconv.Itoa(l.CachedTokens),
+			strconv.Itoa(l.OutputTokens), strconv.Itoa(l.Unconfirmed)}
 	}
 	switch {
 	case asJSON:
@@ -184,11 +184,11 @@
 			}
 			out := cmd.OutOrStdout()
 			for _, r := range questions {
-				q := r.Question
-				fmt.Fprintf(out, "question %s (id %q) of channel %s, grade %s: %s at %s, %d prompt tokens, %d trips", q.Key, q.Mark, q.Channel, q.Grade, q.Final,
-					time.UnixMilli(r.At).UTC().Format(time.RFC3339), q.Prompt, q.Trips)
-				if q.Why != "" {
-					fmt.Fprintf(out, " (%s)", q.Why)
+				q := r.Request
+				fmt.Fprintf(out, "question %s (id %q) of channel %s, grade %s: %s at %s, %d prompt tokens, %d trips", q.Key, q.RequestID, q.Tenant, q.Class, q.Outcome,
+					time.UnixMilli(r.UnixMilli).UTC().Format(time.RFC3339), q.PromptTokens, q.Attempts)
+				if q.Reason != "" {
+					fmt.Fprintf(out, " (%s)", q.Reason)
 				}
 				fmt.Fprintln(out)
 			}
@@ -196,10 +196,10 @@
 			fmt.Fprintln(w, "question\ttrip\tbox\tstage\tend\tborne by\tread\tkept\tanswer\tproof")
 			for _, p := range proofs {
 				proof := fmt.Sprintf("count %d of the box for %s", p.Number, p.Epoch)
-				if !p.Proven() {
+				if !p.Confirmed() {
 					proof = "none: the box could not be asked; as the dispatcher saw it"
 				}
-				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n", p.Key, p.Trip.Trip, p.Box, p.Stage, p.End, p.Cause, p.Read, p.Kept, p.Answer, proof)
+				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n", p.Key, p.Attempt.Index, p.Backend, p.Phase, p.Outcome, p.Payer, p.PrefillTokens, p.CachedTokens, p.OutputTokens, proof)
 			}
 			return w.Flush()
 		}),
@@ -251,7 +251,7 @@
 				return err
 			}
 			for _, folder := range list {
-				last, err := ledger.Last(folder)
+				last, err := ledger.LastSegment(folder)
 				if err != nil {
 					return err
 				}
@@ -329,11 +329,11 @@
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "kept here\tmonthly\tgranted\tborrow\tdebt\tlent\tleft\ttokens a second\tin the bucket\tholders")
 			for _, k := range seen.Budgets.Kept {
-				fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\n", k.Name, k.Monthly, k.Granted, k.Borrow, k.Debt, k.Lent, k.Left, k.PerS, k.Bucket, k.Holders)
+				fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\n", k.Name, k.Monthly, k.Granted, k.Borrow, k.Debt, k.Lent, k.Remaining, k.PerSecond, k.Bucket, k.Holders)
 			}
 			fmt.Fprintln(w, "\npurse\tfree\treserved\tused\tpassed\tdeclined\twaited\tin emergency\tkeeper silent")
 			for _, p := range seen.Budgets.Purses {
-				fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%d\t%d\t%d\t%.0f\t%v\n", p.Name, p.Free, p.Reserved, p.Used, p.Passed, p.Declined, p.Waited, p.Own, p.Silent)
+				fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%d\t%d\t%d\t%.0f\t%v\n", p.Name, p.Free, p.Reserved, p.Used, p.Admitted, p.Rejected, p.Waited, p.EmergencyUsed, p.OwnerSilent)
 			}
 			return w.Flush()
 		}),
@@ -358,7 +358,7 @@
 			return post(args[0], "/budget", dispatch.BudgetChange{Name: args[1], Set: &t})
 		}),
 	}
-	set.Flags().Float64Var(&t.PerS, "tokens-a-second", -1, "over all dispatchers; -1: no limit")
+	set.Flags().Float64Var(&t.PerSecond, "tokens-a-second", -1, "over all dispatchers; -1: no limit")
 	set.Flags().Float64Var(&t.Burst, "burst", 0, "tokens")
 	set.Flags().Float64Var(&t.Monthly, "monthly", -1, "tokens a month; -1: no limit")
 	set.Flags().Float64Var(&t.Borrow, "borrow", 0, "tokens of the next month's, at most")
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	sheet := ledger.NewSheet()
+	sheet := ledger.NewCollector()
 	for _, folder := range folders {
 		damage, err := ledger.Read(folder, key, sheet.Add)
 		if err != nil {
@@ -119,8 +119,8 @@
 		}
 	}
 	ledgers := map[string]judge.Cost{}
-	for box, l := range sheet.Counts() {
-		ledgers[box] = judge.Cost{Trips: l.Trips, Read: l.Read, Kept: l.Kept, Answer: l.Answer}
+	for box, l := range sheet.BackendTotals() {
+		ledgers[box] = judge.Cost{Trips: l.Attempts, Read: l.PrefillTokens, Kept: l.CachedTokens, Answer: l.OutputTokens}
 	}
 	rule, cost := judge.Accounts(lines, ledgers)
 	v.Rules, v.Cost = append(v.Rules, rule), &cost
--- a/internal/dispatch/accounts.go
+++ b/internal/dispatch/accounts.go
@@ -20,7 +20,7 @@
 
 // past is what a ledger says when it is opened: what the account and the budgets go on from.
 type past struct {
-	seen  map[string][]account.Seen // counts, by epochs that are not closed
+	seen  map[string][]account.RecordedCount // counts, by epochs that are not closed
 	open  map[string]bool           // epochs that are not closed
 	sums  map[string]map[int64]sums // by budget and month
 	terms map[string]budget.Terms   // set while running
@@ -36,7 +36,7 @@
 func monthOf(t time.Time) budget.Month {
 	t = t.UTC()
 	next := time.Date(t.Year(), t.Month()+1, 1, 0, 0, 0, 0, time.UTC)
-	return budget.Month{Number: int64(t.Year()-1970)*12 + int64(t.Month()) - 1, Left: next.Sub(t)}
+	return budget.Month{Number: int64(t.Year()-1970)*12 + int64(t.Month()) - 1, Remaining: next.Sub(t)}
 }
 
 // LedgerKey is the key of a file, or the fixed one where none is named.
@@ -52,8 +52,8 @@
 }
 
 // openBooks opens the ledger, if there is one, and makes this start known in it before anything is sent.
-func openBooks(d setup.Dispatcher, epoch string, began time.Time, log *slog.Logger) (*ledger.Book, *past, error) {
-	p := &past{open: map[string]bool{}, sums: map[string]map[int64]sums{}, terms: map[string]budget.Terms{}, seen: map[string][]account.Seen{}}
+func openBooks(d setup.Dispatcher, epoch string, began time.Time, log *slog.Logger) (*ledger.Writer, *past, error) {
+	p := &past{open: map[string]bool{}, sums: map[string]map[int64]sums{}, terms: map[string]budget.Terms{}, seen: map[string][]account.RecordedCount{}}
 	if d.Ledger.Folder == "" {
 		return nil, p, nil
 	}
@@ -69,8 +69,8 @@
 			delete(p.seen, r.Epoch.Name)
 		case r.Epoch != nil:
 			p.open[r.Epoch.Name] = true
-		case r.Trip != nil && r.Trip.Proven() && !closed[r.Trip.Epoch]:
-			p.seen[r.Trip.Epoch] = append(p.seen[r.Trip.Epoch], account.Seen{Box: r.Trip.Box, Epoch: r.Trip.Epoch, Number: r.Trip.Number})
+		case r.Attempt != nil && r.Attempt.Confirmed() && !closed[r.Attempt.Epoch]:
+			p.seen[r.Attempt.Epoch] = append(p.seen[r.Attempt.Epoch], account.RecordedCount{Backend: r.Attempt.Backend, Epoch: r.Attempt.Epoch, Number: r.Attempt.Number})
 		case r.Budget != nil:
 			p.take(r.Budget)
 		}
@@ -84,17 +84,17 @@
 	}
 	go book.Run()
 	durable := make(chan struct{})
-	book.Write(ledger.Record{At: began.UnixMilli(), Epoch: &ledger.Epoch{Name: epoch}}, func() { close(durable) })
+	book.Write(ledger.Record{UnixMilli: began.UnixMilli(), Epoch: &ledger.Epoch{Name: epoch}}, func() { close(durable) })
 	select {
 	case <-durable:
 	case <-time.After(5 * time.Second):
-		return nil, nil, fmt.Errorf("ledger.folder: %s: this start could not be written down: %s", d.Ledger.Folder, book.State().Failing)
+		return nil, nil, fmt.Errorf("ledger.folder: %s: this start could not be written down: %s", d.Ledger.Folder, book.State().DiskError)
 	}
 	return book, p, nil
 }
 
 func (p *past) take(b *ledger.Budget) {
-	if b.What == "set" {
+	if b.Kind == "set" {
 		var t budget.Terms
 		if json.Unmarshal([]byte(b.Terms), &t) == nil {
 			p.terms[b.Name] = t
@@ -104,8 +104,8 @@
 	if p.sums[b.Name] == nil {
 		p.sums[b.Name] = map[int64]sums{}
 	}
-	s := p.sums[b.Name][b.Period]
-	switch b.What {
+	s := p.sums[b.Name][b.Month]
+	switch b.Kind {
 	case "lent":
 		s.lent = max(s.lent, b.Tokens)
 	case "debt":
@@ -115,15 +115,15 @@
 	case "grant":
 		s.grant = max(s.grant, b.Tokens)
 	}
-	p.sums[b.Name][b.Period] = s
+	p.sums[b.Name][b.Month] = s
 }
 
 // newBooks makes what a loop keeps; nil: there is neither a ledger nor a budget.
-func newBooks(d setup.Dispatcher, l *Loop, trips *Trips, book *ledger.Book, was *past, epoch string, began time.Time) *Books {
+func newBooks(d setup.Dispatcher, l *Loop, trips *Trips, book *ledger.Writer, was *past, epoch string, began time.Time) *Books {
 	if book == nil && len(d.Budgets) == 0 {
 		return nil
 	}
-	b := &Books{Month: func(now time.Duration) budget.Month { return monthOf(began.Add(now)) }, Keepers: map[string]*budget.Keeper{}}
+	b := &Books{Month: func(now time.Duration) budget.Month { return monthOf(began.Add(now)) }, Keepers: map[string]*budget.Owner{}}
 	write := func(r ledger.Record, done func()) {
 		if done == nil {
 			book.Write(r, nil)
@@ -139,13 +139,13 @@
 	}
 	now := l.since()
 	month := b.Month(now)
-	sends := map[string]func(budget.Ask){}
+	sends := map[string]func(budget.LeaseRequest){}
 	for _, of := range d.Budgets {
 		t := of.Terms()
 		if set, ok := was.terms[t.Name]; ok {
 			t = set
 		}
-		at := budget.Keep(t.Name, d.Place.Siblings)
+		at := budget.OwnerIndex(t.Name, d.Place.Siblings)
 		if at == d.Place.Number {
 			record := func(what string, month int64, tokens float64, done func()) {
 				if book == nil {
@@ -154,13 +154,13 @@
 					}
 					return
 				}
-				write(ledger.Record{At: began.UnixMilli() + l.now.Milliseconds(), Budget: &ledger.Budget{Name: t.Name, What: what, Period: month, Tokens: tokens}}, done)
+				write(ledger.Record{UnixMilli: began.UnixMilli() + l.now.Milliseconds(), Budget: &ledger.Budget{Name: t.Name, Kind: what, Month: month, Tokens: tokens}}, done)
 			}
 			s := was.sums[t.Name][month.Number]
 			if before, ok := was.sums[t.Name][month.Number-1]; ok && was.sums[t.Name][month.Number] == (sums{}) && t.Monthly >= 0 {
 				s.debt = min(max(before.lent-t.Monthly-before.grant, 0), max(t.Borrow, 0))
 			}
-			k := budget.NewKeeper(t, now, month, s.lent, s.debt, s.grant, record)
+			k := budget.NewOwner(t, now, month, s.lent, s.debt, s.grant, record)
 			k.WriteTerms = func(t budget.Terms, done func()) {
 				raw, err := json.Marshal(t)
 				if err != nil {
@@ -170,22 +170,22 @@
 					l.Wake(0, done)
 					return
 				}
-				write(ledger.Record{At: began.UnixMilli() + l.now.Milliseconds(), Budget: &ledger.Budget{Name: t.Name, What: "set", Terms: string(raw)}}, done)
+				write(ledger.Record{UnixMilli: began.UnixMilli() + l.now.Milliseconds(), Budget: &ledger.Budget{Name: t.Name, Kind: "set", Terms: string(raw)}}, done)
 			}
 			b.Keepers[t.Name] = k
 		}
-		p := budget.NewPurse(t, epoch, d.Place.Siblings, month, func(a budget.Ask) { sends[a.Name](a) })
+		p := budget.NewLocalBudget(t, epoch, d.Place.Siblings, month, func(a budget.LeaseRequest) { sends[a.Name](a) })
 		if book != nil {
-			p.Taken = func(month int64) bool { return was.sums[t.Name][month].own }
-			p.Mark = func(month int64, done func()) {
-				write(ledger.Record{At: began.UnixMilli() + l.now.Milliseconds(), Budget: &ledger.Budget{Name: t.Name, What: "own", Period: month}}, done)
+			p.EmergencyMarked = func(month int64) bool { return was.sums[t.Name][month].own }
+			p.MarkEmergency = func(month int64, done func()) {
+				write(ledger.Record{UnixMilli: began.UnixMilli() + l.now.Milliseconds(), Budget: &ledger.Budget{Name: t.Name, Kind: "own", Month: month}}, done)
 			}
 		}
-		sends[t.Name] = func(a budget.Ask) {
+		sends[t.Name] = func(a budget.LeaseRequest) {
 			if at == d.Place.Number {
 				// Never in the middle of the purse's own step.
 				l.Wake(0, func() {
-					b.Keepers[a.Name].Asked(l.now, b.Month(l.now), a, func(w budget.Lend) { p.Lent(l.now, w) })
+					b.Keepers[a.Name].HandleRequest(l.now, b.Month(l.now), a, func(w budget.LeaseReply) { p.HandleReply(l.now, w) })
 				})
 				return
 			}
@@ -196,11 +196,11 @@
 	if trips.Peers != nil {
 		trips.Peers.Budget = func(from int, w budgetWord) {
 			switch {
-			case w.Ask != nil && b.Keepers[w.Ask.Name] != nil && w.Ask.Sound():
-				b.Keepers[w.Ask.Name].Asked(l.now, b.Month(l.now), *w.Ask, func(lend budget.Lend) { trips.Peers.TellBudget(from, budgetWord{Lend: &lend}) })
-			case w.Lend != nil && w.Lend.Holder == epoch && w.Lend.Sound():
-				if i := slices.IndexFunc(b.Purses, func(p *budget.Purse) bool { return p.Terms.Name == w.Lend.Name }); i >= 0 {
-					b.Purses[i].Lent(l.now, *w.Lend)
+			case w.Ask != nil && b.Keepers[w.Ask.Name] != nil && w.Ask.Valid():
+				b.Keepers[w.Ask.Name].HandleRequest(l.now, b.Month(l.now), *w.Ask, func(lend budget.LeaseReply) { trips.Peers.TellBudget(from, budgetWord{Lend: &lend}) })
+			case w.Lend != nil && w.Lend.Holder == epoch && w.Lend.Valid():
+				if i := slices.IndexFunc(b.Purses, func(p *budget.LocalBudget) bool { return p.Terms.Name == w.Lend.Name }); i >= 0 {
+					b.Purses[i].HandleReply(l.now, *w.Lend)
 					return
 				}
 				trips.Peers.Dropped.Add(1)
@@ -220,7 +220,7 @@
 	l.Call(ctx, l.books.Account.Finish)
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		whole := false
-		if !l.Call(ctx, func() { whole = l.books.Account.Whole() }) || whole {
+		if !l.Call(ctx, func() { whole = l.books.Account.Complete() }) || whole {
 			break
 		}
 	}
@@ -229,8 +229,8 @@
 
 // BudgetState is what operators see of budgets at one dispatcher.
 type BudgetState struct {
-	Kept   []budget.Show      `json:"kept"` // here
-	Purses []budget.ShowPurse `json:"purses"`
+	Kept   []budget.OwnerStatus      `json:"kept"` // here
+	Purses []budget.LocalStatus `json:"purses"`
 }
 
 // mostGrant bounds one grant.
@@ -281,9 +281,9 @@
 		return out
 	}
 	for _, p := range l.books.Purses {
-		out.Purses = append(out.Purses, p.Show(l.now))
+		out.Purses = append(out.Purses, p.Status(l.now))
 		if k := l.books.Keepers[p.Terms.Name]; k != nil {
-			out.Kept = append(out.Kept, k.Show(l.now, l.books.Month(l.now)))
+			out.Kept = append(out.Kept, k.Status(l.now, l.books.Month(l.now)))
 		}
 	}
 	return out
@@ -303,11 +303,11 @@
 	case c.Set != nil:
 		t := *c.Set
 		t.Name = c.Name
-		if !t.Sound() {
+		if !t.Valid() {
 			bad("set", "has a figure that makes no sense")
 			return
 		}
-		k.Set(l.now, t, func() { done(nil) })
+		k.SetTerms(l.now, t, func() { done(nil) })
 	case c.Grant > 0 && c.Grant <= mostGrant:
 		k.Grant(l.books.Month(l.now), c.Grant, func() { done(nil) })
 	default:
--- a/internal/dispatch/books.go
+++ b/internal/dispatch/books.go
@@ -13,8 +13,8 @@
 // Books are what a loop has of costs, in front of the module and beside it: budgets, which a request has to have room in
 // before the module sees it, and the account of what its attempts cost. Either may be missing.
 type Books struct {
-	Purses  []*budget.Purse
-	Keepers map[string]*budget.Keeper // of the budgets that this dispatcher keeps
+	Purses  []*budget.LocalBudget
+	Keepers map[string]*budget.Owner // of the budgets that this dispatcher keeps
 	Month   func(now time.Duration) budget.Month
 
 	Account *account.Tracker
@@ -26,7 +26,7 @@
 
 // paid is one reservation of a request.
 type paid struct {
-	purse  *budget.Purse
+	purse  *budget.LocalBudget
 	tokens float64
 	own    bool
 }
@@ -37,14 +37,14 @@
 	var tend func()
 	tend = func() {
 		for _, p := range b.Purses {
-			p.Tend(l.now)
+			p.Tick(l.now)
 		}
 		if b.Account != nil {
-			for _, q := range b.Account.Ask() {
-				if box := l.backends[q.Box]; box != nil {
-					b.Inquire(box, q, func(r *account.Reply) { b.Account.Heard(q, r) })
+			for _, q := range b.Account.DueInquiries() {
+				if box := l.backends[q.Backend]; box != nil {
+					b.Inquire(box, q, func(r *account.Reply) { b.Account.HandleReply(q, r) })
 				} else {
-					b.Account.Heard(q, nil)
+					b.Account.HandleReply(q, nil)
 				}
 			}
 		}
@@ -73,7 +73,7 @@
 		p := l.books.Purses[i]
 		p.Reserve(l.now, month, tokens, func(v budget.Verdict) {
 			if v.OK {
-				a.paid = append(a.paid, paid{p, tokens, v.Own})
+				a.paid = append(a.paid, paid{p, tokens, v.Emergency})
 			}
 			switch {
 			case a.answered || a.left: // meanwhile
@@ -81,7 +81,7 @@
 				l.forget(a)
 			case !v.OK:
 				a.Request.Over, a.unpaid = true, true
-				l.answer(a, kserve.Final{Final: kserve.Declined, Error: "the budget of " + p.Terms.Name + " is used up", Harmless: true, AfterMs: v.After.Milliseconds()})
+				l.answer(a, kserve.Final{Final: kserve.Declined, Error: "the budget of " + p.Terms.Name + " is used up", Harmless: true, AfterMs: v.RetryAfter.Milliseconds()})
 				l.forget(a)
 			default:
 				next(i + 1)
@@ -121,22 +121,22 @@
 }
 
 // what names an attempt in the account.
-func (f *Attempt) what() ledger.Trip {
-	return ledger.Trip{Box: f.Backend.Name, Key: f.Key, Trip: f.Planned.Number, Mark: f.Request.Ask.ID, Channel: f.Request.Channel, Grade: f.Request.Grade,
-		Stage:  f.Stage(),
-		Answer: int(f.Streamed.Load()), End: "unknown"}
+func (f *Attempt) what() ledger.Attempt {
+	return ledger.Attempt{Backend: f.Backend.Name, Key: f.Key, Index: f.Planned.Number, RequestID: f.Request.Ask.ID, Tenant: f.Request.Channel, Class: f.Request.Grade,
+		Phase:  f.Stage(),
+		OutputTokens: int(f.Streamed.Load()), Outcome: "unknown"}
 }
 
 // tripOf turns what a backend says into a line of the account.
-func tripOf(c kserve.Count) ledger.Trip {
-	return ledger.Trip{Number: c.Number, Key: c.Key, Trip: c.Trip, Mark: c.Mark, Stage: c.Stage, Channel: c.Channel, Grade: c.Grade, Read: c.Read, Kept: c.Kept,
-		Answer: c.Answer, End: c.End}
+func tripOf(c kserve.Count) ledger.Attempt {
+	return ledger.Attempt{Number: c.Number, Key: c.Key, Index: c.Trip, RequestID: c.Mark, Phase: c.Stage, Tenant: c.Channel, Class: c.Grade, PrefillTokens: c.Read, CachedTokens: c.Kept,
+		OutputTokens: c.Answer, Outcome: c.End}
 }
 
 // accountSent and accountEnded tell the account of an attempt.
 func (l *Loop) accountSent(f *Attempt) {
 	if l.books != nil && l.books.Account != nil {
-		l.books.Account.Sent(f.what())
+		l.books.Account.AttemptSent(f.what())
 	}
 }
 
@@ -144,12 +144,12 @@
 	if l.books == nil || l.books.Account == nil {
 		return
 	}
-	var count *ledger.Trip
+	var count *ledger.Attempt
 	if f.Count != nil {
 		t := tripOf(*f.Count)
 		count = &t
 	}
-	l.books.Account.Ended(f.what(), count, r.Outcome == brain.Unreachable)
+	l.books.Account.AttemptEnded(f.what(), count, r.Outcome == brain.Unreachable)
 }
 
 // accountOver writes a request's end down.
@@ -157,12 +157,12 @@
 	if l.books == nil || l.books.Account == nil {
 		return
 	}
-	l.books.Account.Question(ledger.Question{Key: l.Key(a), Mark: a.Ask.ID, Channel: a.Channel, Grade: a.Grade, Final: final, Prompt: a.Ask.Tokens,
-		Answer: int(a.streamed()), Trips: len(a.Request.Attempts), Why: why})
+	l.books.Account.RequestEnded(ledger.Request{Key: l.Key(a), RequestID: a.Ask.ID, Tenant: a.Channel, Class: a.Grade, Outcome: final, PromptTokens: a.Ask.Tokens,
+		OutputTokens: int(a.streamed()), Attempts: len(a.Request.Attempts), Reason: why})
 }
 
 func (l *Loop) accountListed(b *Backend, gone bool) {
 	if l.books != nil && l.books.Account != nil {
-		l.books.Account.Listed(b.Name, gone)
+		l.books.Account.UpdateBackend(b.Name, gone)
 	}
 }
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -24,8 +24,8 @@
 
 // budgetWord is a message about a budget: one of its parts is set.
 type budgetWord struct {
-	Ask  *budget.Ask  `cbor:"1,keyasint,omitempty"`
-	Lend *budget.Lend `cbor:"2,keyasint,omitempty"`
+	Ask  *budget.LeaseRequest  `cbor:"1,keyasint,omitempty"`
+	Lend *budget.LeaseReply `cbor:"2,keyasint,omitempty"`
 }
 
 // newsBytes is the length of a message: version, number of the sender, the news.
--- a/internal/dispatch/peers_test.go
+++ b/internal/dispatch/peers_test.go
@@ -14,7 +14,7 @@
 func FuzzDatagrams(f *testing.F) {
 	p := &Peers{Own: 0, To: make([]*net.UDPAddr, 3)}
 	head := func(form byte, from uint16) []byte { return binary.BigEndian.AppendUint16([]byte{form}, from) }
-	ask, err := cbor.Marshal(budgetWord{Ask: &budget.Ask{Name: "b", Holder: "h", Want: 3}})
+	ask, err := cbor.Marshal(budgetWord{Ask: &budget.LeaseRequest{Name: "b", Holder: "h", Wanted: 3}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/dispatch/trips.go
+++ b/internal/dispatch/trips.go
@@ -349,7 +349,7 @@
 	if err != nil {
 		return nil
 	}
-	r := &account.Reply{More: counts.More, Open: counts.Open, Forgot: counts.Forgot}
+	r := &account.Reply{More: counts.More, Running: counts.Open, ForgottenUpTo: counts.Forgot}
 	for _, x := range counts.Counts {
 		r.Counts = append(r.Counts, tripOf(x))
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -124,7 +124,7 @@
 	reads       map[string]*[2]float64   // tokens left to read by grade: sum and number
 	starts      uint64
 	lent        map[string]float64 // what keepers have made durable
-	purses      []*budget.Purse
+	purses      []*budget.LocalBudget
 }
 
 func (w *world) at(at time.Duration, do func()) {
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -94,12 +94,12 @@
 
 // Terms are those of the decision package.
 func (b Budget) Terms() budget.Terms {
-	t := budget.Terms{Name: b.Channel, PerS: -1, Monthly: -1, Burst: b.Burst, Borrow: b.Borrow}
+	t := budget.Terms{Name: b.Channel, PerSecond: -1, Monthly: -1, Burst: b.Burst, Borrow: b.Borrow}
 	if b.Grade != "" {
 		t.Name += "/" + b.Grade
 	}
 	if b.PerS != nil {
-		t.PerS = *b.PerS
+		t.PerSecond = *b.PerS
 		if b.Burst == 0 {
 			t.Burst = 10 * *b.PerS
 		}
@@ -487,7 +487,7 @@
 			return Wrong(at+"grade", "%q is unknown", b.Grade)
 		case b.PerS == nil && b.Monthly == nil:
 			return Wrong(at+"channel", "states neither tokens_a_second nor monthly; without a budget a channel is not limited")
-		case b.PerS != nil && !(*b.PerS >= 0), b.Monthly != nil && !(*b.Monthly >= 0), !(b.Burst >= 0), !(b.Borrow >= 0), !b.Terms().Sound():
+		case b.PerS != nil && !(*b.PerS >= 0), b.Monthly != nil && !(*b.Monthly >= 0), !(b.Burst >= 0), !(b.Borrow >= 0), !b.Terms().Valid():
 			return Wrong(at+"channel", "has a figure that is negative or makes no sense")
 		case seen[b.Terms().Name]:
 			return Wrong(at+"channel", "%s has a budget already", b.Terms().Name)
