--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -1,7 +1,7 @@
-// Package account decides what a dispatcher still has to find out about the cost of its trips: which boxes to ask for which
-// counts, when to ask again, when a trip is known to have cost nothing, and when nobody can tell any more. Boxes number
-// their counts for each start of a dispatcher, so that each is taken in once, however often it comes. It is free of I/O;
-// records go out through Write. Begin with Tracker.
+// Package account tracks which attempts of a dispatcher still lack a count of their cost: which backends to query for
+// which counts, when to retry, when an attempt is known to have cost nothing, and when no backend can report it any
+// more. Backends number their counts for each epoch of a dispatcher, so that each count is recorded once, however
+// often it arrives. It does no I/O; records are passed to Write. Begin with Tracker.
 package account
 
 import (
@@ -15,417 +15,427 @@
 )
 
 const (
-	soon     = 300 * time.Millisecond // after a trip's end, before its box is asked for a count that did not come along
-	settle   = time.Second            // between inquiries at one box
-	tellMost = 200                    // numbers that a box is to hold for want of a word, and
-	tellIn   = 10 * time.Second       // how long: 160 dispatchers must not each send it one a second
-	again    = 500 * time.Millisecond // after a failed inquiry, doubled up to the next value
-	againMax = 10 * time.Second
-	twice    = 2 * time.Second  // a box must say twice, so far apart, that it has nothing more: a trip may be on its way
-	lost     = 60 * time.Second // after a box has left the list, before it is taken for one that nobody can ask
-	mostOpen = 1 << 17          // trips whose counts are missing; older ones are then given up on, as unproven
+	inquiryDelay      = 300 * time.Millisecond // from an attempt's end until its backend is queried for a missing count
+	inquiryInterval   = time.Second            // between inquiries to one backend
+	maxUnacknowledged = 200                    // durable counts that a backend still holds before they are acknowledged
+	ackInterval       = 10 * time.Second       // or after this time: 160 dispatchers must not each send one a second
+	retryBackoff      = 500 * time.Millisecond // after a failed inquiry, doubled up to maxRetryBackoff
+	maxRetryBackoff   = 10 * time.Second
+	confirmEmptyAfter = 2 * time.Second  // between two replies that nothing is left: an attempt may still be on its way
+	removedGrace      = 60 * time.Second // after a backend was removed, before it counts as one that cannot be queried
+	maxMissing        = 1 << 17          // attempts without a count; beyond, the oldest is recorded as unconfirmed
 )
 
-// Numbers are those of a box's counts for one start of a dispatcher that are known.
-type Numbers struct {
-	UpTo   uint64 // all up to here
+// NumberSet is a set of count numbers, from 1. It is compact where there are few gaps.
+type NumberSet struct {
+	UpTo   uint64 // all numbers up to here are in the set
 	Beyond map[uint64]bool
 }
 
-// Take adds one; false: it was known.
-func (n *Numbers) Take(k uint64) bool {
-	if k == 0 || k <= n.UpTo || n.Beyond[k] {
+// Add adds a number and reports whether it was new.
+func (s *NumberSet) Add(number uint64) bool {
+	if number == 0 || number <= s.UpTo || s.Beyond[number] {
 		return false
 	}
-	if n.Beyond == nil {
-		n.Beyond = map[uint64]bool{}
+	if s.Beyond == nil {
+		s.Beyond = map[uint64]bool{}
 	}
-	n.Beyond[k] = true
-	n.advance()
+	s.Beyond[number] = true
+	s.advance()
 	return true
 }
 
-// advance takes in what follows without a gap.
-func (n *Numbers) advance() {
-	for n.Beyond[n.UpTo+1] {
-		n.UpTo++
-		delete(n.Beyond, n.UpTo)
+// advance moves UpTo over the numbers that follow without a gap.
+func (s *NumberSet) advance() {
+	for s.Beyond[s.UpTo+1] {
+		s.UpTo++
+		delete(s.Beyond, s.UpTo)
 	}
 }
 
-// skip adds all up to k, and tells how many of them were new.
-func (n *Numbers) skip(k uint64) uint64 {
-	was := uint64(len(n.Beyond))
-	maps.DeleteFunc(n.Beyond, func(b uint64, _ bool) bool { return b <= k })
-	fresh := k - n.UpTo - (was - uint64(len(n.Beyond)))
-	n.UpTo = k
-	n.advance()
-	return fresh
+// addUpTo adds all numbers up to the given one and returns how many of them were new.
+func (s *NumberSet) addUpTo(number uint64) uint64 {
+	before := uint64(len(s.Beyond))
+	maps.DeleteFunc(s.Beyond, func(beyond uint64, _ bool) bool { return beyond <= number })
+	added := number - s.UpTo - (before - uint64(len(s.Beyond)))
+	s.UpTo = number
+	s.advance()
+	return added
 }
 
-// at is what is known of one box for one epoch.
-type at struct {
-	box, epoch string
-	known      Numbers // written down
-	durable    Numbers // written down, and on the disk
-	told       uint64  // acknowledged to the box
-	toldAt     time.Duration
-	missing    map[string]*trip
-	asked      bool // an inquiry is out
-	next       time.Duration
-	wait       time.Duration
-	clean      time.Duration // when the box first said that it has nothing more; 0: it has not
-	done       bool          // of an earlier epoch: nothing more will come
+// backendEpoch is the state of one epoch at one backend.
+type backendEpoch struct {
+	backend, epoch string
+	recorded       NumberSet // passed to Write
+	durable        NumberSet // durable in the ledger
+	acked          uint64    // acknowledged to the backend
+	ackedAt        time.Duration
+	missing        map[string]*missingAttempt
+	inFlight       bool // an inquiry is outstanding
+	nextInquiry    time.Duration
+	backoff        time.Duration
+	emptySince     time.Duration // when the backend first replied that nothing is left; 0: it has not
+	done           bool          // of an earlier epoch: no more counts will come
 }
 
-// whole tells whether every trip there is accounted for, durably.
-func (p *at) whole() bool {
-	return len(p.missing) == 0 && len(p.known.Beyond) == 0 && p.durable.UpTo == p.known.UpTo
+// complete reports whether every attempt is durably accounted for.
+func (e *backendEpoch) complete() bool {
+	return len(e.missing) == 0 && len(e.recorded.Beyond) == 0 && e.durable.UpTo == e.recorded.UpTo
 }
 
-// trip is one whose count is missing.
-type trip struct {
-	what  ledger.Attempt
-	ended time.Duration // 0: it is out
+// missingAttempt is an attempt without a count.
+type missingAttempt struct {
+	attempt ledger.Attempt
+	endedAt time.Duration // 0: it is in flight
 }
 
-// Inquiry asks a box for its counts of an epoch with numbers above After, and lets it forget those up to there.
+// Inquiry requests the counts of an epoch with numbers above After from a backend, and acknowledges those up to After.
 type Inquiry struct {
 	Backend, Epoch string
-	After      uint64
+	After          uint64
 }
 
-// Reply is what the box says.
+// Reply is a backend's answer to an Inquiry.
 type Reply struct {
-	Counts []ledger.Attempt // in the order of their numbers
-	More   bool          // there are more
-	Running   int           // trips of that epoch that run there now
-	ForgottenUpTo uint64        // up to which it has been told to forget
+	Counts        []ledger.Attempt // in the order of their numbers
+	More          bool             // there are further counts
+	Running       int              // attempts of that epoch that run there now
+	ForgottenUpTo uint64           // the highest number that was acknowledged to it
 }
 
-// Tracker is one dispatcher's.
+// Tracker accounts for the attempts of one dispatcher.
 type Tracker struct {
-	Epoch string
-	Began int64 // milliseconds since 1970 at its start
-	Write func(ledger.Record, func())
-	Now   func() time.Duration
+	Epoch          string
+	StartUnixMilli int64                       // start in milliseconds since 1970
+	Write          func(ledger.Record, func()) // the function is called when the record is durable
+	Now            func() time.Duration        // since the start
 
-	places map[string]*at
-	order  []*at
-	boxes  map[string]time.Duration // known to the list; how long they have been gone, 0: they are there
-	old    []string                 // earlier epochs whose account is open
+	entries       map[string]*backendEpoch
+	order         []*backendEpoch
+	backends      map[string]time.Duration // from service discovery; when they were removed, 0: present
+	earlierEpochs []string                 // that are not closed yet
 
 	finishing bool
 
 	Counts Counts
 }
 
-// Counts show what was found out, and how.
+// Counts counts the attempts by how their cost became known.
 type Counts struct {
-	Inline    int64 `json:"Inline"`
-	Asked     int64 `json:"Asked"`
-	Found     int64 `json:"Found"`
-	Twice     int64 `json:"Twice"`
-	Unproven  int64 `json:"Unproven"`
-	Costless  int64 `json:"Costless"`
-	Cut       int64 `json:"Cut"`
-	Missing   int   `json:"Missing"`
-	OldEpochs int   `json:"OldEpochs"`
-}
-
-// New makes a tracker. known are numbers from the ledger by box and epoch; old are epochs that are not closed in it.
-func New(epoch string, began int64, write func(ledger.Record, func()), now func() time.Duration, sheet []RecordedCount, old []string) *Tracker {
-	t := &Tracker{Epoch: epoch, Began: began, Write: write, Now: now, places: map[string]*at{}, boxes: map[string]time.Duration{}, old: old}
-	for _, s := range sheet {
-		p := t.place(s.Backend, s.Epoch)
-		p.known.Take(s.Number)
-		p.durable.Take(s.Number)
+	Inline      int64 `json:"Inline"`    // counts that came with the answer
+	Inquiries   int64 `json:"Asked"`     // sent to backends
+	Found       int64 `json:"Found"`     // counts that came with the reply to an inquiry
+	Duplicates  int64 `json:"Twice"`     // counts that were recorded before
+	Unconfirmed int64 `json:"Unproven"`  // attempts that no backend reported
+	Costless    int64 `json:"Costless"`  // attempts that never reached a backend
+	Truncated   int64 `json:"Cut"`       // acknowledged counts that the ledger lacks
+	Missing     int   `json:"Missing"`   // attempts without a count
+	OpenEpochs  int   `json:"OldEpochs"` // earlier epochs that are not closed
+}
+
+// New returns a tracker. recorded are the counts in the ledger and earlierEpochs the epochs that are not closed in it.
+func New(epoch string, startUnixMilli int64, write func(ledger.Record, func()), now func() time.Duration,
+	recorded []RecordedCount, earlierEpochs []string) *Tracker {
+	t := &Tracker{Epoch: epoch, StartUnixMilli: startUnixMilli, Write: write, Now: now,
+		entries: map[string]*backendEpoch{}, backends: map[string]time.Duration{}, earlierEpochs: earlierEpochs}
+	for _, count := range recorded {
+		e := t.entry(count.Backend, count.Epoch)
+		e.recorded.Add(count.Number)
+		e.durable.Add(count.Number)
 	}
-	slices.Sort(t.old)
-	t.Counts.OldEpochs = len(t.old)
+	slices.Sort(t.earlierEpochs)
+	t.Counts.OpenEpochs = len(t.earlierEpochs)
 	return t
 }
 
-// RecordedCount is a count that the ledger has.
+// RecordedCount identifies a count that is in the ledger.
 type RecordedCount struct {
 	Backend, Epoch string
-	Number     uint64
+	Number         uint64
 }
 
-func placeKey(box, epoch string) string { return box + "\x00" + epoch }
+func entryKey(backend, epoch string) string { return backend + "\x00" + epoch }
 
-func (t *Tracker) place(box, epoch string) *at {
-	key := placeKey(box, epoch)
-	p := t.places[key]
-	if p == nil {
-		p = &at{box: box, epoch: epoch, missing: map[string]*trip{}}
-		t.places[key] = p
-		t.order = append(t.order, p)
+// entry returns the state of an epoch at a backend and creates a missing one.
+func (t *Tracker) entry(backend, epoch string) *backendEpoch {
+	key := entryKey(backend, epoch)
+	e := t.entries[key]
+	if e == nil {
+		e = &backendEpoch{backend: backend, epoch: epoch, missing: map[string]*missingAttempt{}}
+		t.entries[key] = e
+		t.order = append(t.order, e)
 	}
-	return p
+	return e
 }
 
-func (t *Tracker) at() int64 { return t.Began + t.Now().Milliseconds() }
+func (t *Tracker) unixMilli() int64 { return t.StartUnixMilli + t.Now().Milliseconds() }
 
-// UpdateBackend takes word that the list has a box, or has it no more.
-func (t *Tracker) UpdateBackend(box string, gone bool) {
-	if !gone {
-		t.boxes[box] = 0
-	} else if since, ok := t.boxes[box]; ok && since == 0 {
-		t.boxes[box] = max(t.Now(), 1)
+// UpdateBackend records that service discovery lists a backend or has removed it.
+func (t *Tracker) UpdateBackend(backend string, removed bool) {
+	if !removed {
+		t.backends[backend] = 0
+	} else if since, ok := t.backends[backend]; ok && since == 0 {
+		t.backends[backend] = max(t.Now(), 1)
 	}
 }
 
-// AttemptSent takes word of a trip that goes out.
-func (t *Tracker) AttemptSent(what ledger.Attempt) {
-	what.Epoch = t.Epoch
-	p := t.place(what.Backend, t.Epoch)
-	p.missing[tripName(&what)] = &trip{what: what}
-	p.clean = 0
-	if t.Counts.Missing++; t.Counts.Missing > mostOpen {
+// AttemptSent records that an attempt was sent.
+func (t *Tracker) AttemptSent(attempt ledger.Attempt) {
+	attempt.Epoch = t.Epoch
+	e := t.entry(attempt.Backend, t.Epoch)
+	e.missing[attemptID(&attempt)] = &missingAttempt{attempt: attempt}
+	e.emptySince = 0
+	if t.Counts.Missing++; t.Counts.Missing > maxMissing {
 		t.giveUpOldest()
 	}
 }
 
-func tripName(w *ledger.Attempt) string {
-	return w.Key + "#" + string(rune('0'+w.Index))
+func attemptID(a *ledger.Attempt) string {
+	return a.Key + "#" + string(rune('0'+a.Index))
 }
 
-// AttemptEnded takes word of its end, with the count that the box sent along, if any. never says that nothing was sent.
-func (t *Tracker) AttemptEnded(what ledger.Attempt, count *ledger.Attempt, never bool) {
-	what.Epoch = t.Epoch
-	p := t.place(what.Backend, t.Epoch)
-	name := tripName(&what)
-	m := p.missing[name]
+// AttemptEnded records the end of an attempt, with the count that the backend sent along, if any. neverSent says that
+// nothing was sent to the backend.
+func (t *Tracker) AttemptEnded(attempt ledger.Attempt, count *ledger.Attempt, neverSent bool) {
+	attempt.Epoch = t.Epoch
+	e := t.entry(attempt.Backend, t.Epoch)
+	id := attemptID(&attempt)
+	m := e.missing[id]
 	switch {
-	case m == nil: // an inquiry was faster
+	case m == nil: // an inquiry returned its count before
 		return
 	case count != nil:
-		if t.take(p, *count) {
+		if t.recordCount(e, *count) {
 			t.Counts.Inline++
 		}
-	case never:
+	case neverSent:
 		t.Counts.Costless++
-		t.drop(p, name)
+		t.removeMissing(e, id)
 	default:
-		m.ended = max(t.Now(), 1)
-		m.what.OutputTokens, m.what.Outcome = what.OutputTokens, what.Outcome
-		p.next = min(p.next, m.ended+soon)
+		m.endedAt = max(t.Now(), 1)
+		m.attempt.OutputTokens, m.attempt.Outcome = attempt.OutputTokens, attempt.Outcome
+		e.nextInquiry = min(e.nextInquiry, m.endedAt+inquiryDelay)
 	}
 }
 
-func (t *Tracker) drop(p *at, name string) {
-	if p.missing[name] != nil {
-		delete(p.missing, name)
+func (t *Tracker) removeMissing(e *backendEpoch, id string) {
+	if e.missing[id] != nil {
+		delete(e.missing, id)
 		t.Counts.Missing--
 	}
 }
 
-// take writes a count down, if it is new.
-func (t *Tracker) take(p *at, count ledger.Attempt) bool {
-	count.Backend, count.Epoch = p.box, p.epoch
-	t.drop(p, tripName(&count))
-	if !p.known.Take(count.Number) {
-		t.Counts.Twice++
+// recordCount writes a count to the ledger and reports whether it was new.
+func (t *Tracker) recordCount(e *backendEpoch, count ledger.Attempt) bool {
+	count.Backend, count.Epoch = e.backend, e.epoch
+	t.removeMissing(e, attemptID(&count))
+	if !e.recorded.Add(count.Number) {
+		t.Counts.Duplicates++
 		return false
 	}
-	n := count.Number
-	t.Write(ledger.Record{UnixMilli: t.at(), Attempt: &count}, func() { p.durable.Take(n) })
+	number := count.Number
+	t.Write(ledger.Record{UnixMilli: t.unixMilli(), Attempt: &count}, func() { e.durable.Add(number) })
 	return true
 }
 
-// unproven writes down what the dispatcher saw of a trip that no box will state.
-func (t *Tracker) unproven(p *at, name string) {
-	m := p.missing[name]
-	t.drop(p, name)
-	t.Counts.Unproven++
-	m.what.Number = 0
-	t.Write(ledger.Record{UnixMilli: t.at(), Attempt: &m.what}, nil)
+// recordUnconfirmed writes what the dispatcher saw of an attempt that no backend will report.
+func (t *Tracker) recordUnconfirmed(e *backendEpoch, id string) {
+	m := e.missing[id]
+	t.removeMissing(e, id)
+	t.Counts.Unconfirmed++
+	m.attempt.Number = 0
+	t.Write(ledger.Record{UnixMilli: t.unixMilli(), Attempt: &m.attempt}, nil)
 }
 
 func (t *Tracker) giveUpOldest() {
-	var oldest *at
-	name, when := "", time.Duration(0)
-	for _, p := range t.order {
-		for n, m := range p.missing {
-			if m.ended > 0 && (name == "" || m.ended < when || m.ended == when && n < name) {
-				oldest, name, when = p, n, m.ended
+	var oldest *backendEpoch
+	oldestID, endedAt := "", time.Duration(0)
+	for _, e := range t.order {
+		for id, m := range e.missing {
+			if m.endedAt > 0 && (oldestID == "" || m.endedAt < endedAt || m.endedAt == endedAt && id < oldestID) {
+				oldest, oldestID, endedAt = e, id, m.endedAt
 			}
 		}
 	}
 	if oldest != nil {
-		t.unproven(oldest, name)
+		t.recordUnconfirmed(oldest, oldestID)
 	}
 }
 
-// DueInquiries tells which boxes to ask now.
+// DueInquiries returns the inquiries to send now. Each must be answered by a call of HandleReply.
 func (t *Tracker) DueInquiries() []Inquiry {
 	now := t.Now()
-	for _, epoch := range t.old {
-		for box := range t.boxes {
-			t.place(box, epoch)
+	for _, epoch := range t.earlierEpochs {
+		for backend := range t.backends {
+			t.entry(backend, epoch)
 		}
 	}
 	var out []Inquiry
-	for _, p := range t.order {
-		gone := t.boxes[p.box]
-		if _, listed := t.boxes[p.box]; !listed {
-			gone = 1 // the ledger knows it, the list has not named it
+	for _, e := range t.order {
+		removedAt := t.backends[e.backend]
+		if _, listed := t.backends[e.backend]; !listed {
+			removedAt = 1 // the ledger has it, but service discovery never listed it
 		}
-		if p.asked || now < p.next || p.done {
+		if e.inFlight || now < e.nextInquiry || e.done {
 			continue
 		}
-		if gone > 0 && now-gone > lost {
-			t.lose(p)
+		if removedAt > 0 && now-removedAt > removedGrace {
+			t.giveUp(e)
 			continue
 		}
-		if t.wants(p, now) {
-			p.asked = true
-			t.Counts.Asked++
-			out = append(out, Inquiry{p.box, p.epoch, p.durable.UpTo})
+		if t.needsInquiry(e, now) {
+			e.inFlight = true
+			t.Counts.Inquiries++
+			out = append(out, Inquiry{e.backend, e.epoch, e.durable.UpTo})
 		}
 	}
-	t.forget(now)
-	t.close()
-	slices.SortFunc(out, func(a, b Inquiry) int { return cmp.Or(cmp.Compare(a.Backend, b.Backend), cmp.Compare(a.Epoch, b.Epoch)) })
+	t.dropRemoved(now)
+	t.closeEpochs()
+	slices.SortFunc(out, func(a, b Inquiry) int {
+		return cmp.Or(cmp.Compare(a.Backend, b.Backend), cmp.Compare(a.Epoch, b.Epoch))
+	})
 	return out
 }
 
-// forget drops boxes that nobody can ask any more and of which nothing is missing.
-func (t *Tracker) forget(now time.Duration) {
-	t.order = slices.DeleteFunc(t.order, func(p *at) bool {
-		gone, listed := t.boxes[p.box]
-		if !listed || gone == 0 || now-gone <= lost || p.epoch != t.Epoch || p.asked || !p.whole() {
+// dropRemoved forgets removed backends that cannot be queried any more and lack no count.
+func (t *Tracker) dropRemoved(now time.Duration) {
+	t.order = slices.DeleteFunc(t.order, func(e *backendEpoch) bool {
+		removedAt, listed := t.backends[e.backend]
+		if !listed || removedAt == 0 || now-removedAt <= removedGrace || e.epoch != t.Epoch || e.inFlight || !e.complete() {
 			return false
 		}
-		delete(t.places, placeKey(p.box, p.epoch))
+		delete(t.entries, entryKey(e.backend, e.epoch))
 		return true
 	})
-	for box, gone := range t.boxes {
-		if gone > 0 && now-gone > lost && !slices.ContainsFunc(t.order, func(p *at) bool { return p.box == box }) {
-			delete(t.boxes, box)
+	for backend, removedAt := range t.backends {
+		if removedAt > 0 && now-removedAt > removedGrace &&
+			!slices.ContainsFunc(t.order, func(e *backendEpoch) bool { return e.backend == backend }) {
+			delete(t.backends, backend)
 		}
 	}
 }
 
-// wants tells whether there is something to learn from a box, or to tell it.
-func (t *Tracker) wants(p *at, now time.Duration) bool {
-	if p.epoch != t.Epoch {
+// needsInquiry reports whether a backend has counts to report or to be acknowledged.
+func (t *Tracker) needsInquiry(e *backendEpoch, now time.Duration) bool {
+	if e.epoch != t.Epoch {
 		return true
 	}
-	for _, m := range p.missing {
-		if m.ended > 0 && now-m.ended >= soon {
+	for _, m := range e.missing {
+		if m.endedAt > 0 && now-m.endedAt >= inquiryDelay {
 			return true
 		}
 	}
-	// Numbers that are missing in between, or those to be acknowledged.
-	untold := p.durable.UpTo - min(p.told, p.durable.UpTo)
-	return len(p.known.Beyond) > 0 || untold > 0 && (t.finishing || untold >= tellMost || now-p.toldAt >= tellIn)
+	// Numbers that are missing in between, or that are to be acknowledged.
+	unacknowledged := e.durable.UpTo - min(e.acked, e.durable.UpTo)
+	return len(e.recorded.Beyond) > 0 || unacknowledged > 0 &&
+		(t.finishing || unacknowledged >= maxUnacknowledged || now-e.ackedAt >= ackInterval)
 }
 
-// lose gives up on a box.
-func (t *Tracker) lose(p *at) {
-	for _, name := range sorted(p.missing) {
-		if p.missing[name].ended > 0 {
-			t.unproven(p, name)
+// giveUp records the missing attempts of a backend that cannot be queried any more.
+func (t *Tracker) giveUp(e *backendEpoch) {
+	for _, id := range sortedIDs(e.missing) {
+		if e.missing[id].endedAt > 0 {
+			t.recordUnconfirmed(e, id)
 		}
 	}
-	p.done = p.epoch != t.Epoch
-	p.next = t.Now() + settle
+	e.done = e.epoch != t.Epoch
+	e.nextInquiry = t.Now() + inquiryInterval
 }
 
-func sorted(m map[string]*trip) []string {
+func sortedIDs(missing map[string]*missingAttempt) []string {
 	var out []string
-	for name := range m {
-		out = append(out, name)
+	for id := range missing {
+		out = append(out, id)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// HandleReply takes a box's reply; nil: it could not be asked.
-func (t *Tracker) HandleReply(q Inquiry, r *Reply) {
-	p := t.place(q.Backend, q.Epoch)
+// HandleReply processes the reply to an inquiry; nil means that the inquiry failed.
+func (t *Tracker) HandleReply(inquiry Inquiry, reply *Reply) {
+	e := t.entry(inquiry.Backend, inquiry.Epoch)
 	now := t.Now()
-	p.asked = false
-	// Of this start a box forgets what it was told to, and no more.
-	if r == nil || p.epoch == t.Epoch && r.ForgottenUpTo > max(q.After, p.told) {
-		p.wait = min(max(2*p.wait, again), againMax)
-		p.next = now + p.wait
-		p.clean = 0
+	e.inFlight = false
+	// Of the present epoch a backend forgets what was acknowledged to it and no more: any other reply is invalid.
+	if reply == nil || e.epoch == t.Epoch && reply.ForgottenUpTo > max(inquiry.After, e.acked) {
+		e.backoff = min(max(2*e.backoff, retryBackoff), maxRetryBackoff)
+		e.nextInquiry = now + e.backoff
+		e.emptySince = 0
 		return
 	}
-	p.wait, p.next = 0, now+settle
-	p.told, p.toldAt = max(p.told, q.After), now
-	for _, c := range r.Counts {
-		if t.take(p, c) {
+	e.backoff, e.nextInquiry = 0, now+inquiryInterval
+	e.acked, e.ackedAt = max(e.acked, inquiry.After), now
+	for _, count := range reply.Counts {
+		if t.recordCount(e, count) {
 			t.Counts.Found++
 		}
 	}
-	// The box was told to forget more than this ledger has: records were cut off its end.
-	if r.ForgottenUpTo > q.After && r.ForgottenUpTo > p.known.UpTo {
-		t.Counts.Cut += int64(min(p.known.skip(r.ForgottenUpTo), math.MaxInt64/2))
-		p.durable.skip(r.ForgottenUpTo)
+	// More was acknowledged to the backend than this ledger holds: the end of the ledger was cut off.
+	if reply.ForgottenUpTo > inquiry.After && reply.ForgottenUpTo > e.recorded.UpTo {
+		t.Counts.Truncated += int64(min(e.recorded.addUpTo(reply.ForgottenUpTo), math.MaxInt64/2))
+		e.durable.addUpTo(reply.ForgottenUpTo)
 	}
 	switch {
-	case r.More:
-		p.next = now
-	case r.Running > 0 || len(r.Counts) > 0:
-		p.clean = 0
-	case p.clean == 0:
-		p.clean = max(now, 1)
-	case now-p.clean >= twice:
-		// It has nothing more: what is missing and was over before it first said so never came there.
-		for _, name := range sorted(p.missing) {
-			if m := p.missing[name]; m.ended > 0 && m.ended < p.clean {
+	case reply.More:
+		e.nextInquiry = now
+	case reply.Running > 0 || len(reply.Counts) > 0:
+		e.emptySince = 0
+	case e.emptySince == 0:
+		e.emptySince = max(now, 1)
+	case now-e.emptySince >= confirmEmptyAfter:
+		// The backend has nothing left: a missing attempt that ended before its first such reply never reached it.
+		for _, id := range sortedIDs(e.missing) {
+			if m := e.missing[id]; m.endedAt > 0 && m.endedAt < e.emptySince {
 				t.Counts.Costless++
-				t.drop(p, name)
+				t.removeMissing(e, id)
 			}
 		}
-		if p.epoch != t.Epoch {
-			p.done = true
+		if e.epoch != t.Epoch {
+			e.done = true
 		} else {
-			p.clean = 0
+			e.emptySince = 0
 		}
 	}
 }
 
-// close ends the account of an earlier epoch that every box has answered for, or that nobody can.
-func (t *Tracker) close() {
-	if len(t.boxes) == 0 {
+// closeEpochs closes each earlier epoch for which every backend has reported or cannot be queried.
+func (t *Tracker) closeEpochs() {
+	if len(t.backends) == 0 {
 		return
 	}
-	t.old = slices.DeleteFunc(t.old, func(epoch string) bool {
-		for _, p := range t.order {
-			if p.epoch == epoch && !p.done {
+	t.earlierEpochs = slices.DeleteFunc(t.earlierEpochs, func(epoch string) bool {
+		for _, e := range t.order {
+			if e.epoch == epoch && !e.done {
 				return false
 			}
 		}
-		t.Write(ledger.Record{UnixMilli: t.at(), Epoch: &ledger.Epoch{Name: epoch, Closed: true}}, nil)
+		t.Write(ledger.Record{UnixMilli: t.unixMilli(), Epoch: &ledger.Epoch{Name: epoch, Closed: true}}, nil)
 		return true
 	})
-	t.Counts.OldEpochs = len(t.old)
+	t.Counts.OpenEpochs = len(t.earlierEpochs)
 }
 
-// RequestEnded writes the end of one down.
-func (t *Tracker) RequestEnded(q ledger.Request) { t.Write(ledger.Record{UnixMilli: t.at(), Request: &q}, nil) }
+// RequestEnded records the end of a request.
+func (t *Tracker) RequestEnded(request ledger.Request) {
+	t.Write(ledger.Record{UnixMilli: t.unixMilli(), Request: &request}, nil)
+}
 
-// Finish has boxes told at once that they may forget: this start ends.
+// Finish has durable counts acknowledged at once, because the dispatcher shuts down.
 func (t *Tracker) Finish() { t.finishing = true }
 
-// Complete tells whether every trip of this start is accounted for, durably, and its boxes know.
+// Complete reports whether every attempt of this epoch is durably accounted for and, after Finish, acknowledged.
 func (t *Tracker) Complete() bool {
-	for _, p := range t.order {
-		if p.epoch == t.Epoch && (!p.whole() || t.finishing && p.told < p.durable.UpTo) {
+	for _, e := range t.order {
+		if e.epoch == t.Epoch && (!e.complete() || t.finishing && e.acked < e.durable.UpTo) {
 			return false
 		}
 	}
 	return true
 }
 
-// Close ends the account of this start, if it is whole; else the next start goes on with it.
+// Close closes this epoch if it is complete. Otherwise the next start continues with it.
 func (t *Tracker) Close() {
 	if t.Complete() {
-		t.Write(ledger.Record{UnixMilli: t.at(), Epoch: &ledger.Epoch{Name: t.Epoch, Closed: true}}, nil)
+		t.Write(ledger.Record{UnixMilli: t.unixMilli(), Epoch: &ledger.Epoch{Name: t.Epoch, Closed: true}}, nil)
 	}
 }
--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -10,228 +10,230 @@
 	"sloetrestle/internal/ledger"
 )
 
-// desk is a tracker with a clock that the test moves; what is written is durable when the test says so.
-type desk struct {
+// testTracker is a tracker with a clock that the test advances. Records become durable when the test calls commit.
+type testTracker struct {
 	now     time.Duration
 	records []ledger.Record
-	done    []func()
+	pending []func()
 	*Tracker
 }
 
-func newDesk(epoch string, seen []RecordedCount, old ...string) *desk {
-	d := &desk{now: time.Second}
-	d.Tracker = New(epoch, 0, func(r ledger.Record, done func()) {
-		d.records = append(d.records, r)
+func newTestTracker(epoch string, seen []RecordedCount, old ...string) *testTracker {
+	tracker := &testTracker{now: time.Second}
+	tracker.Tracker = New(epoch, 0, func(r ledger.Record, done func()) {
+		tracker.records = append(tracker.records, r)
 		if done != nil {
-			d.done = append(d.done, done)
+			tracker.pending = append(tracker.pending, done)
 		}
-	}, func() time.Duration { return d.now }, seen, old)
-	d.UpdateBackend("b", false)
-	return d
+	}, func() time.Duration { return tracker.now }, seen, old)
+	tracker.UpdateBackend("b", false)
+	return tracker
 }
 
-func (d *desk) commit() {
-	for _, f := range d.done {
-		f()
+func (tracker *testTracker) commit() {
+	for _, done := range tracker.pending {
+		done()
 	}
-	d.done = nil
+	tracker.pending = nil
 }
 
-func of(n int) ledger.Attempt {
+func testAttempt(n int) ledger.Attempt {
 	return ledger.Attempt{Backend: "b", Key: fmt.Sprintf("e/%d", n), Phase: "whole", Class: "g"}
 }
 
-func counted(number uint64, n int) ledger.Attempt {
-	t := of(n)
-	t.Number, t.PrefillTokens = number, 100
-	return t
+func testCount(number uint64, n int) ledger.Attempt {
+	count := testAttempt(n)
+	count.Number, count.PrefillTokens = number, 100
+	return count
 }
 
-func TestACountThatDidNotComeAlongIsAskedForAndTakenOnce(t *testing.T) {
-	d := newDesk("e", nil)
-	d.AttemptSent(of(1))
-	d.AttemptEnded(of(1), nil, false)
-	if got := d.DueInquiries(); len(got) != 0 {
-		t.Fatalf("asked at once: %v", got)
+func TestMissingCountIsRequestedAndRecordedOnce(t *testing.T) {
+	tracker := newTestTracker("e", nil)
+	tracker.AttemptSent(testAttempt(1))
+	tracker.AttemptEnded(testAttempt(1), nil, false)
+	if got := tracker.DueInquiries(); len(got) != 0 {
+		t.Fatalf("inquiries right after the end: %v", got)
 	}
-	d.now += soon
-	asks := d.DueInquiries()
-	if len(asks) != 1 || asks[0] != (Inquiry{"b", "e", 0}) || len(d.DueInquiries()) != 0 {
-		t.Fatalf("%v", asks)
+	tracker.now += inquiryDelay
+	inquiries := tracker.DueInquiries()
+	if len(inquiries) != 1 || inquiries[0] != (Inquiry{"b", "e", 0}) || len(tracker.DueInquiries()) != 0 {
+		t.Fatalf("%v", inquiries)
 	}
-	d.HandleReply(asks[0], &Reply{Counts: []ledger.Attempt{counted(1, 1)}})
-	d.HandleReply(asks[0], &Reply{Counts: []ledger.Attempt{counted(1, 1)}})
-	late := counted(1, 1)
-	d.AttemptEnded(of(1), &late, false)
-	if len(d.records) != 1 || d.Counts.Twice != 1 || d.Counts.Missing != 0 {
-		t.Errorf("%d records, %+v", len(d.records), d.Counts)
+	tracker.HandleReply(inquiries[0], &Reply{Counts: []ledger.Attempt{testCount(1, 1)}})
+	tracker.HandleReply(inquiries[0], &Reply{Counts: []ledger.Attempt{testCount(1, 1)}})
+	late := testCount(1, 1)
+	tracker.AttemptEnded(testAttempt(1), &late, false)
+	if len(tracker.records) != 1 || tracker.Counts.Duplicates != 1 || tracker.Counts.Missing != 0 {
+		t.Errorf("%d records, %+v", len(tracker.records), tracker.Counts)
 	}
-	// It is acknowledged only when it is durable.
-	d.now += 2 * tellIn
-	if asks := d.DueInquiries(); len(asks) != 0 {
-		t.Fatalf("%v is asked before the count is durable", asks)
+	// The count is acknowledged only once it is durable.
+	tracker.now += 2 * ackInterval
+	if inquiries := tracker.DueInquiries(); len(inquiries) != 0 {
+		t.Fatalf("%v before the count is durable", inquiries)
 	}
-	d.commit()
-	if asks := d.DueInquiries(); len(asks) != 1 || asks[0].After != 1 {
-		t.Errorf("%v", asks)
+	tracker.commit()
+	if inquiries := tracker.DueInquiries(); len(inquiries) != 1 || inquiries[0].After != 1 {
+		t.Errorf("%v", inquiries)
 	}
 }
 
-// Boxes hold counts until they may forget them, and 160 dispatchers must not each tell them so once a second; but one that stops
-// leaves nothing behind.
-func TestABoxIsToldRarelyAndAtTheEnd(t *testing.T) {
-	d := newDesk("e", nil)
-	asked := 0
-	for i := 1; i <= 600; i++ { // one a tenth of a second
-		d.AttemptSent(of(i))
-		c := counted(uint64(i), i)
-		d.AttemptEnded(of(i), &c, false)
-		d.commit()
-		d.now += 100 * time.Millisecond
-		for _, q := range d.DueInquiries() {
-			asked++
-			d.HandleReply(q, &Reply{ForgottenUpTo: q.After})
+// Backends hold counts until they are acknowledged. 160 dispatchers must not each send an acknowledgement every
+// second, but one that shuts down must leave no count unacknowledged.
+func TestAcknowledgementsAreRareAndSentAtShutdown(t *testing.T) {
+	tracker := newTestTracker("e", nil)
+	sent := 0
+	for i := 1; i <= 600; i++ { // one every 100 ms
+		tracker.AttemptSent(testAttempt(i))
+		c := testCount(uint64(i), i)
+		tracker.AttemptEnded(testAttempt(i), &c, false)
+		tracker.commit()
+		tracker.now += 100 * time.Millisecond
+		for _, inquiry := range tracker.DueInquiries() {
+			sent++
+			tracker.HandleReply(inquiry, &Reply{ForgottenUpTo: inquiry.After})
 		}
 	}
-	if asked < 5 || asked > 8 {
-		t.Errorf("asked %d times in a minute", asked)
+	if sent < 5 || sent > 8 {
+		t.Errorf("%d inquiries in a minute, want 5 to 8", sent)
 	}
-	d.Finish()
-	if d.Complete() {
-		t.Error("the box was not told of the last counts")
+	tracker.Finish()
+	if tracker.Complete() {
+		t.Error("the last counts were not acknowledged")
 	}
-	d.now += settle
-	for _, q := range d.DueInquiries() {
-		d.HandleReply(q, &Reply{ForgottenUpTo: q.After})
+	tracker.now += inquiryInterval
+	for _, inquiry := range tracker.DueInquiries() {
+		tracker.HandleReply(inquiry, &Reply{ForgottenUpTo: inquiry.After})
 	}
-	if !d.Complete() {
-		t.Error("the account is not whole")
+	if !tracker.Complete() {
+		t.Error("the account is not complete")
 	}
 }
 
-func TestATripThatNeverArrivedCostsNothing(t *testing.T) {
-	d := newDesk("e", nil)
-	d.AttemptSent(of(1))
-	d.AttemptEnded(of(1), nil, false)
+func TestAttemptThatNeverArrivedCostsNothing(t *testing.T) {
+	tracker := newTestTracker("e", nil)
+	tracker.AttemptSent(testAttempt(1))
+	tracker.AttemptEnded(testAttempt(1), nil, false)
 	for range 10 {
-		d.now += time.Second
-		for _, q := range d.DueInquiries() {
-			d.HandleReply(q, &Reply{})
+		tracker.now += time.Second
+		for _, inquiry := range tracker.DueInquiries() {
+			tracker.HandleReply(inquiry, &Reply{})
 		}
 	}
-	if len(d.records) != 0 || d.Counts.Costless != 1 || !d.Complete() {
-		t.Errorf("%v, %+v", d.records, d.Counts)
+	if len(tracker.records) != 0 || tracker.Counts.Costless != 1 || !tracker.Complete() {
+		t.Errorf("%v, %+v", tracker.records, tracker.Counts)
 	}
-	// One that is still on its way while the box says that it has nothing is not taken for that.
-	d.AttemptSent(of(2))
-	for _, q := range d.DueInquiries() {
-		d.HandleReply(q, &Reply{})
+	// An attempt that is still on its way when the backend replies that it has none does not count as never arrived.
+	tracker.AttemptSent(testAttempt(2))
+	for _, inquiry := range tracker.DueInquiries() {
+		tracker.HandleReply(inquiry, &Reply{})
 	}
-	d.AttemptEnded(of(2), nil, false)
-	d.now += soon
-	q := d.DueInquiries()
-	d.HandleReply(q[0], &Reply{})
-	if d.Counts.Missing != 1 {
-		t.Error("a trip was given up on after one word of its box")
+	tracker.AttemptEnded(testAttempt(2), nil, false)
+	tracker.now += inquiryDelay
+	inquiry := tracker.DueInquiries()
+	tracker.HandleReply(inquiry[0], &Reply{})
+	if tracker.Counts.Missing != 1 {
+		t.Error("an attempt was dropped after a single empty reply")
 	}
 }
 
-func TestABoxThatCanNotBeAskedLeavesAnUnprovenTrip(t *testing.T) {
-	d := newDesk("e", nil)
-	d.AttemptSent(of(1))
-	seen := of(1)
+func TestUnreachableBackendLeavesUnconfirmedAttempt(t *testing.T) {
+	tracker := newTestTracker("e", nil)
+	tracker.AttemptSent(testAttempt(1))
+	seen := testAttempt(1)
 	seen.OutputTokens = 7
-	d.AttemptEnded(seen, nil, false)
-	d.UpdateBackend("b", true)
+	tracker.AttemptEnded(seen, nil, false)
+	tracker.UpdateBackend("b", true)
 	for range 200 {
-		d.now += time.Second
-		for _, q := range d.DueInquiries() {
-			d.HandleReply(q, nil)
+		tracker.now += time.Second
+		for _, inquiry := range tracker.DueInquiries() {
+			tracker.HandleReply(inquiry, nil)
 		}
 	}
-	if len(d.records) != 1 || d.records[0].Attempt.Confirmed() || d.records[0].Attempt.OutputTokens != 7 || d.Counts.Unproven != 1 {
-		t.Errorf("%v, %+v", d.records, d.Counts)
+	if len(tracker.records) != 1 || tracker.records[0].Attempt.Confirmed() ||
+		tracker.records[0].Attempt.OutputTokens != 7 || tracker.Counts.Unconfirmed != 1 {
+		t.Errorf("%v, %+v", tracker.records, tracker.Counts)
 	}
 }
 
-func TestAnEarlierStartIsAskedForAtEveryBoxAndClosed(t *testing.T) {
-	d := newDesk("new", []RecordedCount{{"b", "old", 1}, {"b", "old", 2}}, "old")
-	d.UpdateBackend("c", false)
+func TestEarlierEpochIsReconciledAtEveryBackendAndClosed(t *testing.T) {
+	tracker := newTestTracker("new", []RecordedCount{{"b", "old", 1}, {"b", "old", 2}}, "old")
+	tracker.UpdateBackend("c", false)
 	for range 12 {
-		d.now += time.Second
-		for _, q := range d.DueInquiries() {
+		tracker.now += time.Second
+		for _, inquiry := range tracker.DueInquiries() {
 			r := &Reply{}
-			if q.Epoch == "old" && q.Backend == "b" && q.After < 4 {
-				r.Counts = []ledger.Attempt{counted(2, 2), counted(3, 3), counted(4, 4)} // 2 is known
+			if inquiry.Epoch == "old" && inquiry.Backend == "b" && inquiry.After < 4 {
+				r.Counts = []ledger.Attempt{testCount(2, 2), testCount(3, 3), testCount(4, 4)} // 2 is recorded
 				r.ForgottenUpTo = 1
 			}
-			d.HandleReply(q, r)
+			tracker.HandleReply(inquiry, r)
 		}
-		d.commit()
+		tracker.commit()
 	}
-	trips, closed := 0, 0
-	for _, r := range d.records {
+	attempts, closed := 0, 0
+	for _, r := range tracker.records {
 		if r.Attempt != nil {
-			trips++
+			attempts++
 		}
 		if r.Epoch != nil && r.Epoch.Closed && r.Epoch.Name == "old" {
 			closed++
 		}
 	}
-	if trips != 2 || closed != 1 || d.Counts.OldEpochs != 0 || d.Counts.Cut != 0 {
-		t.Errorf("%d trips, %d closed, %+v", trips, closed, d.Counts)
+	if attempts != 2 || closed != 1 || tracker.Counts.OpenEpochs != 0 || tracker.Counts.Truncated != 0 {
+		t.Errorf("%d trips, %d closed, %+v", attempts, closed, tracker.Counts)
 	}
 }
 
-// A box that was told to forget more than the ledger has shows that the ledger's end was cut off.
-func TestACutLedgerShows(t *testing.T) {
-	d := newDesk("new", []RecordedCount{{"b", "old", 1}}, "old")
-	d.now += time.Second
-	for _, q := range d.DueInquiries() {
-		if q.Epoch == "old" {
-			d.HandleReply(q, &Reply{ForgottenUpTo: 5})
+// A backend to which more was acknowledged than the ledger holds shows that the end of the ledger was cut off.
+func TestTruncatedLedgerIsCounted(t *testing.T) {
+	tracker := newTestTracker("new", []RecordedCount{{"b", "old", 1}}, "old")
+	tracker.now += time.Second
+	for _, inquiry := range tracker.DueInquiries() {
+		if inquiry.Epoch == "old" {
+			tracker.HandleReply(inquiry, &Reply{ForgottenUpTo: 5})
 		}
 	}
-	if d.Counts.Cut != 4 {
-		t.Errorf("%+v", d.Counts)
+	if tracker.Counts.Truncated != 4 {
+		t.Errorf("%+v", tracker.Counts)
 	}
 }
 
-// A box that says it forgot what it was never told to, or numbers that no ledger has, must not keep the loop counting up to
-// them, nor make later counts pass for known.
-func TestABoxThatForgotMoreThanCanBeIsNotCountedAfter(t *testing.T) {
-	d := newDesk("new", []RecordedCount{{"b", "old", 1}, {"b", "old", 7}}, "old")
+// A backend that reports an implausible acknowledged number must not keep the event loop counting up to it, nor make
+// later counts pass for recorded ones.
+func TestImplausibleForgottenNumberIsBounded(t *testing.T) {
+	tracker := newTestTracker("new", []RecordedCount{{"b", "old", 1}, {"b", "old", 7}}, "old")
 	for range 2 {
-		d.now += 20 * time.Second
-		d.AttemptSent(of(1))
-		d.AttemptEnded(of(1), nil, false)
-		d.now += time.Second
-		for _, q := range d.DueInquiries() {
-			d.HandleReply(q, &Reply{ForgottenUpTo: math.MaxUint64})
+		tracker.now += 20 * time.Second
+		tracker.AttemptSent(testAttempt(1))
+		tracker.AttemptEnded(testAttempt(1), nil, false)
+		tracker.now += time.Second
+		for _, inquiry := range tracker.DueInquiries() {
+			tracker.HandleReply(inquiry, &Reply{ForgottenUpTo: math.MaxUint64})
 		}
 	}
-	own, old := d.place("b", "new"), d.place("b", "old")
-	if own.known.UpTo != 0 || old.known.UpTo != math.MaxUint64 || len(old.known.Beyond) > 0 {
-		t.Errorf("own start known up to %d, the old one up to %d and %v", own.known.UpTo, old.known.UpTo, old.known.Beyond)
+	own, old := tracker.entry("b", "new"), tracker.entry("b", "old")
+	if own.recorded.UpTo != 0 || old.recorded.UpTo != math.MaxUint64 || len(old.recorded.Beyond) > 0 {
+		t.Errorf("present epoch recorded up to %d, earlier epoch up to %d and %v", own.recorded.UpTo,
+			old.recorded.UpTo, old.recorded.Beyond)
 	}
-	d.AttemptEnded(of(1), &ledger.Attempt{Backend: "b", Key: of(1).Key, Number: 1}, false)
-	if d.Counts.Inline != 1 {
-		t.Errorf("%+v: a true count was taken for known", d.Counts)
+	tracker.AttemptEnded(testAttempt(1), &ledger.Attempt{Backend: "b", Key: testAttempt(1).Key, Number: 1}, false)
+	if tracker.Counts.Inline != 1 {
+		t.Errorf("%+v: a new count was taken for a recorded one", tracker.Counts)
 	}
 }
 
-// Any order of inline counts, replies lost and repeated, commits early and late: in the end each count is written once.
-func TestEachCountOnceWhateverHappens(t *testing.T) {
+// Inline counts, lost and repeated replies, and early and late commits in any order: each count is recorded once.
+func TestEachCountIsRecordedOnceUnderFaults(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		d := newDesk("e", nil)
-		var at []ledger.Attempt // the box's counts, in its order
+		tracker := newTestTracker("e", nil)
+		var counts []ledger.Attempt // of the backend, in order
 		forgot := uint64(0)
-		reply := func(q Inquiry) *Reply {
-			r := &Reply{ForgottenUpTo: max(forgot, min(q.After, uint64(len(at))))}
+		reply := func(inquiry Inquiry) *Reply {
+			r := &Reply{ForgottenUpTo: max(forgot, min(inquiry.After, uint64(len(counts))))}
 			forgot = r.ForgottenUpTo
-			for _, c := range at {
-				if c.Number > q.After {
+			for _, c := range counts {
+				if c.Number > inquiry.After {
 					r.Counts = append(r.Counts, c)
 				}
 			}
@@ -239,68 +241,68 @@
 		}
 		n := 60
 		for i := 1; i <= n; i++ {
-			d.AttemptSent(of(i))
-			c := counted(uint64(len(at)+1), i)
-			at = append(at, c)
+			tracker.AttemptSent(testAttempt(i))
+			c := testCount(uint64(len(counts)+1), i)
+			counts = append(counts, c)
 			if rng.Float64() < 0.6 {
-				d.AttemptEnded(of(i), &c, false)
+				tracker.AttemptEnded(testAttempt(i), &c, false)
 			} else {
-				d.AttemptEnded(of(i), nil, false)
+				tracker.AttemptEnded(testAttempt(i), nil, false)
 			}
-			d.now += time.Duration(rng.IntN(700)) * time.Millisecond
-			for _, q := range d.DueInquiries() {
+			tracker.now += time.Duration(rng.IntN(700)) * time.Millisecond
+			for _, inquiry := range tracker.DueInquiries() {
 				if rng.Float64() < 0.4 {
-					d.HandleReply(q, nil)
+					tracker.HandleReply(inquiry, nil)
 					continue
 				}
-				r := reply(q)
-				d.HandleReply(q, r)
+				r := reply(inquiry)
+				tracker.HandleReply(inquiry, r)
 				if rng.Float64() < 0.2 {
-					d.HandleReply(q, r)
+					tracker.HandleReply(inquiry, r)
 				}
 			}
 			if rng.Float64() < 0.3 {
-				d.commit()
+				tracker.commit()
 			}
 		}
 		for range 60 {
-			d.now += time.Second
-			for _, q := range d.DueInquiries() {
-				d.HandleReply(q, reply(q))
+			tracker.now += time.Second
+			for _, inquiry := range tracker.DueInquiries() {
+				tracker.HandleReply(inquiry, reply(inquiry))
 			}
-			d.commit()
+			tracker.commit()
 		}
 		seen := map[uint64]int{}
-		for _, r := range d.records {
+		for _, r := range tracker.records {
 			seen[r.Attempt.Number]++
 		}
-		if len(seen) != n || len(d.records) != n || !d.Complete() || d.Counts.Cut != 0 {
-			t.Fatalf("seed %d: %d numbers in %d records of %d, %+v", seed, len(seen), len(d.records), n, d.Counts)
+		if len(seen) != n || len(tracker.records) != n || !tracker.Complete() || tracker.Counts.Truncated != 0 {
+			t.Fatalf("seed %d: %d numbers in %d records of %d, %+v", seed, len(seen), len(tracker.records), n, tracker.Counts)
 		}
 	}
 }
 
-// Boxes come and go under new names for as long as a dispatcher runs: one that left the list a minute ago, and whose counts are
-// all on the disk, is not looked at for ever.
-func TestABoxThatIsGoneAndAccountedForIsForgotten(t *testing.T) {
-	d := newDesk("e", nil)
+// Backends come and go under new names while a dispatcher runs. One that was removed more than a minute ago, and
+// whose counts are all durable, must be dropped, or the tracker grows without bound.
+func TestRemovedBackendIsDroppedOnceAccountedFor(t *testing.T) {
+	tracker := newTestTracker("e", nil)
 	for i := range 50 {
 		name := fmt.Sprint("pod-", i)
-		what := of(i)
-		what.Backend = name
-		d.UpdateBackend(name, false)
-		d.AttemptSent(what)
-		d.AttemptEnded(what, &ledger.Attempt{Backend: name, Key: what.Key, Number: 1}, false)
-		d.UpdateBackend(name, true)
+		attempt := testAttempt(i)
+		attempt.Backend = name
+		tracker.UpdateBackend(name, false)
+		tracker.AttemptSent(attempt)
+		tracker.AttemptEnded(attempt, &ledger.Attempt{Backend: name, Key: attempt.Key, Number: 1}, false)
+		tracker.UpdateBackend(name, true)
 	}
-	d.commit()
-	d.now += 2 * lost
-	d.DueInquiries()
-	d.DueInquiries()
-	if len(d.order) > 1 || len(d.places) > 1 || len(d.boxes) > 1 {
-		t.Errorf("%d places and %d boxes are held", len(d.order), len(d.boxes))
+	tracker.commit()
+	tracker.now += 2 * removedGrace
+	tracker.DueInquiries()
+	tracker.DueInquiries()
+	if len(tracker.order) > 1 || len(tracker.entries) > 1 || len(tracker.backends) > 1 {
+		t.Errorf("%d entries and %d backends are held", len(tracker.order), len(tracker.backends))
 	}
-	if !d.Complete() {
-		t.Error("the account is not whole")
+	if !tracker.Complete() {
+		t.Error("the account is not complete")
 	}
 }
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -1,7 +1,7 @@
-// Package budget decides what each channel may still use: token buckets and monthly allowances over all dispatchers of a
-// fleet. One dispatcher keeps a budget and lends of it; the others have purses that they fill from there ahead of need.
-// It is free of I/O: messages are handed over, and the time with them. What is proven about overshoot is in
-// docs/budgets.md. Begin with Purse, then Keeper.
+// Package budget limits the tokens that each tenant may use, by token buckets and monthly allowances that span all
+// dispatchers of a fleet. One dispatcher owns a budget and leases tokens of it to the others, which reserve from
+// their local part and request leases ahead of need. It does no I/O: messages are passed in and out together with the
+// time. Begin with LocalBudget, then Owner.
 package budget
 
 import (
@@ -15,273 +15,284 @@
 )
 
 const (
-	leaseSpan = 3 * time.Second        // of demand, that a purse wants to have ahead
-	valid     = 12 * time.Second       // after it was asked for, how long a lease may be used
-	idleSpan  = 10 * time.Second       // of demand beyond which a purse gives back
-	patience  = 60 * time.Millisecond  // for an answer, before the next ask; a commit to a disk is within it
-	silence   = 400 * time.Millisecond // without any, after which the keeper can't be heard
-	askEvery  = 50 * time.Millisecond  // at most, of one purse
-	renew     = valid / 3
-	lookAgain = 5 * time.Second // after the keeper said that there is nothing: somebody may have granted more
-
-	// Emergency is the share of a month's allowance that all dispatchers together may use while they can't hear the keeper;
-	// each has an equal part of it. Of a rate each has its equal part of the whole: a rate is there against floods, is not
-	// billed, and a keeper that is gone lends none of it.
-	Emergency = 0.05
-
-	demandWidth = time.Second // buckets of a purse's demand, of ten
-	mostHolders = 1 << 16     // starts of dispatchers in one month that a keeper knows
+	leaseDemandSpan    = 3 * time.Second        // of demand that a local budget keeps available ahead of need
+	leaseValidity      = 12 * time.Second       // how long a lease may be used, counted from its request
+	idleDemandSpan     = 10 * time.Second       // of demand; what is available beyond it is returned
+	retryTimeout       = 60 * time.Millisecond  // for a reply before the next request; includes a commit to disk
+	silenceTimeout     = 400 * time.Millisecond // without a reply, after which the owner counts as unreachable
+	minRequestInterval = 50 * time.Millisecond  // between requests of one local budget
+	renewalTime        = leaseValidity / 3      // after which a lease is renewed
+	exhaustedRetry     = 5 * time.Second        // after the owner had nothing to lease: tokens may have been granted since
+
+	// EmergencyShare is the share of a month's allowance that all dispatchers together may use while they cannot
+	// reach the owner; each has an equal part of it. Of a rate limit each has an equal part of the whole: rates
+	// protect against floods and are not billed, and an unreachable owner leases none of it.
+	EmergencyShare = 0.05
+
+	demandWidth = time.Second // of each of the ten buckets that measure the demand
+	maxHolders  = 1 << 16     // epochs of dispatchers that an owner tracks in one month
 )
 
-// Terms are what a channel, or a grade of it, has paid for. Negative: no limit of that sort.
+// Terms are the limits of a tenant, or of one class of it. A negative limit means that there is none of that kind.
 type Terms struct {
-	Name    string  `json:"name"` // channel, or channel/grade
-	PerSecond    float64 `json:"tokens_a_second"`
-	Burst   float64 `json:"burst"`
-	Monthly float64 `json:"monthly"`
-	Borrow  float64 `json:"borrow"` // of the next month's, at most
+	Name      string  `json:"name"`            // tenant, or tenant/class
+	PerSecond float64 `json:"tokens_a_second"` // refill rate of the bucket
+	Burst     float64 `json:"burst"`           // size of the bucket in tokens
+	Monthly   float64 `json:"monthly"`         // tokens
+	Borrow    float64 `json:"borrow"`          // tokens of the next month that may be used ahead
 }
 
-// Month is a wall clock's month, and how far away its end is.
+// Month is a calendar month and the time until its end.
 type Month struct {
-	Number int64
-	Remaining   time.Duration
+	Number    int64
+	Remaining time.Duration
 }
 
-// LeaseRequest is a purse's message. Sums only grow, so that a lost, late or repeated message does no harm.
+// LeaseRequest is sent by a local budget to the owner. Its sums only grow within a month, so that lost, late and
+// repeated messages do no harm.
 type LeaseRequest struct {
-	Name     string
-	Holder   string // a dispatcher's start
-	Month    int64
-	Lent     float64 `cbor:"Lent"`     // all that it has been lent this month, as far as it knows
-	Returned float64 `cbor:"Returned"` // of that, all that it has given back
-	Own      float64 `cbor:"Own"`      // all that it used beside it, while it could not hear the keeper
-	Wanted     float64 `cbor:"Want"`     // more
-	Least    float64 `cbor:"Least"`    // a smaller lease is of no use
-	Number   uint64
-}
-
-// LeaseReply is the keeper's answer.
+	Name          string
+	Holder        string // the epoch of the requesting dispatcher
+	Month         int64
+	Lent          float64 `cbor:"Lent"`     // tokens leased to it this month, as far as it knows
+	Returned      float64 `cbor:"Returned"` // tokens of these that it has returned
+	EmergencyUsed float64 `cbor:"Own"`      // tokens used beside these while the owner was unreachable
+	Wanted        float64 `cbor:"Want"`     // further tokens
+	Minimum       float64 `cbor:"Least"`    // a smaller lease is of no use
+	Number        uint64
+}
+
+// LeaseReply is the owner's answer to a LeaseRequest.
 type LeaseReply struct {
-	Name   string
-	Holder string
-	Month  int64
-	Lent   float64       `cbor:"Lent"`  // in all, this month
-	After  time.Duration `cbor:"After"` // where less was lent than wanted: when there may be more
-	Number uint64        // of the ask
-	Terms  Terms
+	Name       string
+	Holder     string
+	Month      int64
+	Lent       float64       `cbor:"Lent"`  // tokens leased to the holder this month, in total
+	RetryAfter time.Duration `cbor:"After"` // where less was leased than wanted: when there may be more
+	Number     uint64        // of the request
+	Terms      Terms
 }
 
-// Owner is the one that lends of a budget.
+// Owner leases out the tokens of one budget.
 type Owner struct {
 	Terms Terms
 	Write func(what string, month int64, tokens float64, done func()) // makes a sum durable; done is called when it is
 
 	WriteTerms func(t Terms, done func())
 
-	month  Month
-	spent  float64 // lent and not given back, this month, and what was used in emergencies
-	debt   float64 // of last month
-	grant  float64 // added to this month
-	stated float64 // up to which spent is durable
-	asked  float64 // up to which a write is out
-	bucket float64
-	filled time.Duration
-	by     map[string]*holder
-	waits  []func()
+	month      Month
+	spent      float64 // leased and not returned this month, and used in emergencies
+	debt       float64 // borrowed by the previous month
+	grant      float64 // added to this month
+	durable    float64 // the amount of spent that is durable
+	pending    float64 // the amount of spent that is being written
+	bucket     float64
+	refilledAt time.Duration
+	holders    map[string]*holder
+	waiting    []func()
 }
 
 type holder struct {
-	lent, returned, own float64
+	lent, returned, emergencyUsed float64
 }
 
-// NewOwner makes one. spent, debt and grant are what a ledger has of the month.
-func NewOwner(t Terms, now time.Duration, m Month, spent, debt, grant float64, write func(string, int64, float64, func())) *Owner {
-	return &Owner{Terms: t, Write: write, month: m, spent: spent, debt: debt, grant: grant, stated: spent, asked: spent, bucket: max(t.Burst, 0), filled: now,
-		by: map[string]*holder{}}
+// NewOwner returns the owner of a budget. spent, debt and grant are the sums of the month in the ledger.
+func NewOwner(terms Terms, now time.Duration, month Month, spent, debt, grant float64,
+	write func(string, int64, float64, func())) *Owner {
+	return &Owner{Terms: terms, Write: write, month: month, spent: spent, debt: debt, grant: grant, durable: spent,
+		pending: spent, bucket: max(terms.Burst, 0), refilledAt: now, holders: map[string]*holder{}}
 }
 
-// turn goes on to another month; a clock that steps back turns nothing back.
-func (k *Owner) turn(m Month) {
-	if m.Number <= k.month.Number {
-		k.month.Remaining = m.Remaining
+// advanceMonth changes to a later month. A clock that steps back does not change to an earlier one.
+func (o *Owner) advanceMonth(month Month) {
+	if month.Number <= o.month.Number {
+		o.month.Remaining = month.Remaining
 		return
 	}
-	k.debt = 0
-	if k.Terms.Monthly >= 0 && m.Number == k.month.Number+1 {
-		k.debt = min(max(k.spent-k.Terms.Monthly-k.grant, 0), max(k.Terms.Borrow, 0))
+	o.debt = 0
+	if o.Terms.Monthly >= 0 && month.Number == o.month.Number+1 {
+		o.debt = min(max(o.spent-o.Terms.Monthly-o.grant, 0), max(o.Terms.Borrow, 0))
 	}
-	k.month, k.spent, k.grant, k.stated, k.asked = m, 0, 0, 0, 0
-	k.by = map[string]*holder{}
-	k.Write("debt", m.Number, k.debt, nil)
+	o.month, o.spent, o.grant, o.durable, o.pending = month, 0, 0, 0, 0
+	o.holders = map[string]*holder{}
+	o.Write("debt", month.Number, o.debt, nil)
 }
 
-// left is what may be lent yet: of the month, and of the bucket.
-func (k *Owner) left(now time.Duration) (month, bucket float64) {
+// available returns the tokens that may still be leased, of the month and of the bucket.
+func (o *Owner) available(now time.Duration) (month, bucket float64) {
 	month, bucket = math.Inf(1), math.Inf(1)
-	if k.Terms.Monthly >= 0 {
-		month = k.Terms.Monthly + k.grant + max(k.Terms.Borrow, 0) - k.debt - k.spent
+	if o.Terms.Monthly >= 0 {
+		month = o.Terms.Monthly + o.grant + max(o.Terms.Borrow, 0) - o.debt - o.spent
 	}
-	if k.Terms.PerSecond >= 0 {
-		k.bucket = min(k.bucket+k.Terms.PerSecond*(now-k.filled).Seconds(), max(k.Terms.Burst, 0))
-		k.filled = now
-		bucket = k.bucket
+	if o.Terms.PerSecond >= 0 {
+		o.bucket = min(o.bucket+o.Terms.PerSecond*(now-o.refilledAt).Seconds(), max(o.Terms.Burst, 0))
+		o.refilledAt = now
+		bucket = o.bucket
 	}
 	return max(month, 0), bucket
 }
 
-// HandleRequest takes a message; answer is called when what it lends is durable.
-func (k *Owner) HandleRequest(now time.Duration, m Month, a LeaseRequest, answer func(LeaseReply)) {
-	k.turn(m)
-	if a.Month != k.month.Number { // of another month: it is told which one it is
-		answer(LeaseReply{Name: a.Name, Holder: a.Holder, Month: k.month.Number, Number: a.Number, Terms: k.Terms})
+// HandleRequest processes a lease request. answer is called once what it leases is durable.
+func (o *Owner) HandleRequest(now time.Duration, month Month, request LeaseRequest, answer func(LeaseReply)) {
+	o.advanceMonth(month)
+	if request.Month != o.month.Number { // the reply tells the holder which month it is
+		answer(LeaseReply{Name: request.Name, Holder: request.Holder, Month: o.month.Number, Number: request.Number,
+			Terms: o.Terms})
 		return
 	}
-	h := k.by[a.Holder]
-	if h == nil && len(k.by) >= mostHolders {
-		return // as if it had not been heard: that holder has its emergency part
+	h := o.holders[request.Holder]
+	if h == nil && len(o.holders) >= maxHolders {
+		return // the holder gets no reply and uses its part of the emergency share
 	}
 	if h == nil {
-		// New here, or this keeper has restarted: what it was lent is in the sum that was made durable.
-		h = &holder{lent: a.Lent, returned: a.Returned}
-		k.by[a.Holder] = h
-	}
-	if back := min(a.Returned, h.lent) - h.returned; back > 0 {
-		h.returned += back
-		k.spent -= back
-		if k.Terms.PerSecond >= 0 {
-			k.bucket = min(k.bucket+back, max(k.Terms.Burst, 0))
+		// The holder is new, or this owner has restarted: what it was leased is in the durable sum.
+		h = &holder{lent: request.Lent, returned: request.Returned}
+		o.holders[request.Holder] = h
+	}
+	if returned := min(request.Returned, h.lent) - h.returned; returned > 0 {
+		h.returned += returned
+		o.spent -= returned
+		if o.Terms.PerSecond >= 0 {
+			o.bucket = min(o.bucket+returned, max(o.Terms.Burst, 0))
 		}
 	}
-	if more := a.Own - h.own; more > 0 {
-		h.own += more
-		k.spent += more
-		k.bucket -= more
-	}
-	lend, after := k.lend(now, a)
-	h.lent += lend
-	k.spent += lend
-	k.bucket -= lend
-	out := LeaseReply{Name: a.Name, Holder: a.Holder, Month: a.Month, Lent: h.lent, After: after, Number: a.Number, Terms: k.Terms}
-	k.settled(func() { answer(out) })
-}
-
-// lend decides how much: what is wanted, but while little is left a part only, so that the first to ask doesn't have it all.
-func (k *Owner) lend(now time.Duration, a LeaseRequest) (tokens float64, after time.Duration) {
-	month, bucket := k.left(now)
-	most := min(month, bucket)
-	fair := max(most/2, a.Least)
-	tokens = min(a.Wanted, fair)
-	// Ahead of need nothing is lent of the last little: it is for questions that are there.
-	if a.Wanted <= 0 || tokens > most || tokens < a.Least || a.Least == 0 && tokens < a.Wanted/4 {
+	if used := request.EmergencyUsed - h.emergencyUsed; used > 0 {
+		h.emergencyUsed += used
+		o.spent += used
+		o.bucket -= used
+	}
+	tokens, after := o.lease(now, request)
+	h.lent += tokens
+	o.spent += tokens
+	o.bucket -= tokens
+	reply := LeaseReply{Name: request.Name, Holder: request.Holder, Month: request.Month, Lent: h.lent, RetryAfter: after,
+		Number: request.Number, Terms: o.Terms}
+	o.whenDurable(func() { answer(reply) })
+}
+
+// lease returns how many tokens to lease: what is wanted, but at most half of what is available, or the minimum where
+// that is more, so that the first holder does not get all of a small rest. after is when there may be more.
+func (o *Owner) lease(now time.Duration, request LeaseRequest) (tokens float64, after time.Duration) {
+	month, bucket := o.available(now)
+	available := min(month, bucket)
+	fair := max(available/2, request.Minimum)
+	tokens = min(request.Wanted, fair)
+	// A small rest is not leased ahead of need: it is left for requests that wait for it.
+	if request.Wanted <= 0 || tokens > available || tokens < request.Minimum ||
+		request.Minimum == 0 && tokens < request.Wanted/4 {
 		tokens = 0
 	}
-	switch need := max(a.Least, 1); {
+	switch need := max(request.Minimum, 1); {
 	case month-tokens < need && tokens < need:
-		after = k.month.Remaining
-	case k.Terms.PerSecond > 0 && bucket-tokens < need && tokens < need:
-		after = time.Duration((need - bucket) / k.Terms.PerSecond * float64(time.Second))
-	case k.Terms.PerSecond == 0 && bucket < need:
-		after = k.month.Remaining
+		after = o.month.Remaining
+	case o.Terms.PerSecond > 0 && bucket-tokens < need && tokens < need:
+		after = time.Duration((need - bucket) / o.Terms.PerSecond * float64(time.Second))
+	case o.Terms.PerSecond == 0 && bucket < need:
+		after = o.month.Remaining
 	}
 	return tokens, max(after, 0)
 }
 
-// settled calls do once all that is lent is durable. Sums are made durable ahead, a twentieth of the month's at a time and
-// at least what is lent, so that few leases wait for a disk; after a restart that much may be taken for lent that was not.
-func (k *Owner) settled(do func()) {
-	if k.Terms.Monthly < 0 || k.spent <= k.stated {
+// whenDurable calls do once all that is leased is durable. The sum is written ahead by 1/200 of the monthly
+// allowance, and covers at least what is leased, so that few leases wait for a disk. After a restart up to that much
+// may count as leased that was not.
+func (o *Owner) whenDurable(do func()) {
+	if o.Terms.Monthly < 0 || o.spent <= o.durable {
 		do()
 		return
 	}
-	k.waits = append(k.waits, do)
-	if k.spent <= k.asked {
+	o.waiting = append(o.waiting, do)
+	if o.spent <= o.pending {
 		return
 	}
-	ahead := min(k.spent+k.Terms.Monthly/200, max(k.Terms.Monthly+k.grant+max(k.Terms.Borrow, 0)-k.debt, k.spent))
-	k.asked = ahead
-	month := k.month.Number
-	k.Write("lent", month, ahead, func() {
-		if k.month.Number == month {
-			k.stated = max(k.stated, ahead)
+	ahead := min(o.spent+o.Terms.Monthly/200,
+		max(o.Terms.Monthly+o.grant+max(o.Terms.Borrow, 0)-o.debt, o.spent))
+	o.pending = ahead
+	month := o.month.Number
+	o.Write("lent", month, ahead, func() {
+		if o.month.Number == month {
+			o.durable = max(o.durable, ahead)
 		}
-		waits := k.waits
-		k.waits = nil
-		for _, do := range waits {
-			k.settled(do)
+		waiting := o.waiting
+		o.waiting = nil
+		for _, do := range waiting {
+			o.whenDurable(do)
 		}
 	})
 }
 
-// Grant adds tokens to this month's; Set changes the terms. Both are durable when done is called.
-func (k *Owner) Grant(m Month, tokens float64, done func()) {
-	k.turn(m)
-	k.grant += tokens
-	k.Write("grant", k.month.Number, k.grant, done)
+// Grant adds tokens to the present month. done is called when that is durable.
+func (o *Owner) Grant(month Month, tokens float64, done func()) {
+	o.advanceMonth(month)
+	o.grant += tokens
+	o.Write("grant", o.month.Number, o.grant, done)
 }
 
-// SetTerms changes the terms while it runs; what was used stays used.
-func (k *Owner) SetTerms(now time.Duration, t Terms, done func()) {
-	k.left(now)
-	k.Terms = t
-	k.bucket = min(k.bucket, max(t.Burst, 0))
-	k.WriteTerms(t, done)
+// SetTerms changes the terms of the running budget; what was used stays used. done is called when that is durable.
+func (o *Owner) SetTerms(now time.Duration, terms Terms, done func()) {
+	o.available(now)
+	o.Terms = terms
+	o.bucket = min(o.bucket, max(terms.Burst, 0))
+	o.WriteTerms(terms, done)
 }
 
-// Valid tells whether terms, and an ask, make sense: they come from outside.
+// Valid reports whether the numbers of terms that came over a network are plausible.
 func (t Terms) Valid() bool {
-	return !math.IsNaN(t.PerSecond+t.Monthly) && !math.IsInf(t.PerSecond+t.Monthly, 0) && t.Burst >= 0 && t.Burst < math.MaxInt64 && t.Borrow >= 0 && t.Borrow < math.MaxInt64
+	return !math.IsNaN(t.PerSecond+t.Monthly) && !math.IsInf(t.PerSecond+t.Monthly, 0) &&
+		t.Burst >= 0 && t.Burst < math.MaxInt64 && t.Borrow >= 0 && t.Borrow < math.MaxInt64
 }
 
-func (a LeaseRequest) Valid() bool {
-	for _, v := range []float64{a.Lent, a.Returned, a.Own, a.Wanted, a.Least} {
-		if !(v >= 0 && v < math.MaxInt64) {
+// Valid reports whether a request that came over a network is plausible.
+func (r LeaseRequest) Valid() bool {
+	for _, tokens := range []float64{r.Lent, r.Returned, r.EmergencyUsed, r.Wanted, r.Minimum} {
+		if !(tokens >= 0 && tokens < math.MaxInt64) {
 			return false
 		}
 	}
-	return a.Returned <= a.Lent && a.Holder != ""
+	return r.Returned <= r.Lent && r.Holder != ""
 }
 
-// Valid tells the same of an answer. A month is counted from 1970.
-func (l LeaseReply) Valid() bool {
-	return l.Terms.Valid() && l.Terms.Name == l.Name && l.Lent >= 0 && l.Lent < math.MaxInt64 && l.After >= 0 && l.After <= 366*24*time.Hour &&
-		l.Month >= 0 && l.Month < 12*1000
+// Valid reports whether a reply that came over a network is plausible. Months are counted from January 1970.
+func (r LeaseReply) Valid() bool {
+	return r.Terms.Valid() && r.Terms.Name == r.Name && r.Lent >= 0 && r.Lent < math.MaxInt64 &&
+		r.RetryAfter >= 0 && r.RetryAfter <= 366*24*time.Hour && r.Month >= 0 && r.Month < 12*1000
 }
 
-// OwnerStatus is what operators see.
+// OwnerStatus is the state of an owned budget that operators see, in tokens.
 type OwnerStatus struct {
-	Name    string  `json:"name"`
-	Month   int64   `json:"month"` // since January 1970
-	Monthly float64 `json:"monthly"`
-	Granted float64 `json:"granted"`
-	Borrow  float64 `json:"borrow"`
-	Debt    float64 `json:"debt"`
-	Lent    float64 `json:"lent"` // and not given back: used, or in purses
-	Remaining    float64 `json:"left"`
-	PerSecond    float64 `json:"tokens_a_second"`
-	Bucket  float64 `json:"bucket"`
-	Holders int     `json:"holders"`
-}
-
-// Status tells how it stands.
-func (k *Owner) Status(now time.Duration, m Month) OwnerStatus {
-	k.turn(m)
-	month, bucket := k.left(now)
-	unlimited := func(v float64) float64 {
-		if math.IsInf(v, 1) {
+	Name      string  `json:"name"`
+	Month     int64   `json:"month"` // months since January 1970
+	Monthly   float64 `json:"monthly"`
+	Granted   float64 `json:"granted"`
+	Borrow    float64 `json:"borrow"`
+	Debt      float64 `json:"debt"`
+	Lent      float64 `json:"lent"` // leased and not returned: used, or available at the holders
+	Remaining float64 `json:"left"`
+	PerSecond float64 `json:"tokens_a_second"`
+	Bucket    float64 `json:"bucket"`
+	Holders   int     `json:"holders"`
+}
+
+// Status returns the state of the budget.
+func (o *Owner) Status(now time.Duration, m Month) OwnerStatus {
+	o.advanceMonth(m)
+	month, bucket := o.available(now)
+	orUnlimited := func(tokens float64) float64 {
+		if math.IsInf(tokens, 1) {
 			return -1
 		}
-		return v
+		return tokens
 	}
-	return OwnerStatus{k.Terms.Name, k.month.Number, k.Terms.Monthly, k.grant, k.Terms.Borrow, k.debt, k.spent, unlimited(month), k.Terms.PerSecond, unlimited(bucket), len(k.by)}
+	return OwnerStatus{o.Terms.Name, o.month.Number, o.Terms.Monthly, o.grant, o.Terms.Borrow, o.debt, o.spent,
+		orUnlimited(month), o.Terms.PerSecond, orUnlimited(bucket), len(o.holders)}
 }
 
-// OwnerIndex tells which of n dispatchers keeps a budget: alike at all of them, with no message.
+// OwnerIndex returns which of n dispatchers owns a budget. All dispatchers compute the same index without a message.
 func OwnerIndex(name string, n int) int {
-	best, most := 0, uint64(0)
+	best, highest := 0, uint64(0)
 	for i := range n {
-		if h := xxhash.Sum64String(fmt.Sprintf("%s %d", name, i)); h > most {
-			best, most = i, h
+		if hash := xxhash.Sum64String(fmt.Sprintf("%s %d", name, i)); hash > highest {
+			best, highest = i, hash
 		}
 	}
 	return best
@@ -289,277 +300,283 @@
 
 // LocalBudget is one dispatcher's part of a budget.
 type LocalBudget struct {
-	Terms  Terms
-	Holder string
-	Of     int       // dispatchers, for its part in an emergency
-	Send   func(LeaseRequest) // to the keeper
-
-	// MarkEmergency makes durable that the emergency part of a month was begun; done is called when it is. After a restart, Taken says
-	// of a month that it was: all of the part then counts as used. nil: nothing outlasts a restart.
-	MarkEmergency  func(month int64, done func())
+	Terms       Terms
+	Holder      string
+	Dispatchers int                // in the fleet; each has an equal part in an emergency
+	Send        func(LeaseRequest) // to the owner
+
+	// MarkEmergency makes durable that the emergency part of a month was started, and calls done when it is.
+	// EmergencyMarked reports after a restart that it was: all of the part then counts as used. A nil MarkEmergency
+	// means that no state outlasts a restart.
+	MarkEmergency   func(month int64, done func())
 	EmergencyMarked func(month int64) bool
 
-	month           int64
-	marked, marking bool
-
-	lent, returned float64
-	used, reserved float64 // of what was lent
-	own            float64 // used beside, in emergencies
-	until          time.Duration
-	heard          time.Duration
-	sent           time.Duration
-	sentAny        bool
-	silent         bool // the keeper can't be heard
-	number         uint64
-	answered       uint64
-	waiting        []*want
-	emergency      float64 // bucket of a rate, while the keeper is silent
-	filled         time.Duration
-	demand         brain.Ring // tokens
-	largest        float64
-	after          time.Duration // when there may be more, as the keeper last said
-	Counts         Counts
-}
-
-// Counts show when a limit acted.
+	month                        int64
+	emergencyMarked, markPending bool
+
+	lent, returned  float64
+	used, reserved  float64 // of the leased tokens
+	emergencyUsed   float64 // beside the leased tokens
+	leaseDeadline   time.Duration
+	lastReply       time.Duration
+	lastSent        time.Duration
+	everSent        bool
+	ownerSilent     bool // the owner is unreachable
+	lastNumber      uint64
+	answeredNumber  uint64
+	waiting         []*waiter
+	emergencyBucket float64 // of a rate limit, while the owner is unreachable
+	refilledAt      time.Duration
+	demand          brain.Ring // tokens
+	largestRequest  float64
+	retryAt         time.Duration // when there may be more, by the owner's last reply
+	Counts          Counts
+}
+
+// Counts counts the decisions of a local budget.
 type Counts struct {
-	Admitted      int64   `json:"Passed"`
-	Rejected    int64   `json:"Declined"`
-	Waited      int64   `json:"Waited"`
+	Admitted          int64   `json:"Passed"`
+	Rejected          int64   `json:"Declined"`
+	Waited            int64   `json:"Waited"`
 	EmergencyAdmitted int64   `json:"Emergencies"`
-	Asks        int64   `json:"Asks"`
-	Used        float64 `json:"Used"`
+	LeaseRequests     int64   `json:"Asks"`
+	Used              float64 `json:"Used"` // tokens
 }
 
-// want is a question that waits for a lease, for the length of a message's way at most.
-type want struct {
-	tokens float64
-	then   func(Verdict)
-	asked  uint64 // the first ask that it is part of; 0: none yet
+// waiter is a request that waits for a lease, at most until the owner's reply or silenceTimeout.
+type waiter struct {
+	tokens       float64
+	decide       func(Decision)
+	firstRequest uint64 // the first lease request that includes it; 0: none yet
 }
 
-// Verdict is what becomes of a question's reservation.
-type Verdict struct {
-	OK    bool
-	RetryAfter time.Duration // when to come back
-	Emergency   bool          // it is paid from the purse's emergency part
+// Decision is the result of a reservation.
+type Decision struct {
+	OK         bool
+	RetryAfter time.Duration
+	Emergency  bool // the tokens come from the dispatcher's emergency part
 }
 
-// NewLocalBudget makes one, with nothing in it.
-func NewLocalBudget(t Terms, holder string, of int, m Month, send func(LeaseRequest)) *LocalBudget {
-	return &LocalBudget{Terms: t, Holder: holder, Of: max(of, 1), Send: send, month: m.Number, largest: 1, demand: brain.Ring{Width: demandWidth}}
+// NewLocalBudget returns an empty local budget.
+func NewLocalBudget(terms Terms, holder string, dispatchers int, month Month, send func(LeaseRequest)) *LocalBudget {
+	return &LocalBudget{Terms: terms, Holder: holder, Dispatchers: max(dispatchers, 1), Send: send, month: month.Number,
+		largestRequest: 1, demand: brain.Ring{Width: demandWidth}}
 }
 
-// turn goes on to another month: what was lent of the last one is gone.
-func (p *LocalBudget) turn(m int64) {
-	if m <= p.month {
+// advanceMonth changes to a later month. Leases of the previous one end.
+func (b *LocalBudget) advanceMonth(month int64) {
+	if month <= b.month {
 		return
 	}
-	p.month, p.marked, p.marking = m, false, false
-	p.lent, p.returned, p.used, p.own = 0, 0, 0, 0
-	p.lent += p.reserved // what is out goes on, and is not asked of anybody anew
-	p.until = 0
+	b.month, b.emergencyMarked, b.markPending = month, false, false
+	b.lent, b.returned, b.used, b.emergencyUsed = 0, 0, 0, 0
+	b.lent += b.reserved // outstanding reservations continue and need no new lease
+	b.leaseDeadline = 0
 }
 
-func (p *LocalBudget) free(now time.Duration) float64 {
-	if now >= p.until {
+func (b *LocalBudget) available(now time.Duration) float64 {
+	if now >= b.leaseDeadline {
 		return 0
 	}
-	return p.lent - p.returned - p.used - p.reserved
+	return b.lent - b.returned - b.used - b.reserved
 }
 
-func (p *LocalBudget) note(now time.Duration, tokens float64) {
-	p.demand.Add(now, tokens)
-	p.largest = max(p.largest*0.99, tokens)
+func (b *LocalBudget) recordDemand(now time.Duration, tokens float64) {
+	b.demand.Add(now, tokens)
+	b.largestRequest = max(b.largestRequest*0.99, tokens)
 }
 
-// Reserve sets a question's worst case aside. then is called at once where the purse has it or nobody will lend it, else when
-// the keeper has answered or can't be heard.
-func (p *LocalBudget) Reserve(now time.Duration, m Month, tokens float64, then func(Verdict)) {
-	p.turn(m.Number)
-	p.note(now, tokens)
-	if p.free(now) >= tokens {
-		p.pay(now, tokens, then)
-		p.Tick(now)
+// Reserve sets a request's worst case aside. decide is called at once where the tokens are available or cannot be
+// leased, otherwise when the owner has replied or counts as unreachable.
+func (b *LocalBudget) Reserve(now time.Duration, month Month, tokens float64, decide func(Decision)) {
+	b.advanceMonth(month.Number)
+	b.recordDemand(now, tokens)
+	if b.available(now) >= tokens {
+		b.admit(now, tokens, decide)
+		b.Tick(now)
 		return
 	}
-	if p.silent {
-		p.ownPart(now, tokens, then)
-		p.Tick(now)
+	if b.ownerSilent {
+		b.admitFromEmergency(now, tokens, decide)
+		b.Tick(now)
 		return
 	}
-	if now < p.after && now < p.heard+lookAgain { // the keeper has said that there is none before
-		p.Counts.Rejected++
-		then(Verdict{RetryAfter: p.after - now})
+	if now < b.retryAt && now < b.lastReply+exhaustedRetry { // by the owner's reply there is nothing to lease yet
+		b.Counts.Rejected++
+		decide(Decision{RetryAfter: b.retryAt - now})
 		return
 	}
-	p.Counts.Waited++
-	p.waiting = append(p.waiting, &want{tokens: tokens, then: then})
-	p.ask(now)
+	b.Counts.Waited++
+	b.waiting = append(b.waiting, &waiter{tokens: tokens, decide: decide})
+	b.requestLease(now)
 }
 
-func (p *LocalBudget) pay(now time.Duration, tokens float64, then func(Verdict)) {
-	p.reserved += tokens
-	p.Counts.Admitted++
-	then(Verdict{OK: true})
+func (b *LocalBudget) admit(now time.Duration, tokens float64, decide func(Decision)) {
+	b.reserved += tokens
+	b.Counts.Admitted++
+	decide(Decision{OK: true})
 }
 
-// ownPart pays from this dispatcher's part of the emergency share.
-func (p *LocalBudget) ownPart(now time.Duration, tokens float64, then func(Verdict)) {
+// admitFromEmergency reserves from this dispatcher's part of the emergency share.
+func (b *LocalBudget) admitFromEmergency(now time.Duration, tokens float64, decide func(Decision)) {
 	ok := true
-	if p.Terms.Monthly >= 0 && p.MarkEmergency != nil && !p.marked {
+	if b.Terms.Monthly >= 0 && b.MarkEmergency != nil && !b.emergencyMarked {
 		ok = false
-		if !p.marking && !p.EmergencyMarked(p.month) {
-			p.marking = true
-			month := p.month
-			p.MarkEmergency(month, func() { p.marked = p.marked || p.month == month })
+		if !b.markPending && !b.EmergencyMarked(b.month) {
+			b.markPending = true
+			month := b.month
+			b.MarkEmergency(month, func() { b.emergencyMarked = b.emergencyMarked || b.month == month })
 		}
-	} else if p.Terms.Monthly >= 0 {
-		ok = p.own+tokens <= Emergency*p.Terms.Monthly/float64(p.Of)
+	} else if b.Terms.Monthly >= 0 {
+		ok = b.emergencyUsed+tokens <= EmergencyShare*b.Terms.Monthly/float64(b.Dispatchers)
 	}
-	if p.Terms.PerSecond >= 0 {
-		part := p.Terms.PerSecond / float64(p.Of)
-		p.emergency = min(p.emergency+part*(now-p.filled).Seconds(), max(10*part, p.largest))
-		p.filled = now
-		ok = ok && p.emergency >= tokens
+	if b.Terms.PerSecond >= 0 {
+		rate := b.Terms.PerSecond / float64(b.Dispatchers)
+		b.emergencyBucket = min(b.emergencyBucket+rate*(now-b.refilledAt).Seconds(), max(10*rate, b.largestRequest))
+		b.refilledAt = now
+		ok = ok && b.emergencyBucket >= tokens
 	}
 	if !ok {
-		p.Counts.Rejected++
-		then(Verdict{RetryAfter: silence})
+		b.Counts.Rejected++
+		decide(Decision{RetryAfter: silenceTimeout})
 		return
 	}
-	p.emergency -= tokens
-	p.own += tokens
-	p.Counts.EmergencyAdmitted++
-	then(Verdict{OK: true, Emergency: true})
+	b.emergencyBucket -= tokens
+	b.emergencyUsed += tokens
+	b.Counts.EmergencyAdmitted++
+	decide(Decision{OK: true, Emergency: true})
 }
 
-// Settle gives back what of a reservation was not used. A question that was let in ends, whatever the purse has by then: it can
-// not use more than its worst case.
-func (p *LocalBudget) Settle(reserved, used float64, own bool) {
+// Settle returns the unused part of a reservation. An admitted request may end whatever is available by then: it
+// cannot use more than its worst case.
+func (b *LocalBudget) Settle(reserved, used float64, emergency bool) {
 	used = min(used, reserved)
-	p.Counts.Used += used
-	if own {
-		p.own -= reserved - used
+	b.Counts.Used += used
+	if emergency {
+		b.emergencyUsed -= reserved - used
 		return
 	}
-	p.reserved -= reserved
-	p.used += used
+	b.reserved -= reserved
+	b.used += used
 }
 
-// want is how much more the purse would have, and the least that is of use.
-func (p *LocalBudget) want(now time.Duration) (tokens, least float64) {
-	queue := 0.0
-	for _, w := range p.waiting {
-		queue += w.tokens
-		if least == 0 {
-			least = max(w.tokens-p.free(now), 1)
+// shortfall returns how many more tokens are wanted, and the smallest lease that is of use.
+func (b *LocalBudget) shortfall(now time.Duration) (tokens, minimum float64) {
+	queued := 0.0
+	for _, w := range b.waiting {
+		queued += w.tokens
+		if minimum == 0 {
+			minimum = max(w.tokens-b.available(now), 1)
 		}
 	}
-	target := queue + p.demand.PerS(now)*leaseSpan.Seconds()
+	target := queued + b.demand.PerS(now)*leaseDemandSpan.Seconds()
 	if target > 0 {
-		target += p.largest
+		target += b.largestRequest
 	}
-	tokens = max(target-p.free(now), 0)
-	return tokens, least
+	tokens = max(target-b.available(now), 0)
+	return tokens, minimum
 }
 
-// Tick is called now and then: it asks ahead of need, again where nobody answered, and gives back what is idle.
-func (p *LocalBudget) Tick(now time.Duration) {
-	more, least := p.want(now)
-	short := more > 0 && (least > 0 || p.free(now) < p.demand.PerS(now)*leaseSpan.Seconds()/2)
-	unheard := p.sentAny && p.answered < p.number
-	if unheard && now-p.heard > silence && !p.silent {
-		p.silent = true
-		p.filled = now
+// Tick must be called periodically: it requests leases ahead of need, repeats unanswered requests and returns idle
+// tokens.
+func (b *LocalBudget) Tick(now time.Duration) {
+	more, minimum := b.shortfall(now)
+	short := more > 0 && (minimum > 0 || b.available(now) < b.demand.PerS(now)*leaseDemandSpan.Seconds()/2)
+	unanswered := b.everSent && b.answeredNumber < b.lastNumber
+	if unanswered && now-b.lastReply > silenceTimeout && !b.ownerSilent {
+		b.ownerSilent = true
+		b.refilledAt = now
 	}
-	if p.silent || unheard && now-p.sent > silence {
-		waiting := p.waiting
-		p.waiting = nil
+	if b.ownerSilent || unanswered && now-b.lastSent > silenceTimeout {
+		waiting := b.waiting
+		b.waiting = nil
 		for _, w := range waiting {
-			p.ownPart(now, w.tokens, w.then)
+			b.admitFromEmergency(now, w.tokens, w.decide)
 		}
 	}
-	idle := p.free(now) - p.demand.PerS(now)*idleSpan.Seconds() - p.largest
-	if idle > 0 && !unheard && p.free(now) > 0 {
-		p.returned += idle
-		p.ask(now)
+	idle := b.available(now) - b.demand.PerS(now)*idleDemandSpan.Seconds() - b.largestRequest
+	if idle > 0 && !unanswered && b.available(now) > 0 {
+		b.returned += idle
+		b.requestLease(now)
 		return
 	}
-	if short && (now >= p.after || least > 0) || p.silent || unheard && now-p.sent >= patience || p.lent > p.returned+p.used && p.until-now < valid-renew {
-		p.ask(now)
+	if short && (now >= b.retryAt || minimum > 0) || b.ownerSilent || unanswered && now-b.lastSent >= retryTimeout ||
+		b.lent > b.returned+b.used && b.leaseDeadline-now < leaseValidity-renewalTime {
+		b.requestLease(now)
 	}
 }
 
-func (p *LocalBudget) ask(now time.Duration) {
-	if p.sentAny && now-p.sent < askEvery && p.answered < p.number {
-		return // one is on its way
+func (b *LocalBudget) requestLease(now time.Duration) {
+	if b.everSent && now-b.lastSent < minRequestInterval && b.answeredNumber < b.lastNumber {
+		return // one is outstanding
 	}
-	more, least := p.want(now)
-	if p.answered == p.number && !p.silent {
-		p.heard = now // it is not silent for having been asked nothing
+	more, minimum := b.shortfall(now)
+	if b.answeredNumber == b.lastNumber && !b.ownerSilent {
+		b.lastReply = now // time without an outstanding request does not count as silence
 	}
-	p.number++
-	for _, w := range p.waiting {
-		if w.asked == 0 {
-			w.asked = p.number
+	b.lastNumber++
+	for _, w := range b.waiting {
+		if w.firstRequest == 0 {
+			w.firstRequest = b.lastNumber
 		}
 	}
-	p.sent, p.sentAny = now, true
-	p.Counts.Asks++
-	p.Send(LeaseRequest{Name: p.Terms.Name, Holder: p.Holder, Month: p.month, Lent: p.lent, Returned: p.returned, Own: p.own, Wanted: more, Least: least, Number: p.number})
-}
-
-// HandleReply takes the keeper's answer.
-func (p *LocalBudget) HandleReply(now time.Duration, l LeaseReply) {
-	p.turn(l.Month)
-	p.heard, p.silent = now, false
-	p.answered = max(p.answered, l.Number)
-	p.Terms = l.Terms
-	if l.Month == p.month && l.Lent >= p.lent {
-		p.lent = l.Lent
-		p.until = max(p.until, p.sent+valid) // from when it was asked for: the way back counts against it
-		if l.Number < p.number {
-			p.until = max(p.until, now+renew)
+	b.lastSent, b.everSent = now, true
+	b.Counts.LeaseRequests++
+	b.Send(LeaseRequest{Name: b.Terms.Name, Holder: b.Holder, Month: b.month, Lent: b.lent, Returned: b.returned,
+		EmergencyUsed: b.emergencyUsed, Wanted: more, Minimum: minimum, Number: b.lastNumber})
+}
+
+// HandleReply processes the owner's reply.
+func (b *LocalBudget) HandleReply(now time.Duration, reply LeaseReply) {
+	b.advanceMonth(reply.Month)
+	b.lastReply, b.ownerSilent = now, false
+	b.answeredNumber = max(b.answeredNumber, reply.Number)
+	b.Terms = reply.Terms
+	if reply.Month == b.month && reply.Lent >= b.lent {
+		b.lent = reply.Lent
+		b.leaseDeadline = max(b.leaseDeadline, b.lastSent+leaseValidity) // from the request: the reply's delay counts
+		if reply.Number < b.lastNumber {
+			b.leaseDeadline = max(b.leaseDeadline, now+renewalTime)
 		}
 	}
-	if p.after = 0; l.After > 0 {
-		p.after = now + l.After
+	if b.retryAt = 0; reply.RetryAfter > 0 {
+		b.retryAt = now + reply.RetryAfter
 	}
-	for len(p.waiting) > 0 && p.free(now) >= p.waiting[0].tokens {
-		w := p.waiting[0]
-		p.waiting = p.waiting[1:]
-		p.pay(now, w.tokens, w.then)
+	for len(b.waiting) > 0 && b.available(now) >= b.waiting[0].tokens {
+		w := b.waiting[0]
+		b.waiting = b.waiting[1:]
+		b.admit(now, w.tokens, w.decide)
 	}
-	waiting := p.waiting
-	p.waiting = nil
-	var refused []*want
+	waiting := b.waiting
+	b.waiting = nil
+	var rejected []*waiter
 	for _, w := range waiting {
-		if w.asked == 0 || w.asked > l.Number {
-			p.waiting = append(p.waiting, w)
+		if w.firstRequest == 0 || w.firstRequest > reply.Number {
+			b.waiting = append(b.waiting, w)
 		} else {
-			refused = append(refused, w)
+			rejected = append(rejected, w)
 		}
 	}
-	if len(p.waiting) > 0 {
-		p.ask(now)
+	if len(b.waiting) > 0 {
+		b.requestLease(now)
 	}
-	for _, w := range refused {
-		p.Counts.Rejected++
-		w.then(Verdict{RetryAfter: max(p.after-now, 0)})
+	for _, w := range rejected {
+		b.Counts.Rejected++
+		w.decide(Decision{RetryAfter: max(b.retryAt-now, 0)})
 	}
 }
 
-// LocalStatus is what operators see of a purse.
+// LocalStatus is the state of a local budget that operators see, in tokens.
 type LocalStatus struct {
-	Name     string  `json:"name"`
-	Free     float64 `json:"free"`
-	Reserved float64 `json:"reserved"`
-	EmergencyUsed      float64 `json:"own_in_emergency"`
+	Name          string  `json:"name"`
+	Free          float64 `json:"free"`
+	Reserved      float64 `json:"reserved"`
+	EmergencyUsed float64 `json:"own_in_emergency"`
 	OwnerSilent   bool    `json:"keeper_silent"`
 	Counts
 }
 
-func (p *LocalBudget) Status(now time.Duration) LocalStatus {
-	return LocalStatus{p.Terms.Name, p.free(now), p.reserved, p.own, p.silent, p.Counts}
+// Status returns the state of the local budget.
+func (b *LocalBudget) Status(now time.Duration) LocalStatus {
+	return LocalStatus{b.Terms.Name, b.available(now), b.reserved, b.emergencyUsed, b.ownerSilent, b.Counts}
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -12,309 +12,320 @@
 	"sloetrestle/internal/agenda"
 )
 
-// wire carries messages between purses and a keeper in virtual time, and loses, repeats and delays them.
-type wire struct {
-	now    time.Duration
-	queue  agenda.Agenda
-	rng    *rand.Rand
-	loss   float64
-	slow   time.Duration
-	starts int
-	cut    map[int]bool // purses that neither hear nor are heard
-	keeper *Owner
-	purses []*LocalBudget
-	month  func(time.Duration) Month
-	stated map[int64]float64 // what the keeper has made durable
-	debts  map[int64]float64
-	commit time.Duration
-	marks  map[string]bool // emergency parts that were begun, by dispatcher and month
+// testFleet delivers the messages between local budgets and their owner in virtual time, and loses, repeats and
+// delays them.
+type testFleet struct {
+	now         time.Duration
+	queue       agenda.Agenda
+	rng         *rand.Rand
+	loss        float64
+	maxDelay    time.Duration
+	starts      int
+	partitioned map[int]bool // local budgets that cannot exchange messages with the owner
+	owner       *Owner
+	locals      []*LocalBudget
+	month       func(time.Duration) Month
+	lent        map[int64]float64 // durable sums of the owner, by month
+	debts       map[int64]float64
+	commit      time.Duration
+	marks       map[string]bool // started emergency parts, by dispatcher and month
 }
 
-func (w *wire) after(d time.Duration, do func()) { w.queue.At(w.now+d, do) }
+func (fleet *testFleet) after(d time.Duration, do func()) { fleet.queue.At(fleet.now+d, do) }
 
-func (w *wire) run(until time.Duration) {
-	w.queue.Run(until, func(at time.Duration) { w.now = at })
-	w.now = until
+func (fleet *testFleet) run(until time.Duration) {
+	fleet.queue.Run(until, func(now time.Duration) { fleet.now = now })
+	fleet.now = until
 }
 
-// carry delivers a message, or not, or twice.
-func (w *wire) carry(of int, do func()) {
+// deliver delivers a message never, once or twice.
+func (fleet *testFleet) deliver(local int, do func()) {
 	for range 2 {
-		if w.rng.Float64() >= w.loss && !w.cut[of] {
-			w.after(time.Duration(w.rng.Float64()*float64(w.slow)), func() {
-				if !w.cut[of] {
+		if fleet.rng.Float64() >= fleet.loss && !fleet.partitioned[local] {
+			fleet.after(time.Duration(fleet.rng.Float64()*float64(fleet.maxDelay)), func() {
+				if !fleet.partitioned[local] {
 					do()
 				}
 			})
 		}
-		if w.rng.Float64() > 0.1 {
+		if fleet.rng.Float64() > 0.1 {
 			return
 		}
 	}
 }
 
-func (w *wire) newKeeper(t Terms) {
-	m := w.month(w.now)
-	w.keeper = NewOwner(t, w.now, m, w.stated[m.Number], w.debts[m.Number], 0, func(what string, month int64, tokens float64, done func()) {
-		k := w.keeper
-		w.after(w.commit, func() {
-			if what == "lent" {
-				w.stated[month] = max(w.stated[month], tokens)
+func (fleet *testFleet) newOwner(t Terms) {
+	m := fleet.month(fleet.now)
+	fleet.owner = NewOwner(t, fleet.now, m, fleet.lent[m.Number], fleet.debts[m.Number], 0, func(
+		kind string, month int64, tokens float64, done func()) {
+		owner := fleet.owner
+		fleet.after(fleet.commit, func() {
+			if kind == "lent" {
+				fleet.lent[month] = max(fleet.lent[month], tokens)
 			}
-			if what == "debt" {
-				w.debts[month] = tokens
+			if kind == "debt" {
+				fleet.debts[month] = tokens
 			}
-			if done != nil && w.keeper == k {
+			if done != nil && fleet.owner == owner {
 				done()
 			}
 		})
 	})
 }
 
-func newWire(t Terms, purses int, seed uint64) *wire {
-	w := &wire{rng: rand.New(rand.NewPCG(seed, 5)), slow: 4 * time.Millisecond, cut: map[int]bool{}, stated: map[int64]float64{}, debts: map[int64]float64{}, marks: map[string]bool{},
+func newTestFleet(t Terms, locals int, seed uint64) *testFleet {
+	fleet := &testFleet{rng: rand.New(rand.NewPCG(seed, 5)), maxDelay: 4 * time.Millisecond, partitioned: map[int]bool{},
+		lent: map[int64]float64{}, debts: map[int64]float64{}, marks: map[string]bool{},
 		commit: 10 * time.Millisecond, now: time.Second}
 	const month = 100 * time.Second
-	w.month = func(now time.Duration) Month { return Month{int64(now / month), month - now%month} }
-	w.newKeeper(t)
-	for i := range purses {
-		w.purse(t, i, purses)
-		var tend func()
-		tend = func() { w.purses[i].Tick(w.now); w.after(50*time.Millisecond, tend) }
-		w.after(time.Duration(i)*time.Millisecond, tend)
+	fleet.month = func(now time.Duration) Month { return Month{int64(now / month), month - now%month} }
+	fleet.newOwner(t)
+	for i := range locals {
+		fleet.newLocal(t, i, locals)
+		var tick func()
+		tick = func() { fleet.locals[i].Tick(fleet.now); fleet.after(50*time.Millisecond, tick) }
+		fleet.after(time.Duration(i)*time.Millisecond, tick)
 	}
-	return w
+	return fleet
 }
 
-// purse gives dispatcher i a new, empty one, as after a restart.
-func (w *wire) purse(t Terms, i, of int) {
-	w.starts++
-	var p *LocalBudget
-	p = NewLocalBudget(t, fmt.Sprintf("d%d.%d", i, w.starts), of, w.month(w.now), func(a LeaseRequest) {
-		w.carry(i, func() {
-			w.keeper.HandleRequest(w.now, w.month(w.now), a, func(l LeaseReply) {
-				w.carry(i, func() {
-					if w.purses[i] == p {
-						p.HandleReply(w.now, l)
+// newLocal gives dispatcher i a new, empty local budget, as after a restart.
+func (fleet *testFleet) newLocal(t Terms, i, dispatchers int) {
+	fleet.starts++
+	var local *LocalBudget
+	local = NewLocalBudget(t, fmt.Sprintf("d%d.%d", i, fleet.starts), dispatchers, fleet.month(fleet.now), func(
+		request LeaseRequest) {
+		fleet.deliver(i, func() {
+			fleet.owner.HandleRequest(fleet.now, fleet.month(fleet.now), request, func(reply LeaseReply) {
+				fleet.deliver(i, func() {
+					if fleet.locals[i] == local {
+						local.HandleReply(fleet.now, reply)
 					}
 				})
 			})
 		})
 	})
 	name := func(month int64) string { return fmt.Sprint(i, " ", month) }
-	p.EmergencyMarked = func(month int64) bool { return w.marks[name(month)] }
-	p.MarkEmergency = func(month int64, done func()) {
-		w.after(w.commit, func() { w.marks[name(month)] = true; done() })
+	local.EmergencyMarked = func(month int64) bool { return fleet.marks[name(month)] }
+	local.MarkEmergency = func(month int64, done func()) {
+		fleet.after(fleet.commit, func() { fleet.marks[name(month)] = true; done() })
 	}
-	if i < len(w.purses) {
-		w.purses[i] = p
+	if i < len(fleet.locals) {
+		fleet.locals[i] = local
 	} else {
-		w.purses = append(w.purses, p)
+		fleet.locals = append(fleet.locals, local)
 	}
 }
 
-// spend has a question of so many tokens, which uses all of them, at purse i; used sums by month of its reservation.
-func (w *wire) spend(i int, tokens float64, used map[int64]float64, verdicts *[2]int) {
-	m := w.month(w.now)
-	p := w.purses[i]
-	p.Reserve(w.now, m, tokens, func(v Verdict) {
-		if !v.OK {
-			verdicts[1]++
+// spend sends a request that uses all of its tokens to local budget i. used sums the tokens by month of the
+// reservation, and decisions counts the admitted and the rejected requests.
+func (fleet *testFleet) spend(i int, tokens float64, used map[int64]float64, decisions *[2]int) {
+	m := fleet.month(fleet.now)
+	local := fleet.locals[i]
+	local.Reserve(fleet.now, m, tokens, func(d Decision) {
+		if !d.OK {
+			decisions[1]++
 			return
 		}
-		verdicts[0]++
-		used[p.month] += tokens
-		w.after(time.Duration(w.rng.Float64()*float64(3*time.Second)), func() { p.Settle(tokens, tokens, v.Emergency) })
+		decisions[0]++
+		used[local.month] += tokens
+		fleet.after(time.Duration(fleet.rng.Float64()*float64(3*time.Second)), func() {
+			local.Settle(tokens, tokens, d.Emergency)
+		})
 	})
 }
 
-// Whatever is lost, repeated or late, whoever is cut off or restarts, the keeper too: of a month no more is used than its
-// allowance and the emergency share of it.
+// Whatever messages are lost, repeated or delayed, and whichever dispatchers are partitioned or restart, including
+// the owner: no month uses more than its allowance plus the emergency share.
 func TestNoInterleavingOfLeasesOvershootsTheStatedBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		purses := rapid.IntRange(1, 12).Draw(t, "purses")
+		locals := rapid.IntRange(1, 12).Draw(t, "purses")
 		terms := Terms{Name: "c", PerSecond: -1, Monthly: float64(rapid.IntRange(0, 60000).Draw(t, "monthly"))}
-		w := newWire(terms, purses, rapid.Uint64().Draw(t, "seed"))
-		w.loss = rapid.SampledFrom([]float64{0, 0.05, 0.5}).Draw(t, "loss")
-		used, verdicts := map[int64]float64{}, [2]int{}
+		fleet := newTestFleet(terms, locals, rapid.Uint64().Draw(t, "seed"))
+		fleet.loss = rapid.SampledFrom([]float64{0, 0.05, 0.5}).Draw(t, "loss")
+		used, decisions := map[int64]float64{}, [2]int{}
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
-			w.run(w.now + time.Duration(rapid.IntRange(0, 400).Draw(t, "gap"))*time.Millisecond)
-			i := rapid.IntRange(0, purses-1).Draw(t, "purse")
+			fleet.run(fleet.now + time.Duration(rapid.IntRange(0, 400).Draw(t, "gap"))*time.Millisecond)
+			i := rapid.IntRange(0, locals-1).Draw(t, "purse")
 			switch rapid.IntRange(0, 30).Draw(t, "what") {
 			case 0:
-				w.cut[i] = !w.cut[i]
+				fleet.partitioned[i] = !fleet.partitioned[i]
 			case 1:
-				w.purse(terms, i, purses)
+				fleet.newLocal(terms, i, locals)
 			case 2:
-				w.newKeeper(terms)
+				fleet.newOwner(terms)
 			case 3:
-				w.run(w.now + 30*time.Second)
+				fleet.run(fleet.now + 30*time.Second)
 			default:
-				w.spend(i, float64(rapid.IntRange(1, 900).Draw(t, "tokens")), used, &verdicts)
+				fleet.spend(i, float64(rapid.IntRange(1, 900).Draw(t, "tokens")), used, &decisions)
 			}
 		}
-		w.run(w.now + 10*time.Second)
+		fleet.run(fleet.now + 10*time.Second)
 		for month, n := range used {
-			if bound := terms.Monthly * (1 + Emergency); n > bound+1e-6 {
-				t.Fatalf("of month %d %.0f tokens were used, of %.0f and %.0f in emergencies", month, n, terms.Monthly, terms.Monthly*Emergency)
+			if bound := terms.Monthly * (1 + EmergencyShare); n > bound+1e-6 {
+				t.Fatalf("month %d used %.0f tokens of %.0f and %.0f in emergencies", month, n, terms.Monthly,
+					terms.Monthly*EmergencyShare)
 			}
 		}
 	})
 }
 
-func TestAllOfAnAllowanceCanBeUsedByWhoeverNeedsIt(t *testing.T) {
-	for _, purses := range []int{3, 33, 160} {
-		w := newWire(Terms{Name: "c", PerSecond: -1, Monthly: 100_000}, purses, 1)
-		used, verdicts := map[int64]float64{}, [2]int{}
-		for w.now < 60*time.Second { // one dispatcher has half of the questions
-			w.run(w.now + 40*time.Millisecond)
+func TestWholeAllowanceIsUsableUnderSkewedDemand(t *testing.T) {
+	for _, locals := range []int{3, 33, 160} {
+		fleet := newTestFleet(Terms{Name: "c", PerSecond: -1, Monthly: 100_000}, locals, 1)
+		used, decisions := map[int64]float64{}, [2]int{}
+		for fleet.now < 60*time.Second { // one dispatcher gets half of the requests
+			fleet.run(fleet.now + 40*time.Millisecond)
 			i := 0
-			if w.rng.Float64() < 0.5 {
-				i = w.rng.IntN(purses)
+			if fleet.rng.Float64() < 0.5 {
+				i = fleet.rng.IntN(locals)
 			}
-			w.spend(i, 100, used, &verdicts)
+			fleet.spend(i, 100, used, &decisions)
 		}
-		w.run(70 * time.Second)
+		fleet.run(70 * time.Second)
 		if used[0] > 100_000 || used[0] < 90_000 {
-			t.Errorf("%d purses: %.0f of 100,000 were used, %d questions passed and %d not", purses, used[0], verdicts[0], verdicts[1])
+			t.Errorf("%d dispatchers: %.0f of 100,000 tokens were used; %d requests admitted, %d rejected", locals, used[0],
+				decisions[0], decisions[1])
 		}
 	}
 }
 
-func TestARateHoldsOverAllDispatchers(t *testing.T) {
-	w := newWire(Terms{Name: "c", PerSecond: 1000, Burst: 2000, Monthly: -1}, 20, 1)
-	used, verdicts := map[int64]float64{}, [2]int{}
-	for w.now < 61*time.Second {
-		w.run(w.now + 20*time.Millisecond)
-		w.spend(w.rng.IntN(20), 100, used, &verdicts) // 5,000 a second are asked for
+func TestRateLimitHoldsAcrossDispatchers(t *testing.T) {
+	fleet := newTestFleet(Terms{Name: "c", PerSecond: 1000, Burst: 2000, Monthly: -1}, 20, 1)
+	used, decisions := map[int64]float64{}, [2]int{}
+	for fleet.now < 61*time.Second {
+		fleet.run(fleet.now + 20*time.Millisecond)
+		fleet.spend(fleet.rng.IntN(20), 100, used, &decisions) // the demand is 5,000 tokens/s
 	}
 	if used[0] > 62_000 || used[0] < 50_000 {
-		t.Errorf("%.0f tokens in 60 s, of 1,000 a second and a burst of 2,000; %d passed, %d not", used[0], verdicts[0], verdicts[1])
+		t.Errorf("%.0f tokens in 60 s, at 1,000/s and a burst of 2,000; %d requests admitted, %d rejected", used[0],
+			decisions[0], decisions[1])
 	}
 }
 
 func TestWhatIsUsedUpIsDeclinedWithTheTimeOfItsRenewal(t *testing.T) {
-	w := newWire(Terms{Name: "c", PerSecond: -1, Monthly: 1000}, 2, 1)
-	used, verdicts := map[int64]float64{}, [2]int{}
+	fleet := newTestFleet(Terms{Name: "c", PerSecond: -1, Monthly: 1000}, 2, 1)
+	used, decisions := map[int64]float64{}, [2]int{}
 	for range 30 {
-		w.run(w.now + 200*time.Millisecond)
-		w.spend(0, 100, used, &verdicts)
+		fleet.run(fleet.now + 200*time.Millisecond)
+		fleet.spend(0, 100, used, &decisions)
 	}
-	w.run(w.now + time.Second)
-	var last Verdict
-	w.purses[0].Reserve(w.now, w.month(w.now), 100, func(v Verdict) { last = v })
-	w.run(w.now + time.Second)
-	if left := w.month(w.now).Remaining; used[0] != 1000 || last.OK || math.Abs((last.RetryAfter-left).Seconds()) > 3 {
-		t.Errorf("%.0f used; come back in %v, the month has %v", used[0], last.RetryAfter, left)
+	fleet.run(fleet.now + time.Second)
+	var last Decision
+	fleet.locals[0].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Decision) { last = d })
+	fleet.run(fleet.now + time.Second)
+	if remaining := fleet.month(fleet.now).Remaining; used[0] != 1000 || last.OK ||
+		math.Abs((last.RetryAfter-remaining).Seconds()) > 3 {
+		t.Errorf("%.0f tokens used; retry after %v, but the month ends in %v", used[0], last.RetryAfter, remaining)
 	}
-	w.run(101 * time.Second)
-	w.spend(0, 100, used, &verdicts)
-	w.run(102 * time.Second)
+	fleet.run(101 * time.Second)
+	fleet.spend(0, 100, used, &decisions)
+	fleet.run(102 * time.Second)
 	if used[1] != 100 {
-		t.Errorf("in the new month %.0f are used", used[1])
+		t.Errorf("%.0f tokens used in the new month, want 100", used[1])
 	}
 }
 
-func TestAZeroBudgetLetsNothingThroughAndAGrantDoes(t *testing.T) {
-	w := newWire(Terms{Name: "c", PerSecond: -1, Monthly: 0}, 1, 1)
-	used, verdicts := map[int64]float64{}, [2]int{}
-	w.spend(0, 10, used, &verdicts)
-	w.run(2 * time.Second)
-	if verdicts != [2]int{0, 1} {
-		t.Fatalf("%v", verdicts)
+func TestZeroBudgetRejectsUntilGrant(t *testing.T) {
+	fleet := newTestFleet(Terms{Name: "c", PerSecond: -1, Monthly: 0}, 1, 1)
+	used, decisions := map[int64]float64{}, [2]int{}
+	fleet.spend(0, 10, used, &decisions)
+	fleet.run(2 * time.Second)
+	if decisions != [2]int{0, 1} {
+		t.Fatalf("%v", decisions)
 	}
-	w.keeper.Grant(w.month(w.now), 500, nil)
-	w.spend(0, 10, used, &verdicts)
-	if verdicts != [2]int{0, 2} {
-		t.Errorf("within %v of the keeper's word it is not asked again: %v", lookAgain, verdicts)
+	fleet.owner.Grant(fleet.month(fleet.now), 500, nil)
+	fleet.spend(0, 10, used, &decisions)
+	if decisions != [2]int{0, 2} {
+		t.Errorf("a request within %v of the owner's reply must be rejected at once: %v", exhaustedRetry, decisions)
 	}
-	w.run(w.now + lookAgain)
-	w.spend(0, 10, used, &verdicts)
-	w.run(w.now + time.Second)
-	if verdicts != [2]int{1, 2} {
-		t.Errorf("after a grant: %v", verdicts)
+	fleet.run(fleet.now + exhaustedRetry)
+	fleet.spend(0, 10, used, &decisions)
+	fleet.run(fleet.now + time.Second)
+	if decisions != [2]int{1, 2} {
+		t.Errorf("after a grant: %v", decisions)
 	}
 }
 
-func TestABorrowedBudgetIsMissingInTheNextMonth(t *testing.T) {
-	w := newWire(Terms{Name: "c", PerSecond: -1, Monthly: 1000, Borrow: 400}, 1, 1)
-	used, verdicts := map[int64]float64{}, [2]int{}
+func TestBorrowedTokensReduceNextMonth(t *testing.T) {
+	fleet := newTestFleet(Terms{Name: "c", PerSecond: -1, Monthly: 1000, Borrow: 400}, 1, 1)
+	used, decisions := map[int64]float64{}, [2]int{}
 	for m := range int64(2) {
 		for range 40 {
-			w.run(w.now + 500*time.Millisecond)
-			w.spend(0, 100, used, &verdicts)
+			fleet.run(fleet.now + 500*time.Millisecond)
+			fleet.spend(0, 100, used, &decisions)
 		}
-		w.run(time.Duration(m+1)*100*time.Second + time.Second)
+		fleet.run(time.Duration(m+1)*100*time.Second + time.Second)
 	}
-	if used[0] != 1400 || used[1] != 1000 { // 600 are left of its own, and 400 of the third month's
+	if used[0] != 1400 || used[1] != 1000 { // 600 of its own allowance, and 400 borrowed from the third month
 		t.Errorf("%v", used)
 	}
 }
 
 func TestAQuestionIsNotHeldForAKeeperThatIsSilent(t *testing.T) {
-	w := newWire(Terms{Name: "c", PerSecond: -1, Monthly: 100_000}, 4, 1)
-	w.cut[1] = true
-	asked, at := w.now, time.Duration(0)
-	w.purses[1].Reserve(w.now, w.month(w.now), 100, func(v Verdict) { at = w.now })
-	w.run(w.now + 2*time.Second)
-	if at == 0 || at-asked > silence+100*time.Millisecond {
-		t.Errorf("answered after %v", at-asked)
+	fleet := newTestFleet(Terms{Name: "c", PerSecond: -1, Monthly: 100_000}, 4, 1)
+	fleet.partitioned[1] = true
+	sent, decidedAt := fleet.now, time.Duration(0)
+	fleet.locals[1].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Decision) { decidedAt = fleet.now })
+	fleet.run(fleet.now + 2*time.Second)
+	if decidedAt == 0 || decidedAt-sent > silenceTimeout+100*time.Millisecond {
+		t.Errorf("decided after %v", decidedAt-sent)
 	}
-	w.run(w.now + time.Second) // its part is marked as begun
-	passed := 0
+	fleet.run(fleet.now + time.Second) // its part is marked as started
+	admitted := 0
 	for range 100 {
-		w.purses[1].Reserve(w.now, w.month(w.now), 100, func(v Verdict) {
-			if v.OK {
-				passed++
+		fleet.locals[1].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Decision) {
+			if d.OK {
+				admitted++
 			}
 		})
 	}
-	if part := 12; // 5% of 100,000, over 4 dispatchers, by 100
-	passed > part || passed < part-2 {
-		t.Errorf("%d passed in the emergency, its part is %d", passed, part)
+	if part := 12; // 5% of 100,000 over 4 dispatchers, in requests of 100 tokens
+	admitted > part || admitted < part-2 {
+		t.Errorf("%d requests admitted in the emergency, want %d to %d", admitted, part-2, part)
 	}
 }
 
-// Without this, a dispatcher that restarts again and again while its keeper is away has a new part each time.
+// A dispatcher that restarts repeatedly while the owner is unreachable must not get a new emergency part each time.
 func TestARestartGivesNoNewEmergencyPart(t *testing.T) {
 	terms := Terms{Name: "c", PerSecond: -1, Monthly: 100_000}
-	w := newWire(terms, 4, 1)
-	w.cut[1] = true
-	used, verdicts := map[int64]float64{}, [2]int{}
+	fleet := newTestFleet(terms, 4, 1)
+	fleet.partitioned[1] = true
+	used, decisions := map[int64]float64{}, [2]int{}
 	for range 5 {
 		for range 40 {
-			w.spend(1, 100, used, &verdicts)
-			w.run(w.now + 50*time.Millisecond)
+			fleet.spend(1, 100, used, &decisions)
+			fleet.run(fleet.now + 50*time.Millisecond)
 		}
-		w.purse(terms, 1, 4)
+		fleet.newLocal(terms, 1, 4)
 	}
-	w.run(w.now + time.Second)
+	fleet.run(fleet.now + time.Second)
 	if used[0] == 0 || used[0] > 1250 {
-		t.Errorf("%.0f tokens of an emergency part of 1,250", used[0])
+		t.Errorf("%.0f tokens used of an emergency part of 1,250", used[0])
 	}
 }
 
 func TestARateGoesOnWithoutItsKeeperInEqualParts(t *testing.T) {
-	w := newWire(Terms{Name: "c", PerSecond: 4000, Burst: 4000, Monthly: -1}, 4, 1)
+	fleet := newTestFleet(Terms{Name: "c", PerSecond: 4000, Burst: 4000, Monthly: -1}, 4, 1)
 	for i := range 4 {
-		w.cut[i] = true
+		fleet.partitioned[i] = true
 	}
-	used, verdicts := map[int64]float64{}, [2]int{}
-	for w.now < 31*time.Second {
-		w.run(w.now + 10*time.Millisecond)
-		w.spend(w.rng.IntN(4), 100, used, &verdicts) // 10,000 a second are asked for
+	used, decisions := map[int64]float64{}, [2]int{}
+	for fleet.now < 31*time.Second {
+		fleet.run(fleet.now + 10*time.Millisecond)
+		fleet.spend(fleet.rng.IntN(4), 100, used, &decisions) // the demand is 10,000 tokens/s
 	}
-	if used[0] < 100_000 || used[0] > 160_000 { // 120,000 in 30 s, and ten seconds' worth at once
-		t.Errorf("%.0f tokens in 30 s of 4,000 a second", used[0])
+	if used[0] < 100_000 || used[0] > 160_000 { // 120,000 in 30 s, and a bucket of ten seconds
+		t.Errorf("%.0f tokens in 30 s, at 4,000/s", used[0])
 	}
 }
 
-// What a sibling says comes over a network: an answer that renames a budget would let its channel ask for nothing, one without
-// a bound lend it everything.
-func TestAnAnswerThatMakesNoSenseIsNone(t *testing.T) {
-	sound := LeaseReply{Name: "b", Holder: "h", Month: 3, Lent: 10, Terms: Terms{Name: "b", PerSecond: -1, Monthly: 100}}
-	if !sound.Valid() {
-		t.Error("a sound one is refused")
+// Replies come from peers over a network: one that renames a budget would detach it from its tenant, and one with an
+// infinite sum would lift the limit.
+func TestInvalidLeaseReplyIsRejected(t *testing.T) {
+	valid := LeaseReply{Name: "b", Holder: "h", Month: 3, Lent: 10, Terms: Terms{Name: "b", PerSecond: -1, Monthly: 100}}
+	if !valid.Valid() {
+		t.Error("a valid reply is refused")
 	}
 	for name, bad := range map[string]func(l *LeaseReply){
 		"another name":    func(l *LeaseReply) { l.Terms.Name = "" },
@@ -322,31 +333,35 @@
 		"no number":       func(l *LeaseReply) { l.Lent = math.NaN() },
 		"negative":        func(l *LeaseReply) { l.Lent = -1 },
 		"terms":           func(l *LeaseReply) { l.Terms.Monthly = math.NaN() },
-		"a wait":          func(l *LeaseReply) { l.After = -time.Second },
-		"a wait of years": func(l *LeaseReply) { l.After = math.MaxInt64 },
+		"a wait":          func(l *LeaseReply) { l.RetryAfter = -time.Second },
+		"a wait of years": func(l *LeaseReply) { l.RetryAfter = math.MaxInt64 },
 		"a far month":     func(l *LeaseReply) { l.Month = 1 << 40 },
 	} {
-		l := sound
-		bad(&l)
-		if l.Valid() {
-			t.Errorf("%s: %+v is taken", name, l)
+		reply := valid
+		bad(&reply)
+		if reply.Valid() {
+			t.Errorf("%s: %+v is accepted", name, reply)
 		}
 	}
 }
 
-// Anybody who reaches the port can say to be a holder: a keeper's memory has a bound, and the holders that it knows go on.
-func TestAKeeperKnowsSoManyHolders(t *testing.T) {
-	k := NewOwner(Terms{Name: "b", PerSecond: -1, Monthly: 1e9}, 0, Month{Number: 1, Remaining: time.Hour}, 0, 0, 0, func(_ string, _ int64, _ float64, done func()) {
-		if done != nil {
-			done()
-		}
-	})
+// Anyone who reaches the port can claim to be a holder: the owner's memory is bounded, and known holders keep their
+// leases.
+func TestOwnerBoundsItsHolders(t *testing.T) {
+	owner := NewOwner(Terms{Name: "b", PerSecond: -1, Monthly: 1e9}, 0, Month{Number: 1, Remaining: time.Hour}, 0, 0, 0,
+		func(_ string, _ int64, _ float64, done func()) {
+			if done != nil {
+				done()
+			}
+		})
 	answers := 0
-	for i := range mostHolders + 100 {
-		k.HandleRequest(0, Month{Number: 1, Remaining: time.Hour}, LeaseRequest{Name: "b", Holder: fmt.Sprint(i), Month: 1}, func(LeaseReply) { answers++ })
+	for i := range maxHolders + 100 {
+		owner.HandleRequest(0, Month{Number: 1, Remaining: time.Hour},
+			LeaseRequest{Name: "b", Holder: fmt.Sprint(i), Month: 1}, func(LeaseReply) { answers++ })
 	}
-	k.HandleRequest(0, Month{Number: 1, Remaining: time.Hour}, LeaseRequest{Name: "b", Holder: "0", Month: 1, Wanted: 5}, func(l LeaseReply) { answers += int(l.Lent) })
-	if len(k.by) != mostHolders || answers != mostHolders+5 {
-		t.Errorf("%d holders, %d answers", len(k.by), answers)
+	owner.HandleRequest(0, Month{Number: 1, Remaining: time.Hour},
+		LeaseRequest{Name: "b", Holder: "0", Month: 1, Wanted: 5}, func(reply LeaseReply) { answers += int(reply.Lent) })
+	if len(owner.holders) != maxHolders || answers != maxHolders+5 {
+		t.Errorf("%d holders, %d answers", len(owner.holders), answers)
 	}
 }
--- a/internal/ledger/bill.go
+++ b/internal/ledger/bill.go
@@ -6,98 +6,106 @@
 	"time"
 )
 
-// Cause says who bears a trip's cost.
-type Cause string
+// Payer says who bears the cost of an attempt.
+type Payer string
 
 const (
-	ByClient Cause = "client" // the answer that it got, the read that this one was made of, and what it left
-	ByHouse  Cause = "house"  // trips that broke, failed or were repeated, and questions that got no answer
+	// PayerClient bears the attempt that answered its request, the prefill attempt which that one used, and the
+	// attempt that was in flight when it cancelled.
+	PayerClient Payer = "client"
+	// PayerOperator bears attempts that broke, failed or were repeated, and requests without an answer.
+	PayerOperator Payer = "house"
 )
 
 // Line is one row of a bill.
 type Line struct {
-	Tenant   string `json:"channel"`
-	Class     string `json:"grade"`
-	Payer     Cause  `json:"cause"`
-	Requests int    `json:"questions"`
-	Attempts     int    `json:"trips"`
-	PrefillTokens      int    `json:"read_tokens"`
-	CachedTokens      int    `json:"kept_tokens"`
-	OutputTokens    int    `json:"answer_tokens"`
-	Unconfirmed  int    `json:"unproven_trips"` // whose boxes could not be asked; their tokens are what the dispatcher saw
+	Tenant        string `json:"channel"`
+	Class         string `json:"grade"`
+	Payer         Payer  `json:"cause"`
+	Requests      int    `json:"questions"`
+	Attempts      int    `json:"trips"`
+	PrefillTokens int    `json:"read_tokens"`
+	CachedTokens  int    `json:"kept_tokens"`
+	OutputTokens  int    `json:"answer_tokens"`
+	Unconfirmed   int    `json:"unproven_trips"` // attempts with the tokens that the dispatcher saw
 }
 
-// Collector gathers records of any number of dispatchers, in any order, each as often as it may come.
+// Collector gathers the records of any number of dispatchers, in any order and with duplicates.
 type Collector struct {
-	trips     map[string]Record
-	questions map[string]Record
-	Epochs    map[string]bool // those known; true: closed
+	attempts map[string]Record
+	requests map[string]Record
+	Epochs   map[string]bool // known epochs; true for closed ones
 }
 
-// NewCollector makes an empty one.
+// NewCollector returns an empty collector.
 func NewCollector() *Collector {
-	return &Collector{trips: map[string]Record{}, questions: map[string]Record{}, Epochs: map[string]bool{}}
+	return &Collector{attempts: map[string]Record{}, requests: map[string]Record{}, Epochs: map[string]bool{}}
 }
 
-// Add takes a record in. The earliest of those that are the same counts, whichever comes first.
-func (s *Collector) Add(r Record) error {
-	keep := func(in map[string]Record, key string) {
+// Add adds a record. Of duplicates the earliest one counts, in whatever order they come. The error is always nil.
+func (c *Collector) Add(r Record) error {
+	keepEarliest := func(in map[string]Record, key string) {
 		if old, ok := in[key]; !ok || r.UnixMilli < old.UnixMilli {
 			in[key] = r
 		}
 	}
 	switch {
 	case r.Attempt != nil:
-		keep(s.trips, string(tripKey(r.Attempt)))
+		keepEarliest(c.attempts, string(attemptKey(r.Attempt)))
 	case r.Request != nil:
-		keep(s.questions, r.Request.Key)
+		keepEarliest(c.requests, r.Request.Key)
 	case r.Epoch != nil:
-		s.Epochs[r.Epoch.Name] = s.Epochs[r.Epoch.Name] || r.Epoch.Closed
+		c.Epochs[r.Epoch.Name] = c.Epochs[r.Epoch.Name] || r.Epoch.Closed
 	}
 	return nil
 }
 
-// byQuestion groups trips, in their order; an unproven one counts only while no box has stated it.
-func (s *Collector) byQuestion() map[string][]Record {
-	by := map[string][]Record{}
-	for _, r := range s.trips {
-		by[r.Attempt.Key] = append(by[r.Attempt.Key], r)
-	}
-	for key, trips := range by {
-		slices.SortFunc(trips, func(a, b Record) int {
-			return cmp.Or(cmp.Compare(a.Attempt.Index, b.Attempt.Index), cmp.Compare(b.Attempt.Number, a.Attempt.Number), cmp.Compare(a.Attempt.Backend, b.Attempt.Backend))
+// attemptsByRequest groups the attempts by request, in order. An unconfirmed one counts only while no backend has
+// reported it.
+func (c *Collector) attemptsByRequest() map[string][]Record {
+	byRequest := map[string][]Record{}
+	for _, r := range c.attempts {
+		byRequest[r.Attempt.Key] = append(byRequest[r.Attempt.Key], r)
+	}
+	for key, attempts := range byRequest {
+		slices.SortFunc(attempts, func(a, b Record) int {
+			return cmp.Or(cmp.Compare(a.Attempt.Index, b.Attempt.Index), cmp.Compare(b.Attempt.Number, a.Attempt.Number),
+				cmp.Compare(a.Attempt.Backend, b.Attempt.Backend))
 		})
-		by[key] = slices.DeleteFunc(trips, func(r Record) bool {
-			return !r.Attempt.Confirmed() && slices.ContainsFunc(trips, func(o Record) bool { return o.Attempt.Confirmed() && o.Attempt.Index == r.Attempt.Index })
+		byRequest[key] = slices.DeleteFunc(attempts, func(r Record) bool {
+			return !r.Attempt.Confirmed() && slices.ContainsFunc(attempts, func(other Record) bool {
+				return other.Attempt.Confirmed() && other.Attempt.Index == r.Attempt.Index
+			})
 		})
 	}
-	return by
+	return byRequest
 }
 
-// causes says who bears each of a question's trips: the client the one that answered it and the read behind that, or where it
-// left by itself the last trip and its read; the house all others.
-func causes(trips []Record, q *Request) []Cause {
-	out := make([]Cause, len(trips))
+// payers returns who bears each attempt of a request. The client bears the attempt that answered it and the prefill
+// attempt before that, or, where it cancelled, the last attempt and its prefill. The operator bears all others.
+func payers(attempts []Record, request *Request) []Payer {
+	out := make([]Payer, len(attempts))
 	for i := range out {
-		out[i] = ByHouse
+		out[i] = PayerOperator
 	}
 	last := -1
-	for i, r := range trips {
-		if r.Attempt.Phase != "read" && (r.Attempt.Outcome == "answered" || q != nil && q.Outcome == "left" && i == len(trips)-1) {
+	for i, r := range attempts {
+		if r.Attempt.Phase != "read" && (r.Attempt.Outcome == "answered" ||
+			request != nil && request.Outcome == "left" && i == len(attempts)-1) {
 			last = i
 		}
 	}
 	if last < 0 {
-		if q != nil && q.Outcome == "left" && len(trips) > 0 {
-			out[len(trips)-1] = ByClient
+		if request != nil && request.Outcome == "left" && len(attempts) > 0 {
+			out[len(attempts)-1] = PayerClient
 		}
 		return out
 	}
-	out[last] = ByClient
-	if trips[last].Attempt.Phase == "write" {
+	out[last] = PayerClient
+	if attempts[last].Attempt.Phase == "write" {
 		for i := last - 1; i >= 0; i-- {
-			if trips[i].Attempt.Phase == "read" && trips[i].Attempt.Outcome == "read" {
-				out[i] = ByClient
+			if attempts[i].Attempt.Phase == "read" && attempts[i].Attempt.Outcome == "read" {
+				out[i] = PayerClient
 				break
 			}
 		}
@@ -105,59 +113,61 @@
 	return out
 }
 
-// Bill sums what a channel's questions cost between two times; an empty channel stands for all. A question belongs to the time
-// of its first record. The same records give the same bill, in whatever order they came and from however many dispatchers.
-func (s *Collector) Bill(channel string, from, to time.Time) []Line {
-	type row struct{ channel, grade, cause string }
+// Bill sums the cost of a tenant's requests from one time up to another; an empty tenant stands for all. A request
+// belongs to the time of its first record. The same records give the same bill, in whatever order and from however
+// many dispatchers they come.
+func (c *Collector) Bill(tenant string, from, to time.Time) []Line {
+	type row struct{ tenant, class, payer string }
 	rows := map[row]*Line{}
-	within := func(at int64) bool { return at >= from.UnixMilli() && at < to.UnixMilli() }
-	of := func(channel, grade string, c Cause) *Line {
-		k := row{channel, grade, string(c)}
-		if rows[k] == nil {
-			rows[k] = &Line{Tenant: channel, Class: grade, Payer: c}
+	within := func(unixMilli int64) bool { return unixMilli >= from.UnixMilli() && unixMilli < to.UnixMilli() }
+	lineOf := func(tenant, class string, payer Payer) *Line {
+		key := row{tenant, class, string(payer)}
+		if rows[key] == nil {
+			rows[key] = &Line{Tenant: tenant, Class: class, Payer: payer}
 		}
-		return rows[k]
+		return rows[key]
 	}
-	by := s.byQuestion()
-	for key, trips := range by {
-		at := trips[0].UnixMilli
-		for _, r := range trips {
-			at = min(at, r.UnixMilli)
+	byRequest := c.attemptsByRequest()
+	for key, attempts := range byRequest {
+		first := attempts[0].UnixMilli
+		for _, r := range attempts {
+			first = min(first, r.UnixMilli)
 		}
-		var q *Request
-		if r, ok := s.questions[key]; ok {
-			q, at = r.Request, min(at, r.UnixMilli)
+		var request *Request
+		if r, ok := c.requests[key]; ok {
+			request, first = r.Request, min(first, r.UnixMilli)
 		}
-		if first := trips[0].Attempt; channel != "" && first.Tenant != channel || !within(at) {
+		if attempt := attempts[0].Attempt; tenant != "" && attempt.Tenant != tenant || !within(first) {
 			continue
 		}
 		counted := false
-		for i, c := range causes(trips, q) {
-			t := trips[i].Attempt
-			l := of(t.Tenant, t.Class, c)
-			l.Attempts++
-			l.PrefillTokens, l.CachedTokens, l.OutputTokens = l.PrefillTokens+t.PrefillTokens, l.CachedTokens+t.CachedTokens, l.OutputTokens+t.OutputTokens
-			if !t.Confirmed() {
-				l.Unconfirmed++
+		for i, payer := range payers(attempts, request) {
+			attempt := attempts[i].Attempt
+			line := lineOf(attempt.Tenant, attempt.Class, payer)
+			line.Attempts++
+			line.PrefillTokens, line.CachedTokens, line.OutputTokens = line.PrefillTokens+attempt.PrefillTokens,
+				line.CachedTokens+attempt.CachedTokens, line.OutputTokens+attempt.OutputTokens
+			if !attempt.Confirmed() {
+				line.Unconfirmed++
 			}
-			if c == ByClient && !counted {
+			if payer == PayerClient && !counted {
 				counted = true
-				l.Requests++
+				line.Requests++
 			}
 		}
 		if !counted {
-			of(trips[0].Attempt.Tenant, trips[0].Attempt.Class, ByHouse).Requests++
+			lineOf(attempts[0].Attempt.Tenant, attempts[0].Attempt.Class, PayerOperator).Requests++
 		}
 	}
-	for key, r := range s.questions { // those without a trip: declined, mostly
-		q := r.Request
-		if len(by[key]) == 0 && (channel == "" || q.Tenant == channel) && within(r.UnixMilli) {
-			of(q.Tenant, q.Class, ByHouse).Requests++
+	for key, r := range c.requests { // requests without an attempt, most of which were rejected
+		request := r.Request
+		if len(byRequest[key]) == 0 && (tenant == "" || request.Tenant == tenant) && within(r.UnixMilli) {
+			lineOf(request.Tenant, request.Class, PayerOperator).Requests++
 		}
 	}
 	var out []Line
-	for _, l := range rows {
-		out = append(out, *l)
+	for _, line := range rows {
+		out = append(out, *line)
 	}
 	slices.SortFunc(out, func(a, b Line) int {
 		return cmp.Or(cmp.Compare(a.Tenant, b.Tenant), cmp.Compare(a.Class, b.Class), cmp.Compare(a.Payer, b.Payer))
@@ -165,55 +175,57 @@
 	return out
 }
 
-// Proof is one trip of a disputed question.
-type Proof struct {
-	At    time.Time `json:"at"`
-	Payer Cause     `json:"cause"`
+// DisputedAttempt is one attempt of a disputed request.
+type DisputedAttempt struct {
+	Time  time.Time `json:"at"`
+	Payer Payer     `json:"cause"`
 	Attempt
 }
 
-// Dispute lists every trip of the questions that a mark or key names, with who bears it.
-func (s *Collector) Dispute(id string) (questions []Record, proofs []Proof) {
+// Dispute returns the requests with a request ID or key, and every attempt of them with its payer.
+func (c *Collector) Dispute(id string) (requests []Record, attempts []DisputedAttempt) {
 	keys := map[string]bool{}
-	for key, r := range s.questions {
+	for key, r := range c.requests {
 		if key == id || r.Request.RequestID == id {
 			keys[key] = true
-			questions = append(questions, r)
+			requests = append(requests, r)
 		}
 	}
-	by := s.byQuestion()
-	for key, trips := range by {
-		if key == id || trips[0].Attempt.RequestID == id {
+	byRequest := c.attemptsByRequest()
+	for key, records := range byRequest {
+		if key == id || records[0].Attempt.RequestID == id {
 			keys[key] = true
 		}
 	}
-	slices.SortFunc(questions, func(a, b Record) int {
+	slices.SortFunc(requests, func(a, b Record) int {
 		return cmp.Or(cmp.Compare(a.UnixMilli, b.UnixMilli), cmp.Compare(a.Request.Key, b.Request.Key))
 	})
 	for key := range keys {
-		var q *Request
-		if r, ok := s.questions[key]; ok {
-			q = r.Request
+		var request *Request
+		if r, ok := c.requests[key]; ok {
+			request = r.Request
 		}
-		for i, c := range causes(by[key], q) {
-			r := by[key][i]
-			proofs = append(proofs, Proof{time.UnixMilli(r.UnixMilli).UTC(), c, *r.Attempt})
+		for i, payer := range payers(byRequest[key], request) {
+			r := byRequest[key][i]
+			attempts = append(attempts, DisputedAttempt{time.UnixMilli(r.UnixMilli).UTC(), payer, *r.Attempt})
 		}
 	}
-	slices.SortFunc(proofs, func(a, b Proof) int {
-		return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Key, b.Key), cmp.Compare(a.Attempt.Index, b.Attempt.Index))
+	slices.SortFunc(attempts, func(a, b DisputedAttempt) int {
+		return cmp.Or(a.Time.Compare(b.Time), cmp.Compare(a.Key, b.Key), cmp.Compare(a.Attempt.Index, b.Attempt.Index))
 	})
-	return questions, proofs
+	return requests, attempts
 }
 
-// BackendTotals are the sums over all proven trips of a box: what the box's own counts have to come to.
-func (s *Collector) BackendTotals() map[string]Line {
+// BackendTotals returns the sums over all confirmed attempts of each backend, which must equal the backend's own
+// totals.
+func (c *Collector) BackendTotals() map[string]Line {
 	out := map[string]Line{}
-	for _, r := range s.trips {
-		if t := r.Attempt; t.Confirmed() {
-			l := out[t.Backend]
-			l.Attempts, l.PrefillTokens, l.CachedTokens, l.OutputTokens = l.Attempts+1, l.PrefillTokens+t.PrefillTokens, l.CachedTokens+t.CachedTokens, l.OutputTokens+t.OutputTokens
-			out[t.Backend] = l
+	for _, r := range c.attempts {
+		if a := r.Attempt; a.Confirmed() {
+			line := out[a.Backend]
+			line.Attempts, line.PrefillTokens, line.CachedTokens, line.OutputTokens = line.Attempts+1,
+				line.PrefillTokens+a.PrefillTokens, line.CachedTokens+a.CachedTokens, line.OutputTokens+a.OutputTokens
+			out[a.Backend] = line
 		}
 	}
 	return out
--- a/internal/ledger/journal_test.go
+++ b/internal/ledger/journal_test.go
@@ -13,151 +13,158 @@
 	"time"
 )
 
-var errCrash = errors.New("the machine stops here")
+var errCrash = errors.New("simulated crash")
 
-// memory is a disk that forgets what was not synced: at its step number crash it stops, and of what was not synced by then
-// keep decides how much survives.
-type memory struct {
-	files   map[string]*memoryFile
-	synced  map[string]bool // names that are durable
-	steps   int
-	crash   int // 0: never
-	full    int // bytes that still fit; -1: any number
-	noSync  bool
-	stopped bool
+// crashDisk is a disk that stops at a given step. restart then returns what survives: all synced data and a share of
+// the rest.
+type crashDisk struct {
+	files     map[string]*crashFile
+	synced    map[string]bool // names whose folder entry is durable
+	steps     int             // done so far
+	crashStep int             // 0: never
+	freeBytes int             // -1: unlimited
+	failSync  bool            // Sync fails
+	stopped   bool
 }
 
-type memoryFile struct {
-	m       *memory
+type crashFile struct {
+	disk    *crashDisk
 	data    []byte
 	durable []byte
 }
 
-func newMemory() *memory {
-	return &memory{files: map[string]*memoryFile{}, synced: map[string]bool{}, full: -1}
+func newCrashDisk() *crashDisk {
+	return &crashDisk{files: map[string]*crashFile{}, synced: map[string]bool{}, freeBytes: -1}
 }
 
-func (m *memory) step() error {
-	m.steps++
-	if m.stopped || m.steps == m.crash {
-		m.stopped = true
+func (disk *crashDisk) step() error {
+	disk.steps++
+	if disk.stopped || disk.steps == disk.crashStep {
+		disk.stopped = true
 		return errCrash
 	}
 	return nil
 }
 
-func (m *memory) List() ([]string, error) {
+func (disk *crashDisk) List() ([]string, error) {
 	var names []string
-	for n := range m.files {
+	for n := range disk.files {
 		names = append(names, n)
 	}
 	return names, nil
 }
-func (m *memory) Read(name string) ([]byte, error) { return bytes.Clone(m.files[name].data), nil }
-func (m *memory) Open(name string) (File, error) {
-	if err := m.step(); err != nil {
+func (disk *crashDisk) Read(name string) ([]byte, error) {
+	return bytes.Clone(disk.files[name].data), nil
+}
+func (disk *crashDisk) Open(name string) (File, error) {
+	if err := disk.step(); err != nil {
 		return nil, err
 	}
-	if m.files[name] == nil {
-		m.files[name] = &memoryFile{m: m}
+	if disk.files[name] == nil {
+		disk.files[name] = &crashFile{disk: disk}
 	}
-	return m.files[name], nil
+	return disk.files[name], nil
 }
-func (m *memory) Remove(name string) error {
-	if err := m.step(); err != nil {
+func (disk *crashDisk) Remove(name string) error {
+	if err := disk.step(); err != nil {
 		return err
 	}
-	delete(m.files, name)
-	delete(m.synced, name)
+	delete(disk.files, name)
+	delete(disk.synced, name)
 	return nil
 }
-func (m *memory) Sync() error {
-	if err := m.step(); err != nil {
+func (disk *crashDisk) Sync() error {
+	if err := disk.step(); err != nil {
 		return err
 	}
-	for n := range m.files {
-		m.synced[n] = true
+	for n := range disk.files {
+		disk.synced[n] = true
 	}
 	return nil
 }
-func (f *memoryFile) Write(p []byte) (int, error) {
-	err := f.m.step()
-	if f.m.full >= 0 && len(p) > f.m.full {
-		f.data = append(f.data, p[:f.m.full]...)
-		n := f.m.full
-		f.m.full = 0
+func (f *crashFile) Write(p []byte) (int, error) {
+	err := f.disk.step()
+	if f.disk.freeBytes >= 0 && len(p) > f.disk.freeBytes {
+		f.data = append(f.data, p[:f.disk.freeBytes]...)
+		n := f.disk.freeBytes
+		f.disk.freeBytes = 0
 		return n, errors.New("no space left on the device")
 	}
-	if f.m.full >= 0 {
-		f.m.full -= len(p)
+	if f.disk.freeBytes >= 0 {
+		f.disk.freeBytes -= len(p)
 	}
 	f.data = append(f.data, p...)
 	return len(p), err
 }
-func (f *memoryFile) Truncate(n int64) error {
+func (f *crashFile) Truncate(n int64) error {
 	f.data = f.data[:min(n, int64(len(f.data)))]
-	return f.m.step()
+	return f.disk.step()
 }
-func (f *memoryFile) Sync() error {
-	if err := f.m.step(); err != nil {
+func (f *crashFile) Sync() error {
+	if err := f.disk.step(); err != nil {
 		return err
 	}
-	if f.m.noSync {
+	if f.disk.failSync {
 		return errors.New("input/output error")
 	}
 	f.durable = bytes.Clone(f.data)
 	return nil
 }
-func (f *memoryFile) Close() error { return nil }
+func (f *crashFile) Close() error { return nil }
 
-// restart is the disk after the crash, where a share of what was not synced is there all the same.
-func (m *memory) restart(share float64) *memory {
-	after := newMemory()
-	for n, f := range m.files {
-		if !m.synced[n] && share == 0 {
+// restart returns the disk after the crash, with the given share of the unsynced data.
+func (disk *crashDisk) restart(share float64) *crashDisk {
+	after := newCrashDisk()
+	for n, f := range disk.files {
+		if !disk.synced[n] && share == 0 {
 			continue
 		}
 		data := bytes.Clone(f.durable)
 		if len(f.data) > len(f.durable) {
 			data = append(data, f.data[len(f.durable):][:int(share*float64(len(f.data)-len(f.durable)))]...)
 		}
-		after.files[n] = &memoryFile{m: after, data: data, durable: bytes.Clone(data)}
+		after.files[n] = &crashFile{disk: after, data: data, durable: bytes.Clone(data)}
 		after.synced[n] = true
 	}
 	return after
 }
 
-func line(n int) Record {
-	return Record{UnixMilli: int64(n), Attempt: &Attempt{Backend: "b", Epoch: "d.1", Number: uint64(n), Key: fmt.Sprintf("d.1/%d", n), Phase: "whole", Class: "g", PrefillTokens: n, Outcome: "answered"}}
+func numberedRecord(n int) Record {
+	return Record{UnixMilli: int64(n), Attempt: &Attempt{Backend: "b", Epoch: "d.1", Number: uint64(n),
+		Key: fmt.Sprintf("d.1/%d", n), Phase: "whole", Class: "g", PrefillTokens: n, Outcome: "answered"}}
 }
 
-func numbers(t *testing.T, disk Disk) (got []int, j *Journal) {
+// reopen opens the journal and returns the numbers of its records.
+func reopen(t *testing.T, disk Disk) (got []int, j *Journal) {
 	t.Helper()
-	j, err := OpenJournal(disk, key, func(r Record, _ Place) error { got = append(got, int(r.Attempt.Number)); return nil })
+	j, err := OpenJournal(disk, testKey, func(r Record, _ Position) error {
+		got = append(got, int(r.Attempt.Number))
+		return nil
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return got, j
 }
 
-var key = NewKey([]byte("a secret of sixteen"))
+var testKey = NewKey([]byte("a secret of sixteen"))
 
-// A machine that stops at any step of a start, an append or a rotation, with none, half or all of what was not synced: every
-// record that was called durable is there, in order, none that was never written, and writing goes on.
+// A crash at any step of a start, an append or a rotation, with any share of the unsynced data: every record that was
+// reported durable is there, in order, no record that was never written is, and appending continues.
 func TestTheJournalOutlivesACrashAtEveryStep(t *testing.T) {
 	crashed := 0
-	for at := 1; ; at++ {
+	for step := 1; ; step++ {
 		ended := false
 		for _, share := range []float64{0, 0.5, 0.93, 1} {
-			m := newMemory()
-			m.crash = at
+			disk := newCrashDisk()
+			disk.crashStep = step
 			durable, n := 0, 0
-			j, err := OpenJournal(m, key, func(Record, Place) error { return nil })
+			j, err := OpenJournal(disk, testKey, func(Record, Position) error { return nil })
 			for err == nil && n < 12 {
 				if n == 6 {
-					j.size = segment // a rotation
+					j.size = maxSegmentBytes // a rotation
 				}
-				if err = j.Append(line(n+1), line(n+2)); err == nil {
+				if err = j.Append(numberedRecord(n+1), numberedRecord(n+2)); err == nil {
 					durable = n + 2
 				}
 				n += 2
@@ -167,25 +174,26 @@
 				break
 			}
 			crashed++
-			got, j := numbers(t, m.restart(share))
+			got, j := reopen(t, disk.restart(share))
 			if len(got) < durable || len(got) > n {
-				t.Fatalf("stopped at step %d with %.0f%% kept: %v, of %d that were durable and %d that were written", at, 100*share, got, durable, n)
+				t.Fatalf("crash at step %d with %.0f%% of the unsynced data: records %v, want %d to %d of them", step, 100*share,
+					got, durable, n)
 			}
-			for i, k := range got {
-				if k != i+1 {
-					t.Fatalf("stopped at step %d: %v", at, got)
+			for i, number := range got {
+				if number != i+1 {
+					t.Fatalf("crash at step %d: records %v", step, got)
 				}
 			}
 			for _, d := range j.Damage {
 				if !d.Torn {
-					t.Fatalf("stopped at step %d: %v", at, d)
+					t.Fatalf("crash at step %d: %v", step, d)
 				}
 			}
-			if err := j.Append(line(len(got) + 1)); err != nil {
+			if err := j.Append(numberedRecord(len(got) + 1)); err != nil {
 				t.Fatal(err)
 			}
-			if _, damage, err := Verify(j.disk, key, nil); err != nil || len(damage) > 0 {
-				t.Fatalf("after a crash at step %d and another append: %v, %v", at, damage, err)
+			if _, damage, err := verifySegments(j.disk, testKey, nil); err != nil || len(damage) > 0 {
+				t.Fatalf("crash at step %d, then an append: %v, %v", step, damage, err)
 			}
 		}
 		if ended {
@@ -193,178 +201,182 @@
 		}
 	}
 	if crashed < 60 {
-		t.Errorf("%d crashes only", crashed)
+		t.Errorf("only %d crashes were tested", crashed)
 	}
 }
 
-// Any one byte that is changed, and any cut in the middle, shows, and what stands behind it is still read.
-func TestEveryChangedByteShows(t *testing.T) {
-	m := newMemory()
-	_, j := numbers(t, m)
+// A change of any one byte is reported, and the records behind it are still read.
+func TestEveryChangedByteIsReportedAsDamage(t *testing.T) {
+	disk := newCrashDisk()
+	_, j := reopen(t, disk)
 	for n := range 5 {
-		if err := j.Append(line(n + 1)); err != nil {
+		if err := j.Append(numberedRecord(n + 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	whole := bytes.Clone(m.files[name(1)].data)
+	whole := bytes.Clone(disk.files[segmentName(1)].data)
 	for i := range whole {
 		raw := bytes.Clone(whole)
 		raw[i] ^= 0x41
-		bad := newMemory()
-		bad.files[name(1)] = &memoryFile{m: bad, data: raw}
-		records, damage, err := Verify(bad, key, nil)
+		bad := newCrashDisk()
+		bad.files[segmentName(1)] = &crashFile{disk: bad, data: raw}
+		records, damage, err := verifySegments(bad, testKey, nil)
 		if err != nil || len(damage) == 0 {
-			t.Fatalf("byte %d was changed, and nothing shows: %v", i, err)
+			t.Fatalf("byte %d was changed, but no damage is reported: %v", i, err)
 		}
 		if records < 3 {
-			t.Fatalf("byte %d was changed, and %d of 5 records are read", i, records)
+			t.Fatalf("byte %d was changed, and only %d of 5 records are read", i, records)
 		}
 	}
-	other := newMemory()
-	other.files[name(1)] = &memoryFile{m: other, data: whole}
-	if records, damage, _ := Verify(other, NewKey([]byte("another secret, also long")), nil); records != 0 || len(damage) == 0 {
-		t.Errorf("with another key %d records are read", records)
+	other := newCrashDisk()
+	other.files[segmentName(1)] = &crashFile{disk: other, data: whole}
+	if records, damage, _ := verifySegments(other, NewKey([]byte("another secret, also long")), nil); records != 0 ||
+		len(damage) == 0 {
+		t.Errorf("%d records are read with another key", records)
 	}
 }
 
-func TestAMissingSegmentShows(t *testing.T) {
-	m := newMemory()
-	_, j := numbers(t, m)
+func TestMissingSegmentIsReportedAsDamage(t *testing.T) {
+	disk := newCrashDisk()
+	_, j := reopen(t, disk)
 	for n := range 6 {
 		if n%2 == 0 {
-			j.size = segment
+			j.size = maxSegmentBytes
 		}
-		if err := j.Append(line(n + 1)); err != nil {
+		if err := j.Append(numberedRecord(n + 1)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	delete(m.files, name(2))
-	if _, damage, err := Verify(m, key, nil); err != nil || len(damage) == 0 {
+	delete(disk.files, segmentName(2))
+	if _, damage, err := verifySegments(disk, testKey, nil); err != nil || len(damage) == 0 {
 		t.Errorf("%v, %v", damage, err)
 	}
 }
 
-// A full disk, and one that fails to sync: the append says so, nothing half is left, and later ones stand.
+// An append to a full disk, or to one that fails to sync, returns an error and leaves no partial record; later ones
+// succeed.
 func TestAFullOrFailingDisk(t *testing.T) {
-	m := newMemory()
-	_, j := numbers(t, m)
-	if err := j.Append(line(1)); err != nil {
+	disk := newCrashDisk()
+	_, j := reopen(t, disk)
+	if err := j.Append(numberedRecord(1)); err != nil {
 		t.Fatal(err)
 	}
-	m.full = 30
-	if err := j.Append(line(2)); err == nil {
-		t.Fatal("written to a full disk")
+	disk.freeBytes = 30
+	if err := j.Append(numberedRecord(2)); err == nil {
+		t.Fatal("append to a full disk succeeded")
 	}
-	m.full = -1
-	m.noSync = true
-	if err := j.Append(line(2)); err == nil {
-		t.Fatal("durable on a disk that does not sync")
+	disk.freeBytes = -1
+	disk.failSync = true
+	if err := j.Append(numberedRecord(2)); err == nil {
+		t.Fatal("append without a sync succeeded")
 	}
-	m.noSync = false
-	if err := j.Append(line(2)); err != nil {
+	disk.failSync = false
+	if err := j.Append(numberedRecord(2)); err != nil {
 		t.Fatal(err)
 	}
-	got, _ := numbers(t, m)
-	if _, damage, err := Verify(m, key, nil); err != nil || len(damage) > 0 || !slices.Equal(got, []int{1, 2}) {
+	got, _ := reopen(t, disk)
+	if _, damage, err := verifySegments(disk, testKey, nil); err != nil || len(damage) > 0 ||
+		!slices.Equal(got, []int{1, 2}) {
 		t.Errorf("%v, %v, %v", got, damage, err)
 	}
 }
 
-// Compaction cut off at every step, and done anew: each record is counted once.
-func TestCompactionCutOffAtEveryStep(t *testing.T) {
+// A compaction that is interrupted at any step and then repeated counts each record once.
+func TestInterruptedCompactionCountsEachRecordOnce(t *testing.T) {
 	for stop := 1; stop <= 8; stop++ {
 		dir := t.TempDir()
-		j, err := OpenJournal(Folder(dir), key, func(Record, Place) error { return nil })
+		j, err := OpenJournal(Folder(dir), testKey, func(Record, Position) error { return nil })
 		if err != nil {
 			t.Fatal(err)
 		}
 		for n := range 8 {
 			if n%2 == 0 {
-				j.size = segment
+				j.size = maxSegmentBytes
 			}
-			if err := j.Append(line(n+1), line(n+1)); err != nil { // an append that was repeated
+			if err := j.Append(numberedRecord(n+1), numberedRecord(n+1)); err != nil { // a repeated append
 				t.Fatal(err)
 			}
 		}
 		steps := 0
-		_, _, err = Compact(dir, key, j.Number(), func(string) error {
+		_, _, err = Compact(dir, testKey, j.SegmentNumber(), func(string) error {
 			if steps++; steps == stop {
 				return errCrash
 			}
 			return nil
 		})
 		if stop <= 6 && !errors.Is(err, errCrash) {
-			t.Fatalf("step %d was not reached: %v", stop, err)
+			t.Fatalf("compaction did not reach step %d: %v", stop, err)
 		}
 		for range 2 {
-			s := NewCollector()
-			damage, err := Read(dir, key, s.Add)
+			c := NewCollector()
+			damage, err := Read(dir, testKey, c.Add)
 			if err != nil || len(damage) > 0 {
-				t.Fatalf("stopped at %d: %v, %v", stop, damage, err)
+				t.Fatalf("interrupted at step %d: %v, %v", stop, damage, err)
 			}
-			if c := s.BackendTotals()["b"]; c.Attempts != 8 || c.PrefillTokens != 36 {
-				t.Fatalf("stopped at %d: %+v", stop, c)
+			if totals := c.BackendTotals()["b"]; totals.Attempts != 8 || totals.PrefillTokens != 36 {
+				t.Fatalf("interrupted at step %d: %+v", stop, totals)
 			}
-			if _, _, err := Compact(dir, key, j.Number(), nil); err != nil {
+			if _, _, err := Compact(dir, testKey, j.SegmentNumber(), nil); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 }
 
-func TestADamagedSegmentIsFoldedInAndKept(t *testing.T) {
+func TestDamagedSegmentIsCompactedAndKept(t *testing.T) {
 	dir := t.TempDir()
-	j, err := OpenJournal(Folder(dir), key, func(Record, Place) error { return nil })
+	j, err := OpenJournal(Folder(dir), testKey, func(Record, Position) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
-	j.Append(line(1))
-	j.Append(line(2))
-	j.size = segment
-	j.Append(line(3))
-	file := filepath.Join(dir, name(1))
+	j.Append(numberedRecord(1))
+	j.Append(numberedRecord(2))
+	j.size = maxSegmentBytes
+	j.Append(numberedRecord(3))
+	file := filepath.Join(dir, segmentName(1))
 	raw, _ := os.ReadFile(file)
-	raw[headSize+10] ^= 1
+	raw[headerSize+10] ^= 1
 	os.WriteFile(file, raw, 0o600)
-	if _, _, err := Compact(dir, key, j.Number(), nil); err != nil {
+	if _, _, err := Compact(dir, testKey, j.SegmentNumber(), nil); err != nil {
 		t.Fatal(err)
 	}
-	s := NewCollector()
-	if _, err := Read(dir, key, s.Add); err != nil || s.BackendTotals()["b"].PrefillTokens != 5 {
-		t.Errorf("%+v, %v", s.BackendTotals(), err)
+	c := NewCollector()
+	if _, err := Read(dir, testKey, c.Add); err != nil || c.BackendTotals()["b"].PrefillTokens != 5 {
+		t.Errorf("%+v, %v", c.BackendTotals(), err)
 	}
 	if _, err := os.Stat(file + ".damaged"); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestABookIsWrittenByOneAndItsClockNeverGoesBack(t *testing.T) {
+func TestWriterLocksFolderAndTimesNeverGoBack(t *testing.T) {
 	dir, log := t.TempDir(), slog.New(slog.NewTextHandler(io.Discard, nil))
-	b, err := Open(dir, key, log, func(Record) error { return nil })
+	writer, err := Open(dir, testKey, log, func(Record) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
-	go b.Run()
-	if _, err := Open(dir, key, log, func(Record) error { return nil }); !errors.Is(err, ErrTaken) {
-		t.Errorf("a second one: %v", err)
+	go writer.Run()
+	if _, err := Open(dir, testKey, log, func(Record) error { return nil }); !errors.Is(err, ErrLocked) {
+		t.Errorf("second Open: got %v, want ErrLocked", err)
 	}
 	far := time.Now().Add(time.Hour).UnixMilli()
 	done := make(chan struct{})
-	b.Write(Record{UnixMilli: far, Epoch: &Epoch{Name: "a"}}, nil)
-	b.Write(Record{UnixMilli: 5, Epoch: &Epoch{Name: "b"}}, func() { close(done) })
+	writer.Write(Record{UnixMilli: far, Epoch: &Epoch{Name: "a"}}, nil)
+	writer.Write(Record{UnixMilli: 5, Epoch: &Epoch{Name: "b"}}, func() { close(done) })
 	<-done
-	b.Close()
-	var at []int64
-	b, err = Open(dir, key, log, func(r Record) error { at = append(at, r.UnixMilli); return nil })
-	if err != nil || !slices.Equal(at, []int64{far, far}) || b.State().Backward < 3_000_000 {
-		t.Errorf("%v, %v, %+v", err, at, b.State())
-	}
-	go b.Run()
-	b.Close()
+	writer.Close()
+	var times []int64
+	writer, err = Open(dir, testKey, log, func(r Record) error { times = append(times, r.UnixMilli); return nil })
+	if err != nil || !slices.Equal(times, []int64{far, far}) || writer.State().ClockBackMs < 3_000_000 {
+		t.Errorf("%v, %v, %+v", err, times, writer.State())
+	}
+	go writer.Run()
+	writer.Close()
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, r := range []Record{line(7), {Request: &Request{Key: "k", Class: "g", Outcome: "left"}}, {Epoch: &Epoch{Name: "e"}}, {Budget: &Budget{Name: "n", Kind: "lent", Tokens: 3}}} {
+	for _, r := range []Record{numberedRecord(7), {Request: &Request{Key: "k", Class: "g", Outcome: "left"}},
+		{Epoch: &Epoch{Name: "e"}}, {Budget: &Budget{Name: "n", Kind: "lent", Tokens: 3}}} {
 		raw, err := encode(r)
 		if err != nil {
 			f.Fatal(err)
@@ -378,10 +390,10 @@
 		}
 		again, err := encode(r)
 		if err != nil {
-			return // longer in its plain form than a record may be
+			return // its re-encoded form exceeds the limit
 		}
 		if _, err := decode(again); err != nil {
-			t.Fatalf("%x is read, and its own form %x is not: %v", raw, again, err)
+			t.Fatalf("%x is decoded, but its re-encoded form %x is not: %v", raw, again, err)
 		}
 	})
 }
@@ -389,13 +401,13 @@
 func BenchmarkAppend(b *testing.B) {
 	for _, group := range []int{1, 16, 256} {
 		b.Run(fmt.Sprint(group), func(b *testing.B) {
-			j, err := OpenJournal(Folder(b.TempDir()), key, func(Record, Place) error { return nil })
+			j, err := OpenJournal(Folder(b.TempDir()), testKey, func(Record, Position) error { return nil })
 			if err != nil {
 				b.Fatal(err)
 			}
 			records := make([]Record, group)
 			for i := range records {
-				records[i] = line(i + 1)
+				records[i] = numberedRecord(i + 1)
 			}
 			for b.Loop() {
 				if err := j.Append(records...); err != nil {
@@ -407,18 +419,18 @@
 	}
 }
 
-// BenchmarkRecovery opens a ledger of so many records: from its segments, and once they are folded into the store.
+// BenchmarkRecovery reads a ledger from its segments, and after they were compacted into the store.
 func BenchmarkRecovery(b *testing.B) {
 	for _, size := range []int{10_000, 100_000, 1_000_000} {
 		dir := b.TempDir()
-		j, err := OpenJournal(Folder(dir), key, func(Record, Place) error { return nil })
+		j, err := OpenJournal(Folder(dir), testKey, func(Record, Position) error { return nil })
 		if err != nil {
 			b.Fatal(err)
 		}
 		for i := 0; i < size; i += 1000 {
 			var records []Record
 			for n := range 1000 {
-				records = append(records, line(i+n+1))
+				records = append(records, numberedRecord(i+n+1))
 			}
 			if err := j.Append(records...); err != nil {
 				b.Fatal(err)
@@ -427,37 +439,38 @@
 		read := func(b *testing.B) {
 			for b.Loop() {
 				n := 0
-				if _, err := Read(dir, key, func(Record) error { n++; return nil }); err != nil || n != size {
+				if _, err := Read(dir, testKey, func(Record) error { n++; return nil }); err != nil || n != size {
 					b.Fatal(n, err)
 				}
 			}
 		}
 		b.Run(fmt.Sprintf("segments/%d", size), read)
-		j.begin(j.number + 1)
-		if _, _, err := Compact(dir, key, j.number, nil); err != nil {
+		j.startSegment(j.number + 1)
+		if _, _, err := Compact(dir, testKey, j.number, nil); err != nil {
 			b.Fatal(err)
 		}
 		b.Run(fmt.Sprintf("store/%d", size), read)
 	}
 }
 
-// BenchmarkBook writes at a stated rate and tells how long a record waits until it is durable.
-func BenchmarkBook(b *testing.B) {
-	for _, perS := range []int{100, 1000, 10_000} {
-		b.Run(fmt.Sprint(perS), func(b *testing.B) {
-			book, err := Open(b.TempDir(), key, slog.New(slog.NewTextHandler(io.Discard, nil)), func(Record) error { return nil })
+// BenchmarkWriterLatency writes at a fixed rate and reports how long a record waits until it is durable.
+func BenchmarkWriterLatency(b *testing.B) {
+	for _, perSecond := range []int{100, 1000, 10_000} {
+		b.Run(fmt.Sprint(perSecond), func(b *testing.B) {
+			writer, err := Open(b.TempDir(), testKey, slog.New(slog.NewTextHandler(io.Discard, nil)),
+				func(Record) error { return nil })
 			if err != nil {
 				b.Fatal(err)
 			}
-			go book.Run()
+			go writer.Run()
 			waits := make(chan time.Duration, b.N)
-			begin := time.Now()
+			start := time.Now()
 			for i := range b.N {
-				time.Sleep(time.Until(begin.Add(time.Duration(i) * time.Second / time.Duration(perS))))
-				at := time.Now()
-				book.Write(line(i+1), func() { waits <- time.Since(at) })
+				time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / time.Duration(perSecond))))
+				queuedAt := time.Now()
+				writer.Write(numberedRecord(i+1), func() { waits <- time.Since(queuedAt) })
 			}
-			book.Close()
+			writer.Close()
 			close(waits)
 			var all []time.Duration
 			for w := range waits {
@@ -470,27 +483,30 @@
 	}
 }
 
-// BenchmarkWrite is what one record costs the loop.
+// BenchmarkWrite measures what queuing one record costs the event loop.
 func BenchmarkWrite(b *testing.B) {
-	book, err := Open(b.TempDir(), key, slog.New(slog.NewTextHandler(io.Discard, nil)), func(Record) error { return nil })
+	writer, err := Open(b.TempDir(), testKey, slog.New(slog.NewTextHandler(io.Discard, nil)),
+		func(Record) error { return nil })
 	if err != nil {
 		b.Fatal(err)
 	}
-	go book.Run()
+	go writer.Run()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		book.Write(line(i+1), nil)
+		writer.Write(numberedRecord(i+1), nil)
 	}
-	book.Close()
+	writer.Close()
 }
 
-// Verify reads all of a folder's segments and tells how many records are whole and what is damaged.
-func Verify(disk Disk, key Key, each func(Record, Place) error) (records int, damage []Damage, err error) {
-	numbers, err := segments(disk)
+// verifySegments reads all segments of a folder and returns the number of valid records and the damage.
+func verifySegments(disk Disk, key Key, each func(Record, Position) error) (records int, damage []Damage, err error) {
+	numbers, err := listSegments(disk)
 	if err != nil {
 		return 0, nil, err
 	}
-	_, _, damage, err = key.walk(numbers, func(n uint64) ([]byte, error) { return disk.Read(name(n)) }, nil, func(r Record, p Place) error {
+	_, _, damage, err = key.scanSegments(numbers, func(n uint64) ([]byte, error) {
+		return disk.Read(segmentName(n))
+	}, nil, func(r Record, p Position) error {
 		records++
 		if each != nil {
 			return each(r, p)
