--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -282,7 +282,7 @@
 	}
 	if part := 12; // 5% of 100,000 over 4 dispatchers, in requests of 100 tokens
 	admitted > part || admitted < part-2 {
-		t.Errorf("%d requests admitted in the emergency, want %d to %d", admitted, part-2, part)
+		t.Errorf("%d requests admitted in the emergency, the part is %d", admitted, part)
 	}
 }
 
