--- a/internal/account/account_test.go
+++ b/internal/account/account_test.go
@@ -180,7 +180,7 @@
 		}
 	}
 	if attempts != 2 || closed != 1 || tracker.Counts.OpenEpochs != 0 || tracker.Counts.Truncated != 0 {
-		t.Errorf("%d trips, %d closed, %+v", attempts, closed, tracker.Counts)
+		t.Errorf("%d attempts, %d closed, %+v", attempts, closed, tracker.Counts)
 	}
 }
 
@@ -300,7 +300,7 @@
 	tracker.DueInquiries()
 	tracker.DueInquiries()
 	if len(tracker.order) > 1 || len(tracker.entries) > 1 || len(tracker.backends) > 1 {
-		t.Errorf("%d entries and %d backends are held", len(tracker.order), len(tracker.backends))
+		t.Errorf("%d entries and %d backends remain", len(tracker.order), len(tracker.backends))
 	}
 	if !tracker.Complete() {
 		t.Error("the account is not complete")
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -122,7 +122,7 @@
 func (fleet *testFleet) spend(i int, tokens float64, used map[int64]float64, decisions *[2]int) {
 	m := fleet.month(fleet.now)
 	local := fleet.locals[i]
-	local.Reserve(fleet.now, m, tokens, func(d Decision) {
+	local.Reserve(fleet.now, m, tokens, func(d Verdict) {
 		if !d.OK {
 			decisions[1]++
 			return
@@ -139,14 +139,14 @@
 // the owner: no month uses more than its allowance plus the emergency share.
 func TestNoInterleavingOfLeasesOvershootsTheStatedBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		locals := rapid.IntRange(1, 12).Draw(t, "purses")
+		locals := rapid.IntRange(1, 12).Draw(t, "dispatchers")
 		terms := Terms{Name: "c", PerSecond: -1, Monthly: float64(rapid.IntRange(0, 60000).Draw(t, "monthly"))}
 		fleet := newTestFleet(terms, locals, rapid.Uint64().Draw(t, "seed"))
 		fleet.loss = rapid.SampledFrom([]float64{0, 0.05, 0.5}).Draw(t, "loss")
 		used, decisions := map[int64]float64{}, [2]int{}
 		for range rapid.IntRange(1, 400).Draw(t, "steps") {
 			fleet.run(fleet.now + time.Duration(rapid.IntRange(0, 400).Draw(t, "gap"))*time.Millisecond)
-			i := rapid.IntRange(0, locals-1).Draw(t, "purse")
+			i := rapid.IntRange(0, locals-1).Draw(t, "dispatcher")
 			switch rapid.IntRange(0, 30).Draw(t, "what") {
 			case 0:
 				fleet.partitioned[i] = !fleet.partitioned[i]
@@ -211,8 +211,8 @@
 		fleet.spend(0, 100, used, &decisions)
 	}
 	fleet.run(fleet.now + time.Second)
-	var last Decision
-	fleet.locals[0].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Decision) { last = d })
+	var last Verdict
+	fleet.locals[0].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Verdict) { last = d })
 	fleet.run(fleet.now + time.Second)
 	if remaining := fleet.month(fleet.now).Remaining; used[0] != 1000 || last.OK ||
 		math.Abs((last.RetryAfter-remaining).Seconds()) > 3 {
@@ -266,7 +266,7 @@
 	fleet := newTestFleet(Terms{Name: "c", PerSecond: -1, Monthly: 100_000}, 4, 1)
 	fleet.partitioned[1] = true
 	sent, decidedAt := fleet.now, time.Duration(0)
-	fleet.locals[1].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Decision) { decidedAt = fleet.now })
+	fleet.locals[1].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Verdict) { decidedAt = fleet.now })
 	fleet.run(fleet.now + 2*time.Second)
 	if decidedAt == 0 || decidedAt-sent > silenceTimeout+100*time.Millisecond {
 		t.Errorf("decided after %v", decidedAt-sent)
@@ -274,7 +274,7 @@
 	fleet.run(fleet.now + time.Second) // its part is marked as started
 	admitted := 0
 	for range 100 {
-		fleet.locals[1].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Decision) {
+		fleet.locals[1].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Verdict) {
 			if d.OK {
 				admitted++
 			}
--- a/internal/dispatch/accounts.go
+++ b/internal/dispatch/accounts.go
@@ -52,7 +52,7 @@
 }
 
 // openBooks opens the ledger, if there is one, and makes this start known in it before anything is sent.
-func openBooks(d setup.Dispatcher, epoch string, began time.Time, log *slog.Logger) (*ledger.Writer, *past, error) {
+func openBooks(d setup.Dispatcher, epoch string, began time.Time, log *slog.Logger) (*ledger.Recorder, *past, error) {
 	p := &past{open: map[string]bool{}, sums: map[string]map[int64]sums{}, terms: map[string]budget.Terms{}, seen: map[string][]account.RecordedCount{}}
 	if d.Ledger.Folder == "" {
 		return nil, p, nil
@@ -119,7 +119,7 @@
 }
 
 // newBooks makes what a loop keeps; nil: there is neither a ledger nor a budget.
-func newBooks(d setup.Dispatcher, l *Loop, trips *Trips, book *ledger.Writer, was *past, epoch string, began time.Time) *Books {
+func newBooks(d setup.Dispatcher, l *Loop, trips *Trips, book *ledger.Recorder, was *past, epoch string, began time.Time) *Books {
 	if book == nil && len(d.Budgets) == 0 {
 		return nil
 	}
--- a/internal/ledger/journal_test.go
+++ b/internal/ledger/journal_test.go
@@ -349,29 +349,29 @@
 	}
 }
 
-func TestWriterLocksFolderAndTimesNeverGoBack(t *testing.T) {
+func TestRecorderLocksFolderAndTimesNeverGoBack(t *testing.T) {
 	dir, log := t.TempDir(), slog.New(slog.NewTextHandler(io.Discard, nil))
-	writer, err := Open(dir, testKey, log, func(Record) error { return nil })
+	recorder, err := Open(dir, testKey, log, func(Record) error { return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
-	go writer.Run()
+	go recorder.Run()
 	if _, err := Open(dir, testKey, log, func(Record) error { return nil }); !errors.Is(err, ErrLocked) {
 		t.Errorf("second Open: got %v, want ErrLocked", err)
 	}
 	far := time.Now().Add(time.Hour).UnixMilli()
 	done := make(chan struct{})
-	writer.Write(Record{UnixMilli: far, Epoch: &Epoch{Name: "a"}}, nil)
-	writer.Write(Record{UnixMilli: 5, Epoch: &Epoch{Name: "b"}}, func() { close(done) })
+	recorder.Write(Record{UnixMilli: far, Epoch: &Epoch{Name: "a"}}, nil)
+	recorder.Write(Record{UnixMilli: 5, Epoch: &Epoch{Name: "b"}}, func() { close(done) })
 	<-done
-	writer.Close()
+	recorder.Close()
 	var times []int64
-	writer, err = Open(dir, testKey, log, func(r Record) error { times = append(times, r.UnixMilli); return nil })
-	if err != nil || !slices.Equal(times, []int64{far, far}) || writer.State().ClockBackMs < 3_000_000 {
-		t.Errorf("%v, %v, %+v", err, times, writer.State())
+	recorder, err = Open(dir, testKey, log, func(r Record) error { times = append(times, r.UnixMilli); return nil })
+	if err != nil || !slices.Equal(times, []int64{far, far}) || recorder.State().ClockBackMs < 3_000_000 {
+		t.Errorf("%v, %v, %+v", err, times, recorder.State())
 	}
-	go writer.Run()
-	writer.Close()
+	go recorder.Run()
+	recorder.Close()
 }
 
 func FuzzDecode(f *testing.F) {
@@ -453,24 +453,24 @@
 	}
 }
 
-// BenchmarkWriterLatency writes at a fixed rate and reports how long a record waits until it is durable.
-func BenchmarkWriterLatency(b *testing.B) {
+// BenchmarkRecorderLatency writes at a fixed rate and reports how long a record waits until it is durable.
+func BenchmarkRecorderLatency(b *testing.B) {
 	for _, perSecond := range []int{100, 1000, 10_000} {
 		b.Run(fmt.Sprint(perSecond), func(b *testing.B) {
-			writer, err := Open(b.TempDir(), testKey, slog.New(slog.NewTextHandler(io.Discard, nil)),
+			recorder, err := Open(b.TempDir(), testKey, slog.New(slog.NewTextHandler(io.Discard, nil)),
 				func(Record) error { return nil })
 			if err != nil {
 				b.Fatal(err)
 			}
-			go writer.Run()
+			go recorder.Run()
 			waits := make(chan time.Duration, b.N)
 			start := time.Now()
 			for i := range b.N {
 				time.Sleep(time.Until(start.Add(time.Duration(i) * time.Second / time.Duration(perSecond))))
 				queuedAt := time.Now()
-				writer.Write(numberedRecord(i+1), func() { waits <- time.Since(queuedAt) })
+				recorder.Write(numberedRecord(i+1), func() { waits <- time.Since(queuedAt) })
 			}
-			writer.Close()
+			recorder.Close()
 			close(waits)
 			var all []time.Duration
 			for w := range waits {
@@ -485,17 +485,17 @@
 
 // BenchmarkWrite measures what queuing one record costs the event loop.
 func BenchmarkWrite(b *testing.B) {
-	writer, err := Open(b.TempDir(), testKey, slog.New(slog.NewTextHandler(io.Discard, nil)),
+	recorder, err := Open(b.TempDir(), testKey, slog.New(slog.NewTextHandler(io.Discard, nil)),
 		func(Record) error { return nil })
 	if err != nil {
 		b.Fatal(err)
 	}
-	go writer.Run()
+	go recorder.Run()
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		writer.Write(numberedRecord(i+1), nil)
+		recorder.Write(numberedRecord(i+1), nil)
 	}
-	writer.Close()
+	recorder.Close()
 }
 
 // verifySegments reads all segments of a folder and returns the number of valid records and the damage.
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -1,6 +1,6 @@
 // Package ledger records what each request cost: a journal of segments with hash-chained records, committed in
 // groups; a store into which closed segments are compacted; and bills that are summed from both. It makes no decision
-// about requests. Begin with Open and Writer for the running dispatcher, and with Read and Collector for readers.
+// about requests. Begin with Open and Recorder for the running dispatcher, and with Read and Collector for readers.
 package ledger
 
 import (
--- a/internal/ledger/writer.go
+++ b/internal/ledger/recorder.go
@@ -21,9 +21,9 @@
 // ErrLocked is returned by Open when another process writes the ledger.
 var ErrLocked = errors.New("another dispatcher writes this ledger")
 
-// Writer is the running dispatcher's side of a ledger. It commits records in groups, in the order of the calls to
+// Recorder is the running dispatcher's side of a ledger. It commits records in groups, in the order of the calls to
 // Write.
-type Writer struct {
+type Recorder struct {
 	Dir string
 	Log *slog.Logger
 
@@ -44,7 +44,7 @@
 	onDurable func()
 }
 
-// State is the state of a Writer that operators see.
+// State is the state of a Recorder that operators see.
 type State struct {
 	Written       int64  `json:"written"`
 	Queued        int    `json:"waiting"`
@@ -58,7 +58,7 @@
 }
 
 // Open locks a folder, passes every record in it to each and prepares to append.
-func Open(folder string, key Key, log *slog.Logger, each func(Record) error) (*Writer, error) {
+func Open(folder string, key Key, log *slog.Logger, each func(Record) error) (*Recorder, error) {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return nil, err
 	}
@@ -70,61 +70,61 @@
 		lock.Close()
 		return nil, fmt.Errorf("%s: %w", folder, ErrLocked)
 	}
-	w := &Writer{Dir: folder, Log: log, key: key, lock: lock, wake: make(chan struct{}, 1), stopped: make(chan struct{})}
-	upTo, _, err := readStore(folder, func(r Record) error {
-		w.lastMilli = max(w.lastMilli, r.UnixMilli)
-		return each(r)
+	r := &Recorder{Dir: folder, Log: log, key: key, lock: lock, wake: make(chan struct{}, 1), stopped: make(chan struct{})}
+	upTo, _, err := readStore(folder, func(record Record) error {
+		r.lastMilli = max(r.lastMilli, record.UnixMilli)
+		return each(record)
 	})
 	if err == nil {
-		w.journal, err = OpenJournal(Folder(folder), key, func(r Record, p Position) error {
-			w.lastMilli = max(w.lastMilli, r.UnixMilli)
+		r.journal, err = OpenJournal(Folder(folder), key, func(record Record, p Position) error {
+			r.lastMilli = max(r.lastMilli, record.UnixMilli)
 			if n, _ := parseSegmentName(p.Segment); n <= upTo {
 				return nil // already in the store; a crash prevented the segment's removal
 			}
-			return each(r)
+			return each(record)
 		})
 	}
 	if err != nil {
 		lock.Close()
 		return nil, err
 	}
-	for _, d := range w.journal.Damage {
+	for _, d := range r.journal.Damage {
 		if d.Torn {
-			w.state.TornEnds++
+			r.state.TornEnds++
 			log.Info("ledger: dropped the end of an append that was interrupted", "at", d.String())
 		} else {
-			w.state.DamagedPlaces++
+			r.state.DamagedPlaces++
 			log.Error("ledger: damaged", "at", d.String())
 		}
 	}
-	w.state.ClockBackMs = max(w.lastMilli-time.Now().UnixMilli(), 0)
-	w.state.Segment = w.journal.SegmentNumber()
-	return w, nil
+	r.state.ClockBackMs = max(r.lastMilli-time.Now().UnixMilli(), 0)
+	r.state.Segment = r.journal.SegmentNumber()
+	return r, nil
 }
 
 // Run commits records until Close is called, and compacts closed segments into the store.
-func (w *Writer) Run() error {
-	defer close(w.stopped)
+func (r *Recorder) Run() error {
+	defer close(r.stopped)
 	for {
-		<-w.wake
+		<-r.wake
 		time.Sleep(commitInterval)
-		for w.commit() {
+		for r.commit() {
 		}
-		w.mu.Lock()
-		over := w.closing && len(w.queue) == 0 || w.closing && w.state.DiskError != ""
-		w.mu.Unlock()
+		r.mu.Lock()
+		over := r.closing && len(r.queue) == 0 || r.closing && r.state.DiskError != ""
+		r.mu.Unlock()
 		if over {
-			w.journal.Close()
+			r.journal.Close()
 			return nil
 		}
 	}
 }
 
 // commit appends one group and reports whether more records are ready to be written.
-func (w *Writer) commit() bool {
-	w.mu.Lock()
-	group := w.queue[:min(len(w.queue), maxGroupRecords)]
-	w.mu.Unlock()
+func (r *Recorder) commit() bool {
+	r.mu.Lock()
+	group := r.queue[:min(len(r.queue), maxGroupRecords)]
+	r.mu.Unlock()
 	if len(group) == 0 {
 		return false
 	}
@@ -132,76 +132,76 @@
 	for i, queued := range group {
 		records[i] = queued.record
 	}
-	err := w.journal.Append(records...)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	err := r.journal.Append(records...)
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if err != nil {
-		if w.state.DiskError == "" {
-			w.Log.Error("ledger: append failed; requests continue and records are queued", "error", err)
+		if r.state.DiskError == "" {
+			r.Log.Error("ledger: append failed; requests continue and records are queued", "error", err)
 		}
-		w.state.DiskError = err.Error()
-		time.AfterFunc(diskRetryDelay, w.signal)
+		r.state.DiskError = err.Error()
+		time.AfterFunc(diskRetryDelay, r.signal)
 		return false
 	}
-	if w.state.DiskError != "" {
-		w.Log.Info("ledger: append succeeds again", "waiting", len(w.queue))
+	if r.state.DiskError != "" {
+		r.Log.Info("ledger: append succeeds again", "waiting", len(r.queue))
 	}
-	w.state.DiskError = ""
-	w.state.Written += int64(len(group))
-	w.state.Commits++
-	w.queue = append([]queuedRecord(nil), w.queue[len(group):]...)
+	r.state.DiskError = ""
+	r.state.Written += int64(len(group))
+	r.state.Commits++
+	r.queue = append([]queuedRecord(nil), r.queue[len(group):]...)
 	for _, queued := range group {
 		if queued.onDurable != nil {
 			queued.onDurable()
 		}
 	}
-	if n := w.journal.SegmentNumber(); n != w.state.Segment {
-		w.state.Segment = n
+	if n := r.journal.SegmentNumber(); n != r.state.Segment {
+		r.state.Segment = n
 		go func() {
-			if _, _, err := Compact(w.Dir, w.key, n, nil); err != nil {
-				w.Log.Warn("ledger: compaction failed; the segments stay", "error", err)
+			if _, _, err := Compact(r.Dir, r.key, n, nil); err != nil {
+				r.Log.Warn("ledger: compaction failed; the segments stay", "error", err)
 			}
 		}()
 	}
-	return len(w.queue) > 0
+	return len(r.queue) > 0
 }
 
-func (w *Writer) signal() {
+func (r *Recorder) signal() {
 	select {
-	case w.wake <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Write queues a record. onDurable is called from another goroutine when the record is durable; it may be nil.
-func (w *Writer) Write(r Record, onDurable func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.queue) >= maxQueuedRecords || w.closing {
-		w.state.Dropped++
+func (r *Recorder) Write(record Record, onDurable func()) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.queue) >= maxQueuedRecords || r.closing {
+		r.state.Dropped++
 		return
 	}
-	w.lastMilli = max(w.lastMilli, r.UnixMilli)
-	r.UnixMilli = w.lastMilli
-	w.queue = append(w.queue, queuedRecord{r, onDurable})
-	w.signal()
+	r.lastMilli = max(r.lastMilli, record.UnixMilli)
+	record.UnixMilli = r.lastMilli
+	r.queue = append(r.queue, queuedRecord{record, onDurable})
+	r.signal()
 }
 
-// State returns a copy of the writer's state.
-func (w *Writer) State() State {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	s := w.state
-	s.Queued = len(w.queue)
+// State returns a copy of the recorder's state.
+func (r *Recorder) State() State {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	s := r.state
+	s.Queued = len(r.queue)
 	return s
 }
 
 // Close writes the queued records and stops Run. It unlocks the folder.
-func (w *Writer) Close() {
-	w.mu.Lock()
-	w.closing = true
-	w.mu.Unlock()
-	w.signal()
-	<-w.stopped
-	w.lock.Close()
+func (r *Recorder) Close() {
+	r.mu.Lock()
+	r.closing = true
+	r.mu.Unlock()
+	r.signal()
+	<-r.stopped
+	r.lock.Close()
 }
