--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -346,12 +346,12 @@
 // waiter is a request that waits for a lease, at most until the owner's reply or silenceTimeout.
 type waiter struct {
 	tokens       float64
-	decide       func(Verdict)
+	decide       func(Decision)
 	firstRequest uint64 // the first lease request that includes it; 0: none yet
 }
 
-// Verdict is the result of a reservation.
-type Verdict struct {
+// Decision is the result of a reservation.
+type Decision struct {
 	OK         bool
 	RetryAfter time.Duration
 	Emergency  bool // the tokens come from the dispatcher's emergency part
@@ -388,7 +388,7 @@
 
 // Reserve sets a request's worst case aside. decide is called at once where the tokens are available or cannot be
 // leased, otherwise when the owner has replied or counts as unreachable.
-func (b *LocalBudget) Reserve(now time.Duration, month Month, tokens float64, decide func(Verdict)) {
+func (b *LocalBudget) Reserve(now time.Duration, month Month, tokens float64, decide func(Decision)) {
 	b.advanceMonth(month.Number)
 	b.recordDemand(now, tokens)
 	if b.available(now) >= tokens {
@@ -403,7 +403,7 @@
 	}
 	if now < b.retryAt && now < b.lastReply+exhaustedRetry { // by the owner's reply there is nothing to lease yet
 		b.Counts.Rejected++
-		decide(Verdict{RetryAfter: b.retryAt - now})
+		decide(Decision{RetryAfter: b.retryAt - now})
 		return
 	}
 	b.Counts.Waited++
@@ -411,14 +411,14 @@
 	b.requestLease(now)
 }
 
-func (b *LocalBudget) admit(now time.Duration, tokens float64, decide func(Verdict)) {
+func (b *LocalBudget) admit(now time.Duration, tokens float64, decide func(Decision)) {
 	b.reserved += tokens
 	b.Counts.Admitted++
-	decide(Verdict{OK: true})
+	decide(Decision{OK: true})
 }
 
 // admitFromEmergency reserves from this dispatcher's part of the emergency share.
-func (b *LocalBudget) admitFromEmergency(now time.Duration, tokens float64, decide func(Verdict)) {
+func (b *LocalBudget) admitFromEmergency(now time.Duration, tokens float64, decide func(Decision)) {
 	ok := true
 	if b.Terms.Monthly >= 0 && b.MarkEmergency != nil && !b.emergencyMarked {
 		ok = false
@@ -438,13 +438,13 @@
 	}
 	if !ok {
 		b.Counts.Rejected++
-		decide(Verdict{RetryAfter: silenceTimeout})
+		decide(Decision{RetryAfter: silenceTimeout})
 		return
 	}
 	b.emergencyBucket -= tokens
 	b.emergencyUsed += tokens
 	b.Counts.EmergencyAdmitted++
-	decide(Verdict{OK: true, Emergency: true})
+	decide(Decision{OK: true, Emergency: true})
 }
 
 // Settle returns the unused part of a reservation. An admitted request may end whatever is available by then: it
@@ -562,7 +562,7 @@
 	}
 	for _, w := range rejected {
 		b.Counts.Rejected++
-		w.decide(Verdict{RetryAfter: max(b.retryAt-now, 0)})
+		w.decide(Decision{RetryAfter: max(b.retryAt-now, 0)})
 	}
 }
 
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -122,7 +122,7 @@
 func (fleet *testFleet) spend(i int, tokens float64, used map[int64]float64, decisions *[2]int) {
 	m := fleet.month(fleet.now)
 	local := fleet.locals[i]
-	local.Reserve(fleet.now, m, tokens, func(d Verdict) {
+	local.Reserve(fleet.now, m, tokens, func(d Decision) {
 		if !d.OK {
 			decisions[1]++
 			return
@@ -211,8 +211,8 @@
 		fleet.spend(0, 100, used, &decisions)
 	}
 	fleet.run(fleet.now + time.Second)
-	var last Verdict
-	fleet.locals[0].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Verdict) { last = d })
+	var last Decision
+	fleet.locals[0].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Decision) { last = d })
 	fleet.run(fleet.now + time.Second)
 	if remaining := fleet.month(fleet.now).Remaining; used[0] != 1000 || last.OK ||
 		math.Abs((last.RetryAfter-remaining).Seconds()) > 3 {
@@ -266,7 +266,7 @@
 	fleet := newTestFleet(Terms{Name: "c", PerSecond: -1, Monthly: 100_000}, 4, 1)
 	fleet.partitioned[1] = true
 	sent, decidedAt := fleet.now, time.Duration(0)
-	fleet.locals[1].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Verdict) { decidedAt = fleet.now })
+	fleet.locals[1].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Decision) { decidedAt = fleet.now })
 	fleet.run(fleet.now + 2*time.Second)
 	if decidedAt == 0 || decidedAt-sent > silenceTimeout+100*time.Millisecond {
 		t.Errorf("decided after %v", decidedAt-sent)
@@ -274,7 +274,7 @@
 	fleet.run(fleet.now + time.Second) // its part is marked as started
 	admitted := 0
 	for range 100 {
-		fleet.locals[1].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Verdict) {
+		fleet.locals[1].Reserve(fleet.now, fleet.month(fleet.now), 100, func(d Decision) {
 			if d.OK {
 				admitted++
 			}
@@ -328,14 +328,14 @@
 		t.Error("a valid reply is refused")
 	}
 	for name, bad := range map[string]func(l *LeaseReply){
-		"another name":    func(l *LeaseReply) { l.Terms.Name = "" },
-		"endless":         func(l *LeaseReply) { l.Lent = math.Inf(1) },
-		"no number":       func(l *LeaseReply) { l.Lent = math.NaN() },
-		"negative":        func(l *LeaseReply) { l.Lent = -1 },
-		"terms":           func(l *LeaseReply) { l.Terms.Monthly = math.NaN() },
-		"a wait":          func(l *LeaseReply) { l.RetryAfter = -time.Second },
-		"a wait of years": func(l *LeaseReply) { l.RetryAfter = math.MaxInt64 },
-		"a far month":     func(l *LeaseReply) { l.Month = 1 << 40 },
+		"another name":              func(l *LeaseReply) { l.Terms.Name = "" },
+		"infinite sum":              func(l *LeaseReply) { l.Lent = math.Inf(1) },
+		"sum is not a number":       func(l *LeaseReply) { l.Lent = math.NaN() },
+		"negative sum":              func(l *LeaseReply) { l.Lent = -1 },
+		"allowance is not a number": func(l *LeaseReply) { l.Terms.Monthly = math.NaN() },
+		"negative delay":            func(l *LeaseReply) { l.RetryAfter = -time.Second },
+		"delay of years":            func(l *LeaseReply) { l.RetryAfter = math.MaxInt64 },
+		"month too large":           func(l *LeaseReply) { l.Month = 1 << 40 },
 	} {
 		reply := valid
 		bad(&reply)
--- a/internal/dispatch/books.go
+++ b/internal/dispatch/books.go
@@ -71,7 +71,7 @@
 			return
 		}
 		p := l.books.Purses[i]
-		p.Reserve(l.now, month, tokens, func(v budget.Verdict) {
+		p.Reserve(l.now, month, tokens, func(v budget.Decision) {
 			if v.OK {
 				a.paid = append(a.paid, paid{p, tokens, v.Emergency})
 			}
