--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -51,7 +51,7 @@
 	Key           string `cbor:"4,keyasint"`           // of the request
 	Index         int    `cbor:"5,keyasint,omitempty" json:"Trip"`
 	RequestID     string `cbor:"6,keyasint,omitempty" json:"Mark"`
-	Phase         string `cbor:"7,keyasint" json:"Stage"`
+	Phase         string `cbor:"7,keyasint" json:"Stage"` // read (prefill), write (decode), or whole
 	Tenant        string `cbor:"8,keyasint,omitempty" json:"Channel"`
 	Class         string `cbor:"9,keyasint" json:"Grade"`
 	PrefillTokens int    `cbor:"10,keyasint,omitempty" json:"Read"`
--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -36,10 +36,10 @@
 type State int
 
 const (
-	Alive State = iota
-	Suspect
-	Dead
-	Left
+	Alive   State = iota
+	Suspect       // did not answer a probe
+	Dead          // did not refute its suspicion in time
+	Left          // announced its leave
 )
 
 // Update is what one member knows about another.
