--- a/cmd/sloetrestle/bill.go
+++ b/cmd/sloetrestle/bill.go
@@ -34,7 +34,7 @@
 }
 
 func (f *folders) open() (list []string, key ledger.Key, err error) {
-	if key, err = dispatch.LedgerKey(f.key); err != nil {
+	if key, err = dispatch.ReadLedgerKey(f.key); err != nil {
 		return nil, key, fmt.Errorf("--key: %w", err)
 	}
 	for _, pattern := range f.list {
@@ -328,11 +328,11 @@
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "kept here\tmonthly\tgranted\tborrow\tdebt\tlent\tleft\ttokens a second\tin the bucket\tholders")
-			for _, k := range seen.Budgets.Kept {
+			for _, k := range seen.Budgets.Owned {
 				fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\n", k.Name, k.Monthly, k.Granted, k.Borrow, k.Debt, k.Lent, k.Remaining, k.PerSecond, k.Bucket, k.Holders)
 			}
 			fmt.Fprintln(w, "\npurse\tfree\treserved\tused\tpassed\tdeclined\twaited\tin emergency\tkeeper silent")
-			for _, p := range seen.Budgets.Purses {
+			for _, p := range seen.Budgets.Budgets {
 				fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%d\t%d\t%d\t%.0f\t%v\n", p.Name, p.Free, p.Reserved, p.Used, p.Admitted, p.Rejected, p.Waited, p.EmergencyUsed, p.OwnerSilent)
 			}
 			return w.Flush()
--- a/cmd/sloetrestle/day.go
+++ b/cmd/sloetrestle/day.go
@@ -234,7 +234,7 @@
 		return nil, err
 	}
 	return &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-		return new(net.Dialer).DialContext(ctx, spec.Network, spec.At)
+		return new(net.Dialer).DialContext(ctx, spec.Network, spec.Addr)
 	}}}, nil
 }
 
@@ -264,14 +264,14 @@
 					Name, Standing, Role string
 					Streams              int
 				}
-				Addresses []dispatch.BoxState
+				Addresses []dispatch.PoolState
 			}
 			if err := ask(args[0], &seen); err != nil {
 				return err
 			}
 			out := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintln(out, "BOX\tROLE\tSTANDING\tSTREAMS\tCONNECTIONS\tADDRESS\tSTANDS\tWHY")
-			slices.SortFunc(seen.Addresses, func(a, b dispatch.BoxState) int { return strings.Compare(a.Name, b.Name) })
+			slices.SortFunc(seen.Addresses, func(a, b dispatch.PoolState) int { return strings.Compare(a.Name, b.Name) })
 			for _, at := range seen.Addresses {
 				for _, b := range seen.Boxes {
 					if b.Name == at.Name {
@@ -283,10 +283,10 @@
 						fmt.Fprint(out, "\t\t\t\t\t")
 					}
 					stands := "trusted"
-					if a.Doubtful {
+					if a.Suspect {
 						stands = "in doubt"
 					}
-					fmt.Fprintf(out, "%s\t%s\t%s\n", a.At, stands, a.Why)
+					fmt.Fprintf(out, "%s\t%s\t%s\n", a.Address, stands, a.Reason)
 				}
 				if len(at.Addresses) == 0 {
 					fmt.Fprintln(out, "none\t\t")
--- a/cmd/sloetrestle/load.go
+++ b/cmd/sloetrestle/load.go
@@ -36,11 +36,11 @@
 			}
 			d.Head.PerS *= times
 			if seconds > 0 {
-				d.Head.Length = setup.Span(time.Duration(seconds * float64(time.Second)))
+				d.Head.Length = setup.Duration(time.Duration(seconds * float64(time.Second)))
 			}
 			wishes := d.Plan()
 			if trace != "" {
-				if wishes, err = load.ReadTrace(trace, d.Terms); err != nil {
+				if wishes, err = load.ReadTrace(trace, d.Deployment); err != nil {
 					return err
 				}
 			}
@@ -92,21 +92,21 @@
 		return err
 	}
 	book.Forgets = true // it may run for days
-	talk := map[string]standin.Talk{}
+	talk := map[string]standin.ClassProfile{}
 	for _, t := range d.Traffic {
 		talk[t.Grade] = d.TalkOf(t.Grade)
 	}
-	fleet := standin.NewFleet(d.Terms, book, standin.Links{Near: d.Links.Near, Far: d.Links.Far, Zone: d.Links.Zone}, talk)
+	fleet := standin.NewFleet(d.Deployment, book, standin.Links{SameRack: d.Links.Near, CrossRack: d.Links.Far, ZoneFactor: d.Links.Zone}, talk)
 	defer fleet.Close()
-	list := fleet.NewList(at)
-	if err := list.Open(); err != nil {
+	list := fleet.NewDiscovery(at)
+	if err := list.Start(); err != nil {
 		return err
 	}
-	defer list.Shut()
+	defer list.Stop()
 	for _, m := range d.Makes() {
-		addr := addresses.Spec{Network: addresses.TCP4, At: fmt.Sprintf("127.0.0.1:%d", port)}
+		addr := addresses.Spec{Network: addresses.TCP4, Addr: fmt.Sprintf("127.0.0.1:%d", port)}
 		port++
-		b := fleet.NewBox(standin.Make{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Seed: d.Head.Seed, Engine: m.Engine,
+		b := fleet.NewBackend(standin.Config{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Seed: d.Head.Seed, Engine: m.Engine,
 			Addresses: []addresses.Spec{addr}})
 		if err := b.Boot(false); err != nil {
 			return err
--- a/cmd/sloetrestle/platform.go
+++ b/cmd/sloetrestle/platform.go
@@ -31,7 +31,7 @@
 		if err != nil {
 			return err
 		}
-		read := func() (platform.Place, error) { return platform.Load(os.Getenv("BALANCER_CONFIG"), os.Getenv) }
+		read := func() (platform.Config, error) { return platform.Load(os.Getenv("BALANCER_CONFIG"), os.Getenv) }
 		place, err := read()
 		if err != nil {
 			return err
--- a/cmd/sloetrestle/platform_test.go
+++ b/cmd/sloetrestle/platform_test.go
@@ -30,7 +30,7 @@
 // process is a dispatcher as the platform starts it, with its backends and discovery.
 type process struct {
 	t     *testing.T
-	site  *hosts.Site
+	site  *hosts.Platform
 	agent *hosts.Agent
 	other *hosts.Agent // another address of discovery
 	at    string
@@ -45,9 +45,9 @@
 	t.Helper()
 	p := &process{t: t, site: hosts.New(), ended: make(chan error, 1)}
 	t.Cleanup(p.site.Close)
-	p.site.Box("r1", hosts.Reader)
-	p.site.Box("w1", hosts.Writer)
-	p.agent, p.other = p.site.Agent(), p.site.Agent()
+	p.site.AddBackend("r1", hosts.PrefillKind)
+	p.site.AddBackend("w1", hosts.DecodeKind)
+	p.agent, p.other = p.site.AddAgent(), p.site.AddAgent()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -55,7 +55,7 @@
 	p.at = free.Addr().String()
 	free.Close()
 	p.file = filepath.Join(t.TempDir(), "config.json")
-	p.configure(p.agent.At)
+	p.configure(p.agent.Address)
 	p.cmd = exec.Command(os.Args[0], "platform")
 	p.cmd.Env = append(os.Environ(), asProgram+"=1", "BALANCER_NAME=n1", "BALANCER_LISTEN="+p.at, "BALANCER_CONFIG="+p.file)
 	p.cmd.Stderr = &p.log
@@ -71,7 +71,7 @@
 func (p *process) configure(discovery string) {
 	p.t.Helper()
 	raw := fmt.Sprintf(`{"name":"n1","discovery":%q,"seed":"8c1f","limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`,
-		discovery, p.site.List(), hosts.Settings)
+		discovery, p.site.DiscoveryList(), hosts.Settings)
 	if !json.Valid([]byte(raw)) {
 		p.t.Fatal("the configuration is no JSON")
 	}
@@ -146,9 +146,9 @@
 	if got := p.ask("a"); got != http.StatusOK {
 		t.Errorf("%d", got)
 	}
-	p.configure(p.other.At)
+	p.configure(p.other.Address)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.until("discovery is followed", func() bool { return p.other.Watched() == 1 })
+	p.until("discovery is followed", func() bool { return p.other.WatchCount() == 1 })
 	if got := p.ask("b"); got != http.StatusOK {
 		t.Errorf("after SIGHUP: %d", got)
 	}
@@ -159,8 +159,8 @@
 	if err := p.end(); err != nil {
 		t.Errorf("%v\n%s", err, p.log.String())
 	}
-	if p.site.Held() != 0 || p.site.Out() != 0 {
-		t.Errorf("%d states are held, %d requests are out", p.site.Held(), p.site.Out())
+	if p.site.HeldCount() != 0 || p.site.InFlight() != 0 {
+		t.Errorf("%d states are held, %d requests are out", p.site.HeldCount(), p.site.InFlight())
 	}
 }
 
@@ -176,7 +176,7 @@
 			t.Parallel()
 			p := start(t)
 			p.until("it is ready", p.ready)
-			p.configure(p.other.At)
+			p.configure(p.other.Address)
 			for _, s := range signals {
 				p.cmd.Process.Signal(s)
 			}
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -327,7 +327,7 @@
 	waiting         []*waiter
 	emergencyBucket float64 // of a rate limit, while the owner is unreachable
 	refilledAt      time.Duration
-	demand          brain.Ring // tokens
+	demand          brain.RollingSum // tokens
 	largestRequest  float64
 	retryAt         time.Duration // when there may be more, by the owner's last reply
 	Counts          Counts
@@ -360,7 +360,7 @@
 // NewLocalBudget returns an empty local budget.
 func NewLocalBudget(terms Terms, holder string, dispatchers int, month Month, send func(LeaseRequest)) *LocalBudget {
 	return &LocalBudget{Terms: terms, Holder: holder, Dispatchers: max(dispatchers, 1), Send: send, month: month.Number,
-		largestRequest: 1, demand: brain.Ring{Width: demandWidth}}
+		largestRequest: 1, demand: brain.RollingSum{BucketWidth: demandWidth}}
 }
 
 // advanceMonth changes to a later month. Leases of the previous one end.
@@ -469,7 +469,7 @@
 			minimum = max(w.tokens-b.available(now), 1)
 		}
 	}
-	target := queued + b.demand.PerS(now)*leaseDemandSpan.Seconds()
+	target := queued + b.demand.PerSecond(now)*leaseDemandSpan.Seconds()
 	if target > 0 {
 		target += b.largestRequest
 	}
@@ -481,7 +481,7 @@
 // tokens.
 func (b *LocalBudget) Tick(now time.Duration) {
 	more, minimum := b.shortfall(now)
-	short := more > 0 && (minimum > 0 || b.available(now) < b.demand.PerS(now)*leaseDemandSpan.Seconds()/2)
+	short := more > 0 && (minimum > 0 || b.available(now) < b.demand.PerSecond(now)*leaseDemandSpan.Seconds()/2)
 	unanswered := b.everSent && b.answeredNumber < b.lastNumber
 	if unanswered && now-b.lastReply > silenceTimeout && !b.ownerSilent {
 		b.ownerSilent = true
@@ -494,7 +494,7 @@
 			b.admitFromEmergency(now, w.tokens, w.decide)
 		}
 	}
-	idle := b.available(now) - b.demand.PerS(now)*idleDemandSpan.Seconds() - b.largestRequest
+	idle := b.available(now) - b.demand.PerSecond(now)*idleDemandSpan.Seconds() - b.largestRequest
 	if idle > 0 && !unanswered && b.available(now) > 0 {
 		b.returned += idle
 		b.requestLease(now)
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -16,7 +16,7 @@
 // delays them.
 type testFleet struct {
 	now         time.Duration
-	queue       agenda.Agenda
+	queue       agenda.Queue
 	rng         *rand.Rand
 	loss        float64
 	maxDelay    time.Duration
@@ -31,10 +31,10 @@
 	marks       map[string]bool // started emergency parts, by dispatcher and month
 }
 
-func (fleet *testFleet) after(d time.Duration, do func()) { fleet.queue.At(fleet.now+d, do) }
+func (fleet *testFleet) after(d time.Duration, do func()) { fleet.queue.Schedule(fleet.now+d, do) }
 
 func (fleet *testFleet) run(until time.Duration) {
-	fleet.queue.Run(until, func(now time.Duration) { fleet.now = now })
+	fleet.queue.RunUntil(until, func(now time.Duration) { fleet.now = now })
 	fleet.now = until
 }
 
--- a/internal/dispatch/accounts_test.go
+++ b/internal/dispatch/accounts_test.go
@@ -16,7 +16,7 @@
 		written = tokens
 		done()
 	})
-	l.books = &Books{Keepers: map[string]*budget.Owner{"b": k}, Month: func(time.Duration) budget.Month { return month }}
+	l.books = &Accounting{OwnedBudgets: map[string]*budget.Owner{"b": k}, Month: func(time.Duration) budget.Month { return month }}
 	for grant, fine := range map[float64]bool{5: true, 1e300: false, -1: false} {
 		var got error
 		l.change(BudgetChange{Name: "b", Grant: grant}, func(err error) { got = err })
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -15,14 +15,14 @@
 	if len(w.day.Budgets) == 0 {
 		return
 	}
-	b := &dispatch.Books{Month: month, Keepers: map[string]*budget.Owner{}}
+	b := &dispatch.Accounting{Month: month, OwnedBudgets: map[string]*budget.Owner{}}
 	of := len(w.dispatchers)
 	if n := w.day.Head.Dispatchers; n > of {
 		of = n
 	}
 	loop := d.loop
 	for _, s := range w.day.Budgets {
-		t, at := s.Terms(), 0
+		t, at := s.TokenLimits(), 0
 		if w.day.Head.SplitBudgets { // the plain way, to compare with: an equal part for each
 			part := float64(of)
 			t.PerSecond, t.Burst, t.Monthly, t.Borrow = t.PerSecond/part, t.Burst/part, t.Monthly/part, t.Borrow/part
@@ -32,7 +32,7 @@
 		}
 		if at == d.number {
 			key := fmt.Sprintf("%s %d", t.Name, at)
-			b.Keepers[t.Name] = budget.NewOwner(t, w.now, month(w.now), w.lent[key], 0, 0, func(what string, _ int64, tokens float64, done func()) {
+			b.OwnedBudgets[t.Name] = budget.NewOwner(t, w.now, month(w.now), w.lent[key], 0, 0, func(what string, _ int64, tokens float64, done func()) {
 				w.after(commitTime, func() {
 					if what == "lent" {
 						w.lent[key] = max(w.lent[key], tokens)
@@ -51,7 +51,7 @@
 					return
 				}
 				k.do(func() {
-					k.books.Keepers[a.Name].HandleRequest(w.now, month(w.now), a, func(l budget.LeaseReply) {
+					k.books.OwnedBudgets[a.Name].HandleRequest(w.now, month(w.now), a, func(l budget.LeaseReply) {
 						w.after(hop, func() {
 							if d.loop == loop && d.up {
 								d.do(func() { p.HandleReply(w.now, l) })
@@ -61,17 +61,19 @@
 				})
 			})
 		})
-		b.Purses = append(b.Purses, p)
+		b.Budgets = append(b.Budgets, p)
 		w.purses = append(w.purses, p)
 	}
 	d.books = b
-	loop.Keep(b)
+	loop.SetAccounting(b)
 }
 
 const commitTime = 22 * time.Millisecond // half a group's wait, and a disk's sync
 
 // month is one that outlasts every day.
-func month(now time.Duration) budget.Month { return budget.Month{Number: 1, Remaining: 24*time.Hour - now} }
+func month(now time.Duration) budget.Month {
+	return budget.Month{Number: 1, Remaining: 24*time.Hour - now}
+}
 
 // BudgetUse is what came of a budget.
 type BudgetUse struct {
@@ -91,7 +93,7 @@
 		out[p.Terms.Name] = u
 	}
 	for _, s := range w.day.Budgets {
-		if t := s.Terms(); t.Monthly > 0 {
+		if t := s.TokenLimits(); t.Monthly > 0 {
 			u := out[t.Name]
 			u.Share = u.Used / t.Monthly
 			out[t.Name] = u
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -69,10 +69,10 @@
 		w.observe()
 	}
 	for i := range w.wishes {
-		w.at(w.wishes[i].At, func() { w.ask(&w.wishes[i], 0, "") })
+		w.at(w.wishes[i].SubmitAt, func() { w.ask(&w.wishes[i], 0, "") })
 	}
 	for _, t := range d.Troubles {
-		w.at(t.At.D(), func() { w.inject(t) })
+		w.at(t.At.Std(), func() { w.inject(t) })
 	}
 	return w, nil
 }
@@ -80,8 +80,8 @@
 // play runs the day to its end.
 func (w *world) play() Outcome {
 	d := w.day
-	w.run(d.Head.Length.D() + tail)
-	head := record.Head{Day: d.Head.Name, Seed: d.Head.Seed, Terms: d.Terms}
+	w.run(d.Head.Length.Std() + tail)
+	head := record.Head{Day: d.Head.Name, Seed: d.Head.Seed, Terms: d.Deployment}
 	out := Outcome{
 		Verdict: judge.Judge(head, w.lines), Digest: fmt.Sprintf("%x", w.sum.Sum64()), Questions: len(w.wishes), Engines: map[string]engine.Counts{},
 	}
@@ -102,9 +102,9 @@
 	day    day.Day
 	policy string
 	now    time.Duration
-	events agenda.Agenda
+	events agenda.Queue
 	rng    *rand.Rand
-	wishes []standin.Wish
+	wishes []standin.Request
 	lines  []record.Line
 	each   func(record.Line)
 	sum    hash.Hash64
@@ -128,13 +128,13 @@
 }
 
 func (w *world) at(at time.Duration, do func()) {
-	w.events.At(max(at, w.now), do)
+	w.events.Schedule(max(at, w.now), do)
 }
 
 func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
 
 func (w *world) run(until time.Duration) {
-	w.events.Run(until, func(at time.Duration) { w.now = at })
+	w.events.RunUntil(until, func(at time.Duration) { w.now = at })
 }
 
 func (w *world) put(l record.Line) {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -44,7 +44,7 @@
 
 // ReadTrace reads arrivals from CSV with a header, or from JSON lines; the file's ending says which. Times need not be in
 // order. What is wrong is named with its line.
-func ReadTrace(file string, terms setup.Terms) ([]standin.Wish, error) {
+func ReadTrace(file string, terms setup.Deployment) ([]standin.Request, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, err
@@ -59,26 +59,26 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", file, err)
 	}
-	wishes := make([]standin.Wish, len(all))
+	wishes := make([]standin.Request, len(all))
 	for i, a := range all {
-		n := max(terms.GradeNumber(a.Grade), 0)
-		if a.Grade != "" && terms.GradeNumber(a.Grade) < 0 {
+		n := max(terms.ClassIndex(a.Grade), 0)
+		if a.Grade != "" && terms.ClassIndex(a.Grade) < 0 {
 			return nil, fmt.Errorf("%s: arrival %d: grade %q is unknown", file, i+1, a.Grade)
 		}
 		if a.AtMs < 0 || a.Tokens < 1 || a.Prefix < 0 || a.Prefix > a.Tokens || a.Most < 0 {
 			return nil, fmt.Errorf("%s: arrival %d: senseless: %+v", file, i+1, a)
 		}
-		g := terms.Grades[n]
+		g := terms.Classes[n]
 		k := float64(a.Tokens) / 1000
-		w := standin.Wish{At: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Grade: g.Name, Channel: a.Channel, Session: a.Session,
-			Shared: a.Shared, Prefix: a.Prefix, Tokens: a.Tokens, Most: a.Most, Promised: g.Promised.D() + time.Duration(k*float64(g.PerK)),
-			Expiry: g.Expiry.D() + 2*time.Duration(k*float64(g.PerK)), Patience: 1, Safe: g.Effect == "idempotent"}
-		if w.Most == 0 {
-			w.Most = g.Most
+		w := standin.Request{SubmitAt: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Class: g.Name, Tenant: a.Channel, Session: a.Session,
+			PrefixID: a.Shared, PrefixTokens: a.Prefix, PromptTokens: a.Tokens, MaxTokens: a.Most, LatencyTarget: g.LatencyTarget.Std() + time.Duration(k*float64(g.TargetPer1000Tokens)),
+			Deadline: g.Deadline.Std() + 2*time.Duration(k*float64(g.TargetPer1000Tokens)), PatienceShare: 1, Idempotent: g.Effect == "idempotent"}
+		if w.MaxTokens == 0 {
+			w.MaxTokens = g.DefaultMaxTokens
 		}
 		wishes[i] = w
 	}
-	slices.SortStableFunc(wishes, func(a, b standin.Wish) int { return int(a.At - b.At) })
+	slices.SortStableFunc(wishes, func(a, b standin.Request) int { return int(a.SubmitAt - b.SubmitAt) })
 	return wishes, nil
 }
 
@@ -163,7 +163,7 @@
 }
 
 // Run asks and reports; say is told of progress each second.
-func Run(ctx context.Context, model string, to []string, wishes []standin.Wish, say func(string, ...any)) ([]Figures, error) {
+func Run(ctx context.Context, model string, to []string, wishes []standin.Request, say func(string, ...any)) ([]Figures, error) {
 	if len(to) == 0 || len(wishes) == 0 {
 		return nil, fmt.Errorf("there is nobody to ask, or nothing to ask for")
 	}
@@ -181,8 +181,8 @@
 		return by[grade]
 	}
 	for _, w := range wishes {
-		promise[w.Name] = w.Promised
-		of(w.Grade)
+		promise[w.Name] = w.LatencyTarget
+		of(w.Class)
 	}
 	of("all")
 	began := time.Now()
@@ -237,7 +237,7 @@
 	}()
 	var all sync.WaitGroup
 	for _, w := range wishes {
-		if wait := w.At - time.Since(began); wait > 0 {
+		if wait := w.SubmitAt - time.Since(began); wait > 0 {
 			select {
 			case <-time.After(wait):
 			case <-ctx.Done():
@@ -247,13 +247,13 @@
 			break
 		}
 		mu.Lock()
-		due[w.Name] = w.At
+		due[w.Name] = w.SubmitAt
 		open++
 		mu.Unlock()
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			clients.Ask(ctx, w)
+			clients.Submit(ctx, w)
 			mu.Lock()
 			open--
 			mu.Unlock()
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -115,15 +115,15 @@
 
 // open starts two idle boxes, the list and a dispatcher's process.
 func (r *rig) open(ctx context.Context, dir string) (stop func(), err error) {
-	d := setup.DefaultDispatcher()
-	d.Grades = []setup.Grade{{Name: "measured", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(10 * time.Second), Benefit: 1, Most: 8}}
-	d.Kinds = []setup.Kind{{Name: "reader", Role: "reader", Memory: 1 << 30}, {Name: "writer", Role: "writer", Memory: 1 << 30}}
-	d.Limits.LocalRead, d.Limits.BoxConns = false, 4096
+	d := setup.DefaultDispatcherConfig()
+	d.Classes = []setup.Class{{Name: "measured", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(10 * time.Second), Value: 1, DefaultMaxTokens: 8}}
+	d.BackendKinds = []setup.BackendKind{{Name: "reader", Role: "reader", MemoryTokens: 1 << 30}, {Name: "writer", Role: "writer", MemoryTokens: 1 << 30}}
+	d.Limits.DecodeCanPrefill, d.Limits.MaxConnsPerBackend = false, 4096
 	r.model = d.Model
 	if r.book, err = record.Open("", record.Head{}); err != nil {
 		return nil, err
 	}
-	r.fleet = standin.NewFleet(d.Terms, r.book, standin.Links{Near: 1e12, Far: 1e12, Zone: 1}, map[string]standin.Talk{"measured": {New: 1, Answer: 8}})
+	r.fleet = standin.NewFleet(d.Deployment, r.book, standin.Links{SameRack: 1e12, CrossRack: 1e12, ZoneFactor: 1}, map[string]standin.ClassProfile{"measured": {NewTokens: 1, AnswerTokens: 8}})
 	var addrs []string
 	for range 4 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -134,13 +134,13 @@
 		addrs = append(addrs, l.Addr().String())
 		l.Close()
 	}
-	list := r.fleet.NewList(addrs[0])
-	if err := list.Open(); err != nil {
+	list := r.fleet.NewDiscovery(addrs[0])
+	if err := list.Start(); err != nil {
 		return nil, err
 	}
-	var boxes []*standin.Box
+	var boxes []*standin.Backend
 	for i, kind := range []string{"reader", "writer"} {
-		b := r.fleet.NewBox(standin.Make{Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Engine: standin.Instant, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: addrs[1+i]}}})
+		b := r.fleet.NewBackend(standin.Config{Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Engine: standin.InstantEngine, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: addrs[1+i]}}})
 		if err := b.Boot(false); err != nil {
 			return nil, err
 		}
@@ -148,7 +148,7 @@
 		boxes = append(boxes, b)
 	}
 	r.reader, r.writer, r.addr = addrs[1], addrs[2], addrs[3]
-	d.Place.Listen, d.Place.Boxes = []string{r.addr}, addrs[0]
+	d.Instance.Listen, d.Instance.DiscoveryAddr = []string{r.addr}, addrs[0]
 	raw, err := toml.Marshal(d)
 	if err != nil {
 		return nil, err
@@ -169,7 +169,7 @@
 		for _, b := range boxes {
 			b.Kill("end")
 		}
-		list.Shut()
+		list.Stop()
 		r.fleet.Close()
 		r.http.CloseIdleConnections()
 	}
@@ -230,7 +230,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return at, fmt.Errorf("%s", resp.Status)
 	}
-	events := kserve.NewEvents(resp.Body)
+	events := kserve.NewEventReader(resp.Body)
 	for {
 		ev, err := events.Next()
 		if err != nil {
@@ -247,7 +247,7 @@
 
 func (r *rig) body(most int) []byte {
 	id := r.asked.Add(1)
-	raw, err := json.Marshal(kserve.Prompt{ID: fmt.Sprint("m", id), Parameters: kserve.Params{"prompt_tokens": 800, "max_tokens": most, "session": fmt.Sprint("s", id%997)}})
+	raw, err := json.Marshal(kserve.GenerateRequest{ID: fmt.Sprint("m", id), Parameters: kserve.Params{"prompt_tokens": 800, "max_tokens": most, "session": fmt.Sprint("s", id%997)}})
 	if err != nil {
 		panic(err)
 	}
@@ -266,8 +266,8 @@
 // direct reads and writes at the boxes without a dispatcher.
 func (r *rig) direct(ctx context.Context) (time.Time, error) {
 	id := r.asked.Add(1)
-	e := kserve.Errand{Stage: kserve.StageRead, From: "direct.1", Question: id, Mark: fmt.Sprint("m", id), Grade: "measured", Tokens: 800, Most: 8}
-	req, err := kserve.NewErrand(ctx, "http://"+r.reader, r.model, "", e)
+	e := kserve.AttemptParams{Phase: kserve.PhasePrefill, DispatcherEpoch: "direct.1", RequestNumber: id, DedupKey: fmt.Sprint("m", id), Class: "measured", PromptTokens: 800, MaxTokens: 8}
+	req, err := kserve.NewAttemptRequest(ctx, "http://"+r.reader, r.model, "", e)
 	if err != nil {
 		return time.Time{}, err
 	}
@@ -277,8 +277,8 @@
 	}
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
-	e.Stage, e.Trip, e.Reader, e.State = kserve.StageWrite, 1, "reader-1", []string{"tcp4:" + r.reader}
-	if req, err = kserve.NewErrand(ctx, "http://"+r.writer, r.model, "", e); err != nil {
+	e.Phase, e.Attempt, e.PrefillBackend, e.KVCacheAddresses = kserve.PhaseDecode, 1, "reader-1", []string{"tcp4:" + r.reader}
+	if req, err = kserve.NewAttemptRequest(ctx, "http://"+r.writer, r.model, "", e); err != nil {
 		return time.Time{}, err
 	}
 	return first(r.http.Do(req))
@@ -309,8 +309,8 @@
 			resp.Body.Close()
 		}()
 		if i == 0 {
-			r.fleet.Hold(true)
-			defer r.fleet.Hold(false)
+			r.fleet.HoldAnswers(true)
+			defer r.fleet.HoldAnswers(false)
 		}
 	}
 	for range 500 {
@@ -322,7 +322,7 @@
 	r.plan.Say("%d of %d streams are open", open.Load(), n)
 	mb := r.memory()
 	cancel()
-	r.fleet.Hold(false)
+	r.fleet.HoldAnswers(false)
 	all.Wait()
 	return mb
 }
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -16,7 +16,7 @@
 // testNetwork delivers the messages between views in virtual time.
 type testNetwork struct {
 	now     time.Duration
-	queue   agenda.Agenda
+	queue   agenda.Queue
 	rng     *rand.Rand
 	loss    float64
 	blocked func(from, to int) bool // reports that no message passes between the two
@@ -27,10 +27,12 @@
 	starts  int
 }
 
-func (network *testNetwork) after(d time.Duration, do func()) { network.queue.At(network.now+d, do) }
+func (network *testNetwork) after(d time.Duration, do func()) {
+	network.queue.Schedule(network.now+d, do)
+}
 
 func (network *testNetwork) run(until time.Duration) {
-	network.queue.Run(until, func(now time.Duration) { network.now = now })
+	network.queue.RunUntil(until, func(now time.Duration) { network.now = now })
 	network.now = until
 }
 
