--- a/cmd/sloetrestle/load.go
+++ b/cmd/sloetrestle/load.go
@@ -29,7 +29,7 @@
 tokens, shared, shared_tokens, session, max_tokens, channel). Arrivals never wait for answers, and times count from when a
 question was due. Bursts, leaving and slow clients of the day's troubles are played; those of boxes are not.`,
 		Example: "  sloetrestle box examples/quiet.toml --list 127.0.0.1:8000 &\n  sloetrestle serve --config d.toml &\n  sloetrestle load examples/quiet.toml --to 127.0.0.1:8100",
-		RunE: works(func(cmd *cobra.Command, args []string) error {
+		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
 			d, err := day.Load(args[0])
 			if err != nil {
 				return err
@@ -67,18 +67,18 @@
 	return c
 }
 
-// box serves a day's emulated boxes and their list until it is stopped, for dispatchers that are tried by hand.
-func box() *cobra.Command {
+// emulateCommand serves a day's emulated boxes and their list until it is stopped, for dispatchers that are tried by hand.
+func emulateCommand() *cobra.Command {
 	var list string
 	var port int
 	c := &cobra.Command{
 		Use: "box DAY.toml", Short: "Serve a day's emulated boxes and their list, until stopped", Args: cobra.ExactArgs(1),
-		RunE: works(func(cmd *cobra.Command, args []string) error {
+		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
 			d, err := day.Load(args[0])
 			if err != nil {
 				return err
 			}
-			return serveBoxes(cmd.Context(), d, list, port, func(format string, a ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", a...) })
+			return serveBackends(cmd.Context(), d, list, port, func(format string, a ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", a...) })
 		}),
 	}
 	c.Flags().StringVar(&list, "list", "127.0.0.1:8000", "where the box list listens")
@@ -86,7 +86,7 @@
 	return c
 }
 
-func serveBoxes(ctx context.Context, d day.Day, at string, port int, say func(string, ...any)) error {
+func serveBackends(ctx context.Context, d day.Day, at string, port int, say func(string, ...any)) error {
 	book, err := record.Open("", record.Head{})
 	if err != nil {
 		return err
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -27,19 +27,19 @@
 // Arrival is one line of a trace.
 type Arrival struct {
 	AtMs    float64 `json:"at_ms"`
-	Grade   string  `json:"grade"`
+	Class   string  `json:"grade"`
 	Tokens  int     `json:"tokens"`
-	Shared  string  `json:"shared"`
-	Prefix  int     `json:"shared_tokens"`
+	PrefixID  string  `json:"shared"`
+	PrefixTokens  int     `json:"shared_tokens"`
 	Session string  `json:"session"`
-	Most    int     `json:"max_tokens"`
-	Channel string  `json:"channel"`
+	MaxTokens    int     `json:"max_tokens"`
+	Tenant string  `json:"channel"`
 }
 
-// mostLine bounds a line of a trace, and mostArrivals a trace.
+// maxTraceLineBytes bounds a line of a trace, and maxArrivals a trace.
 const (
-	mostLine     = 64 << 10
-	mostArrivals = 2_000_000
+	maxTraceLineBytes     = 64 << 10
+	maxArrivals = 2_000_000
 )
 
 // ReadTrace reads arrivals from CSV with a header, or from JSON lines; the file's ending says which. Times need not be in
@@ -54,24 +54,24 @@
 	if strings.HasSuffix(file, ".csv") {
 		all, err = readCSV(f)
 	} else {
-		all, err = readLines(f)
+		all, err = readJSONLines(f)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", file, err)
 	}
 	wishes := make([]standin.Wish, len(all))
 	for i, a := range all {
-		n := max(terms.GradeNumber(a.Grade), 0)
-		if a.Grade != "" && terms.GradeNumber(a.Grade) < 0 {
-			return nil, fmt.Errorf("%s: arrival %d: grade %q is unknown", file, i+1, a.Grade)
+		n := max(terms.GradeNumber(a.Class), 0)
+		if a.Class != "" && terms.GradeNumber(a.Class) < 0 {
+			return nil, fmt.Errorf("%s: arrival %d: grade %q is unknown", file, i+1, a.Class)
 		}
-		if a.AtMs < 0 || a.Tokens < 1 || a.Prefix < 0 || a.Prefix > a.Tokens || a.Most < 0 {
+		if a.AtMs < 0 || a.Tokens < 1 || a.PrefixTokens < 0 || a.PrefixTokens > a.Tokens || a.MaxTokens < 0 {
 			return nil, fmt.Errorf("%s: arrival %d: senseless: %+v", file, i+1, a)
 		}
 		g := terms.Grades[n]
 		k := float64(a.Tokens) / 1000
-		w := standin.Wish{At: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Grade: g.Name, Channel: a.Channel, Session: a.Session,
-			Shared: a.Shared, Prefix: a.Prefix, Tokens: a.Tokens, Most: a.Most, Promised: g.Promised.D() + time.Duration(k*float64(g.PerK)),
+		w := standin.Wish{At: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Grade: g.Name, Channel: a.Tenant, Session: a.Session,
+			Shared: a.PrefixID, Prefix: a.PrefixTokens, Tokens: a.Tokens, Most: a.MaxTokens, Promised: g.Promised.D() + time.Duration(k*float64(g.PerK)),
 			Expiry: g.Expiry.D() + 2*time.Duration(k*float64(g.PerK)), Patience: 1, Safe: g.Effect == "idempotent"}
 		if w.Most == 0 {
 			w.Most = g.Most
@@ -101,8 +101,8 @@
 		if err == io.EOF {
 			return all, nil
 		}
-		if err != nil || len(all) >= mostArrivals {
-			return nil, fmt.Errorf("%d: %v (at most %d arrivals)", line, err, mostArrivals)
+		if err != nil || len(all) >= maxArrivals {
+			return nil, fmt.Errorf("%d: %v (at most %d arrivals)", line, err, maxArrivals)
 		}
 		var a Arrival
 		for i, n := range names {
@@ -113,17 +113,17 @@
 			case "tokens":
 				a.Tokens, bad = strconv.Atoi(row[i])
 			case "shared_tokens":
-				a.Prefix, bad = strconv.Atoi(row[i])
+				a.PrefixTokens, bad = strconv.Atoi(row[i])
 			case "max_tokens":
-				a.Most, bad = strconv.Atoi(row[i])
+				a.MaxTokens, bad = strconv.Atoi(row[i])
 			case "grade":
-				a.Grade = strings.Clone(row[i])
+				a.Class = strings.Clone(row[i])
 			case "shared":
-				a.Shared = strings.Clone(row[i])
+				a.PrefixID = strings.Clone(row[i])
 			case "session":
 				a.Session = strings.Clone(row[i])
 			case "channel":
-				a.Channel = strings.Clone(row[i])
+				a.Tenant = strings.Clone(row[i])
 			}
 			if bad != nil {
 				return nil, fmt.Errorf("%d: %s: %q is no number", line, n, row[i])
@@ -133,10 +133,10 @@
 	}
 }
 
-func readLines(r io.Reader) ([]Arrival, error) {
+func readJSONLines(r io.Reader) ([]Arrival, error) {
 	var all []Arrival
 	in := bufio.NewScanner(r)
-	in.Buffer(nil, mostLine)
+	in.Buffer(nil, maxTraceLineBytes)
 	for line := 1; in.Scan(); line++ {
 		if len(strings.TrimSpace(in.Text())) == 0 {
 			continue
@@ -147,8 +147,8 @@
 		if err := d.Decode(&a); err != nil {
 			return nil, fmt.Errorf("%d: %w", line, err)
 		}
-		if all = append(all, a); len(all) > mostArrivals {
-			return nil, fmt.Errorf("%d: more than %d arrivals", line, mostArrivals)
+		if all = append(all, a); len(all) > maxArrivals {
+			return nil, fmt.Errorf("%d: more than %d arrivals", line, maxArrivals)
 		}
 	}
 	return all, in.Err()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -10,7 +10,7 @@
 	"sloetrestle/internal/setup"
 )
 
-func TestTracesAreReadInBothFormsAndFaultsNamed(t *testing.T) {
+func TestReadTraceParsesCSVAndJSONLinesAndLocatesErrors(t *testing.T) {
 	terms := setup.DefaultTerms()
 	terms.Grades = []setup.Grade{{Name: "quick", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second), Most: 70},
 		{Name: "booking", Effect: "unrepeatable", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second), Most: 50}}
