--- a/cmd/sloetrestle/bill.go
+++ b/cmd/sloetrestle/bill.go
@@ -21,84 +21,89 @@
 	"sloetrestle/internal/ledger"
 )
 
-// ledgerFlags are the flags by which a command is told which ledgers to read.
+// ledgerFlags are the flags that say which ledgers a command reads, and with which key.
 type ledgerFlags struct {
-	patterns []string
+	patterns []string // of folders
 	keyFile  string
 }
 
 func (f *ledgerFlags) register(c *cobra.Command) {
-	c.Flags().StringArrayVar(&f.patterns, "ledger", nil, "folder of a ledger; several, or a pattern such as 'runs/ledger-*', for a fleet")
+	c.Flags().StringArrayVar(&f.patterns, "ledger", nil,
+		"folder of a ledger; repeat it, or give a pattern such as 'runs/ledger-*', for a fleet")
 	c.Flags().StringVar(&f.keyFile, "key", "", "file of the secret that seals the records, as in ledger.key")
 	c.MarkFlagRequired("ledger")
 }
 
-func (f *ledgerFlags) resolve() (list []string, key ledger.Key, err error) {
+// resolve returns the folders that match the patterns, and the key.
+func (f *ledgerFlags) resolve() (folders []string, key ledger.Key, err error) {
 	if key, err = dispatch.ReadLedgerKey(f.keyFile); err != nil {
 		return nil, key, fmt.Errorf("--key: %w", err)
 	}
 	for _, pattern := range f.patterns {
-		found, err := filepath.Glob(pattern)
-		if err != nil || len(found) == 0 {
+		matches, err := filepath.Glob(pattern)
+		if err != nil || len(matches) == 0 {
 			return nil, key, fmt.Errorf("--ledger: %s: no such folder", pattern)
 		}
-		for _, folder := range found {
+		for _, folder := range matches {
 			if info, err := os.Stat(folder); err != nil || !info.IsDir() {
-				return nil, key, fmt.Errorf("--ledger: %s is no folder", folder)
+				return nil, key, fmt.Errorf("--ledger: %s is not a folder", folder)
 			}
-			list = append(list, folder)
+			folders = append(folders, folder)
 		}
 	}
-	return list, key, nil
+	return folders, key, nil
 }
 
-// readSheet reads them all. Damage is told, and what can be read is read.
+// readSheet reads all records of all ledgers. Damaged records are reported to errs and skipped. A torn end is not
+// reported: a crash leaves one, and the record in it was never acknowledged.
 func (f *ledgerFlags) readSheet(errs io.Writer) (*ledger.Sheet, error) {
-	list, key, err := f.resolve()
+	folders, key, err := f.resolve()
 	if err != nil {
 		return nil, err
 	}
-	s := ledger.NewSheet()
-	for _, folder := range list {
-		damage, err := ledger.Read(folder, key, s.Add)
+	sheet := ledger.NewSheet()
+	for _, folder := range folders {
+		damages, err := ledger.Read(folder, key, sheet.Add)
 		if err != nil {
 			return nil, err
 		}
-		for _, d := range damage {
-			if !d.Torn {
-				fmt.Fprintf(errs, "damaged: %s: %s\n", folder, d)
+		for _, damage := range damages {
+			if !damage.Torn {
+				fmt.Fprintf(errs, "damaged: %s: %s\n", folder, damage)
 			}
 		}
 	}
-	for name, closed := range s.Epochs {
+	for epoch, closed := range sheet.Epochs {
 		if !closed {
-			fmt.Fprintf(errs, "the account of %s is open: trips of it may still come from the boxes\n", name)
+			fmt.Fprintf(errs, "the account of %s is open: backends may still report attempts of it\n", epoch)
 		}
 	}
-	return s, nil
+	return sheet, nil
 }
 
-// parseTime reads a time of day or a day.
-func parseTime(flag, text string, otherwise time.Time) (time.Time, error) {
+// parseTime reads the value of a flag as a time, a day or a month in UTC; an empty one is fallback.
+func parseTime(flag, text string, fallback time.Time) (time.Time, error) {
 	if text == "" {
-		return otherwise, nil
+		return fallback, nil
 	}
-	for _, form := range []string{time.RFC3339, "2006-01-02T15:04", "2006-01-02", "2006-01"} {
-		if t, err := time.ParseInLocation(form, text, time.UTC); err == nil {
+	for _, layout := range []string{time.RFC3339, "2006-01-02T15:04", "2006-01-02", "2006-01"} {
+		if t, err := time.ParseInLocation(layout, text, time.UTC); err == nil {
 			return t, nil
 		}
 	}
-	return time.Time{}, fmt.Errorf("--%s: %q is no time such as 2026-12-01 or 2026-12-01T08:30:00Z", flag, text)
+	return time.Time{}, fmt.Errorf("--%s: %q is not a time such as 2026-12-01 or 2026-12-01T08:30:00Z", flag, text)
 }
 
 func billCommand() *cobra.Command {
-	var f ledgerFlags
-	var channel, from, to string
+	var ledgers ledgerFlags
+	var tenant, from, to string
 	var asCSV, asJSON bool
 	c := &cobra.Command{
-		Use: "bill --ledger DIR --channel C --from TIME --to TIME", Short: "Sum what a channel's questions cost", Args: cobra.NoArgs,
-		Long: `Bill sums records of any number of ledgers: the same ones give the same bill, in whatever order. A client bears the trips
-that made its answer, and those that it left; the house bears those that broke, failed or were repeated. Times are UTC.`,
+		Use: "bill --ledger DIR --channel C --from TIME --to TIME", Args: cobra.NoArgs,
+		Short: "Sum what a tenant's requests cost",
+		Long: `Bill sums the records of any number of ledgers; the same records give the same bill, in whatever order. A
+client is charged for the attempts that produced its answer and for those that it abandoned; the operator bears those
+that broke, failed or were repeated. Times are UTC.`,
 		Example: "  sloetrestle bill --ledger 'ledgers/*' --channel web-app --from 2026-12-01 --to 2027-01-01 --csv",
 		RunE: markErrors(func(cmd *cobra.Command, _ []string) error {
 			begin, err := parseTime("from", from, time.UnixMilli(0))
@@ -109,17 +114,17 @@
 			if err != nil {
 				return err
 			}
-			s, err := f.readSheet(cmd.ErrOrStderr())
+			sheet, err := ledgers.readSheet(cmd.ErrOrStderr())
 			if err != nil {
 				return err
 			}
-			return printBill(cmd.OutOrStdout(), s.Bill(channel, begin, end), asCSV, asJSON)
+			return printBill(cmd.OutOrStdout(), sheet.Bill(tenant, begin, end), asCSV, asJSON)
 		}),
 	}
-	f.register(c)
-	c.Flags().StringVar(&channel, "channel", "", "channel; all where it is left out")
-	c.Flags().StringVar(&from, "from", "", "first moment, such as 2026-12-01")
-	c.Flags().StringVar(&to, "to", "", "moment after the last")
+	ledgers.register(c)
+	c.Flags().StringVar(&tenant, "channel", "", "tenant; all tenants if not given")
+	c.Flags().StringVar(&from, "from", "", "start of the period, such as 2026-12-01")
+	c.Flags().StringVar(&to, "to", "", "end of the period (exclusive)")
 	c.Flags().BoolVar(&asCSV, "csv", false, "print CSV")
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	c.MarkFlagsMutuallyExclusive("csv", "json")
@@ -128,129 +133,136 @@
 }
 
 func printBill(out io.Writer, lines []ledger.Line, asCSV, asJSON bool) error {
-	head := []string{"channel", "grade", "cause", "questions", "trips", "read_tokens", "kept_tokens", "answer_tokens", "unproven_trips"}
+	header := []string{
+		"channel", "grade", "cause", "questions", "trips", "read_tokens", "kept_tokens", "answer_tokens", "unproven_trips",
+	}
 	row := func(l ledger.Line) []string {
-		return []string{l.Channel, l.Grade, string(l.Cause), strconv.Itoa(l.Questions), strconv.Itoa(l.Trips), strconv.Itoa(l.Read), strconv.Itoa(l.Kept),
-			strconv.Itoa(l.Answer), strconv.Itoa(l.Unproven)}
+		return []string{
+			l.Channel, l.Grade, string(l.Cause), strconv.Itoa(l.Questions), strconv.Itoa(l.Trips), strconv.Itoa(l.Read),
+			strconv.Itoa(l.Kept), strconv.Itoa(l.Answer), strconv.Itoa(l.Unproven),
+		}
 	}
 	switch {
 	case asJSON:
 		return json.NewEncoder(out).Encode(lines)
 	case asCSV:
 		w := csv.NewWriter(out)
-		w.Write(head)
-		for _, l := range lines {
-			w.Write(row(l))
+		w.Write(header)
+		for _, line := range lines {
+			w.Write(row(line))
 		}
 		w.Flush()
 		return w.Error()
 	}
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for i, name := range head {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	for i, name := range header {
 		if i > 0 {
-			fmt.Fprint(w, "\t")
+			fmt.Fprint(table, "\t")
 		}
-		fmt.Fprint(w, name)
+		fmt.Fprint(table, name)
 	}
-	fmt.Fprintln(w)
-	for _, l := range lines {
-		for i, cell := range row(l) {
+	fmt.Fprintln(table)
+	for _, line := range lines {
+		for i, cell := range row(line) {
 			if i > 0 {
-				fmt.Fprint(w, "\t")
+				fmt.Fprint(table, "\t")
 			}
-			fmt.Fprint(w, cell)
+			fmt.Fprint(table, cell)
 		}
-		fmt.Fprintln(w)
+		fmt.Fprintln(table)
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
 func disputeCommand() *cobra.Command {
-	var f ledgerFlags
+	var ledgers ledgerFlags
 	var asJSON bool
 	c := &cobra.Command{
-		Use: "dispute ID --ledger DIR", Short: "Show every trip of one question, by its id or key, with its proof", Args: cobra.ExactArgs(1),
+		Use: "dispute ID --ledger DIR", Args: cobra.ExactArgs(1),
+		Short: "Show every attempt of one request, given by its id or key, with the proof of its cost",
 		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
-			s, err := f.readSheet(cmd.ErrOrStderr())
+			sheet, err := ledgers.readSheet(cmd.ErrOrStderr())
 			if err != nil {
 				return err
 			}
-			questions, proofs := s.Dispute(args[0])
-			if len(questions)+len(proofs) == 0 {
-				return fmt.Errorf("no question %q is in these ledgers", args[0])
+			requests, attempts := sheet.Dispute(args[0])
+			if len(requests)+len(attempts) == 0 {
+				return fmt.Errorf("these ledgers have no request with id or key %q", args[0])
 			}
 			if asJSON {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(map[string]any{"questions": questions, "trips": proofs})
+				return json.NewEncoder(cmd.OutOrStdout()).Encode(map[string]any{"questions": requests, "trips": attempts})
 			}
 			out := cmd.OutOrStdout()
-			for _, r := range questions {
-				q := r.Question
-				fmt.Fprintf(out, "question %s (id %q) of channel %s, grade %s: %s at %s, %d prompt tokens, %d trips", q.Key, q.Mark, q.Channel, q.Grade, q.Final,
-					time.UnixMilli(r.At).UTC().Format(time.RFC3339), q.Prompt, q.Trips)
-				if q.Why != "" {
-					fmt.Fprintf(out, " (%s)", q.Why)
+			for _, r := range requests {
+				request := r.Question
+				fmt.Fprintf(out, "question %s (id %q) of channel %s, grade %s: %s at %s, %d prompt tokens, %d trips",
+					request.Key, request.Mark, request.Channel, request.Grade, request.Final,
+					time.UnixMilli(r.At).UTC().Format(time.RFC3339), request.Prompt, request.Trips)
+				if request.Why != "" {
+					fmt.Fprintf(out, " (%s)", request.Why)
 				}
 				fmt.Fprintln(out)
 			}
-			w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-			fmt.Fprintln(w, "question\ttrip\tbox\tstage\tend\tborne by\tread\tkept\tanswer\tproof")
-			for _, p := range proofs {
-				proof := fmt.Sprintf("count %d of the box for %s", p.Number, p.Epoch)
-				if !p.Proven() {
+			table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+			fmt.Fprintln(table, "question\ttrip\tbox\tstage\tend\tborne by\tread\tkept\tanswer\tproof")
+			for _, a := range attempts {
+				proof := fmt.Sprintf("count %d of the box for %s", a.Number, a.Epoch)
+				if !a.Proven() {
 					proof = "none: the box could not be asked; as the dispatcher saw it"
 				}
-				fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n", p.Key, p.Trip.Trip, p.Box, p.Stage, p.End, p.Cause, p.Read, p.Kept, p.Answer, proof)
+				fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n",
+					a.Key, a.Trip.Trip, a.Box, a.Stage, a.End, a.Cause, a.Read, a.Kept, a.Answer, proof)
 			}
-			return w.Flush()
+			return table.Flush()
 		}),
 	}
-	f.register(c)
+	ledgers.register(c)
 	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
 	return c
 }
 
 func ledgerCommand() *cobra.Command {
 	c := &cobra.Command{Use: "ledger", Short: "Verify, compact or dump ledgers"}
-	var v, d, k ledgerFlags
+	var verifyFlags, dumpFlags, compactFlags ledgerFlags
 	verify := &cobra.Command{
-		Use: "verify --ledger DIR", Short: "Check every record's seal and place", Args: cobra.NoArgs,
+		Use: "verify --ledger DIR", Short: "Check every record's seal and position", Args: cobra.NoArgs,
 		RunE: markErrors(func(cmd *cobra.Command, _ []string) error {
-			list, key, err := v.resolve()
+			folders, key, err := verifyFlags.resolve()
 			if err != nil {
 				return err
 			}
-			bad := false
-			for _, folder := range list {
-				n := 0
-				damage, err := ledger.Read(folder, key, func(ledger.Record) error { n++; return nil })
+			damaged := false
+			for _, folder := range folders {
+				records := 0
+				damages, err := ledger.Read(folder, key, func(ledger.Record) error { records++; return nil })
 				if err != nil {
 					return err
 				}
-				for _, d := range damage {
-					word := "damaged"
-					if d.Torn {
-						word = "torn end, of which nobody was told that it stands"
+				for _, damage := range damages {
+					what := "damaged"
+					if damage.Torn {
+						what = "torn end, of a record that was never acknowledged"
 					}
-					bad = bad || !d.Torn
-					fmt.Fprintf(cmd.OutOrStdout(), "%s: %s: %s\n", folder, word, d)
+					damaged = damaged || !damage.Torn
+					fmt.Fprintf(cmd.OutOrStdout(), "%s: %s: %s\n", folder, what, damage)
 				}
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: %d records are whole\n", folder, n)
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: %d records are whole\n", folder, records)
 			}
-			if bad {
+			if damaged {
 				return errViolation
 			}
 			return nil
 		}),
 	}
-	v.register(verify)
+	verifyFlags.register(verify)
 	compact := &cobra.Command{
-		Use: "compact --ledger DIR", Short: "Fold closed segments into the store now", Args: cobra.NoArgs,
+		Use: "compact --ledger DIR", Short: "Compact closed segments into the store now", Args: cobra.NoArgs,
 		RunE: markErrors(func(cmd *cobra.Command, _ []string) error {
-			list, key, err := k.resolve()
+			folders, key, err := compactFlags.resolve()
 			if err != nil {
 				return err
 			}
-			for _, folder := range list {
+			for _, folder := range folders {
 				last, err := ledger.Last(folder)
 				if err != nil {
 					return err
@@ -264,40 +276,40 @@
 			return nil
 		}),
 	}
-	k.register(compact)
+	compactFlags.register(compact)
 	dump := &cobra.Command{
 		Use: "dump --ledger DIR", Short: "Print every record as a line of JSON", Args: cobra.NoArgs,
 		RunE: markErrors(func(cmd *cobra.Command, _ []string) error {
-			list, key, err := d.resolve()
+			folders, key, err := dumpFlags.resolve()
 			if err != nil {
 				return err
 			}
-			enc := json.NewEncoder(cmd.OutOrStdout())
-			for _, folder := range list {
-				damage, err := ledger.Read(folder, key, func(r ledger.Record) error { return enc.Encode(r) })
+			encoder := json.NewEncoder(cmd.OutOrStdout())
+			for _, folder := range folders {
+				damages, err := ledger.Read(folder, key, func(r ledger.Record) error { return encoder.Encode(r) })
 				if err != nil {
 					return err
 				}
-				for _, x := range damage {
-					fmt.Fprintf(cmd.ErrOrStderr(), "%s: %s\n", folder, x)
+				for _, damage := range damages {
+					fmt.Fprintf(cmd.ErrOrStderr(), "%s: %s\n", folder, damage)
 				}
 			}
 			return nil
 		}),
 	}
-	d.register(dump)
+	dumpFlags.register(dump)
 	c.AddCommand(verify, compact, dump)
 	return c
 }
 
-// postChange sends a change to an operators' address.
-func postChange(address, path string, v any) error {
+// postChange sends a change as JSON to path at a dispatcher's operator address.
+func postChange(address, path string, change any) error {
 	client, err := newClient(address)
 	if err != nil {
 		return err
 	}
 	defer client.CloseIdleConnections()
-	raw, err := json.Marshal(v)
+	raw, err := json.Marshal(change)
 	if err != nil {
 		return err
 	}
@@ -307,61 +319,69 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode >= 300 {
-		var f struct{ Error string }
-		json.NewDecoder(io.LimitReader(resp.Body, 64<<10)).Decode(&f)
-		if resp.StatusCode == http.StatusMethodNotAllowed || resp.StatusCode == http.StatusNotFound && f.Error == "" {
-			return errors.New("this is no operators' address of a dispatcher (dispatcher.operators)")
+		var reply struct{ Error string }
+		json.NewDecoder(io.LimitReader(resp.Body, 64<<10)).Decode(&reply)
+		// An address that serves clients only answers that it does not know the path or the method.
+		if resp.StatusCode == http.StatusMethodNotAllowed || resp.StatusCode == http.StatusNotFound && reply.Error == "" {
+			return errors.New("this is not an operator address of a dispatcher (dispatcher.operators)")
 		}
-		return fmt.Errorf("%s: %s", resp.Status, f.Error)
+		return fmt.Errorf("%s: %s", resp.Status, reply.Error)
 	}
 	return nil
 }
 
 func budgetCommand() *cobra.Command {
-	c := &cobra.Command{Use: "budget", Short: "Show or change budgets, at an operators' address of a dispatcher"}
+	c := &cobra.Command{Use: "budget", Short: "Show or change token budgets, at an operator address of a dispatcher"}
 	show := &cobra.Command{
-		Use: "show ADDRESS", Short: "Show the budgets that a dispatcher keeps, and its purses", Args: cobra.ExactArgs(1),
+		Use: "show ADDRESS", Args: cobra.ExactArgs(1),
+		Short: "Show the token budgets that a dispatcher owns, and its leases of budgets",
 		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
-			var seen struct{ Budgets dispatch.BudgetState }
-			if err := fetchState(args[0], &seen); err != nil {
+			var state struct{ Budgets dispatch.BudgetState }
+			if err := fetchState(args[0], &state); err != nil {
 				return err
 			}
-			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-			fmt.Fprintln(w, "kept here\tmonthly\tgranted\tborrow\tdebt\tlent\tleft\ttokens a second\tin the bucket\tholders")
-			for _, k := range seen.Budgets.Owned {
-				fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\n", k.Name, k.Monthly, k.Granted, k.Borrow, k.Debt, k.Lent, k.Left, k.PerS, k.Bucket, k.Holders)
+			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
+			fmt.Fprintln(table, "kept here\tmonthly\tgranted\tborrow\tdebt\tlent\tleft\ttokens a second\tin the bucket\tholders")
+			for _, owned := range state.Budgets.Owned {
+				fmt.Fprintf(table, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\n",
+					owned.Name, owned.Monthly, owned.Granted, owned.Borrow, owned.Debt,
+					owned.Lent, owned.Left, owned.PerS, owned.Bucket, owned.Holders)
 			}
-			fmt.Fprintln(w, "\npurse\tfree\treserved\tused\tpassed\tdeclined\twaited\tin emergency\tkeeper silent")
-			for _, p := range seen.Budgets.Budgets {
-				fmt.Fprintf(w, "%s\t%.0f\t%.0f\t%.0f\t%d\t%d\t%d\t%.0f\t%v\n", p.Name, p.Free, p.Reserved, p.Used, p.Passed, p.Declined, p.Waited, p.Own, p.Silent)
+			fmt.Fprintln(table, "\npurse\tfree\treserved\tused\tpassed\tdeclined\twaited\tin emergency\tkeeper silent")
+			for _, leased := range state.Budgets.Budgets {
+				fmt.Fprintf(table, "%s\t%.0f\t%.0f\t%.0f\t%d\t%d\t%d\t%.0f\t%v\n", leased.Name, leased.Free, leased.Reserved,
+					leased.Used, leased.Passed, leased.Declined, leased.Waited, leased.Own, leased.Silent)
 			}
-			return w.Flush()
+			return table.Flush()
 		}),
 	}
 	grant := &cobra.Command{
-		Use: "grant ADDRESS NAME TOKENS", Short: "Add tokens to a budget's present month, at the dispatcher that keeps it", Args: cobra.ExactArgs(3),
+		Use: "grant ADDRESS NAME TOKENS", Args: cobra.ExactArgs(3),
+		Short:   "Add tokens to a budget for the current month, at the dispatcher that owns it",
 		Example: "  sloetrestle budget grant unix:/run/d0-ops.sock web-app 50000",
 		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
 			tokens, err := strconv.ParseFloat(args[2], 64)
 			if err != nil || !(tokens > 0) {
-				return fmt.Errorf("TOKENS: %q is no number above 0", args[2])
+				return fmt.Errorf("TOKENS: %q is not a number above 0", args[2])
 			}
 			return postChange(args[0], "/budget", dispatch.BudgetChange{Name: args[1], Grant: tokens})
 		}),
 	}
-	t := budget.Terms{}
+	terms := budget.Terms{}
 	set := &cobra.Command{
-		Use: "set ADDRESS NAME", Short: "Change a budget's terms while it runs, at the dispatcher that keeps it", Args: cobra.ExactArgs(2),
-		Long:    "Set changes all four figures; a limit of -1 is none. The change is written to the ledger and goes before the file from then on.",
+		Use: "set ADDRESS NAME", Args: cobra.ExactArgs(2),
+		Short: "Change a budget's limits at run time, at the dispatcher that owns it",
+		Long: `Set replaces all four values; -1 means no limit. The change is written to the ledger and takes precedence over
+the configuration file from then on.`,
 		Example: "  sloetrestle budget set 127.0.0.1:8190 web-app --monthly 2000000 --tokens-a-second -1",
 		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
-			return postChange(args[0], "/budget", dispatch.BudgetChange{Name: args[1], Set: &t})
+			return postChange(args[0], "/budget", dispatch.BudgetChange{Name: args[1], Set: &terms})
 		}),
 	}
-	set.Flags().Float64Var(&t.PerS, "tokens-a-second", -1, "over all dispatchers; -1: no limit")
-	set.Flags().Float64Var(&t.Burst, "burst", 0, "tokens")
-	set.Flags().Float64Var(&t.Monthly, "monthly", -1, "tokens a month; -1: no limit")
-	set.Flags().Float64Var(&t.Borrow, "borrow", 0, "tokens of the next month's, at most")
+	set.Flags().Float64Var(&terms.PerS, "tokens-a-second", -1, "over all dispatchers; -1: no limit")
+	set.Flags().Float64Var(&terms.Burst, "burst", 0, "tokens")
+	set.Flags().Float64Var(&terms.Monthly, "monthly", -1, "tokens per month; -1: no limit")
+	set.Flags().Float64Var(&terms.Borrow, "borrow", 0, "most tokens that may be borrowed from the next month")
 	c.AddCommand(show, grant, set)
 	return c
 }
--- a/cmd/sloetrestle/experiment.go
+++ b/cmd/sloetrestle/experiment.go
@@ -15,30 +15,38 @@
 
 func experimentCommand() *cobra.Command {
 	var file string
-	c := &cobra.Command{Use: "experiment", Short: "Run days many times, one thing varied at a time, and keep the figures"}
-	c.PersistentFlags().StringVar(&file, "store", "experiments.db", "the file that keeps them")
-	with := func(do func(cmd *cobra.Command, s *experiment.Store, args []string) error) func(*cobra.Command, []string) error {
+	c := &cobra.Command{
+		Use: "experiment", Short: "Run scenarios repeatedly with one setting varied at a time, and store the results",
+	}
+	c.PersistentFlags().StringVar(&file, "store", "experiments.db", "file that stores the results")
+	withStore := func(
+		do func(cmd *cobra.Command, store *experiment.Store, args []string) error,
+	) func(*cobra.Command, []string) error {
 		return markErrors(func(cmd *cobra.Command, args []string) error {
-			s, err := experiment.OpenStore(file)
+			store, err := experiment.OpenStore(file)
 			if err != nil {
 				return err
 			}
-			defer s.Close()
-			return do(cmd, s, args)
+			defer store.Close()
+			return do(cmd, store, args)
 		})
 	}
-	runs := func(do func(cmd *cobra.Command, runs []experiment.Run, args []string) error) func(*cobra.Command, []string) error {
-		return with(func(cmd *cobra.Command, s *experiment.Store, args []string) error {
-			all, err := s.Runs(args[0])
+	withRuns := func(
+		do func(cmd *cobra.Command, runs []experiment.Run, args []string) error,
+	) func(*cobra.Command, []string) error {
+		return withStore(func(cmd *cobra.Command, store *experiment.Store, args []string) error {
+			runs, err := store.Runs(args[0])
 			if err != nil {
 				return err
 			}
-			return do(cmd, all, args)
+			return do(cmd, runs, args)
 		})
 	}
-	run := &cobra.Command{Use: "run PLAN.toml", Short: "Run what a plan lacks; one that was interrupted goes on", Args: cobra.ExactArgs(1),
-		RunE: with(func(cmd *cobra.Command, s *experiment.Store, args []string) error {
-			p, err := experiment.LoadPlan(args[0])
+	run := &cobra.Command{
+		Use: "run PLAN.toml", Args: cobra.ExactArgs(1),
+		Short: "Run what is missing from a plan; an interrupted plan is resumed",
+		RunE: withStore(func(cmd *cobra.Command, store *experiment.Store, args []string) error {
+			plan, err := experiment.LoadPlan(args[0])
 			if err != nil {
 				return err
 			}
@@ -47,69 +55,87 @@
 				return err
 			}
 			stage := day.Stage{Serve: []string{self, "serve", "--level", "warn", "--config"}}
-			return experiment.Do(cmd.Context(), s, p, dispatch.Version, stage, func(f string, a ...any) { fmt.Fprintf(cmd.ErrOrStderr(), f+"\n", a...) })
-		})}
-	list := &cobra.Command{Use: "list", Short: "List the experiments", Args: cobra.NoArgs, RunE: with(func(cmd *cobra.Command, s *experiment.Store, _ []string) error {
-		names, n, err := s.Names()
-		for _, name := range names {
-			fmt.Fprintf(cmd.OutOrStdout(), "%-30s %d runs\n", name, n[name])
-		}
-		return err
-	})}
-	var names []string
-	show := &cobra.Command{Use: "show NAME", Short: "A table of medians, with their spread over the repeats", Args: cobra.ExactArgs(1),
-		RunE: runs(func(cmd *cobra.Command, all []experiment.Run, _ []string) error {
-			return experiment.Table(cmd.OutOrStdout(), all, names)
-		})}
-	show.Flags().StringSliceVar(&names, "figures", []string{"service", "first_p50_ms", "first_p99_ms", "declined"}, "which figures")
+			return experiment.Do(cmd.Context(), store, plan, dispatch.Version, stage, func(format string, a ...any) {
+				fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", a...)
+			})
+		}),
+	}
+	list := &cobra.Command{
+		Use: "list", Short: "List the experiments", Args: cobra.NoArgs,
+		RunE: withStore(func(cmd *cobra.Command, store *experiment.Store, _ []string) error {
+			names, runCounts, err := store.Names()
+			for _, name := range names {
+				fmt.Fprintf(cmd.OutOrStdout(), "%-30s %d runs\n", name, runCounts[name])
+			}
+			return err
+		}),
+	}
+	var figures []string
+	show := &cobra.Command{
+		Use: "show NAME", Short: "Print a table of medians with their spread over the repeats", Args: cobra.ExactArgs(1),
+		RunE: withRuns(func(cmd *cobra.Command, runs []experiment.Run, _ []string) error {
+			return experiment.Table(cmd.OutOrStdout(), runs, figures)
+		}),
+	}
+	show.Flags().StringSliceVar(&figures, "figures", []string{"service", "first_p50_ms", "first_p99_ms", "declined"},
+		"figures to print")
 	var by, figure string
-	compare := &cobra.Command{Use: "compare NAME --by KEY", Short: "Set each value of a key beside the first, and tell whether the difference exceeds the noise", Args: cobra.ExactArgs(1),
-		RunE: runs(func(cmd *cobra.Command, all []experiment.Run, _ []string) error {
-			diffs, err := experiment.Compare(all, by, figure)
+	compare := &cobra.Command{
+		Use: "compare NAME --by KEY", Args: cobra.ExactArgs(1),
+		Short: "Compare each value of a key with the first, and say whether the difference exceeds the noise",
+		RunE: withRuns(func(cmd *cobra.Command, runs []experiment.Run, _ []string) error {
+			diffs, err := experiment.Compare(runs, by, figure)
 			if err != nil {
 				return err
 			}
-			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
-			fmt.Fprintf(w, "alike\t%s\tagainst\t%s\t\tdifference\tbeyond the noise\n", by, figure)
+			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
+			fmt.Fprintf(table, "alike\t%s\tagainst\t%s\t\tdifference\tbeyond the noise\n", by, figure)
 			for _, d := range diffs {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%.3f\t%.3f\t%+.3f\t%v\n", d.Setting, d.This, d.Than, d.Medians[1], d.Medians[0], d.Medians[1]-d.Medians[0], d.Beyond)
+				fmt.Fprintf(table, "%s\t%s\t%s\t%.3f\t%.3f\t%+.3f\t%v\n", d.Setting, d.This, d.Than, d.Medians[1], d.Medians[0],
+					d.Medians[1]-d.Medians[0], d.Beyond)
 			}
-			return w.Flush()
-		})}
-	compare.Flags().StringVar(&by, "by", "policy", "the key")
-	compare.Flags().StringVar(&figure, "figure", "service", "the figure")
-	var x, lines, out, title string
+			return table.Flush()
+		}),
+	}
+	compare.Flags().StringVar(&by, "by", "policy", "key whose values are compared")
+	compare.Flags().StringVar(&figure, "figure", "service", "figure to compare")
+	var xKey, linesKey, output, title string
 	var where []string
-	chart := &cobra.Command{Use: "chart NAME --x KEY -o FILE.svg", Short: "Draw medians with their spread", Args: cobra.ExactArgs(1),
-		RunE: runs(func(cmd *cobra.Command, all []experiment.Run, args []string) error {
+	chart := &cobra.Command{
+		Use: "chart NAME --x KEY -o FILE.svg", Short: "Draw medians with their spread", Args: cobra.ExactArgs(1),
+		RunE: withRuns(func(cmd *cobra.Command, runs []experiment.Run, args []string) error {
 			if title == "" {
 				title = args[0] + " (emulated)"
 			}
-			for _, w := range where {
-				key, value, _ := strings.Cut(w, "=")
-				var some []experiment.Run
-				for _, r := range all {
+			for _, condition := range where {
+				key, value, _ := strings.Cut(condition, "=")
+				var matching []experiment.Run
+				for _, r := range runs {
 					if r.Setting[key] == value {
-						some = append(some, r)
+						matching = append(matching, r)
 					}
 				}
-				all = some
+				runs = matching
 			}
-			if x == "second" {
-				return experiment.Over(all, figure, lines, out, title)
+			if xKey == "second" {
+				return experiment.Over(runs, figure, linesKey, output, title)
 			}
-			return experiment.Chart(all, x, figure, lines, out, title)
-		})}
-	chart.Flags().StringVar(&x, "x", "", "the key along the chart; second: the figure share or tries over the seconds of the day")
-	chart.Flags().StringVar(&figure, "figure", "service", "the figure")
-	chart.Flags().StringVar(&lines, "lines", "policy", "a line for each value of this key")
+			return experiment.Chart(runs, xKey, figure, linesKey, output, title)
+		}),
+	}
+	chart.Flags().StringVar(&xKey, "x", "",
+		"key on the x axis; second: the figure share or tries over the seconds of the scenario")
+	chart.Flags().StringVar(&figure, "figure", "service", "figure to draw")
+	chart.Flags().StringVar(&linesKey, "lines", "policy", "key whose values get a line each")
 	chart.Flags().StringSliceVar(&where, "where", nil, "only runs with KEY=VALUE")
-	chart.Flags().StringVarP(&out, "output", "o", "chart.svg", "file, .svg or .png")
-	chart.Flags().StringVar(&title, "title", "", "title")
-	export := &cobra.Command{Use: "export NAME", Short: "All runs as CSV", Args: cobra.ExactArgs(1),
-		RunE: runs(func(cmd *cobra.Command, all []experiment.Run, _ []string) error {
-			return experiment.CSV(cmd.OutOrStdout(), all)
-		})}
+	chart.Flags().StringVarP(&output, "output", "o", "chart.svg", "file to write, .svg or .png")
+	chart.Flags().StringVar(&title, "title", "", "title of the chart")
+	export := &cobra.Command{
+		Use: "export NAME", Short: "Print all runs as CSV", Args: cobra.ExactArgs(1),
+		RunE: withRuns(func(cmd *cobra.Command, runs []experiment.Run, _ []string) error {
+			return experiment.CSV(cmd.OutOrStdout(), runs)
+		}),
+	}
 	c.AddCommand(run, list, show, compare, chart, export)
 	return c
 }
--- a/cmd/sloetrestle/load.go
+++ b/cmd/sloetrestle/load.go
@@ -19,103 +19,120 @@
 )
 
 func loadCommand() *cobra.Command {
-	var to []string
+	var addrs []string
 	var trace string
-	var seconds, times float64
+	var seconds, rateFactor float64
 	var asJSON bool
 	c := &cobra.Command{
-		Use: "load DAY.toml --to ADDRESS[,ADDRESS]", Short: "Ask running dispatchers, open loop, what a day or a trace says", Args: cobra.ExactArgs(1),
-		Long: `Load asks what the day's traffic says, or a trace's arrivals (CSV with a header, or JSON lines: at_ms, grade,
-tokens, shared, shared_tokens, session, max_tokens, channel). Arrivals never wait for answers, and times count from when a
-question was due. Bursts, leaving and slow clients of the day's troubles are played; those of boxes are not.`,
-		Example: "  sloetrestle box examples/quiet.toml --list 127.0.0.1:8000 &\n  sloetrestle serve --config d.toml &\n  sloetrestle load examples/quiet.toml --to 127.0.0.1:8100",
+		Use:   "load DAY.toml --to ADDRESS[,ADDRESS]",
+		Short: "Send the traffic of a scenario or a trace to running dispatchers, open loop", Args: cobra.ExactArgs(1),
+		Long: `Load sends the scenario's traffic, or a trace's arrivals (CSV with a header, or JSON lines: at_ms, grade,
+tokens, shared, shared_tokens, session, max_tokens, channel). Arrivals never wait for answers, and latencies count
+from the time a request was due. The scenario's bursts, clients that leave and slow clients are played; faults of
+backends are not.`,
+		Example: "  sloetrestle box examples/quiet.toml --list 127.0.0.1:8000 &\n" +
+			"  sloetrestle serve --config d.toml &\n" +
+			"  sloetrestle load examples/quiet.toml --to 127.0.0.1:8100",
 		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
-			d, err := day.Load(args[0])
+			scenario, err := day.Load(args[0])
 			if err != nil {
 				return err
 			}
-			d.Head.PerS *= times
+			scenario.Head.PerS *= rateFactor
 			if seconds > 0 {
-				d.Head.Length = setup.Span(time.Duration(seconds * float64(time.Second)))
+				scenario.Head.Length = setup.Span(time.Duration(seconds * float64(time.Second)))
 			}
-			wishes := d.Plan()
+			requests := scenario.Plan()
 			if trace != "" {
-				if wishes, err = load.ReadTrace(trace, d.Terms); err != nil {
+				if requests, err = load.ReadTrace(trace, scenario.Terms); err != nil {
 					return err
 				}
 			}
-			f, err := load.Run(cmd.Context(), d.Model, to, wishes, func(format string, a ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", a...) })
-			if err != nil && f == nil {
+			results, err := load.Run(cmd.Context(), scenario.Model, addrs, requests, func(format string, a ...any) {
+				fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", a...)
+			})
+			if err != nil && results == nil {
 				return err
 			}
 			if asJSON {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(f)
+				return json.NewEncoder(cmd.OutOrStdout()).Encode(results)
 			}
-			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', tabwriter.AlignRight)
-			fmt.Fprintln(w, "grade\tasked\tin time\tsatisfied\tdeclined\tforfeited\tcut\tleft\tp50 ms\tp90 ms\tp99 ms\tmost ms\t")
-			for _, x := range f {
-				fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", x.Grade, x.Asked, x.InTime, x.Satisfied, x.Declined, x.Forfeited, x.Cut, x.Quit, x.P50, x.P90, x.P99, x.Most)
+			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', tabwriter.AlignRight)
+			fmt.Fprintln(table, "grade\tasked\tin time\tsatisfied\tdeclined\tforfeited\tcut\tleft\t"+
+				"p50 ms\tp90 ms\tp99 ms\tmost ms\t")
+			for _, s := range results {
+				fmt.Fprintf(table, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t\n", s.Class, s.Sent, s.InTime,
+					s.Served, s.Rejected, s.Failed, s.Cut, s.Abandoned, s.P50, s.P90, s.P99, s.Max)
 			}
-			return w.Flush()
+			return table.Flush()
 		}),
 	}
-	c.Flags().StringSliceVar(&to, "to", []string{"127.0.0.1:8100"}, "dispatchers to ask, in turn")
-	c.Flags().StringVar(&trace, "trace", "", "arrivals from a file in place of the day's")
-	c.Flags().Float64Var(&seconds, "seconds", 0, "length in place of the day's")
-	c.Flags().Float64Var(&times, "times", 1, "so many times the day's questions a second")
-	c.Flags().BoolVar(&asJSON, "json", false, "print the figures as JSON")
+	c.Flags().StringSliceVar(&addrs, "to", []string{"127.0.0.1:8100"}, "dispatchers to send to, in turn")
+	c.Flags().StringVar(&trace, "trace", "", "file of arrivals to send in place of the scenario's traffic")
+	c.Flags().Float64Var(&seconds, "seconds", 0, "length in place of the scenario's")
+	c.Flags().Float64Var(&rateFactor, "times", 1, "factor on the scenario's requests per second")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the results as JSON")
 	return c
 }
 
-// emulateCommand serves a day's emulated boxes and their list until it is stopped, for dispatchers that are tried by hand.
+// emulateCommand serves the emulated backends of a scenario and their service discovery until it is stopped, for
+// dispatchers that are started by hand.
 func emulateCommand() *cobra.Command {
-	var list string
+	var discoveryAddr string
 	var port int
 	c := &cobra.Command{
-		Use: "box DAY.toml", Short: "Serve a day's emulated boxes and their list, until stopped", Args: cobra.ExactArgs(1),
+		Use:   "box DAY.toml",
+		Short: "Serve a scenario's emulated backends and their service discovery until stopped", Args: cobra.ExactArgs(1),
 		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
-			d, err := day.Load(args[0])
+			scenario, err := day.Load(args[0])
 			if err != nil {
 				return err
 			}
-			return serveBackends(cmd.Context(), d, list, port, func(format string, a ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", a...) })
+			return serveBackends(cmd.Context(), scenario, discoveryAddr, port, func(format string, a ...any) {
+				fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", a...)
+			})
 		}),
 	}
-	c.Flags().StringVar(&list, "list", "127.0.0.1:8000", "where the box list listens")
-	c.Flags().IntVar(&port, "port", 8200, "the first box's port; the others follow")
+	c.Flags().StringVar(&discoveryAddr, "list", "127.0.0.1:8000", "listen address of service discovery")
+	c.Flags().IntVar(&port, "port", 8200, "port of the first backend; the others follow")
 	return c
 }
 
-func serveBackends(ctx context.Context, d day.Day, at string, port int, say func(string, ...any)) error {
-	book, err := record.Open("", record.Head{})
+func serveBackends(
+	ctx context.Context, scenario day.Day, discoveryAddr string, port int, logf func(string, ...any),
+) error {
+	recorder, err := record.Open("", record.Head{})
 	if err != nil {
 		return err
 	}
-	book.Forgets = true // it may run for days
+	recorder.Forgets = true // bounds memory: the command may run for days
 	talk := map[string]standin.Talk{}
-	for _, t := range d.Traffic {
-		talk[t.Grade] = d.TalkOf(t.Grade)
+	for _, t := range scenario.Traffic {
+		talk[t.Grade] = scenario.TalkOf(t.Grade)
 	}
-	fleet := standin.NewFleet(d.Terms, book, standin.Links{Near: d.Links.Near, Far: d.Links.Far, Zone: d.Links.Zone}, talk)
+	fleet := standin.NewFleet(scenario.Terms, recorder,
+		standin.Links{Near: scenario.Links.Near, Far: scenario.Links.Far, Zone: scenario.Links.Zone}, talk)
 	defer fleet.Close()
-	list := fleet.NewList(at)
-	if err := list.Open(); err != nil {
+	discovery := fleet.NewList(discoveryAddr)
+	if err := discovery.Open(); err != nil {
 		return err
 	}
-	defer list.Shut()
-	for _, m := range d.Makes() {
+	defer discovery.Shut()
+	for _, m := range scenario.Makes() {
 		addr := addresses.Spec{Network: addresses.TCP4, Addr: fmt.Sprintf("127.0.0.1:%d", port)}
 		port++
-		b := fleet.NewBox(standin.Make{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Seed: d.Head.Seed, Engine: m.Engine,
-			Addresses: []addresses.Spec{addr}})
-		if err := b.Boot(false); err != nil {
+		backend := fleet.NewBox(standin.Make{
+			Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Seed: scenario.Head.Seed,
+			Engine: m.Engine, Addresses: []addresses.Spec{addr},
+		})
+		if err := backend.Boot(false); err != nil {
 			return err
 		}
-		defer b.Kill("stopped")
-		list.Publish(b, boxlist.Ready, 0)
-		say("%-12s %-7s %s", m.Name, m.Role, addr)
+		defer backend.Kill("stopped")
+		discovery.Publish(backend, boxlist.Ready, 0)
+		logf("%-12s %-7s %s", m.Name, m.Role, addr)
 	}
-	say("the list is at %s; these boxes are emulated", at)
+	logf("service discovery listens at %s; these backends are emulated", discoveryAddr)
 	<-ctx.Done()
 	return nil
 }
--- a/cmd/sloetrestle/main.go
+++ b/cmd/sloetrestle/main.go
@@ -1,4 +1,6 @@
-// Sloetrestle routes questions to language-model servers that read prompts and write answers apart.
+// Sloetrestle routes LLM requests to backends that run prefill and decode separately. This command runs a dispatcher,
+// plays scenarios against real dispatcher processes, and prints their state, bills and measurements; the work itself
+// is in the packages under internal. Begin with rootCommand.
 package main
 
 import (
@@ -19,13 +21,14 @@
 
 // Exit codes.
 const (
-	exitOK   = 0
-	exitFailed = 1 // a rule was broken, or a check failed
-	exitUsage = 2
+	exitOK     = 0
+	exitFailed = 1 // a rule was violated, a check failed, or the command's work failed
+	exitUsage  = 2 // wrong arguments or flags
 )
 
-// errViolation ends the program with the code for a broken rule; what it was is told already.
-var errViolation = errors.New("broken")
+// errViolation ends the program with exitFailed and prints nothing: the command has printed the violation or the
+// failed check.
+var errViolation = errors.New("a rule was violated or a check failed")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -33,7 +36,7 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run is the program but for its process.
+// run executes the command line and returns the exit code.
 func run(ctx context.Context, args []string, out, errs io.Writer) int {
 	root := rootCommand()
 	root.SetArgs(args)
@@ -54,13 +57,13 @@
 	return exitUsage
 }
 
-// commandError is an error of the work itself, not of how it was asked for.
+// commandError is an error of a command's work, as opposed to one of its arguments or flags.
 type commandError struct{ err error }
 
-func (f *commandError) Error() string { return f.err.Error() }
-func (f *commandError) Unwrap() error { return f.err }
+func (e *commandError) Error() string { return e.err.Error() }
+func (e *commandError) Unwrap() error { return e.err }
 
-// markErrors marks what goes wrong in a command's work.
+// markErrors wraps the errors of a command's work in commandError, so that they are told from errors of usage.
 func markErrors(do func(cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		err := do(cmd, args)
@@ -74,65 +77,72 @@
 func rootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "sloetrestle",
-		Short: "Route language-model questions to servers that read and write apart",
-		Long: `Sloetrestle routes questions to language-model servers that read prompts and write answers on separate
-engines. Clients and boxes speak KServe v2. "serve" runs one dispatcher; "demo" plays a bad day against
-stand-ins on loopback, with nothing to set up, and judges it by what the sockets carried.
+		Short: "Route LLM requests to backends that run prefill and decode separately",
+		Long: `Sloetrestle routes LLM requests to backends that run prefill and decode on separate engines. Clients and
+backends speak KServe v2. "serve" runs one dispatcher; "demo" plays a scenario with faults against test backends
+on loopback, with nothing to set up, and checks it by the traffic on the sockets.
 
-Exit codes: 0 fine; 1 a rule was broken or something failed; 2 wrong use.`,
+Exit codes: 0 success; 1 a rule was violated or something failed; 2 wrong usage.`,
 		SilenceUsage: true, SilenceErrors: true,
 	}
-	c.AddCommand(serveCommand(), platformCommand(), soakCommand(), soakDispatcherCommand(), demoCommand(), scenarioCommand(), checkCommand(), stateCommand(), backendsCommand(), measureCommand(), experimentCommand(), loadCommand(), emulateCommand(), billCommand(), budgetCommand(), ledgerCommand(), versionCommand())
+	c.AddCommand(serveCommand(), platformCommand(), soakCommand(), soakDispatcherCommand(), demoCommand(),
+		scenarioCommand(), checkCommand(), stateCommand(), backendsCommand(), measureCommand(), experimentCommand(),
+		loadCommand(), emulateCommand(), billCommand(), budgetCommand(), ledgerCommand(), versionCommand())
 	return c
 }
 
 func versionCommand() *cobra.Command {
-	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
-		fmt.Fprintln(cmd.OutOrStdout(), "sloetrestle", dispatch.Version)
-	}}
+	return &cobra.Command{
+		Use: "version", Short: "Print the version", Args: cobra.NoArgs,
+		Run: func(cmd *cobra.Command, _ []string) {
+			fmt.Fprintln(cmd.OutOrStdout(), "sloetrestle", dispatch.Version)
+		},
+	}
 }
 
 func serveCommand() *cobra.Command {
-	var file, form, level string
+	var file, format, level string
 	c := &cobra.Command{
 		Use:   "serve --config FILE",
-		Short: "Run one dispatcher until it is told to stop",
-		Long: `Serve runs one dispatcher. On SIGTERM or SIGINT it declines new questions, lets those it holds end
+		Short: "Run one dispatcher until it is stopped",
+		Long: `Serve runs one dispatcher. On SIGTERM or SIGINT it rejects new requests, lets those in progress finish
 (dispatcher.stop_time at most) and exits with 0. The log goes to standard error.`,
 		Example: "  sloetrestle serve --config dispatcher.toml --log json",
 		Args:    cobra.NoArgs,
 	}
 	c.Flags().StringVarP(&file, "config", "c", "", "the dispatcher's TOML file")
-	c.Flags().StringVar(&form, "log", "text", "form of the log: text or json")
-	c.Flags().StringVar(&level, "level", "info", "least level of the log: debug (a line for each question's end), info, warn, error")
+	c.Flags().StringVar(&format, "log", "text", "format of the log: text or json")
+	c.Flags().StringVar(&level, "level", "info",
+		"lowest level to log: debug (a line for the end of each request), info, warn, error")
 	c.MarkFlagRequired("config")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		log, err := newLogger(cmd.ErrOrStderr(), form, level)
+		log, err := newLogger(cmd.ErrOrStderr(), format, level)
 		if err != nil {
 			return err
 		}
 		return markErrors(func(cmd *cobra.Command, _ []string) error {
-			d, err := setup.Load(file)
+			config, err := setup.Load(file)
 			if err != nil {
 				return err
 			}
-			return dispatch.Serve(cmd.Context(), d, log, nil)
+			return dispatch.Serve(cmd.Context(), config, log, nil)
 		})(cmd, nil)
 	}
 	return c
 }
 
-func newLogger(to io.Writer, form, level string) (*slog.Logger, error) {
-	var least slog.Level
-	if err := least.UnmarshalText([]byte(level)); err != nil {
+// newLogger returns a logger to out; format is text or json. Its errors name the flag that is wrong.
+func newLogger(out io.Writer, format, level string) (*slog.Logger, error) {
+	var minLevel slog.Level
+	if err := minLevel.UnmarshalText([]byte(level)); err != nil {
 		return nil, fmt.Errorf("--level: %w", err)
 	}
-	options := &slog.HandlerOptions{Level: least}
-	switch form {
+	options := &slog.HandlerOptions{Level: minLevel}
+	switch format {
 	case "text":
-		return slog.New(slog.NewTextHandler(to, options)), nil
+		return slog.New(slog.NewTextHandler(out, options)), nil
 	case "json":
-		return slog.New(slog.NewJSONHandler(to, options)), nil
+		return slog.New(slog.NewJSONHandler(out, options)), nil
 	}
-	return nil, fmt.Errorf("--log: %q is neither text nor json", form)
+	return nil, fmt.Errorf("--log: %q is neither text nor json", format)
 }
--- a/cmd/sloetrestle/measure.go
+++ b/cmd/sloetrestle/measure.go
@@ -14,9 +14,9 @@
 	var asJSON bool
 	plan := measure.Plan{}
 	c := &cobra.Command{
-		Use: "measure", Short: "Measure what one dispatcher adds and costs, on this machine", Args: cobra.NoArgs,
-		Long: `Measure runs a dispatcher's process against idle stand-ins, at stated rates, beside the same calls made
-directly, then holds many streams open. It uses loopback only and ends by itself.`,
+		Use: "measure", Short: "Measure what one dispatcher adds to latency and costs, on this machine", Args: cobra.NoArgs,
+		Long: `Measure runs a dispatcher process against idle test backends at fixed rates, sends the same calls to the
+backends directly, then holds many streams open. It uses loopback only and ends by itself.`,
 	}
 	c.RunE = markErrors(func(cmd *cobra.Command, _ []string) error {
 		self, err := os.Executable()
@@ -25,34 +25,38 @@
 		}
 		plan.ServeCommand = []string{self, "serve", "--level", "warn", "--config"}
 		plan.Logf = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
-		f, err := measure.Run(cmd.Context(), plan)
+		report, err := measure.Run(cmd.Context(), plan)
 		if err != nil || !asJSON {
 			return err
 		}
-		return json.NewEncoder(cmd.OutOrStdout()).Encode(f)
+		return json.NewEncoder(cmd.OutOrStdout()).Encode(report)
 	})
 	c.AddCommand(measureAddressesCommand())
-	c.Flags().IntSliceVar(&plan.Rates, "rates", []int{100, 300, 600}, "questions a second, one after the other")
-	c.Flags().Float64Var(&plan.Seconds, "seconds", 5, "length of each rate, twice")
+	c.Flags().IntSliceVar(&plan.Rates, "rates", []int{100, 300, 600}, "requests per second, one rate after the other")
+	c.Flags().Float64Var(&plan.Seconds, "seconds", 5,
+		"length of each rate; each runs twice, directly and through the dispatcher")
 	c.Flags().IntVar(&plan.Streams, "streams", 1000, "streams held open at once")
-	c.Flags().BoolVar(&asJSON, "json", false, "print the figures as JSON")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the results as JSON")
 	return c
 }
 
 func measureAddressesCommand() *cobra.Command {
-	var trips int
+	var attempts int
 	var asJSON bool
 	c := &cobra.Command{
-		Use: "addresses", Short: "Measure trips while one address of a box goes wrong, beside two plain diallers", Args: cobra.NoArgs,
+		Use: "addresses", Args: cobra.NoArgs,
+		Short: "Measure attempts while one address of a backend is faulty, and compare with two simpler dialers",
 		RunE: markErrors(func(cmd *cobra.Command, _ []string) error {
-			ways, err := measure.CompareDialers(cmd.Context(), trips, func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) })
+			results, err := measure.CompareDialers(cmd.Context(), attempts, func(format string, args ...any) {
+				fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...)
+			})
 			if err != nil || !asJSON {
 				return err
 			}
-			return json.NewEncoder(cmd.OutOrStdout()).Encode(ways)
+			return json.NewEncoder(cmd.OutOrStdout()).Encode(results)
 		}),
 	}
-	c.Flags().IntVar(&trips, "trips", 200, "trips for each fault and dialler, one after the other")
-	c.Flags().BoolVar(&asJSON, "json", false, "print the figures as JSON")
+	c.Flags().IntVar(&attempts, "trips", 200, "attempts for each fault and dialer, one after the other")
+	c.Flags().BoolVar(&asJSON, "json", false, "print the results as JSON")
 	return c
 }
--- a/cmd/sloetrestle/platform_test.go
+++ b/cmd/sloetrestle/platform_test.go
@@ -17,6 +17,7 @@
 	"sloetrestle/internal/hosts"
 )
 
+// runMainVariable is the environment variable that has the test binary run main in place of the tests.
 const runMainVariable = "SLOETRESTLE_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -29,18 +30,18 @@
 
 // dispatcherProcess is a dispatcher as the platform starts it, with its backends and discovery.
 type dispatcherProcess struct {
-	t     *testing.T
-	site  *hosts.Site
-	agent *hosts.Agent
-	secondAgent *hosts.Agent // another address of discovery
-	addr    string
+	t           *testing.T
+	site        *hosts.Site
+	agent       *hosts.Agent // discovery that the first configuration names
+	secondAgent *hosts.Agent // discovery at another address, for a reload
+	addr        string
 	configFile  string
-	cmd   *exec.Cmd
-	log   bytes.Buffer
-	exited chan error
+	cmd         *exec.Cmd
+	log         bytes.Buffer
+	exited      chan error
 }
 
-// startDispatcher starts one, which may not be ready yet.
+// startDispatcher starts a dispatcher without waiting until it is ready.
 func startDispatcher(t *testing.T) *dispatcherProcess {
 	t.Helper()
 	p := &dispatcherProcess{t: t, site: hosts.New(), exited: make(chan error, 1)}
@@ -48,16 +49,17 @@
 	p.site.Box("r1", hosts.Reader)
 	p.site.Box("w1", hosts.Writer)
 	p.agent, p.secondAgent = p.site.Agent(), p.site.Agent()
-	free, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.addr = free.Addr().String()
-	free.Close()
+	p.addr = listener.Addr().String()
+	listener.Close()
 	p.configFile = filepath.Join(t.TempDir(), "config.json")
 	p.configure(p.agent.At)
 	p.cmd = exec.Command(os.Args[0], "platform")
-	p.cmd.Env = append(os.Environ(), runMainVariable+"=1", "BALANCER_NAME=n1", "BALANCER_LISTEN="+p.addr, "BALANCER_CONFIG="+p.configFile)
+	p.cmd.Env = append(os.Environ(), runMainVariable+"=1", "BALANCER_NAME=n1", "BALANCER_LISTEN="+p.addr,
+		"BALANCER_CONFIG="+p.configFile)
 	p.cmd.Stderr = &p.log
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
@@ -67,26 +69,28 @@
 	return p
 }
 
-// configure writes the configuration with an address of discovery.
+// configure writes a configuration that names the given address of discovery.
 func (p *dispatcherProcess) configure(discovery string) {
 	p.t.Helper()
-	raw := fmt.Sprintf(`{"name":"n1","discovery":%q,"seed":"8c1f","limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`,
+	raw := fmt.Sprintf(`{"name":"n1","discovery":%q,"seed":"8c1f",`+
+		`"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`,
 		discovery, p.site.List(), hosts.Settings)
 	if !json.Valid([]byte(raw)) {
-		p.t.Fatal("the configuration is no JSON")
+		p.t.Fatalf("the configuration is not valid JSON: %s", raw)
 	}
 	if err := os.WriteFile(p.configFile, []byte(raw), 0o600); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func (p *dispatcherProcess) waitUntil(what string, is func() bool) {
+// waitUntil waits until condition holds and fails the test after 8 s; what names the condition.
+func (p *dispatcherProcess) waitUntil(what string, condition func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(8 * time.Second); !is(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(8 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
 			p.cmd.Process.Kill()
 			<-p.exited
-			p.t.Fatalf("it never came to be that %s\n%s", what, p.log.String())
+			p.t.Fatalf("not within 8 s: %s\n%s", what, p.log.String())
 		}
 	}
 }
@@ -100,8 +104,8 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// request sends a request as the platform's clients do and returns the status of its answer; 0: there was none. Where it crosses the close
-// of a connection that was used before, it is sent once more on a new one.
+// request sends a request as the platform's clients do and returns the status of the response, 0 if there was none. A
+// request that crosses the close of a reused connection is sent once more on a new one.
 func (p *dispatcherProcess) request(id string) int {
 	status := p.send(http.DefaultClient, id)
 	if status == 0 {
@@ -115,7 +119,9 @@
 	if err != nil {
 		p.t.Fatal(err)
 	}
-	for name, value := range map[string]string{"X-Request-ID": id, "X-Priority-Class": "hut-booking", "X-Tenant-Id": "web-app", "X-Timeout-Ms": "3000"} {
+	for name, value := range map[string]string{
+		"X-Request-ID": id, "X-Priority-Class": "hut-booking", "X-Tenant-Id": "web-app", "X-Timeout-Ms": "3000",
+	} {
 		r.Header.Set(name, value)
 	}
 	resp, err := client.Do(r)
@@ -126,45 +132,46 @@
 	return resp.StatusCode
 }
 
-// waitForExit waits for its waitForExit and returns how it ended.
+// waitForExit waits until the process exits and returns the error of its exit; it fails the test after 10 s.
 func (p *dispatcherProcess) waitForExit() error {
 	p.t.Helper()
 	select {
 	case err := <-p.exited:
 		return err
 	case <-time.After(10 * time.Second):
-		p.t.Fatal("it does not end")
+		p.t.Fatal("the process did not exit within 10 s")
 		return nil
 	}
 }
 
-// The whole dispatcher as the platform starts it: told by BALANCER_*, ready, serving, read anew on SIGHUP, and gone with 0 on SIGTERM with
-// every question answered.
+// The whole dispatcher as the platform runs it: configured by BALANCER_* variables, it becomes ready, serves, follows
+// another discovery after SIGHUP, and exits with 0 after SIGTERM with every request answered and nothing left at the
+// backends.
 func TestPlatformProcessServesReloadsAndShutsDown(t *testing.T) {
 	p := startDispatcher(t)
-	p.waitUntil("it is ready", p.ready)
+	p.waitUntil("the dispatcher is ready", p.ready)
 	if got := p.request("a"); got != http.StatusOK {
-		t.Errorf("%d", got)
+		t.Errorf("request to a ready dispatcher: status %d, want 200", got)
 	}
 	p.configure(p.secondAgent.At)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.waitUntil("discovery is followed", func() bool { return p.secondAgent.Watched() == 1 })
+	p.waitUntil("the second discovery is watched", func() bool { return p.secondAgent.Watched() == 1 })
 	if got := p.request("b"); got != http.StatusOK {
-		t.Errorf("after SIGHUP: %d", got)
+		t.Errorf("request after SIGHUP: status %d, want 200", got)
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	if got := p.request("c"); got != http.StatusOK {
-		t.Errorf("right after SIGTERM: %d", got)
+		t.Errorf("request right after SIGTERM: status %d, want 200", got)
 	}
 	if err := p.waitForExit(); err != nil {
-		t.Errorf("%v\n%s", err, p.log.String())
+		t.Errorf("exit: %v\n%s", err, p.log.String())
 	}
 	if p.site.Held() != 0 || p.site.Out() != 0 {
-		t.Errorf("%d states are held, %d requests are out", p.site.Held(), p.site.Out())
+		t.Errorf("%d KV caches are held and %d attempts are in flight after the exit", p.site.Held(), p.site.Out())
 	}
 }
 
-// SIGTERM ends it with 0 also where it comes twice, while a new configuration is read, or with a SIGHUP behind it.
+// SIGTERM leads to exit code 0 also when it comes twice, while a new configuration is read, or with a SIGHUP after it.
 func TestOverlappingSignalsEndInGracefulShutdown(t *testing.T) {
 	for name, signals := range map[string][]syscall.Signal{
 		"SIGTERM twice":         {syscall.SIGTERM, syscall.SIGTERM},
@@ -175,31 +182,31 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			p := startDispatcher(t)
-			p.waitUntil("it is ready", p.ready)
+			p.waitUntil("the dispatcher is ready", p.ready)
 			p.configure(p.secondAgent.At)
 			for _, s := range signals {
 				p.cmd.Process.Signal(s)
 			}
 			if got := p.request("a"); got != http.StatusOK {
-				t.Errorf("a request right behind: %d", got)
+				t.Errorf("request right after the signals: status %d, want 200", got)
 			}
 			if err := p.waitForExit(); err != nil {
-				t.Errorf("%v\n%s", err, p.log.String())
+				t.Errorf("exit: %v\n%s", err, p.log.String())
 			}
 		})
 	}
 }
 
-// SIGTERM while it starts ends it soon, whether it has come to listen for the signal or not.
+// SIGTERM during startup ends the process soon, whether or not its handler for the signal is installed yet.
 func TestSIGTERMDuringStartupEndsTheProcess(t *testing.T) {
-	for _, after := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
-		t.Run(after.String(), func(t *testing.T) {
+	for _, delay := range []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 20 * time.Millisecond} {
+		t.Run(delay.String(), func(t *testing.T) {
 			t.Parallel()
 			p := startDispatcher(t)
-			time.Sleep(after)
+			time.Sleep(delay)
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			if err := p.waitForExit(); err != nil && err.Error() != "signal: terminated" {
-				t.Errorf("%v\n%s", err, p.log.String())
+				t.Errorf("exit: %v\n%s", err, p.log.String())
 			}
 		})
 	}
--- a/cmd/sloetrestle/soak_test.go
+++ b/cmd/sloetrestle/soak_test.go
@@ -9,58 +9,63 @@
 	"sloetrestle/internal/soak"
 )
 
-// runSoak plays a soak and has the test fail where a rule is broken, or where too few of a rule's chances came to show anything.
-func runSoak(t *testing.T, o soak.Options, least map[string]int) soak.Result {
+// runSoak runs a soak and fails the test where a rule is violated, or where a rule was checked fewer times than
+// minChances says, so that its silence shows nothing.
+func runSoak(t *testing.T, options soak.Options, minChances map[string]int) soak.Result {
 	t.Helper()
-	o.Command, o.Env, o.Dir = []string{os.Args[0], "soak-dispatcher"}, []string{runMainVariable + "=1"}, t.TempDir()
-	res, err := soak.Run(t.Context(), o)
+	options.Command, options.Env, options.Dir =
+		[]string{os.Args[0], "soak-dispatcher"}, []string{runMainVariable + "=1"}, t.TempDir()
+	result, err := soak.Run(t.Context(), options)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var table bytes.Buffer
-	res.Table(&table)
+	result.Table(&table)
 	t.Log(table.String())
-	if len(res.Violations) > 0 {
-		t.Errorf("%d rules are broken; the soak itself was late by up to %v", len(res.Violations), res.Late)
+	if len(result.Violations) > 0 {
+		t.Errorf("%d rules are broken; the soak itself was late by up to %v", len(result.Violations), result.Late)
 	}
-	for rule, chances := range least {
-		if res.Chances[rule] < chances {
-			t.Errorf("%s had %d chances: this shows nothing", rule, res.Chances[rule])
+	for rule, chances := range minChances {
+		if result.Chances[rule] < chances {
+			t.Errorf("rule %s was checked %d times, want at least %d", rule, result.Chances[rule], chances)
 		}
 	}
-	return res
+	return result
 }
 
-// Short soaks of real processes: faults overlap, and no rule is broken. The seeds draw deadlines of 1 to 6 s, both limits on held state, and
-// one of them a crowd. "sloetrestle soak" plays longer ones.
+// Overlapping faults violate no rule in short soaks of real processes. The seeds draw deadlines of 1 to 6 s, both
+// limits on held KV caches, and one of them a crowd of clients.
 func TestShortSoaksHaveNoViolations(t *testing.T) {
 	for _, seed := range []uint64{11, 1004, 1005} {
-		o := soak.Options{Seed: seed, Processes: 4, Length: 12 * time.Second, Every: 300 * time.Millisecond, Clients: 5}
-		res := runSoak(t, o, map[string]int{"lost": 150, "held": 100})
-		if res.Requests < 150 || res.Attempts < 150 || len(res.Faults) < 15 {
-			t.Error("too little happened: this shows nothing")
+		options := soak.Options{Seed: seed, Processes: 4, Length: 12 * time.Second, Every: 300 * time.Millisecond, Clients: 5}
+		result := runSoak(t, options, map[string]int{"lost": 150, "held": 100})
+		if result.Requests < 150 || result.Attempts < 150 || len(result.Faults) < 15 {
+			t.Errorf("seed %d: %d requests, %d attempts and %d faults, want at least 150, 150 and 15",
+				seed, result.Requests, result.Attempts, len(result.Faults))
 		}
 	}
 }
 
-// Backends that take connections and read nothing of them acknowledge a request that never arrives: the state that it is to take is
-// released in its time all the same.
+// A backend that accepts connections and reads nothing from them lets a send succeed although the request never
+// arrives: the KV cache that the request refers to must be released in time all the same.
 func TestKVCacheIsReleasedWhenARequestNeverArrives(t *testing.T) {
-	const decode = 1
-	o := soak.Options{Seed: 901, Processes: 4, Length: 12 * time.Second, Clients: 6, Faults: []soak.Fault{
+	const decode = 1 // number of the role
+	options := soak.Options{Seed: 901, Processes: 4, Length: 12 * time.Second, Clients: 6, Faults: []soak.Fault{
 		{At: time.Second, Kind: soak.RoleMute, Target: decode, Length: 2 * time.Second},
 		{At: 4 * time.Second, Kind: soak.BackendMute, Target: 3, Length: 2 * time.Second, Draw: 1},
 		{At: 5 * time.Second, Kind: soak.BackendMute, Target: 4, Length: 2 * time.Second, Draw: 2},
 	}}
-	runSoak(t, o, map[string]int{"held": 100})
+	runSoak(t, options, map[string]int{"held": 100})
 }
 
-// With hundreds of times the usual number of backends, most of which restart, requests have their answers in time.
+// Requests are answered in time while most of the backends, hundreds of times the usual number, restart or drain.
 func TestMassRestartOfBackendsHasNoViolations(t *testing.T) {
-	o := soak.Options{Seed: 911, Processes: 2, Backends: 2400, Rate: 20, Length: 14 * time.Second, Clients: 2, Faults: []soak.Fault{
-		{At: 500 * time.Millisecond, Kind: soak.MassRestart, Draw: 1},
-		{At: 4 * time.Second, Kind: soak.MassDrain, Length: 2 * time.Second, Draw: 2},
-		{At: 5 * time.Second, Kind: soak.RoleMute, Length: 2 * time.Second, Target: 1},
-	}}
-	runSoak(t, o, map[string]int{"lost": 300, "held": 200})
+	options := soak.Options{
+		Seed: 911, Processes: 2, Backends: 2400, Rate: 20, Length: 14 * time.Second, Clients: 2, Faults: []soak.Fault{
+			{At: 500 * time.Millisecond, Kind: soak.MassRestart, Draw: 1},
+			{At: 4 * time.Second, Kind: soak.MassDrain, Length: 2 * time.Second, Draw: 2},
+			{At: 5 * time.Second, Kind: soak.RoleMute, Length: 2 * time.Second, Target: 1},
+		},
+	}
+	runSoak(t, options, map[string]int{"lost": 300, "held": 200})
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
-// Package load asks a running dispatcher open loop: arrivals are drawn ahead or read from a trace and never wait for
-// answers, and times count from when a question was due, so that a slow dispatcher can't hide by being asked less. It
-// judges nothing. Begin with Run.
+// Package load sends requests to running dispatchers open loop: arrivals are planned ahead or read from a trace and
+// never wait for answers, and latencies count from the time a request was due, so that a slow dispatcher cannot look
+// better by receiving fewer requests. It counts results and applies no pass or fail criteria. Begin with Run.
 package load
 
 import (
@@ -24,98 +24,106 @@
 	"sloetrestle/internal/standin"
 )
 
-// Arrival is one line of a trace.
+// Arrival is one request of a trace: a row of a CSV file or a line of a JSON lines file.
 type Arrival struct {
-	AtMs    float64 `json:"at_ms"`
-	Class   string  `json:"grade"`
-	Tokens  int     `json:"tokens"`
-	PrefixID  string  `json:"shared"`
-	PrefixTokens  int     `json:"shared_tokens"`
-	Session string  `json:"session"`
-	MaxTokens    int     `json:"max_tokens"`
-	Tenant string  `json:"channel"`
+	AtMs         float64 `json:"at_ms"` // since the start of the run
+	Class        string  `json:"grade"` // the first configured class where it is empty
+	Tokens       int     `json:"tokens"`
+	PrefixID     string  `json:"shared"`        // requests with the same one share a prefix
+	PrefixTokens int     `json:"shared_tokens"` // length of the shared prefix
+	Session      string  `json:"session"`
+	MaxTokens    int     `json:"max_tokens"` // 0: the limit of the class
+	Tenant       string  `json:"channel"`
 }
 
-// maxTraceLineBytes bounds a line of a trace, and maxArrivals a trace.
 const (
-	maxTraceLineBytes     = 64 << 10
-	maxArrivals = 2_000_000
+	maxTraceLineBytes = 64 << 10  // of a line of JSON
+	maxArrivals       = 2_000_000 // of a trace
 )
 
-// ReadTrace reads arrivals from CSV with a header, or from JSON lines; the file's ending says which. Times need not be in
-// order. What is wrong is named with its line.
+// ReadTrace reads arrivals from a CSV file with a header row (name ending in .csv) or from JSON lines (any other
+// name) and returns them in order of time; the file need not be sorted. Errors give the line or the arrival that is
+// malformed.
 func ReadTrace(file string, terms setup.Terms) ([]standin.Wish, error) {
-	f, err := os.Open(file)
+	input, err := os.Open(file)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()
-	var all []Arrival
+	defer input.Close()
+	var arrivals []Arrival
 	if strings.HasSuffix(file, ".csv") {
-		all, err = readCSV(f)
+		arrivals, err = readCSV(input)
 	} else {
-		all, err = readJSONLines(f)
+		arrivals, err = readJSONLines(input)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", file, err)
 	}
-	wishes := make([]standin.Wish, len(all))
-	for i, a := range all {
+	requests := make([]standin.Wish, len(arrivals))
+	for i, a := range arrivals {
 		n := max(terms.GradeNumber(a.Class), 0)
 		if a.Class != "" && terms.GradeNumber(a.Class) < 0 {
-			return nil, fmt.Errorf("%s: arrival %d: grade %q is unknown", file, i+1, a.Class)
+			return nil, fmt.Errorf("%s: arrival %d: class %q is not configured", file, i+1, a.Class)
 		}
 		if a.AtMs < 0 || a.Tokens < 1 || a.PrefixTokens < 0 || a.PrefixTokens > a.Tokens || a.MaxTokens < 0 {
-			return nil, fmt.Errorf("%s: arrival %d: senseless: %+v", file, i+1, a)
+			return nil, fmt.Errorf("%s: arrival %d: time or token counts out of range: %+v", file, i+1, a)
 		}
-		g := terms.Grades[n]
-		k := float64(a.Tokens) / 1000
-		w := standin.Wish{At: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Grade: g.Name, Channel: a.Tenant, Session: a.Session,
-			Shared: a.PrefixID, Prefix: a.PrefixTokens, Tokens: a.Tokens, Most: a.MaxTokens, Promised: g.Promised.D() + time.Duration(k*float64(g.PerK)),
-			Expiry: g.Expiry.D() + 2*time.Duration(k*float64(g.PerK)), Patience: 1, Safe: g.Effect == "idempotent"}
-		if w.Most == 0 {
-			w.Most = g.Most
+		class := terms.Grades[n]
+		kiloTokens := float64(a.Tokens) / 1000
+		request := standin.Wish{
+			At: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Grade: class.Name,
+			Channel: a.Tenant, Session: a.Session, Shared: a.PrefixID, Prefix: a.PrefixTokens,
+			Tokens: a.Tokens, Most: a.MaxTokens,
+			Promised: class.Promised.D() + time.Duration(kiloTokens*float64(class.PerK)),
+			Expiry:   class.Expiry.D() + 2*time.Duration(kiloTokens*float64(class.PerK)),
+			Patience: 1, Safe: class.Effect == "idempotent",
 		}
-		wishes[i] = w
+		if request.Most == 0 {
+			request.Most = class.Most
+		}
+		requests[i] = request
 	}
-	slices.SortStableFunc(wishes, func(a, b standin.Wish) int { return int(a.At - b.At) })
-	return wishes, nil
+	slices.SortStableFunc(requests, func(a, b standin.Wish) int { return int(a.At - b.At) })
+	return requests, nil
 }
 
+// readCSV reads a trace with a header row. Errors begin with the number of the line.
 func readCSV(r io.Reader) ([]Arrival, error) {
-	in := csv.NewReader(r)
-	in.ReuseRecord = true
-	head, err := in.Read()
+	rows := csv.NewReader(r)
+	rows.ReuseRecord = true
+	header, err := rows.Read()
 	if err != nil {
 		return nil, fmt.Errorf("1: no header: %w", err)
 	}
-	names := slices.Clone(head)
-	for _, n := range names {
-		if !slices.Contains([]string{"at_ms", "grade", "tokens", "shared", "shared_tokens", "session", "max_tokens", "channel"}, n) {
-			return nil, fmt.Errorf("1: column %q is unknown", n)
+	columns := slices.Clone(header)
+	for _, column := range columns {
+		if !slices.Contains([]string{
+			"at_ms", "grade", "tokens", "shared", "shared_tokens", "session", "max_tokens", "channel",
+		}, column) {
+			return nil, fmt.Errorf("1: column %q is unknown", column)
 		}
 	}
-	var all []Arrival
+	var arrivals []Arrival
 	for line := 2; ; line++ {
-		row, err := in.Read()
+		row, err := rows.Read()
 		if err == io.EOF {
-			return all, nil
+			return arrivals, nil
 		}
-		if err != nil || len(all) >= maxArrivals {
+		if err != nil || len(arrivals) >= maxArrivals {
 			return nil, fmt.Errorf("%d: %v (at most %d arrivals)", line, err, maxArrivals)
 		}
 		var a Arrival
-		for i, n := range names {
-			var bad error
-			switch n {
+		for i, column := range columns {
+			var parseErr error
+			switch column {
 			case "at_ms":
-				a.AtMs, bad = strconv.ParseFloat(row[i], 64)
+				a.AtMs, parseErr = strconv.ParseFloat(row[i], 64)
 			case "tokens":
-				a.Tokens, bad = strconv.Atoi(row[i])
+				a.Tokens, parseErr = strconv.Atoi(row[i])
 			case "shared_tokens":
-				a.PrefixTokens, bad = strconv.Atoi(row[i])
+				a.PrefixTokens, parseErr = strconv.Atoi(row[i])
 			case "max_tokens":
-				a.MaxTokens, bad = strconv.Atoi(row[i])
+				a.MaxTokens, parseErr = strconv.Atoi(row[i])
 			case "grade":
 				a.Class = strings.Clone(row[i])
 			case "shared":
@@ -125,119 +133,138 @@
 			case "channel":
 				a.Tenant = strings.Clone(row[i])
 			}
-			if bad != nil {
-				return nil, fmt.Errorf("%d: %s: %q is no number", line, n, row[i])
+			if parseErr != nil {
+				return nil, fmt.Errorf("%d: %s: %q is not a number", line, column, row[i])
 			}
 		}
-		all = append(all, a)
+		arrivals = append(arrivals, a)
 	}
 }
 
+// readJSONLines reads a trace of one JSON object per line and skips empty lines. Errors begin with the number of the
+// line.
 func readJSONLines(r io.Reader) ([]Arrival, error) {
-	var all []Arrival
-	in := bufio.NewScanner(r)
-	in.Buffer(nil, maxTraceLineBytes)
-	for line := 1; in.Scan(); line++ {
-		if len(strings.TrimSpace(in.Text())) == 0 {
+	var arrivals []Arrival
+	lines := bufio.NewScanner(r)
+	lines.Buffer(nil, maxTraceLineBytes)
+	for line := 1; lines.Scan(); line++ {
+		if len(strings.TrimSpace(lines.Text())) == 0 {
 			continue
 		}
 		var a Arrival
-		d := json.NewDecoder(strings.NewReader(in.Text()))
-		d.DisallowUnknownFields()
-		if err := d.Decode(&a); err != nil {
+		decoder := json.NewDecoder(strings.NewReader(lines.Text()))
+		decoder.DisallowUnknownFields()
+		if err := decoder.Decode(&a); err != nil {
 			return nil, fmt.Errorf("%d: %w", line, err)
 		}
-		if all = append(all, a); len(all) > maxArrivals {
+		if arrivals = append(arrivals, a); len(arrivals) > maxArrivals {
 			return nil, fmt.Errorf("%d: more than %d arrivals", line, maxArrivals)
 		}
 	}
-	return all, in.Err()
+	return arrivals, lines.Err()
 }
 
-// Figures are what came of it, by grade and in all.
-type Figures struct {
-	Grade                                                    string
-	Asked, Satisfied, InTime, Declined, Forfeited, Cut, Quit int
-	P50, P90, P99, Most                                      float64 // ms from when it was due to the first token
-	first                                                    *hdrhistogram.Histogram
+// Stats counts the results of one priority class, or of all classes under the name "all".
+type Stats struct {
+	Class             string                  `json:"Grade"`
+	Sent              int                     `json:"Asked"` // requests, without their retries
+	Served            int                     `json:"Satisfied"`
+	InTime            int                     // first token within the latency target
+	Rejected          int                     `json:"Declined"`
+	Failed            int                     `json:"Forfeited"`
+	Cut               int                     // the connection broke, or none could be made, before the final answer
+	Abandoned         int                     `json:"Quit"` // the client left before any answer
+	P50, P90, P99     float64                 // ms from the due time to the first token
+	Max               float64                 `json:"Most"` // ms from the due time to the first token
+	firstTokenLatency *hdrhistogram.Histogram // in µs
 }
 
-// Run asks and reports; say is told of progress each second.
-func Run(ctx context.Context, model string, to []string, wishes []standin.Wish, say func(string, ...any)) ([]Figures, error) {
-	if len(to) == 0 || len(wishes) == 0 {
-		return nil, fmt.Errorf("there is nobody to ask, or nothing to ask for")
+// Run sends requests to dispatchers at addresses, each when it is due, and returns the results sorted by class, with
+// those of all classes under "all". It calls logf with the progress each second. Where ctx ends first it returns the
+// results so far and the error of ctx.
+func Run(
+	ctx context.Context, model string, addresses []string, requests []standin.Wish, logf func(string, ...any),
+) ([]Stats, error) {
+	if len(addresses) == 0 || len(requests) == 0 {
+		return nil, fmt.Errorf("load needs at least one dispatcher and one request, got %d addresses and %d requests",
+			len(addresses), len(requests))
 	}
-	book, err := record.Open("", record.Head{})
+	recorder, err := record.Open("", record.Head{})
 	if err != nil {
 		return nil, err
 	}
 	var mu sync.Mutex
-	due, promise := map[string]time.Duration{}, map[string]time.Duration{}
-	by := map[string]*Figures{}
-	of := func(grade string) *Figures {
-		if by[grade] == nil {
-			by[grade] = &Figures{Grade: grade, first: hdrhistogram.New(1, 600_000_000, 3)}
+	due, latencyTarget := map[string]time.Duration{}, map[string]time.Duration{}
+	byClass := map[string]*Stats{}
+	statsOf := func(class string) *Stats {
+		if byClass[class] == nil {
+			byClass[class] = &Stats{Class: class, firstTokenLatency: hdrhistogram.New(1, 600_000_000, 3)}
 		}
-		return by[grade]
+		return byClass[class]
 	}
-	for _, w := range wishes {
-		promise[w.Name] = w.Promised
-		of(w.Grade)
+	for _, request := range requests {
+		latencyTarget[request.Name] = request.Promised
+		statsOf(request.Grade)
 	}
-	of("all")
-	began := time.Now()
+	statsOf("all")
+	start := time.Now()
 	open := 0
-	book.Watch = func(l record.Line) {
+	recorder.Watch = func(line record.Line) {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, f := range []*Figures{of(l.Grade), of("all")} {
+		for _, stats := range []*Stats{statsOf(line.Grade), statsOf("all")} {
 			switch {
-			case l.What == record.Asked && strings.HasSuffix(l.Try, ".0"):
-				f.Asked++
-			case l.What == record.First:
-				took := time.Since(began) - due[l.Question]
-				f.first.RecordValue(max(took.Microseconds(), 1))
-				if took <= promise[l.Question] {
-					f.InTime++
+			case line.What == record.Asked && strings.HasSuffix(line.Try, ".0"):
+				stats.Sent++
+			case line.What == record.First:
+				latency := time.Since(start) - due[line.Question]
+				stats.firstTokenLatency.RecordValue(max(latency.Microseconds(), 1))
+				if latency <= latencyTarget[line.Question] {
+					stats.InTime++
 				}
-			case l.What == record.Final && l.Word == "satisfied":
-				f.Satisfied++
-			case l.What == record.Final && l.Word == "declined":
-				f.Declined++
-			case l.What == record.Final:
-				f.Forfeited++
-			case l.What == record.Cut:
-				f.Cut++
-			case l.What == record.Quit:
-				f.Quit++
+			case line.What == record.Final && line.Word == "satisfied":
+				stats.Served++
+			case line.What == record.Final && line.Word == "declined":
+				stats.Rejected++
+			case line.What == record.Final:
+				stats.Failed++
+			case line.What == record.Cut:
+				stats.Cut++
+			case line.What == record.Quit:
+				stats.Abandoned++
 			}
 		}
 	}
-	clients := standin.NewClients(book, model, func(seed uint64) (string, string) { at := to[seed%uint64(len(to))]; return at, at })
+	clients := standin.NewClients(recorder, model, func(seed uint64) (string, string) {
+		address := addresses[seed%uint64(len(addresses))]
+		return address, address
+	})
 	defer clients.Close()
 	stop := make(chan struct{})
-	var watching sync.WaitGroup
-	watching.Add(1)
+	var progress sync.WaitGroup
+	progress.Add(1)
 	go func() {
-		defer watching.Done()
-		tick := time.NewTicker(time.Second)
-		defer tick.Stop()
+		defer progress.Done()
+		ticker := time.NewTicker(time.Second)
+		defer ticker.Stop()
 		for {
 			select {
 			case <-stop:
 				return
-			case <-tick.C:
+			case <-ticker.C:
 				mu.Lock()
-				f := of("all")
-				say("%4.0f s  asked %6d  satisfied %6d  declined %5d  forfeited %4d  cut %4d  open %5d  first token p50 %.0f p99 %.0f ms", time.Since(began).Seconds(),
-					f.Asked, f.Satisfied, f.Declined, f.Forfeited, f.Cut, open, float64(f.first.ValueAtQuantile(50))/1000, float64(f.first.ValueAtQuantile(99))/1000)
+				all := statsOf("all")
+				logf("%4.0f s  asked %6d  satisfied %6d  declined %5d  forfeited %4d  cut %4d  open %5d  "+
+					"first token p50 %.0f p99 %.0f ms",
+					time.Since(start).Seconds(), all.Sent, all.Served, all.Rejected, all.Failed, all.Cut, open,
+					float64(all.firstTokenLatency.ValueAtQuantile(50))/1000, float64(all.firstTokenLatency.ValueAtQuantile(99))/1000)
 				mu.Unlock()
 			}
 		}
 	}()
-	var all sync.WaitGroup
-	for _, w := range wishes {
-		if wait := w.At - time.Since(began); wait > 0 {
+	var inFlight sync.WaitGroup
+	for _, request := range requests {
+		if wait := request.At - time.Since(start); wait > 0 {
 			select {
 			case <-time.After(wait):
 			case <-ctx.Done():
@@ -247,27 +274,27 @@
 			break
 		}
 		mu.Lock()
-		due[w.Name] = w.At
+		due[request.Name] = request.At
 		open++
 		mu.Unlock()
-		all.Add(1)
+		inFlight.Add(1)
 		go func() {
-			defer all.Done()
-			clients.Ask(ctx, w)
+			defer inFlight.Done()
+			clients.Ask(ctx, request)
 			mu.Lock()
 			open--
 			mu.Unlock()
 		}()
 	}
-	all.Wait()
+	inFlight.Wait()
 	close(stop)
-	watching.Wait()
-	var out []Figures
-	for _, f := range by {
-		ms := func(q float64) float64 { return float64(f.first.ValueAtQuantile(q)) / 1000 }
-		f.P50, f.P90, f.P99, f.Most = ms(50), ms(90), ms(99), float64(f.first.Max())/1000
-		out = append(out, *f)
+	progress.Wait()
+	var results []Stats
+	for _, stats := range byClass {
+		ms := func(q float64) float64 { return float64(stats.firstTokenLatency.ValueAtQuantile(q)) / 1000 }
+		stats.P50, stats.P90, stats.P99, stats.Max = ms(50), ms(90), ms(99), float64(stats.firstTokenLatency.Max())/1000
+		results = append(results, *stats)
 	}
-	slices.SortFunc(out, func(a, b Figures) int { return strings.Compare(a.Grade, b.Grade) })
-	return out, ctx.Err()
+	slices.SortFunc(results, func(a, b Stats) int { return strings.Compare(a.Class, b.Class) })
+	return results, ctx.Err()
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -12,9 +12,17 @@
 
 func TestReadTraceParsesCSVAndJSONLinesAndLocatesErrors(t *testing.T) {
 	terms := setup.DefaultTerms()
-	terms.Grades = []setup.Grade{{Name: "quick", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second), Most: 70},
-		{Name: "booking", Effect: "unrepeatable", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second), Most: 50}}
-	for _, c := range []struct{ name, text, says string }{
+	terms.Grades = []setup.Grade{
+		{
+			Name: "quick", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second),
+			Most: 70,
+		},
+		{
+			Name: "booking", Effect: "unrepeatable", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second),
+			Most: 50,
+		},
+	}
+	for _, c := range []struct{ name, text, wantError string }{
 		{"a.csv", "at_ms,grade,tokens,max_tokens\n200,booking,900,20\n100,quick,500,\n", "max_tokens"},
 		{"b.csv", "at_ms,grade,tokens\n200,booking,900\n100,quick,500\n", ""},
 		{"c.jsonl", "{\"at_ms\":200,\"grade\":\"booking\",\"tokens\":900}\n\n{\"at_ms\":100,\"tokens\":500}\n", ""},
@@ -26,15 +34,16 @@
 	} {
 		file := filepath.Join(t.TempDir(), c.name)
 		os.WriteFile(file, []byte(c.text), 0o644)
-		wishes, err := ReadTrace(file, terms)
-		if c.says != "" {
-			if err == nil || !strings.Contains(err.Error(), c.says) {
-				t.Errorf("%s: %v", c.name, err)
+		requests, err := ReadTrace(file, terms)
+		if c.wantError != "" {
+			if err == nil || !strings.Contains(err.Error(), c.wantError) {
+				t.Errorf("%s: got error %v, want one that contains %q", c.name, err, c.wantError)
 			}
 			continue
 		}
-		if err != nil || len(wishes) != 2 || wishes[0].Grade != "quick" || wishes[0].At != 100*time.Millisecond || wishes[0].Most != 70 || wishes[1].Safe {
-			t.Errorf("%s: %v %+v", c.name, err, wishes)
+		if err != nil || len(requests) != 2 || requests[0].Grade != "quick" || requests[0].At != 100*time.Millisecond ||
+			requests[0].Most != 70 || requests[1].Safe {
+			t.Errorf("%s: %v %+v", c.name, err, requests)
 		}
 	}
 }
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,6 +1,6 @@
-// Package measure finds what one dispatcher process costs and adds: questions at a stated rate through it to idle
-// stand-ins, beside the same calls made directly, and many streams held open. It judges nothing and is no part of
-// the tests; begin with Run.
+// Package measure finds what one dispatcher process costs and adds to latency: it sends requests at fixed rates
+// through the dispatcher to idle test backends, sends the same calls to the backends directly, and holds many streams
+// open. It applies no pass or fail criteria and no test depends on it. Begin with Run.
 package measure
 
 import (
@@ -32,124 +32,141 @@
 	"sloetrestle/internal/standin"
 )
 
-// Plan is what to measure.
+// Plan says what to measure.
 type Plan struct {
-	Rates   []int // questions a second, one after the other
-	Seconds float64
-	Streams int // held open at once
-	ServeCommand   []string
-	Logf     func(format string, args ...any)
+	Rates        []int    // requests per second, one rate after the other
+	Seconds      float64  // at each rate, once directly and once through the dispatcher
+	Streams      int      // open at once
+	ServeCommand []string // starts a dispatcher when the path of its configuration is appended
+	Logf         func(format string, args ...any)
 }
 
-// Row is one rate's figures; times are to the first token.
+// Row holds the results at one rate. Latencies are from the time a request was due to its first token.
 type Row struct {
-	Rate      int     `json:"questions_a_second"`
-	AnsweredPerSecond      float64 `json:"held_a_second"` // answered, of those asked
-	Failed    int64   `json:"failed"`
-	DirectP50 float64 `json:"direct_p50_ms"`
-	DirectP99 float64 `json:"direct_p99_ms"`
-	ThroughP50       float64 `json:"through_p50_ms"`
-	ThroughP99       float64 `json:"through_p99_ms"`
-	Cores       float64 `json:"cores"` // of the dispatcher's process
-	CPUMicrosPerRequest    float64 `json:"cpu_us_a_question"`
+	Rate                int     `json:"questions_a_second"`
+	AnsweredPerSecond   float64 `json:"held_a_second"`
+	Failed              int64   `json:"failed"`
+	DirectP50           float64 `json:"direct_p50_ms"`
+	DirectP99           float64 `json:"direct_p99_ms"`
+	ThroughP50          float64 `json:"through_p50_ms"`
+	ThroughP99          float64 `json:"through_p99_ms"`
+	Cores               float64 `json:"cores"` // mean CPU use of the dispatcher process
+	CPUMicrosPerRequest float64 `json:"cpu_us_a_question"`
 }
 
-// Report are what came of it.
+// Report holds the results of a run.
 type Report struct {
-	Rows      []Row   `json:"rates"`
-	Streams   int     `json:"streams"`
-	IdleMiB    float64 `json:"idle_mib"`
-	StreamsMiB float64 `json:"with_streams_mib"`
+	Rows       []Row   `json:"rates"`
+	Streams    int     `json:"streams"`
+	IdleMiB    float64 `json:"idle_mib"`         // resident memory of the dispatcher process before the first rate
+	StreamsMiB float64 `json:"with_streams_mib"` // its resident memory while the streams are open
 }
 
+// testbed is a dispatcher process with one prefill and one decode backend.
 type testbed struct {
-	plan   Plan
-	fleet  *standin.Fleet
-	recorder   *record.Book
-	model  string
-	prefillAddr string
-	decodeAddr string
-	dispatcherAddr   string
-	cmd    *exec.Cmd
-	http   *http.Client
-	lastRequest  atomic.Uint64
+	plan           Plan
+	fleet          *standin.Fleet
+	recorder       *record.Book
+	model          string
+	prefillAddr    string
+	decodeAddr     string
+	dispatcherAddr string
+	cmd            *exec.Cmd
+	http           *http.Client
+	lastRequest    atomic.Uint64 // number of the last request
 }
 
-// Run measures.
-func Run(ctx context.Context, plan Plan) (f Report, err error) {
+// Run starts a dispatcher with its backends and measures it at each rate of the plan, then with open streams.
+func Run(ctx context.Context, plan Plan) (report Report, err error) {
 	dir, err := os.MkdirTemp("", "sloetrestle-measure-")
 	if err != nil {
-		return f, err
+		return report, err
 	}
 	defer os.RemoveAll(dir)
-	r := &testbed{plan: plan, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}}
-	stop, err := r.start(ctx, dir)
+	bed := &testbed{plan: plan, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}}
+	stop, err := bed.start(ctx, dir)
 	if err != nil {
-		return f, err
+		return report, err
 	}
 	defer stop()
-	r.runAtRate(ctx, 50, 2, r.viaDispatcher) // connections and code are warm
-	f.IdleMiB = r.residentMiB()
+	bed.runAtRate(ctx, 50, 2, bed.viaDispatcher) // warms up connections and code
+	report.IdleMiB = bed.residentMiB()
 	for _, rate := range plan.Rates {
-		direct, _, _ := r.runAtRate(ctx, rate, plan.Seconds, r.direct)
-		cpu := r.cpuSeconds()
-		began := time.Now()
-		through, done, failed := r.runAtRate(ctx, rate, plan.Seconds, r.viaDispatcher)
-		took := time.Since(began).Seconds()
-		cpu = r.cpuSeconds() - cpu
+		direct, _, _ := bed.runAtRate(ctx, rate, plan.Seconds, bed.direct)
+		cpu := bed.cpuSeconds()
+		start := time.Now()
+		through, done, failed := bed.runAtRate(ctx, rate, plan.Seconds, bed.viaDispatcher)
+		elapsed := time.Since(start).Seconds()
+		cpu = bed.cpuSeconds() - cpu
 		ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-		row := Row{Rate: rate, AnsweredPerSecond: float64(done) / plan.Seconds, Failed: failed, DirectP50: ms(direct, 50), DirectP99: ms(direct, 99),
-			ThroughP50: ms(through, 50), ThroughP99: ms(through, 99), Cores: cpu / took, CPUMicrosPerRequest: cpu * 1e6 / float64(max(done, 1))}
-		f.Rows = append(f.Rows, row)
-		plan.Logf("%5d a second: answered %.0f, failed %d; first token direct p50 %.2f p99 %.2f ms, through the dispatcher p50 %.2f p99 %.2f ms; %.2f cores, %.0f us a question",
-			rate, row.AnsweredPerSecond, failed, row.DirectP50, row.DirectP99, row.ThroughP50, row.ThroughP99, row.Cores, row.CPUMicrosPerRequest)
+		row := Row{
+			Rate: rate, AnsweredPerSecond: float64(done) / plan.Seconds, Failed: failed,
+			DirectP50: ms(direct, 50), DirectP99: ms(direct, 99), ThroughP50: ms(through, 50), ThroughP99: ms(through, 99),
+			Cores: cpu / elapsed, CPUMicrosPerRequest: cpu * 1e6 / float64(max(done, 1)),
+		}
+		report.Rows = append(report.Rows, row)
+		plan.Logf("%5d a second: answered %.0f, failed %d; first token direct p50 %.2f p99 %.2f ms, "+
+			"through the dispatcher p50 %.2f p99 %.2f ms; %.2f cores, %.0f us per request",
+			rate, row.AnsweredPerSecond, failed, row.DirectP50, row.DirectP99, row.ThroughP50, row.ThroughP99,
+			row.Cores, row.CPUMicrosPerRequest)
 		if ctx.Err() != nil {
-			return f, ctx.Err()
+			return report, ctx.Err()
 		}
 	}
-	f.Streams = plan.Streams
-	f.StreamsMiB = r.memoryWithStreams(ctx, plan.Streams)
-	plan.Logf("resident memory %.0f MiB idle, %.0f MiB with %d open streams", f.IdleMiB, f.StreamsMiB, f.Streams)
-	return f, nil
+	report.Streams = plan.Streams
+	report.StreamsMiB = bed.memoryWithStreams(ctx, plan.Streams)
+	plan.Logf("resident memory %.0f MiB idle, %.0f MiB with %d open streams",
+		report.IdleMiB, report.StreamsMiB, report.Streams)
+	return report, nil
 }
 
-// start starts two idle boxes, the list and a dispatcher's process.
-func (r *testbed) start(ctx context.Context, dir string) (stop func(), err error) {
-	d := setup.DefaultDispatcher()
-	d.Grades = []setup.Grade{{Name: "measured", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(10 * time.Second), Benefit: 1, Most: 8}}
-	d.Kinds = []setup.Kind{{Name: "reader", Role: "reader", Memory: 1 << 30}, {Name: "writer", Role: "writer", Memory: 1 << 30}}
-	d.Limits.LocalRead, d.Limits.BoxConns = false, 4096
-	r.model = d.Model
-	if r.recorder, err = record.Open("", record.Head{}); err != nil {
+// start starts two idle backends, service discovery and a dispatcher process, and returns once the dispatcher is ready.
+func (bed *testbed) start(ctx context.Context, dir string) (stop func(), err error) {
+	config := setup.DefaultDispatcher()
+	config.Grades = []setup.Grade{{
+		Name: "measured", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(10 * time.Second),
+		Benefit: 1, Most: 8,
+	}}
+	config.Kinds = []setup.Kind{
+		{Name: "reader", Role: "reader", Memory: 1 << 30},
+		{Name: "writer", Role: "writer", Memory: 1 << 30},
+	}
+	config.Limits.LocalRead, config.Limits.BoxConns = false, 4096
+	bed.model = config.Model
+	if bed.recorder, err = record.Open("", record.Head{}); err != nil {
 		return nil, err
 	}
-	r.fleet = standin.NewFleet(d.Terms, r.recorder, standin.Links{Near: 1e12, Far: 1e12, Zone: 1}, map[string]standin.Talk{"measured": {New: 1, Answer: 8}})
-	var addrs []string
+	bed.fleet = standin.NewFleet(config.Terms, bed.recorder, standin.Links{Near: 1e12, Far: 1e12, Zone: 1},
+		map[string]standin.Talk{"measured": {New: 1, Answer: 8}})
+	var addrs []string // of service discovery, the prefill backend, the decode backend and the dispatcher
 	for range 4 {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return nil, err
 		}
-		defer l.Close()
-		addrs = append(addrs, l.Addr().String())
-		l.Close()
+		defer listener.Close()
+		addrs = append(addrs, listener.Addr().String())
+		listener.Close()
 	}
-	list := r.fleet.NewList(addrs[0])
-	if err := list.Open(); err != nil {
+	discovery := bed.fleet.NewList(addrs[0])
+	if err := discovery.Open(); err != nil {
 		return nil, err
 	}
-	var boxes []*standin.Box
+	var backends []*standin.Box
 	for i, kind := range []string{"reader", "writer"} {
-		b := r.fleet.NewBox(standin.Make{Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Engine: standin.Instant, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: addrs[1+i]}}})
-		if err := b.Boot(false); err != nil {
+		backend := bed.fleet.NewBox(standin.Make{
+			Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Engine: standin.Instant,
+			Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: addrs[1+i]}},
+		})
+		if err := backend.Boot(false); err != nil {
 			return nil, err
 		}
-		list.Publish(b, boxlist.Ready, 0)
-		boxes = append(boxes, b)
+		discovery.Publish(backend, boxlist.Ready, 0)
+		backends = append(backends, backend)
 	}
-	r.prefillAddr, r.decodeAddr, r.dispatcherAddr = addrs[1], addrs[2], addrs[3]
-	d.Place.Listen, d.Place.Boxes = []string{r.dispatcherAddr}, addrs[0]
-	raw, err := toml.Marshal(d)
+	bed.prefillAddr, bed.decodeAddr, bed.dispatcherAddr = addrs[1], addrs[2], addrs[3]
+	config.Place.Listen, config.Place.Boxes = []string{bed.dispatcherAddr}, addrs[0]
+	raw, err := toml.Marshal(config)
 	if err != nil {
 		return nil, err
 	}
@@ -157,24 +174,24 @@
 	if err := os.WriteFile(file, raw, 0o644); err != nil {
 		return nil, err
 	}
-	r.cmd = exec.Command(r.plan.ServeCommand[0], append(append([]string(nil), r.plan.ServeCommand[1:]...), file)...)
-	r.cmd.Stderr = os.Stderr
-	r.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	if err := r.cmd.Start(); err != nil {
+	bed.cmd = exec.Command(bed.plan.ServeCommand[0], append(append([]string(nil), bed.plan.ServeCommand[1:]...), file)...)
+	bed.cmd.Stderr = os.Stderr
+	bed.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+	if err := bed.cmd.Start(); err != nil {
 		return nil, err
 	}
 	stop = func() {
-		r.cmd.Process.Signal(syscall.SIGTERM)
-		r.cmd.Wait()
-		for _, b := range boxes {
-			b.Kill("end")
+		bed.cmd.Process.Signal(syscall.SIGTERM)
+		bed.cmd.Wait()
+		for _, backend := range backends {
+			backend.Kill("end")
 		}
-		list.Shut()
-		r.fleet.Close()
-		r.http.CloseIdleConnections()
+		discovery.Shut()
+		bed.fleet.Close()
+		bed.http.CloseIdleConnections()
 	}
 	for range 500 {
-		resp, err := r.http.Get("http://" + r.dispatcherAddr + "/v2/health/ready")
+		resp, err := bed.http.Get("http://" + bed.dispatcherAddr + "/v2/health/ready")
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -184,29 +201,32 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	stop()
-	return nil, fmt.Errorf("the dispatcher was not ready within 5 s")
+	return nil, fmt.Errorf("the dispatcher at %s was not ready within 5 s", bed.dispatcherAddr)
 }
 
-// runAtRate asks at a steady runAtRate, whatever comes back; a time counts from when the question was due.
-func (r *testbed) runAtRate(ctx context.Context, perS int, seconds float64, ask func(context.Context) (time.Time, error)) (h *hdrhistogram.Histogram, done, failed int64) {
-	h = hdrhistogram.New(1, 60_000_000, 3)
+// runAtRate calls send at a steady rate, without waiting for earlier calls, and returns the latencies to the first
+// token in µs, counted from the time each request was due.
+func (bed *testbed) runAtRate(
+	ctx context.Context, perSecond int, seconds float64, send func(context.Context) (time.Time, error),
+) (latencies *hdrhistogram.Histogram, done, failed int64) {
+	latencies = hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
-	var all sync.WaitGroup
-	n := int(float64(perS) * seconds)
-	began := time.Now()
+	var inFlight sync.WaitGroup
+	n := int(float64(perSecond) * seconds)
+	start := time.Now()
 	for i := range n {
-		due := began.Add(time.Duration(float64(i) / float64(perS) * float64(time.Second)))
+		due := start.Add(time.Duration(float64(i) / float64(perSecond) * float64(time.Second)))
 		if wait := time.Until(due); wait > 0 {
 			time.Sleep(wait)
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		all.Add(1)
+		inFlight.Add(1)
 		go func() {
-			defer all.Done()
-			first, err := ask(ctx)
-			took := first.Sub(due)
+			defer inFlight.Done()
+			firstToken, err := send(ctx)
+			latency := firstToken.Sub(due)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -214,103 +234,114 @@
 				return
 			}
 			done++
-			h.RecordValue(max(took.Microseconds(), 1))
+			latencies.RecordValue(max(latency.Microseconds(), 1))
 		}()
 	}
-	all.Wait()
-	return h, done, failed
+	inFlight.Wait()
+	return latencies, done, failed
 }
 
-// readFirstToken reads a stream to its end and tells when its readFirstToken token came; one without an end has failed.
-func readFirstToken(resp *http.Response, err error) (at time.Time, _ error) {
+// readFirstToken reads a stream to its end and returns the time of its first event. A stream without an end event is
+// an error.
+func readFirstToken(resp *http.Response, err error) (firstToken time.Time, _ error) {
 	if err != nil {
-		return at, err
+		return firstToken, err
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return at, fmt.Errorf("%s", resp.Status)
+		return firstToken, fmt.Errorf("%s", resp.Status)
 	}
 	events := kserve.NewEvents(resp.Body)
 	for {
-		ev, err := events.Next()
+		event, err := events.Next()
 		if err != nil {
-			return at, err
+			return firstToken, err
 		}
-		if at.IsZero() {
-			at = time.Now()
+		if firstToken.IsZero() {
+			firstToken = time.Now()
 		}
-		if ev.Name == "end" {
-			return at, nil
+		if event.Name == "end" {
+			return firstToken, nil
 		}
 	}
 }
 
-func (r *testbed) requestBody(most int) []byte {
-	id := r.lastRequest.Add(1)
-	raw, err := json.Marshal(kserve.Prompt{ID: fmt.Sprint("m", id), Parameters: kserve.Params{"prompt_tokens": 800, "max_tokens": most, "session": fmt.Sprint("s", id%997)}})
+// requestBody returns a new request for maxTokens tokens in one of 997 sessions.
+func (bed *testbed) requestBody(maxTokens int) []byte {
+	id := bed.lastRequest.Add(1)
+	raw, err := json.Marshal(kserve.Prompt{ID: fmt.Sprint("m", id), Parameters: kserve.Params{
+		"prompt_tokens": 800, "max_tokens": maxTokens, "session": fmt.Sprint("s", id%997),
+	}})
 	if err != nil {
 		panic(err)
 	}
 	return raw
 }
 
-// viaDispatcher asks the dispatcher.
-func (r *testbed) viaDispatcher(ctx context.Context) (time.Time, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.dispatcherAddr+"/v2/models/"+r.model+"/generate_stream", bytes.NewReader(r.requestBody(8)))
+// viaDispatcher sends one request to the dispatcher and returns the time of its first token.
+func (bed *testbed) viaDispatcher(ctx context.Context) (time.Time, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost,
+		"http://"+bed.dispatcherAddr+"/v2/models/"+bed.model+"/generate_stream", bytes.NewReader(bed.requestBody(8)))
 	if err != nil {
 		return time.Time{}, err
 	}
-	return readFirstToken(r.http.Do(req))
+	return readFirstToken(bed.http.Do(req))
 }
 
-// direct reads and writes at the boxes without a dispatcher.
-func (r *testbed) direct(ctx context.Context) (time.Time, error) {
-	id := r.lastRequest.Add(1)
-	e := kserve.Errand{Stage: kserve.StageRead, From: "direct.1", Question: id, Mark: fmt.Sprint("m", id), Grade: "measured", Tokens: 800, Most: 8}
-	req, err := kserve.NewErrand(ctx, "http://"+r.prefillAddr, r.model, "", e)
+// direct sends the prefill and the decode attempt of one request to the backends and returns the time of its first
+// token.
+func (bed *testbed) direct(ctx context.Context) (time.Time, error) {
+	id := bed.lastRequest.Add(1)
+	attempt := kserve.Errand{
+		Stage: kserve.StageRead, From: "direct.1", Question: id, Mark: fmt.Sprint("m", id), Grade: "measured",
+		Tokens: 800, Most: 8,
+	}
+	req, err := kserve.NewErrand(ctx, "http://"+bed.prefillAddr, bed.model, "", attempt)
 	if err != nil {
 		return time.Time{}, err
 	}
-	resp, err := r.http.Do(req)
+	resp, err := bed.http.Do(req)
 	if err != nil {
 		return time.Time{}, err
 	}
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
-	e.Stage, e.Trip, e.Reader, e.State = kserve.StageWrite, 1, "reader-1", []string{"tcp4:" + r.prefillAddr}
-	if req, err = kserve.NewErrand(ctx, "http://"+r.decodeAddr, r.model, "", e); err != nil {
+	attempt.Stage, attempt.Trip, attempt.Reader, attempt.State =
+		kserve.StageWrite, 1, "reader-1", []string{"tcp4:" + bed.prefillAddr}
+	if req, err = kserve.NewErrand(ctx, "http://"+bed.decodeAddr, bed.model, "", attempt); err != nil {
 		return time.Time{}, err
 	}
-	return readFirstToken(r.http.Do(req))
+	return readFirstToken(bed.http.Do(req))
 }
 
-// memoryWithStreams holds many answers open and returns the process's memory meanwhile.
-func (r *testbed) memoryWithStreams(ctx context.Context, n int) float64 {
+// memoryWithStreams holds n streams open and returns the resident memory of the dispatcher process meanwhile, in MiB.
+func (bed *testbed) memoryWithStreams(ctx context.Context, n int) float64 {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	var all sync.WaitGroup
+	var streams sync.WaitGroup
 	var open atomic.Int64
 	for i := range n {
-		all.Add(1)
+		streams.Add(1)
 		time.Sleep(2 * time.Millisecond)
 		go func() {
-			defer all.Done()
-			req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.dispatcherAddr+"/v2/models/"+r.model+"/generate_stream", bytes.NewReader(r.requestBody(8)))
+			defer streams.Done()
+			req, err := http.NewRequestWithContext(ctx, http.MethodPost,
+				"http://"+bed.dispatcherAddr+"/v2/models/"+bed.model+"/generate_stream", bytes.NewReader(bed.requestBody(8)))
 			if err != nil {
 				return
 			}
-			resp, err := r.http.Do(req)
+			resp, err := bed.http.Do(req)
 			if err != nil {
 				return
 			}
 			open.Add(1)
-			// The stream is left unread: it stays open until all have been counted.
+			// The body is not read, which keeps the stream open until all streams have been counted.
 			<-ctx.Done()
 			resp.Body.Close()
 		}()
 		if i == 0 {
-			r.fleet.Hold(true)
-			defer r.fleet.Hold(false)
+			bed.fleet.Hold(true)
+			defer bed.fleet.Hold(false)
 		}
 	}
 	for range 500 {
@@ -319,33 +350,33 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	r.plan.Logf("%d of %d streams are open", open.Load(), n)
-	mb := r.residentMiB()
+	bed.plan.Logf("%d of %d streams are open", open.Load(), n)
+	memory := bed.residentMiB()
 	cancel()
-	r.fleet.Hold(false)
-	all.Wait()
-	return mb
+	bed.fleet.Hold(false)
+	streams.Wait()
+	return memory
 }
 
-// cpuSeconds is the time that the dispatcher's process has used, in seconds.
-func (r *testbed) cpuSeconds() float64 {
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
+// cpuSeconds returns the CPU time that the dispatcher process has used, in seconds; 0 where it cannot be read.
+func (bed *testbed) cpuSeconds() float64 {
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", bed.cmd.Process.Pid))
 	if err != nil {
 		return 0
 	}
 	fields := strings.Fields(string(raw[bytes.LastIndexByte(raw, ')')+1:]))
 	user, _ := strconv.ParseFloat(fields[11], 64)
 	system, _ := strconv.ParseFloat(fields[12], 64)
-	return (user + system) / 100 // clock ticks, 100 a second on Linux
+	return (user + system) / 100 // clock ticks, 100 per second on Linux
 }
 
-// residentMiB is its resident residentMiB, in MiB.
-func (r *testbed) residentMiB() float64 {
-	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
+// residentMiB returns the resident memory of the dispatcher process, in MiB; 0 where it cannot be read.
+func (bed *testbed) residentMiB() float64 {
+	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", bed.cmd.Process.Pid))
 	if err != nil {
 		return 0
 	}
 	_, rest, _ := strings.Cut(string(raw), "VmRSS:")
-	kb, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
-	return kb / 1024
+	kib, _ := strconv.ParseFloat(strings.Fields(rest)[0], 64)
+	return kib / 1024
 }
