--- a/cmd/benchlink/instance.go
+++ b/cmd/benchlink/instance.go
@@ -27,14 +27,14 @@
 // outcomes maps the status codes of the simulator's protocol to outcomes of attempts.
 var outcomes = map[uint16]brain.Outcome{
 	200: brain.Served,
-	210: brain.Read,
+	210: brain.Prefilled,
 	410: brain.NotSent,
 	499: brain.Cancelled,
 	500: brain.Failed,
 	502: brain.Unreachable,
 	503: brain.Rejected,
 	504: brain.TimedOut,
-	598: brain.Broken,
+	598: brain.ConnectionLost,
 }
 
 // outcomeOf returns the outcome for a status code. An unknown code counts as a failure, since it proves nothing.
@@ -56,7 +56,7 @@
 		reply.Abort(in.number, "bootInfo: "+err.Error())
 		return nil
 	}
-	scheduler, err := brain.New(brain.Flat(info), e.U64(3), in)
+	scheduler, err := brain.New(brain.FlattenSettings(info), e.U64(3), in)
 	if err != nil {
 		reply.Abort(in.number, "bootInfo: "+err.Error())
 		return nil
@@ -82,21 +82,21 @@
 	switch e.Code() {
 	case wire.EventEndpoints:
 		if e.U8(11) == 3 {
-			in.scheduler.ListFailed()
+			in.scheduler.DiscoveryFailed()
 			return
 		}
-		in.scheduler.Listed(in.listings(e.Entries()), e.U8(11) != 0)
+		in.scheduler.UpdateEndpoints(in.listings(e.Entries()), e.U8(11) != 0)
 	case wire.EventRequest:
 		request := &brain.Request{
-			ID: e.U64(3), Session: e.U64(11), Shared: e.U64(24),
-			Prompt: nonNegative(e.F32(32)), Prefix: nonNegative(e.F32(45)), Most: nonNegative(e.F32(20)),
-			Again: e.U8(19)&2 != 0, Left: micros(e.U32(41)),
+			ID: e.U64(3), SessionKey: e.U64(11), PrefixKey: e.U64(24),
+			PromptTokens: nonNegative(e.F32(32)), PrefixTokens: nonNegative(e.F32(45)), MaxOutputTokens: nonNegative(e.F32(20)),
+			ClientRetry: e.U8(19)&2 != 0, Timeout: micros(e.U32(41)),
 		}
 		in.requests[request.ID] = request
 		in.scheduler.Submit(request, int(e.U8(36)), int(e.U16(49)))
 	case wire.EventFirstByte:
 		if attempt := in.attempt(e); attempt != nil {
-			in.scheduler.Began(attempt, micros(e.U32(16)))
+			in.scheduler.FirstToken(attempt, micros(e.U32(16)))
 		}
 	case wire.EventOutcome:
 		if attempt := in.attempt(e); attempt != nil && !attempt.Ended {
@@ -104,22 +104,22 @@
 			for i, v := range load {
 				load[i] = nonNegative(v)
 			}
-			in.scheduler.Ended(attempt, brain.Result{
-				Outcome: outcomeOf(e.U16(16)), Took: micros(e.U32(18)), Over: e.U8(22) != 0,
-				Note: int(e.U32(23)), Load: load,
+			in.scheduler.AttemptDone(attempt, brain.Result{
+				Outcome: outcomeOf(e.U16(16)), Duration: micros(e.U32(18)), Finished: e.U8(22) != 0,
+				Detail: int(e.U32(23)), LoadReport: load,
 			})
 			in.forgetEnded(attempt.Request)
 		}
 	case wire.EventClientGone:
 		if request := in.requests[e.U64(3)]; request != nil {
-			in.scheduler.Left(request)
+			in.scheduler.ClientDisconnected(request)
 			in.forgetEnded(request)
 		}
 	case wire.EventPeerMessage:
 		if update, err := news.Decode(e.Span(7), in.backends); err != nil {
-			in.Note(fmt.Sprintf("message of %d dropped: %v", e.U32(3), err))
-		} else if update.Host != nil {
-			in.scheduler.Heard(update)
+			in.LogInfo(fmt.Sprintf("message of %d dropped: %v", e.U32(3), err))
+		} else if update.Backend != nil {
+			in.scheduler.PeerUpdated(update)
 		}
 	case wire.EventTimer:
 		if callback := in.timers[e.U32(3)]; callback != nil {
@@ -140,23 +140,23 @@
 
 // forgetEnded drops a request that is over and has no attempt in flight.
 func (in *instance) forgetEnded(request *brain.Request) {
-	if request.Over && request.Out() == nil {
+	if request.Finished && request.InFlight() == nil {
 		delete(in.requests, request.ID)
 	}
 }
 
 // listings converts entries of the endpoint list; a backend keeps its identity from one list to the next.
-func (in *instance) listings(entries []wire.Entry) []brain.Listing {
-	listings := make([]brain.Listing, len(entries))
+func (in *instance) listings(entries []wire.Entry) []brain.Endpoint {
+	listings := make([]brain.Endpoint, len(entries))
 	for i, e := range entries {
 		backend := in.backends[e.Backend]
 		if backend == nil {
 			backend = &brain.Backend{ID: e.Backend, Zone: int(e.Zone), Rack: int(e.Rack), Kind: int(e.Kind)}
 			in.backends[e.Backend] = backend
 		}
-		listings[i] = brain.Listing{
-			Host: backend, Standing: brain.BackendState(e.State), Units: nonNegative(e.Units), Restart: e.BootUs != 0,
-			Booted: time.Duration(int64(e.BootUs)-int64(in.startedUs)) * time.Microsecond,
+		listings[i] = brain.Endpoint{
+			Backend: backend, State: brain.BackendState(e.State), CapacityUnits: nonNegative(e.Units), StartReported: e.BootUs != 0,
+			StartedAt: time.Duration(int64(e.BootUs)-int64(in.startedUs)) * time.Microsecond,
 		}
 	}
 	return listings
@@ -193,19 +193,19 @@
 }
 
 // Wake calls a function after a time.
-func (in *instance) Wake(after time.Duration, callback func()) {
+func (in *instance) Schedule(after time.Duration, callback func()) {
 	in.lastTimer++
 	in.timers[in.lastTimer] = callback
 	in.reply.SetTimer(in.number, uint32(after.Microseconds()), in.lastTimer)
 }
 
 // Watch subscribes to pushed endpoint lists or ends the subscription.
-func (in *instance) Watch(on bool) { in.reply.Watch(in.number, on) }
+func (in *instance) WatchEndpoints(on bool) { in.reply.Watch(in.number, on) }
 
 // Tell sends an update to a peer.
-func (in *instance) Tell(peer int, update brain.PeerUpdate) {
+func (in *instance) SendPeerUpdate(peer int, update brain.PeerUpdate) {
 	in.reply.SendPeer(in.number, uint32(peer), news.Encode(update))
 }
 
 // Note writes a line to the simulator's log.
-func (in *instance) Note(text string) { in.reply.Log(in.number, text) }
+func (in *instance) LogInfo(text string) { in.reply.Log(in.number, text) }
--- a/cmd/benchlink/parity_test.go
+++ b/cmd/benchlink/parity_test.go
@@ -134,28 +134,28 @@
 // The simulator tests the scheduler of the running dispatcher only as long as this adapter and the dispatcher's event
 // loop get the same decisions from the same sequence of events.
 func TestAdapterAndEventLoopMakeTheSameDecisions(t *testing.T) {
-	config := setup.DefaultDispatcher()
+	config := setup.DefaultDispatcherConfig()
 	for i, effect := range []string{"idempotent", "deduplicated", "unrepeatable"} {
-		config.Grades = append(config.Grades, setup.Grade{
-			Name: effect, Effect: effect, Reach: "all", Window: setup.Span(2 * time.Second),
-			Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second),
-			Benefit: float64(i + 1), Late: 0.2, Most: 60,
+		config.Classes = append(config.Classes, setup.Class{
+			Name: effect, Effect: effect, DedupScope: "all", DedupWindow: setup.Duration(2 * time.Second),
+			LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second),
+			Value: float64(i + 1), LateValue: 0.2, DefaultMaxTokens: 60,
 		})
 	}
-	config.Kinds = []setup.Kind{
-		{Name: "reader", Role: "reader", Memory: 2e5},
-		{Name: "writer", Role: "writer", Memory: 1e5},
-		{Name: "mixed", Role: "mixed", Memory: 1e5},
+	config.BackendKinds = []setup.BackendKind{
+		{Name: "reader", Role: "reader", MemoryTokens: 2e5},
+		{Name: "writer", Role: "writer", MemoryTokens: 1e5},
+		{Name: "mixed", Role: "mixed", MemoryTokens: 1e5},
 	}
-	config.Report = []string{"util", "queue"}
-	info, err := json.Marshal(config.Facts())
+	config.ReportFields = []string{"util", "queue"}
+	info, err := json.Marshal(config.SchedulerParameters())
 	if err != nil {
 		t.Fatal(err)
 	}
 	const seed = 99
 	recorded := &recorder{inFlight: map[uint64]*dispatch.Attempt{}}
-	loop, err := dispatch.NewLoop(config.Facts(), seed,
-		dispatch.Resolver{ZoneNumber: config.ZoneNumber, KindNumber: config.KindNumber}, recorded,
+	loop, err := dispatch.NewLoop(config.SchedulerParameters(), seed,
+		dispatch.Resolver{ZoneNumber: config.ZoneIndex, KindNumber: config.KindIndex}, recorded,
 		func() time.Duration { return recorded.now }, "d", slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -170,23 +170,23 @@
 
 	kinds := []string{"reader", "reader", "reader", "writer", "writer", "writer", "mixed"}
 	list := func(stateOf func(i int) int) {
-		var lines []boxlist.Box
+		var lines []boxlist.Endpoint
 		var tail []byte
 		for i, kind := range kinds {
 			name, rack, state := fmt.Sprintf("%s-%d", kind, i), fmt.Sprintf("rack-%d", i%2), stateOf(i)
-			line := boxlist.Box{
+			line := boxlist.Endpoint{
 				Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}},
-				Kind: kind, Zone: "here", Rack: rack, Standing: [...]string{"draining", "ready", "gone"}[state],
-				Units: 2, UpMs: -1,
+				Kind: kind, Zone: "here", Rack: rack, State: [...]string{"draining", "ready", "gone"}[state],
+				Units: 2, UptimeMs: -1,
 			}
 			entry := make([]byte, 22)
 			binary.BigEndian.PutUint32(entry, dispatch.BackendID(name))
-			binary.BigEndian.PutUint16(entry[5:], uint16(config.KindNumber(kind)))
+			binary.BigEndian.PutUint16(entry[5:], uint16(config.KindIndex(kind)))
 			binary.BigEndian.PutUint16(entry[7:], uint16(i%2))
 			entry[9] = byte(state)
 			binary.BigEndian.PutUint32(entry[10:], math.Float32bits(2))
 			if i == 4 { // a backend that has just started
-				line.Start, line.UpMs = 5, 1
+				line.Incarnation, line.UptimeMs = 5, 1
 				binary.BigEndian.PutUint64(entry[14:], sim.clockUs-1000)
 			}
 			lines, tail = append(lines, line), append(tail, entry...)
@@ -206,12 +206,12 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	submitted := map[uint64]*dispatch.ClientRequest{}
 	codes := map[brain.Outcome]uint16{
-		brain.Served: 200, brain.Read: 210, brain.Failed: 500, brain.Rejected: 503, brain.TimedOut: 504,
-		brain.Unreachable: 502, brain.Broken: 598,
+		brain.Served: 200, brain.Prefilled: 210, brain.Failed: 500, brain.Rejected: 503, brain.TimedOut: 504,
+		brain.Unreachable: 502, brain.ConnectionLost: 598,
 	}
 	end := func(id uint64, attempt *dispatch.Attempt, outcome brain.Outcome, note int) {
-		took := (recorded.now - attempt.Scheduled.Sent).Microseconds()
-		over := outcome == brain.Served || attempt.Scheduled.Began > 0
+		took := (recorded.now - attempt.Scheduled.SentAt).Microseconds()
+		over := outcome == brain.Served || attempt.Scheduled.FirstTokenAt > 0
 		load := []float64{0.5, 3}
 		var r eventRecord
 		r[0], r[11] = wire.EventOutcome, byte(attempt.Scheduled.Number)
@@ -219,7 +219,7 @@
 		r.u32(12, attempt.Scheduled.Backend.ID)
 		binary.BigEndian.PutUint16(r[16:], codes[outcome])
 		r.u32(18, uint32(took))
-		if over || attempt.Scheduled.Request.Over {
+		if over || attempt.Scheduled.Request.Finished {
 			r[22] = 1
 		}
 		r.u32(23, uint32(note))
@@ -228,7 +228,7 @@
 		r.f32(32, load[1])
 		sim.handle(r, nil)
 		delete(recorded.inFlight, id)
-		loop.RunTurn(func() { loop.AttemptEnded(attempt, brain.Result{Outcome: outcome, Note: note, Load: load}) })
+		loop.RunTurn(func() { loop.AttemptEnded(attempt, brain.Result{Outcome: outcome, Detail: note, LoadReport: load}) })
 	}
 	tick()
 	list(func(int) int { return 1 })
@@ -239,7 +239,7 @@
 			class, tokens := rng.IntN(3), 200+rng.IntN(4000)
 			session, prefix := fmt.Sprint("s", rng.IntN(200)), fmt.Sprint("b", rng.IntN(9))
 			request := &dispatch.ClientRequest{
-				Params: kserve.Ask{Tokens: tokens, Prefix: 100, Most: 60, Session: session, Shared: prefix},
+				Params: kserve.Request{PromptTokens: tokens, PrefixTokens: 100, MaxTokens: 60, Session: session, SharedPrefix: prefix},
 			}
 			submitted[id] = request
 			var r eventRecord
@@ -264,23 +264,23 @@
 		slices.Sort(ids)
 		for _, id := range ids {
 			attempt := recorded.inFlight[id]
-			age := recorded.now - attempt.Scheduled.Sent
+			age := recorded.now - attempt.Scheduled.SentAt
 			switch draw := rng.Float64(); {
-			case age >= attempt.Timeout && attempt.Scheduled.Began == 0:
+			case age >= attempt.Timeout && attempt.Scheduled.FirstTokenAt == 0:
 				end(id, attempt, brain.TimedOut, 0)
 			case draw < 0.001:
 				end(id, attempt, brain.Failed, 0)
 			case draw < 0.002:
-				end(id, attempt, brain.Broken, 0)
-			case attempt.Scheduled.Began > 0 && draw < 0.05:
+				end(id, attempt, brain.ConnectionLost, 0)
+			case attempt.Scheduled.FirstTokenAt > 0 && draw < 0.05:
 				end(id, attempt, brain.Served, 40)
-			case attempt.Scheduled.Began > 0:
+			case attempt.Scheduled.FirstTokenAt > 0:
 			case draw < 0.0021:
 				end(id, attempt, brain.Unreachable, 0)
 			case draw < 0.003:
 				end(id, attempt, brain.Rejected, 0)
-			case draw < 0.12 && attempt.Scheduled.Stage == brain.ToRead:
-				end(id, attempt, brain.Read, 100)
+			case draw < 0.12 && attempt.Scheduled.Stage == brain.StagePrefill:
+				end(id, attempt, brain.Prefilled, 100)
 			case draw < 0.12:
 				var r eventRecord
 				r[0], r[11] = wire.EventFirstByte, byte(attempt.Scheduled.Number)
@@ -289,7 +289,7 @@
 				r.u32(16, uint32(age.Microseconds()))
 				sim.handle(r, nil)
 				loop.RunTurn(func() { loop.AttemptBegan(attempt) })
-			case draw < 0.122 && !attempt.Scheduled.Request.Over:
+			case draw < 0.122 && !attempt.Scheduled.Request.Finished:
 				var r eventRecord
 				r[0] = wire.EventClientGone
 				r.u64(3, id)
@@ -307,12 +307,12 @@
 		case bytes.Contains([]byte(action), []byte("send")):
 			sends = append(sends, action)
 		case bytes.Contains([]byte(action), []byte("reject")):
-			finals[kserve.Declined]++
+			finals[kserve.Rejected]++
 		case bytes.Contains([]byte(action), []byte("fail")):
-			finals[kserve.Forfeited]++
+			finals[kserve.Failed]++
 		}
 	}
-	if len(sends) < 800 || finals[kserve.Forfeited] == 0 {
+	if len(sends) < 800 || finals[kserve.Failed] == 0 {
 		t.Fatalf("too few attempts or no failed request in the sequence: %d sent, final answers %v", len(sends), finals)
 	}
 	for i := range min(len(sends), len(recorded.actions)) {
@@ -323,9 +323,9 @@
 	if len(sends) != len(recorded.actions) {
 		t.Errorf("the adapter sends %d attempts, the event loop %d", len(sends), len(recorded.actions))
 	}
-	if l := loop.Counters; int(l.Rejected) != finals[kserve.Declined] || int(l.Failed) < finals[kserve.Forfeited] {
+	if l := loop.Counters; int(l.Rejected) != finals[kserve.Rejected] || int(l.Failed) < finals[kserve.Failed] {
 		t.Errorf("the adapter rejects %d and fails %d, the event loop %d and %d",
-			finals[kserve.Declined], finals[kserve.Forfeited], l.Rejected, l.Failed)
+			finals[kserve.Rejected], finals[kserve.Failed], l.Rejected, l.Failed)
 	}
 }
 
@@ -341,17 +341,17 @@
 
 // Numbers from a frame enter averages that last for the rest of the run: no NaN or negative number may get there.
 func FuzzFramesLeaveNoNaNOrNegativeState(f *testing.F) {
-	config := setup.DefaultDispatcher()
-	config.Grades = []setup.Grade{{
-		Name: "g", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second),
-		Benefit: 1, Most: 60,
+	config := setup.DefaultDispatcherConfig()
+	config.Classes = []setup.Class{{
+		Name: "g", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second),
+		Value: 1, DefaultMaxTokens: 60,
 	}}
-	config.Kinds = []setup.Kind{
-		{Name: "reader", Role: "reader", Memory: 2e5},
-		{Name: "writer", Role: "writer", Memory: 1e5},
+	config.BackendKinds = []setup.BackendKind{
+		{Name: "reader", Role: "reader", MemoryTokens: 2e5},
+		{Name: "writer", Role: "writer", MemoryTokens: 1e5},
 	}
-	config.Report = []string{"util", "queue"}
-	info, err := json.Marshal(config.Facts())
+	config.ReportFields = []string{"util", "queue"}
+	info, err := json.Marshal(config.SchedulerParameters())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -404,10 +404,10 @@
 			in.handle(event(t, result, nil), uint64(i)*1000+500)
 		}
 		for _, h := range in.backends {
-			for _, v := range []float64{h.Units, h.Size, h.Util, h.Queue, h.Tokens, h.Unread, h.Room, h.Taken} {
+			for _, v := range []float64{h.CapacityUnits, h.RelativeCapacity, h.Util, h.QueueLength, h.KVTokens, h.PrefillBacklog, h.TokenLimit, h.CacheInsertedTokens} {
 				if math.IsNaN(v) || v < 0 {
 					t.Fatalf("state of backend %d: %v", h.ID,
-						[]float64{h.Units, h.Size, h.Util, h.Queue, h.Tokens, h.Unread, h.Room, h.Taken})
+						[]float64{h.CapacityUnits, h.RelativeCapacity, h.Util, h.QueueLength, h.KVTokens, h.PrefillBacklog, h.TokenLimit, h.CacheInsertedTokens})
 				}
 			}
 		}
--- a/cmd/sloetrestle/bill.go
+++ b/cmd/sloetrestle/bill.go
@@ -56,12 +56,12 @@
 
 // readSheet reads all records of all ledgers. Damaged records are reported to errs and skipped. A torn end is not
 // reported: a crash leaves one, and the record in it was never acknowledged.
-func (f *ledgerFlags) readSheet(errs io.Writer) (*ledger.Sheet, error) {
+func (f *ledgerFlags) readSheet(errs io.Writer) (*ledger.Collector, error) {
 	folders, key, err := f.resolve()
 	if err != nil {
 		return nil, err
 	}
-	sheet := ledger.NewSheet()
+	sheet := ledger.NewCollector()
 	for _, folder := range folders {
 		damages, err := ledger.Read(folder, key, sheet.Add)
 		if err != nil {
@@ -138,8 +138,8 @@
 	}
 	row := func(l ledger.Line) []string {
 		return []string{
-			l.Channel, l.Grade, string(l.Cause), strconv.Itoa(l.Questions), strconv.Itoa(l.Trips), strconv.Itoa(l.Read),
-			strconv.Itoa(l.Kept), strconv.Itoa(l.Answer), strconv.Itoa(l.Unproven),
+			l.Tenant, l.Class, string(l.Payer), strconv.Itoa(l.Requests), strconv.Itoa(l.Attempts), strconv.Itoa(l.PrefillTokens),
+			strconv.Itoa(l.CachedTokens), strconv.Itoa(l.OutputTokens), strconv.Itoa(l.Unconfirmed),
 		}
 	}
 	switch {
@@ -194,12 +194,12 @@
 			}
 			out := cmd.OutOrStdout()
 			for _, r := range requests {
-				request := r.Question
+				request := r.Request
 				fmt.Fprintf(out, "question %s (id %q) of channel %s, grade %s: %s at %s, %d prompt tokens, %d trips",
-					request.Key, request.Mark, request.Channel, request.Grade, request.Final,
-					time.UnixMilli(r.At).UTC().Format(time.RFC3339), request.Prompt, request.Trips)
-				if request.Why != "" {
-					fmt.Fprintf(out, " (%s)", request.Why)
+					request.Key, request.RequestID, request.Tenant, request.Class, request.Outcome,
+					time.UnixMilli(r.UnixMilli).UTC().Format(time.RFC3339), request.PromptTokens, request.Attempts)
+				if request.Reason != "" {
+					fmt.Fprintf(out, " (%s)", request.Reason)
 				}
 				fmt.Fprintln(out)
 			}
@@ -207,11 +207,11 @@
 			fmt.Fprintln(table, "question\ttrip\tbox\tstage\tend\tborne by\tread\tkept\tanswer\tproof")
 			for _, a := range attempts {
 				proof := fmt.Sprintf("count %d of the box for %s", a.Number, a.Epoch)
-				if !a.Proven() {
+				if !a.Confirmed() {
 					proof = "none: the box could not be asked; as the dispatcher saw it"
 				}
 				fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n",
-					a.Key, a.Trip.Trip, a.Box, a.Stage, a.End, a.Cause, a.Read, a.Kept, a.Answer, proof)
+					a.Key, a.Attempt.Index, a.Backend, a.Phase, a.Outcome, a.Payer, a.PrefillTokens, a.CachedTokens, a.OutputTokens, proof)
 			}
 			return table.Flush()
 		}),
@@ -263,7 +263,7 @@
 				return err
 			}
 			for _, folder := range folders {
-				last, err := ledger.Last(folder)
+				last, err := ledger.LastSegment(folder)
 				if err != nil {
 					return err
 				}
@@ -345,12 +345,12 @@
 			for _, owned := range state.Budgets.Owned {
 				fmt.Fprintf(table, "%s\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%d\n",
 					owned.Name, owned.Monthly, owned.Granted, owned.Borrow, owned.Debt,
-					owned.Lent, owned.Left, owned.PerS, owned.Bucket, owned.Holders)
+					owned.Lent, owned.Remaining, owned.PerSecond, owned.Bucket, owned.Holders)
 			}
 			fmt.Fprintln(table, "\npurse\tfree\treserved\tused\tpassed\tdeclined\twaited\tin emergency\tkeeper silent")
 			for _, leased := range state.Budgets.Budgets {
 				fmt.Fprintf(table, "%s\t%.0f\t%.0f\t%.0f\t%d\t%d\t%d\t%.0f\t%v\n", leased.Name, leased.Free, leased.Reserved,
-					leased.Used, leased.Passed, leased.Declined, leased.Waited, leased.Own, leased.Silent)
+					leased.Used, leased.Admitted, leased.Rejected, leased.Waited, leased.EmergencyUsed, leased.OwnerSilent)
 			}
 			return table.Flush()
 		}),
@@ -378,7 +378,7 @@
 			return postChange(args[0], "/budget", dispatch.BudgetChange{Name: args[1], Set: &terms})
 		}),
 	}
-	set.Flags().Float64Var(&terms.PerS, "tokens-a-second", -1, "over all dispatchers; -1: no limit")
+	set.Flags().Float64Var(&terms.PerSecond, "tokens-a-second", -1, "over all dispatchers; -1: no limit")
 	set.Flags().Float64Var(&terms.Burst, "burst", 0, "tokens")
 	set.Flags().Float64Var(&terms.Monthly, "monthly", -1, "tokens per month; -1: no limit")
 	set.Flags().Float64Var(&terms.Borrow, "borrow", 0, "most tokens that may be borrowed from the next month")
--- a/cmd/sloetrestle/load.go
+++ b/cmd/sloetrestle/load.go
@@ -40,11 +40,11 @@
 			}
 			scenario.Head.PerS *= rateFactor
 			if seconds > 0 {
-				scenario.Head.Length = setup.Span(time.Duration(seconds * float64(time.Second)))
+				scenario.Head.Length = setup.Duration(time.Duration(seconds * float64(time.Second)))
 			}
 			requests := scenario.Plan()
 			if trace != "" {
-				if requests, err = load.ReadTrace(trace, scenario.Terms); err != nil {
+				if requests, err = load.ReadTrace(trace, scenario.Deployment); err != nil {
 					return err
 				}
 			}
@@ -106,22 +106,22 @@
 		return err
 	}
 	recorder.Forgets = true // bounds memory: the command may run for days
-	talk := map[string]standin.Talk{}
+	talk := map[string]standin.ClassProfile{}
 	for _, t := range scenario.Traffic {
 		talk[t.Grade] = scenario.TalkOf(t.Grade)
 	}
-	fleet := standin.NewFleet(scenario.Terms, recorder,
-		standin.Links{Near: scenario.Links.Near, Far: scenario.Links.Far, Zone: scenario.Links.Zone}, talk)
+	fleet := standin.NewFleet(scenario.Deployment, recorder,
+		standin.Links{SameRack: scenario.Links.Near, CrossRack: scenario.Links.Far, ZoneFactor: scenario.Links.Zone}, talk)
 	defer fleet.Close()
-	discovery := fleet.NewList(discoveryAddr)
-	if err := discovery.Open(); err != nil {
+	discovery := fleet.NewDiscovery(discoveryAddr)
+	if err := discovery.Start(); err != nil {
 		return err
 	}
-	defer discovery.Shut()
+	defer discovery.Stop()
 	for _, m := range scenario.Makes() {
 		addr := addresses.Spec{Network: addresses.TCP4, Addr: fmt.Sprintf("127.0.0.1:%d", port)}
 		port++
-		backend := fleet.NewBox(standin.Make{
+		backend := fleet.NewBackend(standin.Config{
 			Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Seed: scenario.Head.Seed,
 			Engine: m.Engine, Addresses: []addresses.Spec{addr},
 		})
--- a/cmd/sloetrestle/platform_test.go
+++ b/cmd/sloetrestle/platform_test.go
@@ -31,7 +31,7 @@
 // dispatcherProcess is a dispatcher as the platform starts it, with its backends and discovery.
 type dispatcherProcess struct {
 	t           *testing.T
-	site        *hosts.Site
+	site        *hosts.Platform
 	agent       *hosts.Agent // discovery that the first configuration names
 	secondAgent *hosts.Agent // discovery at another address, for a reload
 	addr        string
@@ -46,9 +46,9 @@
 	t.Helper()
 	p := &dispatcherProcess{t: t, site: hosts.New(), exited: make(chan error, 1)}
 	t.Cleanup(p.site.Close)
-	p.site.Box("r1", hosts.Reader)
-	p.site.Box("w1", hosts.Writer)
-	p.agent, p.secondAgent = p.site.Agent(), p.site.Agent()
+	p.site.AddBackend("r1", hosts.PrefillKind)
+	p.site.AddBackend("w1", hosts.DecodeKind)
+	p.agent, p.secondAgent = p.site.AddAgent(), p.site.AddAgent()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -56,7 +56,7 @@
 	p.addr = listener.Addr().String()
 	listener.Close()
 	p.configFile = filepath.Join(t.TempDir(), "config.json")
-	p.configure(p.agent.At)
+	p.configure(p.agent.Address)
 	p.cmd = exec.Command(os.Args[0], "platform")
 	p.cmd.Env = append(os.Environ(), runMainVariable+"=1", "BALANCER_NAME=n1", "BALANCER_LISTEN="+p.addr,
 		"BALANCER_CONFIG="+p.configFile)
@@ -74,7 +74,7 @@
 	p.t.Helper()
 	raw := fmt.Sprintf(`{"name":"n1","discovery":%q,"seed":"8c1f",`+
 		`"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`,
-		discovery, p.site.List(), hosts.Settings)
+		discovery, p.site.DiscoveryList(), hosts.Settings)
 	if !json.Valid([]byte(raw)) {
 		p.t.Fatalf("the configuration is not valid JSON: %s", raw)
 	}
@@ -153,9 +153,9 @@
 	if got := p.request("a"); got != http.StatusOK {
 		t.Errorf("request to a ready dispatcher: status %d, want 200", got)
 	}
-	p.configure(p.secondAgent.At)
+	p.configure(p.secondAgent.Address)
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.waitUntil("the second discovery is watched", func() bool { return p.secondAgent.Watched() == 1 })
+	p.waitUntil("the second discovery is watched", func() bool { return p.secondAgent.WatchCount() == 1 })
 	if got := p.request("b"); got != http.StatusOK {
 		t.Errorf("request after SIGHUP: status %d, want 200", got)
 	}
@@ -166,8 +166,8 @@
 	if err := p.waitForExit(); err != nil {
 		t.Errorf("exit: %v\n%s", err, p.log.String())
 	}
-	if p.site.Held() != 0 || p.site.Out() != 0 {
-		t.Errorf("%d KV caches are held and %d attempts are in flight after the exit", p.site.Held(), p.site.Out())
+	if p.site.HeldCount() != 0 || p.site.InFlight() != 0 {
+		t.Errorf("%d KV caches are held and %d attempts are in flight after the exit", p.site.HeldCount(), p.site.InFlight())
 	}
 }
 
@@ -183,7 +183,7 @@
 			t.Parallel()
 			p := startDispatcher(t)
 			p.waitUntil("the dispatcher is ready", p.ready)
-			p.configure(p.secondAgent.At)
+			p.configure(p.secondAgent.Address)
 			for _, s := range signals {
 				p.cmd.Process.Signal(s)
 			}
--- a/internal/addresses/addresses.go
+++ b/internal/addresses/addresses.go
@@ -134,9 +134,9 @@
 // Address is one address of a backend with its recent history.
 type Address struct {
 	Spec
-	successes, failures brain.Ring
+	successes, failures brain.RollingSum
 	failuresInARow      float64
-	verifyTime          brain.Mean // seconds from the start of an attempt until the connection was verified
+	verifyTime          brain.RunningMean // seconds from the start of an attempt until the connection was verified
 	LastAttempt         time.Duration
 	attempted           bool
 	LastResult          Result
@@ -165,14 +165,14 @@
 	}
 	success, failure := a.posterior(now)
 	return fmt.Sprintf("%s %.1f s ago; chance %.2f; proof %.1f ms",
-		a.LastResult, (now - a.LastResultTime).Seconds(), success/(success+failure), 1000*a.verifyTime.Or(0))
+		a.LastResult, (now - a.LastResultTime).Seconds(), success/(success+failure), 1000*a.verifyTime.ValueOr(0))
 }
 
 // Tracker holds the addresses of one backend with their history, and orders them.
 type Tracker struct {
 	addresses  []*Address // in the order of the endpoint list
 	rng        *brain.PCG
-	verifyTime brain.Mean // seconds, over all addresses
+	verifyTime brain.RunningMean // seconds, over all addresses
 }
 
 // NewTracker returns a Tracker without addresses; the seed is that of the random draws in Order.
@@ -190,7 +190,7 @@
 		i := slices.IndexFunc(t.addresses, same)
 		if i < 0 {
 			next = append(next, &Address{
-				Spec: s, successes: brain.Ring{Width: evidenceBucket}, failures: brain.Ring{Width: evidenceBucket},
+				Spec: s, successes: brain.RollingSum{BucketWidth: evidenceBucket}, failures: brain.RollingSum{BucketWidth: evidenceBucket},
 			})
 			continue
 		}
@@ -245,7 +245,7 @@
 	slices.SortStableFunc(candidates, func(x, y candidate) int {
 		return cmp.Or(
 			cmp.Compare(x.distrusted, y.distrusted), cmp.Compare(x.Preference, y.Preference),
-			cmp.Compare(y.precedence(), x.precedence()), cmp.Compare(x.verifyTime.Or(0), y.verifyTime.Or(0)))
+			cmp.Compare(y.precedence(), x.precedence()), cmp.Compare(x.verifyTime.ValueOr(0), y.verifyTime.ValueOr(0)))
 	})
 	var ordered []*Address
 	for len(candidates) > 0 {
@@ -272,7 +272,7 @@
 // connection may take to be verified again.
 func (t *Tracker) Stagger() time.Duration {
 	stagger := time.Duration(
-		staggerFactor * t.verifyTime.Or(initialStagger.Seconds()/staggerFactor) * float64(time.Second))
+		staggerFactor * t.verifyTime.ValueOr(initialStagger.Seconds()/staggerFactor) * float64(time.Second))
 	return min(max(stagger, minStagger), maxStagger)
 }
 
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -26,20 +26,20 @@
 	Boxes    []Boxes   `toml:"box"`
 	Traffic  []Traffic `toml:"traffic"`
 	Troubles []Trouble `toml:"trouble,omitempty"`
-	setup.Terms
+	setup.Deployment
 }
 
 // Head says how long and how much.
 type Head struct {
-	Name         string     `toml:"name"`
-	Length       setup.Span `toml:"length"`
-	Seed         uint64     `toml:"seed"`
-	Dispatchers  int        `toml:"dispatchers"`
-	PerS         float64    `toml:"questions_a_second"`
-	Margin       setup.Span `toml:"margin"`                  // of the dispatchers, off a client's time
-	Ledger       bool       `toml:"ledger"`                  // dispatchers keep ledgers, and these have to have what the boxes counted
-	SplitBudgets bool       `toml:"split_budgets,omitempty"` // in virtual time only, to compare with: each dispatcher has an equal part
-	FrontNotice  setup.Span `toml:"front_notice"`            // how long the front goes on sending to a killed dispatcher
+	Name         string         `toml:"name"`
+	Length       setup.Duration `toml:"length"`
+	Seed         uint64         `toml:"seed"`
+	Dispatchers  int            `toml:"dispatchers"`
+	PerS         float64        `toml:"questions_a_second"`
+	Margin       setup.Duration `toml:"margin"`                  // of the dispatchers, off a client's time
+	Ledger       bool           `toml:"ledger"`                  // dispatchers keep ledgers, and these have to have what the boxes counted
+	SplitBudgets bool           `toml:"split_budgets,omitempty"` // in virtual time only, to compare with: each dispatcher has an equal part
+	FrontNotice  setup.Duration `toml:"front_notice"`            // how long the front goes on sending to a killed dispatcher
 }
 
 // Links carry read states.
@@ -51,44 +51,44 @@
 
 // List is how late the box list is.
 type List struct {
-	Notice setup.Span `toml:"notice"`      // of starts and drains
-	Silent setup.Span `toml:"gone_notice"` // of processes that died
+	Notice setup.Duration `toml:"notice"`      // of starts and drains
+	Silent setup.Duration `toml:"gone_notice"` // of processes that died
 }
 
 // Clients are how they behave.
 type Clients struct {
-	Retries     int        `toml:"retries"`
-	Wait        setup.Span `toml:"wait"`
-	Doubles     bool       `toml:"wait_doubles"`
-	Honour      float64    `toml:"honour"` // share that follows the advice
-	PatienceMin float64    `toml:"patience_min"`
-	PatienceMax float64    `toml:"patience_max"` // of the expiry, after which a try is given up
+	Retries     int            `toml:"retries"`
+	Wait        setup.Duration `toml:"wait"`
+	Doubles     bool           `toml:"wait_doubles"`
+	Honour      float64        `toml:"honour"` // share that follows the advice
+	PatienceMin float64        `toml:"patience_min"`
+	PatienceMax float64        `toml:"patience_max"` // of the expiry, after which a try is given up
 }
 
 // Boxes are some alike.
 type Boxes struct {
-	Kind      string     `toml:"kind"`
-	Count     int        `toml:"count"`
-	Racks     []string   `toml:"racks"` // in turn
-	Zones     []string   `toml:"zones,omitempty"`
-	Slots     int        `toml:"slots"`
-	Queue     int        `toml:"queue"`
-	ReadPerS  float64    `toml:"read_tokens_a_second"`
-	TokenTime setup.Span `toml:"token_time"`
-	Units     float64    `toml:"units"`
-	Addresses []string   `toml:"addresses,omitempty"` // of each box, in their order: tcp4, tcp6, unix; one tcp4 where left out
-	Engine    Engine     `toml:"engine,omitempty"`
+	Kind      string         `toml:"kind"`
+	Count     int            `toml:"count"`
+	Racks     []string       `toml:"racks"` // in turn
+	Zones     []string       `toml:"zones,omitempty"`
+	Slots     int            `toml:"slots"`
+	Queue     int            `toml:"queue"`
+	ReadPerS  float64        `toml:"read_tokens_a_second"`
+	TokenTime setup.Duration `toml:"token_time"`
+	Units     float64        `toml:"units"`
+	Addresses []string       `toml:"addresses,omitempty"` // of each box, in their order: tcp4, tcp6, unix; one tcp4 where left out
+	Engine    Engine         `toml:"engine,omitempty"`
 }
 
 // Engine is how boxes work inside, where a day plays engines; what is left out has the preset's value.
 type Engine struct {
-	BlockTokens int        `toml:"block_tokens,omitempty"`     // tokens to a block of memory; 32
-	Chunk       int        `toml:"chunk_tokens,omitempty"`     // prompt tokens read in one step at most; 2048
-	Step        setup.Span `toml:"step,omitempty"`             // one that does nothing else; token_time
-	PerAnswer   setup.Span `toml:"step_per_answer,omitempty"`  // for each running answer; 0.15 ms
-	PerContextK setup.Span `toml:"step_per_1000,omitempty"`    // for each 1,000 tokens of context; 0.04 ms
-	PairsPerM   setup.Span `toml:"step_per_m_pairs,omitempty"` // for each million pairs of tokens read; 0.8 ms
-	Load        setup.Span `toml:"model_load,omitempty"`       // before a cold start's first step; 0
+	BlockTokens int            `toml:"block_tokens,omitempty"`     // tokens to a block of memory; 32
+	Chunk       int            `toml:"chunk_tokens,omitempty"`     // prompt tokens read in one step at most; 2048
+	Step        setup.Duration `toml:"step,omitempty"`             // one that does nothing else; token_time
+	PerAnswer   setup.Duration `toml:"step_per_answer,omitempty"`  // for each running answer; 0.15 ms
+	PerContextK setup.Duration `toml:"step_per_1000,omitempty"`    // for each 1,000 tokens of context; 0.04 ms
+	PairsPerM   setup.Duration `toml:"step_per_m_pairs,omitempty"` // for each million pairs of tokens read; 0.8 ms
+	Load        setup.Duration `toml:"model_load,omitempty"`       // before a cold start's first step; 0
 }
 
 // Traffic is what is asked of one grade.
@@ -105,19 +105,19 @@
 
 // Trouble is something that goes wrong for a while.
 type Trouble struct {
-	Kind        string     `toml:"kind"`
-	At          setup.Span `toml:"at"`
-	Length      setup.Span `toml:"length,omitempty"`
-	Boxes       []string   `toml:"boxes,omitempty"` // names, or kinds for all of them
-	Dispatchers []int      `toml:"dispatchers,omitempty"`
-	Size        float64    `toml:"size,omitempty"`
-	Share       float64    `toml:"share,omitempty"`
-	Grade       string     `toml:"grade,omitempty"`
-	Channel     string     `toml:"channel,omitempty"`
-	By          setup.Span `toml:"by,omitempty"`
-	Tokens      int        `toml:"tokens,omitempty"`
-	Addresses   []int      `toml:"addresses,omitempty"` // of each box hit, by number from 0
-	Bytes       int        `toml:"bytes,omitempty"`
+	Kind        string         `toml:"kind"`
+	At          setup.Duration `toml:"at"`
+	Length      setup.Duration `toml:"length,omitempty"`
+	Boxes       []string       `toml:"boxes,omitempty"` // names, or kinds for all of them
+	Dispatchers []int          `toml:"dispatchers,omitempty"`
+	Size        float64        `toml:"size,omitempty"`
+	Share       float64        `toml:"share,omitempty"`
+	Grade       string         `toml:"grade,omitempty"`
+	Channel     string         `toml:"channel,omitempty"`
+	By          setup.Duration `toml:"by,omitempty"`
+	Tokens      int            `toml:"tokens,omitempty"`
+	Addresses   []int          `toml:"addresses,omitempty"` // of each box hit, by number from 0
+	Bytes       int            `toml:"bytes,omitempty"`
 }
 
 // kind says what a trouble is and which of its keys it needs.
@@ -171,12 +171,12 @@
 // Default is what a day starts from.
 func Default() Day {
 	return Day{
-		Terms: setup.DefaultTerms(),
-		Head: Head{Name: "day", Length: setup.Span(20 * time.Second), Seed: 1, Dispatchers: 2, PerS: 20,
-			Margin: setup.Span(40 * time.Millisecond), FrontNotice: setup.Span(time.Second)},
+		Deployment: setup.DefaultDeployment(),
+		Head: Head{Name: "day", Length: setup.Duration(20 * time.Second), Seed: 1, Dispatchers: 2, PerS: 20,
+			Margin: setup.Duration(40 * time.Millisecond), FrontNotice: setup.Duration(time.Second)},
 		Links:   Links{Near: 250_000, Far: 400_000, Zone: 2},
-		List:    List{Notice: setup.Span(500 * time.Millisecond), Silent: setup.Span(2 * time.Second)},
-		Clients: Clients{Retries: 1, Wait: setup.Span(100 * time.Millisecond), Honour: 0.7, PatienceMin: 0.5, PatienceMax: 1},
+		List:    List{Notice: setup.Duration(500 * time.Millisecond), Silent: setup.Duration(2 * time.Second)},
+		Clients: Clients{Retries: 1, Wait: setup.Duration(100 * time.Millisecond), Honour: 0.7, PatienceMin: 0.5, PatienceMax: 1},
 	}
 }
 
@@ -206,90 +206,90 @@
 )
 
 // above tells whether a figure is above nought and one that can be meant.
-func above(v float64) bool { return v > 0 && v <= setup.MostFigure }
+func above(v float64) bool { return v > 0 && v <= setup.MaxNumber }
 
 func (d *Day) check() error {
 	h := d.Head
 	switch {
-	case h.Length <= 0 || h.Length.D() > mostLength:
-		return setup.Wrong("day.length", "must be above 0 and at most %v", mostLength)
+	case h.Length <= 0 || h.Length.Std() > mostLength:
+		return setup.Invalidf("day.length", "must be above 0 and at most %v", mostLength)
 	case h.Dispatchers < 1 || h.Dispatchers > mostDispatchers:
-		return setup.Wrong("day.dispatchers", "must be from 1 to %d", mostDispatchers)
-	case !(h.PerS > 0 && h.PerS*h.Length.D().Seconds() <= mostQuestions):
-		return setup.Wrong("day.questions_a_second", "must be above 0 and come to at most %d questions", mostQuestions)
+		return setup.Invalidf("day.dispatchers", "must be from 1 to %d", mostDispatchers)
+	case !(h.PerS > 0 && h.PerS*h.Length.Std().Seconds() <= mostQuestions):
+		return setup.Invalidf("day.questions_a_second", "must be above 0 and come to at most %d questions", mostQuestions)
 	case !(above(d.Links.Near) && above(d.Links.Far)):
-		return setup.Wrong("links", "must be above 0 and at most %g", float64(setup.MostFigure))
-	case d.List.Notice.D() > mostLength || d.List.Silent.D() > mostLength:
-		return setup.Wrong("list", "must be at most %v", mostLength)
+		return setup.Invalidf("links", "must be above 0 and at most %g", float64(setup.MaxNumber))
+	case d.List.Notice.Std() > mostLength || d.List.Silent.Std() > mostLength:
+		return setup.Invalidf("list", "must be at most %v", mostLength)
 	case !(d.Clients.PatienceMin > 0 && d.Clients.PatienceMin <= d.Clients.PatienceMax):
-		return setup.Wrong("clients.patience_min", "must be above 0 and not beyond patience_max")
+		return setup.Invalidf("clients.patience_min", "must be above 0 and not beyond patience_max")
 	case d.Clients.PatienceMax > 100:
-		return setup.Wrong("clients.patience_max", "must be at most 100")
+		return setup.Invalidf("clients.patience_max", "must be at most 100")
 	case d.Clients.Retries < 0 || d.Clients.Retries > 50:
-		return setup.Wrong("clients.retries", "must be from 0 to 50")
+		return setup.Invalidf("clients.retries", "must be from 0 to 50")
 	case len(d.Traffic) == 0:
-		return setup.Wrong("traffic", "nothing is asked")
+		return setup.Invalidf("traffic", "nothing is asked")
 	}
-	if err := setup.FirstOf(
-		setup.Figure("links.other_zone_times", d.Links.Zone, setup.MostFigure), setup.Figure("clients.honour", d.Clients.Honour, 1), d.Terms.Check(),
+	if err := setup.FirstError(
+		setup.CheckNumber("links.other_zone_times", d.Links.Zone, setup.MaxNumber), setup.CheckNumber("clients.honour", d.Clients.Honour, 1), d.Deployment.Check(),
 	); err != nil {
 		return err
 	}
 	for i, b := range d.Budgets {
 		if b.Monthly != nil && !h.Ledger && !h.SplitBudgets {
-			return setup.Wrong(fmt.Sprintf("budget.%d.monthly", i), "needs day.ledger")
+			return setup.Invalidf(fmt.Sprintf("budget.%d.monthly", i), "needs day.ledger")
 		}
 	}
 	n := 0
 	for i, b := range d.Boxes {
 		at := fmt.Sprintf("box.%d.", i)
 		switch {
-		case d.KindNumber(b.Kind) < 0:
-			return setup.Wrong(at+"kind", "%q is not among the kinds", b.Kind)
+		case d.KindIndex(b.Kind) < 0:
+			return setup.Invalidf(at+"kind", "%q is not among the kinds", b.Kind)
 		case b.Count < 1:
-			return setup.Wrong(at+"count", "must be at least 1")
+			return setup.Invalidf(at+"count", "must be at least 1")
 		case len(b.Racks) == 0:
-			return setup.Wrong(at+"racks", "names no rack")
+			return setup.Invalidf(at+"racks", "names no rack")
 		case b.Slots < 1 || b.Queue < 0 || max(b.Slots, b.Queue) > mostSlots:
-			return setup.Wrong(at+"slots", "slots must be at least 1, queue not negative, and both at most %d", mostSlots)
+			return setup.Invalidf(at+"slots", "slots must be at least 1, queue not negative, and both at most %d", mostSlots)
 		case !above(b.ReadPerS):
-			return setup.Wrong(at+"read_tokens_a_second", "must be above 0 and at most %g", float64(setup.MostFigure))
+			return setup.Invalidf(at+"read_tokens_a_second", "must be above 0 and at most %g", float64(setup.MaxNumber))
 		case b.TokenTime <= 0:
-			return setup.Wrong(at+"token_time", "must be above 0")
+			return setup.Invalidf(at+"token_time", "must be above 0")
 		}
-		if err := setup.Figure(at+"units", b.Units, boxlist.MostUnits); err != nil {
+		if err := setup.CheckNumber(at+"units", b.Units, boxlist.MaxUnits); err != nil {
 			return err
 		}
 		for _, a := range b.Addresses {
 			if a != addresses.TCP4 && a != addresses.TCP6 && a != addresses.Unix {
-				return setup.Wrong(at+"addresses", "%q is none of tcp4, tcp6 and unix", a)
+				return setup.Invalidf(at+"addresses", "%q is none of tcp4, tcp6 and unix", a)
 			}
 		}
 		for _, z := range b.Zones {
-			if d.ZoneNumber(z) < 0 {
-				return setup.Wrong(at+"zones", "%q is not among the zones", z)
+			if d.ZoneIndex(z) < 0 {
+				return setup.Invalidf(at+"zones", "%q is not among the zones", z)
 			}
 		}
 		n += b.Count
 	}
 	if n == 0 || n > mostBoxes {
-		return setup.Wrong("box", "%d boxes are stated; 1 to %d can be played", n, mostBoxes)
+		return setup.Invalidf("box", "%d boxes are stated; 1 to %d can be played", n, mostBoxes)
 	}
 	for i, t := range d.Traffic {
 		at := fmt.Sprintf("traffic.%d.", i)
 		switch {
-		case d.GradeNumber(t.Grade) < 0:
-			return setup.Wrong(at+"grade", "%q is not among the grades", t.Grade)
-		case !(t.New > 0 && t.New <= kserve.MostTokens):
-			return setup.Wrong(at+"new_tokens", "must be above 0 and at most %d", kserve.MostTokens)
-		case !(t.Answer > 0 && t.Answer <= kserve.MostTokens):
-			return setup.Wrong(at+"answer_tokens", "must be above 0 and at most %d", kserve.MostTokens)
+		case d.ClassIndex(t.Grade) < 0:
+			return setup.Invalidf(at+"grade", "%q is not among the grades", t.Grade)
+		case !(t.New > 0 && t.New <= kserve.MaxTokens):
+			return setup.Invalidf(at+"new_tokens", "must be above 0 and at most %d", kserve.MaxTokens)
+		case !(t.Answer > 0 && t.Answer <= kserve.MaxTokens):
+			return setup.Invalidf(at+"answer_tokens", "must be above 0 and at most %d", kserve.MaxTokens)
 		case !(t.Turns >= 1 && t.Turns <= 1000):
-			return setup.Wrong(at+"turns", "must be from 1 to 1000")
-		case t.Shared > 0 && (t.Beginnings < 1 || t.Prefix < 1), t.Beginnings > mostQuestions || t.Prefix > kserve.MostTokens:
-			return setup.Wrong(at+"beginnings", "shared texts need beginnings and shared_tokens of at least 1, and no more than can be asked")
+			return setup.Invalidf(at+"turns", "must be from 1 to 1000")
+		case t.Shared > 0 && (t.Beginnings < 1 || t.Prefix < 1), t.Beginnings > mostQuestions || t.Prefix > kserve.MaxTokens:
+			return setup.Invalidf(at+"beginnings", "shared texts need beginnings and shared_tokens of at least 1, and no more than can be asked")
 		}
-		if err := setup.FirstOf(setup.Figure(at+"share", t.Share, setup.MostFigure), setup.Figure(at+"shared", t.Shared, 1)); err != nil {
+		if err := setup.FirstError(setup.CheckNumber(at+"share", t.Share, setup.MaxNumber), setup.CheckNumber(at+"shared", t.Shared, 1)); err != nil {
 			return err
 		}
 	}
@@ -298,34 +298,34 @@
 		at := fmt.Sprintf("trouble.%d.", i)
 		k := slices.IndexFunc(Kinds, func(k kind) bool { return k.Name == t.Kind })
 		if k < 0 {
-			return setup.Wrong(at+"kind", "%q is unknown; see day kinds", t.Kind)
+			return setup.Invalidf(at+"kind", "%q is unknown; see day kinds", t.Kind)
 		}
 		for _, need := range Kinds[k].Needs {
-			lacks := map[string]bool{"boxes": len(t.Boxes) == 0, "size": !(t.Size > 0 && t.Size <= mostSize), "share": !(t.Share > 0 && t.Share <= 1), "grade": d.GradeNumber(t.Grade) < 0,
+			lacks := map[string]bool{"boxes": len(t.Boxes) == 0, "size": !(t.Size > 0 && t.Size <= mostSize), "share": !(t.Share > 0 && t.Share <= 1), "grade": d.ClassIndex(t.Grade) < 0,
 				"by": t.By <= 0, "dispatchers": len(t.Dispatchers) == 0, "tokens": t.Tokens <= 0,
 				"addresses": len(t.Addresses) == 0, "bytes": t.Bytes <= 0}
 			if lacks[need] {
-				return setup.Wrong(at+need, "%s needs it: %s", t.Kind, Kinds[k].What)
+				return setup.Invalidf(at+need, "%s needs it: %s", t.Kind, Kinds[k].What)
 			}
 		}
-		if t.Channel != "" && d.ChannelNumber(t.Channel) < 0 {
-			return setup.Wrong(at+"channel", "%q is not among the channels", t.Channel)
+		if t.Channel != "" && d.TenantIndex(t.Channel) < 0 {
+			return setup.Invalidf(at+"channel", "%q is not among the channels", t.Channel)
 		}
 		for _, b := range t.Boxes {
 			if !slices.ContainsFunc(names, func(n string) bool { return n == b || isOf(n, b) }) {
-				return setup.Wrong(at+"boxes", "%q is no box and no kind of this day", b)
+				return setup.Invalidf(at+"boxes", "%q is no box and no kind of this day", b)
 			}
 		}
 		for _, n := range t.Addresses {
 			for _, b := range d.Boxes {
 				if n < 0 || n >= max(len(b.Addresses), 1) && slices.ContainsFunc(t.Boxes, func(name string) bool { return name == b.Kind || isOf(name, b.Kind) }) {
-					return setup.Wrong(at+"addresses", "a %s has no address %d", b.Kind, n)
+					return setup.Invalidf(at+"addresses", "a %s has no address %d", b.Kind, n)
 				}
 			}
 		}
 		for _, n := range t.Dispatchers {
 			if n < 0 || n >= h.Dispatchers {
-				return setup.Wrong(at+"dispatchers", "there is no dispatcher %d", n)
+				return setup.Invalidf(at+"dispatchers", "there is no dispatcher %d", n)
 			}
 		}
 	}
--- a/internal/day/import.go
+++ b/internal/day/import.go
@@ -121,39 +121,39 @@
 	}
 	var lost []string
 	miss := func(format string, args ...any) { lost = append(lost, fmt.Sprintf(format, args...)) }
-	us := func(v int64) setup.Span { return setup.Span(time.Duration(v) * time.Microsecond) }
-	short := func(v int64) setup.Span { return setup.Span(float64(v) * scale.Time * 1000) }
+	us := func(v int64) setup.Duration { return setup.Duration(time.Duration(v) * time.Microsecond) }
+	short := func(v int64) setup.Duration { return setup.Duration(float64(v) * scale.Time * 1000) }
 	d := Default()
 	d.Head.Name, d.Head.Seed, d.Head.Length = in.Site, in.Noise, short(in.Length)
 	d.Head.Dispatchers = len(in.Balancers)
 	d.Zones = in.Zones
 	d.Links = Links{in.Fam.Near, in.Fam.Far, max(in.Fam.Zone_slower, 1)}
 	d.List = List{us(in.Discovery.Notice), us(in.Discovery.Silent_notice)}
-	d.Clients = Clients{in.Clients.Retries, setup.Span(in.Clients.Backoff_us * 1000), in.Clients.Backoff == "exp", in.Clients.Honour, in.Clients.Try_share, 1}
+	d.Clients = Clients{in.Clients.Retries, setup.Duration(in.Clients.Backoff_us * 1000), in.Clients.Backoff == "exp", in.Clients.Honour, in.Clients.Try_share, 1}
 	d.Clients.PatienceMin = min(max(in.Clients.Try_share, 0.05), 1)
 	tier := in.Tiers[0]
-	d.Report = tier.Report_fields
-	d.Rules.DrainGrace, d.Rules.ColdMultiple, d.Rules.ColdWindow = us(in.Drain_grace), in.Fall_multiple, us(in.Fall_for)
-	d.Rules.ColdShare, d.Rules.ColdRamp, d.Rules.Pin = tier.Stated_cold_from, us(tier.Stated_cold), us(in.Fam.Release)
-	d.Limits.Trips, d.Limits.Cancel, d.Limits.Siblings = max(in.Allow.Max_attempts, 1), in.Allow.Cancel, in.Allow.Peers
-	d.Limits.LocalRead = in.Fam.Writers_read
+	d.ReportFields = tier.Report_fields
+	d.Rules.DrainGrace, d.Rules.SlowStartMultiple, d.Rules.SlowStartWindow = us(in.Drain_grace), in.Fall_multiple, us(in.Fall_for)
+	d.Rules.SlowStartShare, d.Rules.SlowStartRamp, d.Rules.KVCacheHoldLimit = tier.Stated_cold_from, us(tier.Stated_cold), us(in.Fam.Release)
+	d.Limits.MaxAttempts, d.Limits.Cancel, d.Limits.PeerUpdates = max(in.Allow.Max_attempts, 1), in.Allow.Cancel, in.Allow.Peers
+	d.Limits.DecodeCanPrefill = in.Fam.Writers_read
 	if !in.Allow.Retry_after {
-		d.Limits.RetryAfter = 0
+		d.Limits.MaxRetryAfter = 0
 	}
 	effect := map[string]string{"safe": "idempotent", "keyed": "deduplicated", "unsafe": "unrepeatable"}
 	reach := map[string]string{"all": "all", "zone": "zone", "cell": "rack"}
 	var answer, fresh, shares float64
 	for i, c := range in.Classes {
-		g := setup.Grade{Name: c.Name, Effect: effect[c.Effect], Reach: reach[c.Group], Window: us(c.Window), Promised: us(c.Aim), Expiry: us(c.Deadline),
-			Benefit: c.Worth, Late: c.Late_worth, Most: 400}
+		g := setup.Class{Name: c.Name, Effect: effect[c.Effect], DedupScope: reach[c.Group], DedupWindow: us(c.Window), LatencyTarget: us(c.Aim), Deadline: us(c.Deadline),
+			Value: c.Worth, LateValue: c.Late_worth, DefaultMaxTokens: 400}
 		if i < len(in.Fam.Talks) {
 			t := in.Fam.Talks[i]
-			g.PerK, g.TokenTime, g.Most = setup.Span(t.Aim_ms_per_k*1e6), setup.Span(t.Token_ms*1e6), max(t.Max_out, 1)
+			g.TargetPer1000Tokens, g.InterTokenTarget, g.DefaultMaxTokens = setup.Duration(t.Aim_ms_per_k*1e6), setup.Duration(t.Token_ms*1e6), max(t.Max_out, 1)
 			d.Traffic = append(d.Traffic, Traffic{Grade: c.Name, Share: c.Share, New: t.New_tokens, Answer: t.Out_tokens, Turns: max(t.Turns, 1),
 				Shared: t.Prefix_share, Beginnings: max(t.Prefixes, 1), Prefix: max(int(t.Prefix_tokens), 1)})
 			answer, fresh, shares = answer+c.Share*t.Out_tokens, fresh+c.Share*t.New_tokens, shares+c.Share
 		}
-		d.Grades = append(d.Grades, g)
+		d.Classes = append(d.Classes, g)
 	}
 	role := map[string]string{"read": "reader", "write": "writer", "both": "mixed"}
 	reads, writes := 0.0, 0.0 // what the pools can do, in questions a second
@@ -163,7 +163,7 @@
 		if i < len(in.Fam.Roles) {
 			r = role[in.Fam.Roles[i]]
 		}
-		d.Kinds = append(d.Kinds, setup.Kind{Name: k.Name, Role: r, Memory: e.Memory})
+		d.BackendKinds = append(d.BackendKinds, setup.BackendKind{Name: k.Name, Role: r, MemoryTokens: e.Memory})
 		token := time.Duration((e.Step_ms + e.Per_seq_ms*float64(e.Slots)/2) * float64(time.Millisecond))
 		if k.Cancel != "all" {
 			d.Troubles = append(d.Troubles, Trouble{Kind: "no_cancel", Length: d.Head.Length, Boxes: []string{k.Name}})
@@ -173,7 +173,7 @@
 				continue
 			}
 			d.Boxes = append(d.Boxes, Boxes{Kind: k.Name, Count: 1, Racks: []string{fmt.Sprintf("rack-%d", s.Cell)}, Zones: []string{in.Zones[s.Zone]},
-				Slots: max(e.Slots, 1), Queue: e.Queue, ReadPerS: e.Read_per_s * s.Speed, TokenTime: setup.Span(float64(token) / s.Speed), Units: s.Weight})
+				Slots: max(e.Slots, 1), Queue: e.Queue, ReadPerS: e.Read_per_s * s.Speed, TokenTime: setup.Duration(float64(token) / s.Speed), Units: s.Weight})
 			if r == "reader" {
 				reads += e.Read_per_s * s.Speed / max(fresh/max(shares, 1e-9)*1.5, 1)
 			} else {
@@ -184,7 +184,7 @@
 	d.fixNames()
 	d.Head.PerS = math.Round(100*in.Traffic.Load*min(orMost(reads), orMost(writes))*scale.Rate) / 100
 	for _, t := range in.Tenants {
-		d.Channels = append(d.Channels, setup.Channel{Name: t.Name, Share: t.Share, PerS: t.Quota * d.Head.PerS})
+		d.Tenants = append(d.Tenants, setup.Tenant{Name: t.Name, Share: t.Share, RequestsPerSecond: t.Quota * d.Head.PerS})
 	}
 	names := d.serverNames(in.serverKinds())
 	for _, t := range in.Troubles {
@@ -206,15 +206,15 @@
 		switch kind {
 		case "failing", "grade_failing":
 			out.Share = min(max(t.Size, 0.01), 1)
-			if kind == "grade_failing" && t.Which < len(d.Grades) {
-				out.Grade = d.Grades[t.Which].Name
+			if kind == "grade_failing" && t.Which < len(d.Classes) {
+				out.Grade = d.Classes[t.Which].Name
 			}
 		case "shared_text":
 			out.Share, out.Tokens = min(max(t.Size, 0.01), 1), 4000
 		case "long_prompts":
 			out.Share = min(max(t.Extra, 0.005), 1)
 		case "list_stale":
-			out.By = setup.Span(t.Size * 1e9)
+			out.By = setup.Duration(t.Size * 1e9)
 		case "leave":
 			out.Share = min(max(t.Extra, 0.05), 1)
 			miss("give_up: how long each client waits; here a share leaves at a drawn time")
@@ -224,7 +224,7 @@
 					out.Dispatchers = append(out.Dispatchers, i)
 				}
 			}
-			out.Length = setup.Span(max(t.Extra, 0.2) * 1e9)
+			out.Length = setup.Duration(max(t.Extra, 0.2) * 1e9)
 			miss("balancer_roll: one batch after the other; here all named dispatchers restart together")
 		}
 		if t.Kind == "ageing" || t.Kind == "neighbour" {
@@ -284,7 +284,7 @@
 	next := map[int]int{}
 	for i, k := range kinds {
 		next[k]++
-		names[i] = fmt.Sprintf("%s-%d", d.Kinds[k].Name, next[k])
+		names[i] = fmt.Sprintf("%s-%d", d.BackendKinds[k].Name, next[k])
 	}
 	return names
 }
@@ -292,9 +292,9 @@
 // fixNames keeps two kinds of one name apart.
 func (d *Day) fixNames() {
 	seen := map[string]bool{}
-	for i, k := range d.Kinds {
+	for i, k := range d.BackendKinds {
 		if seen[k.Name] {
-			d.Kinds[i].Name = fmt.Sprintf("%s%d", k.Name, i)
+			d.BackendKinds[i].Name = fmt.Sprintf("%s%d", k.Name, i)
 		}
 		seen[k.Name] = true
 	}
--- a/internal/day/makes.go
+++ b/internal/day/makes.go
@@ -26,17 +26,17 @@
 	var out []Made
 	next := map[string]int{}
 	for _, b := range d.Boxes {
-		k := d.Kinds[d.KindNumber(b.Kind)]
+		k := d.BackendKinds[d.KindIndex(b.Kind)]
 		e := b.Engine
 		// The presets are of published orders of magnitude for 70B-class models on one server of eight accelerators: a
 		// decoding step of 10 to 25 ms, blocks of 16 to 64 tokens, chunks of 512 to 8,192 tokens.
 		made := engine.Make{
 			Reads: k.Role != "writer", Writes: k.Role != "reader", Slots: b.Slots, Queue: b.Queue, BlockTokens: cmp.Or(e.BlockTokens, 32),
-			Chunk: cmp.Or(e.Chunk, 2048), Step: cmp.Or(e.Step.D(), b.TokenTime.D()), PerAnswer: cmp.Or(e.PerAnswer.D(), 150*time.Microsecond),
-			PerContextK: cmp.Or(e.PerContextK.D(), 40*time.Microsecond), PairsPerM: cmp.Or(e.PairsPerM.D(), 800*time.Microsecond), ReadPerS: b.ReadPerS,
-			StateLife: stateLife, ColdShare: d.Rules.ColdShare, ColdRamp: d.Rules.ColdRamp.D(), Load: e.Load.D(),
+			Chunk: cmp.Or(e.Chunk, 2048), Step: cmp.Or(e.Step.Std(), b.TokenTime.Std()), PerAnswer: cmp.Or(e.PerAnswer.Std(), 150*time.Microsecond),
+			PerContextK: cmp.Or(e.PerContextK.Std(), 40*time.Microsecond), PairsPerM: cmp.Or(e.PairsPerM.Std(), 800*time.Microsecond), ReadPerS: b.ReadPerS,
+			StateLife: stateLife, ColdShare: d.Rules.SlowStartShare, ColdRamp: d.Rules.SlowStartRamp.Std(), Load: e.Load.Std(),
 		}
-		made.Blocks = max(k.Memory/made.BlockTokens, 1)
+		made.Blocks = max(k.MemoryTokens/made.BlockTokens, 1)
 		for range b.Count {
 			i := next[b.Kind]
 			next[b.Kind]++
@@ -57,11 +57,11 @@
 }
 
 // TalkOf tells how the questions of a grade look.
-func (d *Day) TalkOf(grade string) standin.Talk {
+func (d *Day) TalkOf(grade string) standin.ClassProfile {
 	for _, t := range d.Traffic {
 		if t.Grade == grade {
-			return standin.Talk{New: t.New, Answer: t.Answer, Prefix: t.Prefix}
+			return standin.ClassProfile{NewTokens: t.New, AnswerTokens: t.Answer, PrefixTokens: t.Prefix}
 		}
 	}
-	return standin.Talk{New: 1, Answer: 1}
+	return standin.ClassProfile{NewTokens: 1, AnswerTokens: 1}
 }
--- a/internal/day/plan.go
+++ b/internal/day/plan.go
@@ -23,19 +23,19 @@
 
 // on tells whether a trouble of a kind is on at a time.
 func (t Trouble) on(kind string, at time.Duration) bool {
-	return t.Kind == kind && at >= t.At.D() && at < (t.At+t.Length).D()
+	return t.Kind == kind && at >= t.At.Std() && at < (t.At+t.Length).Std()
 }
 
 // Plan draws all that clients will ask; arrivals don't wait for answers. The same script has the same plan.
-func (d *Day) Plan() []standin.Wish {
+func (d *Day) Plan() []standin.Request {
 	rng := d.rng(1)
-	var wishes []standin.Wish
+	var wishes []standin.Request
 	open := map[string][]*session{}
 	sum := 0.0
 	for _, t := range d.Traffic {
 		sum += t.Share
 	}
-	length := d.Head.Length.D()
+	length := d.Head.Length.Std()
 	for at := time.Duration(0); ; {
 		rate, begins, burst := d.Head.PerS, "", ""
 		beginTokens := 0
@@ -76,7 +76,7 @@
 			for float64(s.turns) < 12 && rng.Float64() < 1-1/tr.Turns {
 				s.turns++
 			}
-			if len(d.Channels) > 0 {
+			if len(d.Tenants) > 0 {
 				s.channel = d.drawChannel(rng.Float64())
 			}
 			if burst != "" {
@@ -93,9 +93,9 @@
 			s.tokens = s.prefix
 		}
 		long := 1.0
-		w := standin.Wish{At: at, Name: fmt.Sprintf("q%d", len(wishes)), Grade: tr.Grade, Channel: s.channel, Session: s.name, Shared: s.shared,
-			Prefix: s.prefix, Retries: d.Clients.Retries, Wait: d.Clients.Wait.D(), Doubles: d.Clients.Doubles, Honours: rng.Float64() < d.Clients.Honour}
-		g := d.Grades[d.GradeNumber(tr.Grade)]
+		w := standin.Request{SubmitAt: at, Name: fmt.Sprintf("q%d", len(wishes)), Class: tr.Grade, Tenant: s.channel, Session: s.name, PrefixID: s.shared,
+			PrefixTokens: s.prefix, Retries: d.Clients.Retries, RetryWait: d.Clients.Wait.Std(), ExponentialBackoff: d.Clients.Doubles, HonoursRetryAfter: rng.Float64() < d.Clients.Honour}
+		g := d.Classes[d.ClassIndex(tr.Grade)]
 		quit, givesUp, slowly := false, 0.0, time.Duration(0)
 		for _, t := range d.Troubles {
 			switch {
@@ -106,23 +106,23 @@
 			case t.on("give_up", at) && rng.Float64() < t.Share:
 				givesUp = t.Size
 			case t.on("slow_clients", at) && rng.Float64() < t.Share:
-				slowly = t.By.D()
+				slowly = t.By.Std()
 			}
 		}
 		s.tokens += max(int(tr.New*long*math.Exp(0.6*rng.NormFloat64()-0.18)), 8)
-		w.Tokens = s.tokens
-		w.Most = max(g.Most, 1)
-		k := float64(w.Tokens) / 1000
-		w.Promised = g.Promised.D() + time.Duration(k*float64(g.PerK))
-		w.Expiry = g.Expiry.D() + 2*time.Duration(k*float64(g.PerK))
-		w.Patience = d.Clients.PatienceMin + rng.Float64()*(d.Clients.PatienceMax-d.Clients.PatienceMin)
+		w.PromptTokens = s.tokens
+		w.MaxTokens = max(g.DefaultMaxTokens, 1)
+		k := float64(w.PromptTokens) / 1000
+		w.LatencyTarget = g.LatencyTarget.Std() + time.Duration(k*float64(g.TargetPer1000Tokens))
+		w.Deadline = g.Deadline.Std() + 2*time.Duration(k*float64(g.TargetPer1000Tokens))
+		w.PatienceShare = d.Clients.PatienceMin + rng.Float64()*(d.Clients.PatienceMax-d.Clients.PatienceMin)
 		if givesUp > 0 {
-			w.Patience = min(w.Patience, givesUp*float64(w.Promised)/float64(w.Expiry))
+			w.PatienceShare = min(w.PatienceShare, givesUp*float64(w.LatencyTarget)/float64(w.Deadline))
 		}
-		w.Slowly = slowly
-		w.Safe = g.Effect == "idempotent" || g.Effect == "deduplicated" && (g.Reach == "" || g.Reach == "all")
+		w.ReadDelay = slowly
+		w.Idempotent = g.Effect == "idempotent" || g.Effect == "deduplicated" && (g.DedupScope == "" || g.DedupScope == "all")
 		if quit { // some before the first token, some while the answer streams
-			w.Leaves = time.Duration((0.2 + 1.2*rng.Float64()) * float64(w.Promised))
+			w.LeaveAfter = time.Duration((0.2 + 1.2*rng.Float64()) * float64(w.LatencyTarget))
 		}
 		wishes = append(wishes, w)
 		if s.turns--; s.turns > 0 {
@@ -135,14 +135,14 @@
 // drawChannel picks a channel by its share.
 func (d *Day) drawChannel(x float64) string {
 	sum := 0.0
-	for _, c := range d.Channels {
+	for _, c := range d.Tenants {
 		sum += c.Share
 	}
 	x *= sum
-	for _, c := range d.Channels {
+	for _, c := range d.Tenants {
 		if x -= c.Share; x < 0 {
 			return c.Name
 		}
 	}
-	return d.Channels[len(d.Channels)-1].Name
+	return d.Tenants[len(d.Tenants)-1].Name
 }
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -42,8 +42,8 @@
 	stage       Stage
 	book        *record.Book
 	fleet       *standin.Fleet
-	list        *standin.List
-	boxes       map[string]*standin.Box
+	list        *standin.Discovery
+	boxes       map[string]*standin.Backend
 	dispatchers []*process
 	dir         string
 	group       *errgroup.Group
@@ -70,8 +70,8 @@
 
 // Play plays a day and judges it.
 func Play(ctx context.Context, d Day, stage Stage) (judge.Verdict, error) {
-	r := &run{day: d, stage: stage, boxes: map[string]*standin.Box{}}
-	head := record.Head{Day: d.Head.Name, Seed: d.Head.Seed, Terms: d.Terms, Boxes: r.places()}
+	r := &run{day: d, stage: stage, boxes: map[string]*standin.Backend{}}
+	head := record.Head{Day: d.Head.Name, Seed: d.Head.Seed, Terms: d.Deployment, Boxes: r.places()}
 	var err error
 	if r.book, err = record.Open(stage.Record, head); err != nil {
 		return judge.Verdict{}, err
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	sheet := ledger.NewSheet()
+	sheet := ledger.NewCollector()
 	for _, folder := range folders {
 		damage, err := ledger.Read(folder, key, sheet.Add)
 		if err != nil {
@@ -119,8 +119,8 @@
 		}
 	}
 	ledgers := map[string]judge.Cost{}
-	for box, l := range sheet.Counts() {
-		ledgers[box] = judge.Cost{Trips: l.Trips, Read: l.Read, Kept: l.Kept, Answer: l.Answer}
+	for box, l := range sheet.BackendTotals() {
+		ledgers[box] = judge.Cost{Trips: l.Attempts, Read: l.PrefillTokens, Kept: l.CachedTokens, Answer: l.OutputTokens}
 	}
 	rule, cost := judge.Accounts(lines, ledgers)
 	v.Rules, v.Cost = append(v.Rules, rule), &cost
@@ -144,17 +144,17 @@
 		return err
 	}
 	next := func() string { p := ports[0]; ports = ports[1:]; return fmt.Sprintf("127.0.0.1:%d", p) }
-	talk := map[string]standin.Talk{}
+	talk := map[string]standin.ClassProfile{}
 	for _, t := range r.day.Traffic {
-		talk[t.Grade] = standin.Talk{New: t.New, Answer: t.Answer, Prefix: t.Prefix}
+		talk[t.Grade] = standin.ClassProfile{NewTokens: t.New, AnswerTokens: t.Answer, PrefixTokens: t.Prefix}
 	}
-	r.fleet = standin.NewFleet(r.day.Terms, r.book, standin.Links{Near: r.day.Links.Near, Far: r.day.Links.Far, Zone: r.day.Links.Zone}, talk)
+	r.fleet = standin.NewFleet(r.day.Deployment, r.book, standin.Links{SameRack: r.day.Links.Near, CrossRack: r.day.Links.Far, ZoneFactor: r.day.Links.Zone}, talk)
 	defer r.fleet.Close()
-	r.list = r.fleet.NewList(next())
-	if err := r.list.Open(); err != nil {
+	r.list = r.fleet.NewDiscovery(next())
+	if err := r.list.Start(); err != nil {
 		return err
 	}
-	defer r.list.Shut()
+	defer r.list.Stop()
 	for _, m := range r.makes() {
 		for i := range m.Addresses {
 			switch a := &m.Addresses[i]; a.Network {
@@ -166,7 +166,7 @@
 				a.Addr = next()
 			}
 		}
-		b := r.fleet.NewBox(m)
+		b := r.fleet.NewBackend(m)
 		r.boxes[m.Name] = b
 		if err := b.Boot(false); err != nil {
 			return err
@@ -184,7 +184,7 @@
 		}
 	}
 	wishes := r.day.Plan()
-	r.say("%s: %d boxes, %d dispatchers, %d questions in %v (stand-ins, not engines)", h.Name, len(r.boxes), len(r.dispatchers), len(wishes), h.Length.D())
+	r.say("%s: %d boxes, %d dispatchers, %d questions in %v (stand-ins, not engines)", h.Name, len(r.boxes), len(r.dispatchers), len(wishes), h.Length.Std())
 	clients := standin.NewClients(r.book, r.day.Model, r.front)
 	defer clients.Close()
 	began := time.Now()
@@ -200,8 +200,8 @@
 	r.group = group
 	for _, t := range r.day.Troubles {
 		group.Go(func() error {
-			if wait(ctx, t.At.D()) {
-				return r.trouble(ctx, t, func(after time.Duration) bool { return wait(ctx, t.At.D()+after) })
+			if wait(ctx, t.At.Std()) {
+				return r.trouble(ctx, t, func(after time.Duration) bool { return wait(ctx, t.At.Std()+after) })
 			}
 			return nil
 		})
@@ -211,11 +211,11 @@
 		defer close(ended)
 		var asking sync.WaitGroup
 		for _, w := range wishes {
-			if !wait(ctx, w.At) {
+			if !wait(ctx, w.SubmitAt) {
 				break
 			}
 			asking.Add(1)
-			go func() { defer asking.Done(); clients.Ask(ctx, w) }()
+			go func() { defer asking.Done(); clients.Submit(ctx, w) }()
 		}
 		asking.Wait()
 		return nil
@@ -234,7 +234,7 @@
 		return err
 	}
 	// What is released late is still seen.
-	time.Sleep(r.day.Rules.Pin.D() + 100*time.Millisecond)
+	time.Sleep(r.day.Rules.KVCacheHoldLimit.Std() + 100*time.Millisecond)
 	return r.died()
 }
 
@@ -279,8 +279,8 @@
 	return out
 }
 
-func (r *run) makes() []standin.Make {
-	var out []standin.Make
+func (r *run) makes() []standin.Config {
+	var out []standin.Config
 	for _, m := range r.day.Makes() {
 		var at []addresses.Spec
 		for _, network := range m.Boxes.Addresses {
@@ -289,7 +289,7 @@
 		if len(at) == 0 {
 			at = append(at, addresses.Spec{Network: addresses.TCP4})
 		}
-		out = append(out, standin.Make{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Addresses: at,
+		out = append(out, standin.Config{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Addresses: at,
 			Seed: r.day.Head.Seed, Engine: m.Engine})
 	}
 	return out
@@ -308,17 +308,17 @@
 		return err
 	}
 	for i, p := range r.dispatchers {
-		d := setup.DefaultDispatcher()
-		d.Terms = r.day.Terms
-		d.Place.Name, d.Place.Number, d.Place.Siblings = p.name, i, h.Dispatchers
-		d.Place.Zone = r.day.Zones[i%len(r.day.Zones)]
-		d.Place.Listen, d.Place.Boxes, d.Place.Keep = []string{p.addr}, r.list.Address, r.dir
-		d.Place.News, d.Place.Peers, d.Place.Margin = peers[i], peers, h.Margin
-		d.Place.Tickets = key
+		d := setup.DefaultDispatcherConfig()
+		d.Deployment = r.day.Deployment
+		d.Instance.Name, d.Instance.Index, d.Instance.FleetSize = p.name, i, h.Dispatchers
+		d.Instance.Zone = r.day.Zones[i%len(r.day.Zones)]
+		d.Instance.Listen, d.Instance.DiscoveryAddr, d.Instance.EndpointCacheFolder = []string{p.addr}, r.list.Address, r.dir
+		d.Instance.PeerListen, d.Instance.PeerAddrs, d.Instance.ResponseMargin = peers[i], peers, h.Margin
+		d.Instance.TicketKeyFile = key
 		if h.Ledger {
-			d.Ledger.Folder, d.Ledger.Key = filepath.Join(r.dir, "ledger-"+p.name), key
+			d.Ledger.Folder, d.Ledger.KeyFile = filepath.Join(r.dir, "ledger-"+p.name), key
 		}
-		d.Place.Seed = h.Seed*1000 + uint64(i) + 1
+		d.Instance.Seed = h.Seed*1000 + uint64(i) + 1
 		raw, err := toml.Marshal(d)
 		if err != nil {
 			return err
@@ -410,7 +410,7 @@
 	r.book.Put(record.Line{What: record.Down, Dispatcher: p.name, Word: "killed"})
 	cmd.Process.Kill()
 	<-done
-	time.AfterFunc(r.day.Head.FrontNotice.D(), func() {
+	time.AfterFunc(r.day.Head.FrontNotice.Std(), func() {
 		p.mu.Lock()
 		p.front = p.front && p.wanted
 		p.mu.Unlock()
--- a/internal/day/play_test.go
+++ b/internal/day/play_test.go
@@ -94,10 +94,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Head.Length, d.Head.Dispatchers, d.Head.PerS = setup.Span(6*time.Second), 1, 15
+	d.Head.Length, d.Head.Dispatchers, d.Head.PerS = setup.Duration(6*time.Second), 1, 15
 	d.Troubles = []Trouble{
-		{Kind: "drain", At: setup.Span(time.Second), Length: setup.Span(2 * time.Second), Boxes: []string{"writer-3"}},
-		{Kind: "restart", At: setup.Span(1500 * time.Millisecond), Boxes: []string{"writer-1"}},
+		{Kind: "drain", At: setup.Duration(time.Second), Length: setup.Duration(2 * time.Second), Boxes: []string{"writer-3"}},
+		{Kind: "restart", At: setup.Duration(1500 * time.Millisecond), Boxes: []string{"writer-1"}},
 	}
 	v, err := Play(context.Background(), d, stage(t, "wrong"))
 	if err != nil {
@@ -112,23 +112,23 @@
 
 // wrongly serves against all five rules: it reads and lets the state wait, sends each question to the last started and
 // to a draining writer at once, and answers twice.
-func wrongly(ctx context.Context, d setup.Dispatcher) error {
+func wrongly(ctx context.Context, d setup.DispatcherConfig) error {
 	var mu sync.Mutex
-	boxes := map[string]boxlist.Box{}
-	list := boxlist.Follower{Address: d.Place.Boxes, Name: d.Place.Name, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Client: http.DefaultClient,
-		Listed: func(lines []boxlist.Box, _ bool) {
+	boxes := map[string]boxlist.Endpoint{}
+	list := boxlist.Follower{Address: d.Instance.DiscoveryAddr, Name: d.Instance.Name, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), HTTPClient: http.DefaultClient,
+		OnUpdate: func(lines []boxlist.Endpoint, _ bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			for _, b := range lines {
 				boxes[b.Name] = b
 			}
 		}}
-	go list.Follow(ctx)
-	send := func(name string, e kserve.Errand) io.ReadCloser {
+	go list.Run(ctx)
+	send := func(name string, e kserve.AttemptParams) io.ReadCloser {
 		mu.Lock()
 		addr := boxes[name].Addresses[0].Addr
 		mu.Unlock()
-		r, err := kserve.NewErrand(ctx, "http://"+addr, d.Model, "", e)
+		r, err := kserve.NewAttemptRequest(ctx, "http://"+addr, d.Model, "", e)
 		if err != nil {
 			return nil
 		}
@@ -148,19 +148,19 @@
 		}
 	})
 	mux.HandleFunc("POST /v2/models/lodge/generate_stream", func(w http.ResponseWriter, r *http.Request) {
-		ask, err := kserve.ReadPrompt(r.Body)
+		ask, err := kserve.ReadGenerateRequest(r.Body)
 		if err != nil {
-			kserve.WriteFault(w, err)
+			kserve.WriteError(w, err)
 			return
 		}
 		mu.Lock()
 		n++
-		e := kserve.Errand{Stage: kserve.StageRead, From: d.Place.Name + ".wrong", Question: n, Mark: ask.ID, Grade: ask.Grade, Tokens: 3000, Most: 60}
+		e := kserve.AttemptParams{Phase: kserve.PhasePrefill, DispatcherEpoch: d.Instance.Name + ".wrong", RequestNumber: n, DedupKey: ask.ID, Class: ask.Class, PromptTokens: 3000, MaxTokens: 60}
 		mu.Unlock()
 		if body := send("reader-1", e); body != nil {
 			body.Close()
 		}
-		e.Stage, e.Trip = kserve.StageWhole, 1
+		e.Phase, e.Attempt = kserve.PhaseCombined, 1
 		var both sync.WaitGroup
 		for _, name := range []string{"writer-1", "writer-3"} {
 			e := e
@@ -172,19 +172,19 @@
 						io.Copy(io.Discard, body)
 						body.Close()
 					}
-					e.Trip += 2
+					e.Attempt += 2
 				}
 			}()
-			e.Trip++
+			e.Attempt++
 		}
 		kserve.WriteEvent(w, "", kserve.Token{Text: "word"})
-		f := kserve.Final{Final: kserve.Satisfied}
+		f := kserve.FinalResponse{Outcome: kserve.Served}
 		kserve.WriteEvent(w, "end", f)
 		kserve.WriteEvent(w, "end", f)
 		http.NewResponseController(w).Flush()
 		both.Wait()
 	})
-	listener, err := net.Listen("tcp", d.Place.Listen[0])
+	listener, err := net.Listen("tcp", d.Instance.Listen[0])
 	if err != nil {
 		return err
 	}
@@ -211,7 +211,7 @@
 	}
 	turns := 0
 	for _, w := range a {
-		if w.Tokens < 1 || w.Prefix > w.Tokens || w.Expiry <= w.Promised {
+		if w.PromptTokens < 1 || w.PrefixTokens > w.PromptTokens || w.Deadline <= w.LatencyTarget {
 			t.Fatalf("senseless: %+v", w)
 		}
 		if w.Session != "s"+strings.TrimPrefix(w.Name, "q") {
@@ -270,13 +270,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.Head.Length.D() != 10*time.Second || d.Head.Dispatchers != 2 || d.Grades[0].Effect != "unrepeatable" || d.Head.PerS <= 0 {
-		t.Errorf("%+v %+v", d.Head, d.Grades)
+	if d.Head.Length.Std() != 10*time.Second || d.Head.Dispatchers != 2 || d.Classes[0].Effect != "unrepeatable" || d.Head.PerS <= 0 {
+		t.Errorf("%+v %+v", d.Head, d.Classes)
 	}
 	found := false
 	for _, tr := range d.Troubles {
 		if tr.Kind == "slow" {
-			found = tr.At.D() == 2*time.Second && tr.Length.D() == 4*time.Second && tr.Boxes[0] == "out-1"
+			found = tr.At.Std() == 2*time.Second && tr.Length.Std() == 4*time.Second && tr.Boxes[0] == "out-1"
 		}
 	}
 	if said := strings.Join(lost, "; "); !found || !strings.Contains(said, "from_the_moon") {
--- a/internal/day/troubles.go
+++ b/internal/day/troubles.go
@@ -14,8 +14,8 @@
 )
 
 // hit lists the boxes that a trouble names, in the order of their names.
-func (r *run) hit(t Trouble) []*standin.Box {
-	var hit []*standin.Box
+func (r *run) hit(t Trouble) []*standin.Backend {
+	var hit []*standin.Backend
 	for _, name := range r.day.names() {
 		if slices.ContainsFunc(t.Boxes, func(b string) bool { return b == name || isOf(name, b) }) {
 			hit = append(hit, r.boxes[name])
@@ -28,50 +28,50 @@
 func (r *run) trouble(ctx context.Context, t Trouble, wait func(time.Duration) bool) error {
 	r.book.Put(record.Line{What: record.Note, Word: t.Kind + " begins"})
 	r.say("        %s begins", t.Kind)
-	hit, length := r.hit(t), t.Length.D()
+	hit, length := r.hit(t), t.Length.Std()
 	faults := func(change func(*standin.Faults)) {
 		for _, b := range hit {
-			b.Do(change)
+			b.UpdateFaults(change)
 		}
 	}
 	var err error
 	switch t.Kind {
 	case "slow":
-		faults(func(f *standin.Faults) { f.Slow = t.Size })
+		faults(func(f *standin.Faults) { f.SlowFactor = t.Size })
 		wait(length)
-		faults(func(f *standin.Faults) { f.Slow = 0 })
+		faults(func(f *standin.Faults) { f.SlowFactor = 0 })
 	case "failing", "grade_failing":
-		faults(func(f *standin.Faults) { f.Fail, f.FailGrade = t.Share, t.Grade })
+		faults(func(f *standin.Faults) { f.ErrorShare, f.ErrorClass = t.Share, t.Grade })
 		wait(length)
-		faults(func(f *standin.Faults) { f.Fail = 0 })
+		faults(func(f *standin.Faults) { f.ErrorShare = 0 })
 	case "hang":
 		faults(func(f *standin.Faults) { f.Hang = true })
 		wait(length)
 		faults(func(f *standin.Faults) { f.Hang = false })
 	case "reset":
-		faults(func(f *standin.Faults) { f.Reset = t.Share })
+		faults(func(f *standin.Faults) { f.ResetShare = t.Share })
 		wait(length)
-		faults(func(f *standin.Faults) { f.Reset = 0 })
+		faults(func(f *standin.Faults) { f.ResetShare = 0 })
 	case "reset_running":
-		faults(func(f *standin.Faults) { f.ResetAtOnce = t.Share })
+		faults(func(f *standin.Faults) { f.EarlyResetShare = t.Share })
 		wait(length)
-		faults(func(f *standin.Faults) { f.ResetAtOnce = 0 })
+		faults(func(f *standin.Faults) { f.EarlyResetShare = 0 })
 	case "no_cancel":
-		faults(func(f *standin.Faults) { f.Ignore = true })
+		faults(func(f *standin.Faults) { f.IgnoreCancel = true })
 		wait(length)
-		faults(func(f *standin.Faults) { f.Ignore = false })
+		faults(func(f *standin.Faults) { f.IgnoreCancel = false })
 	case "neighbour":
-		faults(func(f *standin.Faults) { f.Neighbour = t.Share })
+		faults(func(f *standin.Faults) { f.NeighbourShare = t.Share })
 		wait(length)
-		faults(func(f *standin.Faults) { f.Neighbour = 0 })
+		faults(func(f *standin.Faults) { f.NeighbourShare = 0 })
 	case "evict_fresh":
-		faults(func(f *standin.Faults) { f.EvictFresh = true })
+		faults(func(f *standin.Faults) { f.EvictFetched = true })
 		wait(length)
-		faults(func(f *standin.Faults) { f.EvictFresh = false })
+		faults(func(f *standin.Faults) { f.EvictFetched = false })
 	case "ageing":
-		faults(func(f *standin.Faults) { f.AgeBy = t.Share })
+		faults(func(f *standin.Faults) { f.AgingRate = t.Share })
 		wait(length)
-		faults(func(f *standin.Faults) { f.AgeBy = 0 })
+		faults(func(f *standin.Faults) { f.AgingRate = 0 })
 		for _, b := range hit {
 			r.lose(b, "aged", time.Hour)
 		}
@@ -79,7 +79,7 @@
 		err = r.back(hit)
 	case "forget":
 		for _, b := range hit {
-			b.Forget()
+			b.DropCache()
 		}
 	case "crash":
 		for _, b := range hit {
@@ -88,7 +88,7 @@
 		wait(length)
 		err = r.back(hit)
 	case "crash_after_read":
-		faults(func(f *standin.Faults) { f.CrashAfterRead = t.Share })
+		faults(func(f *standin.Faults) { f.CrashAfterPrefillShare = t.Share })
 		err = r.crashing(hit, length, wait)
 	case "restart":
 		for _, b := range hit {
@@ -97,29 +97,29 @@
 		err = r.back(hit)
 	case "drain":
 		for _, b := range hit {
-			r.list.Publish(b, boxlist.Draining, r.day.List.Notice.D())
+			r.list.Publish(b, boxlist.Draining, r.day.List.Notice.Std())
 		}
 		wait(length)
 		for _, b := range hit {
 			b.Kill("drained")
-			r.list.Publish(b, boxlist.Gone, r.day.List.Notice.D())
+			r.list.Publish(b, boxlist.Removed, r.day.List.Notice.Std())
 		}
 		wait(length + time.Second)
 		err = r.back(hit)
 	case "list_stale":
-		r.list.Stale(t.By.D())
+		r.list.SetDelay(t.By.Std())
 		wait(length)
-		r.list.Stale(0)
+		r.list.SetDelay(0)
 	case "list_gap":
-		r.list.Skip()
+		r.list.DropNextPush()
 	case "list_down":
-		r.list.Shut()
+		r.list.Stop()
 		wait(length)
-		err = r.list.Open()
+		err = r.list.Start()
 	case "link_slow":
-		r.fleet.SlowLinks(t.Size)
+		r.fleet.SetLinkSlowdown(t.Size)
 		wait(length)
-		r.fleet.SlowLinks(1)
+		r.fleet.SetLinkSlowdown(1)
 	case "kill_dispatcher", "stop_dispatcher":
 		err = r.restart(ctx, t, wait)
 	default:
@@ -138,15 +138,15 @@
 }
 
 // lose kills a box; the list notices after a while, unless it is back before.
-func (r *run) lose(b *standin.Box, why string, away time.Duration) {
+func (r *run) lose(b *standin.Backend, why string, away time.Duration) {
 	b.Kill(why)
-	if silent := r.day.List.Silent.D(); away > silent {
-		r.list.Publish(b, boxlist.Gone, silent)
+	if silent := r.day.List.Silent.Std(); away > silent {
+		r.list.Publish(b, boxlist.Removed, silent)
 	}
 }
 
 // back starts boxes cold; the list tells of it as late as it is.
-func (r *run) back(boxes []*standin.Box) error {
+func (r *run) back(boxes []*standin.Backend) error {
 	for _, b := range boxes {
 		if b.Up() {
 			continue
@@ -154,23 +154,23 @@
 		if err := b.Boot(true); err != nil {
 			return err
 		}
-		r.list.Publish(b, boxlist.Ready, r.day.List.Notice.D())
+		r.list.Publish(b, boxlist.Ready, r.day.List.Notice.Std())
 	}
 	return nil
 }
 
 // crashing brings boxes that die one by one back, each a while after its death.
-func (r *run) crashing(hit []*standin.Box, length time.Duration, wait func(time.Duration) bool) error {
+func (r *run) crashing(hit []*standin.Backend, length time.Duration, wait func(time.Duration) bool) error {
 	const step = 50 * time.Millisecond
 	const away = time.Second
-	down := map[*standin.Box]time.Duration{}
+	down := map[*standin.Backend]time.Duration{}
 	for at := time.Duration(0); at < length+away+step; at += step {
 		if !wait(at) {
 			return nil
 		}
 		if at >= length {
 			for _, b := range hit {
-				b.Do(func(f *standin.Faults) { f.CrashAfterRead = 0 })
+				b.UpdateFaults(func(f *standin.Faults) { f.CrashAfterPrefillShare = 0 })
 			}
 		}
 		for _, b := range hit {
@@ -181,7 +181,7 @@
 			case !known:
 				down[b] = at
 			case at-since >= away:
-				if err := r.back([]*standin.Box{b}); err != nil {
+				if err := r.back([]*standin.Backend{b}); err != nil {
 					return err
 				}
 			}
@@ -206,7 +206,7 @@
 		}()
 	}
 	all.Wait()
-	if !wait(t.Length.D()) {
+	if !wait(t.Length.Std()) {
 		return nil
 	}
 	for _, n := range t.Dispatchers {
@@ -218,8 +218,8 @@
 }
 
 // addressTrouble lets single addresses of boxes go wrong.
-func (r *run) addressTrouble(t Trouble, mode string, hit []*standin.Box, wait func()) error {
-	each := func(do func(b *standin.Box, i int) error) error {
+func (r *run) addressTrouble(t Trouble, mode string, hit []*standin.Backend, wait func()) error {
+	each := func(do func(b *standin.Backend, i int) error) error {
 		var errs []error
 		for _, b := range hit {
 			for _, i := range t.Addresses {
@@ -229,13 +229,13 @@
 		return errors.Join(errs...)
 	}
 	switch mode {
-	case standin.GateSwapped:
+	case standin.EndpointSwapped:
 		if len(hit) < 2 {
 			return nil
 		}
 		swap := func() {
 			for _, i := range t.Addresses {
-				hit[0].Gate(i).Swap(hit[1].Gate(i))
+				hit[0].Endpoint(i).Swap(hit[1].Endpoint(i))
 			}
 		}
 		swap()
@@ -244,17 +244,17 @@
 		return nil
 	case "drop":
 		for _, b := range hit {
-			r.list.Drop(b, t.Addresses)
-			r.list.Publish(b, boxlist.Ready, r.day.List.Notice.D())
+			r.list.OmitAddresses(b, t.Addresses)
+			r.list.Publish(b, boxlist.Ready, r.day.List.Notice.Std())
 		}
 		wait()
 		for _, b := range hit {
-			r.list.Drop(b, nil)
-			r.list.Publish(b, boxlist.Ready, r.day.List.Notice.D())
+			r.list.OmitAddresses(b, nil)
+			r.list.Publish(b, boxlist.Ready, r.day.List.Notice.Std())
 		}
 		return nil
 	}
-	err := each(func(b *standin.Box, i int) error { return b.Gate(i).Set(mode, t.By.D(), t.Bytes) })
+	err := each(func(b *standin.Backend, i int) error { return b.Endpoint(i).SetMode(mode, t.By.Std(), t.Bytes) })
 	wait()
-	return errors.Join(err, each(func(b *standin.Box, i int) error { return b.Gate(i).Set(standin.GateServes, 0, 0) }))
+	return errors.Join(err, each(func(b *standin.Backend, i int) error { return b.Endpoint(i).SetMode(standin.EndpointServes, 0, 0) }))
 }
--- a/internal/dispatch/accounting.go
+++ b/internal/dispatch/accounting.go
@@ -13,8 +13,8 @@
 // Accounting is a loop's accounting: token budgets, in which a request must find free capacity before the scheduler
 // sees it, and the account of what its attempts cost. Either may be missing.
 type Accounting struct {
-	Budgets      []*budget.Purse           // this dispatcher's part of every budget
-	OwnedBudgets map[string]*budget.Keeper // by name, the budgets that this dispatcher owns
+	Budgets      []*budget.LocalBudget    // this dispatcher's part of every budget
+	OwnedBudgets map[string]*budget.Owner // by name, the budgets that this dispatcher owns
 	Month        func(now time.Duration) budget.Month
 
 	Account *account.Tracker
@@ -28,7 +28,7 @@
 
 // reservation is a request's worst case, set aside in one budget.
 type reservation struct {
-	budget    *budget.Purse
+	budget    *budget.LocalBudget
 	tokens    float64
 	emergency bool // out of the emergency share
 }
@@ -39,22 +39,22 @@
 	var tick func()
 	tick = func() {
 		for _, local := range accounting.Budgets {
-			local.Tend(l.now)
+			local.Tick(l.now)
 		}
 		if accounting.Account != nil {
-			for _, inquiry := range accounting.Account.Ask() {
-				if backend := l.backends[inquiry.Box]; backend != nil {
+			for _, inquiry := range accounting.Account.DueInquiries() {
+				if backend := l.backends[inquiry.Backend]; backend != nil {
 					accounting.FetchUsage(backend, inquiry, func(reply *account.Reply) {
-						accounting.Account.Heard(inquiry, reply)
+						accounting.Account.HandleReply(inquiry, reply)
 					})
 				} else {
-					accounting.Account.Heard(inquiry, nil)
+					accounting.Account.HandleReply(inquiry, nil)
 				}
 			}
 		}
-		l.Wake(accountingInterval, tick)
+		l.Schedule(accountingInterval, tick)
 	}
-	l.Wake(accountingInterval, tick)
+	l.Schedule(accountingInterval, tick)
 }
 
 // reserveBudgets sets a request's worst case aside in every budget that covers it, one after the other, and then calls
@@ -64,7 +64,7 @@
 		submit()
 		return
 	}
-	tokens := float64(request.Params.Tokens + request.Params.Most)
+	tokens := float64(request.Params.PromptTokens + request.Params.MaxTokens)
 	month := l.accounting.Month(l.now)
 	var reserveFrom func(i int)
 	reserveFrom = func(i int) {
@@ -76,19 +76,19 @@
 			return
 		}
 		local := l.accounting.Budgets[i]
-		local.Reserve(l.now, month, tokens, func(verdict budget.Verdict) {
+		local.Reserve(l.now, month, tokens, func(verdict budget.Decision) {
 			if verdict.OK {
-				request.reservations = append(request.reservations, reservation{local, tokens, verdict.Own})
+				request.reservations = append(request.reservations, reservation{local, tokens, verdict.Emergency})
 			}
 			switch {
 			case request.answered || request.disconnected: // while the reservation waited for a lease
-				request.Scheduled.Over = true
+				request.Scheduled.Finished = true
 				l.forgetIfOver(request)
 			case !verdict.OK:
-				request.Scheduled.Over, request.overBudget = true, true
-				l.answer(request, kserve.Final{
-					Final: kserve.Declined, Error: "the budget of " + local.Terms.Name + " is used up",
-					Harmless: true, AfterMs: verdict.After.Milliseconds(),
+				request.Scheduled.Finished, request.overBudget = true, true
+				l.answer(request, kserve.FinalResponse{
+					Outcome: kserve.Rejected, Error: "the budget of " + local.Terms.Name + " is used up",
+					SafeToRetry: true, RetryAfterMs: verdict.RetryAfter.Milliseconds(),
 				})
 				l.forgetIfOver(request)
 			default:
@@ -110,7 +110,7 @@
 func (l *Loop) settleBudgets(request *ClientRequest) {
 	used := 0.0
 	if request.streaming != nil || request.disconnected && len(request.Scheduled.Attempts) > 0 {
-		used = float64(request.Params.Tokens) + float64(request.streamedTokens())
+		used = float64(request.Params.PromptTokens) + float64(request.streamedTokens())
 	}
 	for _, r := range request.reservations {
 		r.budget.Settle(r.tokens, used, r.emergency)
@@ -124,33 +124,33 @@
 	case c.streaming == nil:
 		return 0
 	case c.streaming.Usage != nil:
-		return int64(c.streaming.Usage.Answer)
+		return int64(c.streaming.Usage.OutputTokens)
 	}
 	return c.streaming.StreamedTokens.Load()
 }
 
 // usageRecord returns the attempt's record for the account, before its backend's count is known.
-func (a *Attempt) usageRecord() ledger.Trip {
-	return ledger.Trip{
-		Box: a.Backend.Name, Key: a.RequestKey, Trip: a.Scheduled.Number, Mark: a.Request.Params.ID,
-		Channel: a.Request.Tenant, Grade: a.Request.Class, Stage: a.Stage(),
-		Answer: int(a.StreamedTokens.Load()), End: "unknown",
+func (a *Attempt) usageRecord() ledger.Attempt {
+	return ledger.Attempt{
+		Backend: a.Backend.Name, Key: a.RequestKey, Index: a.Scheduled.Number, RequestID: a.Request.Params.ID,
+		Tenant: a.Request.Tenant, Class: a.Request.Class, Phase: a.Stage(),
+		OutputTokens: int(a.StreamedTokens.Load()), Outcome: "unknown",
 	}
 }
 
 // countedRecord converts a backend's usage count to a record for the account.
-func countedRecord(count kserve.Count) ledger.Trip {
-	return ledger.Trip{
-		Number: count.Number, Key: count.Key, Trip: count.Trip, Mark: count.Mark, Stage: count.Stage,
-		Channel: count.Channel, Grade: count.Grade, Read: count.Read, Kept: count.Kept,
-		Answer: count.Answer, End: count.End,
+func countedRecord(count kserve.UsageRecord) ledger.Attempt {
+	return ledger.Attempt{
+		Number: count.Number, Key: count.RequestKey, Index: count.Attempt, RequestID: count.DedupKey, Phase: count.Phase,
+		Tenant: count.Tenant, Class: count.Class, PrefillTokens: count.PrefillTokens, CachedTokens: count.CachedTokens,
+		OutputTokens: count.OutputTokens, Outcome: count.EndReason,
 	}
 }
 
 // accountSent tells the account that an attempt is sent.
 func (l *Loop) accountSent(attempt *Attempt) {
 	if l.accounting != nil && l.accounting.Account != nil {
-		l.accounting.Account.Sent(attempt.usageRecord())
+		l.accounting.Account.AttemptSent(attempt.usageRecord())
 	}
 }
 
@@ -159,12 +159,12 @@
 	if l.accounting == nil || l.accounting.Account == nil {
 		return
 	}
-	var count *ledger.Trip
+	var count *ledger.Attempt
 	if attempt.Usage != nil {
 		counted := countedRecord(*attempt.Usage)
 		count = &counted
 	}
-	l.accounting.Account.Ended(attempt.usageRecord(), count, result.Outcome == brain.Unreachable)
+	l.accounting.Account.AttemptEnded(attempt.usageRecord(), count, result.Outcome == brain.Unreachable)
 }
 
 // accountRequest records a request's end.
@@ -172,16 +172,16 @@
 	if l.accounting == nil || l.accounting.Account == nil {
 		return
 	}
-	l.accounting.Account.Question(ledger.Question{
-		Key: l.RequestKey(request), Mark: request.Params.ID, Channel: request.Tenant, Grade: request.Class,
-		Final: final, Prompt: request.Params.Tokens, Answer: int(request.streamedTokens()),
-		Trips: len(request.Scheduled.Attempts), Why: reason,
+	l.accounting.Account.RequestEnded(ledger.Request{
+		Key: l.RequestKey(request), RequestID: request.Params.ID, Tenant: request.Tenant, Class: request.Class,
+		Outcome: final, PromptTokens: request.Params.PromptTokens, OutputTokens: int(request.streamedTokens()),
+		Attempts: len(request.Scheduled.Attempts), Reason: reason,
 	})
 }
 
 // accountListed tells the account whether service discovery lists a backend or has removed it.
 func (l *Loop) accountListed(backend *Backend, removed bool) {
 	if l.accounting != nil && l.accounting.Account != nil {
-		l.accounting.Account.Listed(backend.Name, removed)
+		l.accounting.Account.UpdateBackend(backend.Name, removed)
 	}
 }
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -24,22 +24,22 @@
 	timedOut       bool // Timeout is over
 	RequestInvalid bool // its backend says so; set by the transport before it reports the end
 
-	RequestKey      string        // the request's key at backends
-	ResponseStarted atomic.Bool   // a byte of an answer has come: only that shows that the backend has the request
-	StreamedTokens  atomic.Int64  // tokens that have come
-	Usage           *kserve.Count // the backend's usage count, if it came with the answer
+	RequestKey      string              // the request's key at backends
+	ResponseStarted atomic.Bool         // a byte of an answer has come: only that shows that the backend has the request
+	StreamedTokens  atomic.Int64        // tokens that have come
+	Usage           *kserve.UsageRecord // the backend's usage count, if it came with the answer
 }
 
 // Stage returns the attempt's stage by its name in messages to backends.
 func (a *Attempt) Stage() string {
 	return [...]string{
-		brain.ToRead: kserve.StageRead, brain.ToWrite: kserve.StageWrite, brain.Whole: kserve.StageWhole,
+		brain.StagePrefill: kserve.PhasePrefill, brain.StageDecode: kserve.PhaseDecode, brain.StageWhole: kserve.PhaseCombined,
 	}[a.Scheduled.Stage]
 }
 
 // AttemptBegan handles the first token of an attempt.
 func (l *Loop) AttemptBegan(attempt *Attempt) {
-	if attempt.timedOut || attempt.Scheduled.Ended || attempt.Scheduled.Began > 0 {
+	if attempt.timedOut || attempt.Scheduled.Ended || attempt.Scheduled.FirstTokenAt > 0 {
 		return // its timeout came first, so it ends as timed out
 	}
 	request := attempt.Request
@@ -50,7 +50,7 @@
 	} else {
 		request.started <- attempt
 	}
-	l.scheduler.Began(attempt.Scheduled, l.now-attempt.Scheduled.Sent)
+	l.scheduler.FirstToken(attempt.Scheduled, l.now-attempt.Scheduled.SentAt)
 	l.Counters.began(attempt.Scheduled)
 	l.forgetIfOver(request)
 }
@@ -66,46 +66,46 @@
 		l.backends[attempt.Backend.Name] != attempt.Backend {
 		defer delete(l.byState, scheduled.Backend)
 	}
-	if result.Outcome == brain.Served && scheduled.Began == 0 {
+	if result.Outcome == brain.Served && scheduled.FirstTokenAt == 0 {
 		result.Outcome = brain.TimedOut // its first token came too late for the client, and the rest with it
 	}
 	l.accountEnded(attempt, result)
-	result.Took = l.now - scheduled.Sent
+	result.Duration = l.now - scheduled.SentAt
 	l.Counters.ended(scheduled, result)
 	l.Log.Debug("attempt ended", "id", request.Params.ID, "box", attempt.Backend.Name, "stage", attempt.Stage(),
-		"number", scheduled.Number, "outcome", result.Outcome, "took", result.Took, "wait", attempt.Timeout,
-		"prompt", scheduled.Request.Prompt, "left", scheduled.Left, "kept", result.Note)
+		"number", scheduled.Number, "outcome", result.Outcome, "took", result.Duration, "wait", attempt.Timeout,
+		"prompt", scheduled.Request.PromptTokens, "left", scheduled.PrefillTokens, "kept", result.Detail)
 	switch {
-	case result.Outcome == brain.Read:
+	case result.Outcome == brain.Prefilled:
 		request.kvHolders[attempt.Backend] = true
-	case scheduled.Stage == brain.ToRead && result.Outcome != brain.Unreachable &&
+	case scheduled.Stage == brain.StagePrefill && result.Outcome != brain.Unreachable &&
 		result.Outcome != brain.NotSent && result.Outcome != brain.Rejected:
 		// The prefill may have finished at the backend just as it was given up here: its KV cache must not stay.
 		l.releaseAt(attempt.Backend, request)
-	case result.Outcome == brain.Rejected && result.Note == 1 && attempt.PrefillBackend != nil:
+	case result.Outcome == brain.Rejected && result.Detail == 1 && attempt.PrefillBackend != nil:
 		// The prefill backend said that it has no KV cache to transfer; it may hold it all the same.
 		l.releaseAt(attempt.PrefillBackend, request)
 		delete(request.kvHolders, attempt.PrefillBackend)
 	}
 	if attempt.RequestInvalid {
-		l.answer(request, kserve.Final{Final: kserve.Forfeited, Error: "no box can use it"})
+		l.answer(request, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no box can use it"})
 	}
-	result.Over = request.answered || request.disconnected || result.Outcome == brain.Served || scheduled.Began > 0
+	result.Finished = request.answered || request.disconnected || result.Outcome == brain.Served || scheduled.FirstTokenAt > 0
 	if result.Outcome == brain.Served {
-		l.answer(request, kserve.Final{Final: kserve.Satisfied})
-	} else if scheduled.Began > 0 && !request.disconnected {
-		l.answer(request, kserve.Final{Final: kserve.Forfeited, Error: "the stream broke at its box"})
+		l.answer(request, kserve.FinalResponse{Outcome: kserve.Served})
+	} else if scheduled.FirstTokenAt > 0 && !request.disconnected {
+		l.answer(request, kserve.FinalResponse{Outcome: kserve.Failed, Error: "the stream broke at its box"})
 	}
-	if l.RetryThrottle != nil && !result.Over && wastesWork(result.Outcome) && !l.RetryThrottle.MayTryAgain(l.now) {
-		request.Scheduled.Last = true
+	if l.RetryThrottle != nil && !result.Finished && wastesWork(result.Outcome) && !l.RetryThrottle.AllowReattempt(l.now) {
+		request.Scheduled.NoMoreAttempts = true
 	}
-	l.scheduler.Ended(scheduled, result)
+	l.scheduler.AttemptDone(scheduled, result)
 	l.forgetIfOver(request)
 }
 
 // wastesWork tells whether an attempt with that outcome may have cost its backend work for nothing.
 func wastesWork(outcome brain.Outcome) bool {
-	return outcome == brain.Failed || outcome == brain.TimedOut || outcome == brain.Broken
+	return outcome == brain.Failed || outcome == brain.TimedOut || outcome == brain.ConnectionLost
 }
 
 // MaySend tells whether an attempt may still be sent when its connection is ready. While it waited for the connection,
@@ -115,7 +115,7 @@
 	case attempt.timedOut:
 		return brain.DeadlinePassed
 	case attempt.Request.disconnected, attempt.Request.answered, attempt.Request.Over():
-		return brain.RequestOver
+		return brain.RequestFinished
 	}
 	return l.scheduler.MaySend(attempt.Scheduled)
 }
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -32,21 +32,21 @@
 
 // UpdateBackends applies entries of the service discovery list. A complete list removes the backends that it leaves
 // out.
-func (l *Loop) UpdateBackends(entries []boxlist.Box, complete bool) {
-	var listings []brain.Listing
+func (l *Loop) UpdateBackends(entries []boxlist.Endpoint, complete bool) {
+	var listings []brain.Endpoint
 	named := map[string]bool{}
 	for _, entry := range entries {
 		named[entry.Name] = true
 		backend, location := l.backends[entry.Name], [3]string{entry.Kind, entry.Zone, entry.Rack}
-		if backend != nil && backend.location != location && entry.Standing != boxlist.Gone {
+		if backend != nil && backend.location != location && entry.State != boxlist.Removed {
 			// Another machine has taken over the name: nothing known of the old one holds for it.
 			l.remove(backend)
-			listings = append(listings, brain.Listing{Host: backend.SchedulerState, Standing: brain.Gone})
+			listings = append(listings, brain.Endpoint{Backend: backend.SchedulerState, State: brain.Removed})
 			l.forgetBackend(backend)
 			backend = nil
 		}
 		if backend == nil {
-			if entry.Standing == boxlist.Gone {
+			if entry.State == boxlist.Removed {
 				continue
 			}
 			id := BackendID(entry.Name)
@@ -72,7 +72,7 @@
 			}
 		}
 	}
-	l.scheduler.Listed(listings, complete)
+	l.scheduler.UpdateEndpoints(listings, complete)
 	l.forgetRemoved()
 }
 
@@ -80,7 +80,7 @@
 func (l *Loop) forgetRemoved() {
 	l.removed = slices.DeleteFunc(l.removed, func(backend *Backend) bool {
 		switch {
-		case backend.SchedulerState.Standing != brain.Gone || l.backends[backend.Name] != backend:
+		case backend.SchedulerState.State != brain.Removed || l.backends[backend.Name] != backend:
 			return true
 		case backend.inFlight == 0 && l.now-backend.removedAt >= removedRetention:
 			l.forgetBackend(backend)
@@ -117,11 +117,11 @@
 }
 
 // listing applies one entry of the list to a backend and returns it in the scheduler's form.
-func (l *Loop) listing(backend *Backend, entry boxlist.Box) brain.Listing {
+func (l *Loop) listing(backend *Backend, entry boxlist.Endpoint) brain.Endpoint {
 	state := map[string]brain.BackendState{
-		boxlist.Ready: brain.Ready, boxlist.Draining: brain.Draining, boxlist.Gone: brain.Gone,
-	}[entry.Standing]
-	if state == brain.Gone {
+		boxlist.Ready: brain.Ready, boxlist.Draining: brain.Draining, boxlist.Removed: brain.Removed,
+	}[entry.State]
+	if state == brain.Removed {
 		l.remove(backend)
 	} else {
 		l.accountListed(backend, false)
@@ -137,19 +137,19 @@
 	}
 	// One start keeps the time computed from its first entry, although the list repeats it with another age each time.
 	// Otherwise the scheduler would see a new start in every entry and forget what it knows of the backend.
-	if backend.StartID != entry.Start || !backend.hasAge {
-		backend.startedAt, backend.hasAge = l.now-time.Duration(entry.UpMs)*time.Millisecond, entry.UpMs >= 0
+	if backend.StartID != entry.Incarnation || !backend.hasAge {
+		backend.startedAt, backend.hasAge = l.now-time.Duration(entry.UptimeMs)*time.Millisecond, entry.UptimeMs >= 0
 	}
-	backend.StartID = entry.Start
-	return brain.Listing{
-		Host: backend.SchedulerState, Standing: state, Units: max(entry.Units, 0.01),
-		Booted: backend.startedAt, Restart: entry.UpMs >= 0,
+	backend.StartID = entry.Incarnation
+	return brain.Endpoint{
+		Backend: backend.SchedulerState, State: state, CapacityUnits: max(entry.Units, 0.01),
+		StartedAt: backend.startedAt, StartReported: entry.UptimeMs >= 0,
 	}
 }
 
 // allowedAddresses returns the addresses of an entry and of the configuration for that backend. It leaves out, with a
 // warning, those that are invalid or that the deployment does not allow.
-func (l *Loop) allowedAddresses(entry boxlist.Box) []addresses.Spec {
+func (l *Loop) allowedAddresses(entry boxlist.Endpoint) []addresses.Spec {
 	var allowed []addresses.Spec
 	for _, spec := range append(slices.Clone(entry.Addresses), l.extraAddresses[entry.Name]...) {
 		if err := spec.Check(); err != nil {
--- a/internal/dispatch/backends_test.go
+++ b/internal/dispatch/backends_test.go
@@ -10,12 +10,12 @@
 )
 
 // completeList returns a list of that many backends.
-func completeList(backends int) []boxlist.Box {
-	var entries []boxlist.Box
+func completeList(backends int) []boxlist.Endpoint {
+	var entries []boxlist.Endpoint
 	for i := range backends {
-		entries = append(entries, boxlist.Box{
+		entries = append(entries, boxlist.Endpoint{
 			Name: fmt.Sprintf("s-%d", i), Kind: []string{"reader", "writer"}[i%2],
-			Zone: "hall-1", Rack: fmt.Sprint(i / 5), Standing: boxlist.Ready, Units: 1, UpMs: -1,
+			Zone: "hall-1", Rack: fmt.Sprint(i / 5), State: boxlist.Ready, Units: 1, UptimeMs: -1,
 			Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: fmt.Sprintf("127.0.%d.%d:8080", i>>8, i&255)}},
 		})
 	}
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -12,8 +12,8 @@
 	Accepted, Served, Rejected, Failed, Disconnected, Overdue, Attempts, Throttled int64
 
 	Outcomes            [brain.NotSent + 1]int64
-	Prefills            [brain.Whole + 1]PrefillCounters // by stage
-	FirstTokens, OnTime int64                            // first tokens, and those by the latency target
+	Prefills            [brain.StageWhole + 1]PrefillCounters // by stage
+	FirstTokens, OnTime int64                                 // first tokens, and those by the latency target
 
 	// QueueTime and FirstTokenTime are sums over the requests with a first token: from acceptance until the last
 	// attempt was sent, and until the first token.
@@ -33,14 +33,14 @@
 // ended counts the end of an attempt.
 func (c *Counters) ended(attempt *brain.Attempt, result brain.Result) {
 	c.Outcomes[result.Outcome]++
-	if result.Outcome != brain.Read && result.Outcome != brain.Served {
+	if result.Outcome != brain.Prefilled && result.Outcome != brain.Served {
 		return
 	}
-	prefills, prompt := &c.Prefills[attempt.Stage], attempt.Request.Prompt
+	prefills, prompt := &c.Prefills[attempt.Stage], attempt.Request.PromptTokens
 	prefills.Attempts, prefills.PromptTokens, prefills.CachedTokens =
-		prefills.Attempts+1, prefills.PromptTokens+int64(prompt), prefills.CachedTokens+int64(result.Note)
-	if attempt.Stage != brain.ToWrite {
-		prefills.ExpectedTokens += int64(prompt - attempt.Left)
+		prefills.Attempts+1, prefills.PromptTokens+int64(prompt), prefills.CachedTokens+int64(result.Detail)
+	if attempt.Stage != brain.StageDecode {
+		prefills.ExpectedTokens += int64(prompt - attempt.PrefillTokens)
 	}
 }
 
@@ -48,9 +48,9 @@
 func (c *Counters) began(attempt *brain.Attempt) {
 	request := attempt.Request
 	c.FirstTokens++
-	if attempt.Began <= request.TargetAt {
+	if attempt.FirstTokenAt <= request.TargetAt {
 		c.OnTime++
 	}
-	c.QueueTime += request.Dispatched - request.Taken
-	c.FirstTokenTime += attempt.Began - request.Taken
+	c.QueueTime += request.DispatchedAt - request.ReceivedAt
+	c.FirstTokenTime += attempt.FirstTokenAt - request.ReceivedAt
 }
--- a/internal/dispatch/http_transport.go
+++ b/internal/dispatch/http_transport.go
@@ -35,10 +35,10 @@
 
 // Observation is what an attempt's connection showed.
 type Observation struct {
-	LocalFailure bool         // the connection failed at this machine, before anything left it
-	Sent         bool         // a byte of the request was sent, over a connection that is known to be established
-	Report       *kserve.Told // what the backend reported at the end; nil if it reported nothing valid
-	Cause        error        // why the attempt was cancelled; nil if it was not
+	LocalFailure bool                  // the connection failed at this machine, before anything left it
+	Sent         bool                  // a byte of the request was sent, over a connection that is known to be established
+	Report       *kserve.AttemptResult // what the backend reported at the end; nil if it reported nothing valid
+	Cause        error                 // why the attempt was cancelled; nil if it was not
 }
 
 // Outcome returns the outcome that the observation proves, with the number of cached tokens, or 1 where a rejection
@@ -47,13 +47,13 @@
 func (s Observation) Outcome(stage brain.Stage) (outcome brain.Outcome, note int) {
 	if report := s.Report; report != nil {
 		switch {
-		case report.Outcome == kserve.OutcomeRead && stage == brain.ToRead:
-			return brain.Read, report.Kept
-		case report.Outcome == kserve.OutcomeAnswered && stage != brain.ToRead:
-			return brain.Served, report.Kept
+		case report.Outcome == kserve.OutcomePrefilled && stage == brain.StagePrefill:
+			return brain.Prefilled, report.CachedTokens
+		case report.Outcome == kserve.OutcomeCompleted && stage != brain.StagePrefill:
+			return brain.Served, report.CachedTokens
 		case report.Outcome == kserve.OutcomeFull:
 			return brain.Rejected, 0
-		case report.Outcome == kserve.OutcomeNoState:
+		case report.Outcome == kserve.OutcomeNoKVCache:
 			return brain.Rejected, 1
 		}
 		return brain.Failed, 0
@@ -70,7 +70,7 @@
 	case errors.Is(s.Cause, ErrNotNeeded):
 		return brain.Cancelled, 0
 	}
-	return brain.Broken, 0
+	return brain.ConnectionLost, 0
 }
 
 // HTTPTransport is the Transport that sends attempts to backends over HTTP.
@@ -108,15 +108,15 @@
 func (c *HTTPTransport) Start(attempt *Attempt) {
 	attempt.ctx, attempt.Cancel = context.WithCancelCause(c.lifetime)
 	scheduled, request := attempt.Scheduled.Request, attempt.Request
-	metadata := kserve.Errand{
-		Stage: attempt.Stage(),
-		From:  c.loop.Epoch, Question: scheduled.ID, Trip: attempt.Scheduled.Number,
-		Mark: cmp.Or(request.Params.ID, attempt.RequestKey), Grade: request.Class, Channel: request.Tenant,
-		Session: scheduled.Session, Shared: scheduled.Shared, Tokens: int(scheduled.Prompt),
-		Prefix: int(scheduled.Prefix), Most: int(scheduled.Most), WaitUs: attempt.Timeout.Microseconds(),
+	metadata := kserve.AttemptParams{
+		Phase:           attempt.Stage(),
+		DispatcherEpoch: c.loop.Epoch, RequestNumber: scheduled.ID, Attempt: attempt.Scheduled.Number,
+		DedupKey: cmp.Or(request.Params.ID, attempt.RequestKey), Class: request.Class, Tenant: request.Tenant,
+		Session: scheduled.SessionKey, SharedPrefix: scheduled.PrefixKey, PromptTokens: int(scheduled.PromptTokens),
+		PrefixTokens: int(scheduled.PrefixTokens), MaxTokens: int(scheduled.MaxOutputTokens), TimeoutUs: attempt.Timeout.Microseconds(),
 	}
 	if attempt.PrefillBackend != nil {
-		metadata.Reader, metadata.State = attempt.PrefillBackend.Name, attempt.PrefillBackend.pool.Addresses()
+		metadata.PrefillBackend, metadata.KVCacheAddresses = attempt.PrefillBackend.Name, attempt.PrefillBackend.pool.Addresses()
 	}
 	// Read what the goroutine needs here, as backends and requests belong to the loop.
 	pool, text := attempt.Backend.pool, request.Params.Text
@@ -124,10 +124,10 @@
 		observed := c.runAttempt(attempt, pool, text, metadata)
 		attempt.Cancel(nil)
 		outcome, note := observed.Outcome(attempt.Scheduled.Stage)
-		result := brain.Result{Outcome: outcome, Note: note}
+		result := brain.Result{Outcome: outcome, Detail: note}
 		if observed.Report != nil {
-			result.Load = observed.Report.Load
-			attempt.Usage = observed.Report.Count
+			result.LoadReport = observed.Report.Load
+			attempt.Usage = observed.Report.Usage
 		}
 		close(attempt.Tokens)
 		c.loop.Post(func() { c.loop.AttemptEnded(attempt, result) })
@@ -137,7 +137,7 @@
 
 // runAttempt runs an attempt over one connection to one address, from dialing to its end.
 func (c *HTTPTransport) runAttempt(
-	attempt *Attempt, pool *reach.Pool, text string, metadata kserve.Errand,
+	attempt *Attempt, pool *reach.Pool, text string, metadata kserve.AttemptParams,
 ) (observed Observation) {
 	var conn *reach.Conn
 	defer func() {
@@ -147,7 +147,7 @@
 		}
 		// An attempt that ended without a report counts against the address, unless it was cancelled as not needed.
 		if observed.Report != nil {
-			observed.Report.Bound(metadata)
+			observed.Report.Sanitize(metadata)
 			conn.ReportServed()
 		} else if !errors.Is(observed.Cause, ErrNotNeeded) {
 			conn.ReportFailed()
@@ -157,20 +157,20 @@
 		return observed
 	}
 	conn, resp, err := pool.Send(attempt.ctx, func() (*http.Request, error) {
-		return kserve.NewErrand(attempt.ctx, reach.URL(pool.Name), c.Model, text, metadata)
+		return kserve.NewAttemptRequest(attempt.ctx, reach.URL(pool.Name), c.Model, text, metadata)
 	})
 	observed.LocalFailure, observed.Sent = errors.Is(err, reach.ErrLocal), conn != nil && conn.Sent()
 	if err != nil {
 		return observed
 	}
 	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK || metadata.Stage == kserve.StageRead {
+	if resp.StatusCode != http.StatusOK || metadata.Phase == kserve.PhasePrefill {
 		observed.Report = readReport(resp)
 		return observed
 	}
 	stall := time.AfterFunc(c.StallTimeout, func() { attempt.Cancel(errStalled) })
 	defer stall.Stop()
-	events := kserve.NewEvents(resp.Body)
+	events := kserve.NewEventReader(resp.Body)
 	for begun := false; ; {
 		event, err := events.Next()
 		if err != nil {
@@ -178,16 +178,16 @@
 		}
 		switch event.Name {
 		case "end":
-			observed.Report = &kserve.Told{}
+			observed.Report = &kserve.AttemptResult{}
 			if json.Unmarshal(event.Data, observed.Report) != nil {
 				observed.Report = nil
-			} else if observed.Report.Outcome != kserve.OutcomeAnswered || !begun {
+			} else if observed.Report.Outcome != kserve.OutcomeCompleted || !begun {
 				// A stream was opened, so the attempt may have run, whatever else its end claims.
 				observed.Report.Outcome = kserve.OutcomeFailed
 			}
 			return observed
 		case "error":
-			observed.Report = &kserve.Told{Outcome: kserve.OutcomeFailed}
+			observed.Report = &kserve.AttemptResult{Outcome: kserve.OutcomeFailed}
 			return observed
 		case "":
 			// The client gets the token on one line. Data that is not JSON is not a token, and with line breaks in it
@@ -201,7 +201,7 @@
 				c.loop.Post(func() { c.loop.AttemptBegan(attempt) })
 			}
 			stall.Reset(c.StallTimeout) // only tokens show that the answer makes progress
-			if attempt.StreamedTokens.Add(1) > int64(metadata.Most) {
+			if attempt.StreamedTokens.Add(1) > int64(metadata.MaxTokens) {
 				return observed // more tokens than requested: this cannot be the answer to the request
 			}
 			select {
@@ -215,17 +215,17 @@
 
 // readReport reads an answer that is not a stream. A 503 counts as a rejection only if the backend says so itself, as
 // one from a proxy proves nothing. Without a stream there are no tokens, so that such an answer never counts as served.
-func readReport(resp *http.Response) *kserve.Told {
+func readReport(resp *http.Response) *kserve.AttemptResult {
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
 	if err != nil {
 		return nil
 	}
-	report := &kserve.Told{}
-	if json.Unmarshal(raw, report) != nil || report.Outcome == "" || report.Outcome == kserve.OutcomeAnswered ||
-		(report.Outcome == kserve.OutcomeFull || report.Outcome == kserve.OutcomeNoState) &&
+	report := &kserve.AttemptResult{}
+	if json.Unmarshal(raw, report) != nil || report.Outcome == "" || report.Outcome == kserve.OutcomeCompleted ||
+		(report.Outcome == kserve.OutcomeFull || report.Outcome == kserve.OutcomeNoKVCache) &&
 			resp.StatusCode != http.StatusServiceUnavailable ||
-		report.Outcome == kserve.OutcomeRead && resp.StatusCode != http.StatusOK {
-		return &kserve.Told{Outcome: kserve.OutcomeFailed}
+		report.Outcome == kserve.OutcomePrefilled && resp.StatusCode != http.StatusOK {
+		return &kserve.AttemptResult{Outcome: kserve.OutcomeFailed}
 	}
 	return report
 }
@@ -258,7 +258,7 @@
 	if request.AttemptInFlight() {
 		return // that attempt arrives, as its connection was proven first, and may not have fetched the KV cache yet
 	}
-	key := kserve.Release{Key: c.loop.RequestKey(request), Trip: len(request.Scheduled.Attempts) - 1}
+	key := kserve.Release{RequestKey: c.loop.RequestKey(request), LastAttempt: len(request.Scheduled.Attempts) - 1}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	queue := c.releases[backend]
@@ -315,7 +315,7 @@
 		return reach.ErrUnreachable
 	}
 	conn, resp, err := pool.Send(ctx, func() (*http.Request, error) {
-		return kserve.NewRelease(ctx, reach.URL(pool.Name), c.Model, keys)
+		return kserve.NewReleaseRequest(ctx, reach.URL(pool.Name), c.Model, keys)
 	})
 	if err != nil {
 		if conn != nil {
@@ -351,8 +351,8 @@
 	ctx, cancel := context.WithTimeout(c.lifetime, usageTimeout)
 	defer cancel()
 	_, resp, err := pool.Send(ctx, func() (*http.Request, error) {
-		return kserve.NewInquiry(ctx, reach.URL(pool.Name), c.Model,
-			kserve.Inquiry{From: inquiry.Epoch, After: inquiry.After})
+		return kserve.NewUsageRequest(ctx, reach.URL(pool.Name), c.Model,
+			kserve.UsageQuery{DispatcherEpoch: inquiry.Epoch, After: inquiry.After})
 	})
 	if err != nil {
 		return nil
@@ -361,12 +361,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil
 	}
-	counts, err := kserve.ReadCounts(io.LimitReader(resp.Body, 8<<20))
+	counts, err := kserve.ReadUsageReport(io.LimitReader(resp.Body, 8<<20))
 	if err != nil {
 		return nil
 	}
-	reply := &account.Reply{More: counts.More, Open: counts.Open, Forgot: counts.Forgot}
-	for _, count := range counts.Counts {
+	reply := &account.Reply{More: counts.More, Running: counts.InFlight, ForgottenUpTo: counts.ForgottenThrough}
+	for _, count := range counts.Records {
 		reply.Counts = append(reply.Counts, countedRecord(count))
 	}
 	return reply
--- a/internal/dispatch/limited_listener.go
+++ b/internal/dispatch/limited_listener.go
@@ -16,7 +16,7 @@
 type limitedListener struct {
 	net.Listener
 	mu      *sync.Mutex // guards limiter, which several listeners share
-	limiter *storm.Door
+	limiter *storm.ConnLimiter
 	clock   func() time.Duration
 }
 
--- a/internal/dispatch/limited_listener_test.go
+++ b/internal/dispatch/limited_listener_test.go
@@ -20,7 +20,7 @@
 	defer inner.Close()
 	start := time.Now()
 	limited := &limitedListener{
-		inner, &sync.Mutex{}, &storm.Door{PerS: 1e-9, Burst: 0, MostOpen: 1},
+		inner, &sync.Mutex{}, &storm.ConnLimiter{ConnsPerSecond: 1e-9, Burst: 0, MaxOpen: 1},
 		func() time.Duration { return time.Since(start) },
 	}
 	go limited.Accept()
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -89,12 +89,12 @@
 
 	// RetryThrottle throttles retries before they reach the scheduler. With nil every request reaches the scheduler,
 	// and clients get the scheduler's own advice when to retry.
-	RetryThrottle *storm.Guard
+	RetryThrottle *storm.RetryThrottle
 }
 
 // NewLoop returns a loop with a scheduler of its own. clock returns the time since the start.
 func NewLoop(
-	facts brain.Facts, seed uint64, resolver Resolver, transport Transport, clock func() time.Duration, epoch string,
+	facts brain.Settings, seed uint64, resolver Resolver, transport Transport, clock func() time.Duration, epoch string,
 	log *slog.Logger,
 ) (*Loop, error) {
 	if resolver.AddressAllowed == nil {
@@ -113,12 +113,12 @@
 
 // Scheduler is the scheduler that a loop hosts: the one of this project, or a baseline to compare it with.
 type Scheduler interface {
-	Listed(listings []brain.Listing, complete bool)
+	UpdateEndpoints(listings []brain.Endpoint, complete bool)
 	Submit(request *brain.Request, class, tenant int)
-	Began(attempt *brain.Attempt, took time.Duration)
-	Ended(attempt *brain.Attempt, result brain.Result)
-	Left(request *brain.Request)
-	Heard(update brain.PeerUpdate)
+	FirstToken(attempt *brain.Attempt, took time.Duration)
+	AttemptDone(attempt *brain.Attempt, result brain.Result)
+	ClientDisconnected(request *brain.Request)
+	PeerUpdated(update brain.PeerUpdate)
 	MaySend(attempt *brain.Attempt) brain.Permission
 }
 
@@ -249,41 +249,41 @@
 	}
 	l.lastID++
 	request.started, request.final, request.kvHolders =
-		make(chan *Attempt, 1), make(chan kserve.Final, 1), map[*Backend]bool{}
+		make(chan *Attempt, 1), make(chan kserve.FinalResponse, 1), map[*Backend]bool{}
 	request.submittedAt = l.now
 	params := request.Params
 	request.Scheduled = &brain.Request{
-		ID: l.lastID, Session: HashName(params.Session), Shared: HashName(params.Shared),
-		Prompt: float64(params.Tokens), Prefix: float64(params.Prefix), Most: float64(params.Most),
-		Again: params.Again, Left: timeLeft,
+		ID: l.lastID, SessionKey: HashName(params.Session), PrefixKey: HashName(params.SharedPrefix),
+		PromptTokens: float64(params.PromptTokens), PrefixTokens: float64(params.PrefixTokens), MaxOutputTokens: float64(params.MaxTokens),
+		ClientRetry: params.IsRetry, Timeout: timeLeft,
 	}
 	l.Counters.Accepted++
 	request.tenantNumber = tenant
 	if l.RetryThrottle != nil {
-		if admit, after, ticket := l.RetryThrottle.Arrive(l.now, params.Again, tenant, params.Ticket); !admit {
-			request.Scheduled.Over = true
+		if admit, after, ticket := l.RetryThrottle.Admit(l.now, params.IsRetry, tenant, params.RetryTicket); !admit {
+			request.Scheduled.Finished = true
 			l.Counters.Throttled++
-			l.answer(request, kserve.Final{
-				Final: kserve.Declined, Error: "too many ask again just now", Harmless: true,
-				AfterMs: after.Milliseconds(), Ticket: ticket,
+			l.answer(request, kserve.FinalResponse{
+				Outcome: kserve.Rejected, Error: "too many ask again just now", SafeToRetry: true,
+				RetryAfterMs: after.Milliseconds(), RetryTicket: ticket,
 			})
 			return
 		}
 	}
 	l.requests[request.Scheduled] = request
 	// The scheduler answers every request before its deadline; if it ever failed to, the client must not hang.
-	l.Wake(timeLeft+overdueGrace, func() {
-		begun := request.inFlight != nil && request.inFlight.Scheduled.Began > 0
+	l.Schedule(timeLeft+overdueGrace, func() {
+		begun := request.inFlight != nil && request.inFlight.Scheduled.FirstTokenAt > 0
 		if !request.answered && !request.disconnected && !begun {
 			l.Counters.Overdue++
 			l.Log.Error("request without an answer at its deadline", "question", request.Scheduled.ID)
-			l.answer(request, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
-			l.scheduler.Left(request.Scheduled)
+			l.answer(request, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no answer came in time"})
+			l.scheduler.ClientDisconnected(request.Scheduled)
 			l.forgetIfOver(request)
 		}
 	})
 	l.reserveBudgets(request, func() {
-		request.Scheduled.Left = timeLeft - (l.now - request.submittedAt)
+		request.Scheduled.Timeout = timeLeft - (l.now - request.submittedAt)
 		l.scheduler.Submit(request.Scheduled, class, tenant)
 		l.forgetIfOver(request)
 	})
@@ -302,31 +302,31 @@
 
 // answer gives a request its final answer. It is the only place that does, so that every request gets at most one
 // (rule 1).
-func (l *Loop) answer(request *ClientRequest, final kserve.Final) {
+func (l *Loop) answer(request *ClientRequest, final kserve.FinalResponse) {
 	if request.answered {
 		return
 	}
 	request.answered = true
 	request.MarkOver()
-	final.Trips = len(request.Scheduled.Attempts)
-	l.accountRequest(request, final.Final, final.Error)
-	if l.RetryThrottle != nil && !request.overBudget && final.Trips+int(final.AfterMs) > 0 {
-		served, scheduled := final.Final == kserve.Satisfied, request.Scheduled
+	final.Attempts = len(request.Scheduled.Attempts)
+	l.accountRequest(request, final.Outcome, final.Error)
+	if l.RetryThrottle != nil && !request.overBudget && final.Attempts+int(final.RetryAfterMs) > 0 {
+		served, scheduled := final.Outcome == kserve.Served, request.Scheduled
 		inTime := served && len(scheduled.Attempts) > 0 &&
-			scheduled.Attempts[len(scheduled.Attempts)-1].Began <= scheduled.TargetAt
-		l.RetryThrottle.Answered(l.now, served, !request.Params.Again && request.Params.Ticket == "", inTime,
+			scheduled.Attempts[len(scheduled.Attempts)-1].FirstTokenAt <= scheduled.TargetAt
+		l.RetryThrottle.RequestDone(l.now, served, !request.Params.IsRetry && request.Params.RetryTicket == "", inTime,
 			request.tenantNumber)
 	}
-	switch final.Final {
-	case kserve.Satisfied:
+	switch final.Outcome {
+	case kserve.Served:
 		l.Counters.Served++
-	case kserve.Declined:
+	case kserve.Rejected:
 		l.Counters.Rejected++
 	default:
 		l.Counters.Failed++
 	}
 	l.Log.Debug("request answered", "question", request.Scheduled.ID, "id", request.Params.ID, "grade", request.Class,
-		"final", final.Final, "trips", final.Trips, "took", l.now-request.submittedAt, "error", final.Error)
+		"final", final.Outcome, "trips", final.Attempts, "took", l.now-request.submittedAt, "error", final.Error)
 	if request.OnFinal != nil {
 		request.OnFinal(final)
 		return
@@ -336,7 +336,7 @@
 
 // forgetIfOver drops a request that is over and has no attempt in flight.
 func (l *Loop) forgetIfOver(request *ClientRequest) {
-	if request.Scheduled.Over && request.Scheduled.Out() == nil {
+	if request.Scheduled.Finished && request.Scheduled.InFlight() == nil {
 		delete(l.requests, request.Scheduled)
 		request.Payload = nil // timers refer to the request for seconds more
 		l.settleBudgets(request)
@@ -346,7 +346,7 @@
 // ReceivePeerUpdate decodes a peer's update and hands it to the scheduler. Updates about unknown backends are ignored.
 func (l *Loop) ReceivePeerUpdate(raw []byte) error {
 	update, err := news.Decode(raw, l.schedulerBackends)
-	if err == nil && update.Host != nil {
+	if err == nil && update.Backend != nil {
 		l.ApplyPeerUpdate(update)
 	}
 	return err
@@ -361,10 +361,10 @@
 	request.MarkOver()
 	l.accountRequest(request, "left", "")
 	l.Counters.Disconnected++
-	if request.inFlight != nil && request.inFlight.Scheduled.Began > 0 {
+	if request.inFlight != nil && request.inFlight.Scheduled.FirstTokenAt > 0 {
 		request.inFlight.Cancel(ErrNotNeeded)
 	}
-	l.scheduler.Left(request.Scheduled)
+	l.scheduler.ClientDisconnected(request.Scheduled)
 	l.forgetIfOver(request)
 }
 
@@ -377,12 +377,12 @@
 }
 
 // Estimates returns the scheduler's estimates, or zero values if the scheduler does not report any.
-func (l *Loop) Estimates() (estimates brain.Belief) {
-	if reporter, ok := l.scheduler.(interface{ Believes() brain.Belief }); ok {
+func (l *Loop) Estimates() (estimates brain.Summary) {
+	if reporter, ok := l.scheduler.(interface{ Believes() brain.Summary }); ok {
 		estimates = reporter.Believes()
 	}
 	return estimates
 }
 
 // ApplyPeerUpdate hands a peer's update to the scheduler.
-func (l *Loop) ApplyPeerUpdate(update brain.PeerUpdate) { l.scheduler.Heard(update) }
+func (l *Loop) ApplyPeerUpdate(update brain.PeerUpdate) { l.scheduler.PeerUpdated(update) }
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -39,23 +39,23 @@
 }
 
 // testConfig returns a configuration with one class of the given effect, and two kinds of backends.
-func testConfig(effect string) setup.Dispatcher {
-	config := setup.DefaultDispatcher()
-	config.Grades = []setup.Grade{{
-		Name: "g", Effect: effect, Reach: "all", Window: setup.Span(3 * time.Second),
-		Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second), Benefit: 1, Most: 50,
+func testConfig(effect string) setup.DispatcherConfig {
+	config := setup.DefaultDispatcherConfig()
+	config.Classes = []setup.Class{{
+		Name: "g", Effect: effect, DedupScope: "all", DedupWindow: setup.Duration(3 * time.Second),
+		LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second), Value: 1, DefaultMaxTokens: 50,
 	}}
-	config.Kinds = []setup.Kind{
-		{Name: "reader", Role: "reader", Memory: 1e5}, {Name: "writer", Role: "writer", Memory: 1e5},
+	config.BackendKinds = []setup.BackendKind{
+		{Name: "reader", Role: "reader", MemoryTokens: 1e5}, {Name: "writer", Role: "writer", MemoryTokens: 1e5},
 	}
 	return config
 }
 
 // listEntry returns an entry of the service discovery list.
-func listEntry(name, kind, standing string) boxlist.Box {
-	return boxlist.Box{
-		Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}}, Kind: kind, Standing: standing,
-		Units: 1, UpMs: -1,
+func listEntry(name, kind, standing string) boxlist.Endpoint {
+	return boxlist.Endpoint{
+		Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}}, Kind: kind, State: standing,
+		Units: 1, UptimeMs: -1,
 	}
 }
 
@@ -64,15 +64,15 @@
 	t.Helper()
 	transport := &fakeTransport{now: time.Second}
 	config := testConfig(effect)
-	l, err := NewLoop(config.Facts(), 1, Resolver{
-		ZoneNumber: config.ZoneNumber, KindNumber: config.KindNumber,
+	l, err := NewLoop(config.SchedulerParameters(), 1, Resolver{
+		ZoneNumber: config.ZoneIndex, KindNumber: config.KindIndex,
 		AddressAllowed: func(spec addresses.Spec) bool { return spec.Addr != "10.9.9.9:1" },
 	}, transport, func() time.Duration { return transport.now }, "d0.x", slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	l.RunTurn(func() {
-		l.UpdateBackends([]boxlist.Box{
+		l.UpdateBackends([]boxlist.Endpoint{
 			listEntry("r1", "reader", "ready"), listEntry("r2", "reader", "ready"),
 			listEntry("w1", "writer", "ready"), listEntry("w2", "writer", "ready"),
 		}, true)
@@ -82,7 +82,7 @@
 
 // submit submits a request with that much time for its answer.
 func submit(l *Loop, timeLeft time.Duration) *ClientRequest {
-	request := &ClientRequest{Params: kserve.Ask{Tokens: 2000, Most: 50, Session: "s"}, Class: "g"}
+	request := &ClientRequest{Params: kserve.Request{PromptTokens: 2000, MaxTokens: 50, Session: "s"}, Class: "g"}
 	l.RunTurn(func() { l.Submit(request, 0, 0, timeLeft) })
 	return request
 }
@@ -91,14 +91,14 @@
 func (f *fakeTransport) last() *Attempt { return f.attempts[len(f.attempts)-1] }
 
 // finalAnswer returns a request's final answer, which must be there.
-func finalAnswer(t *testing.T, request *ClientRequest) kserve.Final {
+func finalAnswer(t *testing.T, request *ClientRequest) kserve.FinalResponse {
 	t.Helper()
 	select {
 	case final := <-request.final:
 		return final
 	default:
 		t.Fatal("no final answer")
-		return kserve.Final{}
+		return kserve.FinalResponse{}
 	}
 }
 
@@ -112,7 +112,7 @@
 		t.Fatalf("the attempt was cancelled with %v", context.Cause(attempt.ctx))
 	}
 	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.TimedOut}) })
-	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.Prefilled}) })
 	if len(transport.released) != 1 {
 		t.Errorf("releases %v: a cancelled prefill may have left its KV cache", transport.released)
 	}
@@ -126,9 +126,9 @@
 func TestFirstTokenAfterAttemptTimeoutIsIgnored(t *testing.T) {
 	l, transport := newTestLoop(t, "idempotent")
 	request := submit(l, 4*time.Second)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
 	attempt := transport.last()
-	if attempt.Scheduled.Stage != brain.ToWrite || attempt.PrefillBackend == nil {
+	if attempt.Scheduled.Stage != brain.StageDecode || attempt.PrefillBackend == nil {
 		t.Fatalf("stage %d, prefill backend %v", attempt.Scheduled.Stage, attempt.PrefillBackend)
 	}
 	transport.now += attempt.Timeout
@@ -144,13 +144,13 @@
 func TestWholeAnswerAfterAttemptTimeoutIsNotServed(t *testing.T) {
 	l, transport := newTestLoop(t, "unrepeatable")
 	request := submit(l, 4*time.Second)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
 	attempt := transport.last()
 	transport.now += attempt.Timeout
 	l.RunTimers()
 	l.RunTurn(func() { l.AttemptBegan(attempt) })
 	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.Served}) })
-	if got := finalAnswer(t, request); got.Final != kserve.Forfeited || len(request.started) != 0 ||
+	if got := finalAnswer(t, request); got.Outcome != kserve.Failed || len(request.started) != 0 ||
 		l.Counters.Outcomes[brain.TimedOut] != 1 {
 		t.Errorf("%+v with %d streams, outcomes %v", got, len(request.started), l.Counters.Outcomes)
 	}
@@ -159,7 +159,7 @@
 func TestClientDisconnectMidStreamCancelsAttempt(t *testing.T) {
 	l, transport := newTestLoop(t, "unrepeatable")
 	request := submit(l, 4*time.Second)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
 	attempt := transport.last()
 	l.RunTurn(func() { l.AttemptBegan(attempt) })
 	l.RunTurn(func() { l.ClientDisconnected(request) })
@@ -175,10 +175,10 @@
 func TestNonIdempotentRequestThatMayHaveRunFails(t *testing.T) {
 	l, transport := newTestLoop(t, "unrepeatable")
 	request := submit(l, 4*time.Second)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
 	before := len(transport.attempts)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Broken}) })
-	if final := finalAnswer(t, request); final.Final != kserve.Forfeited || final.Harmless ||
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.ConnectionLost}) })
+	if final := finalAnswer(t, request); final.Outcome != kserve.Failed || final.SafeToRetry ||
 		len(transport.attempts) != before {
 		t.Errorf("%+v after a broken attempt, and %d more attempts", final, len(transport.attempts)-before)
 	}
@@ -193,8 +193,8 @@
 	l, transport := newTestLoop(t, "idempotent")
 	submit(l, 4*time.Second)
 	prefill := transport.last().Backend.Name
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Rejected, Note: 1}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Rejected, Detail: 1}) })
 	if len(transport.released) != 1 || transport.released[0] != prefill {
 		t.Errorf("released at %v, the KV cache was at %s", transport.released, prefill)
 	}
@@ -206,10 +206,10 @@
 	request := submit(l, 4*time.Second)
 	transport.now += 4*time.Second + overdueGrace
 	l.RunTimers()
-	if final := finalAnswer(t, request); final.Final != kserve.Forfeited || l.Counters.Overdue != 1 {
+	if final := finalAnswer(t, request); final.Outcome != kserve.Failed || l.Counters.Overdue != 1 {
 		t.Errorf("%+v, %d requests overdue", final, l.Counters.Overdue)
 	}
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
 	if len(transport.released) == 0 || len(transport.attempts) != 1 {
 		t.Errorf("released at %v, %d attempts", transport.released, len(transport.attempts))
 	}
@@ -220,19 +220,19 @@
 func TestRelistedBackendStartKeepsItsTime(t *testing.T) {
 	l, transport := newTestLoop(t, "idempotent")
 	entry := listEntry("w1", "writer", "ready")
-	entry.Start, entry.UpMs = 7, 1000
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
+	entry.Incarnation, entry.UptimeMs = 7, 1000
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 	known := l.backends["w1"].SchedulerState
-	booted := known.Booted
+	booted := known.StartedAt
 	transport.now += 3 * time.Second
-	entry.UpMs = 4007
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
-	if known.Booted != booted || !known.Restart {
-		t.Errorf("started at %v, then at %v", booted, known.Booted)
+	entry.UptimeMs = 4007
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	if known.StartedAt != booted || !known.StartReported {
+		t.Errorf("started at %v, then at %v", booted, known.StartedAt)
 	}
-	entry.Start, entry.UpMs = 8, 10
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
-	if known.Booted == booted {
+	entry.Incarnation, entry.UptimeMs = 8, 10
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	if known.StartedAt == booted {
 		t.Error("a new start was not noticed")
 	}
 }
@@ -241,15 +241,15 @@
 	l, _ := newTestLoop(t, "idempotent")
 	removed := l.backends["w2"]
 	l.RunTurn(func() {
-		l.UpdateBackends([]boxlist.Box{
+		l.UpdateBackends([]boxlist.Endpoint{
 			listEntry("r1", "reader", "ready"), listEntry("w1", "writer", "draining"),
 			listEntry("x", "nonesuch", "ready"),
 		}, true)
 	})
-	if removed.SchedulerState.Standing != brain.Gone || l.backends["w1"].SchedulerState.Standing != brain.Draining ||
+	if removed.SchedulerState.State != brain.Removed || l.backends["w1"].SchedulerState.State != brain.Draining ||
 		l.backends["x"] != nil {
 		t.Errorf("w2 %d, w1 %d, x %v",
-			removed.SchedulerState.Standing, l.backends["w1"].SchedulerState.Standing, l.backends["x"])
+			removed.SchedulerState.State, l.backends["w1"].SchedulerState.State, l.backends["x"])
 	}
 	select {
 	case <-removed.Removed:
@@ -264,14 +264,14 @@
 	entry.Addresses = []addresses.Spec{
 		{Network: "tcp4", Addr: "10.9.9.9:1"}, {Network: "tcp4", Addr: "no address"}, {Network: "unix", Addr: "/w1"},
 	}
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 	if got := transport.reached[len(transport.reached)-1]; got != "w1[unix:/w1]" {
 		t.Errorf("the addresses are %s", got)
 	}
 	before := len(transport.reached)
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
-	entry.Standing = "gone"
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	entry.State = "gone"
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 	if len(transport.reached) != before+1 || transport.reached[before] != "w1[]" {
 		t.Errorf("then the addresses were set to %v", transport.reached[before:])
 	}
@@ -286,22 +286,22 @@
 	for i := range 300 {
 		l.RunTurn(func() {
 			entry := listEntry(fmt.Sprint("pod-", i), "writer", "ready")
-			entry.Start, entry.UpMs = uint64(i), 5
-			l.UpdateBackends([]boxlist.Box{entry}, false)
-			entry.Standing = "gone"
-			l.UpdateBackends([]boxlist.Box{entry}, false)
+			entry.Incarnation, entry.UptimeMs = uint64(i), 5
+			l.UpdateBackends([]boxlist.Endpoint{entry}, false)
+			entry.State = "gone"
+			l.UpdateBackends([]boxlist.Endpoint{entry}, false)
 		})
 	}
 	transport.now += 2 * removedRetention
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{listEntry("w1", "writer", "ready")}, true) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{listEntry("w1", "writer", "ready")}, true) })
 	transport.now += 2 * removedRetention
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{listEntry("w1", "writer", "ready")}, true) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{listEntry("w1", "writer", "ready")}, true) })
 	if len(l.backends) != 2 || len(l.schedulerBackends) != 2 || len(l.byState) != 2 ||
 		l.backends[busy.Backend.Name] == nil {
 		t.Fatalf("%d, %d and %d backends by name, number and record are kept, with 1 listed and 1 that has an attempt",
 			len(l.backends), len(l.schedulerBackends), len(l.byState))
 	}
-	l.RunTurn(func() { l.AttemptEnded(busy, brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(busy, brain.Result{Outcome: brain.Prefilled}) })
 	l.RunTurn(func() { l.UpdateBackends(nil, false) })
 	transport.now += 2 * removedRetention
 	l.RunTurn(func() { l.UpdateBackends(nil, false) })
@@ -313,20 +313,20 @@
 // Another machine under an old name is another backend: its role, its rack and its deduplication group are those of the
 // place where it is now.
 func TestBackendListedElsewhereIsANewBackend(t *testing.T) {
-	for name, change := range map[string]func(*boxlist.Box){
-		"kind": func(entry *boxlist.Box) { entry.Kind = "reader" },
-		"rack": func(entry *boxlist.Box) { entry.Rack = "other" },
-		"zone": func(entry *boxlist.Box) { entry.Zone = "there" },
+	for name, change := range map[string]func(*boxlist.Endpoint){
+		"kind": func(entry *boxlist.Endpoint) { entry.Kind = "reader" },
+		"rack": func(entry *boxlist.Endpoint) { entry.Rack = "other" },
+		"zone": func(entry *boxlist.Endpoint) { entry.Zone = "there" },
 	} {
 		l, _ := newTestLoop(t, "idempotent")
 		before := l.backends["w1"].SchedulerState
 		entry := listEntry("w1", "writer", "ready")
 		change(&entry)
-		l.RunTurn(func() { l.UpdateBackends([]boxlist.Box{entry}, false) })
+		l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 		after := l.backends["w1"].SchedulerState
-		if after == before || before.Standing != brain.Gone || after.Standing != brain.Ready ||
+		if after == before || before.State != brain.Removed || after.State != brain.Ready ||
 			l.schedulerBackends[after.ID] != after || l.byState[before] != nil {
-			t.Errorf("another %s: not a new backend, the old one's standing is %d", name, before.Standing)
+			t.Errorf("another %s: not a new backend, the old one's standing is %d", name, before.State)
 		}
 	}
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -13,14 +13,14 @@
 // from the channels and over.
 type ClientRequest struct {
 	Scheduled *brain.Request // the scheduler's record of it; nil before it is submitted
-	Params    kserve.Ask
-	Class     string             // name of its class
-	Tenant    string             // name of its tenant
-	Payload   any                // what the transport sends; dropped when the request is over
-	OnFinal   func(kserve.Final) // takes the final answer, in place of the channel that Final returns
+	Params    kserve.Request
+	Class     string                     // name of its class
+	Tenant    string                     // name of its tenant
+	Payload   any                        // what the transport sends; dropped when the request is over
+	OnFinal   func(kserve.FinalResponse) // takes the final answer, in place of the channel that Final returns
 
-	started      chan *Attempt     // the attempt whose stream goes to the client
-	final        chan kserve.Final // the final answer
+	started      chan *Attempt             // the attempt whose stream goes to the client
+	final        chan kserve.FinalResponse // the final answer
 	answered     bool
 	disconnected bool
 	tenantNumber int           // of its tenant
@@ -45,7 +45,7 @@
 
 // WaitStart waits for the attempt whose stream goes to the client, or for a final answer without a stream; the attempt
 // is nil then. ok is false if the context ended first.
-func (c *ClientRequest) WaitStart(ctx context.Context) (attempt *Attempt, final kserve.Final, ok bool) {
+func (c *ClientRequest) WaitStart(ctx context.Context) (attempt *Attempt, final kserve.FinalResponse, ok bool) {
 	select {
 	case <-ctx.Done():
 		return nil, final, false
@@ -57,11 +57,11 @@
 	select {
 	case attempt = <-c.started:
 		c.final <- final
-		return attempt, kserve.Final{}, true
+		return attempt, kserve.FinalResponse{}, true
 	default:
 		return nil, final, true
 	}
 }
 
 // Final returns the channel of the final answer.
-func (c *ClientRequest) Final() <-chan kserve.Final { return c.final }
+func (c *ClientRequest) Final() <-chan kserve.FinalResponse { return c.final }
--- a/internal/dispatch/runtime.go
+++ b/internal/dispatch/runtime.go
@@ -20,18 +20,18 @@
 		Scheduled: scheduled, Request: request, Backend: l.byState[scheduled.Backend], Timeout: wait,
 		Deadline: l.now + wait, Tokens: make(chan []byte, tokenBuffer), RequestKey: l.RequestKey(request),
 	}
-	if scheduled.Stage == brain.ToWrite {
-		attempt.PrefillBackend = l.byState[scheduled.Request.State]
+	if scheduled.Stage == brain.StageDecode {
+		attempt.PrefillBackend = l.byState[scheduled.Request.KVHolder]
 	}
 	request.inFlight = attempt
 	attempt.Backend.inFlight++
 	l.Counters.Attempts++
 	if l.RetryThrottle != nil {
-		l.RetryThrottle.Sent(l.now,
+		l.RetryThrottle.AttemptSent(l.now,
 			scheduled.Number > 0 && wastesWork(scheduled.Request.Attempts[scheduled.Number-1].Outcome))
 	}
-	l.Wake(wait, func() {
-		if !scheduled.Ended && scheduled.Began == 0 {
+	l.Schedule(wait, func() {
+		if !scheduled.Ended && scheduled.FirstTokenAt == 0 {
 			attempt.timedOut = true
 			attempt.Cancel(ErrAttemptTimeout)
 		}
@@ -64,29 +64,31 @@
 func (l *Loop) Reject(scheduled *brain.Request, after time.Duration) {
 	ticket := ""
 	if l.RetryThrottle != nil && after > 0 {
-		after, ticket = l.RetryThrottle.Book(l.now)
+		after, ticket = l.RetryThrottle.BookRetry(l.now)
 	}
-	l.answer(l.requests[scheduled], kserve.Final{
-		Ticket: ticket, Final: kserve.Declined, Error: "not taken on: too much is asked just now", Harmless: true,
-		AfterMs: after.Milliseconds(),
+	l.answer(l.requests[scheduled], kserve.FinalResponse{
+		RetryTicket: ticket, Outcome: kserve.Rejected, Error: "not taken on: too much is asked just now", SafeToRetry: true,
+		RetryAfterMs: after.Milliseconds(),
 	})
 }
 
 // Fail fails a request whose attempts may have run.
 func (l *Loop) Fail(scheduled *brain.Request) {
-	l.answer(l.requests[scheduled], kserve.Final{Final: kserve.Forfeited, Error: "given up on; it may have run"})
+	l.answer(l.requests[scheduled], kserve.FinalResponse{Outcome: kserve.Failed, Error: "given up on; it may have run"})
 }
 
 // Wake calls a function in the loop after some time, at the earliest after the present turn.
-func (l *Loop) Wake(after time.Duration, callback func()) {
+func (l *Loop) Schedule(after time.Duration, callback func()) {
 	l.timers.Schedule(l.now+max(after, 0), callback)
 }
 
 // Watch does nothing: the service discovery list is pushed to the loop without being asked for.
-func (l *Loop) Watch(bool) {}
+func (l *Loop) WatchEndpoints(bool) {}
 
 // Tell sends an update to a peer.
-func (l *Loop) Tell(peer int, update brain.PeerUpdate) { l.transport.SendPeerUpdate(peer, update) }
+func (l *Loop) SendPeerUpdate(peer int, update brain.PeerUpdate) {
+	l.transport.SendPeerUpdate(peer, update)
+}
 
 // Note logs a text of the scheduler's.
-func (l *Loop) Note(text string) { l.Log.Info(text) }
+func (l *Loop) LogInfo(text string) { l.Log.Info(text) }
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -39,11 +39,11 @@
 
 // Serve runs one dispatcher until the context ends. It then rejects new requests, lets the open ones end within the
 // configured time, and returns. started is called with the first address once the dispatcher listens.
-func Serve(ctx context.Context, config setup.Dispatcher, log *slog.Logger, started func(addr net.Addr)) error {
+func Serve(ctx context.Context, config setup.DispatcherConfig, log *slog.Logger, started func(addr net.Addr)) error {
 	var random [16]byte
 	rand.Read(random[:])
-	epoch := fmt.Sprintf("%s.%x", config.Place.Name, random[8:14])
-	seed := config.Place.Seed
+	epoch := fmt.Sprintf("%s.%x", config.Instance.Name, random[8:14])
+	seed := config.Instance.Seed
 	if seed == 0 {
 		seed = binary.BigEndian.Uint64(random[:])
 	}
@@ -54,37 +54,37 @@
 	lifetime, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	var attempts, group errgroup.Group
-	transport := NewHTTPTransport(lifetime, &attempts, config.Limits.BoxConns, config.Limits.Dial.D(), clock)
-	transport.Model, transport.StallTimeout = config.Model, config.Limits.Stall.D()
-	allowed, err := reach.NewAllowList(config.Place.Allow)
+	transport := NewHTTPTransport(lifetime, &attempts, config.Limits.MaxConnsPerBackend, config.Limits.DialTimeout.Std(), clock)
+	transport.Model, transport.StallTimeout = config.Model, config.Limits.StallTimeout.Std()
+	allowed, err := reach.NewAllowList(config.Instance.AllowedBackends)
 	if err != nil {
 		return err
 	}
-	loop, err := NewLoop(config.Facts(), seed, Resolver{config.ZoneNumber, config.KindNumber, allowed.Contains},
+	loop, err := NewLoop(config.SchedulerParameters(), seed, Resolver{config.ZoneIndex, config.KindIndex, allowed.Contains},
 		transport, clock, epoch, log)
 	if err != nil {
 		return err
 	}
 	transport.loop = loop
-	if config.Limits.Storms {
-		seal := storm.Seal{
-			Key: random[:], Began: time.Duration(startedAt.UnixNano()), From: uint32(xxhash.Sum64String(epoch)),
+	if config.Limits.ThrottleRetries {
+		seal := storm.TicketSigner{
+			Key: random[:], StartedAt: time.Duration(startedAt.UnixNano()), Issuer: uint32(xxhash.Sum64String(epoch)),
 		}
-		if config.Place.Tickets != "" {
-			if seal.Key, err = setup.ReadKey(config.Place.Tickets); err != nil {
+		if config.Instance.TicketKeyFile != "" {
+			if seal.Key, err = setup.ReadKeyFile(config.Instance.TicketKeyFile); err != nil {
 				return fmt.Errorf("dispatcher.ticket_key: %w", err)
 			}
 		}
-		loop.RetryThrottle = storm.New(config.Limits.RetryAfter.D(), len(config.Channels), seed^0x5709, seal)
+		loop.RetryThrottle = storm.New(config.Limits.MaxRetryAfter.Std(), len(config.Tenants), seed^0x5709, seal)
 	}
-	for _, further := range config.Further {
-		loop.AddAddress(further.Box, further.Spec)
+	for _, further := range config.ExtraAddresses {
+		loop.AddAddress(further.Backend, further.Spec)
 	}
 	var listeners []net.Listener
-	limiter, limiterMu := &storm.Door{
-		PerS: config.Place.ConnPerS, Burst: max(config.Place.ConnPerS, 1), MostOpen: config.Place.ConnOpen,
+	limiter, limiterMu := &storm.ConnLimiter{
+		ConnsPerSecond: config.Instance.ConnsPerSecond, Burst: max(config.Instance.ConnsPerSecond, 1), MaxOpen: config.Instance.MaxConns,
 	}, &sync.Mutex{}
-	for i, address := range append(slices.Clone(config.Place.Listen), config.Place.Control...) {
+	for i, address := range append(slices.Clone(config.Instance.Listen), config.Instance.AdminListen...) {
 		spec, err := reach.ParseListen(address)
 		if err != nil {
 			return fmt.Errorf("dispatcher.listen: %w", err)
@@ -97,7 +97,7 @@
 		listener = system.RetryingListener{
 			Listener: listener, OnError: func(err error) { log.Warn("accepting a connection failed", "error", err) },
 		}
-		if i < len(config.Place.Listen) && config.Place.ConnPerS > 0 {
+		if i < len(config.Instance.Listen) && config.Instance.ConnsPerSecond > 0 {
 			listener = &limitedListener{listener, limiterMu, limiter, clock}
 		}
 		listeners = append(listeners, listener)
@@ -109,8 +109,8 @@
 	if journal != nil {
 		defer journal.Close()
 	}
-	if config.Limits.Siblings || len(config.Budgets) > 0 && config.Place.Siblings > 1 {
-		if transport.Peers, err = ListenPeers(config.Place.Number, config.Place.News, config.Place.Peers,
+	if config.Limits.PeerUpdates || len(config.Budgets) > 0 && config.Instance.FleetSize > 1 {
+		if transport.Peers, err = ListenPeers(config.Instance.Index, config.Instance.PeerListen, config.Instance.PeerAddrs,
 			system.Real().ListenUDP); err != nil {
 			return fmt.Errorf("dispatcher.%w", err)
 		}
@@ -120,9 +120,9 @@
 		loop.SetAccounting(accounting)
 	}
 	discovery := &boxlist.Follower{
-		Address: config.Place.Boxes, Name: config.Place.Name, Keep: config.Place.Keep, Log: log,
-		Client: &http.Client{Transport: &http.Transport{}},
-		Listed: func(entries []boxlist.Box, complete bool) {
+		Address: config.Instance.DiscoveryAddr, Name: config.Instance.Name, CacheDir: config.Instance.EndpointCacheFolder, Log: log,
+		HTTPClient: &http.Client{Transport: &http.Transport{}},
+		OnUpdate: func(entries []boxlist.Endpoint, complete bool) {
 			loop.Post(func() { loop.UpdateBackends(entries, complete) })
 		},
 	}
@@ -130,9 +130,9 @@
 		log.Warn("starting without the stored service discovery list", "error", err)
 	}
 	group.Go(func() error { return loop.Run(lifetime) })
-	group.Go(func() error { return discovery.Follow(lifetime) })
+	group.Go(func() error { return discovery.Run(lifetime) })
 
-	server := &Server{Service: config.Terms, Instance: config.Place, Loop: loop, Log: log}
+	server := &Server{Service: config.Deployment, Instance: config.Instance, Loop: loop, Log: log}
 	server.Status = func() map[string]any {
 		out := statusReport(ctx, loop, discovery, transport, server, clock())
 		if journal != nil {
@@ -140,7 +140,7 @@
 		}
 		limiterMu.Lock()
 		defer limiterMu.Unlock()
-		out["connections_taken"], out["connections_refused"] = limiter.Taken, limiter.Refused
+		out["connections_taken"], out["connections_refused"] = limiter.Accepted, limiter.Refused
 		return out
 	}
 	server.Ready = func() bool {
@@ -158,7 +158,7 @@
 	failed := make(chan error, len(listeners))
 	for i, listener := range listeners {
 		httpServer := clients
-		if i >= len(config.Place.Listen) {
+		if i >= len(config.Instance.Listen) {
 			httpServer = operators
 		}
 		group.Go(func() error {
@@ -168,7 +168,7 @@
 			return nil
 		})
 	}
-	log.Info("serving", "listen", config.Place.Listen, "epoch", epoch, "boxes", config.Place.Boxes)
+	log.Info("serving", "listen", config.Instance.Listen, "epoch", epoch, "boxes", config.Instance.DiscoveryAddr)
 	if started != nil {
 		started(listeners[0].Addr())
 	}
@@ -178,7 +178,7 @@
 	}
 	server.stopping.Store(true)
 	log.Info("graceful shutdown: new requests are rejected", "open", server.openRequests.Load())
-	if server.drain(config.Place.Stop.D()) {
+	if server.drain(config.Instance.ShutdownTimeout.Std()) {
 		log.Info("graceful shutdown: all requests are answered")
 	} else {
 		log.Warn("graceful shutdown timed out, open requests are failed", "open", server.openRequests.Load())
@@ -195,7 +195,7 @@
 	end()
 	attempts.Wait()
 	group.Wait()
-	discovery.Client.CloseIdleConnections()
+	discovery.HTTPClient.CloseIdleConnections()
 	return err
 }
 
@@ -230,8 +230,8 @@
 // HasReadyBackend tells whether a backend that decodes is ready.
 func (l *Loop) HasReadyBackend() bool {
 	for _, backend := range l.backends {
-		if backend.SchedulerState.Standing == brain.Ready && backend.SchedulerState.Kept != nil &&
-			backend.SchedulerState.Answers() {
+		if backend.SchedulerState.State == brain.Ready && backend.SchedulerState.CachedPrefixes != nil &&
+			backend.SchedulerState.Decodes() {
 			return true
 		}
 	}
@@ -248,20 +248,20 @@
 			if attempt != nil {
 				attempt.Cancel(ErrNotNeeded) // its KV cache has to be released before the process ends
 			}
-		case attempt != nil && attempt.Scheduled.Began > 0:
+		case attempt != nil && attempt.Scheduled.FirstTokenAt > 0:
 		case attempt != nil:
-			scheduled.Last = true
+			scheduled.NoMoreAttempts = true
 			attempt.timedOut = true
 			attempt.Cancel(ErrAttemptTimeout)
 		default:
 			if brain.MayReject(scheduled) == brain.Allowed {
-				l.answer(request, kserve.Final{
-					Final: kserve.Declined, Error: "this dispatcher is stopping", Harmless: true, AfterMs: 1,
+				l.answer(request, kserve.FinalResponse{
+					Outcome: kserve.Rejected, Error: "this dispatcher is stopping", SafeToRetry: true, RetryAfterMs: 1,
 				})
 			} else {
 				l.Fail(scheduled)
 			}
-			l.scheduler.Left(scheduled)
+			l.scheduler.ClientDisconnected(scheduled)
 			l.forgetIfOver(request)
 		}
 	}
@@ -272,7 +272,7 @@
 	for scheduled, request := range l.requests {
 		if !request.answered && !request.disconnected {
 			l.Fail(scheduled)
-			l.scheduler.Left(scheduled)
+			l.scheduler.ClientDisconnected(scheduled)
 		}
 		if request.inFlight != nil {
 			request.inFlight.Cancel(ErrNotNeeded)
@@ -286,7 +286,7 @@
 	ctx context.Context, l *Loop, discovery *boxlist.Follower, transport *HTTPTransport, server *Server,
 	uptime time.Duration,
 ) map[string]any {
-	age, heard := discovery.Age()
+	age, heard := discovery.Staleness()
 	out := map[string]any{
 		"dispatcher": l.Epoch, "up_s": uptime.Seconds(), "open": server.openRequests.Load(),
 		"stopping": server.stopping.Load(), "list_heard": heard, "list_age_s": age.Seconds(),
@@ -310,8 +310,8 @@
 		}
 		if guard := l.RetryThrottle; guard != nil {
 			out["storm"] = map[string]any{
-				"on": guard.On(l.now), "again_share": guard.Again(l.now), "promised_returns": guard.Promised(l.now),
-				"rate": guard.Rate(l.now), "counts": guard.Counts,
+				"on": guard.Active(l.now), "again_share": guard.RetryShare(l.now), "promised_returns": guard.BookedRetries(l.now),
+				"rate": guard.ServiceRate(l.now), "counts": guard.Counters,
 			}
 		}
 		outcomes := map[string]int64{}
@@ -324,9 +324,9 @@
 			known := backend.SchedulerState
 			backends = append(backends, map[string]any{
 				"name": backend.Name, "at": backend.Addresses,
-				"standing": [...]string{"draining", "ready", "gone"}[known.Standing],
+				"standing": [...]string{"draining", "ready", "gone"}[known.State],
 				"role":     [...]string{"reader", "writer", "mixed"}[known.Role], "streams": known.Streams,
-				"tokens": known.Tokens, "util": known.Util, "queue": known.Queue,
+				"tokens": known.KVTokens, "util": known.Util, "queue": known.QueueLength,
 			})
 		}
 		out["boxes"] = backends
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -30,12 +30,12 @@
 // testService is a dispatcher in this process, with a prefill and a decode backend and service discovery.
 type testService struct {
 	t         *testing.T
-	config    setup.Dispatcher
+	config    setup.DispatcherConfig
 	events    *record.Book // what the test backends recorded
 	fleet     *standin.Fleet
-	discovery *standin.List
-	prefill   *standin.Box
-	decode    *standin.Box
+	discovery *standin.Discovery
+	prefill   *standin.Backend
+	decode    *standin.Backend
 	baseURL   string
 	stop      func()
 	ended     chan error
@@ -43,28 +43,28 @@
 
 // startService starts the service and waits until it is ready. At the test's end it stops everything, and checks that
 // no goroutine is left.
-func startService(t *testing.T, change func(*setup.Dispatcher)) *testService {
+func startService(t *testing.T, change func(*setup.DispatcherConfig)) *testService {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	s := &testService{t: t, config: setup.DefaultDispatcher(), ended: make(chan error, 1)}
-	s.config.Grades = []setup.Grade{
+	s := &testService{t: t, config: setup.DefaultDispatcherConfig(), ended: make(chan error, 1)}
+	s.config.Classes = []setup.Class{
 		{
-			Name: "trail-info", Effect: "idempotent", Promised: setup.Span(time.Second),
-			Expiry: setup.Span(2 * time.Second), Benefit: 1, Most: 40,
+			Name: "trail-info", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second),
+			Deadline: setup.Duration(2 * time.Second), Value: 1, DefaultMaxTokens: 40,
 		},
 		{
-			Name: "hut-booking", Effect: "unrepeatable", Promised: setup.Span(time.Second),
-			Expiry: setup.Span(2 * time.Second), Benefit: 5, Most: 40,
+			Name: "hut-booking", Effect: "unrepeatable", LatencyTarget: setup.Duration(time.Second),
+			Deadline: setup.Duration(2 * time.Second), Value: 5, DefaultMaxTokens: 40,
 		},
 	}
-	s.config.Kinds = []setup.Kind{
-		{Name: "reader", Role: "reader", Memory: 2e5}, {Name: "writer", Role: "writer", Memory: 2e5},
+	s.config.BackendKinds = []setup.BackendKind{
+		{Name: "reader", Role: "reader", MemoryTokens: 2e5}, {Name: "writer", Role: "writer", MemoryTokens: 2e5},
 	}
-	s.config.Place.Listen, s.config.Place.Boxes, s.config.Place.Stop =
-		[]string{"127.0.0.1:0"}, freeAddress(t), setup.Span(5*time.Second)
-	s.config.Place.BodyTime, s.config.Place.Write, s.config.Place.Seed =
-		setup.Span(300*time.Millisecond), setup.Span(500*time.Millisecond), 5
-	s.config.Limits.LocalRead = false
+	s.config.Instance.Listen, s.config.Instance.DiscoveryAddr, s.config.Instance.ShutdownTimeout =
+		[]string{"127.0.0.1:0"}, freeAddress(t), setup.Duration(5*time.Second)
+	s.config.Instance.BodyTimeout, s.config.Instance.WriteTimeout, s.config.Instance.Seed =
+		setup.Duration(300*time.Millisecond), setup.Duration(500*time.Millisecond), 5
+	s.config.Limits.DecodeCanPrefill = false
 	if change != nil {
 		change(&s.config)
 	}
@@ -72,11 +72,11 @@
 	if s.events, err = record.Open("", record.Head{}); err != nil {
 		t.Fatal(err)
 	}
-	talk := standin.Talk{New: 200, Answer: 20, Prefix: 100}
-	s.fleet = standin.NewFleet(s.config.Terms, s.events, standin.Links{Near: 1e6, Far: 1e6, Zone: 1},
-		map[string]standin.Talk{"trail-info": talk, "hut-booking": talk})
-	s.discovery = s.fleet.NewList(s.config.Place.Boxes)
-	if err := s.discovery.Open(); err != nil {
+	talk := standin.ClassProfile{NewTokens: 200, AnswerTokens: 20, PrefixTokens: 100}
+	s.fleet = standin.NewFleet(s.config.Deployment, s.events, standin.Links{SameRack: 1e6, CrossRack: 1e6, ZoneFactor: 1},
+		map[string]standin.ClassProfile{"trail-info": talk, "hut-booking": talk})
+	s.discovery = s.fleet.NewDiscovery(s.config.Instance.DiscoveryAddr)
+	if err := s.discovery.Start(); err != nil {
 		t.Fatal(err)
 	}
 	s.prefill, s.decode = s.startBackend("reader"), s.startBackend("writer")
@@ -97,7 +97,7 @@
 		s.stop()
 		s.prefill.Kill("end")
 		s.decode.Kill("end")
-		s.discovery.Shut()
+		s.discovery.Stop()
 		s.fleet.Close()
 		http.DefaultClient.CloseIdleConnections()
 		goleak.VerifyNone(t, before)
@@ -127,9 +127,9 @@
 }
 
 // startBackend starts a test backend of a kind and lists it as ready.
-func (s *testService) startBackend(kind string) *standin.Box {
+func (s *testService) startBackend(kind string) *standin.Backend {
 	s.t.Helper()
-	backend := s.fleet.NewBox(standin.Make{
+	backend := s.fleet.NewBackend(standin.Config{
 		Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1,
 		Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: freeAddress(s.t)}},
 		Engine: engine.Make{
@@ -203,7 +203,7 @@
 }
 
 func TestInvalidRequestsAreRejectedWithFieldName(t *testing.T) {
-	s := startService(t, func(config *setup.Dispatcher) { config.Place.Body = 64 << 10 })
+	s := startService(t, func(config *setup.DispatcherConfig) { config.Instance.MaxBodyBytes = 64 << 10 })
 	for _, c := range []struct {
 		method, body string
 		status       int
@@ -255,7 +255,7 @@
 
 func TestBrokenStreamEndsWithErrorEvent(t *testing.T) {
 	s := startService(t, nil)
-	s.decode.Do(func(faults *standin.Faults) { faults.Reset = 1 })
+	s.decode.UpdateFaults(func(faults *standin.Faults) { faults.ResetShare = 1 })
 	status, body, _ := s.post(modelPath+"generate_stream", strings.NewReader(
 		`{"text_input":"x","parameters":{"max_tokens":40}}`))
 	if status != 200 || !strings.Contains(body, " word") || strings.Count(body, "event: error") != 1 ||
@@ -266,7 +266,7 @@
 
 func TestNonIdempotentRequestFailsAndRunsOnceAfterDecodeConnectionReset(t *testing.T) {
 	s := startService(t, nil)
-	s.decode.Do(func(faults *standin.Faults) { faults.ResetAtOnce = 1 })
+	s.decode.UpdateFaults(func(faults *standin.Faults) { faults.EarlyResetShare = 1 })
 	status, body, _ := s.post(modelPath+"generate", strings.NewReader(
 		`{"id":"once","text_input":"x","parameters":{"grade":"hut-booking"}}`))
 	if status != 502 || !strings.Contains(body, `"final":"forfeited"`) || strings.Contains(body, `"harmless":true`) {
@@ -287,14 +287,14 @@
 	s := startService(t, nil)
 	s.prefill.Kill("gone")
 	s.decode.Kill("gone")
-	s.discovery.Publish(s.prefill, boxlist.Gone, 0)
-	s.discovery.Publish(s.decode, boxlist.Gone, 0)
+	s.discovery.Publish(s.prefill, boxlist.Removed, 0)
+	s.discovery.Publish(s.decode, boxlist.Removed, 0)
 	time.Sleep(100 * time.Millisecond)
 	status, body, header := s.post(modelPath+"generate", strings.NewReader(
 		`{"text_input":"x","parameters":{"timeout":600000}}`))
-	var final kserve.Final
-	if json.Unmarshal([]byte(body), &final); status != 503 || final.Final != kserve.Declined || !final.Harmless ||
-		final.AfterMs < 100 || final.AfterMs > 500 || header.Get("Retry-After") != "1" {
+	var final kserve.FinalResponse
+	if json.Unmarshal([]byte(body), &final); status != 503 || final.Outcome != kserve.Rejected || !final.SafeToRetry ||
+		final.RetryAfterMs < 100 || final.RetryAfterMs > 500 || header.Get("Retry-After") != "1" {
 		t.Errorf("%d %s, Retry-After %q", status, body, header.Get("Retry-After"))
 	}
 }
@@ -342,10 +342,10 @@
 			time.Sleep(time.Duration(i) * 4 * time.Millisecond)
 			_, body, _ := s.post(modelPath+"generate", strings.NewReader(
 				fmt.Sprintf(`{"id":"q%d","text_input":"x","parameters":{"max_tokens":30}}`, i)))
-			var final kserve.Final
+			var final kserve.FinalResponse
 			json.Unmarshal([]byte(body), &final)
-			finals[i] = final.Final
-			if final.Final == "" {
+			finals[i] = final.Outcome
+			if final.Outcome == "" {
 				finals[i] = body
 			}
 		}()
@@ -361,7 +361,7 @@
 	}
 	counts := map[string]int{}
 	for i, final := range finals {
-		if sent[fmt.Sprint("q", i)] && final != kserve.Satisfied && final != kserve.Declined {
+		if sent[fmt.Sprint("q", i)] && final != kserve.Served && final != kserve.Rejected {
 			t.Errorf("q%d was sent to a backend and ended with %q", i, final)
 		}
 		if strings.Contains(final, "refused") || strings.Contains(final, "EOF") || strings.Contains(final, "reset") {
@@ -369,8 +369,8 @@
 		}
 		counts[final]++
 	}
-	if counts[kserve.Satisfied]+counts[kserve.Declined]+counts["unreached"] != n ||
-		counts[kserve.Satisfied] < 10 || counts[kserve.Declined] < 10 {
+	if counts[kserve.Served]+counts[kserve.Rejected]+counts["unreached"] != n ||
+		counts[kserve.Served] < 10 || counts[kserve.Rejected] < 10 {
 		t.Errorf("answers %v", counts)
 	}
 }
@@ -378,8 +378,10 @@
 // A graceful shutdown does not wait for a stuck answer longer than configured, and the request still gets its final
 // answer.
 func TestGracefulShutdownTimeoutFailsOpenRequests(t *testing.T) {
-	s := startService(t, func(config *setup.Dispatcher) { config.Place.Stop = setup.Span(400 * time.Millisecond) })
-	s.decode.Do(func(faults *standin.Faults) { faults.Slow = 50 })
+	s := startService(t, func(config *setup.DispatcherConfig) {
+		config.Instance.ShutdownTimeout = setup.Duration(400 * time.Millisecond)
+	})
+	s.decode.UpdateFaults(func(faults *standin.Faults) { faults.SlowFactor = 50 })
 	answer := make(chan string, 1)
 	go func() {
 		_, body, _ := s.post(modelPath+"generate_stream", strings.NewReader(`{"text_input":"x"}`))
@@ -397,8 +399,8 @@
 }
 
 func TestRequestsBeyondOpenLimitAreRejected(t *testing.T) {
-	s := startService(t, func(config *setup.Dispatcher) { config.Limits.Open = 2 })
-	s.decode.Do(func(faults *standin.Faults) { faults.Slow = 10 })
+	s := startService(t, func(config *setup.DispatcherConfig) { config.Limits.MaxOpenRequests = 2 })
+	s.decode.UpdateFaults(func(faults *standin.Faults) { faults.SlowFactor = 10 })
 	var clients sync.WaitGroup
 	var mu sync.Mutex
 	counts := map[int]int{}
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -20,8 +20,8 @@
 
 // Server is the HTTP frontend that serves the KServe v2 protocol to clients.
 type Server struct {
-	Service  setup.Terms
-	Instance setup.Place
+	Service  setup.Deployment
+	Instance setup.Instance
 	Loop     *Loop
 	Log      *slog.Logger
 	Status   func() map[string]any // the report to operators
@@ -76,14 +76,14 @@
 func (s *Server) checkModel(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if model := r.PathValue("model"); model != s.Service.Model {
-			kserve.WriteFault(w, &kserve.Fault{
-				Status: http.StatusNotFound, Field: "model", Text: fmt.Sprintf("%q is unknown", model),
+			kserve.WriteError(w, &kserve.RequestError{
+				Status: http.StatusNotFound, Field: "model", Message: fmt.Sprintf("%q is unknown", model),
 			})
 			return
 		}
 		if version := r.PathValue("version"); version != "" && version != "1" {
-			kserve.WriteFault(w, &kserve.Fault{
-				Status: http.StatusNotFound, Field: "version", Text: fmt.Sprintf("%q is unknown", version),
+			kserve.WriteError(w, &kserve.RequestError{
+				Status: http.StatusNotFound, Field: "version", Message: fmt.Sprintf("%q is unknown", version),
 			})
 			return
 		}
@@ -96,85 +96,85 @@
 func (s *Server) submit(w http.ResponseWriter, r *http.Request, inference bool) *ClientRequest {
 	arrived := time.Now()
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(arrived.Add(s.Instance.BodyTime.D()))
-	body := http.MaxBytesReader(w, r.Body, s.Instance.Body)
-	read := kserve.ReadPrompt
+	control.SetReadDeadline(arrived.Add(s.Instance.BodyTimeout.Std()))
+	body := http.MaxBytesReader(w, r.Body, s.Instance.MaxBodyBytes)
+	read := kserve.ReadGenerateRequest
 	if inference {
-		read = kserve.ReadInference
+		read = kserve.ReadInferRequest
 	}
 	params, err := read(body)
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) || strings.Contains(err.Error(), "i/o timeout") {
-			err = &kserve.Fault{
-				Status: http.StatusRequestTimeout,
-				Text:   fmt.Sprintf("the body did not arrive within %v", s.Instance.BodyTime.D()),
+			err = &kserve.RequestError{
+				Status:  http.StatusRequestTimeout,
+				Message: fmt.Sprintf("the body did not arrive within %v", s.Instance.BodyTimeout.Std()),
 			}
 		}
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return nil
 	}
 	control.SetReadDeadline(time.Time{})
 	classNumber, tenantNumber := 0, 0
-	if params.Grade != "" {
-		if classNumber = s.Service.GradeNumber(params.Grade); classNumber < 0 {
-			kserve.WriteFault(w, &kserve.Fault{
+	if params.Class != "" {
+		if classNumber = s.Service.ClassIndex(params.Class); classNumber < 0 {
+			kserve.WriteError(w, &kserve.RequestError{
 				Status: http.StatusBadRequest, Field: "parameters.grade",
-				Text: fmt.Sprintf("%q is unknown", params.Grade),
+				Message: fmt.Sprintf("%q is unknown", params.Class),
 			})
 			return nil
 		}
 	}
-	if params.Channel != "" {
-		if tenantNumber = s.Service.ChannelNumber(params.Channel); tenantNumber < 0 {
-			kserve.WriteFault(w, &kserve.Fault{
+	if params.Tenant != "" {
+		if tenantNumber = s.Service.TenantIndex(params.Tenant); tenantNumber < 0 {
+			kserve.WriteError(w, &kserve.RequestError{
 				Status: http.StatusBadRequest, Field: "parameters.channel",
-				Text: fmt.Sprintf("%q is unknown", params.Channel),
+				Message: fmt.Sprintf("%q is unknown", params.Tenant),
 			})
 			return nil
 		}
 	}
-	class := s.Service.Grades[classNumber]
-	if params.Tokens == 0 {
-		params.Tokens = max(begins.EstimateTokens(params.Text), 1)
+	class := s.Service.Classes[classNumber]
+	if params.PromptTokens == 0 {
+		params.PromptTokens = max(begins.EstimateTokens(params.Text), 1)
 	}
-	params.Prefix = min(params.Prefix, params.Tokens)
-	if params.Most == 0 {
-		params.Most = class.Most
+	params.PrefixTokens = min(params.PrefixTokens, params.PromptTokens)
+	if params.MaxTokens == 0 {
+		params.MaxTokens = class.DefaultMaxTokens
 	}
-	if params.Left == 0 {
-		params.Left = class.Expiry.D() + 2*time.Duration(float64(params.Tokens)/1000*float64(class.PerK))
+	if params.Timeout == 0 {
+		params.Timeout = class.Deadline.Std() + 2*time.Duration(float64(params.PromptTokens)/1000*float64(class.TargetPer1000Tokens))
 	}
 	if s.stopping.Load() {
-		kserve.WriteFinal(w, kserve.Final{
-			Final: kserve.Declined, Error: "this dispatcher is stopping", Harmless: true, AfterMs: 1,
+		kserve.WriteFinalResponse(w, kserve.FinalResponse{
+			Outcome: kserve.Rejected, Error: "this dispatcher is stopping", SafeToRetry: true, RetryAfterMs: 1,
 		})
 		return nil
 	}
-	if s.openRequests.Add(1) > int64(s.Service.Limits.Open) {
+	if s.openRequests.Add(1) > int64(s.Service.Limits.MaxOpenRequests) {
 		s.openRequests.Add(-1)
-		kserve.WriteFinal(w, kserve.Final{
-			Final: kserve.Declined, Error: "as many questions are open as this dispatcher takes",
-			Harmless: true, AfterMs: s.Service.Limits.RetryAfter.D().Milliseconds(),
+		kserve.WriteFinalResponse(w, kserve.FinalResponse{
+			Outcome: kserve.Rejected, Error: "as many questions are open as this dispatcher takes",
+			SafeToRetry: true, RetryAfterMs: s.Service.Limits.MaxRetryAfter.Std().Milliseconds(),
 		})
 		return nil
 	}
-	if params.Channel == "" && len(s.Service.Channels) > 0 {
-		params.Channel = s.Service.Channels[0].Name
+	if params.Tenant == "" && len(s.Service.Tenants) > 0 {
+		params.Tenant = s.Service.Tenants[0].Name
 	}
-	request := &ClientRequest{Params: params, Class: class.Name, Tenant: params.Channel}
+	request := &ClientRequest{Params: params, Class: class.Name, Tenant: params.Tenant}
 	submitted := s.Loop.Call(context.WithoutCancel(r.Context()), func() {
-		if params.Shared == "" && params.Text != "" {
+		if params.SharedPrefix == "" && params.Text != "" {
 			if key, tokens := s.prefixes.SharedPrefix(s.Loop.now, HashName(params.Session), params.Text); key != 0 {
-				request.Params.Shared, request.Params.Prefix =
-					fmt.Sprintf("text-%x", key), min(tokens, request.Params.Tokens)
+				request.Params.SharedPrefix, request.Params.PrefixTokens =
+					fmt.Sprintf("text-%x", key), min(tokens, request.Params.PromptTokens)
 			}
 		}
-		s.Loop.Submit(request, classNumber, tenantNumber, params.Left-time.Since(arrived)-s.Instance.Margin.D())
+		s.Loop.Submit(request, classNumber, tenantNumber, params.Timeout-time.Since(arrived)-s.Instance.ResponseMargin.Std())
 	})
 	if !submitted {
 		s.openRequests.Add(-1)
-		kserve.WriteFinal(w, kserve.Final{
-			Final: kserve.Declined, Error: "this dispatcher has stopped", Harmless: true, AfterMs: 1,
+		kserve.WriteFinalResponse(w, kserve.FinalResponse{
+			Outcome: kserve.Rejected, Error: "this dispatcher has stopped", SafeToRetry: true, RetryAfterMs: 1,
 		})
 		return nil
 	}
@@ -197,7 +197,7 @@
 	case !ok:
 		s.disconnected(request)
 	case attempt == nil:
-		kserve.WriteFinal(w, final)
+		kserve.WriteFinalResponse(w, final)
 	default:
 		s.writeStream(w, r, request, attempt)
 	}
@@ -210,7 +210,7 @@
 	w.Header().Set("Cache-Control", "no-store")
 	var out bytes.Buffer
 	write := func() bool {
-		control.SetWriteDeadline(time.Now().Add(s.Instance.Write.D()))
+		control.SetWriteDeadline(time.Now().Add(s.Instance.WriteTimeout.Std()))
 		if _, err := w.Write(out.Bytes()); err != nil {
 			return false
 		}
@@ -226,7 +226,7 @@
 			return
 		}
 		for more {
-			kserve.WriteRaw(&out, "", piece)
+			kserve.WriteRawEvent(&out, "", piece)
 			if len(attempt.Tokens) == 0 {
 				break
 			}
@@ -240,7 +240,7 @@
 	select {
 	case final := <-request.final:
 		name := "end"
-		if final.Final != kserve.Satisfied {
+		if final.Outcome != kserve.Served {
 			name = "error"
 		}
 		kserve.WriteEvent(&out, name, final)
@@ -251,7 +251,7 @@
 }
 
 // bufferAnswer waits for the whole answer and returns its text. ok is false if the client has disconnected.
-func (s *Server) bufferAnswer(r *http.Request, request *ClientRequest) (text []byte, final kserve.Final, ok bool) {
+func (s *Server) bufferAnswer(r *http.Request, request *ClientRequest) (text []byte, final kserve.FinalResponse, ok bool) {
 	attempt, final, ok := request.WaitStart(r.Context())
 	if !ok {
 		s.disconnected(request)
@@ -281,8 +281,8 @@
 			}
 			if len(text) > maxBufferedAnswer {
 				s.disconnected(request)
-				return nil, kserve.Final{
-					Final: kserve.Forfeited, Error: "the answer is too long to be gathered; ask for a stream",
+				return nil, kserve.FinalResponse{
+					Outcome: kserve.Failed, Error: "the answer is too long to be gathered; ask for a stream",
 				}, true
 			}
 		}
@@ -293,7 +293,7 @@
 // plain final answer.
 func (s *Server) answerWhole(
 	w http.ResponseWriter, r *http.Request, inference bool,
-	write func(request *ClientRequest, text []byte, final kserve.Final),
+	write func(request *ClientRequest, text []byte, final kserve.FinalResponse),
 ) {
 	request := s.submit(w, r, inference)
 	if request == nil {
@@ -301,35 +301,35 @@
 	}
 	defer s.openRequests.Add(-1)
 	text, final, ok := s.bufferAnswer(r, request)
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.Instance.Write.D()))
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.Instance.WriteTimeout.Std()))
 	switch {
 	case !ok:
-	case final.Final != kserve.Satisfied:
-		kserve.WriteFinal(w, final)
+	case final.Outcome != kserve.Served:
+		kserve.WriteFinalResponse(w, final)
 	default:
 		write(request, text, final)
 	}
 }
 
 func (s *Server) generate(w http.ResponseWriter, r *http.Request) {
-	s.answerWhole(w, r, false, func(request *ClientRequest, text []byte, final kserve.Final) {
+	s.answerWhole(w, r, false, func(request *ClientRequest, text []byte, final kserve.FinalResponse) {
 		kserve.WriteJSON(w, http.StatusOK, map[string]any{
-			"model_name": s.Service.Model, "id": request.Params.ID, "text_output": string(text), "final": final.Final,
-			"trips": final.Trips,
+			"model_name": s.Service.Model, "id": request.Params.ID, "text_output": string(text), "final": final.Outcome,
+			"trips": final.Attempts,
 		})
 	})
 }
 
 func (s *Server) infer(w http.ResponseWriter, r *http.Request) {
-	s.answerWhole(w, r, true, func(request *ClientRequest, text []byte, final kserve.Final) {
+	s.answerWhole(w, r, true, func(request *ClientRequest, text []byte, final kserve.FinalResponse) {
 		data, err := json.Marshal([]string{string(text)})
 		if err != nil {
-			kserve.WriteFault(w, err)
+			kserve.WriteError(w, err)
 			return
 		}
-		kserve.WriteJSON(w, http.StatusOK, kserve.Output{
+		kserve.WriteJSON(w, http.StatusOK, kserve.InferResponse{
 			Model: s.Service.Model, Version: "1", ID: request.Params.ID,
-			Parameters: kserve.Params{"final": final.Final, "trips": final.Trips},
+			Parameters: kserve.Params{"final": final.Outcome, "trips": final.Attempts},
 			Outputs:    []kserve.Tensor{{Name: "text_output", Shape: []int64{1}, Datatype: "BYTES", Data: data}},
 		})
 	})
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -199,9 +199,9 @@
 		r.Share, r.Tries = out.Share, out.Again
 		for _, t := range d.Troubles {
 			if t.Kind == "crash" { // not back within the run counts as the whole of it
-				s, ok := judge.Recovered(out.Share, out.Asked, t.At.D(), (t.At + t.Length).D())
+				s, ok := judge.Recovered(out.Share, out.Asked, t.At.Std(), (t.At + t.Length).Std())
 				if !ok {
-					s = (d.Head.Length - t.At - t.Length).D().Seconds()
+					s = (d.Head.Length - t.At - t.Length).Std().Seconds()
 				}
 				r.Figures["recovered_s"], r.Figures["recovered"] = s, map[bool]float64{true: 1}[ok]
 			}
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -23,7 +23,7 @@
 	if peer < 0 || peer >= len(d.w.dispatchers) {
 		return
 	}
-	to, name := d.w.dispatchers[peer], d.w.byID[n.Host.ID].make.Name
+	to, name := d.w.dispatchers[peer], d.w.byID[n.Backend.ID].make.Name
 	d.w.after(2*time.Millisecond, func() {
 		if !to.up {
 			return
@@ -31,7 +31,7 @@
 		to.do(func() {
 			if h := to.loop.SchedulerBackend(name); h != nil {
 				n := n
-				n.Host = h // each dispatcher has its own
+				n.Backend = h // each dispatcher has its own
 				to.loop.ApplyPeerUpdate(n)
 			}
 		})
@@ -43,12 +43,12 @@
 		return // attempts arrive here, and wait for the state
 	}
 	w := c.w
-	r := kserve.Release{Key: c.loop.RequestKey(a), Trip: len(a.Scheduled.Attempts) - 1}
+	r := kserve.Release{RequestKey: c.loop.RequestKey(a), LastAttempt: len(a.Scheduled.Attempts) - 1}
 	to := w.boxes[b.Name]
 	w.after(hop, func() {
 		if to.up {
-			to.released[r.Key] = r.Trip
-			to.release(r.Key, "released")
+			to.released[r.RequestKey] = r.LastAttempt
+			to.release(r.RequestKey, "released")
 		}
 	})
 }
@@ -98,7 +98,7 @@
 		return
 	}
 	wait, limit := w.connectTime(), dialTime
-	if least := f.Scheduled.Connect; least > 0 {
+	if least := f.Scheduled.ConnectTimeout; least > 0 {
 		limit = min(limit, least)
 	}
 	if wait > limit {
@@ -126,7 +126,7 @@
 }
 
 func (t *attempt) back(r brain.Result) {
-	r.Load = t.to.load()
+	r.LoadReport = t.to.load()
 	t.w.after(hop, func() { t.tell(r) })
 }
 
@@ -145,7 +145,7 @@
 // broke is an attempt whose backend died.
 func (t *attempt) broke() {
 	t.end("broke")
-	t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.Broken}) })
+	t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.ConnectionLost}) })
 }
 
 // closed is an attempt whose dispatcher has closed the connection.
@@ -172,7 +172,7 @@
 		return
 	}
 	if !b.up {
-		t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.Broken}) })
+		t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.ConnectionLost}) })
 		return
 	}
 	t.came, t.start = true, b.start
@@ -191,7 +191,7 @@
 		return
 	}
 	if b.fail > 0 && (b.failOf == "" || b.failOf == t.line.Grade) && w.rng.Float64() < b.fail {
-		if t.line.Stage != kserve.StageRead {
+		if t.line.Stage != kserve.PhasePrefill {
 			t.ran()
 		}
 		t.end("failed")
@@ -199,19 +199,19 @@
 		return
 	}
 	q := t.flight.Scheduled.Request
-	j := &engine.Job{Key: t.line.Key, Session: q.Session, Shared: q.Shared, Prompt: int(q.Prompt), Prefix: int(q.Prefix)}
+	j := &engine.Job{Key: t.line.Key, Session: q.SessionKey, Shared: q.PrefixKey, Prompt: int(q.PromptTokens), Prefix: int(q.PrefixTokens)}
 	t.job = j
 	switch t.line.Stage {
-	case kserve.StageRead:
+	case kserve.PhasePrefill:
 		j.Stage = engine.Read
-	case kserve.StageWrite:
+	case kserve.PhaseDecode:
 		j.Stage = engine.Write
 		state := w.boxes[t.flight.PrefillBackend.Name]
 		j.Fetch = func(arrived func(bool)) { w.fetch(state, b, t, arrived) }
 	default:
 		j.Stage = engine.Whole
 	}
-	j.Answer = standin.AnswerTokens(w.day.TalkOf(t.line.Grade).Answer, t.line.Try, int(q.Most))
+	j.Answer = standin.AnswerTokens(w.day.TalkOf(t.line.Grade).AnswerTokens, t.line.Try, int(q.MaxOutputTokens))
 	if j.Stage == engine.Read {
 		j.Answer = 1
 	}
@@ -240,10 +240,10 @@
 func (t *attempt) ran() {
 	l, w := t.line, t.w
 	l.What = record.Ran
-	if i := w.day.GradeNumber(l.Grade); i >= 0 && w.day.Grades[i].Effect == "deduplicated" {
-		g := w.day.Grades[i]
-		key := map[string]string{"zone": t.to.make.Zone, "rack": t.to.make.Rack}[g.Reach] + " " + l.Try
-		if at, known := w.seen[key]; known && w.now-at < g.Window.D() {
+	if i := w.day.ClassIndex(l.Grade); i >= 0 && w.day.Classes[i].Effect == "deduplicated" {
+		g := w.day.Classes[i]
+		key := map[string]string{"zone": t.to.make.Zone, "rack": t.to.make.Rack}[g.DedupScope] + " " + l.Try
+		if at, known := w.seen[key]; known && w.now-at < g.DedupWindow.Std() {
 			l.What = record.Repeat
 		} else {
 			w.seen[key] = w.now
@@ -258,7 +258,7 @@
 		return
 	}
 	t.from.do(func() { t.loop.AttemptBegan(t.flight) })
-	if t.off != nil || t.flight.Scheduled.Began == 0 {
+	if t.off != nil || t.flight.Scheduled.FirstTokenAt == 0 {
 		return
 	}
 	if c := t.from.of[t.flight.Request]; c != nil {
@@ -279,15 +279,15 @@
 	}
 	switch e {
 	case engine.Done:
-		if t.line.Stage != kserve.StageWrite {
+		if t.line.Stage != kserve.PhaseDecode {
 			left := float64(t.job.Prompt - kept)
 			b.work(t.line.Grade, t.line.Stage) // its mean has begun
 			w.reads[t.line.Grade][0] += left
 			w.reads[t.line.Grade][1]++
 		}
-		if t.line.Stage != kserve.StageRead {
-			t.end(kserve.OutcomeAnswered)
-			t.back(brain.Result{Outcome: brain.Served, Note: kept})
+		if t.line.Stage != kserve.PhasePrefill {
+			t.end(kserve.OutcomeCompleted)
+			t.back(brain.Result{Outcome: brain.Served, Detail: kept})
 			return
 		}
 		if upTo, ok := b.released[t.line.Key]; ok && t.line.Trip <= upTo {
@@ -296,8 +296,8 @@
 			return
 		}
 		w.put(record.Line{What: record.Held, Box: b.make.Name, Key: t.line.Key, Try: t.line.Try, Grade: t.line.Grade})
-		t.end(kserve.OutcomeRead)
-		t.back(brain.Result{Outcome: brain.Read, Note: kept})
+		t.end(kserve.OutcomePrefilled)
+		t.back(brain.Result{Outcome: brain.Prefilled, Detail: kept})
 		if b.crashes > 0 && w.rng.Float64() < b.crashes {
 			start := b.start
 			w.after(2*time.Millisecond, func() { // the dispatcher knows of the read
@@ -310,8 +310,8 @@
 		t.end(kserve.OutcomeFull)
 		t.back(brain.Result{Outcome: brain.Rejected})
 	case engine.NoState:
-		t.end(kserve.OutcomeNoState)
-		t.back(brain.Result{Outcome: brain.Rejected, Note: 1})
+		t.end(kserve.OutcomeNoKVCache)
+		t.back(brain.Result{Outcome: brain.Rejected, Detail: 1})
 	}
 }
 
--- a/internal/fleet/dispatcher.go
+++ b/internal/fleet/dispatcher.go
@@ -26,24 +26,24 @@
 	front  bool
 	starts int
 	books  *dispatch.Accounting
-	known  map[string]boxlist.Box
+	known  map[string]boxlist.Endpoint
 	due    time.Duration
 	set    bool
 	open   map[*client]bool
 	of     map[*dispatch.ClientRequest]*client
 }
 
-func (d *dispatcher) boot(kept map[string]boxlist.Box) error {
+func (d *dispatcher) boot(kept map[string]boxlist.Endpoint) error {
 	w := d.w
-	file := setup.DefaultDispatcher()
-	file.Terms = w.day.Terms
-	file.Place.Name, file.Place.Number, file.Place.Siblings = d.name, d.number, len(w.dispatchers)
-	file.Place.Siblings = max(w.day.Head.Dispatchers, 1)
-	file.Place.Zone = w.day.Zones[d.number%len(w.day.Zones)]
+	file := setup.DefaultDispatcherConfig()
+	file.Deployment = w.day.Deployment
+	file.Instance.Name, file.Instance.Index, file.Instance.FleetSize = d.name, d.number, len(w.dispatchers)
+	file.Instance.FleetSize = max(w.day.Head.Dispatchers, 1)
+	file.Instance.Zone = w.day.Zones[d.number%len(w.day.Zones)]
 	d.starts++
 	seed := w.day.Head.Seed*1000 + uint64(d.number) + 1 + uint64(d.starts-1)*7919
-	facts := file.Facts()
-	loop, err := dispatch.NewLoop(facts, seed, dispatch.Resolver{ZoneNumber: file.ZoneNumber, KindNumber: file.KindNumber}, (*transport)(d), func() time.Duration { return w.now },
+	facts := file.SchedulerParameters()
+	loop, err := dispatch.NewLoop(facts, seed, dispatch.Resolver{ZoneNumber: file.ZoneIndex, KindNumber: file.KindIndex}, (*transport)(d), func() time.Duration { return w.now },
 		fmt.Sprintf("%s.%d", d.name, d.starts), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		return err
@@ -56,14 +56,14 @@
 		p.View = view{w}
 		loop.SetScheduler(p)
 	}
-	if file.Limits.Storms {
-		loop.RetryThrottle = storm.New(file.Limits.RetryAfter.D(), len(file.Channels), seed^0x5709,
-			storm.Seal{Key: []byte("the fleet's"), From: uint32(d.starts)<<16 | uint32(d.number)})
+	if file.Limits.ThrottleRetries {
+		loop.RetryThrottle = storm.New(file.Limits.MaxRetryAfter.Std(), len(file.Tenants), seed^0x5709,
+			storm.TicketSigner{Key: []byte("the fleet's"), Issuer: uint32(d.starts)<<16 | uint32(d.number)})
 	}
 	d.loop, d.up, d.front, d.set, d.books = loop, true, true, false, nil
 	d.budgets()
 	d.open, d.of = map[*client]bool{}, map[*dispatch.ClientRequest]*client{}
-	d.known = map[string]boxlist.Box{}
+	d.known = map[string]boxlist.Endpoint{}
 	w.put(record.Line{What: record.Up, Dispatcher: d.name})
 	if kept != nil {
 		d.hear(byName(kept), true)
@@ -124,5 +124,5 @@
 			t.closed()
 		}
 	}
-	w.after(w.day.Head.FrontNotice.D(), func() { d.front = d.front && d.up })
+	w.after(w.day.Head.FrontNotice.Std(), func() { d.front = d.front && d.up })
 }
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -24,7 +24,7 @@
 // have no meaning without sockets.
 func (w *world) inject(t day.Trouble) {
 	w.put(record.Line{What: record.Note, Word: t.Kind + " begins"})
-	hit, length, notice := w.hit(t), t.Length.D(), w.day.List.Notice.D()
+	hit, length, notice := w.hit(t), t.Length.Std(), w.day.List.Notice.Std()
 	each := func(do func(*backend)) {
 		for _, b := range hit {
 			do(b)
@@ -50,7 +50,7 @@
 	case "ageing":
 		each(func(b *backend) { b.engine.Age(w.now, t.Share) })
 		later(func() {
-			each(func(b *backend) { b.kill("aged"); w.publish(b, boxlist.Gone, w.day.List.Silent.D()) })
+			each(func(b *backend) { b.kill("aged"); w.publish(b, boxlist.Removed, w.day.List.Silent.Std()) })
 			w.after(2*time.Second, back)
 		})
 	case "evict_fresh":
@@ -76,9 +76,9 @@
 			w.publish(b, boxlist.Draining, notice)
 			w.replace(b, notice)
 		})
-		later(func() { each(func(b *backend) { b.kill("replaced"); w.publish(b, boxlist.Gone, notice) }) })
+		later(func() { each(func(b *backend) { b.kill("replaced"); w.publish(b, boxlist.Removed, notice) }) })
 	case "connect_late":
-		w.lateShare, w.lateBy = t.Share, t.By.D()
+		w.lateShare, w.lateBy = t.Share, t.By.Std()
 		later(func() { w.lateShare = 0 })
 	case "list_down":
 		w.downList = w.now + length
@@ -90,8 +90,8 @@
 	case "crash":
 		each(func(b *backend) {
 			b.kill("crashed")
-			if silent := w.day.List.Silent.D(); length > silent {
-				w.publish(b, boxlist.Gone, silent)
+			if silent := w.day.List.Silent.Std(); length > silent {
+				w.publish(b, boxlist.Removed, silent)
 			}
 		})
 		later(back)
@@ -101,11 +101,11 @@
 	case "drain":
 		each(func(b *backend) { w.publish(b, boxlist.Draining, notice) })
 		later(func() {
-			each(func(b *backend) { b.kill("drained"); w.publish(b, boxlist.Gone, notice) })
+			each(func(b *backend) { b.kill("drained"); w.publish(b, boxlist.Removed, notice) })
 			w.after(time.Second, back)
 		})
 	case "list_stale":
-		w.lateList = t.By.D()
+		w.lateList = t.By.Std()
 		later(func() { w.lateList = 0 })
 	case "link_slow":
 		w.slowLink = t.Size
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -69,10 +69,10 @@
 		w.observe()
 	}
 	for i := range w.wishes {
-		w.at(w.wishes[i].At, func() { w.ask(&w.wishes[i], 0, "") })
+		w.at(w.wishes[i].SubmitAt, func() { w.ask(&w.wishes[i], 0, "") })
 	}
 	for _, t := range d.Troubles {
-		w.at(t.At.D(), func() { w.inject(t) })
+		w.at(t.At.Std(), func() { w.inject(t) })
 	}
 	return w, nil
 }
@@ -80,8 +80,8 @@
 // play runs the day to its end.
 func (w *world) play() Outcome {
 	d := w.day
-	w.run(d.Head.Length.D() + tail)
-	head := record.Head{Day: d.Head.Name, Seed: d.Head.Seed, Terms: d.Terms}
+	w.run(d.Head.Length.Std() + tail)
+	head := record.Head{Day: d.Head.Name, Seed: d.Head.Seed, Terms: d.Deployment}
 	out := Outcome{
 		Verdict: judge.Judge(head, w.lines), Digest: fmt.Sprintf("%x", w.sum.Sum64()), Questions: len(w.wishes), Engines: map[string]engine.Counts{},
 	}
@@ -104,7 +104,7 @@
 	now    time.Duration
 	events agenda.Queue
 	rng    *rand.Rand
-	wishes []standin.Wish
+	wishes []standin.Request
 	lines  []record.Line
 	each   func(record.Line)
 	sum    hash.Hash64
@@ -124,7 +124,7 @@
 	reads       map[string]*[2]float64   // tokens left to read by grade: sum and number
 	starts      uint64
 	lent        map[string]float64 // what keepers have made durable
-	purses      []*budget.Purse
+	purses      []*budget.LocalBudget
 }
 
 func (w *world) at(at time.Duration, do func()) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -79,8 +79,8 @@
 // Load that comes to 2.5 times what the engines can do must end: once it has passed, questions are satisfied again.
 func TestTheFleetComesBackAfterAnOverload(t *testing.T) {
 	d := load(t, "quiet")
-	d.Head.Length, d.Head.PerS = setup.Span(40e9), 60
-	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Span(5e9), Length: setup.Span(10e9), Size: 6}}
+	d.Head.Length, d.Head.PerS = setup.Duration(40e9), 60
+	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(5e9), Length: setup.Duration(10e9), Size: 6}}
 	out, err := Play(d, "module")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/storm_test.go
+++ b/internal/fleet/storm_test.go
@@ -15,11 +15,11 @@
 // servable.
 func outage(t testing.TB) day.Day {
 	d := load(t, "quiet")
-	d.Head.Length, d.Head.PerS, d.Head.Dispatchers = setup.Span(60e9), 110, 3
-	d.Clients.Retries, d.Clients.Wait, d.Clients.Honour = 25, setup.Span(300e6), 1
-	d.Limits.RetryAfter = setup.Span(10e9)
-	d.Channels = []setup.Channel{{Name: "web-app", Share: 0.6, PerS: 4000}, {Name: "ranger-office", Share: 0.4, PerS: 4000}}
-	d.Troubles = []day.Trouble{{Kind: "crash", At: setup.Span(10e9), Length: setup.Span(15e9), Boxes: []string{"reader-1", "writer-1", "writer-2", "mixed-1"}}}
+	d.Head.Length, d.Head.PerS, d.Head.Dispatchers = setup.Duration(60e9), 110, 3
+	d.Clients.Retries, d.Clients.Wait, d.Clients.Honour = 25, setup.Duration(300e6), 1
+	d.Limits.MaxRetryAfter = setup.Duration(10e9)
+	d.Tenants = []setup.Tenant{{Name: "web-app", Share: 0.6, RequestsPerSecond: 4000}, {Name: "ranger-office", Share: 0.4, RequestsPerSecond: 4000}}
+	d.Troubles = []day.Trouble{{Kind: "crash", At: setup.Duration(10e9), Length: setup.Duration(15e9), Boxes: []string{"reader-1", "writer-1", "writer-2", "mixed-1"}}}
 	return d
 }
 
@@ -44,15 +44,15 @@
 		"half follow":                     func(d *day.Day) { d.Clients.Honour = 0.5 },
 		"none follow":                     func(d *day.Day) { d.Clients.Honour = 0 },
 		"33 dispatchers":                  func(d *day.Day) { d.Head.Dispatchers = 33 },
-		"reconnects faster than restarts": func(d *day.Day) { d.Clients.Wait, d.Clients.Honour, d.Clients.Retries = setup.Span(50e6), 0.5, 50 },
+		"reconnects faster than restarts": func(d *day.Day) { d.Clients.Wait, d.Clients.Honour, d.Clients.Retries = setup.Duration(50e6), 0.5, 50 },
 		"the boxes fade instead": func(d *day.Day) { // a slow leak: boxes lose their pace, crash and come back cold
-			d.Troubles = []day.Trouble{{Kind: "ageing", At: setup.Span(10e9), Length: setup.Span(13e9), Share: 0.1, Boxes: []string{"reader-1", "writer-1", "writer-2"}}}
+			d.Troubles = []day.Trouble{{Kind: "ageing", At: setup.Duration(10e9), Length: setup.Duration(13e9), Share: 0.1, Boxes: []string{"reader-1", "writer-1", "writer-2"}}}
 		},
 		"the list is stale": func(d *day.Day) {
-			d.Troubles = append(d.Troubles, day.Trouble{Kind: "list_stale", At: setup.Span(9e9), Length: setup.Span(20e9), By: setup.Span(3e9)})
+			d.Troubles = append(d.Troubles, day.Trouble{Kind: "list_stale", At: setup.Duration(9e9), Length: setup.Duration(20e9), By: setup.Duration(3e9)})
 		},
 		"a dispatcher restarts in it": func(d *day.Day) {
-			d.Troubles = append(d.Troubles, day.Trouble{Kind: "kill_dispatcher", At: setup.Span(20e9), Length: setup.Span(1e9), Dispatchers: []int{0}})
+			d.Troubles = append(d.Troubles, day.Trouble{Kind: "kill_dispatcher", At: setup.Duration(20e9), Length: setup.Duration(1e9), Dispatchers: []int{0}})
 		},
 	} {
 		d := outage(t)
@@ -65,7 +65,7 @@
 
 func TestASecondOutageDuringRecovery(t *testing.T) {
 	d := outage(t)
-	d.Troubles = append(d.Troubles, day.Trouble{Kind: "crash", At: setup.Span(27e9), Length: setup.Span(6e9), Boxes: []string{"reader-2", "writer-3"}})
+	d.Troubles = append(d.Troubles, day.Trouble{Kind: "crash", At: setup.Duration(27e9), Length: setup.Duration(6e9), Boxes: []string{"reader-2", "writer-3"}})
 	if s, ok := recovered(t, "twice", d, 33*time.Second); !ok || s > 20 {
 		t.Errorf("back after %.0f s (%v)", s, ok)
 	}
@@ -76,7 +76,7 @@
 	with := outage(t)
 	with.Head.PerS = 130
 	without := with
-	without.Limits.Storms, without.Limits.RetryAfter = false, 0
+	without.Limits.ThrottleRetries, without.Limits.MaxRetryAfter = false, 0
 	without.Clients.Honour = 0
 	a, err := Play(with, "module")
 	if err != nil {
@@ -96,12 +96,12 @@
 // fleet down for good. With the guard it comes out of that without help.
 func TestTheFleetLeavesAMetastableState(t *testing.T) {
 	d := outage(t)
-	d.Clients.Honour, d.Clients.Wait, d.Clients.Retries, d.Head.Dispatchers = 0, setup.Span(50e6), 50, 33
-	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Span(10e9), Length: setup.Span(8e9), Size: 4}}
+	d.Clients.Honour, d.Clients.Wait, d.Clients.Retries, d.Head.Dispatchers = 0, setup.Duration(50e6), 50, 33
+	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(10e9), Length: setup.Duration(8e9), Size: 4}}
 	if s, ok := recovered(t, "after a burst", d, 18*time.Second); !ok || s > 15 {
 		t.Errorf("back after %.0f s (%v)", s, ok)
 	}
-	d.Limits.Storms, d.Limits.RetryAfter = false, 0
+	d.Limits.ThrottleRetries, d.Limits.MaxRetryAfter = false, 0
 	if s, ok := recovered(t, "without the guard", d, 18*time.Second); ok && s < 25 {
 		t.Errorf("without the guard it is back after %.0f s: this day shows nothing", s)
 	}
@@ -110,16 +110,16 @@
 // One channel asks for four times what it did, and its clients ask again at once: the other's questions are served as before.
 func TestOneChannelsStormLeavesTheOtherServed(t *testing.T) {
 	d := outage(t)
-	d.Head.PerS, d.Clients.Honour, d.Clients.Wait = 80, 0, setup.Span(100e6)
-	d.Channels = []setup.Channel{{Name: "web-app", Share: 0.6, PerS: 60}, {Name: "ranger-office", Share: 0.4, PerS: 60}}
-	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Span(10e9), Length: setup.Span(20e9), Size: 3, Channel: "web-app"}}
+	d.Head.PerS, d.Clients.Honour, d.Clients.Wait = 80, 0, setup.Duration(100e6)
+	d.Tenants = []setup.Tenant{{Name: "web-app", Share: 0.6, RequestsPerSecond: 60}, {Name: "ranger-office", Share: 0.4, RequestsPerSecond: 60}}
+	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(10e9), Length: setup.Duration(20e9), Size: 3, Channel: "web-app"}}
 	of := map[string]string{}
 	for _, w := range d.Plan() {
-		of[w.Name] = w.Channel
+		of[w.Name] = w.Tenant
 	}
 	share := func(guard bool) (by map[string]float64) {
 		d := d
-		d.Limits.Storms = guard
+		d.Limits.ThrottleRetries = guard
 		by = map[string]float64{}
 		asked, began := map[string]record.Line{}, map[string]bool{}
 		total := map[string]float64{}
--- a/internal/fleet/trouble_test.go
+++ b/internal/fleet/trouble_test.go
@@ -23,8 +23,8 @@
 	} {
 		d := load(t, "quiet")
 		d.Troubles = []day.Trouble{
-			{Kind: kind, At: setup.Span(2 * time.Second), Length: setup.Span(3 * time.Second), Boxes: []string{"reader", "writer"}, Share: 0.3, Dispatchers: []int{0}},
-			{Kind: "drain", At: setup.Span(2500 * time.Millisecond), Length: setup.Span(time.Second), Boxes: []string{"writer-2"}},
+			{Kind: kind, At: setup.Duration(2 * time.Second), Length: setup.Duration(3 * time.Second), Boxes: []string{"reader", "writer"}, Share: 0.3, Dispatchers: []int{0}},
+			{Kind: "drain", At: setup.Duration(2500 * time.Millisecond), Length: setup.Duration(time.Second), Boxes: []string{"writer-2"}},
 		}
 		n := 0
 		out, err := PlayLines(d, "module", func(l record.Line) {
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -116,7 +116,7 @@
 	downs  map[string][]int64 // of dispatchers
 	ups    map[string][]int64
 	end    int64
-	grades map[string]setup.Grade
+	grades map[string]setup.Class
 }
 
 // Judge judges a record.
@@ -136,9 +136,9 @@
 func read(head record.Head, lines []record.Line) *reading {
 	rd := &reading{
 		head: head, lines: lines, tries: map[string]*try{}, trips: map[string][]*trip{}, downs: map[string][]int64{},
-		ups: map[string][]int64{}, grades: map[string]setup.Grade{},
+		ups: map[string][]int64{}, grades: map[string]setup.Class{},
 	}
-	for _, g := range head.Terms.Grades {
+	for _, g := range head.Terms.Classes {
 		rd.grades[g.Name] = g
 	}
 	open := map[string]*trip{}
@@ -224,7 +224,7 @@
 // answers judges rule 1: one final answer in time, and nothing after it.
 func (rd *reading) answers() Rule {
 	r := Rule{Name: "1 no question is lost"}
-	slack := (rd.head.Terms.Rules.Slack.D() + answerRoom).Microseconds()
+	slack := (rd.head.Terms.Rules.AnswerSlack.Std() + answerRoom).Microseconds()
 	for _, id := range rd.order {
 		t := rd.tries[id]
 		r.Checked++
@@ -247,7 +247,7 @@
 			if !unreached && !rd.fell(t.asked.Dispatcher, t.asked.At, t.cut.At+int64(time.Second/time.Microsecond)) {
 				r.offence("try %s: no final answer of %s, which was up: %s", id, t.asked.Dispatcher, t.cut.Word)
 			}
-		case t.first != nil && rd.end-t.first.At < rd.head.Terms.Limits.Stall.D().Microseconds(): // still streaming when the record ends
+		case t.first != nil && rd.end-t.first.At < rd.head.Terms.Limits.StallTimeout.Std().Microseconds(): // still streaming when the record ends
 		default:
 			if !rd.fell(t.asked.Dispatcher, t.asked.At, rd.end) && rd.end > due {
 				r.offence("try %s: nothing came of it", id)
@@ -276,7 +276,7 @@
 		if g.Effect != "idempotent" && len(t.ran) > 1 {
 			r.offence("try %s (%s): ran %d times, at %s and %s", id, g.Effect, len(t.ran), t.ran[0].Box, t.ran[1].Box)
 		}
-		may := g.Effect == "unrepeatable" || g.Effect == "deduplicated" && g.Reach != "" && g.Reach != "all"
+		may := g.Effect == "unrepeatable" || g.Effect == "deduplicated" && g.DedupScope != "" && g.DedupScope != "all"
 		if may && t.final != nil && t.final.Word == "declined" && len(t.ran) > 0 {
 			r.offence("try %s (%s): declined, but it ran at %s", id, g.Effect, t.ran[0].Box)
 		}
@@ -326,7 +326,7 @@
 // drains judges rule 3.
 func (rd *reading) drains() Rule {
 	r := Rule{Name: "3 drains are kept"}
-	grace := (rd.head.Terms.Rules.DrainGrace.D() + drainRoom).Microseconds()
+	grace := (rd.head.Terms.Rules.DrainGrace.Std() + drainRoom).Microseconds()
 	type pair struct{ dispatcher, box string }
 	told := map[pair]int64{}
 	for _, l := range rd.lines {
@@ -365,7 +365,7 @@
 func (rd *reading) cold(notes *[]string) (r Rule, worst float64) {
 	r.Name = "4 no cold box is pushed over"
 	rules := rd.head.Terms.Rules
-	window, ramp := rules.ColdWindow.D().Microseconds(), rules.ColdRamp.D().Microseconds()
+	window, ramp := rules.SlowStartWindow.Std().Microseconds(), rules.SlowStartRamp.Std().Microseconds()
 	type start struct {
 		at   int64
 		told map[string]bool
@@ -400,8 +400,8 @@
 					known += x.Work
 				}
 			}
-			share := rules.ColdShare + (1-rules.ColdShare)*float64(l.At-s.at)/float64(ramp)
-			part := all / (rules.ColdMultiple * share * rules.ColdWindow.D().Seconds())
+			share := rules.SlowStartShare + (1-rules.SlowStartShare)*float64(l.At-s.at)/float64(ramp)
+			part := all / (rules.SlowStartMultiple * share * rules.SlowStartWindow.Std().Seconds())
 			if known >= toldShare*all {
 				worst = max(worst, part)
 			}
@@ -411,7 +411,7 @@
 			s.over = true
 			if known >= toldShare*all {
 				r.offence("%s, up cold for %.1f s, was sent %.2f s of work in %v, of at most %.2f s", l.Box, ms(l.At-s.at)/1000, all,
-					rules.ColdWindow.D(), all/part)
+					rules.SlowStartWindow.Std(), all/part)
 			} else {
 				*notes = append(*notes, fmt.Sprintf("%s was sent %.2f times what it bears while cold, by dispatchers that were not told of its start", l.Box, part))
 			}
@@ -423,7 +423,7 @@
 // pinned judges rule 5: how long a state waits with none of its question's trips out.
 func (rd *reading) pinned() (r Rule, worst float64) {
 	r.Name = "5 nothing is left pinned"
-	limit := (rd.head.Terms.Rules.Pin.D() + pinRoom).Microseconds()
+	limit := (rd.head.Terms.Rules.KVCacheHoldLimit.Std() + pinRoom).Microseconds()
 	held := map[string]record.Line{}
 	check := func(from record.Line, to int64, how string) {
 		r.Checked++
@@ -464,7 +464,7 @@
 // table counts questions and benefit.
 func (rd *reading) table(v *Verdict) {
 	rows := map[string]*Row{}
-	for _, g := range rd.head.Terms.Grades {
+	for _, g := range rd.head.Terms.Classes {
 		rows[g.Name] = &Row{Grade: g.Name}
 	}
 	var questions []string
@@ -488,8 +488,8 @@
 		if row == nil {
 			continue
 		}
-		worth := g.Benefit
-		if rd.head.Terms.Limits.ByWork {
+		worth := g.Value
+		if rd.head.Terms.Limits.ValueByWork {
 			worth *= float64(begin.asked.Tokens)
 		}
 		row.Asked++
@@ -506,7 +506,7 @@
 				row.earned += worth
 			} else {
 				row.Late++
-				row.earned += worth * g.Late
+				row.earned += worth * g.LateValue
 			}
 		case last.final != nil && last.final.Word == "declined":
 			row.Declined++
@@ -519,7 +519,7 @@
 		}
 	}
 	benefit, earned := 0.0, 0.0
-	for _, g := range rd.head.Terms.Grades {
+	for _, g := range rd.head.Terms.Classes {
 		row := rows[g.Name]
 		benefit, earned = benefit+row.benefit, earned+row.earned
 		row.Service = row.earned / max(row.benefit, 1e-9)
