--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -44,7 +44,7 @@
 // ReadTrace reads arrivals from a CSV file with a header row (name ending in .csv) or from JSON lines (any other
 // name) and returns them in order of time; the file need not be sorted. Errors give the line or the arrival that is
 // malformed.
-func ReadTrace(file string, terms setup.Terms) ([]standin.Wish, error) {
+func ReadTrace(file string, terms setup.Deployment) ([]standin.Request, error) {
 	input, err := os.Open(file)
 	if err != nil {
 		return nil, err
@@ -59,31 +59,31 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", file, err)
 	}
-	requests := make([]standin.Wish, len(arrivals))
+	requests := make([]standin.Request, len(arrivals))
 	for i, a := range arrivals {
-		n := max(terms.GradeNumber(a.Class), 0)
-		if a.Class != "" && terms.GradeNumber(a.Class) < 0 {
+		n := max(terms.ClassIndex(a.Class), 0)
+		if a.Class != "" && terms.ClassIndex(a.Class) < 0 {
 			return nil, fmt.Errorf("%s: arrival %d: class %q is not configured", file, i+1, a.Class)
 		}
 		if a.AtMs < 0 || a.Tokens < 1 || a.PrefixTokens < 0 || a.PrefixTokens > a.Tokens || a.MaxTokens < 0 {
 			return nil, fmt.Errorf("%s: arrival %d: time or token counts out of range: %+v", file, i+1, a)
 		}
-		class := terms.Grades[n]
+		class := terms.Classes[n]
 		kiloTokens := float64(a.Tokens) / 1000
-		request := standin.Wish{
-			At: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Grade: class.Name,
-			Channel: a.Tenant, Session: a.Session, Shared: a.PrefixID, Prefix: a.PrefixTokens,
-			Tokens: a.Tokens, Most: a.MaxTokens,
-			Promised: class.Promised.D() + time.Duration(kiloTokens*float64(class.PerK)),
-			Expiry:   class.Expiry.D() + 2*time.Duration(kiloTokens*float64(class.PerK)),
-			Patience: 1, Safe: class.Effect == "idempotent",
+		request := standin.Request{
+			SubmitAt: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Class: class.Name,
+			Tenant: a.Tenant, Session: a.Session, PrefixID: a.PrefixID, PrefixTokens: a.PrefixTokens,
+			PromptTokens: a.Tokens, MaxTokens: a.MaxTokens,
+			LatencyTarget: class.LatencyTarget.Std() + time.Duration(kiloTokens*float64(class.TargetPer1000Tokens)),
+			Deadline:      class.Deadline.Std() + 2*time.Duration(kiloTokens*float64(class.TargetPer1000Tokens)),
+			PatienceShare: 1, Idempotent: class.Effect == "idempotent",
 		}
-		if request.Most == 0 {
-			request.Most = class.Most
+		if request.MaxTokens == 0 {
+			request.MaxTokens = class.DefaultMaxTokens
 		}
 		requests[i] = request
 	}
-	slices.SortStableFunc(requests, func(a, b standin.Wish) int { return int(a.At - b.At) })
+	slices.SortStableFunc(requests, func(a, b standin.Request) int { return int(a.SubmitAt - b.SubmitAt) })
 	return requests, nil
 }
 
@@ -183,7 +183,7 @@
 // those of all classes under "all". It calls logf with the progress each second. Where ctx ends first it returns the
 // results so far and the error of ctx.
 func Run(
-	ctx context.Context, model string, addresses []string, requests []standin.Wish, logf func(string, ...any),
+	ctx context.Context, model string, addresses []string, requests []standin.Request, logf func(string, ...any),
 ) ([]Stats, error) {
 	if len(addresses) == 0 || len(requests) == 0 {
 		return nil, fmt.Errorf("load needs at least one dispatcher and one request, got %d addresses and %d requests",
@@ -203,8 +203,8 @@
 		return byClass[class]
 	}
 	for _, request := range requests {
-		latencyTarget[request.Name] = request.Promised
-		statsOf(request.Grade)
+		latencyTarget[request.Name] = request.LatencyTarget
+		statsOf(request.Class)
 	}
 	statsOf("all")
 	start := time.Now()
@@ -264,7 +264,7 @@
 	}()
 	var inFlight sync.WaitGroup
 	for _, request := range requests {
-		if wait := request.At - time.Since(start); wait > 0 {
+		if wait := request.SubmitAt - time.Since(start); wait > 0 {
 			select {
 			case <-time.After(wait):
 			case <-ctx.Done():
@@ -274,13 +274,13 @@
 			break
 		}
 		mu.Lock()
-		due[request.Name] = request.At
+		due[request.Name] = request.SubmitAt
 		open++
 		mu.Unlock()
 		inFlight.Add(1)
 		go func() {
 			defer inFlight.Done()
-			clients.Ask(ctx, request)
+			clients.Submit(ctx, request)
 			mu.Lock()
 			open--
 			mu.Unlock()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -11,15 +11,15 @@
 )
 
 func TestReadTraceParsesCSVAndJSONLinesAndLocatesErrors(t *testing.T) {
-	terms := setup.DefaultTerms()
-	terms.Grades = []setup.Grade{
+	terms := setup.DefaultDeployment()
+	terms.Classes = []setup.Class{
 		{
-			Name: "quick", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second),
-			Most: 70,
+			Name: "quick", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second),
+			DefaultMaxTokens: 70,
 		},
 		{
-			Name: "booking", Effect: "unrepeatable", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second),
-			Most: 50,
+			Name: "booking", Effect: "unrepeatable", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second),
+			DefaultMaxTokens: 50,
 		},
 	}
 	for _, c := range []struct{ name, text, wantError string }{
@@ -41,8 +41,8 @@
 			}
 			continue
 		}
-		if err != nil || len(requests) != 2 || requests[0].Grade != "quick" || requests[0].At != 100*time.Millisecond ||
-			requests[0].Most != 70 || requests[1].Safe {
+		if err != nil || len(requests) != 2 || requests[0].Class != "quick" || requests[0].SubmitAt != 100*time.Millisecond ||
+			requests[0].MaxTokens != 70 || requests[1].Idempotent {
 			t.Errorf("%s: %v %+v", c.name, err, requests)
 		}
 	}
--- a/internal/measure/dialers.go
+++ b/internal/measure/dialers.go
@@ -51,8 +51,8 @@
 func CompareDialers(ctx context.Context, attempts int, logf func(string, ...any)) ([]DialerResult, error) {
 	var results []DialerResult
 	for _, fault := range []string{
-		standin.GateServes, standin.GateRefuses, standin.GateBlackhole, standin.GateStalls, standin.GateStallsNext,
-		standin.GateSlow, standin.GateResets, standin.GateFlaps,
+		standin.EndpointServes, standin.EndpointRefuses, standin.EndpointBlackhole, standin.EndpointStalls, standin.EndpointStallsAfterResponse,
+		standin.EndpointSlow, standin.EndpointResets, standin.EndpointFlaps,
 	} {
 		for _, addressCount := range []int{1, 3} {
 			for _, dialer := range []string{"raced", "sequential", "plain"} {
@@ -89,10 +89,10 @@
 	if err != nil {
 		return result, err
 	}
-	terms := setup.DefaultTerms()
-	terms.Grades = []setup.Grade{{Name: "g", Effect: "idempotent"}}
-	fleet := standin.NewFleet(terms, recorder, standin.Links{Near: 1e9, Far: 1e9, Zone: 1},
-		map[string]standin.Talk{"g": {New: 1, Answer: 1}})
+	terms := setup.DefaultDeployment()
+	terms.Classes = []setup.Class{{Name: "g", Effect: "idempotent"}}
+	fleet := standin.NewFleet(terms, recorder, standin.Links{SameRack: 1e9, CrossRack: 1e9, ZoneFactor: 1},
+		map[string]standin.ClassProfile{"g": {NewTokens: 1, AnswerTokens: 1}})
 	defer fleet.Close()
 	dir, err := os.MkdirTemp("", "slt")
 	if err != nil {
@@ -115,7 +115,7 @@
 		spec.Preference = len(specs) // every dialer tries the faulty address first
 		specs = append(specs, spec)
 	}
-	backend := fleet.NewBox(standin.Make{Name: "w1", Kind: "writer", Addresses: specs, Engine: standin.Instant})
+	backend := fleet.NewBackend(standin.Config{Name: "w1", Kind: "writer", Addresses: specs, Engine: standin.InstantEngine})
 	if err := backend.Boot(false); err != nil {
 		return result, err
 	}
@@ -155,22 +155,22 @@
 	for i := range attempts {
 		switch i {
 		case attempts / 4:
-			if err := backend.Gate(0).Set(fault, 50*time.Millisecond, 600); err != nil {
+			if err := backend.Endpoint(0).SetMode(fault, 50*time.Millisecond, 600); err != nil {
 				return result, err
 			}
 		case attempts * 3 / 4:
-			if err := backend.Gate(0).Set(standin.GateServes, 0, 0); err != nil {
+			if err := backend.Endpoint(0).SetMode(standin.EndpointServes, 0, 0); err != nil {
 				return result, err
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
 		attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
-		attempt := kserve.Errand{
-			Stage: kserve.StageWhole, From: "d.1", Question: lastRequest.Add(1), Grade: "g", Tokens: 10, Most: 1,
+		attempt := kserve.AttemptParams{
+			Phase: kserve.PhaseCombined, DispatcherEpoch: "d.1", RequestNumber: lastRequest.Add(1), Class: "g", PromptTokens: 10, MaxTokens: 1,
 		}
 		start := time.Now()
 		sent, err := send(attemptCtx, func() (*http.Request, error) {
-			return kserve.NewErrand(attemptCtx, reach.URL("w1"), terms.Model, "", attempt)
+			return kserve.NewAttemptRequest(attemptCtx, reach.URL("w1"), terms.Model, "", attempt)
 		})
 		elapsed := time.Since(start)
 		cancel()
@@ -217,7 +217,7 @@
 		}
 		resp, err := client.Do(req)
 		if err != nil {
-			return !kserve.Unsent(err), err
+			return !kserve.IsDialError(err), err
 		}
 		defer resp.Body.Close()
 		if resp.StatusCode != http.StatusOK {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -122,22 +122,22 @@
 
 // start starts two idle backends, service discovery and a dispatcher process, and returns once the dispatcher is ready.
 func (bed *testbed) start(ctx context.Context, dir string) (stop func(), err error) {
-	config := setup.DefaultDispatcher()
-	config.Grades = []setup.Grade{{
-		Name: "measured", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(10 * time.Second),
-		Benefit: 1, Most: 8,
+	config := setup.DefaultDispatcherConfig()
+	config.Classes = []setup.Class{{
+		Name: "measured", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(10 * time.Second),
+		Value: 1, DefaultMaxTokens: 8,
 	}}
-	config.Kinds = []setup.Kind{
-		{Name: "reader", Role: "reader", Memory: 1 << 30},
-		{Name: "writer", Role: "writer", Memory: 1 << 30},
+	config.BackendKinds = []setup.BackendKind{
+		{Name: "reader", Role: "reader", MemoryTokens: 1 << 30},
+		{Name: "writer", Role: "writer", MemoryTokens: 1 << 30},
 	}
-	config.Limits.LocalRead, config.Limits.BoxConns = false, 4096
+	config.Limits.DecodeCanPrefill, config.Limits.MaxConnsPerBackend = false, 4096
 	bed.model = config.Model
 	if bed.recorder, err = record.Open("", record.Head{}); err != nil {
 		return nil, err
 	}
-	bed.fleet = standin.NewFleet(config.Terms, bed.recorder, standin.Links{Near: 1e12, Far: 1e12, Zone: 1},
-		map[string]standin.Talk{"measured": {New: 1, Answer: 8}})
+	bed.fleet = standin.NewFleet(config.Deployment, bed.recorder, standin.Links{SameRack: 1e12, CrossRack: 1e12, ZoneFactor: 1},
+		map[string]standin.ClassProfile{"measured": {NewTokens: 1, AnswerTokens: 8}})
 	var addrs []string // of service discovery, the prefill backend, the decode backend and the dispatcher
 	for range 4 {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -148,14 +148,14 @@
 		addrs = append(addrs, listener.Addr().String())
 		listener.Close()
 	}
-	discovery := bed.fleet.NewList(addrs[0])
-	if err := discovery.Open(); err != nil {
+	discovery := bed.fleet.NewDiscovery(addrs[0])
+	if err := discovery.Start(); err != nil {
 		return nil, err
 	}
-	var backends []*standin.Box
+	var backends []*standin.Backend
 	for i, kind := range []string{"reader", "writer"} {
-		backend := bed.fleet.NewBox(standin.Make{
-			Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Engine: standin.Instant,
+		backend := bed.fleet.NewBackend(standin.Config{
+			Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Engine: standin.InstantEngine,
 			Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: addrs[1+i]}},
 		})
 		if err := backend.Boot(false); err != nil {
@@ -165,7 +165,7 @@
 		backends = append(backends, backend)
 	}
 	bed.prefillAddr, bed.decodeAddr, bed.dispatcherAddr = addrs[1], addrs[2], addrs[3]
-	config.Place.Listen, config.Place.Boxes = []string{bed.dispatcherAddr}, addrs[0]
+	config.Instance.Listen, config.Instance.DiscoveryAddr = []string{bed.dispatcherAddr}, addrs[0]
 	raw, err := toml.Marshal(config)
 	if err != nil {
 		return nil, err
@@ -186,7 +186,7 @@
 		for _, backend := range backends {
 			backend.Kill("end")
 		}
-		discovery.Shut()
+		discovery.Stop()
 		bed.fleet.Close()
 		bed.http.CloseIdleConnections()
 	}
@@ -251,7 +251,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return firstToken, fmt.Errorf("%s", resp.Status)
 	}
-	events := kserve.NewEvents(resp.Body)
+	events := kserve.NewEventReader(resp.Body)
 	for {
 		event, err := events.Next()
 		if err != nil {
@@ -269,7 +269,7 @@
 // requestBody returns a new request for maxTokens tokens in one of 997 sessions.
 func (bed *testbed) requestBody(maxTokens int) []byte {
 	id := bed.lastRequest.Add(1)
-	raw, err := json.Marshal(kserve.Prompt{ID: fmt.Sprint("m", id), Parameters: kserve.Params{
+	raw, err := json.Marshal(kserve.GenerateRequest{ID: fmt.Sprint("m", id), Parameters: kserve.Params{
 		"prompt_tokens": 800, "max_tokens": maxTokens, "session": fmt.Sprint("s", id%997),
 	}})
 	if err != nil {
@@ -292,11 +292,11 @@
 // token.
 func (bed *testbed) direct(ctx context.Context) (time.Time, error) {
 	id := bed.lastRequest.Add(1)
-	attempt := kserve.Errand{
-		Stage: kserve.StageRead, From: "direct.1", Question: id, Mark: fmt.Sprint("m", id), Grade: "measured",
-		Tokens: 800, Most: 8,
+	attempt := kserve.AttemptParams{
+		Phase: kserve.PhasePrefill, DispatcherEpoch: "direct.1", RequestNumber: id, DedupKey: fmt.Sprint("m", id), Class: "measured",
+		PromptTokens: 800, MaxTokens: 8,
 	}
-	req, err := kserve.NewErrand(ctx, "http://"+bed.prefillAddr, bed.model, "", attempt)
+	req, err := kserve.NewAttemptRequest(ctx, "http://"+bed.prefillAddr, bed.model, "", attempt)
 	if err != nil {
 		return time.Time{}, err
 	}
@@ -306,9 +306,9 @@
 	}
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
-	attempt.Stage, attempt.Trip, attempt.Reader, attempt.State =
-		kserve.StageWrite, 1, "reader-1", []string{"tcp4:" + bed.prefillAddr}
-	if req, err = kserve.NewErrand(ctx, "http://"+bed.decodeAddr, bed.model, "", attempt); err != nil {
+	attempt.Phase, attempt.Attempt, attempt.PrefillBackend, attempt.KVCacheAddresses =
+		kserve.PhaseDecode, 1, "reader-1", []string{"tcp4:" + bed.prefillAddr}
+	if req, err = kserve.NewAttemptRequest(ctx, "http://"+bed.decodeAddr, bed.model, "", attempt); err != nil {
 		return time.Time{}, err
 	}
 	return readFirstToken(bed.http.Do(req))
@@ -340,8 +340,8 @@
 			resp.Body.Close()
 		}()
 		if i == 0 {
-			bed.fleet.Hold(true)
-			defer bed.fleet.Hold(false)
+			bed.fleet.HoldAnswers(true)
+			defer bed.fleet.HoldAnswers(false)
 		}
 	}
 	for range 500 {
@@ -353,7 +353,7 @@
 	bed.plan.Logf("%d of %d streams are open", open.Load(), n)
 	memory := bed.residentMiB()
 	cancel()
-	bed.fleet.Hold(false)
+	bed.fleet.HoldAnswers(false)
 	streams.Wait()
 	return memory
 }
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -13,14 +13,14 @@
 // tells whether a load report follows, and two of the load report. Without a load report those two bytes hold the
 // share of the latency target that the first token took; older dispatchers, which do not know the share, ignore them.
 func Encode(update brain.PeerUpdate) []byte {
-	raw := binary.BigEndian.AppendUint32(nil, update.Host.ID)
-	raw = append(raw, byte(update.Grade), byte(update.Verdict)<<1)
+	raw := binary.BigEndian.AppendUint32(nil, update.Backend.ID)
+	raw = append(raw, byte(update.ClassIndex), byte(update.Verdict)<<1)
 	switch {
-	case update.Loaded:
+	case update.HasLoad:
 		raw[5] |= 1
-		return append(raw, clampToByte(update.Util*fractionSteps), clampToByte(update.Queue))
-	case update.Share > 0:
-		return append(raw, max(clampToByte(update.Share*fractionSteps), 1), shareMarker)
+		return append(raw, clampToByte(update.Util*fractionSteps), clampToByte(update.QueueLength))
+	case update.TargetShare > 0:
+		return append(raw, max(clampToByte(update.TargetShare*fractionSteps), 1), shareMarker)
 	}
 	return append(raw, 0, 0)
 }
@@ -35,17 +35,17 @@
 // Decode decodes a peer update and looks up its backend. The backend is nil if this dispatcher does not know it. An
 // error means that the bytes are not a peer update.
 func Decode(raw []byte, backends map[uint32]*brain.Backend) (brain.PeerUpdate, error) {
-	if len(raw) != 8 || raw[5]>>1 > byte(brain.Unmet) {
+	if len(raw) != 8 || raw[5]>>1 > byte(brain.VerdictUnreachable) {
 		return brain.PeerUpdate{}, fmt.Errorf("%d bytes are not a peer update: %x", len(raw), raw[:min(len(raw), 16)])
 	}
 	update := brain.PeerUpdate{
-		Host: backends[binary.BigEndian.Uint32(raw)], Grade: int(raw[4]), Verdict: brain.Verdict(raw[5] >> 1),
+		Backend: backends[binary.BigEndian.Uint32(raw)], ClassIndex: int(raw[4]), Verdict: brain.Verdict(raw[5] >> 1),
 	}
 	switch {
 	case raw[5]&1 == 1:
-		update.Loaded, update.Util, update.Queue = true, float64(raw[6])/fractionSteps, float64(raw[7])
+		update.HasLoad, update.Util, update.QueueLength = true, float64(raw[6])/fractionSteps, float64(raw[7])
 	case raw[7] == shareMarker:
-		update.Share = min(float64(raw[6])/fractionSteps, 1)
+		update.TargetShare = min(float64(raw[6])/fractionSteps, 1)
 	}
 	return update, nil
 }
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -9,7 +9,7 @@
 func TestDecodeReadsEncodedUpdatesAndRejectsOtherBytes(t *testing.T) {
 	backend := &brain.Backend{ID: 77}
 	backends := map[uint32]*brain.Backend{77: backend}
-	sent := brain.PeerUpdate{Host: backend, Grade: 2, Verdict: brain.Badly, Loaded: true, Util: 0.5, Queue: 3}
+	sent := brain.PeerUpdate{Backend: backend, ClassIndex: 2, Verdict: brain.VerdictBad, HasLoad: true, Util: 0.5, QueueLength: 3}
 	raw := Encode(sent)
 	if got, err := Decode(raw, backends); err != nil || got != sent {
 		t.Errorf("decoded %+v, %v", got, err)
@@ -19,7 +19,7 @@
 			t.Errorf("accepted %x", bad)
 		}
 	}
-	if got, err := Decode([]byte{0, 0, 0, 1, 2, 4, 0, 0}, backends); err != nil || got.Host != nil {
+	if got, err := Decode([]byte{0, 0, 0, 1, 2, 4, 0, 0}, backends); err != nil || got.Backend != nil {
 		t.Errorf("an unknown backend: %+v, %v", got, err)
 	}
 }
@@ -30,18 +30,18 @@
 	backend := &brain.Backend{ID: 77}
 	backends := map[uint32]*brain.Backend{77: backend}
 	for _, share := range []float64{0.005, 0.5, 1} {
-		raw := Encode(brain.PeerUpdate{Host: backend, Verdict: brain.Well, Share: share})
-		if got, err := Decode(raw, backends); err != nil || got.Share != share || got.Loaded {
+		raw := Encode(brain.PeerUpdate{Backend: backend, Verdict: brain.VerdictGood, TargetShare: share})
+		if got, err := Decode(raw, backends); err != nil || got.TargetShare != share || got.HasLoad {
 			t.Errorf("share %g: decoded %+v, %v", share, got, err)
 		}
 		if raw[5]&1 != 0 {
 			t.Errorf("share %g: an older dispatcher takes %x for a load report", share, raw)
 		}
 	}
-	if got, err := Decode([]byte{0, 0, 0, 77, 2, 2, 100, 30}, backends); err != nil || got.Share != 0 || got.Loaded {
+	if got, err := Decode([]byte{0, 0, 0, 77, 2, 2, 100, 30}, backends); err != nil || got.TargetShare != 0 || got.HasLoad {
 		t.Errorf("from an older dispatcher: %+v, %v", got, err)
 	}
-	if got, _ := Decode([]byte{0, 0, 0, 77, 2, 2, 255, 255}, backends); got.Share != 1 {
+	if got, _ := Decode([]byte{0, 0, 0, 77, 2, 2, 255, 255}, backends); got.TargetShare != 1 {
 		t.Errorf("a share above 1: %+v", got)
 	}
 }
--- a/internal/platform/accept_test.go
+++ b/internal/platform/accept_test.go
@@ -143,10 +143,10 @@
 		}
 	}
 	waited := time.Since(start)
-	for _, exchange := range env.site.Seen("", "POST") {
-		if left, _ := strconv.Atoi(exchange.Head.Get("X-Timeout-Ms")); time.Duration(left)*time.Millisecond >
+	for _, exchange := range env.site.Requests("", "POST") {
+		if left, _ := strconv.Atoi(exchange.Header.Get("X-Timeout-Ms")); time.Duration(left)*time.Millisecond >
 			3*time.Second-waited+300*time.Millisecond {
-			t.Errorf("%s gets a timeout of %d ms for %s, which waited for about %v", exchange.Box.UID, left, exchange.ID,
+			t.Errorf("%s gets a timeout of %d ms for %s, which waited for about %v", exchange.Backend.UID, left, exchange.ID,
 				waited)
 		}
 	}
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -33,7 +33,7 @@
 func (c *testCluster) backendState(name string) (state brain.BackendState) {
 	c.node.loop.Call(context.Background(), func() {
 		if backend := c.node.loop.SchedulerBackend(name); backend != nil {
-			state = backend.Standing
+			state = backend.State
 		}
 	})
 	return state
@@ -46,7 +46,7 @@
 ) *dispatch.ClientRequest {
 	c.t.Helper()
 	request := &dispatch.ClientRequest{
-		Params: kserve.Ask{ID: id, Tokens: 400, Most: 50},
+		Params: kserve.Request{ID: id, PromptTokens: 400, MaxTokens: 50},
 		Payload: &outgoingRequest{id: id, body: []byte("{}"), head: func(wait time.Duration) []byte {
 			return fmt.Appendf(nil, "POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\n"+
 				"Content-Length: 2\r\n\r\n", id, wait.Milliseconds())
@@ -64,18 +64,18 @@
 func TestDrainLearnedBeforeSendStopsTheAttempt(t *testing.T) {
 	cluster := startCluster(t, nil)
 	request := cluster.submit("q1", 0, func(*dispatch.ClientRequest) {
-		cluster.node.loop.SchedulerBackend("r1").Standing = brain.Draining
+		cluster.node.loop.SchedulerBackend("r1").State = brain.Draining
 	})
 	cluster.await("the request is finished", func() bool { return len(request.Final()) == 1 })
-	if n := len(cluster.site.Seen("r1", "POST")); n != 0 {
+	if n := len(cluster.site.Requests("r1", "POST")); n != 0 {
 		t.Errorf("%d attempts to a draining backend", n)
 	}
 	cluster.node.loop.Call(context.Background(), func() {
-		if b := cluster.node.loop.Estimates(); b.Cold != 0 || cluster.node.loop.Counters.Outcomes[brain.NotSent] != 1 {
+		if b := cluster.node.loop.Estimates(); b.InSlowStart != 0 || cluster.node.loop.Counters.Outcomes[brain.NotSent] != 1 {
 			t.Errorf("an attempt that was not sent counts against its backend: %+v, outcomes %v",
 				b, cluster.node.loop.Counters.Outcomes)
 		}
-		cluster.node.loop.SchedulerBackend("r1").Standing = brain.Ready
+		cluster.node.loop.SchedulerBackend("r1").State = brain.Ready
 	})
 	cluster.awaitIdle()
 }
@@ -90,7 +90,7 @@
 			})
 			cluster.submit("q1", 0, func(request *dispatch.ClientRequest) { cluster.node.loop.ClientDisconnected(request) })
 			cluster.awaitIdle()
-			if n := len(cluster.site.Seen("", "POST")); n != 0 {
+			if n := len(cluster.site.Requests("", "POST")); n != 0 {
 				t.Errorf("%d attempts for a client that has left", n)
 			}
 		})
@@ -102,12 +102,12 @@
 	cluster := startCluster(t, nil)
 	const blocked = 300 * time.Millisecond
 	cluster.submit("q1", 1, func(*dispatch.ClientRequest) { time.Sleep(blocked) }) // blocks the event loop
-	cluster.await("the attempt is sent", func() bool { return len(cluster.site.Seen("r1", "POST")) == 1 })
-	stated, err := time.ParseDuration(cluster.site.Seen("r1", "POST")[0].Head.Get("X-Timeout-Ms") + "ms")
+	cluster.await("the attempt is sent", func() bool { return len(cluster.site.Requests("r1", "POST")) == 1 })
+	stated, err := time.ParseDuration(cluster.site.Requests("r1", "POST")[0].Header.Get("X-Timeout-Ms") + "ms")
 	if err != nil || stated > 3*time.Second-blocked {
 		t.Errorf("stated %v, %v", stated, err)
 	}
-	cluster.await("no request is in flight", func() bool { return cluster.site.Out() == 0 })
+	cluster.await("no request is in flight", func() bool { return cluster.site.InFlight() == 0 })
 }
 
 // A connection that breaks while the request is being written proves that the request never ran: a non-idempotent one
@@ -115,7 +115,7 @@
 func TestRequestBrokenOffWhileWritingIsRetried(t *testing.T) {
 	cluster := startCluster(t, nil)
 	var connections atomic.Int64
-	cluster.prefill.Greet(func(conn net.Conn) bool {
+	cluster.prefill.OnConnect(func(conn net.Conn) bool {
 		if connections.Add(1) > 1 {
 			return true
 		}
@@ -163,9 +163,9 @@
 	t.Run("endless 1xx", func(t *testing.T) {
 		cluster := startCluster(t, nil)
 		cluster.onFirstDecode(func(e *hosts.Exchange) bool {
-			for e.Write("HTTP/1.1 103 Early Hints\r\n\r\n") {
+			for e.WriteRaw("HTTP/1.1 103 Early Hints\r\n\r\n") {
 				select {
-				case <-e.Left:
+				case <-e.ClientClosed:
 					return false
 				case <-time.After(time.Millisecond):
 				}
@@ -180,12 +180,12 @@
 	t.Run("rejection before the last byte", func(t *testing.T) {
 		cluster := startCluster(t, nil)
 		var connections atomic.Int64
-		cluster.prefill.Greet(func(conn net.Conn) bool {
+		cluster.prefill.OnConnect(func(conn net.Conn) bool {
 			if connections.Add(1) > 1 {
 				return true
 			}
 			io.ReadFull(conn, make([]byte, 50))
-			io.WriteString(conn, hosts.Refuse(503, true))
+			io.WriteString(conn, hosts.Rejection(503, true))
 			return false
 		})
 		if got := cluster.send(cluster.request("hut-booking")); got.status != 200 {
@@ -203,22 +203,22 @@
 				config.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling
 			})
 			client := cluster.dial()
-			cluster.prefill.Do = func(e *hosts.Exchange) bool {
+			cluster.prefill.Handler = func(e *hosts.Exchange) bool {
 				if e.Method != "POST" {
 					return e.Serve()
 				}
-				e.Hold()
+				e.HoldKVCache()
 				client.Close()
 				cluster.await("the dispatcher notices that the client left", func() bool {
 					return cluster.node.frontend.openRequests.Load() == 0
 				})
-				e.Write("HTTP/1.1 202 Accepted\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
+				e.WriteRaw("HTTP/1.1 202 Accepted\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
 				return true
 			}
 			io.WriteString(client, cluster.request("trail-info"))
-			cluster.await("the prefill is sent", func() bool { return len(cluster.site.Seen("r1", "POST")) == 1 })
+			cluster.await("the prefill is sent", func() bool { return len(cluster.site.Requests("r1", "POST")) == 1 })
 			cluster.awaitIdle()
-			if n := len(cluster.site.Seen("w1", "POST")) + len(cluster.site.Seen("w2", "POST")); n != 0 {
+			if n := len(cluster.site.Requests("w1", "POST")) + len(cluster.site.Requests("w2", "POST")); n != 0 {
 				t.Errorf("%d attempts after the client left", n)
 			}
 		})
@@ -230,10 +230,10 @@
 	cluster := startCluster(t, func(_ *testCluster, config *Config) { config.Limits.Sockets = 64 })
 	const requests = 8 // more than there are descriptors for concurrent release calls
 	received := make(chan bool, requests)
-	cluster.prefill.Do = func(e *hosts.Exchange) bool {
-		e.Hold()
+	cluster.prefill.Handler = func(e *hosts.Exchange) bool {
+		e.HoldKVCache()
 		received <- true
-		<-e.Left
+		<-e.ClientClosed
 		return false
 	}
 	var clients []*testClient
@@ -249,15 +249,15 @@
 			t.Fatal("not all prefills were sent")
 		}
 	}
-	cluster.prefill.Vanish()
-	cluster.decoders[0].Vanish()
+	cluster.prefill.Blackhole()
+	cluster.decoders[0].Blackhole()
 	for _, client := range clients {
 		client.Close()
 	}
-	cluster.await("all attempts have ended", func() bool { return cluster.site.Out() == 0 })
+	cluster.await("all attempts have ended", func() bool { return cluster.site.InFlight() == 0 })
 	began := time.Now()
-	cluster.await("all KV caches are released", func() bool { return cluster.site.Held() == 0 })
-	if took := time.Since(began); took > cluster.site.Pin {
+	cluster.await("all KV caches are released", func() bool { return cluster.site.HeldCount() == 0 })
+	if took := time.Since(began); took > cluster.site.HoldLimit {
 		t.Errorf("the last KV cache was released after %v", took)
 	}
 	cluster.awaitIdle()
@@ -275,7 +275,7 @@
 		received <- true
 		select {
 		case <-hold:
-		case <-e.Left:
+		case <-e.ClientClosed:
 		}
 		return e.Serve()
 	})
@@ -307,7 +307,7 @@
 		t.Errorf("the open request: %+v", got)
 	}
 	cluster.awaitIdle()
-	if n := len(cluster.site.Seen("r1", "POST")); n != 2 {
+	if n := len(cluster.site.Requests("r1", "POST")); n != 2 {
 		t.Errorf("%d requests were admitted", n)
 	}
 }
@@ -347,7 +347,7 @@
 func failDials(cluster *testCluster) *atomic.Pointer[syscall.Errno] {
 	failing := new(atomic.Pointer[syscall.Errno])
 	cluster.system.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-		if errno := failing.Load(); errno != nil && address != cluster.agent.At {
+		if errno := failing.Load(); errno != nil && address != cluster.agent.Address {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", *errno)}
 		}
 		return system.Real().Dial(ctx, network, address)
@@ -376,8 +376,8 @@
 		}
 		failing.Store(nil)
 		cluster.node.loop.Call(context.Background(), func() {
-			if b := cluster.node.loop.Estimates(); b.Cold != 0 || b.Doubted != 0 {
-				t.Errorf("%v: %d backends count as restarting, %d as failing", errno, b.Cold, b.Doubted)
+			if b := cluster.node.loop.Estimates(); b.InSlowStart != 0 || b.Suspected != 0 {
+				t.Errorf("%v: %d backends count as restarting, %d as failing", errno, b.InSlowStart, b.Suspected)
 			}
 		})
 		if got := cluster.send(cluster.request("hut-booking")); got.status != 200 {
@@ -393,7 +393,7 @@
 	t.Run("no descriptor", func(t *testing.T) {
 		cluster := startCluster(t, nil)
 		done, returned := make(chan struct{}), make(chan struct{})
-		cluster.prefill.Do = func(e *hosts.Exchange) bool {
+		cluster.prefill.Handler = func(e *hosts.Exchange) bool {
 			if e.Method == "POST" { // during the prefill all descriptors are taken, the last one as soon as it is free
 				go func() {
 					defer close(returned)
@@ -422,7 +422,7 @@
 	t.Run("request not read", func(t *testing.T) {
 		cluster := startCluster(t, nil)
 		for _, decoder := range cluster.decoders {
-			decoder.Greet(func(conn net.Conn) bool {
+			decoder.OnConnect(func(conn net.Conn) bool {
 				conn.(*net.TCPConn).SetReadBuffer(1 << 10)
 				raw, err := conn.(*net.TCPConn).SyscallConn()
 				if err != nil {
@@ -446,6 +446,6 @@
 			"Content-Length: 12", fmt.Sprintf("Content-Length: %d", len(body)), `{"model":""}`, body)); got.status == 200 {
 			t.Errorf("%+v", got)
 		}
-		cluster.await("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
+		cluster.await("the KV cache is released", func() bool { return cluster.site.HeldCount() == 0 })
 	})
 }
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -79,7 +79,7 @@
 		return fmt.Errorf("configuration: limits must not be negative: memory_mb %d, sockets %d",
 			c.Limits.MemoryMB, c.Limits.Sockets)
 	}
-	return brain.Flat(c.Settings).Sound()
+	return brain.FlattenSettings(c.Settings).Validate()
 }
 
 // randomSeed returns the seed of the scheduler's random decisions.
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -47,7 +47,7 @@
 // A zone that the settings do not name has a number of its own: retries that are deduplicated within one zone must
 // not be sent to it.
 func TestUnnamedZoneHasItsOwnNumber(t *testing.T) {
-	settings := brain.Flat(map[string]any{"dcs": []any{"a", "b"}})
+	settings := brain.FlattenSettings(map[string]any{"dcs": []any{"a", "b"}})
 	seen := map[int]string{}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		number := zoneNumber(settings, name)
--- a/internal/platform/conn_test.go
+++ b/internal/platform/conn_test.go
@@ -133,12 +133,12 @@
 	}
 	conn.Close()
 	select {
-	case <-exchange.Left:
+	case <-exchange.ClientClosed:
 	case <-time.After(100 * time.Millisecond):
 		t.Error("the attempt goes on after its client has closed")
 	}
 	env.awaitIdle()
-	if n := len(env.site.Seen("", "POST")); n != 1 {
+	if n := len(env.site.Requests("", "POST")); n != 1 {
 		t.Errorf("%d attempts, want 1", n)
 	}
 }
@@ -148,10 +148,10 @@
 func TestPipelineOverrunClosesAfterResponse(t *testing.T) {
 	env := startCluster(t, nil)
 	hold := make(chan struct{})
-	env.prefill.Do = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
+	env.prefill.Handler = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
 	conn := env.dial()
 	io.WriteString(conn, env.request("trail-info"))
-	env.await("the attempt is in flight", func() bool { return len(env.site.Seen("r1", "POST")) == 1 })
+	env.await("the attempt is in flight", func() bool { return len(env.site.Requests("r1", "POST")) == 1 })
 	io.WriteString(conn, strings.Repeat(env.request("hut-booking"), 4*maxPipelinedBytes/300))
 	close(hold)
 	if got := conn.readResponse(); got.status != 200 || !got.complete {
@@ -161,7 +161,7 @@
 		t.Errorf("after the response: %v, want EOF", err)
 	}
 	env.awaitIdle()
-	if n := len(env.site.Seen("r1", "POST")); n != 1 {
+	if n := len(env.site.Requests("r1", "POST")); n != 1 {
 		t.Errorf("%d requests are served, want 1", n)
 	}
 }
@@ -171,11 +171,14 @@
 func TestCloseDoesNotResetConnection(t *testing.T) {
 	for name, change := range map[string]func(env *testCluster){
 		"a broken stream": func(env *testCluster) {
-			env.onDecode(func(e *hosts.Exchange) bool { e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a"))); return false })
+			env.onDecode(func(e *hosts.Exchange) bool {
+				e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
+				return false
+			})
 		},
 		"a response at shutdown": func(env *testCluster) { env.node.frontend.stopping.Store(true) },
 		"an error response": func(env *testCluster) {
-			env.prefill.Do = func(e *hosts.Exchange) bool { return e.Write(hosts.Refuse(400, false)) }
+			env.prefill.Handler = func(e *hosts.Exchange) bool { return e.WriteRaw(hosts.Rejection(400, false)) }
 			env.node.frontend.stopping.Store(true)
 		},
 	} {
@@ -261,8 +264,8 @@
 // discovery as soon as it is back, and serve.
 func TestDiscoverySurvivesExhaustedDescriptors(t *testing.T) {
 	env := startCluster(t, func(env *testCluster, place *Config) { place.Limits.Sockets = 64 })
-	env.agent.SetMute(true)
-	env.agent.Cut()
+	env.agent.SetSilent(true)
+	env.agent.CloseConns()
 	for range 150 {
 		conn, err := net.Dial("tcp", env.address)
 		if err != nil {
@@ -271,10 +274,10 @@
 		defer conn.Close()
 		io.WriteString(conn, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
 	}
-	env.site.Change(func() { env.decoders[0].State = "terminating" })
-	env.agent.SetMute(false)
+	env.site.UpdateDiscovery(func() { env.decoders[0].State = "terminating" })
+	env.agent.SetSilent(false)
 	env.await("the drain is observed", func() bool {
-		return env.backendState("w1") == brain.Draining && env.agent.Watched() == 1
+		return env.backendState("w1") == brain.Draining && env.agent.WatchCount() == 1
 	})
 	conn := env.dial()
 	io.WriteString(conn, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -284,7 +287,7 @@
 	if got := env.send(env.request("hut-booking")); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
-	if n := len(env.site.Seen("w1", "POST")); n != 0 {
+	if n := len(env.site.Requests("w1", "POST")); n != 0 {
 		t.Errorf("%d attempts at a draining backend", n)
 	}
 }
@@ -391,10 +394,10 @@
 			t.Fatalf("%+v", got)
 		}
 	}
-	for _, exchange := range env.site.Seen("", "POST") {
-		left, _ := strconv.Atoi(exchange.Head.Get("X-Timeout-Ms"))
+	for _, exchange := range env.site.Requests("", "POST") {
+		left, _ := strconv.Atoi(exchange.Header.Get("X-Timeout-Ms"))
 		if exchange.ID == "q2" && time.Duration(left)*time.Millisecond > 3*time.Second-delay+100*time.Millisecond {
-			t.Errorf("%s gets a timeout of %d ms", exchange.Box.UID, left)
+			t.Errorf("%s gets a timeout of %d ms", exchange.Backend.UID, left)
 		}
 	}
 }
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -56,7 +56,7 @@
 			system.Sleep(dialCtx, dialRetryDelay)
 			continue
 		}
-		if deadline, bounded := dialCtx.Deadline(); bounded && attempt.Scheduled.Connect > 0 {
+		if deadline, bounded := dialCtx.Deadline(); bounded && attempt.Scheduled.ConnectTimeout > 0 {
 			// While a backend does not read the request a KV cache keeps waiting, as it would without a connection.
 			conn.SetWriteDeadline(deadline)
 		}
@@ -73,7 +73,7 @@
 
 // connectTimeout returns how long opening a connection for an attempt may take.
 func (c *transport) connectTimeout(attempt *dispatch.Attempt) time.Duration {
-	if timeout := attempt.Scheduled.Connect; timeout > 0 {
+	if timeout := attempt.Scheduled.ConnectTimeout; timeout > 0 {
 		return min(timeout, c.pools.DialTimeout)
 	}
 	return c.pools.DialTimeout
@@ -115,9 +115,9 @@
 // during the stall must be processed before the answer counts.
 func (c *transport) maySend(ctx context.Context, attempt *dispatch.Attempt) brain.Permission {
 	for {
-		start, permission := time.Now(), brain.RequestOver
+		start, permission := time.Now(), brain.RequestFinished
 		if !c.loop.Call(ctx, func() { permission = c.loop.MaySend(attempt) }) {
-			return brain.RequestOver
+			return brain.RequestFinished
 		}
 		if permission != brain.Allowed || !c.pulse.stalledSince(start, time.Now()) {
 			return permission
@@ -149,7 +149,7 @@
 		return nil, nil, errNotSent // its backend has been removed
 	}
 	waitCtx := ctx
-	if attempt.Scheduled.Connect > 0 { // a KV cache is waiting, and a descriptor may not become free in time
+	if attempt.Scheduled.ConnectTimeout > 0 { // a KV cache is waiting, and a descriptor may not become free in time
 		bounded, cancel := context.WithTimeout(ctx, c.connectTimeout(attempt))
 		defer cancel()
 		waitCtx = bounded
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -63,13 +63,13 @@
 
 // newFrontend returns a frontend that submits requests to an event loop.
 func newFrontend(
-	loop *dispatch.Loop, facts brain.Facts, maxBodyBytes int64, observer *monitor.Monitor, stalls *stallDetector,
+	loop *dispatch.Loop, facts brain.Settings, maxBodyBytes int64, observer *monitor.Monitor, stalls *stallDetector,
 	log *slog.Logger,
 ) *frontend {
 	f := &frontend{
 		loop: loop, classIndexes: map[string]int{}, tenantIndexes: map[string]int{},
 		ids: newIDRegistry(longestDeadline(facts) + idRetentionSlack), refusals: map[string]int64{}, moveStreams: make(chan struct{}),
-		retryAfter: facts.Span("policyLimits.maxRetryAfterUs"), maxOpen: int64(facts.Num("policyLimits.maxOpen", 1e4)),
+		retryAfter: facts.Duration("policyLimits.maxRetryAfterUs"), maxOpen: int64(facts.Number("policyLimits.maxOpen", 1e4)),
 		maxBodyBytes: maxBodyBytes, monitor: observer, stalls: stalls, classes: monitorClasses(facts), log: log,
 	}
 	for i, name := range facts.Names("requestClasses") {
@@ -88,25 +88,25 @@
 	if f.stopping.Load() || f.nearConnLimit() || !conn.reusable() {
 		w.Header().Set("Connection", "close")
 	}
-	if r.URL.Path == chat.Ready && (r.Method == http.MethodGet || r.Method == http.MethodHead) {
+	if r.URL.Path == chat.ReadyPath && (r.Method == http.MethodGet || r.Method == http.MethodHead) {
 		if f.stopping.Load() || !f.isReady() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return
 	}
 	arrival := conn.requestArrival(f.stalls.earliestArrival(time.Now()))
-	request, refusal := chat.Read(r)
+	request, refusal := chat.ParseRequest(r)
 	if conn.ambiguous() {
-		refusal = &chat.Refusal{Status: http.StatusBadRequest, Why: "length twice"}
+		refusal = &chat.RequestError{Status: http.StatusBadRequest, Reason: "length twice"}
 	}
-	class, classKnown := f.classIndexes[request.Grade]
-	tenant, tenantKnown := f.tenantIndexes[request.Channel]
+	class, classKnown := f.classIndexes[request.Class]
+	tenant, tenantKnown := f.tenantIndexes[request.Tenant]
 	switch {
 	case refusal != nil:
 	case !classKnown:
-		refusal = &chat.Refusal{Status: http.StatusBadRequest, Why: "class"}
+		refusal = &chat.RequestError{Status: http.StatusBadRequest, Reason: "class"}
 	case !tenantKnown && len(f.tenantIndexes) > 0:
-		refusal = &chat.Refusal{Status: http.StatusBadRequest, Why: "tenant"}
+		refusal = &chat.RequestError{Status: http.StatusBadRequest, Reason: "tenant"}
 	}
 	if refusal != nil {
 		f.refuse(w, r, refusal)
@@ -125,7 +125,7 @@
 }
 
 // errDuplicateID refuses a request whose id another request has.
-var errDuplicateID = &chat.Refusal{Status: http.StatusConflict, Why: "open id"}
+var errDuplicateID = &chat.RequestError{Status: http.StatusConflict, Reason: "open id"}
 
 // isReady reports whether there are backends that can serve. Once there were, it stays true.
 func (f *frontend) isReady() bool {
@@ -136,21 +136,21 @@
 }
 
 // refuse answers an invalid request and ends the connection: what follows on it may not be a request either.
-func (f *frontend) refuse(w http.ResponseWriter, r *http.Request, refusal *chat.Refusal) {
-	f.countRefusal(refusal.Why)
-	f.log.Debug("request refused", "id", r.Header.Get("X-Request-Id"), "status", refusal.Status, "why", refusal.Why,
+func (f *frontend) refuse(w http.ResponseWriter, r *http.Request, refusal *chat.RequestError) {
+	f.countRefusal(refusal.Reason)
+	f.log.Debug("request refused", "id", r.Header.Get("X-Request-Id"), "status", refusal.Status, "why", refusal.Reason,
 		"client", r.RemoteAddr)
 	w.Header().Set("Connection", "close")
 	// The time that net/http spends on reading the rest of an unwanted body is bounded.
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	http.Error(w, refusal.Why, refusal.Status)
+	http.Error(w, refusal.Reason, refusal.Status)
 }
 
 // reject answers a request that there is no capacity for, and invites a retry.
 func (f *frontend) reject(w http.ResponseWriter, r *http.Request, reason rejection) {
 	f.countRefusal("full " + string(reason))
 	w.Header().Set("Retry-After", formatSeconds(f.retryAfter))
-	f.refuse(w, r, &chat.Refusal{Status: http.StatusServiceUnavailable, Why: string(reason)})
+	f.refuse(w, r, &chat.RequestError{Status: http.StatusServiceUnavailable, Reason: string(reason)})
 }
 
 // formatSeconds formats a duration as decimal seconds, as in Retry-After.
@@ -165,7 +165,7 @@
 
 // submit reads a request's body, hands the request to the event loop and writes the response.
 func (f *frontend) submit(
-	w http.ResponseWriter, r *http.Request, request chat.Ask, class, tenant int, arrival time.Time,
+	w http.ResponseWriter, r *http.Request, request chat.Request, class, tenant int, arrival time.Time,
 ) {
 	if !f.ids.claim(request.ID) {
 		f.refuse(w, r, errDuplicateID)
@@ -182,41 +182,41 @@
 		f.reject(w, r, rejectedBodyBytes)
 		return
 	case errors.Is(err, errBodyTooLong):
-		f.refuse(w, r, &chat.Refusal{Status: http.StatusRequestEntityTooLarge, Why: "body"})
+		f.refuse(w, r, &chat.RequestError{Status: http.StatusRequestEntityTooLarge, Reason: "body"})
 		return
 	case err != nil:
-		f.refuse(w, r, &chat.Refusal{Status: http.StatusBadRequest, Why: "half a request"})
+		f.refuse(w, r, &chat.RequestError{Status: http.StatusBadRequest, Reason: "half a request"})
 		return
 	}
 	length := len(body)
-	request.Sized(length)
-	if request.Again {
+	request.SetBodyBytes(length)
+	if request.Retried {
 		f.Resubmitted.Add(1)
 	}
-	if request.Rest {
+	if request.Resumed {
 		f.Continuations.Add(1)
 	}
 	outgoing := &outgoingRequest{id: request.ID, body: body, head: func(timeout time.Duration) []byte {
-		return chat.Errand(r, serviceHost, request, length, timeout)
+		return chat.AttemptHead(r, serviceHost, request, length, timeout)
 	}}
 	clientRequest := &dispatch.ClientRequest{
-		Params: kserve.Ask{
-			ID: request.ID, Session: request.Session, Shared: request.Shared, Tokens: request.Tokens,
-			Prefix: request.Prefix, Most: request.Most, Again: request.Again,
+		Params: kserve.Request{
+			ID: request.ID, Session: request.Session, SharedPrefix: request.PrefixID, PromptTokens: request.PromptTokens,
+			PrefixTokens: request.PrefixTokens, MaxTokens: request.MaxTokens, IsRetry: request.Retried,
 		},
-		Class: request.Grade, Tenant: request.Channel, Payload: outgoing,
+		Class: request.Class, Tenant: request.Tenant, Payload: outgoing,
 	}
 	submitted = true
-	f.monitor.RequestAccepted(request.ID, f.classes[class], request.Left-time.Since(arrival))
+	f.monitor.RequestAccepted(request.ID, f.classes[class], request.Timeout-time.Since(arrival))
 	defer f.monitor.RequestClosed(request.ID, "its handler has returned")
 	defer context.AfterFunc(r.Context(), func() {
 		clientRequest.MarkOver()
 		f.monitor.ClientGone(request.ID)
 	})()
-	ctx, cancel := context.WithDeadline(r.Context(), arrival.Add(request.Left+answerGrace))
+	ctx, cancel := context.WithDeadline(r.Context(), arrival.Add(request.Timeout+answerGrace))
 	defer cancel()
 	if !f.loop.Call(ctx, func() {
-		f.loop.Submit(clientRequest, class, tenant, request.Left-time.Since(arrival))
+		f.loop.Submit(clientRequest, class, tenant, request.Timeout-time.Since(arrival))
 	}) {
 		f.answerWithoutLoop(w, r, clientRequest, ctx)
 		return
@@ -250,9 +250,9 @@
 		f.LateAnswers.Add(1)
 		f.log.Error("no answer from the event loop by the request's deadline", "id", clientRequest.Params.ID,
 			"behind", f.loop.QueueDelay())
-		f.writeFinal(w, clientRequest.Params.ID, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
+		f.writeFinal(w, clientRequest.Params.ID, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no answer came in time"})
 	default:
-		f.writeFinal(w, clientRequest.Params.ID, kserve.Final{Final: kserve.Forfeited, Error: string(rejectedAtShutdown)})
+		f.writeFinal(w, clientRequest.Params.ID, kserve.FinalResponse{Outcome: kserve.Failed, Error: string(rejectedAtShutdown)})
 	}
 }
 
@@ -278,7 +278,7 @@
 		}
 		var n int
 		n, err = r.Body.Read(body[len(body):cap(body)])
-		if body = body[:len(body)+n]; len(body) > chat.BodyMost {
+		if body = body[:len(body)+n]; len(body) > chat.MaxBodyBytes {
 			return nil, errBodyTooLong
 		}
 	}
@@ -300,14 +300,14 @@
 }
 
 // writeFinal writes the final response of a request of which nothing was streamed.
-func (f *frontend) writeFinal(w http.ResponseWriter, id string, final kserve.Final) {
-	if final.Final != kserve.Declined {
+func (f *frontend) writeFinal(w http.ResponseWriter, id string, final kserve.FinalResponse) {
+	if final.Outcome != kserve.Rejected {
 		f.monitor.Answered(id, http.StatusBadGateway, false, nil)
 		http.Error(w, final.Error, http.StatusBadGateway)
 		return
 	}
-	if final.AfterMs > 0 {
-		w.Header().Set("Retry-After", formatSeconds(time.Duration(final.AfterMs)*time.Millisecond))
+	if final.RetryAfterMs > 0 {
+		w.Header().Set("Retry-After", formatSeconds(time.Duration(final.RetryAfterMs)*time.Millisecond))
 	}
 	f.monitor.Answered(id, http.StatusServiceUnavailable, true, nil)
 	http.Error(w, final.Error, http.StatusServiceUnavailable)
--- a/internal/platform/loop_lag_test.go
+++ b/internal/platform/loop_lag_test.go
@@ -22,7 +22,7 @@
 		t.Errorf("the response came after %v", took)
 	}
 	time.Sleep(time.Until(start.Add(blocked + 200*time.Millisecond)))
-	if seen := env.site.Seen("", "POST"); len(seen) != 0 {
+	if seen := env.site.Requests("", "POST"); len(seen) != 0 {
 		t.Errorf("%d attempts were made, want none", len(seen))
 	}
 	if late := env.node.frontend.LateAnswers.Load(); late != 1 {
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -28,10 +28,10 @@
 // testCluster is a dispatcher in this process with one prefill backend and two decode backends.
 type testCluster struct {
 	t        *testing.T
-	site     *hosts.Site
+	site     *hosts.Platform
 	agent    *hosts.Agent // of service discovery
-	prefill  *hosts.Box
-	decoders []*hosts.Box
+	prefill  *hosts.Backend
+	decoders []*hosts.Backend
 	node     *node
 	address  string // of the dispatcher's listener
 	reloads  chan os.Signal
@@ -50,10 +50,10 @@
 	cluster := &testCluster{
 		t: t, site: hosts.New(), reloads: make(chan os.Signal, 1), exited: make(chan error, 1), system: system.Real(),
 	}
-	cluster.prefill = cluster.site.Box("r1", hosts.Reader)
-	cluster.decoders = []*hosts.Box{cluster.site.Box("w1", hosts.Writer), cluster.site.Box("w2", hosts.Writer)}
-	cluster.agent = cluster.site.Agent()
-	config := Config{Name: "n1", Listen: "127.0.0.1:0", Discovery: cluster.agent.At, Seed: "8c1f30d27a5be964"}
+	cluster.prefill = cluster.site.AddBackend("r1", hosts.PrefillKind)
+	cluster.decoders = []*hosts.Backend{cluster.site.AddBackend("w1", hosts.DecodeKind), cluster.site.AddBackend("w2", hosts.DecodeKind)}
+	cluster.agent = cluster.site.AddAgent()
+	config := Config{Name: "n1", Listen: "127.0.0.1:0", Discovery: cluster.agent.Address, Seed: "8c1f30d27a5be964"}
 	if err := json.Unmarshal([]byte(hosts.Settings), &config.Settings); err != nil {
 		t.Fatal(err)
 	}
@@ -90,7 +90,7 @@
 		case <-time.After(15 * time.Second):
 			t.Error("the dispatcher does not end")
 		}
-		for _, violation := range cluster.site.Faults {
+		for _, violation := range cluster.site.Violations {
 			t.Error("violation seen by the backends: " + violation)
 		}
 		if violations := cluster.node.monitor.Counts(); violations != "" {
@@ -115,14 +115,14 @@
 // onDecode sets how both decode backends respond.
 func (c *testCluster) onDecode(do func(e *hosts.Exchange) bool) {
 	for _, decoder := range c.decoders {
-		decoder.Do = do
+		decoder.Handler = do
 	}
 }
 
 // onFirstDecode sets how the decode backends respond to the first attempt; further ones are served normally.
 func (c *testCluster) onFirstDecode(do func(e *hosts.Exchange) bool) {
 	c.onDecode(func(e *hosts.Exchange) bool {
-		if e.Method == "POST" && len(c.site.Seen("w1", "POST"))+len(c.site.Seen("w2", "POST")) == 1 {
+		if e.Method == "POST" && len(c.site.Requests("w1", "POST"))+len(c.site.Requests("w2", "POST")) == 1 {
 			return do(e)
 		}
 		return e.Serve()
@@ -133,13 +133,13 @@
 // the channel.
 func (c *testCluster) holdPrefills() <-chan *hosts.Exchange {
 	received := make(chan *hosts.Exchange, 1)
-	c.prefill.Do = func(e *hosts.Exchange) bool {
+	c.prefill.Handler = func(e *hosts.Exchange) bool {
 		if e.Method != "POST" {
 			return e.Serve()
 		}
-		e.Hold()
+		e.HoldKVCache()
 		received <- e
-		<-e.Left
+		<-e.ClientClosed
 		return false
 	}
 	return received
@@ -150,12 +150,12 @@
 func (c *testCluster) awaitIdle() {
 	c.t.Helper()
 	c.await("nothing of the requests remains", func() bool {
-		remaining := c.site.Out() + c.site.Held() + int(c.node.frontend.openRequests.Load()) + int(c.node.frontend.bodyBytes.Load()) +
+		remaining := c.site.InFlight() + c.site.HeldCount() + int(c.node.frontend.openRequests.Load()) + int(c.node.frontend.bodyBytes.Load()) +
 			int(c.node.transport.pending.Load())
 		c.node.loop.Call(context.Background(), func() {
-			for _, b := range []*hosts.Box{c.prefill, c.decoders[0], c.decoders[1]} {
+			for _, b := range []*hosts.Backend{c.prefill, c.decoders[0], c.decoders[1]} {
 				if known := c.node.loop.SchedulerBackend(b.UID); known != nil &&
-					(known.Streams != 0 || known.Tokens != 0 || known.Unread != 0) {
+					(known.Streams != 0 || known.KVTokens != 0 || known.PrefillBacklog != 0) {
 					remaining++
 				}
 			}
@@ -227,19 +227,19 @@
 func TestRequestAndResponsePassThroughByteForByte(t *testing.T) {
 	cluster := startCluster(t, nil)
 	got := cluster.send(cluster.request("hut-booking"))
-	if got.status != 200 || got.body != hosts.Event("a")+hosts.Event("b")+hosts.Usage+hosts.Done || !got.complete {
+	if got.status != 200 || got.body != hosts.TextEvent("a")+hosts.TextEvent("b")+hosts.UsageEvent+hosts.DoneEvent || !got.complete {
 		t.Errorf("%+v", got)
 	}
-	for _, e := range cluster.site.Seen("", "POST") {
-		if e.Target != "/v1/chat/completions?x=1" || e.Body != `{"model":""}` || e.ID != "q1" ||
-			e.Head.Get("X-Timeout-Ms") == "" {
-			t.Errorf("%s %s %q as %s, %v", e.Box.UID, e.Target, e.Body, e.ID, e.Head)
+	for _, e := range cluster.site.Requests("", "POST") {
+		if e.URI != "/v1/chat/completions?x=1" || e.Body != `{"model":""}` || e.ID != "q1" ||
+			e.Header.Get("X-Timeout-Ms") == "" {
+			t.Errorf("%s %s %q as %s, %v", e.Backend.UID, e.URI, e.Body, e.ID, e.Header)
 		}
 	}
 	cluster.awaitIdle()
 	cluster.node.loop.Call(context.Background(), func() {
-		if prefill := cluster.node.loop.SchedulerBackend("r1"); prefill.Util != 0.5 || prefill.Queue != 2 {
-			t.Errorf("the prefill backend's load report is read as util %g, queue %g", prefill.Util, prefill.Queue)
+		if prefill := cluster.node.loop.SchedulerBackend("r1"); prefill.Util != 0.5 || prefill.QueueLength != 2 {
+			t.Errorf("the prefill backend's load report is read as util %g, queue %g", prefill.Util, prefill.QueueLength)
 		}
 	})
 }
@@ -253,7 +253,7 @@
 		"many chunks":   "1\r\n{\r\n7;a=b\r\n\"model\"\r\n0004\r\n:\"\"}\r\n0\r\n\r\n",
 		"with trailers": "c\r\n{\"model\":\"\"}\r\n0\r\nA: b\r\nC: d\r\n\r\n",
 	} {
-		before := len(cluster.site.Seen("", "POST"))
+		before := len(cluster.site.Requests("", "POST"))
 		client := cluster.dial()
 		for _, b := range []byte(cluster.chunkedRequest("hut-booking", body)) { // one byte per write
 			client.Write([]byte{b})
@@ -264,13 +264,13 @@
 				t.Errorf("%s: %+v", name, got)
 			}
 		}
-		seen := cluster.site.Seen("", "POST")
+		seen := cluster.site.Requests("", "POST")
 		if len(seen) != before+4 {
 			t.Errorf("%s: %d attempts", name, len(seen)-before)
 		}
 		for _, e := range seen[before:] {
-			if e.Body != `{"model":""}` || e.Head.Get("Content-Length") != "12" {
-				t.Errorf("%s: %q, %v", name, e.Body, e.Head)
+			if e.Body != `{"model":""}` || e.Header.Get("Content-Length") != "12" {
+				t.Errorf("%s: %q, %v", name, e.Body, e.Header)
 			}
 		}
 		client.Close()
@@ -282,31 +282,31 @@
 // gets then. If the attempt provably did not run, both may be retried.
 func TestAttemptEndsAreRetriedOnlyIfProvenNotRun(t *testing.T) {
 	malformed := func(raw string) func(e *hosts.Exchange) bool {
-		return func(e *hosts.Exchange) bool { e.Write(raw); <-e.Left; return false }
+		return func(e *hosts.Exchange) bool { e.WriteRaw(raw); <-e.ClientClosed; return false }
 	}
 	responds := func(raw string) func(e *hosts.Exchange) bool {
-		return func(e *hosts.Exchange) bool { return e.Write(raw) }
+		return func(e *hosts.Exchange) bool { return e.WriteRaw(raw) }
 	}
 	for _, test := range []struct {
 		name       string
 		do         func(e *hosts.Exchange) bool
 		wantStatus int // for the client of a non-idempotent request
 	}{
-		{"rejected by the backend", responds(hosts.Refuse(503, true)), 200},
-		{"deadline passed at the backend", responds(hosts.Refuse(504, true)), 200},
-		{"KV cache gone", responds(hosts.Refuse(410, true)), 200},
-		{"503 that proves nothing", responds(hosts.Refuse(503, false)), 502},
-		{"error", responds(hosts.Refuse(500, false)), 502},
+		{"rejected by the backend", responds(hosts.Rejection(503, true)), 200},
+		{"deadline passed at the backend", responds(hosts.Rejection(504, true)), 200},
+		{"KV cache gone", responds(hosts.Rejection(410, true)), 200},
+		{"503 that proves nothing", responds(hosts.Rejection(503, false)), 502},
+		{"error", responds(hosts.Rejection(500, false)), 502},
 		{"reset", func(*hosts.Exchange) bool { return false }, 502},
 		{"garbage", malformed("\x00\x01\x02\x03 noise\r\n\r\n"), 502},
 		{"endless head", malformed("HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 9000)), 502},
 		{"incomplete head", malformed("HTTP/1.1 200 OK\r\nX-"), 502},
-		{"malformed chunk", malformed(hosts.Opening + "zz\r\n"), 502},
-		{"chunk of 3 GB", malformed(hosts.Opening + "c0000000\r\n" + hosts.Event("a")), 502},
-		{"length instead of chunks", malformed("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" + hosts.Event("a")), 502},
-		{"1xx first", func(e *hosts.Exchange) bool { e.Write("HTTP/1.1 103 Early Hints\r\n\r\n"); return e.Serve() }, 200},
+		{"malformed chunk", malformed(hosts.StreamHead + "zz\r\n"), 502},
+		{"chunk of 3 GB", malformed(hosts.StreamHead + "c0000000\r\n" + hosts.TextEvent("a")), 502},
+		{"length instead of chunks", malformed("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" + hosts.TextEvent("a")), 502},
+		{"1xx first", func(e *hosts.Exchange) bool { e.WriteRaw("HTTP/1.1 103 Early Hints\r\n\r\n"); return e.Serve() }, 200},
 		{"second response behind the first", func(e *hosts.Exchange) bool {
-			return e.Serve() && e.Write(hosts.Opening+hosts.Chunk(hosts.Event("z")))
+			return e.Serve() && e.WriteRaw(hosts.StreamHead+hosts.EncodeChunk(hosts.TextEvent("z")))
 		}, 200},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -329,7 +329,7 @@
 // An idempotent request is retried although its first attempt may have run, unlike a non-idempotent one.
 func TestIdempotentRequestSurvivesAMalformedResponse(t *testing.T) {
 	cluster := startCluster(t, nil)
-	cluster.onFirstDecode(func(e *hosts.Exchange) bool { return e.Write("HTTP/1.1 200 OK\r\n\x01\x02\r\n") && false })
+	cluster.onFirstDecode(func(e *hosts.Exchange) bool { return e.WriteRaw("HTTP/1.1 200 OK\r\n\x01\x02\r\n") && false })
 	if got := cluster.send(cluster.request("trail-info")); got.status != 200 || !got.complete {
 		t.Errorf("%+v", got)
 	}
@@ -340,16 +340,16 @@
 // does not take the response for complete.
 func TestBrokenStreamIsNotEndedAsComplete(t *testing.T) {
 	for name, tail := range map[string]string{
-		"between chunks": "", "in a chunk": "20\r\ndata", "in a chunk's size": "zz\r\n", "early last chunk": hosts.Last,
+		"between chunks": "", "in a chunk": "20\r\ndata", "in a chunk's size": "zz\r\n", "early last chunk": hosts.LastChunk,
 	} {
 		t.Run(name, func(t *testing.T) {
 			cluster := startCluster(t, nil)
 			cluster.onDecode(func(e *hosts.Exchange) bool {
-				e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")) + tail)
+				e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")) + tail)
 				return false
 			})
 			if got := cluster.send(cluster.request("trail-info")); got.status != 200 ||
-				got.body != hosts.Event("a") || got.complete {
+				got.body != hosts.TextEvent("a") || got.complete {
 				t.Errorf("%+v", got)
 			}
 			cluster.awaitIdle()
@@ -361,21 +361,21 @@
 func TestKVCacheIsReleasedIfNoConnectionIsEstablished(t *testing.T) {
 	cluster := startCluster(t, func(cluster *testCluster, config *Config) {
 		config.Settings["familyInfo"].(map[string]any)["pinLimitUs"] = 300_000.0
-		cluster.site.Pin = 500 * time.Millisecond
-		cluster.site.Box("r2", hosts.Writer).State = "terminating" // it accepts no requests, but release calls
+		cluster.site.HoldLimit = 500 * time.Millisecond
+		cluster.site.AddBackend("r2", hosts.DecodeKind).State = "terminating" // it accepts no requests, but release calls
 	})
-	cluster.prefill.Do = func(e *hosts.Exchange) bool {
+	cluster.prefill.Handler = func(e *hosts.Exchange) bool {
 		if e.Method == "POST" {
 			for _, b := range append(cluster.decoders, cluster.prefill) {
-				b.Vanish()
+				b.Blackhole()
 			}
 		}
 		return e.Serve()
 	}
 	client := cluster.dial()
 	io.WriteString(client, cluster.request("trail-info"))
-	cluster.await("the KV cache is held", func() bool { return cluster.site.Held() == 1 })
-	cluster.await("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
+	cluster.await("the KV cache is held", func() bool { return cluster.site.HeldCount() == 1 })
+	cluster.await("the KV cache is released", func() bool { return cluster.site.HeldCount() == 0 })
 	client.Close()
 	cluster.awaitIdle()
 }
@@ -384,8 +384,8 @@
 func TestStalledStreamIsGivenUp(t *testing.T) {
 	cluster := startCluster(t, nil)
 	cluster.onDecode(func(e *hosts.Exchange) bool {
-		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
-		<-e.Left
+		e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
+		<-e.ClientClosed
 		return false
 	})
 	began := time.Now()
@@ -459,11 +459,11 @@
 func TestIDOfAnOpenRequestIsRefused(t *testing.T) {
 	cluster := startCluster(t, nil)
 	hold := make(chan struct{})
-	cluster.prefill.Do = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
+	cluster.prefill.Handler = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
 	raw := cluster.request("hut-booking")
 	client := cluster.dial()
 	io.WriteString(client, raw)
-	cluster.await("the prefill is sent", func() bool { return len(cluster.site.Seen("r1", "POST")) == 1 })
+	cluster.await("the prefill is sent", func() bool { return len(cluster.site.Requests("r1", "POST")) == 1 })
 	if got := cluster.send(raw); got.status != 409 || !got.closes {
 		t.Errorf("%+v", got)
 	}
@@ -486,16 +486,16 @@
 				}
 				switch phase {
 				case "prefill":
-					exchange.Hold() // the prefill succeeds just as the attempt is cancelled
+					exchange.HoldKVCache() // the prefill succeeds just as the attempt is cancelled
 				case "streaming":
-					exchange.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
+					exchange.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
 				}
 				received <- exchange
-				<-exchange.Left
+				<-exchange.ClientClosed
 				return false
 			}
 			if phase == "prefill" {
-				cluster.prefill.Do = stay
+				cluster.prefill.Handler = stay
 			} else {
 				cluster.onDecode(stay)
 			}
@@ -519,15 +519,15 @@
 	time.Sleep(20 * time.Millisecond)
 	client.Close()
 	select {
-	case <-prefill.Left:
+	case <-prefill.ClientClosed:
 	case <-time.After(100 * time.Millisecond):
 		t.Error("the attempt goes on")
 	}
 	cluster.awaitIdle()
-	if n := len(cluster.site.Seen("", "POST")); n != 1 {
+	if n := len(cluster.site.Requests("", "POST")); n != 1 {
 		t.Errorf("%d attempts", n)
 	}
-	cluster.prefill.Do = nil
+	cluster.prefill.Handler = nil
 	client = cluster.dial()
 	io.WriteString(client, cluster.request("trail-info"))
 	io.WriteString(client, cluster.request("hut-booking")+cluster.request("trail-info"))
@@ -542,21 +542,21 @@
 // A KV cache is released also if the backend that may hold it can't be reached: any backend accepts the call.
 func TestKVCacheIsReleasedThroughAnotherBackend(t *testing.T) {
 	cluster := startCluster(t, nil)
-	cluster.prefill.Do = func(e *hosts.Exchange) bool {
+	cluster.prefill.Handler = func(e *hosts.Exchange) bool {
 		if e.Method != "POST" {
 			return e.Serve()
 		}
-		e.Hold()
-		cluster.prefill.Do = nil
-		<-e.Left
+		e.HoldKVCache()
+		cluster.prefill.Handler = nil
+		<-e.ClientClosed
 		return false
 	}
 	client := cluster.dial()
 	io.WriteString(client, cluster.request("trail-info"))
-	cluster.await("the KV cache is held", func() bool { return cluster.site.Held() == 1 })
+	cluster.await("the KV cache is held", func() bool { return cluster.site.HeldCount() == 1 })
 	cluster.prefill.CloseListener()
 	client.Close()
-	cluster.await("a backend received the release", func() bool { return len(cluster.site.Seen("", "DELETE")) > 0 })
+	cluster.await("a backend received the release", func() bool { return len(cluster.site.Requests("", "DELETE")) > 0 })
 	cluster.awaitIdle()
 }
 
@@ -569,7 +569,7 @@
 		}
 		cluster.awaitIdle()
 		for _, b := range append(cluster.decoders, cluster.prefill) {
-			b.Rest()
+			b.CloseIdle()
 		}
 	}
 }
@@ -584,7 +584,7 @@
 		t.Errorf("%+v", got)
 	}
 	cluster.node.loop.Call(context.Background(), func() {
-		if b := cluster.node.loop.Estimates(); b.Cold != 0 || cluster.node.loop.Counters.Outcomes[brain.Unreachable] != 0 {
+		if b := cluster.node.loop.Estimates(); b.InSlowStart != 0 || cluster.node.loop.Counters.Outcomes[brain.Unreachable] != 0 {
 			t.Errorf("%+v, outcomes %v", b, cluster.node.loop.Counters.Outcomes)
 		}
 	})
@@ -595,12 +595,12 @@
 // elsewhere.
 func TestRequestThatABackendFindsInvalidIsNotRetried(t *testing.T) {
 	cluster := startCluster(t, nil)
-	cluster.prefill.Do = func(e *hosts.Exchange) bool { return e.Write(hosts.Refuse(400, false)) }
-	if got := cluster.send(cluster.request("trail-info")); got.status != 502 || len(cluster.site.Seen("", "POST")) != 1 {
-		t.Errorf("%+v after %d attempts", got, len(cluster.site.Seen("", "POST")))
+	cluster.prefill.Handler = func(e *hosts.Exchange) bool { return e.WriteRaw(hosts.Rejection(400, false)) }
+	if got := cluster.send(cluster.request("trail-info")); got.status != 502 || len(cluster.site.Requests("", "POST")) != 1 {
+		t.Errorf("%+v after %d attempts", got, len(cluster.site.Requests("", "POST")))
 	}
 	cluster.node.loop.Call(context.Background(), func() {
-		if prefill := cluster.node.loop.SchedulerBackend("r1").Records[0]; prefill.Missed != 0 {
+		if prefill := cluster.node.loop.SchedulerBackend("r1").Outcomes[0]; prefill.ConsecutiveFailures != 0 {
 			t.Error("the response counts against the backend")
 		}
 	})
@@ -648,9 +648,9 @@
 	for _, stopping := range []bool{false, true} {
 		t.Run(fmt.Sprintf("stopping %t", stopping), func(t *testing.T) {
 			cluster := startCluster(t, nil)
-			other := cluster.site.Agent()
+			other := cluster.site.AddAgent()
 			config := cluster.node.config
-			config.Discovery = other.At
+			config.Discovery = other.Address
 			raw, err := json.Marshal(config)
 			if err != nil {
 				t.Fatal(err)
@@ -672,7 +672,7 @@
 			cluster.reloads <- syscall.SIGHUP
 			time.Sleep(100 * time.Millisecond)
 			write(raw)
-			cluster.await("discovery is watched at its new address", func() bool { return other.Watched() == 1 })
+			cluster.await("discovery is watched at its new address", func() bool { return other.WatchCount() == 1 })
 		})
 	}
 }
@@ -681,7 +681,7 @@
 // no request notices.
 func TestConfigurationIsReloaded(t *testing.T) {
 	cluster := startCluster(t, nil)
-	other := cluster.site.Agent()
+	other := cluster.site.AddAgent()
 	cluster.load = func() (Config, error) { return Load(t.TempDir()+"/absent.json", os.Getenv) }
 	cluster.reloads <- syscall.SIGHUP
 	incomplete := t.TempDir() + "/torn.json"
@@ -691,12 +691,12 @@
 	cluster.await("the reload of the absent file began", func() bool { return len(cluster.reloads) == 0 })
 	cluster.load = func() (Config, error) { return Load(incomplete, os.Getenv) }
 	cluster.reloads <- syscall.SIGHUP
-	if got := cluster.send(cluster.request("hut-booking")); got.status != 200 || other.Watched() != 0 {
-		t.Errorf("%+v, %d watches at the new address", got, other.Watched())
+	if got := cluster.send(cluster.request("hut-booking")); got.status != 200 || other.WatchCount() != 0 {
+		t.Errorf("%+v, %d watches at the new address", got, other.WatchCount())
 	}
 	cluster.await("the reload of the incomplete file began", func() bool { return len(cluster.reloads) == 0 })
 	config := cluster.node.config
-	config.Discovery = other.At
+	config.Discovery = other.Address
 	raw, err := json.Marshal(config)
 	if err != nil {
 		t.Fatal(err)
@@ -708,12 +708,12 @@
 	cluster.load = func() (Config, error) { return Load(complete, os.Getenv) }
 	cluster.reloads <- syscall.SIGHUP
 	cluster.await("discovery is watched only at its new address", func() bool {
-		return other.Watched() == 1 && cluster.agent.Watched() == 0
+		return other.WatchCount() == 1 && cluster.agent.WatchCount() == 0
 	})
-	cluster.site.Change(func() { cluster.prefill.State = "terminating" })
+	cluster.site.UpdateDiscovery(func() { cluster.prefill.State = "terminating" })
 	cluster.await("the drain is known", func() bool {
 		state := brain.Ready
-		cluster.node.loop.Call(context.Background(), func() { state = cluster.node.loop.SchedulerBackend("r1").Standing })
+		cluster.node.loop.Call(context.Background(), func() { state = cluster.node.loop.SchedulerBackend("r1").State })
 		return state == brain.Draining
 	})
 }
@@ -727,13 +727,13 @@
 			return exchange.Serve()
 		}
 		if exchange.ID == "q2" {
-			<-exchange.Left // its response never starts
+			<-exchange.ClientClosed // its response never starts
 			return false
 		}
-		exchange.Write(hosts.Opening)
-		for exchange.Write(hosts.Chunk(hosts.Event("a"))) {
+		exchange.WriteRaw(hosts.StreamHead)
+		for exchange.WriteRaw(hosts.EncodeChunk(hosts.TextEvent("a"))) {
 			select {
-			case <-exchange.Left:
+			case <-exchange.ClientClosed:
 				return false
 			case <-time.After(20 * time.Millisecond):
 			}
@@ -744,7 +744,7 @@
 	io.WriteString(streaming, cluster.request("trail-info"))
 	io.WriteString(unstarted, cluster.request("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
 	cluster.await("both attempts are in flight", func() bool {
-		return len(cluster.site.Seen("w1", "POST"))+len(cluster.site.Seen("w2", "POST")) == 2
+		return len(cluster.site.Requests("w1", "POST"))+len(cluster.site.Requests("w2", "POST")) == 2
 	})
 	cluster.quit()
 	cluster.await("the shutdown has begun", func() bool { return cluster.node.frontend.stopping.Load() })
@@ -765,14 +765,14 @@
 func TestStreamIsNotCutBeforeItsFirstEvent(t *testing.T) {
 	cluster := startCluster(t, nil)
 	cluster.onDecode(func(e *hosts.Exchange) bool {
-		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
-		<-e.Left
+		e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
+		<-e.ClientClosed
 		return false
 	})
 	close(cluster.node.frontend.moveStreams)
 	for range 20 {
 		if got := cluster.send(cluster.request("trail-info")); got.status != 200 ||
-			got.body != hosts.Event("a") || got.complete {
+			got.body != hosts.TextEvent("a") || got.complete {
 			t.Fatalf("%+v", got)
 		}
 	}
@@ -784,14 +784,14 @@
 func TestChurnLeavesNothingBehind(t *testing.T) {
 	cluster := startCluster(t, nil)
 	for i := range 40 {
-		var added *hosts.Box
-		cluster.site.Change(func() {})
-		added = cluster.site.Box(fmt.Sprintf("n%d", i), hosts.Writer)
-		cluster.site.Change(func() {})
+		var added *hosts.Backend
+		cluster.site.UpdateDiscovery(func() {})
+		added = cluster.site.AddBackend(fmt.Sprintf("n%d", i), hosts.DecodeKind)
+		cluster.site.UpdateDiscovery(func() {})
 		if got := cluster.send(cluster.request("trail-info")); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
-		cluster.site.Change(func() { added.State = "terminated" })
+		cluster.site.UpdateDiscovery(func() { added.State = "terminated" })
 		cluster.await("the transport has forgotten it", func() bool {
 			known := 0
 			cluster.node.loop.Call(context.Background(), func() { known = len(cluster.node.transport.poolOf) })
--- a/internal/platform/observe.go
+++ b/internal/platform/observe.go
@@ -56,30 +56,30 @@
 }
 
 // monitorTerms returns the bounds of the monitored rules under the given settings.
-func monitorTerms(settings brain.Facts) monitor.Bounds {
+func monitorTerms(settings brain.Settings) monitor.Bounds {
 	terms := monitor.Bounds{
-		ClientGoneGrace: clientGoneSlack, TimeoutSlack: statedTimeoutSlack, DrainGrace: settings.Span("rules.drainGraceUs"),
+		ClientGoneGrace: clientGoneSlack, TimeoutSlack: statedTimeoutSlack, DrainGrace: settings.Duration("rules.drainGraceUs"),
 	}
 	if terms.DrainGrace == 0 {
 		terms.DrainGrace = defaultDrainGrace
 	}
-	if limit := settings.Span("familyInfo.pinLimitUs"); limit > 0 {
+	if limit := settings.Duration("familyInfo.pinLimitUs"); limit > 0 {
 		terms.MaxCacheWait = limit + kvHoldSlack
 	}
 	return terms
 }
 
 // monitorClasses returns the monitor's classes of requests by class number: whether and how a request may run again.
-func monitorClasses(settings brain.Facts) (monitored []monitor.Class) {
-	classes, err := settings.Grades()
+func monitorClasses(settings brain.Settings) (monitored []monitor.Class) {
+	classes, err := settings.Classes()
 	if err != nil {
 		return nil // the event loop needs the classes too, and reports the error
 	}
 	for _, class := range classes {
 		monitored = append(monitored, map[brain.Effect]monitor.Class{
-			brain.Idempotent:   monitor.Idempotent,
-			brain.Deduplicated: monitor.Deduplicated,
-			brain.Unrepeatable: monitor.NonIdempotent,
+			brain.Idempotent:    monitor.Idempotent,
+			brain.Deduplicated:  monitor.Deduplicated,
+			brain.NonIdempotent: monitor.NonIdempotent,
 		}[class.Effect])
 	}
 	return monitored
@@ -87,12 +87,12 @@
 
 // hasEffect reports whether an attempt may have an effect that must not happen twice. A prefill has none, however it
 // ends.
-func hasEffect(attempt *dispatch.Attempt) bool { return attempt.Scheduled.Stage != brain.ToRead }
+func hasEffect(attempt *dispatch.Attempt) bool { return attempt.Scheduled.Stage != brain.StagePrefill }
 
 // provenEnd returns what the outcome of an attempt proves about whether it ran.
 func provenEnd(outcome brain.Outcome) monitor.AttemptEnd {
 	switch {
-	case outcome == brain.Read:
+	case outcome == brain.Prefilled:
 		return monitor.CacheHeld
 	case outcome.NeverRan():
 		return monitor.NeverRan
@@ -107,12 +107,12 @@
 	known   map[string]bool // backends by name
 }
 
-func (o *discoveryObserver) listed(endpoints []boxlist.Box, full bool) {
+func (o *discoveryObserver) listed(endpoints []boxlist.Endpoint, full bool) {
 	named := map[string]bool{}
 	for _, endpoint := range endpoints {
 		named[endpoint.Name] = true
 		o.known[endpoint.Name] = true
-		o.monitor.BackendChanged(endpoint.Name, endpoint.Standing == boxlist.Ready)
+		o.monitor.BackendChanged(endpoint.Name, endpoint.State == boxlist.Ready)
 	}
 	if !full {
 		return
--- a/internal/platform/releases.go
+++ b/internal/platform/releases.go
@@ -40,7 +40,7 @@
 	if outgoing == nil {
 		return
 	}
-	call, targets := chat.LetGo(serviceHost, outgoing.id), c.releaseOrder(c.poolOf[backend])
+	call, targets := chat.ReleaseRequest(serviceHost, outgoing.id), c.releaseOrder(c.poolOf[backend])
 	if request.AttemptInFlight() {
 		c.Due.Add(1)
 		c.notable.Info("releasing a KV cache that is due while its attempt is in flight",
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -32,7 +32,7 @@
 		config, err := load()
 		if err == nil {
 			n.log.Info("configuration reloaded", "discovery", config.Discovery, "tries", attempts)
-			n.follower.Move(config.Discovery)
+			n.follower.SetAddress(config.Discovery)
 			return
 		}
 		if attempts == 1 {
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -34,7 +34,7 @@
 // node is one dispatcher with its listeners, its connections to backends and its background goroutines.
 type node struct {
 	config         Config
-	settings       brain.Facts
+	settings       brain.Settings
 	log            *slog.Logger
 	lifetime       context.Context // of attempts, which continue during a graceful shutdown
 	cancel         context.CancelFunc
@@ -68,7 +68,7 @@
 
 // newNode opens the listeners and sets up a dispatcher with the last-known endpoints of its configuration.
 func newNode(ctx context.Context, config Config, sys system.System, log *slog.Logger) (*node, error) {
-	shares, settings := config.resources(), brain.Flat(config.Settings)
+	shares, settings := config.resources(), brain.FlattenSettings(config.Settings)
 	began := time.Now()
 	since := func() time.Duration { return time.Since(began) }
 	dispatcher := &node{config: config, settings: settings, log: log, acceptingDone: make(chan struct{})}
@@ -76,7 +76,7 @@
 	dispatcher.pulse = newStallDetector(time.Now())
 	dispatcher.monitor = monitor.New(monitorTerms(settings), since, log)
 	pools := &reach.Manager{
-		DialTimeout: max(settings.Span("policyLimits.dialTimeoutUs"), 10*time.Millisecond), MaxConnsPerBackend: shares.attempts, Now: since,
+		DialTimeout: max(settings.Duration("policyLimits.dialTimeoutUs"), 10*time.Millisecond), MaxConnsPerBackend: shares.attempts, Now: since,
 		Context: dispatcher.lifetime, Group: &dispatcher.transportTasks, Dial: sys.Dial, SkipVerify: true,
 	}
 	dispatcher.transport = &transport{
@@ -96,7 +96,7 @@
 	}
 	if dispatcher.peers = (&dispatch.Peers{}); config.PeerListen != "" {
 		if dispatcher.peers, err = dispatch.ListenPeers(
-			int(settings.Num("slotNo", 0)), config.PeerListen, config.Peers, sys.ListenUDP,
+			int(settings.Number("slotNo", 0)), config.PeerListen, config.Peers, sys.ListenUDP,
 		); err != nil {
 			listener.Close()
 			return nil, fmt.Errorf("listening for peer updates on %s: %w", config.PeerListen, err)
@@ -116,23 +116,23 @@
 	dispatcher.transport.loop = dispatcher.loop
 	observer := &discoveryObserver{dispatcher.monitor, map[string]bool{}}
 	dispatcher.follower = &endpoints.Follower{
-		Log: log, Since: since, Wall: sys.Wall, Dial: sys.Dial,
-		Listed: func(listed []boxlist.Box, full bool) {
+		Log: log, Monotonic: since, WallClock: sys.Wall, Dial: sys.Dial,
+		OnUpdate: func(listed []boxlist.Endpoint, full bool) {
 			observer.listed(listed, full)
 			dispatcher.loop.Post(func() { dispatcher.loop.UpdateBackends(listed, full) })
 		},
 	}
 	if len(config.LastKnown) > 0 {
-		if err := dispatcher.follower.Take(config.LastKnown); err != nil {
+		if err := dispatcher.follower.Apply(config.LastKnown); err != nil {
 			log.Warn("cannot read the last-known endpoints of the configuration, ignoring them", "error", err)
 		}
 	}
-	dispatcher.follower.Move(config.Discovery)
+	dispatcher.follower.SetAddress(config.Discovery)
 	dispatcher.limiter = newLimiter(listener, int(float64(shares.clients)/(1+closingShare)), log)
 	dispatcher.frontend = newFrontend(dispatcher.loop, settings, shares.bodies, dispatcher.monitor, dispatcher.pulse, log)
 	dispatcher.frontend.nearConnLimit = dispatcher.limiter.NearLimit
 	dispatcher.frontend.hasBackends = func() bool {
-		if !dispatcher.follower.Heard() && since() < discoveryWait {
+		if !dispatcher.follower.Synced() && since() < discoveryWait {
 			return false
 		}
 		ready := false
@@ -145,24 +145,24 @@
 // zoneNumber returns the number of a zone: its index in the settings or, for a zone that they do not name, a number
 // that none of the named zones has. Backends deduplicate requests per zone, so an unnamed zone must not be taken for
 // a named one.
-func zoneNumber(settings brain.Facts, name string) int {
+func zoneNumber(settings brain.Settings, name string) int {
 	if i := settings.Index("dcs", name); i >= 0 || name == "" {
 		return max(i, 0)
 	}
-	return int(settings.Num("dcs", 0)) + 1 + int(dispatch.BackendID(name))
+	return int(settings.Number("dcs", 0)) + 1 + int(dispatch.BackendID(name))
 }
 
 func (n *node) run(ctx context.Context, reloads <-chan os.Signal, load func() (Config, error)) (err error) {
 	n.transportTasks.Go(n.transport.pools.Run)
 	n.tasks.Go(func() error { return n.loop.Run(n.lifetime) })
-	n.tasks.Go(func() error { return n.follower.Follow(n.lifetime) })
+	n.tasks.Go(func() error { return n.follower.Run(n.lifetime) })
 	n.tasks.Go(func() error { n.pulse.run(n.lifetime); return nil })
 	n.tasks.Go(func() error { n.watchReloads(n.lifetime, reloads, load); return nil })
 	if n.peers.Conn != nil {
 		n.tasks.Go(func() error { return n.peers.Listen(n.lifetime, n.loop) })
 	}
 	server := &http.Server{
-		Handler: n.frontend, ReadHeaderTimeout: headTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: chat.HeadMost,
+		Handler: n.frontend, ReadHeaderTimeout: headTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: chat.MaxHeadBytes,
 		ConnState: n.limiter.connStateChanged, ConnContext: withConn, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
 	failed := make(chan error, 1)
@@ -211,7 +211,7 @@
 			"accept_failed", limiter.AcceptErrors.Load(), "shut", limiter.ClosedUnread.Load(), "refused", frontend.refusalCounts(),
 			"released", transport.Delivered.Load(), "unheard", transport.Undelivered.Load(), "stale", transport.Stale.Load(),
 			"local", transport.LocalFailures.Load(), "unarrived", transport.Unacknowledged.Load(),
-			"spoilt", transport.Malformed.Load(), "strange", transport.BadRequest.Load(), "watch_lost", n.follower.Lost(),
+			"spoilt", transport.Malformed.Load(), "strange", transport.BadRequest.Load(), "watch_lost", n.follower.WatchFailures(),
 			"strangers", n.peers.Dropped.Load(), "broken", n.monitor.Counts(), "due", transport.Due.Load(),
 			"too_late", frontend.LateAnswers.Load(),
 			"turn_ms", turn.Milliseconds(), "queued_ms", wait.Milliseconds(), "timer_ms", timer.Milliseconds(),
@@ -230,9 +230,9 @@
 		if backend := n.loop.SchedulerBackend(name); backend == nil && traffic.prefills+traffic.decodes == 0 {
 			delete(n.transport.traffic, name)
 		} else if backend != nil {
-			n.log.Debug("backend", "name", name, "role", backend.Role, "standing", backend.Standing, "streams", backend.Streams,
-				"writes", traffic.decodes, "unread", backend.Unread, "reads", traffic.prefills, "tokens", backend.Tokens,
-				"room", backend.Room, "util", backend.Util, "queue", backend.Queue, "said", traffic.load, "sent", traffic.sent)
+			n.log.Debug("backend", "name", name, "role", backend.Role, "standing", backend.State, "streams", backend.Streams,
+				"writes", traffic.decodes, "unread", backend.PrefillBacklog, "reads", traffic.prefills, "tokens", backend.KVTokens,
+				"room", backend.TokenLimit, "util", backend.Util, "queue", backend.QueueLength, "said", traffic.load, "sent", traffic.sent)
 		}
 	}
 }
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -40,7 +40,7 @@
 
 // shutdownTimesFor derives the times of a graceful shutdown from the settings: SIGKILL comes no sooner than the
 // longest deadline, counted as 3 s where it is longer, plus 0.7 s.
-func shutdownTimesFor(settings brain.Facts) shutdownTimes {
+func shutdownTimesFor(settings brain.Settings) shutdownTimes {
 	longest := longestDeadline(settings)
 	if longest == 0 {
 		longest = maxDeadlineBeforeKill
@@ -55,10 +55,10 @@
 }
 
 // longestDeadline returns the longest deadline of all classes, or 0 if a class states none.
-func longestDeadline(settings brain.Facts) time.Duration {
+func longestDeadline(settings brain.Settings) time.Duration {
 	longest := time.Duration(0)
 	for i := range settings.Names("requestClasses") {
-		deadline := settings.Span(fmt.Sprintf("requestClasses.%d.giveUpUs", i))
+		deadline := settings.Duration(fmt.Sprintf("requestClasses.%d.giveUpUs", i))
 		if deadline <= 0 {
 			return 0
 		}
@@ -75,7 +75,7 @@
 		"accept", times.closeListener, "move", times.cutStreams, "answer", times.answer)
 	n.frontend.stopping.Store(true)
 	n.limiter.drain()
-	if n.settings.Yes("familyInfo.resume") {
+	if n.settings.Bool("familyInfo.resume") {
 		defer time.AfterFunc(times.cutStreams, func() { close(n.frontend.moveStreams) }).Stop()
 	}
 	defer time.AfterFunc(times.answer, n.answerAll).Stop()
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -30,7 +30,7 @@
 		for _, deadline := range test.deadlinesUs {
 			classes = append(classes, map[string]any{"name": "a", "giveUpUs": deadline})
 		}
-		got := shutdownTimesFor(brain.Flat(map[string]any{"requestClasses": classes}))
+		got := shutdownTimesFor(brain.FlattenSettings(map[string]any{"requestClasses": classes}))
 		if got != test.want {
 			t.Errorf("%s: %+v, want %+v", name, got, test.want)
 		}
@@ -53,13 +53,13 @@
 	cluster := startCluster(t, func(_ *testCluster, config *Config) { setDeadlines(config, 1e6) })
 	cluster.onDecode(func(exchange *hosts.Exchange) bool {
 		if exchange.Method != "POST" || exchange.ID == "q1" {
-			<-exchange.Left // its response never starts
+			<-exchange.ClientClosed // its response never starts
 			return false
 		}
-		exchange.Write(hosts.Opening)
-		for exchange.Write(hosts.Chunk(hosts.Event("a"))) {
+		exchange.WriteRaw(hosts.StreamHead)
+		for exchange.WriteRaw(hosts.EncodeChunk(hosts.TextEvent("a"))) {
 			select {
-			case <-exchange.Left:
+			case <-exchange.ClientClosed:
 				return false
 			case <-time.After(20 * time.Millisecond):
 			}
@@ -70,7 +70,7 @@
 	io.WriteString(unstarted, cluster.request("trail-info", "X-Timeout-Ms: 3000", "X-Timeout-Ms: 60000"))
 	io.WriteString(streaming, cluster.request("trail-info"))
 	cluster.await("both attempts are in flight", func() bool {
-		return len(cluster.site.Seen("w1", "POST"))+len(cluster.site.Seen("w2", "POST")) == 2
+		return len(cluster.site.Requests("w1", "POST"))+len(cluster.site.Requests("w2", "POST")) == 2
 	})
 	const kill = 1700 * time.Millisecond
 	began := time.Now()
@@ -125,7 +125,7 @@
 	if got := client.readResponse(); got.status != 200 || got.closes {
 		t.Fatalf("%+v", got)
 	}
-	before := len(cluster.site.Seen("r1", "POST"))
+	before := len(cluster.site.Requests("r1", "POST"))
 	cluster.await("its connection is idle", func() bool {
 		idle := 0
 		cluster.node.limiter.mu.Lock()
@@ -144,7 +144,7 @@
 	}
 	cluster.quit()
 	cluster.await("no connection is open", func() bool { return cluster.node.limiter.count() == 0 })
-	if n := len(cluster.site.Seen("r1", "POST")); n != before {
+	if n := len(cluster.site.Requests("r1", "POST")); n != before {
 		t.Error("the request was admitted")
 	}
 }
@@ -154,10 +154,10 @@
 	cluster := startCluster(t, nil)
 	received, finish := make(chan bool), make(chan bool)
 	cluster.onDecode(func(e *hosts.Exchange) bool {
-		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")))
+		e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
 		received <- true
 		<-finish
-		return e.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
+		return e.WriteRaw(hosts.EncodeChunk(hosts.UsageEvent+hosts.DoneEvent) + hosts.LastChunk)
 	})
 	client := cluster.dial()
 	io.WriteString(client, cluster.request("trail-info"))
@@ -178,12 +178,12 @@
 func TestStreamIsNotCutAfterItsLastToken(t *testing.T) {
 	cluster := startCluster(t, nil)
 	sent, finish := make(chan bool), make(chan bool)
-	final := strings.Replace(hosts.Event("z"), "null", `"stop"`, 1)
+	final := strings.Replace(hosts.TextEvent("z"), "null", `"stop"`, 1)
 	cluster.onDecode(func(e *hosts.Exchange) bool {
-		e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a")) + hosts.Chunk(final))
+		e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")) + hosts.EncodeChunk(final))
 		sent <- true
 		<-finish
-		return e.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
+		return e.WriteRaw(hosts.EncodeChunk(hosts.UsageEvent+hosts.DoneEvent) + hosts.LastChunk)
 	})
 	client := cluster.dial()
 	io.WriteString(client, cluster.request("trail-info"))
@@ -224,7 +224,7 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("the dispatcher does not end")
 	}
-	if n := cluster.site.Held(); n != 0 {
+	if n := cluster.site.HeldCount(); n != 0 {
 		t.Errorf("%d KV caches are held after the end", n)
 	}
 }
@@ -241,20 +241,20 @@
 		if exchange.Method != "POST" {
 			return exchange.Serve()
 		}
-		exchange.Write(hosts.Opening)
+		exchange.WriteRaw(hosts.StreamHead)
 		for {
 			select {
 			case <-finish:
-				return exchange.Write(hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last)
+				return exchange.WriteRaw(hosts.EncodeChunk(hosts.UsageEvent+hosts.DoneEvent) + hosts.LastChunk)
 			case <-time.After(20 * time.Millisecond):
-				exchange.Write(hosts.Chunk(hosts.Event("a")))
+				exchange.WriteRaw(hosts.EncodeChunk(hosts.TextEvent("a")))
 			}
 		}
 	})
 	streaming := cluster.dial()
 	io.WriteString(streaming, cluster.request("trail-info"))
 	cluster.await("the stream has begun", func() bool {
-		return len(cluster.site.Seen("w1", "POST"))+len(cluster.site.Seen("w2", "POST")) == 1
+		return len(cluster.site.Requests("w1", "POST"))+len(cluster.site.Requests("w2", "POST")) == 1
 	})
 	received := cluster.holdPrefills()
 	client := cluster.dial()
@@ -266,7 +266,7 @@
 	})
 	began := time.Now()
 	cluster.quit()
-	cluster.await("the KV cache is released", func() bool { return cluster.site.Held() == 0 })
+	cluster.await("the KV cache is released", func() bool { return cluster.site.HeldCount() == 0 })
 	if took := time.Since(began); took > 1700*time.Millisecond {
 		t.Errorf("released %v after SIGTERM, SIGKILL may come after 1.7 s", took)
 	}
@@ -281,8 +281,8 @@
 func TestLastKnownEndpointsWaitForDiscovery(t *testing.T) {
 	t.Run("discovery answers", func(t *testing.T) {
 		cluster := startCluster(t, func(cluster *testCluster, config *Config) {
-			config.LastKnown = cluster.site.List()
-			cluster.site.Change(func() { cluster.decoders[0].State = "terminating" })
+			config.LastKnown = cluster.site.DiscoveryList()
+			cluster.site.UpdateDiscovery(func() { cluster.decoders[0].State = "terminating" })
 		})
 		if cluster.backendState("w1") != brain.Draining {
 			t.Error("the dispatcher is ready before it has the endpoints of discovery")
@@ -291,8 +291,8 @@
 	t.Run("discovery is down", func(t *testing.T) {
 		began := time.Now()
 		cluster := startCluster(t, func(cluster *testCluster, config *Config) {
-			config.LastKnown = cluster.site.List()
-			cluster.agent.SetMute(true)
+			config.LastKnown = cluster.site.DiscoveryList()
+			cluster.agent.SetSilent(true)
 		})
 		if took := time.Since(began); took < discoveryWait || took > 2*discoveryWait {
 			t.Errorf("the dispatcher is ready after %v", took)
--- a/internal/platform/stream.go
+++ b/internal/platform/stream.go
@@ -88,7 +88,7 @@
 func (s *streamRelay) finish() {
 	select {
 	case final := <-s.request.Final():
-		if final.Final != kserve.Satisfied {
+		if final.Outcome != kserve.Served {
 			panic(http.ErrAbortHandler)
 		}
 	case <-s.ctx.Done():
@@ -99,7 +99,7 @@
 // midway reports whether a further token must follow what was written last. Before the first event the client has had
 // no response, and after the last token it has nothing to come back for. Right behind an event that is followed by
 // another, the backend cannot have finished.
-func (s *streamRelay) midway() bool { return chat.Midway(s.lastWritten) }
+func (s *streamRelay) midway() bool { return chat.EndsMidAnswer(s.lastWritten) }
 
 // moveStream cuts the stream, for its client to continue it at another dispatcher.
 func (s *streamRelay) moveStream() {
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -96,7 +96,7 @@
 		traffic = &backendTraffic{}
 		c.traffic[attempt.Backend.Name] = traffic
 	}
-	if attempt.Scheduled.Stage == brain.ToRead {
+	if attempt.Scheduled.Stage == brain.StagePrefill {
 		traffic.prefills += delta
 	} else {
 		traffic.decodes += delta
@@ -128,13 +128,13 @@
 func (c *transport) reportEnd(attempt *dispatch.Attempt, id string, result brain.Result) {
 	ended := c.clock()
 	switch result.Outcome {
-	case brain.TimedOut, brain.Broken, brain.Unreachable:
+	case brain.TimedOut, brain.ConnectionLost, brain.Unreachable:
 		c.notable.Info("attempt failed", "id", id, "backend", attempt.Backend.Name, "stage", attempt.Stage(),
 			"number", attempt.Scheduled.Number, "outcome", dispatch.OutcomeName(result.Outcome),
 			"arrived", attempt.ResponseStarted.Load(), "wait", attempt.Timeout)
 	}
 	c.loop.Post(func() {
-		result.Ago = c.clock() - ended
+		result.Delay = c.clock() - ended
 		c.loop.AttemptEnded(attempt, result)
 	})
 }
@@ -149,7 +149,7 @@
 	}
 	load := ""
 	c.recordTraffic(attempt, 1, "")
-	if limit := attempt.Scheduled.Connect; limit > 0 {
+	if limit := attempt.Scheduled.ConnectTimeout; limit > 0 {
 		defer time.AfterFunc(ackTimeoutFactor*limit, func() { c.checkAcknowledged(attempt, conn) }).Stop()
 	}
 	defer func() {
@@ -167,7 +167,7 @@
 		case errors.Is(cause, dispatch.ErrNotNeeded):
 			return brain.Result{Outcome: brain.Cancelled}
 		}
-		return brain.Result{Outcome: brain.Broken}
+		return brain.Result{Outcome: brain.ConnectionLost}
 	}
 	if _, err := conn.Reader().Peek(1); err != nil {
 		c.activity.recordSilence(pool)
@@ -178,7 +178,7 @@
 	c.monitor.AttemptArrived(outgoing.id, attempt.Scheduled.Number)
 	conn.SetReadDeadline(time.Now().Add(responseHeadTimeout))
 	var resp *http.Response
-	for range chat.InformMost {
+	for range chat.MaxInformational {
 		var err error
 		if resp, err = conn.ReadResponse(nil); err != nil {
 			c.Malformed.Add(1)
@@ -188,7 +188,7 @@
 			break
 		}
 	}
-	if resp.StatusCode != http.StatusOK || attempt.Scheduled.Stage == brain.ToRead {
+	if resp.StatusCode != http.StatusOK || attempt.Scheduled.Stage == brain.StagePrefill {
 		body, err := io.ReadAll(io.LimitReader(resp.Body, maxShortBody+1))
 		if err != nil || len(body) > maxShortBody {
 			c.Malformed.Add(1)
@@ -201,9 +201,9 @@
 			attempt.RequestInvalid = true
 			return brain.Result{Outcome: brain.Cancelled}
 		}
-		result.Outcome, result.Note = chat.Outcome(attempt.Scheduled.Stage, resp, body)
+		result.Outcome, result.Detail = chat.ClassifyResponse(attempt.Scheduled.Stage, resp, body)
 		load = resp.Header.Get("X-Server-Load")
-		result.Load = chat.Load(load, c.loadFields)
+		result.LoadReport = chat.ParseLoad(load, c.loadFields)
 		return result
 	}
 	if len(resp.TransferEncoding) != 1 || resp.TransferEncoding[0] != "chunked" {
@@ -214,13 +214,13 @@
 	for begun := false; ; {
 		piece, err := stream.Next()
 		if err == io.EOF {
-			if load = stream.Report; load == "" {
+			if load = stream.LoadReport; load == "" {
 				load = resp.Header.Get("X-Server-Load")
 			}
-			return brain.Result{Outcome: brain.Served, Note: stream.Kept, Load: chat.Load(load, c.loadFields)}
+			return brain.Result{Outcome: brain.Served, Detail: stream.CachedTokens, LoadReport: chat.ParseLoad(load, c.loadFields)}
 		}
 		if err != nil {
-			if errors.Is(err, chat.ErrSpoilt) {
+			if errors.Is(err, chat.ErrMalformed) {
 				c.Malformed.Add(1)
 			}
 			return interrupted()
--- a/internal/reach/pool_test.go
+++ b/internal/reach/pool_test.go
@@ -42,10 +42,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms := setup.DefaultTerms()
-	terms.Grades = []setup.Grade{{Name: "g", Effect: "unrepeatable"}}
+	terms := setup.DefaultDeployment()
+	terms.Classes = []setup.Class{{Name: "g", Effect: "unrepeatable"}}
 	s := &fixture{t: t, book: book, fleet: standin.NewFleet(
-		terms, book, standin.Links{Near: 1e9, Far: 1e9}, map[string]standin.Talk{"g": {New: 1, Answer: 1}},
+		terms, book, standin.Links{SameRack: 1e9, CrossRack: 1e9}, map[string]standin.ClassProfile{"g": {NewTokens: 1, AnswerTokens: 1}},
 	)}
 	life, end := context.WithCancel(context.Background())
 	group := &errgroup.Group{}
@@ -74,7 +74,7 @@
 }
 
 // backend starts a test backend and returns its pool. Its addresses are, in order: a socket, IPv6, IPv4.
-func (s *fixture) backend(name string) (*standin.Box, *reach.Pool) {
+func (s *fixture) backend(name string) (*standin.Backend, *reach.Pool) {
 	s.t.Helper()
 	dir, err := os.MkdirTemp("", "r") // a socket's path must be short
 	if err != nil {
@@ -85,7 +85,7 @@
 		{Network: addresses.TCP6, Addr: freePort(s.t, "tcp6", "[::1]:0")},
 		{Network: addresses.TCP4, Addr: freePort(s.t, "tcp4", "127.0.0.1:0")},
 	}
-	b := s.fleet.NewBox(standin.Make{Name: name, Kind: "writer", Addresses: specs, Engine: standin.Instant})
+	b := s.fleet.NewBackend(standin.Config{Name: name, Kind: "writer", Addresses: specs, Engine: standin.InstantEngine})
 	if err := b.Boot(false); err != nil {
 		s.t.Fatal(err)
 	}
@@ -97,11 +97,11 @@
 func (s *fixture) attempt(pool *reach.Pool, timeout time.Duration) (sent bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	e := kserve.Errand{
-		Stage: kserve.StageWhole, From: "d.1", Question: uint64(s.lastRequest.Add(1)), Grade: "g", Tokens: 10, Most: 1,
+	e := kserve.AttemptParams{
+		Phase: kserve.PhaseCombined, DispatcherEpoch: "d.1", RequestNumber: uint64(s.lastRequest.Add(1)), Class: "g", PromptTokens: 10, MaxTokens: 1,
 	}
 	conn, resp, err := pool.Send(ctx, func() (*http.Request, error) {
-		return kserve.NewErrand(ctx, reach.URL(pool.Name), "lodge", "", e)
+		return kserve.NewAttemptRequest(ctx, reach.URL(pool.Name), "lodge", "", e)
 	})
 	if conn == nil {
 		return false, err
@@ -132,15 +132,15 @@
 
 func TestFailoverOpensAnotherConnectionAndLosesNoRequest(t *testing.T) {
 	for mode, limit := range map[string]time.Duration{
-		standin.GateRefuses:   50 * time.Millisecond,
-		standin.GateStalls:    250 * time.Millisecond,
-		standin.GateBlackhole: 250 * time.Millisecond,
+		standin.EndpointRefuses:   50 * time.Millisecond,
+		standin.EndpointStalls:    250 * time.Millisecond,
+		standin.EndpointBlackhole: 250 * time.Millisecond,
 	} {
 		t.Run(mode, func(t *testing.T) {
 			s := newFixture(t)
 			backend, pool := s.backend("w1")
 			for _, i := range []int{0, 1} {
-				if err := backend.Gate(i).Set(mode, 0, 0); err != nil {
+				if err := backend.Endpoint(i).SetMode(mode, 0, 0); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -160,11 +160,11 @@
 	s := newFixture(t)
 	backend, pool := s.backend("w1")
 	for mode, limit := range map[string]time.Duration{
-		standin.GateRefuses: 100 * time.Millisecond,
-		standin.GateStalls:  400 * time.Millisecond,
+		standin.EndpointRefuses: 100 * time.Millisecond,
+		standin.EndpointStalls:  400 * time.Millisecond,
 	} {
 		for i := range 3 {
-			backend.Gate(i).Set(mode, 0, 0)
+			backend.Endpoint(i).SetMode(mode, 0, 0)
 		}
 		startedAt := time.Now()
 		sent, err := s.attempt(pool, 2*time.Second)
@@ -173,7 +173,7 @@
 		}
 	}
 	// One address works again: a request or a background recheck finds it, although it is suspected.
-	backend.Gate(2).Set(standin.GateServes, 0, 0)
+	backend.Endpoint(2).SetMode(standin.EndpointServes, 0, 0)
 	for end := time.Now().Add(8 * time.Second); ; {
 		if _, err := s.attempt(pool, time.Second); err == nil {
 			break
@@ -192,7 +192,7 @@
 		s.attempt(pool, time.Second)
 	}
 	time.Sleep(2 * addresses.VerificationTTL)
-	backend.Gate(0).Set(standin.GateStalls, 0, 0)
+	backend.Endpoint(0).SetMode(standin.EndpointStalls, 0, 0)
 	startedAt := time.Now()
 	if _, err := s.attempt(pool, time.Second); err != nil || time.Since(startedAt) > 250*time.Millisecond {
 		t.Errorf("%v after %v", err, time.Since(startedAt))
@@ -206,12 +206,12 @@
 func TestRequestThatStallsAfterVerificationIsSentOnce(t *testing.T) {
 	s := newFixture(t)
 	backend, pool := s.backend("w1")
-	backend.Gate(0).Set(standin.GateStallsNext, 0, 0)
+	backend.Endpoint(0).SetMode(standin.EndpointStallsAfterResponse, 0, 0)
 	sent, err := s.attempt(pool, 300*time.Millisecond)
 	if !sent || err == nil {
 		t.Errorf("sent %v, %v", sent, err)
 	}
-	backend.Gate(0).Set(standin.GateServes, 0, 0)
+	backend.Endpoint(0).SetMode(standin.EndpointServes, 0, 0)
 	time.Sleep(100 * time.Millisecond)
 	byAttempt, _ := s.received()
 	for key, n := range byAttempt {
@@ -231,7 +231,7 @@
 		s.attempt(secondPool, time.Second)
 	}
 	for i := range 3 {
-		first.Gate(i).Swap(second.Gate(i))
+		first.Endpoint(i).Swap(second.Endpoint(i))
 	}
 	before, _ := s.received()
 	sent, err := s.attempt(firstPool, time.Second)
@@ -323,8 +323,8 @@
 	s := newFixture(t)
 	backend, pool := s.backend("w1")
 	modes := []string{
-		standin.GateServes, standin.GateServes, standin.GateServes, standin.GateRefuses, standin.GateBlackhole,
-		standin.GateStalls, standin.GateStallsNext, standin.GateSlow, standin.GateResets, standin.GateFlaps,
+		standin.EndpointServes, standin.EndpointServes, standin.EndpointServes, standin.EndpointRefuses, standin.EndpointBlackhole,
+		standin.EndpointStalls, standin.EndpointStallsAfterResponse, standin.EndpointSlow, standin.EndpointResets, standin.EndpointFlaps,
 	}
 	const minAttempts, minChanges = 10000, 30 // a fast machine would end the attempts before any address has failed
 	var attempts, changes atomic.Int64
@@ -337,7 +337,7 @@
 				return
 			case <-time.After(time.Duration(20+rng.IntN(60)) * time.Millisecond):
 			}
-			backend.Gate(rng.IntN(3)).Set(
+			backend.Endpoint(rng.IntN(3)).SetMode(
 				modes[rng.IntN(len(modes))], time.Duration(1+rng.IntN(20))*time.Millisecond, rng.IntN(2000))
 			changes.Add(1)
 		}
@@ -367,7 +367,7 @@
 	close(stop)
 	<-done
 	for i := range 3 {
-		backend.Gate(i).Set(standin.GateServes, 0, 0)
+		backend.Endpoint(i).SetMode(standin.EndpointServes, 0, 0)
 	}
 	time.Sleep(200 * time.Millisecond) // what a fault has delayed arrives late, or never
 	byAttempt, byAddress := s.received()
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -69,10 +69,10 @@
 
 // Head is what a judge needs beside the lines.
 type Head struct {
-	Day   string      `json:"day"`
-	Seed  uint64      `json:"seed"`
-	Terms setup.Terms `json:"terms"`
-	Boxes []Place     `json:"boxes"`
+	Day   string           `json:"day"`
+	Seed  uint64           `json:"seed"`
+	Terms setup.Deployment `json:"terms"`
+	Boxes []Place          `json:"boxes"`
 }
 
 // Place is where a box stands.
--- a/internal/stages/virtual_test.go
+++ b/internal/stages/virtual_test.go
@@ -15,7 +15,7 @@
 
 // trouble is one of a day, from a second on for so many.
 func trouble(kind string, at, length float64, change func(*day.Trouble), boxes ...string) day.Trouble {
-	t := day.Trouble{Kind: kind, At: setup.Span(at * 1e9), Length: setup.Span(length * 1e9), Boxes: boxes, Share: 0.3, Size: 8, By: setup.Span(3 * time.Second)}
+	t := day.Trouble{Kind: kind, At: setup.Duration(at * 1e9), Length: setup.Duration(length * 1e9), Boxes: boxes, Share: 0.3, Size: 8, By: setup.Duration(3 * time.Second)}
 	if change != nil {
 		change(&t)
 	}
@@ -203,7 +203,7 @@
 		switch l.What {
 		case record.Trip:
 			t.trips++
-			t.box, t.stage = l.Box, map[string]string{kserve.StageRead: reading, kserve.StageWrite: writing, kserve.StageWhole: writing}[l.Stage]
+			t.box, t.stage = l.Box, map[string]string{kserve.PhasePrefill: reading, kserve.PhaseDecode: writing, kserve.PhaseCombined: writing}[l.Stage]
 			if up := boot[l.Box]; up.Cold && l.At-up.At < int64(8e6) {
 				hit(t.stage, cold)
 			}
@@ -241,19 +241,19 @@
 				hit(was, refuses)
 			case l.Word == kserve.OutcomeFull:
 				hit(was, full)
-			case l.Word == kserve.OutcomeNoState:
+			case l.Word == kserve.OutcomeNoKVCache:
 				hit(waiting, cutOff)
 			case l.Word == "closed" && on["hang"]:
 				hit(was, silent)
 			case l.Word == "closed":
 				hit(was, timeUp)
-			case l.Word == kserve.OutcomeRead:
+			case l.Word == kserve.OutcomePrefilled:
 				t.stage = waiting
 			}
-			if on["slow"] && (l.Word == kserve.OutcomeRead || l.Word == kserve.OutcomeAnswered) {
+			if on["slow"] && (l.Word == kserve.OutcomePrefilled || l.Word == kserve.OutcomeCompleted) {
 				hit(was, slow)
 			}
-			if on["link_slow"] && l.Stage == kserve.StageWrite {
+			if on["link_slow"] && l.Stage == kserve.PhaseDecode {
 				hit(waiting, slow)
 			}
 		case record.Let:
@@ -271,10 +271,10 @@
 			if l.Trips > t.trips {
 				hit(connecting, refuses)
 			}
-			if l.Word != kserve.Satisfied && l.At-t.asked.At > t.asked.ExpiryUs-150_000 {
+			if l.Word != kserve.Served && l.At-t.asked.At > t.asked.ExpiryUs-150_000 {
 				hit(t.stage, timeUp)
 			}
-			if l.Word == kserve.Declined && t.trips == 0 {
+			if l.Word == kserve.Rejected && t.trips == 0 {
 				hit(held, full)
 			}
 			delete(open, l.Try)
