--- a/cmd/sloetrestle/experiment.go
+++ b/cmd/sloetrestle/experiment.go
@@ -54,7 +54,7 @@
 			if err != nil {
 				return err
 			}
-			stage := day.Stage{Serve: []string{self, "serve", "--level", "warn", "--config"}}
+			stage := day.RunOptions{ServeCommand: []string{self, "serve", "--level", "warn", "--config"}}
 			return experiment.Do(cmd.Context(), store, plan, dispatch.Version, stage, func(format string, a ...any) {
 				fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", a...)
 			})
--- a/cmd/sloetrestle/load.go
+++ b/cmd/sloetrestle/load.go
@@ -38,9 +38,9 @@
 			if err != nil {
 				return err
 			}
-			scenario.Head.PerS *= rateFactor
+			scenario.Header.RequestsPerSecond *= rateFactor
 			if seconds > 0 {
-				scenario.Head.Length = setup.Duration(time.Duration(seconds * float64(time.Second)))
+				scenario.Header.Duration = setup.Duration(time.Duration(seconds * float64(time.Second)))
 			}
 			requests := scenario.Plan()
 			if trace != "" {
@@ -99,30 +99,30 @@
 }
 
 func serveBackends(
-	ctx context.Context, scenario day.Day, discoveryAddr string, port int, logf func(string, ...any),
+	ctx context.Context, scenario day.Scenario, discoveryAddr string, port int, logf func(string, ...any),
 ) error {
-	recorder, err := record.Open("", record.Head{})
+	recorder, err := record.Open("", record.Header{})
 	if err != nil {
 		return err
 	}
-	recorder.Forgets = true // bounds memory: the command may run for days
+	recorder.DiscardEvents = true // bounds memory: the command may run for days
 	talk := map[string]standin.ClassProfile{}
 	for _, t := range scenario.Traffic {
-		talk[t.Grade] = scenario.TalkOf(t.Grade)
+		talk[t.Class] = scenario.RequestShape(t.Class)
 	}
 	fleet := standin.NewFleet(scenario.Deployment, recorder,
-		standin.Links{SameRack: scenario.Links.Near, CrossRack: scenario.Links.Far, ZoneFactor: scenario.Links.Zone}, talk)
+		standin.Links{SameRack: scenario.Links.NearTokensPerSecond, CrossRack: scenario.Links.FarTokensPerSecond, ZoneFactor: scenario.Links.CrossZoneFactor}, talk)
 	defer fleet.Close()
 	discovery := fleet.NewDiscovery(discoveryAddr)
 	if err := discovery.Start(); err != nil {
 		return err
 	}
 	defer discovery.Stop()
-	for _, m := range scenario.Makes() {
+	for _, m := range scenario.BackendSpecs() {
 		addr := addresses.Spec{Network: addresses.TCP4, Addr: fmt.Sprintf("127.0.0.1:%d", port)}
 		port++
 		backend := fleet.NewBackend(standin.Config{
-			Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Seed: scenario.Head.Seed,
+			Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Seed: scenario.Header.Seed,
 			Engine: m.Engine, Addresses: []addresses.Spec{addr},
 		})
 		if err := backend.Boot(false); err != nil {
--- a/cmd/sloetrestle/scenario.go
+++ b/cmd/sloetrestle/scenario.go
@@ -43,7 +43,7 @@
 	} else {
 		fmt.Fprint(out, verdict.Text())
 	}
-	if !verdict.Kept() {
+	if !verdict.Passed() {
 		return errViolation
 	}
 	return nil
@@ -51,16 +51,16 @@
 
 // playScenario plays a scenario against dispatcher processes of this program and prints the verdict. It keeps the
 // record in the folder recordDir unless that is empty.
-func playScenario(cmd *cobra.Command, scenario day.Day, recordDir string, asJSON, quiet bool) error {
+func playScenario(cmd *cobra.Command, scenario day.Scenario, recordDir string, asJSON, quiet bool) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	stage := day.Stage{Serve: []string{self, "serve", "--level", "warn", "--config"}, Record: recordDir}
+	stage := day.RunOptions{ServeCommand: []string{self, "serve", "--level", "warn", "--config"}, RecordDir: recordDir}
 	if !quiet {
 		stage.Progress = cmd.ErrOrStderr()
 	}
-	verdict, err := day.Play(cmd.Context(), scenario, stage)
+	verdict, err := day.Run(cmd.Context(), scenario, stage)
 	if err != nil {
 		return err
 	}
@@ -116,8 +116,8 @@
 			if err != nil {
 				return err
 			}
-			verdict := judge.Judge(head, lines)
-			if err := day.Audit(&verdict, args[0], lines); err != nil {
+			verdict := judge.Check(head, lines)
+			if err := day.CheckLedgers(&verdict, args[0], lines); err != nil {
 				return err
 			}
 			return printVerdict(cmd.OutOrStdout(), verdict, asJSON)
@@ -131,10 +131,10 @@
 	return &cobra.Command{
 		Use: "kinds", Short: "List the kinds of fault", Args: cobra.NoArgs,
 		Run: func(cmd *cobra.Command, _ []string) {
-			for _, kind := range day.Kinds {
-				fmt.Fprintf(cmd.OutOrStdout(), "%-17s %s", kind.Name, kind.What)
-				if len(kind.Needs) > 0 {
-					fmt.Fprintf(cmd.OutOrStdout(), " (needs %v)", kind.Needs)
+			for _, kind := range day.FaultKinds {
+				fmt.Fprintf(cmd.OutOrStdout(), "%-17s %s", kind.Name, kind.Description)
+				if len(kind.RequiredKeys) > 0 {
+					fmt.Fprintf(cmd.OutOrStdout(), " (needs %v)", kind.RequiredKeys)
 				}
 				fmt.Fprintln(cmd.OutOrStdout())
 			}
@@ -172,7 +172,7 @@
 		}),
 	}
 	c.Flags().StringVarP(&output, "output", "o", "", "file to write; without it the script is printed")
-	c.Flags().Float64Var(&scale.Time, "time", 1, "factor on the scenario's length and on the times of its faults")
+	c.Flags().Float64Var(&scale.Duration, "time", 1, "factor on the scenario's length and on the times of its faults")
 	c.Flags().Float64Var(&scale.Rate, "rate", 1, "factor on the requests per second")
 	return c
 }
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -17,13 +17,13 @@
 	}
 	b := &dispatch.Accounting{Month: month, OwnedBudgets: map[string]*budget.Owner{}}
 	of := len(w.dispatchers)
-	if n := w.day.Head.Dispatchers; n > of {
+	if n := w.day.Header.Dispatchers; n > of {
 		of = n
 	}
 	loop := d.loop
 	for _, s := range w.day.Budgets {
 		t, at := s.TokenLimits(), 0
-		if w.day.Head.SplitBudgets { // the plain way, to compare with: an equal part for each
+		if w.day.Header.SplitBudgets { // the plain way, to compare with: an equal part for each
 			part := float64(of)
 			t.PerSecond, t.Burst, t.Monthly, t.Borrow = t.PerSecond/part, t.Burst/part, t.Monthly/part, t.Borrow/part
 			at = d.number
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -189,7 +189,7 @@
 		return nil, fmt.Errorf("load needs at least one dispatcher and one request, got %d addresses and %d requests",
 			len(addresses), len(requests))
 	}
-	recorder, err := record.Open("", record.Head{})
+	recorder, err := record.Open("", record.Header{})
 	if err != nil {
 		return nil, err
 	}
@@ -209,28 +209,28 @@
 	statsOf("all")
 	start := time.Now()
 	open := 0
-	recorder.Watch = func(line record.Line) {
+	recorder.OnEvent = func(line record.Event) {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, stats := range []*Stats{statsOf(line.Grade), statsOf("all")} {
+		for _, stats := range []*Stats{statsOf(line.Class), statsOf("all")} {
 			switch {
-			case line.What == record.Asked && strings.HasSuffix(line.Try, ".0"):
+			case line.Kind == record.RequestSent && strings.HasSuffix(line.Try, ".0"):
 				stats.Sent++
-			case line.What == record.First:
-				latency := time.Since(start) - due[line.Question]
+			case line.Kind == record.FirstToken:
+				latency := time.Since(start) - due[line.Request]
 				stats.firstTokenLatency.RecordValue(max(latency.Microseconds(), 1))
-				if latency <= latencyTarget[line.Question] {
+				if latency <= latencyTarget[line.Request] {
 					stats.InTime++
 				}
-			case line.What == record.Final && line.Word == "satisfied":
+			case line.Kind == record.FinalAnswer && line.Detail == "satisfied":
 				stats.Served++
-			case line.What == record.Final && line.Word == "declined":
+			case line.Kind == record.FinalAnswer && line.Detail == "declined":
 				stats.Rejected++
-			case line.What == record.Final:
+			case line.Kind == record.FinalAnswer:
 				stats.Failed++
-			case line.What == record.Cut:
+			case line.Kind == record.ConnectionLost:
 				stats.Cut++
-			case line.What == record.Quit:
+			case line.Kind == record.ClientLeft:
 				stats.Abandoned++
 			}
 		}
--- a/internal/measure/dialers.go
+++ b/internal/measure/dialers.go
@@ -85,7 +85,7 @@
 	ctx context.Context, fault string, addressCount int, dialer string, attempts int,
 ) (result DialerResult, err error) {
 	result = DialerResult{Fault: faultName(fault), Addresses: addressCount, Dialer: dialer, Attempts: attempts}
-	recorder, err := record.Open("", record.Head{})
+	recorder, err := record.Open("", record.Header{})
 	if err != nil {
 		return result, err
 	}
@@ -128,7 +128,7 @@
 	switch dialer {
 	case "raced":
 		pools := &reach.Manager{
-			DialTimeout: dialTimeout, MaxConnsPerBackend: 64, Now: recorder.Since, Context: poolCtx, Group: group,
+			DialTimeout: dialTimeout, MaxConnsPerBackend: 64, Now: recorder.Elapsed, Context: poolCtx, Group: group,
 		}
 		group.Go(pools.Run)
 		send = sendByPool(pools.SetAddresses("w1", specs, 1))
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -66,7 +66,7 @@
 type testbed struct {
 	plan           Plan
 	fleet          *standin.Fleet
-	recorder       *record.Book
+	recorder       *record.Recorder
 	model          string
 	prefillAddr    string
 	decodeAddr     string
@@ -133,7 +133,7 @@
 	}
 	config.Limits.DecodeCanPrefill, config.Limits.MaxConnsPerBackend = false, 4096
 	bed.model = config.Model
-	if bed.recorder, err = record.Open("", record.Head{}); err != nil {
+	if bed.recorder, err = record.Open("", record.Header{}); err != nil {
 		return nil, err
 	}
 	bed.fleet = standin.NewFleet(config.Deployment, bed.recorder, standin.Links{SameRack: 1e12, CrossRack: 1e12, ZoneFactor: 1},
