--- a/cmd/sloetrestle/day.go
+++ b/cmd/sloetrestle/day.go
@@ -43,22 +43,22 @@
 	} else {
 		fmt.Fprint(out, v.Text())
 	}
-	if !v.Kept() {
+	if !v.Passed() {
 		return errBroken
 	}
 	return nil
 }
 
-func perform(cmd *cobra.Command, d day.Day, record string, asJSON, quiet bool) error {
+func perform(cmd *cobra.Command, d day.Scenario, record string, asJSON, quiet bool) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	stage := day.Stage{Serve: []string{self, "serve", "--level", "warn", "--config"}, Record: record}
+	stage := day.RunOptions{ServeCommand: []string{self, "serve", "--level", "warn", "--config"}, RecordDir: record}
 	if !quiet {
 		stage.Progress = cmd.ErrOrStderr()
 	}
-	v, err := day.Play(cmd.Context(), d, stage)
+	v, err := day.Run(cmd.Context(), d, stage)
 	if err != nil {
 		return err
 	}
@@ -114,8 +114,8 @@
 			if err != nil {
 				return err
 			}
-			v := judge.Judge(head, lines)
-			if err := day.Audit(&v, args[0], lines); err != nil {
+			v := judge.Check(head, lines)
+			if err := day.CheckLedgers(&v, args[0], lines); err != nil {
 				return err
 			}
 			return show(cmd.OutOrStdout(), v, asJSON)
@@ -127,10 +127,10 @@
 
 func kinds() *cobra.Command {
 	return &cobra.Command{Use: "kinds", Short: "List the kinds of trouble", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
-		for _, k := range day.Kinds {
-			fmt.Fprintf(cmd.OutOrStdout(), "%-17s %s", k.Name, k.What)
-			if len(k.Needs) > 0 {
-				fmt.Fprintf(cmd.OutOrStdout(), " (needs %v)", k.Needs)
+		for _, k := range day.FaultKinds {
+			fmt.Fprintf(cmd.OutOrStdout(), "%-17s %s", k.Name, k.Description)
+			if len(k.RequiredKeys) > 0 {
+				fmt.Fprintf(cmd.OutOrStdout(), " (needs %v)", k.RequiredKeys)
 			}
 			fmt.Fprintln(cmd.OutOrStdout())
 		}
@@ -166,7 +166,7 @@
 		}),
 	}
 	c.Flags().StringVarP(&to, "output", "o", "", "file to write; without it the script is printed")
-	c.Flags().Float64Var(&scale.Time, "time", 1, "scale of the day's length and of its troubles' times")
+	c.Flags().Float64Var(&scale.Duration, "time", 1, "scale of the day's length and of its troubles' times")
 	c.Flags().Float64Var(&scale.Rate, "rate", 1, "scale of the questions a second")
 	return c
 }
--- a/cmd/sloetrestle/experiment.go
+++ b/cmd/sloetrestle/experiment.go
@@ -46,7 +46,7 @@
 			if err != nil {
 				return err
 			}
-			stage := day.Stage{Serve: []string{self, "serve", "--level", "warn", "--config"}}
+			stage := day.RunOptions{ServeCommand: []string{self, "serve", "--level", "warn", "--config"}}
 			return experiment.Do(cmd.Context(), s, p, dispatch.Version, stage, func(f string, a ...any) { fmt.Fprintf(cmd.ErrOrStderr(), f+"\n", a...) })
 		})}
 	list := &cobra.Command{Use: "list", Short: "List the experiments", Args: cobra.NoArgs, RunE: with(func(cmd *cobra.Command, s *experiment.Store, _ []string) error {
--- a/cmd/sloetrestle/load.go
+++ b/cmd/sloetrestle/load.go
@@ -34,9 +34,9 @@
 			if err != nil {
 				return err
 			}
-			d.Head.PerS *= times
+			d.Header.RequestsPerSecond *= times
 			if seconds > 0 {
-				d.Head.Length = setup.Span(time.Duration(seconds * float64(time.Second)))
+				d.Header.Duration = setup.Span(time.Duration(seconds * float64(time.Second)))
 			}
 			wishes := d.Plan()
 			if trace != "" {
@@ -86,27 +86,27 @@
 	return c
 }
 
-func serveBoxes(ctx context.Context, d day.Day, at string, port int, say func(string, ...any)) error {
-	book, err := record.Open("", record.Head{})
+func serveBoxes(ctx context.Context, d day.Scenario, at string, port int, say func(string, ...any)) error {
+	book, err := record.Open("", record.Header{})
 	if err != nil {
 		return err
 	}
-	book.Forgets = true // it may run for days
+	book.DiscardEvents = true // it may run for days
 	talk := map[string]standin.Talk{}
 	for _, t := range d.Traffic {
-		talk[t.Grade] = d.TalkOf(t.Grade)
+		talk[t.Class] = d.RequestShape(t.Class)
 	}
-	fleet := standin.NewFleet(d.Terms, book, standin.Links{Near: d.Links.Near, Far: d.Links.Far, Zone: d.Links.Zone}, talk)
+	fleet := standin.NewFleet(d.Terms, book, standin.Links{Near: d.Links.NearTokensPerSecond, Far: d.Links.FarTokensPerSecond, Zone: d.Links.CrossZoneFactor}, talk)
 	defer fleet.Close()
 	list := fleet.NewList(at)
 	if err := list.Open(); err != nil {
 		return err
 	}
 	defer list.Shut()
-	for _, m := range d.Makes() {
+	for _, m := range d.BackendSpecs() {
 		addr := addresses.Spec{Network: addresses.TCP4, At: fmt.Sprintf("127.0.0.1:%d", port)}
 		port++
-		b := fleet.NewBox(standin.Make{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Seed: d.Head.Seed, Engine: m.Engine,
+		b := fleet.NewBox(standin.Make{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Seed: d.Header.Seed, Engine: m.Engine,
 			Addresses: []addresses.Spec{addr}})
 		if err := b.Boot(false); err != nil {
 			return err
--- a/internal/day/plan.go
+++ b/internal/day/plan.go
@@ -22,12 +22,12 @@
 const think = 2 * time.Second
 
 // on tells whether a trouble of a kind is on at a time.
-func (t Trouble) on(kind string, at time.Duration) bool {
-	return t.Kind == kind && at >= t.At.D() && at < (t.At+t.Length).D()
+func (t Fault) on(kind string, at time.Duration) bool {
+	return t.Kind == kind && at >= t.Start.D() && at < (t.Start+t.Duration).D()
 }
 
 // Plan draws all that clients will ask; arrivals don't wait for answers. The same script has the same plan.
-func (d *Day) Plan() []standin.Wish {
+func (d *Scenario) Plan() []standin.Wish {
 	rng := d.rng(1)
 	var wishes []standin.Wish
 	open := map[string][]*session{}
@@ -35,15 +35,15 @@
 	for _, t := range d.Traffic {
 		sum += t.Share
 	}
-	length := d.Head.Length.D()
+	length := d.Header.Duration.D()
 	for at := time.Duration(0); ; {
-		rate, begins, burst := d.Head.PerS, "", ""
+		rate, begins, burst := d.Header.RequestsPerSecond, "", ""
 		beginTokens := 0
-		for i, t := range d.Troubles {
+		for i, t := range d.Faults {
 			if t.on("burst", at) {
-				rate *= t.Size
-				if t.Channel != "" && rng.Float64() < 1-1/t.Size {
-					burst = t.Channel
+				rate *= t.Factor
+				if t.Tenant != "" && rng.Float64() < 1-1/t.Factor {
+					burst = t.Tenant
 				}
 			}
 			if t.on("shared_text", at) && rng.Float64() < t.Share {
@@ -64,10 +64,10 @@
 			}
 		}
 		var s *session
-		waiting := open[tr.Grade]
+		waiting := open[tr.Class]
 		for i, o := range waiting {
 			if begins == "" && burst == "" && o.ready <= at {
-				s, open[tr.Grade] = o, append(waiting[:i:i], waiting[i+1:]...)
+				s, open[tr.Class] = o, append(waiting[:i:i], waiting[i+1:]...)
 				break
 			}
 		}
@@ -85,31 +85,31 @@
 			switch {
 			case begins != "":
 				s.shared, s.prefix = begins, beginTokens
-			case rng.Float64() < tr.Shared:
+			case rng.Float64() < tr.SharedPrefixShare:
 				// Few beginnings are common and many rare.
-				n := int(math.Pow(float64(tr.Beginnings), rng.Float64()))
-				s.shared, s.prefix = fmt.Sprintf("%s-text-%d", tr.Grade, n), tr.Prefix
+				n := int(math.Pow(float64(tr.SharedPrefixes), rng.Float64()))
+				s.shared, s.prefix = fmt.Sprintf("%s-text-%d", tr.Class, n), tr.SharedPrefixTokens
 			}
 			s.tokens = s.prefix
 		}
 		long := 1.0
-		w := standin.Wish{At: at, Name: fmt.Sprintf("q%d", len(wishes)), Grade: tr.Grade, Channel: s.channel, Session: s.name, Shared: s.shared,
-			Prefix: s.prefix, Retries: d.Clients.Retries, Wait: d.Clients.Wait.D(), Doubles: d.Clients.Doubles, Honours: rng.Float64() < d.Clients.Honour}
-		g := d.Grades[d.GradeNumber(tr.Grade)]
+		w := standin.Wish{At: at, Name: fmt.Sprintf("q%d", len(wishes)), Grade: tr.Class, Channel: s.channel, Session: s.name, Shared: s.shared,
+			Prefix: s.prefix, Retries: d.Clients.Retries, Wait: d.Clients.RetryWait.D(), Doubles: d.Clients.WaitDoubles, Honours: rng.Float64() < d.Clients.FollowAdviceShare}
+		g := d.Grades[d.GradeNumber(tr.Class)]
 		quit, givesUp, slowly := false, 0.0, time.Duration(0)
-		for _, t := range d.Troubles {
+		for _, t := range d.Faults {
 			switch {
-			case t.on("long_prompts", at) && rng.Float64() < t.Share && (t.Grade == "" || t.Grade == tr.Grade):
-				long = t.Size
+			case t.on("long_prompts", at) && rng.Float64() < t.Share && (t.Class == "" || t.Class == tr.Class):
+				long = t.Factor
 			case t.on("leave", at) && rng.Float64() < t.Share:
 				quit = true
 			case t.on("give_up", at) && rng.Float64() < t.Share:
-				givesUp = t.Size
+				givesUp = t.Factor
 			case t.on("slow_clients", at) && rng.Float64() < t.Share:
-				slowly = t.By.D()
+				slowly = t.Delay.D()
 			}
 		}
-		s.tokens += max(int(tr.New*long*math.Exp(0.6*rng.NormFloat64()-0.18)), 8)
+		s.tokens += max(int(tr.NewTokens*long*math.Exp(0.6*rng.NormFloat64()-0.18)), 8)
 		w.Tokens = s.tokens
 		w.Most = max(g.Most, 1)
 		k := float64(w.Tokens) / 1000
@@ -127,13 +127,13 @@
 		wishes = append(wishes, w)
 		if s.turns--; s.turns > 0 {
 			s.ready = at + think
-			open[tr.Grade] = append(open[tr.Grade], s)
+			open[tr.Class] = append(open[tr.Class], s)
 		}
 	}
 }
 
 // drawChannel picks a channel by its share.
-func (d *Day) drawChannel(x float64) string {
+func (d *Scenario) drawChannel(x float64) string {
 	sum := 0.0
 	for _, c := range d.Channels {
 		sum += c.Share
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -28,19 +28,19 @@
 	"sloetrestle/internal/standin"
 )
 
-// Stage is what a day is played with.
-type Stage struct {
-	Serve    []string  // the command that serves one dispatcher; its file's name is added
-	Env      []string  // added to its environment
-	Record   string    // folder for the record; empty: it is not kept
-	Progress io.Writer // lines while the day runs; nil: none
+// RunOptions is what a day is played with.
+type RunOptions struct {
+	ServeCommand []string  // the command that serves one dispatcher; its file's name is added
+	Env          []string  // added to its environment
+	RecordDir    string    // folder for the record; empty: it is not kept
+	Progress     io.Writer // lines while the day runs; nil: none
 }
 
 // run is a day being played.
 type run struct {
-	day         Day
-	stage       Stage
-	book        *record.Book
+	day         Scenario
+	stage       RunOptions
+	book        *record.Recorder
 	fleet       *standin.Fleet
 	list        *standin.List
 	boxes       map[string]*standin.Box
@@ -68,17 +68,17 @@
 	lasting error
 }
 
-// Play plays a day and judges it.
-func Play(ctx context.Context, d Day, stage Stage) (judge.Verdict, error) {
+// Run plays a day and judges it.
+func Run(ctx context.Context, d Scenario, stage RunOptions) (judge.Verdict, error) {
 	r := &run{day: d, stage: stage, boxes: map[string]*standin.Box{}}
-	head := record.Head{Day: d.Head.Name, Seed: d.Head.Seed, Terms: d.Terms, Boxes: r.places()}
+	head := record.Header{Scenario: d.Header.Name, Seed: d.Header.Seed, Terms: d.Terms, Backends: r.places()}
 	var err error
-	if r.book, err = record.Open(stage.Record, head); err != nil {
+	if r.book, err = record.Open(stage.RecordDir, head); err != nil {
 		return judge.Verdict{}, err
 	}
 	defer r.book.Close()
-	r.book.Watch = r.count
-	if r.dir = stage.Record; r.dir == "" {
+	r.book.OnEvent = r.count
+	if r.dir = stage.RecordDir; r.dir == "" {
 		if r.dir, err = os.MkdirTemp("", "sloetrestle-day-"); err != nil {
 			return judge.Verdict{}, err
 		}
@@ -87,17 +87,17 @@
 	if err := r.play(ctx); err != nil {
 		return judge.Verdict{}, err
 	}
-	v := judge.Judge(head, r.book.Lines())
-	if d.Head.Ledger {
-		if err := Audit(&v, r.dir, r.book.Lines()); err != nil {
+	v := judge.Check(head, r.book.Events())
+	if d.Header.Ledger {
+		if err := CheckLedgers(&v, r.dir, r.book.Events()); err != nil {
 			return v, err
 		}
 	}
 	return v, r.book.Close()
 }
 
-// Audit reads a day's ledgers and adds to its verdict whether they have what its boxes counted.
-func Audit(v *judge.Verdict, dir string, lines []record.Line) error {
+// CheckLedgers reads a day's ledgers and adds to its verdict whether they have what its boxes counted.
+func CheckLedgers(v *judge.Verdict, dir string, lines []record.Event) error {
 	folders, err := filepath.Glob(filepath.Join(dir, "ledger-*"))
 	if err != nil || len(folders) == 0 {
 		return err
@@ -118,25 +118,25 @@
 			}
 		}
 	}
-	ledgers := map[string]judge.Cost{}
+	ledgers := map[string]judge.Usage{}
 	for box, l := range sheet.Counts() {
-		ledgers[box] = judge.Cost{Trips: l.Trips, Read: l.Read, Kept: l.Kept, Answer: l.Answer}
+		ledgers[box] = judge.Usage{Attempts: l.Trips, PrefillTokens: l.Read, CachedTokens: l.Kept, AnswerTokens: l.Answer}
 	}
-	rule, cost := judge.Accounts(lines, ledgers)
-	v.Rules, v.Cost = append(v.Rules, rule), &cost
+	rule, cost := judge.CheckUsage(lines, ledgers)
+	v.Rules, v.Usage = append(v.Rules, rule), &cost
 	return nil
 }
 
 // play sets the day up, plays it and takes it down again.
 func (r *run) play(ctx context.Context) error {
-	h := r.day.Head
+	h := r.day.Header
 	sockets, err := os.MkdirTemp("", "slt")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(sockets)
 	n := 0
-	for _, b := range r.day.Boxes {
+	for _, b := range r.day.Backends {
 		n += b.Count * max(len(b.Addresses), 1)
 	}
 	ports, err := freePorts(1 + n + 2*h.Dispatchers)
@@ -146,9 +146,9 @@
 	next := func() string { p := ports[0]; ports = ports[1:]; return fmt.Sprintf("127.0.0.1:%d", p) }
 	talk := map[string]standin.Talk{}
 	for _, t := range r.day.Traffic {
-		talk[t.Grade] = standin.Talk{New: t.New, Answer: t.Answer, Prefix: t.Prefix}
+		talk[t.Class] = standin.Talk{New: t.NewTokens, Answer: t.AnswerTokens, Prefix: t.SharedPrefixTokens}
 	}
-	r.fleet = standin.NewFleet(r.day.Terms, r.book, standin.Links{Near: r.day.Links.Near, Far: r.day.Links.Far, Zone: r.day.Links.Zone}, talk)
+	r.fleet = standin.NewFleet(r.day.Terms, r.book, standin.Links{Near: r.day.Links.NearTokensPerSecond, Far: r.day.Links.FarTokensPerSecond, Zone: r.day.Links.CrossZoneFactor}, talk)
 	defer r.fleet.Close()
 	r.list = r.fleet.NewList(next())
 	if err := r.list.Open(); err != nil {
@@ -184,7 +184,7 @@
 		}
 	}
 	wishes := r.day.Plan()
-	r.say("%s: %d boxes, %d dispatchers, %d questions in %v (stand-ins, not engines)", h.Name, len(r.boxes), len(r.dispatchers), len(wishes), h.Length.D())
+	r.say("%s: %d boxes, %d dispatchers, %d questions in %v (stand-ins, not engines)", h.Name, len(r.boxes), len(r.dispatchers), len(wishes), h.Duration.D())
 	clients := standin.NewClients(r.book, r.day.Model, r.front)
 	defer clients.Close()
 	began := time.Now()
@@ -198,10 +198,10 @@
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	r.group = group
-	for _, t := range r.day.Troubles {
+	for _, t := range r.day.Faults {
 		group.Go(func() error {
-			if wait(ctx, t.At.D()) {
-				return r.trouble(ctx, t, func(after time.Duration) bool { return wait(ctx, t.At.D()+after) })
+			if wait(ctx, t.Start.D()) {
+				return r.trouble(ctx, t, func(after time.Duration) bool { return wait(ctx, t.Start.D()+after) })
 			}
 			return nil
 		})
@@ -244,20 +244,20 @@
 	}
 }
 
-func (r *run) count(l record.Line) {
+func (r *run) count(l record.Event) {
 	c := &r.counts
 	c.Lock()
 	defer c.Unlock()
 	switch {
-	case l.What == record.Asked:
+	case l.Kind == record.RequestSent:
 		c.asked++
-	case l.What == record.Final && l.Word == "satisfied":
+	case l.Kind == record.FinalAnswer && l.Detail == "satisfied":
 		c.satisfied++
-	case l.What == record.Final && l.Word == "declined":
+	case l.Kind == record.FinalAnswer && l.Detail == "declined":
 		c.declined++
-	case l.What == record.Final && l.Word == "forfeited":
+	case l.Kind == record.FinalAnswer && l.Detail == "forfeited":
 		c.forfeited++
-	case l.What == record.Quit || l.What == record.Cut || l.What == record.Final:
+	case l.Kind == record.ClientLeft || l.Kind == record.ConnectionLost || l.Kind == record.FinalAnswer:
 		c.other++
 	}
 }
@@ -271,33 +271,33 @@
 }
 
 // places lists where the boxes stand.
-func (r *run) places() []record.Place {
-	var out []record.Place
+func (r *run) places() []record.Backend {
+	var out []record.Backend
 	for _, m := range r.makes() {
-		out = append(out, record.Place{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack})
+		out = append(out, record.Backend{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack})
 	}
 	return out
 }
 
 func (r *run) makes() []standin.Make {
 	var out []standin.Make
-	for _, m := range r.day.Makes() {
+	for _, m := range r.day.BackendSpecs() {
 		var at []addresses.Spec
-		for _, network := range m.Boxes.Addresses {
+		for _, network := range m.Group.Addresses {
 			at = append(at, addresses.Spec{Network: network})
 		}
 		if len(at) == 0 {
 			at = append(at, addresses.Spec{Network: addresses.TCP4})
 		}
 		out = append(out, standin.Make{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Addresses: at,
-			Seed: r.day.Head.Seed, Engine: m.Engine})
+			Seed: r.day.Header.Seed, Engine: m.Engine})
 	}
 	return out
 }
 
 // hire writes the files of the dispatchers.
 func (r *run) hire(next func() string) error {
-	h := r.day.Head
+	h := r.day.Header
 	var peers []string
 	for i := range h.Dispatchers {
 		r.dispatchers = append(r.dispatchers, &process{number: i, name: fmt.Sprintf("d%d", i), addr: next()})
@@ -313,7 +313,7 @@
 		d.Place.Name, d.Place.Number, d.Place.Siblings = p.name, i, h.Dispatchers
 		d.Place.Zone = r.day.Zones[i%len(r.day.Zones)]
 		d.Place.Listen, d.Place.Boxes, d.Place.Keep = []string{p.addr}, r.list.Address, r.dir
-		d.Place.News, d.Place.Peers, d.Place.Margin = peers[i], peers, h.Margin
+		d.Place.News, d.Place.Peers, d.Place.Margin = peers[i], peers, h.DeadlineMargin
 		d.Place.Tickets = key
 		if h.Ledger {
 			d.Ledger.Folder, d.Ledger.Key = filepath.Join(r.dir, "ledger-"+p.name), key
@@ -340,8 +340,8 @@
 	if err != nil {
 		return err
 	}
-	args := append(append([]string(nil), r.stage.Serve[1:]...), p.file)
-	cmd := exec.Command(r.stage.Serve[0], args...)
+	args := append(append([]string(nil), r.stage.ServeCommand[1:]...), p.file)
+	cmd := exec.Command(r.stage.ServeCommand[0], args...)
 	cmd.Stderr, cmd.Stdout, cmd.Env = log, log, append(os.Environ(), r.stage.Env...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the day
 	if err := cmd.Start(); err != nil {
@@ -358,7 +358,7 @@
 		p.mu.Lock()
 		if p.wanted {
 			p.lasting, p.front, p.wanted = fmt.Errorf("%s ended by itself: %v; its log ends: %s", p.name, err, tail(log.Name())), false, false
-			r.book.Put(record.Line{What: record.Down, Dispatcher: p.name, Word: "died"})
+			r.book.Record(record.Event{Kind: record.ProcessEnded, Dispatcher: p.name, Detail: "died"})
 		}
 		p.mu.Unlock()
 		close(done)
@@ -372,7 +372,7 @@
 		default:
 		}
 		if ready(p.addr) {
-			r.book.Put(record.Line{What: record.Up, Dispatcher: p.name})
+			r.book.Record(record.Event{Kind: record.ProcessStarted, Dispatcher: p.name})
 			p.mu.Lock()
 			p.front = true
 			p.mu.Unlock()
@@ -407,10 +407,10 @@
 	cmd, done := p.cmd, p.done
 	p.wanted = false
 	p.mu.Unlock()
-	r.book.Put(record.Line{What: record.Down, Dispatcher: p.name, Word: "killed"})
+	r.book.Record(record.Event{Kind: record.ProcessEnded, Dispatcher: p.name, Detail: "killed"})
 	cmd.Process.Kill()
 	<-done
-	time.AfterFunc(r.day.Head.FrontNotice.D(), func() {
+	time.AfterFunc(r.day.Header.LoadBalancerNotice.D(), func() {
 		p.mu.Lock()
 		p.front = p.front && p.wanted
 		p.mu.Unlock()
@@ -423,10 +423,10 @@
 	p.front, p.wanted = false, false
 	cmd, done := p.cmd, p.done
 	p.mu.Unlock()
-	r.book.Put(record.Line{What: record.Note, Dispatcher: p.name, Word: "told to stop"})
+	r.book.Record(record.Event{Kind: record.Note, Dispatcher: p.name, Detail: "told to stop"})
 	cmd.Process.Signal(syscall.SIGTERM)
 	<-done
-	r.book.Put(record.Line{What: record.Note, Dispatcher: p.name, Word: "stopped"})
+	r.book.Record(record.Event{Kind: record.Note, Dispatcher: p.name, Detail: "stopped"})
 }
 
 // dismiss stops all dispatchers at the end of the day.
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -31,7 +31,7 @@
 type house struct {
 	t      *testing.T
 	d      setup.Dispatcher
-	book   *record.Book
+	book   *record.Recorder
 	fleet  *standin.Fleet
 	list   *standin.List
 	reader *standin.Box
@@ -58,7 +58,7 @@
 		change(&h.d)
 	}
 	var err error
-	if h.book, err = record.Open("", record.Head{}); err != nil {
+	if h.book, err = record.Open("", record.Header{}); err != nil {
 		t.Fatal(err)
 	}
 	talk := standin.Talk{New: 200, Answer: 20, Prefix: 100}
@@ -210,8 +210,8 @@
 	if took := time.Since(began); took > 3*time.Second || status != 408 {
 		t.Errorf("a body that never ends: %d %s after %v", status, body, took)
 	}
-	for _, l := range h.book.Lines() {
-		if l.What == record.Trip {
+	for _, l := range h.book.Events() {
+		if l.Kind == record.AttemptReceived {
 			t.Errorf("a senseless question went out: %+v", l)
 		}
 	}
@@ -242,8 +242,8 @@
 		t.Errorf("%d %s", status, body)
 	}
 	ran := 0
-	for _, l := range h.book.Lines() {
-		if l.What == record.Ran {
+	for _, l := range h.book.Events() {
+		if l.Kind == record.EffectStarted {
 			ran++
 		}
 	}
@@ -318,8 +318,8 @@
 	h.stop()
 	asking.Wait()
 	taken := map[string]bool{}
-	for _, l := range h.book.Lines() {
-		if l.What == record.Trip {
+	for _, l := range h.book.Events() {
+		if l.Kind == record.AttemptReceived {
 			taken[l.Try] = true
 		}
 	}
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -17,13 +17,13 @@
 	}
 	b := &dispatch.Books{Month: month, Keepers: map[string]*budget.Keeper{}}
 	of := len(w.dispatchers)
-	if n := w.day.Head.Dispatchers; n > of {
+	if n := w.day.Header.Dispatchers; n > of {
 		of = n
 	}
 	loop := d.loop
 	for _, s := range w.day.Budgets {
 		t, at := s.Terms(), 0
-		if w.day.Head.SplitBudgets { // the plain way, to compare with: an equal part for each
+		if w.day.Header.SplitBudgets { // the plain way, to compare with: an equal part for each
 			part := float64(of)
 			t.PerS, t.Burst, t.Monthly, t.Borrow = t.PerS/part, t.Burst/part, t.Monthly/part, t.Borrow/part
 			at = d.number
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -23,8 +23,8 @@
 	first bool
 }
 
-func (c *client) put(what, word string, more func(*record.Line)) {
-	l := record.Line{What: what, Word: word, Try: c.id, Question: c.wish.Name, Grade: c.wish.Grade, Dispatcher: c.d.name}
+func (c *client) put(what, word string, more func(*record.Event)) {
+	l := record.Event{Kind: what, Detail: word, Try: c.id, Request: c.wish.Name, Class: c.wish.Grade, Dispatcher: c.d.name}
 	if more != nil {
 		more(&l)
 	}
@@ -49,8 +49,8 @@
 	if wish.Honours {
 		follows = "follows"
 	}
-	c.put(record.Asked, follows, func(l *record.Line) {
-		l.ExpiryUs, l.PromiseUs, l.Tokens = left.Microseconds(), wish.Promised.Microseconds(), wish.Tokens
+	c.put(record.RequestSent, follows, func(l *record.Event) {
+		l.DeadlineUs, l.LatencyTargetUs, l.Tokens = left.Microseconds(), wish.Promised.Microseconds(), wish.Tokens
 	})
 	if !d.up {
 		c.cut("unreached: the dispatcher is down")
@@ -60,7 +60,7 @@
 		w.after(wish.Leaves, func() {
 			if !c.over {
 				c.over = true
-				c.put(record.Quit, "", nil)
+				c.put(record.ClientLeft, "", nil)
 				if d.up && d.open[c] {
 					delete(d.open, c)
 					delete(d.of, c.asked)
@@ -90,7 +90,7 @@
 	c.over = true
 	delete(c.d.open, c)
 	delete(c.d.of, c.asked)
-	c.put(record.Final, f.Final, func(l *record.Line) { l.AfterMs, l.Trips = f.AfterMs, f.Trips })
+	c.put(record.FinalAnswer, f.Final, func(l *record.Event) { l.RetryAfterMs, l.Attempts = f.AfterMs, f.Trips })
 	if f.Final != kserve.Satisfied && (f.Final == kserve.Declined || c.wish.Safe) {
 		ticket := f.Ticket
 		if !c.wish.Honours {
@@ -106,7 +106,7 @@
 	}
 	c.over = true
 	delete(c.d.open, c)
-	c.put(record.Cut, why, nil)
+	c.put(record.ConnectionLost, why, nil)
 	if strings.HasPrefix(why, "unreached") || c.wish.Safe {
 		c.again(0, "")
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -167,7 +167,7 @@
 	if len(to) == 0 || len(wishes) == 0 {
 		return nil, fmt.Errorf("there is nobody to ask, or nothing to ask for")
 	}
-	book, err := record.Open("", record.Head{})
+	book, err := record.Open("", record.Header{})
 	if err != nil {
 		return nil, err
 	}
@@ -187,28 +187,28 @@
 	of("all")
 	began := time.Now()
 	open := 0
-	book.Watch = func(l record.Line) {
+	book.OnEvent = func(l record.Event) {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, f := range []*Figures{of(l.Grade), of("all")} {
+		for _, f := range []*Figures{of(l.Class), of("all")} {
 			switch {
-			case l.What == record.Asked && strings.HasSuffix(l.Try, ".0"):
+			case l.Kind == record.RequestSent && strings.HasSuffix(l.Try, ".0"):
 				f.Asked++
-			case l.What == record.First:
-				took := time.Since(began) - due[l.Question]
+			case l.Kind == record.FirstToken:
+				took := time.Since(began) - due[l.Request]
 				f.first.RecordValue(max(took.Microseconds(), 1))
-				if took <= promise[l.Question] {
+				if took <= promise[l.Request] {
 					f.InTime++
 				}
-			case l.What == record.Final && l.Word == "satisfied":
+			case l.Kind == record.FinalAnswer && l.Detail == "satisfied":
 				f.Satisfied++
-			case l.What == record.Final && l.Word == "declined":
+			case l.Kind == record.FinalAnswer && l.Detail == "declined":
 				f.Declined++
-			case l.What == record.Final:
+			case l.Kind == record.FinalAnswer:
 				f.Forfeited++
-			case l.What == record.Cut:
+			case l.Kind == record.ConnectionLost:
 				f.Cut++
-			case l.What == record.Quit:
+			case l.Kind == record.ClientLeft:
 				f.Quit++
 			}
 		}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -65,7 +65,7 @@
 type rig struct {
 	plan   Plan
 	fleet  *standin.Fleet
-	book   *record.Book
+	book   *record.Recorder
 	model  string
 	reader string
 	writer string
@@ -120,7 +120,7 @@
 	d.Kinds = []setup.Kind{{Name: "reader", Role: "reader", Memory: 1 << 30}, {Name: "writer", Role: "writer", Memory: 1 << 30}}
 	d.Limits.LocalRead, d.Limits.BoxConns = false, 4096
 	r.model = d.Model
-	if r.book, err = record.Open("", record.Head{}); err != nil {
+	if r.book, err = record.Open("", record.Header{}); err != nil {
 		return nil, err
 	}
 	r.fleet = standin.NewFleet(d.Terms, r.book, standin.Links{Near: 1e12, Far: 1e12, Zone: 1}, map[string]standin.Talk{"measured": {New: 1, Answer: 8}})
--- a/internal/measure/ways.go
+++ b/internal/measure/ways.go
@@ -76,7 +76,7 @@
 
 func way(ctx context.Context, fault string, n int, who string, trips int) (w Way, err error) {
 	w = Way{Fault: orNone(fault), Addresses: n, Dialler: who, Trips: trips}
-	book, err := record.Open("", record.Head{})
+	book, err := record.Open("", record.Header{})
 	if err != nil {
 		return w, err
 	}
@@ -115,7 +115,7 @@
 	var send dialler
 	switch who {
 	case "raced":
-		boxes := &reach.Boxes{Limit: dialTime, Most: 64, Since: book.Since, Life: life, Group: group}
+		boxes := &reach.Boxes{Limit: dialTime, Most: 64, Since: book.Elapsed, Life: life, Group: group}
 		group.Go(boxes.Tend)
 		send = raced(boxes.Set("w1", at, 1))
 	case "sequential":
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -29,7 +29,7 @@
 // site is one box with addresses of all three kinds, and the way to it.
 type site struct {
 	t     *testing.T
-	book  *record.Book
+	book  *record.Recorder
 	fleet *standin.Fleet
 	boxes *reach.Boxes
 	n     atomic.Int64
@@ -38,7 +38,7 @@
 func newSite(t *testing.T) *site {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	book, err := record.Open("", record.Head{})
+	book, err := record.Open("", record.Header{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -47,7 +47,7 @@
 	s := &site{t: t, book: book, fleet: standin.NewFleet(terms, book, standin.Links{Near: 1e9, Far: 1e9}, map[string]standin.Talk{"g": {New: 1, Answer: 1}})}
 	life, end := context.WithCancel(context.Background())
 	group := &errgroup.Group{}
-	s.boxes = &reach.Boxes{Limit: 250 * time.Millisecond, Most: 64, Since: book.Since, Life: life, Group: group}
+	s.boxes = &reach.Boxes{Limit: 250 * time.Millisecond, Most: 64, Since: book.Elapsed, Life: life, Group: group}
 	group.Go(s.boxes.Tend)
 	t.Cleanup(func() {
 		end()
@@ -109,10 +109,10 @@
 // reached counts, by trip, how often boxes got it.
 func (s *site) reached() (times map[string]int, boxes map[string]int) {
 	times, boxes = map[string]int{}, map[string]int{}
-	for _, l := range s.book.Lines() {
-		if l.What == record.Trip {
-			times[l.Key]++
-			boxes[l.Box+" "+strings.SplitN(l.Address, ":", 2)[0]]++
+	for _, l := range s.book.Events() {
+		if l.Kind == record.AttemptReceived {
+			times[l.RequestKey]++
+			boxes[l.Backend+" "+strings.SplitN(l.Address, ":", 2)[0]]++
 		}
 	}
 	return times, boxes
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -109,7 +109,7 @@
 	var life context.Context
 	life, b.stop = context.WithCancel(context.Background())
 	b.life = life
-	b.Start, b.started, b.cold, b.up, b.fell = b.fleet.start(), b.fleet.Book.Since(), cold, true, false
+	b.Start, b.started, b.cold, b.up, b.fell = b.fleet.start(), b.fleet.Book.Elapsed(), cold, true, false
 	b.letGo, b.tries, b.unkept, b.sent = map[string]releasedUpTo{}, map[string]string{}, map[string]bool{}, nil
 	b.engine, b.wake = engine.New(b.Engine, b.started, cold), make(chan struct{}, 1)
 	b.apply()
@@ -135,7 +135,7 @@
 	server := b.server
 	b.handlers.Add(1)
 	go func() { defer b.handlers.Done(); server.Serve(front) }()
-	b.fleet.Book.Put(record.Line{What: record.Up, Box: b.Name, Start: b.Start, Cold: cold})
+	b.fleet.Book.Record(record.Event{Kind: record.ProcessStarted, Backend: b.Name, StartID: b.Start, SlowStart: cold})
 	return nil
 }
 
@@ -163,9 +163,9 @@
 		return
 	}
 	b.up = false
-	b.fleet.Book.Put(record.Line{What: record.Down, Box: b.Name, Start: b.Start, Word: why})
+	b.fleet.Book.Record(record.Event{Kind: record.ProcessEnded, Backend: b.Name, StartID: b.Start, Detail: why})
 	for key, try := range b.tries {
-		b.fleet.Book.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: "lost"})
+		b.fleet.Book.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: "lost"})
 	}
 	clear(b.tries)
 	b.engine.Stop()
@@ -190,7 +190,7 @@
 func (b *Box) UpFor() (time.Duration, bool, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.fleet.Book.Since() - b.started, b.cold, b.Start
+	return b.fleet.Book.Elapsed() - b.started, b.cold, b.Start
 }
 
 // Do changes the faults.
@@ -206,7 +206,7 @@
 	if b.engine == nil {
 		return
 	}
-	now := b.fleet.Book.Since()
+	now := b.fleet.Book.Elapsed()
 	b.engine.Slow, b.engine.Neighbour, b.engine.EvictFresh = b.faults.Slow, b.faults.Neighbour, b.faults.EvictFresh
 	if b.engine.AgeBy != b.faults.AgeBy {
 		b.engine.Age(now, b.faults.AgeBy)
@@ -225,7 +225,7 @@
 // share is which part of its capacity the box can do now.
 func (b *Box) share() float64 {
 	r := b.fleet.Terms.Rules
-	since := b.fleet.Book.Since() - b.started
+	since := b.fleet.Book.Elapsed() - b.started
 	if !b.cold || since >= r.ColdRamp.D() {
 		return 1
 	}
@@ -238,7 +238,7 @@
 	var due time.Duration // when the step that is on ends, by plan: what a timer oversleeps is not added up
 	for {
 		b.mu.Lock()
-		now := b.fleet.Book.Since()
+		now := b.fleet.Book.Elapsed()
 		wait, ok := e.Loading(now), false
 		if wait == 0 {
 			wait, ok = e.Begin(max(due, now-maxBehind))
@@ -251,7 +251,7 @@
 				due = now
 			}
 			due += wait
-			if sleep(ctx, due-b.fleet.Book.Since()) != nil {
+			if sleep(ctx, due-b.fleet.Book.Elapsed()) != nil {
 				return
 			}
 			b.mu.Lock()
@@ -270,7 +270,7 @@
 			case <-ctx.Done():
 				return
 			}
-			due = b.fleet.Book.Since()
+			due = b.fleet.Book.Elapsed()
 		}
 	}
 }
@@ -291,7 +291,7 @@
 	for key, try := range b.tries {
 		if _, waits := b.engine.Waits(key); !waits && !b.engine.Moves(key) {
 			delete(b.tries, key)
-			b.fleet.Book.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: "expired"})
+			b.fleet.Book.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: "expired"})
 		}
 	}
 }
@@ -315,7 +315,7 @@
 func (b *Box) weigh(work float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r, now := b.fleet.Terms.Rules, b.fleet.Book.Since()
+	r, now := b.fleet.Terms.Rules, b.fleet.Book.Elapsed()
 	if !b.cold || now-b.started > r.ColdRamp.D() {
 		return false
 	}
@@ -369,30 +369,30 @@
 		kserve.WriteFault(w, err)
 		return
 	}
-	line := record.Line{Box: b.Name, Try: e.Mark, Grade: e.Grade, Key: e.Key(), Stage: e.Stage, Trip: e.Trip}
+	line := record.Event{Backend: b.Name, Try: e.Mark, Class: e.Grade, RequestKey: e.Key(), Phase: e.Stage, Attempt: e.Trip}
 	put := func(what, word string) {
 		l := line
-		l.What, l.Word = what, word
-		b.fleet.Book.Put(l)
+		l.Kind, l.Detail = what, word
+		b.fleet.Book.Record(l)
 	}
 	work := b.work(e)
 	got := line
-	got.What, got.Work = record.Trip, work
+	got.Kind, got.Work = record.AttemptReceived, work
 	if c := connOf(r.Context()); c != nil {
 		got.Address = c.gate.Spec.String()
 		arrived, gone := c.times()
-		got.Arrived = b.fleet.Book.Stamp(arrived)
+		got.ArrivedUs = b.fleet.Book.TimestampUs(arrived)
 		if !gone.IsZero() {
 			// Its dispatcher has closed already: such a trip is not begun.
-			got.Gone = b.fleet.Book.Stamp(gone)
-			b.fleet.Book.Put(got)
-			put(record.End, "dropped")
+			got.ClosedUs = b.fleet.Book.TimestampUs(gone)
+			b.fleet.Book.Record(got)
+			put(record.AttemptEnded, "dropped")
 			return
 		}
 	}
-	b.fleet.Book.Put(got)
+	b.fleet.Book.Record(got)
 	// Whoever asked may go while the box works on: that is taken down on its own.
-	unwatch := context.AfterFunc(r.Context(), func() { put(record.Closed, "") })
+	unwatch := context.AfterFunc(r.Context(), func() { put(record.AttemptClosed, "") })
 	defer unwatch()
 	word := "broke"
 	var spent func() (read, kept, answer int)
@@ -404,7 +404,7 @@
 		read, kept, answer := spent()
 		return count(end, read, kept, answer)
 	}
-	defer func() { costs(word); put(record.End, word) }()
+	defer func() { costs(word); put(record.AttemptEnded, word) }()
 
 	b.mu.Lock()
 	start, faults, life := b.Start, b.faults, b.life
@@ -413,15 +413,15 @@
 	crashes := b.rng.Float64() < faults.CrashAfterRead
 	b.mu.Unlock()
 	if b.weigh(work) {
-		b.fleet.Book.Put(record.Line{What: record.Fell, Box: b.Name, Start: start})
+		b.fleet.Book.Record(record.Event{Kind: record.Overloaded, Backend: b.Name, StartID: start})
 		go b.Kill("pushed over")
 		panic(http.ErrAbortHandler)
 	}
 	effect := func() {
 		if b.fleet.runs(b, e.Grade, cmp.Or(e.Mark, e.Key())) {
-			put(record.Ran, "")
+			put(record.EffectStarted, "")
 		} else {
-			put(record.Repeat, "")
+			put(record.DuplicateDropped, "")
 		}
 	}
 	answer := func(status int, told kserve.Told) {
@@ -492,7 +492,7 @@
 					how = engine.Dropped
 				} else {
 					b.tries[e.Key()] = e.Mark
-					b.fleet.Book.Put(record.Line{What: record.Held, Box: b.Name, Key: e.Key(), Try: e.Mark, Grade: e.Grade})
+					b.fleet.Book.Record(record.Event{Kind: record.KVCacheHeld, Backend: b.Name, RequestKey: e.Key(), Try: e.Mark, Class: e.Grade})
 				}
 			}
 			ended(how, kept)
@@ -503,7 +503,7 @@
 		defer b.mu.Unlock()
 		return j.job.Spent()
 	}
-	eng.Submit(b.fleet.Book.Since(), &j.job)
+	eng.Submit(b.fleet.Book.Elapsed(), &j.job)
 	b.nudge()
 	b.mu.Unlock()
 	defer func() {
@@ -594,7 +594,7 @@
 	delete(b.unkept, key)
 	b.engine.Release(key)
 	b.nudge()
-	b.fleet.Book.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: why})
+	b.fleet.Book.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: why})
 	return true
 }
 
@@ -608,10 +608,10 @@
 	done := 0
 	for _, x := range list {
 		b.mu.Lock()
-		b.letGo[x.Key] = releasedUpTo{x.Trip, b.fleet.Book.Since()}
+		b.letGo[x.Key] = releasedUpTo{x.Trip, b.fleet.Book.Elapsed()}
 		if len(b.letGo) > letGoMost {
 			for key, l := range b.letGo {
-				if b.fleet.Book.Since()-l.at > letGoTime {
+				if b.fleet.Book.Elapsed()-l.at > letGoTime {
 					delete(b.letGo, key)
 				}
 			}
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -45,7 +45,7 @@
 
 // Clients ask questions.
 type Clients struct {
-	Book  *record.Book
+	Book  *record.Recorder
 	Model string
 	Front Front
 	http  *http.Client
@@ -53,7 +53,7 @@
 }
 
 // NewClients makes clients that share connections as a front does.
-func NewClients(book *record.Book, model string, front Front) *Clients {
+func NewClients(book *record.Recorder, model string, front Front) *Clients {
 	tr := &http.Transport{MaxIdleConnsPerHost: 256, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	return &Clients{book, model, front, &http.Client{Transport: tr}, tr}
 }
@@ -108,25 +108,25 @@
 func (c *Clients) try(ctx context.Context, w Wish, try int, ticket string) (word string, after time.Duration, sent bool, next string) {
 	id := fmt.Sprintf("%s.%d", w.Name, try)
 	who, addr := c.Front(uint64(w.At) + uint64(try)*7919)
-	line := record.Line{Try: id, Question: w.Name, Grade: w.Grade, Dispatcher: who}
-	put := func(what, word string, more func(*record.Line)) {
+	line := record.Event{Try: id, Request: w.Name, Class: w.Grade, Dispatcher: who}
+	put := func(what, word string, more func(*record.Event)) {
 		l := line
-		l.What, l.Word = what, word
+		l.Kind, l.Detail = what, word
 		if more != nil {
 			more(&l)
 		}
-		c.Book.Put(l)
+		c.Book.Record(l)
 	}
 	left := time.Duration(float64(w.Expiry) * w.Patience)
 	follows := ""
 	if w.Honours {
 		follows = "follows"
 	}
-	put(record.Asked, follows, func(l *record.Line) {
-		l.ExpiryUs, l.PromiseUs, l.Tokens = left.Microseconds(), w.Promised.Microseconds(), w.Tokens
+	put(record.RequestSent, follows, func(l *record.Event) {
+		l.DeadlineUs, l.LatencyTargetUs, l.Tokens = left.Microseconds(), w.Promised.Microseconds(), w.Tokens
 	})
 	if addr == "" {
-		put(record.Cut, "no dispatcher is known", nil)
+		put(record.ConnectionLost, "no dispatcher is known", nil)
 		return "cut", 0, false, ""
 	}
 	params := kserve.Params{
@@ -151,7 +151,7 @@
 	began := time.Now()
 	broke := func(err error) (string, time.Duration, bool, string) {
 		if errors.Is(context.Cause(ctx), errQuit) {
-			put(record.Quit, "", nil)
+			put(record.ClientLeft, "", nil)
 			return "left", 0, true, ""
 		}
 		cause := context.Cause(ctx)
@@ -160,9 +160,9 @@
 		}
 		sent := !kserve.Unsent(err)
 		if !sent {
-			put(record.Cut, "unreached: "+cause.Error(), nil)
+			put(record.ConnectionLost, "unreached: "+cause.Error(), nil)
 		} else {
-			put(record.Cut, cause.Error(), nil)
+			put(record.ConnectionLost, cause.Error(), nil)
 		}
 		return "cut", 0, sent, ""
 	}
@@ -176,8 +176,8 @@
 	}
 	defer resp.Body.Close()
 	final := func(f kserve.Final) (string, time.Duration, bool, string) {
-		put(record.Final, f.Final, func(l *record.Line) {
-			l.AfterMs, l.Trips, l.Took = f.AfterMs, f.Trips, time.Since(began).Microseconds()
+		put(record.FinalAnswer, f.Final, func(l *record.Event) {
+			l.RetryAfterMs, l.Attempts, l.ElapsedUs = f.AfterMs, f.Trips, time.Since(began).Microseconds()
 		})
 		return f.Final, time.Duration(f.AfterMs) * time.Millisecond, true, f.Ticket
 	}
@@ -188,7 +188,7 @@
 			return broke(err)
 		}
 		if json.Unmarshal(raw, &f) != nil || f.Final == "" {
-			put(record.Final, fmt.Sprintf("fault %d: %.200s", resp.StatusCode, raw), nil)
+			put(record.FinalAnswer, fmt.Sprintf("fault %d: %.200s", resp.StatusCode, raw), nil)
 			return "fault", 0, true, ""
 		}
 		return final(f)
@@ -204,7 +204,7 @@
 			if !first {
 				first = true
 				patience.Stop()
-				put(record.First, "", func(l *record.Line) { l.Took = time.Since(began).Microseconds() })
+				put(record.FirstToken, "", func(l *record.Event) { l.ElapsedUs = time.Since(began).Microseconds() })
 			}
 			if w.Slowly > 0 {
 				sleep(ctx, w.Slowly)
@@ -213,13 +213,13 @@
 		}
 		var f kserve.Final
 		if json.Unmarshal(ev.Data, &f) != nil || f.Final == "" {
-			put(record.Extra, "an event that is no final answer: "+ev.Name, nil)
+			put(record.AfterFinal, "an event that is no final answer: "+ev.Name, nil)
 			continue
 		}
 		word, after, sent, next = final(f)
 		time.AfterFunc(past, func() { cancel(errPatience) })
 		if ev, err := events.Next(); err == nil {
-			put(record.Extra, ev.Name, nil)
+			put(record.AfterFinal, ev.Name, nil)
 		}
 		return word, after, sent, next
 	}
--- a/internal/standin/counts.go
+++ b/internal/standin/counts.go
@@ -50,8 +50,8 @@
 		done = &kserve.Count{Number: of.last, Key: e.Key(), Trip: e.Trip, Mark: e.Mark, Stage: e.Stage, Channel: e.Channel, Grade: e.Grade, Read: read, Kept: kept,
 			Answer: answer, End: end}
 		of.list = append(of.list, *done)
-		b.fleet.Book.Put(record.Line{What: record.Counted, Box: b.Name, Key: e.Key(), Trip: e.Trip, Try: e.Mark, Stage: e.Stage, Grade: e.Grade, Word: end,
-			Tokens: read, Kept: kept, Answer: answer})
+		b.fleet.Book.Record(record.Event{Kind: record.UsageCounted, Backend: b.Name, RequestKey: e.Key(), Attempt: e.Trip, Try: e.Mark, Phase: e.Stage, Class: e.Grade, Detail: end,
+			Tokens: read, CachedTokens: kept, AnswerTokens: answer})
 		return done
 	}
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -30,7 +30,7 @@
 // Fleet is what boxes of a run share: the record, links, and what a mark was seen with.
 type Fleet struct {
 	Terms setup.Terms
-	Book  *record.Book
+	Book  *record.Recorder
 	Links Links
 	Talk  map[string]Talk // by grade
 
@@ -56,13 +56,13 @@
 type mark struct{ group, try string }
 
 // NewFleet makes an empty fleet.
-func NewFleet(terms setup.Terms, book *record.Book, links Links, talk map[string]Talk) *Fleet {
+func NewFleet(terms setup.Terms, book *record.Recorder, links Links, talk map[string]Talk) *Fleet {
 	f := &Fleet{
 		Terms: terms, Book: book, Links: links, Talk: talk, slowLink: 1,
 		reads: map[string]*mean{}, seen: map[mark]time.Duration{}, racks: map[string]*lane{},
 	}
 	f.life, f.end = context.WithCancel(context.Background())
-	f.ways = &reach.Boxes{Limit: 500 * time.Millisecond, Most: 1024, Since: book.Since, Life: f.life, Group: &errgroup.Group{}}
+	f.ways = &reach.Boxes{Limit: 500 * time.Millisecond, Most: 1024, Since: book.Elapsed, Life: f.life, Group: &errgroup.Group{}}
 	f.ways.Group.Go(f.ways.Tend)
 	return f
 }
@@ -157,7 +157,7 @@
 	group := map[string]string{"zone": b.Zone, "rack": b.Rack}[g.Reach]
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := f.Book.Since()
+	now := f.Book.Elapsed()
 	at, known := f.seen[mark{group, try}]
 	if known && now-at < g.Window.D() {
 		return false
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -95,7 +95,7 @@
 	up, cold, start := b.UpFor()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.fleet.Book.Since()
+	now := l.fleet.Book.Elapsed()
 	visible := now + after + l.stale
 	if n := len(l.changes); n > 0 {
 		visible = max(visible, l.changes[n-1].visible)
@@ -148,7 +148,7 @@
 func (l *List) next(have int, whole bool) *boxlist.Push {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.fleet.Book.Since()
+	now := l.fleet.Book.Elapsed()
 	n := l.visible(now)
 	if !whole && have >= n {
 		return nil
@@ -217,14 +217,14 @@
 		}
 		for name := range known {
 			if !in[name] {
-				l.fleet.Book.Put(record.Line{What: record.Told, Dispatcher: who, Box: name, Word: boxlist.Gone})
+				l.fleet.Book.Record(record.Event{Kind: record.EndpointNotified, Dispatcher: who, Backend: name, Detail: boxlist.Gone})
 			}
 		}
 		known = map[string]bool{}
 	}
 	for _, b := range p.Boxes {
 		known[b.Name] = true
-		l.fleet.Book.Put(record.Line{What: record.Told, Dispatcher: who, Box: b.Name, Word: b.Standing, Start: b.Start})
+		l.fleet.Book.Record(record.Event{Kind: record.EndpointNotified, Dispatcher: who, Backend: b.Name, Detail: b.Standing, StartID: b.Start})
 	}
 	return known
 }
