--- /dev/null
+++ b/internal/day/backends.go
@@ -0,0 +1,73 @@
+package day
+
+import (
+	"cmp"
+	"fmt"
+	"time"
+
+	"sloetrestle/internal/engine"
+	"sloetrestle/internal/standin"
+)
+
+// BackendSpec is the configuration of one backend of a scenario.
+type BackendSpec struct {
+	Name, Kind, Role, Zone, Rack string
+	Units                        float64
+	IgnoresCancel                bool // a cancel does not stop its work
+	Group                        BackendGroup
+	Engine                       engine.Make
+}
+
+// kvCacheLifetime is how long a KV cache is held for a dispatcher that may have been killed.
+const kvCacheLifetime = 8 * time.Second
+
+// BackendSpecs lists the scenario's backends with their engines.
+func (d *Scenario) BackendSpecs() []BackendSpec {
+	var specs []BackendSpec
+	next := map[string]int{} // by kind
+	for _, group := range d.Backends {
+		kind := d.Kinds[d.KindNumber(group.Kind)]
+		e := group.Engine
+		// The defaults have the published orders of magnitude for 70B-class models on one server of eight accelerators:
+		// a decode step of 10 to 25 ms, blocks of 16 to 64 tokens, chunks of 512 to 8,192 tokens.
+		engineSpec := engine.Make{
+			Reads: kind.Role != "writer", Writes: kind.Role != "reader", Slots: group.Slots, Queue: group.Queue,
+			BlockTokens: cmp.Or(e.BlockTokens, 32), Chunk: cmp.Or(e.ChunkTokens, 2048),
+			Step:        cmp.Or(e.StepTime.D(), group.TokenTime.D()),
+			PerAnswer:   cmp.Or(e.StepPerAnswer.D(), 150*time.Microsecond),
+			PerContextK: cmp.Or(e.StepPer1000Context.D(), 40*time.Microsecond),
+			PairsPerM:   cmp.Or(e.StepPerMillionPairs.D(), 800*time.Microsecond), ReadPerS: group.PrefillTokensPerSecond,
+			StateLife: kvCacheLifetime, ColdShare: d.Rules.ColdShare, ColdRamp: d.Rules.ColdRamp.D(),
+			Load: e.ModelLoadTime.D(),
+		}
+		engineSpec.Blocks = max(kind.Memory/engineSpec.BlockTokens, 1)
+		for range group.Count {
+			i := next[group.Kind]
+			next[group.Kind]++
+			zone := d.Zones[0]
+			if len(group.Zones) > 0 {
+				zone = group.Zones[i%len(group.Zones)]
+			}
+			spec := BackendSpec{Name: fmt.Sprintf("%s-%d", group.Kind, i+1), Kind: group.Kind, Role: kind.Role, Zone: zone,
+				Rack: group.Racks[i%len(group.Racks)], Units: max(group.Units, 1), Group: group, Engine: engineSpec}
+			for _, f := range d.Faults {
+				for _, name := range f.Backends {
+					spec.IgnoresCancel = spec.IgnoresCancel ||
+						f.Kind == "no_cancel" && (name == spec.Name || name == spec.Kind)
+				}
+			}
+			specs = append(specs, spec)
+		}
+	}
+	return specs
+}
+
+// RequestShape returns the token counts of a class's requests.
+func (d *Scenario) RequestShape(class string) standin.Talk {
+	for _, t := range d.Traffic {
+		if t.Class == class {
+			return standin.Talk{New: t.NewTokens, Answer: t.AnswerTokens, Prefix: t.SharedPrefixTokens}
+		}
+	}
+	return standin.Talk{New: 1, Answer: 1}
+}
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -1,6 +1,6 @@
-// Package day has a scripted day: its TOML form, the questions that clients will ask in it, its troubles, and the
-// run of it against real dispatcher processes with stand-ins around them. It judges nothing; the record that it
-// leaves is for internal/judge. Begin with Day, then Play.
+// Package day plays scripted scenarios: it parses the TOML form, draws the requests that clients will send, schedules
+// the faults, and runs the scenario against real dispatcher processes with test backends around them. It checks no
+// rules; the record of a run is for internal/judge. Begin with Scenario, then Run.
 package day
 
 import (
@@ -17,7 +17,7 @@
 	"sloetrestle/internal/setup"
 )
 
-// Scenario is a script.
+// Scenario is a script of deployment, traffic and faults.
 type Scenario struct {
 	Header    Header         `toml:"day"`
 	Links     Links          `toml:"links"`
@@ -29,86 +29,90 @@
 	setup.Terms
 }
 
-// Header says how long and how much.
+// Header has the length and the size of a scenario.
 type Header struct {
-	Name               string     `toml:"name"`
-	Duration           setup.Span `toml:"length"`
-	Seed               uint64     `toml:"seed"`
-	Dispatchers        int        `toml:"dispatchers"`
-	RequestsPerSecond  float64    `toml:"questions_a_second"`
-	DeadlineMargin     setup.Span `toml:"margin"`                  // of the dispatchers, off a client's time
-	Ledger             bool       `toml:"ledger"`                  // dispatchers keep ledgers, and these have to have what the boxes counted
-	SplitBudgets       bool       `toml:"split_budgets,omitempty"` // in virtual time only, to compare with: each dispatcher has an equal part
-	LoadBalancerNotice setup.Span `toml:"front_notice"`            // how long the front goes on sending to a killed dispatcher
+	Name              string     `toml:"name"`
+	Duration          setup.Span `toml:"length"`
+	Seed              uint64     `toml:"seed"`
+	Dispatchers       int        `toml:"dispatchers"`
+	RequestsPerSecond float64    `toml:"questions_a_second"`
+	DeadlineMargin    setup.Span `toml:"margin"` // by how much dispatchers answer before a client's deadline
+	Ledger            bool       `toml:"ledger"` // dispatchers keep ledgers, which must equal what the backends counted
+
+	// SplitBudgets gives each dispatcher an equal part of each budget, for comparison. In virtual time only.
+	SplitBudgets bool `toml:"split_budgets,omitempty"`
+
+	// LoadBalancerNotice is how long the load balancer goes on sending to a dispatcher that was killed.
+	LoadBalancerNotice setup.Span `toml:"front_notice"`
 }
 
-// Links carry read states.
+// Links are the links that carry KV caches from prefill to decode.
 type Links struct {
 	NearTokensPerSecond float64 `toml:"near_tokens_a_second"`
 	FarTokensPerSecond  float64 `toml:"far_tokens_a_second"`
-	CrossZoneFactor     float64 `toml:"other_zone_times"`
+	CrossZoneFactor     float64 `toml:"other_zone_times"` // how many times slower to another zone
 }
 
-// Discovery is how late the box list is.
+// Discovery has the delays of service discovery.
 type Discovery struct {
-	NoticeDelay        setup.Span `toml:"notice"`      // of starts and drains
-	FailureNoticeDelay setup.Span `toml:"gone_notice"` // of processes that died
+	NoticeDelay        setup.Span `toml:"notice"`      // for starts and drains
+	FailureNoticeDelay setup.Span `toml:"gone_notice"` // for processes that died
 }
 
-// Clients are how they behave.
+// Clients describes the behaviour of clients.
 type Clients struct {
 	Retries           int        `toml:"retries"`
 	RetryWait         setup.Span `toml:"wait"`
 	WaitDoubles       bool       `toml:"wait_doubles"`
-	FollowAdviceShare float64    `toml:"honour"` // share that follows the advice
+	FollowAdviceShare float64    `toml:"honour"` // share that follows the retry advice
 	PatienceMin       float64    `toml:"patience_min"`
-	PatienceMax       float64    `toml:"patience_max"` // of the expiry, after which a try is given up
+	PatienceMax       float64    `toml:"patience_max"` // of the time to the deadline, after which a try is given up
 }
 
-// BackendGroup are some alike.
+// BackendGroup is a number of backends of one kind and configuration.
 type BackendGroup struct {
 	Kind                   string     `toml:"kind"`
 	Count                  int        `toml:"count"`
-	Racks                  []string   `toml:"racks"` // in turn
+	Racks                  []string   `toml:"racks"` // assigned in turn
 	Zones                  []string   `toml:"zones,omitempty"`
 	Slots                  int        `toml:"slots"`
 	Queue                  int        `toml:"queue"`
 	PrefillTokensPerSecond float64    `toml:"read_tokens_a_second"`
 	TokenTime              setup.Span `toml:"token_time"`
 	Units                  float64    `toml:"units"`
-	Addresses              []string   `toml:"addresses,omitempty"` // of each box, in their order: tcp4, tcp6, unix; one tcp4 where left out
+	Addresses              []string   `toml:"addresses,omitempty"` // networks in order: tcp4, tcp6, unix; default one tcp4
 	Engine                 Engine     `toml:"engine,omitempty"`
 }
 
-// Engine is how boxes work inside, where a day plays engines; what is left out has the preset's value.
+// Engine configures the emulated engine of backends, where a scenario uses one. Omitted keys have the default value.
 type Engine struct {
-	BlockTokens         int        `toml:"block_tokens,omitempty"`     // tokens to a block of memory; 32
-	ChunkTokens         int        `toml:"chunk_tokens,omitempty"`     // prompt tokens read in one step at most; 2048
-	StepTime            setup.Span `toml:"step,omitempty"`             // one that does nothing else; token_time
-	StepPerAnswer       setup.Span `toml:"step_per_answer,omitempty"`  // for each running answer; 0.15 ms
-	StepPer1000Context  setup.Span `toml:"step_per_1000,omitempty"`    // for each 1,000 tokens of context; 0.04 ms
-	StepPerMillionPairs setup.Span `toml:"step_per_m_pairs,omitempty"` // for each million pairs of tokens read; 0.8 ms
-	ModelLoadTime       setup.Span `toml:"model_load,omitempty"`       // before a cold start's first step; 0
+	BlockTokens         int        `toml:"block_tokens,omitempty"`     // tokens in a block of memory; default 32
+	ChunkTokens         int        `toml:"chunk_tokens,omitempty"`     // most prompt tokens in one step; default 2048
+	StepTime            setup.Span `toml:"step,omitempty"`             // of a step without load; default token_time
+	StepPerAnswer       setup.Span `toml:"step_per_answer,omitempty"`  // for each running answer; default 0.15 ms
+	StepPer1000Context  setup.Span `toml:"step_per_1000,omitempty"`    // for 1,000 tokens of context; default 0.04 ms
+	StepPerMillionPairs setup.Span `toml:"step_per_m_pairs,omitempty"` // for 1e6 pairs of prefill tokens; default 0.8 ms
+	ModelLoadTime       setup.Span `toml:"model_load,omitempty"`       // before the first step of a cold start; default 0
 }
 
-// Traffic is what is asked of one grade.
+// Traffic describes the requests of one class.
 type Traffic struct {
 	Class              string  `toml:"grade"`
 	Share              float64 `toml:"share"`
 	NewTokens          float64 `toml:"new_tokens"`
 	AnswerTokens       float64 `toml:"answer_tokens"`
 	Turns              float64 `toml:"turns"`
-	SharedPrefixShare  float64 `toml:"shared"`        // share of sessions that begin with a shared text
-	SharedPrefixes     int     `toml:"beginnings"`    // how many there are
-	SharedPrefixTokens int     `toml:"shared_tokens"` // of each
+	SharedPrefixShare  float64 `toml:"shared"`        // share of sessions that begin with a shared prefix
+	SharedPrefixes     int     `toml:"beginnings"`    // number of distinct shared prefixes
+	SharedPrefixTokens int     `toml:"shared_tokens"` // tokens of each
 }
 
-// Fault is something that goes wrong for a while.
+// Fault is a fault that is injected for a while.
 type Fault struct {
 	Kind        string     `toml:"kind"`
 	Start       setup.Span `toml:"at"`
 	Duration    setup.Span `toml:"length,omitempty"`
-	Backends    []string   `toml:"boxes,omitempty"` // names, or kinds for all of them
+	Backends    []string   `toml:"boxes,omitempty"` // names, or kinds for all backends of a kind
 	Dispatchers []int      `toml:"dispatchers,omitempty"`
 	Factor      float64    `toml:"size,omitempty"`
 	Share       float64    `toml:"share,omitempty"`
@@ -116,71 +120,82 @@
 	Tenant      string     `toml:"channel,omitempty"`
 	Delay       setup.Span `toml:"by,omitempty"`
 	Tokens      int        `toml:"tokens,omitempty"`
-	Addresses   []int      `toml:"addresses,omitempty"` // of each box hit, by number from 0
+	Addresses   []int      `toml:"addresses,omitempty"` // of each backend hit, by number from 0
 	Bytes       int        `toml:"bytes,omitempty"`
 }
 
-// faultKind says what a trouble is and which of its keys it needs.
+// faultKind describes a kind of fault and the keys that it requires.
 type faultKind struct {
 	Name, Description string
 	RequiredKeys      []string
 }
 
-// FaultKinds lists the troubles.
+// FaultKinds lists the kinds of fault.
 var FaultKinds = []faultKind{
-	{"slow", "boxes work size times slower", []string{"boxes", "size"}},
-	{"failing", "boxes answer a share of trips with an error at once, some after the effect", []string{"boxes", "share"}},
-	{"grade_failing", "boxes fail a share of one grade's trips", []string{"boxes", "share", "grade"}},
-	{"hang", "boxes take trips and say nothing", []string{"boxes"}},
-	{"crash", "boxes die at once and start cold after length", []string{"boxes"}},
-	{"crash_after_read", "readers die after a share of their reads, before the state is taken, and start cold after length", []string{"boxes", "share"}},
-	{"reset", "boxes cut a share of answers off mid-stream", []string{"boxes", "share"}},
-	{"reset_running", "boxes cut a share of trips off when they have begun to run, before a token", []string{"boxes", "share"}},
-	{"forget", "boxes forget their kept texts, once", []string{"boxes"}},
-	{"no_cancel", "a cancel or a time-out does not stop work at the boxes", []string{"boxes"}},
-	{"drain", "boxes drain; after length they are gone, and back cold a second later", []string{"boxes"}},
-	{"replace", "boxes drain, and new ones start cold in their place at once; after length the old ones are gone (in virtual time only)", []string{"boxes"}},
-	{"connect_late", "a share of connections to boxes comes up late, by at most by (in virtual time only)", []string{"share", "by"}},
-	{"restart", "boxes restart cold, and the list says so as late as it is", []string{"boxes"}},
-	{"neighbour", "another program takes a share of the boxes' machines", []string{"boxes", "share"}},
-	{"ageing", "boxes lose a share of their pace each second, then crash", []string{"boxes", "share"}},
-	{"evict_fresh", "boxes under pressure evict states that were just sent to them", []string{"boxes"}},
-	{"list_stale", "the list is later than usual by so much", []string{"by"}},
-	{"list_gap", "the next push of the list is lost", nil},
-	{"list_down", "the list is away", nil},
+	{"slow", "backends work size times slower", []string{"boxes", "size"}},
+	{"failing", "backends answer a share of attempts with an error at once, some after the effect",
+		[]string{"boxes", "share"}},
+	{"grade_failing", "backends fail a share of one class's attempts", []string{"boxes", "share", "grade"}},
+	{"hang", "backends accept attempts and send nothing", []string{"boxes"}},
+	{"crash", "backends die at once and start cold after length", []string{"boxes"}},
+	{"crash_after_read",
+		"prefill backends die after a share of their prefills, before the KV cache is taken, and start cold after length",
+		[]string{"boxes", "share"}},
+	{"reset", "backends reset a share of answers mid-stream", []string{"boxes", "share"}},
+	{"reset_running", "backends reset a share of attempts that have begun to run, before the first token",
+		[]string{"boxes", "share"}},
+	{"forget", "backends drop their prefix caches, once", []string{"boxes"}},
+	{"no_cancel", "a cancel or a timeout does not stop work at the backends", []string{"boxes"}},
+	{"drain", "backends drain; after length they are removed, and back cold a second later", []string{"boxes"}},
+	{"replace", "backends drain, and new ones start cold in their place at once; after length the old ones are removed " +
+		"(in virtual time only)", []string{"boxes"}},
+	{"connect_late", "a share of connections to backends is established late, by at most by (in virtual time only)",
+		[]string{"share", "by"}},
+	{"restart", "backends restart cold, and service discovery reports it with its usual delay", []string{"boxes"}},
+	{"neighbour", "another program takes a share of the backends' machines", []string{"boxes", "share"}},
+	{"ageing", "backends lose a share of their speed each second, then crash", []string{"boxes", "share"}},
+	{"evict_fresh", "backends under memory pressure evict KV caches that were just sent to them", []string{"boxes"}},
+	{"list_stale", "service discovery is later than usual by so much", []string{"by"}},
+	{"list_gap", "the next update of service discovery is lost", nil},
+	{"list_down", "service discovery is unavailable", nil},
 	{"link_slow", "the racks' links are size times slower", []string{"size"}},
-	{"kill_dispatcher", "dispatchers are killed outright (SIGKILL) and start anew after length", []string{"dispatchers"}},
-	{"stop_dispatcher", "dispatchers are told to stop (SIGTERM) and start anew after length", []string{"dispatchers"}},
-	{"burst", "size times as many questions; the further ones of one channel, where it is named", []string{"size"}},
-	{"leave", "a share of clients leaves before the promised time, or mid-stream", []string{"share"}},
-	{"give_up", "a share of clients waits only size times the promised time, and says so", []string{"share", "size"}},
-	{"shared_text", "a share of questions opens new sessions with one unseen text of so many tokens", []string{"share", "tokens"}},
+	{"kill_dispatcher", "dispatchers are killed (SIGKILL) and restart after length", []string{"dispatchers"}},
+	{"stop_dispatcher", "dispatchers are stopped (SIGTERM) and restart after length", []string{"dispatchers"}},
+	{"burst", "size times as many requests; the additional ones of one tenant, if it is named", []string{"size"}},
+	{"leave", "a share of clients leaves before the latency target, or mid-stream", []string{"share"}},
+	{"give_up", "a share of clients waits only size times the latency target, and says so", []string{"share", "size"}},
+	{"shared_text", "a share of requests opens new sessions with one unseen prefix of so many tokens",
+		[]string{"share", "tokens"}},
 	{"long_prompts", "a share of prompts is size times as long", []string{"share", "size"}},
-	{"address_refuse", "nobody listens at these addresses of the boxes", []string{"boxes", "addresses"}},
+	{"address_refuse", "connections to these addresses of the backends are refused", []string{"boxes", "addresses"}},
 	{"address_blackhole", "connections to these addresses are neither made nor refused", []string{"boxes", "addresses"}},
-	{"address_stall", "these addresses take connections, and nothing is read", []string{"boxes", "addresses"}},
-	{"address_stall_after", "these addresses answer one request on a connection, then nothing is read", []string{"boxes", "addresses"}},
+	{"address_stall", "these addresses accept connections, and nothing is read", []string{"boxes", "addresses"}},
+	{"address_stall_after", "these addresses answer one request on a connection, then nothing is read",
+		[]string{"boxes", "addresses"}},
 	{"address_slow", "each read at these addresses takes longer by so much", []string{"boxes", "addresses", "by"}},
-	{"address_reset", "connections to these addresses are reset after so many bytes", []string{"boxes", "addresses", "bytes"}},
+	{"address_reset", "connections to these addresses are reset after so many bytes",
+		[]string{"boxes", "addresses", "bytes"}},
 	{"address_flap", "these addresses refuse and serve in turn, each for so long", []string{"boxes", "addresses", "by"}},
-	{"address_swap", "the first two boxes' processes swap these addresses", []string{"boxes", "addresses"}},
-	{"address_drop", "the list names these addresses no more", []string{"boxes", "addresses"}},
-	{"slow_clients", "a share of clients takes its answer slowly, a piece every by", []string{"share", "by"}},
+	{"address_swap", "the first two backends' processes swap these addresses", []string{"boxes", "addresses"}},
+	{"address_drop", "service discovery lists these addresses no more", []string{"boxes", "addresses"}},
+	{"slow_clients", "a share of clients reads its answer slowly, one piece every by", []string{"share", "by"}},
 }
 
-// Default is what a day starts from.
+// Default returns the values that a script's file changes.
 func Default() Scenario {
 	return Scenario{
 		Terms: setup.DefaultTerms(),
 		Header: Header{Name: "day", Duration: setup.Span(20 * time.Second), Seed: 1, Dispatchers: 2, RequestsPerSecond: 20,
 			DeadlineMargin: setup.Span(40 * time.Millisecond), LoadBalancerNotice: setup.Span(time.Second)},
-		Links:     Links{NearTokensPerSecond: 250_000, FarTokensPerSecond: 400_000, CrossZoneFactor: 2},
-		Discovery: Discovery{NoticeDelay: setup.Span(500 * time.Millisecond), FailureNoticeDelay: setup.Span(2 * time.Second)},
-		Clients:   Clients{Retries: 1, RetryWait: setup.Span(100 * time.Millisecond), FollowAdviceShare: 0.7, PatienceMin: 0.5, PatienceMax: 1},
+		Links: Links{NearTokensPerSecond: 250_000, FarTokensPerSecond: 400_000, CrossZoneFactor: 2},
+		Discovery: Discovery{NoticeDelay: setup.Span(500 * time.Millisecond),
+			FailureNoticeDelay: setup.Span(2 * time.Second)},
+		Clients: Clients{Retries: 1, RetryWait: setup.Span(100 * time.Millisecond), FollowAdviceShare: 0.7,
+			PatienceMin: 0.5, PatienceMax: 1},
 	}
 }
 
-// Load reads a script.
+// Load reads a script from a file.
 func Load(file string) (Scenario, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -189,49 +204,50 @@
 	return Parse(file, raw)
 }
 
-// Parse reads a script's text.
+// Parse reads a script's text. Errors name the file, the line and the key.
 func Parse(file string, raw []byte) (Scenario, error) {
 	d := Default()
 	return d, setup.Decode(file, raw, &d, d.check)
 }
 
-// The bounds of what one machine plays.
+// Limits of what one machine can play.
 const (
-	mostBoxes       = 200
-	mostDispatchers = 400
-	mostLength      = 30 * time.Minute
-	mostQuestions   = 500_000
-	mostSlots       = 1 << 20
-	mostSize        = 1000 // times, of a trouble
+	maxBackends    = 200
+	maxDispatchers = 400
+	maxDuration    = 30 * time.Minute
+	maxRequests    = 500_000
+	maxSlots       = 1 << 20
+	maxFactor      = 1000 // of a fault
 )
 
-// above tells whether a figure is above nought and one that can be meant.
-func above(v float64) bool { return v > 0 && v <= setup.MostFigure }
+// inRange reports whether a value is above 0 and at most the largest that is accepted. It is false for NaN.
+func inRange(v float64) bool { return v > 0 && v <= setup.MostFigure }
 
 func (d *Scenario) check() error {
 	h := d.Header
 	switch {
-	case h.Duration <= 0 || h.Duration.D() > mostLength:
-		return setup.Wrong("day.length", "must be above 0 and at most %v", mostLength)
-	case h.Dispatchers < 1 || h.Dispatchers > mostDispatchers:
-		return setup.Wrong("day.dispatchers", "must be from 1 to %d", mostDispatchers)
-	case !(h.RequestsPerSecond > 0 && h.RequestsPerSecond*h.Duration.D().Seconds() <= mostQuestions):
-		return setup.Wrong("day.questions_a_second", "must be above 0 and come to at most %d questions", mostQuestions)
-	case !(above(d.Links.NearTokensPerSecond) && above(d.Links.FarTokensPerSecond)):
+	case h.Duration <= 0 || h.Duration.D() > maxDuration:
+		return setup.Wrong("day.length", "must be above 0 and at most %v", maxDuration)
+	case h.Dispatchers < 1 || h.Dispatchers > maxDispatchers:
+		return setup.Wrong("day.dispatchers", "must be from 1 to %d", maxDispatchers)
+	case !(h.RequestsPerSecond > 0 && h.RequestsPerSecond*h.Duration.D().Seconds() <= maxRequests):
+		return setup.Wrong("day.questions_a_second", "must be above 0 and come to at most %d requests", maxRequests)
+	case !(inRange(d.Links.NearTokensPerSecond) && inRange(d.Links.FarTokensPerSecond)):
 		return setup.Wrong("links", "must be above 0 and at most %g", float64(setup.MostFigure))
-	case d.Discovery.NoticeDelay.D() > mostLength || d.Discovery.FailureNoticeDelay.D() > mostLength:
-		return setup.Wrong("list", "must be at most %v", mostLength)
+	case d.Discovery.NoticeDelay.D() > maxDuration || d.Discovery.FailureNoticeDelay.D() > maxDuration:
+		return setup.Wrong("list", "must be at most %v", maxDuration)
 	case !(d.Clients.PatienceMin > 0 && d.Clients.PatienceMin <= d.Clients.PatienceMax):
-		return setup.Wrong("clients.patience_min", "must be above 0 and not beyond patience_max")
+		return setup.Wrong("clients.patience_min", "must be above 0 and not above patience_max")
 	case d.Clients.PatienceMax > 100:
 		return setup.Wrong("clients.patience_max", "must be at most 100")
 	case d.Clients.Retries < 0 || d.Clients.Retries > 50:
 		return setup.Wrong("clients.retries", "must be from 0 to 50")
 	case len(d.Traffic) == 0:
-		return setup.Wrong("traffic", "nothing is asked")
+		return setup.Wrong("traffic", "must have at least one entry")
 	}
 	if err := setup.FirstOf(
-		setup.Figure("links.other_zone_times", d.Links.CrossZoneFactor, setup.MostFigure), setup.Figure("clients.honour", d.Clients.FollowAdviceShare, 1), d.Terms.Check(),
+		setup.Figure("links.other_zone_times", d.Links.CrossZoneFactor, setup.MostFigure),
+		setup.Figure("clients.honour", d.Clients.FollowAdviceShare, 1), d.Terms.Check(),
 	); err != nil {
 		return err
 	}
@@ -240,120 +256,127 @@
 			return setup.Wrong(fmt.Sprintf("budget.%d.monthly", i), "needs day.ledger")
 		}
 	}
-	n := 0
+	total := 0
 	for i, b := range d.Backends {
-		at := fmt.Sprintf("box.%d.", i)
+		key := fmt.Sprintf("box.%d.", i)
 		switch {
 		case d.KindNumber(b.Kind) < 0:
-			return setup.Wrong(at+"kind", "%q is not among the kinds", b.Kind)
+			return setup.Wrong(key+"kind", "%q is not among the kinds", b.Kind)
 		case b.Count < 1:
-			return setup.Wrong(at+"count", "must be at least 1")
+			return setup.Wrong(key+"count", "must be at least 1")
 		case len(b.Racks) == 0:
-			return setup.Wrong(at+"racks", "names no rack")
-		case b.Slots < 1 || b.Queue < 0 || max(b.Slots, b.Queue) > mostSlots:
-			return setup.Wrong(at+"slots", "slots must be at least 1, queue not negative, and both at most %d", mostSlots)
-		case !above(b.PrefillTokensPerSecond):
-			return setup.Wrong(at+"read_tokens_a_second", "must be above 0 and at most %g", float64(setup.MostFigure))
+			return setup.Wrong(key+"racks", "must name at least one rack")
+		case b.Slots < 1 || b.Queue < 0 || max(b.Slots, b.Queue) > maxSlots:
+			return setup.Wrong(key+"slots", "slots must be at least 1, queue not negative, and both at most %d", maxSlots)
+		case !inRange(b.PrefillTokensPerSecond):
+			return setup.Wrong(key+"read_tokens_a_second", "must be above 0 and at most %g", float64(setup.MostFigure))
 		case b.TokenTime <= 0:
-			return setup.Wrong(at+"token_time", "must be above 0")
+			return setup.Wrong(key+"token_time", "must be above 0")
 		}
-		if err := setup.Figure(at+"units", b.Units, boxlist.MostUnits); err != nil {
+		if err := setup.Figure(key+"units", b.Units, boxlist.MostUnits); err != nil {
 			return err
 		}
-		for _, a := range b.Addresses {
-			if a != addresses.TCP4 && a != addresses.TCP6 && a != addresses.Unix {
-				return setup.Wrong(at+"addresses", "%q is none of tcp4, tcp6 and unix", a)
+		for _, network := range b.Addresses {
+			if network != addresses.TCP4 && network != addresses.TCP6 && network != addresses.Unix {
+				return setup.Wrong(key+"addresses", "%q is none of tcp4, tcp6 and unix", network)
 			}
 		}
 		for _, z := range b.Zones {
 			if d.ZoneNumber(z) < 0 {
-				return setup.Wrong(at+"zones", "%q is not among the zones", z)
+				return setup.Wrong(key+"zones", "%q is not among the zones", z)
 			}
 		}
-		n += b.Count
+		total += b.Count
 	}
-	if n == 0 || n > mostBoxes {
-		return setup.Wrong("box", "%d boxes are stated; 1 to %d can be played", n, mostBoxes)
+	if total == 0 || total > maxBackends {
+		return setup.Wrong("box", "the number of backends must be from 1 to %d, but is %d", maxBackends, total)
 	}
 	for i, t := range d.Traffic {
-		at := fmt.Sprintf("traffic.%d.", i)
+		key := fmt.Sprintf("traffic.%d.", i)
 		switch {
 		case d.GradeNumber(t.Class) < 0:
-			return setup.Wrong(at+"grade", "%q is not among the grades", t.Class)
+			return setup.Wrong(key+"grade", "%q is not among the classes", t.Class)
 		case !(t.NewTokens > 0 && t.NewTokens <= kserve.MostTokens):
-			return setup.Wrong(at+"new_tokens", "must be above 0 and at most %d", kserve.MostTokens)
+			return setup.Wrong(key+"new_tokens", "must be above 0 and at most %d", kserve.MostTokens)
 		case !(t.AnswerTokens > 0 && t.AnswerTokens <= kserve.MostTokens):
-			return setup.Wrong(at+"answer_tokens", "must be above 0 and at most %d", kserve.MostTokens)
+			return setup.Wrong(key+"answer_tokens", "must be above 0 and at most %d", kserve.MostTokens)
 		case !(t.Turns >= 1 && t.Turns <= 1000):
-			return setup.Wrong(at+"turns", "must be from 1 to 1000")
-		case t.SharedPrefixShare > 0 && (t.SharedPrefixes < 1 || t.SharedPrefixTokens < 1), t.SharedPrefixes > mostQuestions || t.SharedPrefixTokens > kserve.MostTokens:
-			return setup.Wrong(at+"beginnings", "shared texts need beginnings and shared_tokens of at least 1, and no more than can be asked")
+			return setup.Wrong(key+"turns", "must be from 1 to 1000")
+		case t.SharedPrefixShare > 0 && (t.SharedPrefixes < 1 || t.SharedPrefixTokens < 1),
+			t.SharedPrefixes > maxRequests || t.SharedPrefixTokens > kserve.MostTokens:
+			return setup.Wrong(key+"beginnings", "shared prefixes need beginnings from 1 to %d and shared_tokens from 1 to %d",
+				maxRequests, kserve.MostTokens)
 		}
-		if err := setup.FirstOf(setup.Figure(at+"share", t.Share, setup.MostFigure), setup.Figure(at+"shared", t.SharedPrefixShare, 1)); err != nil {
+		if err := setup.FirstOf(setup.Figure(key+"share", t.Share, setup.MostFigure),
+			setup.Figure(key+"shared", t.SharedPrefixShare, 1)); err != nil {
 			return err
 		}
 	}
 	names := d.names()
-	for i, t := range d.Faults {
-		at := fmt.Sprintf("trouble.%d.", i)
-		k := slices.IndexFunc(FaultKinds, func(k faultKind) bool { return k.Name == t.Kind })
+	for i, f := range d.Faults {
+		key := fmt.Sprintf("trouble.%d.", i)
+		k := slices.IndexFunc(FaultKinds, func(k faultKind) bool { return k.Name == f.Kind })
 		if k < 0 {
-			return setup.Wrong(at+"kind", "%q is unknown; see day kinds", t.Kind)
+			return setup.Wrong(key+"kind", "%q is unknown; see day kinds", f.Kind)
 		}
-		for _, need := range FaultKinds[k].RequiredKeys {
-			lacks := map[string]bool{"boxes": len(t.Backends) == 0, "size": !(t.Factor > 0 && t.Factor <= mostSize), "share": !(t.Share > 0 && t.Share <= 1), "grade": d.GradeNumber(t.Class) < 0,
-				"by": t.Delay <= 0, "dispatchers": len(t.Dispatchers) == 0, "tokens": t.Tokens <= 0,
-				"addresses": len(t.Addresses) == 0, "bytes": t.Bytes <= 0}
-			if lacks[need] {
-				return setup.Wrong(at+need, "%s needs it: %s", t.Kind, FaultKinds[k].Description)
+		for _, required := range FaultKinds[k].RequiredKeys {
+			missing := map[string]bool{"boxes": len(f.Backends) == 0, "size": !(f.Factor > 0 && f.Factor <= maxFactor),
+				"share": !(f.Share > 0 && f.Share <= 1), "grade": d.GradeNumber(f.Class) < 0,
+				"by": f.Delay <= 0, "dispatchers": len(f.Dispatchers) == 0, "tokens": f.Tokens <= 0,
+				"addresses": len(f.Addresses) == 0, "bytes": f.Bytes <= 0}
+			if missing[required] {
+				return setup.Wrong(key+required, "missing or out of range, but %s requires it: %s", f.Kind,
+					FaultKinds[k].Description)
 			}
 		}
-		if t.Tenant != "" && d.ChannelNumber(t.Tenant) < 0 {
-			return setup.Wrong(at+"channel", "%q is not among the channels", t.Tenant)
+		if f.Tenant != "" && d.ChannelNumber(f.Tenant) < 0 {
+			return setup.Wrong(key+"channel", "%q is not among the tenants", f.Tenant)
 		}
-		for _, b := range t.Backends {
-			if !slices.ContainsFunc(names, func(n string) bool { return n == b || isOf(n, b) }) {
-				return setup.Wrong(at+"boxes", "%q is no box and no kind of this day", b)
+		for _, b := range f.Backends {
+			if !slices.ContainsFunc(names, func(n string) bool { return n == b || isOfKind(n, b) }) {
+				return setup.Wrong(key+"boxes", "%q is no backend and no kind of this scenario", b)
 			}
 		}
-		for _, n := range t.Addresses {
+		for _, n := range f.Addresses {
 			for _, b := range d.Backends {
-				if n < 0 || n >= max(len(b.Addresses), 1) && slices.ContainsFunc(t.Backends, func(name string) bool { return name == b.Kind || isOf(name, b.Kind) }) {
-					return setup.Wrong(at+"addresses", "a %s has no address %d", b.Kind, n)
+				if n < 0 || n >= max(len(b.Addresses), 1) &&
+					slices.ContainsFunc(f.Backends, func(name string) bool { return name == b.Kind || isOfKind(name, b.Kind) }) {
+					return setup.Wrong(key+"addresses", "a backend of kind %s has no address %d", b.Kind, n)
 				}
 			}
 		}
-		for _, n := range t.Dispatchers {
+		for _, n := range f.Dispatchers {
 			if n < 0 || n >= h.Dispatchers {
-				return setup.Wrong(at+"dispatchers", "there is no dispatcher %d", n)
+				return setup.Wrong(key+"dispatchers", "there is no dispatcher %d; there are %d", n, h.Dispatchers)
 			}
 		}
 	}
 	return nil
 }
 
-// isOf tells whether a box is of a kind, by its name.
-func isOf(box, kind string) bool {
-	i := strings.LastIndexByte(box, '-')
-	return i >= 0 && box[:i] == kind
+// isOfKind reports whether a backend is of a kind, by its name.
+func isOfKind(backend, kind string) bool {
+	i := strings.LastIndexByte(backend, '-')
+	return i >= 0 && backend[:i] == kind
 }
 
-// names lists the boxes: each kind's are numbered from 1.
+// names lists the backends: those of each kind are numbered from 1.
 func (d *Scenario) names() []string {
 	var names []string
-	next := map[string]int{}
+	lastNumber := map[string]int{} // by kind
 	for _, b := range d.Backends {
 		for range b.Count {
-			next[b.Kind]++
-			names = append(names, fmt.Sprintf("%s-%d", b.Kind, next[b.Kind]))
+			lastNumber[b.Kind]++
+			names = append(names, fmt.Sprintf("%s-%d", b.Kind, lastNumber[b.Kind]))
 		}
 	}
 	return names
 }
 
-func (d *Scenario) rng(what uint64) *rand.Rand { return rand.New(rand.NewPCG(d.Header.Seed, what)) }
+// rng returns a generator of random numbers for one purpose, which is given by its number.
+func (d *Scenario) rng(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(d.Header.Seed, stream)) }
 
-// BackendNames lists the names of a kind's boxes.
+// BackendNames lists the names of a kind's backends.
 func (d *Scenario) BackendNames(kind string) []string {
-	return slices.DeleteFunc(d.names(), func(name string) bool { return !isOf(name, kind) })
+	return slices.DeleteFunc(d.names(), func(name string) bool { return !isOfKind(name, kind) })
 }
--- /dev/null
+++ b/internal/day/faults.go
@@ -0,0 +1,262 @@
+package day
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/record"
+	"sloetrestle/internal/standin"
+)
+
+// hitBackends lists the backends that a fault names, in the order of the scenario.
+func (r *runner) hitBackends(f Fault) []*standin.Box {
+	var hit []*standin.Box
+	for _, name := range r.scenario.names() {
+		if slices.ContainsFunc(f.Backends, func(b string) bool { return b == name || isOfKind(name, b) }) {
+			hit = append(hit, r.backends[name])
+		}
+	}
+	return hit
+}
+
+// inject begins a fault, waits for its duration, and ends it. Faults of the requests themselves are part of the plan.
+// wait waits until a time after the fault's start and returns false if the run ends before.
+func (r *runner) inject(ctx context.Context, fault Fault, wait func(time.Duration) bool) error {
+	r.recorder.Record(record.Event{Kind: record.Note, Detail: fault.Kind + " begins"})
+	r.printf("        %s begins", fault.Kind)
+	hit, duration := r.hitBackends(fault), fault.Duration.D()
+	setFaults := func(change func(*standin.Faults)) {
+		for _, b := range hit {
+			b.Do(change)
+		}
+	}
+	var err error
+	switch fault.Kind {
+	case "slow":
+		setFaults(func(f *standin.Faults) { f.Slow = fault.Factor })
+		wait(duration)
+		setFaults(func(f *standin.Faults) { f.Slow = 0 })
+	case "failing", "grade_failing":
+		setFaults(func(f *standin.Faults) { f.Fail, f.FailGrade = fault.Share, fault.Class })
+		wait(duration)
+		setFaults(func(f *standin.Faults) { f.Fail = 0 })
+	case "hang":
+		setFaults(func(f *standin.Faults) { f.Hang = true })
+		wait(duration)
+		setFaults(func(f *standin.Faults) { f.Hang = false })
+	case "reset":
+		setFaults(func(f *standin.Faults) { f.Reset = fault.Share })
+		wait(duration)
+		setFaults(func(f *standin.Faults) { f.Reset = 0 })
+	case "reset_running":
+		setFaults(func(f *standin.Faults) { f.ResetAtOnce = fault.Share })
+		wait(duration)
+		setFaults(func(f *standin.Faults) { f.ResetAtOnce = 0 })
+	case "no_cancel":
+		setFaults(func(f *standin.Faults) { f.Ignore = true })
+		wait(duration)
+		setFaults(func(f *standin.Faults) { f.Ignore = false })
+	case "neighbour":
+		setFaults(func(f *standin.Faults) { f.Neighbour = fault.Share })
+		wait(duration)
+		setFaults(func(f *standin.Faults) { f.Neighbour = 0 })
+	case "evict_fresh":
+		setFaults(func(f *standin.Faults) { f.EvictFresh = true })
+		wait(duration)
+		setFaults(func(f *standin.Faults) { f.EvictFresh = false })
+	case "ageing":
+		setFaults(func(f *standin.Faults) { f.AgeBy = fault.Share })
+		wait(duration)
+		setFaults(func(f *standin.Faults) { f.AgeBy = 0 })
+		for _, b := range hit {
+			r.crash(b, "aged", time.Hour)
+		}
+		wait(duration + 2*time.Second)
+		err = r.restartBackends(hit)
+	case "forget":
+		for _, b := range hit {
+			b.Forget()
+		}
+	case "crash":
+		for _, b := range hit {
+			r.crash(b, "crashed", duration)
+		}
+		wait(duration)
+		err = r.restartBackends(hit)
+	case "crash_after_read":
+		setFaults(func(f *standin.Faults) { f.CrashAfterRead = fault.Share })
+		err = r.restartCrashing(hit, duration, wait)
+	case "restart":
+		for _, b := range hit {
+			b.Kill("restarted")
+		}
+		err = r.restartBackends(hit)
+	case "drain":
+		for _, b := range hit {
+			r.discovery.Publish(b, boxlist.Draining, r.scenario.Discovery.NoticeDelay.D())
+		}
+		wait(duration)
+		for _, b := range hit {
+			b.Kill("drained")
+			r.discovery.Publish(b, boxlist.Gone, r.scenario.Discovery.NoticeDelay.D())
+		}
+		wait(duration + time.Second)
+		err = r.restartBackends(hit)
+	case "list_stale":
+		r.discovery.Stale(fault.Delay.D())
+		wait(duration)
+		r.discovery.Stale(0)
+	case "list_gap":
+		r.discovery.Skip()
+	case "list_down":
+		r.discovery.Shut()
+		wait(duration)
+		err = r.discovery.Open()
+	case "link_slow":
+		r.fleet.SlowLinks(fault.Factor)
+		wait(duration)
+		r.fleet.SlowLinks(1)
+	case "kill_dispatcher", "stop_dispatcher":
+		err = r.restartDispatchers(ctx, fault, wait)
+	default:
+		if mode, ok := strings.CutPrefix(fault.Kind, "address_"); ok {
+			err = r.injectAddressFault(fault, mode, hit, func() { wait(duration) })
+		} else {
+			wait(duration)
+		}
+	}
+	r.recorder.Record(record.Event{Kind: record.Note, Detail: fault.Kind + " ends"})
+	r.printf("        %s ends", fault.Kind)
+	if ctx.Err() != nil {
+		return nil
+	}
+	return err
+}
+
+// crash kills a backend. Service discovery notices after its delay, unless the backend is back before.
+func (r *runner) crash(b *standin.Box, reason string, downtime time.Duration) {
+	b.Kill(reason)
+	if delay := r.scenario.Discovery.FailureNoticeDelay.D(); downtime > delay {
+		r.discovery.Publish(b, boxlist.Gone, delay)
+	}
+}
+
+// restartBackends starts the backends that are down, cold. Service discovery reports them after its delay.
+func (r *runner) restartBackends(backends []*standin.Box) error {
+	for _, b := range backends {
+		if b.Up() {
+			continue
+		}
+		if err := b.Boot(true); err != nil {
+			return err
+		}
+		r.discovery.Publish(b, boxlist.Ready, r.scenario.Discovery.NoticeDelay.D())
+	}
+	return nil
+}
+
+// restartCrashing restarts backends that die one by one, each a fixed time after its death.
+func (r *runner) restartCrashing(hit []*standin.Box, duration time.Duration, wait func(time.Duration) bool) error {
+	const step = 50 * time.Millisecond
+	const downtime = time.Second
+	downSince := map[*standin.Box]time.Duration{}
+	for elapsed := time.Duration(0); elapsed < duration+downtime+step; elapsed += step {
+		if !wait(elapsed) {
+			return nil
+		}
+		if elapsed >= duration {
+			for _, b := range hit {
+				b.Do(func(f *standin.Faults) { f.CrashAfterRead = 0 })
+			}
+		}
+		for _, b := range hit {
+			since, known := downSince[b]
+			switch {
+			case b.Up():
+				delete(downSince, b)
+			case !known:
+				downSince[b] = elapsed
+			case elapsed-since >= downtime:
+				if err := r.restartBackends([]*standin.Box{b}); err != nil {
+					return err
+				}
+			}
+		}
+	}
+	return r.restartBackends(hit)
+}
+
+// restartDispatchers ends dispatchers, all at once, and restarts them after the fault's duration.
+func (r *runner) restartDispatchers(ctx context.Context, f Fault, wait func(time.Duration) bool) error {
+	var pending sync.WaitGroup
+	for _, n := range f.Dispatchers {
+		p := r.dispatchers[n]
+		pending.Add(1)
+		go func() {
+			defer pending.Done()
+			if f.Kind == "kill_dispatcher" {
+				r.kill(p)
+			} else {
+				r.stop(p)
+			}
+		}()
+	}
+	pending.Wait()
+	if !wait(f.Duration.D()) {
+		return nil
+	}
+	for _, n := range f.Dispatchers {
+		if err := r.start(ctx, r.dispatchers[n]); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// injectAddressFault begins a fault of single addresses of backends, waits, and ends it.
+func (r *runner) injectAddressFault(fault Fault, mode string, hit []*standin.Box, wait func()) error {
+	forEach := func(do func(b *standin.Box, i int) error) error {
+		var errs []error
+		for _, b := range hit {
+			for _, i := range fault.Addresses {
+				errs = append(errs, do(b, i))
+			}
+		}
+		return errors.Join(errs...)
+	}
+	switch mode {
+	case standin.GateSwapped:
+		if len(hit) < 2 {
+			return nil
+		}
+		swap := func() {
+			for _, i := range fault.Addresses {
+				hit[0].Gate(i).Swap(hit[1].Gate(i))
+			}
+		}
+		swap()
+		wait()
+		swap()
+		return nil
+	case "drop":
+		for _, b := range hit {
+			r.discovery.Drop(b, fault.Addresses)
+			r.discovery.Publish(b, boxlist.Ready, r.scenario.Discovery.NoticeDelay.D())
+		}
+		wait()
+		for _, b := range hit {
+			r.discovery.Drop(b, nil)
+			r.discovery.Publish(b, boxlist.Ready, r.scenario.Discovery.NoticeDelay.D())
+		}
+		return nil
+	}
+	err := forEach(func(b *standin.Box, i int) error { return b.Gate(i).Set(mode, fault.Delay.D(), fault.Bytes) })
+	wait()
+	return errors.Join(err,
+		forEach(func(b *standin.Box, i int) error { return b.Gate(i).Set(standin.GateServes, 0, 0) }))
+}
--- a/internal/day/import.go
+++ b/internal/day/import.go
@@ -9,46 +9,48 @@
 	"sloetrestle/internal/setup"
 )
 
-// Scale shrinks an imported day.
+// Scale is the factors that an imported scenario's times and request rate are multiplied by.
 type Scale struct{ Duration, Rate float64 }
 
-// drawn is what is read of a day that the bench drew; times are in microseconds.
-type drawn struct {
-	Site    string
-	Family  string
-	Noise   uint64
-	Length  int64
-	Zones   []string
-	Traffic struct {
-		Load     float64
-		Shape    [][2]float64
-		Burst_cv float64
+// benchScenario is what is read of a scenario that the bench drew. Times are in microseconds.
+type benchScenario struct {
+	Site     string
+	Family   string
+	Noise    uint64
+	Duration int64 `json:"length"`
+	Zones    []string
+	Traffic  struct {
+		Load    float64
+		Shape   [][2]float64
+		BurstCV float64 `json:"burst_cv"`
 	}
 	Clients struct {
-		Retries    int
-		Try_share  float64
-		Backoff    string
-		Backoff_us float64
-		Honour     float64
+		Retries   int
+		TryShare  float64 `json:"try_share"`
+		Backoff   string
+		BackoffUs float64 `json:"backoff_us"`
+		Honour    float64
 	}
 	Discovery struct {
-		Notice, Silent_notice int64
+		Notice       int64
+		SilentNotice int64 `json:"silent_notice"`
 	}
 	Allow struct {
-		Peers        bool
-		Cancel       bool
-		Retry_after  bool
-		Max_attempts int
+		Peers       bool
+		Cancel      bool
+		RetryAfter  bool `json:"retry_after"`
+		MaxAttempts int  `json:"max_attempts"`
 	}
-	Drain_grace   int64
-	Fall_multiple float64
-	Fall_for      int64
-	Classes       []struct {
+	DrainGrace       int64   `json:"drain_grace"`
+	OverloadMultiple float64 `json:"fall_multiple"`
+	OverloadWindow   int64   `json:"fall_for"`
+	Classes          []struct {
 		Name          string
 		Share         float64
-		Aim, Deadline int64
-		Worth         float64
-		Late_worth    float64
+		LatencyTarget int64 `json:"aim"`
+		Deadline      int64
+		Value         float64 `json:"worth"`
+		LateValue     float64 `json:"late_worth"`
 		Effect, Group string
 		Window        int64
 	}
@@ -58,113 +60,132 @@
 	}
 	Tiers []struct {
 		Kinds []struct {
-			Name             string
-			Slots, Queue     int
-			Cancel           string
-			Stated_cold_from float64
+			Name           string
+			Slots, Queue   int
+			Cancel         string
+			SlowStartShare float64 `json:"stated_cold_from"`
 		}
-		Report_how       string
-		Report_fields    []string
-		Stated_cold_from float64
-		Stated_cold      int64
+		ReportHow         string   `json:"report_how"`
+		ReportFields      []string `json:"report_fields"`
+		SlowStartShare    float64  `json:"stated_cold_from"`
+		SlowStartDuration int64    `json:"stated_cold"`
 	}
 	Servers []struct {
 		Zone, Kind, Cell int
 		Speed, Weight    float64
 	}
 	Balancers []struct{ Zone int }
-	Troubles  []struct {
-		Kind    string
-		At, Len int64
-		Size    float64
-		Extra   float64
-		On      []int
-		Which   int
-		Steps   json.RawMessage
-	}
-	Fam struct {
+	Faults    []struct {
+		Kind     string
+		Start    int64 `json:"at"`
+		Duration int64 `json:"len"`
+		Size     float64
+		Extra    float64
+		Targets  []int `json:"on"`
+		Class    int   `json:"which"`
+		Steps    json.RawMessage
+	} `json:"troubles"`
+	TwoStage struct {
 		Engines []struct {
-			Memory, Queue, Slots int
-			Read_per_s, Step_ms  float64
-			Per_seq_ms           float64
-		}
-		Far, Near, Far_price float64
-		Release              int64
-		Roles                []string
-		Talks                []struct {
-			Aim_ms_per_k, New_tokens, Out_tokens, Prefix_share, Prefix_tokens, Token_ms, Turns float64
-			Prefixes, Max_out                                                                  int
+			Memory, Queue, Slots   int
+			PrefillTokensPerSecond float64 `json:"read_per_s"`
+			StepMs                 float64 `json:"step_ms"`
+			StepPerSequenceMs      float64 `json:"per_seq_ms"`
 		}
-		Writers_read bool
-		Zone_slower  float64
-	}
+		Far, Near    float64
+		FarPrice     float64 `json:"far_price"`
+		Release      int64
+		Roles        []string
+		TokenClasses []struct {
+			LatencyTargetMsPer1000 float64 `json:"aim_ms_per_k"`
+			NewTokens              float64 `json:"new_tokens"`
+			AnswerTokens           float64 `json:"out_tokens"`
+			PrefixShare            float64 `json:"prefix_share"`
+			PrefixTokens           float64 `json:"prefix_tokens"`
+			TokenMs                float64 `json:"token_ms"`
+			Turns                  float64
+			Prefixes               int
+			MaxAnswerTokens        int `json:"max_out"`
+		} `json:"talks"`
+		DecodeBackendsPrefill bool    `json:"writers_read"`
+		ZoneSlower            float64 `json:"zone_slower"`
+	} `json:"fam"`
 }
 
-// carried gives our kind for the bench's names of troubles.
-var carried = map[string]string{
-	"slow": "slow", "fast_errors": "failing", "class_fail": "grade_failing", "burst": "burst", "hot_key": "shared_text", "heavy_tail": "long_prompts",
-	"discovery_stale": "list_stale", "balancer_roll": "kill_dispatcher", "origin_slow": "link_slow", "flush": "forget", "give_up": "leave",
-	"mass_restart": "restart", "ageing": "slow", "neighbour": "slow",
+// importedKinds gives the kind of fault for each of the bench's kinds.
+var importedKinds = map[string]string{
+	"slow": "slow", "fast_errors": "failing", "class_fail": "grade_failing", "burst": "burst", "hot_key": "shared_text",
+	"heavy_tail": "long_prompts", "discovery_stale": "list_stale", "balancer_roll": "kill_dispatcher",
+	"origin_slow": "link_slow", "flush": "forget", "give_up": "leave", "mass_restart": "restart", "ageing": "slow",
+	"neighbour": "slow",
 }
 
-// Import turns a day drawn by the bench into a script, and says what it can't carry over.
+// Import turns a scenario drawn by the bench into a script, and lists what it can't represent.
 func Import(file string, raw []byte, scale Scale) (Scenario, []string, error) {
-	var in drawn
+	var in benchScenario
 	if err := json.Unmarshal(raw, &in); err != nil {
 		return Scenario{}, nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if in.Family != "twostage" || len(in.Tiers) == 0 || len(in.Servers) == 0 || len(in.Fam.Engines) == 0 {
-		return Scenario{}, nil, fmt.Errorf("%s: no drawn day of a two-stage deployment", file)
+	if in.Family != "twostage" || len(in.Tiers) == 0 || len(in.Servers) == 0 || len(in.TwoStage.Engines) == 0 {
+		return Scenario{}, nil, fmt.Errorf("%s: not a scenario of a two-stage deployment drawn by the bench", file)
 	}
 	if scale.Duration <= 0 || scale.Rate <= 0 {
-		return Scenario{}, nil, fmt.Errorf("scales must be above 0")
+		return Scenario{}, nil, fmt.Errorf("scales must be above 0, but are %g for time and %g for rate", scale.Duration,
+			scale.Rate)
 	}
-	var lost []string
-	miss := func(format string, args ...any) { lost = append(lost, fmt.Sprintf(format, args...)) }
-	us := func(v int64) setup.Span { return setup.Span(time.Duration(v) * time.Microsecond) }
-	short := func(v int64) setup.Span { return setup.Span(float64(v) * scale.Duration * 1000) }
+	var omitted []string
+	omit := func(format string, args ...any) { omitted = append(omitted, fmt.Sprintf(format, args...)) }
+	microseconds := func(v int64) setup.Span { return setup.Span(time.Duration(v) * time.Microsecond) }
+	scaled := func(v int64) setup.Span { return setup.Span(float64(v) * scale.Duration * 1000) }
 	d := Default()
-	d.Header.Name, d.Header.Seed, d.Header.Duration = in.Site, in.Noise, short(in.Length)
+	d.Header.Name, d.Header.Seed, d.Header.Duration = in.Site, in.Noise, scaled(in.Duration)
 	d.Header.Dispatchers = len(in.Balancers)
 	d.Zones = in.Zones
-	d.Links = Links{in.Fam.Near, in.Fam.Far, max(in.Fam.Zone_slower, 1)}
-	d.Discovery = Discovery{us(in.Discovery.Notice), us(in.Discovery.Silent_notice)}
-	d.Clients = Clients{in.Clients.Retries, setup.Span(in.Clients.Backoff_us * 1000), in.Clients.Backoff == "exp", in.Clients.Honour, in.Clients.Try_share, 1}
-	d.Clients.PatienceMin = min(max(in.Clients.Try_share, 0.05), 1)
+	d.Links = Links{in.TwoStage.Near, in.TwoStage.Far, max(in.TwoStage.ZoneSlower, 1)}
+	d.Discovery = Discovery{microseconds(in.Discovery.Notice), microseconds(in.Discovery.SilentNotice)}
+	d.Clients = Clients{in.Clients.Retries, setup.Span(in.Clients.BackoffUs * 1000), in.Clients.Backoff == "exp",
+		in.Clients.Honour, in.Clients.TryShare, 1}
+	d.Clients.PatienceMin = min(max(in.Clients.TryShare, 0.05), 1)
 	tier := in.Tiers[0]
-	d.Report = tier.Report_fields
-	d.Rules.DrainGrace, d.Rules.ColdMultiple, d.Rules.ColdWindow = us(in.Drain_grace), in.Fall_multiple, us(in.Fall_for)
-	d.Rules.ColdShare, d.Rules.ColdRamp, d.Rules.Pin = tier.Stated_cold_from, us(tier.Stated_cold), us(in.Fam.Release)
-	d.Limits.Trips, d.Limits.Cancel, d.Limits.Siblings = max(in.Allow.Max_attempts, 1), in.Allow.Cancel, in.Allow.Peers
-	d.Limits.LocalRead = in.Fam.Writers_read
-	if !in.Allow.Retry_after {
+	d.Report = tier.ReportFields
+	d.Rules.DrainGrace, d.Rules.ColdMultiple, d.Rules.ColdWindow =
+		microseconds(in.DrainGrace), in.OverloadMultiple, microseconds(in.OverloadWindow)
+	d.Rules.ColdShare, d.Rules.ColdRamp, d.Rules.Pin =
+		tier.SlowStartShare, microseconds(tier.SlowStartDuration), microseconds(in.TwoStage.Release)
+	d.Limits.Trips, d.Limits.Cancel, d.Limits.Siblings = max(in.Allow.MaxAttempts, 1), in.Allow.Cancel, in.Allow.Peers
+	d.Limits.LocalRead = in.TwoStage.DecodeBackendsPrefill
+	if !in.Allow.RetryAfter {
 		d.Limits.RetryAfter = 0
 	}
-	effect := map[string]string{"safe": "idempotent", "keyed": "deduplicated", "unsafe": "unrepeatable"}
-	reach := map[string]string{"all": "all", "zone": "zone", "cell": "rack"}
-	var answer, fresh, shares float64
+	effects := map[string]string{"safe": "idempotent", "keyed": "deduplicated", "unsafe": "unrepeatable"}
+	reaches := map[string]string{"all": "all", "zone": "zone", "cell": "rack"}
+	var answerTokens, newTokens, shares float64 // tokens are weighted by the classes' shares
 	for i, c := range in.Classes {
-		g := setup.Grade{Name: c.Name, Effect: effect[c.Effect], Reach: reach[c.Group], Window: us(c.Window), Promised: us(c.Aim), Expiry: us(c.Deadline),
-			Benefit: c.Worth, Late: c.Late_worth, Most: 400}
-		if i < len(in.Fam.Talks) {
-			t := in.Fam.Talks[i]
-			g.PerK, g.TokenTime, g.Most = setup.Span(t.Aim_ms_per_k*1e6), setup.Span(t.Token_ms*1e6), max(t.Max_out, 1)
-			d.Traffic = append(d.Traffic, Traffic{Class: c.Name, Share: c.Share, NewTokens: t.New_tokens, AnswerTokens: t.Out_tokens, Turns: max(t.Turns, 1),
-				SharedPrefixShare: t.Prefix_share, SharedPrefixes: max(t.Prefixes, 1), SharedPrefixTokens: max(int(t.Prefix_tokens), 1)})
-			answer, fresh, shares = answer+c.Share*t.Out_tokens, fresh+c.Share*t.New_tokens, shares+c.Share
+		class := setup.Grade{Name: c.Name, Effect: effects[c.Effect], Reach: reaches[c.Group],
+			Window: microseconds(c.Window), Promised: microseconds(c.LatencyTarget), Expiry: microseconds(c.Deadline),
+			Benefit: c.Value, Late: c.LateValue, Most: 400}
+		if i < len(in.TwoStage.TokenClasses) {
+			t := in.TwoStage.TokenClasses[i]
+			class.PerK, class.TokenTime, class.Most =
+				setup.Span(t.LatencyTargetMsPer1000*1e6), setup.Span(t.TokenMs*1e6), max(t.MaxAnswerTokens, 1)
+			d.Traffic = append(d.Traffic, Traffic{Class: c.Name, Share: c.Share, NewTokens: t.NewTokens,
+				AnswerTokens: t.AnswerTokens, Turns: max(t.Turns, 1), SharedPrefixShare: t.PrefixShare,
+				SharedPrefixes: max(t.Prefixes, 1), SharedPrefixTokens: max(int(t.PrefixTokens), 1)})
+			answerTokens, newTokens, shares =
+				answerTokens+c.Share*t.AnswerTokens, newTokens+c.Share*t.NewTokens, shares+c.Share
 		}
-		d.Grades = append(d.Grades, g)
+		d.Grades = append(d.Grades, class)
 	}
-	role := map[string]string{"read": "reader", "write": "writer", "both": "mixed"}
-	reads, writes := 0.0, 0.0 // what the pools can do, in questions a second
+	roles := map[string]string{"read": "reader", "write": "writer", "both": "mixed"}
+	prefillCapacity, decodeCapacity := 0.0, 0.0 // in requests a second
 	for i, k := range tier.Kinds {
-		e := in.Fam.Engines[min(i, len(in.Fam.Engines)-1)]
-		r := role["both"]
-		if i < len(in.Fam.Roles) {
-			r = role[in.Fam.Roles[i]]
+		e := in.TwoStage.Engines[min(i, len(in.TwoStage.Engines)-1)]
+		role := roles["both"]
+		if i < len(in.TwoStage.Roles) {
+			role = roles[in.TwoStage.Roles[i]]
 		}
-		d.Kinds = append(d.Kinds, setup.Kind{Name: k.Name, Role: r, Memory: e.Memory})
-		token := time.Duration((e.Step_ms + e.Per_seq_ms*float64(e.Slots)/2) * float64(time.Millisecond))
+		d.Kinds = append(d.Kinds, setup.Kind{Name: k.Name, Role: role, Memory: e.Memory})
+		tokenTime := time.Duration((e.StepMs + e.StepPerSequenceMs*float64(e.Slots)/2) * float64(time.Millisecond))
 		if k.Cancel != "all" {
 			d.Faults = append(d.Faults, Fault{Kind: "no_cancel", Duration: d.Header.Duration, Backends: []string{k.Name}})
 		}
@@ -172,96 +193,104 @@
 			if s.Kind != i {
 				continue
 			}
-			d.Backends = append(d.Backends, BackendGroup{Kind: k.Name, Count: 1, Racks: []string{fmt.Sprintf("rack-%d", s.Cell)}, Zones: []string{in.Zones[s.Zone]},
-				Slots: max(e.Slots, 1), Queue: e.Queue, PrefillTokensPerSecond: e.Read_per_s * s.Speed, TokenTime: setup.Span(float64(token) / s.Speed), Units: s.Weight})
-			if r == "reader" {
-				reads += e.Read_per_s * s.Speed / max(fresh/max(shares, 1e-9)*1.5, 1)
+			d.Backends = append(d.Backends, BackendGroup{Kind: k.Name, Count: 1,
+				Racks: []string{fmt.Sprintf("rack-%d", s.Cell)}, Zones: []string{in.Zones[s.Zone]}, Slots: max(e.Slots, 1),
+				Queue: e.Queue, PrefillTokensPerSecond: e.PrefillTokensPerSecond * s.Speed,
+				TokenTime: setup.Span(float64(tokenTime) / s.Speed), Units: s.Weight})
+			if role == "reader" {
+				prefillCapacity += e.PrefillTokensPerSecond * s.Speed / max(newTokens/max(shares, 1e-9)*1.5, 1)
 			} else {
-				writes += float64(e.Slots) * s.Speed / token.Seconds() / max(answer/max(shares, 1e-9), 1)
+				decodeCapacity += float64(e.Slots) * s.Speed / tokenTime.Seconds() /
+					max(answerTokens/max(shares, 1e-9), 1)
 			}
 		}
 	}
-	d.fixNames()
-	d.Header.RequestsPerSecond = math.Round(100*in.Traffic.Load*min(orMost(reads), orMost(writes))*scale.Rate) / 100
+	d.makeKindNamesUnique()
+	d.Header.RequestsPerSecond = math.Round(100*in.Traffic.Load*
+		min(infiniteIfZero(prefillCapacity), infiniteIfZero(decodeCapacity))*scale.Rate) / 100
 	for _, t := range in.Tenants {
-		d.Channels = append(d.Channels, setup.Channel{Name: t.Name, Share: t.Share, PerS: t.Quota * d.Header.RequestsPerSecond})
+		d.Channels = append(d.Channels, setup.Channel{Name: t.Name, Share: t.Share,
+			PerS: t.Quota * d.Header.RequestsPerSecond})
 	}
 	names := d.serverNames(in.serverKinds())
-	for _, t := range in.Troubles {
-		kind, known := carried[t.Kind]
+	for _, f := range in.Faults {
+		kind, known := importedKinds[f.Kind]
 		if !known {
-			miss("the trouble %s", t.Kind)
+			omit("the fault %s", f.Kind)
 			continue
 		}
-		out := Fault{Kind: kind, Start: short(t.At), Duration: short(t.Len), Factor: max(t.Size, 1)}
-		for _, on := range t.On {
+		fault := Fault{Kind: kind, Start: scaled(f.Start), Duration: scaled(f.Duration), Factor: max(f.Size, 1)}
+		for _, target := range f.Targets {
 			if kind == "kill_dispatcher" {
-				if on < d.Header.Dispatchers {
-					out.Dispatchers = append(out.Dispatchers, on)
+				if target < d.Header.Dispatchers {
+					fault.Dispatchers = append(fault.Dispatchers, target)
 				}
-			} else if on < len(names) {
-				out.Backends = append(out.Backends, names[on])
+			} else if target < len(names) {
+				fault.Backends = append(fault.Backends, names[target])
 			}
 		}
 		switch kind {
 		case "failing", "grade_failing":
-			out.Share = min(max(t.Size, 0.01), 1)
-			if kind == "grade_failing" && t.Which < len(d.Grades) {
-				out.Class = d.Grades[t.Which].Name
+			fault.Share = min(max(f.Size, 0.01), 1)
+			if kind == "grade_failing" && f.Class < len(d.Grades) {
+				fault.Class = d.Grades[f.Class].Name
 			}
 		case "shared_text":
-			out.Share, out.Tokens = min(max(t.Size, 0.01), 1), 4000
+			fault.Share, fault.Tokens = min(max(f.Size, 0.01), 1), 4000
 		case "long_prompts":
-			out.Share = min(max(t.Extra, 0.005), 1)
+			fault.Share = min(max(f.Extra, 0.005), 1)
 		case "list_stale":
-			out.Delay = setup.Span(t.Size * 1e9)
+			fault.Delay = setup.Span(f.Size * 1e9)
 		case "leave":
-			out.Share = min(max(t.Extra, 0.05), 1)
-			miss("give_up: how long each client waits; here a share leaves at a drawn time")
+			fault.Share = min(max(f.Extra, 0.05), 1)
+			omit("give_up: how long each client waits; here a share leaves at a random time")
 		case "kill_dispatcher":
-			if len(out.Dispatchers) == 0 {
+			if len(fault.Dispatchers) == 0 {
 				for i := range d.Header.Dispatchers {
-					out.Dispatchers = append(out.Dispatchers, i)
+					fault.Dispatchers = append(fault.Dispatchers, i)
 				}
 			}
-			out.Duration = setup.Span(max(t.Extra, 0.2) * 1e9)
-			miss("balancer_roll: one batch after the other; here all named dispatchers restart together")
+			fault.Duration = setup.Span(max(f.Extra, 0.2) * 1e9)
+			omit("balancer_roll: one batch after the other; here all named dispatchers restart together")
 		}
-		if t.Kind == "ageing" || t.Kind == "neighbour" {
-			miss("%s: its course; it is carried as slow, at its full size", t.Kind)
+		if f.Kind == "ageing" || f.Kind == "neighbour" {
+			omit("%s: its course over time; it becomes slow, at its full size", f.Kind)
 		}
-		if needsBoxes(kind) && len(out.Backends) == 0 {
-			miss("the trouble %s, which names no boxes", t.Kind)
+		if requiresBackends(kind) && len(fault.Backends) == 0 {
+			omit("the fault %s, which names no backends", f.Kind)
 			continue
 		}
-		d.Faults = append(d.Faults, out)
+		d.Faults = append(d.Faults, fault)
 	}
 	if len(in.Traffic.Shape) > 1 {
-		miss("the shape of the load over the day; it is steady")
+		omit("the shape of the load over time; it is steady")
 	}
-	if in.Traffic.Burst_cv > 0 {
-		miss("the burstiness of arrivals; they are Poisson")
+	if in.Traffic.BurstCV > 0 {
+		omit("the burstiness of arrivals; they are Poisson")
 	}
-	miss("the network's delays, prices, the cost of connections, noise of load reports, and engines' steps: these boxes are simpler")
-	miss("the load: %.2f of a capacity estimated for these boxes gives %.2f questions a second", in.Traffic.Load, d.Header.RequestsPerSecond)
+	omit("network delays, prices, the cost of connections, noise of load reports, and engine steps: " +
+		"these backends are simpler")
+	omit("the load: %.2f of a capacity estimated for these backends gives %.2f requests a second", in.Traffic.Load,
+		d.Header.RequestsPerSecond)
 	if err := d.check(); err != nil {
-		return d, lost, fmt.Errorf("%s: what came of it is no day: %w", file, err)
+		return d, omitted, fmt.Errorf("%s: the imported scenario is invalid: %w", file, err)
 	}
-	return d, lost, nil
+	return d, omitted, nil
 }
 
-func orMost(v float64) float64 {
+// infiniteIfZero keeps a pool without backends from limiting the capacity.
+func infiniteIfZero(v float64) float64 {
 	if v == 0 {
 		return math.Inf(1)
 	}
 	return v
 }
 
-func needsBoxes(k string) bool {
+func requiresBackends(name string) bool {
 	for _, kind := range FaultKinds {
-		if kind.Name == k {
-			for _, n := range kind.RequiredKeys {
-				if n == "boxes" {
+		if kind.Name == name {
+			for _, key := range kind.RequiredKeys {
+				if key == "boxes" {
 					return true
 				}
 			}
@@ -270,7 +299,7 @@
 	return false
 }
 
-func (in *drawn) serverKinds() []int {
+func (in *benchScenario) serverKinds() []int {
 	var kinds []int
 	for _, s := range in.Servers {
 		kinds = append(kinds, s.Kind)
@@ -278,19 +307,19 @@
 	return kinds
 }
 
-// serverNames gives the names under which the bench's servers stand here.
+// serverNames gives the name of the backend that represents each of the bench's servers.
 func (d *Scenario) serverNames(kinds []int) []string {
 	names := make([]string, len(kinds))
-	next := map[int]int{}
+	lastNumber := map[int]int{} // by kind
 	for i, k := range kinds {
-		next[k]++
-		names[i] = fmt.Sprintf("%s-%d", d.Kinds[k].Name, next[k])
+		lastNumber[k]++
+		names[i] = fmt.Sprintf("%s-%d", d.Kinds[k].Name, lastNumber[k])
 	}
 	return names
 }
 
-// fixNames keeps two kinds of one name apart.
-func (d *Scenario) fixNames() {
+// makeKindNamesUnique renames kinds whose name is taken by an earlier one.
+func (d *Scenario) makeKindNamesUnique() {
 	seen := map[string]bool{}
 	for i, k := range d.Kinds {
 		if seen[k.Name] {
--- a/internal/day/input_test.go
+++ b/internal/day/parse_test.go
@@ -6,13 +6,14 @@
 	"testing"
 )
 
-// A day with a figure that is none would be played for ever, or show what nobody asked for.
-func TestFiguresOfADayThatMakeNoSenseAreNamed(t *testing.T) {
+// NaN, infinite and huge values pass a comparison that is written the wrong way round. Such a scenario would never end,
+// or test something else than intended.
+func TestParseRejectsValuesOutOfRange(t *testing.T) {
 	raw, err := os.ReadFile("../../examples/quiet.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range []struct{ key, value, says string }{
+	for _, c := range []struct{ key, value, faultyKey string }{
 		{"questions_a_second = 20.0", "questions_a_second = nan", "day.questions_a_second"},
 		{"patience_min = 0.6", "patience_min = nan", "clients.patience_min"},
 		{"patience_max = 1.0", "patience_max = inf", "clients.patience_max"},
@@ -30,19 +31,22 @@
 		{"[clients]", "[links]\nnear_tokens_a_second = nan\n[clients]", "links"},
 		{"[clients]", "[links]\nother_zone_times = inf\n[clients]", "links"},
 		{"[clients]", "[list]\nnotice = \"9000h\"\n[clients]", "list"},
-		{"", "\n[[trouble]]\nkind = \"slow\"\nat = \"1s\"\nlength = \"1s\"\nboxes = [\"reader\"]\nsize = nan\n", "trouble.0.size"},
+		{"", "\n[[trouble]]\nkind = \"slow\"\nat = \"1s\"\nlength = \"1s\"\nboxes = [\"reader\"]\nsize = nan\n",
+			"trouble.0.size"},
 		{"", "\n[[trouble]]\nkind = \"burst\"\nat = \"1s\"\nlength = \"1s\"\nsize = 1e12\n", "trouble.0.size"},
-		{"", "\n[[trouble]]\nkind = \"failing\"\nat = \"1s\"\nlength = \"1s\"\nboxes = [\"reader\"]\nshare = nan\n", "trouble.0.share"},
+		{"", "\n[[trouble]]\nkind = \"failing\"\nat = \"1s\"\nlength = \"1s\"\nboxes = [\"reader\"]\nshare = nan\n",
+			"trouble.0.share"},
 	} {
 		text := string(raw)
 		if c.key == "" {
 			text += c.value
 		} else if !strings.Contains(text, c.key) {
-			t.Fatalf("no %s in the day", c.key)
+			t.Fatalf("no %s in the scenario", c.key)
 		} else {
 			text = strings.Replace(text, c.key, c.value, 1)
 		}
-		if _, err := Parse("d.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), c.says) || !strings.HasPrefix(err.Error(), "d.toml:") {
+		if _, err := Parse("d.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), c.faultyKey) ||
+			!strings.HasPrefix(err.Error(), "d.toml:") {
 			t.Errorf("%s: %v", c.value, err)
 		}
 	}
--- a/internal/day/plan.go
+++ b/internal/day/plan.go
@@ -8,137 +8,143 @@
 	"sloetrestle/internal/standin"
 )
 
-// session is a conversation that may go on.
+// session is a conversation of one or more turns.
 type session struct {
-	name, shared string
-	prefix       int
-	tokens       int
-	channel      string
-	turns        int
-	ready        time.Duration
+	name, sharedPrefix string
+	prefixTokens       int
+	tokens             int // of the conversation so far
+	tenant             string
+	turnsLeft          int
+	nextTurn           time.Duration // the earliest time of the next turn
 }
 
-// think is how long a client reads an answer before its next question.
-const think = 2 * time.Second
+// thinkTime is how long a client reads an answer before its next request.
+const thinkTime = 2 * time.Second
 
-// on tells whether a trouble of a kind is on at a time.
-func (t Fault) on(kind string, at time.Duration) bool {
-	return t.Kind == kind && at >= t.Start.D() && at < (t.Start+t.Duration).D()
+// active reports whether a fault is of a kind and active at a time.
+func (f Fault) active(kind string, t time.Duration) bool {
+	return f.Kind == kind && t >= f.Start.D() && t < (f.Start+f.Duration).D()
 }
 
-// Plan draws all that clients will ask; arrivals don't wait for answers. The same script has the same plan.
+// Plan draws all requests that clients will send. Arrivals don't wait for answers. The same script and seed always give
+// the same plan.
 func (d *Scenario) Plan() []standin.Wish {
 	rng := d.rng(1)
-	var wishes []standin.Wish
-	open := map[string][]*session{}
-	sum := 0.0
+	var requests []standin.Wish
+	openSessions := map[string][]*session{} // by class
+	shares := 0.0
 	for _, t := range d.Traffic {
-		sum += t.Share
+		shares += t.Share
 	}
-	length := d.Header.Duration.D()
-	for at := time.Duration(0); ; {
-		rate, begins, burst := d.Header.RequestsPerSecond, "", ""
-		beginTokens := 0
-		for i, t := range d.Faults {
-			if t.on("burst", at) {
-				rate *= t.Factor
-				if t.Tenant != "" && rng.Float64() < 1-1/t.Factor {
-					burst = t.Tenant
+	duration := d.Header.Duration.D()
+	for arrival := time.Duration(0); ; {
+		rate, unseenPrefix, burstTenant := d.Header.RequestsPerSecond, "", ""
+		unseenPrefixTokens := 0
+		for i, f := range d.Faults {
+			if f.active("burst", arrival) {
+				rate *= f.Factor
+				if f.Tenant != "" && rng.Float64() < 1-1/f.Factor {
+					burstTenant = f.Tenant
 				}
 			}
-			if t.on("shared_text", at) && rng.Float64() < t.Share {
-				begins, beginTokens = fmt.Sprintf("unseen-%d", i), t.Tokens
+			if f.active("shared_text", arrival) && rng.Float64() < f.Share {
+				unseenPrefix, unseenPrefixTokens = fmt.Sprintf("unseen-%d", i), f.Tokens
 			}
 		}
-		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		if at >= length {
-			return wishes
+		arrival += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
+		if arrival >= duration {
+			return requests
 		}
-		// Which grade, then a session that goes on or a new one.
-		pick := rng.Float64() * sum
-		tr := d.Traffic[0]
+		// Draw the class, then take a session that continues or begin a new one.
+		pick := rng.Float64() * shares
+		traffic := d.Traffic[0]
 		for _, t := range d.Traffic {
-			tr = t
+			traffic = t
 			if pick -= t.Share; pick < 0 {
 				break
 			}
 		}
 		var s *session
-		waiting := open[tr.Class]
-		for i, o := range waiting {
-			if begins == "" && burst == "" && o.ready <= at {
-				s, open[tr.Class] = o, append(waiting[:i:i], waiting[i+1:]...)
+		open := openSessions[traffic.Class]
+		for i, o := range open {
+			if unseenPrefix == "" && burstTenant == "" && o.nextTurn <= arrival {
+				s, openSessions[traffic.Class] = o, append(open[:i:i], open[i+1:]...)
 				break
 			}
 		}
 		if s == nil {
-			s = &session{name: fmt.Sprintf("s%d", len(wishes)), turns: 1}
-			for float64(s.turns) < 12 && rng.Float64() < 1-1/tr.Turns {
-				s.turns++
+			s = &session{name: fmt.Sprintf("s%d", len(requests)), turnsLeft: 1}
+			for float64(s.turnsLeft) < 12 && rng.Float64() < 1-1/traffic.Turns {
+				s.turnsLeft++
 			}
 			if len(d.Channels) > 0 {
-				s.channel = d.drawChannel(rng.Float64())
+				s.tenant = d.drawTenant(rng.Float64())
 			}
-			if burst != "" {
-				s.channel = burst
+			if burstTenant != "" {
+				s.tenant = burstTenant
 			}
 			switch {
-			case begins != "":
-				s.shared, s.prefix = begins, beginTokens
-			case rng.Float64() < tr.SharedPrefixShare:
-				// Few beginnings are common and many rare.
-				n := int(math.Pow(float64(tr.SharedPrefixes), rng.Float64()))
-				s.shared, s.prefix = fmt.Sprintf("%s-text-%d", tr.Class, n), tr.SharedPrefixTokens
+			case unseenPrefix != "":
+				s.sharedPrefix, s.prefixTokens = unseenPrefix, unseenPrefixTokens
+			case rng.Float64() < traffic.SharedPrefixShare:
+				// A few prefixes are common and many are rare.
+				n := int(math.Pow(float64(traffic.SharedPrefixes), rng.Float64()))
+				s.sharedPrefix, s.prefixTokens = fmt.Sprintf("%s-text-%d", traffic.Class, n), traffic.SharedPrefixTokens
 			}
-			s.tokens = s.prefix
+			s.tokens = s.prefixTokens
 		}
-		long := 1.0
-		w := standin.Wish{At: at, Name: fmt.Sprintf("q%d", len(wishes)), Grade: tr.Class, Channel: s.channel, Session: s.name, Shared: s.shared,
-			Prefix: s.prefix, Retries: d.Clients.Retries, Wait: d.Clients.RetryWait.D(), Doubles: d.Clients.WaitDoubles, Honours: rng.Float64() < d.Clients.FollowAdviceShare}
-		g := d.Grades[d.GradeNumber(tr.Class)]
-		quit, givesUp, slowly := false, 0.0, time.Duration(0)
-		for _, t := range d.Faults {
+		promptFactor := 1.0
+		request := standin.Wish{At: arrival, Name: fmt.Sprintf("q%d", len(requests)), Grade: traffic.Class,
+			Channel: s.tenant, Session: s.name, Shared: s.sharedPrefix, Prefix: s.prefixTokens, Retries: d.Clients.Retries,
+			Wait: d.Clients.RetryWait.D(), Doubles: d.Clients.WaitDoubles,
+			Honours: rng.Float64() < d.Clients.FollowAdviceShare}
+		class := d.Grades[d.GradeNumber(traffic.Class)]
+		leaves, givesUpAfter, readDelay := false, 0.0, time.Duration(0) // givesUpAfter: in latency targets
+		for _, f := range d.Faults {
 			switch {
-			case t.on("long_prompts", at) && rng.Float64() < t.Share && (t.Class == "" || t.Class == tr.Class):
-				long = t.Factor
-			case t.on("leave", at) && rng.Float64() < t.Share:
-				quit = true
-			case t.on("give_up", at) && rng.Float64() < t.Share:
-				givesUp = t.Factor
-			case t.on("slow_clients", at) && rng.Float64() < t.Share:
-				slowly = t.Delay.D()
+			case f.active("long_prompts", arrival) && rng.Float64() < f.Share &&
+				(f.Class == "" || f.Class == traffic.Class):
+				promptFactor = f.Factor
+			case f.active("leave", arrival) && rng.Float64() < f.Share:
+				leaves = true
+			case f.active("give_up", arrival) && rng.Float64() < f.Share:
+				givesUpAfter = f.Factor
+			case f.active("slow_clients", arrival) && rng.Float64() < f.Share:
+				readDelay = f.Delay.D()
 			}
 		}
-		s.tokens += max(int(tr.NewTokens*long*math.Exp(0.6*rng.NormFloat64()-0.18)), 8)
-		w.Tokens = s.tokens
-		w.Most = max(g.Most, 1)
-		k := float64(w.Tokens) / 1000
-		w.Promised = g.Promised.D() + time.Duration(k*float64(g.PerK))
-		w.Expiry = g.Expiry.D() + 2*time.Duration(k*float64(g.PerK))
-		w.Patience = d.Clients.PatienceMin + rng.Float64()*(d.Clients.PatienceMax-d.Clients.PatienceMin)
-		if givesUp > 0 {
-			w.Patience = min(w.Patience, givesUp*float64(w.Promised)/float64(w.Expiry))
+		// New tokens are log-normal with a mean of NewTokens: 0.18 is half the square of 0.6.
+		s.tokens += max(int(traffic.NewTokens*promptFactor*math.Exp(0.6*rng.NormFloat64()-0.18)), 8)
+		request.Tokens = s.tokens
+		request.Most = max(class.Most, 1)
+		kilotokens := float64(request.Tokens) / 1000
+		request.Promised = class.Promised.D() + time.Duration(kilotokens*float64(class.PerK))
+		request.Expiry = class.Expiry.D() + 2*time.Duration(kilotokens*float64(class.PerK))
+		request.Patience = d.Clients.PatienceMin + rng.Float64()*(d.Clients.PatienceMax-d.Clients.PatienceMin)
+		if givesUpAfter > 0 {
+			request.Patience = min(request.Patience, givesUpAfter*float64(request.Promised)/float64(request.Expiry))
 		}
-		w.Slowly = slowly
-		w.Safe = g.Effect == "idempotent" || g.Effect == "deduplicated" && (g.Reach == "" || g.Reach == "all")
-		if quit { // some before the first token, some while the answer streams
-			w.Leaves = time.Duration((0.2 + 1.2*rng.Float64()) * float64(w.Promised))
+		request.Slowly = readDelay
+		request.Safe = class.Effect == "idempotent" ||
+			class.Effect == "deduplicated" && (class.Reach == "" || class.Reach == "all")
+		if leaves { // some before the first token, some while the answer streams
+			request.Leaves = time.Duration((0.2 + 1.2*rng.Float64()) * float64(request.Promised))
 		}
-		wishes = append(wishes, w)
-		if s.turns--; s.turns > 0 {
-			s.ready = at + think
-			open[tr.Class] = append(open[tr.Class], s)
+		requests = append(requests, request)
+		if s.turnsLeft--; s.turnsLeft > 0 {
+			s.nextTurn = arrival + thinkTime
+			openSessions[traffic.Class] = append(openSessions[traffic.Class], s)
 		}
 	}
 }
 
-// drawChannel picks a channel by its share.
-func (d *Scenario) drawChannel(x float64) string {
-	sum := 0.0
+// drawTenant picks a tenant by its share; x is drawn from 0 to 1.
+func (d *Scenario) drawTenant(x float64) string {
+	shares := 0.0
 	for _, c := range d.Channels {
-		sum += c.Share
+		shares += c.Share
 	}
-	x *= sum
+	x *= shares
 	for _, c := range d.Channels {
 		if x -= c.Share; x < 0 {
 			return c.Name
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -1,6 +1,6 @@
-// Package judge reads the record of a run and judges the five rules by it: by what clients, boxes and the list
-// saw, never by what a dispatcher says of itself. It knows the record's form and the brief's figures only, and
-// does no I/O. Begin with Judge.
+// Package judge checks the record of a run against the five rules, by what clients, backends and service discovery
+// observed and never by what a dispatcher says about itself. It knows the record's events and the scenario's terms
+// only, and does no I/O. Begin with Check.
 package judge
 
 import (
@@ -15,20 +15,22 @@
 	"sloetrestle/internal/setup"
 )
 
-// What the far ends' clocks and the sockets between may differ by. The record has one clock, but a line is taken
-// down by whichever goroutine gets to run.
+// Tolerances of the checks. The record has one clock, but each event is written by whichever goroutine gets to run, so
+// that events at the two ends of a socket may be out of order by these times.
 const (
-	answerRoom = 20 * time.Millisecond // beside the stated slack, for an answer's way back
-	afterRoom  = 50 * time.Millisecond // for a trip that was on its way when its question's answer was
-	tripsRoom  = 25 * time.Millisecond // for a box to notice that a trip was closed
-	drainRoom  = 20 * time.Millisecond
-	pinRoom    = 60 * time.Millisecond
-	coldRoom   = 1.1 // for chance
-	toldShare  = 2.0 / 3
-	mostFound  = 20 // offences kept of each rule
+	answerTolerance      = 20 * time.Millisecond // beside the stated slack, for an answer's way back
+	afterAnswerTolerance = 50 * time.Millisecond // for an attempt on its way when its request's answer was sent
+	overlapTolerance     = 25 * time.Millisecond // for a backend to notice that an attempt was closed
+	drainTolerance       = 20 * time.Millisecond
+	idleKVCacheTolerance = 60 * time.Millisecond
+	slowStartTolerance   = 1.1              // for chance
+	minNotifiedWorkShare = 2.0 / 3          // of a backend's work in slow start, from dispatchers that knew of its start
+	maxViolationsListed  = 20               // violations of each rule with a text; all are counted
+	endRecordedWithin    = time.Second      // after a dispatcher's connections broke, its end is recorded within this time
+	orphanedWithin       = 10 * time.Second // a prefill may hold its KV cache this long after its dispatcher was killed
 )
 
-// Rule is one rule's verdict.
+// Rule is the verdict on one rule.
 type Rule struct {
 	Name           string   `json:"name"`
 	Passed         bool     `json:"kept"`
@@ -37,14 +39,14 @@
 	Violations     []string `json:"offences,omitempty"`
 }
 
-func (r *Rule) offence(format string, args ...any) {
+func (r *Rule) addViolation(format string, args ...any) {
 	r.ViolationCount++
-	if len(r.Violations) < mostFound {
+	if len(r.Violations) < maxViolationsListed {
 		r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
-// ClassRow counts the questions of a grade; a client's tries belong to its first.
+// ClassRow counts the requests of a class by outcome. All tries of a request count as one, from its first try on.
 type ClassRow struct {
 	Class          string  `json:"grade"`
 	Requests       int     `json:"asked"`
@@ -54,17 +56,17 @@
 	Failed         int     `json:"forfeited"`
 	ClientLeft     int     `json:"quit"`
 	ConnectionLost int     `json:"cut"`
-	ValueShare     float64 `json:"service"`
-	benefit        float64
-	earned         float64
+	ValueShare     float64 `json:"service"` // value served over value requested
+	requestedValue float64
+	servedValue    float64
 }
 
-// Verdict is what a run comes to.
+// Verdict is the result of checking a run.
 type Verdict struct {
 	Scenario           string             `json:"day"`
 	Rules              []Rule             `json:"rules"`
 	Classes            []ClassRow         `json:"grades"`
-	ValueShare         float64            `json:"service"`
+	ValueShare         float64            `json:"service"` // value served over value requested
 	AttemptsPerRequest float64            `json:"trips_a_question"`
 	FirstTokenP50Ms    float64            `json:"first_token_p50_ms"`
 	FirstTokenP99Ms    float64            `json:"first_token_p99_ms"`
@@ -72,191 +74,202 @@
 	Notes              []string           `json:"notes,omitempty"`
 	Effects            int                `json:"effects"`
 	FollowersByClass   map[string]float64 `json:"followers_by_grade"`
-	Followers          float64            `json:"followers"` // share satisfied in the end, of clients that follow the advice; -1: there are none
-	Others             float64            `json:"others"`
-	PeakSlowStartLoad  float64            `json:"cold_worst"` // of what a cold box bears, the most that one was sent
+	Followers          float64            `json:"followers"`  // share served of clients following retry advice; -1: none
+	Others             float64            `json:"others"`     // share served of the other clients; -1: none
+	PeakSlowStartLoad  float64            `json:"cold_worst"` // largest slow-start load, over its bound
 	MaxIdleKVCacheMs   float64            `json:"pinned_worst_ms"`
-	Usage              *Usage             `json:"cost,omitempty"` // of all trips, as boxes counted it, where the day has ledgers
+	Usage              *Usage             `json:"cost,omitempty"` // of all attempts, if there are ledgers
 }
 
-// Passed tells whether every rule was kept.
+// Passed reports whether every rule passed.
 func (v Verdict) Passed() bool {
 	return !slices.ContainsFunc(v.Rules, func(r Rule) bool { return !r.Passed })
 }
 
-// try is what one try's lines say.
-type try struct {
-	asked          record.Event
-	first, final   *record.Event
-	finals, extras int
-	quit, cut      *record.Event
-	trips          []*trip
-	ran, repeats   []record.Event
+// clientTry collects the events of one try of a client.
+type clientTry struct {
+	sent                       record.Event
+	firstToken, finalAnswer    *record.Event
+	finalAnswers, afterFinal   int
+	clientLeft, connectionLost *record.Event
+	attempts                   []*attempt
+	effects, duplicates        []record.Event
 }
 
-type trip struct {
+// attempt is an attempt that reached a backend, and when it ended there.
+type attempt struct {
 	record.Event
-	until int64
+	endUs int64 // -1 while the end is unknown
 }
 
-// place is the box that a trip reached, and by which address.
-func (t *trip) place() string {
+// destination is the backend that an attempt reached, and the address if the backend has several.
+func (t *attempt) destination() string {
 	if t.Address == "" {
 		return t.Backend
 	}
 	return t.Backend + " at " + t.Address
 }
 
-type reading struct {
-	head   record.Header
-	lines  []record.Event
-	tries  map[string]*try
-	order  []string
-	trips  map[string][]*trip // by key
-	downs  map[string][]int64 // of dispatchers
-	ups    map[string][]int64
-	end    int64
-	grades map[string]setup.Grade
+// index holds a record's events by try, request and dispatcher.
+type index struct {
+	header   record.Header
+	events   []record.Event
+	tries    map[string]*clientTry
+	order    []string              // ids of tries, in the order they were sent
+	attempts map[string][]*attempt // by request key, in order of time
+	ended    map[string][]int64    // when each dispatcher was killed or stopped
+	started  map[string][]int64    // when each dispatcher started
+	endUs    int64                 // of the record
+	classes  map[string]setup.Grade
 }
 
-// Check judges a record.
-func Check(head record.Header, lines []record.Event) Verdict {
-	rd := read(head, lines)
-	v := Verdict{Scenario: head.Scenario, Rules: []Rule{rd.answers(), rd.effects(), rd.drains(), {}, {}}, Tries: len(rd.tries)}
-	v.Rules[3], v.PeakSlowStartLoad = rd.cold(&v.Notes)
-	v.Rules[4], v.MaxIdleKVCacheMs = rd.pinned()
+// Check checks a record against the rules.
+func Check(header record.Header, events []record.Event) Verdict {
+	x := newIndex(header, events)
+	v := Verdict{Scenario: header.Scenario, Rules: []Rule{x.checkAnswers(), x.checkEffects(), x.checkDrains(), {}, {}},
+		Tries: len(x.tries)}
+	v.Rules[3], v.PeakSlowStartLoad = x.checkSlowStart(&v.Notes)
+	v.Rules[4], v.MaxIdleKVCacheMs = x.checkKVCacheRelease()
 	for i := range v.Rules {
 		v.Rules[i].Passed = v.Rules[i].ViolationCount == 0
 	}
-	rd.table(&v)
-	v.Followers, v.Others, v.FollowersByClass = ServedByRetryAdvice(lines)
+	x.summarize(&v)
+	v.Followers, v.Others, v.FollowersByClass = ServedByRetryAdvice(events)
 	return v
 }
 
-func read(head record.Header, lines []record.Event) *reading {
-	rd := &reading{
-		head: head, lines: lines, tries: map[string]*try{}, trips: map[string][]*trip{}, downs: map[string][]int64{},
-		ups: map[string][]int64{}, grades: map[string]setup.Grade{},
+func newIndex(header record.Header, events []record.Event) *index {
+	x := &index{
+		header: header, events: events, tries: map[string]*clientTry{}, attempts: map[string][]*attempt{},
+		ended: map[string][]int64{}, started: map[string][]int64{}, classes: map[string]setup.Grade{},
 	}
-	for _, g := range head.Terms.Grades {
-		rd.grades[g.Name] = g
+	for _, class := range header.Terms.Grades {
+		x.classes[class.Name] = class
 	}
-	open := map[string]*trip{}
-	for i, l := range lines {
-		rd.end = max(rd.end, l.TimeUs)
-		if l.Kind == record.RequestSent {
-			rd.tries[l.Try] = &try{asked: l}
-			rd.order = append(rd.order, l.Try)
+	open := map[string]*attempt{}
+	for i, event := range events {
+		x.endUs = max(x.endUs, event.TimeUs)
+		if event.Kind == record.RequestSent {
+			x.tries[event.Try] = &clientTry{sent: event}
+			x.order = append(x.order, event.Try)
 		}
-		t := rd.tries[l.Try]
-		at := fmt.Sprintf("%s/%s/%d/%s", l.Backend, l.RequestKey, l.Attempt, l.Phase)
-		switch l.Kind {
+		try := x.tries[event.Try]
+		attemptKey := fmt.Sprintf("%s/%s/%d/%s", event.Backend, event.RequestKey, event.Attempt, event.Phase)
+		switch event.Kind {
 		case record.ProcessStarted:
-			if l.Dispatcher != "" {
-				rd.ups[l.Dispatcher] = append(rd.ups[l.Dispatcher], l.TimeUs)
+			if event.Dispatcher != "" {
+				x.started[event.Dispatcher] = append(x.started[event.Dispatcher], event.TimeUs)
 			}
 		case record.ProcessEnded:
-			if l.Dispatcher != "" {
-				rd.downs[l.Dispatcher] = append(rd.downs[l.Dispatcher], l.TimeUs)
+			if event.Dispatcher != "" {
+				x.ended[event.Dispatcher] = append(x.ended[event.Dispatcher], event.TimeUs)
 			}
 		case record.AttemptReceived:
-			tr := &trip{Event: l, until: -1}
-			// A trip counts from when its bytes had reached the box's machine: what the dispatcher did lies before.
-			if l.ArrivedUs > 0 {
-				tr.TimeUs = l.ArrivedUs
+			received := &attempt{Event: event, endUs: -1}
+			// An attempt counts from when its bytes reached the backend's machine: the dispatcher had sent it by then,
+			// and it can't influence when the backend's process reads them.
+			if event.ArrivedUs > 0 {
+				received.TimeUs = event.ArrivedUs
 			}
-			if l.ClosedUs > 0 {
-				tr.until = max(l.ClosedUs, tr.TimeUs)
+			if event.ClosedUs > 0 {
+				received.endUs = max(event.ClosedUs, received.TimeUs)
 			}
-			open[at] = tr
-			rd.trips[l.RequestKey] = append(rd.trips[l.RequestKey], tr)
-			if t != nil {
-				t.trips = append(t.trips, tr)
+			open[attemptKey] = received
+			x.attempts[event.RequestKey] = append(x.attempts[event.RequestKey], received)
+			if try != nil {
+				try.attempts = append(try.attempts, received)
 			}
 		case record.AttemptEnded, record.AttemptClosed:
-			if tr := open[at]; tr != nil && tr.until < 0 {
-				tr.until = l.TimeUs
+			if received := open[attemptKey]; received != nil && received.endUs < 0 {
+				received.endUs = event.TimeUs
 			}
 		}
-		if t == nil {
+		if try == nil {
 			continue
 		}
-		switch l.Kind {
+		switch event.Kind {
 		case record.FirstToken:
-			if t.first == nil {
-				t.first = &lines[i]
+			if try.firstToken == nil {
+				try.firstToken = &events[i]
 			}
 		case record.FinalAnswer:
-			if t.final == nil {
-				t.final = &lines[i]
+			if try.finalAnswer == nil {
+				try.finalAnswer = &events[i]
 			}
-			t.finals++
+			try.finalAnswers++
 		case record.AfterFinal:
-			t.extras++
+			try.afterFinal++
 		case record.ClientLeft:
-			t.quit = &lines[i]
+			try.clientLeft = &events[i]
 		case record.ConnectionLost:
-			t.cut = &lines[i]
+			try.connectionLost = &events[i]
 		case record.EffectStarted:
-			t.ran = append(t.ran, l)
+			try.effects = append(try.effects, event)
 		case record.DuplicateDropped:
-			t.repeats = append(t.repeats, l)
+			try.duplicates = append(try.duplicates, event)
 		}
 	}
-	for _, trips := range rd.trips {
-		slices.SortStableFunc(trips, func(a, b *trip) int { return cmp.Compare(a.TimeUs, b.TimeUs) })
-		for _, tr := range trips {
-			if tr.until < 0 {
-				tr.until = rd.end
+	for _, attempts := range x.attempts {
+		slices.SortStableFunc(attempts, func(a, b *attempt) int { return cmp.Compare(a.TimeUs, b.TimeUs) })
+		for _, a := range attempts {
+			if a.endUs < 0 {
+				a.endUs = x.endUs
 			}
 		}
 	}
-	return rd
+	return x
 }
 
-func ms(us int64) float64 { return float64(us) / 1000 }
+func milliseconds(us int64) float64 { return float64(us) / 1000 }
 
-// fell tells whether a dispatcher was killed or stopped in a span.
-func (rd *reading) fell(dispatcher string, from, to int64) bool {
-	return slices.ContainsFunc(rd.downs[dispatcher], func(at int64) bool { return at >= from && at <= to })
+// endedBetween reports whether a dispatcher was killed or stopped in a span of time.
+func (x *index) endedBetween(dispatcher string, fromUs, toUs int64) bool {
+	return slices.ContainsFunc(x.ended[dispatcher], func(us int64) bool { return us >= fromUs && us <= toUs })
 }
 
-// answers judges rule 1: one final answer in time, and nothing after it.
-func (rd *reading) answers() Rule {
+// checkAnswers checks rule 1: each try gets exactly one final answer before its deadline, and nothing after it.
+func (x *index) checkAnswers() Rule {
 	r := Rule{Name: "1 no question is lost"}
-	slack := (rd.head.Terms.Rules.Slack.D() + answerRoom).Microseconds()
-	for _, id := range rd.order {
-		t := rd.tries[id]
+	slackUs := (x.header.Terms.Rules.Slack.D() + answerTolerance).Microseconds()
+	for _, id := range x.order {
+		try := x.tries[id]
 		r.Checked++
-		due := t.asked.TimeUs + t.asked.DeadlineUs + slack
-		if t.finals > 1 || t.extras > 0 {
-			r.offence("try %s: %d final answers, and %d things after one", id, t.finals, t.extras)
+		dueUs := try.sent.TimeUs + try.sent.DeadlineUs + slackUs
+		if try.finalAnswers > 1 || try.afterFinal > 0 {
+			r.addViolation("try %s: %d final answers, and %d things after one", id, try.finalAnswers, try.afterFinal)
 		}
 		switch {
-		case t.final != nil:
-			if t.first != nil && t.first.TimeUs > due || t.first == nil && t.final.TimeUs > due {
-				seen := t.final
-				if t.first != nil {
-					seen = t.first
+		case try.finalAnswer != nil:
+			if try.firstToken != nil && try.firstToken.TimeUs > dueUs ||
+				try.firstToken == nil && try.finalAnswer.TimeUs > dueUs {
+				seen := try.finalAnswer
+				if try.firstToken != nil {
+					seen = try.firstToken
 				}
-				r.offence("try %s: answered (%s) %.1f ms after its time of %.0f ms", id, t.final.Detail, ms(seen.TimeUs-due+slack), ms(t.asked.DeadlineUs))
+				r.addViolation("try %s: answered (%s) %.1f ms after its time of %.0f ms", id, try.finalAnswer.Detail,
+					milliseconds(seen.TimeUs-dueUs+slackUs), milliseconds(try.sent.DeadlineUs))
 			}
-		case t.quit != nil:
-		case t.cut != nil:
-			unreached := strings.HasPrefix(t.cut.Detail, "unreached") || strings.HasPrefix(t.cut.Detail, "no dispatcher")
-			if !unreached && !rd.fell(t.asked.Dispatcher, t.asked.TimeUs, t.cut.TimeUs+int64(time.Second/time.Microsecond)) {
-				r.offence("try %s: no final answer of %s, which was up: %s", id, t.asked.Dispatcher, t.cut.Detail)
+		case try.clientLeft != nil:
+		case try.connectionLost != nil:
+			unreached := strings.HasPrefix(try.connectionLost.Detail, "unreached") ||
+				strings.HasPrefix(try.connectionLost.Detail, "no dispatcher")
+			if !unreached && !x.endedBetween(try.sent.Dispatcher, try.sent.TimeUs,
+				try.connectionLost.TimeUs+endRecordedWithin.Microseconds()) {
+				r.addViolation("try %s: no final answer of %s, which was up: %s", id, try.sent.Dispatcher,
+					try.connectionLost.Detail)
 			}
-		case t.first != nil && rd.end-t.first.TimeUs < rd.head.Terms.Limits.Stall.D().Microseconds(): // still streaming when the record ends
+		case try.firstToken != nil && x.endUs-try.firstToken.TimeUs < x.header.Terms.Limits.Stall.D().Microseconds():
+			// still streaming when the record ends
 		default:
-			if !rd.fell(t.asked.Dispatcher, t.asked.TimeUs, rd.end) && rd.end > due {
-				r.offence("try %s: nothing came of it", id)
+			if !x.endedBetween(try.sent.Dispatcher, try.sent.TimeUs, x.endUs) && x.endUs > dueUs {
+				r.addViolation("try %s: nothing came of it", id)
 			}
 		}
-		if t.final != nil {
-			for _, tr := range t.trips {
-				if tr.TimeUs > t.final.TimeUs+afterRoom.Microseconds() {
-					r.offence("try %s: trip %d reached %s %.1f ms after the final answer (%s)", id, tr.Attempt, tr.Backend, ms(tr.TimeUs-t.final.TimeUs), t.final.Detail)
+		if try.finalAnswer != nil {
+			for _, a := range try.attempts {
+				if a.TimeUs > try.finalAnswer.TimeUs+afterAnswerTolerance.Microseconds() {
+					r.addViolation("try %s: trip %d reached %s %.1f ms after the final answer (%s)", id, a.Attempt, a.Backend,
+						milliseconds(a.TimeUs-try.finalAnswer.TimeUs), try.finalAnswer.Detail)
 				}
 			}
 		}
@@ -264,40 +277,47 @@
 	return r
 }
 
-// effects judges rule 2: no effect twice, no decline that may lie, never two trips out.
-func (rd *reading) effects() Rule {
+// checkEffects checks rule 2: no effect happens twice, no request is rejected that may have had an effect, and a
+// request never has two attempts in flight.
+func (x *index) checkEffects() Rule {
 	r := Rule{Name: "2 no effect happens twice"}
-	ran := map[string][]record.Event{}
-	for _, id := range rd.order {
-		t := rd.tries[id]
+	effects := map[string][]record.Event{} // by request
+	for _, id := range x.order {
+		try := x.tries[id]
 		r.Checked++
-		g := rd.grades[t.asked.Class]
-		ran[t.asked.Request] = append(ran[t.asked.Request], t.ran...)
-		if g.Effect != "idempotent" && len(t.ran) > 1 {
-			r.offence("try %s (%s): ran %d times, at %s and %s", id, g.Effect, len(t.ran), t.ran[0].Backend, t.ran[1].Backend)
+		class := x.classes[try.sent.Class]
+		effects[try.sent.Request] = append(effects[try.sent.Request], try.effects...)
+		if class.Effect != "idempotent" && len(try.effects) > 1 {
+			r.addViolation("try %s (%s): ran %d times, at %s and %s", id, class.Effect, len(try.effects),
+				try.effects[0].Backend, try.effects[1].Backend)
 		}
-		may := g.Effect == "unrepeatable" || g.Effect == "deduplicated" && g.Reach != "" && g.Reach != "all"
-		if may && t.final != nil && t.final.Detail == "declined" && len(t.ran) > 0 {
-			r.offence("try %s (%s): declined, but it ran at %s", id, g.Effect, t.ran[0].Backend)
+		// Backends that deduplicate only among themselves may repeat an effect when the client retries elsewhere.
+		repeatable := class.Effect == "unrepeatable" ||
+			class.Effect == "deduplicated" && class.Reach != "" && class.Reach != "all"
+		if repeatable && try.finalAnswer != nil && try.finalAnswer.Detail == "declined" && len(try.effects) > 0 {
+			r.addViolation("try %s (%s): declined, but it ran at %s", id, class.Effect, try.effects[0].Backend)
 		}
 	}
-	for _, id := range rd.order {
-		t := rd.tries[id]
-		if q := t.asked.Request; rd.grades[t.asked.Class].Effect == "unrepeatable" && len(ran[q]) > 1 && ran[q][0].Try != ran[q][1].Try {
-			r.offence("question %s (unrepeatable): ran for tries %s and %s", q, ran[q][0].Try, ran[q][1].Try)
-			ran[q] = nil
+	for _, id := range x.order {
+		try := x.tries[id]
+		if request := try.sent.Request; x.classes[try.sent.Class].Effect == "unrepeatable" &&
+			len(effects[request]) > 1 && effects[request][0].Try != effects[request][1].Try {
+			r.addViolation("question %s (unrepeatable): ran for tries %s and %s", request, effects[request][0].Try,
+				effects[request][1].Try)
+			effects[request] = nil
 		}
 	}
-	for _, key := range sorted(rd.trips) {
-		trips := rd.trips[key]
-		for i, a := range trips {
-			for _, b := range trips[i+1:] {
-				if b.TimeUs < a.until-tripsRoom.Microseconds() {
-					r.offence("question %s (try %s): trips %d at %s and %d at %s were out together for %.1f ms", key, a.Try, a.Attempt, a.Backend,
-						b.Attempt, b.Backend, ms(min(a.until, b.until)-b.TimeUs))
+	for _, key := range sortedKeys(x.attempts) {
+		attempts := x.attempts[key]
+		for i, a := range attempts {
+			for _, b := range attempts[i+1:] {
+				if b.TimeUs < a.endUs-overlapTolerance.Microseconds() {
+					r.addViolation("question %s (try %s): trips %d at %s and %d at %s were out together for %.1f ms",
+						key, a.Try, a.Attempt, a.Backend, b.Attempt, b.Backend, milliseconds(min(a.endUs, b.endUs)-b.TimeUs))
 				}
 				if b.Attempt == a.Attempt {
-					r.offence("question %s (try %s): trip %d reached %s and %s", key, a.Try, a.Attempt, a.place(), b.place())
+					r.addViolation("question %s (try %s): trip %d reached %s and %s", key, a.Try, a.Attempt,
+						a.destination(), b.destination())
 				}
 			}
 		}
@@ -305,7 +325,7 @@
 	return r
 }
 
-func sorted[V any](m map[string]V) []string {
+func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
 		keys = append(keys, k)
@@ -314,7 +334,7 @@
 	return keys
 }
 
-// dispatcherOf is the name in a key such as d0.1a2b3c/17.
+// dispatcherOf is the dispatcher's name in a request key such as d0.1a2b3c/17.
 func dispatcherOf(key string) string {
 	epoch, _, _ := strings.Cut(key, "/")
 	if i := strings.LastIndexByte(epoch, '.'); i >= 0 {
@@ -323,241 +343,251 @@
 	return epoch
 }
 
-// drains judges rule 3.
-func (rd *reading) drains() Rule {
+// checkDrains checks rule 3: no dispatcher sends an attempt to a backend later than the grace period after service
+// discovery notified it that the backend is draining or removed.
+func (x *index) checkDrains() Rule {
 	r := Rule{Name: "3 drains are kept"}
-	grace := (rd.head.Terms.Rules.DrainGrace.D() + drainRoom).Microseconds()
-	type pair struct{ dispatcher, box string }
-	told := map[pair]int64{}
-	for _, l := range rd.lines {
-		switch l.Kind {
+	graceUs := (x.header.Terms.Rules.DrainGrace.D() + drainTolerance).Microseconds()
+	type pair struct{ dispatcher, backend string }
+	notifiedUs := map[pair]int64{}
+	for _, event := range x.events {
+		switch event.Kind {
 		case record.EndpointNotified:
-			at := pair{l.Dispatcher, l.Backend}
-			if l.Detail == "ready" {
-				delete(told, at)
-			} else if _, known := told[at]; !known {
-				told[at] = l.TimeUs
+			p := pair{event.Dispatcher, event.Backend}
+			if event.Detail == "ready" {
+				delete(notifiedUs, p)
+			} else if _, known := notifiedUs[p]; !known {
+				notifiedUs[p] = event.TimeUs
 			}
 		case record.ProcessStarted:
-			if l.Dispatcher != "" { // a new process was told nothing yet
-				for at := range told {
-					if at.dispatcher == l.Dispatcher {
-						delete(told, at)
+			if event.Dispatcher != "" { // a new process has not been notified of anything yet
+				for p := range notifiedUs {
+					if p.dispatcher == event.Dispatcher {
+						delete(notifiedUs, p)
 					}
 				}
 			}
 		case record.AttemptReceived:
 			r.Checked++
-			d := dispatcherOf(l.RequestKey)
-			if l.ArrivedUs > 0 {
-				l.TimeUs = l.ArrivedUs
+			dispatcher := dispatcherOf(event.RequestKey)
+			if event.ArrivedUs > 0 {
+				event.TimeUs = event.ArrivedUs
 			}
-			if at, known := told[pair{d, l.Backend}]; known && l.TimeUs > at+grace {
-				r.offence("try %s: %s sent trip %d to %s %.0f ms after it was told that the box drains or is gone", l.Try, d, l.Attempt, l.Backend, ms(l.TimeUs-at))
+			if us, known := notifiedUs[pair{dispatcher, event.Backend}]; known && event.TimeUs > us+graceUs {
+				r.addViolation("try %s: %s sent trip %d to %s %.0f ms after it was told that the box drains or is gone",
+					event.Try, dispatcher, event.Attempt, event.Backend, milliseconds(event.TimeUs-us))
 			}
 		}
 	}
 	return r
 }
 
-// cold judges rule 4: the work that reaches a cold box in any window stays under multiple x present capacity x
-// window. It breaks the rule if two thirds of it came from dispatchers that were told of the start.
-func (rd *reading) cold(notes *[]string) (r Rule, worst float64) {
+// checkSlowStart checks rule 4: the work that reaches a backend in slow start, in any window, stays under multiple x
+// present capacity x window. More than that breaks the rule if at least two thirds of the work came from dispatchers
+// that had been notified of the start; else it is noted.
+func (x *index) checkSlowStart(notes *[]string) (r Rule, peakLoad float64) {
 	r.Name = "4 no cold box is pushed over"
-	rules := rd.head.Terms.Rules
-	window, ramp := rules.ColdWindow.D().Microseconds(), rules.ColdRamp.D().Microseconds()
+	rules := x.header.Terms.Rules
+	windowUs, rampUs := rules.ColdWindow.D().Microseconds(), rules.ColdRamp.D().Microseconds()
 	type start struct {
-		at   int64
-		told map[string]bool
-		sent []record.Event
-		over bool
+		timeUs     int64
+		notified   map[string]bool // dispatchers
+		inWindow   []record.Event  // attempts of the present window
+		overloaded bool            // noted or reported already
 	}
-	now, starts := map[string]*start{}, map[uint64]*start{}
-	for _, l := range rd.lines {
+	current, starts := map[string]*start{}, map[uint64]*start{}
+	for _, event := range x.events {
 		switch {
-		case l.Kind == record.ProcessStarted && l.Backend != "":
-			now[l.Backend] = nil
-			if l.SlowStart {
-				s := &start{at: l.TimeUs, told: map[string]bool{}}
-				now[l.Backend], starts[l.StartID] = s, s
+		case event.Kind == record.ProcessStarted && event.Backend != "":
+			current[event.Backend] = nil
+			if event.SlowStart {
+				s := &start{timeUs: event.TimeUs, notified: map[string]bool{}}
+				current[event.Backend], starts[event.StartID] = s, s
 			}
-		case l.Kind == record.EndpointNotified && starts[l.StartID] != nil:
-			starts[l.StartID].told[l.Dispatcher] = true
-		case l.Kind == record.AttemptReceived && now[l.Backend] != nil:
-			s := now[l.Backend]
-			if l.TimeUs-s.at > ramp {
+		case event.Kind == record.EndpointNotified && starts[event.StartID] != nil:
+			starts[event.StartID].notified[event.Dispatcher] = true
+		case event.Kind == record.AttemptReceived && current[event.Backend] != nil:
+			s := current[event.Backend]
+			if event.TimeUs-s.timeUs > rampUs {
 				continue
 			}
 			r.Checked++
-			s.sent = append(s.sent, l)
-			for s.sent[0].TimeUs < l.TimeUs-window {
-				s.sent = s.sent[1:]
+			s.inWindow = append(s.inWindow, event)
+			for s.inWindow[0].TimeUs < event.TimeUs-windowUs {
+				s.inWindow = s.inWindow[1:]
 			}
-			all, known := 0.0, 0.0
-			for _, x := range s.sent {
-				all += x.Work
-				if s.told[dispatcherOf(x.RequestKey)] {
-					known += x.Work
+			work, notifiedWork := 0.0, 0.0
+			for _, a := range s.inWindow {
+				work += a.Work
+				if s.notified[dispatcherOf(a.RequestKey)] {
+					notifiedWork += a.Work
 				}
 			}
-			share := rules.ColdShare + (1-rules.ColdShare)*float64(l.TimeUs-s.at)/float64(ramp)
-			part := all / (rules.ColdMultiple * share * rules.ColdWindow.D().Seconds())
-			if known >= toldShare*all {
-				worst = max(worst, part)
+			capacityShare := rules.ColdShare + (1-rules.ColdShare)*float64(event.TimeUs-s.timeUs)/float64(rampUs)
+			load := work / (rules.ColdMultiple * capacityShare * rules.ColdWindow.D().Seconds())
+			if notifiedWork >= minNotifiedWorkShare*work {
+				peakLoad = max(peakLoad, load)
 			}
-			if part <= coldRoom || s.over {
+			if load <= slowStartTolerance || s.overloaded {
 				continue
 			}
-			s.over = true
-			if known >= toldShare*all {
-				r.offence("%s, up cold for %.1f s, was sent %.2f s of work in %v, of at most %.2f s", l.Backend, ms(l.TimeUs-s.at)/1000, all,
-					rules.ColdWindow.D(), all/part)
+			s.overloaded = true
+			if notifiedWork >= minNotifiedWorkShare*work {
+				r.addViolation("%s, up cold for %.1f s, was sent %.2f s of work in %v, of at most %.2f s", event.Backend,
+					milliseconds(event.TimeUs-s.timeUs)/1000, work, rules.ColdWindow.D(), work/load)
 			} else {
-				*notes = append(*notes, fmt.Sprintf("%s was sent %.2f times what it bears while cold, by dispatchers that were not told of its start", l.Backend, part))
+				*notes = append(*notes, fmt.Sprintf("%s was sent %.2f times what it bears while cold, "+
+					"by dispatchers that were not told of its start", event.Backend, load))
 			}
 		}
 	}
-	return r, worst
+	return r, peakLoad
 }
 
-// pinned judges rule 5: how long a state waits with none of its question's trips out.
-func (rd *reading) pinned() (r Rule, worst float64) {
+// checkKVCacheRelease checks rule 5: how long a request's KV cache is held while none of its attempts is in flight.
+func (x *index) checkKVCacheRelease() (r Rule, maxIdleMs float64) {
 	r.Name = "5 nothing is left pinned"
-	limit := (rd.head.Terms.Rules.Pin.D() + pinRoom).Microseconds()
+	limitUs := (x.header.Terms.Rules.Pin.D() + idleKVCacheTolerance).Microseconds()
 	held := map[string]record.Event{}
-	check := func(from record.Event, to int64, how string) {
+	check := func(from record.Event, toUs int64, reason string) {
 		r.Checked++
-		idle, at := int64(0), from.TimeUs
-		for _, tr := range rd.trips[from.RequestKey] { // in order of time
-			if tr.TimeUs > at {
-				idle = max(idle, min(tr.TimeUs, to)-at)
+		idleUs, busyUntilUs := int64(0), from.TimeUs
+		for _, a := range x.attempts[from.RequestKey] { // in order of time
+			if a.TimeUs > busyUntilUs {
+				idleUs = max(idleUs, min(a.TimeUs, toUs)-busyUntilUs)
 			}
-			at = max(at, min(tr.until, to))
+			busyUntilUs = max(busyUntilUs, min(a.endUs, toUs))
 		}
-		idle = max(idle, to-at)
-		if rd.fell(dispatcherOf(from.RequestKey), from.TimeUs-int64(10*time.Second/time.Microsecond), to) {
-			return // what a killed dispatcher left is freed by the box itself
+		idleUs = max(idleUs, toUs-busyUntilUs)
+		if x.endedBetween(dispatcherOf(from.RequestKey), from.TimeUs-orphanedWithin.Microseconds(), toUs) {
+			return // the backend itself frees what a killed dispatcher didn't release
 		}
-		worst = max(worst, ms(idle))
-		if idle > limit {
-			r.offence("question %s (try %s): its state waited %.0f ms at %s with no trip out, until %s", from.RequestKey, from.Try, ms(idle), from.Backend, how)
+		maxIdleMs = max(maxIdleMs, milliseconds(idleUs))
+		if idleUs > limitUs {
+			r.addViolation("question %s (try %s): its state waited %.0f ms at %s with no trip out, until %s",
+				from.RequestKey, from.Try, milliseconds(idleUs), from.Backend, reason)
 		}
 	}
-	for _, l := range rd.lines {
-		at := l.Backend + " " + l.RequestKey
-		switch l.Kind {
+	for _, event := range x.events {
+		key := event.Backend + " " + event.RequestKey
+		switch event.Kind {
 		case record.KVCacheHeld:
-			held[at] = l
+			held[key] = event
 		case record.KVCacheReleased:
-			if from, ok := held[at]; ok {
-				check(from, l.TimeUs, l.Detail)
-				delete(held, at)
+			if from, ok := held[key]; ok {
+				check(from, event.TimeUs, event.Detail)
+				delete(held, key)
 			}
 		}
 	}
-	for _, at := range sorted(held) {
-		check(held[at], rd.end, "the end")
+	for _, key := range sortedKeys(held) {
+		check(held[key], x.endUs, "the end")
 	}
-	return r, worst
+	return r, maxIdleMs
 }
 
-// table counts questions and benefit.
-func (rd *reading) table(v *Verdict) {
+// summarize counts the outcomes and the value of requests.
+func (x *index) summarize(v *Verdict) {
 	rows := map[string]*ClassRow{}
-	for _, g := range rd.head.Terms.Grades {
-		rows[g.Name] = &ClassRow{Class: g.Name}
+	for _, class := range x.header.Terms.Grades {
+		rows[class.Name] = &ClassRow{Class: class.Name}
 	}
-	var questions []string
-	tries := map[string][]*try{}
-	trips := 0
-	for _, id := range rd.order {
-		t := rd.tries[id]
-		q := t.asked.Request
-		if tries[q] == nil {
-			questions = append(questions, q)
+	var requests []string
+	tries := map[string][]*clientTry{} // by request
+	attempts := 0
+	for _, id := range x.order {
+		try := x.tries[id]
+		request := try.sent.Request
+		if tries[request] == nil {
+			requests = append(requests, request)
 		}
-		tries[q] = append(tries[q], t)
-		trips += len(t.trips)
-		v.Effects += len(t.ran)
+		tries[request] = append(tries[request], try)
+		attempts += len(try.attempts)
+		v.Effects += len(try.effects)
 	}
-	var firsts []float64
-	for _, q := range questions {
-		all := tries[q]
-		begin, last := all[0], all[len(all)-1]
-		row, g := rows[begin.asked.Class], rd.grades[begin.asked.Class]
+	var firstTokenMs []float64
+	for _, request := range requests {
+		all := tries[request]
+		first, last := all[0], all[len(all)-1]
+		row, class := rows[first.sent.Class], x.classes[first.sent.Class]
 		if row == nil {
 			continue
 		}
-		worth := g.Benefit
-		if rd.head.Terms.Limits.ByWork {
-			worth *= float64(begin.asked.Tokens)
+		value := class.Benefit
+		if x.header.Terms.Limits.ByWork {
+			value *= float64(first.sent.Tokens)
 		}
 		row.Requests++
-		row.benefit += worth
+		row.requestedValue += value
 		switch {
-		case last.final != nil && last.final.Detail == "satisfied":
-			came := last.final.TimeUs
-			if last.first != nil {
-				came = last.first.TimeUs
+		case last.finalAnswer != nil && last.finalAnswer.Detail == "satisfied":
+			servedUs := last.finalAnswer.TimeUs
+			if last.firstToken != nil {
+				servedUs = last.firstToken.TimeUs
 			}
-			firsts = append(firsts, ms(came-begin.asked.TimeUs))
-			if came-begin.asked.TimeUs <= begin.asked.LatencyTargetUs {
+			firstTokenMs = append(firstTokenMs, milliseconds(servedUs-first.sent.TimeUs))
+			if servedUs-first.sent.TimeUs <= first.sent.LatencyTargetUs {
 				row.InTime++
-				row.earned += worth
+				row.servedValue += value
 			} else {
 				row.Late++
-				row.earned += worth * g.Late
+				row.servedValue += value * class.Late
 			}
-		case last.final != nil && last.final.Detail == "declined":
+		case last.finalAnswer != nil && last.finalAnswer.Detail == "declined":
 			row.Rejected++
-		case last.final != nil:
+		case last.finalAnswer != nil:
 			row.Failed++
-		case last.quit != nil:
+		case last.clientLeft != nil:
 			row.ClientLeft++
 		default:
 			row.ConnectionLost++
 		}
 	}
-	benefit, earned := 0.0, 0.0
-	for _, g := range rd.head.Terms.Grades {
-		row := rows[g.Name]
-		benefit, earned = benefit+row.benefit, earned+row.earned
-		row.ValueShare = row.earned / max(row.benefit, 1e-9)
+	requestedValue, servedValue := 0.0, 0.0
+	for _, class := range x.header.Terms.Grades {
+		row := rows[class.Name]
+		requestedValue, servedValue = requestedValue+row.requestedValue, servedValue+row.servedValue
+		row.ValueShare = row.servedValue / max(row.requestedValue, 1e-9)
 		v.Classes = append(v.Classes, *row)
 	}
-	v.ValueShare = earned / max(benefit, 1e-9)
-	v.AttemptsPerRequest = float64(trips) / float64(max(len(questions), 1))
-	slices.SortFunc(firsts, cmp.Compare)
-	if n := len(firsts); n > 0 {
-		v.FirstTokenP50Ms, v.FirstTokenP99Ms = firsts[n/2], firsts[min(n*99/100, n-1)]
+	v.ValueShare = servedValue / max(requestedValue, 1e-9)
+	v.AttemptsPerRequest = float64(attempts) / float64(max(len(requests), 1))
+	slices.SortFunc(firstTokenMs, cmp.Compare)
+	if n := len(firstTokenMs); n > 0 {
+		v.FirstTokenP50Ms, v.FirstTokenP99Ms = firstTokenMs[n/2], firstTokenMs[min(n*99/100, n-1)]
 	}
 }
 
-// Text writes a verdict for people.
+// Text formats a verdict for people.
 func (v Verdict) Text() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%-14s %6s %8s %6s %9s %10s %6s %5s %8s\n", "grade", "asked", "in time", "late", "declined", "forfeited", "quit", "cut", "service")
-	for _, r := range v.Classes {
-		fmt.Fprintf(&b, "%-14s %6d %8d %6d %9d %10d %6d %5d %8.3f\n", r.Class, r.Requests, r.InTime, r.Late, r.Rejected, r.Failed, r.ClientLeft, r.ConnectionLost, r.ValueShare)
+	fmt.Fprintf(&b, "%-14s %6s %8s %6s %9s %10s %6s %5s %8s\n", "grade", "asked", "in time", "late", "declined",
+		"forfeited", "quit", "cut", "service")
+	for _, row := range v.Classes {
+		fmt.Fprintf(&b, "%-14s %6d %8d %6d %9d %10d %6d %5d %8.3f\n", row.Class, row.Requests, row.InTime, row.Late,
+			row.Rejected, row.Failed, row.ClientLeft, row.ConnectionLost, row.ValueShare)
 	}
-	fmt.Fprintf(&b, "service %.3f (benefit answered in time over benefit asked for); %.2f trips a question; first token p50 %.0f ms, p99 %.0f ms\n",
-		v.ValueShare, v.AttemptsPerRequest, v.FirstTokenP50Ms, v.FirstTokenP99Ms)
+	fmt.Fprintf(&b, "service %.3f (benefit answered in time over benefit asked for); %.2f trips a question; "+
+		"first token p50 %.0f ms, p99 %.0f ms\n", v.ValueShare, v.AttemptsPerRequest, v.FirstTokenP50Ms, v.FirstTokenP99Ms)
 	if v.Followers >= 0 && v.Others >= 0 {
-		fmt.Fprintf(&b, "satisfied in the end: %.3f of those that follow the advice when to come back, %.3f of the others\n", v.Followers, v.Others)
-		for _, grade := range slices.Sorted(maps.Keys(v.FollowersByClass)) {
-			fmt.Fprintf(&b, "  of %s %.3f\n", grade, v.FollowersByClass[grade])
+		fmt.Fprintf(&b, "satisfied in the end: %.3f of those that follow the advice when to come back, %.3f of the others\n",
+			v.Followers, v.Others)
+		for _, class := range slices.Sorted(maps.Keys(v.FollowersByClass)) {
+			fmt.Fprintf(&b, "  of %s %.3f\n", class, v.FollowersByClass[class])
 		}
 	}
-	if c := v.Usage; c != nil {
-		fmt.Fprintf(&b, "boxes counted %d trips, %d tokens read, %d found kept, %d answered\n", c.Attempts, c.PrefillTokens, c.CachedTokens, c.AnswerTokens)
+	if u := v.Usage; u != nil {
+		fmt.Fprintf(&b, "boxes counted %d trips, %d tokens read, %d found kept, %d answered\n", u.Attempts, u.PrefillTokens,
+			u.CachedTokens, u.AnswerTokens)
 	}
-	fmt.Fprintf(&b, "cold boxes were sent %.0f%% of what they bear at most; states waited %.0f ms at most with no trip out\n", 100*v.PeakSlowStartLoad, v.MaxIdleKVCacheMs)
+	fmt.Fprintf(&b, "cold boxes were sent %.0f%% of what they bear at most; "+
+		"states waited %.0f ms at most with no trip out\n", 100*v.PeakSlowStartLoad, v.MaxIdleKVCacheMs)
 	for _, r := range v.Rules {
-		word := "kept"
+		result := "kept"
 		if !r.Passed {
-			word = fmt.Sprintf("BROKEN %d times", r.ViolationCount)
+			result = fmt.Sprintf("BROKEN %d times", r.ViolationCount)
 		}
-		fmt.Fprintf(&b, "rule %-32s %s (%d looked at)\n", r.Name, word, r.Checked)
+		fmt.Fprintf(&b, "rule %-32s %s (%d looked at)\n", r.Name, result, r.Checked)
 		if len(r.Violations) > 0 {
 			fmt.Fprintf(&b, "  first: %s\n", r.Violations[0])
 		}
--- a/internal/judge/timeline.go
+++ b/internal/judge/timeline.go
@@ -6,124 +6,125 @@
 	"sloetrestle/internal/record"
 )
 
-// Timeline is, for each second of a run, the share of the questions first asked in it that were answered in their
-// promised time, counted from the first try; and how many were asked, and how many tries came.
-func Timeline(head record.Header, lines []record.Event) (share, asked, tries []float64) {
-	type question struct {
-		at, promise int64
-		seen        bool
+// Timeline returns, for each second of a run, the share of the requests first sent in it that had their first token
+// within the latency target, counted from the first try; the number of those requests; and the number of tries sent.
+func Timeline(header record.Header, events []record.Event) (inTimeShare, requests, tries []float64) {
+	type request struct {
+		sentUs, latencyTargetUs int64
+		answered                bool
 	}
-	first := map[string]*question{}
-	of := map[string]string{}
+	firstTries := map[string]*request{} // by request
+	requestOf := map[string]string{}    // by try
 	second := int64(time.Second / time.Microsecond)
-	grow := func(at int64) int {
-		for int64(len(asked)) <= at/second {
-			share, asked, tries = append(share, 0), append(asked, 0), append(tries, 0)
+	extendTo := func(timeUs int64) int {
+		for int64(len(requests)) <= timeUs/second {
+			inTimeShare, requests, tries = append(inTimeShare, 0), append(requests, 0), append(tries, 0)
 		}
-		return int(at / second)
+		return int(timeUs / second)
 	}
-	for _, l := range lines {
-		switch l.Kind {
+	for _, event := range events {
+		switch event.Kind {
 		case record.RequestSent:
-			of[l.Try] = l.Request
-			tries[grow(l.TimeUs)]++
-			if first[l.Request] == nil {
-				first[l.Request] = &question{at: l.TimeUs, promise: l.LatencyTargetUs}
-				asked[l.TimeUs/second]++
+			requestOf[event.Try] = event.Request
+			tries[extendTo(event.TimeUs)]++
+			if firstTries[event.Request] == nil {
+				firstTries[event.Request] = &request{sentUs: event.TimeUs, latencyTargetUs: event.LatencyTargetUs}
+				requests[event.TimeUs/second]++
 			}
 		case record.FirstToken:
-			if q := first[of[l.Try]]; q != nil && !q.seen {
-				q.seen = true
-				if l.TimeUs-q.at <= q.promise {
-					share[q.at/second]++
+			if r := firstTries[requestOf[event.Try]]; r != nil && !r.answered {
+				r.answered = true
+				if event.TimeUs-r.sentUs <= r.latencyTargetUs {
+					inTimeShare[r.sentUs/second]++
 				}
 			}
 		}
 	}
-	for i := range share {
-		if asked[i] > 0 {
-			share[i] /= asked[i]
+	for i := range inTimeShare {
+		if requests[i] > 0 {
+			inTimeShare[i] /= requests[i]
 		}
 	}
-	return share, asked, tries
+	return inTimeShare, requests, tries
 }
 
-// RecoverySeconds tells after how many seconds from back on questions are answered as they were before the outage: in every
-// three seconds from there, at least 95% of that. False: not within the run.
-func RecoverySeconds(share, asked []float64, outage, back time.Duration) (float64, bool) {
-	from, to := int(outage/time.Second), int(back/time.Second)
-	before, n := 0.0, 0.0
-	for i := 2; i < from && i < len(share); i++ {
-		before, n = before+share[i]*asked[i], n+asked[i]
+// RecoverySeconds returns how many seconds after the end of an outage the share of requests answered in time is as
+// before the outage: at least 95% of that, in every three seconds from then to the end of the run. It returns false if
+// the run does not recover.
+func RecoverySeconds(inTimeShare, requests []float64, outageStart, outageEnd time.Duration) (float64, bool) {
+	startSecond, endSecond := int(outageStart/time.Second), int(outageEnd/time.Second)
+	shareBefore, requestsBefore := 0.0, 0.0
+	for i := 2; i < startSecond && i < len(inTimeShare); i++ {
+		shareBefore, requestsBefore = shareBefore+inTimeShare[i]*requests[i], requestsBefore+requests[i]
 	}
-	if n == 0 {
+	if requestsBefore == 0 {
 		return 0, false
 	}
-	before /= n
-	last := len(asked)
-	for last > 0 && asked[last-1] == 0 {
-		last--
+	shareBefore /= requestsBefore
+	seconds := len(requests)
+	for seconds > 0 && requests[seconds-1] == 0 {
+		seconds--
 	}
 	recovered := -1
-	for i := to; i+3 <= last; i++ {
-		sum, of := 0.0, 0.0
+	for i := endSecond; i+3 <= seconds; i++ {
+		inTime, total := 0.0, 0.0
 		for j := i; j < i+3; j++ {
-			sum, of = sum+share[j]*asked[j], of+asked[j]
+			inTime, total = inTime+inTimeShare[j]*requests[j], total+requests[j]
 		}
-		if of == 0 || sum/of < 0.95*before {
+		if total == 0 || inTime/total < 0.95*shareBefore {
 			recovered = -1
 		} else if recovered < 0 {
 			recovered = i
 		}
 	}
-	return float64(recovered - to), recovered >= 0
+	return float64(recovered - endSecond), recovered >= 0
 }
 
-// ServedByRetryAdvice is the share of questions satisfied in the end, of clients that follow the advice and of the others; of an
-// empty group -1. byGrade has that of the followers.
-func ServedByRetryAdvice(lines []record.Event) (followers, others float64, byGrade map[string]float64) {
-	type question struct {
-		follows, done bool
-		grade         string
+// ServedByRetryAdvice returns the share of requests that were served by any try, for clients that follow the retry
+// advice and for the others; -1 for an empty group. followersByClass has the followers' share for each class.
+func ServedByRetryAdvice(events []record.Event) (followers, others float64, followersByClass map[string]float64) {
+	type request struct {
+		followsAdvice, served bool
+		class                 string
 	}
-	questions, of := map[string]*question{}, map[string]*question{}
-	for _, l := range lines {
+	requests, requestOf := map[string]*request{}, map[string]*request{} // by request, by try
+	for _, event := range events {
 		switch {
-		case l.Kind == record.RequestSent:
-			q := questions[l.Request]
-			if q == nil {
-				q = &question{grade: l.Class}
-				questions[l.Request] = q
+		case event.Kind == record.RequestSent:
+			r := requests[event.Request]
+			if r == nil {
+				r = &request{class: event.Class}
+				requests[event.Request] = r
 			}
-			q.follows, of[l.Try] = l.Detail == "follows", q
-		case l.Kind == record.FinalAnswer && l.Detail == "satisfied" && of[l.Try] != nil:
-			of[l.Try].done = true
+			r.followsAdvice, requestOf[event.Try] = event.Detail == "follows", r
+		case event.Kind == record.FinalAnswer && event.Detail == "satisfied" && requestOf[event.Try] != nil:
+			requestOf[event.Try].served = true
 		}
 	}
-	var n, well [2]float64
-	asked := map[string]float64{}
-	byGrade = map[string]float64{}
-	for _, q := range questions {
-		i := 1
-		if q.follows {
-			i = 0
-			asked[q.grade]++
+	var total, served [2]float64 // of the followers, of the others
+	followersSent := map[string]float64{}
+	followersByClass = map[string]float64{}
+	for _, r := range requests {
+		group := 1
+		if r.followsAdvice {
+			group = 0
+			followersSent[r.class]++
 		}
-		n[i]++
-		if q.done {
-			well[i]++
-			if q.follows {
-				byGrade[q.grade]++
+		total[group]++
+		if r.served {
+			served[group]++
+			if r.followsAdvice {
+				followersByClass[r.class]++
 			}
 		}
 	}
-	for grade, n := range asked {
-		byGrade[grade] /= n
+	for class, n := range followersSent {
+		followersByClass[class] /= n
 	}
-	for i := range n {
-		if n[i] == 0 {
-			n[i], well[i] = 1, -1
+	for group := range total {
+		if total[group] == 0 {
+			total[group], served[group] = 1, -1
 		}
 	}
-	return well[0] / n[0], well[1] / n[1], byGrade
+	return served[0] / total[0], served[1] / total[1], followersByClass
 }
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -1,6 +1,6 @@
-// Package record is what the far ends of a run's sockets saw: one line for each thing that a client, a box, the
-// box list or the keeper of processes noticed, on one clock. It judges nothing and never holds a dispatcher's own
-// word. Begin with Line.
+// Package record defines the event log of a run: what clients, backends, service discovery and the process manager
+// observed at the far ends of the sockets, one event a line, on one clock. It checks no rules and contains nothing
+// that a dispatcher says about itself. Begin with Event.
 package record
 
 import (
@@ -15,59 +15,59 @@
 	"sloetrestle/internal/setup"
 )
 
-// What a line tells of.
+// Kinds of event.
 const (
-	RequestSent      = "asked"   // a client sent a try
-	FirstToken       = "first"   // it has its first token
-	FinalAnswer      = "final"   // it has a final answer, Word says which
-	AfterFinal       = "extra"   // it got something after that
-	ClientLeft       = "quit"    // it left before any answer
-	ConnectionLost   = "cut"     // its connection broke, or none was to be had, without a final answer
-	AttemptReceived  = "trip"    // a box got a trip
-	EffectStarted    = "ran"     // the trip began to have its effect there
-	DuplicateDropped = "repeat"  // it was known for a repeat and had none
-	AttemptEnded     = "end"     // the box was done with it, Word says how
-	AttemptClosed    = "closed"  // the dispatcher closed the trip's connection
-	KVCacheHeld      = "held"    // a read state waits at the box
-	KVCacheReleased  = "let"     // it waits no more, Word says why: taken, released, expired, lost
-	ProcessStarted   = "up"      // a box or dispatcher started
-	ProcessEnded     = "down"    // it was killed or stopped, Word says how
-	Overloaded       = "fell"    // a cold box was pushed over
-	EndpointNotified = "told"    // the list told a dispatcher of a box, Word is its standing
-	UsageCounted     = "counted" // a box counted what a trip cost it
-	Note             = "note"    // a trouble began or ended
+	RequestSent      = "asked"   // a client sent a try of a request
+	FirstToken       = "first"   // the client received the first token
+	FinalAnswer      = "final"   // the client received a final answer; Detail is the outcome
+	AfterFinal       = "extra"   // the client received something after the final answer
+	ClientLeft       = "quit"    // the client left before any answer
+	ConnectionLost   = "cut"     // the client's connection broke, or could not be made, without a final answer
+	AttemptReceived  = "trip"    // a backend received an attempt
+	EffectStarted    = "ran"     // the attempt began to have its effect at the backend
+	DuplicateDropped = "repeat"  // the backend recognised a repeat, which had no effect
+	AttemptEnded     = "end"     // the backend finished the attempt; Detail says how
+	AttemptClosed    = "closed"  // the dispatcher closed the attempt's connection
+	KVCacheHeld      = "held"    // a request's KV cache waits at the backend for decode
+	KVCacheReleased  = "let"     // it waits no more; Detail is the reason: taken, released, expired, lost
+	ProcessStarted   = "up"      // a backend or dispatcher started
+	ProcessEnded     = "down"    // it was killed or stopped; Detail says how
+	Overloaded       = "fell"    // a backend was overloaded during slow start
+	EndpointNotified = "told"    // service discovery notified a dispatcher of a backend; Detail is the backend's state
+	UsageCounted     = "counted" // a backend counted the tokens of an attempt
+	Note             = "note"    // a fault began or ended
 )
 
-// Event is one thing seen.
+// Event is one observation. Times are in microseconds on the recorder's clock.
 type Event struct {
-	TimeUs          int64   `json:"at"` // microseconds since the day began
+	TimeUs          int64   `json:"at"` // since the start of the run
 	Kind            string  `json:"what"`
 	Backend         string  `json:"box,omitempty"`
-	Address         string  `json:"address,omitempty"` // of the box, by which a trip came
+	Address         string  `json:"address,omitempty"` // the backend's address that received the attempt
 	Dispatcher      string  `json:"dispatcher,omitempty"`
-	Try             string  `json:"try,omitempty"` // the client's id for one try, which is the question's mark
+	Try             string  `json:"try,omitempty"` // the client's id of one try, sent as the id of the request
 	Request         string  `json:"question,omitempty"`
 	Class           string  `json:"grade,omitempty"`
 	Detail          string  `json:"word,omitempty"`
 	Phase           string  `json:"stage,omitempty"`
 	Attempt         int     `json:"trip,omitempty"`
-	RequestKey      string  `json:"key,omitempty"` // the question at a box: dispatcher, its start, the question's number
+	RequestKey      string  `json:"key,omitempty"` // the request at a backend: dispatcher, its start, the request's number
 	StartID         uint64  `json:"start,omitempty"`
-	Work            float64 `json:"work,omitempty"`      // seconds of the box's full capacity
-	DeadlineUs      int64   `json:"expiry_us,omitempty"` // after Asked, by when the client wants an answer
-	LatencyTargetUs int64   `json:"promise_us,omitempty"`
+	Work            float64 `json:"work,omitempty"`       // seconds of the backend's full capacity
+	DeadlineUs      int64   `json:"expiry_us,omitempty"`  // after RequestSent, by when the client wants an answer
+	LatencyTargetUs int64   `json:"promise_us,omitempty"` // after RequestSent
 	Tokens          int     `json:"tokens,omitempty"`
-	CachedTokens    int     `json:"kept,omitempty"`   // of Counted, whose Tokens are those read
-	AnswerTokens    int     `json:"answer,omitempty"` // of Counted
+	CachedTokens    int     `json:"kept,omitempty"`   // of UsageCounted, whose Tokens are those prefilled
+	AnswerTokens    int     `json:"answer,omitempty"` // of UsageCounted
 	Attempts        int     `json:"trips,omitempty"`
 	RetryAfterMs    int64   `json:"after_ms,omitempty"`
 	ElapsedUs       int64   `json:"took_us,omitempty"`
 	SlowStart       bool    `json:"cold,omitempty"`
-	ArrivedUs       int64   `json:"arrived,omitempty"` // when a trip's bytes reached the box's machine, if its process read them later
-	ClosedUs        int64   `json:"gone,omitempty"`    // when the dispatcher had closed the trip's connection by then already
+	ArrivedUs       int64   `json:"arrived,omitempty"` // when the attempt reached the backend's machine, if read later
+	ClosedUs        int64   `json:"gone,omitempty"`    // when the dispatcher closed the connection, if before that read
 }
 
-// Header is what a judge needs beside the lines.
+// Header is what a checker needs beside the events.
 type Header struct {
 	Scenario string      `json:"day"`
 	Seed     uint64      `json:"seed"`
@@ -75,7 +75,7 @@
 	Backends []Backend   `json:"boxes"`
 }
 
-// Backend is where a box stands.
+// Backend is the kind, role and location of a backend.
 type Backend struct {
 	Name string `json:"name"`
 	Kind string `json:"kind"`
@@ -84,125 +84,126 @@
 	Rack string `json:"rack"`
 }
 
-// Recorder takes lines down. The zero Recorder keeps them in memory only.
+// Recorder appends events. The zero Recorder keeps them in memory only. It is safe for concurrent use.
 type Recorder struct {
-	began   time.Time
-	mu      sync.Mutex
-	lines   []Event
-	file    *os.File
-	out     *bufio.Writer
-	err     error
-	OnEvent func(Event) // called with each line, under no promise of speed
-
-	DiscardEvents bool // lines are handed to Watch and the file only
+	startTime time.Time
+	mu        sync.Mutex
+	events    []Event
+	file      *os.File
+	writer    *bufio.Writer
+	err       error
+	OnEvent   func(Event) // called with each event while the recorder is locked
+
+	DiscardEvents bool // events go to OnEvent and the file only
 }
 
 const (
-	headFile  = "head.json"
-	linesFile = "record.jsonl"
+	headerFile = "head.json"
+	eventsFile = "record.jsonl"
 )
 
-// Open starts a book in a folder; no folder keeps it in memory.
-func Open(dir string, head Header) (*Recorder, error) {
-	b := &Recorder{began: time.Now()}
+// Open starts a recorder that writes to the folder dir. If dir is empty, events stay in memory.
+func Open(dir string, header Header) (*Recorder, error) {
+	r := &Recorder{startTime: time.Now()}
 	if dir == "" {
-		return b, nil
+		return r, nil
 	}
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	raw, err := json.MarshalIndent(head, "", " ")
+	raw, err := json.MarshalIndent(header, "", " ")
 	if err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(filepath.Join(dir, headFile), raw, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, headerFile), raw, 0o644); err != nil {
 		return nil, err
 	}
-	if b.file, err = os.Create(filepath.Join(dir, linesFile)); err != nil {
+	if r.file, err = os.Create(filepath.Join(dir, eventsFile)); err != nil {
 		return nil, err
 	}
-	b.out = bufio.NewWriterSize(b.file, 64<<10)
-	return b, nil
+	r.writer = bufio.NewWriterSize(r.file, 64<<10)
+	return r, nil
 }
 
-// TimestampUs is a time on the book's clock, in microseconds.
-func (b *Recorder) TimestampUs(t time.Time) int64 { return t.Sub(b.began).Microseconds() }
+// TimestampUs converts a time to microseconds on the recorder's clock.
+func (r *Recorder) TimestampUs(t time.Time) int64 { return t.Sub(r.startTime).Microseconds() }
 
-// Elapsed is the book's clock.
-func (b *Recorder) Elapsed() time.Duration { return time.Since(b.began) }
+// Elapsed is the present time on the recorder's clock.
+func (r *Recorder) Elapsed() time.Duration { return time.Since(r.startTime) }
 
-// Record takes a line down at the present time.
-func (b *Recorder) Record(l Event) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	l.TimeUs = b.Elapsed().Microseconds()
-	if !b.DiscardEvents {
-		b.lines = append(b.lines, l)
+// Record appends an event with the present time.
+func (r *Recorder) Record(event Event) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	event.TimeUs = r.Elapsed().Microseconds()
+	if !r.DiscardEvents {
+		r.events = append(r.events, event)
 	}
-	if b.out != nil && b.err == nil {
-		raw, err := json.Marshal(l)
+	if r.writer != nil && r.err == nil {
+		raw, err := json.Marshal(event)
 		if err == nil {
-			_, err = b.out.Write(append(raw, '\n'))
+			_, err = r.writer.Write(append(raw, '\n'))
 		}
-		b.err = err
+		r.err = err
 	}
-	if b.OnEvent != nil {
-		b.OnEvent(l)
+	if r.OnEvent != nil {
+		r.OnEvent(event)
 	}
 }
 
-// Events returns what was taken down so far.
-func (b *Recorder) Events() []Event {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return append([]Event(nil), b.lines...)
+// Events returns a copy of the events recorded so far.
+func (r *Recorder) Events() []Event {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return append([]Event(nil), r.events...)
 }
 
-// Close ends the file.
-func (b *Recorder) Close() error {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.file == nil {
+// Close flushes and closes the file. It returns the first error of any write.
+func (r *Recorder) Close() error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.file == nil {
 		return nil
 	}
-	err := b.err
-	if e := b.out.Flush(); err == nil {
+	err := r.err
+	if e := r.writer.Flush(); err == nil {
 		err = e
 	}
-	if e := b.file.Close(); err == nil {
+	if e := r.file.Close(); err == nil {
 		err = e
 	}
-	b.file = nil
+	r.file = nil
 	return err
 }
 
-// Read loads a kept record.
+// Read loads the record in the folder dir. The error for a bad line names the file and the line; the events before
+// that line are returned with it.
 func Read(dir string) (Header, []Event, error) {
-	var head Header
-	raw, err := os.ReadFile(filepath.Join(dir, headFile))
+	var header Header
+	raw, err := os.ReadFile(filepath.Join(dir, headerFile))
 	if err != nil {
-		return head, nil, err
+		return header, nil, err
 	}
-	if err := json.Unmarshal(raw, &head); err != nil {
-		return head, nil, fmt.Errorf("%s: %w", filepath.Join(dir, headFile), err)
+	if err := json.Unmarshal(raw, &header); err != nil {
+		return header, nil, fmt.Errorf("%s: %w", filepath.Join(dir, headerFile), err)
 	}
-	f, err := os.Open(filepath.Join(dir, linesFile))
+	file, err := os.Open(filepath.Join(dir, eventsFile))
 	if err != nil {
-		return head, nil, err
-	}
-	defer f.Close()
-	var lines []Event
-	scan := bufio.NewScanner(f)
-	scan.Buffer(nil, 1<<20)
-	for scan.Scan() {
-		var l Event
-		if err := json.Unmarshal(scan.Bytes(), &l); err != nil {
-			return head, lines, fmt.Errorf("%s:%d: %w", filepath.Join(dir, linesFile), len(lines)+1, err)
+		return header, nil, err
+	}
+	defer file.Close()
+	var events []Event
+	scanner := bufio.NewScanner(file)
+	scanner.Buffer(nil, 1<<20)
+	for scanner.Scan() {
+		var event Event
+		if err := json.Unmarshal(scanner.Bytes(), &event); err != nil {
+			return header, events, fmt.Errorf("%s:%d: %w", filepath.Join(dir, eventsFile), len(events)+1, err)
 		}
-		lines = append(lines, l)
+		events = append(events, event)
 	}
-	if err := scan.Err(); err != nil {
-		return head, lines, fmt.Errorf("%s:%d: %w", filepath.Join(dir, linesFile), len(lines)+1, err)
+	if err := scanner.Err(); err != nil {
+		return header, events, fmt.Errorf("%s:%d: %w", filepath.Join(dir, eventsFile), len(events)+1, err)
 	}
-	return head, lines, nil
+	return header, events, nil
 }
