--- a/internal/day/run_test.go
+++ b/internal/day/run_test.go
@@ -38,8 +38,8 @@
 	if err == nil && variant == "wrong" {
 		err = serveAgainstRules(ctx, d)
 	} else if err == nil {
-		log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn}))
-		err = dispatch.Serve(ctx, d, log, nil)
+		err = dispatch.Serve(ctx, d,
+			slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelWarn})), nil)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
