--- a/brain/admission.go
+++ b/brain/admission.go
@@ -12,7 +12,7 @@
 
 const (
 	// admittedWidth is a tenth of how long a class's admitted requests are remembered.
-	admittedWidth = 500 * time.Millisecond
+	admissionBucketWidth = 500 * time.Millisecond
 	// admittedPrior is how many requests are taken to have been admitted beside those that were seen.
 	admittedPrior = 30.0
 	// fairness is the exponent of alpha-fair sharing: with 0 the class of least value would get nothing while others
@@ -22,44 +22,44 @@
 
 // weighQueue has the queue follow what was admitted of each class lately: the less, the more its requests count. With a
 // fixed order of classes, the last one would wait for all of the others and be rejected as late.
-func (d *Dispatcher) weighQueue() {
+func (d *Dispatcher) reweightQueue() {
 	for _, g := range d.classes {
 		g.Weight = math.Pow(g.admittedShare(d.runtime.Now()), -fairness)
 	}
 	for _, q := range d.queue {
-		q.Density = d.density(q)
+		q.ValueDensity = d.valueDensity(q)
 	}
-	slices.SortFunc(d.queue, compareRank)
+	slices.SortFunc(d.queue, compareQueueOrder)
 }
 
 // compareRank orders requests in the queue: densest first, then newest, which has most time left.
-func compareRank(a, b *Request) int {
-	return cmp.Or(cmp.Compare(b.Density, a.Density), cmp.Compare(b.Taken, a.Taken), cmp.Compare(a.ID, b.ID))
+func compareQueueOrder(a, b *Request) int {
+	return cmp.Or(cmp.Compare(b.ValueDensity, a.ValueDensity), cmp.Compare(b.ReceivedAt, a.ReceivedAt), cmp.Compare(a.ID, b.ID))
 }
 
 // density is the value of a request for its work.
-func (d *Dispatcher) density(q *Request) float64 {
+func (d *Dispatcher) valueDensity(q *Request) float64 {
 	v := q.Class.Value * cmp.Or(q.Class.Weight, 1)
-	if q.Surplus {
-		v *= d.parameters.surplusValue
+	if q.OverQuota {
+		v *= d.parameters.overQuotaValue
 	}
-	if q.Again {
-		v *= q.Class.Late
+	if q.ClientRetry {
+		v *= q.Class.LateValue
 	}
 	if !d.parameters.valueByWork {
-		v /= q.Prompt + q.Most + 1
+		v /= q.PromptTokens + q.MaxOutputTokens + 1
 	}
 	return v
 }
 
 // enqueue puts a request into the queue. One whose deadline passes before the next look is rejected at once.
 func (d *Dispatcher) enqueue(q *Request) {
-	if d.runtime.Now()+2*sweep > q.Deadline {
+	if d.runtime.Now()+2*queueSweepInterval > q.Deadline {
 		d.giveUp(q)
 		return
 	}
-	q.Density = d.density(q)
-	i, _ := slices.BinarySearchFunc(d.queue, q, compareRank)
+	q.ValueDensity = d.valueDensity(q)
+	i, _ := slices.BinarySearchFunc(d.queue, q, compareQueueOrder)
 	d.queue = slices.Insert(d.queue, i, q)
 }
 
@@ -70,30 +70,30 @@
 		q := d.queue[0]
 		first := len(q.Attempts) == 0
 		if d.route(q) {
-			d.admitted(q, first)
-		} else if len(q.Attempts) == 0 || d.takable(q) {
+			d.recordAdmission(q, first)
+		} else if len(q.Attempts) == 0 || d.anyAllowed(q) {
 			break
 		} else {
 			d.giveUp(q)
 		}
 		d.dequeue(q)
 	}
-	if len(d.queue) > 0 && !d.sweeping {
-		d.sweeping = true
-		d.runtime.Wake(sweep, d.sweepQueue)
+	if len(d.queue) > 0 && !d.sweepScheduled {
+		d.sweepScheduled = true
+		d.runtime.Schedule(queueSweepInterval, d.sweepQueue)
 	}
 }
 
 // sweepQueue looks at the queue anew.
 func (d *Dispatcher) sweepQueue() {
-	d.sweeping = false
-	d.weighQueue()
-	d.shed()
+	d.sweepScheduled = false
+	d.reweightQueue()
+	d.shedLate()
 	d.dispatch()
 }
 
 // admitted takes note that a request was sent on, for the first time or again.
-func (d *Dispatcher) admitted(q *Request, first bool) {
+func (d *Dispatcher) recordAdmission(q *Request, first bool) {
 	d.spendCredit()
 	if first {
 		q.Class.Admitted.Add(d.runtime.Now(), 1)
@@ -106,19 +106,19 @@
 
 // shed rejects, at once, queued requests that can't make their latency target. Overload is told by
 // the oldest wait; then what stands too far back, and so has least value for its work, goes first.
-func (d *Dispatcher) shed() {
+func (d *Dispatcher) shedLate() {
 	now := d.runtime.Now()
 	overload := false
 	for _, q := range d.queue {
-		overload = overload || float64(now-q.Taken) > impatient*float64(q.TargetAt-q.Taken)
+		overload = overload || float64(now-q.ReceivedAt) > overloadWaitShare*float64(q.TargetAt-q.ReceivedAt)
 	}
-	expected := d.expectedFirstToken()
-	rate := d.window / max(expected, sweep.Seconds())
+	expected := d.expectedTimeToFirstToken()
+	rate := d.window / max(expected, queueSweepInterval.Seconds())
 	place := 0.0
 	for _, q := range slices.Clone(d.queue) {
 		first := time.Duration((place/rate + expected) * float64(time.Second))
-		late := now+first > q.TargetAt-(q.TargetAt-q.Taken)/4
-		if overload && late || now+2*sweep > q.Deadline {
+		late := now+first > q.TargetAt-(q.TargetAt-q.ReceivedAt)/4
+		if overload && late || now+2*queueSweepInterval > q.Deadline {
 			d.dequeue(q)
 			d.giveUp(q)
 			continue
@@ -133,10 +133,10 @@
 // two at once.
 func (d *Dispatcher) mayDispatch() bool {
 	now := d.runtime.Now()
-	rate := (d.window - d.wholePart()) / max(d.expectedFirstToken(), sweep.Seconds())
-	d.credit = min(d.credit+rate*max(now-d.credited, 0).Seconds(), burst)
-	d.credited = now
-	return float64(d.outstanding) < d.wholePart() || d.credit >= 1
+	rate := (d.window - d.wholePart()) / max(d.expectedTimeToFirstToken(), queueSweepInterval.Seconds())
+	d.sendCredit = min(d.sendCredit+rate*max(now-d.creditUpdatedAt, 0).Seconds(), maxBurst)
+	d.creditUpdatedAt = now
+	return float64(d.outstanding) < d.wholePart() || d.sendCredit >= 1
 }
 
 func (d *Dispatcher) wholePart() float64 { return max(math.Floor(d.window)-1, 0) }
@@ -144,30 +144,30 @@
 // spendCredit takes credit for a request beyond the whole part. Chance spreads those who wait together.
 func (d *Dispatcher) spendCredit() {
 	if float64(d.outstanding) > d.wholePart() {
-		d.credit -= 0.5 + d.rng.Float()
+		d.sendCredit -= 0.5 + d.rng.Float()
 	}
 }
 
 // settle takes note that a request that was out has its first token, or goes back to the queue or is over
 // without. One window over all backends: own attempts at any one are too few to tell congestion by.
-func (d *Dispatcher) settle(q *Request) {
+func (d *Dispatcher) clearOutstanding(q *Request) {
 	if !q.Outstanding {
 		return
 	}
 	q.Outstanding = false
-	d.awaiting = slices.DeleteFunc(d.awaiting, func(o *Request) bool { return o == q })
+	d.awaitingFirstToken = slices.DeleteFunc(d.awaitingFirstToken, func(o *Request) bool { return o == q })
 	now, t := d.runtime.Now(), q.Attempts[len(q.Attempts)-1]
-	d.adjustWindow(d.targetShare(q), q.Dispatched, t.Began > 0)
+	d.adjustWindow(d.targetShare(q), q.DispatchedAt, t.FirstTokenAt > 0)
 	// What was given up on still runs at its backend; where first tokens come late for all, what is let out in
 	// its place at once would wait behind it and be given up on too. So it keeps its place for as long again.
-	congested := d.expectedFirstToken() > impatient*(q.TargetAt-q.Taken).Seconds()
+	congested := d.expectedTimeToFirstToken() > overloadWaitShare*(q.TargetAt-q.ReceivedAt).Seconds()
 	// An attempt that timed out would have had its first token later still: told by those alone that had one,
 	// congestion looks quick, and further attempts are sent into it.
-	if t.Began == 0 && t.Outcome == TimedOut {
-		d.firstToken.Add(max((now-q.Dispatched).Seconds(), d.firstToken.Or(0)), 0.1)
+	if t.FirstTokenAt == 0 && t.Outcome == TimedOut {
+		d.timeToFirstToken.Add(max((now-q.DispatchedAt).Seconds(), d.timeToFirstToken.ValueOr(0)), 0.1)
 	}
-	if congested && t.Began == 0 && (t.Outcome == TimedOut || t.Outcome == Cancelled) {
-		d.runtime.Wake(min(now-t.Sent, q.TargetAt-q.Taken), func() { d.outstanding--; d.dispatch() })
+	if congested && t.FirstTokenAt == 0 && (t.Outcome == TimedOut || t.Outcome == Cancelled) {
+		d.runtime.Schedule(min(now-t.SentAt, q.TargetAt-q.ReceivedAt), func() { d.outstanding--; d.dispatch() })
 	} else {
 		d.outstanding--
 	}
@@ -177,48 +177,48 @@
 // only how long there was none: it is never a sign that first tokens come quickly.
 func (d *Dispatcher) targetShare(q *Request) float64 {
 	t := q.Attempts[len(q.Attempts)-1]
-	if t.Began == 0 && (t.Outcome == Rejected || t.Outcome == TimedOut) {
+	if t.FirstTokenAt == 0 && (t.Outcome == Rejected || t.Outcome == TimedOut) {
 		return 1
 	}
-	return min(float64(d.runtime.Now()-q.Dispatched)/float64(max(q.TargetAt-q.Taken, 1)), 1)
+	return min(float64(d.runtime.Now()-q.DispatchedAt)/float64(max(q.TargetAt-q.ReceivedAt, 1)), 1)
 }
 
 // adjustWindow lets such a share narrow the window or, with a first token, widen it if it holds requests
 // back: in one response time by as much, be it wide or narrow. Over the fleet it is never below one request.
 func (d *Dispatcher) adjustWindow(share float64, dispatched time.Duration, began bool) {
-	d.adjusted = true
-	change := math.Exp((calm - share) / max(d.window*float64(1+d.listeners), 1))
+	d.windowAdjusted = true
+	change := math.Exp((neutralTargetShare - share) / max(d.window*float64(1+d.peerFanout), 1))
 	binding := d.window < 1 || len(d.queue) > 0 && float64(d.outstanding)+1 > d.window
 	switch {
-	case share > calm:
-		if dispatched >= d.jam {
-			d.jam, d.least = d.runtime.Now(), d.window/2
+	case share > neutralTargetShare:
+		if dispatched >= d.congestedAt {
+			d.congestedAt, d.windowFloor = d.runtime.Now(), d.window/2
 		}
 		// All that was out when congestion began tells of the one, and halves the window at most: when half a
 		// fleet died it would else close to nearly nothing, and learn nothing for minutes.
-		d.window = max(d.window*change, d.least)
+		d.window = max(d.window*change, d.windowFloor)
 	case began && binding:
 		d.window *= change
 	}
-	d.window = max(min(d.window, perHost*float64(len(d.backends))), 1/d.parameters.dispatchers)
+	d.window = max(min(d.window, windowPerBackend*float64(len(d.backends))), 1/d.parameters.dispatchers)
 }
 
 // heardShare takes in what another dispatcher tells of a request of its own.
-func (d *Dispatcher) heardShare(n PeerUpdate) {
-	if n.Share == 0 || n.Grade >= len(d.classes) {
+func (d *Dispatcher) applyPeerShare(n PeerUpdate) {
+	if n.TargetShare == 0 || n.ClassIndex >= len(d.classes) {
 		return
 	}
-	took := time.Duration(n.Share * float64(d.classes[n.Grade].Target))
-	d.firstToken.Add(took.Seconds(), 0.1)
-	d.adjustWindow(n.Share, d.runtime.Now()-took, n.Share < 1)
+	took := time.Duration(n.TargetShare * float64(d.classes[n.ClassIndex].Target))
+	d.timeToFirstToken.Add(took.Seconds(), 0.1)
+	d.adjustWindow(n.TargetShare, d.runtime.Now()-took, n.TargetShare < 1)
 }
 
 // expectedFirstToken is in how many seconds one comes: as lately seen, at least as long as one is awaited by
 // now.
-func (d *Dispatcher) expectedFirstToken() float64 {
-	expected := d.firstToken.Or(impatient * d.classes[0].Target.Seconds())
-	if len(d.awaiting) > 0 {
-		expected = max(expected, (d.runtime.Now() - d.awaiting[0].Dispatched).Seconds())
+func (d *Dispatcher) expectedTimeToFirstToken() float64 {
+	expected := d.timeToFirstToken.ValueOr(overloadWaitShare * d.classes[0].Target.Seconds())
+	if len(d.awaitingFirstToken) > 0 {
+		expected = max(expected, (d.runtime.Now() - d.awaitingFirstToken[0].DispatchedAt).Seconds())
 	}
 	return expected
 }
--- a/brain/cost_test.go
+++ b/brain/cost_test.go
@@ -13,7 +13,7 @@
 	allWarm fleetState = iota
 	mostInSlowStart
 	allInSlowStart
-	thirdGone
+	thirdRemoved
 )
 
 func (s fleetState) String() string {
@@ -21,72 +21,72 @@
 }
 
 // measured makes a dispatcher of so many backends, of which some have done work lately, with so many requests waiting.
-func measured(t testing.TB, backends int, state fleetState, waiting int) (*Dispatcher, *door) {
+func newLoadedFleet(t testing.TB, backends int, state fleetState, waiting int) (*Dispatcher, *fakeRuntime) {
 	t.Helper()
-	f := facts()
+	f := testSettings()
 	f["siblings"] = 300.0
-	out := &door{now: 100 * time.Second}
+	out := &fakeRuntime{now: 100 * time.Second}
 	d, err := New(f, 1, out)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var lines []Listing
+	var lines []Endpoint
 	for i := range backends {
-		l := Listing{Host: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 5, Zone: i % 3}, Standing: Ready, Units: 1}
+		l := Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i % 2, Rack: i / 5, Zone: i % 3}, State: Ready, CapacityUnits: 1}
 		if state == allInSlowStart || state == mostInSlowStart && i%10 < 6 {
-			l.Restart, l.Booted = true, out.now-time.Second
+			l.StartReported, l.StartedAt = true, out.now-time.Second
 		}
 		lines = append(lines, l)
 	}
-	d.Listed(lines, true)
-	if state == thirdGone {
+	d.UpdateEndpoints(lines, true)
+	if state == thirdRemoved {
 		for i := range lines {
 			if i%3 == 0 {
-				lines[i].Standing = Gone
-				d.Listed(lines[i:i+1], false)
+				lines[i].State = Removed
+				d.UpdateEndpoints(lines[i:i+1], false)
 			}
 		}
 	}
 	for i, h := range d.backends {
 		if i%8 == 0 {
-			h.Carried.Add(out.now, 50000)
+			h.CompletedWork.Add(out.now, 50000)
 		}
 	}
-	d.window, d.credit = 0, 0
+	d.window, d.sendCredit = 0, 0
 	for i := range waiting {
-		d.Submit(&Request{ID: uint64(1e6 + i), Session: uint64(i%50 + 1), Prompt: 2000, Most: 400, Left: time.Hour}, 0, 0)
+		d.Submit(&Request{ID: uint64(1e6 + i), SessionKey: uint64(i%50 + 1), PromptTokens: 2000, MaxOutputTokens: 400, Timeout: time.Hour}, 0, 0)
 	}
 	return d, out
 }
 
 // serve takes one request in, and one through the module: prefill and decode chosen, begun and ended.
-func serve(d *Dispatcher, out *door, number int) {
+func serveOne(d *Dispatcher, out *fakeRuntime, number int) {
 	out.now += 10 * time.Millisecond
-	d.window, d.credit = 2, 0
-	d.Submit(&Request{ID: uint64(number), Session: uint64(number%200 + 1), Shared: uint64(number%20 + 1), Prompt: 2000, Prefix: 1500, Most: 400, Left: time.Hour}, 0, 0)
+	d.window, d.sendCredit = 2, 0
+	d.Submit(&Request{ID: uint64(number), SessionKey: uint64(number%200 + 1), PrefixKey: uint64(number%20 + 1), PromptTokens: 2000, PrefixTokens: 1500, MaxOutputTokens: 400, Timeout: time.Hour}, 0, 0)
 	for served := false; !served && len(out.sent) > 0; {
 		t := out.sent[0]
 		out.sent = out.sent[1:]
-		if t.Stage == ToRead {
-			d.Ended(t, Result{Outcome: Read, Took: 20 * time.Millisecond, Note: 100})
+		if t.Stage == StagePrefill {
+			d.AttemptDone(t, Result{Outcome: Prefilled, Duration: 20 * time.Millisecond, Detail: 100})
 			continue
 		}
-		d.Began(t, 5*time.Millisecond)
-		d.Ended(t, Result{Outcome: Served, Took: 50 * time.Millisecond, Over: true})
+		d.FirstToken(t, 5*time.Millisecond)
+		d.AttemptDone(t, Result{Outcome: Served, Duration: 50 * time.Millisecond, Finished: true})
 		served = true
 	}
-	out.wakes, out.delays, out.waits = out.wakes[:0], out.delays[:0], out.waits[:0]
+	out.timers, out.timerDelays, out.timeouts = out.timers[:0], out.timerDelays[:0], out.timeouts[:0]
 }
 
 // What one request costs, over the number of backends, their state and the requests that wait.
 func BenchmarkRequest(b *testing.B) {
 	for _, backends := range []int{10, 79, 800, 3200} {
-		for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdGone} {
+		for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdRemoved} {
 			for _, waiting := range []int{1, 50, 500} {
 				b.Run(fmt.Sprintf("%d %v %d waiting", backends, state, waiting), func(b *testing.B) {
-					d, out := measured(b, backends, state, waiting)
+					d, out := newLoadedFleet(b, backends, state, waiting)
 					for number := 0; b.Loop(); number++ {
-						serve(d, out, number)
+						serveOne(d, out, number)
 					}
 				})
 			}
@@ -95,31 +95,31 @@
 }
 
 // costMost is for one request on average, far above what it costs and far below what stops the loop: it was 483 ms.
-const costMost = 3 * time.Millisecond
+const maxRequestTime = 3 * time.Millisecond
 
-func TestARequestCostsLittleWithThousandsOfBackends(t *testing.T) {
-	for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdGone} {
-		d, out := measured(t, 3200, state, 50)
+func TestRequestTimeWithThousandsOfBackends(t *testing.T) {
+	for _, state := range []fleetState{allWarm, mostInSlowStart, allInSlowStart, thirdRemoved} {
+		d, out := newLoadedFleet(t, 3200, state, 50)
 		const rounds = 20
 		began := time.Now()
 		for number := range rounds {
-			serve(d, out, number)
+			serveOne(d, out, number)
 		}
-		if took := time.Since(began) / rounds; took > costMost {
+		if took := time.Since(began) / rounds; took > maxRequestTime {
 			t.Errorf("%v: a request costs %v", state, took)
 		}
 	}
 }
 
-func TestAChangeOfTheListCostsLittleWithThousandsOfBackends(t *testing.T) {
-	d, out := measured(t, 3200, allWarm, 0)
+func TestListChangeTimeWithThousandsOfBackends(t *testing.T) {
+	d, out := newLoadedFleet(t, 3200, allWarm, 0)
 	const rounds = 100
 	began := time.Now()
 	for i := range rounds {
 		out.now += time.Millisecond
-		d.Listed([]Listing{{Host: d.backends[i], Standing: Ready, Units: 1, Restart: true, Booted: out.now}}, false)
+		d.UpdateEndpoints([]Endpoint{{Backend: d.backends[i], State: Ready, CapacityUnits: 1, StartReported: true, StartedAt: out.now}}, false)
 	}
-	if took := time.Since(began) / rounds; took > costMost/10 {
+	if took := time.Since(began) / rounds; took > maxRequestTime/10 {
 		t.Errorf("a change costs %v", took)
 	}
 }
--- a/brain/facts.go
+++ b/brain/facts.go
@@ -12,17 +12,17 @@
 
 // Facts are the settings that an instance is started with, under dotted names such as "rules.coldFrom"
 // or "kinds.0".
-type Facts map[string]any
+type Settings map[string]any
 
 // Flat turns an object of nested settings into facts.
-func Flat(object map[string]any) Facts {
-	f := Facts{}
+func FlattenSettings(object map[string]any) Settings {
+	f := Settings{}
 	flatten(f, "", object)
 	return f
 }
 
 // flatten puts nested values under dotted names; a list also states its length under its own name.
-func flatten(into Facts, name string, value any) {
+func flatten(into Settings, name string, value any) {
 	under := func(part string) string {
 		if name == "" {
 			return part
@@ -44,29 +44,29 @@
 	}
 }
 
-func (f Facts) Num(name string, absent float64) float64 {
+func (f Settings) Number(name string, absent float64) float64 {
 	if v, ok := f[name].(float64); ok {
 		return v
 	}
 	return absent
 }
 
-func (f Facts) Text(name string) string {
+func (f Settings) Text(name string) string {
 	s, _ := f[name].(string)
 	return s
 }
 
-func (f Facts) Yes(name string) bool {
+func (f Settings) Bool(name string) bool {
 	v, _ := f[name].(bool)
 	return v
 }
 
-func (f Facts) Span(name string) time.Duration {
-	return time.Duration(f.Num(name, 0)) * time.Microsecond
+func (f Settings) Duration(name string) time.Duration {
+	return time.Duration(f.Number(name, 0)) * time.Microsecond
 }
 
 // Lacks names the first of the given numbers that is missing.
-func (f Facts) Lacks(names ...string) error {
+func (f Settings) RequireNumbers(names ...string) error {
 	for _, name := range names {
 		if _, ok := f[name].(float64); !ok {
 			return fmt.Errorf("setting %s is missing or no number", name)
@@ -77,7 +77,7 @@
 
 // figures are the settings that the module divides by or counts up to, with the range in which they make sense. One that is not
 // stated, or stated as nought where that can only mean that there is none, has the value that changes nothing.
-var figures = []struct {
+var numericSettings = []struct {
 	name         string
 	least, most  float64
 	absent       float64
@@ -94,13 +94,13 @@
 }
 
 // Complete returns the facts with what they do not state. Without the rule on cold backends, none is cold.
-func (f Facts) Complete() Facts {
+func (f Settings) WithDefaults() Settings {
 	whole := maps.Clone(f)
-	if f.Num("rules.tipMultiple", 0) == 0 || f.Num("rules.tipAfterUs", 0) == 0 {
+	if f.Number("rules.tipMultiple", 0) == 0 || f.Number("rules.tipAfterUs", 0) == 0 {
 		whole["rules.rampTimeUs"] = 0.0
 	}
-	for _, g := range figures {
-		if v := f.Num(g.name, 0); v == 0 {
+	for _, g := range numericSettings {
+		if v := f.Number(g.name, 0); v == 0 {
 			whole[g.name] = g.absent
 		}
 	}
@@ -108,11 +108,11 @@
 }
 
 // Sound names the first setting without which an instance can't start, or that makes no sense.
-func (f Facts) Sound() error {
-	if err := f.Lacks("familyInfo.kindRole"); err != nil {
+func (f Settings) Validate() error {
+	if err := f.RequireNumbers("familyInfo.kindRole"); err != nil {
 		return err
 	}
-	for _, g := range figures {
+	for _, g := range numericSettings {
 		value, stated := f[g.name]
 		v, number := value.(float64)
 		switch {
@@ -123,55 +123,55 @@
 			return fmt.Errorf("setting %s is %g, it must be from %g to %g", g.name, v, g.least, g.most)
 		}
 	}
-	if f.Num("requestClasses", 0) < 1 {
+	if f.Number("requestClasses", 0) < 1 {
 		return fmt.Errorf("setting requestClasses is missing or states no service grade")
 	}
 	return nil
 }
 
 // Grades reads the service classes.
-func (f Facts) Grades() ([]*Class, error) {
+func (f Settings) Classes() ([]*Class, error) {
 	var grades []*Class
-	for i := range int(f.Num("requestClasses", 0)) {
+	for i := range int(f.Number("requestClasses", 0)) {
 		at := fmt.Sprintf("requestClasses.%d.", i)
 		effect, known := map[string]Effect{
-			"repeatable": Idempotent, "by_key": Deduplicated, "once": Unrepeatable,
+			"repeatable": Idempotent, "by_key": Deduplicated, "once": NonIdempotent,
 		}[f.Text(at+"effect")]
 		if !known {
 			return nil, fmt.Errorf("setting %seffect is missing or unknown", at)
 		}
 		// A class without a target has its deadline for one, and one without a window is never repeated.
 		target := at + "aimUs"
-		if f.Num(target, 0) == 0 {
+		if f.Number(target, 0) == 0 {
 			target = at + "giveUpUs"
 		}
-		if err := f.Lacks(target); err != nil {
+		if err := f.RequireNumbers(target); err != nil {
 			return nil, fmt.Errorf("%w, and neither is %saimUs stated", err, at)
 		}
 		for _, name := range []string{target, at + "windowUs", at + "worth", at + "lateWorth"} {
-			if v := f.Num(name, 1); !(v >= 0 && v <= 1e15) || name == target && v < 1 {
+			if v := f.Number(name, 1); !(v >= 0 && v <= 1e15) || name == target && v < 1 {
 				return nil, fmt.Errorf("setting %s is %g, which makes no sense", name, v)
 			}
 		}
 		grades = append(grades, &Class{
-			Index:      i,
-			Effect:     effect,
-			Reach:      map[string]Reach{"zone": SameZone, "cell": SameRack}[f.Text(at+"group")],
-			Window:     f.Span(at + "windowUs"),
-			Target:     f.Span(target),
-			TargetPerK: f.Span(fmt.Sprintf("familyInfo.aimUsPer1000PromptTokens.%d", i)),
-			Value:      f.Num(at+"worth", 1),
-			Late:       f.Num(at+"lateWorth", 1),
-			Offered:    Ring{Width: admittedWidth},
-			Admitted:   Ring{Width: admittedWidth},
+			Index:               i,
+			Effect:              effect,
+			DedupScope:          map[string]DedupScope{"zone": SameZone, "cell": SameRack}[f.Text(at+"group")],
+			DedupWindow:         f.Duration(at + "windowUs"),
+			Target:              f.Duration(target),
+			TargetPer1000Tokens: f.Duration(fmt.Sprintf("familyInfo.aimUsPer1000PromptTokens.%d", i)),
+			Value:               f.Number(at+"worth", 1),
+			LateValue:           f.Number(at+"lateWorth", 1),
+			Offered:             RollingSum{BucketWidth: admissionBucketWidth},
+			Admitted:            RollingSum{BucketWidth: admissionBucketWidth},
 		})
 	}
 	return grades, nil
 }
 
 // Names lists the names in a list of them, or of objects that have one.
-func (f Facts) Names(list string) []string {
-	names := make([]string, int(f.Num(list, 0)))
+func (f Settings) Names(list string) []string {
+	names := make([]string, int(f.Number(list, 0)))
 	for i := range names {
 		at := fmt.Sprintf("%s.%d", list, i)
 		names[i] = cmp.Or(f.Text(at), f.Text(at+".name"))
@@ -180,7 +180,7 @@
 }
 
 // Index finds a name among them; -1 where it is not stated.
-func (f Facts) Index(list, name string) int {
+func (f Settings) Index(list, name string) int {
 	if name == "" {
 		return -1
 	}
@@ -188,32 +188,32 @@
 }
 
 // Channels reads the tenants.
-func (f Facts) Channels() []*Tenant {
+func (f Settings) Tenants() []*Tenant {
 	var channels []*Tenant
-	for i := range int(f.Num("tenants", 0)) {
-		quota := f.Num(fmt.Sprintf("tenants.%d.quotaPerS", i), math.Inf(1))
-		channels = append(channels, &Tenant{Quota: quota, Taken: Ring{Width: 500 * time.Millisecond}})
+	for i := range int(f.Number("tenants", 0)) {
+		quota := f.Number(fmt.Sprintf("tenants.%d.quotaPerS", i), math.Inf(1))
+		channels = append(channels, &Tenant{Quota: quota, Received: RollingSum{BucketWidth: 500 * time.Millisecond}})
 	}
 	return channels
 }
 
 // RoleOf reads what a kind of machine can do.
-func (f Facts) RoleOf(kind int) Role {
-	return map[string]Role{"read": Reads, "write": Writes, "both": Both}[f.Text(fmt.Sprintf("familyInfo.kindRole.%d", kind))]
+func (f Settings) RoleOf(kind int) Role {
+	return map[string]Role{"read": RolePrefill, "write": RoleDecode, "both": RoleMixed}[f.Text(fmt.Sprintf("familyInfo.kindRole.%d", kind))]
 }
 
 // MemoryOf reads how many tokens a kind of machine holds; one that is not stated counts as having
 // enough.
-func (f Facts) MemoryOf(kind int) float64 {
-	return f.Num(fmt.Sprintf("familyInfo.tokensByKind.%d", kind), math.Inf(1))
+func (f Settings) KVCapacityOf(kind int) float64 {
+	return f.Number(fmt.Sprintf("familyInfo.tokensByKind.%d", kind), math.Inf(1))
 }
 
 // reportFields names the values of a load report in their order.
-func (f Facts) reportFields() []string {
+func (f Settings) reportFields() []string {
 	var fields []string
 	for i := 0; ; i++ {
 		name := f.Text(fmt.Sprintf("report.fields.%d", i))
-		if name == "" && i >= int(f.Num("report.fields", 0)) {
+		if name == "" && i >= int(f.Number("report.fields", 0)) {
 			return fields
 		}
 		fields = append(fields, name)
--- a/brain/facts_test.go
+++ b/brain/facts_test.go
@@ -8,8 +8,8 @@
 )
 
 // stated are the settings of a small deployment with one change; nil takes the setting away.
-func stated(name string, value any) Facts {
-	f := Facts{"siblings": 3.0, "familyInfo.kindRole": 1.0, "familyInfo.kindRole.0": "both", "policyLimits.maxAttempts": 3.0,
+func settingsWith(name string, value any) Settings {
+	f := Settings{"siblings": 3.0, "familyInfo.kindRole": 1.0, "familyInfo.kindRole.0": "both", "policyLimits.maxAttempts": 3.0,
 		"rules.tipMultiple": 2.5, "rules.tipAfterUs": 2e6, "rules.coldFrom": 0.4, "rules.rampTimeUs": 9e6,
 		"requestClasses": 1.0, "requestClasses.0.effect": "by_key", "requestClasses.0.aimUs": 1e6, "requestClasses.0.giveUpUs": 4e6,
 		"requestClasses.0.windowUs": 1e6, "requestClasses.0.worth": 1.0}
@@ -20,16 +20,16 @@
 }
 
 // Without the rule on cold backends none is cold, one that starts neither, and the module divides by nothing.
-func TestWithoutTheRuleOnColdHostsNoneIsCold(t *testing.T) {
+func TestWithoutSlowStartRuleNoBackendIsInSlowStart(t *testing.T) {
 	for _, name := range []string{"rules.tipMultiple", "rules.tipAfterUs", "rules.rampTimeUs"} {
 		for _, value := range []any{nil, 0.0} {
-			out := &door{now: time.Second}
-			d, err := New(stated(name, value), 1, out)
+			out := &fakeRuntime{now: time.Second}
+			d, err := New(settingsWith(name, value), 1, out)
 			if err != nil {
 				t.Fatal(err)
 			}
-			d.Listed([]Listing{{Host: &Backend{ID: 1}, Standing: Ready, Units: 1, Restart: true, Booted: time.Second}}, true)
-			d.Submit(&Request{ID: 1, Prompt: 100, Most: 10, Left: 4 * time.Second}, 0, 0)
+			d.UpdateEndpoints([]Endpoint{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1, StartReported: true, StartedAt: time.Second}}, true)
+			d.Submit(&Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4 * time.Second}, 0, 0)
 			if len(out.sent) != 1 {
 				t.Errorf("%s = %v: a host that has just started gets nothing", name, value)
 			}
@@ -38,7 +38,7 @@
 }
 
 // What a customer may leave out, or state as nought, does not keep an instance from starting; what can't be served does, and says the key.
-func TestSettingsThatACustomerMayHave(t *testing.T) {
+func TestOptionalAndInvalidSettings(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		value any
@@ -61,7 +61,7 @@
 		{"requestClasses.0.worth", nil, false}, {"requestClasses.0.worth", 0.0, false}, {"requestClasses.0.worth", -1.0, true},
 		{"requestClasses.0.lateWorth", 0.0, false}, {"tenants", 0.0, false}, {"dcs", nil, false},
 	} {
-		d, err := New(stated(c.name, c.value), 1, &door{})
+		d, err := New(settingsWith(c.name, c.value), 1, &fakeRuntime{})
 		if (err != nil) != c.fails {
 			t.Errorf("%s = %v: %v", c.name, c.value, err)
 			continue
@@ -73,27 +73,27 @@
 			continue
 		}
 		h := &Backend{ID: 1}
-		d.Listed([]Listing{{Host: h, Standing: Ready, Units: 1, Restart: true}}, true)
-		q := &Request{ID: 1, Prompt: 100, Most: 10, Left: 4e9}
+		d.UpdateEndpoints([]Endpoint{{Backend: h, State: Ready, CapacityUnits: 1, StartReported: true}}, true)
+		q := &Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4e9}
 		d.Submit(q, 0, 0)
-		if math.IsNaN(d.window) || math.IsNaN(h.Room) {
-			t.Errorf("%s = %v: window %g, room %g", c.name, c.value, d.window, h.Room)
+		if math.IsNaN(d.window) || math.IsNaN(h.TokenLimit) {
+			t.Errorf("%s = %v: window %g, room %g", c.name, c.value, d.window, h.TokenLimit)
 		}
 	}
 }
 
 // A repeat whose connection came up after the window in which repeats are dropped is not sent; before that it is.
-func TestARepeatWhoseWindowClosedIsNotSent(t *testing.T) {
-	out := &door{now: time.Second}
-	d, err := New(stated("siblings", 1.0), 1, out)
+func TestRepeatIsNotSentAfterDedupWindow(t *testing.T) {
+	out := &fakeRuntime{now: time.Second}
+	d, err := New(settingsWith("siblings", 1.0), 1, out)
 	if err != nil {
 		t.Fatal(err)
 	}
-	hosts := []Listing{{Host: &Backend{ID: 1}, Standing: Ready, Units: 1}, {Host: &Backend{ID: 2}, Standing: Ready, Units: 1}}
-	d.Listed(hosts, true)
-	q := &Request{ID: 1, Prompt: 100, Most: 10, Left: 4 * time.Second}
+	hosts := []Endpoint{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1}, {Backend: &Backend{ID: 2}, State: Ready, CapacityUnits: 1}}
+	d.UpdateEndpoints(hosts, true)
+	q := &Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4 * time.Second}
 	d.Submit(q, 0, 0)
-	d.Ended(out.sent[0], Result{Outcome: Broken})
+	d.AttemptDone(out.sent[0], Result{Outcome: ConnectionLost})
 	if len(out.sent) != 2 {
 		t.Fatalf("%d trips", len(out.sent))
 	}
@@ -101,16 +101,16 @@
 	if d.MaySend(repeat) != Allowed {
 		t.Error("a repeat within the window does not stand")
 	}
-	out.now = out.sent[0].Sent + q.Class.Window
+	out.now = out.sent[0].SentAt + q.Class.DedupWindow
 	if d.MaySend(repeat) == Allowed {
 		t.Error("a repeat stands after the window")
 	}
-	out.now = out.sent[0].Sent + q.Class.Window/2
-	repeat.Backend.Standing = Draining
+	out.now = out.sent[0].SentAt + q.Class.DedupWindow/2
+	repeat.Backend.State = Draining
 	if d.MaySend(repeat) == Allowed {
 		t.Error("a trip to a host that drains stands")
 	}
-	repeat.Backend.Standing, q.Over = Ready, true
+	repeat.Backend.State, q.Finished = Ready, true
 	if d.MaySend(repeat) == Allowed {
 		t.Error("a trip stands after its question is over")
 	}
--- a/brain/help_test.go
+++ b/brain/help_test.go
@@ -8,34 +8,36 @@
 )
 
 // door records what the module does; its clock is set by the test.
-type door struct {
-	now                      time.Duration
-	sent                     []*Attempt
-	cancelled                []*Attempt
-	released, declined, lost []*Request
-	wakes                    []func()
-	delays                   []time.Duration // of the wakes
-	waits                    []time.Duration
-	told                     []int
+type fakeRuntime struct {
+	now                        time.Duration
+	sent                       []*Attempt
+	cancelled                  []*Attempt
+	released, rejected, failed []*Request
+	timers                     []func()
+	timerDelays                []time.Duration // of the wakes
+	timeouts                   []time.Duration
+	updatedPeers               []int
 }
 
-func (d *door) Now() time.Duration { return d.now }
-func (d *door) Send(t *Attempt, wait time.Duration) {
-	d.sent, d.waits = append(d.sent, t), append(d.waits, wait)
+func (d *fakeRuntime) Now() time.Duration { return d.now }
+func (d *fakeRuntime) Send(t *Attempt, wait time.Duration) {
+	d.sent, d.timeouts = append(d.sent, t), append(d.timeouts, wait)
 }
-func (d *door) Cancel(t *Attempt)                  { d.cancelled = append(d.cancelled, t) }
-func (d *door) Release(q *Request)                 { d.released = append(d.released, q) }
-func (d *door) Reject(q *Request, _ time.Duration) { d.declined = append(d.declined, q) }
-func (d *door) Fail(q *Request)                    { d.lost = append(d.lost, q) }
-func (d *door) Wake(after time.Duration, do func()) {
-	d.wakes, d.delays = append(d.wakes, do), append(d.delays, after)
+func (d *fakeRuntime) Cancel(t *Attempt)                  { d.cancelled = append(d.cancelled, t) }
+func (d *fakeRuntime) Release(q *Request)                 { d.released = append(d.released, q) }
+func (d *fakeRuntime) Reject(q *Request, _ time.Duration) { d.rejected = append(d.rejected, q) }
+func (d *fakeRuntime) Fail(q *Request)                    { d.failed = append(d.failed, q) }
+func (d *fakeRuntime) Schedule(after time.Duration, do func()) {
+	d.timers, d.timerDelays = append(d.timers, do), append(d.timerDelays, after)
 }
-func (d *door) Watch(bool)                  {}
-func (d *door) Tell(peer int, _ PeerUpdate) { d.told = append(d.told, peer) }
-func (d *door) Note(string)                 {}
+func (d *fakeRuntime) WatchEndpoints(bool) {}
+func (d *fakeRuntime) SendPeerUpdate(peer int, _ PeerUpdate) {
+	d.updatedPeers = append(d.updatedPeers, peer)
+}
+func (d *fakeRuntime) LogInfo(string) {}
 
-func facts() Facts {
-	return Facts{
+func testSettings() Settings {
+	return Settings{
 		"siblings":          1.0,
 		"rules.tipMultiple": 2.5, "rules.tipAfterUs": 2e6, "rules.coldFrom": 0.3, "rules.rampTimeUs": 10e6,
 		"familyInfo.kindRole": 3.0, "familyInfo.localRead": true,
@@ -46,42 +48,42 @@
 }
 
 // fleetOf makes a dispatcher of so many, at 100 s, with the backends of begin in its own order.
-func fleetOf(t *testing.T, dispatchers float64) (*Dispatcher, *door) {
+func newDispatcherOf(t *testing.T, dispatchers float64) (*Dispatcher, *fakeRuntime) {
 	t.Helper()
-	f := facts()
+	f := testSettings()
 	f["siblings"] = dispatchers
-	out := &door{now: 100 * time.Second}
+	out := &fakeRuntime{now: 100 * time.Second}
 	d, err := New(f, 1, out)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var lines []Listing
+	var lines []Endpoint
 	for i := range 6 {
-		lines = append(lines, Listing{Host: &Backend{ID: uint32(i + 1), Kind: i / 2, Rack: i % 2}, Standing: Ready, Units: 4})
+		lines = append(lines, Endpoint{Backend: &Backend{ID: uint32(i + 1), Kind: i / 2, Rack: i % 2}, State: Ready, CapacityUnits: 4})
 	}
-	d.Listed(lines, true)
+	d.UpdateEndpoints(lines, true)
 	return d, out
 }
 
 // begin makes a dispatcher at 100 s that knows two backends of each role (prefill backends 1 and 2, decode backends 3 and
 // 4, mixed 5 and 6), in the order of their numbers.
-func begin(t *testing.T) (*Dispatcher, *door) {
+func newDispatcher(t *testing.T) (*Dispatcher, *fakeRuntime) {
 	t.Helper()
-	d, out := fleetOf(t, 1)
+	d, out := newDispatcherOf(t, 1)
 	slices.SortFunc(d.backends, func(a, b *Backend) int { return cmp.Compare(a.ID, b.ID) })
 	return d, out
 }
 
 // ask makes a request of 2,000 tokens that was taken now.
-func ask(d *Dispatcher) *Request {
+func newRequest(d *Dispatcher) *Request {
 	now := d.runtime.Now()
-	return &Request{ID: 1, Session: 7, Shared: 9, Prompt: 2000, Prefix: 1500, Most: 400, Memory: 2100, Class: d.classes[0],
-		Taken: now, Left: 4 * time.Second, TargetAt: now + time.Second, Deadline: now + 4*time.Second}
+	return &Request{ID: 1, SessionKey: 7, PrefixKey: 9, PromptTokens: 2000, PrefixTokens: 1500, MaxOutputTokens: 400, KVTokens: 2100, Class: d.classes[0],
+		ReceivedAt: now, Timeout: 4 * time.Second, TargetAt: now + time.Second, Deadline: now + 4*time.Second}
 }
 
 // went gives the request an ended attempt.
-func went(q *Request, h *Backend, o Outcome, sent time.Duration) *Attempt {
-	t := &Attempt{Request: q, Backend: h, Number: len(q.Attempts), Sent: sent, Ended: true, Outcome: o, Next: func(Result) {}}
+func addAttempt(q *Request, h *Backend, o Outcome, sent time.Duration) *Attempt {
+	t := &Attempt{Request: q, Backend: h, Number: len(q.Attempts), SentAt: sent, Ended: true, Outcome: o, OnResult: func(Result) {}}
 	q.Attempts = append(q.Attempts, t)
 	return t
 }
--- a/brain/release.go
+++ b/brain/release.go
@@ -17,33 +17,33 @@
 )
 
 // mayHold tells whether a state may go on waiting for a backend to be chosen.
-func (d *Dispatcher) mayHold(q *Request) Permission {
+func (d *Dispatcher) mayHoldKV(q *Request) Permission {
 	limit := d.parameters.holdLimit
-	if q.Released || limit > 0 && d.runtime.Now()-q.Waits > part(limit, holdForChoice) {
-		return StateDue
+	if q.Released || limit > 0 && d.runtime.Now()-q.KVWaitingSince > fraction(limit, holdForChoice) {
+		return KVReleaseDue
 	}
 	return Allowed
 }
 
 // connectTime is how long the connection of an attempt that takes a state may take; 0: as long as any.
-func (d *Dispatcher) connectTime() time.Duration {
-	return part(d.parameters.holdLimit, holdForConnection)
+func (d *Dispatcher) connectTimeout() time.Duration {
+	return fraction(d.parameters.holdLimit, holdForConnection)
 }
 
 // part is a share of a span.
-func part(whole time.Duration, share float64) time.Duration {
+func fraction(whole time.Duration, share float64) time.Duration {
 	return time.Duration(float64(whole) * share)
 }
 
 // releaseWhenDue has the state of an attempt that is being sent released at its time, unless the attempt has its first token by then.
-func (d *Dispatcher) releaseWhenDue(t *Attempt) {
+func (d *Dispatcher) scheduleRelease(t *Attempt) {
 	limit := d.parameters.holdLimit
-	if t.Stage != ToWrite || limit <= 0 {
+	if t.Stage != StageDecode || limit <= 0 {
 		return
 	}
 	q := t.Request
-	d.runtime.Wake(q.Waits+limit-d.runtime.Now(), func() {
-		if t.Ended || t.Began > 0 || q.State == nil || q.Released {
+	d.runtime.Schedule(q.KVWaitingSince+limit-d.runtime.Now(), func() {
+		if t.Ended || t.FirstTokenAt > 0 || q.KVHolder == nil || q.Released {
 			return
 		}
 		q.Released = true
@@ -53,27 +53,27 @@
 
 // letGo releases a state that waits for the request. Every end of a step comes through here. What was released beside an attempt is
 // released once more behind it: the attempt may have arrived, and have left the state where it was.
-func (d *Dispatcher) letGo(q *Request) {
-	if q.State == nil || q.Out() != nil {
+func (d *Dispatcher) releaseKV(q *Request) {
+	if q.KVHolder == nil || q.InFlight() != nil {
 		return
 	}
-	q.State, q.Released, q.Lingers = nil, false, true
+	q.KVHolder, q.Released, q.ReleaseUnconfirmed = nil, false, true
 	d.runtime.Release(q)
 }
 
 // releaseAgain releases once more, at the end of an attempt, what was released before that attempt was sent: by the time that a release
 // is heard a further attempt may be out, and a backend that holds a state for it keeps it.
-func (d *Dispatcher) releaseAgain(q *Request) {
-	if q.Lingers && q.State == nil && q.Out() == nil {
+func (d *Dispatcher) repeatRelease(q *Request) {
+	if q.ReleaseUnconfirmed && q.KVHolder == nil && q.InFlight() == nil {
 		d.runtime.Release(q)
 	}
 }
 
 // arrived tells whether the outcome proves that the attempt came to its backend. A connection that broke, or a time that was up, does
 // not: the state has waited all the while.
-func (o Outcome) arrived() bool {
+func (o Outcome) provesArrival() bool {
 	switch o {
-	case Served, Read, Failed, Rejected:
+	case Served, Prefilled, Failed, Rejected:
 		return true
 	}
 	return false
--- a/brain/runtime.go
+++ b/brain/runtime.go
@@ -10,8 +10,8 @@
 	Release(q *Request)
 	Reject(q *Request, after time.Duration)
 	Fail(q *Request)
-	Wake(after time.Duration, do func())
-	Watch(on bool)
-	Tell(peer int, n PeerUpdate)
-	Note(text string)
+	Schedule(after time.Duration, do func())
+	WatchEndpoints(on bool)
+	SendPeerUpdate(peer int, n PeerUpdate)
+	LogInfo(text string)
 }
--- a/client/client.go
+++ b/client/client.go
@@ -18,77 +18,77 @@
 )
 
 // Question is what is asked.
-type Question struct {
-	Text    string
-	Session string
-	Shared  string // name of the beginning that it shares with others
-	Grade   string
-	Channel string
-	Most    int           // tokens of the answer
-	Time    time.Duration // that the client will wait in all; required
-	Safe    bool          // it may run twice without harm: asked again after any failure
+type Request struct {
+	Prompt     string
+	Session    string
+	PrefixID   string // name of the beginning that it shares with others
+	Class      string
+	Tenant     string
+	MaxTokens  int           // tokens of the answer
+	Timeout    time.Duration // that the client will wait in all; required
+	Idempotent bool          // it may run twice without harm: asked again after any failure
 }
 
 // Client asks dispatchers in turn. The zero value of all but To is fine.
 type Client struct {
-	To    []string // such as http://127.0.0.1:8100
-	Model string   // lodge where it is empty
-	HTTP  *http.Client
-	Least time.Duration // before asking again where nothing was told; 200 ms
-	Tries int           // 5
-	next  int
+	BaseURLs    []string // such as http://127.0.0.1:8100
+	Model       string   // lodge where it is empty
+	HTTPClient  *http.Client
+	MinBackoff  time.Duration // before asking again where nothing was told; 200 ms
+	MaxAttempts int           // 5
+	next        int
 }
 
 // Answer is how a question ended.
-type Answer struct {
-	Final string // satisfied, declined or forfeited
-	Tries int
-	Error string
+type Result struct {
+	Outcome  string // satisfied, declined or forfeited
+	Attempts int
+	Error    string
 }
 
 // ErrTime says that the question's time was up.
-var ErrTime = errors.New("the question's time is up")
+var ErrDeadline = errors.New("the question's time is up")
 
 // Ask asks, and hands on each piece of the answer as it comes. After the first piece nothing is asked again.
-func (c *Client) Ask(ctx context.Context, q Question, piece func(text string)) (Answer, error) {
-	if len(c.To) == 0 || q.Time <= 0 {
-		return Answer{}, errors.New("client: there is nobody to ask, or no time to wait")
+func (c *Client) Do(ctx context.Context, q Request, piece func(text string)) (Result, error) {
+	if len(c.BaseURLs) == 0 || q.Timeout <= 0 {
+		return Result{}, errors.New("client: there is nobody to ask, or no time to wait")
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, q.Time+time.Second, ErrTime)
+	ctx, cancel := context.WithTimeoutCause(ctx, q.Timeout+time.Second, ErrDeadline)
 	defer cancel()
-	deadline := time.Now().Add(q.Time)
-	least := c.Least
+	deadline := time.Now().Add(q.Timeout)
+	least := c.MinBackoff
 	if least <= 0 {
 		least = 200 * time.Millisecond
 	}
-	tries := c.Tries
+	tries := c.MaxAttempts
 	if tries <= 0 {
 		tries = 5
 	}
 	ticket := ""
-	a := Answer{}
+	a := Result{}
 	for try := 0; ; try++ {
-		a.Tries++
-		f, begun, err := c.try(ctx, q, try, ticket, time.Until(deadline), piece)
-		a.Final, a.Error = f.Final, f.Error
+		a.Attempts++
+		f, begun, err := c.attempt(ctx, q, try, ticket, time.Until(deadline), piece)
+		a.Outcome, a.Error = f.Outcome, f.Error
 		// Asking again is harmless after a decline, or where nothing was sent; else only if the question is safe.
-		harmless := f.Final == kserve.Declined && f.Harmless || errors.Is(err, errUnsent) || q.Safe && f.Final != kserve.Satisfied
+		harmless := f.Outcome == kserve.Rejected && f.SafeToRetry || errors.Is(err, errNotSent) || q.Idempotent && f.Outcome != kserve.Served
 		switch {
-		case f.Final == kserve.Satisfied:
+		case f.Outcome == kserve.Served:
 			return a, nil
-		case begun || !harmless || try+1 >= tries || errors.Is(err, errRefused):
+		case begun || !harmless || try+1 >= tries || errors.Is(err, errInvalidRequest):
 			if err == nil {
-				err = fmt.Errorf("client: %s: %s", f.Final, f.Error)
+				err = fmt.Errorf("client: %s: %s", f.Outcome, f.Error)
 			}
 			return a, err
 		}
-		ticket = f.Ticket
-		wait := time.Duration(f.AfterMs) * time.Millisecond
+		ticket = f.RetryTicket
+		wait := time.Duration(f.RetryAfterMs) * time.Millisecond
 		if wait <= 0 {
 			wait = time.Duration(float64(least<<min(try, 6)) * (0.5 + rand.Float64()/2))
 		}
 		if time.Until(deadline) <= wait {
-			return a, ErrTime
+			return a, ErrDeadline
 		}
 		select {
 		case <-time.After(wait):
@@ -99,24 +99,24 @@
 }
 
 var (
-	errUnsent  = errors.New("nothing was sent")
-	errRefused = errors.New("the question makes no sense to the dispatcher")
+	errNotSent        = errors.New("nothing was sent")
+	errInvalidRequest = errors.New("the question makes no sense to the dispatcher")
 )
 
-func (c *Client) try(ctx context.Context, q Question, try int, ticket string, left time.Duration, piece func(string)) (f kserve.Final, begun bool, err error) {
+func (c *Client) attempt(ctx context.Context, q Request, try int, ticket string, left time.Duration, piece func(string)) (f kserve.FinalResponse, begun bool, err error) {
 	params := kserve.Params{"timeout": left.Microseconds(), "again": try > 0}
-	for name, v := range map[string]string{"session": q.Session, "shared": q.Shared, "grade": q.Grade, "channel": q.Channel} {
+	for name, v := range map[string]string{"session": q.Session, "shared": q.PrefixID, "grade": q.Class, "channel": q.Tenant} {
 		if v != "" {
 			params[name] = v
 		}
 	}
-	if q.Most > 0 {
-		params["max_tokens"] = q.Most
+	if q.MaxTokens > 0 {
+		params["max_tokens"] = q.MaxTokens
 	}
 	if ticket != "" {
 		params["ticket"] = ticket
 	}
-	raw, err := json.Marshal(kserve.Prompt{Text: q.Text, Parameters: params})
+	raw, err := json.Marshal(kserve.GenerateRequest{Text: q.Prompt, Parameters: params})
 	if err != nil {
 		return f, false, err
 	}
@@ -124,21 +124,21 @@
 	if model == "" {
 		model = "lodge"
 	}
-	at := c.To[c.next%len(c.To)]
+	at := c.BaseURLs[c.next%len(c.BaseURLs)]
 	c.next++
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, at+"/v2/models/"+model+"/generate_stream", bytes.NewReader(raw))
 	if err != nil {
 		return f, false, err
 	}
 	r.Header.Set("Content-Type", "application/json")
-	h := c.HTTP
+	h := c.HTTPClient
 	if h == nil {
 		h = http.DefaultClient
 	}
 	resp, err := h.Do(r)
 	if err != nil {
-		if kserve.Unsent(err) {
-			err = fmt.Errorf("%w: %w", errUnsent, err)
+		if kserve.IsDialError(err) {
+			err = fmt.Errorf("%w: %w", errNotSent, err)
 		}
 		return f, false, err
 	}
@@ -148,12 +148,12 @@
 		if err != nil {
 			return f, false, err
 		}
-		if json.Unmarshal(raw, &f) != nil || f.Final == "" {
-			return f, false, fmt.Errorf("%w: %s: %.300s", errRefused, resp.Status, raw)
+		if json.Unmarshal(raw, &f) != nil || f.Outcome == "" {
+			return f, false, fmt.Errorf("%w: %s: %.300s", errInvalidRequest, resp.Status, raw)
 		}
 		return f, false, nil
 	}
-	events := kserve.NewEvents(resp.Body)
+	events := kserve.NewEventReader(resp.Body)
 	for {
 		ev, err := events.Next()
 		if err != nil {
--- a/cmd/benchlink/instance.go
+++ b/cmd/benchlink/instance.go
@@ -26,14 +26,14 @@
 // outcomes gives the module's word for each status code of the wire.
 var outcomes = map[uint16]brain.Outcome{
 	200: brain.Served,
-	210: brain.Read,
+	210: brain.Prefilled,
 	410: brain.NotSent,
 	499: brain.Cancelled,
 	500: brain.Failed,
 	502: brain.Unreachable,
 	503: brain.Rejected,
 	504: brain.TimedOut,
-	598: brain.Broken,
+	598: brain.ConnectionLost,
 }
 
 // outcomeOf is the module's word for a status; one that is unknown proves nothing.
@@ -54,7 +54,7 @@
 		reply.BailOut(in.who, "bootInfo: "+err.Error())
 		return nil
 	}
-	module, err := brain.New(brain.Flat(info), e.U64(3), in)
+	module, err := brain.New(brain.FlattenSettings(info), e.U64(3), in)
 	if err != nil {
 		reply.BailOut(in.who, "bootInfo: "+err.Error())
 		return nil
@@ -78,20 +78,20 @@
 	switch e.Code() {
 	case wire.Announce:
 		if e.U8(11) == 3 {
-			in.module.ListFailed()
+			in.module.DiscoveryFailed()
 			return
 		}
-		in.module.Listed(in.listings(e.Entries()), e.U8(11) != 0)
+		in.module.UpdateEndpoints(in.listings(e.Entries()), e.U8(11) != 0)
 	case wire.Incoming:
 		q := &brain.Request{
-			ID: e.U64(3), Session: e.U64(11), Shared: e.U64(24), Prompt: figure(e.F32(32)), Prefix: figure(e.F32(45)), Most: figure(e.F32(20)),
-			Again: e.U8(19)&2 != 0, Left: micros(e.U32(41)),
+			ID: e.U64(3), SessionKey: e.U64(11), PrefixKey: e.U64(24), PromptTokens: figure(e.F32(32)), PrefixTokens: figure(e.F32(45)), MaxOutputTokens: figure(e.F32(20)),
+			ClientRetry: e.U8(19)&2 != 0, Timeout: micros(e.U32(41)),
 		}
 		in.questions[q.ID] = q
 		in.module.Submit(q, int(e.U8(36)), int(e.U16(49)))
 	case wire.First:
 		if t := in.trip(e); t != nil {
-			in.module.Began(t, micros(e.U32(16)))
+			in.module.FirstToken(t, micros(e.U32(16)))
 		}
 	case wire.Resolved:
 		if t := in.trip(e); t != nil && !t.Ended {
@@ -99,22 +99,22 @@
 			for i, v := range load {
 				load[i] = figure(v)
 			}
-			in.module.Ended(t, brain.Result{
-				Outcome: outcomeOf(e.U16(16)), Took: micros(e.U32(18)), Over: e.U8(22) != 0,
-				Note: int(e.U32(23)), Load: load,
+			in.module.AttemptDone(t, brain.Result{
+				Outcome: outcomeOf(e.U16(16)), Duration: micros(e.U32(18)), Finished: e.U8(22) != 0,
+				Detail: int(e.U32(23)), LoadReport: load,
 			})
 			in.forget(t.Request)
 		}
 	case wire.Aborted:
 		if q := in.questions[e.U64(3)]; q != nil {
-			in.module.Left(q)
+			in.module.ClientDisconnected(q)
 			in.forget(q)
 		}
 	case wire.Datagram:
 		if n, err := news.Decode(e.Span(7), in.hosts); err != nil {
-			in.Note(fmt.Sprintf("message of %d dropped: %v", e.U32(3), err))
-		} else if n.Host != nil {
-			in.module.Heard(n)
+			in.LogInfo(fmt.Sprintf("message of %d dropped: %v", e.U32(3), err))
+		} else if n.Backend != nil {
+			in.module.PeerUpdated(n)
 		}
 	case wire.Due:
 		if do := in.wakes[e.U32(3)]; do != nil {
@@ -133,22 +133,22 @@
 }
 
 func (in *instance) forget(q *brain.Request) {
-	if q.Over && q.Out() == nil {
+	if q.Finished && q.InFlight() == nil {
 		delete(in.questions, q.ID)
 	}
 }
 
-func (in *instance) listings(entries []wire.Entry) []brain.Listing {
-	lines := make([]brain.Listing, len(entries))
+func (in *instance) listings(entries []wire.Entry) []brain.Endpoint {
+	lines := make([]brain.Endpoint, len(entries))
 	for i, e := range entries {
 		h := in.hosts[e.Host]
 		if h == nil {
 			h = &brain.Backend{ID: e.Host, Zone: int(e.Zone), Rack: int(e.Rack), Kind: int(e.Machine)}
 			in.hosts[e.Host] = h
 		}
-		lines[i] = brain.Listing{
-			Host: h, Standing: brain.BackendState(e.Readiness), Units: figure(e.Units), Restart: e.BootUs != 0,
-			Booted: time.Duration(int64(e.BootUs)-int64(in.began)) * time.Microsecond,
+		lines[i] = brain.Endpoint{
+			Backend: h, State: brain.BackendState(e.Readiness), CapacityUnits: figure(e.Units), StartReported: e.BootUs != 0,
+			StartedAt: time.Duration(int64(e.BootUs)-int64(in.began)) * time.Microsecond,
 		}
 	}
 	return lines
@@ -174,16 +174,16 @@
 	in.forget(q)
 }
 
-func (in *instance) Wake(after time.Duration, do func()) {
+func (in *instance) Schedule(after time.Duration, do func()) {
 	in.lastWake++
 	in.wakes[in.lastWake] = do
 	in.reply.WakeAt(in.who, uint32(after.Microseconds()), in.lastWake)
 }
 
-func (in *instance) Watch(on bool) { in.reply.Tail(in.who, on) }
+func (in *instance) WatchEndpoints(on bool) { in.reply.Tail(in.who, on) }
 
-func (in *instance) Tell(peer int, n brain.PeerUpdate) {
+func (in *instance) SendPeerUpdate(peer int, n brain.PeerUpdate) {
 	in.reply.Post(in.who, uint32(peer), news.Encode(n))
 }
 
-func (in *instance) Note(text string) { in.reply.NoteDown(in.who, text) }
+func (in *instance) LogInfo(text string) { in.reply.NoteDown(in.who, text) }
--- a/cmd/benchlink/same_test.go
+++ b/cmd/benchlink/same_test.go
@@ -121,31 +121,31 @@
 }
 
 func (c *carrier) Start(f *dispatch.Attempt) {
-	c.flights[f.Planned.Request.ID] = f
-	f.Off = func(error) {}
-	c.note("send %d to %d for %d", f.Planned.Request.ID, f.Planned.Backend.ID, f.Wait.Microseconds())
+	c.flights[f.Scheduled.Request.ID] = f
+	f.Cancel = func(error) {}
+	c.note("send %d to %d for %d", f.Scheduled.Request.ID, f.Scheduled.Backend.ID, f.Timeout.Microseconds())
 }
 func (c *carrier) Release(*dispatch.Backend, *dispatch.ClientRequest) {}
-func (c *carrier) Tell(int, brain.PeerUpdate)                         {}
-func (c *carrier) Reach(*dispatch.Backend, []addresses.Spec)          {}
+func (c *carrier) SendPeerUpdate(int, brain.PeerUpdate)               {}
+func (c *carrier) SetAddresses(*dispatch.Backend, []addresses.Spec)   {}
 
 // The bench is a regression test of the running dispatcher only as long as both hosts of the module get the same
 // decisions out of the same sequence.
 func TestBothDoorsActAlike(t *testing.T) {
-	d := setup.DefaultDispatcher()
+	d := setup.DefaultDispatcherConfig()
 	for i, effect := range []string{"idempotent", "deduplicated", "unrepeatable"} {
-		d.Grades = append(d.Grades, setup.Grade{Name: effect, Effect: effect, Reach: "all", Window: setup.Span(2 * time.Second),
-			Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second), Benefit: float64(i + 1), Late: 0.2, Most: 60})
+		d.Classes = append(d.Classes, setup.Class{Name: effect, Effect: effect, DedupScope: "all", DedupWindow: setup.Duration(2 * time.Second),
+			LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second), Value: float64(i + 1), LateValue: 0.2, DefaultMaxTokens: 60})
 	}
-	d.Kinds = []setup.Kind{{Name: "reader", Role: "reader", Memory: 2e5}, {Name: "writer", Role: "writer", Memory: 1e5}, {Name: "mixed", Role: "mixed", Memory: 1e5}}
-	d.Report = []string{"util", "queue"}
-	info, err := json.Marshal(d.Facts())
+	d.BackendKinds = []setup.BackendKind{{Name: "reader", Role: "reader", MemoryTokens: 2e5}, {Name: "writer", Role: "writer", MemoryTokens: 1e5}, {Name: "mixed", Role: "mixed", MemoryTokens: 1e5}}
+	d.ReportFields = []string{"util", "queue"}
+	info, err := json.Marshal(d.SchedulerParameters())
 	if err != nil {
 		t.Fatal(err)
 	}
 	const seed = 99
 	c := &carrier{flights: map[uint64]*dispatch.Attempt{}}
-	loop, err := dispatch.NewLoop(d.Facts(), seed, dispatch.Places{Zone: d.ZoneNumber, Kind: d.KindNumber}, c,
+	loop, err := dispatch.NewLoop(d.SchedulerParameters(), seed, dispatch.Resolver{ZoneNumber: d.ZoneIndex, KindNumber: d.KindIndex}, c,
 		func() time.Duration { return c.now }, "d", slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
@@ -160,19 +160,19 @@
 
 	kinds := []string{"reader", "reader", "reader", "writer", "writer", "writer", "mixed"}
 	list := func(standing func(i int) int) {
-		var lines []boxlist.Box
+		var lines []boxlist.Endpoint
 		var tail []byte
 		for i, kind := range kinds {
 			name, rack, s := fmt.Sprintf("%s-%d", kind, i), fmt.Sprintf("rack-%d", i%2), standing(i)
-			line := boxlist.Box{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "10.0.0.1:1"}}, Kind: kind, Zone: "here", Rack: rack, Standing: [...]string{"draining", "ready", "gone"}[s], Units: 2, UpMs: -1}
+			line := boxlist.Endpoint{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}}, Kind: kind, Zone: "here", Rack: rack, State: [...]string{"draining", "ready", "gone"}[s], Units: 2, UptimeMs: -1}
 			e := make([]byte, 22)
-			binary.BigEndian.PutUint32(e, dispatch.HostID(name))
-			binary.BigEndian.PutUint16(e[5:], uint16(d.KindNumber(kind)))
+			binary.BigEndian.PutUint32(e, dispatch.BackendID(name))
+			binary.BigEndian.PutUint16(e[5:], uint16(d.KindIndex(kind)))
 			binary.BigEndian.PutUint16(e[7:], uint16(i%2))
 			e[9] = byte(s)
 			binary.BigEndian.PutUint32(e[10:], math.Float32bits(2))
 			if i == 4 { // one that has just started
-				line.Start, line.UpMs = 5, 1
+				line.Incarnation, line.UptimeMs = 5, 1
 				binary.BigEndian.PutUint64(e[14:], b.clock-1000)
 			}
 			lines, tail = append(lines, line), append(tail, e...)
@@ -181,28 +181,28 @@
 		r[0], r[11] = wire.Announce, 1
 		r.u32(16, uint32(len(lines)))
 		b.take(r, tail)
-		loop.Do(func() { loop.Listed(lines, true) })
+		loop.RunTurn(func() { loop.UpdateBackends(lines, true) })
 	}
 	tick := func() {
 		b.clock += 2000
 		c.now += 2 * time.Millisecond
 		b.due()
-		loop.Due()
+		loop.RunTimers()
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	asked := map[uint64]*dispatch.ClientRequest{}
-	codes := map[brain.Outcome]uint16{brain.Served: 200, brain.Read: 210, brain.Failed: 500, brain.Rejected: 503, brain.TimedOut: 504, brain.Unreachable: 502, brain.Broken: 598}
+	codes := map[brain.Outcome]uint16{brain.Served: 200, brain.Prefilled: 210, brain.Failed: 500, brain.Rejected: 503, brain.TimedOut: 504, brain.Unreachable: 502, brain.ConnectionLost: 598}
 	end := func(id uint64, f *dispatch.Attempt, o brain.Outcome, note int) {
-		took := (c.now - f.Planned.Sent).Microseconds()
-		over := o == brain.Served || f.Planned.Began > 0
+		took := (c.now - f.Scheduled.SentAt).Microseconds()
+		over := o == brain.Served || f.Scheduled.FirstTokenAt > 0
 		load := []float64{0.5, 3}
 		var r rec
-		r[0], r[11] = wire.Resolved, byte(f.Planned.Number)
+		r[0], r[11] = wire.Resolved, byte(f.Scheduled.Number)
 		r.u64(3, id)
-		r.u32(12, f.Planned.Backend.ID)
+		r.u32(12, f.Scheduled.Backend.ID)
 		binary.BigEndian.PutUint16(r[16:], codes[o])
 		r.u32(18, uint32(took))
-		if over || f.Planned.Request.Over {
+		if over || f.Scheduled.Request.Finished {
 			r[22] = 1
 		}
 		r.u32(23, uint32(note))
@@ -211,7 +211,7 @@
 		r.f32(32, load[1])
 		b.take(r, nil)
 		delete(c.flights, id)
-		loop.Do(func() { loop.Ended(f, brain.Result{Outcome: o, Note: note, Load: load}) })
+		loop.RunTurn(func() { loop.AttemptEnded(f, brain.Result{Outcome: o, Detail: note, LoadReport: load}) })
 	}
 	tick()
 	list(func(int) int { return 1 })
@@ -221,19 +221,19 @@
 			id := uint64(len(asked) + 1)
 			grade, tokens := rng.IntN(3), 200+rng.IntN(4000)
 			session, shared := fmt.Sprint("s", rng.IntN(200)), fmt.Sprint("b", rng.IntN(9))
-			a := &dispatch.ClientRequest{Ask: kserve.Ask{Tokens: tokens, Prefix: 100, Most: 60, Session: session, Shared: shared}}
+			a := &dispatch.ClientRequest{Params: kserve.Request{PromptTokens: tokens, PrefixTokens: 100, MaxTokens: 60, Session: session, SharedPrefix: shared}}
 			asked[id] = a
 			var r rec
 			r[0], r[36] = wire.Incoming, byte(grade)
 			r.u64(3, id)
-			r.u64(11, dispatch.Number(session))
+			r.u64(11, dispatch.HashName(session))
 			r.f32(20, 60)
-			r.u64(24, dispatch.Number(shared))
+			r.u64(24, dispatch.HashName(shared))
 			r.f32(32, float64(tokens))
 			r.u32(41, 3_000_000)
 			r.f32(45, 100)
 			b.take(r, nil)
-			loop.Do(func() { loop.Submit(a, grade, 0, 3*time.Second) })
+			loop.RunTurn(func() { loop.Submit(a, grade, 0, 3*time.Second) })
 		}
 		if step == 7000 {
 			list(func(i int) int { return []int{1, 0, 1, 1, 2, 1, 1}[i] })
@@ -245,38 +245,38 @@
 		slices.Sort(ids)
 		for _, id := range ids {
 			f := c.flights[id]
-			age := c.now - f.Planned.Sent
+			age := c.now - f.Scheduled.SentAt
 			switch p := rng.Float64(); {
-			case age >= f.Wait && f.Planned.Began == 0:
+			case age >= f.Timeout && f.Scheduled.FirstTokenAt == 0:
 				end(id, f, brain.TimedOut, 0)
 			case p < 0.001:
 				end(id, f, brain.Failed, 0)
 			case p < 0.002:
-				end(id, f, brain.Broken, 0)
-			case f.Planned.Began > 0 && p < 0.05:
+				end(id, f, brain.ConnectionLost, 0)
+			case f.Scheduled.FirstTokenAt > 0 && p < 0.05:
 				end(id, f, brain.Served, 40)
-			case f.Planned.Began > 0:
+			case f.Scheduled.FirstTokenAt > 0:
 			case p < 0.0021:
 				end(id, f, brain.Unreachable, 0)
 			case p < 0.003:
 				end(id, f, brain.Rejected, 0)
-			case p < 0.12 && f.Planned.Stage == brain.ToRead:
-				end(id, f, brain.Read, 100)
+			case p < 0.12 && f.Scheduled.Stage == brain.StagePrefill:
+				end(id, f, brain.Prefilled, 100)
 			case p < 0.12:
 				var r rec
-				r[0], r[11] = wire.First, byte(f.Planned.Number)
+				r[0], r[11] = wire.First, byte(f.Scheduled.Number)
 				r.u64(3, id)
-				r.u32(12, f.Planned.Backend.ID)
+				r.u32(12, f.Scheduled.Backend.ID)
 				r.u32(16, uint32(age.Microseconds()))
 				b.take(r, nil)
-				loop.Do(func() { loop.Began(f) })
-			case p < 0.122 && !f.Planned.Request.Over:
+				loop.RunTurn(func() { loop.AttemptBegan(f) })
+			case p < 0.122 && !f.Scheduled.Request.Finished:
 				var r rec
 				r[0] = wire.Aborted
 				r.u64(3, id)
 				b.take(r, nil)
 				a := asked[id]
-				loop.Do(func() { loop.Left(a) })
+				loop.RunTurn(func() { loop.ClientDisconnected(a) })
 			}
 		}
 	}
@@ -288,12 +288,12 @@
 		case bytes.Contains([]byte(a), []byte("send")):
 			sends = append(sends, a)
 		case bytes.Contains([]byte(a), []byte("decline")):
-			finals[kserve.Declined]++
+			finals[kserve.Rejected]++
 		case bytes.Contains([]byte(a), []byte("forfeit")):
-			finals[kserve.Forfeited]++
+			finals[kserve.Failed]++
 		}
 	}
-	if len(sends) < 800 || finals[kserve.Forfeited] == 0 {
+	if len(sends) < 800 || finals[kserve.Failed] == 0 {
 		t.Fatalf("the sequence is too tame: %d sends, finals %v", len(sends), finals)
 	}
 	for i := range min(len(sends), len(c.actions)) {
@@ -304,8 +304,8 @@
 	if len(sends) != len(c.actions) {
 		t.Errorf("bench sends %d trips, the dispatcher %d", len(sends), len(c.actions))
 	}
-	if l := loop.Tally; int(l.Declined) != finals[kserve.Declined] || int(l.Forfeited) < finals[kserve.Forfeited] {
-		t.Errorf("bench declines %d and forfeits %d, the dispatcher %d and %d", finals[kserve.Declined], finals[kserve.Forfeited], l.Declined, l.Forfeited)
+	if l := loop.Counters; int(l.Rejected) != finals[kserve.Rejected] || int(l.Failed) < finals[kserve.Failed] {
+		t.Errorf("bench declines %d and forfeits %d, the dispatcher %d and %d", finals[kserve.Rejected], finals[kserve.Failed], l.Rejected, l.Failed)
 	}
 }
 
@@ -321,11 +321,11 @@
 
 // What a frame says in numbers goes into averages and choices for the rest of the day: none of it may be no number.
 func FuzzFrames(f *testing.F) {
-	d := setup.DefaultDispatcher()
-	d.Grades = []setup.Grade{{Name: "g", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second), Benefit: 1, Most: 60}}
-	d.Kinds = []setup.Kind{{Name: "reader", Role: "reader", Memory: 2e5}, {Name: "writer", Role: "writer", Memory: 1e5}}
-	d.Report = []string{"util", "queue"}
-	info, err := json.Marshal(d.Facts())
+	d := setup.DefaultDispatcherConfig()
+	d.Classes = []setup.Class{{Name: "g", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second), Value: 1, DefaultMaxTokens: 60}}
+	d.BackendKinds = []setup.BackendKind{{Name: "reader", Role: "reader", MemoryTokens: 2e5}, {Name: "writer", Role: "writer", MemoryTokens: 1e5}}
+	d.ReportFields = []string{"util", "queue"}
+	info, err := json.Marshal(d.SchedulerParameters())
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -377,9 +377,9 @@
 			in.take(event(t, e, nil), uint64(i)*1000+500)
 		}
 		for _, h := range in.hosts {
-			for _, v := range []float64{h.Units, h.Size, h.Util, h.Queue, h.Tokens, h.Unread, h.Room, h.Taken} {
+			for _, v := range []float64{h.CapacityUnits, h.RelativeCapacity, h.Util, h.QueueLength, h.KVTokens, h.PrefillBacklog, h.TokenLimit, h.CacheInsertedTokens} {
 				if math.IsNaN(v) || v < 0 {
-					t.Fatalf("host %d holds %v", h.ID, []float64{h.Units, h.Size, h.Util, h.Queue, h.Tokens, h.Unread, h.Room, h.Taken})
+					t.Fatalf("host %d holds %v", h.ID, []float64{h.CapacityUnits, h.RelativeCapacity, h.Util, h.QueueLength, h.KVTokens, h.PrefillBacklog, h.TokenLimit, h.CacheInsertedTokens})
 				}
 			}
 		}
--- a/cmd/sloetrestle/experiment.go
+++ b/cmd/sloetrestle/experiment.go
@@ -18,7 +18,7 @@
 	c := &cobra.Command{Use: "experiment", Short: "Run days many times, one thing varied at a time, and keep the figures"}
 	c.PersistentFlags().StringVar(&file, "store", "experiments.db", "the file that keeps them")
 	with := func(do func(cmd *cobra.Command, s *experiment.Store, args []string) error) func(*cobra.Command, []string) error {
-		return works(func(cmd *cobra.Command, args []string) error {
+		return markErrors(func(cmd *cobra.Command, args []string) error {
 			s, err := experiment.OpenStore(file)
 			if err != nil {
 				return err
--- a/internal/addresses/addresses.go
+++ b/internal/addresses/addresses.go
@@ -57,28 +57,28 @@
 
 // Spec is an address as the list or a file names it.
 type Spec struct {
-	Network string `json:"network" toml:"network"`
-	At      string `json:"at" toml:"at"`                             // host:port, or the path of a socket
-	Prefer  int    `json:"prefer,omitempty" toml:"prefer,omitempty"` // the lower the sooner, before all else
+	Network    string `json:"network" toml:"network"`
+	Addr       string `json:"at" toml:"at"`                             // host:port, or the path of a socket
+	Preference int    `json:"prefer,omitempty" toml:"prefer,omitempty"` // the lower the sooner, before all else
 }
 
-func (s Spec) String() string { return s.Network + ":" + s.At }
+func (s Spec) String() string { return s.Network + ":" + s.Addr }
 
 // Check tells what is wrong with a spec.
 func (s Spec) Check() error {
 	switch s.Network {
 	case Unix:
-		if !strings.HasPrefix(s.At, "/") || len(s.At) > 100 {
-			return fmt.Errorf("%q is no absolute path of a socket of at most 100 bytes", s.At)
+		if !strings.HasPrefix(s.Addr, "/") || len(s.Addr) > 100 {
+			return fmt.Errorf("%q is no absolute path of a socket of at most 100 bytes", s.Addr)
 		}
 		return nil
 	case TCP4, TCP6:
-		at, err := netip.ParseAddrPort(s.At)
+		at, err := netip.ParseAddrPort(s.Addr)
 		if err != nil {
-			return fmt.Errorf("%q is no address with a port: %w", s.At, err)
+			return fmt.Errorf("%q is no address with a port: %w", s.Addr, err)
 		}
 		if at.Addr().Unmap().Is4() != (s.Network == TCP4) || at.Port() == 0 {
-			return fmt.Errorf("%q is not of %s, or has no port", s.At, s.Network)
+			return fmt.Errorf("%q is not of %s, or has no port", s.Addr, s.Network)
 		}
 		return nil
 	}
@@ -87,7 +87,7 @@
 
 // precedence is that of RFC 6724, 2.1, for the prefixes that boxes can have.
 func (s Spec) precedence() int {
-	at, err := netip.ParseAddrPort(s.At)
+	at, err := netip.ParseAddrPort(s.Addr)
 	if s.Network == Unix || err != nil {
 		return 60 // above the loopback's 50
 	}
@@ -125,9 +125,9 @@
 // Address is one address with what is known of it.
 type Address struct {
 	Spec
-	good, bad brain.Ring
+	good, bad brain.RollingSum
 	missed    float64
-	took      brain.Mean // seconds to a proof
+	took      brain.RunningMean // seconds to a proof
 	LastTry   time.Duration
 	tried     bool
 	Last      Result
@@ -143,45 +143,45 @@
 }
 
 // Doubtful tells whether it is more likely to fail than to serve.
-func (a *Address) Doubtful(now time.Duration) bool {
+func (a *Address) Suspected(now time.Duration) bool {
 	well, badly := a.chance(now)
 	return badly > well
 }
 
 // Why tells an operator how it stands.
-func (a *Address) Why(now time.Duration) string {
+func (a *Address) Summary(now time.Duration) string {
 	if !a.seen {
 		return "not tried yet"
 	}
 	well, badly := a.chance(now)
-	return fmt.Sprintf("%s %.1f s ago; chance %.2f; proof %.1f ms", a.Last, (now - a.LastAt).Seconds(), well/(well+badly), 1000*a.took.Or(0))
+	return fmt.Sprintf("%s %.1f s ago; chance %.2f; proof %.1f ms", a.Last, (now - a.LastAt).Seconds(), well/(well+badly), 1000*a.took.ValueOr(0))
 }
 
 // Book is what a dispatcher knows of one box's addresses.
-type Book struct {
+type Tracker struct {
 	list   []*Address
 	chance *brain.PCG
-	proofs brain.Mean // seconds, over all of them
+	proofs brain.RunningMean // seconds, over all of them
 }
 
 // NewBook starts a book; seed is that of its draws.
-func NewBook(seed uint64) *Book { return &Book{chance: brain.NewPCG(seed)} }
+func NewBook(seed uint64) *Tracker { return &Tracker{chance: brain.NewPCG(seed)} }
 
 // Set takes the addresses that are named now. Those that were known before keep what is known of them; those that
 // are gone are returned, marked as dropped.
-func (b *Book) Set(specs []Spec) (dropped []*Address) {
+func (b *Tracker) Set(specs []Spec) (dropped []*Address) {
 	var next []*Address
 	for _, s := range specs {
-		same := func(a *Address) bool { return a.Network == s.Network && a.At == s.At }
+		same := func(a *Address) bool { return a.Network == s.Network && a.Addr == s.Addr }
 		if slices.ContainsFunc(next, same) {
 			continue
 		}
 		i := slices.IndexFunc(b.list, same)
 		if i < 0 {
-			next = append(next, &Address{Spec: s, good: brain.Ring{Width: evidence}, bad: brain.Ring{Width: evidence}})
+			next = append(next, &Address{Spec: s, good: brain.RollingSum{BucketWidth: evidence}, bad: brain.RollingSum{BucketWidth: evidence}})
 			continue
 		}
-		b.list[i].Prefer = s.Prefer
+		b.list[i].Preference = s.Preference
 		next = append(next, b.list[i])
 	}
 	for _, a := range b.list {
@@ -195,10 +195,10 @@
 }
 
 // Addresses lists them in the order in which they were named.
-func (b *Book) Addresses() []*Address { return b.list }
+func (b *Tracker) Addresses() []*Address { return b.list }
 
 // Did takes note of what an address did; took is the time to a proof.
-func (b *Book) Did(now time.Duration, a *Address, r Result, took time.Duration) {
+func (b *Tracker) Did(now time.Duration, a *Address, r Result, took time.Duration) {
 	a.Last, a.LastAt, a.seen = r, now, true
 	if r.good() {
 		a.good.Add(now, 1)
@@ -216,7 +216,7 @@
 // Order is the order in which the addresses are tried now: first those that a draw from their posterior trusts; the
 // preference that was stated; sockets, IPv6, IPv4; of one kind the one quicker to prove. As RFC 8305 has it, what
 // follows the first of a family is one of another.
-func (b *Book) Order(now time.Duration) []*Address {
+func (b *Tracker) Order(now time.Duration) []*Address {
 	type drawn struct {
 		*Address
 		late int
@@ -230,8 +230,8 @@
 		all = append(all, d)
 	}
 	slices.SortStableFunc(all, func(x, y drawn) int {
-		return cmp.Or(cmp.Compare(x.late, y.late), cmp.Compare(x.Prefer, y.Prefer), cmp.Compare(y.precedence(), x.precedence()),
-			cmp.Compare(x.took.Or(0), y.took.Or(0)))
+		return cmp.Or(cmp.Compare(x.late, y.late), cmp.Compare(x.Preference, y.Preference), cmp.Compare(y.precedence(), x.precedence()),
+			cmp.Compare(x.took.ValueOr(0), y.took.ValueOr(0)))
 	})
 	var out []*Address
 	for len(all) > 0 {
@@ -239,7 +239,7 @@
 		if n := len(out); n > 0 {
 			// Only among those alike in trust and preference: a family's turn does not overrule either.
 			for j, d := range all {
-				if d.late != all[0].late || d.Prefer != all[0].Prefer {
+				if d.late != all[0].late || d.Preference != all[0].Preference {
 					break
 				}
 				if d.Network != out[n-1].Network {
@@ -255,14 +255,14 @@
 }
 
 // Stagger is how long one attempt is given before the next begins beside it, and an idle connection to prove itself.
-func (b *Book) Stagger() time.Duration {
-	s := time.Duration(staggerTimes * b.proofs.Or(staggerFirst.Seconds()/staggerTimes) * float64(time.Second))
+func (b *Tracker) Stagger() time.Duration {
+	s := time.Duration(staggerTimes * b.proofs.ValueOr(staggerFirst.Seconds()/staggerTimes) * float64(time.Second))
 	return min(max(s, staggerLeast), staggerMost)
 }
 
 // Race is the search for one connection.
 type Race struct {
-	book  *Book
+	book  *Tracker
 	left  []*Address
 	out   []*Address
 	until time.Duration
@@ -271,7 +271,7 @@
 }
 
 // Race starts a search that ends at until.
-func (b *Book) Race(now, until time.Duration) *Race {
+func (b *Tracker) Race(now, until time.Duration) *Race {
 	return &Race{book: b, left: b.Order(now), until: until, next: now}
 }
 
@@ -334,10 +334,10 @@
 }
 
 // Warm lists the addresses at which a proven connection should be kept ready: the best two that are not in doubt.
-func (b *Book) Warm(now time.Duration) []*Address {
+func (b *Tracker) Warm(now time.Duration) []*Address {
 	var warm []*Address
 	for _, a := range b.Order(now) {
-		if len(warm) < warmAddresses && !a.Doubtful(now) {
+		if len(warm) < warmAddresses && !a.Suspected(now) {
 			warm = append(warm, a)
 		}
 	}
@@ -353,7 +353,7 @@
 
 // Recheck picks one doubtful address of all the books to look at again, longest unseen first; none: nothing is due or
 // the budget is spent. The books come in an order of the caller's that does not change.
-func (g *Budget) Recheck(now time.Duration, books []*Book) (*Book, *Address) {
+func (g *Budget) Recheck(now time.Duration, books []*Tracker) (*Tracker, *Address) {
 	if !g.begun {
 		g.have, g.begun = recheckBurst, true
 	} else {
@@ -363,11 +363,11 @@
 	if g.have < 1 {
 		return nil, nil
 	}
-	var of *Book
+	var of *Tracker
 	var pick *Address
 	for _, b := range books {
 		for _, a := range b.list {
-			due := a.tried && a.Doubtful(now) && a.trying == 0 && now-a.LastTry >= recheckAfter
+			due := a.tried && a.Suspected(now) && a.trying == 0 && now-a.LastTry >= recheckAfter
 			if due && (pick == nil || a.LastTry < pick.LastTry) {
 				of, pick = b, a
 			}
@@ -382,7 +382,7 @@
 }
 
 // Rechecked takes the end of a background try.
-func (b *Book) Rechecked(now time.Duration, a *Address, res Result, took time.Duration) {
+func (b *Tracker) Rechecked(now time.Duration, a *Address, res Result, took time.Duration) {
 	a.trying--
 	if res != NotTried {
 		b.Did(now, a, res, took)
--- a/internal/addresses/addresses_test.go
+++ b/internal/addresses/addresses_test.go
@@ -11,15 +11,15 @@
 )
 
 var (
-	sock  = Spec{Network: Unix, At: "/run/b.sock"}
-	local = Spec{Network: TCP6, At: "[::1]:80"}
-	six   = Spec{Network: TCP6, At: "[2001:db8::1]:80"}
-	four  = Spec{Network: TCP4, At: "10.0.0.1:80"}
-	four2 = Spec{Network: TCP4, At: "10.0.0.2:80"}
-	ula   = Spec{Network: TCP6, At: "[fd00::1]:80"}
+	sock  = Spec{Network: Unix, Addr: "/run/b.sock"}
+	local = Spec{Network: TCP6, Addr: "[::1]:80"}
+	six   = Spec{Network: TCP6, Addr: "[2001:db8::1]:80"}
+	four  = Spec{Network: TCP4, Addr: "10.0.0.1:80"}
+	four2 = Spec{Network: TCP4, Addr: "10.0.0.2:80"}
+	ula   = Spec{Network: TCP6, Addr: "[fd00::1]:80"}
 )
 
-func book(specs ...Spec) *Book {
+func book(specs ...Spec) *Tracker {
 	b := NewBook(1)
 	b.Set(specs)
 	return b
@@ -28,12 +28,12 @@
 func names(list []*Address) string {
 	var out []string
 	for _, a := range list {
-		out = append(out, a.At)
+		out = append(out, a.Addr)
 	}
 	return strings.Join(out, " ")
 }
 
-func prefer(s Spec, n int) Spec { s.Prefer = n; return s }
+func prefer(s Spec, n int) Spec { s.Preference = n; return s }
 
 func TestTheOrderIsTheStatedOne(t *testing.T) {
 	for _, c := range []struct {
@@ -60,7 +60,7 @@
 	}
 	first := 0
 	for range 2000 {
-		if b.Order(time.Second)[0].At == sock.At {
+		if b.Order(time.Second)[0].Addr == sock.Addr {
 			first++
 		}
 	}
@@ -69,13 +69,13 @@
 	}
 	b.Did(2*time.Second, b.list[0], Proven, time.Millisecond)
 	b.Did(2*time.Second, b.list[0], Served, 0)
-	if later := 60 * time.Second; b.Order(later)[0].At != sock.At {
+	if later := 60 * time.Second; b.Order(later)[0].Addr != sock.Addr {
 		t.Error("a minute after it was proved again it is still in doubt")
 	}
 }
 
 // run plays a race in virtual time: after gives, for each address, when it ends and how.
-func run(b *Book, start, limit time.Duration, after func(a *Address) (time.Duration, Result)) (won *Address, took time.Duration, begun []*Address) {
+func run(b *Tracker, start, limit time.Duration, after func(a *Address) (time.Duration, Result)) (won *Address, took time.Duration, begun []*Address) {
 	type attempt struct {
 		a   *Address
 		at  time.Duration
@@ -123,25 +123,25 @@
 		most  time.Duration
 		begun int
 	}{
-		{"all is well", quick, sock.At, time.Millisecond, 1},
+		{"all is well", quick, sock.Addr, time.Millisecond, 1},
 		{"the first refuses", func(a *Address) (time.Duration, Result) {
 			if a.Network == Unix {
 				return time.Millisecond, Refused
 			}
 			return quick(a)
-		}, local.At, 3 * time.Millisecond, 2},
+		}, local.Addr, 3 * time.Millisecond, 2},
 		{"the first stalls", func(a *Address) (time.Duration, Result) {
 			if a.Network == Unix {
 				return never, Silent
 			}
 			return quick(a)
-		}, local.At, staggerMost + time.Millisecond, 2},
+		}, local.Addr, staggerMost + time.Millisecond, 2},
 		{"two stall", func(a *Address) (time.Duration, Result) {
 			if a.Network != TCP4 {
 				return never, Silent
 			}
 			return quick(a)
-		}, four.At, 2*staggerMost + time.Millisecond, 3},
+		}, four.Addr, 2*staggerMost + time.Millisecond, 3},
 		{"all refuse", func(a *Address) (time.Duration, Result) { return time.Millisecond, Refused }, "", 4 * time.Millisecond, 3},
 		{"all stall", func(a *Address) (time.Duration, Result) { return never, Silent }, "", 250 * time.Millisecond, 3},
 		{"another box answers at the first", func(a *Address) (time.Duration, Result) {
@@ -149,12 +149,12 @@
 				return time.Millisecond, OtherOwner
 			}
 			return quick(a)
-		}, local.At, 3 * time.Millisecond, 2},
+		}, local.Addr, 3 * time.Millisecond, 2},
 	} {
 		won, took, begun := run(book(sock, local, four), time.Second, 250*time.Millisecond, c.after)
 		at := ""
 		if won != nil {
-			at = won.At
+			at = won.Addr
 		}
 		if at != c.want || took > c.most || len(begun) != c.begun {
 			t.Errorf("%s: %q after %v with %d attempts, not %q within %v with %d", c.name, at, took, len(begun), c.want, c.most, c.begun)
@@ -172,7 +172,7 @@
 	if r.Did(time.Millisecond, a, Proven, time.Millisecond) {
 		t.Error("it won")
 	}
-	if next, _, _ := r.Next(time.Millisecond); next == nil || next.At != four.At {
+	if next, _, _ := r.Next(time.Millisecond); next == nil || next.Addr != four.Addr {
 		t.Errorf("then %v", next)
 	}
 }
@@ -186,13 +186,13 @@
 		for i := range n {
 			switch rapid.IntRange(0, 2).Draw(t, "family") {
 			case 0:
-				specs = append(specs, Spec{Network: Unix, At: fmt.Sprintf("/s%d", i)})
+				specs = append(specs, Spec{Network: Unix, Addr: fmt.Sprintf("/s%d", i)})
 			case 1:
-				specs = append(specs, Spec{Network: TCP4, At: fmt.Sprintf("10.0.0.%d:1", i+1)})
+				specs = append(specs, Spec{Network: TCP4, Addr: fmt.Sprintf("10.0.0.%d:1", i+1)})
 			default:
-				specs = append(specs, Spec{Network: TCP6, At: fmt.Sprintf("[2001:db8::%d]:1", i+1)})
+				specs = append(specs, Spec{Network: TCP6, Addr: fmt.Sprintf("[2001:db8::%d]:1", i+1)})
 			}
-			specs[i].Prefer = rapid.IntRange(0, 1).Draw(t, "prefer")
+			specs[i].Preference = rapid.IntRange(0, 1).Draw(t, "prefer")
 		}
 		b := NewBook(rapid.Uint64().Draw(t, "seed"))
 		b.Set(specs)
@@ -234,10 +234,10 @@
 }
 
 func TestBackgroundTriesKeepToTheBudgetAndReachEveryDoubtfulAddress(t *testing.T) {
-	var books []*Book
+	var books []*Tracker
 	for i := range 79 {
 		b := NewBook(uint64(i))
-		b.Set([]Spec{{Network: TCP4, At: fmt.Sprintf("10.0.%d.1:1", i)}, {Network: TCP4, At: fmt.Sprintf("10.0.%d.2:1", i)}, {Network: Unix, At: fmt.Sprintf("/%d", i)}})
+		b.Set([]Spec{{Network: TCP4, Addr: fmt.Sprintf("10.0.%d.1:1", i)}, {Network: TCP4, Addr: fmt.Sprintf("10.0.%d.2:1", i)}, {Network: Unix, Addr: fmt.Sprintf("/%d", i)}})
 		for _, a := range b.list {
 			for range 5 {
 				a.tried = true
--- a/internal/agenda/agenda.go
+++ b/internal/agenda/agenda.go
@@ -8,7 +8,7 @@
 
 // Agenda holds what is to be done, in the order of time, and of one time in that in which it was put down. The zero Agenda is
 // empty.
-type Agenda struct {
+type Queue struct {
 	list entries
 	n    uint64
 }
@@ -36,19 +36,19 @@
 }
 
 // At puts something down.
-func (a *Agenda) At(at time.Duration, do func()) {
+func (a *Queue) Schedule(at time.Duration, do func()) {
 	a.n++
 	heap.Push(&a.list, &entry{at, a.n, do})
 }
 
 // Len is how much there is to do.
-func (a *Agenda) Len() int { return len(a.list) }
+func (a *Queue) Len() int { return len(a.list) }
 
 // Clear drops all of it.
-func (a *Agenda) Clear() { a.list = nil }
+func (a *Queue) Clear() { a.list = nil }
 
 // Next is when the next thing is due; false: there is none.
-func (a *Agenda) Next() (time.Duration, bool) {
+func (a *Queue) NextDue() (time.Duration, bool) {
 	if len(a.list) == 0 {
 		return 0, false
 	}
@@ -56,7 +56,7 @@
 }
 
 // Take takes the next thing out, if it is due by a time.
-func (a *Agenda) Take(by time.Duration) (at time.Duration, do func(), ok bool) {
+func (a *Queue) PopDue(by time.Duration) (at time.Duration, do func(), ok bool) {
 	if len(a.list) == 0 || a.list[0].at > by {
 		return 0, nil, false
 	}
@@ -65,9 +65,9 @@
 }
 
 // Run does all that is due up to a time, in order; each time is told to at first.
-func (a *Agenda) Run(until time.Duration, at func(time.Duration)) {
+func (a *Queue) RunUntil(until time.Duration, at func(time.Duration)) {
 	for {
-		when, do, ok := a.Take(until)
+		when, do, ok := a.PopDue(until)
 		if !ok {
 			return
 		}
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -19,14 +19,14 @@
 	name  string
 	door  brain.Runtime
 	rng   *brain.PCG
-	facts brain.Facts
+	facts brain.Settings
 	hosts []*brain.Backend
 	next  int
 	grade []*brain.Class
 }
 
 // New makes a policy by its name.
-func New(name string, facts brain.Facts, seed uint64, door brain.Runtime) (*Policy, error) {
+func New(name string, facts brain.Settings, seed uint64, door brain.Runtime) (*Policy, error) {
 	known := false
 	for _, n := range Names {
 		known = known || n == name
@@ -34,33 +34,33 @@
 	if !known {
 		return nil, fmt.Errorf("policy %q is none of %v", name, Names)
 	}
-	grades, err := facts.Grades()
+	grades, err := facts.Classes()
 	return &Policy{name: name, door: door, rng: brain.NewPCG(seed), facts: facts, grade: grades}, err
 }
 
-func (p *Policy) Listed(lines []brain.Listing, whole bool) {
+func (p *Policy) UpdateEndpoints(lines []brain.Endpoint, whole bool) {
 	if whole {
 		for _, h := range p.hosts {
-			h.Standing = brain.Gone
+			h.State = brain.Removed
 		}
 	}
 	for _, l := range lines {
 		known := false
 		for _, h := range p.hosts {
-			known = known || h == l.Host
+			known = known || h == l.Backend
 		}
 		if !known {
-			l.Host.Role = p.facts.RoleOf(l.Host.Kind)
-			p.hosts = append(p.hosts, l.Host)
+			l.Backend.Role = p.facts.RoleOf(l.Backend.Kind)
+			p.hosts = append(p.hosts, l.Backend)
 		}
-		l.Host.Standing, l.Host.Units = l.Standing, l.Units
+		l.Backend.State, l.Backend.CapacityUnits = l.State, l.CapacityUnits
 	}
 }
 
 func (p *Policy) Submit(q *brain.Request, grade, _ int) {
 	q.Class = p.grade[min(grade, len(p.grade)-1)]
-	q.Taken, q.Deadline = p.door.Now(), p.door.Now()+q.Left
-	q.Memory = q.Prompt + q.Most
+	q.ReceivedAt, q.Deadline = p.door.Now(), p.door.Now()+q.Timeout
+	q.KVTokens = q.PromptTokens + q.MaxOutputTokens
 	p.begin(q)
 }
 
@@ -69,11 +69,11 @@
 	switch {
 	case t.Ended:
 		return brain.AttemptEnded
-	case t.Request.Over:
-		return brain.RequestOver
+	case t.Request.Finished:
+		return brain.RequestFinished
 	case p.door.Now() >= t.Request.Deadline:
 		return brain.DeadlinePassed
-	case t.Backend.Standing != brain.Ready:
+	case t.Backend.State != brain.Ready:
 		return brain.BackendNotReady
 	}
 	return brain.Allowed
@@ -85,17 +85,17 @@
 		p.beginInformed(q)
 		return
 	}
-	mixed, writers, readers := p.able(q, brain.Both), p.able(q, brain.Writes), p.able(q, brain.Reads)
+	mixed, writers, readers := p.able(q, brain.RoleMixed), p.able(q, brain.RoleDecode), p.able(q, brain.RolePrefill)
 	whole := append(append([]*brain.Backend(nil), mixed...), writers...)
 	switch {
-	case p.name == "always_in_place" && len(whole) > 0 && p.facts.Yes("familyInfo.localRead"):
-		p.send(q, p.pick(whole), brain.Whole)
+	case p.name == "always_in_place" && len(whole) > 0 && p.facts.Bool("familyInfo.localRead"):
+		p.send(q, p.pick(whole), brain.StageWhole)
 	case p.name == "always_apart" && len(readers) > 0, len(mixed) == 0 && len(readers) > 0:
-		p.send(q, p.pick(readers), brain.ToRead)
+		p.send(q, p.pick(readers), brain.StagePrefill)
 	case len(mixed) > 0 && (len(readers) == 0 || p.rng.Float() < float64(len(mixed))/float64(len(mixed)+len(writers))):
-		p.send(q, p.pick(mixed), brain.Whole)
+		p.send(q, p.pick(mixed), brain.StageWhole)
 	case len(readers) > 0:
-		p.send(q, p.pick(readers), brain.ToRead)
+		p.send(q, p.pick(readers), brain.StagePrefill)
 	default:
 		p.giveUp(q)
 	}
@@ -103,13 +103,13 @@
 
 // able lists hosts of a role that may take the question now.
 func (p *Policy) able(q *brain.Request, role brain.Role) []*brain.Backend {
-	if p.door.Now() >= q.Deadline || len(q.Attempts) >= int(p.facts.Num("policyLimits.maxAttempts", 1)) {
+	if p.door.Now() >= q.Deadline || len(q.Attempts) >= int(p.facts.Number("policyLimits.maxAttempts", 1)) {
 		return nil
 	}
-	if t := q.MayHaveRun(); t != nil && role != brain.Reads && q.Class.Effect != brain.Idempotent {
+	if t := q.MayHaveRun(); t != nil && role != brain.RolePrefill && q.Class.Effect != brain.Idempotent {
 		return nil
 	}
-	return brain.Only(p.hosts, func(h *brain.Backend) bool { return h.Role == role && h.Standing == brain.Ready && !q.FailedAt(h) })
+	return brain.Filter(p.hosts, func(h *brain.Backend) bool { return h.Role == role && h.State == brain.Ready && !q.FailedAt(h) })
 }
 
 func (p *Policy) pick(hosts []*brain.Backend) *brain.Backend {
@@ -122,7 +122,7 @@
 		best := hosts[start]
 		for i := range hosts {
 			h := hosts[(start+i)%len(hosts)]
-			if float64(h.Streams)+h.Unread/1000 < float64(best.Streams)+best.Unread/1000 {
+			if float64(h.Streams)+h.PrefillBacklog/1000 < float64(best.Streams)+best.PrefillBacklog/1000 {
 				best = h
 			}
 		}
@@ -132,38 +132,38 @@
 }
 
 func (p *Policy) send(q *brain.Request, h *brain.Backend, stage brain.Stage) {
-	t := &brain.Attempt{Request: q, Backend: h, Number: len(q.Attempts), Sent: p.door.Now(), Stage: stage}
-	if stage != brain.ToWrite {
-		t.Left = q.Prompt
+	t := &brain.Attempt{Request: q, Backend: h, Number: len(q.Attempts), SentAt: p.door.Now(), Stage: stage}
+	if stage != brain.StageDecode {
+		t.PrefillTokens = q.PromptTokens
 	}
-	t.Weigh(1)
+	t.ApplyLoad(1)
 	q.Attempts = append(q.Attempts, t)
-	p.door.Send(t, q.Deadline-t.Sent)
+	p.door.Send(t, q.Deadline-t.SentAt)
 }
 
-func (p *Policy) Began(t *brain.Attempt, _ time.Duration) {
-	t.Began = p.door.Now()
-	t.Request.State = nil
+func (p *Policy) FirstToken(t *brain.Attempt, _ time.Duration) {
+	t.FirstTokenAt = p.door.Now()
+	t.Request.KVHolder = nil
 }
 
-func (p *Policy) Ended(t *brain.Attempt, r brain.Result) {
+func (p *Policy) AttemptDone(t *brain.Attempt, r brain.Result) {
 	q := t.Request
 	t.Ended, t.Outcome = true, r.Outcome
-	t.Weigh(-1)
-	q.Over = q.Over || r.Over
+	t.ApplyLoad(-1)
+	q.Finished = q.Finished || r.Finished
 	switch {
-	case r.Outcome == brain.Read:
-		q.State = t.Backend
-	case r.Outcome == brain.Rejected && r.Note == 1:
-		q.State = nil
+	case r.Outcome == brain.Prefilled:
+		q.KVHolder = t.Backend
+	case r.Outcome == brain.Rejected && r.Detail == 1:
+		q.KVHolder = nil
 	}
-	if q.Over {
+	if q.Finished {
 		p.letGo(q)
 		return
 	}
-	if q.State != nil {
-		if able := append(p.able(q, brain.Writes), p.able(q, brain.Both)...); len(able) > 0 {
-			p.send(q, p.pickDecode(q, able), brain.ToWrite)
+	if q.KVHolder != nil {
+		if able := append(p.able(q, brain.RoleDecode), p.able(q, brain.RoleMixed)...); len(able) > 0 {
+			p.send(q, p.pickDecode(q, able), brain.StageDecode)
 			return
 		}
 	}
@@ -172,30 +172,30 @@
 }
 
 func (p *Policy) letGo(q *brain.Request) {
-	if q.State != nil && q.Out() == nil {
-		q.State = nil
+	if q.KVHolder != nil && q.InFlight() == nil {
+		q.KVHolder = nil
 		p.door.Release(q)
 	}
 }
 
 func (p *Policy) giveUp(q *brain.Request) {
-	q.Over = true
+	q.Finished = true
 	if q.Class.Effect != brain.Idempotent && q.MayHaveRun() != nil {
 		p.door.Fail(q)
 		return
 	}
-	p.door.Reject(q, p.facts.Span("policyLimits.maxRetryAfterUs"))
+	p.door.Reject(q, p.facts.Duration("policyLimits.maxRetryAfterUs"))
 }
 
-func (p *Policy) Left(q *brain.Request) {
-	if q.Over {
+func (p *Policy) ClientDisconnected(q *brain.Request) {
+	if q.Finished {
 		return
 	}
-	q.Over = true
-	if t := q.Out(); t != nil && t.Began == 0 {
+	q.Finished = true
+	if t := q.InFlight(); t != nil && t.FirstTokenAt == 0 {
 		p.door.Cancel(t)
 	}
 	p.letGo(q)
 }
 
-func (p *Policy) Heard(brain.PeerUpdate) {}
+func (p *Policy) PeerUpdated(brain.PeerUpdate) {}
--- a/internal/baseline/informed.go
+++ b/internal/baseline/informed.go
@@ -28,26 +28,26 @@
 
 // prefillTime is how long a backend would take until the request's prompt is read.
 func (l Load) prefillTime(q *brain.Request) time.Duration {
-	return time.Duration((l.Backlog + q.Prompt - l.Cached) / l.Rate * float64(time.Second))
+	return time.Duration((l.Backlog + q.PromptTokens - l.Cached) / l.Rate * float64(time.Second))
 }
 
 // up lists the backends that are seen to work.
 func (p *Policy) up(q *brain.Request, hosts []*brain.Backend) []*brain.Backend {
-	return brain.Only(hosts, func(h *brain.Backend) bool { return p.View.Load(h, q).Up })
+	return brain.Filter(hosts, func(h *brain.Backend) bool { return p.View.Load(h, q).Up })
 }
 
 // beginInformed sends a request to the backend that will have read it first, or rejects it.
 func (p *Policy) beginInformed(q *brain.Request) {
-	best := brain.Least(p.up(q, p.able(q, brain.Reads)), func(h *brain.Backend) float64 {
+	best := brain.MinBy(p.up(q, p.able(q, brain.RolePrefill)), func(h *brain.Backend) float64 {
 		return p.View.Load(h, q).prefillTime(q).Seconds()
 	})
-	target := q.Taken + q.Class.Target + time.Duration(q.Prompt/1000*float64(q.Class.TargetPerK))
+	target := q.ReceivedAt + q.Class.Target + time.Duration(q.PromptTokens/1000*float64(q.Class.TargetPer1000Tokens))
 	if best == nil || p.door.Now()+p.View.Load(best, q).prefillTime(q) > min(target, q.Deadline) {
 		p.giveUp(q)
 		return
 	}
-	p.send(q, best, brain.ToRead)
-	p.View.Sent(q.Out(), q.Prompt-p.View.Load(best, q).Cached)
+	p.send(q, best, brain.StagePrefill)
+	p.View.Sent(q.InFlight(), q.PromptTokens-p.View.Load(best, q).Cached)
 }
 
 // pickDecode takes the backend that answers: of Informed the one with the fewest running answers.
@@ -55,7 +55,7 @@
 	if p.name != Informed {
 		return p.pick(able)
 	}
-	best := brain.Least(p.up(q, able), func(h *brain.Backend) float64 { return p.View.Load(h, q).Streams })
+	best := brain.MinBy(p.up(q, able), func(h *brain.Backend) float64 { return p.View.Load(h, q).Streams })
 	if best == nil {
 		return able[0]
 	}
--- a/internal/begins/begins.go
+++ b/internal/begins/begins.go
@@ -19,7 +19,7 @@
 )
 
 // Tokens guesses a text's length in tokens.
-func Tokens(text string) int { return (len(text) + toEach - 1) / toEach }
+func EstimateTokens(text string) int { return (len(text) + toEach - 1) / toEach }
 
 // Table remembers blocks in two generations. The zero value is ready.
 type Table struct {
@@ -33,7 +33,7 @@
 }
 
 // Find returns a key for the longest beginning that another session was seen with, and its tokens; none: 0, 0.
-func (t *Table) Find(now time.Duration, session uint64, text string) (key uint64, tokens int) {
+func (t *Table) SharedPrefix(now time.Duration, session uint64, text string) (key uint64, tokens int) {
 	if t.young == nil || now-t.since >= turn || len(t.young) >= room {
 		t.old, t.young, t.since = t.young, map[uint64]entry{}, now
 	}
--- a/internal/boxlist/fuzz_test.go
+++ b/internal/boxlist/fuzz_test.go
@@ -19,16 +19,16 @@
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		var table Table
-		table.Apply(Push{Version: 1, Whole: true, Boxes: []Box{line("a", Ready)}})
-		var p Push
+		table.Apply(Update{Version: 1, Full: true, Endpoints: []Endpoint{line("a", Ready)}})
+		var p Update
 		if json.Unmarshal(raw, &p) != nil {
 			return
 		}
 		_, _, err := table.Apply(p)
-		if err != nil && (len(table.Whole()) != 1 || table.Version != 1) {
-			t.Fatalf("%q: %v, and yet %v", raw, err, table.Whole())
+		if err != nil && (len(table.All()) != 1 || table.Version != 1) {
+			t.Fatalf("%q: %v, and yet %v", raw, err, table.All())
 		}
-		for _, b := range table.Whole() {
+		for _, b := range table.All() {
 			if b.Check() != nil {
 				t.Fatalf("%q: holds %+v: %v", raw, b, b.Check())
 			}
@@ -46,9 +46,9 @@
 		if err := os.WriteFile(filepath.Join(dir, "boxlist-d.json"), raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		follower := &Follower{Name: "d", Keep: dir, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Listed: func(lines []Box, _ bool) {
+		follower := &Follower{Name: "d", CacheDir: dir, Log: slog.New(slog.NewTextHandler(io.Discard, nil)), OnUpdate: func(lines []Endpoint, _ bool) {
 			for _, b := range lines {
-				if b.Check() != nil || b.UpMs > 2*mostUp {
+				if b.Check() != nil || b.UptimeMs > 2*maxUptimeMs {
 					t.Fatalf("%q: %+v is handed on", raw, b)
 				}
 			}
--- a/internal/boxlist/table.go
+++ b/internal/boxlist/table.go
@@ -16,37 +16,37 @@
 const (
 	Ready    = "ready"
 	Draining = "draining"
-	Gone     = "gone"
+	Removed  = "gone"
 )
 
 // The bounds of a list and of its lines.
 const (
-	mostBoxes     = 10_000
-	mostAddresses = 16 // of one box
-	mostName      = 253
-	MostUnits     = 1e6
-	mostUp        = 100 * 365 * 24 * 3600 * 1000 // milliseconds
+	maxEndpoints = 10_000
+	maxAddresses = 16 // of one box
+	maxNameBytes = 253
+	MaxUnits     = 1e6
+	maxUptimeMs  = 100 * 365 * 24 * 3600 * 1000 // milliseconds
 )
 
 // Box is one line of the list.
-type Box struct {
-	Name      string           `json:"name"`
-	Addresses []addresses.Spec `json:"addresses"`
-	Kind      string           `json:"kind"`
-	Zone      string           `json:"zone"`
-	Rack      string           `json:"rack"`
-	Standing  string           `json:"standing"`
-	Units     float64          `json:"units"`
-	Start     uint64           `json:"start"` // tells one start of its process from another
-	UpMs      int64            `json:"up_ms"` // how long it had been up when this was sent; negative: since long ago
+type Endpoint struct {
+	Name        string           `json:"name"`
+	Addresses   []addresses.Spec `json:"addresses"`
+	Kind        string           `json:"kind"`
+	Zone        string           `json:"zone"`
+	Rack        string           `json:"rack"`
+	State       string           `json:"standing"`
+	Units       float64          `json:"units"`
+	Incarnation uint64           `json:"start"` // tells one start of its process from another
+	UptimeMs    int64            `json:"up_ms"` // how long it had been up when this was sent; negative: since long ago
 }
 
 // Push is what the list sends: a whole list, or the changes from version Base to Version; a beat has none.
-type Push struct {
-	Version uint64 `json:"version"`
-	Base    uint64 `json:"base"`
-	Whole   bool   `json:"whole,omitempty"`
-	Boxes   []Box  `json:"boxes,omitempty"`
+type Update struct {
+	Version   uint64     `json:"version"`
+	Base      uint64     `json:"base"`
+	Full      bool       `json:"whole,omitempty"`
+	Endpoints []Endpoint `json:"boxes,omitempty"`
 }
 
 // ErrGap says that changes were missed, so that the whole list has to be asked for.
@@ -54,26 +54,26 @@
 
 // Table is the list as last heard.
 type Table struct {
-	Version uint64
-	boxes   map[string]Box
+	Version   uint64
+	endpoints map[string]Endpoint
 }
 
 // Apply takes a push and returns the lines that changed, in the order of their names. Lines without sense are
 // left out and named, and leave their boxes as they were; the rest of the push counts.
-func (t *Table) Apply(p Push) (changed []Box, refused error, err error) {
-	if !p.Whole && (p.Base != t.Version || p.Version < p.Base) {
+func (t *Table) Apply(p Update) (changed []Endpoint, refused error, err error) {
+	if !p.Full && (p.Base != t.Version || p.Version < p.Base) {
 		return nil, nil, fmt.Errorf("%w: have %d, got changes from %d", ErrGap, t.Version, p.Base)
 	}
 	var faults []error
-	next := map[string]Box{}
-	for _, b := range p.Boxes {
+	next := map[string]Endpoint{}
+	for _, b := range p.Endpoints {
 		fault := b.Check()
 		if _, twice := next[b.Name]; twice && fault == nil {
 			fault = fmt.Errorf("box %s: listed twice, the first line counts", b.Name)
-		} else if had, known := t.boxes[b.Name]; fault != nil && known && p.Whole && !twice {
+		} else if had, known := t.endpoints[b.Name]; fault != nil && known && p.Full && !twice {
 			next[b.Name] = had
-		} else if fault == nil && !known && len(t.boxes)+len(next) >= mostBoxes && (!p.Whole || len(next) >= mostBoxes) {
-			fault = fmt.Errorf("box %s: %d boxes are held at most", b.Name, mostBoxes)
+		} else if fault == nil && !known && len(t.endpoints)+len(next) >= maxEndpoints && (!p.Full || len(next) >= maxEndpoints) {
+			fault = fmt.Errorf("box %s: %d boxes are held at most", b.Name, maxEndpoints)
 		}
 		if fault != nil {
 			faults = append(faults, fault)
@@ -81,15 +81,15 @@
 		}
 		next[b.Name] = b
 	}
-	if p.Whole || t.boxes == nil {
-		t.boxes = map[string]Box{}
+	if p.Full || t.endpoints == nil {
+		t.endpoints = map[string]Endpoint{}
 	}
 	for name, b := range next {
 		changed = append(changed, b)
-		if b.Standing == Gone {
-			delete(t.boxes, name)
+		if b.State == Removed {
+			delete(t.endpoints, name)
 		} else {
-			t.boxes[name] = b
+			t.endpoints[name] = b
 		}
 	}
 	t.Version = p.Version
@@ -98,9 +98,9 @@
 }
 
 // Whole lists all boxes by name.
-func (t *Table) Whole() []Box {
-	all := make([]Box, 0, len(t.boxes))
-	for _, b := range t.boxes {
+func (t *Table) All() []Endpoint {
+	all := make([]Endpoint, 0, len(t.endpoints))
+	for _, b := range t.endpoints {
 		all = append(all, b)
 	}
 	SortByName(all)
@@ -108,27 +108,27 @@
 }
 
 // SortByName puts lines in the order of their names.
-func SortByName(boxes []Box) {
-	slices.SortStableFunc(boxes, func(a, b Box) int { return strings.Compare(a.Name, b.Name) })
+func SortByName(boxes []Endpoint) {
+	slices.SortStableFunc(boxes, func(a, b Endpoint) int { return strings.Compare(a.Name, b.Name) })
 }
 
 // Check tells what is wrong with a line.
-func (b Box) Check() error {
+func (b Endpoint) Check() error {
 	switch {
 	case b.Name == "":
 		return errors.New("a box without a name")
-	case b.Standing != Ready && b.Standing != Draining && b.Standing != Gone:
-		return fmt.Errorf("box %s: standing %q is unknown", b.Name, b.Standing)
-	case b.Standing != Gone && len(b.Addresses) == 0:
+	case b.State != Ready && b.State != Draining && b.State != Removed:
+		return fmt.Errorf("box %s: standing %q is unknown", b.Name, b.State)
+	case b.State != Removed && len(b.Addresses) == 0:
 		return fmt.Errorf("box %s: no address", b.Name)
-	case max(len(b.Name), len(b.Kind), len(b.Zone), len(b.Rack)) > mostName:
-		return fmt.Errorf("box %.40s: a name of it is longer than %d bytes", b.Name, mostName)
-	case !(b.Units >= 0 && b.Units <= MostUnits):
-		return fmt.Errorf("box %s: units of %g, 0 to %g are taken", b.Name, b.Units, float64(MostUnits))
-	case b.UpMs > mostUp:
-		return fmt.Errorf("box %s: up_ms of %d, %d at most are taken", b.Name, b.UpMs, int64(mostUp))
-	case len(b.Addresses) > mostAddresses:
-		return fmt.Errorf("box %s: %d addresses, %d are taken at most", b.Name, len(b.Addresses), mostAddresses)
+	case max(len(b.Name), len(b.Kind), len(b.Zone), len(b.Rack)) > maxNameBytes:
+		return fmt.Errorf("box %.40s: a name of it is longer than %d bytes", b.Name, maxNameBytes)
+	case !(b.Units >= 0 && b.Units <= MaxUnits):
+		return fmt.Errorf("box %s: units of %g, 0 to %g are taken", b.Name, b.Units, float64(MaxUnits))
+	case b.UptimeMs > maxUptimeMs:
+		return fmt.Errorf("box %s: up_ms of %d, %d at most are taken", b.Name, b.UptimeMs, int64(maxUptimeMs))
+	case len(b.Addresses) > maxAddresses:
+		return fmt.Errorf("box %s: %d addresses, %d are taken at most", b.Name, len(b.Addresses), maxAddresses)
 	}
 	return nil
 }
--- a/internal/chat/answer.go
+++ b/internal/chat/answer.go
@@ -14,29 +14,29 @@
 )
 
 const (
-	lineMost   = 256       // bytes of a chunk's size line, or of a line after the last chunk
-	chunkMost  = 256 << 10 // bytes of a chunk
-	eventMost  = 256 << 10 // bytes of an event
-	afterMost  = 16        // lines after the last chunk
-	InformMost = 8         // answers in front of the one that counts
+	maxLineBytes     = 256       // bytes of a chunk's size line, or of a line after the last chunk
+	maxChunkBytes    = 256 << 10 // bytes of a chunk
+	maxEventBytes    = 256 << 10 // bytes of an event
+	maxTrailerLines  = 16        // lines after the last chunk
+	MaxInformational = 8         // answers in front of the one that counts
 )
 
 // ErrSpoilt says that what a box sends can't be read as an answer.
-var ErrSpoilt = errors.New("the answer can't be read")
+var ErrMalformed = errors.New("the answer can't be read")
 
 // Outcome is what a box's short answer proves: only what the box itself says never ran is taken for that. Without the mark a
 // refusal may be somebody else's on the way. A state that is gone stands as the module knows it: full, with a note of 1.
-func Outcome(stage brain.Stage, resp *http.Response, body []byte) (o brain.Outcome, note int) {
+func ClassifyResponse(stage brain.Stage, resp *http.Response, body []byte) (o brain.Outcome, note int) {
 	never := resp.Header.Get("X-Not-Processed") == "1"
 	switch code := resp.StatusCode; {
-	case code == http.StatusAccepted && stage == brain.ToRead:
+	case code == http.StatusAccepted && stage == brain.StagePrefill:
 		var said struct {
 			Kept float64 `json:"cached_tokens"`
 		}
 		if json.Unmarshal(body, &said) != nil {
-			return brain.Read, 0
+			return brain.Prefilled, 0
 		}
-		return brain.Read, kept(said.Kept)
+		return brain.Prefilled, tokenCount(said.Kept)
 	case never && (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout):
 		return brain.Rejected, 0
 	case never && code == http.StatusGone:
@@ -45,15 +45,15 @@
 	return brain.Failed, 0
 }
 
-func kept(n float64) int {
-	if !(n >= 0 && n <= tokensMost) {
+func tokenCount(n float64) int {
+	if !(n >= 0 && n <= maxTokens) {
 		return 0
 	}
 	return int(n)
 }
 
 // Load reads a load report's values in the order of the fields; nil: it can't be read.
-func Load(text string, fields []string) []float64 {
+func ParseLoad(text string, fields []string) []float64 {
 	values := make([]float64, len(fields))
 	seen := 0
 	for text != "" {
@@ -80,20 +80,20 @@
 
 // Stream reads the events of an answer in chunks.
 type Stream struct {
-	Kept   int    // tokens found kept, as the end says
-	Report string // the load report, as the end says
+	CachedTokens int    // tokens found kept, as the end says
+	LoadReport   string // the load report, as the end says
 
-	from *bufio.Reader
-	rest []byte // of an event that is not whole yet
-	done bool
+	reader  *bufio.Reader
+	partial []byte // of an event that is not whole yet
+	done    bool
 }
 
-func NewStream(from *bufio.Reader) *Stream { return &Stream{from: from} }
+func NewStream(from *bufio.Reader) *Stream { return &Stream{reader: from} }
 
 // Next returns the whole events that the next chunks bring, unchanged. After the last chunk of a whole answer it is io.EOF.
 func (s *Stream) Next() ([]byte, error) {
 	for {
-		chunk, err := s.chunk()
+		chunk, err := s.readChunk()
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF // between two chunks a connection that breaks looks like an end
 		}
@@ -101,65 +101,65 @@
 			return nil, err
 		}
 		if chunk == nil {
-			if !s.done || len(s.rest) > 0 {
-				return nil, ErrSpoilt // it ends in good order, but before the end of the answer
+			if !s.done || len(s.partial) > 0 {
+				return nil, ErrMalformed // it ends in good order, but before the end of the answer
 			}
 			return nil, io.EOF
 		}
-		s.rest = append(s.rest, chunk...)
-		end := bytes.LastIndex(s.rest, []byte("\n\n"))
+		s.partial = append(s.partial, chunk...)
+		end := bytes.LastIndex(s.partial, []byte("\n\n"))
 		if end < 0 {
-			if len(s.rest) > eventMost {
-				return nil, ErrSpoilt
+			if len(s.partial) > maxEventBytes {
+				return nil, ErrMalformed
 			}
 			continue
 		}
-		piece := s.rest[:end+2]
-		s.rest = append([]byte(nil), s.rest[end+2:]...)
-		if !s.look(piece) {
-			return nil, ErrSpoilt
+		piece := s.partial[:end+2]
+		s.partial = append([]byte(nil), s.partial[end+2:]...)
+		if !s.inspect(piece) {
+			return nil, ErrMalformed
 		}
 		return piece, nil
 	}
 }
 
 // chunk returns the next chunk; nil: the last has come.
-func (s *Stream) chunk() ([]byte, error) {
-	line, err := s.line()
+func (s *Stream) readChunk() ([]byte, error) {
+	line, err := s.readLine()
 	if err != nil {
 		return nil, err
 	}
 	size, _, _ := bytes.Cut(line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimRight(size, " \t")), 16, 32)
-	if err != nil || n > chunkMost || len(size) > 8 {
-		return nil, ErrSpoilt
+	if err != nil || n > maxChunkBytes || len(size) > 8 {
+		return nil, ErrMalformed
 	}
 	if n == 0 {
-		for range afterMost {
-			if line, err = s.line(); err != nil {
+		for range maxTrailerLines {
+			if line, err = s.readLine(); err != nil {
 				return nil, err
 			}
 			if len(line) == 0 {
 				return nil, nil
 			}
 		}
-		return nil, ErrSpoilt
+		return nil, ErrMalformed
 	}
 	chunk := make([]byte, n+2)
-	if _, err := io.ReadFull(s.from, chunk); err != nil {
+	if _, err := io.ReadFull(s.reader, chunk); err != nil {
 		return nil, err
 	}
 	if chunk[n] != '\r' || chunk[n+1] != '\n' {
-		return nil, ErrSpoilt
+		return nil, ErrMalformed
 	}
 	return chunk[:n], nil
 }
 
 // line reads a short line.
-func (s *Stream) line() ([]byte, error) {
+func (s *Stream) readLine() ([]byte, error) {
 	var line []byte
-	for len(line) <= lineMost {
-		c, err := s.from.ReadByte()
+	for len(line) <= maxLineBytes {
+		c, err := s.reader.ReadByte()
 		if err != nil {
 			return nil, err
 		}
@@ -168,12 +168,12 @@
 		}
 		line = append(line, c)
 	}
-	return nil, ErrSpoilt
+	return nil, ErrMalformed
 }
 
 // look takes what the events say of the trip, and tells whether they are events at all: a chunk of a wrong size may have taken in
 // what frames the next.
-func (s *Stream) look(piece []byte) bool {
+func (s *Stream) inspect(piece []byte) bool {
 	for line := range bytes.Lines(piece) {
 		line = bytes.TrimRight(line, "\r\n")
 		value, data := bytes.CutPrefix(line, []byte("data:"))
@@ -196,11 +196,11 @@
 				if json.Unmarshal(value, &said) != nil {
 					return false
 				}
-				s.Kept = kept(said.Usage.Details.Kept)
+				s.CachedTokens = tokenCount(said.Usage.Details.Kept)
 			}
 		case line[0] == ':':
 			if name, report, ok := strings.Cut(string(line[1:]), ":"); ok && strings.EqualFold(strings.TrimSpace(name), "X-Server-Load") {
-				s.Report = strings.TrimSpace(report)
+				s.LoadReport = strings.TrimSpace(report)
 			}
 		case bytes.HasPrefix(line, []byte("event:")), bytes.HasPrefix(line, []byte("id:")), bytes.HasPrefix(line, []byte("retry:")):
 		default:
@@ -211,7 +211,7 @@
 }
 
 // Midway tells whether events end with a token that is not the answer's last one.
-func Midway(events []byte) bool {
+func EndsMidAnswer(events []byte) bool {
 	var last []byte
 	for line := range bytes.Lines(events) {
 		if value, data := bytes.CutPrefix(line, []byte("data:")); data {
--- a/internal/chat/answer_test.go
+++ b/internal/chat/answer_test.go
@@ -37,8 +37,8 @@
 
 func TestAGoodStreamIsPassedOnWhole(t *testing.T) {
 	s, text, err := read(chunk(first) + chunk(usage[:30]) + chunk(usage[30:]+done+load) + last)
-	if err != io.EOF || text != first+usage+done+load || s.Kept != 4096 || s.Report != "util=0.61,queue=2,x0=0.5" {
-		t.Errorf("%q, %v, kept %d, report %q", text, err, s.Kept, s.Report)
+	if err != io.EOF || text != first+usage+done+load || s.CachedTokens != 4096 || s.LoadReport != "util=0.61,queue=2,x0=0.5" {
+		t.Errorf("%q, %v, kept %d, report %q", text, err, s.CachedTokens, s.LoadReport)
 	}
 }
 
@@ -64,7 +64,7 @@
 		"ends without an end": chunk(first) + last,
 		"ends within one":     chunk(first+done+"data: {") + last,
 	} {
-		if _, _, err := read(raw); !errors.Is(err, ErrSpoilt) {
+		if _, _, err := read(raw); !errors.Is(err, ErrMalformed) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -79,22 +79,22 @@
 		want  brain.Outcome
 		note  int
 	}{
-		{brain.ToRead, 202, "", `{"cached_tokens":4096}`, brain.Read, 4096},
-		{brain.ToRead, 202, "", `{"cached_tokens":-1}`, brain.Read, 0},
-		{brain.Whole, 202, "", `{}`, brain.Failed, 0},
-		{brain.Whole, 500, "1", ``, brain.Failed, 0},
-		{brain.Whole, 503, "1", ``, brain.Rejected, 0},
-		{brain.Whole, 504, "1", ``, brain.Rejected, 0},
-		{brain.Whole, 503, "", ``, brain.Failed, 0},
-		{brain.ToWrite, 410, "1", ``, brain.Rejected, 1},
-		{brain.ToWrite, 410, "", ``, brain.Failed, 0},
-		{brain.ToWrite, 400, "", ``, brain.Failed, 0},
+		{brain.StagePrefill, 202, "", `{"cached_tokens":4096}`, brain.Prefilled, 4096},
+		{brain.StagePrefill, 202, "", `{"cached_tokens":-1}`, brain.Prefilled, 0},
+		{brain.StageWhole, 202, "", `{}`, brain.Failed, 0},
+		{brain.StageWhole, 500, "1", ``, brain.Failed, 0},
+		{brain.StageWhole, 503, "1", ``, brain.Rejected, 0},
+		{brain.StageWhole, 504, "1", ``, brain.Rejected, 0},
+		{brain.StageWhole, 503, "", ``, brain.Failed, 0},
+		{brain.StageDecode, 410, "1", ``, brain.Rejected, 1},
+		{brain.StageDecode, 410, "", ``, brain.Failed, 0},
+		{brain.StageDecode, 400, "", ``, brain.Failed, 0},
 	} {
 		resp := &http.Response{StatusCode: c.code, Header: http.Header{}}
 		if c.never != "" {
 			resp.Header.Set("X-Not-Processed", c.never)
 		}
-		if o, note := Outcome(c.stage, resp, []byte(c.body)); o != c.want || note != c.note {
+		if o, note := ClassifyResponse(c.stage, resp, []byte(c.body)); o != c.want || note != c.note {
 			t.Errorf("%+v: %d, %d", c, o, note)
 		}
 	}
@@ -102,11 +102,11 @@
 
 func TestAReportThatCantBeReadIsDropped(t *testing.T) {
 	fields := []string{"util", "queue"}
-	if got := Load("inflight=7, queue=2,util=0.61", fields); !reflect.DeepEqual(got, []float64{0.61, 2}) {
+	if got := ParseLoad("inflight=7, queue=2,util=0.61", fields); !reflect.DeepEqual(got, []float64{0.61, 2}) {
 		t.Error(got)
 	}
 	for _, text := range []string{"", "util=0.6", "util=x,queue=2", "util=NaN,queue=1", "util=-1,queue=1", "util=1e300,queue=1"} {
-		if got := Load(text, fields); got != nil {
+		if got := ParseLoad(text, fields); got != nil {
 			t.Errorf("%q reads as %v", text, got)
 		}
 	}
@@ -117,8 +117,8 @@
 	f.Add("c0000000\r\n" + first)
 	f.Fuzz(func(t *testing.T, raw string) {
 		s, text, err := read(raw)
-		if err == nil || s.Kept < 0 || len(text) > len(raw) {
-			t.Errorf("%v, kept %d, %d bytes of %d", err, s.Kept, len(text), len(raw))
+		if err == nil || s.CachedTokens < 0 || len(text) > len(raw) {
+			t.Errorf("%v, kept %d, %d bytes of %d", err, s.CachedTokens, len(text), len(raw))
 		}
 	})
 }
@@ -135,7 +135,7 @@
 		"data: {\"choices\":[{\"finish_reason\":null}]}\n\ndata: [DONE]\n\n":                                                 false,
 		"data: {\"choices\":[{\"finish_reason\":\"stop\"}]}\n\ndata: {\"choices\":[{\"finish_reason\":null}]}\n\n: X: y\n\n": true,
 	} {
-		if got := Midway([]byte(events)); got != want {
+		if got := EndsMidAnswer([]byte(events)); got != want {
 			t.Errorf("%q: %t", events, got)
 		}
 	}
@@ -146,7 +146,7 @@
 	f.Add("inflight=7,queue=2,util=0.61")
 	f.Add("util=NaN,queue=-1,queue=1e400")
 	f.Fuzz(func(t *testing.T, text string) {
-		for _, v := range Load(text, []string{"util", "queue"}) {
+		for _, v := range ParseLoad(text, []string{"util", "queue"}) {
 			if !(v >= 0 && v <= 1e9) {
 				t.Errorf("%q: %g", text, v)
 			}
@@ -160,9 +160,9 @@
 	f.Add(503, "", []byte(`{}`))
 	f.Fuzz(func(t *testing.T, status int, mark string, body []byte) {
 		resp := &http.Response{StatusCode: status, Header: http.Header{"X-Not-Processed": {mark}}}
-		for _, stage := range []brain.Stage{brain.ToRead, brain.ToWrite, brain.Whole} {
-			o, note := Outcome(stage, resp, body)
-			if o == brain.Served || o == brain.Rejected && mark != "1" || o == brain.Read && stage != brain.ToRead || note < 0 || note > tokensMost {
+		for _, stage := range []brain.Stage{brain.StagePrefill, brain.StageDecode, brain.StageWhole} {
+			o, note := ClassifyResponse(stage, resp, body)
+			if o == brain.Served || o == brain.Rejected && mark != "1" || o == brain.Prefilled && stage != brain.StagePrefill || note < 0 || note > maxTokens {
 				t.Errorf("%d %q at stage %d: %d, %d", status, mark, stage, o, note)
 			}
 		}
--- a/internal/chat/ask.go
+++ b/internal/chat/ask.go
@@ -16,97 +16,97 @@
 
 // Bounds of what is taken from outside.
 const (
-	HeadMost   = 16 << 10  // bytes of a head
-	BodyMost   = 256 << 10 // bytes of a body
-	idMost     = 128       // bytes of a name in a head
-	leftMost   = time.Hour // that a client waits
-	tokensMost = 10_000_000
-	toEach     = 4 // bytes of text to a token
+	MaxHeadBytes  = 16 << 10  // bytes of a head
+	MaxBodyBytes  = 256 << 10 // bytes of a body
+	maxIDBytes    = 128       // bytes of a name in a head
+	maxTimeout    = time.Hour // that a client waits
+	maxTokens     = 10_000_000
+	bytesPerToken = 4 // bytes of text to a token
 )
 
 // Path is where questions are asked; Ready is where the front looks whether a dispatcher can serve.
 const (
-	Path  = "/v1/chat/completions"
-	Ready = "/ready"
+	CompletionsPath = "/v1/chat/completions"
+	ReadyPath       = "/ready"
 )
 
 // Ask is what a request's head says of a question.
-type Ask struct {
-	ID      string
-	Grade   string
-	Channel string
-	Session string
-	Shared  string // the beginning that the prompt shares with other sessions
-	Tokens  int    // of the prompt
-	Prefix  int    // of the shared beginning
-	Most    int    // of the answer
-	Left    time.Duration
-	Again   bool // the client asked before
-	Rest    bool // it asks for the rest of a stream that broke
+type Request struct {
+	ID           string
+	Class        string
+	Tenant       string
+	Session      string
+	PrefixID     string // the beginning that the prompt shares with other sessions
+	PromptTokens int    // of the prompt
+	PrefixTokens int    // of the shared beginning
+	MaxTokens    int    // of the answer
+	Timeout      time.Duration
+	Retried      bool // the client asked before
+	Resumed      bool // it asks for the rest of a stream that broke
 }
 
 // Refusal is why a request is no question.
-type Refusal struct {
+type RequestError struct {
 	Status int
-	Why    string
+	Reason string
 }
 
-func (r *Refusal) Error() string { return r.Why }
+func (r *RequestError) Error() string { return r.Reason }
 
-func bad(why string) *Refusal { return &Refusal{http.StatusBadRequest, why} }
+func badRequest(why string) *RequestError { return &RequestError{http.StatusBadRequest, why} }
 
 // Read takes a request's head for a question.
-func Read(r *http.Request) (Ask, *Refusal) {
-	var a Ask
+func ParseRequest(r *http.Request) (Request, *RequestError) {
+	var a Request
 	switch {
 	case r.ContentLength < 0 && !slices.Equal(r.TransferEncoding, []string{"chunked"}):
-		return a, &Refusal{http.StatusLengthRequired, "length"}
-	case r.URL.Path != Path:
-		return a, &Refusal{http.StatusNotFound, "path"}
+		return a, &RequestError{http.StatusLengthRequired, "length"}
+	case r.URL.Path != CompletionsPath:
+		return a, &RequestError{http.StatusNotFound, "path"}
 	case r.Method != http.MethodPost:
-		return a, &Refusal{http.StatusMethodNotAllowed, "method"}
-	case r.ContentLength > BodyMost:
-		return a, &Refusal{http.StatusRequestEntityTooLarge, "body"}
+		return a, &RequestError{http.StatusMethodNotAllowed, "method"}
+	case r.ContentLength > MaxBodyBytes:
+		return a, &RequestError{http.StatusRequestEntityTooLarge, "body"}
 	}
 	for _, f := range []struct {
 		name string
 		into *string
 	}{
-		{"X-Request-Id", &a.ID}, {"X-Priority-Class", &a.Grade}, {"X-Tenant-Id", &a.Channel}, {"X-Route-Key", &a.Session},
+		{"X-Request-Id", &a.ID}, {"X-Priority-Class", &a.Class}, {"X-Tenant-Id", &a.Tenant}, {"X-Route-Key", &a.Session},
 	} {
 		v := r.Header[f.name]
-		if len(v) > 1 || len(v) == 1 && len(v[0]) > idMost {
-			return a, bad(f.name)
+		if len(v) > 1 || len(v) == 1 && len(v[0]) > maxIDBytes {
+			return a, badRequest(f.name)
 		}
 		if len(v) == 1 {
 			*f.into = v[0]
 		}
 	}
-	if !plain(a.ID) {
-		return a, bad("id")
+	if !validID(a.ID) {
+		return a, badRequest("id")
 	}
 	ms, err := strconv.ParseInt(r.Header.Get("X-Timeout-Ms"), 10, 64)
-	if err != nil || ms <= 0 || ms > leftMost.Milliseconds() || len(r.Header["X-Timeout-Ms"]) > 1 {
-		return a, bad("timeout")
+	if err != nil || ms <= 0 || ms > maxTimeout.Milliseconds() || len(r.Header["X-Timeout-Ms"]) > 1 {
+		return a, badRequest("timeout")
 	}
-	a.Left = time.Duration(ms) * time.Millisecond
-	a.Again, a.Rest = r.Header.Get("X-Retried") == "1", r.Header.Get("X-Retried") == "again"
-	a.Tokens = tokensOf(max(r.ContentLength, 0))
-	return a, a.lengths(r.Header.Get("X-Attrs"))
+	a.Timeout = time.Duration(ms) * time.Millisecond
+	a.Retried, a.Resumed = r.Header.Get("X-Retried") == "1", r.Header.Get("X-Retried") == "again"
+	a.PromptTokens = estimateTokens(max(r.ContentLength, 0))
+	return a, a.parseAttrs(r.Header.Get("X-Attrs"))
 }
 
 // tokensOf is how many tokens so many bytes of text are about.
-func tokensOf(bytes int64) int { return int(bytes+toEach-1) / toEach }
+func estimateTokens(bytes int64) int { return int(bytes+bytesPerToken-1) / bytesPerToken }
 
 // Sized takes the length of a body that came in chunks, where the head did not say how many tokens it has.
-func (a *Ask) Sized(bytes int) {
-	if a.Tokens == 0 {
-		a.Tokens = tokensOf(int64(bytes))
+func (a *Request) SetBodyBytes(bytes int) {
+	if a.PromptTokens == 0 {
+		a.PromptTokens = estimateTokens(int64(bytes))
 	}
 }
 
 // plain tells whether an id can stand in a path.
-func plain(id string) bool {
+func validID(id string) bool {
 	for _, c := range []byte(id) {
 		if !(c >= '0' && c <= '9' || c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c == '-' || c == '_' || c == '.') {
 			return false
@@ -116,32 +116,32 @@
 }
 
 // lengths reads the list of attributes; those it does not know are left alone.
-func (a *Ask) lengths(attrs string) *Refusal {
+func (a *Request) parseAttrs(attrs string) *RequestError {
 	for attrs != "" {
 		var part string
 		part, attrs, _ = strings.Cut(attrs, ",")
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		into := map[string]*int{"prompt_len": &a.Tokens, "prefix_len": &a.Prefix, "max_out": &a.Most}[name]
+		into := map[string]*int{"prompt_len": &a.PromptTokens, "prefix_len": &a.PrefixTokens, "max_out": &a.MaxTokens}[name]
 		switch {
 		case name == "prefix":
-			if a.Shared = value; len(value) > idMost {
-				return bad("attrs")
+			if a.PrefixID = value; len(value) > maxIDBytes {
+				return badRequest("attrs")
 			}
 		case into != nil:
 			n, err := strconv.ParseFloat(value, 64)
-			if err != nil || !(n >= 0 && n <= tokensMost) {
-				return bad("attrs")
+			if err != nil || !(n >= 0 && n <= maxTokens) {
+				return badRequest("attrs")
 			}
 			*into = int(math.Round(n))
 		}
 	}
-	a.Prefix = min(a.Prefix, a.Tokens)
+	a.PrefixTokens = min(a.PrefixTokens, a.PromptTokens)
 	return nil
 }
 
 // ownHeaders are those of a request to a backend that are not the client's: what belongs to one connection only, and what is stated
 // anew for each attempt.
-var ownHeaders = map[string]bool{
+var perAttemptHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true, "Proxy-Connection": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Host": true,
 	"Content-Length": true, "X-Request-Id": true, "X-Timeout-Ms": true,
@@ -150,13 +150,13 @@
 // Errand is the head of a request to a box: a question goes on with its method, target, id, body and all other headers unchanged, as
 // a client may state more than this program knows of, such as the key by which a box knows a repeat. length is that of
 // the body, which may have come in chunks; wait is how long the trip is waited for.
-func Errand(r *http.Request, service string, a Ask, length int, wait time.Duration) []byte {
+func AttemptHead(r *http.Request, service string, a Request, length int, wait time.Duration) []byte {
 	head := make([]byte, 0, 512)
 	head = fmt.Appendf(head, "POST %s HTTP/1.1\r\nHost: %s\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\nContent-Length: %d\r\n", r.RequestURI, service, a.ID,
 		max(wait.Milliseconds(), 1), length)
 	named := connectionHeaders(r.Header)
 	for _, name := range slices.Sorted(maps.Keys(r.Header)) {
-		if ownHeaders[name] || named[name] {
+		if perAttemptHeaders[name] || named[name] {
 			continue
 		}
 		for _, value := range r.Header[name] {
@@ -178,6 +178,6 @@
 }
 
 // LetGo is the call that has any box release all that is held for a question.
-func LetGo(service, id string) []byte {
+func ReleaseRequest(service, id string) []byte {
 	return fmt.Appendf(nil, "DELETE /v1/holds/%s HTTP/1.1\r\nHost: %s\r\n\r\n", id, service)
 }
--- a/internal/day/backends.go
+++ b/internal/day/backends.go
@@ -26,21 +26,21 @@
 	var specs []BackendSpec
 	next := map[string]int{} // by kind
 	for _, group := range d.Backends {
-		kind := d.Kinds[d.KindNumber(group.Kind)]
+		kind := d.BackendKinds[d.KindIndex(group.Kind)]
 		e := group.Engine
 		// The defaults have the published orders of magnitude for 70B-class models on one server of eight accelerators:
 		// a decode step of 10 to 25 ms, blocks of 16 to 64 tokens, chunks of 512 to 8,192 tokens.
 		engineSpec := engine.Make{
 			Reads: kind.Role != "writer", Writes: kind.Role != "reader", Slots: group.Slots, Queue: group.Queue,
 			BlockTokens: cmp.Or(e.BlockTokens, 32), Chunk: cmp.Or(e.ChunkTokens, 2048),
-			Step:        cmp.Or(e.StepTime.D(), group.TokenTime.D()),
-			PerAnswer:   cmp.Or(e.StepPerAnswer.D(), 150*time.Microsecond),
-			PerContextK: cmp.Or(e.StepPer1000Context.D(), 40*time.Microsecond),
-			PairsPerM:   cmp.Or(e.StepPerMillionPairs.D(), 800*time.Microsecond), ReadPerS: group.PrefillTokensPerSecond,
-			StateLife: kvCacheLifetime, ColdShare: d.Rules.ColdShare, ColdRamp: d.Rules.ColdRamp.D(),
-			Load: e.ModelLoadTime.D(),
+			Step:        cmp.Or(e.StepTime.Std(), group.TokenTime.Std()),
+			PerAnswer:   cmp.Or(e.StepPerAnswer.Std(), 150*time.Microsecond),
+			PerContextK: cmp.Or(e.StepPer1000Context.Std(), 40*time.Microsecond),
+			PairsPerM:   cmp.Or(e.StepPerMillionPairs.Std(), 800*time.Microsecond), ReadPerS: group.PrefillTokensPerSecond,
+			StateLife: kvCacheLifetime, ColdShare: d.Rules.SlowStartShare, ColdRamp: d.Rules.SlowStartRamp.Std(),
+			Load: e.ModelLoadTime.Std(),
 		}
-		engineSpec.Blocks = max(kind.Memory/engineSpec.BlockTokens, 1)
+		engineSpec.Blocks = max(kind.MemoryTokens/engineSpec.BlockTokens, 1)
 		for range group.Count {
 			i := next[group.Kind]
 			next[group.Kind]++
@@ -63,11 +63,11 @@
 }
 
 // RequestShape returns the token counts of a class's requests.
-func (d *Scenario) RequestShape(class string) standin.Talk {
+func (d *Scenario) RequestShape(class string) standin.ClassProfile {
 	for _, t := range d.Traffic {
 		if t.Class == class {
-			return standin.Talk{New: t.NewTokens, Answer: t.AnswerTokens, Prefix: t.SharedPrefixTokens}
+			return standin.ClassProfile{NewTokens: t.NewTokens, AnswerTokens: t.AnswerTokens, PrefixTokens: t.SharedPrefixTokens}
 		}
 	}
-	return standin.Talk{New: 1, Answer: 1}
+	return standin.ClassProfile{NewTokens: 1, AnswerTokens: 1}
 }
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -26,24 +26,24 @@
 	Backends  []BackendGroup `toml:"box"`
 	Traffic   []Traffic      `toml:"traffic"`
 	Faults    []Fault        `toml:"trouble,omitempty"`
-	setup.Terms
+	setup.Deployment
 }
 
 // Header has the length and the size of a scenario.
 type Header struct {
-	Name              string     `toml:"name"`
-	Duration          setup.Span `toml:"length"`
-	Seed              uint64     `toml:"seed"`
-	Dispatchers       int        `toml:"dispatchers"`
-	RequestsPerSecond float64    `toml:"questions_a_second"`
-	DeadlineMargin    setup.Span `toml:"margin"` // by how much dispatchers answer before a client's deadline
-	Ledger            bool       `toml:"ledger"` // dispatchers keep ledgers, which must equal what the backends counted
+	Name              string         `toml:"name"`
+	Duration          setup.Duration `toml:"length"`
+	Seed              uint64         `toml:"seed"`
+	Dispatchers       int            `toml:"dispatchers"`
+	RequestsPerSecond float64        `toml:"questions_a_second"`
+	DeadlineMargin    setup.Duration `toml:"margin"` // by how much dispatchers answer before a client's deadline
+	Ledger            bool           `toml:"ledger"` // dispatchers keep ledgers, which must equal what the backends counted
 
 	// SplitBudgets gives each dispatcher an equal part of each budget, for comparison. In virtual time only.
 	SplitBudgets bool `toml:"split_budgets,omitempty"`
 
 	// LoadBalancerNotice is how long the load balancer goes on sending to a dispatcher that was killed.
-	LoadBalancerNotice setup.Span `toml:"front_notice"`
+	LoadBalancerNotice setup.Duration `toml:"front_notice"`
 }
 
 // Links are the links that carry KV caches from prefill to decode.
@@ -55,44 +55,44 @@
 
 // Discovery has the delays of service discovery.
 type Discovery struct {
-	NoticeDelay        setup.Span `toml:"notice"`      // for starts and drains
-	FailureNoticeDelay setup.Span `toml:"gone_notice"` // for processes that died
+	NoticeDelay        setup.Duration `toml:"notice"`      // for starts and drains
+	FailureNoticeDelay setup.Duration `toml:"gone_notice"` // for processes that died
 }
 
 // Clients describes the behaviour of clients.
 type Clients struct {
-	Retries           int        `toml:"retries"`
-	RetryWait         setup.Span `toml:"wait"`
-	WaitDoubles       bool       `toml:"wait_doubles"`
-	FollowAdviceShare float64    `toml:"honour"` // share that follows the retry advice
-	PatienceMin       float64    `toml:"patience_min"`
-	PatienceMax       float64    `toml:"patience_max"` // of the time to the deadline, after which a try is given up
+	Retries           int            `toml:"retries"`
+	RetryWait         setup.Duration `toml:"wait"`
+	WaitDoubles       bool           `toml:"wait_doubles"`
+	FollowAdviceShare float64        `toml:"honour"` // share that follows the retry advice
+	PatienceMin       float64        `toml:"patience_min"`
+	PatienceMax       float64        `toml:"patience_max"` // of the time to the deadline, after which a try is given up
 }
 
 // BackendGroup is a number of backends of one kind and configuration.
 type BackendGroup struct {
-	Kind                   string     `toml:"kind"`
-	Count                  int        `toml:"count"`
-	Racks                  []string   `toml:"racks"` // assigned in turn
-	Zones                  []string   `toml:"zones,omitempty"`
-	Slots                  int        `toml:"slots"`
-	Queue                  int        `toml:"queue"`
-	PrefillTokensPerSecond float64    `toml:"read_tokens_a_second"`
-	TokenTime              setup.Span `toml:"token_time"`
-	Units                  float64    `toml:"units"`
-	Addresses              []string   `toml:"addresses,omitempty"` // networks in order: tcp4, tcp6, unix; default one tcp4
-	Engine                 Engine     `toml:"engine,omitempty"`
+	Kind                   string         `toml:"kind"`
+	Count                  int            `toml:"count"`
+	Racks                  []string       `toml:"racks"` // assigned in turn
+	Zones                  []string       `toml:"zones,omitempty"`
+	Slots                  int            `toml:"slots"`
+	Queue                  int            `toml:"queue"`
+	PrefillTokensPerSecond float64        `toml:"read_tokens_a_second"`
+	TokenTime              setup.Duration `toml:"token_time"`
+	Units                  float64        `toml:"units"`
+	Addresses              []string       `toml:"addresses,omitempty"` // networks in order: tcp4, tcp6, unix; default one tcp4
+	Engine                 Engine         `toml:"engine,omitempty"`
 }
 
 // Engine configures the emulated engine of backends, where a scenario uses one. Omitted keys have the default value.
 type Engine struct {
-	BlockTokens         int        `toml:"block_tokens,omitempty"`     // tokens in a block of memory; default 32
-	ChunkTokens         int        `toml:"chunk_tokens,omitempty"`     // most prompt tokens in one step; default 2048
-	StepTime            setup.Span `toml:"step,omitempty"`             // of a step without load; default token_time
-	StepPerAnswer       setup.Span `toml:"step_per_answer,omitempty"`  // for each running answer; default 0.15 ms
-	StepPer1000Context  setup.Span `toml:"step_per_1000,omitempty"`    // for 1,000 tokens of context; default 0.04 ms
-	StepPerMillionPairs setup.Span `toml:"step_per_m_pairs,omitempty"` // for 1e6 pairs of prefill tokens; default 0.8 ms
-	ModelLoadTime       setup.Span `toml:"model_load,omitempty"`       // before the first step of a cold start; default 0
+	BlockTokens         int            `toml:"block_tokens,omitempty"`     // tokens in a block of memory; default 32
+	ChunkTokens         int            `toml:"chunk_tokens,omitempty"`     // most prompt tokens in one step; default 2048
+	StepTime            setup.Duration `toml:"step,omitempty"`             // of a step without load; default token_time
+	StepPerAnswer       setup.Duration `toml:"step_per_answer,omitempty"`  // for each running answer; default 0.15 ms
+	StepPer1000Context  setup.Duration `toml:"step_per_1000,omitempty"`    // for 1,000 tokens of context; default 0.04 ms
+	StepPerMillionPairs setup.Duration `toml:"step_per_m_pairs,omitempty"` // for 1e6 pairs of prefill tokens; default 0.8 ms
+	ModelLoadTime       setup.Duration `toml:"model_load,omitempty"`       // before the first step of a cold start; default 0
 }
 
 // Traffic describes the requests of one class.
@@ -109,19 +109,19 @@
 
 // Fault is a fault that is injected for a while.
 type Fault struct {
-	Kind        string     `toml:"kind"`
-	Start       setup.Span `toml:"at"`
-	Duration    setup.Span `toml:"length,omitempty"`
-	Backends    []string   `toml:"boxes,omitempty"` // names, or kinds for all backends of a kind
-	Dispatchers []int      `toml:"dispatchers,omitempty"`
-	Factor      float64    `toml:"size,omitempty"`
-	Share       float64    `toml:"share,omitempty"`
-	Class       string     `toml:"grade,omitempty"`
-	Tenant      string     `toml:"channel,omitempty"`
-	Delay       setup.Span `toml:"by,omitempty"`
-	Tokens      int        `toml:"tokens,omitempty"`
-	Addresses   []int      `toml:"addresses,omitempty"` // of each backend hit, by number from 0
-	Bytes       int        `toml:"bytes,omitempty"`
+	Kind        string         `toml:"kind"`
+	Start       setup.Duration `toml:"at"`
+	Duration    setup.Duration `toml:"length,omitempty"`
+	Backends    []string       `toml:"boxes,omitempty"` // names, or kinds for all backends of a kind
+	Dispatchers []int          `toml:"dispatchers,omitempty"`
+	Factor      float64        `toml:"size,omitempty"`
+	Share       float64        `toml:"share,omitempty"`
+	Class       string         `toml:"grade,omitempty"`
+	Tenant      string         `toml:"channel,omitempty"`
+	Delay       setup.Duration `toml:"by,omitempty"`
+	Tokens      int            `toml:"tokens,omitempty"`
+	Addresses   []int          `toml:"addresses,omitempty"` // of each backend hit, by number from 0
+	Bytes       int            `toml:"bytes,omitempty"`
 }
 
 // faultKind describes a kind of fault and the keys that it requires.
@@ -184,13 +184,13 @@
 // Default returns the values that a script's file changes.
 func Default() Scenario {
 	return Scenario{
-		Terms: setup.DefaultTerms(),
-		Header: Header{Name: "day", Duration: setup.Span(20 * time.Second), Seed: 1, Dispatchers: 2, RequestsPerSecond: 20,
-			DeadlineMargin: setup.Span(40 * time.Millisecond), LoadBalancerNotice: setup.Span(time.Second)},
+		Deployment: setup.DefaultDeployment(),
+		Header: Header{Name: "day", Duration: setup.Duration(20 * time.Second), Seed: 1, Dispatchers: 2, RequestsPerSecond: 20,
+			DeadlineMargin: setup.Duration(40 * time.Millisecond), LoadBalancerNotice: setup.Duration(time.Second)},
 		Links: Links{NearTokensPerSecond: 250_000, FarTokensPerSecond: 400_000, CrossZoneFactor: 2},
-		Discovery: Discovery{NoticeDelay: setup.Span(500 * time.Millisecond),
-			FailureNoticeDelay: setup.Span(2 * time.Second)},
-		Clients: Clients{Retries: 1, RetryWait: setup.Span(100 * time.Millisecond), FollowAdviceShare: 0.7,
+		Discovery: Discovery{NoticeDelay: setup.Duration(500 * time.Millisecond),
+			FailureNoticeDelay: setup.Duration(2 * time.Second)},
+		Clients: Clients{Retries: 1, RetryWait: setup.Duration(100 * time.Millisecond), FollowAdviceShare: 0.7,
 			PatienceMin: 0.5, PatienceMax: 1},
 	}
 }
@@ -221,94 +221,94 @@
 )
 
 // inRange reports whether a value is above 0 and at most the largest that is accepted. It is false for NaN.
-func inRange(v float64) bool { return v > 0 && v <= setup.MostFigure }
+func inRange(v float64) bool { return v > 0 && v <= setup.MaxNumber }
 
 func (d *Scenario) check() error {
 	h := d.Header
 	switch {
-	case h.Duration <= 0 || h.Duration.D() > maxDuration:
-		return setup.Wrong("day.length", "must be above 0 and at most %v", maxDuration)
+	case h.Duration <= 0 || h.Duration.Std() > maxDuration:
+		return setup.Invalidf("day.length", "must be above 0 and at most %v", maxDuration)
 	case h.Dispatchers < 1 || h.Dispatchers > maxDispatchers:
-		return setup.Wrong("day.dispatchers", "must be from 1 to %d", maxDispatchers)
-	case !(h.RequestsPerSecond > 0 && h.RequestsPerSecond*h.Duration.D().Seconds() <= maxRequests):
-		return setup.Wrong("day.questions_a_second", "must be above 0 and come to at most %d requests", maxRequests)
+		return setup.Invalidf("day.dispatchers", "must be from 1 to %d", maxDispatchers)
+	case !(h.RequestsPerSecond > 0 && h.RequestsPerSecond*h.Duration.Std().Seconds() <= maxRequests):
+		return setup.Invalidf("day.questions_a_second", "must be above 0 and come to at most %d requests", maxRequests)
 	case !(inRange(d.Links.NearTokensPerSecond) && inRange(d.Links.FarTokensPerSecond)):
-		return setup.Wrong("links", "must be above 0 and at most %g", float64(setup.MostFigure))
-	case d.Discovery.NoticeDelay.D() > maxDuration || d.Discovery.FailureNoticeDelay.D() > maxDuration:
-		return setup.Wrong("list", "must be at most %v", maxDuration)
+		return setup.Invalidf("links", "must be above 0 and at most %g", float64(setup.MaxNumber))
+	case d.Discovery.NoticeDelay.Std() > maxDuration || d.Discovery.FailureNoticeDelay.Std() > maxDuration:
+		return setup.Invalidf("list", "must be at most %v", maxDuration)
 	case !(d.Clients.PatienceMin > 0 && d.Clients.PatienceMin <= d.Clients.PatienceMax):
-		return setup.Wrong("clients.patience_min", "must be above 0 and not above patience_max")
+		return setup.Invalidf("clients.patience_min", "must be above 0 and not above patience_max")
 	case d.Clients.PatienceMax > 100:
-		return setup.Wrong("clients.patience_max", "must be at most 100")
+		return setup.Invalidf("clients.patience_max", "must be at most 100")
 	case d.Clients.Retries < 0 || d.Clients.Retries > 50:
-		return setup.Wrong("clients.retries", "must be from 0 to 50")
+		return setup.Invalidf("clients.retries", "must be from 0 to 50")
 	case len(d.Traffic) == 0:
-		return setup.Wrong("traffic", "must have at least one entry")
+		return setup.Invalidf("traffic", "must have at least one entry")
 	}
-	if err := setup.FirstOf(
-		setup.Figure("links.other_zone_times", d.Links.CrossZoneFactor, setup.MostFigure),
-		setup.Figure("clients.honour", d.Clients.FollowAdviceShare, 1), d.Terms.Check(),
+	if err := setup.FirstError(
+		setup.CheckNumber("links.other_zone_times", d.Links.CrossZoneFactor, setup.MaxNumber),
+		setup.CheckNumber("clients.honour", d.Clients.FollowAdviceShare, 1), d.Deployment.Check(),
 	); err != nil {
 		return err
 	}
 	for i, b := range d.Budgets {
 		if b.Monthly != nil && !h.Ledger && !h.SplitBudgets {
-			return setup.Wrong(fmt.Sprintf("budget.%d.monthly", i), "needs day.ledger")
+			return setup.Invalidf(fmt.Sprintf("budget.%d.monthly", i), "needs day.ledger")
 		}
 	}
 	total := 0
 	for i, b := range d.Backends {
 		key := fmt.Sprintf("box.%d.", i)
 		switch {
-		case d.KindNumber(b.Kind) < 0:
-			return setup.Wrong(key+"kind", "%q is not among the kinds", b.Kind)
+		case d.KindIndex(b.Kind) < 0:
+			return setup.Invalidf(key+"kind", "%q is not among the kinds", b.Kind)
 		case b.Count < 1:
-			return setup.Wrong(key+"count", "must be at least 1")
+			return setup.Invalidf(key+"count", "must be at least 1")
 		case len(b.Racks) == 0:
-			return setup.Wrong(key+"racks", "must name at least one rack")
+			return setup.Invalidf(key+"racks", "must name at least one rack")
 		case b.Slots < 1 || b.Queue < 0 || max(b.Slots, b.Queue) > maxSlots:
-			return setup.Wrong(key+"slots", "slots must be at least 1, queue not negative, and both at most %d", maxSlots)
+			return setup.Invalidf(key+"slots", "slots must be at least 1, queue not negative, and both at most %d", maxSlots)
 		case !inRange(b.PrefillTokensPerSecond):
-			return setup.Wrong(key+"read_tokens_a_second", "must be above 0 and at most %g", float64(setup.MostFigure))
+			return setup.Invalidf(key+"read_tokens_a_second", "must be above 0 and at most %g", float64(setup.MaxNumber))
 		case b.TokenTime <= 0:
-			return setup.Wrong(key+"token_time", "must be above 0")
+			return setup.Invalidf(key+"token_time", "must be above 0")
 		}
-		if err := setup.Figure(key+"units", b.Units, boxlist.MostUnits); err != nil {
+		if err := setup.CheckNumber(key+"units", b.Units, boxlist.MaxUnits); err != nil {
 			return err
 		}
 		for _, network := range b.Addresses {
 			if network != addresses.TCP4 && network != addresses.TCP6 && network != addresses.Unix {
-				return setup.Wrong(key+"addresses", "%q is none of tcp4, tcp6 and unix", network)
+				return setup.Invalidf(key+"addresses", "%q is none of tcp4, tcp6 and unix", network)
 			}
 		}
 		for _, z := range b.Zones {
-			if d.ZoneNumber(z) < 0 {
-				return setup.Wrong(key+"zones", "%q is not among the zones", z)
+			if d.ZoneIndex(z) < 0 {
+				return setup.Invalidf(key+"zones", "%q is not among the zones", z)
 			}
 		}
 		total += b.Count
 	}
 	if total == 0 || total > maxBackends {
-		return setup.Wrong("box", "the number of backends must be from 1 to %d, but is %d", maxBackends, total)
+		return setup.Invalidf("box", "the number of backends must be from 1 to %d, but is %d", maxBackends, total)
 	}
 	for i, t := range d.Traffic {
 		key := fmt.Sprintf("traffic.%d.", i)
 		switch {
-		case d.GradeNumber(t.Class) < 0:
-			return setup.Wrong(key+"grade", "%q is not among the classes", t.Class)
-		case !(t.NewTokens > 0 && t.NewTokens <= kserve.MostTokens):
-			return setup.Wrong(key+"new_tokens", "must be above 0 and at most %d", kserve.MostTokens)
-		case !(t.AnswerTokens > 0 && t.AnswerTokens <= kserve.MostTokens):
-			return setup.Wrong(key+"answer_tokens", "must be above 0 and at most %d", kserve.MostTokens)
+		case d.ClassIndex(t.Class) < 0:
+			return setup.Invalidf(key+"grade", "%q is not among the classes", t.Class)
+		case !(t.NewTokens > 0 && t.NewTokens <= kserve.MaxTokens):
+			return setup.Invalidf(key+"new_tokens", "must be above 0 and at most %d", kserve.MaxTokens)
+		case !(t.AnswerTokens > 0 && t.AnswerTokens <= kserve.MaxTokens):
+			return setup.Invalidf(key+"answer_tokens", "must be above 0 and at most %d", kserve.MaxTokens)
 		case !(t.Turns >= 1 && t.Turns <= 1000):
-			return setup.Wrong(key+"turns", "must be from 1 to 1000")
+			return setup.Invalidf(key+"turns", "must be from 1 to 1000")
 		case t.SharedPrefixShare > 0 && (t.SharedPrefixes < 1 || t.SharedPrefixTokens < 1),
-			t.SharedPrefixes > maxRequests || t.SharedPrefixTokens > kserve.MostTokens:
-			return setup.Wrong(key+"beginnings", "shared prefixes need beginnings from 1 to %d and shared_tokens from 1 to %d",
-				maxRequests, kserve.MostTokens)
+			t.SharedPrefixes > maxRequests || t.SharedPrefixTokens > kserve.MaxTokens:
+			return setup.Invalidf(key+"beginnings", "shared prefixes need beginnings from 1 to %d and shared_tokens from 1 to %d",
+				maxRequests, kserve.MaxTokens)
 		}
-		if err := setup.FirstOf(setup.Figure(key+"share", t.Share, setup.MostFigure),
-			setup.Figure(key+"shared", t.SharedPrefixShare, 1)); err != nil {
+		if err := setup.FirstError(setup.CheckNumber(key+"share", t.Share, setup.MaxNumber),
+			setup.CheckNumber(key+"shared", t.SharedPrefixShare, 1)); err != nil {
 			return err
 		}
 	}
@@ -317,37 +317,37 @@
 		key := fmt.Sprintf("trouble.%d.", i)
 		k := slices.IndexFunc(FaultKinds, func(k faultKind) bool { return k.Name == f.Kind })
 		if k < 0 {
-			return setup.Wrong(key+"kind", "%q is unknown; see day kinds", f.Kind)
+			return setup.Invalidf(key+"kind", "%q is unknown; see day kinds", f.Kind)
 		}
 		for _, required := range FaultKinds[k].RequiredKeys {
 			missing := map[string]bool{"boxes": len(f.Backends) == 0, "size": !(f.Factor > 0 && f.Factor <= maxFactor),
-				"share": !(f.Share > 0 && f.Share <= 1), "grade": d.GradeNumber(f.Class) < 0,
+				"share": !(f.Share > 0 && f.Share <= 1), "grade": d.ClassIndex(f.Class) < 0,
 				"by": f.Delay <= 0, "dispatchers": len(f.Dispatchers) == 0, "tokens": f.Tokens <= 0,
 				"addresses": len(f.Addresses) == 0, "bytes": f.Bytes <= 0}
 			if missing[required] {
-				return setup.Wrong(key+required, "missing or out of range, but %s requires it: %s", f.Kind,
+				return setup.Invalidf(key+required, "missing or out of range, but %s requires it: %s", f.Kind,
 					FaultKinds[k].Description)
 			}
 		}
-		if f.Tenant != "" && d.ChannelNumber(f.Tenant) < 0 {
-			return setup.Wrong(key+"channel", "%q is not among the tenants", f.Tenant)
+		if f.Tenant != "" && d.TenantIndex(f.Tenant) < 0 {
+			return setup.Invalidf(key+"channel", "%q is not among the tenants", f.Tenant)
 		}
 		for _, b := range f.Backends {
 			if !slices.ContainsFunc(names, func(n string) bool { return n == b || isOfKind(n, b) }) {
-				return setup.Wrong(key+"boxes", "%q is no backend and no kind of this scenario", b)
+				return setup.Invalidf(key+"boxes", "%q is no backend and no kind of this scenario", b)
 			}
 		}
 		for _, n := range f.Addresses {
 			for _, b := range d.Backends {
 				if n < 0 || n >= max(len(b.Addresses), 1) &&
 					slices.ContainsFunc(f.Backends, func(name string) bool { return name == b.Kind || isOfKind(name, b.Kind) }) {
-					return setup.Wrong(key+"addresses", "a backend of kind %s has no address %d", b.Kind, n)
+					return setup.Invalidf(key+"addresses", "a backend of kind %s has no address %d", b.Kind, n)
 				}
 			}
 		}
 		for _, n := range f.Dispatchers {
 			if n < 0 || n >= h.Dispatchers {
-				return setup.Wrong(key+"dispatchers", "there is no dispatcher %d; there are %d", n, h.Dispatchers)
+				return setup.Invalidf(key+"dispatchers", "there is no dispatcher %d; there are %d", n, h.Dispatchers)
 			}
 		}
 	}
--- a/internal/day/faults.go
+++ b/internal/day/faults.go
@@ -14,8 +14,8 @@
 )
 
 // hitBackends lists the backends that a fault names, in the order of the scenario.
-func (r *runner) hitBackends(f Fault) []*standin.Box {
-	var hit []*standin.Box
+func (r *runner) hitBackends(f Fault) []*standin.Backend {
+	var hit []*standin.Backend
 	for _, name := range r.scenario.names() {
 		if slices.ContainsFunc(f.Backends, func(b string) bool { return b == name || isOfKind(name, b) }) {
 			hit = append(hit, r.backends[name])
@@ -29,50 +29,50 @@
 func (r *runner) inject(ctx context.Context, fault Fault, wait func(time.Duration) bool) error {
 	r.recorder.Record(record.Event{Kind: record.Note, Detail: fault.Kind + " begins"})
 	r.printf("        %s begins", fault.Kind)
-	hit, duration := r.hitBackends(fault), fault.Duration.D()
+	hit, duration := r.hitBackends(fault), fault.Duration.Std()
 	setFaults := func(change func(*standin.Faults)) {
 		for _, b := range hit {
-			b.Do(change)
+			b.UpdateFaults(change)
 		}
 	}
 	var err error
 	switch fault.Kind {
 	case "slow":
-		setFaults(func(f *standin.Faults) { f.Slow = fault.Factor })
+		setFaults(func(f *standin.Faults) { f.SlowFactor = fault.Factor })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.Slow = 0 })
+		setFaults(func(f *standin.Faults) { f.SlowFactor = 0 })
 	case "failing", "grade_failing":
-		setFaults(func(f *standin.Faults) { f.Fail, f.FailGrade = fault.Share, fault.Class })
+		setFaults(func(f *standin.Faults) { f.ErrorShare, f.ErrorClass = fault.Share, fault.Class })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.Fail = 0 })
+		setFaults(func(f *standin.Faults) { f.ErrorShare = 0 })
 	case "hang":
 		setFaults(func(f *standin.Faults) { f.Hang = true })
 		wait(duration)
 		setFaults(func(f *standin.Faults) { f.Hang = false })
 	case "reset":
-		setFaults(func(f *standin.Faults) { f.Reset = fault.Share })
+		setFaults(func(f *standin.Faults) { f.ResetShare = fault.Share })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.Reset = 0 })
+		setFaults(func(f *standin.Faults) { f.ResetShare = 0 })
 	case "reset_running":
-		setFaults(func(f *standin.Faults) { f.ResetAtOnce = fault.Share })
+		setFaults(func(f *standin.Faults) { f.EarlyResetShare = fault.Share })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.ResetAtOnce = 0 })
+		setFaults(func(f *standin.Faults) { f.EarlyResetShare = 0 })
 	case "no_cancel":
-		setFaults(func(f *standin.Faults) { f.Ignore = true })
+		setFaults(func(f *standin.Faults) { f.IgnoreCancel = true })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.Ignore = false })
+		setFaults(func(f *standin.Faults) { f.IgnoreCancel = false })
 	case "neighbour":
-		setFaults(func(f *standin.Faults) { f.Neighbour = fault.Share })
+		setFaults(func(f *standin.Faults) { f.NeighbourShare = fault.Share })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.Neighbour = 0 })
+		setFaults(func(f *standin.Faults) { f.NeighbourShare = 0 })
 	case "evict_fresh":
-		setFaults(func(f *standin.Faults) { f.EvictFresh = true })
+		setFaults(func(f *standin.Faults) { f.EvictFetched = true })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.EvictFresh = false })
+		setFaults(func(f *standin.Faults) { f.EvictFetched = false })
 	case "ageing":
-		setFaults(func(f *standin.Faults) { f.AgeBy = fault.Share })
+		setFaults(func(f *standin.Faults) { f.AgingRate = fault.Share })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.AgeBy = 0 })
+		setFaults(func(f *standin.Faults) { f.AgingRate = 0 })
 		for _, b := range hit {
 			r.crash(b, "aged", time.Hour)
 		}
@@ -80,7 +80,7 @@
 		err = r.restartBackends(hit)
 	case "forget":
 		for _, b := range hit {
-			b.Forget()
+			b.DropCache()
 		}
 	case "crash":
 		for _, b := range hit {
@@ -89,7 +89,7 @@
 		wait(duration)
 		err = r.restartBackends(hit)
 	case "crash_after_read":
-		setFaults(func(f *standin.Faults) { f.CrashAfterRead = fault.Share })
+		setFaults(func(f *standin.Faults) { f.CrashAfterPrefillShare = fault.Share })
 		err = r.restartCrashing(hit, duration, wait)
 	case "restart":
 		for _, b := range hit {
@@ -98,29 +98,29 @@
 		err = r.restartBackends(hit)
 	case "drain":
 		for _, b := range hit {
-			r.discovery.Publish(b, boxlist.Draining, r.scenario.Discovery.NoticeDelay.D())
+			r.discovery.Publish(b, boxlist.Draining, r.scenario.Discovery.NoticeDelay.Std())
 		}
 		wait(duration)
 		for _, b := range hit {
 			b.Kill("drained")
-			r.discovery.Publish(b, boxlist.Gone, r.scenario.Discovery.NoticeDelay.D())
+			r.discovery.Publish(b, boxlist.Removed, r.scenario.Discovery.NoticeDelay.Std())
 		}
 		wait(duration + time.Second)
 		err = r.restartBackends(hit)
 	case "list_stale":
-		r.discovery.Stale(fault.Delay.D())
+		r.discovery.SetDelay(fault.Delay.Std())
 		wait(duration)
-		r.discovery.Stale(0)
+		r.discovery.SetDelay(0)
 	case "list_gap":
-		r.discovery.Skip()
+		r.discovery.DropNextPush()
 	case "list_down":
-		r.discovery.Shut()
+		r.discovery.Stop()
 		wait(duration)
-		err = r.discovery.Open()
+		err = r.discovery.Start()
 	case "link_slow":
-		r.fleet.SlowLinks(fault.Factor)
+		r.fleet.SetLinkSlowdown(fault.Factor)
 		wait(duration)
-		r.fleet.SlowLinks(1)
+		r.fleet.SetLinkSlowdown(1)
 	case "kill_dispatcher", "stop_dispatcher":
 		err = r.restartDispatchers(ctx, fault, wait)
 	default:
@@ -139,15 +139,15 @@
 }
 
 // crash kills a backend. Service discovery notices after its delay, unless the backend is back before.
-func (r *runner) crash(b *standin.Box, reason string, downtime time.Duration) {
+func (r *runner) crash(b *standin.Backend, reason string, downtime time.Duration) {
 	b.Kill(reason)
-	if delay := r.scenario.Discovery.FailureNoticeDelay.D(); downtime > delay {
-		r.discovery.Publish(b, boxlist.Gone, delay)
+	if delay := r.scenario.Discovery.FailureNoticeDelay.Std(); downtime > delay {
+		r.discovery.Publish(b, boxlist.Removed, delay)
 	}
 }
 
 // restartBackends starts the backends that are down, cold. Service discovery reports them after its delay.
-func (r *runner) restartBackends(backends []*standin.Box) error {
+func (r *runner) restartBackends(backends []*standin.Backend) error {
 	for _, b := range backends {
 		if b.Up() {
 			continue
@@ -155,23 +155,23 @@
 		if err := b.Boot(true); err != nil {
 			return err
 		}
-		r.discovery.Publish(b, boxlist.Ready, r.scenario.Discovery.NoticeDelay.D())
+		r.discovery.Publish(b, boxlist.Ready, r.scenario.Discovery.NoticeDelay.Std())
 	}
 	return nil
 }
 
 // restartCrashing restarts backends that die one by one, each a fixed time after its death.
-func (r *runner) restartCrashing(hit []*standin.Box, duration time.Duration, wait func(time.Duration) bool) error {
+func (r *runner) restartCrashing(hit []*standin.Backend, duration time.Duration, wait func(time.Duration) bool) error {
 	const step = 50 * time.Millisecond
 	const downtime = time.Second
-	downSince := map[*standin.Box]time.Duration{}
+	downSince := map[*standin.Backend]time.Duration{}
 	for elapsed := time.Duration(0); elapsed < duration+downtime+step; elapsed += step {
 		if !wait(elapsed) {
 			return nil
 		}
 		if elapsed >= duration {
 			for _, b := range hit {
-				b.Do(func(f *standin.Faults) { f.CrashAfterRead = 0 })
+				b.UpdateFaults(func(f *standin.Faults) { f.CrashAfterPrefillShare = 0 })
 			}
 		}
 		for _, b := range hit {
@@ -182,7 +182,7 @@
 			case !known:
 				downSince[b] = elapsed
 			case elapsed-since >= downtime:
-				if err := r.restartBackends([]*standin.Box{b}); err != nil {
+				if err := r.restartBackends([]*standin.Backend{b}); err != nil {
 					return err
 				}
 			}
@@ -207,7 +207,7 @@
 		}()
 	}
 	pending.Wait()
-	if !wait(f.Duration.D()) {
+	if !wait(f.Duration.Std()) {
 		return nil
 	}
 	for _, n := range f.Dispatchers {
@@ -219,8 +219,8 @@
 }
 
 // injectAddressFault begins a fault of single addresses of backends, waits, and ends it.
-func (r *runner) injectAddressFault(fault Fault, mode string, hit []*standin.Box, wait func()) error {
-	forEach := func(do func(b *standin.Box, i int) error) error {
+func (r *runner) injectAddressFault(fault Fault, mode string, hit []*standin.Backend, wait func()) error {
+	forEach := func(do func(b *standin.Backend, i int) error) error {
 		var errs []error
 		for _, b := range hit {
 			for _, i := range fault.Addresses {
@@ -230,13 +230,13 @@
 		return errors.Join(errs...)
 	}
 	switch mode {
-	case standin.GateSwapped:
+	case standin.EndpointSwapped:
 		if len(hit) < 2 {
 			return nil
 		}
 		swap := func() {
 			for _, i := range fault.Addresses {
-				hit[0].Gate(i).Swap(hit[1].Gate(i))
+				hit[0].Endpoint(i).Swap(hit[1].Endpoint(i))
 			}
 		}
 		swap()
@@ -245,18 +245,20 @@
 		return nil
 	case "drop":
 		for _, b := range hit {
-			r.discovery.Drop(b, fault.Addresses)
-			r.discovery.Publish(b, boxlist.Ready, r.scenario.Discovery.NoticeDelay.D())
+			r.discovery.OmitAddresses(b, fault.Addresses)
+			r.discovery.Publish(b, boxlist.Ready, r.scenario.Discovery.NoticeDelay.Std())
 		}
 		wait()
 		for _, b := range hit {
-			r.discovery.Drop(b, nil)
-			r.discovery.Publish(b, boxlist.Ready, r.scenario.Discovery.NoticeDelay.D())
+			r.discovery.OmitAddresses(b, nil)
+			r.discovery.Publish(b, boxlist.Ready, r.scenario.Discovery.NoticeDelay.Std())
 		}
 		return nil
 	}
-	err := forEach(func(b *standin.Box, i int) error { return b.Gate(i).Set(mode, fault.Delay.D(), fault.Bytes) })
+	err := forEach(func(b *standin.Backend, i int) error {
+		return b.Endpoint(i).SetMode(mode, fault.Delay.Std(), fault.Bytes)
+	})
 	wait()
 	return errors.Join(err,
-		forEach(func(b *standin.Box, i int) error { return b.Gate(i).Set(standin.GateServes, 0, 0) }))
+		forEach(func(b *standin.Backend, i int) error { return b.Endpoint(i).SetMode(standin.EndpointServes, 0, 0) }))
 }
--- a/internal/day/import.go
+++ b/internal/day/import.go
@@ -135,46 +135,46 @@
 	}
 	var omitted []string
 	omit := func(format string, args ...any) { omitted = append(omitted, fmt.Sprintf(format, args...)) }
-	microseconds := func(v int64) setup.Span { return setup.Span(time.Duration(v) * time.Microsecond) }
-	scaled := func(v int64) setup.Span { return setup.Span(float64(v) * scale.Duration * 1000) }
+	microseconds := func(v int64) setup.Duration { return setup.Duration(time.Duration(v) * time.Microsecond) }
+	scaled := func(v int64) setup.Duration { return setup.Duration(float64(v) * scale.Duration * 1000) }
 	d := Default()
 	d.Header.Name, d.Header.Seed, d.Header.Duration = in.Site, in.Noise, scaled(in.Duration)
 	d.Header.Dispatchers = len(in.Balancers)
 	d.Zones = in.Zones
 	d.Links = Links{in.TwoStage.Near, in.TwoStage.Far, max(in.TwoStage.ZoneSlower, 1)}
 	d.Discovery = Discovery{microseconds(in.Discovery.Notice), microseconds(in.Discovery.SilentNotice)}
-	d.Clients = Clients{in.Clients.Retries, setup.Span(in.Clients.BackoffUs * 1000), in.Clients.Backoff == "exp",
+	d.Clients = Clients{in.Clients.Retries, setup.Duration(in.Clients.BackoffUs * 1000), in.Clients.Backoff == "exp",
 		in.Clients.Honour, in.Clients.TryShare, 1}
 	d.Clients.PatienceMin = min(max(in.Clients.TryShare, 0.05), 1)
 	tier := in.Tiers[0]
-	d.Report = tier.ReportFields
-	d.Rules.DrainGrace, d.Rules.ColdMultiple, d.Rules.ColdWindow =
+	d.ReportFields = tier.ReportFields
+	d.Rules.DrainGrace, d.Rules.SlowStartMultiple, d.Rules.SlowStartWindow =
 		microseconds(in.DrainGrace), in.OverloadMultiple, microseconds(in.OverloadWindow)
-	d.Rules.ColdShare, d.Rules.ColdRamp, d.Rules.Pin =
+	d.Rules.SlowStartShare, d.Rules.SlowStartRamp, d.Rules.KVCacheHoldLimit =
 		tier.SlowStartShare, microseconds(tier.SlowStartDuration), microseconds(in.TwoStage.Release)
-	d.Limits.Trips, d.Limits.Cancel, d.Limits.Siblings = max(in.Allow.MaxAttempts, 1), in.Allow.Cancel, in.Allow.Peers
-	d.Limits.LocalRead = in.TwoStage.DecodeBackendsPrefill
+	d.Limits.MaxAttempts, d.Limits.Cancel, d.Limits.PeerUpdates = max(in.Allow.MaxAttempts, 1), in.Allow.Cancel, in.Allow.Peers
+	d.Limits.DecodeCanPrefill = in.TwoStage.DecodeBackendsPrefill
 	if !in.Allow.RetryAfter {
-		d.Limits.RetryAfter = 0
+		d.Limits.MaxRetryAfter = 0
 	}
 	effects := map[string]string{"safe": "idempotent", "keyed": "deduplicated", "unsafe": "unrepeatable"}
 	reaches := map[string]string{"all": "all", "zone": "zone", "cell": "rack"}
 	var answerTokens, newTokens, shares float64 // tokens are weighted by the classes' shares
 	for i, c := range in.Classes {
-		class := setup.Grade{Name: c.Name, Effect: effects[c.Effect], Reach: reaches[c.Group],
-			Window: microseconds(c.Window), Promised: microseconds(c.LatencyTarget), Expiry: microseconds(c.Deadline),
-			Benefit: c.Value, Late: c.LateValue, Most: 400}
+		class := setup.Class{Name: c.Name, Effect: effects[c.Effect], DedupScope: reaches[c.Group],
+			DedupWindow: microseconds(c.Window), LatencyTarget: microseconds(c.LatencyTarget), Deadline: microseconds(c.Deadline),
+			Value: c.Value, LateValue: c.LateValue, DefaultMaxTokens: 400}
 		if i < len(in.TwoStage.TokenClasses) {
 			t := in.TwoStage.TokenClasses[i]
-			class.PerK, class.TokenTime, class.Most =
-				setup.Span(t.LatencyTargetMsPer1000*1e6), setup.Span(t.TokenMs*1e6), max(t.MaxAnswerTokens, 1)
+			class.TargetPer1000Tokens, class.InterTokenTarget, class.DefaultMaxTokens =
+				setup.Duration(t.LatencyTargetMsPer1000*1e6), setup.Duration(t.TokenMs*1e6), max(t.MaxAnswerTokens, 1)
 			d.Traffic = append(d.Traffic, Traffic{Class: c.Name, Share: c.Share, NewTokens: t.NewTokens,
 				AnswerTokens: t.AnswerTokens, Turns: max(t.Turns, 1), SharedPrefixShare: t.PrefixShare,
 				SharedPrefixes: max(t.Prefixes, 1), SharedPrefixTokens: max(int(t.PrefixTokens), 1)})
 			answerTokens, newTokens, shares =
 				answerTokens+c.Share*t.AnswerTokens, newTokens+c.Share*t.NewTokens, shares+c.Share
 		}
-		d.Grades = append(d.Grades, class)
+		d.Classes = append(d.Classes, class)
 	}
 	roles := map[string]string{"read": "reader", "write": "writer", "both": "mixed"}
 	prefillCapacity, decodeCapacity := 0.0, 0.0 // in requests a second
@@ -184,7 +184,7 @@
 		if i < len(in.TwoStage.Roles) {
 			role = roles[in.TwoStage.Roles[i]]
 		}
-		d.Kinds = append(d.Kinds, setup.Kind{Name: k.Name, Role: role, Memory: e.Memory})
+		d.BackendKinds = append(d.BackendKinds, setup.BackendKind{Name: k.Name, Role: role, MemoryTokens: e.Memory})
 		tokenTime := time.Duration((e.StepMs + e.StepPerSequenceMs*float64(e.Slots)/2) * float64(time.Millisecond))
 		if k.Cancel != "all" {
 			d.Faults = append(d.Faults, Fault{Kind: "no_cancel", Duration: d.Header.Duration, Backends: []string{k.Name}})
@@ -196,7 +196,7 @@
 			d.Backends = append(d.Backends, BackendGroup{Kind: k.Name, Count: 1,
 				Racks: []string{fmt.Sprintf("rack-%d", s.Cell)}, Zones: []string{in.Zones[s.Zone]}, Slots: max(e.Slots, 1),
 				Queue: e.Queue, PrefillTokensPerSecond: e.PrefillTokensPerSecond * s.Speed,
-				TokenTime: setup.Span(float64(tokenTime) / s.Speed), Units: s.Weight})
+				TokenTime: setup.Duration(float64(tokenTime) / s.Speed), Units: s.Weight})
 			if role == "reader" {
 				prefillCapacity += e.PrefillTokensPerSecond * s.Speed / max(newTokens/max(shares, 1e-9)*1.5, 1)
 			} else {
@@ -209,8 +209,8 @@
 	d.Header.RequestsPerSecond = math.Round(100*in.Traffic.Load*
 		min(infiniteIfZero(prefillCapacity), infiniteIfZero(decodeCapacity))*scale.Rate) / 100
 	for _, t := range in.Tenants {
-		d.Channels = append(d.Channels, setup.Channel{Name: t.Name, Share: t.Share,
-			PerS: t.Quota * d.Header.RequestsPerSecond})
+		d.Tenants = append(d.Tenants, setup.Tenant{Name: t.Name, Share: t.Share,
+			RequestsPerSecond: t.Quota * d.Header.RequestsPerSecond})
 	}
 	names := d.serverNames(in.serverKinds())
 	for _, f := range in.Faults {
@@ -232,15 +232,15 @@
 		switch kind {
 		case "failing", "grade_failing":
 			fault.Share = min(max(f.Size, 0.01), 1)
-			if kind == "grade_failing" && f.Class < len(d.Grades) {
-				fault.Class = d.Grades[f.Class].Name
+			if kind == "grade_failing" && f.Class < len(d.Classes) {
+				fault.Class = d.Classes[f.Class].Name
 			}
 		case "shared_text":
 			fault.Share, fault.Tokens = min(max(f.Size, 0.01), 1), 4000
 		case "long_prompts":
 			fault.Share = min(max(f.Extra, 0.005), 1)
 		case "list_stale":
-			fault.Delay = setup.Span(f.Size * 1e9)
+			fault.Delay = setup.Duration(f.Size * 1e9)
 		case "leave":
 			fault.Share = min(max(f.Extra, 0.05), 1)
 			omit("give_up: how long each client waits; here a share leaves at a random time")
@@ -250,7 +250,7 @@
 					fault.Dispatchers = append(fault.Dispatchers, i)
 				}
 			}
-			fault.Duration = setup.Span(max(f.Extra, 0.2) * 1e9)
+			fault.Duration = setup.Duration(max(f.Extra, 0.2) * 1e9)
 			omit("balancer_roll: one batch after the other; here all named dispatchers restart together")
 		}
 		if f.Kind == "ageing" || f.Kind == "neighbour" {
@@ -313,7 +313,7 @@
 	lastNumber := map[int]int{} // by kind
 	for i, k := range kinds {
 		lastNumber[k]++
-		names[i] = fmt.Sprintf("%s-%d", d.Kinds[k].Name, lastNumber[k])
+		names[i] = fmt.Sprintf("%s-%d", d.BackendKinds[k].Name, lastNumber[k])
 	}
 	return names
 }
@@ -321,9 +321,9 @@
 // makeKindNamesUnique renames kinds whose name is taken by an earlier one.
 func (d *Scenario) makeKindNamesUnique() {
 	seen := map[string]bool{}
-	for i, k := range d.Kinds {
+	for i, k := range d.BackendKinds {
 		if seen[k.Name] {
-			d.Kinds[i].Name = fmt.Sprintf("%s%d", k.Name, i)
+			d.BackendKinds[i].Name = fmt.Sprintf("%s%d", k.Name, i)
 		}
 		seen[k.Name] = true
 	}
--- a/internal/day/plan.go
+++ b/internal/day/plan.go
@@ -23,20 +23,20 @@
 
 // active reports whether a fault is of a kind and active at a time.
 func (f Fault) active(kind string, t time.Duration) bool {
-	return f.Kind == kind && t >= f.Start.D() && t < (f.Start+f.Duration).D()
+	return f.Kind == kind && t >= f.Start.Std() && t < (f.Start+f.Duration).Std()
 }
 
 // Plan draws all requests that clients will send. Arrivals don't wait for answers. The same script and seed always give
 // the same plan.
-func (d *Scenario) Plan() []standin.Wish {
+func (d *Scenario) Plan() []standin.Request {
 	rng := d.rng(1)
-	var requests []standin.Wish
+	var requests []standin.Request
 	openSessions := map[string][]*session{} // by class
 	shares := 0.0
 	for _, t := range d.Traffic {
 		shares += t.Share
 	}
-	duration := d.Header.Duration.D()
+	duration := d.Header.Duration.Std()
 	for arrival := time.Duration(0); ; {
 		rate, unseenPrefix, burstTenant := d.Header.RequestsPerSecond, "", ""
 		unseenPrefixTokens := 0
@@ -77,7 +77,7 @@
 			for float64(s.turnsLeft) < 12 && rng.Float64() < 1-1/traffic.Turns {
 				s.turnsLeft++
 			}
-			if len(d.Channels) > 0 {
+			if len(d.Tenants) > 0 {
 				s.tenant = d.drawTenant(rng.Float64())
 			}
 			if burstTenant != "" {
@@ -94,11 +94,11 @@
 			s.tokens = s.prefixTokens
 		}
 		promptFactor := 1.0
-		request := standin.Wish{At: arrival, Name: fmt.Sprintf("q%d", len(requests)), Grade: traffic.Class,
-			Channel: s.tenant, Session: s.name, Shared: s.sharedPrefix, Prefix: s.prefixTokens, Retries: d.Clients.Retries,
-			Wait: d.Clients.RetryWait.D(), Doubles: d.Clients.WaitDoubles,
-			Honours: rng.Float64() < d.Clients.FollowAdviceShare}
-		class := d.Grades[d.GradeNumber(traffic.Class)]
+		request := standin.Request{SubmitAt: arrival, Name: fmt.Sprintf("q%d", len(requests)), Class: traffic.Class,
+			Tenant: s.tenant, Session: s.name, PrefixID: s.sharedPrefix, PrefixTokens: s.prefixTokens, Retries: d.Clients.Retries,
+			RetryWait: d.Clients.RetryWait.Std(), ExponentialBackoff: d.Clients.WaitDoubles,
+			HonoursRetryAfter: rng.Float64() < d.Clients.FollowAdviceShare}
+		class := d.Classes[d.ClassIndex(traffic.Class)]
 		leaves, givesUpAfter, readDelay := false, 0.0, time.Duration(0) // givesUpAfter: in latency targets
 		for _, f := range d.Faults {
 			switch {
@@ -110,25 +110,25 @@
 			case f.active("give_up", arrival) && rng.Float64() < f.Share:
 				givesUpAfter = f.Factor
 			case f.active("slow_clients", arrival) && rng.Float64() < f.Share:
-				readDelay = f.Delay.D()
+				readDelay = f.Delay.Std()
 			}
 		}
 		// New tokens are log-normal with a mean of NewTokens: 0.18 is half the square of 0.6.
 		s.tokens += max(int(traffic.NewTokens*promptFactor*math.Exp(0.6*rng.NormFloat64()-0.18)), 8)
-		request.Tokens = s.tokens
-		request.Most = max(class.Most, 1)
-		kilotokens := float64(request.Tokens) / 1000
-		request.Promised = class.Promised.D() + time.Duration(kilotokens*float64(class.PerK))
-		request.Expiry = class.Expiry.D() + 2*time.Duration(kilotokens*float64(class.PerK))
-		request.Patience = d.Clients.PatienceMin + rng.Float64()*(d.Clients.PatienceMax-d.Clients.PatienceMin)
+		request.PromptTokens = s.tokens
+		request.MaxTokens = max(class.DefaultMaxTokens, 1)
+		kilotokens := float64(request.PromptTokens) / 1000
+		request.LatencyTarget = class.LatencyTarget.Std() + time.Duration(kilotokens*float64(class.TargetPer1000Tokens))
+		request.Deadline = class.Deadline.Std() + 2*time.Duration(kilotokens*float64(class.TargetPer1000Tokens))
+		request.PatienceShare = d.Clients.PatienceMin + rng.Float64()*(d.Clients.PatienceMax-d.Clients.PatienceMin)
 		if givesUpAfter > 0 {
-			request.Patience = min(request.Patience, givesUpAfter*float64(request.Promised)/float64(request.Expiry))
+			request.PatienceShare = min(request.PatienceShare, givesUpAfter*float64(request.LatencyTarget)/float64(request.Deadline))
 		}
-		request.Slowly = readDelay
-		request.Safe = class.Effect == "idempotent" ||
-			class.Effect == "deduplicated" && (class.Reach == "" || class.Reach == "all")
+		request.ReadDelay = readDelay
+		request.Idempotent = class.Effect == "idempotent" ||
+			class.Effect == "deduplicated" && (class.DedupScope == "" || class.DedupScope == "all")
 		if leaves { // some before the first token, some while the answer streams
-			request.Leaves = time.Duration((0.2 + 1.2*rng.Float64()) * float64(request.Promised))
+			request.LeaveAfter = time.Duration((0.2 + 1.2*rng.Float64()) * float64(request.LatencyTarget))
 		}
 		requests = append(requests, request)
 		if s.turnsLeft--; s.turnsLeft > 0 {
@@ -141,14 +141,14 @@
 // drawTenant picks a tenant by its share; x is drawn from 0 to 1.
 func (d *Scenario) drawTenant(x float64) string {
 	shares := 0.0
-	for _, c := range d.Channels {
+	for _, c := range d.Tenants {
 		shares += c.Share
 	}
 	x *= shares
-	for _, c := range d.Channels {
+	for _, c := range d.Tenants {
 		if x -= c.Share; x < 0 {
 			return c.Name
 		}
 	}
-	return d.Channels[len(d.Channels)-1].Name
+	return d.Tenants[len(d.Tenants)-1].Name
 }
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -42,8 +42,8 @@
 	options     RunOptions
 	recorder    *record.Recorder
 	fleet       *standin.Fleet
-	discovery   *standin.List
-	backends    map[string]*standin.Box
+	discovery   *standin.Discovery
+	backends    map[string]*standin.Backend
 	dispatchers []*process
 	dir         string
 	group       *errgroup.Group
@@ -70,8 +70,8 @@
 
 // Run runs a scenario and checks its record against the rules.
 func Run(ctx context.Context, d Scenario, options RunOptions) (judge.Verdict, error) {
-	r := &runner{scenario: d, options: options, backends: map[string]*standin.Box{}}
-	header := record.Header{Scenario: d.Header.Name, Seed: d.Header.Seed, Terms: d.Terms, Backends: r.recordBackends()}
+	r := &runner{scenario: d, options: options, backends: map[string]*standin.Backend{}}
+	header := record.Header{Scenario: d.Header.Name, Seed: d.Header.Seed, Terms: d.Deployment, Backends: r.recordBackends()}
 	var err error
 	if r.recorder, err = record.Open(options.RecordDir, header); err != nil {
 		return judge.Verdict{}, err
@@ -103,11 +103,11 @@
 	if err != nil || len(folders) == 0 {
 		return err
 	}
-	key, err := dispatch.LedgerKey(filepath.Join(dir, "tickets.key"))
+	key, err := dispatch.ReadLedgerKey(filepath.Join(dir, "tickets.key"))
 	if err != nil {
 		return err
 	}
-	sheet := ledger.NewSheet()
+	sheet := ledger.NewCollector()
 	for _, folder := range folders {
 		damages, err := ledger.Read(folder, key, sheet.Add)
 		if err != nil {
@@ -120,8 +120,8 @@
 		}
 	}
 	usage := map[string]judge.Usage{} // by backend
-	for backend, c := range sheet.Counts() {
-		usage[backend] = judge.Usage{Attempts: c.Trips, PrefillTokens: c.Read, CachedTokens: c.Kept, AnswerTokens: c.Answer}
+	for backend, c := range sheet.BackendTotals() {
+		usage[backend] = judge.Usage{Attempts: c.Attempts, PrefillTokens: c.PrefillTokens, CachedTokens: c.CachedTokens, AnswerTokens: c.OutputTokens}
 	}
 	rule, total := judge.CheckUsage(events, usage)
 	v.Rules, v.Usage = append(v.Rules, rule), &total
@@ -145,32 +145,32 @@
 		return err
 	}
 	nextAddr := func() string { p := ports[0]; ports = ports[1:]; return fmt.Sprintf("127.0.0.1:%d", p) }
-	shapes := map[string]standin.Talk{} // by class
+	shapes := map[string]standin.ClassProfile{} // by class
 	for _, t := range r.scenario.Traffic {
-		shapes[t.Class] = standin.Talk{New: t.NewTokens, Answer: t.AnswerTokens, Prefix: t.SharedPrefixTokens}
+		shapes[t.Class] = standin.ClassProfile{NewTokens: t.NewTokens, AnswerTokens: t.AnswerTokens, PrefixTokens: t.SharedPrefixTokens}
 	}
-	r.fleet = standin.NewFleet(r.scenario.Terms, r.recorder, standin.Links{
-		Near: r.scenario.Links.NearTokensPerSecond, Far: r.scenario.Links.FarTokensPerSecond,
-		Zone: r.scenario.Links.CrossZoneFactor,
+	r.fleet = standin.NewFleet(r.scenario.Deployment, r.recorder, standin.Links{
+		SameRack: r.scenario.Links.NearTokensPerSecond, CrossRack: r.scenario.Links.FarTokensPerSecond,
+		ZoneFactor: r.scenario.Links.CrossZoneFactor,
 	}, shapes)
 	defer r.fleet.Close()
-	r.discovery = r.fleet.NewList(nextAddr())
-	if err := r.discovery.Open(); err != nil {
+	r.discovery = r.fleet.NewDiscovery(nextAddr())
+	if err := r.discovery.Start(); err != nil {
 		return err
 	}
-	defer r.discovery.Shut()
+	defer r.discovery.Stop()
 	for _, spec := range r.testBackendSpecs() {
 		for i := range spec.Addresses {
 			switch a := &spec.Addresses[i]; a.Network {
 			case addresses.Unix:
-				a.At = fmt.Sprintf("%s/%s.%d", socketDir, spec.Name, i)
+				a.Addr = fmt.Sprintf("%s/%s.%d", socketDir, spec.Name, i)
 			case addresses.TCP6:
-				a.At = strings.Replace(nextAddr(), "127.0.0.1", "[::1]", 1)
+				a.Addr = strings.Replace(nextAddr(), "127.0.0.1", "[::1]", 1)
 			default:
-				a.At = nextAddr()
+				a.Addr = nextAddr()
 			}
 		}
-		b := r.fleet.NewBox(spec)
+		b := r.fleet.NewBackend(spec)
 		r.backends[spec.Name] = b
 		if err := b.Boot(false); err != nil {
 			return err
@@ -189,7 +189,7 @@
 	}
 	requests := r.scenario.Plan()
 	r.printf("%s: %d backends, %d dispatchers, %d requests in %v (test backends, not engines)", h.Name, len(r.backends),
-		len(r.dispatchers), len(requests), h.Duration.D())
+		len(r.dispatchers), len(requests), h.Duration.Std())
 	clients := standin.NewClients(r.recorder, r.scenario.Model, r.pickDispatcher)
 	defer clients.Close()
 	startTime := time.Now()
@@ -205,8 +205,8 @@
 	r.group = group
 	for _, f := range r.scenario.Faults {
 		group.Go(func() error {
-			if wait(ctx, f.Start.D()) {
-				return r.inject(ctx, f, func(after time.Duration) bool { return wait(ctx, f.Start.D()+after) })
+			if wait(ctx, f.Start.Std()) {
+				return r.inject(ctx, f, func(after time.Duration) bool { return wait(ctx, f.Start.Std()+after) })
 			}
 			return nil
 		})
@@ -216,11 +216,11 @@
 		defer close(trafficDone)
 		var pending sync.WaitGroup
 		for _, request := range requests {
-			if !wait(ctx, request.At) {
+			if !wait(ctx, request.SubmitAt) {
 				break
 			}
 			pending.Add(1)
-			go func() { defer pending.Done(); clients.Ask(ctx, request) }()
+			go func() { defer pending.Done(); clients.Submit(ctx, request) }()
 		}
 		pending.Wait()
 		return nil
@@ -239,7 +239,7 @@
 		return err
 	}
 	// KV caches that are released late must still be recorded.
-	time.Sleep(r.scenario.Rules.Pin.D() + 100*time.Millisecond)
+	time.Sleep(r.scenario.Rules.KVCacheHoldLimit.Std() + 100*time.Millisecond)
 	return r.unexpectedEnds()
 }
 
@@ -287,8 +287,8 @@
 }
 
 // testBackendSpecs lists the configurations of the test backends, with addresses still to be assigned.
-func (r *runner) testBackendSpecs() []standin.Make {
-	var specs []standin.Make
+func (r *runner) testBackendSpecs() []standin.Config {
+	var specs []standin.Config
 	for _, b := range r.scenario.BackendSpecs() {
 		var unassigned []addresses.Spec
 		for _, network := range b.Group.Addresses {
@@ -297,7 +297,7 @@
 		if len(unassigned) == 0 {
 			unassigned = append(unassigned, addresses.Spec{Network: addresses.TCP4})
 		}
-		specs = append(specs, standin.Make{Name: b.Name, Kind: b.Kind, Role: b.Role, Zone: b.Zone, Rack: b.Rack,
+		specs = append(specs, standin.Config{Name: b.Name, Kind: b.Kind, Role: b.Role, Zone: b.Zone, Rack: b.Rack,
 			Units: b.Units, Addresses: unassigned, Seed: r.scenario.Header.Seed, Engine: b.Engine})
 	}
 	return specs
@@ -316,17 +316,17 @@
 		return err
 	}
 	for i, p := range r.dispatchers {
-		d := setup.DefaultDispatcher()
-		d.Terms = r.scenario.Terms
-		d.Place.Name, d.Place.Number, d.Place.Siblings = p.name, i, h.Dispatchers
-		d.Place.Zone = r.scenario.Zones[i%len(r.scenario.Zones)]
-		d.Place.Listen, d.Place.Boxes, d.Place.Keep = []string{p.addr}, r.discovery.Address, r.dir
-		d.Place.News, d.Place.Peers, d.Place.Margin = peers[i], peers, h.DeadlineMargin
-		d.Place.Tickets = key
+		d := setup.DefaultDispatcherConfig()
+		d.Deployment = r.scenario.Deployment
+		d.Instance.Name, d.Instance.Index, d.Instance.FleetSize = p.name, i, h.Dispatchers
+		d.Instance.Zone = r.scenario.Zones[i%len(r.scenario.Zones)]
+		d.Instance.Listen, d.Instance.DiscoveryAddr, d.Instance.EndpointCacheFolder = []string{p.addr}, r.discovery.Address, r.dir
+		d.Instance.PeerListen, d.Instance.PeerAddrs, d.Instance.ResponseMargin = peers[i], peers, h.DeadlineMargin
+		d.Instance.TicketKeyFile = key
 		if h.Ledger {
-			d.Ledger.Folder, d.Ledger.Key = filepath.Join(r.dir, "ledger-"+p.name), key
+			d.Ledger.Folder, d.Ledger.KeyFile = filepath.Join(r.dir, "ledger-"+p.name), key
 		}
-		d.Place.Seed = h.Seed*1000 + uint64(i) + 1
+		d.Instance.Seed = h.Seed*1000 + uint64(i) + 1
 		raw, err := toml.Marshal(d)
 		if err != nil {
 			return err
@@ -420,7 +420,7 @@
 	r.recorder.Record(record.Event{Kind: record.ProcessEnded, Dispatcher: p.name, Detail: "killed"})
 	cmd.Process.Kill()
 	<-done
-	time.AfterFunc(r.scenario.Header.LoadBalancerNotice.D(), func() {
+	time.AfterFunc(r.scenario.Header.LoadBalancerNotice.Std(), func() {
 		p.mu.Lock()
 		p.balanced = p.balanced && p.running
 		p.mu.Unlock()
--- a/internal/day/run_test.go
+++ b/internal/day/run_test.go
@@ -97,11 +97,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Header.Duration, d.Header.Dispatchers, d.Header.RequestsPerSecond = setup.Span(6*time.Second), 1, 15
+	d.Header.Duration, d.Header.Dispatchers, d.Header.RequestsPerSecond = setup.Duration(6*time.Second), 1, 15
 	d.Faults = []Fault{
-		{Kind: "drain", Start: setup.Span(time.Second), Duration: setup.Span(2 * time.Second),
+		{Kind: "drain", Start: setup.Duration(time.Second), Duration: setup.Duration(2 * time.Second),
 			Backends: []string{"writer-3"}},
-		{Kind: "restart", Start: setup.Span(1500 * time.Millisecond), Backends: []string{"writer-1"}},
+		{Kind: "restart", Start: setup.Duration(1500 * time.Millisecond), Backends: []string{"writer-1"}},
 	}
 	v, err := Run(context.Background(), d, runOptions(t, "wrong"))
 	if err != nil {
@@ -116,24 +116,24 @@
 
 // serveAgainstRules runs a dispatcher that breaks all five rules: it prefills and never takes or releases the KV cache,
 // sends each request to a freshly started and to a draining decode backend at once, and answers twice.
-func serveAgainstRules(ctx context.Context, d setup.Dispatcher) error {
+func serveAgainstRules(ctx context.Context, d setup.DispatcherConfig) error {
 	var mu sync.Mutex
-	backends := map[string]boxlist.Box{}
-	discovery := boxlist.Follower{Address: d.Place.Boxes, Name: d.Place.Name,
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Client: http.DefaultClient,
-		Listed: func(listed []boxlist.Box, _ bool) {
+	backends := map[string]boxlist.Endpoint{}
+	discovery := boxlist.Follower{Address: d.Instance.DiscoveryAddr, Name: d.Instance.Name,
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), HTTPClient: http.DefaultClient,
+		OnUpdate: func(listed []boxlist.Endpoint, _ bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			for _, b := range listed {
 				backends[b.Name] = b
 			}
 		}}
-	go discovery.Follow(ctx)
-	send := func(name string, e kserve.Errand) io.ReadCloser {
+	go discovery.Run(ctx)
+	send := func(name string, e kserve.AttemptParams) io.ReadCloser {
 		mu.Lock()
-		addr := backends[name].Addresses[0].At
+		addr := backends[name].Addresses[0].Addr
 		mu.Unlock()
-		r, err := kserve.NewErrand(ctx, "http://"+addr, d.Model, "", e)
+		r, err := kserve.NewAttemptRequest(ctx, "http://"+addr, d.Model, "", e)
 		if err != nil {
 			return nil
 		}
@@ -153,20 +153,20 @@
 		}
 	})
 	mux.HandleFunc("POST /v2/models/lodge/generate_stream", func(w http.ResponseWriter, r *http.Request) {
-		prompt, err := kserve.ReadPrompt(r.Body)
+		prompt, err := kserve.ReadGenerateRequest(r.Body)
 		if err != nil {
-			kserve.WriteFault(w, err)
+			kserve.WriteError(w, err)
 			return
 		}
 		mu.Lock()
 		requestNumber++
-		attempt := kserve.Errand{Stage: kserve.StageRead, From: d.Place.Name + ".wrong", Question: requestNumber,
-			Mark: prompt.ID, Grade: prompt.Grade, Tokens: 3000, Most: 60}
+		attempt := kserve.AttemptParams{Phase: kserve.PhasePrefill, DispatcherEpoch: d.Instance.Name + ".wrong", RequestNumber: requestNumber,
+			DedupKey: prompt.ID, Class: prompt.Class, PromptTokens: 3000, MaxTokens: 60}
 		mu.Unlock()
 		if body := send("reader-1", attempt); body != nil {
 			body.Close()
 		}
-		attempt.Stage, attempt.Trip = kserve.StageWhole, 1
+		attempt.Phase, attempt.Attempt = kserve.PhaseCombined, 1
 		var both sync.WaitGroup
 		for _, name := range []string{"writer-1", "writer-3"} {
 			attempt := attempt
@@ -178,19 +178,19 @@
 						io.Copy(io.Discard, body)
 						body.Close()
 					}
-					attempt.Trip += 2
+					attempt.Attempt += 2
 				}
 			}()
-			attempt.Trip++
+			attempt.Attempt++
 		}
 		kserve.WriteEvent(w, "", kserve.Token{Text: "word"})
-		final := kserve.Final{Final: kserve.Satisfied}
+		final := kserve.FinalResponse{Outcome: kserve.Served}
 		kserve.WriteEvent(w, "end", final)
 		kserve.WriteEvent(w, "end", final)
 		http.NewResponseController(w).Flush()
 		both.Wait()
 	})
-	listener, err := net.Listen("tcp", d.Place.Listen[0])
+	listener, err := net.Listen("tcp", d.Instance.Listen[0])
 	if err != nil {
 		return err
 	}
@@ -218,7 +218,7 @@
 	}
 	laterTurns := 0
 	for _, request := range first {
-		if request.Tokens < 1 || request.Prefix > request.Tokens || request.Expiry <= request.Promised {
+		if request.PromptTokens < 1 || request.PrefixTokens > request.PromptTokens || request.Deadline <= request.LatencyTarget {
 			t.Fatalf("inconsistent request: %+v", request)
 		}
 		if request.Session != "s"+strings.TrimPrefix(request.Name, "q") {
@@ -284,14 +284,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.Header.Duration.D() != 10*time.Second || d.Header.Dispatchers != 2 || d.Grades[0].Effect != "unrepeatable" ||
+	if d.Header.Duration.Std() != 10*time.Second || d.Header.Dispatchers != 2 || d.Classes[0].Effect != "unrepeatable" ||
 		d.Header.RequestsPerSecond <= 0 {
-		t.Errorf("%+v %+v", d.Header, d.Grades)
+		t.Errorf("%+v %+v", d.Header, d.Classes)
 	}
 	found := false
 	for _, f := range d.Faults {
 		if f.Kind == "slow" {
-			found = f.Start.D() == 2*time.Second && f.Duration.D() == 4*time.Second && f.Backends[0] == "out-1"
+			found = f.Start.Std() == 2*time.Second && f.Duration.Std() == 4*time.Second && f.Backends[0] == "out-1"
 		}
 	}
 	if all := strings.Join(omitted, "; "); !found || !strings.Contains(all, "from_the_moon") {
--- a/internal/dispatch/accounts.go
+++ b/internal/dispatch/accounts.go
@@ -20,10 +20,10 @@
 
 // past is what a ledger says when it is opened: what the account and the budgets go on from.
 type past struct {
-	seen  map[string][]account.Seen // counts, by epochs that are not closed
-	open  map[string]bool           // epochs that are not closed
-	sums  map[string]map[int64]sums // by budget and month
-	terms map[string]budget.Terms   // set while running
+	seen  map[string][]account.RecordedCount // counts, by epochs that are not closed
+	open  map[string]bool                    // epochs that are not closed
+	sums  map[string]map[int64]sums          // by budget and month
+	terms map[string]budget.Terms            // set while running
 }
 
 // sums are of one budget and month.
@@ -36,11 +36,11 @@
 func monthOf(t time.Time) budget.Month {
 	t = t.UTC()
 	next := time.Date(t.Year(), t.Month()+1, 1, 0, 0, 0, 0, time.UTC)
-	return budget.Month{Number: int64(t.Year()-1970)*12 + int64(t.Month()) - 1, Left: next.Sub(t)}
+	return budget.Month{Number: int64(t.Year()-1970)*12 + int64(t.Month()) - 1, Remaining: next.Sub(t)}
 }
 
 // LedgerKey is the key of a file, or the fixed one where none is named.
-func LedgerKey(file string) (ledger.Key, error) {
+func ReadLedgerKey(file string) (ledger.Key, error) {
 	if file == "" {
 		return ledger.NewKey([]byte("no key")), nil
 	}
@@ -52,12 +52,12 @@
 }
 
 // openBooks opens the ledger, if there is one, and makes this start known in it before anything is sent.
-func openBooks(d setup.Dispatcher, epoch string, began time.Time, log *slog.Logger) (*ledger.Book, *past, error) {
-	p := &past{open: map[string]bool{}, sums: map[string]map[int64]sums{}, terms: map[string]budget.Terms{}, seen: map[string][]account.Seen{}}
+func openBooks(d setup.DispatcherConfig, epoch string, began time.Time, log *slog.Logger) (*ledger.Recorder, *past, error) {
+	p := &past{open: map[string]bool{}, sums: map[string]map[int64]sums{}, terms: map[string]budget.Terms{}, seen: map[string][]account.RecordedCount{}}
 	if d.Ledger.Folder == "" {
 		return nil, p, nil
 	}
-	key, err := LedgerKey(d.Ledger.Key)
+	key, err := ReadLedgerKey(d.Ledger.KeyFile)
 	if err != nil {
 		return nil, nil, fmt.Errorf("ledger.key: %w", err)
 	}
@@ -69,8 +69,8 @@
 			delete(p.seen, r.Epoch.Name)
 		case r.Epoch != nil:
 			p.open[r.Epoch.Name] = true
-		case r.Trip != nil && r.Trip.Proven() && !closed[r.Trip.Epoch]:
-			p.seen[r.Trip.Epoch] = append(p.seen[r.Trip.Epoch], account.Seen{Box: r.Trip.Box, Epoch: r.Trip.Epoch, Number: r.Trip.Number})
+		case r.Attempt != nil && r.Attempt.Confirmed() && !closed[r.Attempt.Epoch]:
+			p.seen[r.Attempt.Epoch] = append(p.seen[r.Attempt.Epoch], account.RecordedCount{Backend: r.Attempt.Backend, Epoch: r.Attempt.Epoch, Number: r.Attempt.Number})
 		case r.Budget != nil:
 			p.take(r.Budget)
 		}
@@ -84,17 +84,17 @@
 	}
 	go book.Run()
 	durable := make(chan struct{})
-	book.Write(ledger.Record{At: began.UnixMilli(), Epoch: &ledger.Epoch{Name: epoch}}, func() { close(durable) })
+	book.Write(ledger.Record{UnixMilli: began.UnixMilli(), Epoch: &ledger.Epoch{Name: epoch}}, func() { close(durable) })
 	select {
 	case <-durable:
 	case <-time.After(5 * time.Second):
-		return nil, nil, fmt.Errorf("ledger.folder: %s: this start could not be written down: %s", d.Ledger.Folder, book.State().Failing)
+		return nil, nil, fmt.Errorf("ledger.folder: %s: this start could not be written down: %s", d.Ledger.Folder, book.State().DiskError)
 	}
 	return book, p, nil
 }
 
 func (p *past) take(b *ledger.Budget) {
-	if b.What == "set" {
+	if b.Kind == "set" {
 		var t budget.Terms
 		if json.Unmarshal([]byte(b.Terms), &t) == nil {
 			p.terms[b.Name] = t
@@ -104,8 +104,8 @@
 	if p.sums[b.Name] == nil {
 		p.sums[b.Name] = map[int64]sums{}
 	}
-	s := p.sums[b.Name][b.Period]
-	switch b.What {
+	s := p.sums[b.Name][b.Month]
+	switch b.Kind {
 	case "lent":
 		s.lent = max(s.lent, b.Tokens)
 	case "debt":
@@ -115,15 +115,15 @@
 	case "grant":
 		s.grant = max(s.grant, b.Tokens)
 	}
-	p.sums[b.Name][b.Period] = s
+	p.sums[b.Name][b.Month] = s
 }
 
 // newBooks makes what a loop keeps; nil: there is neither a ledger nor a budget.
-func newBooks(d setup.Dispatcher, l *Loop, trips *Trips, book *ledger.Book, was *past, epoch string, began time.Time) *Books {
+func newBooks(d setup.DispatcherConfig, l *Loop, trips *HTTPTransport, book *ledger.Recorder, was *past, epoch string, began time.Time) *Accounting {
 	if book == nil && len(d.Budgets) == 0 {
 		return nil
 	}
-	b := &Books{Month: func(now time.Duration) budget.Month { return monthOf(began.Add(now)) }, Keepers: map[string]*budget.Keeper{}}
+	b := &Accounting{Month: func(now time.Duration) budget.Month { return monthOf(began.Add(now)) }, OwnedBudgets: map[string]*budget.Owner{}}
 	write := func(r ledger.Record, done func()) {
 		if done == nil {
 			book.Write(r, nil)
@@ -135,72 +135,72 @@
 		old := slices.Collect(maps.Keys(was.open))
 		seen := slices.Concat(slices.Collect(maps.Values(was.seen))...)
 		b.Account = account.New(epoch, began.UnixMilli(), write, func() time.Duration { return l.now }, seen, old)
-		b.Inquire = trips.Inquire
+		b.FetchUsage = trips.FetchUsage
 	}
 	now := l.since()
 	month := b.Month(now)
-	sends := map[string]func(budget.Ask){}
+	sends := map[string]func(budget.LeaseRequest){}
 	for _, of := range d.Budgets {
-		t := of.Terms()
+		t := of.TokenLimits()
 		if set, ok := was.terms[t.Name]; ok {
 			t = set
 		}
-		at := budget.Keep(t.Name, d.Place.Siblings)
-		if at == d.Place.Number {
+		at := budget.OwnerIndex(t.Name, d.Instance.FleetSize)
+		if at == d.Instance.Index {
 			record := func(what string, month int64, tokens float64, done func()) {
 				if book == nil {
 					if done != nil {
-						l.Wake(0, done)
+						l.Schedule(0, done)
 					}
 					return
 				}
-				write(ledger.Record{At: began.UnixMilli() + l.now.Milliseconds(), Budget: &ledger.Budget{Name: t.Name, What: what, Period: month, Tokens: tokens}}, done)
+				write(ledger.Record{UnixMilli: began.UnixMilli() + l.now.Milliseconds(), Budget: &ledger.Budget{Name: t.Name, Kind: what, Month: month, Tokens: tokens}}, done)
 			}
 			s := was.sums[t.Name][month.Number]
 			if before, ok := was.sums[t.Name][month.Number-1]; ok && was.sums[t.Name][month.Number] == (sums{}) && t.Monthly >= 0 {
 				s.debt = min(max(before.lent-t.Monthly-before.grant, 0), max(t.Borrow, 0))
 			}
-			k := budget.NewKeeper(t, now, month, s.lent, s.debt, s.grant, record)
+			k := budget.NewOwner(t, now, month, s.lent, s.debt, s.grant, record)
 			k.WriteTerms = func(t budget.Terms, done func()) {
 				raw, err := json.Marshal(t)
 				if err != nil {
 					panic(err) // plain fields
 				}
 				if book == nil {
-					l.Wake(0, done)
+					l.Schedule(0, done)
 					return
 				}
-				write(ledger.Record{At: began.UnixMilli() + l.now.Milliseconds(), Budget: &ledger.Budget{Name: t.Name, What: "set", Terms: string(raw)}}, done)
+				write(ledger.Record{UnixMilli: began.UnixMilli() + l.now.Milliseconds(), Budget: &ledger.Budget{Name: t.Name, Kind: "set", Terms: string(raw)}}, done)
 			}
-			b.Keepers[t.Name] = k
+			b.OwnedBudgets[t.Name] = k
 		}
-		p := budget.NewPurse(t, epoch, d.Place.Siblings, month, func(a budget.Ask) { sends[a.Name](a) })
+		p := budget.NewLocalBudget(t, epoch, d.Instance.FleetSize, month, func(a budget.LeaseRequest) { sends[a.Name](a) })
 		if book != nil {
-			p.Taken = func(month int64) bool { return was.sums[t.Name][month].own }
-			p.Mark = func(month int64, done func()) {
-				write(ledger.Record{At: began.UnixMilli() + l.now.Milliseconds(), Budget: &ledger.Budget{Name: t.Name, What: "own", Period: month}}, done)
+			p.EmergencyMarked = func(month int64) bool { return was.sums[t.Name][month].own }
+			p.MarkEmergency = func(month int64, done func()) {
+				write(ledger.Record{UnixMilli: began.UnixMilli() + l.now.Milliseconds(), Budget: &ledger.Budget{Name: t.Name, Kind: "own", Month: month}}, done)
 			}
 		}
-		sends[t.Name] = func(a budget.Ask) {
-			if at == d.Place.Number {
+		sends[t.Name] = func(a budget.LeaseRequest) {
+			if at == d.Instance.Index {
 				// Never in the middle of the purse's own step.
-				l.Wake(0, func() {
-					b.Keepers[a.Name].Asked(l.now, b.Month(l.now), a, func(w budget.Lend) { p.Lent(l.now, w) })
+				l.Schedule(0, func() {
+					b.OwnedBudgets[a.Name].HandleRequest(l.now, b.Month(l.now), a, func(w budget.LeaseReply) { p.HandleReply(l.now, w) })
 				})
 				return
 			}
-			trips.Peers.TellBudget(at, budgetWord{Ask: &a})
+			trips.Peers.SendBudget(at, budgetWord{Ask: &a})
 		}
-		b.Purses = append(b.Purses, p)
+		b.Budgets = append(b.Budgets, p)
 	}
 	if trips.Peers != nil {
-		trips.Peers.Budget = func(from int, w budgetWord) {
+		trips.Peers.OnBudget = func(from int, w budgetWord) {
 			switch {
-			case w.Ask != nil && b.Keepers[w.Ask.Name] != nil && w.Ask.Sound():
-				b.Keepers[w.Ask.Name].Asked(l.now, b.Month(l.now), *w.Ask, func(lend budget.Lend) { trips.Peers.TellBudget(from, budgetWord{Lend: &lend}) })
-			case w.Lend != nil && w.Lend.Holder == epoch && w.Lend.Sound():
-				if i := slices.IndexFunc(b.Purses, func(p *budget.Purse) bool { return p.Terms.Name == w.Lend.Name }); i >= 0 {
-					b.Purses[i].Lent(l.now, *w.Lend)
+			case w.Ask != nil && b.OwnedBudgets[w.Ask.Name] != nil && w.Ask.Valid():
+				b.OwnedBudgets[w.Ask.Name].HandleRequest(l.now, b.Month(l.now), *w.Ask, func(lend budget.LeaseReply) { trips.Peers.SendBudget(from, budgetWord{Lend: &lend}) })
+			case w.Lend != nil && w.Lend.Holder == epoch && w.Lend.Valid():
+				if i := slices.IndexFunc(b.Budgets, func(p *budget.LocalBudget) bool { return p.Terms.Name == w.Lend.Name }); i >= 0 {
+					b.Budgets[i].HandleReply(l.now, *w.Lend)
 					return
 				}
 				trips.Peers.Dropped.Add(1)
@@ -220,7 +220,7 @@
 	l.Call(ctx, l.books.Account.Finish)
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		whole := false
-		if !l.Call(ctx, func() { whole = l.books.Account.Whole() }) || whole {
+		if !l.Call(ctx, func() { whole = l.books.Account.Complete() }) || whole {
 			break
 		}
 	}
@@ -229,8 +229,8 @@
 
 // BudgetState is what operators see of budgets at one dispatcher.
 type BudgetState struct {
-	Kept   []budget.Show      `json:"kept"` // here
-	Purses []budget.ShowPurse `json:"purses"`
+	Owned   []budget.OwnerStatus `json:"kept"` // here
+	Budgets []budget.LocalStatus `json:"purses"`
 }
 
 // mostGrant bounds one grant.
@@ -244,7 +244,7 @@
 }
 
 // Operators is the handler of the operators' addresses: all that clients have, and changes.
-func (s *Server) Operators() http.Handler {
+func (s *Server) OperatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", s.Handler())
 	mux.HandleFunc("GET /budget", func(w http.ResponseWriter, r *http.Request) {
@@ -257,7 +257,7 @@
 		dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, 64<<10))
 		dec.DisallowUnknownFields()
 		if err := dec.Decode(&c); err != nil {
-			kserve.WriteFault(w, &kserve.Fault{Status: http.StatusBadRequest, Text: err.Error()})
+			kserve.WriteError(w, &kserve.RequestError{Status: http.StatusBadRequest, Message: err.Error()})
 			return
 		}
 		done := make(chan error, 1)
@@ -265,12 +265,12 @@
 		select {
 		case err := <-done:
 			if err != nil {
-				kserve.WriteFault(w, err)
+				kserve.WriteError(w, err)
 				return
 			}
 			w.WriteHeader(http.StatusNoContent)
 		case <-time.After(5 * time.Second):
-			kserve.WriteFault(w, &kserve.Fault{Status: http.StatusServiceUnavailable, Text: "the change is not durable: the ledger's disk fails"})
+			kserve.WriteError(w, &kserve.RequestError{Status: http.StatusServiceUnavailable, Message: "the change is not durable: the ledger's disk fails"})
 		}
 	})
 	return mux
@@ -280,10 +280,10 @@
 	if l.books == nil {
 		return out
 	}
-	for _, p := range l.books.Purses {
-		out.Purses = append(out.Purses, p.Show(l.now))
-		if k := l.books.Keepers[p.Terms.Name]; k != nil {
-			out.Kept = append(out.Kept, k.Show(l.now, l.books.Month(l.now)))
+	for _, p := range l.books.Budgets {
+		out.Budgets = append(out.Budgets, p.Status(l.now))
+		if k := l.books.OwnedBudgets[p.Terms.Name]; k != nil {
+			out.Owned = append(out.Owned, k.Status(l.now, l.books.Month(l.now)))
 		}
 	}
 	return out
@@ -291,23 +291,25 @@
 
 // change carries an operator's change out; done is told when it is durable.
 func (l *Loop) change(c BudgetChange, done func(error)) {
-	bad := func(field, text string) { done(&kserve.Fault{Status: http.StatusBadRequest, Field: field, Text: text}) }
-	if l.books == nil || l.books.Keepers[c.Name] == nil {
-		done(&kserve.Fault{Status: http.StatusNotFound, Field: "name", Text: fmt.Sprintf("%q is no budget that this dispatcher keeps", c.Name)})
+	bad := func(field, text string) {
+		done(&kserve.RequestError{Status: http.StatusBadRequest, Field: field, Message: text})
+	}
+	if l.books == nil || l.books.OwnedBudgets[c.Name] == nil {
+		done(&kserve.RequestError{Status: http.StatusNotFound, Field: "name", Message: fmt.Sprintf("%q is no budget that this dispatcher keeps", c.Name)})
 		return
 	}
-	k := l.books.Keepers[c.Name]
+	k := l.books.OwnedBudgets[c.Name]
 	switch {
 	case c.Set != nil && c.Grant != 0:
 		bad("set", "grant or set, one at a time")
 	case c.Set != nil:
 		t := *c.Set
 		t.Name = c.Name
-		if !t.Sound() {
+		if !t.Valid() {
 			bad("set", "has a figure that makes no sense")
 			return
 		}
-		k.Set(l.now, t, func() { done(nil) })
+		k.SetTerms(l.now, t, func() { done(nil) })
 	case c.Grant > 0 && c.Grant <= mostGrant:
 		k.Grant(l.books.Month(l.now), c.Grant, func() { done(nil) })
 	default:
--- a/internal/dispatch/door.go
+++ b/internal/dispatch/door.go
@@ -15,7 +15,7 @@
 type guarded struct {
 	net.Listener
 	mu    *sync.Mutex
-	door  *storm.Door
+	door  *storm.ConnLimiter
 	since func() time.Duration
 }
 
--- a/internal/dispatch/door_test.go
+++ b/internal/dispatch/door_test.go
@@ -19,7 +19,7 @@
 	}
 	defer l.Close()
 	began := time.Now()
-	g := &guarded{l, &sync.Mutex{}, &storm.Door{PerS: 1e-9, Burst: 0, MostOpen: 1}, func() time.Duration { return time.Since(began) }}
+	g := &guarded{l, &sync.Mutex{}, &storm.ConnLimiter{ConnsPerSecond: 1e-9, Burst: 0, MaxOpen: 1}, func() time.Duration { return time.Since(began) }}
 	go g.Accept()
 	for b.Loop() {
 		c, err := net.Dial("tcp", l.Addr().String())
--- a/internal/dispatch/lag.go
+++ b/internal/dispatch/lag.go
@@ -18,11 +18,11 @@
 	oldest atomic.Int64 // when the oldest message that waits was posted, on the loop's clock; 0: none waits
 
 	// Of the present period; the loop's.
-	LongestTurn time.Duration // of one message or timer
-	LongestWait time.Duration // of a message in the queue
-	LatestTimer time.Duration // by which a timer was late
-	LongTurns   int64         // since the start
-	logged      time.Duration
+	LongestTurn       time.Duration // of one message or timer
+	LongestWait       time.Duration // of a message in the queue
+	LongestTimerDelay time.Duration // by which a timer was late
+	LongTurns         int64         // since the start
+	logged            time.Duration
 }
 
 // posted takes note of a message that has come to an empty queue.
@@ -61,8 +61,8 @@
 }
 
 // Period returns what was measured since the last call, and begins anew.
-func (g *Lag) Period() (turn, wait, timer time.Duration) {
-	turn, wait, timer = g.LongestTurn, g.LongestWait, g.LatestTimer
-	g.LongestTurn, g.LongestWait, g.LatestTimer = 0, 0, 0
+func (g *Lag) TakePeriod() (turn, wait, timer time.Duration) {
+	turn, wait, timer = g.LongestTurn, g.LongestWait, g.LongestTimerDelay
+	g.LongestTurn, g.LongestWait, g.LongestTimerDelay = 0, 0, 0
 	return turn, wait, timer
 }
