--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -24,15 +24,15 @@
 // Transport takes attempts and messages out. Its methods are called by the loop and must not wait.
 type Transport interface {
 	Start(f *Attempt)
-	Release(b *Backend, a *ClientRequest)  // of what the request's attempts so far may have left at a backend
-	Reach(b *Backend, at []addresses.Spec) // none: the backend is gone
-	Tell(peer int, n brain.PeerUpdate)
+	Release(b *Backend, a *ClientRequest)         // of what the request's attempts so far may have left at a backend
+	SetAddresses(b *Backend, at []addresses.Spec) // none: the backend is gone
+	SendPeerUpdate(peer int, n brain.PeerUpdate)
 }
 
 // Places turns the list's names into the module's numbers.
-type Places struct {
-	Zone, Kind func(name string) int
-	Allows     func(addresses.Spec) bool // nil: all of them
+type Resolver struct {
+	ZoneNumber, KindNumber func(name string) int
+	AddressAllowed         func(addresses.Spec) bool // nil: all of them
 }
 
 // message is something that the loop is to do.
@@ -47,16 +47,18 @@
 }
 
 // Key names a request at backends.
-func (l *Loop) Key(a *ClientRequest) string { return fmt.Sprintf("%s/%d", l.Epoch, a.Request.ID) }
+func (l *Loop) RequestKey(a *ClientRequest) string {
+	return fmt.Sprintf("%s/%d", l.Epoch, a.Scheduled.ID)
+}
 
 // Loop owns the module.
 type Loop struct {
 	Epoch string // this dispatcher's name and start
 	Log   *slog.Logger
 
-	module  Module
+	module  Scheduler
 	carrier Transport
-	places  Places
+	places  Resolver
 	since   func() time.Duration
 
 	mu     sync.Mutex
@@ -67,27 +69,27 @@
 
 	// Owned by the loop's goroutine.
 	now      time.Duration
-	wakes    agenda.Agenda // timers of the module and the loop
+	wakes    agenda.Queue // timers of the module and the loop
 	requests map[*brain.Request]*ClientRequest
 	lastID   uint64
 	backends map[string]*Backend
 	byHost   map[*brain.Backend]*Backend
 	hosts    map[uint32]*brain.Backend
 
-	further map[string][]addresses.Spec // of backends, from the own file
-	Tally   Tally
-	Lag     Lag
-	gone    []*Backend // that may be forgotten some time
+	further  map[string][]addresses.Spec // of backends, from the own file
+	Counters Counters
+	Lag      Lag
+	gone     []*Backend // that may be forgotten some time
 
-	books *Books
+	books *Accounting
 
-	Guard *storm.Guard // in front of the module; nil: every try goes to it, and its own advice to clients
+	RetryThrottle *storm.RetryThrottle // in front of the module; nil: every try goes to it, and its own advice to clients
 }
 
 // NewLoop makes a loop and its module. since is the clock, a span since the start.
-func NewLoop(facts brain.Facts, seed uint64, places Places, carrier Transport, since func() time.Duration, epoch string, log *slog.Logger) (*Loop, error) {
-	if places.Allows == nil {
-		places.Allows = func(addresses.Spec) bool { return true }
+func NewLoop(facts brain.Settings, seed uint64, places Resolver, carrier Transport, since func() time.Duration, epoch string, log *slog.Logger) (*Loop, error) {
+	if places.AddressAllowed == nil {
+		places.AddressAllowed = func(addresses.Spec) bool { return true }
 	}
 	l := &Loop{
 		Epoch: epoch, Log: log, carrier: carrier, places: places, since: since, bell: make(chan struct{}, 1), ended: make(chan struct{}),
@@ -100,24 +102,24 @@
 }
 
 // Module is what a loop hosts: brain.Dispatcher, or a baseline to compare it with.
-type Module interface {
-	Listed(lines []brain.Listing, whole bool)
+type Scheduler interface {
+	UpdateEndpoints(lines []brain.Endpoint, whole bool)
 	Submit(q *brain.Request, grade, channel int)
-	Began(t *brain.Attempt, took time.Duration)
-	Ended(t *brain.Attempt, r brain.Result)
-	Left(q *brain.Request)
-	Heard(n brain.PeerUpdate)
+	FirstToken(t *brain.Attempt, took time.Duration)
+	AttemptDone(t *brain.Attempt, r brain.Result)
+	ClientDisconnected(q *brain.Request)
+	PeerUpdated(n brain.PeerUpdate)
 	MaySend(t *brain.Attempt) brain.Permission
 }
 
 // Host puts another module in the place of the loop's, before anything has happened.
-func (l *Loop) Host(m Module) {
+func (l *Loop) SetScheduler(m Scheduler) {
 	l.module = m
 	l.wakes.Clear()
 }
 
 // NextDue is when the loop's next timer is due; false: it has none.
-func (l *Loop) NextDue() (time.Duration, bool) { return l.wakes.Next() }
+func (l *Loop) NextTimer() (time.Duration, bool) { return l.wakes.NextDue() }
 
 // Post hands the loop something to do; false if it has ended.
 func (l *Loop) Post(do func()) bool {
@@ -173,7 +175,7 @@
 		l.mu.Lock()
 		l.Lag.next(l.queue)
 		l.mu.Unlock()
-		l.Due()
+		l.RunTimers()
 		if len(work) > 0 {
 			select {
 			case <-ctx.Done():
@@ -183,7 +185,7 @@
 			}
 		}
 		sleep := time.Hour
-		if at, ok := l.wakes.Next(); ok {
+		if at, ok := l.wakes.NextDue(); ok {
 			sleep = max(at-l.since(), 0)
 		}
 		timer.Reset(sleep)
@@ -198,33 +200,33 @@
 
 // take does what a message asks for, and then what has come due: timers don't wait behind all messages.
 func (l *Loop) take(m message) {
-	l.Do(m.do)
+	l.RunTurn(m.do)
 	l.Lag.LongestWait = max(l.Lag.LongestWait, l.now-m.at)
 	ended := l.since()
 	l.Lag.turn(l.now, ended, l.Log)
-	if at, ok := l.wakes.Next(); ok && at <= ended {
-		l.Due()
+	if at, ok := l.wakes.NextDue(); ok && at <= ended {
+		l.RunTimers()
 	}
 }
 
 // Behind is how long the oldest message has waited for its turn. Any goroutine may ask.
-func (l *Loop) Behind() time.Duration { return l.Lag.now(l.since()) }
+func (l *Loop) QueueDelay() time.Duration { return l.Lag.now(l.since()) }
 
 // Do runs one thing at the present time. Only the loop's goroutine, and tests without one, call it.
-func (l *Loop) Do(do func()) {
+func (l *Loop) RunTurn(do func()) {
 	l.now = l.since()
 	do()
 }
 
 // Due runs the timers whose time has come.
-func (l *Loop) Due() {
+func (l *Loop) RunTimers() {
 	for now := l.since(); ; {
-		at, do, ok := l.wakes.Take(now)
+		at, do, ok := l.wakes.PopDue(now)
 		if !ok {
 			return
 		}
-		l.Lag.LatestTimer = max(l.Lag.LatestTimer, now-at)
-		l.Do(do)
+		l.Lag.LongestTimerDelay = max(l.Lag.LongestTimerDelay, now-at)
+		l.RunTurn(do)
 		l.Lag.turn(l.now, l.since(), l.Log)
 	}
 }
@@ -235,38 +237,38 @@
 		return // it had to wait for its turn, and is over meanwhile
 	}
 	l.lastID++
-	a.began, a.final, a.waiting = make(chan *Attempt, 1), make(chan kserve.Final, 1), map[*Backend]bool{}
+	a.began, a.final, a.waiting = make(chan *Attempt, 1), make(chan kserve.FinalResponse, 1), map[*Backend]bool{}
 	a.from = l.now
-	k := a.Ask
-	a.Request = &brain.Request{
-		ID: l.lastID, Session: Number(k.Session), Shared: Number(k.Shared), Prompt: float64(k.Tokens), Prefix: float64(k.Prefix),
-		Most: float64(k.Most), Again: k.Again, Left: left,
+	k := a.Params
+	a.Scheduled = &brain.Request{
+		ID: l.lastID, SessionKey: HashName(k.Session), PrefixKey: HashName(k.SharedPrefix), PromptTokens: float64(k.PromptTokens), PrefixTokens: float64(k.PrefixTokens),
+		MaxOutputTokens: float64(k.MaxTokens), ClientRetry: k.IsRetry, Timeout: left,
 	}
-	l.Tally.Taken++
+	l.Counters.Accepted++
 	a.channel = channel
-	if l.Guard != nil {
-		if admit, after, ticket := l.Guard.Arrive(l.now, k.Again, channel, k.Ticket); !admit {
-			a.Request.Over = true
-			l.Tally.Damped++
-			l.answer(a, kserve.Final{Final: kserve.Declined, Error: "too many ask again just now", Harmless: true, AfterMs: after.Milliseconds(), Ticket: ticket})
+	if l.RetryThrottle != nil {
+		if admit, after, ticket := l.RetryThrottle.Admit(l.now, k.IsRetry, channel, k.RetryTicket); !admit {
+			a.Scheduled.Finished = true
+			l.Counters.Throttled++
+			l.answer(a, kserve.FinalResponse{Outcome: kserve.Rejected, Error: "too many ask again just now", SafeToRetry: true, RetryAfterMs: after.Milliseconds(), RetryTicket: ticket})
 			return
 		}
 	}
-	l.requests[a.Request] = a
+	l.requests[a.Scheduled] = a
 	// The module answers every request in its time; if ever it did not, its client must not be left hanging.
-	l.Wake(left+overdue, func() {
-		begun := a.flight != nil && a.flight.Planned.Began > 0
+	l.Schedule(left+overdue, func() {
+		begun := a.flight != nil && a.flight.Scheduled.FirstTokenAt > 0
 		if !a.answered && !a.left && !begun {
-			l.Tally.Overdue++
-			l.Log.Error("question overdue", "question", a.Request.ID)
-			l.answer(a, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
-			l.module.Left(a.Request)
+			l.Counters.Overdue++
+			l.Log.Error("question overdue", "question", a.Scheduled.ID)
+			l.answer(a, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no answer came in time"})
+			l.module.ClientDisconnected(a.Scheduled)
 			l.forget(a)
 		}
 	})
 	l.pay(a, func() {
-		a.Request.Left = left - (l.now - a.from)
-		l.module.Submit(a.Request, grade, channel)
+		a.Scheduled.Timeout = left - (l.now - a.from)
+		l.module.Submit(a.Scheduled, grade, channel)
 		l.forget(a)
 	})
 }
@@ -275,7 +277,7 @@
 const overdue = 5 * time.Millisecond
 
 // Number hashes a name for the module; 0 is none.
-func Number(name string) uint64 {
+func HashName(name string) uint64 {
 	if name == "" {
 		return 0
 	}
@@ -283,31 +285,31 @@
 }
 
 // answer gives the one final answer. It is the only place that does (rule 1).
-func (l *Loop) answer(a *ClientRequest, f kserve.Final) {
+func (l *Loop) answer(a *ClientRequest, f kserve.FinalResponse) {
 	if a.answered {
 		return
 	}
 	a.answered = true
-	a.End()
-	f.Trips = len(a.Request.Attempts)
-	l.accountOver(a, f.Final, f.Error)
-	if l.Guard != nil && !a.unpaid && f.Trips+int(f.AfterMs) > 0 {
-		well, q := f.Final == kserve.Satisfied, a.Request
-		inTime := well && len(q.Attempts) > 0 && q.Attempts[len(q.Attempts)-1].Began <= q.TargetAt
-		l.Guard.Answered(l.now, well, !a.Ask.Again && a.Ask.Ticket == "", inTime, a.channel)
+	a.MarkOver()
+	f.Attempts = len(a.Scheduled.Attempts)
+	l.accountOver(a, f.Outcome, f.Error)
+	if l.RetryThrottle != nil && !a.unpaid && f.Attempts+int(f.RetryAfterMs) > 0 {
+		well, q := f.Outcome == kserve.Served, a.Scheduled
+		inTime := well && len(q.Attempts) > 0 && q.Attempts[len(q.Attempts)-1].FirstTokenAt <= q.TargetAt
+		l.RetryThrottle.RequestDone(l.now, well, !a.Params.IsRetry && a.Params.RetryTicket == "", inTime, a.channel)
 	}
-	switch f.Final {
-	case kserve.Satisfied:
-		l.Tally.Satisfied++
-	case kserve.Declined:
-		l.Tally.Declined++
+	switch f.Outcome {
+	case kserve.Served:
+		l.Counters.Served++
+	case kserve.Rejected:
+		l.Counters.Rejected++
 	default:
-		l.Tally.Forfeited++
+		l.Counters.Failed++
 	}
-	l.Log.Debug("question over", "question", a.Request.ID, "id", a.Ask.ID, "grade", a.Grade, "final", f.Final,
-		"trips", f.Trips, "took", l.now-a.from, "error", f.Error)
-	if a.Tell != nil {
-		a.Tell(f)
+	l.Log.Debug("question over", "question", a.Scheduled.ID, "id", a.Params.ID, "grade", a.Class, "final", f.Outcome,
+		"trips", f.Attempts, "took", l.now-a.from, "error", f.Error)
+	if a.OnFinal != nil {
+		a.OnFinal(f)
 		return
 	}
 	a.final <- f
@@ -315,53 +317,53 @@
 
 // forget drops a request that is over and has no attempt out.
 func (l *Loop) forget(a *ClientRequest) {
-	if a.Request.Over && a.Request.Out() == nil {
-		delete(l.requests, a.Request)
-		a.Matter = nil // timers know the request for seconds more
+	if a.Scheduled.Finished && a.Scheduled.InFlight() == nil {
+		delete(l.requests, a.Scheduled)
+		a.Payload = nil // timers know the request for seconds more
 		l.settle(a)
 	}
 }
 
 // News takes a peer's message.
-func (l *Loop) News(raw []byte) error {
+func (l *Loop) ReceivePeerUpdate(raw []byte) error {
 	got, err := news.Decode(raw, l.hosts)
-	if err == nil && got.Host != nil {
-		l.Heard(got)
+	if err == nil && got.Backend != nil {
+		l.ApplyPeerUpdate(got)
 	}
 	return err
 }
 
 // Left takes word that a client has gone.
-func (l *Loop) Left(a *ClientRequest) {
-	if a.Request == nil || a.answered || a.left {
+func (l *Loop) ClientDisconnected(a *ClientRequest) {
+	if a.Scheduled == nil || a.answered || a.left {
 		return
 	}
 	a.left = true
-	a.End()
+	a.MarkOver()
 	l.accountOver(a, "left", "")
-	l.Tally.Left++
-	if a.flight != nil && a.flight.Planned.Began > 0 {
-		a.flight.Off(ErrLeft)
+	l.Counters.Disconnected++
+	if a.flight != nil && a.flight.Scheduled.FirstTokenAt > 0 {
+		a.flight.Cancel(ErrNotNeeded)
 	}
-	l.module.Left(a.Request)
+	l.module.ClientDisconnected(a.Scheduled)
 	l.forget(a)
 }
 
 // HostOf is the module's backend of a backend; nil: the list has not named it.
-func (l *Loop) HostOf(name string) *brain.Backend {
+func (l *Loop) SchedulerBackend(name string) *brain.Backend {
 	if b := l.backends[name]; b != nil {
-		return b.Known
+		return b.SchedulerState
 	}
 	return nil
 }
 
 // Believes is what the module takes to be so; nothing of a module that does not say.
-func (l *Loop) Believes() (b brain.Belief) {
-	if m, ok := l.module.(interface{ Believes() brain.Belief }); ok {
-		b = m.Believes()
+func (l *Loop) Estimates() (b brain.Summary) {
+	if m, ok := l.module.(interface{ Estimates() brain.Summary }); ok {
+		b = m.Estimates()
 	}
 	return b
 }
 
 // Heard takes a peer's news.
-func (l *Loop) Heard(n brain.PeerUpdate) { l.module.Heard(n) }
+func (l *Loop) ApplyPeerUpdate(n brain.PeerUpdate) { l.module.PeerUpdated(n) }
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -24,25 +24,25 @@
 }
 
 func (h *hand) Start(f *Attempt) {
-	f.ctx, f.Off = context.WithCancelCause(context.Background())
+	f.ctx, f.Cancel = context.WithCancelCause(context.Background())
 	h.flights = append(h.flights, f)
 }
 func (h *hand) Release(b *Backend, _ *ClientRequest) { h.released = append(h.released, b.Name) }
-func (h *hand) Tell(int, brain.PeerUpdate)           {}
-func (h *hand) Reach(b *Backend, at []addresses.Spec) {
+func (h *hand) SendPeerUpdate(int, brain.PeerUpdate) {}
+func (h *hand) SetAddresses(b *Backend, at []addresses.Spec) {
 	h.reached = append(h.reached, fmt.Sprint(b.Name, at))
 }
 
-func terms(effect string) setup.Dispatcher {
-	d := setup.DefaultDispatcher()
-	d.Grades = []setup.Grade{{Name: "g", Effect: effect, Reach: "all", Window: setup.Span(3 * time.Second), Promised: setup.Span(time.Second),
-		Expiry: setup.Span(4 * time.Second), Benefit: 1, Most: 50}}
-	d.Kinds = []setup.Kind{{Name: "reader", Role: "reader", Memory: 1e5}, {Name: "writer", Role: "writer", Memory: 1e5}}
+func terms(effect string) setup.DispatcherConfig {
+	d := setup.DefaultDispatcherConfig()
+	d.Classes = []setup.Class{{Name: "g", Effect: effect, DedupScope: "all", DedupWindow: setup.Duration(3 * time.Second), LatencyTarget: setup.Duration(time.Second),
+		Deadline: setup.Duration(4 * time.Second), Value: 1, DefaultMaxTokens: 50}}
+	d.BackendKinds = []setup.BackendKind{{Name: "reader", Role: "reader", MemoryTokens: 1e5}, {Name: "writer", Role: "writer", MemoryTokens: 1e5}}
 	return d
 }
 
-func box(name, kind, standing string) boxlist.Box {
-	return boxlist.Box{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", At: "10.0.0.1:1"}}, Kind: kind, Standing: standing, Units: 1, UpMs: -1}
+func box(name, kind, standing string) boxlist.Endpoint {
+	return boxlist.Endpoint{Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}}, Kind: kind, State: standing, Units: 1, UptimeMs: -1}
 }
 
 // settled makes a loop that knows two prefill backends and two decode backends.
@@ -50,33 +50,33 @@
 	t.Helper()
 	h := &hand{now: time.Second}
 	d := terms(effect)
-	l, err := NewLoop(d.Facts(), 1, Places{Zone: d.ZoneNumber, Kind: d.KindNumber, Allows: func(s addresses.Spec) bool { return s.At != "10.9.9.9:1" }}, h, func() time.Duration { return h.now }, "d0.x",
+	l, err := NewLoop(d.SchedulerParameters(), 1, Resolver{ZoneNumber: d.ZoneIndex, KindNumber: d.KindIndex, AddressAllowed: func(s addresses.Spec) bool { return s.Addr != "10.9.9.9:1" }}, h, func() time.Duration { return h.now }, "d0.x",
 		slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Do(func() {
-		l.Listed([]boxlist.Box{box("r1", "reader", "ready"), box("r2", "reader", "ready"), box("w1", "writer", "ready"), box("w2", "writer", "ready")}, true)
+	l.RunTurn(func() {
+		l.UpdateBackends([]boxlist.Endpoint{box("r1", "reader", "ready"), box("r2", "reader", "ready"), box("w1", "writer", "ready"), box("w2", "writer", "ready")}, true)
 	})
 	return l, h
 }
 
 func asks(l *Loop, left time.Duration) *ClientRequest {
-	a := &ClientRequest{Ask: kserve.Ask{Tokens: 2000, Most: 50, Session: "s"}, Grade: "g"}
-	l.Do(func() { l.Submit(a, 0, 0, left) })
+	a := &ClientRequest{Params: kserve.Request{PromptTokens: 2000, MaxTokens: 50, Session: "s"}, Class: "g"}
+	l.RunTurn(func() { l.Submit(a, 0, 0, left) })
 	return a
 }
 
 func (h *hand) last() *Attempt { return h.flights[len(h.flights)-1] }
 
-func final(t *testing.T, a *ClientRequest) kserve.Final {
+func final(t *testing.T, a *ClientRequest) kserve.FinalResponse {
 	t.Helper()
 	select {
 	case f := <-a.final:
 		return f
 	default:
 		t.Fatal("no final answer")
-		return kserve.Final{}
+		return kserve.FinalResponse{}
 	}
 }
 
@@ -84,17 +84,17 @@
 	l, h := settled(t, "idempotent")
 	a := asks(l, 4*time.Second)
 	f := h.last()
-	h.now += f.Wait + time.Millisecond
-	l.Due()
-	if context.Cause(f.ctx) != ErrLate {
+	h.now += f.Timeout + time.Millisecond
+	l.RunTimers()
+	if context.Cause(f.ctx) != ErrAttemptTimeout {
 		t.Fatalf("the flight was called off for %v", context.Cause(f.ctx))
 	}
-	l.Do(func() { l.Ended(f, brain.Result{Outcome: brain.TimedOut}) })
-	l.Do(func() { l.Ended(f, brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(f, brain.Result{Outcome: brain.TimedOut}) })
+	l.RunTurn(func() { l.AttemptEnded(f, brain.Result{Outcome: brain.Prefilled}) })
 	if len(h.released) != 1 {
 		t.Errorf("releases %v: a read cut off may have left its state", h.released)
 	}
-	if len(a.Request.Attempts) == 1 && !a.answered {
+	if len(a.Scheduled.Attempts) == 1 && !a.answered {
 		t.Error("neither another trip nor an answer")
 	}
 }
@@ -104,14 +104,14 @@
 func TestAFirstTokenAfterTheTripsTimeDoesNotCount(t *testing.T) {
 	l, h := settled(t, "idempotent")
 	a := asks(l, 4*time.Second)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(h.last(), brain.Result{Outcome: brain.Prefilled}) })
 	f := h.last()
-	if f.Planned.Stage != brain.ToWrite || f.State == nil {
-		t.Fatalf("stage %d, state %v", f.Planned.Stage, f.State)
+	if f.Scheduled.Stage != brain.StageDecode || f.PrefillBackend == nil {
+		t.Fatalf("stage %d, state %v", f.Scheduled.Stage, f.PrefillBackend)
 	}
-	h.now += f.Wait
-	l.Due()
-	l.Do(func() { l.Began(f) })
+	h.now += f.Timeout
+	l.RunTimers()
+	l.RunTurn(func() { l.AttemptBegan(f) })
 	if len(a.began) != 0 {
 		t.Error("the stream was handed to the client")
 	}
@@ -121,28 +121,28 @@
 func TestAnAnswerThatCameWholeAfterItsTimeIsNoAnswer(t *testing.T) {
 	l, h := settled(t, "unrepeatable")
 	a := asks(l, 4*time.Second)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(h.last(), brain.Result{Outcome: brain.Prefilled}) })
 	f := h.last()
-	h.now += f.Wait
-	l.Due()
-	l.Do(func() { l.Began(f) })
-	l.Do(func() { l.Ended(f, brain.Result{Outcome: brain.Served}) })
-	if got := final(t, a); got.Final != kserve.Forfeited || len(a.began) != 0 || l.Tally.Outcomes[brain.TimedOut] != 1 {
-		t.Errorf("%+v with %d streams, outcomes %v", got, len(a.began), l.Tally.Outcomes)
+	h.now += f.Timeout
+	l.RunTimers()
+	l.RunTurn(func() { l.AttemptBegan(f) })
+	l.RunTurn(func() { l.AttemptEnded(f, brain.Result{Outcome: brain.Served}) })
+	if got := final(t, a); got.Outcome != kserve.Failed || len(a.began) != 0 || l.Counters.Outcomes[brain.TimedOut] != 1 {
+		t.Errorf("%+v with %d streams, outcomes %v", got, len(a.began), l.Counters.Outcomes)
 	}
 }
 
 func TestAClientThatLeavesMidStreamEndsItsTrip(t *testing.T) {
 	l, h := settled(t, "unrepeatable")
 	a := asks(l, 4*time.Second)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(h.last(), brain.Result{Outcome: brain.Prefilled}) })
 	f := h.last()
-	l.Do(func() { l.Began(f) })
-	l.Do(func() { l.Left(a) })
-	if context.Cause(f.ctx) != ErrLeft {
+	l.RunTurn(func() { l.AttemptBegan(f) })
+	l.RunTurn(func() { l.ClientDisconnected(a) })
+	if context.Cause(f.ctx) != ErrNotNeeded {
 		t.Error("the stream goes on unread")
 	}
-	l.Do(func() { l.Ended(f, brain.Result{Outcome: brain.Cancelled}) })
+	l.RunTurn(func() { l.AttemptEnded(f, brain.Result{Outcome: brain.Cancelled}) })
 	if len(a.final) != 0 || len(l.requests) != 0 {
 		t.Errorf("%d answers to a client that left, %d questions held", len(a.final), len(l.requests))
 	}
@@ -151,10 +151,10 @@
 func TestAnUnrepeatableQuestionThatMayHaveRunIsForfeited(t *testing.T) {
 	l, h := settled(t, "unrepeatable")
 	a := asks(l, 4*time.Second)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(h.last(), brain.Result{Outcome: brain.Prefilled}) })
 	n := len(h.flights)
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Broken}) })
-	if f := final(t, a); f.Final != kserve.Forfeited || f.Harmless || len(h.flights) != n {
+	l.RunTurn(func() { l.AttemptEnded(h.last(), brain.Result{Outcome: brain.ConnectionLost}) })
+	if f := final(t, a); f.Outcome != kserve.Failed || f.SafeToRetry || len(h.flights) != n {
 		t.Errorf("%+v after a broken trip, and %d more trips", f, len(h.flights)-n)
 	}
 	if len(h.released) == 0 {
@@ -167,8 +167,8 @@
 	l, h := settled(t, "idempotent")
 	asks(l, 4*time.Second)
 	reader := h.last().Backend.Name
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Rejected, Note: 1}) })
+	l.RunTurn(func() { l.AttemptEnded(h.last(), brain.Result{Outcome: brain.Prefilled}) })
+	l.RunTurn(func() { l.AttemptEnded(h.last(), brain.Result{Outcome: brain.Rejected, Detail: 1}) })
 	if len(h.released) != 1 || h.released[0] != reader {
 		t.Errorf("released at %v, the state was at %s", h.released, reader)
 	}
@@ -179,11 +179,11 @@
 	l, h := settled(t, "idempotent")
 	a := asks(l, 4*time.Second)
 	h.now += 4*time.Second + overdue
-	l.Due()
-	if f := final(t, a); f.Final != kserve.Forfeited || l.Tally.Overdue != 1 {
-		t.Errorf("%+v, overdue %d", f, l.Tally.Overdue)
+	l.RunTimers()
+	if f := final(t, a); f.Outcome != kserve.Failed || l.Counters.Overdue != 1 {
+		t.Errorf("%+v, overdue %d", f, l.Counters.Overdue)
 	}
-	l.Do(func() { l.Ended(h.last(), brain.Result{Outcome: brain.Read}) })
+	l.RunTurn(func() { l.AttemptEnded(h.last(), brain.Result{Outcome: brain.Prefilled}) })
 	if len(h.released) == 0 || len(h.flights) != 1 {
 		t.Errorf("released %v, flights %d", h.released, len(h.flights))
 	}
@@ -194,19 +194,19 @@
 func TestAStartHasOneTimeHoweverOftenItIsListed(t *testing.T) {
 	l, h := settled(t, "idempotent")
 	line := box("w1", "writer", "ready")
-	line.Start, line.UpMs = 7, 1000
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-	host := l.backends["w1"].Known
-	booted := host.Booted
+	line.Incarnation, line.UptimeMs = 7, 1000
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{line}, false) })
+	host := l.backends["w1"].SchedulerState
+	booted := host.StartedAt
 	h.now += 3 * time.Second
-	line.UpMs = 4007
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-	if host.Booted != booted || !host.Restart {
-		t.Errorf("booted %v, then %v", booted, host.Booted)
+	line.UptimeMs = 4007
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{line}, false) })
+	if host.StartedAt != booted || !host.StartReported {
+		t.Errorf("booted %v, then %v", booted, host.StartedAt)
 	}
-	line.Start, line.UpMs = 8, 10
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-	if host.Booted == booted {
+	line.Incarnation, line.UptimeMs = 8, 10
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{line}, false) })
+	if host.StartedAt == booted {
 		t.Error("a new start went unseen")
 	}
 }
@@ -214,14 +214,14 @@
 func TestABoxThatAWholeListLeavesOutIsGone(t *testing.T) {
 	l, _ := settled(t, "idempotent")
 	gone := l.backends["w2"]
-	l.Do(func() {
-		l.Listed([]boxlist.Box{box("r1", "reader", "ready"), box("w1", "writer", "draining"), box("x", "nonesuch", "ready")}, true)
+	l.RunTurn(func() {
+		l.UpdateBackends([]boxlist.Endpoint{box("r1", "reader", "ready"), box("w1", "writer", "draining"), box("x", "nonesuch", "ready")}, true)
 	})
-	if gone.Known.Standing != brain.Gone || l.backends["w1"].Known.Standing != brain.Draining || l.backends["x"] != nil {
-		t.Errorf("w2 %d, w1 %d, x %v", gone.Known.Standing, l.backends["w1"].Known.Standing, l.backends["x"])
+	if gone.SchedulerState.State != brain.Removed || l.backends["w1"].SchedulerState.State != brain.Draining || l.backends["x"] != nil {
+		t.Errorf("w2 %d, w1 %d, x %v", gone.SchedulerState.State, l.backends["w1"].SchedulerState.State, l.backends["x"])
 	}
 	select {
-	case <-gone.Drained:
+	case <-gone.Removed:
 	default:
 		t.Error("releases to a box that is gone would be tried on")
 	}
@@ -230,15 +230,15 @@
 func TestAddressesOutsideOfWhatIsAllowedAreLeftOut(t *testing.T) {
 	l, h := settled(t, "idempotent")
 	line := box("w1", "writer", "ready")
-	line.Addresses = []addresses.Spec{{Network: "tcp4", At: "10.9.9.9:1"}, {Network: "tcp4", At: "no address"}, {Network: "unix", At: "/w1"}}
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
+	line.Addresses = []addresses.Spec{{Network: "tcp4", Addr: "10.9.9.9:1"}, {Network: "tcp4", Addr: "no address"}, {Network: "unix", Addr: "/w1"}}
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{line}, false) })
 	if got := h.reached[len(h.reached)-1]; got != "w1[unix:/w1]" {
 		t.Errorf("reached at %s", got)
 	}
 	n := len(h.reached)
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-	line.Standing = "gone"
-	l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{line}, false) })
+	line.State = "gone"
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{line}, false) })
 	if len(h.reached) != n+1 || h.reached[n] != "w1[]" {
 		t.Errorf("then %v", h.reached[n:])
 	}
@@ -251,45 +251,45 @@
 	a := asks(l, 4*time.Second)
 	busy := h.last()
 	for i := range 300 {
-		l.Do(func() {
+		l.RunTurn(func() {
 			line := box(fmt.Sprint("pod-", i), "writer", "ready")
-			line.Start, line.UpMs = uint64(i), 5
-			l.Listed([]boxlist.Box{line}, false)
-			line.Standing = "gone"
-			l.Listed([]boxlist.Box{line}, false)
+			line.Incarnation, line.UptimeMs = uint64(i), 5
+			l.UpdateBackends([]boxlist.Endpoint{line}, false)
+			line.State = "gone"
+			l.UpdateBackends([]boxlist.Endpoint{line}, false)
 		})
 	}
 	h.now += 2 * goneKept
-	l.Do(func() { l.Listed([]boxlist.Box{box("w1", "writer", "ready")}, true) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{box("w1", "writer", "ready")}, true) })
 	h.now += 2 * goneKept
-	l.Do(func() { l.Listed([]boxlist.Box{box("w1", "writer", "ready")}, true) })
+	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{box("w1", "writer", "ready")}, true) })
 	if len(l.backends) != 2 || len(l.hosts) != 2 || len(l.byHost) != 2 || l.backends[busy.Backend.Name] == nil {
 		t.Fatalf("%d boxes, %d hosts, %d by host are held, of 1 listed and 1 with a trip", len(l.backends), len(l.hosts), len(l.byHost))
 	}
-	l.Do(func() { l.Ended(busy, brain.Result{Outcome: brain.Read}) })
-	l.Do(func() { l.Listed(nil, false) })
+	l.RunTurn(func() { l.AttemptEnded(busy, brain.Result{Outcome: brain.Prefilled}) })
+	l.RunTurn(func() { l.UpdateBackends(nil, false) })
 	h.now += 2 * goneKept
-	l.Do(func() { l.Listed(nil, false) })
-	if len(l.backends) != 1 || len(h.released)+len(h.flights) < 2 || a.Request == nil {
+	l.RunTurn(func() { l.UpdateBackends(nil, false) })
+	if len(l.backends) != 1 || len(h.released)+len(h.flights) < 2 || a.Scheduled == nil {
 		t.Errorf("%d boxes are held after the last trip, released %v", len(l.backends), h.released)
 	}
 }
 
 // Another machine under the old name is another backend: groups that drop repeats, roles and racks go by where it stands now.
 func TestABoxThatComesBackElsewhereIsAnotherOne(t *testing.T) {
-	for name, change := range map[string]func(*boxlist.Box){
-		"kind": func(b *boxlist.Box) { b.Kind = "reader" },
-		"rack": func(b *boxlist.Box) { b.Rack = "other" },
-		"zone": func(b *boxlist.Box) { b.Zone = "there" },
+	for name, change := range map[string]func(*boxlist.Endpoint){
+		"kind": func(b *boxlist.Endpoint) { b.Kind = "reader" },
+		"rack": func(b *boxlist.Endpoint) { b.Rack = "other" },
+		"zone": func(b *boxlist.Endpoint) { b.Zone = "there" },
 	} {
 		l, _ := settled(t, "idempotent")
-		old := l.backends["w1"].Known
+		old := l.backends["w1"].SchedulerState
 		line := box("w1", "writer", "ready")
 		change(&line)
-		l.Do(func() { l.Listed([]boxlist.Box{line}, false) })
-		now := l.backends["w1"].Known
-		if now == old || old.Standing != brain.Gone || now.Standing != brain.Ready || l.hosts[now.ID] != now || l.byHost[old] != nil {
-			t.Errorf("another %s: the same host, standing %d", name, old.Standing)
+		l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{line}, false) })
+		now := l.backends["w1"].SchedulerState
+		if now == old || old.State != brain.Removed || now.State != brain.Ready || l.hosts[now.ID] != now || l.byHost[old] != nil {
+			t.Errorf("another %s: the same host, standing %d", name, old.State)
 		}
 	}
 }
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -24,8 +24,8 @@
 
 // budgetWord is a message about a budget: one of its parts is set.
 type budgetWord struct {
-	Ask  *budget.Ask  `cbor:"1,keyasint,omitempty"`
-	Lend *budget.Lend `cbor:"2,keyasint,omitempty"`
+	Ask  *budget.LeaseRequest `cbor:"1,keyasint,omitempty"`
+	Lend *budget.LeaseReply   `cbor:"2,keyasint,omitempty"`
 }
 
 // newsBytes is the length of a message: version, number of the sender, the news.
@@ -34,24 +34,24 @@
 // Peers sends news to peers and takes theirs, over UDP. Messages may be lost; what is no message is
 // counted and dropped.
 type Peers struct {
-	Own     int
-	To      []*net.UDPAddr
-	Conn    *net.UDPConn
-	Plain   bool // a message is the news alone: the address that it comes from tells who sent it
-	Dropped atomic.Int64
-	Budget  func(from int, w budgetWord) // called in the loop; nil: such messages are dropped
+	Number    int
+	Addresses []*net.UDPAddr
+	Conn      *net.UDPConn
+	Plain     bool // a message is the news alone: the address that it comes from tells who sent it
+	Dropped   atomic.Int64
+	OnBudget  func(from int, w budgetWord) // called in the loop; nil: such messages are dropped
 }
 
 // TellBudget sends a word about a budget.
-func (p *Peers) TellBudget(peer int, w budgetWord) {
-	if peer < 0 || peer >= len(p.To) || peer == p.Own {
+func (p *Peers) SendBudget(peer int, w budgetWord) {
+	if peer < 0 || peer >= len(p.Addresses) || peer == p.Number {
 		return
 	}
 	raw, err := cbor.Marshal(w)
 	if err != nil {
 		panic(err) // plain fields
 	}
-	p.Conn.WriteToUDP(append(binary.BigEndian.AppendUint16([]byte{peerBudget}, uint16(p.Own)), raw...), p.To[peer])
+	p.Conn.WriteToUDP(append(binary.BigEndian.AppendUint16([]byte{peerBudget}, uint16(p.Number)), raw...), p.Addresses[peer])
 }
 
 // readBudget returns the word in a message.
@@ -59,7 +59,7 @@
 	if len(raw) < 4 {
 		return 0, w, fmt.Errorf("%d bytes are no message", len(raw))
 	}
-	if from = int(binary.BigEndian.Uint16(raw[1:])); from >= len(p.To) || from == p.Own {
+	if from = int(binary.BigEndian.Uint16(raw[1:])); from >= len(p.Addresses) || from == p.Number {
 		return 0, w, fmt.Errorf("there is no sibling %d", from)
 	}
 	if err := cbor.Unmarshal(raw[3:], &w); err != nil {
@@ -73,31 +73,31 @@
 
 // ListenPeers opens the socket for a dispatcher of the given number.
 func ListenPeers(own int, listen string, others []string, open func(address string) (*net.UDPConn, error)) (*Peers, error) {
-	p := &Peers{Own: own}
+	p := &Peers{Number: own}
 	for i, other := range others {
 		at, err := net.ResolveUDPAddr("udp", other)
 		if err != nil {
 			return nil, fmt.Errorf("peers.%d: %w", i, err)
 		}
-		p.To = append(p.To, at)
+		p.Addresses = append(p.Addresses, at)
 	}
 	var err error
-	if p.Conn, err = system.Open(func() (*net.UDPConn, error) { return open(listen) }); err != nil {
+	if p.Conn, err = system.OpenWithRetry(func() (*net.UDPConn, error) { return open(listen) }); err != nil {
 		return nil, fmt.Errorf("news: %w", err)
 	}
 	return p, nil
 }
 
 // Tell sends news; a message that can't be sent is as good as lost.
-func (p *Peers) Tell(peer int, n brain.PeerUpdate) {
-	if peer < 0 || peer >= len(p.To) || peer == p.Own {
+func (p *Peers) SendUpdate(peer int, n brain.PeerUpdate) {
+	if peer < 0 || peer >= len(p.Addresses) || peer == p.Number {
 		return
 	}
 	raw := news.Encode(n)
 	if !p.Plain {
-		raw = append(binary.BigEndian.AppendUint16([]byte{peerVersion}, uint16(p.Own)), raw...)
+		raw = append(binary.BigEndian.AppendUint16([]byte{peerVersion}, uint16(p.Number)), raw...)
 	}
-	p.Conn.WriteToUDP(raw, p.To[peer])
+	p.Conn.WriteToUDP(raw, p.Addresses[peer])
 }
 
 // check returns the news in a message.
@@ -105,7 +105,7 @@
 	if len(raw) != newsBytes || raw[0] != peerVersion {
 		return nil, fmt.Errorf("%d bytes are no message", len(raw))
 	}
-	if from := int(binary.BigEndian.Uint16(raw[1:])); from >= len(p.To) || from == p.Own {
+	if from := int(binary.BigEndian.Uint16(raw[1:])); from >= len(p.Addresses) || from == p.Number {
 		return nil, fmt.Errorf("there is no sibling %d", from)
 	}
 	return raw[3:], nil
@@ -113,8 +113,8 @@
 
 // sibling tells whether a plain message comes from one.
 func (p *Peers) sibling(from *net.UDPAddr) error {
-	for i, to := range p.To {
-		if i != p.Own && to.Port == from.Port && to.IP.Equal(from.IP) {
+	for i, to := range p.Addresses {
+		if i != p.Number && to.Port == from.Port && to.IP.Equal(from.IP) {
 			return nil
 		}
 	}
@@ -126,7 +126,7 @@
 	stop := context.AfterFunc(ctx, func() { p.Conn.Close() })
 	defer stop()
 	buf := make([]byte, 2048)
-	var retry system.Retry
+	var retry system.Backoff
 	for {
 		n, sender, err := p.Conn.ReadFromUDP(buf)
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
@@ -139,11 +139,11 @@
 		retry.Reset()
 		if n > 0 && buf[0] == peerBudget && !p.Plain {
 			from, w, err := p.readBudget(buf[:n])
-			if err != nil || p.Budget == nil {
+			if err != nil || p.OnBudget == nil {
 				p.Dropped.Add(1)
 				continue
 			}
-			l.Post(func() { p.Budget(from, w) })
+			l.Post(func() { p.OnBudget(from, w) })
 			continue
 		}
 		raw := buf[:n]
@@ -158,7 +158,7 @@
 		}
 		raw = append([]byte(nil), raw...)
 		l.Post(func() {
-			if l.News(raw) != nil {
+			if l.ReceivePeerUpdate(raw) != nil {
 				p.Dropped.Add(1)
 			}
 		})
--- a/internal/dispatch/peers_test.go
+++ b/internal/dispatch/peers_test.go
@@ -12,9 +12,9 @@
 
 // Whatever a datagram holds, it is read or dropped: no panic, no bound passed.
 func FuzzDatagrams(f *testing.F) {
-	p := &Peers{Own: 0, To: make([]*net.UDPAddr, 3)}
+	p := &Peers{Number: 0, Addresses: make([]*net.UDPAddr, 3)}
 	head := func(form byte, from uint16) []byte { return binary.BigEndian.AppendUint16([]byte{form}, from) }
-	ask, err := cbor.Marshal(budgetWord{Ask: &budget.Ask{Name: "b", Holder: "h", Want: 3}})
+	ask, err := cbor.Marshal(budgetWord{Ask: &budget.LeaseRequest{Name: "b", Holder: "h", Wanted: 3}})
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -29,7 +29,7 @@
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		raw = raw[:min(len(raw), 2048)]
-		if from, w, err := p.readBudget(raw); err == nil && (from == p.Own || from >= len(p.To) || (w.Ask == nil) == (w.Lend == nil)) {
+		if from, w, err := p.readBudget(raw); err == nil && (from == p.Number || from >= len(p.Addresses) || (w.Ask == nil) == (w.Lend == nil)) {
 			t.Errorf("%x: from %d, %+v", raw, from, w)
 		}
 		if got, err := p.check(raw); err == nil && len(got) != 8 {
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -11,39 +11,39 @@
 
 // ClientRequest is one request between its client and the module.
 type ClientRequest struct {
-	Request  *brain.Request
-	Ask      kserve.Ask
-	Grade    string
-	Channel  string
-	Matter   any                // what the carrier sends of it; dropped when the request is over
-	Tell     func(kserve.Final) // takes the final answer in place of the channel
-	began    chan *Attempt      // the attempt whose stream goes to the client
-	final    chan kserve.Final  // the one final answer
-	answered bool
-	left     bool
-	channel  int
-	paid     []paid   // set aside in budgets
-	unpaid   bool     // declined for a budget
-	stream   *Attempt // the attempt whose stream has begun
-	flight   *Attempt // the attempt that is out
-	waiting  map[*Backend]bool
-	from     time.Duration
-	over     atomic.Bool
+	Scheduled *brain.Request
+	Params    kserve.Request
+	Class     string
+	Tenant    string
+	Payload   any                        // what the carrier sends of it; dropped when the request is over
+	OnFinal   func(kserve.FinalResponse) // takes the final answer in place of the channel
+	began     chan *Attempt              // the attempt whose stream goes to the client
+	final     chan kserve.FinalResponse  // the one final answer
+	answered  bool
+	left      bool
+	channel   int
+	paid      []paid   // set aside in budgets
+	unpaid    bool     // declined for a budget
+	stream    *Attempt // the attempt whose stream has begun
+	flight    *Attempt // the attempt that is out
+	waiting   map[*Backend]bool
+	from      time.Duration
+	over      atomic.Bool
 }
 
 // End says that nothing more may be sent for the request: it has its answer, its client has gone, or its time is up. Unlike a message
 // to the loop it does not wait its turn.
-func (a *ClientRequest) End() { a.over.Store(true) }
+func (a *ClientRequest) MarkOver() { a.over.Store(true) }
 
 // Over tells whether nothing more may be sent.
 func (a *ClientRequest) Over() bool { return a.over.Load() }
 
 // AttemptOut tells whether an attempt is out. It is the loop's.
-func (a *ClientRequest) AttemptOut() bool { return a.flight != nil }
+func (a *ClientRequest) AttemptInFlight() bool { return a.flight != nil }
 
 // Start waits for the attempt whose stream goes to the client, or for a final answer without one: then there is no attempt. ok is false
 // where the context ended first.
-func (a *ClientRequest) Start(ctx context.Context) (trip *Attempt, f kserve.Final, ok bool) {
+func (a *ClientRequest) WaitStart(ctx context.Context) (trip *Attempt, f kserve.FinalResponse, ok bool) {
 	select {
 	case <-ctx.Done():
 		return nil, f, false
@@ -55,11 +55,11 @@
 	select {
 	case trip = <-a.began:
 		a.final <- f
-		return trip, kserve.Final{}, true
+		return trip, kserve.FinalResponse{}, true
 	default:
 		return nil, f, true
 	}
 }
 
 // Final gives the one final answer.
-func (a *ClientRequest) Final() <-chan kserve.Final { return a.final }
+func (a *ClientRequest) Final() <-chan kserve.FinalResponse { return a.final }
--- a/internal/dispatch/runtime.go
+++ b/internal/dispatch/runtime.go
@@ -14,20 +14,20 @@
 
 func (l *Loop) Send(t *brain.Attempt, wait time.Duration) {
 	a := l.requests[t.Request]
-	f := &Attempt{Planned: t, Request: a, Backend: l.byHost[t.Backend], Wait: wait, Until: l.now + wait, Tokens: make(chan []byte, tokenRoom), Key: l.Key(a)}
-	if t.Stage == brain.ToWrite {
-		f.State = l.byHost[t.Request.State]
+	f := &Attempt{Scheduled: t, Request: a, Backend: l.byHost[t.Backend], Timeout: wait, Deadline: l.now + wait, Tokens: make(chan []byte, tokenRoom), RequestKey: l.RequestKey(a)}
+	if t.Stage == brain.StageDecode {
+		f.PrefillBackend = l.byHost[t.Request.KVHolder]
 	}
 	a.flight = f
 	f.Backend.out++
-	l.Tally.Trips++
-	if l.Guard != nil {
-		l.Guard.Sent(l.now, t.Number > 0 && cost(t.Request.Attempts[t.Number-1].Outcome))
+	l.Counters.Attempts++
+	if l.RetryThrottle != nil {
+		l.RetryThrottle.AttemptSent(l.now, t.Number > 0 && cost(t.Request.Attempts[t.Number-1].Outcome))
 	}
-	l.Wake(wait, func() {
-		if !t.Ended && t.Began == 0 {
+	l.Schedule(wait, func() {
+		if !t.Ended && t.FirstTokenAt == 0 {
 			f.late = true
-			f.Off(ErrLate)
+			f.Cancel(ErrAttemptTimeout)
 		}
 	})
 	l.accountSent(f)
@@ -38,8 +38,8 @@
 const tokenRoom = 64
 
 func (l *Loop) Cancel(t *brain.Attempt) {
-	if f := l.requests[t.Request].flight; f != nil && f.Planned == t {
-		f.Off(ErrLeft)
+	if f := l.requests[t.Request].flight; f != nil && f.Scheduled == t {
+		f.Cancel(ErrNotNeeded)
 	}
 }
 
@@ -54,22 +54,22 @@
 
 func (l *Loop) Reject(q *brain.Request, after time.Duration) {
 	ticket := ""
-	if l.Guard != nil && after > 0 {
-		after, ticket = l.Guard.Book(l.now)
+	if l.RetryThrottle != nil && after > 0 {
+		after, ticket = l.RetryThrottle.BookRetry(l.now)
 	}
-	l.answer(l.requests[q], kserve.Final{Ticket: ticket, Final: kserve.Declined, Error: "not taken on: too much is asked just now", Harmless: true, AfterMs: after.Milliseconds()})
+	l.answer(l.requests[q], kserve.FinalResponse{RetryTicket: ticket, Outcome: kserve.Rejected, Error: "not taken on: too much is asked just now", SafeToRetry: true, RetryAfterMs: after.Milliseconds()})
 }
 
 func (l *Loop) Fail(q *brain.Request) {
-	l.answer(l.requests[q], kserve.Final{Final: kserve.Forfeited, Error: "given up on; it may have run"})
+	l.answer(l.requests[q], kserve.FinalResponse{Outcome: kserve.Failed, Error: "given up on; it may have run"})
 }
 
-func (l *Loop) Wake(after time.Duration, do func()) {
-	l.wakes.At(l.now+max(after, 0), do)
+func (l *Loop) Schedule(after time.Duration, do func()) {
+	l.wakes.Schedule(l.now+max(after, 0), do)
 }
 
-func (l *Loop) Watch(bool) {} // this list pushes unasked
+func (l *Loop) WatchEndpoints(bool) {} // this list pushes unasked
 
-func (l *Loop) Tell(peer int, n brain.PeerUpdate) { l.carrier.Tell(peer, n) }
+func (l *Loop) SendPeerUpdate(peer int, n brain.PeerUpdate) { l.carrier.SendPeerUpdate(peer, n) }
 
-func (l *Loop) Note(text string) { l.Log.Info(text) }
+func (l *Loop) LogInfo(text string) { l.Log.Info(text) }
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -40,11 +40,11 @@
 
 // Serve runs one dispatcher until the context ends; then it declines what is new, lets what it holds end, and
 // returns. Listening is told to started, with the address.
-func Serve(ctx context.Context, d setup.Dispatcher, log *slog.Logger, started func(addr net.Addr)) error {
+func Serve(ctx context.Context, d setup.DispatcherConfig, log *slog.Logger, started func(addr net.Addr)) error {
 	var seed [16]byte
 	rand.Read(seed[:])
-	epoch := fmt.Sprintf("%s.%x", d.Place.Name, seed[8:14])
-	chance := d.Place.Seed
+	epoch := fmt.Sprintf("%s.%x", d.Instance.Name, seed[8:14])
+	chance := d.Instance.Seed
 	if chance == 0 {
 		chance = binary.BigEndian.Uint64(seed[:])
 	}
@@ -55,32 +55,32 @@
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	var flights, group errgroup.Group
-	trips := NewTrips(life, &flights, d.Limits.BoxConns, d.Limits.Dial.D(), since)
-	trips.Model, trips.Stall = d.Model, d.Limits.Stall.D()
-	may, err := reach.NewAllowed(d.Place.Allow)
+	trips := NewHTTPTransport(life, &flights, d.Limits.MaxConnsPerBackend, d.Limits.DialTimeout.Std(), since)
+	trips.Model, trips.StallTimeout = d.Model, d.Limits.StallTimeout.Std()
+	may, err := reach.NewAllowList(d.Instance.AllowedBackends)
 	if err != nil {
 		return err
 	}
-	loop, err := NewLoop(d.Facts(), chance, Places{d.ZoneNumber, d.KindNumber, may.Has}, trips, since, epoch, log)
+	loop, err := NewLoop(d.SchedulerParameters(), chance, Resolver{d.ZoneIndex, d.KindIndex, may.Contains}, trips, since, epoch, log)
 	if err != nil {
 		return err
 	}
 	trips.loop = loop
-	if d.Limits.Storms {
-		seal := storm.Seal{Key: seed[:], Began: time.Duration(began.UnixNano()), From: uint32(xxhash.Sum64String(epoch))}
-		if d.Place.Tickets != "" {
-			if seal.Key, err = setup.ReadKey(d.Place.Tickets); err != nil {
+	if d.Limits.ThrottleRetries {
+		seal := storm.TicketSigner{Key: seed[:], StartedAt: time.Duration(began.UnixNano()), Issuer: uint32(xxhash.Sum64String(epoch))}
+		if d.Instance.TicketKeyFile != "" {
+			if seal.Key, err = setup.ReadKeyFile(d.Instance.TicketKeyFile); err != nil {
 				return fmt.Errorf("dispatcher.ticket_key: %w", err)
 			}
 		}
-		loop.Guard = storm.New(d.Limits.RetryAfter.D(), len(d.Channels), chance^0x5709, seal)
+		loop.RetryThrottle = storm.New(d.Limits.MaxRetryAfter.Std(), len(d.Tenants), chance^0x5709, seal)
 	}
-	for _, f := range d.Further {
-		loop.Further(f.Box, f.Spec)
+	for _, f := range d.ExtraAddresses {
+		loop.AddAddress(f.Backend, f.Spec)
 	}
 	var listeners []net.Listener
-	door, doorMu := &storm.Door{PerS: d.Place.ConnPerS, Burst: max(d.Place.ConnPerS, 1), MostOpen: d.Place.ConnOpen}, &sync.Mutex{}
-	for i, at := range append(slices.Clone(d.Place.Listen), d.Place.Control...) {
+	door, doorMu := &storm.ConnLimiter{ConnsPerSecond: d.Instance.ConnsPerSecond, Burst: max(d.Instance.ConnsPerSecond, 1), MaxOpen: d.Instance.MaxConns}, &sync.Mutex{}
+	for i, at := range append(slices.Clone(d.Instance.Listen), d.Instance.AdminListen...) {
 		spec, err := reach.ParseListen(at)
 		if err != nil {
 			return fmt.Errorf("dispatcher.listen: %w", err)
@@ -90,8 +90,8 @@
 			return fmt.Errorf("dispatcher.listen: %w", err)
 		}
 		defer l.Close()
-		l = system.Persistent{Listener: l, Failed: func(err error) { log.Warn("accept failed", "error", err) }}
-		if i < len(d.Place.Listen) && d.Place.ConnPerS > 0 {
+		l = system.RetryingListener{Listener: l, OnError: func(err error) { log.Warn("accept failed", "error", err) }}
+		if i < len(d.Instance.Listen) && d.Instance.ConnsPerSecond > 0 {
 			l = &guarded{l, doorMu, door, since}
 		}
 		listeners = append(listeners, l)
@@ -103,39 +103,39 @@
 	if books != nil {
 		defer books.Close()
 	}
-	if d.Limits.Siblings || len(d.Budgets) > 0 && d.Place.Siblings > 1 {
-		if trips.Peers, err = ListenPeers(d.Place.Number, d.Place.News, d.Place.Peers, system.Real().ListenUDP); err != nil {
+	if d.Limits.PeerUpdates || len(d.Budgets) > 0 && d.Instance.FleetSize > 1 {
+		if trips.Peers, err = ListenPeers(d.Instance.Index, d.Instance.PeerListen, d.Instance.PeerAddrs, system.Real().ListenUDP); err != nil {
 			return fmt.Errorf("dispatcher.%w", err)
 		}
 		group.Go(func() error { return trips.Peers.Listen(life, loop) })
 	}
 	if kept := newBooks(d, loop, trips, books, account, epoch, began); kept != nil {
-		loop.Keep(kept)
+		loop.SetAccounting(kept)
 	}
 	list := &boxlist.Follower{
-		Address: d.Place.Boxes, Name: d.Place.Name, Keep: d.Place.Keep, Log: log, Client: &http.Client{Transport: &http.Transport{}},
-		Listed: func(lines []boxlist.Box, whole bool) { loop.Post(func() { loop.Listed(lines, whole) }) },
+		Address: d.Instance.DiscoveryAddr, Name: d.Instance.Name, CacheDir: d.Instance.EndpointCacheFolder, Log: log, HTTPClient: &http.Client{Transport: &http.Transport{}},
+		OnUpdate: func(lines []boxlist.Endpoint, whole bool) { loop.Post(func() { loop.UpdateBackends(lines, whole) }) },
 	}
 	if err := list.Restore(); err != nil {
 		log.Warn("the kept list is left out", "error", err)
 	}
 	group.Go(func() error { return loop.Run(life) })
-	group.Go(func() error { return list.Follow(life) })
+	group.Go(func() error { return list.Run(life) })
 
-	server := &Server{Terms: d.Terms, Place: d.Place, Loop: loop, Log: log}
-	server.State = func() map[string]any {
+	server := &Server{Service: d.Deployment, Instance: d.Instance, Loop: loop, Log: log}
+	server.Status = func() map[string]any {
 		out := state(ctx, loop, list, trips, server, since())
 		if books != nil {
 			out["ledger"] = books.State()
 		}
 		doorMu.Lock()
 		defer doorMu.Unlock()
-		out["connections_taken"], out["connections_refused"] = door.Taken, door.Refused
+		out["connections_taken"], out["connections_refused"] = door.Accepted, door.Refused
 		return out
 	}
 	server.Ready = func() bool {
 		ready := false
-		loop.Call(ctx, func() { ready = loop.Answers() })
+		loop.Call(ctx, func() { ready = loop.HasReadyBackend() })
 		return ready
 	}
 	front := func(h http.Handler) *http.Server {
@@ -144,11 +144,11 @@
 			ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 		}
 	}
-	web, operators := front(server.Handler()), front(server.Operators())
+	web, operators := front(server.Handler()), front(server.OperatorHandler())
 	failed := make(chan error, len(listeners))
 	for i, l := range listeners {
 		web := web
-		if i >= len(d.Place.Listen) {
+		if i >= len(d.Instance.Listen) {
 			web = operators
 		}
 		group.Go(func() error {
@@ -158,7 +158,7 @@
 			return nil
 		})
 	}
-	log.Info("serving", "listen", d.Place.Listen, "epoch", epoch, "boxes", d.Place.Boxes)
+	log.Info("serving", "listen", d.Instance.Listen, "epoch", epoch, "boxes", d.Instance.DiscoveryAddr)
 	if started != nil {
 		started(listeners[0].Addr())
 	}
@@ -168,7 +168,7 @@
 	}
 	server.stopping.Store(true)
 	log.Info("stopping: new questions are declined", "open", server.open.Load())
-	if server.drain(d.Place.Stop.D()) {
+	if server.drain(d.Instance.ShutdownTimeout.Std()) {
 		log.Info("every question has its answer")
 	} else {
 		log.Warn("questions are cut off", "open", server.open.Load())
@@ -185,7 +185,7 @@
 	end()
 	flights.Wait()
 	group.Wait()
-	list.Client.CloseIdleConnections()
+	list.HTTPClient.CloseIdleConnections()
 	return err
 }
 
@@ -204,7 +204,7 @@
 
 // settle waits until every attempt has ended and the backends were told of all releases, or for so long. An attempt that was called off
 // ends a little later, and its end may ask for a release.
-func (c *Trips) settle(ctx context.Context, most time.Duration) {
+func (c *HTTPTransport) settle(ctx context.Context, most time.Duration) {
 	for end := time.Now().Add(most); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		out := 0
 		c.loop.Call(ctx, func() { out = len(c.loop.requests) })
@@ -218,9 +218,9 @@
 }
 
 // Answers tells whether a backend that answers is ready.
-func (l *Loop) Answers() bool {
+func (l *Loop) HasReadyBackend() bool {
 	for _, b := range l.backends {
-		if b.Known.Standing == brain.Ready && b.Known.Kept != nil && b.Known.Answers() {
+		if b.SchedulerState.State == brain.Ready && b.SchedulerState.CachedPrefixes != nil && b.SchedulerState.Decodes() {
 			return true
 		}
 	}
@@ -229,25 +229,25 @@
 
 // Yield ends what has not begun to be answered, so that clients may ask elsewhere: what is held is declined where that promise can be
 // kept, and what is out gets no further attempt.
-func (l *Loop) Yield() {
+func (l *Loop) EndUnstarted() {
 	for q, a := range l.requests {
 		switch f := a.flight; {
 		case a.answered || a.left:
 			if f != nil {
-				f.Off(ErrLeft) // nobody waits for it, and what it holds has to be released before the end
+				f.Cancel(ErrNotNeeded) // nobody waits for it, and what it holds has to be released before the end
 			}
-		case f != nil && f.Planned.Began > 0:
+		case f != nil && f.Scheduled.FirstTokenAt > 0:
 		case f != nil:
-			q.Last = true
+			q.NoMoreAttempts = true
 			f.late = true
-			f.Off(ErrLate)
+			f.Cancel(ErrAttemptTimeout)
 		default:
 			if brain.MayReject(q) == brain.Allowed {
-				l.answer(a, kserve.Final{Final: kserve.Declined, Error: "this dispatcher is stopping", Harmless: true, AfterMs: 1})
+				l.answer(a, kserve.FinalResponse{Outcome: kserve.Rejected, Error: "this dispatcher is stopping", SafeToRetry: true, RetryAfterMs: 1})
 			} else {
 				l.Fail(q)
 			}
-			l.module.Left(q)
+			l.module.ClientDisconnected(q)
 			l.forget(a)
 		}
 	}
@@ -258,38 +258,38 @@
 	for q, a := range l.requests {
 		if !a.answered && !a.left {
 			l.Fail(q)
-			l.module.Left(q)
+			l.module.ClientDisconnected(q)
 		}
 		if a.flight != nil {
-			a.flight.Off(ErrLeft)
+			a.flight.Cancel(ErrNotNeeded)
 		}
 		l.forget(a)
 	}
 }
 
 // state is what operators see of a dispatcher.
-func state(ctx context.Context, l *Loop, list *boxlist.Follower, trips *Trips, s *Server, up time.Duration) map[string]any {
-	age, heard := list.Age()
+func state(ctx context.Context, l *Loop, list *boxlist.Follower, trips *HTTPTransport, s *Server, up time.Duration) map[string]any {
+	age, heard := list.Staleness()
 	out := map[string]any{
 		"dispatcher": l.Epoch, "up_s": up.Seconds(), "open": s.open.Load(), "stopping": s.stopping.Load(), "list_heard": heard,
-		"list_age_s": age.Seconds(), "list_gaps": list.Gaps(), "releases_refused": trips.Refused.Load(),
+		"list_age_s": age.Seconds(), "list_gaps": list.Gaps(), "releases_refused": trips.DroppedReleases.Load(),
 	}
 	if trips.Peers != nil {
 		out["messages_dropped"] = trips.Peers.Dropped.Load()
 	}
 	l.Call(ctx, func() {
-		t := l.Tally
-		out["taken"], out["satisfied"], out["declined"], out["forfeited"] = t.Taken, t.Satisfied, t.Declined, t.Forfeited
-		out["left"], out["overdue"], out["trips"], out["held_timers"] = t.Left, t.Overdue, t.Trips, l.wakes.Len()
-		out["damped"] = t.Damped
+		t := l.Counters
+		out["taken"], out["satisfied"], out["declined"], out["forfeited"] = t.Accepted, t.Served, t.Rejected, t.Failed
+		out["left"], out["overdue"], out["trips"], out["held_timers"] = t.Disconnected, t.Overdue, t.Attempts, l.wakes.Len()
+		out["damped"] = t.Throttled
 		if b := l.books; b != nil {
 			out["budgets"] = l.budgets()
 			if b.Account != nil {
 				out["account"] = b.Account.Counts
 			}
 		}
-		if g := l.Guard; g != nil {
-			out["storm"] = map[string]any{"on": g.On(l.now), "again_share": g.Again(l.now), "promised_returns": g.Promised(l.now), "rate": g.Rate(l.now), "counts": g.Counts}
+		if g := l.RetryThrottle; g != nil {
+			out["storm"] = map[string]any{"on": g.Active(l.now), "again_share": g.RetryShare(l.now), "promised_returns": g.BookedRetries(l.now), "rate": g.ServiceRate(l.now), "counts": g.Counters}
 		}
 		outcomes := map[string]int64{}
 		for i, n := range t.Outcomes {
@@ -298,9 +298,9 @@
 		out["outcomes"] = outcomes
 		var boxes []map[string]any
 		for _, b := range l.backends {
-			h := b.Known
-			boxes = append(boxes, map[string]any{"name": b.Name, "at": b.At, "standing": [...]string{"draining", "ready", "gone"}[h.Standing],
-				"role": [...]string{"reader", "writer", "mixed"}[h.Role], "streams": h.Streams, "tokens": h.Tokens, "util": h.Util, "queue": h.Queue})
+			h := b.SchedulerState
+			boxes = append(boxes, map[string]any{"name": b.Name, "at": b.Addresses, "standing": [...]string{"draining", "ready", "gone"}[h.State],
+				"role": [...]string{"reader", "writer", "mixed"}[h.Role], "streams": h.Streams, "tokens": h.KVTokens, "util": h.Util, "queue": h.QueueLength})
 		}
 		out["boxes"] = boxes
 	})
@@ -309,12 +309,12 @@
 }
 
 // boxAddresses tells how each address of each backend stands, and why.
-func boxAddresses(trips *Trips, now time.Duration) []BoxState {
-	var out []BoxState
-	trips.Boxes.Look(func(name string, book *addresses.Book, open, idle int) {
-		b := BoxState{Name: name, Open: open, Idle: idle}
+func boxAddresses(trips *HTTPTransport, now time.Duration) []PoolState {
+	var out []PoolState
+	trips.Pools.ForEach(func(name string, book *addresses.Tracker, open, idle int) {
+		b := PoolState{Name: name, Open: open, Idle: idle}
 		for _, a := range book.Addresses() {
-			b.Addresses = append(b.Addresses, AddressState{a.Spec.String(), a.Prefer, a.Doubtful(now), a.Why(now)})
+			b.Addresses = append(b.Addresses, AddressState{a.Spec.String(), a.Preference, a.Suspected(now), a.Summary(now)})
 		}
 		out = append(out, b)
 	})
@@ -322,7 +322,7 @@
 }
 
 // BoxState is a backend as it is reached.
-type BoxState struct {
+type PoolState struct {
 	Name      string         `json:"name"`
 	Open      int            `json:"open"`
 	Idle      int            `json:"idle"`
@@ -331,10 +331,10 @@
 
 // AddressState is one of its addresses.
 type AddressState struct {
-	At       string `json:"at"`
-	Prefer   int    `json:"prefer"`
-	Doubtful bool   `json:"doubtful"`
-	Why      string `json:"why"`
+	Address string `json:"at"`
+	Prefer  int    `json:"prefer"`
+	Suspect bool   `json:"doubtful"`
+	Reason  string `json:"why"`
 }
 
 // OutcomeName is how logs and counters name an outcome.
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -30,30 +30,30 @@
 // house is a dispatcher in this process with a prefill backend and a decode backend beside it.
 type house struct {
 	t      *testing.T
-	d      setup.Dispatcher
+	d      setup.DispatcherConfig
 	book   *record.Recorder
 	fleet  *standin.Fleet
-	list   *standin.List
-	reader *standin.Box
-	writer *standin.Box
+	list   *standin.Discovery
+	reader *standin.Backend
+	writer *standin.Backend
 	base   string
 	stop   func()
 	ended  chan error
 }
 
 // open starts everything; all of it has ended when the test has, which goleak looks at.
-func open(t *testing.T, change func(*setup.Dispatcher)) *house {
+func open(t *testing.T, change func(*setup.DispatcherConfig)) *house {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	h := &house{t: t, d: setup.DefaultDispatcher(), ended: make(chan error, 1)}
-	h.d.Grades = []setup.Grade{
-		{Name: "trail-info", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(2 * time.Second), Benefit: 1, Most: 40},
-		{Name: "hut-booking", Effect: "unrepeatable", Promised: setup.Span(time.Second), Expiry: setup.Span(2 * time.Second), Benefit: 5, Most: 40},
-	}
-	h.d.Kinds = []setup.Kind{{Name: "reader", Role: "reader", Memory: 2e5}, {Name: "writer", Role: "writer", Memory: 2e5}}
-	h.d.Place.Listen, h.d.Place.Boxes, h.d.Place.Stop = []string{"127.0.0.1:0"}, address(t), setup.Span(5*time.Second)
-	h.d.Place.BodyTime, h.d.Place.Write, h.d.Place.Seed = setup.Span(300*time.Millisecond), setup.Span(500*time.Millisecond), 5
-	h.d.Limits.LocalRead = false
+	h := &house{t: t, d: setup.DefaultDispatcherConfig(), ended: make(chan error, 1)}
+	h.d.Classes = []setup.Class{
+		{Name: "trail-info", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(2 * time.Second), Value: 1, DefaultMaxTokens: 40},
+		{Name: "hut-booking", Effect: "unrepeatable", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(2 * time.Second), Value: 5, DefaultMaxTokens: 40},
+	}
+	h.d.BackendKinds = []setup.BackendKind{{Name: "reader", Role: "reader", MemoryTokens: 2e5}, {Name: "writer", Role: "writer", MemoryTokens: 2e5}}
+	h.d.Instance.Listen, h.d.Instance.DiscoveryAddr, h.d.Instance.ShutdownTimeout = []string{"127.0.0.1:0"}, address(t), setup.Duration(5*time.Second)
+	h.d.Instance.BodyTimeout, h.d.Instance.WriteTimeout, h.d.Instance.Seed = setup.Duration(300*time.Millisecond), setup.Duration(500*time.Millisecond), 5
+	h.d.Limits.DecodeCanPrefill = false
 	if change != nil {
 		change(&h.d)
 	}
@@ -61,10 +61,10 @@
 	if h.book, err = record.Open("", record.Header{}); err != nil {
 		t.Fatal(err)
 	}
-	talk := standin.Talk{New: 200, Answer: 20, Prefix: 100}
-	h.fleet = standin.NewFleet(h.d.Terms, h.book, standin.Links{Near: 1e6, Far: 1e6, Zone: 1}, map[string]standin.Talk{"trail-info": talk, "hut-booking": talk})
-	h.list = h.fleet.NewList(h.d.Place.Boxes)
-	if err := h.list.Open(); err != nil {
+	talk := standin.ClassProfile{NewTokens: 200, AnswerTokens: 20, PrefixTokens: 100}
+	h.fleet = standin.NewFleet(h.d.Deployment, h.book, standin.Links{SameRack: 1e6, CrossRack: 1e6, ZoneFactor: 1}, map[string]standin.ClassProfile{"trail-info": talk, "hut-booking": talk})
+	h.list = h.fleet.NewDiscovery(h.d.Instance.DiscoveryAddr)
+	if err := h.list.Start(); err != nil {
 		t.Fatal(err)
 	}
 	h.reader, h.writer = h.box("reader"), h.box("writer")
@@ -84,7 +84,7 @@
 		h.stop()
 		h.reader.Kill("end")
 		h.writer.Kill("end")
-		h.list.Shut()
+		h.list.Stop()
 		h.fleet.Close()
 		http.DefaultClient.CloseIdleConnections()
 		goleak.VerifyNone(t, before)
@@ -112,9 +112,9 @@
 	return l.Addr().String()
 }
 
-func (h *house) box(kind string) *standin.Box {
+func (h *house) box(kind string) *standin.Backend {
 	h.t.Helper()
-	b := h.fleet.NewBox(standin.Make{Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: address(h.t)}},
+	b := h.fleet.NewBackend(standin.Config{Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: address(h.t)}},
 		Engine: engine.Make{Reads: kind == "reader", Writes: kind == "writer", Slots: 64, Queue: 300, Blocks: 6000, BlockTokens: 32, Chunk: 4096, Step: 5 * time.Millisecond,
 			ReadPerS: 50000, StateLife: 8 * time.Second}})
 	if err := b.Boot(false); err != nil {
@@ -177,7 +177,7 @@
 }
 
 func TestWhatMakesNoSenseIsRefusedByName(t *testing.T) {
-	h := open(t, func(d *setup.Dispatcher) { d.Place.Body = 64 << 10 })
+	h := open(t, func(d *setup.DispatcherConfig) { d.Instance.MaxBodyBytes = 64 << 10 })
 	for _, c := range []struct {
 		way, body string
 		status    int
@@ -227,7 +227,7 @@
 
 func TestABrokenStreamEndsWithAnErrorEvent(t *testing.T) {
 	h := open(t, nil)
-	h.writer.Do(func(f *standin.Faults) { f.Reset = 1 })
+	h.writer.UpdateFaults(func(f *standin.Faults) { f.ResetShare = 1 })
 	status, body, _ := h.post(lodge+"generate_stream", strings.NewReader(`{"text_input":"x","parameters":{"max_tokens":40}}`))
 	if status != 200 || !strings.Contains(body, " word") || strings.Count(body, "event: error") != 1 || !strings.Contains(body, `"final":"forfeited"`) {
 		t.Errorf("%d %s", status, body)
@@ -236,7 +236,7 @@
 
 func TestAnUnrepeatableQuestionWhoseWriterResetsIsForfeitedAndItsStateGone(t *testing.T) {
 	h := open(t, nil)
-	h.writer.Do(func(f *standin.Faults) { f.ResetAtOnce = 1 })
+	h.writer.UpdateFaults(func(f *standin.Faults) { f.EarlyResetShare = 1 })
 	status, body, _ := h.post(lodge+"generate", strings.NewReader(`{"id":"once","text_input":"x","parameters":{"grade":"hut-booking"}}`))
 	if status != 502 || !strings.Contains(body, `"final":"forfeited"`) || strings.Contains(body, `"harmless":true`) {
 		t.Errorf("%d %s", status, body)
@@ -256,12 +256,12 @@
 	h := open(t, nil)
 	h.reader.Kill("gone")
 	h.writer.Kill("gone")
-	h.list.Publish(h.reader, boxlist.Gone, 0)
-	h.list.Publish(h.writer, boxlist.Gone, 0)
+	h.list.Publish(h.reader, boxlist.Removed, 0)
+	h.list.Publish(h.writer, boxlist.Removed, 0)
 	time.Sleep(100 * time.Millisecond)
 	status, body, head := h.post(lodge+"generate", strings.NewReader(`{"text_input":"x","parameters":{"timeout":600000}}`))
-	var f kserve.Final
-	if json.Unmarshal([]byte(body), &f); status != 503 || f.Final != kserve.Declined || !f.Harmless || f.AfterMs < 100 || f.AfterMs > 500 || head.Get("Retry-After") != "1" {
+	var f kserve.FinalResponse
+	if json.Unmarshal([]byte(body), &f); status != 503 || f.Outcome != kserve.Rejected || !f.SafeToRetry || f.RetryAfterMs < 100 || f.RetryAfterMs > 500 || head.Get("Retry-After") != "1" {
 		t.Errorf("%d %s, Retry-After %q", status, body, head.Get("Retry-After"))
 	}
 }
@@ -306,10 +306,10 @@
 			defer asking.Done()
 			time.Sleep(time.Duration(i) * 4 * time.Millisecond)
 			_, body, _ := h.post(lodge+"generate", strings.NewReader(fmt.Sprintf(`{"id":"q%d","text_input":"x","parameters":{"max_tokens":30}}`, i)))
-			var f kserve.Final
+			var f kserve.FinalResponse
 			json.Unmarshal([]byte(body), &f)
-			words[i] = f.Final
-			if f.Final == "" {
+			words[i] = f.Outcome
+			if f.Outcome == "" {
 				words[i] = body
 			}
 		}()
@@ -325,7 +325,7 @@
 	}
 	counts := map[string]int{}
 	for i, w := range words {
-		if taken[fmt.Sprint("q", i)] && w != kserve.Satisfied && w != kserve.Declined {
+		if taken[fmt.Sprint("q", i)] && w != kserve.Served && w != kserve.Rejected {
 			t.Errorf("q%d was taken and ended with %q", i, w)
 		}
 		if strings.Contains(w, "refused") || strings.Contains(w, "EOF") || strings.Contains(w, "reset") {
@@ -333,15 +333,15 @@
 		}
 		counts[w]++
 	}
-	if counts[kserve.Satisfied]+counts[kserve.Declined]+counts["unreached"] != n || counts[kserve.Satisfied] < 10 || counts[kserve.Declined] < 10 {
+	if counts[kserve.Served]+counts[kserve.Rejected]+counts["unreached"] != n || counts[kserve.Served] < 10 || counts[kserve.Rejected] < 10 {
 		t.Errorf("answers %v", counts)
 	}
 }
 
 // A stop that waits for a stuck answer is bounded, and the request gets its final answer.
 func TestStoppingForfeitsWhatDoesNotEnd(t *testing.T) {
-	h := open(t, func(d *setup.Dispatcher) { d.Place.Stop = setup.Span(400 * time.Millisecond) })
-	h.writer.Do(func(f *standin.Faults) { f.Slow = 50 })
+	h := open(t, func(d *setup.DispatcherConfig) { d.Instance.ShutdownTimeout = setup.Duration(400 * time.Millisecond) })
+	h.writer.UpdateFaults(func(f *standin.Faults) { f.SlowFactor = 50 })
 	got := make(chan string, 1)
 	go func() {
 		_, body, _ := h.post(lodge+"generate_stream", strings.NewReader(`{"text_input":"x"}`))
@@ -359,8 +359,8 @@
 }
 
 func TestTooManyOpenQuestionsAreDeclinedAtTheDoor(t *testing.T) {
-	h := open(t, func(d *setup.Dispatcher) { d.Limits.Open = 2 })
-	h.writer.Do(func(f *standin.Faults) { f.Slow = 10 })
+	h := open(t, func(d *setup.DispatcherConfig) { d.Limits.MaxOpenRequests = 2 })
+	h.writer.UpdateFaults(func(f *standin.Faults) { f.SlowFactor = 10 })
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	counts := map[int]int{}
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -20,11 +20,11 @@
 
 // Server speaks KServe v2 to clients.
 type Server struct {
-	Terms setup.Terms
-	Place setup.Place
-	Loop  *Loop
-	Log   *slog.Logger
-	State func() map[string]any // what operators see
+	Service  setup.Deployment
+	Instance setup.Instance
+	Loop     *Loop
+	Log      *slog.Logger
+	Status   func() map[string]any // what operators see
 
 	open     atomic.Int64
 	begins   begins.Table // the loop's
@@ -44,7 +44,7 @@
 	mux.HandleFunc("GET /v2/health/live", func(w http.ResponseWriter, r *http.Request) {})
 	mux.HandleFunc("GET /v2/health/ready", s.ready)
 	mux.HandleFunc("GET /state", func(w http.ResponseWriter, r *http.Request) {
-		kserve.WriteJSON(w, http.StatusOK, s.State())
+		kserve.WriteJSON(w, http.StatusOK, s.Status())
 	})
 	for _, at := range []string{"/v2/models/{model}", "/v2/models/{model}/versions/{version}"} {
 		mux.HandleFunc("GET "+at, s.known(s.model))
@@ -64,7 +64,7 @@
 
 func (s *Server) model(w http.ResponseWriter, r *http.Request) {
 	kserve.WriteJSON(w, http.StatusOK, map[string]any{
-		"name": s.Terms.Model, "versions": []string{"1"}, "platform": "sloetrestle",
+		"name": s.Service.Model, "versions": []string{"1"}, "platform": "sloetrestle",
 		"inputs":  []map[string]any{{"name": "text_input", "datatype": "BYTES", "shape": []int{1}}},
 		"outputs": []map[string]any{{"name": "text_output", "datatype": "BYTES", "shape": []int{1}}},
 	})
@@ -73,12 +73,12 @@
 // known lets only the one model through.
 func (s *Server) known(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		if m := r.PathValue("model"); m != s.Terms.Model {
-			kserve.WriteFault(w, &kserve.Fault{Status: http.StatusNotFound, Field: "model", Text: fmt.Sprintf("%q is unknown", m)})
+		if m := r.PathValue("model"); m != s.Service.Model {
+			kserve.WriteError(w, &kserve.RequestError{Status: http.StatusNotFound, Field: "model", Message: fmt.Sprintf("%q is unknown", m)})
 			return
 		}
 		if v := r.PathValue("version"); v != "" && v != "1" {
-			kserve.WriteFault(w, &kserve.Fault{Status: http.StatusNotFound, Field: "version", Text: fmt.Sprintf("%q is unknown", v)})
+			kserve.WriteError(w, &kserve.RequestError{Status: http.StatusNotFound, Field: "version", Message: fmt.Sprintf("%q is unknown", v)})
 			return
 		}
 		next(w, r)
@@ -89,77 +89,77 @@
 func (s *Server) take(w http.ResponseWriter, r *http.Request, inference bool) *ClientRequest {
 	came := time.Now()
 	ctl := http.NewResponseController(w)
-	ctl.SetReadDeadline(came.Add(s.Place.BodyTime.D()))
-	body := http.MaxBytesReader(w, r.Body, s.Place.Body)
-	read := kserve.ReadPrompt
+	ctl.SetReadDeadline(came.Add(s.Instance.BodyTimeout.Std()))
+	body := http.MaxBytesReader(w, r.Body, s.Instance.MaxBodyBytes)
+	read := kserve.ReadGenerateRequest
 	if inference {
-		read = kserve.ReadInference
+		read = kserve.ReadInferRequest
 	}
 	ask, err := read(body)
 	if err != nil {
 		if errors.Is(err, os.ErrDeadlineExceeded) || strings.Contains(err.Error(), "i/o timeout") {
-			err = &kserve.Fault{Status: http.StatusRequestTimeout, Text: fmt.Sprintf("the body did not arrive within %v", s.Place.BodyTime.D())}
+			err = &kserve.RequestError{Status: http.StatusRequestTimeout, Message: fmt.Sprintf("the body did not arrive within %v", s.Instance.BodyTimeout.Std())}
 		}
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return nil
 	}
 	ctl.SetReadDeadline(time.Time{})
 	grade, channel := 0, 0
-	if ask.Grade != "" {
-		if grade = s.Terms.GradeNumber(ask.Grade); grade < 0 {
-			kserve.WriteFault(w, &kserve.Fault{Status: http.StatusBadRequest, Field: "parameters.grade", Text: fmt.Sprintf("%q is unknown", ask.Grade)})
+	if ask.Class != "" {
+		if grade = s.Service.ClassIndex(ask.Class); grade < 0 {
+			kserve.WriteError(w, &kserve.RequestError{Status: http.StatusBadRequest, Field: "parameters.grade", Message: fmt.Sprintf("%q is unknown", ask.Class)})
 			return nil
 		}
 	}
-	if ask.Channel != "" {
-		if channel = s.Terms.ChannelNumber(ask.Channel); channel < 0 {
-			kserve.WriteFault(w, &kserve.Fault{Status: http.StatusBadRequest, Field: "parameters.channel", Text: fmt.Sprintf("%q is unknown", ask.Channel)})
+	if ask.Tenant != "" {
+		if channel = s.Service.TenantIndex(ask.Tenant); channel < 0 {
+			kserve.WriteError(w, &kserve.RequestError{Status: http.StatusBadRequest, Field: "parameters.channel", Message: fmt.Sprintf("%q is unknown", ask.Tenant)})
 			return nil
 		}
 	}
-	g := s.Terms.Grades[grade]
-	if ask.Tokens == 0 {
-		ask.Tokens = max(begins.Tokens(ask.Text), 1)
+	g := s.Service.Classes[grade]
+	if ask.PromptTokens == 0 {
+		ask.PromptTokens = max(begins.EstimateTokens(ask.Text), 1)
 	}
-	ask.Prefix = min(ask.Prefix, ask.Tokens)
-	if ask.Most == 0 {
-		ask.Most = g.Most
+	ask.PrefixTokens = min(ask.PrefixTokens, ask.PromptTokens)
+	if ask.MaxTokens == 0 {
+		ask.MaxTokens = g.DefaultMaxTokens
 	}
-	if ask.Left == 0 {
-		ask.Left = g.Expiry.D() + 2*time.Duration(float64(ask.Tokens)/1000*float64(g.PerK))
+	if ask.Timeout == 0 {
+		ask.Timeout = g.Deadline.Std() + 2*time.Duration(float64(ask.PromptTokens)/1000*float64(g.TargetPer1000Tokens))
 	}
 	if s.stopping.Load() {
-		kserve.WriteFinal(w, kserve.Final{Final: kserve.Declined, Error: "this dispatcher is stopping", Harmless: true, AfterMs: 1})
+		kserve.WriteFinalResponse(w, kserve.FinalResponse{Outcome: kserve.Rejected, Error: "this dispatcher is stopping", SafeToRetry: true, RetryAfterMs: 1})
 		return nil
 	}
-	if s.open.Add(1) > int64(s.Terms.Limits.Open) {
+	if s.open.Add(1) > int64(s.Service.Limits.MaxOpenRequests) {
 		s.open.Add(-1)
-		kserve.WriteFinal(w, kserve.Final{Final: kserve.Declined, Error: "as many questions are open as this dispatcher takes",
-			Harmless: true, AfterMs: s.Terms.Limits.RetryAfter.D().Milliseconds()})
+		kserve.WriteFinalResponse(w, kserve.FinalResponse{Outcome: kserve.Rejected, Error: "as many questions are open as this dispatcher takes",
+			SafeToRetry: true, RetryAfterMs: s.Service.Limits.MaxRetryAfter.Std().Milliseconds()})
 		return nil
 	}
-	if ask.Channel == "" && len(s.Terms.Channels) > 0 {
-		ask.Channel = s.Terms.Channels[0].Name
+	if ask.Tenant == "" && len(s.Service.Tenants) > 0 {
+		ask.Tenant = s.Service.Tenants[0].Name
 	}
-	a := &ClientRequest{Ask: ask, Grade: g.Name, Channel: ask.Channel}
+	a := &ClientRequest{Params: ask, Class: g.Name, Tenant: ask.Tenant}
 	took := s.Loop.Call(context.WithoutCancel(r.Context()), func() {
-		if ask.Shared == "" && ask.Text != "" {
-			if key, n := s.begins.Find(s.Loop.now, Number(ask.Session), ask.Text); key != 0 {
-				a.Ask.Shared, a.Ask.Prefix = fmt.Sprintf("text-%x", key), min(n, a.Ask.Tokens)
+		if ask.SharedPrefix == "" && ask.Text != "" {
+			if key, n := s.begins.SharedPrefix(s.Loop.now, HashName(ask.Session), ask.Text); key != 0 {
+				a.Params.SharedPrefix, a.Params.PrefixTokens = fmt.Sprintf("text-%x", key), min(n, a.Params.PromptTokens)
 			}
 		}
-		s.Loop.Submit(a, grade, channel, ask.Left-time.Since(came)-s.Place.Margin.D())
+		s.Loop.Submit(a, grade, channel, ask.Timeout-time.Since(came)-s.Instance.ResponseMargin.Std())
 	})
 	if !took {
 		s.open.Add(-1)
-		kserve.WriteFinal(w, kserve.Final{Final: kserve.Declined, Error: "this dispatcher has stopped", Harmless: true, AfterMs: 1})
+		kserve.WriteFinalResponse(w, kserve.FinalResponse{Outcome: kserve.Rejected, Error: "this dispatcher has stopped", SafeToRetry: true, RetryAfterMs: 1})
 		return nil
 	}
 	return a
 }
 
 // left tells the loop that the client has gone.
-func (s *Server) left(a *ClientRequest) { s.Loop.Post(func() { s.Loop.Left(a) }) }
+func (s *Server) left(a *ClientRequest) { s.Loop.Post(func() { s.Loop.ClientDisconnected(a) }) }
 
 // stream answers with server-sent events. Until the first token any answer is still a plain one, with its status.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request) {
@@ -168,11 +168,11 @@
 		return
 	}
 	defer s.open.Add(-1)
-	switch trip, f, ok := a.Start(r.Context()); {
+	switch trip, f, ok := a.WaitStart(r.Context()); {
 	case !ok:
 		s.left(a)
 	case trip == nil:
-		kserve.WriteFinal(w, f)
+		kserve.WriteFinalResponse(w, f)
 	default:
 		s.pour(w, r, a, trip)
 	}
@@ -185,7 +185,7 @@
 	w.Header().Set("Cache-Control", "no-store")
 	var out bytes.Buffer
 	write := func() bool {
-		ctl.SetWriteDeadline(time.Now().Add(s.Place.Write.D()))
+		ctl.SetWriteDeadline(time.Now().Add(s.Instance.WriteTimeout.Std()))
 		if _, err := w.Write(out.Bytes()); err != nil {
 			return false
 		}
@@ -201,7 +201,7 @@
 			return
 		}
 		for more {
-			kserve.WriteRaw(&out, "", piece)
+			kserve.WriteRawEvent(&out, "", piece)
 			if len(trip.Tokens) == 0 {
 				break
 			}
@@ -215,7 +215,7 @@
 	select {
 	case f := <-a.final:
 		name := "end"
-		if f.Final != kserve.Satisfied {
+		if f.Outcome != kserve.Served {
 			name = "error"
 		}
 		kserve.WriteEvent(&out, name, f)
@@ -226,8 +226,8 @@
 }
 
 // gather waits for the whole answer.
-func (s *Server) gather(r *http.Request, a *ClientRequest) (text []byte, f kserve.Final, ok bool) {
-	trip, f, ok := a.Start(r.Context())
+func (s *Server) gather(r *http.Request, a *ClientRequest) (text []byte, f kserve.FinalResponse, ok bool) {
+	trip, f, ok := a.WaitStart(r.Context())
 	if !ok {
 		s.left(a)
 		return nil, f, false
@@ -256,45 +256,45 @@
 			}
 			if len(text) > answerMost {
 				s.left(a)
-				return nil, kserve.Final{Final: kserve.Forfeited, Error: "the answer is too long to be gathered; ask for a stream"}, true
+				return nil, kserve.FinalResponse{Outcome: kserve.Failed, Error: "the answer is too long to be gathered; ask for a stream"}, true
 			}
 		}
 	}
 }
 
 // whole answers with all of an answer at once, as write has it; any other end is a plain final answer.
-func (s *Server) whole(w http.ResponseWriter, r *http.Request, inference bool, write func(a *ClientRequest, text []byte, f kserve.Final)) {
+func (s *Server) whole(w http.ResponseWriter, r *http.Request, inference bool, write func(a *ClientRequest, text []byte, f kserve.FinalResponse)) {
 	a := s.take(w, r, inference)
 	if a == nil {
 		return
 	}
 	defer s.open.Add(-1)
 	text, f, ok := s.gather(r, a)
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.Place.Write.D()))
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(s.Instance.WriteTimeout.Std()))
 	switch {
 	case !ok:
-	case f.Final != kserve.Satisfied:
-		kserve.WriteFinal(w, f)
+	case f.Outcome != kserve.Served:
+		kserve.WriteFinalResponse(w, f)
 	default:
 		write(a, text, f)
 	}
 }
 
 func (s *Server) generate(w http.ResponseWriter, r *http.Request) {
-	s.whole(w, r, false, func(a *ClientRequest, text []byte, f kserve.Final) {
-		kserve.WriteJSON(w, http.StatusOK, map[string]any{"model_name": s.Terms.Model, "id": a.Ask.ID, "text_output": string(text), "final": f.Final, "trips": f.Trips})
+	s.whole(w, r, false, func(a *ClientRequest, text []byte, f kserve.FinalResponse) {
+		kserve.WriteJSON(w, http.StatusOK, map[string]any{"model_name": s.Service.Model, "id": a.Params.ID, "text_output": string(text), "final": f.Outcome, "trips": f.Attempts})
 	})
 }
 
 func (s *Server) infer(w http.ResponseWriter, r *http.Request) {
-	s.whole(w, r, true, func(a *ClientRequest, text []byte, f kserve.Final) {
+	s.whole(w, r, true, func(a *ClientRequest, text []byte, f kserve.FinalResponse) {
 		data, err := json.Marshal([]string{string(text)})
 		if err != nil {
-			kserve.WriteFault(w, err)
+			kserve.WriteError(w, err)
 			return
 		}
-		kserve.WriteJSON(w, http.StatusOK, kserve.Output{
-			Model: s.Terms.Model, Version: "1", ID: a.Ask.ID, Parameters: kserve.Params{"final": f.Final, "trips": f.Trips},
+		kserve.WriteJSON(w, http.StatusOK, kserve.InferResponse{
+			Model: s.Service.Model, Version: "1", ID: a.Params.ID, Parameters: kserve.Params{"final": f.Outcome, "trips": f.Attempts},
 			Outputs: []kserve.Tensor{{Name: "text_output", Shape: []int64{1}, Datatype: "BYTES", Data: data}},
 		})
 	})
--- a/internal/dispatch/trips.go
+++ b/internal/dispatch/trips.go
@@ -25,110 +25,110 @@
 
 // Why a attempt was called off.
 var (
-	ErrLate    = errors.New("its time was up")
-	ErrLeft    = errors.New("nobody waits for it")
-	errStalled = errors.New("the stream stalled")
+	ErrAttemptTimeout = errors.New("its time was up")
+	ErrNotNeeded      = errors.New("nobody waits for it")
+	errStalled        = errors.New("the stream stalled")
 )
 
 // Seen is what the socket of an attempt showed.
-type Seen struct {
-	Local     bool         // this machine could not begin to connect
-	Connected bool         // a byte of the request went out, over one proven connection
-	Told      *kserve.Told // what the backend said at the end
-	Cause     error        // why it was called off, if it was
+type Observation struct {
+	LocalFailure bool                  // this machine could not begin to connect
+	Sent         bool                  // a byte of the request went out, over one proven connection
+	Report       *kserve.AttemptResult // what the backend said at the end
+	Cause        error                 // why it was called off, if it was
 }
 
 // Outcome is what may be said of an attempt. Only what is proven not to have run is called so: without a connection
 // nothing was sent, and a backend that states that it refused is believed; all else may have run.
-func (s Seen) Outcome(stage brain.Stage) (o brain.Outcome, note int) {
-	if t := s.Told; t != nil {
+func (s Observation) Outcome(stage brain.Stage) (o brain.Outcome, note int) {
+	if t := s.Report; t != nil {
 		switch {
-		case t.Outcome == kserve.OutcomeRead && stage == brain.ToRead:
-			return brain.Read, t.Kept
-		case t.Outcome == kserve.OutcomeAnswered && stage != brain.ToRead:
-			return brain.Served, t.Kept
+		case t.Outcome == kserve.OutcomePrefilled && stage == brain.StagePrefill:
+			return brain.Prefilled, t.CachedTokens
+		case t.Outcome == kserve.OutcomeCompleted && stage != brain.StagePrefill:
+			return brain.Served, t.CachedTokens
 		case t.Outcome == kserve.OutcomeFull:
 			return brain.Rejected, 0
-		case t.Outcome == kserve.OutcomeNoState:
+		case t.Outcome == kserve.OutcomeNoKVCache:
 			return brain.Rejected, 1
 		}
 		return brain.Failed, 0
 	}
 	switch {
-	case !s.Connected && errors.Is(s.Cause, ErrLeft):
+	case !s.Sent && errors.Is(s.Cause, ErrNotNeeded):
 		return brain.Cancelled, 0
-	case s.Local:
+	case s.LocalFailure:
 		return brain.NotSent, 0
-	case !s.Connected:
+	case !s.Sent:
 		return brain.Unreachable, 0
-	case errors.Is(s.Cause, ErrLate):
+	case errors.Is(s.Cause, ErrAttemptTimeout):
 		return brain.TimedOut, 0
-	case errors.Is(s.Cause, ErrLeft):
+	case errors.Is(s.Cause, ErrNotNeeded):
 		return brain.Cancelled, 0
 	}
-	return brain.Broken, 0
+	return brain.ConnectionLost, 0
 }
 
 // Attempts takes attempts to backends over HTTP.
-type Trips struct {
-	Model string
-	Stall time.Duration
-	Peers *Peers
-	Boxes *reach.Boxes
+type HTTPTransport struct {
+	Model        string
+	StallTimeout time.Duration
+	Peers        *Peers
+	Pools        *reach.Manager
 
 	loop  *Loop
 	group *errgroup.Group
 	life  context.Context
 
-	mu       sync.Mutex
-	releases map[*Backend]*releases
-	Refused  atomic.Int64 // releases given up, as too many waited
+	mu              sync.Mutex
+	releases        map[*Backend]*releases
+	DroppedReleases atomic.Int64 // releases given up, as too many waited
 }
 
 // NewTrips makes the carrier; its goroutines belong to the group and end with the context. A connection is given dial.
-func NewTrips(life context.Context, group *errgroup.Group, conns int, dial time.Duration, since func() time.Duration) *Trips {
-	boxes := &reach.Boxes{Limit: dial, Most: conns, Since: since, Life: life, Group: group}
-	group.Go(boxes.Tend)
-	return &Trips{life: life, group: group, Boxes: boxes, releases: map[*Backend]*releases{}}
+func NewHTTPTransport(life context.Context, group *errgroup.Group, conns int, dial time.Duration, since func() time.Duration) *HTTPTransport {
+	boxes := &reach.Manager{DialTimeout: dial, MaxConnsPerBackend: conns, Now: since, Context: life, Group: group}
+	group.Go(boxes.Run)
+	return &HTTPTransport{life: life, group: group, Pools: boxes, releases: map[*Backend]*releases{}}
 }
 
 // Reach says where a backend is now.
-func (c *Trips) Reach(b *Backend, at []addresses.Spec) {
-	b.reach = c.Boxes.Set(b.Name, at, uint64(b.Known.ID))
+func (c *HTTPTransport) SetAddresses(b *Backend, at []addresses.Spec) {
+	b.reach = c.Pools.SetAddresses(b.Name, at, uint64(b.SchedulerState.ID))
 }
 
 // Start starts an attempt.
-func (c *Trips) Start(f *Attempt) {
-	f.ctx, f.Off = context.WithCancelCause(c.life)
-	q, a := f.Planned.Request, f.Request
-	e := kserve.Errand{
-		Stage: f.Stage(),
-		From:  c.loop.Epoch, Question: q.ID, Trip: f.Planned.Number, Mark: cmp.Or(a.Ask.ID, f.Key), Grade: a.Grade, Channel: a.Channel,
-		Session: q.Session, Shared: q.Shared, Tokens: int(q.Prompt), Prefix: int(q.Prefix), Most: int(q.Most),
-		WaitUs: f.Wait.Microseconds(),
+func (c *HTTPTransport) Start(f *Attempt) {
+	f.ctx, f.Cancel = context.WithCancelCause(c.life)
+	q, a := f.Scheduled.Request, f.Request
+	e := kserve.AttemptParams{
+		Phase:           f.Stage(),
+		DispatcherEpoch: c.loop.Epoch, RequestNumber: q.ID, Attempt: f.Scheduled.Number, DedupKey: cmp.Or(a.Params.ID, f.RequestKey), Class: a.Class, Tenant: a.Tenant,
+		Session: q.SessionKey, SharedPrefix: q.PrefixKey, PromptTokens: int(q.PromptTokens), PrefixTokens: int(q.PrefixTokens), MaxTokens: int(q.MaxOutputTokens),
+		TimeoutUs: f.Timeout.Microseconds(),
 	}
-	if f.State != nil {
-		e.Reader, e.State = f.State.Name, f.State.reach.Best()
+	if f.PrefillBackend != nil {
+		e.PrefillBackend, e.KVCacheAddresses = f.PrefillBackend.Name, f.PrefillBackend.reach.Addresses()
 	}
 	// What the goroutine needs is read here: backends are the loop's.
-	host, text := f.Backend.reach, a.Ask.Text
+	host, text := f.Backend.reach, a.Params.Text
 	c.group.Go(func() error {
 		seen := c.fly(f, host, text, e)
-		f.Off(nil)
-		outcome, note := seen.Outcome(f.Planned.Stage)
-		result := brain.Result{Outcome: outcome, Note: note}
-		if seen.Told != nil {
-			result.Load = seen.Told.Load
-			f.Count = seen.Told.Count
+		f.Cancel(nil)
+		outcome, note := seen.Outcome(f.Scheduled.Stage)
+		result := brain.Result{Outcome: outcome, Detail: note}
+		if seen.Report != nil {
+			result.LoadReport = seen.Report.Load
+			f.Usage = seen.Report.Usage
 		}
 		close(f.Tokens)
-		c.loop.Post(func() { c.loop.Ended(f, result) })
+		c.loop.Post(func() { c.loop.AttemptEnded(f, result) })
 		return nil
 	})
 }
 
 // fly is one attempt from its connection to its end. It is bound to one connection, of one address.
-func (c *Trips) fly(f *Attempt, host *reach.Host, text string, e kserve.Errand) (seen Seen) {
+func (c *HTTPTransport) fly(f *Attempt, host *reach.Pool, text string, e kserve.AttemptParams) (seen Observation) {
 	var conn *reach.Conn
 	defer func() {
 		seen.Cause = context.Cause(f.ctx)
@@ -136,31 +136,31 @@
 			return
 		}
 		// An attempt that ended without a word speaks against the way it took, unless it was called off for its client.
-		if seen.Told != nil {
-			seen.Told.Bound(e)
-			conn.Served()
-		} else if !errors.Is(seen.Cause, ErrLeft) {
-			conn.Lost()
+		if seen.Report != nil {
+			seen.Report.Sanitize(e)
+			conn.ReportServed()
+		} else if !errors.Is(seen.Cause, ErrNotNeeded) {
+			conn.ReportFailed()
 		}
 	}()
 	if host == nil {
 		return seen
 	}
 	conn, resp, err := host.Send(f.ctx, func() (*http.Request, error) {
-		return kserve.NewErrand(f.ctx, reach.URL(host.Name), c.Model, text, e)
+		return kserve.NewAttemptRequest(f.ctx, reach.URL(host.Name), c.Model, text, e)
 	})
-	seen.Local, seen.Connected = errors.Is(err, reach.ErrLocal), conn != nil && conn.Sent()
+	seen.LocalFailure, seen.Sent = errors.Is(err, reach.ErrLocal), conn != nil && conn.Sent()
 	if err != nil {
 		return seen
 	}
 	defer resp.Body.Close()
-	if resp.StatusCode != http.StatusOK || e.Stage == kserve.StageRead {
-		seen.Told = told(resp)
+	if resp.StatusCode != http.StatusOK || e.Phase == kserve.PhasePrefill {
+		seen.Report = told(resp)
 		return seen
 	}
-	stall := time.AfterFunc(c.Stall, func() { f.Off(errStalled) })
+	stall := time.AfterFunc(c.StallTimeout, func() { f.Cancel(errStalled) })
 	defer stall.Stop()
-	events := kserve.NewEvents(resp.Body)
+	events := kserve.NewEventReader(resp.Body)
 	for begun := false; ; {
 		ev, err := events.Next()
 		if err != nil {
@@ -168,16 +168,16 @@
 		}
 		switch ev.Name {
 		case "end":
-			seen.Told = &kserve.Told{}
-			if json.Unmarshal(ev.Data, seen.Told) != nil {
-				seen.Told = nil
-			} else if seen.Told.Outcome != kserve.OutcomeAnswered || !begun {
+			seen.Report = &kserve.AttemptResult{}
+			if json.Unmarshal(ev.Data, seen.Report) != nil {
+				seen.Report = nil
+			} else if seen.Report.Outcome != kserve.OutcomeCompleted || !begun {
 				// Whatever else an answer's end claims: its stream was opened, so it may have run.
-				seen.Told.Outcome = kserve.OutcomeFailed
+				seen.Report.Outcome = kserve.OutcomeFailed
 			}
 			return seen
 		case "error":
-			seen.Told = &kserve.Told{Outcome: kserve.OutcomeFailed}
+			seen.Report = &kserve.AttemptResult{Outcome: kserve.OutcomeFailed}
 			return seen
 		case "":
 			// On one line, as the client gets it: what is no JSON is no token, and could pass for an event of this program.
@@ -187,10 +187,10 @@
 			}
 			if !begun {
 				begun = true
-				c.loop.Post(func() { c.loop.Began(f) })
+				c.loop.Post(func() { c.loop.AttemptBegan(f) })
 			}
-			stall.Reset(c.Stall) // nothing but tokens shows that the answer goes on
-			if f.Streamed.Add(1) > int64(e.Most) {
+			stall.Reset(c.StallTimeout) // nothing but tokens shows that the answer goes on
+			if f.StreamedTokens.Add(1) > int64(e.MaxTokens) {
 				return seen // more than was asked for: no answer of this request
 			}
 			select {
@@ -204,24 +204,24 @@
 
 // told reads a short answer of a backend. A 503 counts as a refusal only if the backend says so itself: a proxy's
 // proves nothing. An answer that is no stream has no tokens, so none is satisfied by it.
-func told(resp *http.Response) *kserve.Told {
+func told(resp *http.Response) *kserve.AttemptResult {
 	raw, err := io.ReadAll(io.LimitReader(resp.Body, 64<<10))
 	if err != nil {
 		return nil
 	}
-	t := &kserve.Told{}
-	if json.Unmarshal(raw, t) != nil || t.Outcome == "" || t.Outcome == kserve.OutcomeAnswered ||
-		(t.Outcome == kserve.OutcomeFull || t.Outcome == kserve.OutcomeNoState) && resp.StatusCode != http.StatusServiceUnavailable ||
-		t.Outcome == kserve.OutcomeRead && resp.StatusCode != http.StatusOK {
-		return &kserve.Told{Outcome: kserve.OutcomeFailed}
+	t := &kserve.AttemptResult{}
+	if json.Unmarshal(raw, t) != nil || t.Outcome == "" || t.Outcome == kserve.OutcomeCompleted ||
+		(t.Outcome == kserve.OutcomeFull || t.Outcome == kserve.OutcomeNoKVCache) && resp.StatusCode != http.StatusServiceUnavailable ||
+		t.Outcome == kserve.OutcomePrefilled && resp.StatusCode != http.StatusOK {
+		return &kserve.AttemptResult{Outcome: kserve.OutcomeFailed}
 	}
 	return t
 }
 
 // Tell sends news to a peer.
-func (c *Trips) Tell(peer int, n brain.PeerUpdate) {
+func (c *HTTPTransport) SendPeerUpdate(peer int, n brain.PeerUpdate) {
 	if c.Peers != nil {
-		c.Peers.Tell(peer, n)
+		c.Peers.SendUpdate(peer, n)
 	}
 }
 
@@ -239,29 +239,29 @@
 )
 
 // Release tells a backend to let go of a request's state, until it is known done or the backend is gone.
-func (c *Trips) Release(b *Backend, a *ClientRequest) {
-	if a.AttemptOut() {
+func (c *HTTPTransport) Release(b *Backend, a *ClientRequest) {
+	if a.AttemptInFlight() {
 		return // its connection was proven right before it, and its backend may hold the state without having fetched it
 	}
-	key := kserve.Release{Key: c.loop.Key(a), Trip: len(a.Request.Attempts) - 1}
+	key := kserve.Release{RequestKey: c.loop.RequestKey(a), LastAttempt: len(a.Scheduled.Attempts) - 1}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.releases[b]
 	if r == nil {
 		r = &releases{}
 		c.releases[b] = r
-		host, gone := b.reach, b.Drained
+		host, gone := b.reach, b.Removed
 		c.group.Go(func() error { c.releasing(b, r, host, gone); return nil })
 	}
 	if len(r.keys) >= releaseMost {
-		c.Refused.Add(1)
+		c.DroppedReleases.Add(1)
 		return
 	}
 	r.keys = append(r.keys, key)
 }
 
 // releasing works until nothing is left to release at the backend.
-func (c *Trips) releasing(b *Backend, r *releases, host *reach.Host, gone <-chan struct{}) {
+func (c *HTTPTransport) releasing(b *Backend, r *releases, host *reach.Pool, gone <-chan struct{}) {
 	wait := releaseAgain
 	for {
 		c.mu.Lock()
@@ -293,18 +293,18 @@
 	}
 }
 
-func (c *Trips) release(host *reach.Host, keys []kserve.Release) error {
+func (c *HTTPTransport) release(host *reach.Pool, keys []kserve.Release) error {
 	ctx, cancel := context.WithTimeout(c.life, releaseTime)
 	defer cancel()
 	if host == nil {
-		return reach.ErrUnreached
+		return reach.ErrUnreachable
 	}
 	conn, resp, err := host.Send(ctx, func() (*http.Request, error) {
-		return kserve.NewRelease(ctx, reach.URL(host.Name), c.Model, keys)
+		return kserve.NewReleaseRequest(ctx, reach.URL(host.Name), c.Model, keys)
 	})
 	if err != nil {
 		if conn != nil {
-			conn.Lost() // the next try takes another way
+			conn.ReportFailed() // the next try takes another way
 		}
 		return err
 	}
@@ -320,7 +320,7 @@
 const inquireTime = 500 * time.Millisecond
 
 // Inquire asks a backend for counts.
-func (c *Trips) Inquire(b *Backend, q account.Inquiry, heard func(*account.Reply)) {
+func (c *HTTPTransport) FetchUsage(b *Backend, q account.Inquiry, heard func(*account.Reply)) {
 	host := b.reach
 	c.group.Go(func() error {
 		r := c.inquire(host, q)
@@ -329,14 +329,14 @@
 	})
 }
 
-func (c *Trips) inquire(host *reach.Host, q account.Inquiry) *account.Reply {
+func (c *HTTPTransport) inquire(host *reach.Pool, q account.Inquiry) *account.Reply {
 	if host == nil {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(c.life, inquireTime)
 	defer cancel()
 	_, resp, err := host.Send(ctx, func() (*http.Request, error) {
-		return kserve.NewInquiry(ctx, reach.URL(host.Name), c.Model, kserve.Inquiry{From: q.Epoch, After: q.After})
+		return kserve.NewUsageRequest(ctx, reach.URL(host.Name), c.Model, kserve.UsageQuery{DispatcherEpoch: q.Epoch, After: q.After})
 	})
 	if err != nil {
 		return nil
@@ -345,12 +345,12 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil
 	}
-	counts, err := kserve.ReadCounts(io.LimitReader(resp.Body, 8<<20))
+	counts, err := kserve.ReadUsageReport(io.LimitReader(resp.Body, 8<<20))
 	if err != nil {
 		return nil
 	}
-	r := &account.Reply{More: counts.More, Open: counts.Open, Forgot: counts.Forgot}
-	for _, x := range counts.Counts {
+	r := &account.Reply{More: counts.More, Running: counts.InFlight, ForgottenUpTo: counts.ForgottenThrough}
+	for _, x := range counts.Records {
 		r.Counts = append(r.Counts, tripOf(x))
 	}
 	return r
--- a/internal/dispatch/trips_test.go
+++ b/internal/dispatch/trips_test.go
@@ -9,28 +9,28 @@
 
 // Only what is proven not to have run may be called so: rule 2 hangs on it.
 func TestOutcomeClaimsNoMoreThanTheSocketProved(t *testing.T) {
-	told := func(word string) *kserve.Told { return &kserve.Told{Outcome: word, Kept: 5} }
+	told := func(word string) *kserve.AttemptResult { return &kserve.AttemptResult{Outcome: word, CachedTokens: 5} }
 	for _, c := range []struct {
-		seen  Seen
+		seen  Observation
 		stage brain.Stage
 		want  brain.Outcome
 		note  int
 	}{
-		{Seen{}, brain.Whole, brain.Unreachable, 0},
-		{Seen{Cause: ErrLate}, brain.Whole, brain.Unreachable, 0},
-		{Seen{Cause: ErrLeft}, brain.Whole, brain.Cancelled, 0},
-		{Seen{Connected: true}, brain.Whole, brain.Broken, 0},
-		{Seen{Connected: true, Cause: errStalled}, brain.Whole, brain.Broken, 0},
-		{Seen{Connected: true, Cause: ErrLate}, brain.ToWrite, brain.TimedOut, 0},
-		{Seen{Connected: true, Cause: ErrLeft}, brain.ToWrite, brain.Cancelled, 0},
-		{Seen{Connected: true, Told: told(kserve.OutcomeRead)}, brain.ToRead, brain.Read, 5},
-		{Seen{Connected: true, Told: told(kserve.OutcomeRead)}, brain.Whole, brain.Failed, 0},
-		{Seen{Connected: true, Told: told(kserve.OutcomeAnswered)}, brain.ToWrite, brain.Served, 5},
-		{Seen{Connected: true, Told: told(kserve.OutcomeAnswered)}, brain.ToRead, brain.Failed, 0},
-		{Seen{Connected: true, Told: told(kserve.OutcomeFull)}, brain.ToWrite, brain.Rejected, 0},
-		{Seen{Connected: true, Told: told(kserve.OutcomeNoState)}, brain.ToWrite, brain.Rejected, 1},
-		{Seen{Connected: true, Told: told(kserve.OutcomeFailed)}, brain.ToWrite, brain.Failed, 0},
-		{Seen{Connected: true, Told: told("gibberish")}, brain.ToWrite, brain.Failed, 0},
+		{Observation{}, brain.StageWhole, brain.Unreachable, 0},
+		{Observation{Cause: ErrAttemptTimeout}, brain.StageWhole, brain.Unreachable, 0},
+		{Observation{Cause: ErrNotNeeded}, brain.StageWhole, brain.Cancelled, 0},
+		{Observation{Sent: true}, brain.StageWhole, brain.ConnectionLost, 0},
+		{Observation{Sent: true, Cause: errStalled}, brain.StageWhole, brain.ConnectionLost, 0},
+		{Observation{Sent: true, Cause: ErrAttemptTimeout}, brain.StageDecode, brain.TimedOut, 0},
+		{Observation{Sent: true, Cause: ErrNotNeeded}, brain.StageDecode, brain.Cancelled, 0},
+		{Observation{Sent: true, Report: told(kserve.OutcomePrefilled)}, brain.StagePrefill, brain.Prefilled, 5},
+		{Observation{Sent: true, Report: told(kserve.OutcomePrefilled)}, brain.StageWhole, brain.Failed, 0},
+		{Observation{Sent: true, Report: told(kserve.OutcomeCompleted)}, brain.StageDecode, brain.Served, 5},
+		{Observation{Sent: true, Report: told(kserve.OutcomeCompleted)}, brain.StagePrefill, brain.Failed, 0},
+		{Observation{Sent: true, Report: told(kserve.OutcomeFull)}, brain.StageDecode, brain.Rejected, 0},
+		{Observation{Sent: true, Report: told(kserve.OutcomeNoKVCache)}, brain.StageDecode, brain.Rejected, 1},
+		{Observation{Sent: true, Report: told(kserve.OutcomeFailed)}, brain.StageDecode, brain.Failed, 0},
+		{Observation{Sent: true, Report: told("gibberish")}, brain.StageDecode, brain.Failed, 0},
 	} {
 		if got, note := c.seen.Outcome(c.stage); got != c.want || note != c.note {
 			t.Errorf("%+v at stage %d: outcome %d note %d, not %d note %d", c.seen, c.stage, got, note, c.want, c.note)
--- a/internal/endpoints/clock_test.go
+++ b/internal/endpoints/clock_test.go
@@ -24,11 +24,11 @@
 func newSteppedClock(atStart time.Duration) *steppedClock {
 	c := &steppedClock{ages: map[string]time.Duration{}, truth: time.Unix(1_800_000_000, 0), step: atStart}
 	c.follower = &Follower{
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Since: func() time.Duration { return c.mono },
-		Wall: func() time.Time { return c.truth.Add(c.step) },
-		Listed: func(lines []boxlist.Box, _ bool) {
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Monotonic: func() time.Duration { return c.mono },
+		WallClock: func() time.Time { return c.truth.Add(c.step) },
+		OnUpdate: func(lines []boxlist.Endpoint, _ bool) {
 			for _, b := range lines {
-				c.ages[b.Name] = time.Duration(b.UpMs) * time.Millisecond
+				c.ages[b.Name] = time.Duration(b.UptimeMs) * time.Millisecond
 			}
 		},
 	}
@@ -45,10 +45,10 @@
 		targets = append(targets, fmt.Sprintf(`{"uid":%q,"endpoint":"10.0.0.1:1","state":"in_service","capacity_hint":1,"boot_ms":%d}`,
 			name, c.truth.Add(-span).UnixMilli()))
 	}
-	if err := c.follower.Take(fmt.Appendf(nil, `{"rev":%d,"all":%t,"targets":[%s]}`, rev, rev == 1, strings.Join(targets, ","))); err != nil {
+	if err := c.follower.Apply(fmt.Appendf(nil, `{"rev":%d,"all":%t,"targets":[%s]}`, rev, rev == 1, strings.Join(targets, ","))); err != nil {
 		t.Fatal(err)
 	}
-	c.follower.table.clock.settled = true
+	c.follower.table.clock.synced = true
 }
 
 // How long a backend has been up is a span of real time, whatever the wall clock does: taken for older than it is, a backend in slow
--- a/internal/endpoints/follow.go
+++ b/internal/endpoints/follow.go
@@ -22,54 +22,54 @@
 )
 
 const (
-	beat       = 2 * time.Second         // an empty line comes as often
-	silence    = beat * 5 / 4            // a watch that says nothing for so long is taken for broken
-	answer     = 1500 * time.Millisecond // after which a further try begins beside one that has no answer: the agent answers at once, or is slow
-	answerMost = 3 * answer              // for an answer's head, or for one list
-	triesMost  = 3                       // at a time
-	again      = 20 * time.Millisecond   // the first wait for the next try, doubled up to the next value
-	againMax   = 300 * time.Millisecond
-	pushMost   = 8 << 20
-	dialTime   = 2 * time.Second
+	heartbeatInterval   = 2 * time.Second           // an empty line comes as often
+	silenceTimeout      = heartbeatInterval * 5 / 4 // a watch that says nothing for so long is taken for broken
+	attemptInterval     = 1500 * time.Millisecond   // after which a further try begins beside one that has no answer: the agent answers at once, or is slow
+	responseTimeout     = 3 * attemptInterval       // for an answer's head, or for one list
+	maxParallelAttempts = 3                         // at a time
+	initialBackoff      = 20 * time.Millisecond     // the first wait for the next try, doubled up to the next value
+	maxBackoff          = 300 * time.Millisecond
+	maxPushBytes        = 8 << 20
+	dialTimeout         = 2 * time.Second
 )
 
 // Follower keeps a watch on discovery.
 type Follower struct {
-	Log    *slog.Logger
-	Since  func() time.Duration
-	Wall   func() time.Time                                                     // by which discovery tells when backends started
-	Dial   func(ctx context.Context, network, address string) (net.Conn, error) // nil: the operating system's
-	Listed func(lines []boxlist.Box, whole bool)                                // told in order
+	Log       *slog.Logger
+	Monotonic func() time.Duration
+	WallClock func() time.Time                                                     // by which discovery tells when backends started
+	Dial      func(ctx context.Context, network, address string) (net.Conn, error) // nil: the operating system's
+	OnUpdate  func(lines []boxlist.Endpoint, whole bool)                           // told in order
 
-	taking sync.Mutex // held while a list is taken: two tries may bring one
-	table  Table
-	whole  bool // what came last could not be used: the whole list is asked for next
-	mu     sync.Mutex
-	at     string
-	moved  time.Duration // when at last changed
-	cut    context.CancelCauseFunc
-	lost   atomic.Int64
-	heard  atomic.Bool
+	tableMu          sync.Mutex // held while a list is taken: two tries may bring one
+	table            Table
+	needFullList     bool // what came last could not be used: the whole list is asked for next
+	mu               sync.Mutex
+	address          string
+	addressChangedAt time.Duration // when at last changed
+	cancelWatch      context.CancelCauseFunc
+	watchFailures    atomic.Int64
+	synced           atomic.Bool
 }
 
 // Heard tells whether discovery has sent a list that was read.
-func (f *Follower) Heard() bool { return f.heard.Load() }
+func (f *Follower) Synced() bool { return f.synced.Load() }
 
 var (
-	errMoved = errors.New("discovery has another address")
-	errOlder = errors.New("discovery has an older list than the own")
+	errAddressChanged = errors.New("discovery has another address")
+	errStaleList      = errors.New("discovery has an older list than the own")
 )
 
 // Take reads a push that came by another way, such as the one that a dispatcher is started with.
-func (f *Follower) Take(raw []byte) error {
-	f.taking.Lock()
-	defer f.taking.Unlock()
-	return f.take(raw)
+func (f *Follower) Apply(raw []byte) error {
+	f.tableMu.Lock()
+	defer f.tableMu.Unlock()
+	return f.apply(raw)
 }
 
 // take does so; the lock is held.
-func (f *Follower) take(raw []byte) error {
-	lines, whole, refused, err := f.table.Take(f.Since(), f.table.clock.now(f.Since(), f.Wall), raw)
+func (f *Follower) apply(raw []byte) error {
+	lines, whole, refused, err := f.table.Apply(f.Monotonic(), f.table.clock.now(f.Monotonic(), f.WallClock), raw)
 	if err != nil {
 		return err
 	}
@@ -78,72 +78,72 @@
 	}
 	if len(lines) > 0 || whole {
 		boxlist.SortByName(lines)
-		f.Listed(lines, whole)
+		f.OnUpdate(lines, whole)
 	}
 	return nil
 }
 
 // takeWatched takes a push of a watch. One that can't be used has the whole list asked for next; so has an older one, until it counts.
-func (f *Follower) takeWatched(ctx context.Context, raw []byte) error {
-	f.taking.Lock()
-	defer f.taking.Unlock()
+func (f *Follower) applyWatched(ctx context.Context, raw []byte) error {
+	f.tableMu.Lock()
+	defer f.tableMu.Unlock()
 	if ctx.Err() != nil {
 		return ctx.Err() // another watch goes on in this one's place
 	}
-	f.whole = true
-	if err := f.take(raw); err != nil {
+	f.needFullList = true
+	if err := f.apply(raw); err != nil {
 		return err
 	}
-	if f.table.older != 0 {
-		return errOlder
+	if f.table.staleSince != 0 {
+		return errStaleList
 	}
-	f.whole = false
-	f.table.clock.settled = true
-	f.heard.Store(true)
+	f.needFullList = false
+	f.table.clock.synced = true
+	f.synced.Store(true)
 	return nil
 }
 
 // Move says where discovery is from now on; the watch on the old address ends.
-func (f *Follower) Move(at string) {
+func (f *Follower) SetAddress(at string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if at == f.at {
+	if at == f.address {
 		return
 	}
-	f.at, f.moved = at, f.Since()
-	if f.cut != nil {
-		f.cut(errMoved)
+	f.address, f.addressChangedAt = at, f.Monotonic()
+	if f.cancelWatch != nil {
+		f.cancelWatch(errAddressChanged)
 	}
 }
 
 // Lost is how often a watch ended.
-func (f *Follower) Lost() int64 { return f.lost.Load() }
+func (f *Follower) WatchFailures() int64 { return f.watchFailures.Load() }
 
 // Follow watches until the context ends.
-func (f *Follower) Follow(ctx context.Context) error {
-	wait, known := again, ""
+func (f *Follower) Run(ctx context.Context) error {
+	wait, known := initialBackoff, ""
 	for ctx.Err() == nil {
 		one, cut := context.WithCancelCause(ctx)
 		f.mu.Lock()
-		at, moved := f.at, f.moved
-		f.cut = cut
+		at, moved := f.address, f.addressChangedAt
+		f.cancelWatch = cut
 		f.mu.Unlock()
 		if at != known && known != "" {
-			f.taking.Lock()
-			f.table.Moved(moved)
-			f.taking.Unlock()
+			f.tableMu.Lock()
+			f.table.AddressChanged(moved)
+			f.tableMu.Unlock()
 		}
-		got, _ := f.race(one, at, at == known)
+		got, _ := f.raceWatches(one, at, at == known)
 		cut(nil)
 		if ctx.Err() != nil {
 			return nil
 		}
 		if got {
-			wait, known = again, at
+			wait, known = initialBackoff, at
 		}
-		if errors.Is(context.Cause(one), errMoved) {
+		if errors.Is(context.Cause(one), errAddressChanged) {
 			f.Log.Info("discovery has moved")
-			wait = again
+			wait = initialBackoff
 			continue
 		}
 		select {
@@ -151,22 +151,22 @@
 		case <-one.Done():
 		case <-time.After(wait):
 		}
-		wait = min(2*wait, againMax)
+		wait = min(2*wait, maxBackoff)
 	}
 	return nil
 }
 
 // try is how one watch ended.
-type try struct {
-	number int
-	got    bool // a list was read
-	err    error
+type watchResult struct {
+	attempt  int
+	received bool // a list was read
+	err      error
 }
 
 // race keeps a watch: the first that is answered of those that are tried. While none is, a further try begins beside the others every
 // so often, for discovery that has come back, while those that were begun may still be answered by one that is slow.
-func (f *Follower) race(ctx context.Context, at string, known bool) (got bool, err error) {
-	answered, ended := make(chan int, 2*triesMost), make(chan try, 2*triesMost)
+func (f *Follower) raceWatches(ctx context.Context, at string, known bool) (got bool, err error) {
+	answered, ended := make(chan int, 2*maxParallelAttempts), make(chan watchResult, 2*maxParallelAttempts)
 	var ends []context.CancelFunc
 	var unanswered []int // numbers of those that run, the oldest first
 	begin := func() {
@@ -176,11 +176,11 @@
 		ends = append(ends, end)
 		go func() {
 			got, err := f.watch(one, at, known, func() { answered <- number })
-			ended <- try{number, got, err}
+			ended <- watchResult{number, got, err}
 		}()
 	}
 	begin()
-	next := time.NewTicker(answer)
+	next := time.NewTicker(attemptInterval)
 	defer next.Stop()
 	first := -1 // the number of the one that was answered
 	for running := 1; running > 0; {
@@ -197,21 +197,21 @@
 			}
 		case t := <-ended:
 			running--
-			ends[t.number]()
-			unanswered = slices.DeleteFunc(unanswered, func(number int) bool { return number == t.number })
-			got = got || t.got
-			if err == nil || t.number == first || first < 0 {
+			ends[t.attempt]()
+			unanswered = slices.DeleteFunc(unanswered, func(number int) bool { return number == t.attempt })
+			got = got || t.received
+			if err == nil || t.attempt == first || first < 0 {
 				err = t.err
 			}
-			if first < 0 || t.number == first {
-				f.lost.Add(1)
+			if first < 0 || t.attempt == first {
+				f.watchFailures.Add(1)
 				f.Log.Warn("watch lost", "discovery", at, "error", t.err)
 			}
 		case <-next.C:
 			if first >= 0 {
 				continue
 			}
-			if len(unanswered) >= triesMost {
+			if len(unanswered) >= maxParallelAttempts {
 				ends[unanswered[0]]() // never at the cost of a further one: discovery may just have come back
 				unanswered = unanswered[1:]
 			}
@@ -230,7 +230,7 @@
 	if dial == nil {
 		dial = system.Real().Dial
 	}
-	dialing, dialed := context.WithTimeout(ctx, dialTime)
+	dialing, dialed := context.WithTimeout(ctx, dialTimeout)
 	conn, err := dial(dialing, "tcp", at)
 	dialed()
 	if err != nil {
@@ -240,7 +240,7 @@
 	defer context.AfterFunc(ctx, func() { conn.Close() })()
 	from := bufio.NewReader(conn)
 	ask := func(target string) (*http.Response, error) {
-		conn.SetDeadline(time.Now().Add(answerMost))
+		conn.SetDeadline(time.Now().Add(responseTimeout))
 		if _, err := fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", target, at); err != nil {
 			return nil, err
 		}
@@ -250,16 +250,16 @@
 		}
 		return resp, err
 	}
-	if f.wantsWhole(known) {
+	if f.mustFetchFullList(known) {
 		resp, err := ask("/v1/endpoints")
 		if err != nil {
 			return false, err
 		}
-		raw, err := io.ReadAll(io.LimitReader(resp.Body, pushMost))
+		raw, err := io.ReadAll(io.LimitReader(resp.Body, maxPushBytes))
 		if err != nil {
 			return false, err
 		}
-		if err := f.takeWatched(ctx, raw); err != nil {
+		if err := f.applyWatched(ctx, raw); err != nil {
 			return false, err
 		}
 		got = true
@@ -273,83 +273,83 @@
 		return got, err
 	}
 	tell()
-	pushes := &pushes{conn: conn, from: resp.Body, left: pushMost, alive: f.alive}
+	pushes := &pushReader{conn: conn, body: resp.Body, remaining: maxPushBytes, onHeartbeat: f.noteUnchanged}
 	for decoder := json.NewDecoder(pushes); ; {
 		var raw json.RawMessage
 		if err := decoder.Decode(&raw); err != nil {
 			var torn *json.SyntaxError
-			f.tear(errors.As(err, &torn))
+			f.noteDecodeError(errors.As(err, &torn))
 			return got, err
 		}
-		if err := f.takeWatched(ctx, raw); err != nil {
-			return got && !errors.Is(err, errOlder), err
+		if err := f.applyWatched(ctx, raw); err != nil {
+			return got && !errors.Is(err, errStaleList), err
 		}
 		got = true
 		rest, _ := io.ReadAll(decoder.Buffered())
-		pushes.left, pushes.begun = pushMost, time.Time{}
-		pushes.look(rest)
+		pushes.remaining, pushes.pushStart = maxPushBytes, time.Time{}
+		pushes.observe(rest)
 	}
 }
 
 // wantsWhole tells whether the whole list has to be asked for at an address that was followed before, or was not.
-func (f *Follower) wantsWhole(followed bool) bool {
-	f.taking.Lock()
-	defer f.taking.Unlock()
-	return !followed || !f.table.heard || f.whole
+func (f *Follower) mustFetchFullList(followed bool) bool {
+	f.tableMu.Lock()
+	defer f.tableMu.Unlock()
+	return !followed || !f.table.synced || f.needFullList
 }
 
 func (f *Follower) revision() int64 {
-	f.taking.Lock()
-	defer f.taking.Unlock()
-	return f.table.Rev
+	f.tableMu.Lock()
+	defer f.tableMu.Unlock()
+	return f.table.Revision
 }
 
 // alive takes note that nothing had changed until now.
-func (f *Follower) alive() {
-	f.taking.Lock()
-	defer f.taking.Unlock()
-	f.table.clock.checked = f.Since()
+func (f *Follower) noteUnchanged() {
+	f.tableMu.Lock()
+	defer f.tableMu.Unlock()
+	f.table.clock.lastConfirmed = f.Monotonic()
 }
 
 // tear takes note of a watch's end: behind a push that made no sense, the whole list has to be asked for.
-func (f *Follower) tear(torn bool) {
-	f.taking.Lock()
-	defer f.taking.Unlock()
-	f.whole = f.whole || torn
+func (f *Follower) noteDecodeError(torn bool) {
+	f.tableMu.Lock()
+	defer f.tableMu.Unlock()
+	f.needFullList = f.needFullList || torn
 }
 
 // pushes is what a watch brings. Each byte shows that the watch lives, but not that it does what it is for: a push that has begun
 // has to end in its time, however it drips, and within a bound on its size.
-type pushes struct {
-	conn  net.Conn
-	from  io.Reader
-	left  int       // bytes that the present push may still have
-	begun time.Time // when it did; zero: nothing but empty lines came
-	alive func()    // called when an empty line has come: nothing changed until now
+type pushReader struct {
+	conn        net.Conn
+	body        io.Reader
+	remaining   int       // bytes that the present push may still have
+	pushStart   time.Time // when it did; zero: nothing but empty lines came
+	onHeartbeat func()    // called when an empty line has come: nothing changed until now
 }
 
-func (p *pushes) Read(into []byte) (int, error) {
-	if p.left <= 0 {
-		return 0, fmt.Errorf("a push has over %d bytes", pushMost)
+func (p *pushReader) Read(into []byte) (int, error) {
+	if p.remaining <= 0 {
+		return 0, fmt.Errorf("a push has over %d bytes", maxPushBytes)
 	}
-	until := time.Now().Add(silence)
-	if !p.begun.IsZero() {
-		until = p.begun.Add(answer)
+	until := time.Now().Add(silenceTimeout)
+	if !p.pushStart.IsZero() {
+		until = p.pushStart.Add(attemptInterval)
 	}
 	p.conn.SetReadDeadline(until)
-	n, err := p.from.Read(into[:min(len(into), p.left)])
-	p.look(into[:n])
+	n, err := p.body.Read(into[:min(len(into), p.remaining)])
+	p.observe(into[:n])
 	return n, err
 }
 
 // look takes note of what came for a push.
-func (p *pushes) look(raw []byte) {
-	if p.begun.IsZero() && len(bytes.TrimSpace(raw)) > 0 {
-		p.begun = time.Now()
+func (p *pushReader) observe(raw []byte) {
+	if p.pushStart.IsZero() && len(bytes.TrimSpace(raw)) > 0 {
+		p.pushStart = time.Now()
 	}
-	if !p.begun.IsZero() {
-		p.left -= len(raw)
+	if !p.pushStart.IsZero() {
+		p.remaining -= len(raw)
 	} else if len(raw) > 0 {
-		p.alive()
+		p.onHeartbeat()
 	}
 }
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -16,101 +16,101 @@
 )
 
 const (
-	mostTargets = 10_000
+	maxTargets = 10_000
 	// olderFor is how long discovery has to have nothing newer before an older list than the own is taken. After a move all that the
 	// new address has counts as known 4 s later, which leaves a second to reach it.
-	olderFor = 3 * time.Second
+	staleListGrace = 3 * time.Second
 )
 
 // push is what discovery sends.
 type push struct {
-	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
-	Targets []target `json:"targets"`
+	Revision int64    `json:"rev"`
+	Full     bool     `json:"all"`
+	Targets  []target `json:"targets"`
 }
 
 type target struct {
-	UID      string  `json:"uid"`
-	Endpoint string  `json:"endpoint"`
-	Zone     string  `json:"az"`
-	Kind     string  `json:"model"`
-	Rack     int64   `json:"pod_group"`
-	State    string  `json:"state"`
-	Units    float64 `json:"capacity_hint"`
-	BootMs   int64   `json:"boot_ms"`
+	UID          string  `json:"uid"`
+	Endpoint     string  `json:"endpoint"`
+	Zone         string  `json:"az"`
+	Model        string  `json:"model"`
+	PodGroup     int64   `json:"pod_group"`
+	State        string  `json:"state"`
+	CapacityHint float64 `json:"capacity_hint"`
+	BootMs       int64   `json:"boot_ms"`
 }
 
-var standings = map[string]string{"in_service": boxlist.Ready, "terminating": boxlist.Draining, "terminated": boxlist.Gone}
+var endpointStates = map[string]string{"in_service": boxlist.Ready, "terminating": boxlist.Draining, "terminated": boxlist.Removed}
 
 // Table is how far discovery was followed.
 type Table struct {
-	Rev   int64
-	heard bool
-	older time.Duration // since when discovery only has older lists; 0: it has not
-	clock startClock
-	moved time.Duration // when it got another address, and has said nothing newer since; 0: it did not
+	Revision         int64
+	synced           bool
+	staleSince       time.Duration // since when discovery only has older lists; 0: it has not
+	clock            startClock
+	addressChangedAt time.Duration // when it got another address, and has said nothing newer since; 0: it did not
 }
 
 // Moved takes note that discovery has another address: an older list from there has been what discovery says from now on.
-func (t *Table) Moved(now time.Duration) { t.moved = max(now, 1) }
+func (t *Table) AddressChanged(now time.Duration) { t.addressChangedAt = max(now, 1) }
 
 // Take reads a push and returns the lines that it changes. unix is the wall time in milliseconds, by which backends tell their
 // start. Lines without sense are left out and named.
-func (t *Table) Take(now time.Duration, unix int64, raw []byte) (lines []boxlist.Box, whole bool, refused []string, err error) {
+func (t *Table) Apply(now time.Duration, unix int64, raw []byte) (lines []boxlist.Endpoint, whole bool, refused []string, err error) {
 	var p push
 	if err := json.Unmarshal(raw, &p); err != nil {
 		return nil, false, nil, fmt.Errorf("a push can't be read: %w", err)
 	}
-	if len(p.Targets) > mostTargets {
-		return nil, false, nil, fmt.Errorf("a push has %d targets, %d are taken at most", len(p.Targets), mostTargets)
+	if len(p.Targets) > maxTargets {
+		return nil, false, nil, fmt.Errorf("a push has %d targets, %d are taken at most", len(p.Targets), maxTargets)
 	}
 	// A list that goes back could bring back backends that are draining. What it takes out of service is taken at once: discovery may
 	// have begun to count anew, and that change counts as told.
-	older := t.heard && p.Rev < t.Rev
+	older := t.synced && p.Revision < t.Revision
 	if older {
-		refused = append(refused, fmt.Sprintf("rev %d is older than %d", p.Rev, t.Rev))
-		if !p.All {
+		refused = append(refused, fmt.Sprintf("rev %d is older than %d", p.Revision, t.Revision))
+		if !p.Full {
 			return nil, false, refused, nil
 		}
-		if t.older == 0 {
-			t.older = max(cmp.Or(t.moved, now), 1)
+		if t.staleSince == 0 {
+			t.staleSince = max(cmp.Or(t.addressChangedAt, now), 1)
 		}
-		older = now-t.older < olderFor
+		older = now-t.staleSince < staleListGrace
 	}
 	if !older {
-		t.older, t.moved = 0, 0
-		t.Rev, t.heard = p.Rev, true
+		t.staleSince, t.addressChangedAt = 0, 0
+		t.Revision, t.synced = p.Revision, true
 	}
-	unix = t.clock.sees(p.Targets, unix)
+	unix = t.clock.observeStarts(p.Targets, unix)
 	for _, g := range p.Targets {
-		b, err := g.box()
+		b, err := g.endpoint()
 		if err == nil && g.BootMs > 0 {
-			b.UpMs = t.clock.age(g, now, unix).Milliseconds()
+			b.UptimeMs = t.clock.uptime(g, now, unix).Milliseconds()
 		}
-		if b.Standing == boxlist.Gone {
+		if b.State == boxlist.Removed {
 			t.clock.forget(g.UID)
 		}
 		if err != nil {
 			refused = append(refused, err.Error())
 			continue
 		}
-		if !older || b.Standing != boxlist.Ready {
+		if !older || b.State != boxlist.Ready {
 			lines = append(lines, b)
 		}
 	}
 	if !older {
-		t.clock.checked = now
+		t.clock.lastConfirmed = now
 	}
-	return lines, p.All && !older, refused, nil
+	return lines, p.Full && !older, refused, nil
 }
 
-func (g target) box() (b boxlist.Box, err error) {
-	b = boxlist.Box{Name: g.UID, Kind: g.Kind, Zone: g.Zone, Rack: strconv.FormatInt(g.Rack, 10), Standing: standings[g.State], Units: g.Units,
-		Start: uint64(max(g.BootMs, 0)), UpMs: -1}
+func (g target) endpoint() (b boxlist.Endpoint, err error) {
+	b = boxlist.Endpoint{Name: g.UID, Kind: g.Model, Zone: g.Zone, Rack: strconv.FormatInt(g.PodGroup, 10), State: endpointStates[g.State], Units: g.CapacityHint,
+		Incarnation: uint64(max(g.BootMs, 0)), UptimeMs: -1}
 	if strings.ContainsAny(b.Name, " \r\n\t") {
 		return b, fmt.Errorf("target %.40q: no name of a box", g.UID)
 	}
-	if b.Standing != boxlist.Gone {
+	if b.State != boxlist.Removed {
 		at, err := netip.ParseAddrPort(g.Endpoint)
 		if err != nil {
 			return b, fmt.Errorf("target %s: %w", g.UID, err)
@@ -119,7 +119,7 @@
 		if at.Addr().Unmap().Is4() {
 			network = addresses.TCP4
 		}
-		b.Addresses = []addresses.Spec{{Network: network, At: g.Endpoint}}
+		b.Addresses = []addresses.Spec{{Network: network, Addr: g.Endpoint}}
 	}
 	return b, b.Check()
 }
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -71,27 +71,27 @@
 	e := p.Experiment
 	switch {
 	case e.Name == "" || strings.ContainsAny(e.Name, "/ \t"):
-		return setup.Wrong("experiment.name", "needs a word without spaces")
+		return setup.Invalidf("experiment.name", "needs a word without spaces")
 	case e.Base == "":
-		return setup.Wrong("experiment.base", "names no day")
+		return setup.Invalidf("experiment.base", "names no day")
 	case e.Repeats < 1:
-		return setup.Wrong("experiment.repeats", "must be at least 1")
+		return setup.Invalidf("experiment.repeats", "must be at least 1")
 	case e.Form != "virtual" && e.Form != "sockets":
-		return setup.Wrong("experiment.form", "must be virtual or sockets, not %q", e.Form)
+		return setup.Invalidf("experiment.form", "must be virtual or sockets, not %q", e.Form)
 	case len(e.Policies) == 0:
-		return setup.Wrong("experiment.policies", "names none")
+		return setup.Invalidf("experiment.policies", "names none")
 	case e.Form == "sockets" && !slices.Equal(e.Policies, []string{"module"}):
-		return setup.Wrong("experiment.policies", "on sockets only the module runs: baselines are no dispatchers")
+		return setup.Invalidf("experiment.policies", "on sockets only the module runs: baselines are no dispatchers")
 	}
 	runs := len(e.Policies) * e.Repeats
 	for i, a := range p.Vary {
 		if a.Key == "" || len(a.Values) == 0 {
-			return setup.Wrong(fmt.Sprintf("vary.%d.values", i), "an axis needs a key and values")
+			return setup.Invalidf(fmt.Sprintf("vary.%d.values", i), "an axis needs a key and values")
 		}
 		runs *= len(a.Values)
 	}
 	if runs > mostRuns {
-		return setup.Wrong("vary", "come to %d runs; %d at most", runs, mostRuns)
+		return setup.Invalidf("vary", "come to %d runs; %d at most", runs, mostRuns)
 	}
 	return nil
 }
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -199,9 +199,9 @@
 		r.Share, r.Tries = out.Share, out.Again
 		for _, t := range d.Faults {
 			if t.Kind == "crash" { // not back within the run counts as the whole of it
-				s, ok := judge.RecoverySeconds(out.Share, out.Asked, t.Start.D(), (t.Start + t.Duration).D())
+				s, ok := judge.RecoverySeconds(out.Share, out.Asked, t.Start.Std(), (t.Start + t.Duration).Std())
 				if !ok {
-					s = (d.Header.Duration - t.Start - t.Duration).D().Seconds()
+					s = (d.Header.Duration - t.Start - t.Duration).Std().Seconds()
 				}
 				r.Figures["recovered_s"], r.Figures["recovered"] = s, map[bool]float64{true: 1}[ok]
 			}
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -16,39 +16,39 @@
 // transport takes a dispatcher's attempts to the engines.
 type transport dispatcher
 
-func (c *transport) Reach(*dispatch.Backend, []addresses.Spec) {}
+func (c *transport) SetAddresses(*dispatch.Backend, []addresses.Spec) {}
 
-func (c *transport) Tell(peer int, n brain.PeerUpdate) {
+func (c *transport) SendPeerUpdate(peer int, n brain.PeerUpdate) {
 	d := (*dispatcher)(c)
 	if peer < 0 || peer >= len(d.w.dispatchers) {
 		return
 	}
-	to, name := d.w.dispatchers[peer], d.w.byID[n.Host.ID].make.Name
+	to, name := d.w.dispatchers[peer], d.w.byID[n.Backend.ID].make.Name
 	d.w.after(2*time.Millisecond, func() {
 		if !to.up {
 			return
 		}
 		to.do(func() {
-			if h := to.loop.HostOf(name); h != nil {
+			if h := to.loop.SchedulerBackend(name); h != nil {
 				n := n
-				n.Host = h // each dispatcher has its own
-				to.loop.Heard(n)
+				n.Backend = h // each dispatcher has its own
+				to.loop.ApplyPeerUpdate(n)
 			}
 		})
 	})
 }
 
 func (c *transport) Release(b *dispatch.Backend, a *dispatch.ClientRequest) {
-	if a.AttemptOut() {
+	if a.AttemptInFlight() {
 		return // attempts arrive here, and wait for the state
 	}
 	w := c.w
-	r := kserve.Release{Key: c.loop.Key(a), Trip: len(a.Request.Attempts) - 1}
+	r := kserve.Release{RequestKey: c.loop.RequestKey(a), LastAttempt: len(a.Scheduled.Attempts) - 1}
 	to := w.boxes[b.Name]
 	w.after(hop, func() {
 		if to.up {
-			to.released[r.Key] = r.Trip
-			to.release(r.Key, "released")
+			to.released[r.RequestKey] = r.LastAttempt
+			to.release(r.RequestKey, "released")
 		}
 	})
 }
@@ -75,15 +75,15 @@
 	d := (*dispatcher)(c)
 	w := d.w
 	t := &attempt{w: w, from: d, loop: d.loop, flight: f, to: w.boxes[f.Backend.Name]}
-	t.line = record.Event{Backend: t.to.make.Name, Try: f.Request.Ask.ID, Class: f.Request.Grade, RequestKey: f.Key, Phase: f.Stage(), Attempt: f.Planned.Number}
-	f.Off = func(why error) {
+	t.line = record.Event{Backend: t.to.make.Name, Try: f.Request.Params.ID, Class: f.Request.Class, RequestKey: f.RequestKey, Phase: f.Stage(), Attempt: f.Scheduled.Number}
+	f.Cancel = func(why error) {
 		if t.off != nil || t.told {
 			return
 		}
 		t.off = why
 		// The connection is closed: this end knows at once, the other a hop later.
 		o := brain.TimedOut
-		if why == dispatch.ErrLeft {
+		if why == dispatch.ErrNotNeeded {
 			o = brain.Cancelled
 		}
 		w.after(0, func() { t.tell(brain.Result{Outcome: o}) })
@@ -98,7 +98,7 @@
 		return
 	}
 	wait, limit := w.connectTime(), dialTime
-	if least := f.Planned.Connect; least > 0 {
+	if least := f.Scheduled.ConnectTimeout; least > 0 {
 		limit = min(limit, least)
 	}
 	if wait > limit {
@@ -122,11 +122,11 @@
 		return
 	}
 	t.told = true
-	t.from.do(func() { t.loop.Ended(t.flight, r) })
+	t.from.do(func() { t.loop.AttemptEnded(t.flight, r) })
 }
 
 func (t *attempt) back(r brain.Result) {
-	r.Load = t.to.load()
+	r.LoadReport = t.to.load()
 	t.w.after(hop, func() { t.tell(r) })
 }
 
@@ -145,7 +145,7 @@
 // broke is an attempt whose backend died.
 func (t *attempt) broke() {
 	t.end("broke")
-	t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.Broken}) })
+	t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.ConnectionLost}) })
 }
 
 // closed is an attempt whose dispatcher has closed the connection.
@@ -172,7 +172,7 @@
 		return
 	}
 	if !b.up {
-		t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.Broken}) })
+		t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.ConnectionLost}) })
 		return
 	}
 	t.came, t.start = true, b.start
@@ -191,32 +191,32 @@
 		return
 	}
 	if b.fail > 0 && (b.failOf == "" || b.failOf == t.line.Class) && w.rng.Float64() < b.fail {
-		if t.line.Phase != kserve.StageRead {
+		if t.line.Phase != kserve.PhasePrefill {
 			t.ran()
 		}
 		t.end("failed")
 		t.back(brain.Result{Outcome: brain.Failed})
 		return
 	}
-	q := t.flight.Planned.Request
-	j := &engine.Job{Key: t.line.RequestKey, Session: q.Session, Shared: q.Shared, Prompt: int(q.Prompt), Prefix: int(q.Prefix)}
+	q := t.flight.Scheduled.Request
+	j := &engine.Job{Key: t.line.RequestKey, Session: q.SessionKey, Shared: q.PrefixKey, Prompt: int(q.PromptTokens), Prefix: int(q.PrefixTokens)}
 	t.job = j
 	switch t.line.Phase {
-	case kserve.StageRead:
+	case kserve.PhasePrefill:
 		j.Stage = engine.Read
-	case kserve.StageWrite:
+	case kserve.PhaseDecode:
 		j.Stage = engine.Write
-		state := w.boxes[t.flight.State.Name]
+		state := w.boxes[t.flight.PrefillBackend.Name]
 		j.Fetch = func(arrived func(bool)) { w.fetch(state, b, t, arrived) }
 	default:
 		j.Stage = engine.Whole
 	}
-	j.Answer = standin.AnswerTokens(w.day.RequestShape(t.line.Class).Answer, t.line.Try, int(q.Most))
+	j.Answer = standin.AnswerTokens(w.day.RequestShape(t.line.Class).AnswerTokens, t.line.Try, int(q.MaxOutputTokens))
 	if j.Stage == engine.Read {
 		j.Answer = 1
 	}
 	j.Token = func(n int) {
-		t.flight.Streamed.Store(int64(n))
+		t.flight.StreamedTokens.Store(int64(n))
 		if n > 1 {
 			if n == 2 && b.resets > 0 && w.rng.Float64() < b.resets {
 				b.engine.Cancel(j)
@@ -240,10 +240,10 @@
 func (t *attempt) ran() {
 	l, w := t.line, t.w
 	l.Kind = record.EffectStarted
-	if i := w.day.GradeNumber(l.Class); i >= 0 && w.day.Grades[i].Effect == "deduplicated" {
-		g := w.day.Grades[i]
-		key := map[string]string{"zone": t.to.make.Zone, "rack": t.to.make.Rack}[g.Reach] + " " + l.Try
-		if at, known := w.seen[key]; known && w.now-at < g.Window.D() {
+	if i := w.day.ClassIndex(l.Class); i >= 0 && w.day.Classes[i].Effect == "deduplicated" {
+		g := w.day.Classes[i]
+		key := map[string]string{"zone": t.to.make.Zone, "rack": t.to.make.Rack}[g.DedupScope] + " " + l.Try
+		if at, known := w.seen[key]; known && w.now-at < g.DedupWindow.Std() {
 			l.Kind = record.DuplicateDropped
 		} else {
 			w.seen[key] = w.now
@@ -257,8 +257,8 @@
 	if t.told || !t.from.up || t.from.loop != t.loop {
 		return
 	}
-	t.from.do(func() { t.loop.Began(t.flight) })
-	if t.off != nil || t.flight.Planned.Began == 0 {
+	t.from.do(func() { t.loop.AttemptBegan(t.flight) })
+	if t.off != nil || t.flight.Scheduled.FirstTokenAt == 0 {
 		return
 	}
 	if c := t.from.of[t.flight.Request]; c != nil {
@@ -279,15 +279,15 @@
 	}
 	switch e {
 	case engine.Done:
-		if t.line.Phase != kserve.StageWrite {
+		if t.line.Phase != kserve.PhaseDecode {
 			left := float64(t.job.Prompt - kept)
 			b.work(t.line.Class, t.line.Phase) // its mean has begun
 			w.reads[t.line.Class][0] += left
 			w.reads[t.line.Class][1]++
 		}
-		if t.line.Phase != kserve.StageRead {
-			t.end(kserve.OutcomeAnswered)
-			t.back(brain.Result{Outcome: brain.Served, Note: kept})
+		if t.line.Phase != kserve.PhasePrefill {
+			t.end(kserve.OutcomeCompleted)
+			t.back(brain.Result{Outcome: brain.Served, Detail: kept})
 			return
 		}
 		if upTo, ok := b.released[t.line.RequestKey]; ok && t.line.Attempt <= upTo {
@@ -296,8 +296,8 @@
 			return
 		}
 		w.put(record.Event{Kind: record.KVCacheHeld, Backend: b.make.Name, RequestKey: t.line.RequestKey, Try: t.line.Try, Class: t.line.Class})
-		t.end(kserve.OutcomeRead)
-		t.back(brain.Result{Outcome: brain.Read, Note: kept})
+		t.end(kserve.OutcomePrefilled)
+		t.back(brain.Result{Outcome: brain.Prefilled, Detail: kept})
 		if b.crashes > 0 && w.rng.Float64() < b.crashes {
 			start := b.start
 			w.after(2*time.Millisecond, func() { // the dispatcher knows of the read
@@ -310,8 +310,8 @@
 		t.end(kserve.OutcomeFull)
 		t.back(brain.Result{Outcome: brain.Rejected})
 	case engine.NoState:
-		t.end(kserve.OutcomeNoState)
-		t.back(brain.Result{Outcome: brain.Rejected, Note: 1})
+		t.end(kserve.OutcomeNoKVCache)
+		t.back(brain.Result{Outcome: brain.Rejected, Detail: 1})
 	}
 }
 
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -104,7 +104,7 @@
 func (w *world) add(m day.BackendSpec, cold bool) *backend {
 	b := &backend{w: w, make: m}
 	w.boxes[m.Name] = b
-	w.byID[dispatch.HostID(m.Name)] = b
+	w.byID[dispatch.BackendID(m.Name)] = b
 	w.order = append(w.order, b)
 	b.boot(cold)
 	return b
@@ -120,7 +120,7 @@
 func (b *backend) load() []float64 {
 	values := b.engine.Report()
 	var out []float64
-	for _, name := range b.w.day.Report {
+	for _, name := range b.w.day.ReportFields {
 		out = append(out, values[name])
 	}
 	return out
@@ -131,16 +131,16 @@
 	m, talk := b.make.Engine, b.w.day.RequestShape(grade)
 	sum := b.w.reads[grade]
 	if sum == nil {
-		sum = &[2]float64{talk.New + float64(talk.Prefix)/4, 1}
+		sum = &[2]float64{talk.NewTokens + float64(talk.PrefixTokens)/4, 1}
 		b.w.reads[grade] = sum
 	}
 	read := sum[0] / sum[1] / m.ReadPerS
 	step := m.Step.Seconds() + float64(m.Slots)*m.PerAnswer.Seconds() + float64(m.Slots)*m.PerContextK.Seconds()
-	write := talk.Answer * step / float64(m.Slots)
+	write := talk.AnswerTokens * step / float64(m.Slots)
 	switch stage {
-	case kserve.StageRead:
+	case kserve.PhasePrefill:
 		return read
-	case kserve.StageWrite:
+	case kserve.PhaseDecode:
 		return write
 	}
 	return read + write
@@ -150,16 +150,16 @@
 func (b *backend) weigh(work float64) bool {
 	r, now := b.w.day.Rules, b.w.now
 	up := now - b.started
-	if !b.cold || up > r.ColdRamp.D() {
+	if !b.cold || up > r.SlowStartRamp.Std() {
 		return false
 	}
 	b.sent = append(b.sent, sent{now, work})
 	sum := 0.0
 	for _, s := range b.sent {
-		if s.at >= now-r.ColdWindow.D() {
+		if s.at >= now-r.SlowStartWindow.Std() {
 			sum += s.work
 		}
 	}
-	share := r.ColdShare + (1-r.ColdShare)*float64(up)/float64(r.ColdRamp.D())
-	return sum > 1.1*r.ColdMultiple*share*r.ColdWindow.D().Seconds()
+	share := r.SlowStartShare + (1-r.SlowStartShare)*float64(up)/float64(r.SlowStartRamp.Std())
+	return sum > 1.1*r.SlowStartMultiple*share*r.SlowStartWindow.Std().Seconds()
 }
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -14,7 +14,7 @@
 // client is one try.
 type client struct {
 	w     *world
-	wish  *standin.Wish
+	wish  *standin.Request
 	try   int
 	id    string
 	d     *dispatcher
@@ -24,7 +24,7 @@
 }
 
 func (c *client) put(what, word string, more func(*record.Event)) {
-	l := record.Event{Kind: what, Detail: word, Try: c.id, Request: c.wish.Name, Class: c.wish.Grade, Dispatcher: c.d.name}
+	l := record.Event{Kind: what, Detail: word, Try: c.id, Request: c.wish.Name, Class: c.wish.Class, Dispatcher: c.d.name}
 	if more != nil {
 		more(&l)
 	}
@@ -32,7 +32,7 @@
 }
 
 // ask makes one try of a request.
-func (w *world) ask(wish *standin.Wish, try int, ticket string) {
+func (w *world) ask(wish *standin.Request, try int, ticket string) {
 	var up []*dispatcher
 	for _, d := range w.dispatchers {
 		if d.front {
@@ -42,61 +42,61 @@
 	if len(up) == 0 {
 		up = w.dispatchers
 	}
-	d := up[(uint64(wish.At)+uint64(try)*7919)*0x9e3779b97f4a7c15>>33%uint64(len(up))]
+	d := up[(uint64(wish.SubmitAt)+uint64(try)*7919)*0x9e3779b97f4a7c15>>33%uint64(len(up))]
 	c := &client{w: w, wish: wish, try: try, id: fmt.Sprintf("%s.%d", wish.Name, try), d: d}
-	left := time.Duration(float64(wish.Expiry) * wish.Patience)
+	left := time.Duration(float64(wish.Deadline) * wish.PatienceShare)
 	follows := ""
-	if wish.Honours {
+	if wish.HonoursRetryAfter {
 		follows = "follows"
 	}
 	c.put(record.RequestSent, follows, func(l *record.Event) {
-		l.DeadlineUs, l.LatencyTargetUs, l.Tokens = left.Microseconds(), wish.Promised.Microseconds(), wish.Tokens
+		l.DeadlineUs, l.LatencyTargetUs, l.Tokens = left.Microseconds(), wish.LatencyTarget.Microseconds(), wish.PromptTokens
 	})
 	if !d.up {
 		c.cut("unreached: the dispatcher is down")
 		return
 	}
-	if wish.Leaves > 0 {
-		w.after(wish.Leaves, func() {
+	if wish.LeaveAfter > 0 {
+		w.after(wish.LeaveAfter, func() {
 			if !c.over {
 				c.over = true
 				c.put(record.ClientLeft, "", nil)
 				if d.up && d.open[c] {
 					delete(d.open, c)
 					delete(d.of, c.asked)
-					d.do(func() { d.loop.Left(c.asked) })
+					d.do(func() { d.loop.ClientDisconnected(c.asked) })
 				}
 			}
 		})
 	}
 	d.open[c] = true
-	c.asked = &dispatch.ClientRequest{Ask: kserve.Ask{ID: c.id, Session: wish.Session, Shared: wish.Shared, Tokens: wish.Tokens, Prefix: wish.Prefix, Most: wish.Most,
-		Again: try > 0, Ticket: ticket}, Grade: wish.Grade, Channel: wish.Channel}
+	c.asked = &dispatch.ClientRequest{Params: kserve.Request{ID: c.id, Session: wish.Session, SharedPrefix: wish.PrefixID, PromptTokens: wish.PromptTokens, PrefixTokens: wish.PrefixTokens, MaxTokens: wish.MaxTokens,
+		IsRetry: try > 0, RetryTicket: ticket}, Class: wish.Class, Tenant: wish.Tenant}
 	d.of[c.asked] = c
-	c.asked.Tell = func(f kserve.Final) { w.after(hop, func() { c.final(f) }) }
-	grade, channel := w.day.GradeNumber(wish.Grade), max(w.day.ChannelNumber(wish.Channel), 0)
+	c.asked.OnFinal = func(f kserve.FinalResponse) { w.after(hop, func() { c.final(f) }) }
+	grade, channel := w.day.ClassIndex(wish.Class), max(w.day.TenantIndex(wish.Tenant), 0)
 	w.after(hop, func() {
-		if c.over && wish.Leaves == 0 || !d.open[c] {
+		if c.over && wish.LeaveAfter == 0 || !d.open[c] {
 			return
 		}
 		d.do(func() { d.loop.Submit(c.asked, grade, channel, left-2*hop) })
 	})
 }
 
-func (c *client) final(f kserve.Final) {
+func (c *client) final(f kserve.FinalResponse) {
 	if c.over {
 		return
 	}
 	c.over = true
 	delete(c.d.open, c)
 	delete(c.d.of, c.asked)
-	c.put(record.FinalAnswer, f.Final, func(l *record.Event) { l.RetryAfterMs, l.Attempts = f.AfterMs, f.Trips })
-	if f.Final != kserve.Satisfied && (f.Final == kserve.Declined || c.wish.Safe) {
-		ticket := f.Ticket
-		if !c.wish.Honours {
+	c.put(record.FinalAnswer, f.Outcome, func(l *record.Event) { l.RetryAfterMs, l.Attempts = f.RetryAfterMs, f.Attempts })
+	if f.Outcome != kserve.Served && (f.Outcome == kserve.Rejected || c.wish.Idempotent) {
+		ticket := f.RetryTicket
+		if !c.wish.HonoursRetryAfter {
 			ticket = ""
 		}
-		c.again(time.Duration(f.AfterMs)*time.Millisecond, ticket)
+		c.again(time.Duration(f.RetryAfterMs)*time.Millisecond, ticket)
 	}
 }
 
@@ -107,13 +107,13 @@
 	c.over = true
 	delete(c.d.open, c)
 	c.put(record.ConnectionLost, why, nil)
-	if strings.HasPrefix(why, "unreached") || c.wish.Safe {
+	if strings.HasPrefix(why, "unreached") || c.wish.Idempotent {
 		c.again(0, "")
 	}
 }
 
 func (c *client) again(told time.Duration, ticket string) {
 	if c.try < c.wish.Retries {
-		c.w.after(c.wish.NextWait(c.try, told), func() { c.w.ask(c.wish, c.try+1, ticket) })
+		c.w.after(c.wish.RetryDelay(c.try, told), func() { c.w.ask(c.wish, c.try+1, ticket) })
 	}
 }
--- a/internal/fleet/dispatcher.go
+++ b/internal/fleet/dispatcher.go
@@ -25,25 +25,25 @@
 	up     bool
 	front  bool
 	starts int
-	books  *dispatch.Books
-	known  map[string]boxlist.Box
+	books  *dispatch.Accounting
+	known  map[string]boxlist.Endpoint
 	due    time.Duration
 	set    bool
 	open   map[*client]bool
 	of     map[*dispatch.ClientRequest]*client
 }
 
-func (d *dispatcher) boot(kept map[string]boxlist.Box) error {
+func (d *dispatcher) boot(kept map[string]boxlist.Endpoint) error {
 	w := d.w
-	file := setup.DefaultDispatcher()
-	file.Terms = w.day.Terms
-	file.Place.Name, file.Place.Number, file.Place.Siblings = d.name, d.number, len(w.dispatchers)
-	file.Place.Siblings = max(w.day.Header.Dispatchers, 1)
-	file.Place.Zone = w.day.Zones[d.number%len(w.day.Zones)]
+	file := setup.DefaultDispatcherConfig()
+	file.Deployment = w.day.Deployment
+	file.Instance.Name, file.Instance.Index, file.Instance.FleetSize = d.name, d.number, len(w.dispatchers)
+	file.Instance.FleetSize = max(w.day.Header.Dispatchers, 1)
+	file.Instance.Zone = w.day.Zones[d.number%len(w.day.Zones)]
 	d.starts++
 	seed := w.day.Header.Seed*1000 + uint64(d.number) + 1 + uint64(d.starts-1)*7919
-	facts := file.Facts()
-	loop, err := dispatch.NewLoop(facts, seed, dispatch.Places{Zone: file.ZoneNumber, Kind: file.KindNumber}, (*transport)(d), func() time.Duration { return w.now },
+	facts := file.SchedulerParameters()
+	loop, err := dispatch.NewLoop(facts, seed, dispatch.Resolver{ZoneNumber: file.ZoneIndex, KindNumber: file.KindIndex}, (*transport)(d), func() time.Duration { return w.now },
 		fmt.Sprintf("%s.%d", d.name, d.starts), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		return err
@@ -54,16 +54,16 @@
 			return err
 		}
 		p.View = view{w}
-		loop.Host(p)
+		loop.SetScheduler(p)
 	}
-	if file.Limits.Storms {
-		loop.Guard = storm.New(file.Limits.RetryAfter.D(), len(file.Channels), seed^0x5709,
-			storm.Seal{Key: []byte("the fleet's"), From: uint32(d.starts)<<16 | uint32(d.number)})
+	if file.Limits.ThrottleRetries {
+		loop.RetryThrottle = storm.New(file.Limits.MaxRetryAfter.Std(), len(file.Tenants), seed^0x5709,
+			storm.TicketSigner{Key: []byte("the fleet's"), Issuer: uint32(d.starts)<<16 | uint32(d.number)})
 	}
 	d.loop, d.up, d.front, d.set, d.books = loop, true, true, false, nil
 	d.budgets()
 	d.open, d.of = map[*client]bool{}, map[*dispatch.ClientRequest]*client{}
-	d.known = map[string]boxlist.Box{}
+	d.known = map[string]boxlist.Endpoint{}
 	w.put(record.Event{Kind: record.ProcessStarted, Dispatcher: d.name})
 	if kept != nil {
 		d.hear(byName(kept), true)
@@ -74,12 +74,12 @@
 
 // do runs one thing in the loop, and winds its timers.
 func (d *dispatcher) do(f func()) {
-	d.loop.Do(f)
+	d.loop.RunTurn(f)
 	d.armTimer()
 }
 
 func (d *dispatcher) armTimer() {
-	due, ok := d.loop.NextDue()
+	due, ok := d.loop.NextTimer()
 	if !ok || !d.up {
 		return
 	}
@@ -94,7 +94,7 @@
 			return
 		}
 		d.set = false
-		loop.Due()
+		loop.RunTimers()
 		d.armTimer()
 	})
 }
@@ -124,5 +124,5 @@
 			t.closed()
 		}
 	}
-	w.after(w.day.Header.LoadBalancerNotice.D(), func() { d.front = d.front && d.up })
+	w.after(w.day.Header.LoadBalancerNotice.Std(), func() { d.front = d.front && d.up })
 }
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -24,7 +24,7 @@
 // have no meaning without sockets.
 func (w *world) inject(t day.Fault) {
 	w.put(record.Event{Kind: record.Note, Detail: t.Kind + " begins"})
-	hit, length, notice := w.hit(t), t.Duration.D(), w.day.Discovery.NoticeDelay.D()
+	hit, length, notice := w.hit(t), t.Duration.Std(), w.day.Discovery.NoticeDelay.Std()
 	each := func(do func(*backend)) {
 		for _, b := range hit {
 			do(b)
@@ -50,7 +50,10 @@
 	case "ageing":
 		each(func(b *backend) { b.engine.Age(w.now, t.Share) })
 		later(func() {
-			each(func(b *backend) { b.kill("aged"); w.publish(b, boxlist.Gone, w.day.Discovery.FailureNoticeDelay.D()) })
+			each(func(b *backend) {
+				b.kill("aged")
+				w.publish(b, boxlist.Removed, w.day.Discovery.FailureNoticeDelay.Std())
+			})
 			w.after(2*time.Second, back)
 		})
 	case "evict_fresh":
@@ -76,9 +79,9 @@
 			w.publish(b, boxlist.Draining, notice)
 			w.replace(b, notice)
 		})
-		later(func() { each(func(b *backend) { b.kill("replaced"); w.publish(b, boxlist.Gone, notice) }) })
+		later(func() { each(func(b *backend) { b.kill("replaced"); w.publish(b, boxlist.Removed, notice) }) })
 	case "connect_late":
-		w.lateShare, w.lateBy = t.Share, t.Delay.D()
+		w.lateShare, w.lateBy = t.Share, t.Delay.Std()
 		later(func() { w.lateShare = 0 })
 	case "list_down":
 		w.downList = w.now + length
@@ -90,8 +93,8 @@
 	case "crash":
 		each(func(b *backend) {
 			b.kill("crashed")
-			if silent := w.day.Discovery.FailureNoticeDelay.D(); length > silent {
-				w.publish(b, boxlist.Gone, silent)
+			if silent := w.day.Discovery.FailureNoticeDelay.Std(); length > silent {
+				w.publish(b, boxlist.Removed, silent)
 			}
 		})
 		later(back)
@@ -101,11 +104,11 @@
 	case "drain":
 		each(func(b *backend) { w.publish(b, boxlist.Draining, notice) })
 		later(func() {
-			each(func(b *backend) { b.kill("drained"); w.publish(b, boxlist.Gone, notice) })
+			each(func(b *backend) { b.kill("drained"); w.publish(b, boxlist.Removed, notice) })
 			w.after(time.Second, back)
 		})
 	case "list_stale":
-		w.lateList = t.Delay.D()
+		w.lateList = t.Delay.Std()
 		later(func() { w.lateList = 0 })
 	case "link_slow":
 		w.slowLink = t.Factor
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -69,10 +69,10 @@
 		w.observe()
 	}
 	for i := range w.wishes {
-		w.at(w.wishes[i].At, func() { w.ask(&w.wishes[i], 0, "") })
+		w.at(w.wishes[i].SubmitAt, func() { w.ask(&w.wishes[i], 0, "") })
 	}
 	for _, t := range d.Faults {
-		w.at(t.Start.D(), func() { w.inject(t) })
+		w.at(t.Start.Std(), func() { w.inject(t) })
 	}
 	return w, nil
 }
@@ -80,8 +80,8 @@
 // play runs the day to its end.
 func (w *world) play() Outcome {
 	d := w.day
-	w.run(d.Header.Duration.D() + tail)
-	head := record.Header{Scenario: d.Header.Name, Seed: d.Header.Seed, Terms: d.Terms}
+	w.run(d.Header.Duration.Std() + tail)
+	head := record.Header{Scenario: d.Header.Name, Seed: d.Header.Seed, Terms: d.Deployment}
 	out := Outcome{
 		Verdict: judge.Check(head, w.lines), Digest: fmt.Sprintf("%x", w.sum.Sum64()), Questions: len(w.wishes), Engines: map[string]engine.Counts{},
 	}
@@ -102,9 +102,9 @@
 	day    day.Scenario
 	policy string
 	now    time.Duration
-	events agenda.Agenda
+	events agenda.Queue
 	rng    *rand.Rand
-	wishes []standin.Wish
+	wishes []standin.Request
 	lines  []record.Event
 	each   func(record.Event)
 	sum    hash.Hash64
@@ -124,17 +124,17 @@
 	reads       map[string]*[2]float64   // tokens left to read by grade: sum and number
 	starts      uint64
 	lent        map[string]float64 // what keepers have made durable
-	purses      []*budget.Purse
+	purses      []*budget.LocalBudget
 }
 
 func (w *world) at(at time.Duration, do func()) {
-	w.events.At(max(at, w.now), do)
+	w.events.Schedule(max(at, w.now), do)
 }
 
 func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
 
 func (w *world) run(until time.Duration) {
-	w.events.Run(until, func(at time.Duration) { w.now = at })
+	w.events.RunUntil(until, func(at time.Duration) { w.now = at })
 }
 
 func (w *world) put(l record.Event) {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -79,8 +79,8 @@
 // Load that comes to 2.5 times what the engines can do must end: once it has passed, questions are satisfied again.
 func TestTheFleetComesBackAfterAnOverload(t *testing.T) {
 	d := load(t, "quiet")
-	d.Header.Duration, d.Header.RequestsPerSecond = setup.Span(40e9), 60
-	d.Faults = []day.Fault{{Kind: "burst", Start: setup.Span(5e9), Duration: setup.Span(10e9), Factor: 6}}
+	d.Header.Duration, d.Header.RequestsPerSecond = setup.Duration(40e9), 60
+	d.Faults = []day.Fault{{Kind: "burst", Start: setup.Duration(5e9), Duration: setup.Duration(10e9), Factor: 6}}
 	out, err := Play(d, "module")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/fleet/release_test.go
+++ b/internal/fleet/release_test.go
@@ -28,9 +28,9 @@
 	whole := d.Header.Duration
 	d.Faults = []day.Fault{
 		{Kind: "no_cancel", Start: 0, Duration: whole, Backends: []string{"prefill"}},
-		{Kind: "burst", Start: 0, Duration: setup.Span(7 * time.Second), Factor: 0.5}, // half the load, while caches fill
-		{Kind: "give_up", Start: setup.Span(9 * time.Second), Duration: setup.Span(16 * time.Second), Share: 0.4, Factor: 0.5},
-		{Kind: "connect_late", Start: 0, Duration: whole, Share: 0.02, Delay: setup.Span(time.Second)},
+		{Kind: "burst", Start: 0, Duration: setup.Duration(7 * time.Second), Factor: 0.5}, // half the load, while caches fill
+		{Kind: "give_up", Start: setup.Duration(9 * time.Second), Duration: setup.Duration(16 * time.Second), Share: 0.4, Factor: 0.5},
+		{Kind: "connect_late", Start: 0, Duration: whole, Share: 0.02, Delay: setup.Duration(time.Second)},
 	}
 	var batches [2][]string
 	for _, kind := range d.Backends {
@@ -42,7 +42,7 @@
 	}
 	for i, names := range batches {
 		at := 9*time.Second + time.Duration(i)*3500*time.Millisecond
-		d.Faults = append(d.Faults, day.Fault{Kind: "replace", Start: setup.Span(at), Duration: setup.Span(6 * time.Second), Backends: names})
+		d.Faults = append(d.Faults, day.Fault{Kind: "replace", Start: setup.Duration(at), Duration: setup.Duration(6 * time.Second), Backends: names})
 	}
 	return d
 }
@@ -69,7 +69,7 @@
 // offence looks for a window of the rule in which the backend got more calls than it may, from the whole fleet: as many of mean
 // work as the stated multiple of its present capacity comes to, n, plus 2 sqrt(n) + 2, under 30 plus 3 sqrt(n) + 3.
 func (s *slowStart) offence(rules setup.Rules) (calls, most float64, found bool) {
-	window, ramp := rules.ColdWindow.D(), rules.ColdRamp.D().Microseconds()
+	window, ramp := rules.SlowStartWindow.Std(), rules.SlowStartRamp.Std().Microseconds()
 	work := 0.0
 	for _, c := range s.calls {
 		work += c.Work / float64(len(s.calls))
@@ -82,8 +82,8 @@
 		for s.calls[first].TimeUs <= c.TimeUs-window.Microseconds() {
 			first++
 		}
-		warm := rules.ColdShare + (1-rules.ColdShare)*float64(s.calls[first].TimeUs-s.began)/float64(ramp)
-		n := rules.ColdMultiple * warm * window.Seconds() / work
+		warm := rules.SlowStartShare + (1-rules.SlowStartShare)*float64(s.calls[first].TimeUs-s.began)/float64(ramp)
+		n := rules.SlowStartMultiple * warm * window.Seconds() / work
 		if calls, most = float64(i-first+1), n+2*math.Sqrt(n)+2; n < 30 {
 			most = n + 3*math.Sqrt(n) + 3
 		}
@@ -101,7 +101,7 @@
 	for name, s := range got.starts {
 		looked += len(s.calls)
 		if calls, most, found := s.offence(d.Rules); found {
-			t.Errorf("%s got %.0f calls within %v, %.1f at most", name, calls, d.Rules.ColdWindow.D(), most)
+			t.Errorf("%s got %.0f calls within %v, %.1f at most", name, calls, d.Rules.SlowStartWindow.Std(), most)
 		}
 	}
 	if looked < 100 {
@@ -112,7 +112,7 @@
 // By 0.4 s of work a call and half of the capacity, a backend may have 2.5 * 0.5 * 2 / 0.4 = 6.25 calls within 2 s, and 10.5 more.
 func TestTheCheckOfSlowStartsFindsOneCallTooMany(t *testing.T) {
 	rules := setup.Rules{
-		ColdMultiple: 2.5, ColdWindow: setup.Span(2 * time.Second), ColdShare: 0.5, ColdRamp: setup.Span(1000 * time.Second),
+		SlowStartMultiple: 2.5, SlowStartWindow: setup.Duration(2 * time.Second), SlowStartShare: 0.5, SlowStartRamp: setup.Duration(1000 * time.Second),
 	}
 	for calls, offends := range map[int]bool{16: false, 17: true} {
 		s := &slowStart{began: 1e6}
@@ -130,13 +130,13 @@
 func measure(t *testing.T, d day.Scenario, policy string) (dayValue, Outcome) {
 	t.Helper()
 	got := dayValue{classes: map[string]*value{}}
-	for _, g := range d.Grades {
+	for _, g := range d.Classes {
 		got.classes[g.Name] = &value{}
 	}
 	count := func(l record.Event, add func(*value, float64)) {
-		third := min(int(3*time.Duration(l.TimeUs)*time.Microsecond/d.Header.Duration.D()), 2)
+		third := min(int(3*time.Duration(l.TimeUs)*time.Microsecond/d.Header.Duration.Std()), 2)
 		for _, v := range []*value{&got.all, &got.thirds[third], got.classes[l.Class]} {
-			add(v, d.Grades[d.GradeNumber(l.Class)].Benefit*float64(l.Tokens))
+			add(v, d.Classes[d.ClassIndex(l.Class)].Value*float64(l.Tokens))
 		}
 	}
 	asked, served, of := map[string]record.Event{}, map[string]bool{}, map[string]string{}
--- a/internal/fleet/storm_test.go
+++ b/internal/fleet/storm_test.go
@@ -15,11 +15,11 @@
 // servable.
 func outage(t testing.TB) day.Scenario {
 	d := load(t, "quiet")
-	d.Header.Duration, d.Header.RequestsPerSecond, d.Header.Dispatchers = setup.Span(60e9), 110, 3
-	d.Clients.Retries, d.Clients.RetryWait, d.Clients.FollowAdviceShare = 25, setup.Span(300e6), 1
-	d.Limits.RetryAfter = setup.Span(10e9)
-	d.Channels = []setup.Channel{{Name: "web-app", Share: 0.6, PerS: 4000}, {Name: "ranger-office", Share: 0.4, PerS: 4000}}
-	d.Faults = []day.Fault{{Kind: "crash", Start: setup.Span(10e9), Duration: setup.Span(15e9), Backends: []string{"reader-1", "writer-1", "writer-2", "mixed-1"}}}
+	d.Header.Duration, d.Header.RequestsPerSecond, d.Header.Dispatchers = setup.Duration(60e9), 110, 3
+	d.Clients.Retries, d.Clients.RetryWait, d.Clients.FollowAdviceShare = 25, setup.Duration(300e6), 1
+	d.Limits.MaxRetryAfter = setup.Duration(10e9)
+	d.Tenants = []setup.Tenant{{Name: "web-app", Share: 0.6, RequestsPerSecond: 4000}, {Name: "ranger-office", Share: 0.4, RequestsPerSecond: 4000}}
+	d.Faults = []day.Fault{{Kind: "crash", Start: setup.Duration(10e9), Duration: setup.Duration(15e9), Backends: []string{"reader-1", "writer-1", "writer-2", "mixed-1"}}}
 	return d
 }
 
@@ -40,19 +40,21 @@
 func TestTheFleetComesOutOfAStormByItself(t *testing.T) {
 	const back = 25 * time.Second
 	for name, change := range map[string]func(*day.Scenario){
-		"all follow":                      func(d *day.Scenario) {},
-		"half follow":                     func(d *day.Scenario) { d.Clients.FollowAdviceShare = 0.5 },
-		"none follow":                     func(d *day.Scenario) { d.Clients.FollowAdviceShare = 0 },
-		"33 dispatchers":                  func(d *day.Scenario) { d.Header.Dispatchers = 33 },
-		"reconnects faster than restarts": func(d *day.Scenario) { d.Clients.RetryWait, d.Clients.FollowAdviceShare, d.Clients.Retries = setup.Span(50e6), 0.5, 50 },
+		"all follow":     func(d *day.Scenario) {},
+		"half follow":    func(d *day.Scenario) { d.Clients.FollowAdviceShare = 0.5 },
+		"none follow":    func(d *day.Scenario) { d.Clients.FollowAdviceShare = 0 },
+		"33 dispatchers": func(d *day.Scenario) { d.Header.Dispatchers = 33 },
+		"reconnects faster than restarts": func(d *day.Scenario) {
+			d.Clients.RetryWait, d.Clients.FollowAdviceShare, d.Clients.Retries = setup.Duration(50e6), 0.5, 50
+		},
 		"the boxes fade instead": func(d *day.Scenario) { // a slow leak: boxes lose their pace, crash and come back cold
-			d.Faults = []day.Fault{{Kind: "ageing", Start: setup.Span(10e9), Duration: setup.Span(13e9), Share: 0.1, Backends: []string{"reader-1", "writer-1", "writer-2"}}}
+			d.Faults = []day.Fault{{Kind: "ageing", Start: setup.Duration(10e9), Duration: setup.Duration(13e9), Share: 0.1, Backends: []string{"reader-1", "writer-1", "writer-2"}}}
 		},
 		"the list is stale": func(d *day.Scenario) {
-			d.Faults = append(d.Faults, day.Fault{Kind: "list_stale", Start: setup.Span(9e9), Duration: setup.Span(20e9), Delay: setup.Span(3e9)})
+			d.Faults = append(d.Faults, day.Fault{Kind: "list_stale", Start: setup.Duration(9e9), Duration: setup.Duration(20e9), Delay: setup.Duration(3e9)})
 		},
 		"a dispatcher restarts in it": func(d *day.Scenario) {
-			d.Faults = append(d.Faults, day.Fault{Kind: "kill_dispatcher", Start: setup.Span(20e9), Duration: setup.Span(1e9), Dispatchers: []int{0}})
+			d.Faults = append(d.Faults, day.Fault{Kind: "kill_dispatcher", Start: setup.Duration(20e9), Duration: setup.Duration(1e9), Dispatchers: []int{0}})
 		},
 	} {
 		d := outage(t)
@@ -65,7 +67,7 @@
 
 func TestASecondOutageDuringRecovery(t *testing.T) {
 	d := outage(t)
-	d.Faults = append(d.Faults, day.Fault{Kind: "crash", Start: setup.Span(27e9), Duration: setup.Span(6e9), Backends: []string{"reader-2", "writer-3"}})
+	d.Faults = append(d.Faults, day.Fault{Kind: "crash", Start: setup.Duration(27e9), Duration: setup.Duration(6e9), Backends: []string{"reader-2", "writer-3"}})
 	if s, ok := recovered(t, "twice", d, 33*time.Second); !ok || s > 20 {
 		t.Errorf("back after %.0f s (%v)", s, ok)
 	}
@@ -76,7 +78,7 @@
 	with := outage(t)
 	with.Header.RequestsPerSecond = 130
 	without := with
-	without.Limits.Storms, without.Limits.RetryAfter = false, 0
+	without.Limits.ThrottleRetries, without.Limits.MaxRetryAfter = false, 0
 	without.Clients.FollowAdviceShare = 0
 	a, err := Play(with, "module")
 	if err != nil {
@@ -96,12 +98,12 @@
 // fleet down for good. With the guard it comes out of that without help.
 func TestTheFleetLeavesAMetastableState(t *testing.T) {
 	d := outage(t)
-	d.Clients.FollowAdviceShare, d.Clients.RetryWait, d.Clients.Retries, d.Header.Dispatchers = 0, setup.Span(50e6), 50, 33
-	d.Faults = []day.Fault{{Kind: "burst", Start: setup.Span(10e9), Duration: setup.Span(8e9), Factor: 4}}
+	d.Clients.FollowAdviceShare, d.Clients.RetryWait, d.Clients.Retries, d.Header.Dispatchers = 0, setup.Duration(50e6), 50, 33
+	d.Faults = []day.Fault{{Kind: "burst", Start: setup.Duration(10e9), Duration: setup.Duration(8e9), Factor: 4}}
 	if s, ok := recovered(t, "after a burst", d, 18*time.Second); !ok || s > 15 {
 		t.Errorf("back after %.0f s (%v)", s, ok)
 	}
-	d.Limits.Storms, d.Limits.RetryAfter = false, 0
+	d.Limits.ThrottleRetries, d.Limits.MaxRetryAfter = false, 0
 	if s, ok := recovered(t, "without the guard", d, 18*time.Second); ok && s < 25 {
 		t.Errorf("without the guard it is back after %.0f s: this day shows nothing", s)
 	}
@@ -110,16 +112,16 @@
 // One channel asks for four times what it did, and its clients ask again at once: the other's questions are served as before.
 func TestOneChannelsStormLeavesTheOtherServed(t *testing.T) {
 	d := outage(t)
-	d.Header.RequestsPerSecond, d.Clients.FollowAdviceShare, d.Clients.RetryWait = 80, 0, setup.Span(100e6)
-	d.Channels = []setup.Channel{{Name: "web-app", Share: 0.6, PerS: 60}, {Name: "ranger-office", Share: 0.4, PerS: 60}}
-	d.Faults = []day.Fault{{Kind: "burst", Start: setup.Span(10e9), Duration: setup.Span(20e9), Factor: 3, Tenant: "web-app"}}
+	d.Header.RequestsPerSecond, d.Clients.FollowAdviceShare, d.Clients.RetryWait = 80, 0, setup.Duration(100e6)
+	d.Tenants = []setup.Tenant{{Name: "web-app", Share: 0.6, RequestsPerSecond: 60}, {Name: "ranger-office", Share: 0.4, RequestsPerSecond: 60}}
+	d.Faults = []day.Fault{{Kind: "burst", Start: setup.Duration(10e9), Duration: setup.Duration(20e9), Factor: 3, Tenant: "web-app"}}
 	of := map[string]string{}
 	for _, w := range d.Plan() {
-		of[w.Name] = w.Channel
+		of[w.Name] = w.Tenant
 	}
 	share := func(guard bool) (by map[string]float64) {
 		d := d
-		d.Limits.Storms = guard
+		d.Limits.ThrottleRetries = guard
 		by = map[string]float64{}
 		asked, began := map[string]record.Event{}, map[string]bool{}
 		total := map[string]float64{}
--- a/internal/fleet/trouble_test.go
+++ b/internal/fleet/trouble_test.go
@@ -14,17 +14,19 @@
 func TestTroublesStrikeInVirtualTime(t *testing.T) {
 	for kind, struck := range map[string]func(l record.Event) bool{
 		"crash_after_read": func(l record.Event) bool { return l.Kind == record.ProcessEnded && l.Detail == "crashed after reading" },
-		"reset_running":    func(l record.Event) bool { return l.Kind == record.AttemptEnded && l.Phase != "read" && l.Detail == "broke" },
-		"list_down":        func(l record.Event) bool { return l.Kind == record.Note && l.Detail == "list_down ends" },
-		"list_gap":         func(l record.Event) bool { return l.Kind == record.Note && l.Detail == "a push of the list is lost" },
+		"reset_running": func(l record.Event) bool {
+			return l.Kind == record.AttemptEnded && l.Phase != "read" && l.Detail == "broke"
+		},
+		"list_down": func(l record.Event) bool { return l.Kind == record.Note && l.Detail == "list_down ends" },
+		"list_gap":  func(l record.Event) bool { return l.Kind == record.Note && l.Detail == "a push of the list is lost" },
 		"stop_dispatcher": func(l record.Event) bool {
 			return l.Kind == record.Note && l.Detail == "stop_dispatcher is not played here"
 		},
 	} {
 		d := load(t, "quiet")
 		d.Faults = []day.Fault{
-			{Kind: kind, Start: setup.Span(2 * time.Second), Duration: setup.Span(3 * time.Second), Backends: []string{"reader", "writer"}, Share: 0.3, Dispatchers: []int{0}},
-			{Kind: "drain", Start: setup.Span(2500 * time.Millisecond), Duration: setup.Span(time.Second), Backends: []string{"writer-2"}},
+			{Kind: kind, Start: setup.Duration(2 * time.Second), Duration: setup.Duration(3 * time.Second), Backends: []string{"reader", "writer"}, Share: 0.3, Dispatchers: []int{0}},
+			{Kind: "drain", Start: setup.Duration(2500 * time.Millisecond), Duration: setup.Duration(time.Second), Backends: []string{"writer-2"}},
 		}
 		n := 0
 		out, err := PlayLines(d, "module", func(l record.Event) {
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -33,8 +33,8 @@
 func (v view) Load(h *brain.Backend, q *brain.Request) baseline.Load {
 	b := v.w.byID[h.ID]
 	load := b.seen
-	if h.Role == brain.Reads {
-		load.Cached = float64(b.engine.KeptFor(&engine.Job{Session: q.Session, Shared: q.Shared, Prompt: int(q.Prompt), Prefix: int(q.Prefix)}))
+	if h.Role == brain.RolePrefill {
+		load.Cached = float64(b.engine.KeptFor(&engine.Job{Session: q.SessionKey, Shared: q.PrefixKey, Prompt: int(q.PromptTokens), Prefix: int(q.PrefixTokens)}))
 	}
 	return load
 }
--- a/internal/hosts/hosts.go
+++ b/internal/hosts/hosts.go
@@ -23,8 +23,8 @@
 
 // Kinds of boxes, and what they are called in the settings.
 const (
-	Reader = "prompt-side"
-	Writer = "answer-side"
+	PrefillKind = "prompt-side"
+	DecodeKind  = "answer-side"
 )
 
 // Settings are those of a small deployment, in the form in which the platform hands them over.
@@ -38,67 +38,67 @@
 
 // Exchange is one request whose last byte has come to a box.
 type Exchange struct {
-	Box    *Box
-	Method string
-	Target string
-	ID     string
-	Head   http.Header
-	Body   string
-	Left   <-chan struct{} // closed when the dispatcher has closed the connection
-	w      net.Conn
-	over   bool
+	Backend      *Backend
+	Method       string
+	URI          string
+	ID           string
+	Header       http.Header
+	Body         string
+	ClientClosed <-chan struct{} // closed when the dispatcher has closed the connection
+	conn         net.Conn
+	finished     bool
 }
 
 // Site is a set of boxes, their discovery and the record of both.
-type Site struct {
-	mu     sync.Mutex
-	boxes  []*Box
-	seen   []*Exchange
-	out    map[string]int // requests by id that are out
-	held   map[string]string
-	waits  map[string]time.Time // by id, since when a state is held with no request out
-	Faults []string             // rules that were broken, as the boxes saw it
-	Pin    time.Duration        // for which a state may wait with no request out
-	agents []*Agent
-	rev    int64
-	wait   sync.WaitGroup
+type Platform struct {
+	mu         sync.Mutex
+	backends   []*Backend
+	requests   []*Exchange
+	inFlight   map[string]int // requests by id that are out
+	heldBy     map[string]string
+	idleSince  map[string]time.Time // by id, since when a state is held with no request out
+	Violations []string             // rules that were broken, as the boxes saw it
+	HoldLimit  time.Duration        // for which a state may wait with no request out
+	agents     []*Agent
+	rev        int64
+	handlers   sync.WaitGroup
 }
 
-func New() *Site {
-	return &Site{out: map[string]int{}, held: map[string]string{}, waits: map[string]time.Time{}, rev: 1, Pin: 850 * time.Millisecond}
+func New() *Platform {
+	return &Platform{inFlight: map[string]int{}, heldBy: map[string]string{}, idleSince: map[string]time.Time{}, rev: 1, HoldLimit: 850 * time.Millisecond}
 }
 
 // Box is one box.
-type Box struct {
-	UID   string
-	Kind  string
-	At    string
-	State string
+type Backend struct {
+	UID     string
+	Kind    string
+	Address string
+	State   string
 	// Do answers in place of the box's own way; it tells whether the connection may be used again.
-	Do    func(e *Exchange) bool
-	greet func(c net.Conn) bool
-	site  *Site
-	l     net.Listener
-	conns map[net.Conn]bool
+	Handler   func(e *Exchange) bool
+	onConnect func(c net.Conn) bool
+	platform  *Platform
+	listener  net.Listener
+	conns     map[net.Conn]bool
 }
 
 // Box adds a box that is in service.
-func (s *Site) Box(uid, kind string) *Box {
+func (s *Platform) AddBackend(uid, kind string) *Backend {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	b := &Box{UID: uid, Kind: kind, At: l.Addr().String(), State: "in_service", site: s, l: l, conns: map[net.Conn]bool{}}
+	b := &Backend{UID: uid, Kind: kind, Address: l.Addr().String(), State: "in_service", platform: s, listener: l, conns: map[net.Conn]bool{}}
 	s.mu.Lock()
-	s.boxes = append(s.boxes, b)
+	s.backends = append(s.backends, b)
 	s.mu.Unlock()
 	s.accept(l, b.conns, b.serve)
 	return b
 }
 
 // accept takes connections until the listener closes; conns has those that are open.
-func (s *Site) accept(l net.Listener, conns map[net.Conn]bool, serve func(net.Conn)) {
-	s.wait.Go(func() {
+func (s *Platform) accept(l net.Listener, conns map[net.Conn]bool, serve func(net.Conn)) {
+	s.handlers.Go(func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
@@ -107,56 +107,56 @@
 			s.mu.Lock()
 			conns[c] = true
 			s.mu.Unlock()
-			s.wait.Go(func() { serve(c) })
+			s.handlers.Go(func() { serve(c) })
 		}
 	})
 }
 
 // Greet has each connection handed over before a request is read of it; what it returns tells whether requests are to be read.
-func (b *Box) Greet(greet func(c net.Conn) bool) {
-	b.site.mu.Lock()
-	defer b.site.mu.Unlock()
-	b.greet = greet
+func (b *Backend) OnConnect(greet func(c net.Conn) bool) {
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
+	b.onConnect = greet
 }
 
 // Kill ends a box's process: its connections are reset, and new ones refused.
-func (b *Box) Kill() {
-	b.l.Close()
-	b.site.mu.Lock()
-	defer b.site.mu.Unlock()
+func (b *Backend) Kill() {
+	b.listener.Close()
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
 	for c := range b.conns {
 		if t, ok := c.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
 		c.Close()
 	}
-	for id, at := range b.site.held {
+	for id, at := range b.platform.heldBy {
 		if at == b.UID {
-			delete(b.site.held, id)
-			delete(b.site.waits, id)
+			delete(b.platform.heldBy, id)
+			delete(b.platform.idleSince, id)
 		}
 	}
 }
 
 // Reopen has connections taken again at the old address.
-func (b *Box) Reopen() {
-	l, err := net.Listen("tcp", b.At)
+func (b *Backend) Reopen() {
+	l, err := net.Listen("tcp", b.Address)
 	if err != nil {
 		panic(err)
 	}
-	b.site.mu.Lock()
-	b.l = l
-	b.site.mu.Unlock()
-	b.site.accept(l, b.conns, b.serve)
+	b.platform.mu.Lock()
+	b.listener = l
+	b.platform.mu.Unlock()
+	b.platform.accept(l, b.conns, b.serve)
 }
 
 // CloseListener has new connections refused; those that stand go on.
-func (b *Box) CloseListener() { b.l.Close() }
+func (b *Backend) CloseListener() { b.listener.Close() }
 
 // Rest closes the connections on which nothing is out, as a box does with those that stood idle.
-func (b *Box) Rest() {
-	b.site.mu.Lock()
-	defer b.site.mu.Unlock()
+func (b *Backend) CloseIdle() {
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
 	for c, idle := range b.conns {
 		if idle {
 			c.Close()
@@ -164,8 +164,8 @@
 	}
 }
 
-func (b *Box) serve(c net.Conn) {
-	s := b.site
+func (b *Backend) serve(c net.Conn) {
+	s := b.platform
 	defer func() {
 		c.Close()
 		s.mu.Lock()
@@ -173,7 +173,7 @@
 		s.mu.Unlock()
 	}()
 	s.mu.Lock()
-	greet := b.greet
+	greet := b.onConnect
 	s.mu.Unlock()
 	if greet != nil && !greet(c) {
 		return
@@ -189,17 +189,17 @@
 			return
 		}
 		left := make(chan struct{})
-		e := &Exchange{Box: b, Method: r.Method, Target: r.RequestURI, ID: r.Header.Get("X-Request-Id"), Head: r.Header, Body: string(body), Left: left, w: c}
+		e := &Exchange{Backend: b, Method: r.Method, URI: r.RequestURI, ID: r.Header.Get("X-Request-Id"), Header: r.Header, Body: string(body), ClientClosed: left, conn: c}
 		s.mu.Lock()
 		b.conns[c] = false
-		s.seen = append(s.seen, e)
+		s.requests = append(s.requests, e)
 		if e.ID != "" {
-			s.out[e.ID]++
-			s.waited(e.ID)
+			s.inFlight[e.ID]++
+			s.endIdleHold(e.ID)
 		}
-		do := b.Do
+		do := b.Handler
 		s.mu.Unlock()
-		s.alone(e.ID)
+		s.checkSingleCopy(e.ID)
 		// Whoever waits for the far side to leave reads on; what comes is the next request's first byte.
 		watched := make(chan struct{})
 		go func() {
@@ -212,7 +212,7 @@
 			do = (*Exchange).Serve
 		}
 		keep := do(e)
-		e.end()
+		e.finish()
 		s.mu.Lock()
 		b.conns[c] = true
 		s.mu.Unlock()
@@ -228,76 +228,76 @@
 
 // Serve is a box's own way: a reader reads and holds, a writer answers, a call releases.
 func (e *Exchange) Serve() bool {
-	s := e.Box.site
+	s := e.Backend.platform
 	switch {
 	case e.Method == http.MethodDelete:
 		s.mu.Lock()
-		s.take(strings.TrimPrefix(e.Target, "/v1/holds/"))
+		s.removeKVCache(strings.TrimPrefix(e.URI, "/v1/holds/"))
 		s.mu.Unlock()
-		return e.Write("HTTP/1.1 204 No Content\r\n\r\n")
-	case e.Box.Kind == Reader:
-		e.Hold()
-		return e.Write("HTTP/1.1 202 Accepted\r\nX-Server-Load: util=0.5,queue=2,x0=0.25\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
+		return e.WriteRaw("HTTP/1.1 204 No Content\r\n\r\n")
+	case e.Backend.Kind == PrefillKind:
+		e.HoldKVCache()
+		return e.WriteRaw("HTTP/1.1 202 Accepted\r\nX-Server-Load: util=0.5,queue=2,x0=0.25\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
 	}
-	return e.Write(Opening) && e.Write(Chunk(Event("a"))+Chunk(Event("b"))) && e.Write(Chunk(Usage+Done)+Last)
+	return e.WriteRaw(StreamHead) && e.WriteRaw(EncodeChunk(TextEvent("a"))+EncodeChunk(TextEvent("b"))) && e.WriteRaw(EncodeChunk(UsageEvent+DoneEvent)+LastChunk)
 }
 
 // end takes note that the request is not out any more.
-func (e *Exchange) end() {
-	s := e.Box.site
+func (e *Exchange) finish() {
+	s := e.Backend.platform
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !e.over && e.ID != "" {
-		s.out[e.ID]--
-		if s.held[e.ID] != "" && s.out[e.ID] == 0 {
-			s.waits[e.ID] = time.Now()
+	if !e.finished && e.ID != "" {
+		s.inFlight[e.ID]--
+		if s.heldBy[e.ID] != "" && s.inFlight[e.ID] == 0 {
+			s.idleSince[e.ID] = time.Now()
 		}
 	}
-	e.over = true
+	e.finished = true
 }
 
 // waited ends a state's wait, and take the state with it; the site is locked.
-func (s *Site) waited(id string) {
-	if since, ok := s.waits[id]; ok && time.Since(since) > s.Pin {
-		s.Faults = append(s.Faults, fmt.Sprintf("a state for %s waited for %v", id, time.Since(since)))
+func (s *Platform) endIdleHold(id string) {
+	if since, ok := s.idleSince[id]; ok && time.Since(since) > s.HoldLimit {
+		s.Violations = append(s.Violations, fmt.Sprintf("a state for %s waited for %v", id, time.Since(since)))
 	}
-	delete(s.waits, id)
+	delete(s.idleSince, id)
 }
 
-func (s *Site) take(id string) {
-	s.waited(id)
-	delete(s.held, id)
+func (s *Platform) removeKVCache(id string) {
+	s.endIdleHold(id)
+	delete(s.heldBy, id)
 }
 
 // Vanish has the box's machine say nothing: connections that stand stay, and new ones neither come up nor are refused.
-func (b *Box) Vanish() {
-	b.l.Close()
-	l, err := net.Listen("tcp", b.At)
+func (b *Backend) Blackhole() {
+	b.listener.Close()
+	l, err := net.Listen("tcp", b.Address)
 	if err != nil {
 		panic(err)
 	}
-	stuck, err := standin.Fill(l)
+	stuck, err := standin.FillBacklog(l)
 	if err != nil {
 		panic(err)
 	}
-	b.site.mu.Lock()
-	defer b.site.mu.Unlock()
-	b.l = l
+	b.platform.mu.Lock()
+	defer b.platform.mu.Unlock()
+	b.listener = l
 	for _, c := range stuck {
 		b.conns[c] = false // closed with the box
 	}
 }
 
 // alone takes note of a fault if another copy of a request is out. A box may see a moment late that its connection was closed.
-func (s *Site) alone(id string) {
+func (s *Platform) checkSingleCopy(id string) {
 	if id == "" {
 		return
 	}
 	for end := time.Now().Add(50 * time.Millisecond); ; time.Sleep(time.Millisecond) {
 		s.mu.Lock()
-		n := s.out[id]
+		n := s.inFlight[id]
 		if n > 1 && time.Now().After(end) {
-			s.Faults = append(s.Faults, "a second copy of "+id+" is out")
+			s.Violations = append(s.Violations, "a second copy of "+id+" is out")
 			n = 1
 		}
 		s.mu.Unlock()
@@ -308,42 +308,42 @@
 }
 
 // Hold takes note that a question's state waits at the box.
-func (e *Exchange) Hold() {
-	e.Box.site.mu.Lock()
-	defer e.Box.site.mu.Unlock()
-	e.Box.site.held[e.ID] = e.Box.UID
+func (e *Exchange) HoldKVCache() {
+	e.Backend.platform.mu.Lock()
+	defer e.Backend.platform.mu.Unlock()
+	e.Backend.platform.heldBy[e.ID] = e.Backend.UID
 }
 
 // Write writes bytes as they are. With the opening of an answer a writer has taken the state.
-func (e *Exchange) Write(raw string) bool {
-	if strings.HasPrefix(raw, Opening) && e.Box.Kind == Writer {
-		e.Box.site.mu.Lock()
-		e.Box.site.take(e.ID)
-		e.Box.site.mu.Unlock()
+func (e *Exchange) WriteRaw(raw string) bool {
+	if strings.HasPrefix(raw, StreamHead) && e.Backend.Kind == DecodeKind {
+		e.Backend.platform.mu.Lock()
+		e.Backend.platform.removeKVCache(e.ID)
+		e.Backend.platform.mu.Unlock()
 	}
-	if strings.HasSuffix(raw, Last) || strings.HasPrefix(raw, "HTTP/1.1 ") && raw[9] > '1' && !strings.HasPrefix(raw, "HTTP/1.1 200") {
-		e.end() // with its last byte the dispatcher may send the next
+	if strings.HasSuffix(raw, LastChunk) || strings.HasPrefix(raw, "HTTP/1.1 ") && raw[9] > '1' && !strings.HasPrefix(raw, "HTTP/1.1 200") {
+		e.finish() // with its last byte the dispatcher may send the next
 	}
-	_, err := io.WriteString(e.w, raw)
+	_, err := io.WriteString(e.conn, raw)
 	return err == nil
 }
 
 // Pieces of an answer.
 const (
-	Opening = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-	Usage   = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":400,\"completion_tokens\":2,\"prompt_tokens_details\":{\"cached_tokens\":40}}}\n\n: X-Server-Load: util=0.6,queue=1,x0=0.5\n\n"
-	Done    = "data: [DONE]\n\n"
-	Last    = "0\r\n\r\n"
+	StreamHead = "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
+	UsageEvent = "data: {\"choices\":[],\"usage\":{\"prompt_tokens\":400,\"completion_tokens\":2,\"prompt_tokens_details\":{\"cached_tokens\":40}}}\n\n: X-Server-Load: util=0.6,queue=1,x0=0.5\n\n"
+	DoneEvent  = "data: [DONE]\n\n"
+	LastChunk  = "0\r\n\r\n"
 )
 
-func Event(text string) string {
+func TextEvent(text string) string {
 	return fmt.Sprintf("data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":%q},\"finish_reason\":null}]}\n\n", text)
 }
 
-func Chunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
+func EncodeChunk(text string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(text), text) }
 
 // Refuse is an answer without a stream.
-func Refuse(code int, never bool) string {
+func Rejection(code int, never bool) string {
 	mark := ""
 	if never {
 		mark = "X-Not-Processed: 1\r\n"
@@ -352,12 +352,12 @@
 }
 
 // Seen lists what came to a box, or to all with an empty name, under a method.
-func (s *Site) Seen(uid, method string) []*Exchange {
+func (s *Platform) Requests(uid, method string) []*Exchange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var found []*Exchange
-	for _, e := range s.seen {
-		if (uid == "" || e.Box.UID == uid) && e.Method == method {
+	for _, e := range s.requests {
+		if (uid == "" || e.Backend.UID == uid) && e.Method == method {
 			found = append(found, e)
 		}
 	}
@@ -365,30 +365,30 @@
 }
 
 // Held counts states that wait, Out requests that are out.
-func (s *Site) Held() int {
+func (s *Platform) HeldCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.held)
+	return len(s.heldBy)
 }
 
-func (s *Site) Out() int {
+func (s *Platform) InFlight() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := 0
-	for _, k := range s.out {
+	for _, k := range s.inFlight {
 		n += k
 	}
 	return n
 }
 
 // Change changes what discovery says of boxes and tells its agents.
-func (s *Site) Change(change func()) {
+func (s *Platform) UpdateDiscovery(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 	s.rev++
 	for _, a := range s.agents {
-		a.tell(s.list(false))
+		a.push(s.discoveryList(false))
 	}
 }
 
@@ -405,10 +405,10 @@
 }
 
 // list is what discovery says; the site is locked.
-func (s *Site) list(whole bool) []byte {
+func (s *Platform) discoveryList(whole bool) []byte {
 	targets := []Target{}
-	for i, b := range s.boxes {
-		targets = append(targets, Target{b.UID, b.At, "hall-1", b.Kind, i % 2, b.State, 1, 0})
+	for i, b := range s.backends {
+		targets = append(targets, Target{b.UID, b.Address, "hall-1", b.Kind, i % 2, b.State, 1, 0})
 	}
 	raw, err := json.Marshal(map[string]any{"rev": s.rev, "all": whole, "targets": targets})
 	if err != nil {
@@ -418,33 +418,33 @@
 }
 
 // List is the whole list.
-func (s *Site) List() []byte {
+func (s *Platform) DiscoveryList() []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.list(true)
+	return s.discoveryList(true)
 }
 
 // Agent is discovery at one address.
 type Agent struct {
-	At      string
-	site    *Site
-	l       net.Listener
-	watches map[net.Conn]bool
-	conns   map[net.Conn]bool
-	asked   []string
-	mute    bool // it takes connections and says nothing
-	indent  bool
-	slow    time.Duration // before it answers
-	stop    int           // bytes of its next answers to a watch, after which it says no more; 0: all of them
+	Address       string
+	platform      *Platform
+	listener      net.Listener
+	watches       map[net.Conn]bool
+	conns         map[net.Conn]bool
+	requestURIs   []string
+	silent        bool // it takes connections and says nothing
+	indent        bool
+	delay         time.Duration // before it answers
+	truncateAfter int           // bytes of its next answers to a watch, after which it says no more; 0: all of them
 }
 
 // Agent opens another one.
-func (s *Site) Agent() *Agent {
+func (s *Platform) AddAgent() *Agent {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
 	}
-	a := &Agent{At: l.Addr().String(), site: s, l: l, watches: map[net.Conn]bool{}, conns: map[net.Conn]bool{}}
+	a := &Agent{Address: l.Addr().String(), platform: s, listener: l, watches: map[net.Conn]bool{}, conns: map[net.Conn]bool{}}
 	s.mu.Lock()
 	s.agents = append(s.agents, a)
 	s.mu.Unlock()
@@ -453,7 +453,7 @@
 }
 
 func (a *Agent) serve(c net.Conn) {
-	s := a.site
+	s := a.platform
 	defer func() {
 		c.Close()
 		s.mu.Lock()
@@ -468,23 +468,23 @@
 			return
 		}
 		s.mu.Lock()
-		slow := a.slow
+		slow := a.delay
 		s.mu.Unlock()
 		if slow > 0 && !waitWhileOpen(c, from, slow) {
 			return
 		}
 		s.mu.Lock()
-		a.asked = append(a.asked, r.RequestURI)
+		a.requestURIs = append(a.requestURIs, r.RequestURI)
 		switch {
-		case a.mute:
+		case a.silent:
 		case r.URL.Query().Get("stream") == "":
-			raw := a.form(s.list(true))
+			raw := a.format(s.discoveryList(true))
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(raw), raw)
 		default:
-			raw := string(a.form(s.list(true))) + "\n"
-			whole := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + Chunk(raw)
-			if a.stop > 0 {
-				io.WriteString(c, whole[:min(a.stop, len(whole))])
+			raw := string(a.format(s.discoveryList(true))) + "\n"
+			whole := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + EncodeChunk(raw)
+			if a.truncateAfter > 0 {
+				io.WriteString(c, whole[:min(a.truncateAfter, len(whole))])
 				break
 			}
 			a.watches[c] = true
@@ -503,17 +503,17 @@
 }
 
 // tell writes a change to the watches; the site is locked.
-func (a *Agent) tell(raw []byte) {
-	if a.mute {
+func (a *Agent) push(raw []byte) {
+	if a.silent {
 		return
 	}
 	for c := range a.watches {
-		io.WriteString(c, Chunk(string(a.form(raw))+"\n"))
+		io.WriteString(c, EncodeChunk(string(a.format(raw))+"\n"))
 	}
 }
 
 // form is how the agent writes a list.
-func (a *Agent) form(raw []byte) []byte {
+func (a *Agent) format(raw []byte) []byte {
 	if !a.indent {
 		return raw
 	}
@@ -524,76 +524,76 @@
 
 // SetIndent has it write lists over many lines; SetStop has it stop in the middle of its next answers to a watch.
 func (a *Agent) SetIndent(indent bool) {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
 	a.indent = indent
 }
 
-func (a *Agent) SetStop(after int) {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
-	a.stop = after
+func (a *Agent) SetTruncateAfter(after int) {
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
+	a.truncateAfter = after
 }
 
 // SetSlow has it answer so much later.
-func (a *Agent) SetSlow(by time.Duration) {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
-	a.slow = by
+func (a *Agent) SetDelay(by time.Duration) {
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
+	a.delay = by
 }
 
 // Say writes bytes to the watches as they are.
-func (a *Agent) Say(raw string) {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
+func (a *Agent) WriteRaw(raw string) {
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
 	for c := range a.watches {
 		io.WriteString(c, raw)
 	}
 }
 
 // Cut ends the watches; the agent goes on listening.
-func (a *Agent) Cut() {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
+func (a *Agent) CloseConns() {
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
 	for c := range a.conns {
 		c.Close()
 	}
 }
 
 // SetMute has it say nothing, or speak again; Targets lists what it was asked for.
-func (a *Agent) SetMute(mute bool) {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
-	a.mute = mute
+func (a *Agent) SetSilent(mute bool) {
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
+	a.silent = mute
 }
 
-func (a *Agent) Targets() []string {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
-	return slices.Clone(a.asked)
+func (a *Agent) RequestURIs() []string {
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
+	return slices.Clone(a.requestURIs)
 }
 
 // Watched tells how many watches there are.
-func (a *Agent) Watched() int {
-	a.site.mu.Lock()
-	defer a.site.mu.Unlock()
+func (a *Agent) WatchCount() int {
+	a.platform.mu.Lock()
+	defer a.platform.mu.Unlock()
 	return len(a.watches)
 }
 
 // Close ends all of it.
-func (s *Site) Close() {
+func (s *Platform) Close() {
 	s.mu.Lock()
-	boxes, agents := slices.Clone(s.boxes), slices.Clone(s.agents)
+	boxes, agents := slices.Clone(s.backends), slices.Clone(s.agents)
 	s.mu.Unlock()
 	for _, b := range boxes {
 		b.Kill()
 	}
 	for _, a := range agents {
-		a.l.Close()
-		a.Cut()
+		a.listener.Close()
+		a.CloseConns()
 	}
 	done := make(chan struct{})
-	go func() { s.wait.Wait(); close(done) }()
+	go func() { s.handlers.Wait(); close(done) }()
 	select {
 	case <-done:
 	case <-time.After(10 * time.Second):
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -120,7 +120,7 @@
 	ended    map[string][]int64    // when each dispatcher was killed or stopped
 	started  map[string][]int64    // when each dispatcher started
 	endUs    int64                 // of the record
-	classes  map[string]setup.Grade
+	classes  map[string]setup.Class
 }
 
 // Check checks a record against the rules.
@@ -141,9 +141,9 @@
 func newIndex(header record.Header, events []record.Event) *index {
 	x := &index{
 		header: header, events: events, tries: map[string]*clientTry{}, attempts: map[string][]*attempt{},
-		ended: map[string][]int64{}, started: map[string][]int64{}, classes: map[string]setup.Grade{},
+		ended: map[string][]int64{}, started: map[string][]int64{}, classes: map[string]setup.Class{},
 	}
-	for _, class := range header.Terms.Grades {
+	for _, class := range header.Terms.Classes {
 		x.classes[class.Name] = class
 	}
 	open := map[string]*attempt{}
@@ -230,7 +230,7 @@
 // checkAnswers checks rule 1: each try gets exactly one final answer before its deadline, and nothing after it.
 func (x *index) checkAnswers() Rule {
 	r := Rule{Name: "1 no question is lost"}
-	slackUs := (x.header.Terms.Rules.Slack.D() + answerTolerance).Microseconds()
+	slackUs := (x.header.Terms.Rules.AnswerSlack.Std() + answerTolerance).Microseconds()
 	for _, id := range x.order {
 		try := x.tries[id]
 		r.Checked++
@@ -258,7 +258,7 @@
 				r.addViolation("try %s: no final answer of %s, which was up: %s", id, try.sent.Dispatcher,
 					try.connectionLost.Detail)
 			}
-		case try.firstToken != nil && x.endUs-try.firstToken.TimeUs < x.header.Terms.Limits.Stall.D().Microseconds():
+		case try.firstToken != nil && x.endUs-try.firstToken.TimeUs < x.header.Terms.Limits.StallTimeout.Std().Microseconds():
 			// still streaming when the record ends
 		default:
 			if !x.endedBetween(try.sent.Dispatcher, try.sent.TimeUs, x.endUs) && x.endUs > dueUs {
@@ -293,7 +293,7 @@
 		}
 		// Backends that deduplicate only among themselves may repeat an effect when the client retries elsewhere.
 		repeatable := class.Effect == "unrepeatable" ||
-			class.Effect == "deduplicated" && class.Reach != "" && class.Reach != "all"
+			class.Effect == "deduplicated" && class.DedupScope != "" && class.DedupScope != "all"
 		if repeatable && try.finalAnswer != nil && try.finalAnswer.Detail == "declined" && len(try.effects) > 0 {
 			r.addViolation("try %s (%s): declined, but it ran at %s", id, class.Effect, try.effects[0].Backend)
 		}
@@ -347,7 +347,7 @@
 // discovery notified it that the backend is draining or removed.
 func (x *index) checkDrains() Rule {
 	r := Rule{Name: "3 drains are kept"}
-	graceUs := (x.header.Terms.Rules.DrainGrace.D() + drainTolerance).Microseconds()
+	graceUs := (x.header.Terms.Rules.DrainGrace.Std() + drainTolerance).Microseconds()
 	type pair struct{ dispatcher, backend string }
 	notifiedUs := map[pair]int64{}
 	for _, event := range x.events {
@@ -388,7 +388,7 @@
 func (x *index) checkSlowStart(notes *[]string) (r Rule, peakLoad float64) {
 	r.Name = "4 no cold box is pushed over"
 	rules := x.header.Terms.Rules
-	windowUs, rampUs := rules.ColdWindow.D().Microseconds(), rules.ColdRamp.D().Microseconds()
+	windowUs, rampUs := rules.SlowStartWindow.Std().Microseconds(), rules.SlowStartRamp.Std().Microseconds()
 	type start struct {
 		timeUs     int64
 		notified   map[string]bool // dispatchers
@@ -423,8 +423,8 @@
 					notifiedWork += a.Work
 				}
 			}
-			capacityShare := rules.ColdShare + (1-rules.ColdShare)*float64(event.TimeUs-s.timeUs)/float64(rampUs)
-			load := work / (rules.ColdMultiple * capacityShare * rules.ColdWindow.D().Seconds())
+			capacityShare := rules.SlowStartShare + (1-rules.SlowStartShare)*float64(event.TimeUs-s.timeUs)/float64(rampUs)
+			load := work / (rules.SlowStartMultiple * capacityShare * rules.SlowStartWindow.Std().Seconds())
 			if notifiedWork >= minNotifiedWorkShare*work {
 				peakLoad = max(peakLoad, load)
 			}
@@ -434,7 +434,7 @@
 			s.overloaded = true
 			if notifiedWork >= minNotifiedWorkShare*work {
 				r.addViolation("%s, up cold for %.1f s, was sent %.2f s of work in %v, of at most %.2f s", event.Backend,
-					milliseconds(event.TimeUs-s.timeUs)/1000, work, rules.ColdWindow.D(), work/load)
+					milliseconds(event.TimeUs-s.timeUs)/1000, work, rules.SlowStartWindow.Std(), work/load)
 			} else {
 				*notes = append(*notes, fmt.Sprintf("%s was sent %.2f times what it bears while cold, "+
 					"by dispatchers that were not told of its start", event.Backend, load))
@@ -447,7 +447,7 @@
 // checkKVCacheRelease checks rule 5: how long a request's KV cache is held while none of its attempts is in flight.
 func (x *index) checkKVCacheRelease() (r Rule, maxIdleMs float64) {
 	r.Name = "5 nothing is left pinned"
-	limitUs := (x.header.Terms.Rules.Pin.D() + idleKVCacheTolerance).Microseconds()
+	limitUs := (x.header.Terms.Rules.KVCacheHoldLimit.Std() + idleKVCacheTolerance).Microseconds()
 	held := map[string]record.Event{}
 	check := func(from record.Event, toUs int64, reason string) {
 		r.Checked++
@@ -489,7 +489,7 @@
 // summarize counts the outcomes and the value of requests.
 func (x *index) summarize(v *Verdict) {
 	rows := map[string]*ClassRow{}
-	for _, class := range x.header.Terms.Grades {
+	for _, class := range x.header.Terms.Classes {
 		rows[class.Name] = &ClassRow{Class: class.Name}
 	}
 	var requests []string
@@ -513,8 +513,8 @@
 		if row == nil {
 			continue
 		}
-		value := class.Benefit
-		if x.header.Terms.Limits.ByWork {
+		value := class.Value
+		if x.header.Terms.Limits.ValueByWork {
 			value *= float64(first.sent.Tokens)
 		}
 		row.Requests++
@@ -531,7 +531,7 @@
 				row.servedValue += value
 			} else {
 				row.Late++
-				row.servedValue += value * class.Late
+				row.servedValue += value * class.LateValue
 			}
 		case last.finalAnswer != nil && last.finalAnswer.Detail == "declined":
 			row.Rejected++
@@ -544,7 +544,7 @@
 		}
 	}
 	requestedValue, servedValue := 0.0, 0.0
-	for _, class := range x.header.Terms.Grades {
+	for _, class := range x.header.Terms.Classes {
 		row := rows[class.Name]
 		requestedValue, servedValue = requestedValue+row.requestedValue, servedValue+row.servedValue
 		row.ValueShare = row.servedValue / max(row.requestedValue, 1e-9)
--- a/internal/judge/judge_test.go
+++ b/internal/judge/judge_test.go
@@ -11,11 +11,11 @@
 )
 
 func testHeader() record.Header {
-	t := setup.DefaultTerms()
-	t.Rules.Pin, t.Rules.DrainGrace = setup.Span(300*time.Millisecond), setup.Span(250*time.Millisecond)
-	t.Rules.ColdMultiple, t.Rules.ColdShare, t.Rules.ColdRamp = 2, 0.25, setup.Span(10*time.Second)
+	t := setup.DefaultDeployment()
+	t.Rules.KVCacheHoldLimit, t.Rules.DrainGrace = setup.Duration(300*time.Millisecond), setup.Duration(250*time.Millisecond)
+	t.Rules.SlowStartMultiple, t.Rules.SlowStartShare, t.Rules.SlowStartRamp = 2, 0.25, setup.Duration(10*time.Second)
 	for _, effect := range []string{"idempotent", "deduplicated", "unrepeatable"} {
-		t.Grades = append(t.Grades, setup.Grade{Name: effect, Effect: effect, Reach: "zone", Benefit: 1})
+		t.Classes = append(t.Classes, setup.Class{Name: effect, Effect: effect, DedupScope: "zone", Value: 1})
 	}
 	return record.Header{Scenario: "test", Terms: t}
 }
--- a/internal/kserve/errand.go
+++ b/internal/kserve/errand.go
@@ -12,50 +12,52 @@
 
 // Stages of a trip.
 const (
-	StageRead  = "read"  // read the prompt, keep the state
-	StageWrite = "write" // fetch a waiting state and answer
-	StageWhole = "whole" // read and answer in one place
+	PhasePrefill  = "read"  // read the prompt, keep the state
+	PhaseDecode   = "write" // fetch a waiting state and answer
+	PhaseCombined = "whole" // read and answer in one place
 )
 
 // Errand is what a trip asks of a box: the parameters of its generate or generate_stream.
-type Errand struct {
-	Stage    string `json:"stage"`
-	From     string `json:"dispatcher"` // its name and start, so that states of a killed one are told apart
-	Question uint64 `json:"question"`
-	Trip     int    `json:"trip"`
-	Mark     string `json:"mark,omitempty"` // by which a repeat of a deduplicated question is known
-	Grade    string `json:"grade"`
-	Channel  string `json:"channel,omitempty"`
-	Session  uint64 `json:"session,omitempty"`
-	Shared   uint64 `json:"shared,omitempty"`
-	Tokens   int    `json:"prompt_tokens"`
-	Prefix   int    `json:"shared_tokens,omitempty"`
-	Most     int    `json:"max_tokens"`
-	WaitUs   int64  `json:"timeout,omitempty"`
+type AttemptParams struct {
+	Phase           string `json:"stage"`
+	DispatcherEpoch string `json:"dispatcher"` // its name and start, so that states of a killed one are told apart
+	RequestNumber   uint64 `json:"question"`
+	Attempt         int    `json:"trip"`
+	DedupKey        string `json:"mark,omitempty"` // by which a repeat of a deduplicated question is known
+	Class           string `json:"grade"`
+	Tenant          string `json:"channel,omitempty"`
+	Session         uint64 `json:"session,omitempty"`
+	SharedPrefix    uint64 `json:"shared,omitempty"`
+	PromptTokens    int    `json:"prompt_tokens"`
+	PrefixTokens    int    `json:"shared_tokens,omitempty"`
+	MaxTokens       int    `json:"max_tokens"`
+	TimeoutUs       int64  `json:"timeout,omitempty"`
 	// Where the state waits: the reader's name and its addresses (tcp4:, tcp6: or unix:), the best first.
-	Reader string   `json:"reader,omitempty"`
-	State  []string `json:"state,omitempty"`
+	PrefillBackend   string   `json:"reader,omitempty"`
+	KVCacheAddresses []string `json:"state,omitempty"`
 }
 
 // Key names the question at a box: ids are a dispatcher's own.
-func (e Errand) Key() string { return fmt.Sprintf("%s/%d", e.From, e.Question) }
+func (e AttemptParams) RequestKey() string {
+	return fmt.Sprintf("%s/%d", e.DispatcherEpoch, e.RequestNumber)
+}
 
 // Outcomes that a box states.
 const (
-	OutcomeRead     = "read"
-	OutcomeAnswered = "answered"
-	OutcomeFull     = "full"     // nothing has run: no slot and no place in the queue, or it drains
-	OutcomeNoState  = "no_state" // nothing has run: no state could be fetched
-	OutcomeFailed   = "failed"
+	OutcomePrefilled = "read"
+	OutcomeCompleted = "answered"
+	OutcomeFull      = "full"     // nothing has run: no slot and no place in the queue, or it drains
+	OutcomeNoKVCache = "no_state" // nothing has run: no state could be fetched
+	OutcomeFailed    = "failed"
 )
 
 // Told is what a box says at the end of a trip: the load report's values stand in the order of report.fields.
-type Told struct {
-	Outcome string    `json:"outcome"`
-	Error   string    `json:"error,omitempty"`
-	Kept    int       `json:"kept_tokens"`
-	Load    []float64 `json:"load,omitempty"`
-	Count   *Count    `json:"count,omitempty"` // what the trip cost, as far as the box keeps counts
+type AttemptResult struct {
+	Outcome      string       `json:"outcome"`
+	Error        string       `json:"error,omitempty"`
+	CachedTokens int          `json:"kept_tokens"`
+	Load         []float64    `json:"load,omitempty"`
+	Usage        *UsageRecord `json:"count,omitempty"` // what the trip cost, as far as the box keeps counts
 }
 
 // The bounds of a load report.
@@ -65,13 +67,13 @@
 )
 
 // Bound leaves out what makes no sense beside the outcome of a trip.
-func (t *Told) Bound(e Errand) {
-	t.Kept = min(max(t.Kept, 0), e.Tokens)
+func (t *AttemptResult) Sanitize(e AttemptParams) {
+	t.CachedTokens = min(max(t.CachedTokens, 0), e.PromptTokens)
 	if len(t.Load) > mostLoad || slices.ContainsFunc(t.Load, func(v float64) bool { return !(v >= 0 && v <= mostValue) }) {
 		t.Load = nil
 	}
-	if c := t.Count; c != nil && (c.check() != nil || c.Key != e.Key() || c.Trip != e.Trip || c.Answer > e.Most || c.Read+c.Kept > mostReads*(e.Tokens+e.Most)) {
-		t.Count = nil
+	if c := t.Usage; c != nil && (c.check() != nil || c.RequestKey != e.RequestKey() || c.Attempt != e.Attempt || c.OutputTokens > e.MaxTokens || c.PrefillTokens+c.CachedTokens > mostReads*(e.PromptTokens+e.MaxTokens)) {
+		t.Usage = nil
 	}
 }
 
@@ -85,19 +87,19 @@
 }
 
 type errandBody struct {
-	ID         string `json:"id,omitempty"`
-	Text       string `json:"text_input"`
-	Parameters Errand `json:"parameters"`
+	ID         string        `json:"id,omitempty"`
+	Text       string        `json:"text_input"`
+	Parameters AttemptParams `json:"parameters"`
 }
 
 // NewErrand makes the request of a trip to a box at base, such as http://127.0.0.1:8200.
-func NewErrand(ctx context.Context, base, model, text string, e Errand) (*http.Request, error) {
-	raw, err := json.Marshal(errandBody{e.Mark, text, e})
+func NewAttemptRequest(ctx context.Context, base, model, text string, e AttemptParams) (*http.Request, error) {
+	raw, err := json.Marshal(errandBody{e.DedupKey, text, e})
 	if err != nil {
 		return nil, err
 	}
 	way := "/generate_stream"
-	if e.Stage == StageRead {
+	if e.Phase == PhasePrefill {
 		way = "/generate"
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, base+"/v2/models/"+model+way, bytes.NewReader(raw))
@@ -110,19 +112,19 @@
 }
 
 // ReadErrand decodes a trip's request at a box; the size of the body is bounded by its reader.
-func ReadErrand(body io.Reader) (Errand, string, error) {
+func ReadAttemptParams(body io.Reader) (AttemptParams, string, error) {
 	var b errandBody
 	if err := decode(body, &b); err != nil {
-		return Errand{}, "", err
+		return AttemptParams{}, "", err
 	}
 	e := b.Parameters
-	if e.Stage != StageRead && e.Stage != StageWrite && e.Stage != StageWhole {
-		return e, "", bad("parameters.stage", "must be read, write or whole, not %q", e.Stage)
+	if e.Phase != PhasePrefill && e.Phase != PhaseDecode && e.Phase != PhaseCombined {
+		return e, "", bad("parameters.stage", "must be read, write or whole, not %q", e.Phase)
 	}
-	if e.From == "" {
+	if e.DispatcherEpoch == "" {
 		return e, "", bad("parameters.dispatcher", "is missing")
 	}
-	if e.Tokens < 0 || e.Prefix < 0 || e.Most < 0 {
+	if e.PromptTokens < 0 || e.PrefixTokens < 0 || e.MaxTokens < 0 {
 		return e, "", bad("parameters", "has a negative size")
 	}
 	return e, b.Text, nil
@@ -131,8 +133,8 @@
 // Release is a question whose states and places a box lets go of: those of its trips up to one. A trip that arrives
 // only after its release leaves none: on a slow way the one may overtake the other.
 type Release struct {
-	Key  string `json:"key"`
-	Trip int    `json:"trip"`
+	RequestKey  string `json:"key"`
+	LastAttempt int    `json:"trip"`
 }
 
 type releaseBody struct {
@@ -140,12 +142,12 @@
 }
 
 // NewRelease makes the request that lets go of states.
-func NewRelease(ctx context.Context, base, model string, release []Release) (*http.Request, error) {
+func NewReleaseRequest(ctx context.Context, base, model string, release []Release) (*http.Request, error) {
 	return post(ctx, base+"/v2/models/"+model+"/release", releaseBody{release})
 }
 
 // ReadRelease decodes its body.
-func ReadRelease(body io.Reader) ([]Release, error) {
+func ReadReleases(body io.Reader) ([]Release, error) {
 	var r releaseBody
 	err := decode(body, &r)
 	return r.Release, err
@@ -156,12 +158,12 @@
 }
 
 // NewFetch makes the request by which a writer takes a state from its reader.
-func NewFetch(ctx context.Context, base, model, key string) (*http.Request, error) {
+func NewKVFetchRequest(ctx context.Context, base, model, key string) (*http.Request, error) {
 	return post(ctx, base+"/v2/models/"+model+"/state", fetchBody{key})
 }
 
 // ReadFetch decodes its body.
-func ReadFetch(body io.Reader) (string, error) {
+func ReadKVFetch(body io.Reader) (string, error) {
 	var f fetchBody
 	err := decode(body, &f)
 	return f.Key, err
--- a/internal/kserve/events.go
+++ b/internal/kserve/events.go
@@ -18,16 +18,16 @@
 }
 
 // Events reads server-sent events. A stream that ends inside an event ends with io.ErrUnexpectedEOF.
-type Events struct{ lines *bufio.Scanner }
+type EventReader struct{ lines *bufio.Scanner }
 
-func NewEvents(r io.Reader) *Events {
+func NewEventReader(r io.Reader) *EventReader {
 	s := bufio.NewScanner(r)
 	s.Buffer(make([]byte, 0, 1024), mostLine)
-	return &Events{s}
+	return &EventReader{s}
 }
 
 // Next returns the next event; its data is valid until the call after.
-func (e *Events) Next() (Event, error) {
+func (e *EventReader) Next() (Event, error) {
 	var ev Event
 	begun := false
 	for e.lines.Scan() {
@@ -49,13 +49,13 @@
 			}
 			ev.Data, begun = append(ev.Data, value...), true
 			if len(ev.Data) > mostLine {
-				return ev, &Fault{Text: "an event of the stream is longer than 1 MiB"}
+				return ev, &RequestError{Message: "an event of the stream is longer than 1 MiB"}
 			}
 		}
 	}
 	switch err := e.lines.Err(); {
 	case errors.Is(err, bufio.ErrTooLong):
-		return ev, &Fault{Text: "a line of the stream is longer than 1 MiB"}
+		return ev, &RequestError{Message: "a line of the stream is longer than 1 MiB"}
 	case err != nil:
 		return ev, err
 	case begun:
@@ -70,11 +70,11 @@
 	if err != nil {
 		return err
 	}
-	return WriteRaw(w, name, raw)
+	return WriteRawEvent(w, name, raw)
 }
 
 // WriteRaw writes one event whose data is one line already.
-func WriteRaw(w io.Writer, name string, data []byte) error {
+func WriteRawEvent(w io.Writer, name string, data []byte) error {
 	out := make([]byte, 0, len(name)+len(data)+20)
 	if name != "" {
 		out = append(append(append(out, "event: "...), name...), '\n')
--- a/internal/kserve/fuzz_test.go
+++ b/internal/kserve/fuzz_test.go
@@ -19,18 +19,18 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		for _, read := range []func() (Ask, error){
-			func() (Ask, error) { return ReadPrompt(bytes.NewReader(body)) },
-			func() (Ask, error) { return ReadInference(bytes.NewReader(body)) },
+		for _, read := range []func() (Request, error){
+			func() (Request, error) { return ReadGenerateRequest(bytes.NewReader(body)) },
+			func() (Request, error) { return ReadInferRequest(bytes.NewReader(body)) },
 		} {
 			a, err := read()
 			if err != nil {
-				if fault, ok := err.(*Fault); !ok || fault.Status < 400 || fault.Status > 499 {
+				if fault, ok := err.(*RequestError); !ok || fault.Status < 400 || fault.Status > 499 {
 					t.Fatalf("%q: %v", body, err)
 				}
 				continue
 			}
-			if min(a.Tokens, a.Prefix, a.Most) < 0 || max(a.Tokens, a.Prefix, a.Most) > MostTokens || a.Left < 0 || max(len(a.ID), len(a.Session), len(a.Shared), len(a.Ticket)) > 512 {
+			if min(a.PromptTokens, a.PrefixTokens, a.MaxTokens) < 0 || max(a.PromptTokens, a.PrefixTokens, a.MaxTokens) > MaxTokens || a.Timeout < 0 || max(len(a.ID), len(a.Session), len(a.SharedPrefix), len(a.RetryTicket)) > 512 {
 				t.Fatalf("%q: %+v", body, a)
 			}
 		}
@@ -47,7 +47,7 @@
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		events := NewEvents(bytes.NewReader(raw))
+		events := NewEventReader(bytes.NewReader(raw))
 		for {
 			ev, err := events.Next()
 			if err != nil {
@@ -56,23 +56,23 @@
 			if len(ev.Data) > mostLine {
 				t.Fatalf("an event of %d bytes", len(ev.Data))
 			}
-			var told Told
+			var told AttemptResult
 			if json.Unmarshal(ev.Data, &told) != nil {
 				continue
 			}
-			told.Bound(Errand{From: "d", Question: 1, Tokens: 100, Most: 50})
+			told.Sanitize(AttemptParams{DispatcherEpoch: "d", RequestNumber: 1, PromptTokens: 100, MaxTokens: 50})
 			for _, v := range told.Load {
 				if math.IsNaN(v) || v < 0 || v > mostValue {
 					t.Fatalf("%q: load %v", raw, told.Load)
 				}
 			}
-			if told.Kept < 0 || told.Kept > 100 || told.Count != nil && (told.Count.Answer < 0 || told.Count.Answer > 50) {
+			if told.CachedTokens < 0 || told.CachedTokens > 100 || told.Usage != nil && (told.Usage.OutputTokens < 0 || told.Usage.OutputTokens > 50) {
 				t.Fatalf("%q: %+v", raw, told)
 			}
 		}
-		if c, err := ReadCounts(bytes.NewReader(raw)); err == nil {
-			for _, x := range c.Counts {
-				if min(x.Read, x.Kept, x.Answer, x.Trip) < 0 {
+		if c, err := ReadUsageReport(bytes.NewReader(raw)); err == nil {
+			for _, x := range c.Records {
+				if min(x.PrefillTokens, x.CachedTokens, x.OutputTokens, x.Attempt) < 0 {
 					t.Fatalf("%q: %+v", raw, x)
 				}
 			}
