--- a/internal/kserve/kserve.go
+++ b/internal/kserve/kserve.go
@@ -16,21 +16,21 @@
 )
 
 // Fault is a request that can't be taken, with the status that says so.
-type Fault struct {
-	Status int
-	Field  string
-	Text   string
+type RequestError struct {
+	Status  int
+	Field   string
+	Message string
 }
 
-func (f *Fault) Error() string {
+func (f *RequestError) Error() string {
 	if f.Field == "" {
-		return f.Text
+		return f.Message
 	}
-	return f.Field + ": " + f.Text
+	return f.Field + ": " + f.Message
 }
 
-func bad(field, format string, args ...any) *Fault {
-	return &Fault{http.StatusBadRequest, field, fmt.Sprintf(format, args...)}
+func bad(field, format string, args ...any) *RequestError {
+	return &RequestError{http.StatusBadRequest, field, fmt.Sprintf(format, args...)}
 }
 
 // Params are a request's parameters: strings, numbers and truth values by name.
@@ -83,14 +83,14 @@
 }
 
 // Inference is the body of infer; Output its answer.
-type Inference struct {
+type InferRequest struct {
 	ID         string   `json:"id,omitempty"`
 	Parameters Params   `json:"parameters,omitempty"`
 	Inputs     []Tensor `json:"inputs"`
 }
 
 // Output is the answer of infer.
-type Output struct {
+type InferResponse struct {
 	Model      string   `json:"model_name"`
 	Version    string   `json:"model_version,omitempty"`
 	ID         string   `json:"id,omitempty"`
@@ -99,63 +99,63 @@
 }
 
 // Prompt is the body of generate and generate_stream.
-type Prompt struct {
+type GenerateRequest struct {
 	ID         string `json:"id,omitempty"`
 	Text       string `json:"text_input"`
 	Parameters Params `json:"parameters,omitempty"`
 }
 
 // Ask is what a client wants. What it left out is zero; Tokens and Shared then come from Text.
-type Ask struct {
-	ID      string
-	Text    string
-	Session string
-	Shared  string
-	Grade   string
-	Channel string
-	Tokens  int // of the prompt
-	Prefix  int // of them, how many are the shared beginning
-	Most    int // of the answer
-	Left    time.Duration
-	Again   bool
-	Ticket  string // of an earlier decline: whoever comes when it was told to has a place
+type Request struct {
+	ID           string
+	Text         string
+	Session      string
+	SharedPrefix string
+	Class        string
+	Tenant       string
+	PromptTokens int // of the prompt
+	PrefixTokens int // of them, how many are the shared beginning
+	MaxTokens    int // of the answer
+	Timeout      time.Duration
+	IsRetry      bool
+	RetryTicket  string // of an earlier decline: whoever comes when it was told to has a place
 }
 
 // MostTokens is the largest prompt or answer that is taken for meant.
-const MostTokens = 10_000_000
+const MaxTokens = 10_000_000
 
 // ReadPrompt decodes the body of generate and generate_stream.
-func ReadPrompt(body io.Reader) (Ask, error) {
-	var p Prompt
+func ReadGenerateRequest(body io.Reader) (Request, error) {
+	var p GenerateRequest
 	if err := decode(body, &p); err != nil {
-		return Ask{}, err
+		return Request{}, err
 	}
 	return p.Parameters.ask(p.ID, p.Text)
 }
 
 // ReadInference decodes the body of infer: its first BYTES input is the prompt.
-func ReadInference(body io.Reader) (Ask, error) {
-	var in Inference
+func ReadInferRequest(body io.Reader) (Request, error) {
+	var in InferRequest
 	if err := decode(body, &in); err != nil {
-		return Ask{}, err
+		return Request{}, err
 	}
 	if len(in.Inputs) == 0 {
-		return Ask{}, bad("inputs", "is missing or empty")
+		return Request{}, bad("inputs", "is missing or empty")
 	}
 	t := in.Inputs[0]
 	if t.Datatype != "BYTES" {
-		return Ask{}, bad("inputs.0.datatype", "must be BYTES, not %q", t.Datatype)
+		return Request{}, bad("inputs.0.datatype", "must be BYTES, not %q", t.Datatype)
 	}
 	size := int64(1)
 	for _, n := range t.Shape {
 		if n < 0 {
-			return Ask{}, bad("inputs.0.shape", "has the negative size %d", n)
+			return Request{}, bad("inputs.0.shape", "has the negative size %d", n)
 		}
 		size *= n
 	}
 	var texts []string
 	if err := json.Unmarshal(t.Data, &texts); err != nil || len(texts) != 1 || size != 1 {
-		return Ask{}, bad("inputs.0.data", "must hold one string, and shape [1]")
+		return Request{}, bad("inputs.0.data", "must hold one string, and shape [1]")
 	}
 	return in.Parameters.ask(in.ID, texts[0])
 }
@@ -172,7 +172,7 @@
 	case err == nil:
 		return nil
 	case errors.As(err, &large):
-		return &Fault{http.StatusRequestEntityTooLarge, "", fmt.Sprintf("the body is longer than %d bytes", large.Limit)}
+		return &RequestError{http.StatusRequestEntityTooLarge, "", fmt.Sprintf("the body is longer than %d bytes", large.Limit)}
 	case errors.As(err, &kind):
 		return bad(kind.Field, "must not be a %s", kind.Value)
 	case errors.Is(err, io.ErrUnexpectedEOF), errors.Is(err, io.EOF):
@@ -182,30 +182,30 @@
 	if errors.As(err, &syntax) {
 		return bad("", "the body is no JSON at byte %d: %v", syntax.Offset, err)
 	}
-	return &Fault{http.StatusRequestTimeout, "", "the body did not arrive: " + err.Error()}
+	return &RequestError{http.StatusRequestTimeout, "", "the body did not arrive: " + err.Error()}
 }
 
-func (p Params) ask(id, text string) (a Ask, err error) {
+func (p Params) ask(id, text string) (a Request, err error) {
 	a.ID, a.Text = id, text
 	if len(id) > 512 {
 		return a, bad("id", "is longer than 512 bytes")
 	}
-	for name, to := range map[string]*string{"session": &a.Session, "shared": &a.Shared, "grade": &a.Grade, "channel": &a.Channel, "ticket": &a.Ticket} {
+	for name, to := range map[string]*string{"session": &a.Session, "shared": &a.SharedPrefix, "grade": &a.Class, "channel": &a.Tenant, "ticket": &a.RetryTicket} {
 		if *to, err = p.text(name); err != nil {
 			return a, err
 		}
 	}
-	for name, to := range map[string]*int{"prompt_tokens": &a.Tokens, "shared_tokens": &a.Prefix, "max_tokens": &a.Most} {
-		if *to, err = p.count(name, MostTokens); err != nil {
+	for name, to := range map[string]*int{"prompt_tokens": &a.PromptTokens, "shared_tokens": &a.PrefixTokens, "max_tokens": &a.MaxTokens} {
+		if *to, err = p.count(name, MaxTokens); err != nil {
 			return a, err
 		}
 	}
-	if a.Again, err = p.yes("again"); err != nil {
+	if a.IsRetry, err = p.yes("again"); err != nil {
 		return a, err
 	}
 	left, err := p.count("timeout", 3.6e9)
-	a.Left = time.Duration(left) * time.Microsecond
-	if err == nil && a.Text == "" && a.Tokens == 0 {
+	a.Timeout = time.Duration(left) * time.Microsecond
+	if err == nil && a.Text == "" && a.PromptTokens == 0 {
 		err = bad("text_input", "is empty, and parameters.prompt_tokens is not given")
 	}
 	return a, err
@@ -213,43 +213,43 @@
 
 // The three final answers.
 const (
-	Satisfied = "satisfied"
-	Declined  = "declined"
-	Forfeited = "forfeited"
+	Served   = "satisfied"
+	Rejected = "declined"
+	Failed   = "forfeited"
 )
 
 // Final is a question's final answer in a form that a program can read. Harmless says that asking again does
 // no harm; without it nothing is promised.
-type Final struct {
-	Final    string `json:"final"`
-	Error    string `json:"error,omitempty"`
-	Harmless bool   `json:"harmless"`
-	AfterMs  int64  `json:"retry_after_ms,omitempty"`
-	Trips    int    `json:"trips"`
-	Ticket   string `json:"ticket,omitempty"` // to be sent along when coming back
+type FinalResponse struct {
+	Outcome      string `json:"final"`
+	Error        string `json:"error,omitempty"`
+	SafeToRetry  bool   `json:"harmless"`
+	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
+	Attempts     int    `json:"trips"`
+	RetryTicket  string `json:"ticket,omitempty"` // to be sent along when coming back
 }
 
 // Status is the HTTP status of a final answer before any token was sent.
-func (f Final) Status() int {
-	switch f.Final {
-	case Satisfied:
+func (f FinalResponse) Status() int {
+	switch f.Outcome {
+	case Served:
 		return http.StatusOK
-	case Declined:
+	case Rejected:
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusBadGateway
 }
 
 // WriteFinal answers with no token sent: Retry-After is in whole seconds, as HTTP has it, rounded up.
-func WriteFinal(w http.ResponseWriter, f Final) {
-	if f.AfterMs > 0 {
-		w.Header().Set("Retry-After", fmt.Sprint((f.AfterMs+999)/1000))
+func WriteFinalResponse(w http.ResponseWriter, f FinalResponse) {
+	if f.RetryAfterMs > 0 {
+		w.Header().Set("Retry-After", fmt.Sprint((f.RetryAfterMs+999)/1000))
 	}
 	WriteJSON(w, f.Status(), f)
 }
 
 // Unsent tells whether a request failed before a connection was made, so that nothing of it was sent.
-func Unsent(err error) bool {
+func IsDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
@@ -262,9 +262,9 @@
 }
 
 // WriteFault answers a request that was not taken.
-func WriteFault(w http.ResponseWriter, err error) {
+func WriteError(w http.ResponseWriter, err error) {
 	status := http.StatusInternalServerError
-	var f *Fault
+	var f *RequestError
 	if errors.As(err, &f) {
 		status = f.Status
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -26,25 +26,25 @@
 
 // Arrival is one line of a trace.
 type Arrival struct {
-	AtMs    float64 `json:"at_ms"`
-	Grade   string  `json:"grade"`
-	Tokens  int     `json:"tokens"`
-	Shared  string  `json:"shared"`
-	Prefix  int     `json:"shared_tokens"`
-	Session string  `json:"session"`
-	Most    int     `json:"max_tokens"`
-	Channel string  `json:"channel"`
+	AtMs         float64 `json:"at_ms"`
+	Class        string  `json:"grade"`
+	Tokens       int     `json:"tokens"`
+	PrefixID     string  `json:"shared"`
+	PrefixTokens int     `json:"shared_tokens"`
+	Session      string  `json:"session"`
+	MaxTokens    int     `json:"max_tokens"`
+	Tenant       string  `json:"channel"`
 }
 
 // mostLine bounds a line of a trace, and mostArrivals a trace.
 const (
-	mostLine     = 64 << 10
-	mostArrivals = 2_000_000
+	maxTraceLineBytes = 64 << 10
+	maxArrivals       = 2_000_000
 )
 
 // ReadTrace reads arrivals from CSV with a header, or from JSON lines; the file's ending says which. Times need not be in
 // order. What is wrong is named with its line.
-func ReadTrace(file string, terms setup.Terms) ([]standin.Wish, error) {
+func ReadTrace(file string, terms setup.Deployment) ([]standin.Request, error) {
 	f, err := os.Open(file)
 	if err != nil {
 		return nil, err
@@ -54,31 +54,31 @@
 	if strings.HasSuffix(file, ".csv") {
 		all, err = readCSV(f)
 	} else {
-		all, err = readLines(f)
+		all, err = readJSONLines(f)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", file, err)
 	}
-	wishes := make([]standin.Wish, len(all))
+	wishes := make([]standin.Request, len(all))
 	for i, a := range all {
-		n := max(terms.GradeNumber(a.Grade), 0)
-		if a.Grade != "" && terms.GradeNumber(a.Grade) < 0 {
-			return nil, fmt.Errorf("%s: arrival %d: grade %q is unknown", file, i+1, a.Grade)
+		n := max(terms.ClassIndex(a.Class), 0)
+		if a.Class != "" && terms.ClassIndex(a.Class) < 0 {
+			return nil, fmt.Errorf("%s: arrival %d: grade %q is unknown", file, i+1, a.Class)
 		}
-		if a.AtMs < 0 || a.Tokens < 1 || a.Prefix < 0 || a.Prefix > a.Tokens || a.Most < 0 {
+		if a.AtMs < 0 || a.Tokens < 1 || a.PrefixTokens < 0 || a.PrefixTokens > a.Tokens || a.MaxTokens < 0 {
 			return nil, fmt.Errorf("%s: arrival %d: senseless: %+v", file, i+1, a)
 		}
-		g := terms.Grades[n]
+		g := terms.Classes[n]
 		k := float64(a.Tokens) / 1000
-		w := standin.Wish{At: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Grade: g.Name, Channel: a.Channel, Session: a.Session,
-			Shared: a.Shared, Prefix: a.Prefix, Tokens: a.Tokens, Most: a.Most, Promised: g.Promised.D() + time.Duration(k*float64(g.PerK)),
-			Expiry: g.Expiry.D() + 2*time.Duration(k*float64(g.PerK)), Patience: 1, Safe: g.Effect == "idempotent"}
-		if w.Most == 0 {
-			w.Most = g.Most
+		w := standin.Request{SubmitAt: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Class: g.Name, Tenant: a.Tenant, Session: a.Session,
+			PrefixID: a.PrefixID, PrefixTokens: a.PrefixTokens, PromptTokens: a.Tokens, MaxTokens: a.MaxTokens, LatencyTarget: g.LatencyTarget.Std() + time.Duration(k*float64(g.TargetPer1000Tokens)),
+			Deadline: g.Deadline.Std() + 2*time.Duration(k*float64(g.TargetPer1000Tokens)), PatienceShare: 1, Idempotent: g.Effect == "idempotent"}
+		if w.MaxTokens == 0 {
+			w.MaxTokens = g.DefaultMaxTokens
 		}
 		wishes[i] = w
 	}
-	slices.SortStableFunc(wishes, func(a, b standin.Wish) int { return int(a.At - b.At) })
+	slices.SortStableFunc(wishes, func(a, b standin.Request) int { return int(a.SubmitAt - b.SubmitAt) })
 	return wishes, nil
 }
 
@@ -101,8 +101,8 @@
 		if err == io.EOF {
 			return all, nil
 		}
-		if err != nil || len(all) >= mostArrivals {
-			return nil, fmt.Errorf("%d: %v (at most %d arrivals)", line, err, mostArrivals)
+		if err != nil || len(all) >= maxArrivals {
+			return nil, fmt.Errorf("%d: %v (at most %d arrivals)", line, err, maxArrivals)
 		}
 		var a Arrival
 		for i, n := range names {
@@ -113,17 +113,17 @@
 			case "tokens":
 				a.Tokens, bad = strconv.Atoi(row[i])
 			case "shared_tokens":
-				a.Prefix, bad = strconv.Atoi(row[i])
+				a.PrefixTokens, bad = strconv.Atoi(row[i])
 			case "max_tokens":
-				a.Most, bad = strconv.Atoi(row[i])
+				a.MaxTokens, bad = strconv.Atoi(row[i])
 			case "grade":
-				a.Grade = strings.Clone(row[i])
+				a.Class = strings.Clone(row[i])
 			case "shared":
-				a.Shared = strings.Clone(row[i])
+				a.PrefixID = strings.Clone(row[i])
 			case "session":
 				a.Session = strings.Clone(row[i])
 			case "channel":
-				a.Channel = strings.Clone(row[i])
+				a.Tenant = strings.Clone(row[i])
 			}
 			if bad != nil {
 				return nil, fmt.Errorf("%d: %s: %q is no number", line, n, row[i])
@@ -133,10 +133,10 @@
 	}
 }
 
-func readLines(r io.Reader) ([]Arrival, error) {
+func readJSONLines(r io.Reader) ([]Arrival, error) {
 	var all []Arrival
 	in := bufio.NewScanner(r)
-	in.Buffer(nil, mostLine)
+	in.Buffer(nil, maxTraceLineBytes)
 	for line := 1; in.Scan(); line++ {
 		if len(strings.TrimSpace(in.Text())) == 0 {
 			continue
@@ -147,8 +147,8 @@
 		if err := d.Decode(&a); err != nil {
 			return nil, fmt.Errorf("%d: %w", line, err)
 		}
-		if all = append(all, a); len(all) > mostArrivals {
-			return nil, fmt.Errorf("%d: more than %d arrivals", line, mostArrivals)
+		if all = append(all, a); len(all) > maxArrivals {
+			return nil, fmt.Errorf("%d: more than %d arrivals", line, maxArrivals)
 		}
 	}
 	return all, in.Err()
@@ -163,7 +163,7 @@
 }
 
 // Run asks and reports; say is told of progress each second.
-func Run(ctx context.Context, model string, to []string, wishes []standin.Wish, say func(string, ...any)) ([]Figures, error) {
+func Run(ctx context.Context, model string, to []string, wishes []standin.Request, say func(string, ...any)) ([]Figures, error) {
 	if len(to) == 0 || len(wishes) == 0 {
 		return nil, fmt.Errorf("there is nobody to ask, or nothing to ask for")
 	}
@@ -181,8 +181,8 @@
 		return by[grade]
 	}
 	for _, w := range wishes {
-		promise[w.Name] = w.Promised
-		of(w.Grade)
+		promise[w.Name] = w.LatencyTarget
+		of(w.Class)
 	}
 	of("all")
 	began := time.Now()
@@ -237,7 +237,7 @@
 	}()
 	var all sync.WaitGroup
 	for _, w := range wishes {
-		if wait := w.At - time.Since(began); wait > 0 {
+		if wait := w.SubmitAt - time.Since(began); wait > 0 {
 			select {
 			case <-time.After(wait):
 			case <-ctx.Done():
@@ -247,13 +247,13 @@
 			break
 		}
 		mu.Lock()
-		due[w.Name] = w.At
+		due[w.Name] = w.SubmitAt
 		open++
 		mu.Unlock()
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			clients.Ask(ctx, w)
+			clients.Submit(ctx, w)
 			mu.Lock()
 			open--
 			mu.Unlock()
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -10,10 +10,10 @@
 	"sloetrestle/internal/setup"
 )
 
-func TestTracesAreReadInBothFormsAndFaultsNamed(t *testing.T) {
-	terms := setup.DefaultTerms()
-	terms.Grades = []setup.Grade{{Name: "quick", Effect: "idempotent", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second), Most: 70},
-		{Name: "booking", Effect: "unrepeatable", Promised: setup.Span(time.Second), Expiry: setup.Span(4 * time.Second), Most: 50}}
+func TestReadTraceParsesCSVAndJSONLinesAndLocatesErrors(t *testing.T) {
+	terms := setup.DefaultDeployment()
+	terms.Classes = []setup.Class{{Name: "quick", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second), DefaultMaxTokens: 70},
+		{Name: "booking", Effect: "unrepeatable", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second), DefaultMaxTokens: 50}}
 	for _, c := range []struct{ name, text, says string }{
 		{"a.csv", "at_ms,grade,tokens,max_tokens\n200,booking,900,20\n100,quick,500,\n", "max_tokens"},
 		{"b.csv", "at_ms,grade,tokens\n200,booking,900\n100,quick,500\n", ""},
@@ -33,7 +33,7 @@
 			}
 			continue
 		}
-		if err != nil || len(wishes) != 2 || wishes[0].Grade != "quick" || wishes[0].At != 100*time.Millisecond || wishes[0].Most != 70 || wishes[1].Safe {
+		if err != nil || len(wishes) != 2 || wishes[0].Class != "quick" || wishes[0].SubmitAt != 100*time.Millisecond || wishes[0].MaxTokens != 70 || wishes[1].Idempotent {
 			t.Errorf("%s: %v %+v", c.name, err, wishes)
 		}
 	}
--- a/internal/measure/ways.go
+++ b/internal/measure/ways.go
@@ -24,40 +24,40 @@
 )
 
 // Way is how one diallers' trips went under one fault.
-type Way struct {
+type DialerResult struct {
 	Fault     string  `json:"fault"`
 	Addresses int     `json:"addresses"`
-	Dialler   string  `json:"dialler"`
+	Dialer    string  `json:"dialler"`
 	P50       float64 `json:"p50_ms"`
 	P99       float64 `json:"p99_ms"`
-	Unreached int     `json:"unreached"` // proven not sent
+	NotSent   int     `json:"unreached"` // proven not sent
 	Lost      int     `json:"lost"`      // sent, and nothing came: may have run
-	Trips     int     `json:"trips"`
+	Attempts  int     `json:"trips"`
 }
 
 // tripTime is how long a trip may take here, and dialTime a connection.
 const (
-	tripTime = time.Second
-	dialTime = 250 * time.Millisecond
+	attemptTimeout = time.Second
+	dialTimeout    = 250 * time.Millisecond
 )
 
 // dialler sends one trip; sent tells whether it may have run.
-type dialler func(ctx context.Context, r func() (*http.Request, error)) (sent bool, err error)
+type sendFunc func(ctx context.Context, r func() (*http.Request, error)) (sent bool, err error)
 
 // Ways measures times to the first token while the first address of a box goes wrong, with one address and with three: by
 // internal/reach, by trying one address after the other, and by Go's own transport to the first address. Half of the trips
 // come while the fault is on.
-func Ways(ctx context.Context, trips int, say func(string, ...any)) ([]Way, error) {
-	var out []Way
-	for _, fault := range []string{standin.GateServes, standin.GateRefuses, standin.GateBlackhole, standin.GateStalls, standin.GateStallsNext, standin.GateSlow, standin.GateResets, standin.GateFlaps} {
+func CompareDialers(ctx context.Context, trips int, say func(string, ...any)) ([]DialerResult, error) {
+	var out []DialerResult
+	for _, fault := range []string{standin.EndpointServes, standin.EndpointRefuses, standin.EndpointBlackhole, standin.EndpointStalls, standin.EndpointStallsAfterResponse, standin.EndpointSlow, standin.EndpointResets, standin.EndpointFlaps} {
 		for _, n := range []int{1, 3} {
 			for _, who := range []string{"raced", "sequential", "plain"} {
-				w, err := way(ctx, fault, n, who, trips)
+				w, err := measureDialer(ctx, fault, n, who, trips)
 				if err != nil {
 					return out, err
 				}
 				out = append(out, w)
-				say("%-11s %d addresses  %-10s  p50 %7.2f ms  p99 %7.2f ms  unreached %3d  lost %3d  of %d", orNone(fault), n, who, w.P50, w.P99, w.Unreached, w.Lost, w.Trips)
+				say("%-11s %d addresses  %-10s  p50 %7.2f ms  p99 %7.2f ms  unreached %3d  lost %3d  of %d", faultName(fault), n, who, w.P50, w.P99, w.NotSent, w.Lost, w.Attempts)
 				if ctx.Err() != nil {
 					return out, ctx.Err()
 				}
@@ -67,22 +67,22 @@
 	return out, nil
 }
 
-func orNone(fault string) string {
+func faultName(fault string) string {
 	if fault == "" {
 		return "none"
 	}
 	return fault
 }
 
-func way(ctx context.Context, fault string, n int, who string, trips int) (w Way, err error) {
-	w = Way{Fault: orNone(fault), Addresses: n, Dialler: who, Trips: trips}
+func measureDialer(ctx context.Context, fault string, n int, who string, trips int) (w DialerResult, err error) {
+	w = DialerResult{Fault: faultName(fault), Addresses: n, Dialer: who, Attempts: trips}
 	book, err := record.Open("", record.Header{})
 	if err != nil {
 		return w, err
 	}
-	terms := setup.DefaultTerms()
-	terms.Grades = []setup.Grade{{Name: "g", Effect: "idempotent"}}
-	fleet := standin.NewFleet(terms, book, standin.Links{Near: 1e9, Far: 1e9, Zone: 1}, map[string]standin.Talk{"g": {New: 1, Answer: 1}})
+	terms := setup.DefaultDeployment()
+	terms.Classes = []setup.Class{{Name: "g", Effect: "idempotent"}}
+	fleet := standin.NewFleet(terms, book, standin.Links{SameRack: 1e9, CrossRack: 1e9, ZoneFactor: 1}, map[string]standin.ClassProfile{"g": {NewTokens: 1, AnswerTokens: 1}})
 	defer fleet.Close()
 	dir, err := os.MkdirTemp("", "slt")
 	if err != nil {
@@ -91,19 +91,19 @@
 	defer os.RemoveAll(dir)
 	var at []addresses.Spec
 	for _, network := range []string{addresses.TCP6, addresses.TCP4, addresses.Unix}[:n] {
-		s := addresses.Spec{Network: network, At: filepath.Join(dir, "w")}
+		s := addresses.Spec{Network: network, Addr: filepath.Join(dir, "w")}
 		if network != addresses.Unix {
 			l, err := net.Listen(network, map[string]string{addresses.TCP6: "[::1]:0", addresses.TCP4: "127.0.0.1:0"}[network])
 			if err != nil {
 				return w, err
 			}
-			s.At = l.Addr().String()
+			s.Addr = l.Addr().String()
 			l.Close()
 		}
-		s.Prefer = len(at) // the one that goes wrong comes first for all of them
+		s.Preference = len(at) // the one that goes wrong comes first for all of them
 		at = append(at, s)
 	}
-	b := fleet.NewBox(standin.Make{Name: "w1", Kind: "writer", Addresses: at, Engine: standin.Instant})
+	b := fleet.NewBackend(standin.Config{Name: "w1", Kind: "writer", Addresses: at, Engine: standin.InstantEngine})
 	if err := b.Boot(false); err != nil {
 		return w, err
 	}
@@ -112,18 +112,18 @@
 	group := &errgroup.Group{}
 	defer group.Wait()
 	defer end()
-	var send dialler
+	var send sendFunc
 	switch who {
 	case "raced":
-		boxes := &reach.Boxes{Limit: dialTime, Most: 64, Since: book.Elapsed, Life: life, Group: group}
-		group.Go(boxes.Tend)
-		send = raced(boxes.Set("w1", at, 1))
+		boxes := &reach.Manager{DialTimeout: dialTimeout, MaxConnsPerBackend: 64, Now: book.Elapsed, Context: life, Group: group}
+		group.Go(boxes.Run)
+		send = sendByPool(boxes.SetAddresses("w1", at, 1))
 	case "sequential":
-		send = over(&http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+		send = sendByTransport(&http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			var errs []error
 			for _, s := range at {
-				d := net.Dialer{Timeout: dialTime}
-				c, err := d.DialContext(ctx, s.Network, s.At)
+				d := net.Dialer{Timeout: dialTimeout}
+				c, err := d.DialContext(ctx, s.Network, s.Addr)
 				if err == nil {
 					return c, nil
 				}
@@ -132,8 +132,8 @@
 			return nil, errors.Join(errs...)
 		}})
 	default:
-		send = over(&http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
-			return new(net.Dialer).DialContext(ctx, at[0].Network, at[0].At)
+		send = sendByTransport(&http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+			return new(net.Dialer).DialContext(ctx, at[0].Network, at[0].Addr)
 		}})
 	}
 	h := hdrhistogram.New(1, 60_000_000, 3)
@@ -141,19 +141,21 @@
 	for i := range trips {
 		switch i {
 		case trips / 4:
-			if err := b.Gate(0).Set(fault, 50*time.Millisecond, 600); err != nil {
+			if err := b.Endpoint(0).SetMode(fault, 50*time.Millisecond, 600); err != nil {
 				return w, err
 			}
 		case trips * 3 / 4:
-			if err := b.Gate(0).Set(standin.GateServes, 0, 0); err != nil {
+			if err := b.Endpoint(0).SetMode(standin.EndpointServes, 0, 0); err != nil {
 				return w, err
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
-		tctx, cancel := context.WithTimeout(ctx, tripTime)
-		e := kserve.Errand{Stage: kserve.StageWhole, From: "d.1", Question: question.Add(1), Grade: "g", Tokens: 10, Most: 1}
+		tctx, cancel := context.WithTimeout(ctx, attemptTimeout)
+		e := kserve.AttemptParams{Phase: kserve.PhaseCombined, DispatcherEpoch: "d.1", RequestNumber: question.Add(1), Class: "g", PromptTokens: 10, MaxTokens: 1}
 		began := time.Now()
-		sent, err := send(tctx, func() (*http.Request, error) { return kserve.NewErrand(tctx, reach.URL("w1"), terms.Model, "", e) })
+		sent, err := send(tctx, func() (*http.Request, error) {
+			return kserve.NewAttemptRequest(tctx, reach.URL("w1"), terms.Model, "", e)
+		})
 		took := time.Since(began)
 		cancel()
 		switch {
@@ -162,14 +164,14 @@
 		case sent:
 			w.Lost++
 		default:
-			w.Unreached++
+			w.NotSent++
 		}
 	}
 	w.P50, w.P99 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000
 	return w, nil
 }
 
-func raced(host *reach.Host) dialler {
+func sendByPool(host *reach.Pool) sendFunc {
 	return func(ctx context.Context, r func() (*http.Request, error)) (bool, error) {
 		conn, resp, err := host.Send(ctx, r)
 		if conn == nil {
@@ -180,15 +182,15 @@
 			resp.Body.Close()
 		}
 		if err != nil {
-			conn.Lost()
+			conn.ReportFailed()
 			return conn.Sent(), err
 		}
-		conn.Served()
+		conn.ReportServed()
 		return true, nil
 	}
 }
 
-func over(t *http.Transport) dialler {
+func sendByTransport(t *http.Transport) sendFunc {
 	client := &http.Client{Transport: t}
 	return func(ctx context.Context, r func() (*http.Request, error)) (bool, error) {
 		req, err := r()
@@ -197,7 +199,7 @@
 		}
 		resp, err := client.Do(req)
 		if err != nil {
-			return !kserve.Unsent(err), err
+			return !kserve.IsDialError(err), err
 		}
 		defer resp.Body.Close()
 		if resp.StatusCode != http.StatusOK {
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -16,7 +16,7 @@
 // net carries messages in virtual time.
 type net struct {
 	now    time.Duration
-	queue  agenda.Agenda
+	queue  agenda.Queue
 	rng    *rand.Rand
 	loss   float64
 	deaf   func(from, to int) bool // nothing goes from the one to the other
@@ -27,10 +27,10 @@
 	starts int
 }
 
-func (w *net) after(d time.Duration, do func()) { w.queue.At(w.now+d, do) }
+func (w *net) after(d time.Duration, do func()) { w.queue.Schedule(w.now+d, do) }
 
 func (w *net) run(until time.Duration) {
-	w.queue.Run(until, func(at time.Duration) { w.now = at })
+	w.queue.RunUntil(until, func(at time.Duration) { w.now = at })
 	w.now = until
 }
 
--- a/internal/monitor/monitor.go
+++ b/internal/monitor/monitor.go
@@ -19,9 +19,9 @@
 	Lost      Rule = iota // an attempt for a client that has gone, an answer too many, or a request closed without one
 	Duplicate             // two attempts out, a second run, or a rejection after one that may have run
 	Drain                 // an attempt to a backend that drains or is gone
-	Held                  // a state that waits too long
+	CacheWait             // a state that waits too long
 	Deadline              // an attempt is told more time than its client has left
-	rules
+	ruleCount
 )
 
 // String is how logs and counters name it.
@@ -30,11 +30,11 @@
 }
 
 // Terms are the bounds of the rules.
-type Terms struct {
-	Gone       time.Duration // from a client's close, in which an attempt may still begin
-	DrainGrace time.Duration // from a change of a backend, in which an attempt may still begin
-	Hold       time.Duration // for which a state may wait with no attempt out; 0: not checked
-	Told       time.Duration // by which a told deadline may be over what the client has left
+type Bounds struct {
+	ClientGoneGrace time.Duration // from a client's close, in which an attempt may still begin
+	DrainGrace      time.Duration // from a change of a backend, in which an attempt may still begin
+	MaxCacheWait    time.Duration // for which a state may wait with no attempt out; 0: not checked
+	TimeoutSlack    time.Duration // by which a told deadline may be over what the client has left
 }
 
 // Class is what a request's class says of running it again.
@@ -47,58 +47,58 @@
 )
 
 // End is what an attempt's end proves.
-type End int
+type AttemptEnd int
 
 const (
-	NeverRan End = iota
+	NeverRan AttemptEnd = iota
 	MayHaveRun
-	StateKept // a prefill that ended well: its state waits
+	CacheHeld // a prefill that ended well: its state waits
 )
 
 const (
-	eventsMost   = 2048            // in the ring
-	requestsMost = 8192            // that are remembered
-	forgetAfter  = 5 * time.Second // from a request's end, if nothing is held for it
+	maxEvents      = 2048            // in the ring
+	maxRequests    = 8192            // that are remembered
+	endedRetention = 5 * time.Second // from a request's end, if nothing is held for it
 )
 
 // event is one line of the ring.
 type event struct {
-	at   time.Duration
-	id   string
-	text string
+	timestamp time.Duration
+	id        string
+	text      string
 }
 
 // request is what is known of one.
 type request struct {
-	class    Class
-	until    time.Duration // when its client's time is up
-	out      int           // attempts that are out
-	mayRun   bool          // an attempt that has an effect may have run
-	answered bool
-	gone     time.Duration // since when its client has gone; 0: it has not
-	held     bool
-	waits    time.Duration // since when a state waits with no attempt out
-	over     time.Duration // since when it is
+	class           Class
+	deadline        time.Duration // when its client's time is up
+	inFlight        int           // attempts that are out
+	mayHaveRun      bool          // an attempt that has an effect may have run
+	answered        bool
+	clientGoneAt    time.Duration // since when its client has gone; 0: it has not
+	cacheHeld       bool
+	cacheWaitsSince time.Duration // since when a state waits with no attempt out
+	endedAt         time.Duration // since when it is
 }
 
 // Monitor counts violations.
 type Monitor struct {
-	Terms Terms
-	Since func() time.Duration
-	Log   *slog.Logger
-
-	mu       sync.Mutex
-	requests map[string]*request
-	changed  map[string]time.Duration // since when a backend drains or is gone
-	ring     [eventsMost]event
-	next     int
-	counts   [rules]int64
-	swept    time.Duration
+	Bounds Bounds
+	Clock  func() time.Duration
+	Log    *slog.Logger
+
+	mu               sync.Mutex
+	requests         map[string]*request
+	unavailableSince map[string]time.Duration // since when a backend drains or is gone
+	ring             [maxEvents]event
+	next             int
+	counts           [ruleCount]int64
+	lastSweep        time.Duration
 }
 
 // New makes a monitor.
-func New(terms Terms, since func() time.Duration, log *slog.Logger) *Monitor {
-	return &Monitor{Terms: terms, Since: since, Log: log, requests: map[string]*request{}, changed: map[string]time.Duration{}}
+func New(terms Bounds, since func() time.Duration, log *slog.Logger) *Monitor {
+	return &Monitor{Bounds: terms, Clock: since, Log: log, requests: map[string]*request{}, unavailableSince: map[string]time.Duration{}}
 }
 
 // Counts is how often each rule was broken, as text.
@@ -122,48 +122,48 @@
 }
 
 // note puts an event into the ring. The lock is held.
-func (m *Monitor) note(id, text string) time.Duration {
-	now := m.Since()
-	m.ring[m.next%eventsMost] = event{now, id, text}
+func (m *Monitor) record(id, text string) time.Duration {
+	now := m.Clock()
+	m.ring[m.next%maxEvents] = event{now, id, text}
 	m.next++
-	if now-m.swept >= forgetAfter {
-		m.forget(now)
+	if now-m.lastSweep >= endedRetention {
+		m.dropEnded(now)
 	}
 	return now
 }
 
 // broke counts a violation and logs it with the request's last events. The lock is held.
-func (m *Monitor) broke(rule Rule, id, why string) {
+func (m *Monitor) recordViolation(rule Rule, id, why string) {
 	m.counts[rule]++
 	var events []string
-	for i := max(m.next-eventsMost, 0); i < m.next; i++ {
-		if e := m.ring[i%eventsMost]; e.id == id {
-			events = append(events, fmt.Sprintf("%.3f %s", e.at.Seconds(), e.text))
+	for i := max(m.next-maxEvents, 0); i < m.next; i++ {
+		if e := m.ring[i%maxEvents]; e.id == id {
+			events = append(events, fmt.Sprintf("%.3f %s", e.timestamp.Seconds(), e.text))
 		}
 	}
 	m.Log.Error("rule broken", "rule", rule, "id", id, "why", why, "events", strings.Join(events, "; "))
 }
 
 // forget drops requests that are over. The lock is held.
-func (m *Monitor) forget(now time.Duration) {
-	m.swept = now
+func (m *Monitor) dropEnded(now time.Duration) {
+	m.lastSweep = now
 	for id, r := range m.requests {
-		if r.over > 0 && now-r.over >= forgetAfter && !r.held && r.out == 0 {
+		if r.endedAt > 0 && now-r.endedAt >= endedRetention && !r.cacheHeld && r.inFlight == 0 {
 			delete(m.requests, id)
 		}
 	}
 }
 
 // known is a request that was taken. The lock is held.
-func (m *Monitor) known(id string) *request { return m.requests[id] }
+func (m *Monitor) find(id string) *request { return m.requests[id] }
 
 // Taken is told of a request and of the time that its client has left.
-func (m *Monitor) Taken(id string, class Class, left time.Duration) {
+func (m *Monitor) RequestAccepted(id string, class Class, left time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, fmt.Sprintf("taken with %v left", left))
-	if len(m.requests) < requestsMost {
-		m.requests[id] = &request{class: class, until: now + left}
+	now := m.record(id, fmt.Sprintf("taken with %v left", left))
+	if len(m.requests) < maxRequests {
+		m.requests[id] = &request{class: class, deadline: now + left}
 	}
 }
 
@@ -171,30 +171,30 @@
 func (m *Monitor) ClientGone(id string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, "client gone")
-	if r := m.known(id); r != nil && r.gone == 0 {
-		r.gone = now
-		m.finished(r, now)
+	now := m.record(id, "client gone")
+	if r := m.find(id); r != nil && r.clientGoneAt == 0 {
+		r.clientGoneAt = now
+		m.markEnded(r, now)
 	}
 }
 
 // finished takes note that nobody waits for a request any more. The lock is held.
-func (m *Monitor) finished(r *request, now time.Duration) {
-	if r.over == 0 {
-		r.over = max(now, 1)
+func (m *Monitor) markEnded(r *request, now time.Duration) {
+	if r.endedAt == 0 {
+		r.endedAt = max(now, 1)
 	}
 }
 
 // Changed is told what discovery says of a backend: whether it may be sent requests.
-func (m *Monitor) Changed(backend string, ready bool) {
+func (m *Monitor) BackendChanged(backend string, ready bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	_, known := m.changed[backend]
+	_, known := m.unavailableSince[backend]
 	switch {
 	case ready && known:
-		delete(m.changed, backend)
+		delete(m.unavailableSince, backend)
 	case !ready && !known:
-		m.changed[backend] = m.note("", backend+" drains or is gone")
+		m.unavailableSince[backend] = m.record("", backend+" drains or is gone")
 	}
 }
 
@@ -202,30 +202,30 @@
 func (m *Monitor) AttemptBegins(id, backend string, number int, effect bool, told time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, fmt.Sprintf("attempt %d begins at %s, told %v", number, backend, told))
-	if since, drains := m.changed[backend]; drains && now-since > m.Terms.DrainGrace {
-		m.broke(Drain, id, fmt.Sprintf("%s drains or is gone since %v", backend, now-since))
+	now := m.record(id, fmt.Sprintf("attempt %d begins at %s, told %v", number, backend, told))
+	if since, drains := m.unavailableSince[backend]; drains && now-since > m.Bounds.DrainGrace {
+		m.recordViolation(Drain, id, fmt.Sprintf("%s drains or is gone since %v", backend, now-since))
 	}
-	r := m.known(id)
+	r := m.find(id)
 	if r == nil {
 		return
 	}
-	if r.gone > 0 && now-r.gone > m.Terms.Gone {
-		m.broke(Lost, id, fmt.Sprintf("its client has gone since %v", now-r.gone))
+	if r.clientGoneAt > 0 && now-r.clientGoneAt > m.Bounds.ClientGoneGrace {
+		m.recordViolation(Lost, id, fmt.Sprintf("its client has gone since %v", now-r.clientGoneAt))
 	}
 	if r.answered {
-		m.broke(Lost, id, "it has its answer")
+		m.recordViolation(Lost, id, "it has its answer")
 	}
-	if r.out > 0 {
-		m.broke(Duplicate, id, "another attempt is out")
+	if r.inFlight > 0 {
+		m.recordViolation(Duplicate, id, "another attempt is out")
 	}
-	if effect && r.mayRun && r.class == NonIdempotent {
-		m.broke(Duplicate, id, "an earlier attempt may have run")
+	if effect && r.mayHaveRun && r.class == NonIdempotent {
+		m.recordViolation(Duplicate, id, "an earlier attempt may have run")
 	}
-	if left := r.until - now; told > left+m.Terms.Told {
-		m.broke(Deadline, id, fmt.Sprintf("its client has %v left", left))
+	if left := r.deadline - now; told > left+m.Bounds.TimeoutSlack {
+		m.recordViolation(Deadline, id, fmt.Sprintf("its client has %v left", left))
 	}
-	r.out++
+	r.inFlight++
 }
 
 // AttemptSent is told that an attempt's last byte was written. Whether it has arrived is another matter: the state that it is to take
@@ -233,9 +233,9 @@
 func (m *Monitor) AttemptSent(id string, number int, effect bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.note(id, fmt.Sprintf("attempt %d sent", number))
-	if r := m.known(id); r != nil {
-		r.mayRun = r.mayRun || effect
+	m.record(id, fmt.Sprintf("attempt %d sent", number))
+	if r := m.find(id); r != nil {
+		r.mayHaveRun = r.mayHaveRun || effect
 	}
 }
 
@@ -243,49 +243,49 @@
 func (m *Monitor) AttemptArrived(id string, number int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, fmt.Sprintf("attempt %d has arrived", number))
-	if r := m.known(id); r != nil {
-		m.checkHeld(id, r, now)
-		r.waits = 0
+	now := m.record(id, fmt.Sprintf("attempt %d has arrived", number))
+	if r := m.find(id); r != nil {
+		m.checkCacheWait(id, r, now)
+		r.cacheWaitsSince = 0
 	}
 }
 
 // AttemptEnds is told of the end of an attempt that had begun, and what it proves.
-func (m *Monitor) AttemptEnds(id string, number int, effect bool, end End, how string) {
+func (m *Monitor) AttemptEnds(id string, number int, effect bool, end AttemptEnd, how string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, fmt.Sprintf("attempt %d ends, %s", number, how))
-	r := m.known(id)
+	now := m.record(id, fmt.Sprintf("attempt %d ends, %s", number, how))
+	r := m.find(id)
 	if r == nil {
 		return
 	}
-	r.out = max(r.out-1, 0)
+	r.inFlight = max(r.inFlight-1, 0)
 	if effect {
-		r.mayRun = end == MayHaveRun
+		r.mayHaveRun = end == MayHaveRun
 	}
-	if end == StateKept {
-		r.held = true
+	if end == CacheHeld {
+		r.cacheHeld = true
 	}
-	if r.held && r.out == 0 && r.waits == 0 {
-		r.waits = max(now, 1)
+	if r.cacheHeld && r.inFlight == 0 && r.cacheWaitsSince == 0 {
+		r.cacheWaitsSince = max(now, 1)
 	}
 }
 
 // checkHeld looks whether a state has waited too long. The lock is held.
-func (m *Monitor) checkHeld(id string, r *request, now time.Duration) {
-	if r.held && r.waits > 0 && m.Terms.Hold > 0 && now-r.waits > m.Terms.Hold {
-		m.broke(Held, id, fmt.Sprintf("a state waited for %v", now-r.waits))
+func (m *Monitor) checkCacheWait(id string, r *request, now time.Duration) {
+	if r.cacheHeld && r.cacheWaitsSince > 0 && m.Bounds.MaxCacheWait > 0 && now-r.cacheWaitsSince > m.Bounds.MaxCacheWait {
+		m.recordViolation(CacheWait, id, fmt.Sprintf("a state waited for %v", now-r.cacheWaitsSince))
 	}
 }
 
 // Released is told that a backend has released, or another has taken, what was held for a request.
-func (m *Monitor) Released(id, how string) {
+func (m *Monitor) CacheReleased(id, how string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, how)
-	if r := m.known(id); r != nil {
-		m.checkHeld(id, r, now)
-		r.held, r.waits = false, 0
+	now := m.record(id, how)
+	if r := m.find(id); r != nil {
+		m.checkCacheWait(id, r, now)
+		r.cacheHeld, r.cacheWaitsSince = false, 0
 	}
 }
 
@@ -297,30 +297,30 @@
 	if err != nil {
 		text += ", not written: " + err.Error()
 	}
-	now := m.note(id, text)
-	r := m.known(id)
+	now := m.record(id, text)
+	r := m.find(id)
 	if r == nil {
 		return
 	}
 	if r.answered {
-		m.broke(Lost, id, "it has an answer already")
+		m.recordViolation(Lost, id, "it has an answer already")
 	}
-	if rejection && r.class == NonIdempotent && (r.mayRun || r.out > 0) {
-		m.broke(Duplicate, id, "it was rejected after an attempt that may have run")
+	if rejection && r.class == NonIdempotent && (r.mayHaveRun || r.inFlight > 0) {
+		m.recordViolation(Duplicate, id, "it was rejected after an attempt that may have run")
 	}
 	r.answered = true
-	m.finished(r, now)
+	m.markEnded(r, now)
 }
 
 // Closed is told that a request's handler has ended. A client that is still there has to have had its answer.
-func (m *Monitor) Closed(id, why string) {
+func (m *Monitor) RequestClosed(id, why string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	now := m.note(id, "closed: "+why)
-	if r := m.known(id); r != nil {
-		if !r.answered && r.gone == 0 {
-			m.broke(Lost, id, "its connection is closed without an answer")
+	now := m.record(id, "closed: "+why)
+	if r := m.find(id); r != nil {
+		if !r.answered && r.clientGoneAt == 0 {
+			m.recordViolation(Lost, id, "its connection is closed without an answer")
 		}
-		m.finished(r, now)
+		m.markEnded(r, now)
 	}
 }
--- a/internal/monitor/monitor_test.go
+++ b/internal/monitor/monitor_test.go
@@ -9,29 +9,29 @@
 )
 
 // watched is a monitor with a clock of its own and its log.
-type watched struct {
+type testMonitor struct {
 	*Monitor
 	now time.Duration
 	log bytes.Buffer
 }
 
-func watch() *watched {
-	w := &watched{now: time.Second}
-	terms := Terms{Gone: 100 * time.Millisecond, DrainGrace: 250 * time.Millisecond, Hold: 800 * time.Millisecond, Told: 150 * time.Millisecond}
+func newTestMonitor() *testMonitor {
+	w := &testMonitor{now: time.Second}
+	terms := Bounds{ClientGoneGrace: 100 * time.Millisecond, DrainGrace: 250 * time.Millisecond, MaxCacheWait: 800 * time.Millisecond, TimeoutSlack: 150 * time.Millisecond}
 	w.Monitor = New(terms, func() time.Duration { return w.now }, slog.New(slog.NewTextHandler(&w.log, nil)))
 	return w
 }
 
 // taken is one with a request of four seconds that is out at w1.
-func taken(class Class) *watched {
-	w := watch()
-	w.Taken("q1", class, 4*time.Second)
+func newAttemptInFlight(class Class) *testMonitor {
+	w := newTestMonitor()
+	w.RequestAccepted("q1", class, 4*time.Second)
 	w.AttemptBegins("q1", "w1", 0, true, 4*time.Second)
 	w.AttemptSent("q1", 0, true)
 	return w
 }
 
-func (w *watched) ended(end End) *watched {
+func (w *testMonitor) endAttempt(end AttemptEnd) *testMonitor {
 	w.AttemptEnds("q1", 0, true, end, "ended")
 	return w
 }
@@ -42,142 +42,142 @@
 	for name, c := range map[string]struct {
 		rule   Rule
 		breaks bool
-		do     func() *watched
+		do     func() *testMonitor
 	}{
-		"an attempt long after its client went": {Lost, true, func() *watched {
-			w := taken(Idempotent).ended(NeverRan)
+		"an attempt long after its client went": {Lost, true, func() *testMonitor {
+			w := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
 			w.ClientGone("q1")
 			w.now += 101 * ms
 			w.AttemptBegins("q1", "w1", 1, true, time.Second)
 			return w
 		}},
-		"an attempt as its client goes": {Lost, false, func() *watched {
-			w := taken(Idempotent).ended(NeverRan)
+		"an attempt as its client goes": {Lost, false, func() *testMonitor {
+			w := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
 			w.ClientGone("q1")
 			w.now += 99 * ms
 			w.AttemptBegins("q1", "w1", 1, true, time.Second)
 			return w
 		}},
-		"an attempt after the answer": {Lost, true, func() *watched {
-			w := taken(Idempotent).ended(NeverRan)
+		"an attempt after the answer": {Lost, true, func() *testMonitor {
+			w := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
 			w.Answered("q1", 502, false, nil)
 			w.AttemptBegins("q1", "w1", 1, true, time.Second)
 			return w
 		}},
-		"two answers": {Lost, true, func() *watched {
-			w := taken(Idempotent).ended(NeverRan)
+		"two answers": {Lost, true, func() *testMonitor {
+			w := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
 			w.Answered("q1", 502, false, nil)
 			w.Answered("q1", 502, false, nil)
 			return w
 		}},
-		"no answer": {Lost, true, func() *watched {
-			w := taken(Idempotent).ended(NeverRan)
-			w.Closed("q1", "returned")
+		"no answer": {Lost, true, func() *testMonitor {
+			w := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
+			w.RequestClosed("q1", "returned")
 			return w
 		}},
-		"no answer, but nobody waits for one": {Lost, false, func() *watched {
-			w := taken(Idempotent).ended(NeverRan)
+		"no answer, but nobody waits for one": {Lost, false, func() *testMonitor {
+			w := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
 			w.ClientGone("q1")
-			w.Closed("q1", "returned")
+			w.RequestClosed("q1", "returned")
 			return w
 		}},
-		"two attempts out": {Duplicate, true, func() *watched {
-			w := taken(Idempotent)
+		"two attempts out": {Duplicate, true, func() *testMonitor {
+			w := newAttemptInFlight(Idempotent)
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			return w
 		}},
-		"a second run": {Duplicate, true, func() *watched {
-			w := taken(NonIdempotent).ended(MayHaveRun)
+		"a second run": {Duplicate, true, func() *testMonitor {
+			w := newAttemptInFlight(NonIdempotent).endAttempt(MayHaveRun)
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			return w
 		}},
-		"a second run of what is idempotent": {Duplicate, false, func() *watched {
-			w := taken(Idempotent).ended(MayHaveRun)
+		"a second run of what is idempotent": {Duplicate, false, func() *testMonitor {
+			w := newAttemptInFlight(Idempotent).endAttempt(MayHaveRun)
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			return w
 		}},
-		"a rejection after one that may have run": {Duplicate, true, func() *watched {
-			w := taken(NonIdempotent).ended(MayHaveRun)
+		"a rejection after one that may have run": {Duplicate, true, func() *testMonitor {
+			w := newAttemptInFlight(NonIdempotent).endAttempt(MayHaveRun)
 			w.Answered("q1", 503, true, nil)
 			return w
 		}},
-		"a rejection with one out": {Duplicate, true, func() *watched {
-			w := taken(NonIdempotent)
+		"a rejection with one out": {Duplicate, true, func() *testMonitor {
+			w := newAttemptInFlight(NonIdempotent)
 			w.Answered("q1", 503, true, nil)
 			return w
 		}},
-		"a rejection after one that never ran": {Duplicate, false, func() *watched {
-			w := taken(NonIdempotent).ended(NeverRan)
+		"a rejection after one that never ran": {Duplicate, false, func() *testMonitor {
+			w := newAttemptInFlight(NonIdempotent).endAttempt(NeverRan)
 			w.Answered("q1", 503, true, nil)
 			return w
 		}},
-		"an attempt to one that drains": {Drain, true, func() *watched {
-			w := watch()
-			w.Changed("w1", false)
+		"an attempt to one that drains": {Drain, true, func() *testMonitor {
+			w := newTestMonitor()
+			w.BackendChanged("w1", false)
 			w.now += 251 * ms
 			w.AttemptBegins("q1", "w1", 0, true, time.Second)
 			return w
 		}},
-		"an attempt to one that has come back": {Drain, false, func() *watched {
-			w := watch()
-			w.Changed("w1", false)
+		"an attempt to one that has come back": {Drain, false, func() *testMonitor {
+			w := newTestMonitor()
+			w.BackendChanged("w1", false)
 			w.now += time.Second
-			w.Changed("w1", true)
+			w.BackendChanged("w1", true)
 			w.AttemptBegins("q1", "w1", 0, true, time.Second)
 			return w
 		}},
-		"a state that waits": {Held, true, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+		"a state that waits": {CacheWait, true, func() *testMonitor {
+			w := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
 			w.now += 801 * ms
-			w.Released("q1", "released")
+			w.CacheReleased("q1", "released")
 			return w
 		}},
-		"a state that waits for a send": {Held, true, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+		"a state that waits for a send": {CacheWait, true, func() *testMonitor {
+			w := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
 			w.now += 801 * ms
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			w.AttemptSent("q1", 1, true)
 			w.AttemptArrived("q1", 1)
 			return w
 		}},
-		"a send that does not arrive": {Held, true, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+		"a send that does not arrive": {CacheWait, true, func() *testMonitor {
+			w := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			w.AttemptSent("q1", 1, true)
 			w.now += 801 * ms
-			w.Released("q1", "released")
+			w.CacheReleased("q1", "released")
 			return w
 		}},
-		"a send that does not arrive, and a release in time": {Held, false, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+		"a send that does not arrive, and a release in time": {CacheWait, false, func() *testMonitor {
+			w := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			w.AttemptSent("q1", 1, true)
 			w.now += 799 * ms
-			w.Released("q1", "released")
+			w.CacheReleased("q1", "released")
 			w.now += time.Minute
-			w.Released("q1", "released")
+			w.CacheReleased("q1", "released")
 			return w
 		}},
-		"a state that is taken in time": {Held, false, func() *watched {
-			w := taken(Idempotent).ended(StateKept)
+		"a state that is taken in time": {CacheWait, false, func() *testMonitor {
+			w := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
 			w.now += 799 * ms
 			w.AttemptBegins("q1", "w2", 1, true, time.Second)
 			w.AttemptSent("q1", 1, true)
 			w.AttemptArrived("q1", 1)
 			w.now += time.Minute
-			w.Released("q1", "taken")
+			w.CacheReleased("q1", "taken")
 			return w
 		}},
-		"too much time told": {Deadline, true, func() *watched {
-			w := watch()
-			w.Taken("q1", Idempotent, time.Second)
+		"too much time told": {Deadline, true, func() *testMonitor {
+			w := newTestMonitor()
+			w.RequestAccepted("q1", Idempotent, time.Second)
 			w.now += 500 * ms
 			w.AttemptBegins("q1", "w1", 0, true, 651*ms)
 			return w
 		}},
-		"as much time told as is left": {Deadline, false, func() *watched {
-			w := watch()
-			w.Taken("q1", Idempotent, time.Second)
+		"as much time told as is left": {Deadline, false, func() *testMonitor {
+			w := newTestMonitor()
+			w.RequestAccepted("q1", Idempotent, time.Second)
 			w.now += 500 * ms
 			w.AttemptBegins("q1", "w1", 0, true, 649*ms)
 			return w
@@ -198,27 +198,27 @@
 
 // What is over is forgotten, so that a monitor does not grow.
 func TestWhatIsOverIsForgotten(t *testing.T) {
-	w := watch()
-	for i := range 3 * requestsMost {
+	w := newTestMonitor()
+	for i := range 3 * maxRequests {
 		id := strings.Repeat("q", i%7+1) + string(rune('a'+i%26)) + time.Duration(i).String()
-		w.Taken(id, Idempotent, time.Second)
+		w.RequestAccepted(id, Idempotent, time.Second)
 		w.Answered(id, 503, true, nil)
 		w.now += time.Millisecond
 	}
-	if n := len(w.requests); n > requestsMost {
+	if n := len(w.requests); n > maxRequests {
 		t.Errorf("%d requests are known", n)
 	}
 }
 
 func BenchmarkOneRequest(b *testing.B) {
-	w := watch()
+	w := newTestMonitor()
 	for b.Loop() {
-		w.Taken("q1", NonIdempotent, time.Second)
+		w.RequestAccepted("q1", NonIdempotent, time.Second)
 		w.AttemptBegins("q1", "w1", 0, true, time.Second)
 		w.AttemptSent("q1", 0, true)
 		w.AttemptEnds("q1", 0, true, MayHaveRun, "answered")
 		w.Answered("q1", 200, false, nil)
-		w.Closed("q1", "served")
+		w.RequestClosed("q1", "served")
 		w.now += time.Millisecond
 	}
 }
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -13,14 +13,14 @@
 // report, its place has the share of the latency target that the first token took; dispatchers that don't know of that pass
 // over those two bytes.
 func Encode(n brain.PeerUpdate) []byte {
-	raw := binary.BigEndian.AppendUint32(nil, n.Host.ID)
-	raw = append(raw, byte(n.Grade), byte(n.Verdict)<<1)
+	raw := binary.BigEndian.AppendUint32(nil, n.Backend.ID)
+	raw = append(raw, byte(n.ClassIndex), byte(n.Verdict)<<1)
 	switch {
-	case n.Loaded:
+	case n.HasLoad:
 		raw[5] |= 1
-		return append(raw, inByte(n.Util*units), inByte(n.Queue))
-	case n.Share > 0:
-		return append(raw, max(inByte(n.Share*units), 1), shareFollows)
+		return append(raw, inByte(n.Util*units), inByte(n.QueueLength))
+	case n.TargetShare > 0:
+		return append(raw, max(inByte(n.TargetShare*units), 1), shareFollows)
 	}
 	return append(raw, 0, 0)
 }
@@ -34,15 +34,15 @@
 
 // Decode reads what Encode wrote; a host that is not on the own list stays nil.
 func Decode(raw []byte, hosts map[uint32]*brain.Backend) (brain.PeerUpdate, error) {
-	if len(raw) != 8 || raw[5]>>1 > byte(brain.Unmet) {
+	if len(raw) != 8 || raw[5]>>1 > byte(brain.VerdictUnreachable) {
 		return brain.PeerUpdate{}, fmt.Errorf("%d bytes are no news of a trip: %x", len(raw), raw[:min(len(raw), 16)])
 	}
-	n := brain.PeerUpdate{Host: hosts[binary.BigEndian.Uint32(raw)], Grade: int(raw[4]), Verdict: brain.Verdict(raw[5] >> 1)}
+	n := brain.PeerUpdate{Backend: hosts[binary.BigEndian.Uint32(raw)], ClassIndex: int(raw[4]), Verdict: brain.Verdict(raw[5] >> 1)}
 	switch {
 	case raw[5]&1 == 1:
-		n.Loaded, n.Util, n.Queue = true, float64(raw[6])/units, float64(raw[7])
+		n.HasLoad, n.Util, n.QueueLength = true, float64(raw[6])/units, float64(raw[7])
 	case raw[7] == shareFollows:
-		n.Share = min(float64(raw[6])/units, 1)
+		n.TargetShare = min(float64(raw[6])/units, 1)
 	}
 	return n, nil
 }
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -9,7 +9,7 @@
 func TestDecodeReadsWhatEncodeWroteAndDropsTheRest(t *testing.T) {
 	h := &brain.Backend{ID: 77}
 	hosts := map[uint32]*brain.Backend{77: h}
-	said := brain.PeerUpdate{Host: h, Grade: 2, Verdict: brain.Badly, Loaded: true, Util: 0.5, Queue: 3}
+	said := brain.PeerUpdate{Backend: h, ClassIndex: 2, Verdict: brain.VerdictBad, HasLoad: true, Util: 0.5, QueueLength: 3}
 	raw := Encode(said)
 	if got, err := Decode(raw, hosts); err != nil || got != said {
 		t.Errorf("heard %+v, %v", got, err)
@@ -19,7 +19,7 @@
 			t.Errorf("took %x", bad)
 		}
 	}
-	if got, err := Decode([]byte{0, 0, 0, 1, 2, 4, 0, 0}, hosts); err != nil || got.Host != nil {
+	if got, err := Decode([]byte{0, 0, 0, 1, 2, 4, 0, 0}, hosts); err != nil || got.Backend != nil {
 		t.Errorf("an unknown host: %+v, %v", got, err)
 	}
 }
@@ -30,18 +30,18 @@
 	h := &brain.Backend{ID: 77}
 	hosts := map[uint32]*brain.Backend{77: h}
 	for _, share := range []float64{0.005, 0.5, 1} {
-		raw := Encode(brain.PeerUpdate{Host: h, Verdict: brain.Well, Share: share})
-		if got, err := Decode(raw, hosts); err != nil || got.Share != share || got.Loaded {
+		raw := Encode(brain.PeerUpdate{Backend: h, Verdict: brain.VerdictGood, TargetShare: share})
+		if got, err := Decode(raw, hosts); err != nil || got.TargetShare != share || got.HasLoad {
 			t.Errorf("%g: heard %+v, %v", share, got, err)
 		}
 		if raw[5]&1 != 0 {
 			t.Errorf("%g: an older dispatcher takes %x for a load report", share, raw)
 		}
 	}
-	if got, err := Decode([]byte{0, 0, 0, 77, 2, 2, 100, 30}, hosts); err != nil || got.Share != 0 || got.Loaded {
+	if got, err := Decode([]byte{0, 0, 0, 77, 2, 2, 100, 30}, hosts); err != nil || got.TargetShare != 0 || got.HasLoad {
 		t.Errorf("from an older dispatcher: %+v, %v", got, err)
 	}
-	if got, _ := Decode([]byte{0, 0, 0, 77, 2, 2, 255, 255}, hosts); got.Share != 1 {
+	if got, _ := Decode([]byte{0, 0, 0, 77, 2, 2, 255, 255}, hosts); got.TargetShare != 1 {
 		t.Errorf("a share beyond one: %+v", got)
 	}
 }
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -30,10 +30,10 @@
 }
 
 // standing is what the dispatcher takes a backend to be.
-func (h *house) standing(name string) (s brain.BackendState) {
+func (h *testCluster) backendState(name string) (s brain.BackendState) {
 	h.node.loop.Call(context.Background(), func() {
-		if known := h.node.loop.HostOf(name); known != nil {
-			s = known.Standing
+		if known := h.node.loop.SchedulerBackend(name); known != nil {
+			s = known.State
 		}
 	})
 	return s
@@ -41,9 +41,9 @@
 
 // submit hands the loop a request, and in the same turn of the loop what crosses its first attempt: the attempt has been decided on by
 // then, and its first byte has not been written.
-func (h *house) submit(id string, class int, crossing func(a *dispatch.ClientRequest)) *dispatch.ClientRequest {
+func (h *testCluster) submit(id string, class int, crossing func(a *dispatch.ClientRequest)) *dispatch.ClientRequest {
 	h.t.Helper()
-	a := &dispatch.ClientRequest{Ask: kserve.Ask{ID: id, Tokens: 400, Most: 50}, Matter: &payload{id: id, body: []byte("{}"), head: func(wait time.Duration) []byte {
+	a := &dispatch.ClientRequest{Params: kserve.Request{ID: id, PromptTokens: 400, MaxTokens: 50}, Payload: &outgoingRequest{id: id, body: []byte("{}"), head: func(wait time.Duration) []byte {
 		return fmt.Appendf(nil, "POST /v1/chat/completions HTTP/1.1\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\nContent-Length: 2\r\n\r\n", id, wait.Milliseconds())
 	}}}
 	h.node.loop.Call(context.Background(), func() {
@@ -55,31 +55,33 @@
 
 // A drain that is learned between the choice of a backend and the first byte keeps the attempt back; the request goes elsewhere.
 func TestADrainBetweenChoiceAndSendIsKept(t *testing.T) {
-	h := enter(t, nil)
+	h := startCluster(t, nil)
 	a := h.submit("q1", 0, func(*dispatch.ClientRequest) {
-		h.node.loop.HostOf("r1").Standing = brain.Draining
+		h.node.loop.SchedulerBackend("r1").State = brain.Draining
 	})
-	h.until("it is over", func() bool { return len(a.Final()) == 1 })
-	if n := len(h.site.Seen("r1", "POST")); n != 0 {
+	h.await("it is over", func() bool { return len(a.Final()) == 1 })
+	if n := len(h.site.Requests("r1", "POST")); n != 0 {
 		t.Errorf("%d attempts to a backend that drains", n)
 	}
 	h.node.loop.Call(context.Background(), func() {
-		if b := h.node.loop.Believes(); b.Cold != 0 || h.node.loop.Tally.Outcomes[brain.NotSent] != 1 {
-			t.Errorf("an attempt that was not sent speaks against its backend: %+v, outcomes %v", b, h.node.loop.Tally.Outcomes)
+		if b := h.node.loop.Estimates(); b.InSlowStart != 0 || h.node.loop.Counters.Outcomes[brain.NotSent] != 1 {
+			t.Errorf("an attempt that was not sent speaks against its backend: %+v, outcomes %v", b, h.node.loop.Counters.Outcomes)
 		}
-		h.node.loop.HostOf("r1").Standing = brain.Ready
+		h.node.loop.SchedulerBackend("r1").State = brain.Ready
 	})
-	h.settled()
+	h.awaitIdle()
 }
 
 // A client that goes between the choice and the first byte has nothing sent for it, also where attempts are not cancelled.
 func TestAClientThatGoesBetweenChoiceAndSendHasNothingSent(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancelling %t", cancelling), func(t *testing.T) {
-			h := enter(t, func(h *house, p *Place) { p.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling })
-			h.submit("q1", 0, func(a *dispatch.ClientRequest) { h.node.loop.Left(a) })
-			h.settled()
-			if n := len(h.site.Seen("", "POST")); n != 0 {
+			h := startCluster(t, func(h *testCluster, p *Config) {
+				p.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling
+			})
+			h.submit("q1", 0, func(a *dispatch.ClientRequest) { h.node.loop.ClientDisconnected(a) })
+			h.awaitIdle()
+			if n := len(h.site.Requests("", "POST")); n != 0 {
 				t.Errorf("%d attempts for a client that has gone", n)
 			}
 		})
@@ -88,22 +90,22 @@
 
 // The time that an attempt tells its backend is what is left when it is sent, not when it was decided on.
 func TestAnAttemptTellsWhatIsLeftWhenItIsSent(t *testing.T) {
-	h := enter(t, nil)
+	h := startCluster(t, nil)
 	const stuck = 300 * time.Millisecond
 	h.submit("q1", 1, func(*dispatch.ClientRequest) { time.Sleep(stuck) }) // the loop is busy
-	h.until("it is out", func() bool { return len(h.site.Seen("r1", "POST")) == 1 })
-	told, err := time.ParseDuration(h.site.Seen("r1", "POST")[0].Head.Get("X-Timeout-Ms") + "ms")
+	h.await("it is out", func() bool { return len(h.site.Requests("r1", "POST")) == 1 })
+	told, err := time.ParseDuration(h.site.Requests("r1", "POST")[0].Header.Get("X-Timeout-Ms") + "ms")
 	if err != nil || told > 3*time.Second-stuck {
 		t.Errorf("told %v, %v", told, err)
 	}
-	h.until("all is over", func() bool { return h.site.Out() == 0 })
+	h.await("all is over", func() bool { return h.site.InFlight() == 0 })
 }
 
 // A connection that breaks within the request proves that it never ran: also what must not be repeated is sent again.
 func TestARequestThatIsCutOffInTheMiddleIsSentAgain(t *testing.T) {
-	h := enter(t, nil)
+	h := startCluster(t, nil)
 	var tries atomic.Int64
-	h.reader.Greet(func(c net.Conn) bool {
+	h.prefill.OnConnect(func(c net.Conn) bool {
 		if tries.Add(1) > 1 {
 			return true
 		}
@@ -116,11 +118,11 @@
 	for i := range big {
 		big[i] = 'x'
 	}
-	got := h.says(h.ask("hut-booking", "Content-Length: 12", "Content-Length: 250000", `{"model":""}`, string(big)))
-	if got.status != 200 || !got.whole {
+	got := h.send(h.request("hut-booking", "Content-Length: 12", "Content-Length: 250000", `{"model":""}`, string(big)))
+	if got.status != 200 || !got.complete {
 		t.Errorf("%+v", got)
 	}
-	h.settled()
+	h.awaitIdle()
 }
 
 // A request that is called off while it is being written is not called harmless to repeat; one of which nothing went out is.
@@ -130,13 +132,13 @@
 		ctx, off := context.WithCancelCause(context.Background())
 		go func() {
 			io.ReadFull(far, make([]byte, sent))
-			off(dispatch.ErrLate)
+			off(dispatch.ErrAttemptTimeout)
 		}()
 		_, err := write(ctx, &reach.Conn{Conn: ours}, []byte("POST / HTTP/1.1\r\n\r\n"), []byte("{}"))
 		if err == nil {
 			t.Fatal("a request that was cut off counts as sent")
 		}
-		if got := notSent(ctx, err); got.Outcome != want {
+		if got := notSentResult(ctx, err); got.Outcome != want {
 			t.Errorf("with %d bytes out: %v", sent, got.Outcome)
 		}
 		far.Close()
@@ -146,37 +148,37 @@
 // Answers in front of the answer are read up to a bound, and an answer that comes before the request's last byte counts.
 func TestAnswersThatComeTooEarlyOrWithoutEnd(t *testing.T) {
 	t.Run("1xx without end", func(t *testing.T) {
-		h := enter(t, nil)
+		h := startCluster(t, nil)
 		h.first(func(e *hosts.Exchange) bool {
-			for e.Write("HTTP/1.1 103 Early Hints\r\n\r\n") {
+			for e.WriteRaw("HTTP/1.1 103 Early Hints\r\n\r\n") {
 				select {
-				case <-e.Left:
+				case <-e.ClientClosed:
 					return false
 				case <-time.After(time.Millisecond):
 				}
 			}
 			return false
 		})
-		if got := h.says(h.ask("hut-booking")); got.status != 502 {
+		if got := h.send(h.request("hut-booking")); got.status != 502 {
 			t.Errorf("%+v", got)
 		}
-		h.settled()
+		h.awaitIdle()
 	})
 	t.Run("a refusal before the last byte", func(t *testing.T) {
-		h := enter(t, nil)
+		h := startCluster(t, nil)
 		var tries atomic.Int64
-		h.reader.Greet(func(c net.Conn) bool {
+		h.prefill.OnConnect(func(c net.Conn) bool {
 			if tries.Add(1) > 1 {
 				return true
 			}
 			io.ReadFull(c, make([]byte, 50))
-			io.WriteString(c, hosts.Refuse(503, true))
+			io.WriteString(c, hosts.Rejection(503, true))
 			return false
 		})
-		if got := h.says(h.ask("hut-booking")); got.status != 200 {
+		if got := h.send(h.request("hut-booking")); got.status != 200 {
 			t.Errorf("%+v", got)
 		}
-		h.settled()
+		h.awaitIdle()
 	})
 }
 
@@ -184,22 +186,24 @@
 func TestAReadThatEndsAsItsClientLeavesIsReleased(t *testing.T) {
 	for _, cancelling := range []bool{true, false} {
 		t.Run(fmt.Sprintf("cancelling %t", cancelling), func(t *testing.T) {
-			h := enter(t, func(h *house, p *Place) { p.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling })
-			c := h.client()
-			h.reader.Do = func(e *hosts.Exchange) bool {
+			h := startCluster(t, func(h *testCluster, p *Config) {
+				p.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling
+			})
+			c := h.dial()
+			h.prefill.Handler = func(e *hosts.Exchange) bool {
 				if e.Method != "POST" {
 					return e.Serve()
 				}
-				e.Hold()
+				e.HoldKVCache()
 				c.Close()
-				h.until("the client is seen to go", func() bool { return h.node.frontend.asked.Load() == 0 })
-				e.Write("HTTP/1.1 202 Accepted\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
+				h.await("the client is seen to go", func() bool { return h.node.frontend.openRequests.Load() == 0 })
+				e.WriteRaw("HTTP/1.1 202 Accepted\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}")
 				return true
 			}
-			io.WriteString(c, h.ask("trail-info"))
-			h.until("it was read", func() bool { return len(h.site.Seen("r1", "POST")) == 1 })
-			h.settled()
-			if n := len(h.site.Seen("w1", "POST")) + len(h.site.Seen("w2", "POST")); n != 0 {
+			io.WriteString(c, h.request("trail-info"))
+			h.await("it was read", func() bool { return len(h.site.Requests("r1", "POST")) == 1 })
+			h.awaitIdle()
+			if n := len(h.site.Requests("w1", "POST")) + len(h.site.Requests("w2", "POST")); n != 0 {
 				t.Errorf("%d attempts after the client has gone", n)
 			}
 		})
@@ -208,19 +212,19 @@
 
 // Releases do not queue behind calls to backends that are cut off, however few descriptors there are.
 func TestReleasesDoNotWaitForBackendsThatAreCutOff(t *testing.T) {
-	h := enter(t, func(h *house, p *Place) { p.Limits.Sockets = 64 })
+	h := startCluster(t, func(h *testCluster, p *Config) { p.Limits.Sockets = 64 })
 	const requests = 8 // more than there are descriptors for calls at a time
 	there := make(chan bool, requests)
-	h.reader.Do = func(e *hosts.Exchange) bool {
-		e.Hold()
+	h.prefill.Handler = func(e *hosts.Exchange) bool {
+		e.HoldKVCache()
 		there <- true
-		<-e.Left
+		<-e.ClientClosed
 		return false
 	}
-	var clients []*client
+	var clients []*testClient
 	for range requests {
-		c := h.client()
-		io.WriteString(c, h.ask("trail-info"))
+		c := h.dial()
+		io.WriteString(c, h.request("trail-info"))
 		clients = append(clients, c)
 	}
 	for range requests {
@@ -230,70 +234,70 @@
 			t.Fatal("not all are read")
 		}
 	}
-	h.reader.Vanish()
-	h.writers[0].Vanish()
+	h.prefill.Blackhole()
+	h.decoders[0].Blackhole()
 	for _, c := range clients {
 		c.Close()
 	}
-	h.until("all attempts are over", func() bool { return h.site.Out() == 0 })
+	h.await("all attempts are over", func() bool { return h.site.InFlight() == 0 })
 	began := time.Now()
-	h.until("all states are released", func() bool { return h.site.Held() == 0 })
-	if took := time.Since(began); took > h.site.Pin {
+	h.await("all states are released", func() bool { return h.site.HeldCount() == 0 })
+	if took := time.Since(began); took > h.site.HoldLimit {
 		t.Errorf("the last state is released after %v", took)
 	}
-	h.settled()
+	h.awaitIdle()
 }
 
 // The id of a request that is open, or whose client has left, is refused without inviting a retry, also while the dispatcher stops: the
 // request that it belongs to may have run.
 func TestAKnownIDIsRefusedWithoutInvitingARetry(t *testing.T) {
-	h := enter(t, nil)
+	h := startCluster(t, nil)
 	there, hold := make(chan bool, 1), make(chan struct{})
-	h.write(func(e *hosts.Exchange) bool {
+	h.onDecode(func(e *hosts.Exchange) bool {
 		if e.Method != "POST" {
 			return e.Serve()
 		}
 		there <- true
 		select {
 		case <-hold:
-		case <-e.Left:
+		case <-e.ClientClosed:
 		}
 		return e.Serve()
 	})
-	raw := h.ask("hut-booking")
-	c := h.client()
+	raw := h.request("hut-booking")
+	c := h.dial()
 	io.WriteString(c, raw)
 	<-there
 	c.Close()
-	h.until("its client is seen to go", func() bool { return h.node.frontend.asked.Load() == 0 })
-	if got := h.says(raw); got.status != 409 || got.after != "" {
+	h.await("its client is seen to go", func() bool { return h.node.frontend.openRequests.Load() == 0 })
+	if got := h.send(raw); got.status != 409 || got.after != "" {
 		t.Errorf("after its client has left: %+v", got)
 	}
-	raw = h.ask("hut-booking")
-	c = h.client()
+	raw = h.request("hut-booking")
+	c = h.dial()
 	io.WriteString(c, raw)
 	<-there
-	h.node.frontend.over.Store(true)
-	if got := h.says(raw); got.status != 409 || got.after != "" {
+	h.node.frontend.rejectAll.Store(true)
+	if got := h.send(raw); got.status != 409 || got.after != "" {
 		t.Errorf("while it stops: %+v", got)
 	}
-	h.node.frontend.open = 0
-	if got := h.says(raw); got.status != 409 || got.after != "" {
+	h.node.frontend.maxOpen = 0
+	if got := h.send(raw); got.status != 409 || got.after != "" {
 		t.Errorf("while too many are open: %+v", got)
 	}
 	close(hold)
-	if got := c.said(); got.status != 200 {
+	if got := c.readResponse(); got.status != 200 {
 		t.Errorf("the open one: %+v", got)
 	}
-	h.settled()
-	if n := len(h.site.Seen("r1", "POST")); n != 2 {
+	h.awaitIdle()
+	if n := len(h.site.Requests("r1", "POST")); n != 2 {
 		t.Errorf("%d requests were taken", n)
 	}
 }
 
 // Ids are remembered for their span, and not without bound.
 func TestIDsAreForgotten(t *testing.T) {
-	r := newIDRegister(time.Hour)
+	r := newIDRegistry(time.Hour)
 	for i := range 3 * idsMost {
 		id := fmt.Sprint(i)
 		if !r.claim(id) || r.claim(id) {
@@ -323,10 +327,10 @@
 }
 
 // localFailures has connecting to backends fail on this machine, with the error that is set.
-func localFailures(h *house) *atomic.Pointer[syscall.Errno] {
+func localFailures(h *testCluster) *atomic.Pointer[syscall.Errno] {
 	failing := new(atomic.Pointer[syscall.Errno])
 	h.system.Dial = func(ctx context.Context, network, address string) (net.Conn, error) {
-		if errno := failing.Load(); errno != nil && address != h.agent.At {
+		if errno := failing.Load(); errno != nil && address != h.agent.Address {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", *errno)}
 		}
 		return system.Real().Dial(ctx, network, address)
@@ -338,48 +342,48 @@
 // what a longer one keeps from being sent is rejected with the promise that it did not run.
 func TestALocalFailureIsNotHeldAgainstBackends(t *testing.T) {
 	var failing *atomic.Pointer[syscall.Errno]
-	h := enter(t, func(h *house, _ *Place) { failing = localFailures(h) })
+	h := startCluster(t, func(h *testCluster, _ *Config) { failing = localFailures(h) })
 	for _, errno := range []syscall.Errno{
 		syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EAGAIN,
 	} {
 		failing.Store(&errno)
 		time.AfterFunc(100*time.Millisecond, func() { failing.Store(nil) })
-		if got := h.says(h.ask("hut-booking")); got.status != 200 {
+		if got := h.send(h.request("hut-booking")); got.status != 200 {
 			t.Errorf("%v for 100 ms: %+v", errno, got)
 		}
 		failing.Store(&errno)
-		if got := h.says(h.ask("hut-booking")); got.status != 503 {
+		if got := h.send(h.request("hut-booking")); got.status != 503 {
 			t.Errorf("%v for longer: %+v", errno, got)
 		}
 		failing.Store(nil)
 		h.node.loop.Call(context.Background(), func() {
-			if b := h.node.loop.Believes(); b.Cold != 0 || b.Doubted != 0 {
-				t.Errorf("%v: %d backends are taken for restarting, %d for failing", errno, b.Cold, b.Doubted)
+			if b := h.node.loop.Estimates(); b.InSlowStart != 0 || b.Suspected != 0 {
+				t.Errorf("%v: %d backends are taken for restarting, %d for failing", errno, b.InSlowStart, b.Suspected)
 			}
 		})
-		if got := h.says(h.ask("hut-booking")); got.status != 200 {
+		if got := h.send(h.request("hut-booking")); got.status != 200 {
 			t.Errorf("after %v: %+v", errno, got)
 		}
 	}
-	h.settled()
+	h.awaitIdle()
 }
 
 // A state that waits is released in its time also where no descriptor for a decode attempt comes free, or the backend takes the
 // connection but not the request.
 func TestAStateIsLetGoWhereNothingCanBeSent(t *testing.T) {
 	t.Run("no descriptor", func(t *testing.T) {
-		h := enter(t, nil)
+		h := startCluster(t, nil)
 		done, hogged := make(chan struct{}), make(chan struct{})
-		h.reader.Do = func(e *hosts.Exchange) bool {
+		h.prefill.Handler = func(e *hosts.Exchange) bool {
 			if e.Method == "POST" { // while it reads, others take all descriptors, and wait for the last
 				go func() {
 					defer close(hogged)
 					for taken := 0; ; taken++ {
 						select {
-						case h.node.transport.slots <- struct{}{}:
+						case h.node.transport.attemptSlots <- struct{}{}:
 						case <-done:
 							for range taken {
-								<-h.node.transport.slots
+								<-h.node.transport.attemptSlots
 							}
 							return
 						}
@@ -389,17 +393,17 @@
 			}
 			return e.Serve()
 		}
-		if got := h.says(h.ask("hut-booking")); got.status != 503 {
+		if got := h.send(h.request("hut-booking")); got.status != 503 {
 			t.Errorf("%+v", got)
 		}
 		close(done)
 		<-hogged
-		h.settled()
+		h.awaitIdle()
 	})
 	t.Run("the request is not taken", func(t *testing.T) {
-		h := enter(t, nil)
-		for _, w := range h.writers {
-			w.Greet(func(c net.Conn) bool {
+		h := startCluster(t, nil)
+		for _, w := range h.decoders {
+			w.OnConnect(func(c net.Conn) bool {
 				c.(*net.TCPConn).SetReadBuffer(1 << 10)
 				raw, err := c.(*net.TCPConn).SyscallConn()
 				if err != nil {
@@ -419,9 +423,9 @@
 			})
 		}
 		body := `{"model":"` + strings.Repeat("a", 250<<10) + `"}`
-		if got := h.says(h.ask("hut-booking", "Content-Length: 12", fmt.Sprintf("Content-Length: %d", len(body)), `{"model":""}`, body)); got.status == 200 {
+		if got := h.send(h.request("hut-booking", "Content-Length: 12", fmt.Sprintf("Content-Length: %d", len(body)), `{"model":""}`, body)); got.status == 200 {
 			t.Errorf("%+v", got)
 		}
-		h.until("the state is released", func() bool { return h.site.Held() == 0 })
+		h.await("the state is released", func() bool { return h.site.HeldCount() == 0 })
 	})
 }
--- a/internal/platform/conn_test.go
+++ b/internal/platform/conn_test.go
@@ -19,7 +19,7 @@
 )
 
 // pair is a client's connection and the dispatcher's end of it.
-func pair(t *testing.T) (client *net.TCPConn, conn *clientConn, closed <-chan struct{}) {
+func newConnPair(t *testing.T) (client *net.TCPConn, conn *clientConn, closed <-chan struct{}) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,7 +50,7 @@
 // A request that arrives as its connection is closed is either left unread, and its client sees an end in good order, or read, and
 // then the connection is not closed.
 func TestAnIdleConnectionIsClosedOrReadNotBoth(t *testing.T) {
-	client, conn, closed := pair(t)
+	client, conn, closed := newConnPair(t)
 	if !conn.closeIdle(closedByServer) {
 		t.Fatal("a connection on which nothing came is not closed")
 	}
@@ -63,7 +63,7 @@
 	}
 	<-closed
 
-	client, conn, _ = pair(t)
+	client, conn, _ = newConnPair(t)
 	io.WriteString(client, "P")
 	if n, err := conn.Read(make([]byte, 100)); n != 1 || err != nil {
 		t.Fatalf("%d, %v", n, err)
@@ -75,7 +75,7 @@
 
 // Bytes of a further request that have been read make a connection busy, though net/http takes it for idle.
 func TestAConnectionWithAPipelinedRequestIsNotIdle(t *testing.T) {
-	client, conn, _ := pair(t)
+	client, conn, _ := newConnPair(t)
 	one := "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc"
 	io.WriteString(client, one+"POST /next")
 	head := make([]byte, 4096)
@@ -83,11 +83,11 @@
 	if err != nil || string(head[:n]) != one[:len(one)-3] {
 		t.Fatalf("%q, %v", head[:n], err)
 	}
-	conn.begin(3)
+	conn.setBodyLength(3)
 	if n, err = conn.Read(head); err != nil || string(head[:n]) != "abc" {
 		t.Fatalf("%q, %v", head[:n], err)
 	}
-	conn.answered()
+	conn.responseDone()
 	if conn.closeIdle(closedByServer) {
 		t.Error("it is closed over a request that has been read")
 	}
@@ -100,15 +100,15 @@
 func TestAHeadIsFramedInAnyPieces(t *testing.T) {
 	for _, head := range []string{"GET / HTTP/1.1\r\nA: b\r\n\r\n", "GET / HTTP/1.1\nA: b\n\n", "GET / HTTP/1.1\r\nA: b\n\r\n"} {
 		for cut := range head {
-			_, conn, _ := pair(t)
+			_, conn, _ := newConnPair(t)
 			conn.pending = []byte(head + "rest")
 			got := ""
 			for _, size := range []int{cut, len(head) + 4} {
 				into := make([]byte, size)
-				n, _ := conn.take(into)
+				n, _ := conn.readPending(into)
 				got += string(into[:n])
 			}
-			if got != head || conn.frame.at != afterHead {
+			if got != head || conn.framer.position != afterHead {
 				t.Errorf("%q cut at %d: %q", head, cut, got)
 			}
 			conn.abort()
@@ -118,84 +118,87 @@
 
 // A client that has sent more behind its open request than is kept is seen to go, and what it sent is not taken for a request.
 func TestAClientThatSendsMuchAndGoesIsSeen(t *testing.T) {
-	h := enter(t, nil)
-	there := h.holdReads()
-	c := h.client()
-	io.WriteString(c, h.ask("trail-info"))
+	h := startCluster(t, nil)
+	there := h.holdPrefills()
+	c := h.dial()
+	io.WriteString(c, h.request("trail-info"))
 	e := <-there
-	more := strings.Repeat(h.ask("hut-booking"), 4*aheadMost/300)
+	more := strings.Repeat(h.request("hut-booking"), 4*maxPipelinedBytes/300)
 	if _, err := io.WriteString(c, more); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
 	select {
-	case <-e.Left:
+	case <-e.ClientClosed:
 	case <-time.After(100 * time.Millisecond):
 		t.Error("its attempt goes on")
 	}
-	h.settled()
-	if n := len(h.site.Seen("", "POST")); n != 1 {
+	h.awaitIdle()
+	if n := len(h.site.Requests("", "POST")); n != 1 {
 		t.Errorf("%d attempts", n)
 	}
 }
 
 // One that stays has its open request answered, and the connection is closed in good order before the others are taken.
 func TestAConnectionThatOverrunsIsClosedAfterItsAnswer(t *testing.T) {
-	h := enter(t, nil)
+	h := startCluster(t, nil)
 	hold := make(chan struct{})
-	h.reader.Do = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
-	c := h.client()
-	io.WriteString(c, h.ask("trail-info"))
-	h.until("it is out", func() bool { return len(h.site.Seen("r1", "POST")) == 1 })
-	io.WriteString(c, strings.Repeat(h.ask("hut-booking"), 4*aheadMost/300))
+	h.prefill.Handler = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
+	c := h.dial()
+	io.WriteString(c, h.request("trail-info"))
+	h.await("it is out", func() bool { return len(h.site.Requests("r1", "POST")) == 1 })
+	io.WriteString(c, strings.Repeat(h.request("hut-booking"), 4*maxPipelinedBytes/300))
 	close(hold)
-	if got := c.said(); got.status != 200 || !got.whole {
+	if got := c.readResponse(); got.status != 200 || !got.complete {
 		t.Errorf("%+v", got)
 	}
-	if _, err := c.from.ReadByte(); err != io.EOF {
+	if _, err := c.reader.ReadByte(); err != io.EOF {
 		t.Errorf("then %v", err)
 	}
-	h.settled()
-	if n := len(h.site.Seen("r1", "POST")); n != 1 {
+	h.awaitIdle()
+	if n := len(h.site.Requests("r1", "POST")); n != 1 {
 		t.Errorf("%d requests are taken", n)
 	}
 }
 
 // A close over bytes that the client has sent must not reset the connection: the end of the last answer may be lost with it.
 func TestNoCloseResetsAConnection(t *testing.T) {
-	for name, change := range map[string]func(h *house){
-		"a stream that breaks": func(h *house) {
-			h.write(func(e *hosts.Exchange) bool { e.Write(hosts.Opening + hosts.Chunk(hosts.Event("a"))); return false })
+	for name, change := range map[string]func(h *testCluster){
+		"a stream that breaks": func(h *testCluster) {
+			h.onDecode(func(e *hosts.Exchange) bool {
+				e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
+				return false
+			})
 		},
-		"an answer at a stop": func(h *house) { h.node.frontend.stopping.Store(true) },
-		"an answer of failure": func(h *house) {
-			h.reader.Do = func(e *hosts.Exchange) bool { return e.Write(hosts.Refuse(400, false)) }
+		"an answer at a stop": func(h *testCluster) { h.node.frontend.stopping.Store(true) },
+		"an answer of failure": func(h *testCluster) {
+			h.prefill.Handler = func(e *hosts.Exchange) bool { return e.WriteRaw(hosts.Rejection(400, false)) }
 			h.node.frontend.stopping.Store(true)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h := enter(t, nil)
+			h := startCluster(t, nil)
 			change(h)
-			c := h.client()
-			io.WriteString(c, h.ask("trail-info")+h.ask("trail-info"))
-			if got := c.said(); got.status == 0 {
+			c := h.dial()
+			io.WriteString(c, h.request("trail-info")+h.request("trail-info"))
+			if got := c.readResponse(); got.status == 0 {
 				t.Error("there is no answer")
 			}
-			if _, err := io.Copy(io.Discard, c.from); errors.Is(err, syscall.ECONNRESET) {
+			if _, err := io.Copy(io.Discard, c.reader); errors.Is(err, syscall.ECONNRESET) {
 				t.Error("the connection is reset")
 			}
 		})
 	}
 	t.Run("a request that is refused over its body", func(t *testing.T) {
-		h := enter(t, nil)
-		c := h.client()
-		head, body, _ := strings.Cut(h.ask("no-such", "Content-Length: 12", "Content-Length: 200000"), "\r\n\r\n")
+		h := startCluster(t, nil)
+		c := h.dial()
+		head, body, _ := strings.Cut(h.request("no-such", "Content-Length: 12", "Content-Length: 200000"), "\r\n\r\n")
 		io.WriteString(c, head+"\r\n\r\n")
-		if got := c.said(); got.status != 400 {
+		if got := c.readResponse(); got.status != 400 {
 			t.Errorf("%+v", got)
 		}
 		io.WriteString(c, body+strings.Repeat("x", 199_988)) // it crosses the answer
-		if _, err := io.Copy(io.Discard, c.from); errors.Is(err, syscall.ECONNRESET) {
+		if _, err := io.Copy(io.Discard, c.reader); errors.Is(err, syscall.ECONNRESET) {
 			t.Error("the connection is reset")
 		}
 	})
@@ -207,7 +210,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newLimiter(listener, 100, quiet)
+	l := newLimiter(listener, 100, discardLog)
 	const waiting = 20
 	for range waiting { // nobody accepts yet
 		c, err := net.Dial("tcp", listener.Addr().String())
@@ -216,7 +219,7 @@
 		}
 		defer c.Close()
 	}
-	l.acceptLast()
+	l.acceptBacklogOnly()
 	for range waiting {
 		if _, err := l.Accept(); err != nil {
 			t.Fatalf("a completed connection is not accepted: %v", err)
@@ -230,20 +233,20 @@
 
 // A connection that became busy after it was looked at is not closed for room; the next one is.
 func TestRoomIsNotMadeByABusyConnection(t *testing.T) {
-	l := newLimiter(nil, 1, quiet)
-	client, busy, _ := pair(t)
+	l := newLimiter(nil, 1, discardLog)
+	client, busy, _ := newConnPair(t)
 	l.conns[busy] = true
-	busy.since = time.Now().Add(-time.Hour)
+	busy.stateSince = time.Now().Add(-time.Hour)
 	io.WriteString(client, "P")
 	busy.Read(make([]byte, 10))
-	if l.makeRoom(time.Now()) {
+	if l.ensureCapacity(time.Now()) {
 		t.Error("a connection whose request is being read made room")
 	}
-	_, silent, _ := pair(t)
+	_, silent, _ := newConnPair(t)
 	l.conns[silent] = true
-	silent.since = time.Now().Add(-time.Hour)
-	l.most = 2
-	if !l.makeRoom(time.Now()) {
+	silent.stateSince = time.Now().Add(-time.Hour)
+	l.maxConns = 2
+	if !l.ensureCapacity(time.Now()) {
 		t.Error("a silent connection made no room")
 	}
 	if state, _ := busy.status(time.Now()); state != connReading {
@@ -254,29 +257,29 @@
 // Descriptors run full of clients that say nothing while discovery is down: the dispatcher stays ready, follows discovery as soon as it
 // is back, and serves.
 func TestFullDescriptorsLeaveRoomForDiscovery(t *testing.T) {
-	h := enter(t, func(h *house, p *Place) { p.Limits.Sockets = 64 })
-	h.agent.SetMute(true)
-	h.agent.Cut()
+	h := startCluster(t, func(h *testCluster, p *Config) { p.Limits.Sockets = 64 })
+	h.agent.SetSilent(true)
+	h.agent.CloseConns()
 	for range 150 {
-		c, err := net.Dial("tcp", h.at)
+		c, err := net.Dial("tcp", h.address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
 		io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
 	}
-	h.site.Change(func() { h.writers[0].State = "terminating" })
-	h.agent.SetMute(false)
-	h.until("the drain is known", func() bool { return h.standing("w1") == brain.Draining && h.agent.Watched() == 1 })
-	c := h.client()
+	h.site.UpdateDiscovery(func() { h.decoders[0].State = "terminating" })
+	h.agent.SetSilent(false)
+	h.await("the drain is known", func() bool { return h.backendState("w1") == brain.Draining && h.agent.WatchCount() == 1 })
+	c := h.dial()
 	io.WriteString(c, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
 	if resp, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || resp.StatusCode != http.StatusOK {
 		t.Errorf("not ready: %v", err)
 	}
-	if got := h.says(h.ask("hut-booking")); got.status != 200 {
+	if got := h.send(h.request("hut-booking")); got.status != 200 {
 		t.Errorf("%+v", got)
 	}
-	if n := len(h.site.Seen("w1", "POST")); n != 0 {
+	if n := len(h.site.Requests("w1", "POST")); n != 0 {
 		t.Errorf("%d attempts to a backend that drains", n)
 	}
 }
@@ -284,19 +287,19 @@
 // countedConn counts the bytes that are read of a connection.
 type countedConn struct {
 	system.Conn
-	read atomic.Int64
+	bytesRead atomic.Int64
 }
 
 func (c *countedConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
-	c.read.Add(int64(max(n, 0)))
+	c.bytesRead.Add(int64(max(n, 0)))
 	return n, err
 }
 
 // A connection between two requests that net/http closes, as nothing came for long, is not read any more: a request that crosses that
 // must stay unread, for its client to send it elsewhere.
 func TestARequestThatCrossesTheEndOfARestIsNotRead(t *testing.T) {
-	client, conn, closed := pair(t)
+	client, conn, closed := newConnPair(t)
 	counted := &countedConn{Conn: conn.Conn}
 	conn.Conn = counted
 	conn.Close() // as net/http does when a read's deadline has passed
@@ -305,7 +308,7 @@
 		t.Errorf("its client sees %v", err)
 	}
 	<-closed
-	if n := counted.read.Load(); n != 0 {
+	if n := counted.bytesRead.Load(); n != 0 {
 		t.Errorf("%d bytes were read and dropped", n)
 	}
 }
@@ -313,7 +316,7 @@
 // A client that stops in the middle of a request and stays gets an error or a close within 3 s of its connection, however it divides
 // that time, and on a connection that was used before within 3 s of the request's first byte.
 func TestAClientThatStopsInARequestIsLetGo(t *testing.T) {
-	h := enter(t, nil)
+	h := startCluster(t, nil)
 	const inHead, wholeHead = 40, -1 // where a request is cut
 	for name, c := range map[string]struct {
 		used    bool
@@ -327,9 +330,9 @@
 		"in the body of a further request":          {used: true, cuts: []int{wholeHead}},
 		"in the middle of a chunk":                  {cuts: []int{wholeHead}, chunked: true},
 	} {
-		raw := h.ask("trail-info")
+		raw := h.request("trail-info")
 		if c.chunked {
-			raw = h.chunked("trail-info", "c\r\n{\"mo")
+			raw = h.chunkedRequest("trail-info", "c\r\n{\"mo")
 		}
 		var pieces []string
 		from := 0
@@ -341,10 +344,10 @@
 		}
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			k := h.client()
+			k := h.dial()
 			if c.used {
 				io.WriteString(k, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-				if got := k.said(); got.status != 200 {
+				if got := k.readResponse(); got.status != 200 {
 					t.Fatalf("%+v", got)
 				}
 			}
@@ -355,7 +358,7 @@
 				}
 				io.WriteString(k, piece)
 			}
-			if got := k.said(); got.status/100 == 2 {
+			if got := k.readResponse(); got.status/100 == 2 {
 				t.Errorf("%+v", got)
 			}
 			if took := time.Since(began); took > 3*time.Second {
@@ -367,25 +370,25 @@
 
 // What an attempt tells its backend is at most what its client has left: a request that waited behind another one has less.
 func TestARequestThatWaitedBehindAnotherHasLessTime(t *testing.T) {
-	h := enter(t, nil)
+	h := startCluster(t, nil)
 	const answer = 600 * time.Millisecond
-	h.write(func(e *hosts.Exchange) bool {
+	h.onDecode(func(e *hosts.Exchange) bool {
 		if e.ID == "q1" {
 			time.Sleep(answer)
 		}
 		return e.Serve()
 	})
-	c := h.client()
-	io.WriteString(c, h.ask("hut-booking")+h.ask("hut-booking"))
+	c := h.dial()
+	io.WriteString(c, h.request("hut-booking")+h.request("hut-booking"))
 	for range 2 {
-		if got := c.said(); got.status != 200 {
+		if got := c.readResponse(); got.status != 200 {
 			t.Fatalf("%+v", got)
 		}
 	}
-	for _, e := range h.site.Seen("", "POST") {
-		left, _ := strconv.Atoi(e.Head.Get("X-Timeout-Ms"))
+	for _, e := range h.site.Requests("", "POST") {
+		left, _ := strconv.Atoi(e.Header.Get("X-Timeout-Ms"))
 		if e.ID == "q2" && time.Duration(left)*time.Millisecond > 3*time.Second-answer+100*time.Millisecond {
-			t.Errorf("%s is told %d ms", e.Box.UID, left)
+			t.Errorf("%s is told %d ms", e.Backend.UID, left)
 		}
 	}
 }
--- a/internal/platform/framing.go
+++ b/internal/platform/framing.go
@@ -6,46 +6,46 @@
 )
 
 // framing is how far the present request has been handed to net/http.
-type framing int
+type framePosition int
 
 const (
-	inHead      framing = iota
-	afterHead           // how its body is framed has not been said yet
-	inBody              // of a stated length
-	inChunkSize         // in the line that states a chunk's length
-	inChunkData         // in a chunk and the end of its line
-	inTrailer           // behind the last chunk
-	afterBody           // it is whole
-	unframed            // its end can't be told: the connection is closed after it
+	inHead      framePosition = iota
+	afterHead                 // how its body is framed has not been said yet
+	inBody                    // of a stated length
+	inChunkSize               // in the line that states a chunk's length
+	inChunkData               // in a chunk and the end of its line
+	inTrailer                 // behind the last chunk
+	afterBody                 // it is whole
+	unframed                  // its end can't be told: the connection is closed after it
 )
 
 const (
-	chunkSizeMost = 256 // bytes of the line that states a chunk's length
-	chunkEnd      = 2   // bytes behind a chunk
-	nameMost      = 32  // bytes of a header's name that are looked at
+	maxChunkSizeLine = 256 // bytes of the line that states a chunk's length
+	chunkEndLength   = 2   // bytes behind a chunk
+	maxHeaderName    = 32  // bytes of a header's name that are looked at
 )
 
 // chunked is a body's length that stands for one in chunks.
-const chunked = -1
+const chunkedLength = -1
 
 // requestFrame finds the end of a request in the bytes of a connection. It only frames: what the bytes say is for net/http to judge,
 // and where the two may disagree the rest of the connection is of no use.
-type requestFrame struct {
-	at       framing
-	line     []byte // of the present line, as far as it matters
-	length   int    // of the present line, without its end
-	bodyLeft int64  // of the body, or of the present chunk and its end
-	lengths  bool   // the head states a length
-	encoded  bool   // the head states an encoding
+type requestFramer struct {
+	position            framePosition
+	line                []byte // of the present line, as far as it matters
+	lineLength          int    // of the present line, without its end
+	remaining           int64  // of the body, or of the present chunk and its end
+	hasContentLength    bool   // the head states a length
+	hasTransferEncoding bool   // the head states an encoding
 }
 
 // advance tells how many of the bytes belong to the present request, and takes note of the end of its head or body.
-func (f *requestFrame) advance(raw []byte) int {
-	switch f.at {
+func (f *requestFramer) advance(raw []byte) int {
+	switch f.position {
 	case inHead:
 		return f.advanceLines(raw, f.endHead)
 	case inTrailer:
-		return f.advanceLines(raw, func() { f.at = afterBody })
+		return f.advanceLines(raw, func() { f.position = afterBody })
 	case inBody:
 		return f.advanceBody(raw)
 	case inChunkSize, inChunkData:
@@ -55,60 +55,60 @@
 }
 
 // advanceLines counts the bytes up to and with the next empty line, at which end is called.
-func (f *requestFrame) advanceLines(raw []byte, end func()) int {
+func (f *requestFramer) advanceLines(raw []byte, end func()) int {
 	for i, b := range raw {
 		switch {
-		case b == '\n' && f.length == 0:
+		case b == '\n' && f.lineLength == 0:
 			f.line = f.line[:0]
 			end()
 			return i + 1
 		case b == '\n':
-			f.line, f.length = f.line[:0], 0
+			f.line, f.lineLength = f.line[:0], 0
 		case b == ':':
-			f.name()
-			f.length++
+			f.checkHeaderName()
+			f.lineLength++
 		case b != '\r':
-			if len(f.line) < nameMost {
+			if len(f.line) < maxHeaderName {
 				f.line = append(f.line, b)
 			}
-			f.length++
+			f.lineLength++
 		}
 	}
 	return len(raw)
 }
 
 // name looks at a header's name.
-func (f *requestFrame) name() {
-	if f.length != len(f.line) {
+func (f *requestFramer) checkHeaderName() {
+	if f.lineLength != len(f.line) {
 		return // a later colon of the line, or a name too long to matter
 	}
-	f.lengths = f.lengths || bytes.EqualFold(f.line, []byte("Content-Length"))
-	f.encoded = f.encoded || bytes.EqualFold(f.line, []byte("Transfer-Encoding"))
+	f.hasContentLength = f.hasContentLength || bytes.EqualFold(f.line, []byte("Content-Length"))
+	f.hasTransferEncoding = f.hasTransferEncoding || bytes.EqualFold(f.line, []byte("Transfer-Encoding"))
 }
 
-func (f *requestFrame) endHead() { f.at = afterHead }
+func (f *requestFramer) endHead() { f.position = afterHead }
 
 // advanceBody counts the bytes up to the end of a body of a stated length.
-func (f *requestFrame) advanceBody(raw []byte) int {
-	n := min(int64(len(raw)), f.bodyLeft)
-	if f.bodyLeft -= n; f.bodyLeft == 0 {
-		f.at = afterBody
+func (f *requestFramer) advanceBody(raw []byte) int {
+	n := min(int64(len(raw)), f.remaining)
+	if f.remaining -= n; f.remaining == 0 {
+		f.position = afterBody
 	}
 	return int(n)
 }
 
 // advanceChunks counts the bytes up to the end of a body in chunks.
-func (f *requestFrame) advanceChunks(raw []byte) int {
+func (f *requestFramer) advanceChunks(raw []byte) int {
 	for i := 0; i < len(raw); {
-		switch f.at {
+		switch f.position {
 		case inChunkSize:
-			f.chunkSize(raw[i])
+			f.parseChunkSize(raw[i])
 			i++
 		case inChunkData:
-			n := min(int64(len(raw)-i), f.bodyLeft)
+			n := min(int64(len(raw)-i), f.remaining)
 			i += int(n)
-			if f.bodyLeft -= n; f.bodyLeft == 0 {
-				f.at = inChunkSize
+			if f.remaining -= n; f.remaining == 0 {
+				f.position = inChunkSize
 			}
 		case inTrailer:
 			return i + f.advance(raw[i:])
@@ -120,39 +120,39 @@
 }
 
 // chunkSize takes a byte of the line that states a chunk's length.
-func (f *requestFrame) chunkSize(b byte) {
+func (f *requestFramer) parseChunkSize(b byte) {
 	if b != '\n' {
-		if f.line = append(f.line, b); len(f.line) > chunkSizeMost {
-			f.at = unframed
+		if f.line = append(f.line, b); len(f.line) > maxChunkSizeLine {
+			f.position = unframed
 		}
 		return
 	}
 	size, _, _ := bytes.Cut(f.line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 32)
-	f.line, f.length = f.line[:0], 0
+	f.line, f.lineLength = f.line[:0], 0
 	switch {
 	case err != nil:
-		f.at = unframed
+		f.position = unframed
 	case n == 0:
-		f.at = inTrailer
+		f.position = inTrailer
 	default:
-		f.at, f.bodyLeft = inChunkData, int64(n)+chunkEnd
+		f.position, f.remaining = inChunkData, int64(n)+chunkEndLength
 	}
 }
 
 // begin says how the present request's body is framed: by its length, or in chunks.
-func (f *requestFrame) begin(length int64) {
+func (f *requestFramer) beginBody(length int64) {
 	switch {
-	case f.at != afterHead || f.lengths && f.encoded:
-		f.at = unframed
-	case length == chunked:
-		f.at = inChunkSize
+	case f.position != afterHead || f.hasContentLength && f.hasTransferEncoding:
+		f.position = unframed
+	case length == chunkedLength:
+		f.position = inChunkSize
 	case length == 0:
-		f.at = afterBody
+		f.position = afterBody
 	default:
-		f.at, f.bodyLeft = inBody, length
+		f.position, f.remaining = inBody, length
 	}
 }
 
 // next makes ready for the next request.
-func (f *requestFrame) next() { *f = requestFrame{line: f.line[:0]} }
+func (f *requestFramer) reset() { *f = requestFramer{line: f.line[:0]} }
--- a/internal/platform/framing_test.go
+++ b/internal/platform/framing_test.go
@@ -9,17 +9,17 @@
 )
 
 // framed is how many bytes of raw belong to its first request, handed over in pieces of so many bytes; false: its end can't be told.
-func framed(raw string, piece int, r *http.Request) (int, bool) {
-	f := requestFrame{}
+func frameRequest(raw string, piece int, r *http.Request) (int, bool) {
+	f := requestFramer{}
 	at, begun := 0, false
-	for at < len(raw) && f.at != afterBody && f.at != unframed {
+	for at < len(raw) && f.position != afterBody && f.position != unframed {
 		at += f.advance([]byte(raw[at:min(at+piece, len(raw))]))
-		if f.at == afterHead && !begun {
+		if f.position == afterHead && !begun {
 			begun = true
-			f.begin(r.ContentLength)
+			f.beginBody(r.ContentLength)
 		}
 	}
-	return at, f.at == afterBody
+	return at, f.position == afterBody
 }
 
 const (
@@ -40,7 +40,7 @@
 			t.Fatal(name, err)
 		}
 		for piece := 1; piece <= len(raw); piece++ {
-			if n, whole := framed(raw+"POST /next", piece, r); !whole || n != len(raw) {
+			if n, whole := frameRequest(raw+"POST /next", piece, r); !whole || n != len(raw) {
 				t.Errorf("%s in pieces of %d: %d of %d bytes, whole %t", name, piece, n, len(raw), whole)
 			}
 		}
@@ -57,7 +57,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, whole := framed(raw, 7, r); whole {
+		if _, whole := frameRequest(raw, 7, r); whole {
 			t.Errorf("%q has an end", raw)
 		}
 	}
@@ -81,7 +81,7 @@
 			return
 		}
 		end := len(raw) - from.Len() - buffered.Buffered()
-		if n, whole := framed(raw, max(piece%100, 1), r); whole && n != end {
+		if n, whole := frameRequest(raw, max(piece%100, 1), r); whole && n != end {
 			t.Errorf("it ends at %d, net/http ends it at %d: %q", n, end, raw)
 		}
 	})
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -20,241 +20,241 @@
 )
 
 const (
-	headWait  = 2300 * time.Millisecond // for a request's head, from when the connection came or the request began
-	writeWait = 20 * time.Second        // for one piece to a client that does not read
-	restMost  = 10 * time.Minute        // that a client's connection may rest while there is room
-	bodyStep  = 16 << 10                // of a body, as it comes
+	headTimeout        = 2300 * time.Millisecond // for a request's head, from when the connection came or the request began
+	clientWriteTimeout = 20 * time.Second        // for one piece to a client that does not read
+	clientIdleTimeout  = 10 * time.Minute        // that a client's connection may rest while there is room
+	minBodyGrowth      = 16 << 10                // of a body, as it comes
 
 	// answerLate is how long after its client's time a request is answered here, if the loop has not done so: over half a second
 	// late it would be lost.
-	answerLate = 200 * time.Millisecond
+	answerGrace = 200 * time.Millisecond
 )
 
 // frontend takes requests from clients.
 type frontend struct {
-	loop    *dispatch.Loop
-	grades  map[string]int
-	tenants map[string]int
-	after   time.Duration // told to clients that find no room
-	open    int64         // requests that may be open
-	bodies  int64         // bytes that all bodies may have
+	loop          *dispatch.Loop
+	classIndexes  map[string]int
+	tenantIndexes map[string]int
+	retryAfter    time.Duration // told to clients that find no room
+	maxOpen       int64         // requests that may be open
+	maxBodyBytes  int64         // bytes that all bodies may have
 
-	fleetKnown func() bool // there is a backend that answers
-	crowded    func() bool // clients' connections run short
-	ready      atomic.Bool
-	stopping   atomic.Bool   // it wants no new requests
-	over       atomic.Bool   // it takes none any more
-	cut        chan struct{} // closed when streams are to be gone on with elsewhere
-	asked      atomic.Int64
-	Again      atomic.Int64 // requests asked before
-	Rest       atomic.Int64 // requests for the rest of a stream
-	Moved      atomic.Int64 // streams cut for that
-	held       atomic.Int64
-	Late       atomic.Int64 // requests that were answered here, as the loop had no answer in time
+	hasBackends   func() bool // there is a backend that answers
+	nearConnLimit func() bool // clients' connections run short
+	ready         atomic.Bool
+	stopping      atomic.Bool   // it wants no new requests
+	rejectAll     atomic.Bool   // it takes none any more
+	moveStreams   chan struct{} // closed when streams are to be gone on with elsewhere
+	openRequests  atomic.Int64
+	Resubmitted   atomic.Int64 // requests asked before
+	Continuations atomic.Int64 // requests for the rest of a stream
+	MovedStreams  atomic.Int64 // streams cut for that
+	bodyBytes     atomic.Int64
+	LateAnswers   atomic.Int64 // requests that were answered here, as the loop had no answer in time
 
-	ids     *idRegister
-	monitor *monitor.Monitor
-	pulse   *pulse
-	classes []monitor.Class // by the number of a request's class
-	log     *slog.Logger
-	mu      sync.Mutex
-	refused map[string]int64
+	ids      *idRegistry
+	monitor  *monitor.Monitor
+	stalls   *stallDetector
+	classes  []monitor.Class // by the number of a request's class
+	log      *slog.Logger
+	mu       sync.Mutex
+	refusals map[string]int64
 }
 
-func newFrontend(loop *dispatch.Loop, facts brain.Facts, bodies int64, observed *monitor.Monitor, beating *pulse, log *slog.Logger) *frontend {
+func newFrontend(loop *dispatch.Loop, facts brain.Settings, bodies int64, observed *monitor.Monitor, beating *stallDetector, log *slog.Logger) *frontend {
 	f := &frontend{
-		loop: loop, grades: map[string]int{}, tenants: map[string]int{}, ids: newIDRegister(longestDeadline(facts) + idsSpan), refused: map[string]int64{},
-		cut: make(chan struct{}), after: facts.Span("policyLimits.maxRetryAfterUs"), open: int64(facts.Num("policyLimits.maxOpen", 1e4)), bodies: bodies,
-		monitor: observed, pulse: beating, classes: monitorClasses(facts), log: log,
+		loop: loop, classIndexes: map[string]int{}, tenantIndexes: map[string]int{}, ids: newIDRegistry(longestDeadline(facts) + idRetentionSlack), refusals: map[string]int64{},
+		moveStreams: make(chan struct{}), retryAfter: facts.Duration("policyLimits.maxRetryAfterUs"), maxOpen: int64(facts.Number("policyLimits.maxOpen", 1e4)), maxBodyBytes: bodies,
+		monitor: observed, stalls: beating, classes: monitorClasses(facts), log: log,
 	}
 	for i, name := range facts.Names("requestClasses") {
-		f.grades[name] = i
+		f.classIndexes[name] = i
 	}
 	for i, name := range facts.Names("tenants") {
-		f.tenants[name] = i
+		f.tenantIndexes[name] = i
 	}
 	return f
 }
 
 func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	conn := connOf(r.Context())
-	conn.begin(r.ContentLength)
-	if f.stopping.Load() || f.crowded() || !conn.reusable() {
+	conn := connFromContext(r.Context())
+	conn.setBodyLength(r.ContentLength)
+	if f.stopping.Load() || f.nearConnLimit() || !conn.reusable() {
 		w.Header().Set("Connection", "close")
 	}
-	if r.URL.Path == chat.Ready && (r.Method == http.MethodGet || r.Method == http.MethodHead) {
-		if f.stopping.Load() || !f.answering() {
+	if r.URL.Path == chat.ReadyPath && (r.Method == http.MethodGet || r.Method == http.MethodHead) {
+		if f.stopping.Load() || !f.isReady() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 		return
 	}
-	came := conn.requestCame(f.pulse.came(time.Now()))
-	ask, no := chat.Read(r)
+	came := conn.requestArrival(f.stalls.earliestArrival(time.Now()))
+	ask, no := chat.ParseRequest(r)
 	if conn.ambiguous() {
-		no = &chat.Refusal{Status: http.StatusBadRequest, Why: "length twice"}
+		no = &chat.RequestError{Status: http.StatusBadRequest, Reason: "length twice"}
 	}
-	grade, known := f.grades[ask.Grade]
-	channel, one := f.tenants[ask.Channel]
+	grade, known := f.classIndexes[ask.Class]
+	channel, one := f.tenantIndexes[ask.Tenant]
 	switch {
 	case no != nil:
 	case !known:
-		no = &chat.Refusal{Status: http.StatusBadRequest, Why: "class"}
-	case !one && len(f.tenants) > 0:
-		no = &chat.Refusal{Status: http.StatusBadRequest, Why: "tenant"}
+		no = &chat.RequestError{Status: http.StatusBadRequest, Reason: "class"}
+	case !one && len(f.tenantIndexes) > 0:
+		no = &chat.RequestError{Status: http.StatusBadRequest, Reason: "tenant"}
 	}
 	if no != nil {
 		f.refuse(w, r, no)
 		return
 	}
 	if f.ids.known(ask.ID) {
-		f.refuse(w, r, errKnownID) // before any answer that would invite a retry
+		f.refuse(w, r, errDuplicateID) // before any answer that would invite a retry
 		return
 	}
-	defer f.asked.Add(-1)
-	if why := mayTake(f.over.Load(), f.asked.Add(1), f.open, f.loop.Behind()); why != taken {
-		f.full(w, r, why)
+	defer f.openRequests.Add(-1)
+	if why := mayAccept(f.rejectAll.Load(), f.openRequests.Add(1), f.maxOpen, f.loop.QueueDelay()); why != notRejected {
+		f.reject(w, r, why)
 		return
 	}
 	f.submit(w, r, ask, grade, channel, came)
 }
 
 // errKnownID refuses a request with the id of another one.
-var errKnownID = &chat.Refusal{Status: http.StatusConflict, Why: "open id"}
+var errDuplicateID = &chat.RequestError{Status: http.StatusConflict, Reason: "open id"}
 
 // answering tells whether there are backends to serve with; once there were, that stays.
-func (f *frontend) answering() bool {
-	if !f.ready.Load() && f.fleetKnown() {
+func (f *frontend) isReady() bool {
+	if !f.ready.Load() && f.hasBackends() {
 		f.ready.Store(true)
 	}
 	return f.ready.Load()
 }
 
 // refuse answers what is no request, and ends the connection: what else waits on it may be no request either.
-func (f *frontend) refuse(w http.ResponseWriter, r *http.Request, no *chat.Refusal) {
-	f.count(no.Why)
-	f.log.Debug("request not taken", "id", r.Header.Get("X-Request-Id"), "status", no.Status, "why", no.Why, "client", r.RemoteAddr)
+func (f *frontend) refuse(w http.ResponseWriter, r *http.Request, no *chat.RequestError) {
+	f.countRefusal(no.Reason)
+	f.log.Debug("request not taken", "id", r.Header.Get("X-Request-Id"), "status", no.Status, "why", no.Reason, "client", r.RemoteAddr)
 	w.Header().Set("Connection", "close")
 	// What the server reads of a body that nobody wants is bounded in time.
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-	http.Error(w, no.Why, no.Status)
+	http.Error(w, no.Reason, no.Status)
 }
 
-func (f *frontend) full(w http.ResponseWriter, r *http.Request, why rejection) {
-	f.count("full " + string(why))
-	w.Header().Set("Retry-After", seconds(f.after))
-	f.refuse(w, r, &chat.Refusal{Status: http.StatusServiceUnavailable, Why: string(why)})
+func (f *frontend) reject(w http.ResponseWriter, r *http.Request, why rejection) {
+	f.countRefusal("full " + string(why))
+	w.Header().Set("Retry-After", formatSeconds(f.retryAfter))
+	f.refuse(w, r, &chat.RequestError{Status: http.StatusServiceUnavailable, Reason: string(why)})
 }
 
-func seconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
+func formatSeconds(d time.Duration) string { return strconv.FormatFloat(d.Seconds(), 'f', 3, 64) }
 
-func (f *frontend) count(why string) {
+func (f *frontend) countRefusal(why string) {
 	f.mu.Lock()
-	f.refused[why]++
+	f.refusals[why]++
 	f.mu.Unlock()
 }
 
-func (f *frontend) submit(w http.ResponseWriter, r *http.Request, ask chat.Ask, grade, channel int, came time.Time) {
+func (f *frontend) submit(w http.ResponseWriter, r *http.Request, ask chat.Request, grade, channel int, came time.Time) {
 	if !f.ids.claim(ask.ID) {
-		f.refuse(w, r, errKnownID)
+		f.refuse(w, r, errDuplicateID)
 		return
 	}
 	submitted := false
 	defer func() { f.ids.release(ask.ID, submitted) }()
 	took := int64(0)
-	giveBack := func() { f.held.Add(-took); took = 0 }
+	giveBack := func() { f.bodyBytes.Add(-took); took = 0 }
 	defer giveBack()
-	body, err := f.body(r, w, &took)
+	body, err := f.readBody(r, w, &took)
 	switch {
-	case errors.Is(err, errNoRoom):
-		f.full(w, r, tooMuchBytes)
+	case errors.Is(err, errBodyLimit):
+		f.reject(w, r, rejectedBodyBytes)
 		return
-	case errors.Is(err, errTooLong):
-		f.refuse(w, r, &chat.Refusal{Status: http.StatusRequestEntityTooLarge, Why: "body"})
+	case errors.Is(err, errBodyTooLong):
+		f.refuse(w, r, &chat.RequestError{Status: http.StatusRequestEntityTooLarge, Reason: "body"})
 		return
 	case err != nil:
-		f.refuse(w, r, &chat.Refusal{Status: http.StatusBadRequest, Why: "half a request"})
+		f.refuse(w, r, &chat.RequestError{Status: http.StatusBadRequest, Reason: "half a request"})
 		return
 	}
 	length := len(body)
-	ask.Sized(length)
-	if ask.Again {
-		f.Again.Add(1)
+	ask.SetBodyBytes(length)
+	if ask.Retried {
+		f.Resubmitted.Add(1)
 	}
-	if ask.Rest {
-		f.Rest.Add(1)
+	if ask.Resumed {
+		f.Continuations.Add(1)
 	}
-	m := &payload{id: ask.ID, body: body, head: func(wait time.Duration) []byte { return chat.Errand(r, service, ask, length, wait) }}
+	m := &outgoingRequest{id: ask.ID, body: body, head: func(wait time.Duration) []byte { return chat.AttemptHead(r, serviceHost, ask, length, wait) }}
 	a := &dispatch.ClientRequest{
-		Ask:   kserve.Ask{ID: ask.ID, Session: ask.Session, Shared: ask.Shared, Tokens: ask.Tokens, Prefix: ask.Prefix, Most: ask.Most, Again: ask.Again},
-		Grade: ask.Grade, Channel: ask.Channel, Matter: m,
+		Params: kserve.Request{ID: ask.ID, Session: ask.Session, SharedPrefix: ask.PrefixID, PromptTokens: ask.PromptTokens, PrefixTokens: ask.PrefixTokens, MaxTokens: ask.MaxTokens, IsRetry: ask.Retried},
+		Class:  ask.Class, Tenant: ask.Tenant, Payload: m,
 	}
 	submitted = true
-	f.monitor.Taken(ask.ID, f.classes[grade], ask.Left-time.Since(came))
-	defer f.monitor.Closed(ask.ID, "its handler ends")
+	f.monitor.RequestAccepted(ask.ID, f.classes[grade], ask.Timeout-time.Since(came))
+	defer f.monitor.RequestClosed(ask.ID, "its handler ends")
 	defer context.AfterFunc(r.Context(), func() {
-		a.End()
+		a.MarkOver()
 		f.monitor.ClientGone(ask.ID)
 	})()
-	ctx, done := context.WithDeadline(r.Context(), came.Add(ask.Left+answerLate))
+	ctx, done := context.WithDeadline(r.Context(), came.Add(ask.Timeout+answerGrace))
 	defer done()
 	if !f.loop.Call(ctx, func() {
-		f.loop.Submit(a, grade, channel, ask.Left-time.Since(came))
+		f.loop.Submit(a, grade, channel, ask.Timeout-time.Since(came))
 	}) {
-		f.giveUp(w, r, a, ctx)
+		f.answerWithoutLoop(w, r, a, ctx)
 		return
 	}
-	trip, end, there := a.Start(ctx)
+	trip, end, there := a.WaitStart(ctx)
 	switch {
 	case !there:
-		f.giveUp(w, r, a, ctx)
+		f.answerWithoutLoop(w, r, a, ctx)
 		return
 	case trip == nil:
-		f.answer(w, ask.ID, end)
+		f.writeFinal(w, ask.ID, end)
 		return
 	}
 	m.body, body = nil, nil
 	giveBack()
-	f.newPassing(w, r, a, trip).run()
+	f.newStreamRelay(w, r, a, trip).run()
 }
 
 // giveUp ends a request of which the loop gave no answer: its client has gone, the loop has ended, or it is far behind. The loop may have
 // taken it, or may yet, so nothing is promised; from here on nothing more is sent for it.
-func (f *frontend) giveUp(w http.ResponseWriter, r *http.Request, a *dispatch.ClientRequest, ctx context.Context) {
-	a.End()
-	f.loop.Post(func() { f.loop.Left(a) })
+func (f *frontend) answerWithoutLoop(w http.ResponseWriter, r *http.Request, a *dispatch.ClientRequest, ctx context.Context) {
+	a.MarkOver()
+	f.loop.Post(func() { f.loop.ClientDisconnected(a) })
 	switch {
 	case r.Context().Err() != nil:
-		f.monitor.ClientGone(a.Ask.ID)
+		f.monitor.ClientGone(a.Params.ID)
 	case ctx.Err() != nil:
-		f.Late.Add(1)
-		f.log.Error("the event loop gave no answer in time", "id", a.Ask.ID, "behind", f.loop.Behind())
-		f.answer(w, a.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: "no answer came in time"})
+		f.LateAnswers.Add(1)
+		f.log.Error("the event loop gave no answer in time", "id", a.Params.ID, "behind", f.loop.QueueDelay())
+		f.writeFinal(w, a.Params.ID, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no answer came in time"})
 	default:
-		f.answer(w, a.Ask.ID, kserve.Final{Final: kserve.Forfeited, Error: string(stoppedNow)})
+		f.writeFinal(w, a.Params.ID, kserve.FinalResponse{Outcome: kserve.Failed, Error: string(rejectedAtShutdown)})
 	}
 }
 
-var errNoRoom = errors.New("too many bodies are held")
+var errBodyLimit = errors.New("too many bodies are held")
 
-var errTooLong = errors.New("the body is too long")
+var errBodyTooLong = errors.New("the body is too long")
 
 // body reads a request's body. Room is taken as it comes, not as it is announced.
-func (f *frontend) body(r *http.Request, w http.ResponseWriter, took *int64) (body []byte, err error) {
+func (f *frontend) readBody(r *http.Request, w http.ResponseWriter, took *int64) (body []byte, err error) {
 	control := http.NewResponseController(w)
-	control.SetReadDeadline(time.Now().Add(requestMost)) // the connection knows when the request has to be whole
+	control.SetReadDeadline(time.Now().Add(requestReadTimeout)) // the connection knows when the request has to be whole
 	for err == nil {
 		if len(body) == cap(body) {
-			step := bodyRoom(r.ContentLength, len(body))
+			step := bodyGrowth(r.ContentLength, len(body))
 			*took += int64(step)
-			if f.held.Add(int64(step)) > f.bodies {
-				return nil, errNoRoom
+			if f.bodyBytes.Add(int64(step)) > f.maxBodyBytes {
+				return nil, errBodyLimit
 			}
 			body = append(make([]byte, 0, len(body)+step), body...)
 		}
 		var n int
 		n, err = r.Body.Read(body[len(body):cap(body)])
-		if body = body[:len(body)+n]; len(body) > chat.BodyMost {
-			return nil, errTooLong
+		if body = body[:len(body)+n]; len(body) > chat.MaxBodyBytes {
+			return nil, errBodyTooLong
 		}
 	}
 	control.SetReadDeadline(time.Time{})
@@ -265,8 +265,8 @@
 }
 
 // bodyRoom is how much more room a body gets of which so much has come; its length may be unknown.
-func bodyRoom(length int64, come int) int {
-	step := max(bodyStep, come)
+func bodyGrowth(length int64, come int) int {
+	step := max(minBodyGrowth, come)
 	if length >= 0 {
 		step = min(step, int(length)-come)
 	}
@@ -274,22 +274,22 @@
 }
 
 // answer gives a final answer of which nothing was streamed.
-func (f *frontend) answer(w http.ResponseWriter, id string, end kserve.Final) {
-	if end.Final != kserve.Declined {
+func (f *frontend) writeFinal(w http.ResponseWriter, id string, end kserve.FinalResponse) {
+	if end.Outcome != kserve.Rejected {
 		f.monitor.Answered(id, http.StatusBadGateway, false, nil)
 		http.Error(w, end.Error, http.StatusBadGateway)
 		return
 	}
-	if end.AfterMs > 0 {
-		w.Header().Set("Retry-After", seconds(time.Duration(end.AfterMs)*time.Millisecond))
+	if end.RetryAfterMs > 0 {
+		w.Header().Set("Retry-After", formatSeconds(time.Duration(end.RetryAfterMs)*time.Millisecond))
 	}
 	f.monitor.Answered(id, http.StatusServiceUnavailable, true, nil)
 	http.Error(w, end.Error, http.StatusServiceUnavailable)
 }
 
 // state is what operators see.
-func (f *frontend) state() string {
+func (f *frontend) refusalCounts() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return fmt.Sprint(f.refused)
+	return fmt.Sprint(f.refusals)
 }
--- a/internal/platform/heard.go
+++ b/internal/platform/heard.go
@@ -19,7 +19,7 @@
 
 // heardBackend is a backend with what it may fail together with.
 type heardBackend struct {
-	host   *reach.Host
+	host   *reach.Pool
 	domain failureDomain
 }
 
@@ -28,15 +28,15 @@
 type heardList struct {
 	mu    sync.Mutex
 	order list.List // of heardBackend, the last heard first
-	at    map[*reach.Host]*list.Element
+	at    map[*reach.Pool]*list.Element
 }
 
 // add puts a backend behind the others: nothing was heard of it yet.
-func (l *heardList) add(host *reach.Host, domain failureDomain) {
+func (l *heardList) add(host *reach.Pool, domain failureDomain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.at == nil {
-		l.at = map[*reach.Host]*list.Element{}
+		l.at = map[*reach.Pool]*list.Element{}
 	}
 	if l.at[host] == nil {
 		l.at[host] = l.order.PushBack(heardBackend{host, domain})
@@ -44,7 +44,7 @@
 }
 
 // remove drops a backend that is gone.
-func (l *heardList) remove(host *reach.Host) {
+func (l *heardList) remove(host *reach.Pool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.at[host]; e != nil {
@@ -54,7 +54,7 @@
 }
 
 // heard takes note that a backend has sent something.
-func (l *heardList) heard(host *reach.Host) {
+func (l *heardList) heard(host *reach.Pool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.at[host]; e != nil {
@@ -63,7 +63,7 @@
 }
 
 // silent takes note that a backend was asked and sent nothing.
-func (l *heardList) silent(host *reach.Host) {
+func (l *heardList) silent(host *reach.Pool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if e := l.at[host]; e != nil {
@@ -73,11 +73,11 @@
 
 // lastHeard is the order in which to ask for what any running backend can do: the one heard last, then the last heard of each other
 // failure domain, then the next ones of each, as most of one domain may have fallen silent since.
-func (l *heardList) lastHeard() []*reach.Host {
+func (l *heardList) lastHeard() []*reach.Pool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var domains []failureDomain
-	of := map[failureDomain][]*reach.Host{}
+	of := map[failureDomain][]*reach.Pool{}
 	for e, looked := l.order.Front(), 0; e != nil && looked < heardMost; e, looked = e.Next(), looked+1 {
 		b := e.Value.(heardBackend)
 		if of[b.domain] == nil {
@@ -85,7 +85,7 @@
 		}
 		of[b.domain] = append(of[b.domain], b.host)
 	}
-	var order []*reach.Host
+	var order []*reach.Pool
 	for round, more := 0, true; more; round++ {
 		more = false
 		for _, domain := range domains {
--- a/internal/platform/heard_test.go
+++ b/internal/platform/heard_test.go
@@ -9,12 +9,12 @@
 )
 
 // named are so many backends, and what names an order of them.
-func named(names ...string) (hosts map[string]*reach.Host, in func([]*reach.Host) []string) {
-	hosts = map[string]*reach.Host{}
+func named(names ...string) (hosts map[string]*reach.Pool, in func([]*reach.Pool) []string) {
+	hosts = map[string]*reach.Pool{}
 	for _, name := range names {
-		hosts[name] = &reach.Host{Name: name}
+		hosts[name] = &reach.Pool{Name: name}
 	}
-	return hosts, func(order []*reach.Host) (names []string) {
+	return hosts, func(order []*reach.Pool) (names []string) {
 		for _, h := range order {
 			names = append(names, h.Name)
 		}
@@ -26,10 +26,10 @@
 	hosts, in := named("r1", "r2", "r3", "w1", "w2")
 	var l heardList
 	for _, name := range []string{"r1", "r2", "r3"} {
-		l.add(hosts[name], failureDomain{brain.Reads, 0})
+		l.add(hosts[name], failureDomain{brain.RolePrefill, 0})
 	}
 	for _, name := range []string{"w1", "w2"} {
-		l.add(hosts[name], failureDomain{brain.Writes, 0})
+		l.add(hosts[name], failureDomain{brain.RoleDecode, 0})
 	}
 	for _, c := range []struct {
 		name   string
@@ -53,9 +53,9 @@
 func TestTheHolderOfAStateIsAskedSecond(t *testing.T) {
 	hosts, in := named("r1", "r2", "w1", "stranger")
 	c := &transport{}
-	c.heard.add(hosts["r1"], failureDomain{brain.Reads, 0})
-	c.heard.add(hosts["r2"], failureDomain{brain.Reads, 0})
-	c.heard.add(hosts["w1"], failureDomain{brain.Writes, 0})
+	c.heard.add(hosts["r1"], failureDomain{brain.RolePrefill, 0})
+	c.heard.add(hosts["r2"], failureDomain{brain.RolePrefill, 0})
+	c.heard.add(hosts["w1"], failureDomain{brain.RoleDecode, 0})
 	for holder, want := range map[string][]string{
 		"r1": {"r1", "w1", "r2"}, "r2": {"r1", "r2", "w1"}, "stranger": {"r1", "stranger", "w1", "r2"},
 	} {
--- a/internal/platform/ids.go
+++ b/internal/platform/ids.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	idsMost = 1 << 15          // ids of one generation, 8 bytes each: over 1,000 requests a second are remembered for their span
-	idsSpan = 10 * time.Second // beyond the longest deadline, that an id is remembered for
+	idsMost          = 1 << 15          // ids of one generation, 8 bytes each: over 1,000 requests a second are remembered for their span
+	idRetentionSlack = 10 * time.Second // beyond the longest deadline, that an id is remembered for
 )
 
 // idRegister knows the ids of requests that are open or were so lately. Each request has an id of its own, a client's retry too, so one
 // that comes again is not the client's: its own request may have run, and a refusal of the copy would say that it has not.
-type idRegister struct {
+type idRegistry struct {
 	span time.Duration // for which an id is remembered at least
 
 	mu              sync.Mutex
@@ -23,24 +23,24 @@
 	turned          time.Time       // when the present span began
 }
 
-func newIDRegister(span time.Duration) *idRegister {
-	return &idRegister{span: span, open: map[string]bool{}, recent: map[uint64]bool{}, earlier: map[uint64]bool{}, turned: time.Now()}
+func newIDRegistry(span time.Duration) *idRegistry {
+	return &idRegistry{span: span, open: map[string]bool{}, recent: map[uint64]bool{}, earlier: map[uint64]bool{}, turned: time.Now()}
 }
 
 // known tells whether an id is open or was taken lately.
-func (r *idRegister) known(id string) bool {
+func (r *idRegistry) known(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.knownLocked(id)
 }
 
-func (r *idRegister) knownLocked(id string) bool {
+func (r *idRegistry) knownLocked(id string) bool {
 	hash := xxhash.Sum64String(id)
 	return r.open[id] || r.recent[hash] || r.earlier[hash]
 }
 
 // claim opens an id; false: it is known.
-func (r *idRegister) claim(id string) bool {
+func (r *idRegistry) claim(id string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.knownLocked(id) {
@@ -51,7 +51,7 @@
 }
 
 // release closes an id. One that was taken is remembered.
-func (r *idRegister) release(id string, taken bool) {
+func (r *idRegistry) release(id string, taken bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.open, id)
--- a/internal/platform/lifecycle.go
+++ b/internal/platform/lifecycle.go
@@ -8,10 +8,10 @@
 type closeCause int
 
 const (
-	closedByServer closeCause = iota // net/http: behind an answer that said so, an unreadable request, or a deadline
-	closedForRoom                    // others wait for its descriptor
-	closedByStop                     // the dispatcher stops
-	closedAsSilent                   // the dispatcher stops, and nothing came on it for long
+	closedByServer    closeCause = iota // net/http: behind an answer that said so, an unreadable request, or a deadline
+	closedForCapacity                   // others wait for its descriptor
+	closedByShutdown                    // the dispatcher stops
+	closedAsSilent                      // the dispatcher stops, and nothing came on it for long
 )
 
 func (c closeCause) String() string {
@@ -22,12 +22,12 @@
 // request was read are: what was read has to be answered.
 func mayClose(cause closeCause, state connState, since time.Duration) bool {
 	switch cause {
-	case closedForRoom:
-		return state == connNew && since > silentFor || state == connIdle && since > idleFor
-	case closedByStop:
+	case closedForCapacity:
+		return state == connNew && since > silentEvictAfter || state == connIdle && since > idleEvictAfter
+	case closedByShutdown:
 		return state == connIdle
 	case closedAsSilent:
-		return state == connIdle || state == connNew && since >= silentMost
+		return state == connIdle || state == connNew && since >= maxConnSilence
 	}
 	return unread(state)
 }
@@ -39,29 +39,29 @@
 type rejection string
 
 const (
-	taken        rejection = ""
-	stoppedNow   rejection = "stopped"
-	tooManyOpen  rejection = "questions"
-	tooMuchBytes rejection = "bodies"
-	loopBehind   rejection = "event loop"
+	notRejected          rejection = ""
+	rejectedAtShutdown   rejection = "stopped"
+	rejectedOpenRequests rejection = "questions"
+	rejectedBodyBytes    rejection = "bodies"
+	rejectedLoopLag      rejection = "event loop"
 )
 
 // behindMost is how far behind the event loop may be for a further request to be taken: it would wait for as long before it is looked at,
 // and so would all that is due for the others.
-const behindMost = 250 * time.Millisecond
+const maxLoopLag = 250 * time.Millisecond
 
 // mayTake tells whether a further request may be taken with so many open, itself among them, and with the event loop so far behind.
-func mayTake(over bool, open, most int64, behind time.Duration) rejection {
+func mayAccept(over bool, open, most int64, behind time.Duration) rejection {
 	switch {
 	case over:
-		return stoppedNow
+		return rejectedAtShutdown
 	case open > most:
-		return tooManyOpen
-	case behind > behindMost:
-		return loopBehind
+		return rejectedOpenRequests
+	case behind > maxLoopLag:
+		return rejectedLoopLag
 	}
-	return taken
+	return notRejected
 }
 
 // mayEnd tells whether a process that stops may end: each connection has had its answer and is closed.
-func mayEnd(connections int) bool { return connections == 0 }
+func mayExit(connections int) bool { return connections == 0 }
--- a/internal/platform/observe.go
+++ b/internal/platform/observe.go
@@ -55,39 +55,39 @@
 }
 
 // monitorTerms are the rules' bounds by the settings.
-func monitorTerms(facts brain.Facts) monitor.Terms {
-	terms := monitor.Terms{Gone: goneSlack, Told: toldSlack, DrainGrace: facts.Span("rules.drainGraceUs")}
+func monitorTerms(facts brain.Settings) monitor.Bounds {
+	terms := monitor.Bounds{ClientGoneGrace: goneSlack, TimeoutSlack: toldSlack, DrainGrace: facts.Duration("rules.drainGraceUs")}
 	if terms.DrainGrace == 0 {
 		terms.DrainGrace = drainGraceElse
 	}
-	if limit := facts.Span("familyInfo.pinLimitUs"); limit > 0 {
-		terms.Hold = limit + holdSlack
+	if limit := facts.Duration("familyInfo.pinLimitUs"); limit > 0 {
+		terms.MaxCacheWait = limit + holdSlack
 	}
 	return terms
 }
 
 // monitorClasses are the requests' classes by their numbers, as far as running again matters.
-func monitorClasses(facts brain.Facts) (classes []monitor.Class) {
-	grades, err := facts.Grades()
+func monitorClasses(facts brain.Settings) (classes []monitor.Class) {
+	grades, err := facts.Classes()
 	if err != nil {
 		return nil // the loop, which needs them, says so
 	}
 	for _, g := range grades {
 		classes = append(classes, map[brain.Effect]monitor.Class{
-			brain.Idempotent: monitor.Idempotent, brain.Deduplicated: monitor.Deduplicated, brain.Unrepeatable: monitor.NonIdempotent,
+			brain.Idempotent: monitor.Idempotent, brain.Deduplicated: monitor.Deduplicated, brain.NonIdempotent: monitor.NonIdempotent,
 		}[g.Effect])
 	}
 	return classes
 }
 
 // hasEffect tells whether an attempt has one that must not come twice: at a prefill backend it has none, however it ends.
-func hasEffect(f *dispatch.Attempt) bool { return f.Planned.Stage != brain.ToRead }
+func hasEffect(f *dispatch.Attempt) bool { return f.Scheduled.Stage != brain.StagePrefill }
 
 // proves is what the end of an attempt proves.
-func proves(o brain.Outcome) monitor.End {
+func proves(o brain.Outcome) monitor.AttemptEnd {
 	switch {
-	case o == brain.Read:
-		return monitor.StateKept
+	case o == brain.Prefilled:
+		return monitor.CacheHeld
 	case o.NeverRan():
 		return monitor.NeverRan
 	}
@@ -100,19 +100,19 @@
 	known   map[string]bool
 }
 
-func (o *listedObserver) listed(lines []boxlist.Box, whole bool) {
+func (o *listedObserver) listed(lines []boxlist.Endpoint, whole bool) {
 	named := map[string]bool{}
 	for _, line := range lines {
 		named[line.Name] = true
 		o.known[line.Name] = true
-		o.monitor.Changed(line.Name, line.Standing == boxlist.Ready)
+		o.monitor.BackendChanged(line.Name, line.State == boxlist.Ready)
 	}
 	if !whole {
 		return
 	}
 	for name := range o.known {
 		if !named[name] {
-			o.monitor.Changed(name, false)
+			o.monitor.BackendChanged(name, false)
 			delete(o.known, name)
 		}
 	}
--- a/internal/platform/place.go
+++ b/internal/platform/place.go
@@ -17,7 +17,7 @@
 )
 
 // Place is what the platform tells a dispatcher.
-type Place struct {
+type Config struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -37,8 +37,8 @@
 const fileMost = 16 << 20
 
 // Load reads a configuration; what it lacks comes from the environment.
-func Load(file string, env func(string) string) (Place, error) {
-	var p Place
+func Load(file string, env func(string) string) (Config, error) {
+	var p Config
 	info, err := os.Stat(file)
 	if err != nil {
 		return p, err
@@ -65,7 +65,7 @@
 	return p, p.check()
 }
 
-func (p Place) check() error {
+func (p Config) check() error {
 	switch {
 	case p.Listen == "":
 		return errors.New("listen is missing")
@@ -76,11 +76,11 @@
 	case p.Limits.MemoryMB < 0 || p.Limits.Sockets < 0:
 		return errors.New("limits make no sense")
 	}
-	return brain.Flat(p.Settings).Sound()
+	return brain.FlattenSettings(p.Settings).Validate()
 }
 
 // chance is the seed for the module.
-func (p Place) chance() uint64 {
+func (p Config) chance() uint64 {
 	if n, err := strconv.ParseUint(p.Seed, 16, 64); err == nil {
 		return n
 	}
@@ -106,7 +106,7 @@
 	heap, bodies   int64 // bytes
 }
 
-func (p Place) room() room {
+func (p Config) room() room {
 	sockets, memory := p.Limits.Sockets, int64(p.Limits.MemoryMB)<<20
 	if sockets == 0 {
 		sockets = socketsElse
--- a/internal/platform/place_test.go
+++ b/internal/platform/place_test.go
@@ -33,7 +33,7 @@
 // Descriptors for clients, attempts and releases are never more than there are, from the least limit on that leaves any.
 func TestSharesOfTheDescriptorsFit(t *testing.T) {
 	for sockets := 64; sockets <= 4096; sockets++ {
-		p := Place{}
+		p := Config{}
 		p.Limits.Sockets = sockets
 		if r := p.room(); r.clients+r.boxes+r.releases+ownSockets > sockets {
 			t.Fatalf("of %d descriptors %+v are taken beside %d", sockets, r, ownSockets)
@@ -43,7 +43,7 @@
 
 // A zone that the settings do not name is none of those that they do: repeats that are dropped in one zone are not sent to it.
 func TestAZoneThatIsNotNamedIsNoOther(t *testing.T) {
-	facts := brain.Flat(map[string]any{"dcs": []any{"a", "b"}})
+	facts := brain.FlattenSettings(map[string]any{"dcs": []any{"a", "b"}})
 	seen := map[int]string{}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		n := zoneNumber(facts, name)
--- a/internal/platform/releases.go
+++ b/internal/platform/releases.go
@@ -33,12 +33,12 @@
 // Release has what is held for a request released. Any backend takes that call: the one that was heard last is asked first, then another
 // beside it each time that none has answered for a while, as a backend that is cut off keeps its caller waiting.
 func (c *transport) Release(b *dispatch.Backend, a *dispatch.ClientRequest) {
-	m, _ := a.Matter.(*payload)
+	m, _ := a.Payload.(*outgoingRequest)
 	if m == nil {
 		return
 	}
-	call, targets := chat.LetGo(service, m.id), c.releaseOrder(c.hosts[b])
-	if a.AttemptOut() {
+	call, targets := chat.ReleaseRequest(serviceHost, m.id), c.releaseOrder(c.hosts[b])
+	if a.AttemptInFlight() {
 		c.Due.Add(1)
 		c.notable.Info("a state is due: released beside an attempt that has no answer", "id", m.id, "backend", b.Name)
 	}
@@ -48,7 +48,7 @@
 		began := time.Now()
 		if c.releaseAny(targets, call) {
 			c.Calls.Add(1)
-			c.monitor.Released(m.id, "released")
+			c.monitor.CacheReleased(m.id, "released")
 		} else {
 			c.Unheard.Add(1)
 			c.notable.Info("no backend has heard a release", "id", m.id, "backend", b.Name)
@@ -60,17 +60,17 @@
 
 // releaseOrder is the order in which backends are called: those heard last, and second the one that may hold the state. Where many
 // backends are cut off, calls to them would else take all descriptors, and the time that is left.
-func (c *transport) releaseOrder(holder *reach.Host) []*reach.Host {
+func (c *transport) releaseOrder(holder *reach.Pool) []*reach.Pool {
 	order := c.heard.lastHeard()
 	if holder == nil || len(order) > 0 && order[0] == holder {
 		return order
 	}
-	order = slices.DeleteFunc(order, func(h *reach.Host) bool { return h == holder })
+	order = slices.DeleteFunc(order, func(h *reach.Pool) bool { return h == holder })
 	return slices.Insert(order, min(1, len(order)), holder)
 }
 
 // releaseAny calls backends until one answers.
-func (c *transport) releaseAny(targets []*reach.Host, call []byte) bool {
+func (c *transport) releaseAny(targets []*reach.Pool, call []byte) bool {
 	ctx, end := context.WithTimeout(c.life, releaseMost)
 	defer end()
 	heard := make(chan releaseResult)
@@ -87,7 +87,7 @@
 			if result == releaseNotBegun {
 				asked, wait = max(asked-1, 0), releaseNext // nobody was asked
 			}
-			next.Reset(dialWait)
+			next.Reset(dialRetryDelay)
 		case <-next.C:
 			host := targets[asked%len(targets)]
 			c.group.Go(func() error {
@@ -116,7 +116,7 @@
 )
 
 // release calls one backend. Its time begins when there is a descriptor for the call.
-func (c *transport) release(ctx context.Context, host *reach.Host, call []byte) releaseResult {
+func (c *transport) release(ctx context.Context, host *reach.Pool, call []byte) releaseResult {
 	select {
 	case c.calls <- struct{}{}:
 	case <-ctx.Done():
@@ -133,7 +133,7 @@
 	return result
 }
 
-func (c *transport) callRelease(ctx context.Context, host *reach.Host, call []byte) releaseResult {
+func (c *transport) callRelease(ctx context.Context, host *reach.Pool, call []byte) releaseResult {
 	ctx, cancel := context.WithTimeout(ctx, releaseTry)
 	defer cancel()
 	conn, err := host.Get(ctx)
@@ -143,12 +143,12 @@
 	if err != nil {
 		return releaseUnheard
 	}
-	defer conn.Drop()
+	defer conn.Discard()
 	conn.SetDeadline(time.Now().Add(releaseTry))
-	if whole, _ := conn.Put(call); !whole {
+	if whole, _ := conn.WriteRequest(call); !whole {
 		return releaseUnheard
 	}
-	resp, err := conn.Head(nil)
+	resp, err := conn.ReadResponse(nil)
 	if err != nil {
 		return releaseUnheard
 	}
--- a/internal/platform/reload.go
+++ b/internal/platform/reload.go
@@ -12,7 +12,7 @@
 )
 
 // reload reads the configuration anew whenever it is told to, until the context ends; also while the dispatcher stops.
-func (n *node) reload(ctx context.Context, again <-chan os.Signal, read func() (Place, error)) {
+func (n *node) reload(ctx context.Context, again <-chan os.Signal, read func() (Config, error)) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -24,12 +24,12 @@
 }
 
 // readAnew reads the configuration until it can be read. A further signal begins the time for that anew.
-func (n *node) readAnew(ctx context.Context, again <-chan os.Signal, read func() (Place, error)) {
+func (n *node) readAnew(ctx context.Context, again <-chan os.Signal, read func() (Config, error)) {
 	for began, tries := time.Now(), 1; ; tries++ {
 		next, err := read()
 		if err == nil {
 			n.log.Info("configuration read anew", "discovery", next.Discovery, "tries", tries)
-			n.follower.Move(next.Discovery)
+			n.follower.SetAddress(next.Discovery)
 			return
 		}
 		if tries == 1 {
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -22,7 +22,7 @@
 	// answerBefore is how long before SIGKILL all requests without a first event are answered.
 	answerBefore = 500 * time.Millisecond
 	// silentMost is how long a connection that came before the last one may say nothing.
-	silentMost = 300 * time.Millisecond
+	maxConnSilence = 300 * time.Millisecond
 
 	stopStep     = 5 * time.Millisecond // between two looks at what is still open
 	releasesMost = time.Second          // for the releases of what abandoned attempts may have left
@@ -38,7 +38,7 @@
 
 // stopTimesOf derives the times of a shutdown from the settings: SIGKILL comes no sooner than the longest deadline, counted as 3 s
 // where it is longer, and 0.7 s more.
-func stopTimesOf(facts brain.Facts) stopTimes {
+func stopTimesOf(facts brain.Settings) stopTimes {
 	longest := longestDeadline(facts)
 	if longest == 0 {
 		longest = killAfterMost
@@ -53,10 +53,10 @@
 }
 
 // longestDeadline is that of the class which waits longest; 0: one states none.
-func longestDeadline(facts brain.Facts) time.Duration {
+func longestDeadline(facts brain.Settings) time.Duration {
 	longest := time.Duration(0)
 	for i := range facts.Names("requestClasses") {
-		deadline := facts.Span(fmt.Sprintf("requestClasses.%d.giveUpUs", i))
+		deadline := facts.Duration(fmt.Sprintf("requestClasses.%d.giveUpUs", i))
 		if deadline <= 0 {
 			return 0
 		}
@@ -68,17 +68,17 @@
 // stop answers what was taken, releases what is held, and ends all of it.
 func (n *node) stop(web *http.Server) {
 	began, times := time.Now(), stopTimesOf(n.facts)
-	n.log.Info("stopping", "open", n.frontend.asked.Load(), "accept", times.accept, "move", times.move, "answer", times.answer)
+	n.log.Info("stopping", "open", n.frontend.openRequests.Load(), "accept", times.accept, "move", times.move, "answer", times.answer)
 	n.frontend.stopping.Store(true)
 	n.limiter.drain()
-	if n.facts.Yes("familyInfo.resume") {
-		defer time.AfterFunc(times.move, func() { close(n.frontend.cut) }).Stop()
+	if n.facts.Bool("familyInfo.resume") {
+		defer time.AfterFunc(times.move, func() { close(n.frontend.moveStreams) }).Stop()
 	}
 	defer time.AfterFunc(times.answer, n.answerAll).Stop()
 	time.Sleep(times.accept)
-	n.limiter.acceptLast()
+	n.limiter.acceptBacklogOnly()
 	<-n.served
-	for !mayEnd(n.limiter.count()) {
+	for !mayExit(n.limiter.count()) {
 		time.Sleep(stopStep)
 		n.limiter.closeSilent()
 	}
@@ -93,15 +93,15 @@
 
 // answerAll has every request without a first event answered, those that are still to come among them.
 func (n *node) answerAll() {
-	n.frontend.over.Store(true)
-	n.loop.Post(n.loop.Yield)
+	n.frontend.rejectAll.Store(true)
+	n.loop.Post(n.loop.EndUnstarted)
 }
 
 // releaseAll calls off the attempts whose clients have gone, and waits until backends were told of all that they may hold.
 func (n *node) releaseAll() {
 	for end := time.Now().Add(releasesMost); time.Now().Before(end); time.Sleep(stopStep) {
 		open := 0
-		n.loop.Call(n.life, func() { open = n.loop.CallOff() })
+		n.loop.Call(n.life, func() { open = n.loop.CancelAttempts() })
 		if open == 0 && n.transport.releasing.Load() == 0 {
 			return
 		}
--- a/internal/reach/allowed.go
+++ b/internal/reach/allowed.go
@@ -11,7 +11,7 @@
 )
 
 // Allowed is where boxes may be.
-type Allowed struct {
+type AllowList struct {
 	set     *netipx.IPSet
 	folders []string
 	all     bool
@@ -19,8 +19,8 @@
 
 // NewAllowed reads ranges of addresses (10.0.0.0/8, 10.0.0.1-10.0.0.9, one address), and folders of sockets (unix:/run/boxes/).
 // None at all allow anything.
-func NewAllowed(ranges []string) (*Allowed, error) {
-	a := &Allowed{all: len(ranges) == 0}
+func NewAllowList(ranges []string) (*AllowList, error) {
+	a := &AllowList{all: len(ranges) == 0}
 	var set netipx.IPSetBuilder
 	for _, r := range ranges {
 		if folder, ok := strings.CutPrefix(r, "unix:"); ok {
@@ -46,18 +46,18 @@
 }
 
 // Has tells whether a box may be at an address.
-func (a *Allowed) Has(s addresses.Spec) bool {
+func (a *AllowList) Contains(s addresses.Spec) bool {
 	if a.all {
 		return true
 	}
 	if s.Network == addresses.Unix {
 		for _, f := range a.folders {
-			if strings.HasPrefix(s.At, f) && !strings.Contains(s.At, "/../") {
+			if strings.HasPrefix(s.Addr, f) && !strings.Contains(s.Addr, "/../") {
 				return true
 			}
 		}
 		return false
 	}
-	at, err := netip.ParseAddrPort(s.At)
+	at, err := netip.ParseAddrPort(s.Addr)
 	return err == nil && a.set.Contains(at.Addr().Unmap())
 }
--- a/internal/reach/reach.go
+++ b/internal/reach/reach.go
@@ -27,29 +27,29 @@
 )
 
 // Boxes are all the boxes that a dispatcher may connect to.
-type Boxes struct {
-	Limit time.Duration // for a connection, all addresses together
-	Most  int           // connections to one box
-	Since func() time.Duration
-	Life  context.Context
-	Group *errgroup.Group
-	Dial  func(ctx context.Context, network, address string) (net.Conn, error) // nil: the operating system's
-	Bare  bool                                                                 // the far side knows no proof: a connection counts once it is up, takes one request, and none is made unasked
+type Manager struct {
+	DialTimeout        time.Duration // for a connection, all addresses together
+	MaxConnsPerBackend int           // connections to one box
+	Now                func() time.Duration
+	Context            context.Context
+	Group              *errgroup.Group
+	Dial               func(ctx context.Context, network, address string) (net.Conn, error) // nil: the operating system's
+	SkipVerify         bool                                                                 // the far side knows no proof: a connection counts once it is up, takes one request, and none is made unasked
 
 	mu      sync.Mutex
-	hosts   map[string]*Host
-	order   []*Host // by when they were first heard of
+	hosts   map[string]*Pool
+	order   []*Pool // by when they were first heard of
 	leaving bool    // some of them are gone
 	budget  addresses.Budget
 }
 
 // Host is one box as it is reached.
-type Host struct {
+type Pool struct {
 	Name string
-	all  *Boxes
+	all  *Manager
 
 	mu      sync.Mutex
-	book    *addresses.Book
+	book    *addresses.Tracker
 	idle    []*Conn
 	open    int // connections, idle ones too
 	racing  int
@@ -62,7 +62,7 @@
 type Conn struct {
 	net.Conn
 	Address *addresses.Address
-	host    *Host
+	host    *Pool
 	read    *reader
 	since   time.Duration // idle since
 	wrote   int64         // bytes of the present request that went out
@@ -93,10 +93,10 @@
 
 // Why no connection was to be had, or no answer came.
 var (
-	ErrUnreached = errors.New("no address of the box connects and answers")
-	ErrLocal     = errors.New("this machine can't connect just now, which says nothing of the box")
-	ErrNotSent   = errors.New("not a byte of the request went out")
-	errHead      = fmt.Errorf("the head of an answer is longer than %d bytes", headMost)
+	ErrUnreachable = errors.New("no address of the box connects and answers")
+	ErrLocal       = errors.New("this machine can't connect just now, which says nothing of the box")
+	ErrNotSent     = errors.New("not a byte of the request went out")
+	errHead        = fmt.Errorf("the head of an answer is longer than %d bytes", headMost)
 )
 
 const (
@@ -110,14 +110,14 @@
 
 // Set says which addresses a box has; none: it is gone. Connections to addresses that it has no more are closed when
 // they are idle, and not kept when their trip ends.
-func (b *Boxes) Set(name string, specs []addresses.Spec, seed uint64) *Host {
+func (b *Manager) SetAddresses(name string, specs []addresses.Spec, seed uint64) *Pool {
 	b.mu.Lock()
 	if b.hosts == nil {
-		b.hosts = map[string]*Host{}
+		b.hosts = map[string]*Pool{}
 	}
 	h := b.hosts[name]
 	if h == nil {
-		h = &Host{Name: name, all: b, book: addresses.NewBook(seed), changed: make(chan struct{})}
+		h = &Pool{Name: name, all: b, book: addresses.NewBook(seed), changed: make(chan struct{})}
 		b.hosts[name] = h
 		b.order = append(b.order, h)
 	}
@@ -132,18 +132,18 @@
 }
 
 // Best lists the box's addresses, the best just now first.
-func (h *Host) Best() []string {
+func (h *Pool) Addresses() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var at []string
-	for _, a := range h.book.Order(h.all.Since()) {
+	for _, a := range h.book.Order(h.all.Now()) {
 		at = append(at, a.Spec.String())
 	}
 	return at
 }
 
 // Look calls look with each box's book, which must not be kept.
-func (b *Boxes) Look(look func(name string, book *addresses.Book, open, idle int)) {
+func (b *Manager) ForEach(look func(name string, book *addresses.Tracker, open, idle int)) {
 	for _, h := range b.listed() {
 		h.mu.Lock()
 		look(h.Name, h.book, h.open, len(h.idle))
@@ -152,16 +152,16 @@
 }
 
 // Known is how many boxes there are.
-func (b *Boxes) Known() int { return len(b.listed()) }
+func (b *Manager) Len() int { return len(b.listed()) }
 
-func (b *Boxes) listed() []*Host {
+func (b *Manager) listed() []*Pool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return slices.Clone(b.order)
 }
 
 // dropIdle closes idle connections; the host is locked.
-func (h *Host) dropIdle(which func(*Conn) bool) {
+func (h *Pool) dropIdle(which func(*Conn) bool) {
 	if len(h.idle) == 0 {
 		return
 	}
@@ -177,35 +177,35 @@
 }
 
 // notify wakes those who wait for a connection; the host is locked.
-func (h *Host) notify() {
+func (h *Pool) notify() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
 // Get returns a proven connection: an idle one, else the first that a race of the addresses brings.
-func (h *Host) Get(ctx context.Context) (*Conn, error) {
-	return h.get(ctx, h.all.Since()+h.all.Limit)
+func (h *Pool) Get(ctx context.Context) (*Conn, error) {
+	return h.get(ctx, h.all.Now()+h.all.DialTimeout)
 }
 
 // get does so until a time.
-func (h *Host) get(ctx context.Context, until time.Duration) (*Conn, error) {
-	limit := time.NewTimer(until - h.all.Since())
+func (h *Pool) get(ctx context.Context, until time.Duration) (*Conn, error) {
+	limit := time.NewTimer(until - h.all.Now())
 	defer limit.Stop()
 	for {
 		h.mu.Lock()
 		if h.gone {
 			h.mu.Unlock()
-			return nil, ErrUnreached
+			return nil, ErrUnreachable
 		}
-		if h.all.Since() >= until {
+		if h.all.Now() >= until {
 			h.mu.Unlock()
-			return nil, ErrUnreached
+			return nil, ErrUnreachable
 		}
 		if err := ctx.Err(); err != nil {
 			h.mu.Unlock()
 			return nil, err
 		}
-		h.used = h.all.Since()
+		h.used = h.all.Now()
 		if c := h.takeIdle(); c != nil {
 			fresh, within := h.used-c.since < addresses.FreshFor, h.book.Stagger()
 			h.mu.Unlock()
@@ -214,10 +214,10 @@
 			}
 			continue
 		}
-		if h.open < h.all.Most && h.racing < addresses.MostRaces {
+		if h.open < h.all.MaxConnsPerBackend && h.racing < addresses.MostRaces {
 			h.open++
 			h.racing++
-			race := h.book.Race(h.all.Since(), until)
+			race := h.book.Race(h.all.Now(), until)
 			h.mu.Unlock()
 			return h.race(ctx, race)
 		}
@@ -234,8 +234,8 @@
 }
 
 // takeIdle returns the idle connection that was used last and still stands, at the address that is best just now.
-func (h *Host) takeIdle() *Conn {
-	now := h.all.Since()
+func (h *Pool) takeIdle() *Conn {
+	now := h.all.Now()
 	for _, a := range h.book.Order(now) {
 		for i := len(h.idle) - 1; i >= 0; i-- {
 			c := h.idle[i]
@@ -250,7 +250,7 @@
 			c.Conn.Close()
 			h.open--
 		}
-		if a.Doubtful(now) {
+		if a.Suspected(now) {
 			break // before a doubtful address's old connections, a race has its say
 		}
 	}
@@ -281,15 +281,15 @@
 }
 
 // race runs one race. The place for its connection is taken already.
-func (h *Host) race(ctx context.Context, race *addresses.Race) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, h.all.Limit)
+func (h *Pool) race(ctx context.Context, race *addresses.Race) (*Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, h.all.DialTimeout)
 	defer cancel()
 	won, ended := make(chan *Conn, 1), make(chan struct{}, 16)
 	var local error // of the last try, if this machine could not begin it; the host's lock guards it
 	finish := func(c *Conn) (*Conn, error) {
 		h.mu.Lock()
 		defer h.mu.Unlock()
-		race.End(h.all.Since())
+		race.End(h.all.Now())
 		h.racing--
 		if c == nil {
 			select {
@@ -300,7 +300,7 @@
 				if local != nil {
 					return nil, fmt.Errorf("%w: %w", ErrLocal, local)
 				}
-				return nil, ErrUnreached
+				return nil, ErrUnreachable
 			}
 		}
 		h.notify()
@@ -308,7 +308,7 @@
 	}
 	for {
 		h.mu.Lock()
-		a, wait, over := race.Next(h.all.Since())
+		a, wait, over := race.Next(h.all.Now())
 		var spec addresses.Spec
 		if a != nil {
 			spec = a.Spec
@@ -316,7 +316,7 @@
 		h.mu.Unlock()
 		if a != nil {
 			h.all.Group.Go(func() error {
-				began := h.all.Since()
+				began := h.all.Now()
 				conn, read, res, err := h.connect(ctx, spec)
 				h.mu.Lock()
 				defer h.mu.Unlock()
@@ -324,7 +324,7 @@
 				if res == addresses.NotTried {
 					local = err
 				}
-				now := h.all.Since()
+				now := h.all.Now()
 				first := race.Did(now, a, res, now-began)
 				switch {
 				case first:
@@ -360,8 +360,8 @@
 
 // keep puts a proven connection among the idle ones, if there is use for it; the host is locked. fresh: it has no
 // place among the open ones yet.
-func (h *Host) keep(c *Conn, fresh bool) {
-	if c.Address.Dropped || h.gone || h.all.Life.Err() != nil || fresh && h.open >= h.all.Most {
+func (h *Pool) keep(c *Conn, fresh bool) {
+	if c.Address.Dropped || h.gone || h.all.Context.Err() != nil || fresh && h.open >= h.all.MaxConnsPerBackend {
 		c.Conn.Close()
 		if !fresh {
 			h.open--
@@ -372,25 +372,25 @@
 	if fresh {
 		h.open++
 	}
-	c.since = h.all.Since()
+	c.since = h.all.Now()
 	h.idle = append(h.idle, c)
 	h.notify()
 }
 
 // connect opens a connection and has it proved: the far side must read a request and answer with the box's name.
-func (h *Host) connect(ctx context.Context, spec addresses.Spec) (net.Conn, *reader, addresses.Result, error) {
+func (h *Pool) connect(ctx context.Context, spec addresses.Spec) (net.Conn, *reader, addresses.Result, error) {
 	dial := h.all.Dial
 	if dial == nil {
 		dial = system.Real().Dial
 	}
-	conn, err := dial(ctx, spec.Network, spec.At)
+	conn, err := dial(ctx, spec.Network, spec.Addr)
 	if err != nil {
 		return nil, nil, refusal(ctx, err), err
 	}
 	stop := context.AfterFunc(ctx, func() { conn.Close() })
 	read := newReader(conn)
 	res := addresses.Proven
-	if !h.all.Bare {
+	if !h.all.SkipVerify {
 		res = prove(conn, read, h.Name)
 	}
 	if !stop() && res != addresses.OtherOwner {
@@ -406,7 +406,7 @@
 // refusal is what an error of connecting says of the address.
 func refusal(ctx context.Context, err error) addresses.Result {
 	switch {
-	case system.Local(err):
+	case system.IsLocalError(err):
 		return addresses.NotTried
 	case ctx.Err() != nil, errors.Is(err, syscall.ETIMEDOUT), errors.Is(err, syscall.EHOSTUNREACH):
 		return addresses.Silent
@@ -439,7 +439,7 @@
 // again has a connection that rested prove itself anew. One that doesn't speaks against its address, whose other idle
 // connections are closed with it.
 func (c *Conn) again(ctx context.Context, within time.Duration) bool {
-	began := c.host.all.Since()
+	began := c.host.all.Now()
 	stop := context.AfterFunc(ctx, func() { c.Conn.Close() })
 	c.Conn.SetDeadline(time.Now().Add(within))
 	res := prove(c.Conn, c.read, c.host.Name)
@@ -450,7 +450,7 @@
 	}
 	h := c.host
 	h.mu.Lock()
-	now := h.all.Since()
+	now := h.all.Now()
 	if res == addresses.Broke && now-began >= within {
 		res = addresses.Silent
 	}
@@ -504,8 +504,8 @@
 
 // Send gets connections until a request went out over one, for as long as one connection may take; nothing of it was sent
 // over those before. make is called anew for each. Without an error the answer's body must be closed.
-func (h *Host) Send(ctx context.Context, make func() (*http.Request, error)) (*Conn, *http.Response, error) {
-	for until := h.all.Since() + h.all.Limit; ; {
+func (h *Pool) Send(ctx context.Context, make func() (*http.Request, error)) (*Conn, *http.Response, error) {
+	for until := h.all.Now() + h.all.DialTimeout; ; {
 		conn, err := h.get(ctx, until)
 		if err != nil {
 			return nil, nil, err
@@ -562,7 +562,7 @@
 }
 
 // Put sends the bytes of a request and tells whether the last of them went out: until then the request can't have run.
-func (c *Conn) Put(parts ...[]byte) (whole bool, err error) {
+func (c *Conn) WriteRequest(parts ...[]byte) (whole bool, err error) {
 	total := int64(0)
 	for _, p := range parts {
 		total += int64(len(p))
@@ -574,13 +574,13 @@
 }
 
 // Head reads an answer's head; what follows it comes from Bytes.
-func (c *Conn) Head(to *http.Request) (*http.Response, error) { return c.read.response(to) }
+func (c *Conn) ReadResponse(to *http.Request) (*http.Response, error) { return c.read.response(to) }
 
 // Bytes is what the far side sends.
-func (c *Conn) Bytes() *bufio.Reader { return c.read.Reader }
+func (c *Conn) Reader() *bufio.Reader { return c.read.Reader }
 
 // Drop closes the connection.
-func (c *Conn) Drop() { c.drop() }
+func (c *Conn) Discard() { c.drop() }
 
 func (c *Conn) drop() {
 	c.Conn.Close()
@@ -593,27 +593,27 @@
 
 // Served and Lost tell how a request over an address ended. After a lost one the address's idle connections are
 // closed: what is sent next there has a new proof before it.
-func (c *Conn) Served() { c.did(addresses.Served) }
-func (c *Conn) Lost()   { c.did(addresses.Lost) }
+func (c *Conn) ReportServed() { c.did(addresses.Served) }
+func (c *Conn) ReportFailed() { c.did(addresses.Lost) }
 
 func (c *Conn) did(r addresses.Result) {
 	h := c.host
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.book.Did(h.all.Since(), c.Address, r, 0)
+	h.book.Did(h.all.Now(), c.Address, r, 0)
 	if r == addresses.Lost {
 		h.dropIdle(func(o *Conn) bool { return o.Address == c.Address })
 	}
 }
 
 // Look again and keep warm, until the boxes' life ends.
-func (b *Boxes) Tend() error {
+func (b *Manager) Run() error {
 	const step = 250 * time.Millisecond
 	tick := time.NewTicker(step)
 	defer tick.Stop()
 	for {
 		select {
-		case <-b.Life.Done():
+		case <-b.Context.Done():
 			for _, h := range b.listed() {
 				h.mu.Lock()
 				h.dropIdle(func(*Conn) bool { return true })
@@ -623,7 +623,7 @@
 		case <-tick.C:
 		}
 		b.forget()
-		if !b.Bare {
+		if !b.SkipVerify {
 			b.recheck()
 		}
 		for _, h := range b.listed() {
@@ -633,14 +633,14 @@
 }
 
 // forget drops boxes that are gone and have no connection left.
-func (b *Boxes) forget() {
+func (b *Manager) forget() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if !b.leaving {
 		return
 	}
 	b.leaving = false
-	b.order = slices.DeleteFunc(b.order, func(h *Host) bool {
+	b.order = slices.DeleteFunc(b.order, func(h *Pool) bool {
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if !h.gone || h.open > 0 || h.racing > 0 {
@@ -653,14 +653,14 @@
 }
 
 // recheck looks at one doubtful address again, if the budget has a try for it.
-func (b *Boxes) recheck() {
+func (b *Manager) recheck() {
 	hosts := b.listed()
-	var books []*addresses.Book
+	var books []*addresses.Tracker
 	for _, h := range hosts {
 		h.mu.Lock()
 		books = append(books, h.book)
 	}
-	book, a := b.budget.Recheck(b.Since(), books)
+	book, a := b.budget.Recheck(b.Now(), books)
 	for _, h := range hosts {
 		h.mu.Unlock()
 	}
@@ -672,12 +672,12 @@
 }
 
 // warm closes what was idle for long and opens what should be ready, one connection at a time.
-func (h *Host) warm() {
+func (h *Pool) warm() {
 	h.mu.Lock()
-	now := h.all.Since()
+	now := h.all.Now()
 	h.dropIdle(func(c *Conn) bool { return now-c.since >= idleMost })
 	var want *addresses.Address
-	if !h.all.Bare && h.used > 0 && now-h.used < usedMost && !h.gone && h.racing == 0 && h.open < h.all.Most {
+	if !h.all.SkipVerify && h.used > 0 && now-h.used < usedMost && !h.gone && h.racing == 0 && h.open < h.all.MaxConnsPerBackend {
 		for _, a := range h.book.Warm(now) {
 			if !slices.ContainsFunc(h.idle, func(c *Conn) bool { return c.Address == a }) {
 				want = a
@@ -692,20 +692,20 @@
 }
 
 // try makes one connection in the background.
-func (b *Boxes) try(h *Host, a *addresses.Address, did func(time.Duration, addresses.Result, time.Duration)) {
+func (b *Manager) try(h *Pool, a *addresses.Address, did func(time.Duration, addresses.Result, time.Duration)) {
 	h.mu.Lock()
 	h.racing++
 	spec := a.Spec
 	h.mu.Unlock()
 	b.Group.Go(func() error {
-		ctx, cancel := context.WithTimeout(b.Life, b.Limit)
+		ctx, cancel := context.WithTimeout(b.Context, b.DialTimeout)
 		defer cancel()
-		began := b.Since()
+		began := b.Now()
 		conn, read, res, _ := h.connect(ctx, spec)
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		h.racing--
-		did(b.Since(), res, b.Since()-began)
+		did(b.Now(), res, b.Now()-began)
 		if res == addresses.Proven {
 			h.keep(&Conn{Conn: conn, Address: a, host: h, read: read}, true)
 		}
--- a/internal/reach/reach_test.go
+++ b/internal/reach/reach_test.go
@@ -31,7 +31,7 @@
 	t     *testing.T
 	book  *record.Recorder
 	fleet *standin.Fleet
-	boxes *reach.Boxes
+	boxes *reach.Manager
 	n     atomic.Int64
 }
 
@@ -42,13 +42,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms := setup.DefaultTerms()
-	terms.Grades = []setup.Grade{{Name: "g", Effect: "unrepeatable"}}
-	s := &site{t: t, book: book, fleet: standin.NewFleet(terms, book, standin.Links{Near: 1e9, Far: 1e9}, map[string]standin.Talk{"g": {New: 1, Answer: 1}})}
+	terms := setup.DefaultDeployment()
+	terms.Classes = []setup.Class{{Name: "g", Effect: "unrepeatable"}}
+	s := &site{t: t, book: book, fleet: standin.NewFleet(terms, book, standin.Links{SameRack: 1e9, CrossRack: 1e9}, map[string]standin.ClassProfile{"g": {NewTokens: 1, AnswerTokens: 1}})}
 	life, end := context.WithCancel(context.Background())
 	group := &errgroup.Group{}
-	s.boxes = &reach.Boxes{Limit: 250 * time.Millisecond, Most: 64, Since: book.Elapsed, Life: life, Group: group}
-	group.Go(s.boxes.Tend)
+	s.boxes = &reach.Manager{DialTimeout: 250 * time.Millisecond, MaxConnsPerBackend: 64, Now: book.Elapsed, Context: life, Group: group}
+	group.Go(s.boxes.Run)
 	t.Cleanup(func() {
 		end()
 		group.Wait()
@@ -69,28 +69,28 @@
 }
 
 // box starts a box and tells the way to it. Its addresses are, in order: a socket, IPv6, IPv4.
-func (s *site) box(name string) (*standin.Box, *reach.Host) {
+func (s *site) box(name string) (*standin.Backend, *reach.Pool) {
 	s.t.Helper()
 	dir, err := os.MkdirTemp("", "r") // a socket's path must be short
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	at := []addresses.Spec{{Network: addresses.Unix, At: filepath.Join(dir, name)}, {Network: addresses.TCP6, At: free(s.t, "tcp6", "[::1]:0")},
-		{Network: addresses.TCP4, At: free(s.t, "tcp4", "127.0.0.1:0")}}
-	b := s.fleet.NewBox(standin.Make{Name: name, Kind: "writer", Addresses: at, Engine: standin.Instant})
+	at := []addresses.Spec{{Network: addresses.Unix, Addr: filepath.Join(dir, name)}, {Network: addresses.TCP6, Addr: free(s.t, "tcp6", "[::1]:0")},
+		{Network: addresses.TCP4, Addr: free(s.t, "tcp4", "127.0.0.1:0")}}
+	b := s.fleet.NewBackend(standin.Config{Name: name, Kind: "writer", Addresses: at, Engine: standin.InstantEngine})
 	if err := b.Boot(false); err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { b.Kill("end"); os.RemoveAll(dir) })
-	return b, s.boxes.Set(name, at, 3)
+	return b, s.boxes.SetAddresses(name, at, 3)
 }
 
 // trip sends one trip and returns how far it came: whether a byte went out, and the error.
-func (s *site) trip(h *reach.Host, wait time.Duration) (sent bool, err error) {
+func (s *site) trip(h *reach.Pool, wait time.Duration) (sent bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	e := kserve.Errand{Stage: kserve.StageWhole, From: "d.1", Question: uint64(s.n.Add(1)), Grade: "g", Tokens: 10, Most: 1}
-	conn, resp, err := h.Send(ctx, func() (*http.Request, error) { return kserve.NewErrand(ctx, reach.URL(h.Name), "lodge", "", e) })
+	e := kserve.AttemptParams{Phase: kserve.PhaseCombined, DispatcherEpoch: "d.1", RequestNumber: uint64(s.n.Add(1)), Class: "g", PromptTokens: 10, MaxTokens: 1}
+	conn, resp, err := h.Send(ctx, func() (*http.Request, error) { return kserve.NewAttemptRequest(ctx, reach.URL(h.Name), "lodge", "", e) })
 	if conn == nil {
 		return false, err
 	}
@@ -99,9 +99,9 @@
 		resp.Body.Close()
 	}
 	if err != nil {
-		conn.Lost()
+		conn.ReportFailed()
 	} else {
-		conn.Served()
+		conn.ReportServed()
 	}
 	return conn.Sent(), err
 }
@@ -120,13 +120,13 @@
 
 func TestFailOverCostsAConnectionAndNoTrip(t *testing.T) {
 	for mode, most := range map[string]time.Duration{
-		standin.GateRefuses: 50 * time.Millisecond, standin.GateStalls: 250 * time.Millisecond, standin.GateBlackhole: 250 * time.Millisecond,
+		standin.EndpointRefuses: 50 * time.Millisecond, standin.EndpointStalls: 250 * time.Millisecond, standin.EndpointBlackhole: 250 * time.Millisecond,
 	} {
 		t.Run(mode, func(t *testing.T) {
 			s := newSite(t)
 			b, h := s.box("w1")
 			for _, i := range []int{0, 1} {
-				if err := b.Gate(i).Set(mode, 0, 0); err != nil {
+				if err := b.Endpoint(i).SetMode(mode, 0, 0); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -145,18 +145,18 @@
 func TestAllAddressesFailingIsToldPromptly(t *testing.T) {
 	s := newSite(t)
 	b, h := s.box("w1")
-	for mode, most := range map[string]time.Duration{standin.GateRefuses: 100 * time.Millisecond, standin.GateStalls: 400 * time.Millisecond} {
+	for mode, most := range map[string]time.Duration{standin.EndpointRefuses: 100 * time.Millisecond, standin.EndpointStalls: 400 * time.Millisecond} {
 		for i := range 3 {
-			b.Gate(i).Set(mode, 0, 0)
+			b.Endpoint(i).SetMode(mode, 0, 0)
 		}
 		began := time.Now()
 		sent, err := s.trip(h, 2*time.Second)
-		if took := time.Since(began); !errors.Is(err, reach.ErrUnreached) || sent || took > most {
+		if took := time.Since(began); !errors.Is(err, reach.ErrUnreachable) || sent || took > most {
 			t.Errorf("%s: sent %v, %v after %v", mode, sent, err, took)
 		}
 	}
 	// One comes back: real traffic or a background try finds it, whatever is thought of it.
-	b.Gate(2).Set(standin.GateServes, 0, 0)
+	b.Endpoint(2).SetMode(standin.EndpointServes, 0, 0)
 	for end := time.Now().Add(8 * time.Second); ; {
 		if _, err := s.trip(h, time.Second); err == nil {
 			break
@@ -175,7 +175,7 @@
 		s.trip(h, time.Second)
 	}
 	time.Sleep(2 * addresses.FreshFor)
-	b.Gate(0).Set(standin.GateStalls, 0, 0)
+	b.Endpoint(0).SetMode(standin.EndpointStalls, 0, 0)
 	began := time.Now()
 	if _, err := s.trip(h, time.Second); err != nil || time.Since(began) > 250*time.Millisecond {
 		t.Errorf("%v after %v", err, time.Since(began))
@@ -189,12 +189,12 @@
 func TestATripThatStallsAfterTheProofIsSentOnce(t *testing.T) {
 	s := newSite(t)
 	b, h := s.box("w1")
-	b.Gate(0).Set(standin.GateStallsNext, 0, 0)
+	b.Endpoint(0).SetMode(standin.EndpointStallsAfterResponse, 0, 0)
 	sent, err := s.trip(h, 300*time.Millisecond)
 	if !sent || err == nil {
 		t.Errorf("sent %v, %v", sent, err)
 	}
-	b.Gate(0).Set(standin.GateServes, 0, 0)
+	b.Endpoint(0).SetMode(standin.EndpointServes, 0, 0)
 	time.Sleep(100 * time.Millisecond)
 	times, _ := s.reached()
 	for key, n := range times {
@@ -214,12 +214,12 @@
 		s.trip(h2, time.Second)
 	}
 	for i := range 3 {
-		one.Gate(i).Swap(two.Gate(i))
+		one.Endpoint(i).Swap(two.Endpoint(i))
 	}
 	before, _ := s.reached()
 	sent, err := s.trip(h1, time.Second)
 	after, _ := s.reached()
-	if !errors.Is(err, reach.ErrUnreached) || sent || len(after) != len(before) {
+	if !errors.Is(err, reach.ErrUnreachable) || sent || len(after) != len(before) {
 		t.Errorf("sent %v, %v; %d trips reached a box before and %d after", sent, err, len(before), len(after))
 	}
 }
@@ -245,7 +245,7 @@
 			c.Close()
 		}
 	}()
-	h := s.boxes.Set("b", []addresses.Spec{{Network: addresses.TCP4, At: l.Addr().String()}}, 3)
+	h := s.boxes.SetAddresses("b", []addresses.Spec{{Network: addresses.TCP4, Addr: l.Addr().String()}}, 3)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	tries := 0
@@ -254,7 +254,7 @@
 		time.Sleep(30 * time.Millisecond) // the reset has arrived
 		return http.NewRequestWithContext(ctx, http.MethodPost, "http://b/", strings.NewReader("x"))
 	})
-	if ctx.Err() != nil || !errors.Is(err, reach.ErrUnreached) || tries == 0 {
+	if ctx.Err() != nil || !errors.Is(err, reach.ErrUnreachable) || tries == 0 {
 		t.Errorf("%v after %d tries; the trip's own time: %v", err, tries, ctx.Err())
 	}
 }
@@ -267,11 +267,11 @@
 		t.Fatal(err)
 	}
 	for _, name := range []string{"b", "never-reached"} {
-		s.boxes.Set(name, nil, 1)
+		s.boxes.SetAddresses(name, nil, 1)
 	}
 	for range 100 {
 		left := 0
-		s.boxes.Look(func(string, *addresses.Book, int, int) { left++ })
+		s.boxes.ForEach(func(string, *addresses.Tracker, int, int) { left++ })
 		if left == 0 {
 			return
 		}
@@ -284,15 +284,15 @@
 	s := newSite(t)
 	b, h := s.box("w1")
 	s.trip(h, time.Second)
-	s.boxes.Set("w1", b.Addresses[2:], 3)
+	s.boxes.SetAddresses("w1", b.Addresses[2:], 3)
 	if _, err := s.trip(h, time.Second); err != nil {
 		t.Error(err)
 	}
 	if _, by := s.reached(); by["w1 unix"] != 1 || by["w1 tcp4"] != 1 {
 		t.Errorf("reached %v", by)
 	}
-	s.boxes.Set("w1", nil, 3)
-	if _, err := s.trip(h, time.Second); !errors.Is(err, reach.ErrUnreached) {
+	s.boxes.SetAddresses("w1", nil, 3)
+	if _, err := s.trip(h, time.Second); !errors.Is(err, reach.ErrUnreachable) {
 		t.Errorf("a box that is gone: %v", err)
 	}
 }
@@ -305,8 +305,8 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	s := newSite(t)
 	b, h := s.box("w1")
-	modes := []string{standin.GateServes, standin.GateServes, standin.GateServes, standin.GateRefuses, standin.GateBlackhole, standin.GateStalls, standin.GateStallsNext,
-		standin.GateSlow, standin.GateResets, standin.GateFlaps}
+	modes := []string{standin.EndpointServes, standin.EndpointServes, standin.EndpointServes, standin.EndpointRefuses, standin.EndpointBlackhole, standin.EndpointStalls, standin.EndpointStallsAfterResponse,
+		standin.EndpointSlow, standin.EndpointResets, standin.EndpointFlaps}
 	const least, changes = 10000, 30 // a quick machine makes the trips before anything has gone wrong
 	var made, changed atomic.Int64
 	stop, done := make(chan struct{}), make(chan struct{})
@@ -318,7 +318,7 @@
 				return
 			case <-time.After(time.Duration(20+rng.IntN(60)) * time.Millisecond):
 			}
-			b.Gate(rng.IntN(3)).Set(modes[rng.IntN(len(modes))], time.Duration(1+rng.IntN(20))*time.Millisecond, rng.IntN(2000))
+			b.Endpoint(rng.IntN(3)).SetMode(modes[rng.IntN(len(modes))], time.Duration(1+rng.IntN(20))*time.Millisecond, rng.IntN(2000))
 			changed.Add(1)
 		}
 	}()
@@ -347,7 +347,7 @@
 	close(stop)
 	<-done
 	for i := range 3 {
-		b.Gate(i).Set(standin.GateServes, 0, 0)
+		b.Endpoint(i).SetMode(standin.EndpointServes, 0, 0)
 	}
 	time.Sleep(200 * time.Millisecond) // what was held back by a gate arrives late, or never
 	times, by := s.reached()
@@ -407,7 +407,7 @@
 }
 
 func TestAllowedRanges(t *testing.T) {
-	a, err := reach.NewAllowed([]string{"10.0.0.0/8", "fd00::/8", "192.168.1.5", "172.16.0.1-172.16.0.9", "unix:/run/boxes/"})
+	a, err := reach.NewAllowList([]string{"10.0.0.0/8", "fd00::/8", "192.168.1.5", "172.16.0.1-172.16.0.9", "unix:/run/boxes/"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -416,12 +416,12 @@
 		"tcp4 172.16.0.9:1": true, "tcp4 172.16.0.10:1": false, "tcp6 [::ffff:10.0.0.1]:1": true, "unix /run/boxes/a": true, "unix /run/a": false, "unix /run/boxes/../a": false,
 	} {
 		network, where, _ := strings.Cut(at, " ")
-		if got := a.Has(addresses.Spec{Network: network, At: where}); got != want {
+		if got := a.Contains(addresses.Spec{Network: network, Addr: where}); got != want {
 			t.Errorf("%s: %v", at, got)
 		}
 	}
 	for _, bad := range []string{"10.0.0.0/99", "box-7", "unix:run"} {
-		if _, err := reach.NewAllowed([]string{bad}); err == nil {
+		if _, err := reach.NewAllowList([]string{bad}); err == nil {
 			t.Errorf("%s passes", bad)
 		}
 	}
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -69,10 +69,10 @@
 
 // Header is what a checker needs beside the events.
 type Header struct {
-	Scenario string      `json:"day"`
-	Seed     uint64      `json:"seed"`
-	Terms    setup.Terms `json:"terms"`
-	Backends []Backend   `json:"boxes"`
+	Scenario string           `json:"day"`
+	Seed     uint64           `json:"seed"`
+	Terms    setup.Deployment `json:"terms"`
+	Backends []Backend        `json:"boxes"`
 }
 
 // Backend is the kind, role and location of a backend.
--- a/internal/setup/fuzz_test.go
+++ b/internal/setup/fuzz_test.go
@@ -15,17 +15,17 @@
 	f.Add("[dispatcher]\nnumber = 99999999999999999999\n")
 	f.Add("[[grade]]\nname = [1]\n")
 	f.Fuzz(func(t *testing.T, raw string) {
-		d := DefaultDispatcher()
+		d := DefaultDispatcherConfig()
 		if err := Decode("f.toml", []byte(raw), &d, d.check); err != nil {
 			if !strings.HasPrefix(err.Error(), "f.toml:") {
 				t.Fatalf("%q: %v", raw, err)
 			}
 			return
 		}
-		if err := d.Facts().Sound(); err != nil {
+		if err := d.SchedulerParameters().Validate(); err != nil {
 			t.Fatalf("%q passes, but the module says %v", raw, err)
 		}
-		if _, err := brain.Facts.Grades(d.Facts()); err != nil {
+		if _, err := brain.Settings.Classes(d.SchedulerParameters()); err != nil {
 			t.Fatalf("%q passes, but the module says %v", raw, err)
 		}
 	})
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -57,7 +57,7 @@
 questions_a_second = 12.5
 `
 
-func load(t *testing.T, text string) (Dispatcher, error) {
+func load(t *testing.T, text string) (DispatcherConfig, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "d.toml")
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
@@ -75,20 +75,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := d.Facts()
-	if err := f.Sound(); err != nil {
+	f := d.SchedulerParameters()
+	if err := f.Validate(); err != nil {
 		t.Fatal(err)
 	}
-	grades, err := f.Grades()
+	grades, err := f.Classes()
 	if err != nil {
 		t.Fatal(err)
 	}
 	g := grades[1]
-	if g.Effect != brain.Unrepeatable || g.Target != time.Second || g.Value != 5 || grades[0].TargetPerK != 60*time.Millisecond {
+	if g.Effect != brain.NonIdempotent || g.Target != time.Second || g.Value != 5 || grades[0].TargetPer1000Tokens != 60*time.Millisecond {
 		t.Errorf("%+v", g)
 	}
-	if f.Num("zone", -1) != 1 || f.Num("slotNo", -1) != 1 || f.RoleOf(0) != brain.Reads ||
-		f.MemoryOf(0) != 200000 || f.Channels()[0].Quota != 12.5 || !f.Yes("familyInfo.localRead") {
+	if f.Number("zone", -1) != 1 || f.Number("slotNo", -1) != 1 || f.RoleOf(0) != brain.RolePrefill ||
+		f.KVCapacityOf(0) != 200000 || f.Tenants()[0].Quota != 12.5 || !f.Bool("familyInfo.localRead") {
 		t.Errorf("%v", f)
 	}
 }
@@ -106,7 +106,7 @@
 	if err != nil {
 		t.Fatalf("%v in\n%s", err, out.String())
 	}
-	if again.Grades[1] != d.Grades[1] || again.Rules != d.Rules || again.Limits != d.Limits || again.Place.Margin != d.Place.Margin {
+	if again.Classes[1] != d.Classes[1] || again.Rules != d.Rules || again.Limits != d.Limits || again.Instance.ResponseMargin != d.Instance.ResponseMargin {
 		t.Errorf("%+v became %+v", d, again)
 	}
 }
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -105,7 +105,7 @@
 	for d := range b.listens {
 		filling.Go(func() {
 			if l := b.reopen(d); l != nil {
-				stuck[d], _ = standin.Fill(l)
+				stuck[d], _ = standin.FillBacklog(l)
 			}
 		})
 	}
@@ -344,11 +344,11 @@
 func (e *exchange) answer() {
 	if _, full := e.wrongNow(BackendFull); full {
 		e.farm.record.with(func() { e.attempt.neverRan = true })
-		e.say(hosts.Refuse(503, true), true)
+		e.say(hosts.Rejection(503, true), true)
 		return
 	}
 	if _, fails := e.wrongNow(BackendFails); fails {
-		e.say(hosts.Refuse(500, false), true)
+		e.say(hosts.Rejection(500, false), true)
 		return
 	}
 	draw, hangs := e.wrongNow(BackendHangs)
@@ -384,7 +384,7 @@
 	}
 	if !e.farm.holds(e.attempt.id) {
 		e.farm.record.with(func() { e.attempt.neverRan = true })
-		e.say(hosts.Refuse(410, true), true)
+		e.say(hosts.Rejection(410, true), true)
 		return
 	}
 	e.stream(hangs)
@@ -401,12 +401,12 @@
 		e.say("noise\x00\x01 and no head", true)
 		return
 	}
-	if !e.say(hosts.Opening, false) {
+	if !e.say(hosts.StreamHead, false) {
 		return
 	}
 	tokens := tokensLeast + len(e.attempt.id)*7%(tokensMost-tokensLeast)
 	for i := range tokens {
-		if !e.say(hosts.Chunk(hosts.Event(eventText(i, e.farm.record.now()))), false) || !e.await(tokenTime) {
+		if !e.say(hosts.EncodeChunk(hosts.TextEvent(eventText(i, e.farm.record.now()))), false) || !e.await(tokenTime) {
 			return
 		}
 		if hangs && i == 1 {
@@ -422,9 +422,9 @@
 			return
 		}
 	}
-	end := hosts.Chunk(hosts.Usage+hosts.Done) + hosts.Last
+	end := hosts.EncodeChunk(hosts.UsageEvent+hosts.DoneEvent) + hosts.LastChunk
 	if spoils {
-		end += hosts.Opening + hosts.Chunk(hosts.Event("again")) // a second answer right behind
+		end += hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("again")) // a second answer right behind
 	}
 	wrote := e.say(end, true)
 	e.farm.record.with(func() { e.attempt.finished = wrote && !e.dead.Load() })
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -78,9 +78,9 @@
 	targets := []hosts.Target{}
 	for _, b := range backends {
 		b.mu.Lock()
-		kind := hosts.Writer
+		kind := hosts.DecodeKind
 		if b.prefill {
-			kind = hosts.Reader
+			kind = hosts.PrefillKind
 		}
 		targets = append(targets, hosts.Target{
 			UID: b.uid, Endpoint: b.at[a.dispatcher], Zone: "hall-1", Kind: kind, Rack: b.rack, State: b.state, Units: 1, Boot: b.bootMs,
@@ -141,7 +141,7 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(raw), raw)
 		return true
 	}
-	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+hosts.Chunk(raw+"\n"))
+	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+hosts.EncodeChunk(raw+"\n"))
 	a.watches[c] = address
 	return true
 }
@@ -151,7 +151,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, a := range d.agents {
-		a.push(hosts.Chunk("\n"))
+		a.push(hosts.EncodeChunk("\n"))
 	}
 }
 
@@ -182,7 +182,7 @@
 	}
 	for _, a := range d.agents {
 		now, written := d.record.now(), time.Duration(0)
-		if a.push(hosts.Chunk(string(a.entries(told, whole)) + "\n")) {
+		if a.push(hosts.EncodeChunk(string(a.entries(told, whole)) + "\n")) {
 			written = now
 		}
 		d.record.with(func() {
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -193,7 +193,7 @@
 
 // An event tells when it was written, however its stream is cut into reads.
 func TestAnEventTellsByHowMuchItIsLate(t *testing.T) {
-	raw := hosts.Chunk(hosts.Event(eventText(0, 1000*ms))) + hosts.Chunk(hosts.Event(eventText(1, 1400*ms)))
+	raw := hosts.EncodeChunk(hosts.TextEvent(eventText(0, 1000*ms))) + hosts.EncodeChunk(hosts.TextEvent(eventText(1, 1400*ms)))
 	for step := 1; step < len(raw); step++ {
 		e := &eventReader{from: iotest.OneByteReader(strings.NewReader(raw)), now: func() time.Duration { return 1500 * ms }}
 		for buffer := make([]byte, step); ; {
--- a/internal/stages/bytes_test.go
+++ b/internal/stages/bytes_test.go
@@ -53,8 +53,8 @@
 		c.end("broke")
 		c.cut(sized(`{"outcome":"read","error":"` + strings.Repeat("x", 200<<10) + `"}`))
 	},
-	doubled: func(c *call) { c.keep(); c.end(kserve.OutcomeRead); c.cut(sized(readOK) + sized(readOK)) },
-	slow:    func(c *call) { c.keep(); c.end(kserve.OutcomeRead); c.slowly(sized(readOK), 12) },
+	doubled: func(c *call) { c.keep(); c.end(kserve.OutcomePrefilled); c.cut(sized(readOK) + sized(readOK)) },
+	slow:    func(c *call) { c.keep(); c.end(kserve.OutcomePrefilled); c.slowly(sized(readOK), 12) },
 }
 
 // atWriter are faults of a writer's answer before its first token. It has run, unless it says that it is full.
@@ -73,13 +73,13 @@
 	doubled: func(c *call) {
 		c.take()
 		c.run()
-		c.end(kserve.OutcomeAnswered)
+		c.end(kserve.OutcomeCompleted)
 		c.cut(headLive + "\r\ndata: {\"text_output\":\" a\"}\n\nevent: end\ndata: {\"outcome\":\"answered\"}\n\n" + sized(`{"outcome":"full"}`))
 	},
 	slow: func(c *call) {
 		c.take()
 		c.run()
-		c.end(kserve.OutcomeAnswered)
+		c.end(kserve.OutcomeCompleted)
 		c.slowly(headLive+"Connection: close\r\n\r\ndata: {\"text_output\":\" a\"}\n\nevent: end\ndata: {\"outcome\":\"answered\"}\n\n", 12)
 	},
 }
@@ -87,14 +87,14 @@
 // inStream are faults of a stream that has begun.
 var inStream = map[string]func(c *call){
 	refuses:   func(c *call) { c.end("failed"); c.event("error", map[string]string{"error": "no more"}) },
-	full:      func(c *call) { c.end("full"); c.event("end", kserve.Told{Outcome: kserve.OutcomeFull}) },
+	full:      func(c *call) { c.end("full"); c.event("end", kserve.AttemptResult{Outcome: kserve.OutcomeFull}) },
 	resets:    func(c *call) { c.end("broke"); c.reset("") },
 	malformed: func(c *call) { c.end("broke"); c.plain("data: {\"text_output\n\n" + theEnd) },
 	cutOff:    func(c *call) { c.end("broke"); c.plain("data: {\"text_out"); panic(http.ErrAbortHandler) },
 	oversized: func(c *call) { c.end("broke"); c.plain("data: \"" + strings.Repeat("x", 2<<20) + "\"\n\n" + theEnd) },
 	silent:    func(c *call) { <-c.r.Context().Done(); c.end("closed") },
 	doubled: func(c *call) {
-		c.end(kserve.OutcomeAnswered)
+		c.end(kserve.OutcomeCompleted)
 		c.plain(theEnd + theEnd + "data: {\"text_output\":\" late\"}\n\n")
 	},
 	slow: func(c *call) {
@@ -102,7 +102,7 @@
 			time.Sleep(30 * time.Millisecond)
 			c.event("", kserve.Token{Text: " slow"})
 		}
-		c.end(kserve.OutcomeAnswered)
+		c.end(kserve.OutcomeCompleted)
 		c.plain(theEnd)
 	},
 }
@@ -170,7 +170,7 @@
 func proofs(script func(c *call)) run {
 	return func(s *site) func() {
 		// A trip that connects is out, by the rule's words; the far ends don't see it, and each writer may take limits.dial.
-		s.d.Rules.Pin = setup.Span(1500 * time.Millisecond)
+		s.d.Rules.KVCacheHoldLimit = setup.Duration(1500 * time.Millisecond)
 		for _, b := range s.boxes {
 			b.proof = first(3, script, func(c *call) { kserve.WriteJSON(c.w, http.StatusOK, map[string]string{"name": b.name}) })
 		}
@@ -182,7 +182,7 @@
 var atRelease = map[string]func(c *call){
 	refuses: func(c *call) { kserve.WriteJSON(c.w, http.StatusInternalServerError, nil) },
 	full: func(c *call) {
-		kserve.WriteJSON(c.w, http.StatusServiceUnavailable, kserve.Told{Outcome: kserve.OutcomeFull})
+		kserve.WriteJSON(c.w, http.StatusServiceUnavailable, kserve.AttemptResult{Outcome: kserve.OutcomeFull})
 	},
 	resets:    func(c *call) { c.reset("") },
 	silent:    func(c *call) { <-c.r.Context().Done() },
@@ -196,7 +196,7 @@
 // releases have writers that are full, so that every state is let go of by a release, whose first answers go wrong.
 func releases(script func(c *call)) run {
 	return func(s *site) func() {
-		s.d.Rules.Pin = setup.Span(1500 * time.Millisecond)
+		s.d.Rules.KVCacheHoldLimit = setup.Duration(1500 * time.Millisecond)
 		s.each("writer", func(b *box) { b.script = func(c *call) { c.told(http.StatusServiceUnavailable, kserve.OutcomeFull) } })
 		s.each("reader", func(b *box) {
 			b.let = first(2, script, (*call).release)
@@ -216,9 +216,9 @@
 			seen := s.watch.Load()
 			s.push <- line(s)
 			s.struck.Add(1)
-			s.ask(1, func(w *standin.Wish) { w.Name += "-meanwhile"; w.Session = w.Name })
+			s.ask(1, func(w *standin.Request) { w.Name += "-meanwhile"; w.Session = w.Name })
 			s.until("the list is followed again", func() bool { return s.watch.Load() > seen || s.state()["list_age_s"].(float64) < 2 })
-			s.ask(1, func(w *standin.Wish) { w.Name += "-after"; w.Session = w.Name })
+			s.ask(1, func(w *standin.Request) { w.Name += "-after"; w.Session = w.Name })
 			s.satisfied(9)
 		}
 	}
--- a/internal/stages/clients_test.go
+++ b/internal/stages/clients_test.go
@@ -17,7 +17,7 @@
 // A client that asks for its answer in one piece and reads none of it must not hold its place for ever.
 func TestAClientThatTakesNoAnswerIsLetGo(t *testing.T) {
 	s := open(t, func(s *site) {
-		s.d.Place.Write = setup.Span(200 * time.Millisecond)
+		s.d.Instance.WriteTimeout = setup.Duration(200 * time.Millisecond)
 		s.each("writer", func(b *box) {
 			b.script = func(c *call) {
 				c.take()
@@ -25,8 +25,8 @@
 				for range 6 {
 					c.event("", kserve.Token{Text: strings.Repeat("long ", 180_000)})
 				}
-				c.event("end", kserve.Told{Outcome: kserve.OutcomeAnswered})
-				c.end(kserve.OutcomeAnswered)
+				c.event("end", kserve.AttemptResult{Outcome: kserve.OutcomeCompleted})
+				c.end(kserve.OutcomeCompleted)
 				c.strike()
 			}
 		})
@@ -46,7 +46,7 @@
 // The time to take one answer must not run on into the next question on the same connection.
 func TestTheNextAnswerOnAConnectionHasItsOwnTime(t *testing.T) {
 	for _, way := range []string{"generate", "generate_stream"} {
-		s := open(t, func(s *site) { s.d.Place.Write = setup.Span(100 * time.Millisecond) })
+		s := open(t, func(s *site) { s.d.Instance.WriteTimeout = setup.Duration(100 * time.Millisecond) })
 		conn, err := net.Dial("tcp", s.base)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/stages/endless_test.go
+++ b/internal/stages/endless_test.go
@@ -78,7 +78,7 @@
 			})
 			s.ask(1, nil)
 			s.until("the boxes see it closed", func() bool { return s.struck.Load() == 3 })
-			if f := s.finals(); f[kserve.Forfeited] != 3 {
+			if f := s.finals(); f[kserve.Failed] != 3 {
 				t.Errorf("finals %v", f)
 			}
 			s.rules()
--- a/internal/stages/mark_test.go
+++ b/internal/stages/mark_test.go
@@ -21,10 +21,10 @@
 				c.strike()
 				mu.Lock()
 				defer mu.Unlock()
-				if had, ok := marks[c.e.Key()]; c.e.Mark == "" || ok && had != c.e.Mark {
-					t.Errorf("trip %d of %s has the mark %q, another had %q", c.e.Trip, c.e.Key(), c.e.Mark, had)
+				if had, ok := marks[c.e.RequestKey()]; c.e.DedupKey == "" || ok && had != c.e.DedupKey {
+					t.Errorf("trip %d of %s has the mark %q, another had %q", c.e.Attempt, c.e.RequestKey(), c.e.DedupKey, had)
 				}
-				marks[c.e.Key()] = c.e.Mark
+				marks[c.e.RequestKey()] = c.e.DedupKey
 				c.told(http.StatusInternalServerError, kserve.OutcomeFailed)
 			}
 		})
--- a/internal/stages/more_test.go
+++ b/internal/stages/more_test.go
@@ -20,7 +20,7 @@
 // asksBadly has clients whose bodies end or rest too early beside good ones.
 func asksBadly(body string, length int, closes bool) run {
 	return func(s *site) func() {
-		s.d.Place.BodyTime = setup.Span(100 * time.Millisecond)
+		s.d.Instance.BodyTimeout = setup.Duration(100 * time.Millisecond)
 		return func() {
 			for range 4 {
 				conn, err := net.Dial("tcp", s.base)
@@ -48,7 +48,7 @@
 
 // fewConnections has one connection to each box for all questions.
 func fewConnections(s *site) func() {
-	s.d.Limits.BoxConns = 1
+	s.d.Limits.MaxConnsPerBackend = 1
 	s.each("reader", func(b *box) {
 		b.script = func(c *call) { c.strike(); time.Sleep(20 * time.Millisecond); c.well() }
 	})
@@ -66,14 +66,14 @@
 	for _, b := range s.boxes {
 		b.proof = func(c *call) { c.strike(); <-c.r.Context().Done() }
 	}
-	return func() { s.ask(2, func(w *standin.Wish) { w.Leaves = 60 * time.Millisecond }) }
+	return func() { s.ask(2, func(w *standin.Request) { w.LeaveAfter = 60 * time.Millisecond }) }
 }
 
 func noTimeToConnect(s *site) func() {
 	for _, b := range s.boxes {
 		b.proof = func(c *call) { c.strike(); <-c.r.Context().Done() }
 	}
-	return func() { s.ask(2, func(w *standin.Wish) { w.Patience = 0.3 }) }
+	return func() { s.ask(2, func(w *standin.Request) { w.PatienceShare = 0.3 }) }
 }
 
 // leavesBeforeItsRead has clients leave while their prompts are read by a reader that keeps the state all the same.
@@ -87,7 +87,7 @@
 		}
 	})
 	return func() {
-		s.ask(2, func(w *standin.Wish) { w.Leaves = 100 * time.Millisecond })
+		s.ask(2, func(w *standin.Request) { w.LeaveAfter = 100 * time.Millisecond })
 		s.until("no state waits", func() bool { return s.waiting() == 0 })
 	}
 }
@@ -97,7 +97,7 @@
 	return func() {
 		gone := make(chan bool)
 		go func() {
-			s.ask(1, func(w *standin.Wish) { w.Name += "-leaves"; w.Session, w.Leaves = w.Name, 150*time.Millisecond })
+			s.ask(1, func(w *standin.Request) { w.Name += "-leaves"; w.Session, w.LeaveAfter = w.Name, 150*time.Millisecond })
 			close(gone)
 		}()
 		do()
@@ -108,8 +108,8 @@
 // startsWith has a dispatcher start with a kept list that says so; the list itself tells it of boxes.
 func startsWith(kept string) run {
 	return func(s *site) func() {
-		s.d.Place.Keep = s.t.TempDir()
-		if err := os.WriteFile(filepath.Join(s.d.Place.Keep, "boxlist-d.json"), []byte(kept), 0o644); err != nil {
+		s.d.Instance.EndpointCacheFolder = s.t.TempDir()
+		if err := os.WriteFile(filepath.Join(s.d.Instance.EndpointCacheFolder, "boxlist-d.json"), []byte(kept), 0o644); err != nil {
 			s.t.Fatal(err)
 		}
 		s.struck.Add(1)
@@ -122,9 +122,9 @@
 
 // startsWithoutAList has a list that is away, and a kept one.
 func startsWithoutAList(s *site) func() {
-	s.d.Place.Keep = s.t.TempDir()
+	s.d.Instance.EndpointCacheFolder = s.t.TempDir()
 	s.whole()
-	if err := os.WriteFile(filepath.Join(s.d.Place.Keep, "boxlist-d.json"), []byte(`{"saved_unix_ms":1,"push":`+s.last+`}`), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(s.d.Instance.EndpointCacheFolder, "boxlist-d.json"), []byte(`{"saved_unix_ms":1,"push":`+s.last+`}`), 0o644); err != nil {
 		s.t.Fatal(err)
 	}
 	s.noList = true
@@ -146,11 +146,11 @@
 			defer c.Close()
 			return c.LocalAddr().String()
 		}
-		s.d.Place.News = at()
-		s.d.Place.Siblings, s.d.Place.Peers, s.d.Limits.Siblings = 2, []string{s.d.Place.News, at()}, true
+		s.d.Instance.PeerListen = at()
+		s.d.Instance.FleetSize, s.d.Instance.PeerAddrs, s.d.Limits.PeerUpdates = 2, []string{s.d.Instance.PeerListen, at()}, true
 		return func() {
 			if raw != nil {
-				c, err := net.Dial("udp", s.d.Place.News)
+				c, err := net.Dial("udp", s.d.Instance.PeerListen)
 				if err != nil {
 					s.t.Fatal(err)
 				}
@@ -192,7 +192,7 @@
 // An answer that is to come in one piece has a bound.
 func TestAnAnswerTooLongToGatherIsForfeited(t *testing.T) {
 	s := open(t, func(s *site) {
-		s.d.Grades[0].Most = 64
+		s.d.Classes[0].DefaultMaxTokens = 64
 		s.each("writer", func(b *box) {
 			b.script = func(c *call) {
 				c.take()
@@ -219,7 +219,7 @@
 
 // What a client may say, and how it is refused: by the field, with nothing taken.
 func TestBodiesThatMakeNoSenseAreRefusedByName(t *testing.T) {
-	s := open(t, func(s *site) { s.d.Place.Body = 64 << 10 })
+	s := open(t, func(s *site) { s.d.Instance.MaxBodyBytes = 64 << 10 })
 	deep := func(n int) string {
 		return `{"text_input":"x","parameters":{"x":` + strings.Repeat("[", n) + strings.Repeat("]", n) + `}}`
 	}
--- a/internal/stages/open_test.go
+++ b/internal/stages/open_test.go
@@ -42,7 +42,7 @@
 // News count like own trips: they should be a sibling's, not anybody's who reaches the port.
 func TestNewsOfAStrangerAreDropped(t *testing.T) {
 	s := open(t, func(s *site) { words(nil)(s) })
-	c, err := net.Dial("udp", s.d.Place.News)
+	c, err := net.Dial("udp", s.d.Instance.PeerListen)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 				t.Fatal(err)
 			}
 			days["a reset while boxes hang"](&d)
-			d.Header.Seed, d.Limits.Storms = seed+1, guarded
+			d.Header.Seed, d.Limits.ThrottleRetries = seed+1, guarded
 			out, err := fleet.Play(d, "module")
 			if err != nil || !out.Passed() {
 				t.Fatal(err, out.Text())
--- a/internal/stages/site_test.go
+++ b/internal/stages/site_test.go
@@ -31,7 +31,7 @@
 // site is a real dispatcher on loopback with scripted boxes beside it, which say what no engine would.
 type site struct {
 	t       *testing.T
-	d       setup.Dispatcher
+	d       setup.DispatcherConfig
 	book    *record.Recorder
 	clients *standin.Clients
 	base    string
@@ -68,13 +68,13 @@
 	b     *box
 	w     http.ResponseWriter
 	r     *http.Request
-	e     kserve.Errand
+	e     kserve.AttemptParams
 	n     int64 // of this box's trips, from 1
 	ended bool
 }
 
 func (c *call) put(what, word string) {
-	c.b.s.book.Record(record.Event{Kind: what, Detail: word, Backend: c.b.name, Try: c.e.Mark, Class: c.e.Grade, RequestKey: c.e.Key(), Phase: c.e.Stage, Attempt: c.e.Trip})
+	c.b.s.book.Record(record.Event{Kind: what, Detail: word, Backend: c.b.name, Try: c.e.DedupKey, Class: c.e.Class, RequestKey: c.e.RequestKey(), Phase: c.e.Phase, Attempt: c.e.Attempt})
 }
 
 func (c *call) end(word string) {
@@ -103,24 +103,24 @@
 // told answers with one value, as boxes do.
 func (c *call) told(status int, outcome string) {
 	c.end(outcome) // before the dispatcher can know of it
-	kserve.WriteJSON(c.w, status, kserve.Told{Outcome: outcome})
+	kserve.WriteJSON(c.w, status, kserve.AttemptResult{Outcome: outcome})
 }
 
 // read keeps a state and says so.
 func (c *call) read() {
 	c.keep()
-	c.told(http.StatusOK, kserve.OutcomeRead)
+	c.told(http.StatusOK, kserve.OutcomePrefilled)
 }
 
 func (c *call) keep() {
 	c.b.s.mu.Lock()
-	c.b.s.waits[c.e.Key()] = c.b
+	c.b.s.waits[c.e.RequestKey()] = c.b
 	c.b.s.mu.Unlock()
 	c.put(record.KVCacheHeld, "")
 }
 
 // take fetches the state; false: there is none.
-func (c *call) take() bool { return c.b.s.letGo(c.e.Key(), "taken") }
+func (c *call) take() bool { return c.b.s.letGo(c.e.RequestKey(), "taken") }
 
 func (s *site) letGo(key, why string) bool {
 	s.mu.Lock()
@@ -145,10 +145,10 @@
 func (c *call) run() {
 	s := c.b.s
 	s.mu.Lock()
-	again := s.ran[c.e.Mark]
-	s.ran[c.e.Mark] = true
+	again := s.ran[c.e.DedupKey]
+	s.ran[c.e.DedupKey] = true
 	s.mu.Unlock()
-	if again && c.e.Grade == "deduplicated" {
+	if again && c.e.Class == "deduplicated" {
 		c.put(record.DuplicateDropped, "")
 		return
 	}
@@ -166,17 +166,17 @@
 func (c *call) answer() {
 	c.begin()
 	c.event("", kserve.Token{Text: " two"})
-	c.event("end", kserve.Told{Outcome: kserve.OutcomeAnswered})
-	c.end(kserve.OutcomeAnswered)
+	c.event("end", kserve.AttemptResult{Outcome: kserve.OutcomeCompleted})
+	c.end(kserve.OutcomeCompleted)
 }
 
 // well does what a good box does.
 func (c *call) well() {
 	switch {
-	case c.e.Stage == kserve.StageRead:
+	case c.e.Phase == kserve.PhasePrefill:
 		c.read()
-	case c.e.Stage == kserve.StageWrite && !c.take():
-		c.told(http.StatusServiceUnavailable, kserve.OutcomeNoState)
+	case c.e.Phase == kserve.PhaseDecode && !c.take():
+		c.told(http.StatusServiceUnavailable, kserve.OutcomeNoKVCache)
 	default:
 		c.answer()
 	}
@@ -196,9 +196,9 @@
 		}
 		c.release()
 	default:
-		e, _, err := kserve.ReadErrand(r.Body)
+		e, _, err := kserve.ReadAttemptParams(r.Body)
 		if err != nil {
-			kserve.WriteFault(w, err)
+			kserve.WriteError(w, err)
 			return
 		}
 		c.e, c.n = e, b.trips.Add(1)
@@ -215,13 +215,13 @@
 }
 
 func (c *call) release() {
-	list, err := kserve.ReadRelease(c.r.Body)
+	list, err := kserve.ReadReleases(c.r.Body)
 	if err != nil {
-		kserve.WriteFault(c.w, err)
+		kserve.WriteError(c.w, err)
 		return
 	}
 	for _, x := range list {
-		c.b.s.letGo(x.Key, "released")
+		c.b.s.letGo(x.RequestKey, "released")
 	}
 	kserve.WriteJSON(c.w, http.StatusOK, map[string]int{"released": len(list)})
 }
@@ -229,16 +229,16 @@
 // open starts a dispatcher with a reader and two writers; change may alter settings first.
 func open(t *testing.T, change func(*site)) *site {
 	t.Helper()
-	s := &site{t: t, d: setup.DefaultDispatcher(), boxes: map[string]*box{}, waits: map[string]*box{}, ran: map[string]bool{}, push: make(chan string, 64)}
-	s.d.Grades = nil
+	s := &site{t: t, d: setup.DefaultDispatcherConfig(), boxes: map[string]*box{}, waits: map[string]*box{}, ran: map[string]bool{}, push: make(chan string, 64)}
+	s.d.Classes = nil
 	for _, effect := range []string{"idempotent", "deduplicated", "unrepeatable"} {
-		s.d.Grades = append(s.d.Grades, setup.Grade{Name: effect, Effect: effect, Reach: "all", Window: setup.Span(time.Second), Promised: setup.Span(600 * time.Millisecond),
-			Expiry: setup.Span(1200 * time.Millisecond), Benefit: 1, Most: 8})
+		s.d.Classes = append(s.d.Classes, setup.Class{Name: effect, Effect: effect, DedupScope: "all", DedupWindow: setup.Duration(time.Second), LatencyTarget: setup.Duration(600 * time.Millisecond),
+			Deadline: setup.Duration(1200 * time.Millisecond), Value: 1, DefaultMaxTokens: 8})
 	}
-	s.d.Kinds = []setup.Kind{{Name: "reader", Role: "reader", Memory: 2e5}, {Name: "writer", Role: "writer", Memory: 2e5}, {Name: "mixed", Role: "mixed", Memory: 2e5}}
-	s.d.Place.Name, s.d.Place.Listen, s.d.Place.Seed, s.d.Place.Stop = "d", []string{"127.0.0.1:0"}, 5, setup.Span(time.Second)
-	s.d.Place.Margin = setup.Span(150 * time.Millisecond) // a machine that does much else must not decide the verdict
-	s.d.Limits.LocalRead, s.d.Limits.Stall, s.d.Rules.Pin = false, setup.Span(300*time.Millisecond), setup.Span(300*time.Millisecond)
+	s.d.BackendKinds = []setup.BackendKind{{Name: "reader", Role: "reader", MemoryTokens: 2e5}, {Name: "writer", Role: "writer", MemoryTokens: 2e5}, {Name: "mixed", Role: "mixed", MemoryTokens: 2e5}}
+	s.d.Instance.Name, s.d.Instance.Listen, s.d.Instance.Seed, s.d.Instance.ShutdownTimeout = "d", []string{"127.0.0.1:0"}, 5, setup.Duration(time.Second)
+	s.d.Instance.ResponseMargin = setup.Duration(150 * time.Millisecond) // a machine that does much else must not decide the verdict
+	s.d.Limits.DecodeCanPrefill, s.d.Limits.StallTimeout, s.d.Rules.KVCacheHoldLimit = false, setup.Duration(300*time.Millisecond), setup.Duration(300*time.Millisecond)
 	var err error
 	if s.book, err = record.Open("", record.Header{}); err != nil {
 		t.Fatal(err)
@@ -253,9 +253,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.d.Place.Boxes = list.Addr().String()
+	s.d.Instance.DiscoveryAddr = list.Addr().String()
 	if s.noList {
-		s.d.Place.Boxes = "127.0.0.1:1" // nobody listens there
+		s.d.Instance.DiscoveryAddr = "127.0.0.1:1" // nobody listens there
 	}
 	lists := &http.Server{Handler: http.HandlerFunc(s.list), ErrorLog: log.New(io.Discard, "", 0)}
 	go lists.Serve(list)
@@ -338,8 +338,8 @@
 	}
 }
 
-func (b *box) line(standing string) boxlist.Box {
-	return boxlist.Box{Name: b.name, Addresses: []addresses.Spec{{Network: addresses.TCP4, At: b.at}}, Kind: b.kind, Zone: "here", Rack: "r", Standing: standing, Units: 1, UpMs: -1}
+func (b *box) line(standing string) boxlist.Endpoint {
+	return boxlist.Endpoint{Name: b.name, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: b.at}}, Kind: b.kind, Zone: "here", Rack: "r", State: standing, Units: 1, UptimeMs: -1}
 }
 
 // list serves the box list: what is pushed, and a beat.
@@ -372,19 +372,19 @@
 }
 
 // whole makes the list of all boxes as ready; lines are for those that are said otherwise.
-func (s *site) whole(lines ...boxlist.Box) {
+func (s *site) whole(lines ...boxlist.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listed++
-	p := boxlist.Push{Version: s.listed, Whole: true}
+	p := boxlist.Update{Version: s.listed, Full: true}
 	for _, b := range s.boxes {
-		if i := slices.IndexFunc(lines, func(l boxlist.Box) bool { return l.Name == b.name }); i >= 0 {
-			p.Boxes = append(p.Boxes, lines[i])
+		if i := slices.IndexFunc(lines, func(l boxlist.Endpoint) bool { return l.Name == b.name }); i >= 0 {
+			p.Endpoints = append(p.Endpoints, lines[i])
 		} else {
-			p.Boxes = append(p.Boxes, b.line(boxlist.Ready))
+			p.Endpoints = append(p.Endpoints, b.line(boxlist.Ready))
 		}
 	}
-	slices.SortFunc(p.Boxes, func(a, b boxlist.Box) int { return len(a.Name) - len(b.Name) })
+	slices.SortFunc(p.Endpoints, func(a, b boxlist.Endpoint) int { return len(a.Name) - len(b.Name) })
 	raw, err := json.Marshal(p)
 	if err != nil {
 		panic(err)
@@ -393,20 +393,20 @@
 }
 
 // wish is a question of a grade.
-func wish(name, grade string) standin.Wish {
-	return standin.Wish{Name: name, Grade: grade, Session: name, Tokens: 500, Most: 8, Promised: 600 * time.Millisecond, Expiry: 1200 * time.Millisecond, Patience: 1}
+func wish(name, grade string) standin.Request {
+	return standin.Request{Name: name, Class: grade, Session: name, PromptTokens: 500, MaxTokens: 8, LatencyTarget: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond, PatienceShare: 1}
 }
 
 // ask asks some questions of each grade side by side and waits until all have their answers.
-func (s *site) ask(n int, change func(*standin.Wish)) {
+func (s *site) ask(n int, change func(*standin.Request)) {
 	var all sync.WaitGroup
 	for i := range n {
-		for _, g := range s.d.Grades {
+		for _, g := range s.d.Classes {
 			w := wish(fmt.Sprintf("%s-%d", g.Name, i), g.Name)
 			if change != nil {
 				change(&w)
 			}
-			all.Go(func() { s.clients.Ask(context.Background(), w) })
+			all.Go(func() { s.clients.Submit(context.Background(), w) })
 		}
 	}
 	all.Wait()
@@ -426,8 +426,8 @@
 // satisfied asserts how many clients were.
 func (s *site) satisfied(want int) {
 	s.t.Helper()
-	if f := s.finals(); f[kserve.Satisfied] != want {
-		s.t.Errorf("%d of %d satisfied: finals %v", f[kserve.Satisfied], want, f)
+	if f := s.finals(); f[kserve.Served] != want {
+		s.t.Errorf("%d of %d satisfied: finals %v", f[kserve.Served], want, f)
 	}
 }
 
@@ -442,7 +442,7 @@
 func (s *site) rules() judge.Verdict {
 	s.t.Helper()
 	s.stop()
-	v := judge.Check(record.Header{Scenario: s.t.Name(), Terms: s.d.Terms}, s.book.Events())
+	v := judge.Check(record.Header{Scenario: s.t.Name(), Terms: s.d.Deployment}, s.book.Events())
 	if !v.Passed() || v.Tries == 0 {
 		s.t.Errorf("%d tries\n%s", v.Tries, v.Text())
 	}
--- a/internal/stages/stop_test.go
+++ b/internal/stages/stop_test.go
@@ -12,7 +12,7 @@
 func TestAStopLetsGoOfWhatIsStillRead(t *testing.T) {
 	for range 5 {
 		s := open(t, func(s *site) {
-			s.d.Place.Stop = setup.Span(20 * time.Millisecond)
+			s.d.Instance.ShutdownTimeout = setup.Duration(20 * time.Millisecond)
 			s.each("reader", func(b *box) {
 				b.script = func(c *call) {
 					c.strike()
@@ -28,7 +28,7 @@
 		s.stop()
 		<-done
 		left := s.waiting()
-		if f := s.finals(); left > 0 || f[kserve.Forfeited]+f[kserve.Declined] != 12 {
+		if f := s.finals(); left > 0 || f[kserve.Failed]+f[kserve.Rejected] != 12 {
 			t.Errorf("%d states wait after the stop, finals %v", left, f)
 		}
 		s.rules()
--- a/internal/stages/token_test.go
+++ b/internal/stages/token_test.go
@@ -27,7 +27,7 @@
 						cl.take()
 						cl.begin()
 						cl.strike()
-						cl.end(kserve.OutcomeAnswered)
+						cl.end(kserve.OutcomeCompleted)
 						cl.plain(c.piece + theEnd)
 					}
 				})
--- a/internal/stages/trips_test.go
+++ b/internal/stages/trips_test.go
@@ -24,7 +24,7 @@
 		"all refuse":   func(c *call) { c.told(http.StatusInternalServerError, kserve.OutcomeFailed) },
 		"all are full": func(c *call) { c.told(http.StatusServiceUnavailable, kserve.OutcomeFull) },
 		"all reset": func(c *call) {
-			if c.e.Stage != kserve.StageRead {
+			if c.e.Phase != kserve.PhasePrefill {
 				c.take()
 				c.run()
 			}
@@ -32,7 +32,7 @@
 			c.reset("")
 		},
 		"writers cut off": func(c *call) {
-			if c.e.Stage == kserve.StageRead {
+			if c.e.Phase == kserve.PhasePrefill {
 				c.read()
 				return
 			}
@@ -57,19 +57,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := open(t, func(s *site) {
-				s.d.Limits.Trips = trips
-				s.d.Limits.RetryAfter = setup.Span(100 * time.Millisecond)
+				s.d.Limits.MaxAttempts = trips
+				s.d.Limits.MaxRetryAfter = setup.Duration(100 * time.Millisecond)
 				for _, b := range s.boxes {
 					b.script = func(c *call) { c.strike(); wrong(c) }
 				}
 			})
 			var all sync.WaitGroup
 			for i := range 4 {
-				for _, g := range s.d.Grades {
+				for _, g := range s.d.Classes {
 					all.Go(func() {
-						c := client.Client{To: []string{"http://" + s.base}, Tries: tries, Least: 20 * time.Millisecond}
-						c.Ask(context.Background(), client.Question{Text: fmt.Sprintf("%s %d", g.Name, i), Grade: g.Name, Session: fmt.Sprint(g.Name, i), Most: 8,
-							Time: 3 * time.Second, Safe: g.Effect == "idempotent"}, func(string) {})
+						c := client.Client{BaseURLs: []string{"http://" + s.base}, MaxAttempts: tries, MinBackoff: 20 * time.Millisecond}
+						c.Do(context.Background(), client.Request{Prompt: fmt.Sprintf("%s %d", g.Name, i), Class: g.Name, Session: fmt.Sprint(g.Name, i), MaxTokens: 8,
+							Timeout: 3 * time.Second, Idempotent: g.Effect == "idempotent"}, func(string) {})
 					})
 				}
 			}
@@ -105,7 +105,7 @@
 					t.Errorf("%s, unrepeatable, ran %d times", key, n)
 				}
 			}
-			questions := 4 * len(s.d.Grades)
+			questions := 4 * len(s.d.Classes)
 			if len(of) > questions*tries || len(sent) > questions*tries*trips || s.struck.Load() == 0 {
 				t.Errorf("%d questions came to %d tries and %d trips: at most %d and %d", questions, len(of), len(sent), questions*tries, questions*tries*trips)
 			}
