--- a/internal/stages/virtual_test.go
+++ b/internal/stages/virtual_test.go
@@ -15,7 +15,7 @@
 
 // trouble is one of a day, from a second on for so many.
 func trouble(kind string, at, length float64, change func(*day.Fault), boxes ...string) day.Fault {
-	t := day.Fault{Kind: kind, Start: setup.Span(at * 1e9), Duration: setup.Span(length * 1e9), Backends: boxes, Share: 0.3, Factor: 8, Delay: setup.Span(3 * time.Second)}
+	t := day.Fault{Kind: kind, Start: setup.Duration(at * 1e9), Duration: setup.Duration(length * 1e9), Backends: boxes, Share: 0.3, Factor: 8, Delay: setup.Duration(3 * time.Second)}
 	if change != nil {
 		change(&t)
 	}
@@ -203,7 +203,7 @@
 		switch l.Kind {
 		case record.AttemptReceived:
 			t.trips++
-			t.box, t.stage = l.Backend, map[string]string{kserve.StageRead: reading, kserve.StageWrite: writing, kserve.StageWhole: writing}[l.Phase]
+			t.box, t.stage = l.Backend, map[string]string{kserve.PhasePrefill: reading, kserve.PhaseDecode: writing, kserve.PhaseCombined: writing}[l.Phase]
 			if up := boot[l.Backend]; up.SlowStart && l.TimeUs-up.TimeUs < int64(8e6) {
 				hit(t.stage, cold)
 			}
@@ -241,19 +241,19 @@
 				hit(was, refuses)
 			case l.Detail == kserve.OutcomeFull:
 				hit(was, full)
-			case l.Detail == kserve.OutcomeNoState:
+			case l.Detail == kserve.OutcomeNoKVCache:
 				hit(waiting, cutOff)
 			case l.Detail == "closed" && on["hang"]:
 				hit(was, silent)
 			case l.Detail == "closed":
 				hit(was, timeUp)
-			case l.Detail == kserve.OutcomeRead:
+			case l.Detail == kserve.OutcomePrefilled:
 				t.stage = waiting
 			}
-			if on["slow"] && (l.Detail == kserve.OutcomeRead || l.Detail == kserve.OutcomeAnswered) {
+			if on["slow"] && (l.Detail == kserve.OutcomePrefilled || l.Detail == kserve.OutcomeCompleted) {
 				hit(was, slow)
 			}
-			if on["link_slow"] && l.Phase == kserve.StageWrite {
+			if on["link_slow"] && l.Phase == kserve.PhaseDecode {
 				hit(waiting, slow)
 			}
 		case record.KVCacheReleased:
@@ -271,10 +271,10 @@
 			if l.Attempts > t.trips {
 				hit(connecting, refuses)
 			}
-			if l.Detail != kserve.Satisfied && l.TimeUs-t.asked.TimeUs > t.asked.DeadlineUs-150_000 {
+			if l.Detail != kserve.Served && l.TimeUs-t.asked.TimeUs > t.asked.DeadlineUs-150_000 {
 				hit(t.stage, timeUp)
 			}
-			if l.Detail == kserve.Declined && t.trips == 0 {
+			if l.Detail == kserve.Rejected && t.trips == 0 {
 				hit(held, full)
 			}
 			delete(open, l.Try)
--- a/internal/stages/window_test.go
+++ b/internal/stages/window_test.go
@@ -15,8 +15,8 @@
 func TestARepeatLeavesWithinItsWindow(t *testing.T) {
 	const window = 500 * time.Millisecond
 	s := open(t, func(s *site) {
-		s.d.Grades[1].Window = setup.Span(window)
-		s.d.Grades[1].Expiry, s.d.Grades[1].Promised = setup.Span(2*time.Second), setup.Span(time.Second)
+		s.d.Classes[1].DedupWindow = setup.Duration(window)
+		s.d.Classes[1].Deadline, s.d.Classes[1].LatencyTarget = setup.Duration(2*time.Second), setup.Duration(time.Second)
 		s.each("writer", func(b *box) {
 			b.script = func(c *call) {
 				c.strike()
@@ -35,11 +35,11 @@
 		})
 	})
 	w := wish("q", "deduplicated")
-	w.Expiry, w.Promised = 2*time.Second, time.Second
-	s.clients.Ask(context.Background(), w)
+	w.Deadline, w.LatencyTarget = 2*time.Second, time.Second
+	s.clients.Submit(context.Background(), w)
 	first := map[string]int64{}
 	for _, l := range s.book.Events() {
-		if l.Kind != record.AttemptReceived || l.Class != "deduplicated" || l.Phase == kserve.StageRead {
+		if l.Kind != record.AttemptReceived || l.Class != "deduplicated" || l.Phase == kserve.PhasePrefill {
 			continue
 		}
 		if at, ok := first[l.RequestKey]; !ok {
--- a/internal/standin/box.go
+++ b/internal/standin/box.go
@@ -22,7 +22,7 @@
 )
 
 // Make is how a box is built.
-type Make struct {
+type Config struct {
 	Name, Kind, Role, Zone, Rack string
 	Units                        float64
 	Addresses                    []addresses.Spec
@@ -31,97 +31,97 @@
 }
 
 // Instant is an engine that takes next to no time, for what is not about engines.
-var Instant = engine.Make{Reads: true, Writes: true, Slots: 1 << 20, Queue: 1 << 20, Blocks: 1 << 40, BlockTokens: 1 << 20, Chunk: 1 << 30, Step: time.Microsecond,
+var InstantEngine = engine.Make{Reads: true, Writes: true, Slots: 1 << 20, Queue: 1 << 20, Blocks: 1 << 40, BlockTokens: 1 << 20, Chunk: 1 << 30, Step: time.Microsecond,
 	ReadPerS: 1e12, StateLife: 8 * time.Second}
 
 // Faults are what a box does wrong just now.
 type Faults struct {
-	Slow           float64 // times; 0 and 1: none
-	Fail           float64 // share of trips answered with an error at once
-	FailGrade      string  // only of this grade
-	Hang           bool    // takes trips and says nothing
-	Reset          float64 // share of answers cut off mid-stream
-	ResetAtOnce    float64 // share of writes cut off when they have begun to run, before a token
-	CrashAfterRead float64 // share of reads after which it dies
-	Ignore         bool    // a cancel does not stop its work
-	Neighbour      float64 // share of its machine that another program takes
-	AgeBy          float64 // share by which its pace falls each second
-	EvictFresh     bool    // memory pressure takes a state that has just been fetched
+	SlowFactor             float64 // times; 0 and 1: none
+	ErrorShare             float64 // share of trips answered with an error at once
+	ErrorClass             string  // only of this grade
+	Hang                   bool    // takes trips and says nothing
+	ResetShare             float64 // share of answers cut off mid-stream
+	EarlyResetShare        float64 // share of writes cut off when they have begun to run, before a token
+	CrashAfterPrefillShare float64 // share of reads after which it dies
+	IgnoreCancel           bool    // a cancel does not stop its work
+	NeighbourShare         float64 // share of its machine that another program takes
+	AgingRate              float64 // share by which its pace falls each second
+	EvictFetched           bool    // memory pressure takes a state that has just been fetched
 }
 
 // Box is one stand-in model host.
-type Box struct {
-	Make
+type Backend struct {
+	Config
 	fleet *Fleet
 
-	mu       sync.Mutex
-	rng      *rand.Rand
-	faults   Faults
-	server   *http.Server
-	stop     context.CancelFunc
-	life     context.Context
-	gates    []*Gate
-	Start    uint64
-	started  time.Duration // on the record's clock
-	cold     bool
-	up       bool
-	fell     bool
-	engine   *engine.Engine
-	wake     chan struct{}     // the engine may have something to do
-	tries    map[string]string // of the states that wait, by key
-	unkept   map[string]bool   // states to be let go of once the fetch that is on has failed
-	letGo    map[string]releasedUpTo
-	sent     []sent
-	counts   counts
-	handlers sync.WaitGroup
+	mu                sync.Mutex
+	rng               *rand.Rand
+	faults            Faults
+	server            *http.Server
+	cancel            context.CancelFunc
+	ctx               context.Context
+	endpoints         []*Endpoint
+	StartNumber       uint64
+	startedAt         time.Duration // on the record's clock
+	slowStart         bool
+	running           bool
+	overloaded        bool
+	engine            *engine.Engine
+	wake              chan struct{}     // the engine may have something to do
+	heldTries         map[string]string // of the states that wait, by key
+	releaseAfterFetch map[string]bool   // states to be let go of once the fetch that is on has failed
+	releases          map[string]releaseRecord
+	recentWork        []workSample
+	usage             usageCounts
+	handlers          sync.WaitGroup
 }
 
-type sent struct {
-	at   time.Duration
-	work float64
+type workSample struct {
+	receivedAt time.Duration
+	work       float64
 }
 
 // NewBox adds a box to the fleet; Boot starts it.
-func (f *Fleet) NewBox(m Make) *Box {
-	b := &Box{Make: m, fleet: f, rng: chanceOf(m.Seed, m.Name)}
+func (f *Fleet) NewBackend(m Config) *Backend {
+	b := &Backend{Config: m, fleet: f, rng: newRand(m.Seed, m.Name)}
 	for _, s := range m.Addresses {
-		b.gates = append(b.gates, &Gate{Spec: s})
+		b.endpoints = append(b.endpoints, &Endpoint{Spec: s})
 	}
 	return b
 }
 
 // Boot starts the box's process; a cold one ramps up.
-func (b *Box) Boot(cold bool) error {
+func (b *Backend) Boot(cold bool) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.up {
+	if b.running {
 		return nil
 	}
-	front := newDoor()
-	for i, g := range b.gates {
+	front := newConnListener()
+	for i, g := range b.endpoints {
 		if err := g.Open(front); err != nil {
-			for _, g := range b.gates[:i] {
+			for _, g := range b.endpoints[:i] {
 				g.Close()
 			}
 			return err
 		}
 	}
 	var life context.Context
-	life, b.stop = context.WithCancel(context.Background())
-	b.life = life
-	b.Start, b.started, b.cold, b.up, b.fell = b.fleet.start(), b.fleet.Book.Elapsed(), cold, true, false
-	b.letGo, b.tries, b.unkept, b.sent = map[string]releasedUpTo{}, map[string]string{}, map[string]bool{}, nil
-	b.engine, b.wake = engine.New(b.Engine, b.started, cold), make(chan struct{}, 1)
-	b.apply()
+	life, b.cancel = context.WithCancel(context.Background())
+	b.ctx = life
+	b.StartNumber, b.startedAt, b.slowStart, b.running, b.overloaded = b.fleet.nextStartNumber(), b.fleet.Record.Elapsed(), cold, true, false
+	b.releases, b.heldTries, b.releaseAfterFetch, b.recentWork = map[string]releaseRecord{}, map[string]string{}, map[string]bool{}, nil
+	b.engine, b.wake = engine.New(b.Engine, b.startedAt, cold), make(chan struct{}, 1)
+	b.applyEngineFaults()
 	b.handlers.Add(1)
-	go b.drive(life, b.engine, b.wake)
+	go b.runEngine(life, b.engine, b.wake)
 	mux := http.NewServeMux()
 	at := "POST /v2/models/" + b.fleet.Terms.Model
-	mux.HandleFunc(at+"/generate", b.trip)
-	mux.HandleFunc(at+"/generate_stream", b.trip)
-	mux.HandleFunc(at+"/release", b.release)
-	mux.HandleFunc(at+"/state", b.state)
-	mux.HandleFunc(at+"/counts", b.tell)
+	mux.HandleFunc(at+"/generate", b.handleAttempt)
+	mux.HandleFunc(at+"/generate_stream", b.handleAttempt)
+	mux.HandleFunc(at+"/release", b.handleRelease)
+	mux.HandleFunc(at+"/state", b.handleFetch)
+	mux.HandleFunc(at+"/counts", b.handleCounts)
 	mux.HandleFunc("GET /v2", func(w http.ResponseWriter, r *http.Request) {
 		kserve.WriteJSON(w, http.StatusOK, map[string]any{"name": b.Name})
 	})
@@ -129,21 +129,21 @@
 		Handler: mux, ErrorLog: log.New(io.Discard, "", 0), ReadHeaderTimeout: 5 * time.Second,
 		BaseContext: func(net.Listener) context.Context { return life },
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, cameBy{}, c)
+			return context.WithValue(ctx, connKey{}, c)
 		},
 	}
 	server := b.server
 	b.handlers.Add(1)
 	go func() { defer b.handlers.Done(); server.Serve(front) }()
-	b.fleet.Book.Record(record.Event{Kind: record.ProcessStarted, Backend: b.Name, StartID: b.Start, SlowStart: cold})
+	b.fleet.Record.Record(record.Event{Kind: record.ProcessStarted, Backend: b.Name, StartID: b.StartNumber, SlowStart: cold})
 	return nil
 }
 
 // Gate is one of the box's addresses.
-func (b *Box) Gate(i int) *Gate { return b.gates[i] }
+func (b *Backend) Endpoint(i int) *Endpoint { return b.endpoints[i] }
 
 // listen binds an address that a killed process may have had a moment ago.
-func listen(network, addr string) (net.Listener, error) {
+func listenWithRetry(network, addr string) (net.Listener, error) {
 	var err error
 	for range 50 {
 		var l net.Listener
@@ -156,102 +156,102 @@
 }
 
 // Kill ends the process outright: connections break and what it held is lost.
-func (b *Box) Kill(why string) {
+func (b *Backend) Kill(why string) {
 	b.mu.Lock()
-	if !b.up {
+	if !b.running {
 		b.mu.Unlock()
 		return
 	}
-	b.up = false
-	b.fleet.Book.Record(record.Event{Kind: record.ProcessEnded, Backend: b.Name, StartID: b.Start, Detail: why})
-	for key, try := range b.tries {
-		b.fleet.Book.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: "lost"})
+	b.running = false
+	b.fleet.Record.Record(record.Event{Kind: record.ProcessEnded, Backend: b.Name, StartID: b.StartNumber, Detail: why})
+	for key, try := range b.heldTries {
+		b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: "lost"})
 	}
-	clear(b.tries)
+	clear(b.heldTries)
 	b.engine.Stop()
-	b.stop()
+	b.cancel()
 	server := b.server
 	b.mu.Unlock()
 	server.Close()
-	for _, g := range b.gates {
+	for _, g := range b.endpoints {
 		g.Close()
 	}
 	b.handlers.Wait()
 }
 
 // Up tells whether its process runs.
-func (b *Box) Up() bool {
+func (b *Backend) Up() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.up
+	return b.running
 }
 
 // UpFor is how long it has been up, and whether it started cold.
-func (b *Box) UpFor() (time.Duration, bool, uint64) {
+func (b *Backend) Uptime() (time.Duration, bool, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.fleet.Book.Elapsed() - b.started, b.cold, b.Start
+	return b.fleet.Record.Elapsed() - b.startedAt, b.slowStart, b.StartNumber
 }
 
 // Do changes the faults.
-func (b *Box) Do(change func(*Faults)) {
+func (b *Backend) UpdateFaults(change func(*Faults)) {
 	b.mu.Lock()
 	change(&b.faults)
-	b.apply()
+	b.applyEngineFaults()
 	b.mu.Unlock()
 }
 
 // apply hands the engine those faults that are its own; the box is locked.
-func (b *Box) apply() {
+func (b *Backend) applyEngineFaults() {
 	if b.engine == nil {
 		return
 	}
-	now := b.fleet.Book.Elapsed()
-	b.engine.Slow, b.engine.Neighbour, b.engine.EvictFresh = b.faults.Slow, b.faults.Neighbour, b.faults.EvictFresh
-	if b.engine.AgeBy != b.faults.AgeBy {
-		b.engine.Age(now, b.faults.AgeBy)
+	now := b.fleet.Record.Elapsed()
+	b.engine.Slow, b.engine.Neighbour, b.engine.EvictFresh = b.faults.SlowFactor, b.faults.NeighbourShare, b.faults.EvictFetched
+	if b.engine.AgeBy != b.faults.AgingRate {
+		b.engine.Age(now, b.faults.AgingRate)
 	}
 }
 
 // Forget drops the kept texts.
-func (b *Box) Forget() {
+func (b *Backend) DropCache() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.up {
+	if b.running {
 		b.engine.Forget()
 	}
 }
 
 // share is which part of its capacity the box can do now.
-func (b *Box) share() float64 {
+func (b *Backend) slowStartShare() float64 {
 	r := b.fleet.Terms.Rules
-	since := b.fleet.Book.Elapsed() - b.started
-	if !b.cold || since >= r.ColdRamp.D() {
+	since := b.fleet.Record.Elapsed() - b.startedAt
+	if !b.slowStart || since >= r.SlowStartRamp.Std() {
 		return 1
 	}
-	return r.ColdShare + (1-r.ColdShare)*float64(since)/float64(r.ColdRamp.D())
+	return r.SlowStartShare + (1-r.SlowStartShare)*float64(since)/float64(r.SlowStartRamp.Std())
 }
 
 // drive runs an engine's steps in real time until its process ends.
-func (b *Box) drive(ctx context.Context, e *engine.Engine, wake chan struct{}) {
+func (b *Backend) runEngine(ctx context.Context, e *engine.Engine, wake chan struct{}) {
 	defer b.handlers.Done()
 	var due time.Duration // when the step that is on ends, by plan: what a timer oversleeps is not added up
 	for {
 		b.mu.Lock()
-		now := b.fleet.Book.Elapsed()
+		now := b.fleet.Record.Elapsed()
 		wait, ok := e.Loading(now), false
 		if wait == 0 {
-			wait, ok = e.Begin(max(due, now-maxBehind))
+			wait, ok = e.Begin(max(due, now-maxStepLag))
 		}
-		b.expired()
+		b.recordExpired()
 		b.mu.Unlock()
 		switch {
 		case ok:
-			if due < now-maxBehind {
+			if due < now-maxStepLag {
 				due = now
 			}
 			due += wait
-			if sleep(ctx, due-b.fleet.Book.Elapsed()) != nil {
+			if sleep(ctx, due-b.fleet.Record.Elapsed()) != nil {
 				return
 			}
 			b.mu.Lock()
@@ -270,16 +270,16 @@
 			case <-ctx.Done():
 				return
 			}
-			due = b.fleet.Book.Elapsed()
+			due = b.fleet.Record.Elapsed()
 		}
 	}
 }
 
 // maxBehind is how far a step may lag behind its plan; a machine that lags more plays slower engines.
-const maxBehind = 20 * time.Millisecond
+const maxStepLag = 20 * time.Millisecond
 
 // nudge has the engine look for something to do.
-func (b *Box) nudge() {
+func (b *Backend) wakeEngine() {
 	select {
 	case b.wake <- struct{}{}:
 	default:
@@ -287,59 +287,59 @@
 }
 
 // expired takes down the states that the engine has dropped by itself; the box is locked.
-func (b *Box) expired() {
-	for key, try := range b.tries {
+func (b *Backend) recordExpired() {
+	for key, try := range b.heldTries {
 		if _, waits := b.engine.Waits(key); !waits && !b.engine.Moves(key) {
-			delete(b.tries, key)
-			b.fleet.Book.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: "expired"})
+			delete(b.heldTries, key)
+			b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: "expired"})
 		}
 	}
 }
 
 // work is what a trip asks of the box, in seconds of its full capacity: the mean of its grade.
-func (b *Box) work(e kserve.Errand) float64 {
+func (b *Backend) meanWork(e kserve.AttemptParams) float64 {
 	m := b.Engine
-	read := b.fleet.leftToRead(e.Grade) / m.ReadPerS
+	read := b.fleet.meanUncached(e.Class) / m.ReadPerS
 	step := m.Step.Seconds() + float64(m.Slots)*m.PerAnswer.Seconds() + float64(m.Slots)*m.PerContextK.Seconds()
-	write := b.fleet.Talk[e.Grade].Answer * step / float64(m.Slots)
-	switch e.Stage {
-	case kserve.StageRead:
+	write := b.fleet.Profiles[e.Class].AnswerTokens * step / float64(m.Slots)
+	switch e.Phase {
+	case kserve.PhasePrefill:
 		return read
-	case kserve.StageWrite:
+	case kserve.PhaseDecode:
 		return write
 	}
 	return read + write
 }
 
 // weigh counts a trip's work against what a cold box bears, and tells whether it falls over.
-func (b *Box) weigh(work float64) bool {
+func (b *Backend) overloads(work float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	r, now := b.fleet.Terms.Rules, b.fleet.Book.Elapsed()
-	if !b.cold || now-b.started > r.ColdRamp.D() {
+	r, now := b.fleet.Terms.Rules, b.fleet.Record.Elapsed()
+	if !b.slowStart || now-b.startedAt > r.SlowStartRamp.Std() {
 		return false
 	}
-	b.sent = append(b.sent, sent{now, work})
-	for len(b.sent) > 0 && b.sent[0].at < now-r.ColdWindow.D() {
-		b.sent = b.sent[1:]
+	b.recentWork = append(b.recentWork, workSample{now, work})
+	for len(b.recentWork) > 0 && b.recentWork[0].receivedAt < now-r.SlowStartWindow.Std() {
+		b.recentWork = b.recentWork[1:]
 	}
 	sum := 0.0
-	for _, s := range b.sent {
+	for _, s := range b.recentWork {
 		sum += s.work
 	}
-	b.fell = b.fell || sum > r.ColdMultiple*b.share()*r.ColdWindow.D().Seconds()*coldSlack
-	return b.fell
+	b.overloaded = b.overloaded || sum > r.SlowStartMultiple*b.slowStartShare()*r.SlowStartWindow.Std().Seconds()*slowStartSlack
+	return b.overloaded
 }
 
 // coldSlack is a little room for chance in what a cold box bears.
-const coldSlack = 1.1
+const slowStartSlack = 1.1
 
-func (b *Box) load() []float64 {
+func (b *Backend) loadReport() []float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	values := b.engine.Report()
 	var out []float64
-	for _, name := range b.fleet.Terms.Report {
+	for _, name := range b.fleet.Terms.ReportFields {
 		out = append(out, values[name])
 	}
 	return out
@@ -347,57 +347,57 @@
 
 // run is a job in an engine, as its handler sees it. The engine's calls must not wait: tokens are counted, and written out
 // by the handler at the client's pace.
-type run struct {
-	job    engine.Job
-	tokens atomic.Int64
-	kept   atomic.Int64
-	end    atomic.Int64 // 1 + engine.End
-	bell   chan struct{}
+type engineJob struct {
+	job          engine.Job
+	tokens       atomic.Int64
+	cachedTokens atomic.Int64
+	end          atomic.Int64 // 1 + engine.End
+	changed      chan struct{}
 }
 
-func (r *run) ring() {
+func (r *engineJob) notify() {
 	select {
-	case r.bell <- struct{}{}:
+	case r.changed <- struct{}{}:
 	default:
 	}
 }
 
 // trip serves one trip from its bytes to its end.
-func (b *Box) trip(w http.ResponseWriter, r *http.Request) {
-	e, _, err := kserve.ReadErrand(http.MaxBytesReader(w, r.Body, 16<<20))
+func (b *Backend) handleAttempt(w http.ResponseWriter, r *http.Request) {
+	e, _, err := kserve.ReadAttemptParams(http.MaxBytesReader(w, r.Body, 16<<20))
 	if err != nil {
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return
 	}
-	line := record.Event{Backend: b.Name, Try: e.Mark, Class: e.Grade, RequestKey: e.Key(), Phase: e.Stage, Attempt: e.Trip}
+	line := record.Event{Backend: b.Name, Try: e.DedupKey, Class: e.Class, RequestKey: e.RequestKey(), Phase: e.Phase, Attempt: e.Attempt}
 	put := func(what, word string) {
 		l := line
 		l.Kind, l.Detail = what, word
-		b.fleet.Book.Record(l)
+		b.fleet.Record.Record(l)
 	}
-	work := b.work(e)
+	work := b.meanWork(e)
 	got := line
 	got.Kind, got.Work = record.AttemptReceived, work
-	if c := connOf(r.Context()); c != nil {
-		got.Address = c.gate.Spec.String()
-		arrived, gone := c.times()
-		got.ArrivedUs = b.fleet.Book.TimestampUs(arrived)
+	if c := connFromContext(r.Context()); c != nil {
+		got.Address = c.endpoint.Spec.String()
+		arrived, gone := c.timestamps()
+		got.ArrivedUs = b.fleet.Record.TimestampUs(arrived)
 		if !gone.IsZero() {
 			// Its dispatcher has closed already: such a trip is not begun.
-			got.ClosedUs = b.fleet.Book.TimestampUs(gone)
-			b.fleet.Book.Record(got)
+			got.ClosedUs = b.fleet.Record.TimestampUs(gone)
+			b.fleet.Record.Record(got)
 			put(record.AttemptEnded, "dropped")
 			return
 		}
 	}
-	b.fleet.Book.Record(got)
+	b.fleet.Record.Record(got)
 	// Whoever asked may go while the box works on: that is taken down on its own.
 	unwatch := context.AfterFunc(r.Context(), func() { put(record.AttemptClosed, "") })
 	defer unwatch()
 	word := "broke"
 	var spent func() (read, kept, answer int)
-	count := b.count(e)
-	costs := func(end string) *kserve.Count {
+	count := b.countAttempt(e)
+	costs := func(end string) *kserve.UsageRecord {
 		if spent == nil {
 			return count(end, 0, 0, 0)
 		}
@@ -407,27 +407,27 @@
 	defer func() { costs(word); put(record.AttemptEnded, word) }()
 
 	b.mu.Lock()
-	start, faults, life := b.Start, b.faults, b.life
-	fails := b.rng.Float64() < faults.Fail && (faults.FailGrade == "" || faults.FailGrade == e.Grade)
-	resets, resetsNow := b.rng.Float64() < faults.Reset, b.rng.Float64() < faults.ResetAtOnce
-	crashes := b.rng.Float64() < faults.CrashAfterRead
+	start, faults, life := b.StartNumber, b.faults, b.ctx
+	fails := b.rng.Float64() < faults.ErrorShare && (faults.ErrorClass == "" || faults.ErrorClass == e.Class)
+	resets, resetsNow := b.rng.Float64() < faults.ResetShare, b.rng.Float64() < faults.EarlyResetShare
+	crashes := b.rng.Float64() < faults.CrashAfterPrefillShare
 	b.mu.Unlock()
-	if b.weigh(work) {
-		b.fleet.Book.Record(record.Event{Kind: record.Overloaded, Backend: b.Name, StartID: start})
+	if b.overloads(work) {
+		b.fleet.Record.Record(record.Event{Kind: record.Overloaded, Backend: b.Name, StartID: start})
 		go b.Kill("pushed over")
 		panic(http.ErrAbortHandler)
 	}
 	effect := func() {
-		if b.fleet.runs(b, e.Grade, cmp.Or(e.Mark, e.Key())) {
+		if b.fleet.isNewEffect(b, e.Class, cmp.Or(e.DedupKey, e.RequestKey())) {
 			put(record.EffectStarted, "")
 		} else {
 			put(record.DuplicateDropped, "")
 		}
 	}
-	answer := func(status int, told kserve.Told) {
-		told.Load = b.load()
+	answer := func(status int, told kserve.AttemptResult) {
+		told.Load = b.loadReport()
 		word = told.Outcome
-		told.Count = costs(word)
+		told.Usage = costs(word)
 		kserve.WriteJSON(w, status, told)
 	}
 	ctx := r.Context()
@@ -436,36 +436,36 @@
 		<-ctx.Done()
 		return
 	case fails:
-		if e.Stage != kserve.StageRead { // an error may come after the effect
+		if e.Phase != kserve.PhasePrefill { // an error may come after the effect
 			effect()
 		}
-		answer(http.StatusInternalServerError, kserve.Told{Outcome: kserve.OutcomeFailed, Error: "internal error"})
+		answer(http.StatusInternalServerError, kserve.AttemptResult{Outcome: kserve.OutcomeFailed, Error: "internal error"})
 		return
 	}
-	if faults.Ignore {
+	if faults.IgnoreCancel {
 		ctx = life
 	}
-	j := &run{bell: make(chan struct{}, 1)}
-	j.job = engine.Job{Key: e.Key(), Session: e.Session, Shared: e.Shared, Prompt: e.Tokens, Prefix: e.Prefix, Answer: 1}
-	switch e.Stage {
-	case kserve.StageRead:
+	j := &engineJob{changed: make(chan struct{}, 1)}
+	j.job = engine.Job{Key: e.RequestKey(), Session: e.Session, Shared: e.SharedPrefix, Prompt: e.PromptTokens, Prefix: e.PrefixTokens, Answer: 1}
+	switch e.Phase {
+	case kserve.PhasePrefill:
 		j.job.Stage = engine.Read
-	case kserve.StageWrite:
+	case kserve.PhaseDecode:
 		j.job.Stage = engine.Write
 	default:
 		j.job.Stage = engine.Whole
 	}
-	if e.Stage != kserve.StageRead {
-		j.job.Answer = b.fleet.answerTokens(e.Grade, e.Mark, e.Most)
+	if e.Phase != kserve.PhasePrefill {
+		j.job.Answer = b.fleet.answerTokens(e.Class, e.DedupKey, e.MaxTokens)
 	}
-	j.job.Token = func(n int) { j.tokens.Store(int64(n)); j.ring() }
+	j.job.Token = func(n int) { j.tokens.Store(int64(n)); j.notify() }
 	j.job.Ended = func(how engine.End, kept int) {
-		j.kept.Store(int64(kept))
+		j.cachedTokens.Store(int64(kept))
 		j.end.Store(1 + int64(how))
-		j.ring()
+		j.notify()
 	}
 	b.mu.Lock()
-	if !b.up || b.Start != start {
+	if !b.running || b.StartNumber != start {
 		b.mu.Unlock()
 		return
 	}
@@ -474,25 +474,25 @@
 		b.handlers.Add(1)
 		go func() {
 			defer b.handlers.Done()
-			err := b.fetch(ctx, e)
+			err := b.fetchKVCache(ctx, e)
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			if b.engine == eng && b.up {
+			if b.engine == eng && b.running {
 				arrived(err == nil)
-				b.nudge()
+				b.wakeEngine()
 			}
 		}()
 	}
-	if e.Stage == kserve.StageRead {
+	if e.Phase == kserve.PhasePrefill {
 		ended := j.job.Ended
 		j.job.Ended = func(how engine.End, kept int) { // the box is locked
 			if how == engine.Done {
-				if l, ok := b.letGo[e.Key()]; ok && e.Trip <= l.trip {
-					eng.Release(e.Key()) // it was released before it was read
+				if l, ok := b.releases[e.RequestKey()]; ok && e.Attempt <= l.attempt {
+					eng.Release(e.RequestKey()) // it was released before it was read
 					how = engine.Dropped
 				} else {
-					b.tries[e.Key()] = e.Mark
-					b.fleet.Book.Record(record.Event{Kind: record.KVCacheHeld, Backend: b.Name, RequestKey: e.Key(), Try: e.Mark, Class: e.Grade})
+					b.heldTries[e.RequestKey()] = e.DedupKey
+					b.fleet.Record.Record(record.Event{Kind: record.KVCacheHeld, Backend: b.Name, RequestKey: e.RequestKey(), Try: e.DedupKey, Class: e.Class})
 				}
 			}
 			ended(how, kept)
@@ -503,21 +503,21 @@
 		defer b.mu.Unlock()
 		return j.job.Spent()
 	}
-	eng.Submit(b.fleet.Book.Elapsed(), &j.job)
-	b.nudge()
+	eng.Submit(b.fleet.Record.Elapsed(), &j.job)
+	b.wakeEngine()
 	b.mu.Unlock()
 	defer func() {
 		b.mu.Lock()
-		if b.engine == eng && b.up {
+		if b.engine == eng && b.running {
 			eng.Cancel(&j.job)
-			b.nudge()
+			b.wakeEngine()
 		}
 		b.mu.Unlock()
 	}()
 	out, ctl := 0, http.NewResponseController(w)
 	for {
 		select {
-		case <-j.bell:
+		case <-j.changed:
 		case <-ctx.Done():
 			return
 		}
@@ -542,32 +542,32 @@
 				}
 			}
 			if out == 0 {
-				b.fleet.holds(ctx)
+				b.fleet.waitWhileHeld(ctx)
 			}
 		}
 		if end < 0 {
 			continue
 		}
-		kept := int(j.kept.Load())
-		if e.Stage != kserve.StageWrite && end == engine.Done {
-			b.fleet.sawRead(e.Grade, float64(e.Tokens-kept))
+		kept := int(j.cachedTokens.Load())
+		if e.Phase != kserve.PhaseDecode && end == engine.Done {
+			b.fleet.observeUncached(e.Class, float64(e.PromptTokens-kept))
 		}
 		switch {
-		case end == engine.Done && e.Stage == kserve.StageRead:
-			answer(http.StatusOK, kserve.Told{Outcome: kserve.OutcomeRead, Kept: kept})
+		case end == engine.Done && e.Phase == kserve.PhasePrefill:
+			answer(http.StatusOK, kserve.AttemptResult{Outcome: kserve.OutcomePrefilled, CachedTokens: kept})
 			ctl.Flush()
 			if crashes {
 				// A moment later, so that the dispatcher knows of the read and sends on.
 				time.AfterFunc(2*time.Millisecond, func() { b.Kill("crashed after reading") })
 			}
 		case end == engine.Done:
-			if kserve.WriteEvent(w, "end", kserve.Told{Outcome: kserve.OutcomeAnswered, Kept: kept, Load: b.load(), Count: costs(kserve.OutcomeAnswered)}) == nil && ctl.Flush() == nil {
-				word = kserve.OutcomeAnswered
+			if kserve.WriteEvent(w, "end", kserve.AttemptResult{Outcome: kserve.OutcomeCompleted, CachedTokens: kept, Load: b.loadReport(), Usage: costs(kserve.OutcomeCompleted)}) == nil && ctl.Flush() == nil {
+				word = kserve.OutcomeCompleted
 			}
 		case end == engine.Full || end == engine.TooBig:
-			answer(http.StatusServiceUnavailable, kserve.Told{Outcome: kserve.OutcomeFull, Error: end.String()})
+			answer(http.StatusServiceUnavailable, kserve.AttemptResult{Outcome: kserve.OutcomeFull, Error: end.String()})
 		case end == engine.NoState:
-			answer(http.StatusServiceUnavailable, kserve.Told{Outcome: kserve.OutcomeNoState, Error: "no state could be fetched"})
+			answer(http.StatusServiceUnavailable, kserve.AttemptResult{Outcome: kserve.OutcomeNoKVCache, Error: "no state could be fetched"})
 		default: // the process died, or the work was dropped: the connection says so
 			panic(http.ErrAbortHandler)
 		}
@@ -576,48 +576,48 @@
 }
 
 // let ends the waiting of a state; false if none waits.
-func (b *Box) let(start uint64, key, why string) bool {
+func (b *Backend) releaseKVCache(start uint64, key, why string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.Start != start || !b.up {
+	if b.StartNumber != start || !b.running {
 		return false
 	}
-	try, held := b.tries[key]
+	try, held := b.heldTries[key]
 	if !held {
 		return false
 	}
 	if b.engine.Moves(key) && why != "taken" {
-		b.unkept[key] = true
+		b.releaseAfterFetch[key] = true
 		return true
 	}
-	delete(b.tries, key)
-	delete(b.unkept, key)
+	delete(b.heldTries, key)
+	delete(b.releaseAfterFetch, key)
 	b.engine.Release(key)
-	b.nudge()
-	b.fleet.Book.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: why})
+	b.wakeEngine()
+	b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: why})
 	return true
 }
 
-func (b *Box) release(w http.ResponseWriter, r *http.Request) {
-	list, err := kserve.ReadRelease(http.MaxBytesReader(w, r.Body, 1<<20))
+func (b *Backend) handleRelease(w http.ResponseWriter, r *http.Request) {
+	list, err := kserve.ReadReleases(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return
 	}
-	_, _, start := b.UpFor()
+	_, _, start := b.Uptime()
 	done := 0
 	for _, x := range list {
 		b.mu.Lock()
-		b.letGo[x.Key] = releasedUpTo{x.Trip, b.fleet.Book.Elapsed()}
-		if len(b.letGo) > letGoMost {
-			for key, l := range b.letGo {
-				if b.fleet.Book.Elapsed()-l.at > letGoTime {
-					delete(b.letGo, key)
+		b.releases[x.RequestKey] = releaseRecord{x.LastAttempt, b.fleet.Record.Elapsed()}
+		if len(b.releases) > maxReleases {
+			for key, l := range b.releases {
+				if b.fleet.Record.Elapsed()-l.releasedAt > releaseRetention {
+					delete(b.releases, key)
 				}
 			}
 		}
 		b.mu.Unlock()
-		if b.let(start, x.Key, "released") {
+		if b.releaseKVCache(start, x.RequestKey, "released") {
 			done++
 		}
 	}
@@ -625,27 +625,27 @@
 }
 
 // releasedUpTo remembers a release, for reads of the same question that come after it.
-type releasedUpTo struct {
-	trip int
-	at   time.Duration
+type releaseRecord struct {
+	attempt    int
+	releasedAt time.Duration
 }
 
 const (
-	letGoMost = 4096
-	letGoTime = 30 * time.Second
+	maxReleases      = 4096
+	releaseRetention = 30 * time.Second
 )
 
 // state gives a waiting state to a writer, which takes as long as the links need; until then it waits on.
-func (b *Box) state(w http.ResponseWriter, r *http.Request) {
-	key, err := kserve.ReadFetch(http.MaxBytesReader(w, r.Body, 1<<20))
+func (b *Backend) handleFetch(w http.ResponseWriter, r *http.Request) {
+	key, err := kserve.ReadKVFetch(http.MaxBytesReader(w, r.Body, 1<<20))
 	if err != nil {
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return
 	}
 	b.mu.Lock()
-	start := b.Start
+	start := b.StartNumber
 	tokens, ok := 0, false
-	if b.up {
+	if b.running {
 		tokens, ok = b.engine.Waits(key)
 	}
 	if !ok {
@@ -655,33 +655,33 @@
 	}
 	b.engine.Moving(key, true)
 	b.mu.Unlock()
-	if b.fleet.move(r.Context(), b, r.Header.Get("Rack"), r.Header.Get("Zone"), float64(tokens)) != nil {
+	if b.fleet.transfer(r.Context(), b, r.Header.Get("Rack"), r.Header.Get("Zone"), float64(tokens)) != nil {
 		b.mu.Lock()
-		unkept := b.unkept[key]
-		if b.Start == start && b.up {
+		unkept := b.releaseAfterFetch[key]
+		if b.StartNumber == start && b.running {
 			b.engine.Moving(key, false)
 		}
 		b.mu.Unlock()
 		if unkept {
-			b.let(start, key, "released")
+			b.releaseKVCache(start, key, "released")
 		}
 		return
 	}
-	if b.let(start, key, "taken") {
+	if b.releaseKVCache(start, key, "taken") {
 		kserve.WriteJSON(w, http.StatusOK, map[string]int{"tokens": tokens})
 	}
 }
 
 // fetch takes the state from the reader that the trip names, by whichever of its addresses serves.
-func (b *Box) fetch(ctx context.Context, e kserve.Errand) error {
-	if len(e.State) == 0 {
+func (b *Backend) fetchKVCache(ctx context.Context, e kserve.AttemptParams) error {
+	if len(e.KVCacheAddresses) == 0 {
 		return errors.New("no state was named")
 	}
-	conn, err := b.fleet.reader(e.Reader, e.State).Get(ctx)
+	conn, err := b.fleet.prefillPool(e.PrefillBackend, e.KVCacheAddresses).Get(ctx)
 	if err != nil {
 		return err
 	}
-	r, err := kserve.NewFetch(ctx, reach.URL(e.Reader), b.fleet.Terms.Model, e.Key())
+	r, err := kserve.NewKVFetchRequest(ctx, reach.URL(e.PrefillBackend), b.fleet.Terms.Model, e.RequestKey())
 	if err != nil {
 		return err
 	}
@@ -689,10 +689,10 @@
 	r.Header.Set("Zone", b.Zone)
 	resp, err := conn.Do(ctx, r)
 	if err != nil {
-		conn.Lost()
+		conn.ReportFailed()
 		return err
 	}
-	conn.Served()
+	conn.ReportServed()
 	defer resp.Body.Close()
 	io.Copy(io.Discard, io.LimitReader(resp.Body, 4096))
 	if resp.StatusCode != http.StatusOK {
--- a/internal/standin/counts.go
+++ b/internal/standin/counts.go
@@ -10,68 +10,68 @@
 
 // counts are what a box has counted, by the starts of dispatchers. They are the box's own, as on its disk: its process may
 // die and start anew.
-type counts struct {
-	mu sync.Mutex
-	by map[string]*counted
+type usageCounts struct {
+	mu           sync.Mutex
+	byDispatcher map[string]*dispatcherUsage
 }
 
-type counted struct {
-	last, forgot uint64
-	list         []kserve.Count
-	open         int
+type dispatcherUsage struct {
+	lastNumber, lastDropped uint64
+	unacknowledged          []kserve.UsageRecord
+	open                    int
 }
 
-func (c *counts) of(from string) *counted {
-	if c.by == nil {
-		c.by = map[string]*counted{}
+func (c *usageCounts) forDispatcher(from string) *dispatcherUsage {
+	if c.byDispatcher == nil {
+		c.byDispatcher = map[string]*dispatcherUsage{}
 	}
-	if c.by[from] == nil {
-		c.by[from] = &counted{}
+	if c.byDispatcher[from] == nil {
+		c.byDispatcher[from] = &dispatcherUsage{}
 	}
-	return c.by[from]
+	return c.byDispatcher[from]
 }
 
 // begin takes word of a trip; the function that it returns counts it, once.
-func (b *Box) count(e kserve.Errand) func(end string, read, kept, answer int) *kserve.Count {
-	c := &b.counts
+func (b *Backend) countAttempt(e kserve.AttemptParams) func(end string, read, kept, answer int) *kserve.UsageRecord {
+	c := &b.usage
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	of := c.of(e.From)
+	of := c.forDispatcher(e.DispatcherEpoch)
 	of.open++
-	var done *kserve.Count
-	return func(end string, read, kept, answer int) *kserve.Count {
+	var done *kserve.UsageRecord
+	return func(end string, read, kept, answer int) *kserve.UsageRecord {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if done != nil {
 			return done
 		}
 		of.open--
-		of.last++
-		done = &kserve.Count{Number: of.last, Key: e.Key(), Trip: e.Trip, Mark: e.Mark, Stage: e.Stage, Channel: e.Channel, Grade: e.Grade, Read: read, Kept: kept,
-			Answer: answer, End: end}
-		of.list = append(of.list, *done)
-		b.fleet.Book.Record(record.Event{Kind: record.UsageCounted, Backend: b.Name, RequestKey: e.Key(), Attempt: e.Trip, Try: e.Mark, Phase: e.Stage, Class: e.Grade, Detail: end,
+		of.lastNumber++
+		done = &kserve.UsageRecord{Number: of.lastNumber, RequestKey: e.RequestKey(), Attempt: e.Attempt, DedupKey: e.DedupKey, Phase: e.Phase, Tenant: e.Tenant, Class: e.Class, PrefillTokens: read, CachedTokens: kept,
+			OutputTokens: answer, EndReason: end}
+		of.unacknowledged = append(of.unacknowledged, *done)
+		b.fleet.Record.Record(record.Event{Kind: record.UsageCounted, Backend: b.Name, RequestKey: e.RequestKey(), Attempt: e.Attempt, Try: e.DedupKey, Phase: e.Phase, Class: e.Class, Detail: end,
 			Tokens: read, CachedTokens: kept, AnswerTokens: answer})
 		return done
 	}
 }
 
 // tell answers an inquiry.
-func (b *Box) tell(w http.ResponseWriter, r *http.Request) {
-	q, err := kserve.ReadInquiry(http.MaxBytesReader(w, r.Body, 64<<10))
+func (b *Backend) handleCounts(w http.ResponseWriter, r *http.Request) {
+	q, err := kserve.ReadUsageQuery(http.MaxBytesReader(w, r.Body, 64<<10))
 	if err != nil {
-		kserve.WriteFault(w, err)
+		kserve.WriteError(w, err)
 		return
 	}
-	c := &b.counts
+	c := &b.usage
 	c.mu.Lock()
-	of := c.of(q.From)
-	for len(of.list) > 0 && of.list[0].Number <= q.After {
-		of.forgot = of.list[0].Number
-		of.list = of.list[1:]
+	of := c.forDispatcher(q.DispatcherEpoch)
+	for len(of.unacknowledged) > 0 && of.unacknowledged[0].Number <= q.After {
+		of.lastDropped = of.unacknowledged[0].Number
+		of.unacknowledged = of.unacknowledged[1:]
 	}
-	out := kserve.Counts{Open: of.open, Forgot: of.forgot, Counts: append([]kserve.Count{}, of.list[:min(len(of.list), kserve.MostCounts)]...)}
-	out.More = len(out.Counts) < len(of.list)
+	out := kserve.UsageReport{InFlight: of.open, ForgottenThrough: of.lastDropped, Records: append([]kserve.UsageRecord{}, of.unacknowledged[:min(len(of.unacknowledged), kserve.MaxUsageRecords)]...)}
+	out.More = len(out.Records) < len(of.unacknowledged)
 	c.mu.Unlock()
 	kserve.WriteJSON(w, http.StatusOK, out)
 }
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -22,91 +22,91 @@
 
 // Links are the ways that read states take between boxes.
 type Links struct {
-	Near float64 // tokens a second to a box of the same rack
-	Far  float64 // over the one link of a rack
-	Zone float64 // how many times as long a token takes to another zone
+	SameRack   float64 // tokens a second to a box of the same rack
+	CrossRack  float64 // over the one link of a rack
+	ZoneFactor float64 // how many times as long a token takes to another zone
 }
 
 // Fleet is what boxes of a run share: the record, links, and what a mark was seen with.
 type Fleet struct {
-	Terms setup.Terms
-	Book  *record.Recorder
-	Links Links
-	Talk  map[string]Talk // by grade
-
-	mu       sync.Mutex
-	slowLink float64
-	reads    map[string]*mean // tokens left to read, by grade
-	seen     map[mark]time.Duration
-	racks    map[string]*lane
-	ways     *reach.Boxes // from writers to readers
-	life     context.Context
-	end      context.CancelFunc
-	starts   uint64
-	held     chan struct{} // while it is open, answers stop after their first token
+	Terms    setup.Deployment
+	Record   *record.Recorder
+	Links    Links
+	Profiles map[string]ClassProfile // by grade
+
+	mu           sync.Mutex
+	linkSlowdown float64
+	uncached     map[string]*runningMean // tokens left to read, by grade
+	effects      map[effectKey]time.Duration
+	rackLinks    map[string]*sharedLink
+	pools        *reach.Manager // from writers to readers
+	ctx          context.Context
+	cancel       context.CancelFunc
+	starts       uint64
+	answersHeld  chan struct{} // while it is open, answers stop after their first token
 }
 
 // Talk is how the questions of a grade look.
-type Talk struct {
-	New    float64 // tokens that a turn adds, mean
-	Answer float64 // tokens of an answer, mean
-	Prefix int     // tokens of a shared beginning
+type ClassProfile struct {
+	NewTokens    float64 // tokens that a turn adds, mean
+	AnswerTokens float64 // tokens of an answer, mean
+	PrefixTokens int     // tokens of a shared beginning
 }
 
-type mark struct{ group, try string }
+type effectKey struct{ group, try string }
 
 // NewFleet makes an empty fleet.
-func NewFleet(terms setup.Terms, book *record.Recorder, links Links, talk map[string]Talk) *Fleet {
+func NewFleet(terms setup.Deployment, book *record.Recorder, links Links, talk map[string]ClassProfile) *Fleet {
 	f := &Fleet{
-		Terms: terms, Book: book, Links: links, Talk: talk, slowLink: 1,
-		reads: map[string]*mean{}, seen: map[mark]time.Duration{}, racks: map[string]*lane{},
+		Terms: terms, Record: book, Links: links, Profiles: talk, linkSlowdown: 1,
+		uncached: map[string]*runningMean{}, effects: map[effectKey]time.Duration{}, rackLinks: map[string]*sharedLink{},
 	}
-	f.life, f.end = context.WithCancel(context.Background())
-	f.ways = &reach.Boxes{Limit: 500 * time.Millisecond, Most: 1024, Since: book.Elapsed, Life: f.life, Group: &errgroup.Group{}}
-	f.ways.Group.Go(f.ways.Tend)
+	f.ctx, f.cancel = context.WithCancel(context.Background())
+	f.pools = &reach.Manager{DialTimeout: 500 * time.Millisecond, MaxConnsPerBackend: 1024, Now: book.Elapsed, Context: f.ctx, Group: &errgroup.Group{}}
+	f.pools.Group.Go(f.pools.Run)
 	return f
 }
 
 // Close ends the ways between boxes.
 func (f *Fleet) Close() {
-	f.end()
-	f.ways.Group.Wait()
+	f.cancel()
+	f.pools.Group.Wait()
 }
 
 // reader is the way to a reader at the addresses that a trip names.
-func (f *Fleet) reader(name string, at []string) *reach.Host {
+func (f *Fleet) prefillPool(name string, at []string) *reach.Pool {
 	var specs []addresses.Spec
 	for _, a := range at {
 		if s, err := reach.ParseListen(a); err == nil {
 			specs = append(specs, s)
 		}
 	}
-	return f.ways.Set(name, specs, xxhash.Sum64String(name))
+	return f.pools.SetAddresses(name, specs, xxhash.Sum64String(name))
 }
 
 // SlowLinks makes all links so many times slower.
-func (f *Fleet) SlowLinks(times float64) {
+func (f *Fleet) SetLinkSlowdown(times float64) {
 	f.mu.Lock()
-	f.slowLink = times
+	f.linkSlowdown = times
 	f.mu.Unlock()
 }
 
 // Hold makes answers stop after their first token, until it is called with false.
-func (f *Fleet) Hold(on bool) {
+func (f *Fleet) HoldAnswers(on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if on {
-		f.held = make(chan struct{})
-	} else if f.held != nil {
-		close(f.held)
-		f.held = nil
+		f.answersHeld = make(chan struct{})
+	} else if f.answersHeld != nil {
+		close(f.answersHeld)
+		f.answersHeld = nil
 	}
 }
 
 // holds waits while answers are held.
-func (f *Fleet) holds(ctx context.Context) {
+func (f *Fleet) waitWhileHeld(ctx context.Context) {
 	f.mu.Lock()
-	held := f.held
+	held := f.answersHeld
 	f.mu.Unlock()
 	if held != nil {
 		select {
@@ -117,58 +117,58 @@
 }
 
 // start numbers the starts of boxes.
-func (f *Fleet) start() uint64 {
+func (f *Fleet) nextStartNumber() uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.starts++
 	return f.starts
 }
 
-type mean struct{ sum, n float64 }
+type runningMean struct{ sum, count float64 }
 
 // leftToRead is the mean of what a grade's prompts had left to read so far.
-func (f *Fleet) leftToRead(grade string) float64 {
+func (f *Fleet) meanUncached(grade string) float64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	m := f.reads[grade]
+	m := f.uncached[grade]
 	if m == nil {
-		m = &mean{f.Talk[grade].New + float64(f.Talk[grade].Prefix)/4, 1}
-		f.reads[grade] = m
+		m = &runningMean{f.Profiles[grade].NewTokens + float64(f.Profiles[grade].PrefixTokens)/4, 1}
+		f.uncached[grade] = m
 	}
-	return m.sum / m.n
+	return m.sum / m.count
 }
 
-func (f *Fleet) sawRead(grade string, left float64) {
-	f.leftToRead(grade)
+func (f *Fleet) observeUncached(grade string, left float64) {
+	f.meanUncached(grade)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reads[grade].sum += left
-	f.reads[grade].n++
+	f.uncached[grade].sum += left
+	f.uncached[grade].count++
 }
 
 // runs tells whether a trip's effect is a new one: within its window a group of boxes drops a deduplicated
 // question's repeats.
-func (f *Fleet) runs(b *Box, grade, try string) bool {
-	i := f.Terms.GradeNumber(grade)
-	if i < 0 || f.Terms.Grades[i].Effect != "deduplicated" {
+func (f *Fleet) isNewEffect(b *Backend, grade, try string) bool {
+	i := f.Terms.ClassIndex(grade)
+	if i < 0 || f.Terms.Classes[i].Effect != "deduplicated" {
 		return true
 	}
-	g := f.Terms.Grades[i]
-	group := map[string]string{"zone": b.Zone, "rack": b.Rack}[g.Reach]
+	g := f.Terms.Classes[i]
+	group := map[string]string{"zone": b.Zone, "rack": b.Rack}[g.DedupScope]
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := f.Book.Elapsed()
-	at, known := f.seen[mark{group, try}]
-	if known && now-at < g.Window.D() {
+	now := f.Record.Elapsed()
+	at, known := f.effects[effectKey{group, try}]
+	if known && now-at < g.DedupWindow.Std() {
 		return false
 	}
-	f.seen[mark{group, try}] = now
+	f.effects[effectKey{group, try}] = now
 	return true
 }
 
 // answerTokens is how long the answer to a try truly is.
 func (f *Fleet) answerTokens(grade, try string, most int) int {
-	return AnswerTokens(f.Talk[grade].Answer, try, most)
+	return AnswerTokens(f.Profiles[grade].AnswerTokens, try, most)
 }
 
 // AnswerTokens draws an answer's length about a mean: the same for a try at every box, and told to no one.
@@ -179,51 +179,51 @@
 }
 
 // move takes as long as tokens need between two boxes. A rack's link is shared: moves over it follow one another.
-func (f *Fleet) move(ctx context.Context, from *Box, toRack, toZone string, tokens float64) error {
+func (f *Fleet) transfer(ctx context.Context, from *Backend, toRack, toZone string, tokens float64) error {
 	f.mu.Lock()
-	slow := f.slowLink
-	link := f.racks[from.Rack]
+	slow := f.linkSlowdown
+	link := f.rackLinks[from.Rack]
 	if link == nil {
-		link = &lane{}
-		f.racks[from.Rack] = link
+		link = &sharedLink{}
+		f.rackLinks[from.Rack] = link
 	}
 	f.mu.Unlock()
 	if toRack == from.Rack {
-		return sleep(ctx, seconds(tokens/f.Links.Near))
+		return sleep(ctx, secondsToDuration(tokens/f.Links.SameRack))
 	}
 	times := slow
 	if toZone != from.Zone {
-		times *= max(f.Links.Zone, 1)
+		times *= max(f.Links.ZoneFactor, 1)
 	}
-	return link.use(ctx, seconds(tokens/f.Links.Far*times))
+	return link.use(ctx, secondsToDuration(tokens/f.Links.CrossRack*times))
 }
 
 // lane is something that one after the other uses.
-type lane struct {
-	mu   sync.Mutex
-	free time.Time
+type sharedLink struct {
+	mu     sync.Mutex
+	freeAt time.Time
 }
 
 // use waits for the lane, then takes it for so long.
-func (l *lane) use(ctx context.Context, d time.Duration) error {
+func (l *sharedLink) use(ctx context.Context, d time.Duration) error {
 	l.mu.Lock()
 	now := time.Now()
-	if l.free.Before(now) {
-		l.free = now
+	if l.freeAt.Before(now) {
+		l.freeAt = now
 	}
-	l.free = l.free.Add(d)
-	until := l.free
+	l.freeAt = l.freeAt.Add(d)
+	until := l.freeAt
 	l.mu.Unlock()
 	err := sleep(ctx, time.Until(until))
 	if err != nil { // what was called off leaves its turn to others
 		l.mu.Lock()
-		l.free = l.free.Add(-min(max(time.Until(until), 0), d))
+		l.freeAt = l.freeAt.Add(-min(max(time.Until(until), 0), d))
 		l.mu.Unlock()
 	}
 	return err
 }
 
-func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+func secondsToDuration(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
@@ -240,6 +240,6 @@
 }
 
 // chanceOf makes a generator for a name.
-func chanceOf(seed uint64, name string) *rand.Rand {
+func newRand(seed uint64, name string) *rand.Rand {
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(name)))
 }
--- a/internal/standin/gate.go
+++ b/internal/standin/gate.go
@@ -15,77 +15,79 @@
 
 // Ways that one address of a box may go wrong.
 const (
-	GateServes     = ""
-	GateRefuses    = "refuse"      // nobody listens
-	GateBlackhole  = "blackhole"   // connections are neither made nor refused
-	GateStalls     = "stall"       // they are made, and nothing is read
-	GateStallsNext = "stall_after" // one request is answered, then nothing is read
-	GateSlow       = "slow"        // each read takes a while longer
-	GateResets     = "reset"       // connections are reset after so many bytes
-	GateFlaps      = "flap"        // it refuses and serves in turn
-	GateSwapped    = "swap"        // another box's process listens here
+	EndpointServes              = ""
+	EndpointRefuses             = "refuse"      // nobody listens
+	EndpointBlackhole           = "blackhole"   // connections are neither made nor refused
+	EndpointStalls              = "stall"       // they are made, and nothing is read
+	EndpointStallsAfterResponse = "stall_after" // one request is answered, then nothing is read
+	EndpointSlow                = "slow"        // each read takes a while longer
+	EndpointResets              = "reset"       // connections are reset after so many bytes
+	EndpointFlaps               = "flap"        // it refuses and serves in turn
+	EndpointSwapped             = "swap"        // another box's process listens here
 )
 
 // Gate is one address of a box, which may go wrong by itself.
-type Gate struct {
+type Endpoint struct {
 	Spec addresses.Spec
 
-	mu       sync.Mutex
-	mode     string
-	by       time.Duration
-	bytes    int
-	to       *door // whose connections these become
-	listener net.Listener
-	stuck    []net.Conn
-	conns    map[*gated]bool
-	changed  chan struct{}
-	open     bool
-	work     sync.WaitGroup
+	mu         sync.Mutex
+	mode       string
+	delay      time.Duration
+	resetAfter int
+	target     *connListener // whose connections these become
+	listener   net.Listener
+	fillers    []net.Conn
+	conns      map[*faultyConn]bool
+	changed    chan struct{}
+	open       bool
+	handlers   sync.WaitGroup
 }
 
 // door is a listener whose connections come from gates.
-type door struct {
-	conns chan net.Conn
-	once  sync.Once
-	ended chan struct{}
+type connListener struct {
+	conns  chan net.Conn
+	once   sync.Once
+	closed chan struct{}
 }
 
-func newDoor() *door { return &door{conns: make(chan net.Conn), ended: make(chan struct{})} }
+func newConnListener() *connListener {
+	return &connListener{conns: make(chan net.Conn), closed: make(chan struct{})}
+}
 
-func (d *door) Accept() (net.Conn, error) {
+func (d *connListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-d.conns:
 		return c, nil
-	case <-d.ended:
+	case <-d.closed:
 		return nil, net.ErrClosed
 	}
 }
-func (d *door) Close() error   { d.once.Do(func() { close(d.ended) }); return nil }
-func (d *door) Addr() net.Addr { return &net.TCPAddr{} }
+func (d *connListener) Close() error   { d.once.Do(func() { close(d.closed) }); return nil }
+func (d *connListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // open starts listening; connections go to the door.
-func (g *Gate) Open(to *door) error {
+func (g *Endpoint) Open(to *connListener) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.to, g.open = to, true
+	g.target, g.open = to, true
 	if g.changed == nil {
-		g.changed, g.conns = make(chan struct{}), map[*gated]bool{}
+		g.changed, g.conns = make(chan struct{}), map[*faultyConn]bool{}
 	}
-	return g.fit()
+	return g.applyMode()
 }
 
 // Close ends listening and all connections.
-func (g *Gate) Close() {
+func (g *Endpoint) Close() {
 	g.mu.Lock()
 	g.open = false
-	g.unlisten()
-	g.breakAll()
+	g.closeListener()
+	g.resetConns()
 	g.mu.Unlock()
-	g.work.Wait()
+	g.handlers.Wait()
 }
 
 // breakAll resets the connections; the gate is locked.
-func (g *Gate) breakAll() {
+func (g *Endpoint) resetConns() {
 	for c := range g.conns {
 		if t, ok := c.Conn.(*net.TCPConn); ok {
 			t.SetLinger(0)
@@ -97,22 +99,22 @@
 	g.changed = make(chan struct{})
 }
 
-func (g *Gate) unlisten() {
+func (g *Endpoint) closeListener() {
 	if g.listener != nil {
 		g.listener.Close()
 		g.listener = nil
 	}
-	for _, c := range g.stuck {
+	for _, c := range g.fillers {
 		c.Close()
 	}
-	g.stuck = nil
+	g.fillers = nil
 }
 
 // Set changes how the address goes wrong. by is the delay of slow and the period of flap, bytes those of reset.
-func (g *Gate) Set(mode string, by time.Duration, bytes int) error {
+func (g *Endpoint) SetMode(mode string, by time.Duration, bytes int) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.mode, g.by, g.bytes = mode, by, bytes
+	g.mode, g.delay, g.resetAfter = mode, by, bytes
 	if g.changed != nil {
 		close(g.changed)
 		g.changed = make(chan struct{})
@@ -120,83 +122,83 @@
 	if !g.open {
 		return nil
 	}
-	if mode == GateRefuses || mode == GateBlackhole {
-		g.breakAll()
+	if mode == EndpointRefuses || mode == EndpointBlackhole {
+		g.resetConns()
 	}
-	return g.fit()
+	return g.applyMode()
 }
 
 // Swap hands this gate's connections to another box's process, and back.
-func (g *Gate) Swap(o *Gate) {
+func (g *Endpoint) Swap(o *Endpoint) {
 	g.mu.Lock()
 	o.mu.Lock()
-	g.to, o.to = o.to, g.to
-	g.breakAll()
-	o.breakAll()
+	g.target, o.target = o.target, g.target
+	g.resetConns()
+	o.resetConns()
 	o.mu.Unlock()
 	g.mu.Unlock()
 }
 
 // fit makes the listening fit the mode; the gate is locked.
-func (g *Gate) fit() error {
-	g.unlisten()
+func (g *Endpoint) applyMode() error {
+	g.closeListener()
 	switch g.mode {
-	case GateRefuses:
+	case EndpointRefuses:
 		if g.Spec.Network == addresses.Unix {
-			os.Remove(g.Spec.At)
+			os.Remove(g.Spec.Addr)
 		}
 		return nil
-	case GateBlackhole:
+	case EndpointBlackhole:
 		if g.Spec.Network != addresses.Unix {
-			return g.blackhole()
+			return g.startBlackhole()
 		}
 	}
-	if err := g.listen(); err != nil {
+	if err := g.startListener(); err != nil {
 		return err
 	}
-	if g.mode == GateFlaps {
-		g.flap()
+	if g.mode == EndpointFlaps {
+		g.startFlapping()
 	}
 	return nil
 }
 
-func (g *Gate) listen() error {
+func (g *Endpoint) startListener() error {
 	if g.Spec.Network == addresses.Unix {
-		os.Remove(g.Spec.At)
+		os.Remove(g.Spec.Addr)
 	}
-	l, err := listen(g.Spec.Network, g.Spec.At)
+	l, err := listenWithRetry(g.Spec.Network, g.Spec.Addr)
 	if err != nil {
 		return err
 	}
 	g.listener = l
-	g.work.Add(1)
+	g.handlers.Add(1)
 	go func() {
-		defer g.work.Done()
+		defer g.handlers.Done()
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			g.admit(c)
+			g.handOver(c)
 		}
 	}()
 	return nil
 }
 
 // blackhole listens so that connections are neither made nor refused.
-func (g *Gate) blackhole() error {
-	l, err := listen(g.Spec.Network, g.Spec.At)
+func (g *Endpoint) startBlackhole() error {
+	l, err := listenWithRetry(g.Spec.Network, g.Spec.Addr)
 	if err != nil {
 		return err
 	}
 	g.listener = l
-	g.stuck, err = Fill(l)
+	g.fillers, err = FillBacklog(l)
 	return err
 }
 
 // Fill leaves a listener room for one waiting connection and takes it: what comes after is neither made nor refused while those
 // connections stand.
-func Fill(l net.Listener) (stuck []net.Conn, err error) {
+func FillBacklog(l net.Listener) (stuck []net.Conn, err error) {
 	raw, err := l.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		return nil, err
@@ -215,11 +217,11 @@
 }
 
 // flap alternates while the mode lasts; the gate is locked.
-func (g *Gate) flap() {
-	changed, by := g.changed, max(g.by, 10*time.Millisecond)
-	g.work.Add(1)
+func (g *Endpoint) startFlapping() {
+	changed, by := g.changed, max(g.delay, 10*time.Millisecond)
+	g.handlers.Add(1)
 	go func() {
-		defer g.work.Done()
+		defer g.handlers.Done()
 		for on := true; ; on = !on {
 			select {
 			case <-changed:
@@ -227,25 +229,25 @@
 			case <-time.After(by):
 			}
 			g.mu.Lock()
-			if g.mode != GateFlaps || !g.open {
+			if g.mode != EndpointFlaps || !g.open {
 				g.mu.Unlock()
 				return
 			}
 			if on {
-				g.unlisten()
+				g.closeListener()
 				for c := range g.conns {
 					c.Conn.Close()
 				}
 			} else {
-				g.listen()
+				g.startListener()
 			}
 			g.mu.Unlock()
 		}
 	}()
 }
 
-func (g *Gate) admit(conn net.Conn) {
-	c := &gated{Conn: conn, gate: g, ended: make(chan struct{}), pieces: make(chan piece, 16)}
+func (g *Endpoint) handOver(conn net.Conn) {
+	c := &faultyConn{Conn: conn, endpoint: g, closed: make(chan struct{}), chunks: make(chan chunk, 16)}
 	g.mu.Lock()
 	if !g.open || len(g.conns) > 4096 {
 		g.mu.Unlock()
@@ -253,13 +255,13 @@
 		return
 	}
 	g.conns[c] = true
-	to := g.to
+	to := g.target
 	g.mu.Unlock()
-	g.work.Add(1)
-	go func() { defer g.work.Done(); c.pump() }()
+	g.handlers.Add(1)
+	go func() { defer g.handlers.Done(); c.readAhead() }()
 	select {
 	case to.conns <- c:
-	case <-to.ended:
+	case <-to.closed:
 		c.Close()
 	case <-time.After(2 * time.Second):
 		c.Close()
@@ -268,45 +270,45 @@
 
 // gated is a connection that does as its gate is told. What comes is taken off the socket at once and its time noted,
 // however late the box's process gets to read it: a trip has reached the box's machine by then.
-type gated struct {
+type faultyConn struct {
 	net.Conn
-	gate   *Gate
-	once   sync.Once
-	ended  chan struct{}
-	pieces chan piece
-	rest   []byte
-	passed bool // what rest holds has had its gate's delay
-	late   deadline
-	err    error
-
-	mu      sync.Mutex
-	wrote   bool
-	read    int
-	arrived time.Time // of what was read last
-	gone    time.Time // when the other side closed
+	endpoint     *Endpoint
+	once         sync.Once
+	closed       chan struct{}
+	chunks       chan chunk
+	unread       []byte
+	modeApplied  bool // what rest holds has had its gate's delay
+	readDeadline readDeadline
+	readErr      error
+
+	mu           sync.Mutex
+	wrote        bool
+	bytesRead    int
+	lastArrival  time.Time // of what was read last
+	peerClosedAt time.Time // when the other side closed
 }
 
-type piece struct {
-	data []byte
-	at   time.Time
+type chunk struct {
+	data      []byte
+	arrivedAt time.Time
 }
 
 // pump reads ahead, by a bounded amount.
-func (c *gated) pump() {
-	defer close(c.pieces)
+func (c *faultyConn) readAhead() {
+	defer close(c.chunks)
 	for {
 		buf := make([]byte, 8192)
 		n, err := c.Conn.Read(buf)
 		if n > 0 {
 			select {
-			case c.pieces <- piece{buf[:n], time.Now()}:
-			case <-c.ended:
+			case c.chunks <- chunk{buf[:n], time.Now()}:
+			case <-c.closed:
 				return
 			}
 		}
 		if err != nil {
 			c.mu.Lock()
-			c.gone, c.err = time.Now(), err
+			c.peerClosedAt, c.readErr = time.Now(), err
 			c.mu.Unlock()
 			return
 		}
@@ -314,44 +316,44 @@
 }
 
 // times tells when what was read last had arrived, and when the other side closed, if it has.
-func (c *gated) times() (arrived, gone time.Time) {
+func (c *faultyConn) timestamps() (arrived, gone time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.arrived, c.gone
+	return c.lastArrival, c.peerClosedAt
 }
 
-func (c *gated) Close() error {
+func (c *faultyConn) Close() error {
 	c.once.Do(func() {
-		close(c.ended)
-		c.gate.mu.Lock()
-		delete(c.gate.conns, c)
-		c.gate.mu.Unlock()
+		close(c.closed)
+		c.endpoint.mu.Lock()
+		delete(c.endpoint.conns, c)
+		c.endpoint.mu.Unlock()
 	})
 	return c.Conn.Close()
 }
 
 // pass waits as long as the gate lets nothing be read.
-func (c *gated) pass() error {
+func (c *faultyConn) waitForMode() error {
 	for {
-		c.gate.mu.Lock()
-		mode, by, changed, most := c.gate.mode, c.gate.by, c.gate.changed, c.gate.bytes
-		c.gate.mu.Unlock()
+		c.endpoint.mu.Lock()
+		mode, by, changed, most := c.endpoint.mode, c.endpoint.delay, c.endpoint.changed, c.endpoint.resetAfter
+		c.endpoint.mu.Unlock()
 		c.mu.Lock()
-		wrote, read := c.wrote, c.read
+		wrote, read := c.wrote, c.bytesRead
 		c.mu.Unlock()
 		switch {
-		case mode == GateStalls || mode == GateBlackhole || mode == GateStallsNext && wrote:
+		case mode == EndpointStalls || mode == EndpointBlackhole || mode == EndpointStallsAfterResponse && wrote:
 			select {
 			case <-changed:
-			case <-c.late.done():
+			case <-c.readDeadline.done():
 				return os.ErrDeadlineExceeded
-			case <-c.ended:
+			case <-c.closed:
 				return net.ErrClosed
 			}
 			continue
-		case mode == GateSlow:
-			return sleepOr(c.ended, by)
-		case mode == GateResets && read >= most:
+		case mode == EndpointSlow:
+			return sleepUnlessClosed(c.closed, by)
+		case mode == EndpointResets && read >= most:
 			if t, ok := c.Conn.(*net.TCPConn); ok {
 				t.SetLinger(0)
 			}
@@ -362,7 +364,7 @@
 	}
 }
 
-func sleepOr(ended <-chan struct{}, d time.Duration) error {
+func sleepUnlessClosed(ended <-chan struct{}, d time.Duration) error {
 	select {
 	case <-time.After(d):
 		return nil
@@ -371,55 +373,55 @@
 	}
 }
 
-func (c *gated) Read(p []byte) (int, error) {
-	for len(c.rest) == 0 {
+func (c *faultyConn) Read(p []byte) (int, error) {
+	for len(c.unread) == 0 {
 		select {
-		case next, more := <-c.pieces:
+		case next, more := <-c.chunks:
 			if !more {
 				c.mu.Lock()
 				defer c.mu.Unlock()
-				if c.err == nil {
+				if c.readErr == nil {
 					return 0, net.ErrClosed
 				}
-				return 0, c.err
+				return 0, c.readErr
 			}
-			c.rest, c.passed = next.data, false
+			c.unread, c.modeApplied = next.data, false
 			c.mu.Lock()
-			c.read += len(next.data)
-			c.arrived = next.at
+			c.bytesRead += len(next.data)
+			c.lastArrival = next.arrivedAt
 			c.mu.Unlock()
-		case <-c.late.done():
+		case <-c.readDeadline.done():
 			return 0, os.ErrDeadlineExceeded
 		}
 	}
-	if !c.passed {
-		if err := c.pass(); err != nil {
+	if !c.modeApplied {
+		if err := c.waitForMode(); err != nil {
 			return 0, err
 		}
-		c.passed = true
+		c.modeApplied = true
 	}
-	n := copy(p, c.rest)
-	c.rest = c.rest[n:]
+	n := copy(p, c.unread)
+	c.unread = c.unread[n:]
 	return n, nil
 }
 
 // deadline is a moment after which reads end; the server uses one in the past to call its own reading off.
-type deadline struct {
-	mu    sync.Mutex
-	past  chan struct{}
-	timer *time.Timer
+type readDeadline struct {
+	mu      sync.Mutex
+	expired chan struct{}
+	timer   *time.Timer
 }
 
-func (d *deadline) done() <-chan struct{} {
+func (d *readDeadline) done() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.past == nil {
-		d.past = make(chan struct{})
+	if d.expired == nil {
+		d.expired = make(chan struct{})
 	}
-	return d.past
+	return d.expired
 }
 
-func (d *deadline) set(t time.Time) {
+func (d *readDeadline) set(t time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.timer != nil {
@@ -427,17 +429,17 @@
 		d.timer = nil
 	}
 	over := false
-	if d.past != nil {
+	if d.expired != nil {
 		select {
-		case <-d.past:
+		case <-d.expired:
 			over = true
 		default:
 		}
 	}
-	if d.past == nil || over {
-		d.past = make(chan struct{})
+	if d.expired == nil || over {
+		d.expired = make(chan struct{})
 	}
-	past := d.past
+	past := d.expired
 	switch wait := time.Until(t); {
 	case t.IsZero():
 	case wait <= 0:
@@ -446,7 +448,7 @@
 		d.timer = time.AfterFunc(wait, func() {
 			d.mu.Lock()
 			defer d.mu.Unlock()
-			if d.past == past {
+			if d.expired == past {
 				select {
 				case <-past:
 				default:
@@ -457,14 +459,14 @@
 	}
 }
 
-func (c *gated) SetReadDeadline(t time.Time) error { c.late.set(t); return nil }
+func (c *faultyConn) SetReadDeadline(t time.Time) error { c.readDeadline.set(t); return nil }
 
-func (c *gated) SetDeadline(t time.Time) error {
-	c.late.set(t)
+func (c *faultyConn) SetDeadline(t time.Time) error {
+	c.readDeadline.set(t)
 	return c.Conn.SetWriteDeadline(t)
 }
 
-func (c *gated) Write(p []byte) (int, error) {
+func (c *faultyConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	c.wrote = true
 	c.mu.Unlock()
@@ -472,9 +474,9 @@
 }
 
 // cameBy is the key of its connection in a request's context.
-type cameBy struct{}
+type connKey struct{}
 
-func connOf(ctx context.Context) *gated {
-	c, _ := ctx.Value(cameBy{}).(*gated)
+func connFromContext(ctx context.Context) *faultyConn {
+	c, _ := ctx.Value(connKey{}).(*faultyConn)
 	return c
 }
--- a/internal/standin/list.go
+++ b/internal/standin/list.go
@@ -18,107 +18,107 @@
 )
 
 // List is the stand-in box list: it pushes changes to every dispatcher, late, and knows only of processes.
-type List struct {
+type Discovery struct {
 	fleet   *Fleet
 	Address string
 
-	mu      sync.Mutex
-	changes []change
-	stale   time.Duration // by which it is later than usual
-	skip    bool          // the next push to each dispatcher is lost
-	life    context.Context
-	stop    context.CancelFunc
-	server  *http.Server
-	served  sync.WaitGroup
-	dropped map[string][]int
+	mu         sync.Mutex
+	changes    []listChange
+	extraDelay time.Duration // by which it is later than usual
+	dropNext   bool          // the next push to each dispatcher is lost
+	ctx        context.Context
+	cancel     context.CancelFunc
+	server     *http.Server
+	serving    sync.WaitGroup
+	omitted    map[string][]int
 }
 
-type change struct {
-	visible time.Duration
-	box     boxlist.Box
-	started time.Duration
-	cold    bool
+type listChange struct {
+	visibleAt time.Duration
+	backend   boxlist.Endpoint
+	startedAt time.Duration
+	slowStart bool
 }
 
 const (
-	listStep = 10 * time.Millisecond // how often a connection is looked after
-	listBeat = time.Second
+	watchPollInterval = 10 * time.Millisecond // how often a connection is looked after
+	heartbeatInterval = time.Second
 )
 
 // NewList makes the list; Open starts it.
-func (f *Fleet) NewList(addr string) *List { return &List{fleet: f, Address: addr} }
+func (f *Fleet) NewDiscovery(addr string) *Discovery { return &Discovery{fleet: f, Address: addr} }
 
 // Open starts serving, also again after Shut.
-func (l *List) Open() error {
-	listener, err := listen("tcp", l.Address)
+func (l *Discovery) Start() error {
+	listener, err := listenWithRetry("tcp", l.Address)
 	if err != nil {
 		return err
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.life, l.stop = context.WithCancel(context.Background())
-	life := l.life
+	l.ctx, l.cancel = context.WithCancel(context.Background())
+	life := l.ctx
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/boxes/watch", l.watch)
 	l.server = &http.Server{Handler: mux, ErrorLog: log.New(io.Discard, "", 0), BaseContext: func(net.Listener) context.Context { return life }}
 	server := l.server
-	l.served.Add(1)
-	go func() { defer l.served.Done(); server.Serve(listener) }()
+	l.serving.Add(1)
+	go func() { defer l.serving.Done(); server.Serve(listener) }()
 	return nil
 }
 
 // Shut ends it: dispatchers hear nothing until it opens again.
-func (l *List) Shut() {
+func (l *Discovery) Stop() {
 	l.mu.Lock()
 	server := l.server
-	l.stop()
+	l.cancel()
 	l.mu.Unlock()
 	server.Close()
-	l.served.Wait()
+	l.serving.Wait()
 }
 
 // Stale makes all that it says later; Skip loses the next push.
-func (l *List) Stale(by time.Duration) {
+func (l *Discovery) SetDelay(by time.Duration) {
 	l.mu.Lock()
-	l.stale = by
+	l.extraDelay = by
 	l.mu.Unlock()
 }
 
-func (l *List) Skip() {
+func (l *Discovery) DropNextPush() {
 	l.mu.Lock()
-	l.skip = true
+	l.dropNext = true
 	l.mu.Unlock()
 }
 
 // Publish says of a box what will be visible after a while; changes become visible in their order.
-func (l *List) Publish(b *Box, standing string, after time.Duration) {
-	up, cold, start := b.UpFor()
+func (l *Discovery) Publish(b *Backend, standing string, after time.Duration) {
+	up, cold, start := b.Uptime()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.fleet.Book.Elapsed()
-	visible := now + after + l.stale
+	now := l.fleet.Record.Elapsed()
+	visible := now + after + l.extraDelay
 	if n := len(l.changes); n > 0 {
-		visible = max(visible, l.changes[n-1].visible)
+		visible = max(visible, l.changes[n-1].visibleAt)
 	}
-	l.changes = append(l.changes, change{visible, boxlist.Box{
-		Name: b.Name, Addresses: l.named(b), Kind: b.Kind, Zone: b.Zone, Rack: b.Rack, Standing: standing, Units: b.Units, Start: start,
+	l.changes = append(l.changes, listChange{visible, boxlist.Endpoint{
+		Name: b.Name, Addresses: l.listedAddresses(b), Kind: b.Kind, Zone: b.Zone, Rack: b.Rack, State: standing, Units: b.Units, Incarnation: start,
 	}, now - up, cold})
 }
 
 // Drop leaves addresses of a box out of what the list says from now on.
-func (l *List) Drop(b *Box, which []int) {
+func (l *Discovery) OmitAddresses(b *Backend, which []int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.dropped == nil {
-		l.dropped = map[string][]int{}
+	if l.omitted == nil {
+		l.omitted = map[string][]int{}
 	}
-	l.dropped[b.Name] = which
+	l.omitted[b.Name] = which
 }
 
-func (l *List) named(b *Box) []addresses.Spec {
+func (l *Discovery) listedAddresses(b *Backend) []addresses.Spec {
 	var at []addresses.Spec
 	for i, a := range b.Addresses {
-		if !slices.Contains(l.dropped[b.Name], i) {
+		if !slices.Contains(l.omitted[b.Name], i) {
 			at = append(at, a)
 		}
 	}
@@ -126,50 +126,50 @@
 }
 
 // line is a change as it is said now.
-func (c change) line(now time.Duration) boxlist.Box {
-	b := c.box
-	b.UpMs = -1
-	if c.cold {
-		b.UpMs = (now - c.started).Milliseconds()
+func (c listChange) entry(now time.Duration) boxlist.Endpoint {
+	b := c.backend
+	b.UptimeMs = -1
+	if c.slowStart {
+		b.UptimeMs = (now - c.startedAt).Milliseconds()
 	}
 	return b
 }
 
 // visible counts the changes that may be known now.
-func (l *List) visible(now time.Duration) int {
+func (l *Discovery) countVisible(now time.Duration) int {
 	n := 0
-	for n < len(l.changes) && l.changes[n].visible <= now {
+	for n < len(l.changes) && l.changes[n].visibleAt <= now {
 		n++
 	}
 	return n
 }
 
 // next makes the push that brings a dispatcher from version have to what is visible; nil: there is nothing new.
-func (l *List) next(have int, whole bool) *boxlist.Push {
+func (l *Discovery) nextPush(have int, whole bool) *boxlist.Update {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.fleet.Book.Elapsed()
-	n := l.visible(now)
+	now := l.fleet.Record.Elapsed()
+	n := l.countVisible(now)
 	if !whole && have >= n {
 		return nil
 	}
 	if !whole {
-		return &boxlist.Push{Version: uint64(have + 1), Base: uint64(have), Boxes: []boxlist.Box{l.changes[have].line(now)}}
+		return &boxlist.Update{Version: uint64(have + 1), Base: uint64(have), Endpoints: []boxlist.Endpoint{l.changes[have].entry(now)}}
 	}
 	last := map[string]int{}
 	for i := range n {
-		last[l.changes[i].box.Name] = i
+		last[l.changes[i].backend.Name] = i
 	}
-	p := &boxlist.Push{Version: uint64(n), Whole: true}
+	p := &boxlist.Update{Version: uint64(n), Full: true}
 	for i := range n {
-		if c := l.changes[i]; last[c.box.Name] == i && c.box.Standing != boxlist.Gone {
-			p.Boxes = append(p.Boxes, c.line(now))
+		if c := l.changes[i]; last[c.backend.Name] == i && c.backend.State != boxlist.Removed {
+			p.Endpoints = append(p.Endpoints, c.entry(now))
 		}
 	}
 	return p
 }
 
-func (l *List) watch(w http.ResponseWriter, r *http.Request) {
+func (l *Discovery) watch(w http.ResponseWriter, r *http.Request) {
 	who := r.URL.Query().Get("dispatcher")
 	have, _ := strconv.Atoi(r.URL.Query().Get("have"))
 	l.mu.Lock()
@@ -179,15 +179,15 @@
 	beat := time.Now()
 	var known map[string]bool
 	for {
-		p := l.next(have, whole)
-		if p == nil && time.Since(beat) >= listBeat {
-			p = &boxlist.Push{Version: uint64(have), Base: uint64(have)}
+		p := l.nextPush(have, whole)
+		if p == nil && time.Since(beat) >= heartbeatInterval {
+			p = &boxlist.Update{Version: uint64(have), Base: uint64(have)}
 		}
 		if p != nil {
 			l.mu.Lock()
-			lost := l.skip && len(p.Boxes) > 0 && !p.Whole
+			lost := l.dropNext && len(p.Endpoints) > 0 && !p.Full
 			if lost {
-				l.skip = false
+				l.dropNext = false
 			}
 			l.mu.Unlock()
 			have, whole, beat = int(p.Version), false, time.Now()
@@ -195,36 +195,36 @@
 				if out.Encode(p) != nil || ctl.Flush() != nil {
 					return
 				}
-				known = l.told(who, p, known)
+				known = l.recordNotified(who, p, known)
 			}
 			continue
 		}
-		if sleep(r.Context(), listStep) != nil {
+		if sleep(r.Context(), watchPollInterval) != nil {
 			return
 		}
 	}
 }
 
 // told takes down what a dispatcher was told; a box that a whole list leaves out is gone.
-func (l *List) told(who string, p *boxlist.Push, known map[string]bool) map[string]bool {
+func (l *Discovery) recordNotified(who string, p *boxlist.Update, known map[string]bool) map[string]bool {
 	if known == nil {
 		known = map[string]bool{}
 	}
-	if p.Whole {
+	if p.Full {
 		in := map[string]bool{}
-		for _, b := range p.Boxes {
+		for _, b := range p.Endpoints {
 			in[b.Name] = true
 		}
 		for name := range known {
 			if !in[name] {
-				l.fleet.Book.Record(record.Event{Kind: record.EndpointNotified, Dispatcher: who, Backend: name, Detail: boxlist.Gone})
+				l.fleet.Record.Record(record.Event{Kind: record.EndpointNotified, Dispatcher: who, Backend: name, Detail: boxlist.Removed})
 			}
 		}
 		known = map[string]bool{}
 	}
-	for _, b := range p.Boxes {
+	for _, b := range p.Endpoints {
 		known[b.Name] = true
-		l.fleet.Book.Record(record.Event{Kind: record.EndpointNotified, Dispatcher: who, Backend: b.Name, Detail: b.Standing, StartID: b.Start})
+		l.fleet.Record.Record(record.Event{Kind: record.EndpointNotified, Dispatcher: who, Backend: b.Name, Detail: b.State, StartID: b.Incarnation})
 	}
 	return known
 }
--- a/internal/storm/door.go
+++ b/internal/storm/door.go
@@ -21,21 +21,21 @@
 
 // Door decides which connections are taken while many come: a budget for all, and under pressure a fair part of it for
 // each block of addresses. What it refuses costs the sender's own time, not a question's.
-type Door struct {
-	PerS     float64 // connections a second
-	Burst    float64
-	MostOpen int
+type ConnLimiter struct {
+	ConnsPerSecond float64 // connections a second
+	Burst          float64
+	MaxOpen        int
 
-	tokens  float64
-	at      time.Duration
-	begun   bool
-	open    int
-	lately  int           // blocks that came lately, as last counted
-	counted time.Duration // when that was
-	swept   time.Duration
-	blocks  map[netip.Prefix]*crowd
-	Refused int64
-	Taken   int64
+	tokens   float64
+	at       time.Duration
+	begun    bool
+	open     int
+	lately   int           // blocks that came lately, as last counted
+	counted  time.Duration // when that was
+	swept    time.Duration
+	blocks   map[netip.Prefix]*crowd
+	Refused  int64
+	Accepted int64
 }
 
 type crowd struct {
@@ -45,7 +45,7 @@
 }
 
 // Block is the crowd that an address counts to. Sockets of this machine are one.
-func Block(from netip.Addr) netip.Prefix {
+func AddressBlock(from netip.Addr) netip.Prefix {
 	if !from.IsValid() {
 		return netip.Prefix{}
 	}
@@ -58,16 +58,16 @@
 }
 
 // Admit tells whether a connection is taken, and if not, when to come back.
-func (d *Door) Admit(now time.Duration, from netip.Addr) (ok bool, after time.Duration) {
+func (d *ConnLimiter) Admit(now time.Duration, from netip.Addr) (ok bool, after time.Duration) {
 	if d.blocks == nil {
 		d.blocks = map[netip.Prefix]*crowd{}
 	}
 	if !d.begun {
 		d.tokens, d.begun = d.Burst, true
 	}
-	d.tokens = min(d.Burst, d.tokens+d.PerS*(now-d.at).Seconds())
+	d.tokens = min(d.Burst, d.tokens+d.ConnsPerSecond*(now-d.at).Seconds())
 	d.at = now
-	block := Block(from)
+	block := AddressBlock(from)
 	c := d.blocks[block]
 	if c == nil {
 		if len(d.blocks) >= mostBlocks && now-d.swept >= countEvery {
@@ -88,26 +88,26 @@
 		d.lately, d.counted = d.active(now), now
 	}
 	active := max(d.lately, 1)
-	part := d.PerS / float64(active)
+	part := d.ConnsPerSecond / float64(active)
 	c.tokens = min(max(d.Burst/float64(2*active), 1), c.tokens+part*(now-c.at).Seconds())
 	c.at = now
 	switch {
-	case d.open >= d.MostOpen, d.tokens < 1, d.tokens < pressure*d.Burst && c.tokens < 1:
+	case d.open >= d.MaxOpen, d.tokens < 1, d.tokens < pressure*d.Burst && c.tokens < 1:
 		d.Refused++
-		return false, refused + time.Duration((1-min(d.tokens, 1))/max(d.PerS, 0.001)*float64(time.Second))
+		return false, refused + time.Duration((1-min(d.tokens, 1))/max(d.ConnsPerSecond, 0.001)*float64(time.Second))
 	}
 	d.tokens--
 	c.tokens = max(c.tokens-1, 0)
 	c.open++
 	d.open++
-	d.Taken++
+	d.Accepted++
 	return true, 0
 }
 
 // Closed takes word that a connection which was taken has ended.
-func (d *Door) Closed(from netip.Addr) {
+func (d *ConnLimiter) Closed(from netip.Addr) {
 	d.open--
-	c := d.blocks[Block(from)]
+	c := d.blocks[AddressBlock(from)]
 	if c == nil {
 		c = d.blocks[netip.Prefix{}]
 	}
@@ -117,7 +117,7 @@
 }
 
 // active counts the blocks that came lately.
-func (d *Door) active(now time.Duration) int {
+func (d *ConnLimiter) active(now time.Duration) int {
 	n := 0
 	for _, c := range d.blocks {
 		if now-c.at < 2*time.Second {
@@ -127,7 +127,7 @@
 	return n
 }
 
-func (d *Door) forget(now time.Duration) {
+func (d *ConnLimiter) forget(now time.Duration) {
 	for b, c := range d.blocks {
 		if c.open == 0 && now-c.at > blockIdle {
 			delete(d.blocks, b)
--- a/internal/storm/door_test.go
+++ b/internal/storm/door_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestACrowdDoesNotShutOthersOut(t *testing.T) {
-	d := &Door{PerS: 100, Burst: 50, MostOpen: 1 << 20}
+	d := &ConnLimiter{ConnsPerSecond: 100, Burst: 50, MaxOpen: 1 << 20}
 	crowd, few := netip.MustParseAddr("10.1.2.3"), netip.MustParseAddr("10.9.9.9")
 	var crowdIn, fewIn, fewAsked int
 	for i := range 20000 { // 2,000 a second of one block, 20 a second of another, for ten seconds
@@ -34,7 +34,7 @@
 }
 
 func TestTheDoorIsBounded(t *testing.T) {
-	d := &Door{PerS: 1e6, Burst: 1e6, MostOpen: 10}
+	d := &ConnLimiter{ConnsPerSecond: 1e6, Burst: 1e6, MaxOpen: 10}
 	taken := 0
 	for i := range 40 {
 		if ok, _ := d.Admit(time.Second, netip.MustParseAddr(fmt.Sprintf("10.0.%d.1", i))); ok {
@@ -54,7 +54,7 @@
 }
 
 func BenchmarkRefuse(b *testing.B) {
-	d := &Door{PerS: 1, Burst: 1, MostOpen: 1}
+	d := &ConnLimiter{ConnsPerSecond: 1, Burst: 1, MaxOpen: 1}
 	for i := 0; b.Loop(); i++ {
 		d.Admit(time.Duration(i)*time.Microsecond, netip.AddrFrom4([4]byte{10, byte(i >> 8), byte(i), 1}))
 	}
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -62,13 +62,13 @@
 )
 
 // Guard is one dispatcher's.
-type Guard struct {
+type RetryThrottle struct {
 	heed  time.Duration // the longest wait that clients follow
 	rng   *brain.PCG
-	first brain.Ring // tries that are a question's first
-	again brain.Ring
-	good  brain.Ring // answered
-	bad   brain.Ring // declined or forfeited
+	first brain.RollingSum // tries that are a question's first
+	again brain.RollingSum
+	good  brain.RollingSum // answered
+	bad   brain.RollingSum // declined or forfeited
 	on    bool
 
 	rate     float64 // what can be answered in a second
@@ -77,31 +77,31 @@
 	channels []*channel
 	slots    map[int64]float64 // places booked, by the slot's number
 	standby  map[int64]float64 // told to come then, without a place
-	seal     Seal
+	seal     TicketSigner
 	used     map[usedTicket]bool
 	order    []usedTicket // those, in the order of their use
 	swept    int64
-	abroad   bucket     // for tickets of other dispatchers
-	further  bucket     // for trips after one that failed
-	trips    brain.Ring // first ones of their questions
+	abroad   bucket           // for tickets of other dispatchers
+	further  bucket           // for trips after one that failed
+	trips    brain.RollingSum // first ones of their questions
 
-	Counts Counts
+	Counters Counters
 }
 
 // Counts show when a limit acted.
-type Counts struct {
-	First, Again, Booked, Kept, Refused, Budgeted, Storms int64
-
-	Standby   int64 // told when to come back, without a place
-	Elsewhere int64 // of those kept, with a ticket of another dispatcher
-	Forged    int64 // tickets that no seal of this key made
-	Further   int64 // trips after one that failed
-	Spent     int64 // questions that got no further trip, as the budget for these was spent
+type Counters struct {
+	FirstTries, Retries, Booked, Redeemed, Rejected, FromBudget, Activations int64
+
+	Unbooked         int64 // told when to come back, without a place
+	FromPeers        int64 // of those kept, with a ticket of another dispatcher
+	InvalidTickets   int64 // tickets that no seal of this key made
+	Reattempts       int64 // trips after one that failed
+	ReattemptsDenied int64 // questions that got no further trip, as the budget for these was spent
 }
 
 type channel struct {
 	budget bucket
-	good   brain.Ring
+	good   brain.RollingSum
 }
 
 type usedTicket struct {
@@ -133,18 +133,18 @@
 }
 
 // New makes a guard. heed is the longest wait that clients follow; channels is how many there are.
-func New(heed time.Duration, channels int, seed uint64, seal Seal) *Guard {
-	g := &Guard{heed: heed, rng: brain.NewPCG(seed), first: brain.Ring{Width: sight}, again: brain.Ring{Width: sight}, good: brain.Ring{Width: sight}, bad: brain.Ring{Width: sight}, trips: brain.Ring{Width: sight},
+func New(heed time.Duration, channels int, seed uint64, seal TicketSigner) *RetryThrottle {
+	g := &RetryThrottle{heed: heed, rng: brain.NewPCG(seed), first: brain.RollingSum{BucketWidth: sight}, again: brain.RollingSum{BucketWidth: sight}, good: brain.RollingSum{BucketWidth: sight}, bad: brain.RollingSum{BucketWidth: sight}, trips: brain.RollingSum{BucketWidth: sight},
 		slots: map[int64]float64{}, standby: map[int64]float64{}, seal: seal, used: map[usedTicket]bool{}, share: 1, further: bucket{tokens: furtherBurst * furtherLeast}}
 	for range max(channels, 1) {
 		// Many dispatchers start together: their budgets must not fill in step.
-		g.channels = append(g.channels, &channel{good: brain.Ring{Width: sight}, budget: bucket{tokens: g.rng.Float()}})
+		g.channels = append(g.channels, &channel{good: brain.RollingSum{BucketWidth: sight}, budget: bucket{tokens: g.rng.Float()}})
 	}
 	return g
 }
 
 // On tells whether a storm is on.
-func (g *Guard) On(now time.Duration) bool {
+func (g *RetryThrottle) Active(now time.Duration) bool {
 	again, first := g.again.Sum(now)+priorAgain, g.first.Sum(now)+priorFirst
 	n := again + first
 	share := again / n
@@ -152,7 +152,7 @@
 	switch {
 	case !g.on && g.bad.Sum(now) > 0 && (share-spread > onAbove || g.share < losing && share > onAbove):
 		g.on = true
-		g.Counts.Storms++
+		g.Counters.Activations++
 	case g.on && share+spread < offBelow:
 		g.on = false
 	}
@@ -160,47 +160,47 @@
 }
 
 // Again is the share of tries that ask again, lately.
-func (g *Guard) Again(now time.Duration) float64 {
+func (g *RetryThrottle) RetryShare(now time.Duration) float64 {
 	return g.again.Sum(now) / max(g.again.Sum(now)+g.first.Sum(now), 1)
 }
 
 // Arrive takes word of a try and tells whether it goes to the module. One that does not is declined at once, and is to
 // come back after the wait that is returned. ticket is what an earlier decline gave the client; "": nothing.
-func (g *Guard) Arrive(now time.Duration, again bool, chanNumber int, ticket string) (admit bool, after time.Duration, next string) {
+func (g *RetryThrottle) Admit(now time.Duration, again bool, chanNumber int, ticket string) (admit bool, after time.Duration, next string) {
 	if !again && ticket == "" {
 		g.first.Add(now, 1)
-		g.Counts.First++
+		g.Counters.FirstTries++
 		return true, 0, ""
 	}
 	g.again.Add(now, 1)
-	g.Counts.Again++
+	g.Counters.Retries++
 	if ticket != "" && g.keeps(now, ticket) {
-		g.Counts.Kept++
+		g.Counters.Redeemed++
 		return true, 0, ""
 	}
-	if !g.On(now) {
+	if !g.Active(now) {
 		return true, 0, ""
 	}
 	c := g.channel(chanNumber)
-	allowed := max(g.share*budgetShare*c.good.PerS(now), budgetLeast)
+	allowed := max(g.share*budgetShare*c.good.PerSecond(now), budgetLeast)
 	if c.budget.take(now, allowed, max(budgetBurst*allowed, 1)) {
-		g.Counts.Budgeted++
+		g.Counters.FromBudget++
 		return true, 0, ""
 	}
-	g.Counts.Refused++
-	after, next = g.Book(now)
+	g.Counters.Rejected++
+	after, next = g.BookRetry(now)
 	return false, after, next
 }
 
 // keeps tells whether a client came when its ticket says. A ticket admits once here; one of another dispatcher only within
 // what this one can have answered, as its giver can't tell this one that it was used there.
-func (g *Guard) keeps(now time.Duration, text string) bool {
-	t, ok := g.seal.Read(text)
+func (g *RetryThrottle) keeps(now time.Duration, text string) bool {
+	t, ok := g.seal.Verify(text)
 	if !ok {
-		g.Counts.Forged++
+		g.Counters.InvalidTickets++
 		return false
 	}
-	u := usedTicket{t.From, t.Number, t.Due}
+	u := usedTicket{t.Issuer, t.Serial, t.Due}
 	if now < t.Due-keptEarly || now > t.Due+keptLate || g.used[u] {
 		return false
 	}
@@ -208,12 +208,12 @@
 	if len(g.order) >= mostUsed {
 		return false
 	}
-	if t.From != g.seal.From {
-		rate := elsewhere * g.Rate(now)
+	if t.Issuer != g.seal.Issuer {
+		rate := elsewhere * g.ServiceRate(now)
 		if !g.abroad.take(now, rate, max(rate, 1)) {
 			return false
 		}
-		g.Counts.Elsewhere++
+		g.Counters.FromPeers++
 	}
 	g.used[u] = true
 	g.order = append(g.order, u)
@@ -221,31 +221,31 @@
 }
 
 // Sent takes word of a trip: a question's first, or a further one after one that failed.
-func (g *Guard) Sent(now time.Duration, further bool) {
+func (g *RetryThrottle) AttemptSent(now time.Duration, further bool) {
 	if !further {
 		g.trips.Add(now, 1)
 		return
 	}
-	g.Counts.Further++
+	g.Counters.Reattempts++
 	g.further.tokens-- // below nought for what was let go on before
 }
 
 // MayTryAgain tells, when a trip failed that may have cost work, whether its question may have a further one. Without a
 // limit all that an outage breaks is asked of the boxes that are left, a trip for each that the terms allow.
-func (g *Guard) MayTryAgain(now time.Duration) bool {
-	perS := furtherShare*g.trips.PerS(now) + furtherLeast
+func (g *RetryThrottle) AllowReattempt(now time.Duration) bool {
+	perS := furtherShare*g.trips.PerSecond(now) + furtherLeast
 	if !g.further.has(now, perS, furtherBurst*perS) {
-		g.Counts.Spent++
+		g.Counters.ReattemptsDenied++
 		return false
 	}
 	return true
 }
 
-func (g *Guard) channel(n int) *channel { return g.channels[min(max(n, 0), len(g.channels)-1)] }
+func (g *RetryThrottle) channel(n int) *channel { return g.channels[min(max(n, 0), len(g.channels)-1)] }
 
 // Answered takes word of a question's end: whether it was answered, and for a first try whether in its promised time.
-func (g *Guard) Answered(now time.Duration, well, first, inTime bool, chanNumber int) {
-	if perS := max(g.first.PerS(now), 0.1); first && inTime {
+func (g *RetryThrottle) RequestDone(now time.Duration, well, first, inTime bool, chanNumber int) {
+	if perS := max(g.first.PerSecond(now), 0.1); first && inTime {
 		g.share = min(g.share+shareUp/perS, 1)
 	} else if first {
 		g.share = max(g.share*math.Pow(shareDown, 1/max(0.1*perS, 1)), leastShare)
@@ -260,14 +260,14 @@
 
 // Rate is how many questions a second this dispatcher can have answered, as far as it knows: while some are declined, what
 // is answered; else rising from there.
-func (g *Guard) Rate(now time.Duration) float64 {
-	seen := max(g.good.PerS(now), leastRate)
+func (g *RetryThrottle) ServiceRate(now time.Duration) float64 {
+	seen := max(g.good.PerSecond(now), leastRate)
 	if g.rateAt == 0 {
 		g.rate = seen
 	}
 	span := (now - g.rateAt).Seconds()
 	g.rateAt = now
-	if g.bad.PerS(now) > 0.05*seen {
+	if g.bad.PerSecond(now) > 0.05*seen {
 		// Toward what is answered, over some seconds.
 		g.rate += (seen - g.rate) * min(span/3, 1)
 	} else {
@@ -279,12 +279,12 @@
 
 // Book finds a time to come back for a client that is declined. Where there is room for it by then it has a place and a
 // ticket for it; else it is told a time all the same, and pays from the budget like others.
-func (g *Guard) Book(now time.Duration) (after time.Duration, ticket string) {
+func (g *RetryThrottle) BookRetry(now time.Duration) (after time.Duration, ticket string) {
 	if g.heed <= 0 {
 		return 0, ""
 	}
-	rate := g.Rate(now)
-	room := g.share * max(rate-g.first.PerS(now), leastRoom*rate) * slotWidth.Seconds()
+	rate := g.ServiceRate(now)
+	room := g.share * max(rate-g.first.PerSecond(now), leastRoom*rate) * slotWidth.Seconds()
 	from, to := int64((now+firstWait)/slotWidth), int64((now+g.heed)/slotWidth)
 	to = min(max(to, from), from+mostSlots)
 	g.sweep(int64(now / slotWidth))
@@ -303,18 +303,18 @@
 	at := time.Duration(pick)*slotWidth + time.Duration(g.rng.Float()*float64(slotWidth))
 	after = min(max(at-now, firstWait/2), g.heed)
 	if !place {
-		g.Counts.Standby++
+		g.Counters.Unbooked++
 		g.standby[pick]++
 		return after, ""
 	}
 	g.slots[pick]++
-	g.Counts.Booked++
+	g.Counters.Booked++
 	// The number goes on from a drawn one: a dispatcher that has restarted under its old name repeats none.
-	return after, g.seal.Make(now+after, brain.Mix(uint64(g.Counts.Booked), uint64(g.rng.Float()*(1<<52))))
+	return after, g.seal.Sign(now+after, brain.Mix(uint64(g.Counters.Booked), uint64(g.rng.Float()*(1<<52))))
 }
 
 // sweep forgets slots that are past, and used tickets that nobody could use again.
-func (g *Guard) sweep(now int64) {
+func (g *RetryThrottle) sweep(now int64) {
 	if now == g.swept {
 		return
 	}
@@ -337,7 +337,7 @@
 }
 
 // Promised is how many returns are booked from now on.
-func (g *Guard) Promised(now time.Duration) int {
+func (g *RetryThrottle) BookedRetries(now time.Duration) int {
 	n := 0.0
 	for s, k := range g.slots {
 		if s >= int64(now/slotWidth) {
--- a/internal/system/arrival.go
+++ b/internal/system/arrival.go
@@ -10,7 +10,7 @@
 
 // Unacknowledged is how many bytes that were written to a TCP connection the far machine has not acknowledged yet; 0 where the
 // operating system does not tell.
-func Unacknowledged(conn net.Conn) (bytes int) {
+func UnacknowledgedBytes(conn net.Conn) (bytes int) {
 	sys, ok := conn.(syscall.Conn)
 	if !ok {
 		return 0
@@ -29,7 +29,7 @@
 
 // ReceivedAgo is how long ago the last bytes came to a TCP connection, whenever they are read; false where the operating system does not
 // tell.
-func ReceivedAgo(fd uintptr) (time.Duration, bool) {
+func SinceLastReceive(fd uintptr) (time.Duration, bool) {
 	info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	if err != nil {
 		return 0, false
--- a/internal/system/errors.go
+++ b/internal/system/errors.go
@@ -14,7 +14,7 @@
 }
 
 // Local tells whether an error of connecting comes from this machine alone.
-func Local(err error) bool {
+func IsLocalError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno) && slices.Contains(localErrors, errno)
 }
--- a/internal/system/replace.go
+++ b/internal/system/replace.go
@@ -7,13 +7,13 @@
 )
 
 // newSuffix is what the name of a file has while it is being written.
-const newSuffix = ".new"
+const tempSuffix = ".new"
 
 // Replace puts a file with new contents in the place of one. It is on the disk when Replace returns; a kill, a full disk or one that
 // fails leaves the old one as it was.
-func Replace(path string, raw []byte, mode os.FileMode) error {
-	written := path + newSuffix
-	if err := writeSynced(written, raw, mode); err != nil {
+func ReplaceFile(path string, raw []byte, mode os.FileMode) error {
+	written := path + tempSuffix
+	if err := writeAndSync(written, raw, mode); err != nil {
 		os.Remove(written)
 		return err
 	}
@@ -21,11 +21,11 @@
 		os.Remove(written)
 		return err
 	}
-	return syncFolder(filepath.Dir(path))
+	return syncDir(filepath.Dir(path))
 }
 
 // writeSynced writes a file and has it on the disk.
-func writeSynced(path string, raw []byte, mode os.FileMode) error {
+func writeAndSync(path string, raw []byte, mode os.FileMode) error {
 	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, mode)
 	if err != nil {
 		return err
@@ -37,7 +37,7 @@
 }
 
 // syncFolder has a folder's names on the disk.
-func syncFolder(path string) error {
+func syncDir(path string) error {
 	folder, err := os.Open(path)
 	if err != nil {
 		return err
--- a/internal/system/replace_test.go
+++ b/internal/system/replace_test.go
@@ -11,19 +11,19 @@
 // A file is replaced whole or not at all: a disk that is full leaves the old one, and nothing half.
 func TestAFileIsReplacedWholeOrNotAtAll(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.json")
-	if err := Replace(path, []byte("old"), 0o644); err != nil {
+	if err := ReplaceFile(path, []byte("old"), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.Symlink("/dev/full", path+newSuffix); err != nil {
+	if err := os.Symlink("/dev/full", path+tempSuffix); err != nil {
 		t.Fatal(err)
 	}
-	if err := Replace(path, []byte("new"), 0o644); !errors.Is(err, syscall.ENOSPC) {
+	if err := ReplaceFile(path, []byte("new"), 0o644); !errors.Is(err, syscall.ENOSPC) {
 		t.Errorf("%v", err)
 	}
 	if raw, _ := os.ReadFile(path); string(raw) != "old" {
 		t.Errorf("it has %q", raw)
 	}
-	if err := Replace(path, []byte("new"), 0o644); err != nil {
+	if err := ReplaceFile(path, []byte("new"), 0o644); err != nil {
 		t.Errorf("the next try: %v", err)
 	}
 	if raw, _ := os.ReadFile(path); string(raw) != "new" {
@@ -35,7 +35,7 @@
 }
 
 func TestAFolderThatIsGoneIsAnError(t *testing.T) {
-	if err := Replace(filepath.Join(t.TempDir(), "gone", "list.json"), nil, 0o644); !errors.Is(err, os.ErrNotExist) {
+	if err := ReplaceFile(filepath.Join(t.TempDir(), "gone", "list.json"), nil, 0o644); !errors.Is(err, os.ErrNotExist) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/system/retry_test.go
+++ b/internal/system/retry_test.go
@@ -23,7 +23,7 @@
 
 func TestAPersistentListenerFailsOnlyOnceItIsClosed(t *testing.T) {
 	failures := 0
-	p := Persistent{Listener: &flaky{left: 3}, Failed: func(error) { failures++ }}
+	p := RetryingListener{Listener: &flaky{left: 3}, OnError: func(error) { failures++ }}
 	if _, err := p.Accept(); !errors.Is(err, net.ErrClosed) || failures != 3 {
 		t.Errorf("%v after %d failures", err, failures)
 	}
@@ -36,13 +36,13 @@
 	}
 	at := first.Addr().String()
 	time.AfterFunc(50*time.Millisecond, func() { first.Close() })
-	second, err := Open(func() (Listener, error) { return Real().Listen(at) })
+	second, err := OpenWithRetry(func() (Listener, error) { return Real().Listen(at) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	second.Close()
 	began := time.Now()
-	if _, err := Open(func() (Listener, error) { return Real().Listen("nowhere") }); err == nil || time.Since(began) > time.Second {
+	if _, err := OpenWithRetry(func() (Listener, error) { return Real().Listen("nowhere") }); err == nil || time.Since(began) > time.Second {
 		t.Errorf("an address that makes no sense: %v after %v", err, time.Since(began))
 	}
 }
