--- a/internal/day/plan.go
+++ b/internal/day/plan.go
@@ -8,137 +8,143 @@
 	"sloetrestle/internal/standin"
 )
 
-// session is a conversation that may go on.
+// session is a conversation of one or more turns.
 type session struct {
-	name, shared string
-	prefix       int
-	tokens       int
-	channel      string
-	turns        int
-	ready        time.Duration
+	name, sharedPrefix string
+	prefixTokens       int
+	tokens             int // of the conversation so far
+	tenant             string
+	turnsLeft          int
+	nextTurn           time.Duration // the earliest time of the next turn
 }
 
-// think is how long a client reads an answer before its next question.
-const think = 2 * time.Second
+// thinkTime is how long a client reads an answer before its next request.
+const thinkTime = 2 * time.Second
 
-// on tells whether a trouble of a kind is on at a time.
-func (t Fault) on(kind string, at time.Duration) bool {
-	return t.Kind == kind && at >= t.Start.Std() && at < (t.Start+t.Duration).Std()
+// active reports whether a fault is of a kind and active at a time.
+func (f Fault) active(kind string, t time.Duration) bool {
+	return f.Kind == kind && t >= f.Start.Std() && t < (f.Start+f.Duration).Std()
 }
 
-// Plan draws all that clients will ask; arrivals don't wait for answers. The same script has the same plan.
+// Plan draws all requests that clients will send. Arrivals don't wait for answers. The same script and seed always give
+// the same plan.
 func (d *Scenario) Plan() []standin.Request {
 	rng := d.rng(1)
-	var wishes []standin.Request
-	open := map[string][]*session{}
-	sum := 0.0
+	var requests []standin.Request
+	openSessions := map[string][]*session{} // by class
+	shares := 0.0
 	for _, t := range d.Traffic {
-		sum += t.Share
+		shares += t.Share
 	}
-	length := d.Header.Duration.Std()
-	for at := time.Duration(0); ; {
-		rate, begins, burst := d.Header.RequestsPerSecond, "", ""
-		beginTokens := 0
-		for i, t := range d.Faults {
-			if t.on("burst", at) {
-				rate *= t.Factor
-				if t.Tenant != "" && rng.Float64() < 1-1/t.Factor {
-					burst = t.Tenant
+	duration := d.Header.Duration.Std()
+	for arrival := time.Duration(0); ; {
+		rate, unseenPrefix, burstTenant := d.Header.RequestsPerSecond, "", ""
+		unseenPrefixTokens := 0
+		for i, f := range d.Faults {
+			if f.active("burst", arrival) {
+				rate *= f.Factor
+				if f.Tenant != "" && rng.Float64() < 1-1/f.Factor {
+					burstTenant = f.Tenant
 				}
 			}
-			if t.on("shared_text", at) && rng.Float64() < t.Share {
-				begins, beginTokens = fmt.Sprintf("unseen-%d", i), t.Tokens
+			if f.active("shared_text", arrival) && rng.Float64() < f.Share {
+				unseenPrefix, unseenPrefixTokens = fmt.Sprintf("unseen-%d", i), f.Tokens
 			}
 		}
-		at += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
-		if at >= length {
-			return wishes
+		arrival += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
+		if arrival >= duration {
+			return requests
 		}
-		// Which grade, then a session that goes on or a new one.
-		pick := rng.Float64() * sum
-		tr := d.Traffic[0]
+		// Draw the class, then take a session that continues or begin a new one.
+		pick := rng.Float64() * shares
+		traffic := d.Traffic[0]
 		for _, t := range d.Traffic {
-			tr = t
+			traffic = t
 			if pick -= t.Share; pick < 0 {
 				break
 			}
 		}
 		var s *session
-		waiting := open[tr.Class]
-		for i, o := range waiting {
-			if begins == "" && burst == "" && o.ready <= at {
-				s, open[tr.Class] = o, append(waiting[:i:i], waiting[i+1:]...)
+		open := openSessions[traffic.Class]
+		for i, o := range open {
+			if unseenPrefix == "" && burstTenant == "" && o.nextTurn <= arrival {
+				s, openSessions[traffic.Class] = o, append(open[:i:i], open[i+1:]...)
 				break
 			}
 		}
 		if s == nil {
-			s = &session{name: fmt.Sprintf("s%d", len(wishes)), turns: 1}
-			for float64(s.turns) < 12 && rng.Float64() < 1-1/tr.Turns {
-				s.turns++
+			s = &session{name: fmt.Sprintf("s%d", len(requests)), turnsLeft: 1}
+			for float64(s.turnsLeft) < 12 && rng.Float64() < 1-1/traffic.Turns {
+				s.turnsLeft++
 			}
 			if len(d.Tenants) > 0 {
-				s.channel = d.drawChannel(rng.Float64())
+				s.tenant = d.drawTenant(rng.Float64())
 			}
-			if burst != "" {
-				s.channel = burst
+			if burstTenant != "" {
+				s.tenant = burstTenant
 			}
 			switch {
-			case begins != "":
-				s.shared, s.prefix = begins, beginTokens
-			case rng.Float64() < tr.SharedPrefixShare:
-				// Few beginnings are common and many rare.
-				n := int(math.Pow(float64(tr.SharedPrefixes), rng.Float64()))
-				s.shared, s.prefix = fmt.Sprintf("%s-text-%d", tr.Class, n), tr.SharedPrefixTokens
+			case unseenPrefix != "":
+				s.sharedPrefix, s.prefixTokens = unseenPrefix, unseenPrefixTokens
+			case rng.Float64() < traffic.SharedPrefixShare:
+				// A few prefixes are common and many are rare.
+				n := int(math.Pow(float64(traffic.SharedPrefixes), rng.Float64()))
+				s.sharedPrefix, s.prefixTokens = fmt.Sprintf("%s-text-%d", traffic.Class, n), traffic.SharedPrefixTokens
 			}
-			s.tokens = s.prefix
+			s.tokens = s.prefixTokens
 		}
-		long := 1.0
-		w := standin.Request{SubmitAt: at, Name: fmt.Sprintf("q%d", len(wishes)), Class: tr.Class, Tenant: s.channel, Session: s.name, PrefixID: s.shared,
-			PrefixTokens: s.prefix, Retries: d.Clients.Retries, RetryWait: d.Clients.RetryWait.Std(), ExponentialBackoff: d.Clients.WaitDoubles, HonoursRetryAfter: rng.Float64() < d.Clients.FollowAdviceShare}
-		g := d.Classes[d.ClassIndex(tr.Class)]
-		quit, givesUp, slowly := false, 0.0, time.Duration(0)
-		for _, t := range d.Faults {
+		promptFactor := 1.0
+		request := standin.Request{SubmitAt: arrival, Name: fmt.Sprintf("q%d", len(requests)), Class: traffic.Class,
+			Tenant: s.tenant, Session: s.name, PrefixID: s.sharedPrefix, PrefixTokens: s.prefixTokens, Retries: d.Clients.Retries,
+			RetryWait: d.Clients.RetryWait.Std(), ExponentialBackoff: d.Clients.WaitDoubles,
+			HonoursRetryAfter: rng.Float64() < d.Clients.FollowAdviceShare}
+		class := d.Classes[d.ClassIndex(traffic.Class)]
+		leaves, givesUpAfter, readDelay := false, 0.0, time.Duration(0) // givesUpAfter: in latency targets
+		for _, f := range d.Faults {
 			switch {
-			case t.on("long_prompts", at) && rng.Float64() < t.Share && (t.Class == "" || t.Class == tr.Class):
-				long = t.Factor
-			case t.on("leave", at) && rng.Float64() < t.Share:
-				quit = true
-			case t.on("give_up", at) && rng.Float64() < t.Share:
-				givesUp = t.Factor
-			case t.on("slow_clients", at) && rng.Float64() < t.Share:
-				slowly = t.Delay.Std()
+			case f.active("long_prompts", arrival) && rng.Float64() < f.Share &&
+				(f.Class == "" || f.Class == traffic.Class):
+				promptFactor = f.Factor
+			case f.active("leave", arrival) && rng.Float64() < f.Share:
+				leaves = true
+			case f.active("give_up", arrival) && rng.Float64() < f.Share:
+				givesUpAfter = f.Factor
+			case f.active("slow_clients", arrival) && rng.Float64() < f.Share:
+				readDelay = f.Delay.Std()
 			}
 		}
-		s.tokens += max(int(tr.NewTokens*long*math.Exp(0.6*rng.NormFloat64()-0.18)), 8)
-		w.PromptTokens = s.tokens
-		w.MaxTokens = max(g.DefaultMaxTokens, 1)
-		k := float64(w.PromptTokens) / 1000
-		w.LatencyTarget = g.LatencyTarget.Std() + time.Duration(k*float64(g.TargetPer1000Tokens))
-		w.Deadline = g.Deadline.Std() + 2*time.Duration(k*float64(g.TargetPer1000Tokens))
-		w.PatienceShare = d.Clients.PatienceMin + rng.Float64()*(d.Clients.PatienceMax-d.Clients.PatienceMin)
-		if givesUp > 0 {
-			w.PatienceShare = min(w.PatienceShare, givesUp*float64(w.LatencyTarget)/float64(w.Deadline))
+		// New tokens are log-normal with a mean of NewTokens: 0.18 is half the square of 0.6.
+		s.tokens += max(int(traffic.NewTokens*promptFactor*math.Exp(0.6*rng.NormFloat64()-0.18)), 8)
+		request.PromptTokens = s.tokens
+		request.MaxTokens = max(class.DefaultMaxTokens, 1)
+		kilotokens := float64(request.PromptTokens) / 1000
+		request.LatencyTarget = class.LatencyTarget.Std() + time.Duration(kilotokens*float64(class.TargetPer1000Tokens))
+		request.Deadline = class.Deadline.Std() + 2*time.Duration(kilotokens*float64(class.TargetPer1000Tokens))
+		request.PatienceShare = d.Clients.PatienceMin + rng.Float64()*(d.Clients.PatienceMax-d.Clients.PatienceMin)
+		if givesUpAfter > 0 {
+			request.PatienceShare = min(request.PatienceShare, givesUpAfter*float64(request.LatencyTarget)/float64(request.Deadline))
 		}
-		w.ReadDelay = slowly
-		w.Idempotent = g.Effect == "idempotent" || g.Effect == "deduplicated" && (g.DedupScope == "" || g.DedupScope == "all")
-		if quit { // some before the first token, some while the answer streams
-			w.LeaveAfter = time.Duration((0.2 + 1.2*rng.Float64()) * float64(w.LatencyTarget))
+		request.ReadDelay = readDelay
+		request.Idempotent = class.Effect == "idempotent" ||
+			class.Effect == "deduplicated" && (class.DedupScope == "" || class.DedupScope == "all")
+		if leaves { // some before the first token, some while the answer streams
+			request.LeaveAfter = time.Duration((0.2 + 1.2*rng.Float64()) * float64(request.LatencyTarget))
 		}
-		wishes = append(wishes, w)
-		if s.turns--; s.turns > 0 {
-			s.ready = at + think
-			open[tr.Class] = append(open[tr.Class], s)
+		requests = append(requests, request)
+		if s.turnsLeft--; s.turnsLeft > 0 {
+			s.nextTurn = arrival + thinkTime
+			openSessions[traffic.Class] = append(openSessions[traffic.Class], s)
 		}
 	}
 }
 
-// drawChannel picks a channel by its share.
-func (d *Scenario) drawChannel(x float64) string {
-	sum := 0.0
+// drawTenant picks a tenant by its share; x is drawn from 0 to 1.
+func (d *Scenario) drawTenant(x float64) string {
+	shares := 0.0
 	for _, c := range d.Tenants {
-		sum += c.Share
+		shares += c.Share
 	}
-	x *= sum
+	x *= shares
 	for _, c := range d.Tenants {
 		if x -= c.Share; x < 0 {
 			return c.Name
