--- a/internal/stages/table_test.go
+++ b/internal/stages/table_test.go
@@ -9,167 +9,324 @@
 	"sloetrestle/internal/kserve"
 )
 
-// The stages of a question, and of what serves it.
+// The stages of a request, and of what serves it.
 const (
-	door       = "at the door"
-	held       = "held"
-	connecting = "connecting"
-	reading    = "reading"
-	waiting    = "state waiting"
-	writing    = "writing before the first token"
-	streaming  = "streaming"
-	answering  = "giving the answer"
-	releasing  = "releasing"
-	stopping   = "stopping"
-	starting   = "starting again"
-	list       = "following the list"
-	siblings   = "word among siblings"
-	booking    = "booking"
+	frontend     = "HTTP frontend"
+	queued       = "queued"
+	connecting   = "connecting"
+	prefilling   = "prefill"
+	cacheHeld    = "KV cache held"
+	decoding     = "decode before the first token"
+	streaming    = "streaming"
+	responding   = "sending the answer"
+	releasing    = "releasing"
+	shuttingDown = "graceful shutdown"
+	restarting   = "restart"
+	discovery    = "service discovery"
+	peers        = "peer updates"
+	accounting   = "budgets and journal"
 )
 
 // The faults.
 const (
-	refuses   = "refuses"
-	full      = "full"
-	dies      = "dies"
-	resets    = "resets"
-	silent    = "silent"
-	slow      = "slow"
-	malformed = "malformed"
-	cutOff    = "cut off"
-	oversized = "oversized"
-	doubled   = "doubled or late word"
-	leaves    = "client leaves"
-	timeUp    = "time is up"
-	drains    = "drains or gone"
-	cold      = "starts cold"
-	killed    = "dispatcher killed"
+	fails            = "fails"
+	full             = "full"
+	crashes          = "crashes"
+	resets           = "resets"
+	hangs            = "hangs"
+	slow             = "slow"
+	malformed        = "malformed"
+	truncated        = "cut off"
+	oversized        = "oversized"
+	duplicated       = "duplicated or late message"
+	clientLeaves     = "client disconnects"
+	timesOut         = "deadline or timeout passes"
+	drained          = "draining or removed"
+	coldStart        = "slow start"
+	dispatcherKilled = "dispatcher killed"
 )
 
 var (
-	stages = []string{door, held, connecting, reading, waiting, writing, streaming, answering, releasing, stopping, starting, list, siblings, booking}
-	faults = []string{refuses, full, dies, resets, silent, slow, malformed, cutOff, oversized, doubled, leaves, timeUp, drains, cold, killed}
+	stages = []string{
+		frontend, queued, connecting, prefilling, cacheHeld, decoding, streaming, responding, releasing,
+		shuttingDown, restarting, discovery, peers, accounting,
+	}
+	faults = []string{
+		fails, full, crashes, resets, hangs, slow, malformed, truncated, oversized, duplicated,
+		clientLeaves, timesOut, drained, coldStart, dispatcherKilled,
+	}
 )
 
-// A cell is how a fault is tried at a stage: in virtual time, on sockets, by a test that stands elsewhere, or why it can't happen.
+// A cell of the table says how a fault is tested at a stage: in virtual time, over sockets, by a named test in a
+// folder, or the reason why it cannot happen.
 type (
-	virtual   struct{}
-	socket    run
-	elsewhere struct{ folder, test string }
-	never     string
+	virtualTime struct{}
+	overSockets setupFunc
+	testedIn    struct{ folder, test string }
+	impossible  string
 )
 
 const (
-	noBox   = never("no box takes part")
-	noState = never("a state that waits says and does nothing; what its reader does is the reader's column")
-	noTime  = never("it has no client's time")
-	noHeld  = never("a held question is known to its dispatcher only")
+	noBackend        = impossible("no backend takes part")
+	passiveCache     = impossible("a held KV cache sends nothing; faults of its prefill backend are in the row of prefill")
+	noClientDeadline = impossible("no client's deadline applies")
+	queuedLocally    = impossible("a queued request is known to its dispatcher only")
 )
 
-// table is every fault at every stage.
+// table has a cell for every fault at every stage.
 var table = map[string]map[string]any{
-	door: {
-		refuses: elsewhere{"internal/storm", "TestABusyBlockLeavesOthersTheirShare"}, full: elsewhere{"internal/dispatch", "TestRequestsBeyondOpenLimitAreRejected"},
-		dies: noBox, resets: socket(asksBadly(`{"text_input":"x","parameters":{"grade"`, 300, true)), silent: socket(asksBadly("", 300, false)),
-		slow: elsewhere{"internal/dispatch", "TestInvalidRequestsAreRejectedWithFieldName"}, malformed: elsewhere{"internal/stages", "TestBodiesThatMakeNoSenseAreRefusedByName"},
-		cutOff:    socket(asksBadly(`{"text_input":"x"`, 300, true)),
-		oversized: elsewhere{"internal/stages", "TestBodiesThatMakeNoSenseAreRefusedByName"}, doubled: elsewhere{"internal/storm", "TestATicketAdmitsOnceAtItsTime"},
-		leaves: socket(asksBadly(`{`, 300, true)), timeUp: elsewhere{"internal/dispatch", "TestInvalidRequestsAreRejectedWithFieldName"},
-		drains: elsewhere{"internal/dispatch", "TestRejectionCarriesRetryAfter"}, cold: noBox, killed: elsewhere{"internal/day", "TestShortDaysKeepTheRules"},
+	frontend: {
+		fails:            testedIn{"internal/storm", "TestABusyBlockLeavesOthersTheirShare"},
+		full:             testedIn{"internal/dispatch", "TestRequestsBeyondOpenLimitAreRejected"},
+		crashes:          noBackend,
+		resets:           overSockets(incompleteBodies(`{"text_input":"x","parameters":{"grade"`, 300, true)),
+		hangs:            overSockets(incompleteBodies("", 300, false)),
+		slow:             testedIn{"internal/dispatch", "TestInvalidRequestsAreRejectedWithFieldName"},
+		malformed:        testedIn{"internal/stages", "TestInvalidBodiesAreRejectedWithFieldName"},
+		truncated:        overSockets(incompleteBodies(`{"text_input":"x"`, 300, true)),
+		oversized:        testedIn{"internal/stages", "TestInvalidBodiesAreRejectedWithFieldName"},
+		duplicated:       testedIn{"internal/storm", "TestATicketAdmitsOnceAtItsTime"},
+		clientLeaves:     overSockets(incompleteBodies(`{`, 300, true)),
+		timesOut:         testedIn{"internal/dispatch", "TestInvalidRequestsAreRejectedWithFieldName"},
+		drained:          testedIn{"internal/dispatch", "TestRejectionCarriesRetryAfter"},
+		coldStart:        noBackend,
+		dispatcherKilled: testedIn{"internal/day", "TestShortDaysKeepTheRules"},
 	},
-	held: {
-		refuses: noHeld, full: virtual{}, dies: virtual{}, resets: noHeld, silent: noHeld, slow: noHeld, malformed: noHeld, cutOff: noHeld, oversized: noHeld,
-		doubled: noHeld, leaves: virtual{}, timeUp: virtual{}, drains: virtual{}, cold: never("questions are held for no one box"), killed: virtual{},
+	queued: {
+		fails:            queuedLocally,
+		full:             virtualTime{},
+		crashes:          virtualTime{},
+		resets:           queuedLocally,
+		hangs:            queuedLocally,
+		slow:             queuedLocally,
+		malformed:        queuedLocally,
+		truncated:        queuedLocally,
+		oversized:        queuedLocally,
+		duplicated:       queuedLocally,
+		clientLeaves:     virtualTime{},
+		timesOut:         virtualTime{},
+		drained:          virtualTime{},
+		coldStart:        impossible("requests are not queued for a single backend"),
+		dispatcherKilled: virtualTime{},
 	},
 	connecting: {
-		refuses: virtual{}, full: socket(fewConnections), dies: elsewhere{"internal/reach", "TestFailureOfAllAddressesIsReportedPromptly"},
-		resets: socket(proofs(atProof[resets])), silent: socket(proofs(atProof[silent])), slow: socket(proofs(atProof[slow])),
-		malformed: socket(proofs(atProof[malformed])), cutOff: socket(proofs(atProof[cutOff])), oversized: socket(proofs(atProof[oversized])),
-		doubled: socket(proofs(atProof[doubled])), leaves: socket(leavesWhileConnecting), timeUp: socket(noTimeToConnect),
-		drains: elsewhere{"internal/reach", "TestConnectionsToARemovedAddressAreNotReused"}, cold: never("a connection weighs nothing at a cold box: its trip does"),
-		killed: elsewhere{"internal/day", "TestShortDaysKeepTheRules"},
+		fails:            virtualTime{},
+		full:             overSockets(fewConnections),
+		crashes:          testedIn{"internal/reach", "TestFailureOfAllAddressesIsReportedPromptly"},
+		resets:           overSockets(faultyProbes(probeFaults[resets])),
+		hangs:            overSockets(faultyProbes(probeFaults[hangs])),
+		slow:             overSockets(faultyProbes(probeFaults[slow])),
+		malformed:        overSockets(faultyProbes(probeFaults[malformed])),
+		truncated:        overSockets(faultyProbes(probeFaults[truncated])),
+		oversized:        overSockets(faultyProbes(probeFaults[oversized])),
+		duplicated:       overSockets(faultyProbes(probeFaults[duplicated])),
+		clientLeaves:     overSockets(clientsLeaveWhileConnecting),
+		timesOut:         overSockets(deadlinePassesWhileConnecting),
+		drained:          testedIn{"internal/reach", "TestConnectionsToARemovedAddressAreNotReused"},
+		coldStart:        impossible("slow start limits attempts, not connections"),
+		dispatcherKilled: testedIn{"internal/day", "TestShortDaysKeepTheRules"},
 	},
-	reading: {
-		refuses: virtual{}, full: virtual{}, dies: virtual{}, resets: socket(asked("reader", atReader[resets])), silent: virtual{}, slow: virtual{},
-		malformed: socket(asked("reader", atReader[malformed])), cutOff: socket(asked("reader", atReader[cutOff])),
-		oversized: socket(asked("reader", atReader[oversized])), doubled: socket(asked("reader", atReader[doubled])),
-		leaves: virtual{}, timeUp: virtual{}, drains: virtual{}, cold: virtual{}, killed: virtual{},
+	prefilling: {
+		fails:            virtualTime{},
+		full:             virtualTime{},
+		crashes:          virtualTime{},
+		resets:           overSockets(requestsDuring("reader", prefillFaults[resets])),
+		hangs:            virtualTime{},
+		slow:             virtualTime{},
+		malformed:        overSockets(requestsDuring("reader", prefillFaults[malformed])),
+		truncated:        overSockets(requestsDuring("reader", prefillFaults[truncated])),
+		oversized:        overSockets(requestsDuring("reader", prefillFaults[oversized])),
+		duplicated:       overSockets(requestsDuring("reader", prefillFaults[duplicated])),
+		clientLeaves:     virtualTime{},
+		timesOut:         virtualTime{},
+		drained:          virtualTime{},
+		coldStart:        virtualTime{},
+		dispatcherKilled: virtualTime{},
 	},
-	waiting: {
-		refuses: noState, full: elsewhere{"internal/engine", "TestStatesWaitMoveExpireAndAreLetGo"}, dies: virtual{}, resets: noState, silent: noState, slow: virtual{}, malformed: noState, cutOff: virtual{}, oversized: noState,
-		doubled: elsewhere{"internal/dispatch", "TestKVCacheIsReleasedAfterFailedTransfer"}, leaves: virtual{},
-		timeUp: socket(asked("writer", func(c *call) { c.told(503, kserve.OutcomeFull) })), drains: virtual{}, cold: virtual{}, killed: virtual{},
+	cacheHeld: {
+		fails:            passiveCache,
+		full:             testedIn{"internal/engine", "TestStatesWaitMoveExpireAndAreLetGo"},
+		crashes:          virtualTime{},
+		resets:           passiveCache,
+		hangs:            passiveCache,
+		slow:             virtualTime{},
+		malformed:        passiveCache,
+		truncated:        virtualTime{},
+		oversized:        passiveCache,
+		duplicated:       testedIn{"internal/dispatch", "TestKVCacheIsReleasedAfterFailedTransfer"},
+		clientLeaves:     virtualTime{},
+		timesOut:         overSockets(requestsDuring("writer", func(c *call) { c.respond(503, kserve.OutcomeFull) })),
+		drained:          virtualTime{},
+		coldStart:        virtualTime{},
+		dispatcherKilled: virtualTime{},
 	},
-	writing: {
-		refuses: virtual{}, full: virtual{}, dies: virtual{}, resets: virtual{}, silent: virtual{}, slow: socket(asked("writer", atWriter[slow])),
-		malformed: socket(asked("writer", atWriter[malformed])), cutOff: socket(asked("writer", atWriter[cutOff])),
-		oversized: socket(asked("writer", atWriter[oversized])), doubled: virtual{},
-		leaves: virtual{}, timeUp: virtual{}, drains: virtual{}, cold: virtual{}, killed: virtual{},
+	decoding: {
+		fails:            virtualTime{},
+		full:             virtualTime{},
+		crashes:          virtualTime{},
+		resets:           virtualTime{},
+		hangs:            virtualTime{},
+		slow:             overSockets(requestsDuring("writer", decodeFaults[slow])),
+		malformed:        overSockets(requestsDuring("writer", decodeFaults[malformed])),
+		truncated:        overSockets(requestsDuring("writer", decodeFaults[truncated])),
+		oversized:        overSockets(requestsDuring("writer", decodeFaults[oversized])),
+		duplicated:       virtualTime{},
+		clientLeaves:     virtualTime{},
+		timesOut:         virtualTime{},
+		drained:          virtualTime{},
+		coldStart:        virtualTime{},
+		dispatcherKilled: virtualTime{},
 	},
 	streaming: {
-		refuses: socket(asked("writer", begun(inStream[refuses]))), full: socket(asked("writer", begun(inStream[full]))), dies: virtual{}, resets: virtual{},
-		silent: socket(asked("writer", begun(inStream[silent]))), slow: virtual{}, malformed: socket(asked("writer", begun(inStream[malformed]))),
-		cutOff: socket(asked("writer", begun(inStream[cutOff]))), oversized: socket(asked("writer", begun(inStream[oversized]))),
-		doubled: socket(asked("writer", begun(inStream[doubled]))), leaves: virtual{}, timeUp: never("a stream that has begun has no deadline"),
-		drains: virtual{}, cold: virtual{}, killed: virtual{},
+		fails:            overSockets(requestsDuring("writer", afterStreamStart(streamFaults[fails]))),
+		full:             overSockets(requestsDuring("writer", afterStreamStart(streamFaults[full]))),
+		crashes:          virtualTime{},
+		resets:           virtualTime{},
+		hangs:            overSockets(requestsDuring("writer", afterStreamStart(streamFaults[hangs]))),
+		slow:             virtualTime{},
+		malformed:        overSockets(requestsDuring("writer", afterStreamStart(streamFaults[malformed]))),
+		truncated:        overSockets(requestsDuring("writer", afterStreamStart(streamFaults[truncated]))),
+		oversized:        overSockets(requestsDuring("writer", afterStreamStart(streamFaults[oversized]))),
+		duplicated:       overSockets(requestsDuring("writer", afterStreamStart(streamFaults[duplicated]))),
+		clientLeaves:     virtualTime{},
+		timesOut:         impossible("a stream that has begun has no deadline"),
+		drained:          virtualTime{},
+		coldStart:        virtualTime{},
+		dispatcherKilled: virtualTime{},
 	},
-	answering: {
-		refuses: noBox, full: never("an answer needs no room"), dies: noBox, resets: elsewhere{"internal/dispatch", "TestBrokenStreamEndsWithErrorEvent"}, silent: elsewhere{"internal/stages", "TestAClientThatTakesNoAnswerIsLetGo"},
-		slow: elsewhere{"internal/dispatch", "TestSlowClientAppliesBackpressureAndIsDisconnected"}, malformed: noBox, cutOff: elsewhere{"internal/dispatch", "TestBrokenStreamEndsWithErrorEvent"},
-		oversized: elsewhere{"internal/stages", "TestAnAnswerTooLongToGatherIsForfeited"}, doubled: elsewhere{"internal/dispatch", "TestWholeAnswerAfterAttemptTimeoutIsNotServed"},
-		leaves: elsewhere{"internal/dispatch", "TestClientDisconnectMidStreamCancelsAttempt"}, timeUp: elsewhere{"internal/dispatch", "TestOverdueRequestFails"},
-		drains: noBox, cold: noBox, killed: elsewhere{"internal/day", "TestShortDaysKeepTheRules"},
+	responding: {
+		fails:            noBackend,
+		full:             impossible("an answer needs no free capacity"),
+		crashes:          noBackend,
+		resets:           testedIn{"internal/dispatch", "TestBrokenStreamEndsWithErrorEvent"},
+		hangs:            testedIn{"internal/stages", "TestClientThatReadsNoAnswerIsDisconnected"},
+		slow:             testedIn{"internal/dispatch", "TestSlowClientAppliesBackpressureAndIsDisconnected"},
+		malformed:        noBackend,
+		truncated:        testedIn{"internal/dispatch", "TestBrokenStreamEndsWithErrorEvent"},
+		oversized:        testedIn{"internal/stages", "TestUnaryAnswerBeyondSizeLimitFails"},
+		duplicated:       testedIn{"internal/dispatch", "TestWholeAnswerAfterAttemptTimeoutIsNotServed"},
+		clientLeaves:     testedIn{"internal/dispatch", "TestClientDisconnectMidStreamCancelsAttempt"},
+		timesOut:         testedIn{"internal/dispatch", "TestOverdueRequestFails"},
+		drained:          noBackend,
+		coldStart:        noBackend,
+		dispatcherKilled: testedIn{"internal/day", "TestShortDaysKeepTheRules"},
 	},
 	releasing: {
-		refuses: socket(releases(atRelease[refuses])), full: socket(releases(atRelease[full])), dies: elsewhere{"internal/dispatch", "TestBackendMissingFromCompleteListIsRemoved"},
-		resets: socket(releases(atRelease[resets])), silent: socket(releases(atRelease[silent])), slow: socket(releases(atRelease[slow])),
-		malformed: socket(releases(atRelease[malformed])), cutOff: socket(releases(atRelease[cutOff])), oversized: socket(releases(atRelease[oversized])),
-		doubled: socket(releases(atRelease[doubled])), leaves: socket(leavesBeforeItsRead), timeUp: elsewhere{"internal/dispatch", "TestTimedOutPrefillEndsOnceAndIsReleased"},
-		drains: elsewhere{"internal/dispatch", "TestBackendMissingFromCompleteListIsRemoved"}, cold: never("a cold start has no states"), killed: elsewhere{"internal/engine", "TestStatesWaitMoveExpireAndAreLetGo"},
+		fails:            overSockets(faultyReleases(releaseFaults[fails])),
+		full:             overSockets(faultyReleases(releaseFaults[full])),
+		crashes:          testedIn{"internal/dispatch", "TestBackendMissingFromCompleteListIsRemoved"},
+		resets:           overSockets(faultyReleases(releaseFaults[resets])),
+		hangs:            overSockets(faultyReleases(releaseFaults[hangs])),
+		slow:             overSockets(faultyReleases(releaseFaults[slow])),
+		malformed:        overSockets(faultyReleases(releaseFaults[malformed])),
+		truncated:        overSockets(faultyReleases(releaseFaults[truncated])),
+		oversized:        overSockets(faultyReleases(releaseFaults[oversized])),
+		duplicated:       overSockets(faultyReleases(releaseFaults[duplicated])),
+		clientLeaves:     overSockets(clientsLeaveDuringPrefill),
+		timesOut:         testedIn{"internal/dispatch", "TestTimedOutPrefillEndsOnceAndIsReleased"},
+		drained:          testedIn{"internal/dispatch", "TestBackendMissingFromCompleteListIsRemoved"},
+		coldStart:        impossible("a backend that starts holds no KV caches"),
+		dispatcherKilled: testedIn{"internal/engine", "TestStatesWaitMoveExpireAndAreLetGo"},
 	},
-	stopping: {
-		refuses: socket(stops("writer", atWriter[refuses])), full: socket(stops("writer", atWriter[full])), dies: socket(stops("writer", atWriter[resets])),
-		resets: socket(stops("reader", atReader[resets])), silent: socket(stops("writer", func(c *call) { <-c.r.Context().Done() })),
-		slow: socket(stops("writer", begun(inStream[slow]))), malformed: socket(stops("writer", atWriter[malformed])), cutOff: socket(stops("writer", atWriter[cutOff])),
-		oversized: socket(stops("writer", begun(inStream[oversized]))), doubled: socket(stops("writer", begun(inStream[doubled]))),
-		leaves: socket(leavesWhileStopping), timeUp: elsewhere{"internal/dispatch", "TestGracefulShutdownTimeoutFailsOpenRequests"}, drains: never("a list's word changes nothing for what is out"),
-		cold: never("nothing new is sent to a cold box that held questions do not send"), killed: elsewhere{"internal/day", "TestShortDaysKeepTheRules"},
+	shuttingDown: {
+		fails:            overSockets(stopsDuring("writer", decodeFaults[fails])),
+		full:             overSockets(stopsDuring("writer", decodeFaults[full])),
+		crashes:          overSockets(stopsDuring("writer", decodeFaults[resets])),
+		resets:           overSockets(stopsDuring("reader", prefillFaults[resets])),
+		hangs:            overSockets(stopsDuring("writer", func(c *call) { <-c.r.Context().Done() })),
+		slow:             overSockets(stopsDuring("writer", afterStreamStart(streamFaults[slow]))),
+		malformed:        overSockets(stopsDuring("writer", decodeFaults[malformed])),
+		truncated:        overSockets(stopsDuring("writer", decodeFaults[truncated])),
+		oversized:        overSockets(stopsDuring("writer", afterStreamStart(streamFaults[oversized]))),
+		duplicated:       overSockets(stopsDuring("writer", afterStreamStart(streamFaults[duplicated]))),
+		clientLeaves:     overSockets(clientsLeaveDuringShutdown),
+		timesOut:         testedIn{"internal/dispatch", "TestGracefulShutdownTimeoutFailsOpenRequests"},
+		drained:          impossible("a change of the endpoint list does not affect attempts in flight"),
+		coldStart:        impossible("during shutdown only queued requests are sent to a backend in slow start"),
+		dispatcherKilled: testedIn{"internal/day", "TestShortDaysKeepTheRules"},
 	},
-	starting: {
-		refuses: socket(startsWithoutAList), full: elsewhere{"internal/ledger", "TestAFullOrFailingDisk"}, dies: noBox, resets: noBox, silent: socket(startsWithoutAList),
-		slow: noBox, malformed: socket(startsWith(`{"saved_unix_ms":` + `"then"}`)), cutOff: socket(startsWith(`{"saved_unix_ms":1,"push":{"version":3,"boxes":[{"na`)),
-		oversized: socket(startsWith(`{"saved_unix_ms":1,"push":{"whole":true,"boxes":[{"name":"` + strings.Repeat("n", 1<<20) + `","standing":"ready"}]}}`)),
-		doubled:   socket(startsWith(`{"saved_unix_ms":1,"push":{"version":900,"whole":true,"boxes":[{"name":"a","standing":"ready"},{"name":"a","standing":"gone"}]}}`)),
-		leaves:    noTime, timeUp: noTime, drains: elsewhere{"internal/boxlist", "TestFullListIsFetchedAfterAGapAndSaved"}, cold: elsewhere{"internal/fleet", "TestDaysKeepTheRulesInVirtualTime"}, killed: virtual{},
+	restarting: {
+		fails:     overSockets(startsWithoutDiscovery),
+		full:      testedIn{"internal/ledger", "TestAFullOrFailingDisk"},
+		crashes:   noBackend,
+		resets:    noBackend,
+		hangs:     overSockets(startsWithoutDiscovery),
+		slow:      noBackend,
+		malformed: overSockets(startsWithCachedList(`{"saved_unix_ms":` + `"then"}`)),
+		truncated: overSockets(startsWithCachedList(`{"saved_unix_ms":1,"push":{"version":3,"boxes":[{"na`)),
+		oversized: overSockets(startsWithCachedList(`{"saved_unix_ms":1,"push":{"whole":true,"boxes":[{"name":"` +
+			strings.Repeat("n", 1<<20) + `","standing":"ready"}]}}`)),
+		duplicated: overSockets(startsWithCachedList(`{"saved_unix_ms":1,"push":{"version":900,"whole":true,` +
+			`"boxes":[{"name":"a","standing":"ready"},{"name":"a","standing":"gone"}]}}`)),
+		clientLeaves:     noClientDeadline,
+		timesOut:         noClientDeadline,
+		drained:          testedIn{"internal/boxlist", "TestFullListIsFetchedAfterAGapAndSaved"},
+		coldStart:        testedIn{"internal/fleet", "TestDaysKeepTheRulesInVirtualTime"},
+		dispatcherKilled: virtualTime{},
 	},
-	list: {
-		refuses: elsewhere{"internal/boxlist", "TestFullListIsFetchedAfterAGapAndSaved"}, full: elsewhere{"internal/boxlist", "TestInvalidLineLeavesItsEndpointUnchanged"},
-		dies: elsewhere{"internal/day", "TestShortDaysKeepTheRules"}, resets: socket(lists(func(*site) string { return `{"version":` })), silent: virtual{}, slow: virtual{},
-		malformed: socket(lists(func(*site) string { return `{"version":1,"base":1,"boxes":[{"name":7}]}` })), cutOff: virtual{},
-		oversized: socket(lists(func(*site) string { return `{"version":2,"base":1,"x":"` + strings.Repeat("x", 17<<20) + `"}` })),
-		doubled:   socket(lists(func(s *site) string { return `{"version":0,"base":1,"boxes":[]}` })), leaves: noTime, timeUp: noTime, drains: virtual{},
-		cold: elsewhere{"internal/dispatch", "TestRelistedBackendStartKeepsItsTime"}, killed: elsewhere{"internal/day", "TestShortDaysKeepTheRules"},
+	discovery: {
+		fails:   testedIn{"internal/boxlist", "TestFullListIsFetchedAfterAGapAndSaved"},
+		full:    testedIn{"internal/boxlist", "TestInvalidLineLeavesItsEndpointUnchanged"},
+		crashes: testedIn{"internal/day", "TestShortDaysKeepTheRules"},
+		resets:  overSockets(invalidDiscoveryLine(func(*testCluster) string { return `{"version":` })),
+		hangs:   virtualTime{},
+		slow:    virtualTime{},
+		malformed: overSockets(invalidDiscoveryLine(func(*testCluster) string {
+			return `{"version":1,"base":1,"boxes":[{"name":7}]}`
+		})),
+		truncated: virtualTime{},
+		oversized: overSockets(invalidDiscoveryLine(func(*testCluster) string {
+			return `{"version":2,"base":1,"x":"` + strings.Repeat("x", 17<<20) + `"}`
+		})),
+		duplicated: overSockets(invalidDiscoveryLine(func(s *testCluster) string {
+			return `{"version":0,"base":1,"boxes":[]}`
+		})),
+		clientLeaves:     noClientDeadline,
+		timesOut:         noClientDeadline,
+		drained:          virtualTime{},
+		coldStart:        testedIn{"internal/dispatch", "TestRelistedBackendStartKeepsItsTime"},
+		dispatcherKilled: testedIn{"internal/day", "TestShortDaysKeepTheRules"},
 	},
-	siblings: {
-		refuses: socket(words(nil)), full: never("datagrams that find no room are lost, as any may be"), dies: socket(words(nil)), resets: never("a datagram has no connection"),
-		silent: elsewhere{"internal/budget", "TestAQuestionIsNotHeldForAKeeperThatIsSilent"}, slow: elsewhere{"internal/budget", "TestNoInterleavingOfLeasesOvershootsTheStatedBound"},
-		malformed: socket(words([]byte{9, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9})), cutOff: socket(words([]byte{1, 0})), oversized: socket(words(make([]byte, 3000))),
-		doubled: elsewhere{"internal/budget", "TestNoInterleavingOfLeasesOvershootsTheStatedBound"}, leaves: noTime, timeUp: noTime, drains: noBox,
-		cold: elsewhere{"brain", "TestPeerUpdateOfUnreachableBackendCausesSlowStart"}, killed: elsewhere{"internal/budget", "TestARateGoesOnWithoutItsKeeperInEqualParts"},
+	peers: {
+		fails:            overSockets(peerDatagrams(nil)),
+		full:             impossible("a datagram beyond the buffer is lost, as any datagram may be"),
+		crashes:          overSockets(peerDatagrams(nil)),
+		resets:           impossible("a datagram has no connection"),
+		hangs:            testedIn{"internal/budget", "TestAQuestionIsNotHeldForAKeeperThatIsSilent"},
+		slow:             testedIn{"internal/budget", "TestNoInterleavingOfLeasesOvershootsTheStatedBound"},
+		malformed:        overSockets(peerDatagrams([]byte{9, 0, 1, 2, 3, 4, 5, 6, 7, 8, 9})),
+		truncated:        overSockets(peerDatagrams([]byte{1, 0})),
+		oversized:        overSockets(peerDatagrams(make([]byte, 3000))),
+		duplicated:       testedIn{"internal/budget", "TestNoInterleavingOfLeasesOvershootsTheStatedBound"},
+		clientLeaves:     noClientDeadline,
+		timesOut:         noClientDeadline,
+		drained:          noBackend,
+		coldStart:        testedIn{"brain", "TestPeerUpdateOfUnreachableBackendCausesSlowStart"},
+		dispatcherKilled: testedIn{"internal/budget", "TestARateGoesOnWithoutItsKeeperInEqualParts"},
 	},
-	booking: {
-		refuses: elsewhere{"internal/storm", "TestRetriesAreSpreadOverFreeCapacity"}, full: elsewhere{"internal/budget", "TestWhatIsUsedUpIsDeclinedWithTheTimeOfItsRenewal"},
-		dies: elsewhere{"internal/ledger", "TestAFullOrFailingDisk"}, resets: noBox, silent: elsewhere{"internal/budget", "TestAQuestionIsNotHeldForAKeeperThatIsSilent"},
-		slow: elsewhere{"internal/budget", "TestAQuestionIsNotHeldForAKeeperThatIsSilent"}, malformed: socket(tickets("!!")), cutOff: elsewhere{"internal/ledger", "TestTheJournalOutlivesACrashAtEveryStep"},
-		oversized: socket(tickets(strings.Repeat("A", 500))), doubled: elsewhere{"internal/storm", "TestATicketAdmitsOnceAtItsTime"},
-		leaves: elsewhere{"internal/storm", "TestThrottleUnderRandomTries"}, timeUp: elsewhere{"internal/storm", "TestATicketAdmitsOnceAtItsTime"}, drains: noBox, cold: noBox,
-		killed: elsewhere{"internal/budget", "TestARestartGivesNoNewEmergencyPart"},
+	accounting: {
+		fails:            testedIn{"internal/storm", "TestRetriesAreSpreadOverFreeCapacity"},
+		full:             testedIn{"internal/budget", "TestWhatIsUsedUpIsDeclinedWithTheTimeOfItsRenewal"},
+		crashes:          testedIn{"internal/ledger", "TestAFullOrFailingDisk"},
+		resets:           noBackend,
+		hangs:            testedIn{"internal/budget", "TestAQuestionIsNotHeldForAKeeperThatIsSilent"},
+		slow:             testedIn{"internal/budget", "TestAQuestionIsNotHeldForAKeeperThatIsSilent"},
+		malformed:        overSockets(forgedTickets("!!")),
+		truncated:        testedIn{"internal/ledger", "TestTheJournalOutlivesACrashAtEveryStep"},
+		oversized:        overSockets(forgedTickets(strings.Repeat("A", 500))),
+		duplicated:       testedIn{"internal/storm", "TestATicketAdmitsOnceAtItsTime"},
+		clientLeaves:     testedIn{"internal/storm", "TestThrottleUnderRandomTries"},
+		timesOut:         testedIn{"internal/storm", "TestATicketAdmitsOnceAtItsTime"},
+		drained:          noBackend,
+		coldStart:        noBackend,
+		dispatcherKilled: testedIn{"internal/budget", "TestARestartGivesNoNewEmergencyPart"},
 	},
 }
 
-// Every cell that can happen is tried, on its own count of what struck, and all five rules are judged by the far ends' record.
+// Every cell that can happen is tested, with its own count of faults that took effect, and all five rules are
+// checked on what clients and backends recorded.
 func TestEveryFaultAtEveryStage(t *testing.T) {
-	met, err := played()
+	counts, err := playScenarios()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,36 +334,36 @@
 		for _, fault := range faults {
 			switch c := table[stage][fault].(type) {
 			case nil:
-				t.Errorf("%s, %s: neither tried nor said why it can't happen", stage, fault)
-			case virtual:
-				if met[[2]string{stage, fault}] == 0 {
-					t.Errorf("%s, %s: it never struck in virtual time", stage, fault)
+				t.Errorf("%s, %s: neither tested nor given a reason why it cannot happen", stage, fault)
+			case virtualTime:
+				if counts[[2]string{stage, fault}] == 0 {
+					t.Errorf("%s, %s: the fault never took effect in virtual time", stage, fault)
 				}
-			case elsewhere:
-				if !stands(t, c) {
+			case testedIn:
+				if !testExists(t, c) {
 					t.Errorf("%s, %s: there is no test %s in %s", stage, fault, c.test, c.folder)
 				}
-			case socket:
+			case overSockets:
 				t.Run(stage+"/"+fault, func(t *testing.T) {
 					t.Parallel()
-					var do func()
-					s := open(t, func(s *site) { do = c(s) })
-					do()
-					s.rules()
+					var play func()
+					s := startCluster(t, func(s *testCluster) { play = c(s) })
+					play()
+					s.checkRules()
 				})
 			}
 		}
 	}
 }
 
-// stands tells whether a test is there.
-func stands(t *testing.T, c elsewhere) bool {
-	files, err := filepath.Glob(filepath.Join("../..", c.folder, "*_test.go"))
+// testExists reports whether the folder has a test of that name.
+func testExists(t *testing.T, cell testedIn) bool {
+	files, err := filepath.Glob(filepath.Join("../..", cell.folder, "*_test.go"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range files {
-		if raw, err := os.ReadFile(f); err == nil && strings.Contains(string(raw), "\nfunc "+c.test+"(") {
+	for _, file := range files {
+		if raw, err := os.ReadFile(file); err == nil && strings.Contains(string(raw), "\nfunc "+cell.test+"(") {
 			return true
 		}
 	}
