--- a/internal/stages/attempts_test.go
+++ b/internal/stages/attempts_test.go
@@ -65,30 +65,30 @@
 			})
 			var pending sync.WaitGroup
 			for i := range 4 {
-				for _, g := range s.config.Classes {
+				for _, class := range s.config.Classes {
 					pending.Go(func() {
 						c := client.Client{BaseURLs: []string{"http://" + s.addr}, MaxAttempts: maxTries,
 							MinBackoff: 20 * time.Millisecond}
-						c.Do(context.Background(), client.Request{Prompt: fmt.Sprintf("%s %d", g.Name, i), Class: g.Name,
-							Session: fmt.Sprint(g.Name, i), MaxTokens: 8,
-							Timeout: 3 * time.Second, Idempotent: g.Effect == "idempotent"}, func(string) {})
+						c.Do(context.Background(), client.Request{Prompt: fmt.Sprintf("%s %d", class.Name, i), Class: class.Name,
+							Session: fmt.Sprint(class.Name, i), MaxTokens: 8,
+							Timeout: 3 * time.Second, Idempotent: class.Effect == "idempotent"}, func(string) {})
 					})
 				}
 			}
 			pending.Wait()
 			s.stop()
 			sent, attemptsOf, runs := map[string]int{}, map[string]map[int]bool{}, map[string]int{}
-			for _, l := range s.recording.Lines() {
-				switch l.What {
+			for _, line := range s.recording.Lines() {
+				switch line.What {
 				case record.Trip:
-					sent[fmt.Sprintf("%s attempt %d", l.Key, l.Trip)]++
-					if attemptsOf[l.Key] == nil {
-						attemptsOf[l.Key] = map[int]bool{}
+					sent[fmt.Sprintf("%s attempt %d", line.Key, line.Trip)]++
+					if attemptsOf[line.Key] == nil {
+						attemptsOf[line.Key] = map[int]bool{}
 					}
-					attemptsOf[l.Key][l.Trip] = true
+					attemptsOf[line.Key][line.Trip] = true
 				case record.Ran:
-					if l.Grade == "unrepeatable" {
-						runs[l.Key]++
+					if line.Grade == "unrepeatable" {
+						runs[line.Key]++
 					}
 				}
 			}
--- a/internal/stages/cluster_test.go
+++ b/internal/stages/cluster_test.go
@@ -246,12 +246,12 @@
 		{Name: "writer", Role: "writer", MemoryTokens: 2e5},
 		{Name: "mixed", Role: "mixed", MemoryTokens: 2e5},
 	}
-	s.config.Instance.Name, s.config.Instance.Listen = "d", []string{"127.0.0.1:0"}
-	s.config.Instance.Seed, s.config.Instance.ShutdownTimeout = 5, setup.Duration(time.Second)
+	s.config.Instance.Name, s.config.Instance.Listen, s.config.Instance.Seed, s.config.Instance.ShutdownTimeout =
+		"d", []string{"127.0.0.1:0"}, 5, setup.Duration(time.Second)
 	// Wide enough that a delay on a busy machine is not reported as a violation.
 	s.config.Instance.ResponseMargin = setup.Duration(150 * time.Millisecond)
-	s.config.Limits.DecodeCanPrefill, s.config.Limits.StallTimeout = false, setup.Duration(300*time.Millisecond)
-	s.config.Rules.KVCacheHoldLimit = setup.Duration(300 * time.Millisecond)
+	s.config.Limits.DecodeCanPrefill, s.config.Limits.StallTimeout, s.config.Rules.KVCacheHoldLimit =
+		false, setup.Duration(300*time.Millisecond), setup.Duration(300*time.Millisecond)
 	var err error
 	if s.recording, err = record.Open("", record.Head{}); err != nil {
 		t.Fatal(err)
@@ -276,8 +276,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	addrs, ended := make(chan net.Addr, 1), make(chan error, 1)
 	go func() {
-		logger := slog.New(slog.NewTextHandler(io.Discard, nil))
-		ended <- dispatch.Serve(ctx, s.config, logger, func(a net.Addr) { addrs <- a })
+		ended <- dispatch.Serve(ctx, s.config, slog.New(slog.NewTextHandler(io.Discard, nil)),
+			func(a net.Addr) { addrs <- a })
 	}()
 	select {
 	case a := <-addrs:
@@ -332,14 +332,14 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	name := fmt.Sprintf("%s-%d", kind, len(s.backends))
-	b := &testBackend{cluster: s, kind: kind, name: name, addr: l.Addr().String()}
-	countConns := func(_ net.Conn, state http.ConnState) {
-		if state == http.StateNew {
-			b.conns.Add(1)
-		}
-	}
-	b.server = &http.Server{Handler: b, ErrorLog: log.New(io.Discard, "", 0), ConnState: countConns}
+	b := &testBackend{cluster: s, kind: kind, name: fmt.Sprintf("%s-%d", kind, len(s.backends)),
+		addr: l.Addr().String()}
+	b.server = &http.Server{Handler: b, ErrorLog: log.New(io.Discard, "", 0),
+		ConnState: func(_ net.Conn, state http.ConnState) {
+			if state == http.StateNew {
+				b.conns.Add(1)
+			}
+		}}
 	go b.server.Serve(l)
 	s.backends[b.name] = b
 	return b
@@ -419,8 +419,8 @@
 func (s *testCluster) submit(perClass int, change func(*standin.Request)) {
 	var pending sync.WaitGroup
 	for i := range perClass {
-		for _, g := range s.config.Classes {
-			request := newRequest(fmt.Sprintf("%s-%d", g.Name, i), g.Name)
+		for _, class := range s.config.Classes {
+			request := newRequest(fmt.Sprintf("%s-%d", class.Name, i), class.Name)
 			if change != nil {
 				change(&request)
 			}
--- a/internal/stages/dedup_window_test.go
+++ b/internal/stages/dedup_window_test.go
@@ -16,8 +16,8 @@
 	const dedupWindow = 500 * time.Millisecond
 	s := startCluster(t, func(s *testCluster) {
 		s.config.Classes[1].DedupWindow = setup.Duration(dedupWindow)
-		s.config.Classes[1].Deadline = setup.Duration(2 * time.Second)
-		s.config.Classes[1].LatencyTarget = setup.Duration(time.Second)
+		s.config.Classes[1].Deadline, s.config.Classes[1].LatencyTarget =
+			setup.Duration(2*time.Second), setup.Duration(time.Second)
 		s.eachBackend("writer", func(b *testBackend) {
 			b.onAttempt = func(c *call) {
 				c.countFault()
@@ -40,15 +40,15 @@
 	request.Deadline, request.LatencyTarget = 2*time.Second, time.Second
 	s.clients.Submit(context.Background(), request)
 	firstSent := map[string]int64{}
-	for _, l := range s.recording.Lines() {
-		if l.What != record.Trip || l.Grade != "deduplicated" || l.Stage == kserve.PhasePrefill {
+	for _, line := range s.recording.Lines() {
+		if line.What != record.Trip || line.Grade != "deduplicated" || line.Stage == kserve.PhasePrefill {
 			continue
 		}
-		if sentAt, ok := firstSent[l.Key]; !ok {
-			firstSent[l.Key] = l.At
-		} else if delay := time.Duration(l.At-sentAt) * time.Microsecond; delay > dedupWindow {
+		if sentAt, ok := firstSent[line.Key]; !ok {
+			firstSent[line.Key] = line.At
+		} else if delay := time.Duration(line.At-sentAt) * time.Microsecond; delay > dedupWindow {
 			t.Errorf("attempt %d reached %s %v after the first that may have executed, want at most %v",
-				l.Trip, l.Box, delay, dedupWindow)
+				line.Trip, line.Box, delay, dedupWindow)
 		}
 	}
 	s.checkRules()
--- a/internal/stages/faults_test.go
+++ b/internal/stages/faults_test.go
@@ -21,10 +21,12 @@
 	prefilledBody = `{"outcome":"read","kept_tokens":0}`
 )
 
+// jsonResponse returns a complete HTTP response with the JSON body.
 func jsonResponse(body string) string {
 	return fmt.Sprintf("%sContent-Length: %d\r\n\r\n%s", jsonHeader, len(body), body)
 }
 
+// reset writes a text and resets the TCP connection.
 func (c *call) reset(text string) {
 	conn := c.hijack(text)
 	conn.(*net.TCPConn).SetLinger(0)
--- a/internal/stages/scenarios_test.go
+++ b/internal/stages/scenarios_test.go
@@ -15,12 +15,12 @@
 
 // newFault returns a fault of a scenario; start and length are in seconds.
 func newFault(kind string, start, length float64, change func(*day.Trouble), backends ...string) day.Trouble {
-	t := day.Trouble{Kind: kind, At: setup.Duration(start * 1e9), Length: setup.Duration(length * 1e9), Boxes: backends,
-		Share: 0.3, Size: 8, By: setup.Duration(3 * time.Second)}
+	fault := day.Trouble{Kind: kind, At: setup.Duration(start * 1e9), Length: setup.Duration(length * 1e9),
+		Boxes: backends, Share: 0.3, Size: 8, By: setup.Duration(3 * time.Second)}
 	if change != nil {
-		change(&t)
+		change(&fault)
 	}
-	return t
+	return fault
 }
 
 // withShare sets the share of requests or clients that a fault affects.
@@ -102,8 +102,8 @@
 	"dispatchers are killed": func(d *day.Day) {
 		d.Head.PerS, d.Head.Dispatchers = 60, 3
 		for i := range 6 {
-			kill := func(t *day.Trouble) { t.Dispatchers = []int{i % 3} }
-			d.Troubles = append(d.Troubles, newFault("kill_dispatcher", 1.5+float64(i), 0.5, kill))
+			d.Troubles = append(d.Troubles, newFault("kill_dispatcher", 1.5+float64(i), 0.5,
+				func(t *day.Trouble) { t.Dispatchers = []int{i % 3} }))
 		}
 	},
 	"clients disconnect": func(d *day.Day) {
@@ -201,50 +201,50 @@
 	downSince := map[string]int64{}
 	active := map[string]bool{}
 	hit := func(stage, fault string) { counts[[2]string{stage, fault}]++ }
-	for _, l := range lines {
-		t := pending[l.Try]
-		switch l.What {
+	for _, line := range lines {
+		try := pending[line.Try]
+		switch line.What {
 		case record.Note:
 			for _, kind := range []string{"hang", "slow", "link_slow", "list_stale", "list_down"} {
-				if l.Word == kind+" begins" {
+				if line.Word == kind+" begins" {
 					active[kind] = true
-				} else if l.Word == kind+" ends" {
+				} else if line.Word == kind+" ends" {
 					active[kind] = false
 				}
 			}
-			if l.Word == "a push of the list is lost" {
+			if line.Word == "a push of the list is lost" {
 				hit(discovery, truncated)
 			}
 			if active["list_down"] {
 				hit(discovery, hangs)
 			}
 		case record.Asked:
-			pending[l.Try] = &tryState{dispatcher: l.Dispatcher, stage: queued, sent: l}
+			pending[line.Try] = &tryState{dispatcher: line.Dispatcher, stage: queued, sent: line}
 		case record.Up:
-			if l.Box != "" {
-				bootLines[l.Box] = l
-			} else if l.At > 0 {
+			if line.Box != "" {
+				bootLines[line.Box] = line
+			} else if line.At > 0 {
 				hit(restarting, dispatcherKilled)
 			}
 		case record.Down:
-			if l.Box != "" {
-				downSince[l.Box] = l.At
-				for _, t := range pending {
-					if t.cacheHolder == l.Box {
+			if line.Box != "" {
+				downSince[line.Box] = line.At
+				for _, try := range pending {
+					if try.cacheHolder == line.Box {
 						hit(cacheHeld, crashes)
 					}
-					if t.stage == queued {
+					if try.stage == queued {
 						hit(queued, crashes)
 					}
 				}
 				continue
 			}
-			for _, t := range pending {
-				if t.dispatcher != l.Dispatcher {
+			for _, try := range pending {
+				if try.dispatcher != line.Dispatcher {
 					continue
 				}
-				hit(t.stage, dispatcherKilled)
-				if t.cacheHolder != "" {
+				hit(try.stage, dispatcherKilled)
+				if try.cacheHolder != "" {
 					hit(cacheHeld, dispatcherKilled)
 				}
 			}
@@ -252,106 +252,106 @@
 			if active["list_stale"] {
 				hit(discovery, slow)
 			}
-			if l.Word == "ready" {
+			if line.Word == "ready" {
 				continue
 			}
 			hit(discovery, drained)
-			for _, t := range pending {
-				if t.dispatcher == l.Dispatcher && (t.backend == l.Box || t.stage == queued) {
-					hit(t.stage, drained)
+			for _, try := range pending {
+				if try.dispatcher == line.Dispatcher && (try.backend == line.Box || try.stage == queued) {
+					hit(try.stage, drained)
 				}
-				if t.dispatcher == l.Dispatcher && t.cacheHolder == l.Box {
+				if try.dispatcher == line.Dispatcher && try.cacheHolder == line.Box {
 					hit(cacheHeld, drained)
 				}
 			}
 		}
-		if t == nil {
+		if try == nil {
 			continue
 		}
-		switch l.What {
+		switch line.What {
 		case record.Trip:
-			t.attempts++
-			t.backend, t.stage = l.Box, map[string]string{
+			try.attempts++
+			try.backend, try.stage = line.Box, map[string]string{
 				kserve.PhasePrefill:  prefilling,
 				kserve.PhaseDecode:   decoding,
 				kserve.PhaseCombined: decoding,
-			}[l.Stage]
-			if start := bootLines[l.Box]; start.Cold && l.At-start.At < int64(8e6) {
-				hit(t.stage, coldStart)
+			}[line.Stage]
+			if start := bootLines[line.Box]; start.Cold && line.At-start.At < int64(8e6) {
+				hit(try.stage, coldStart)
 			}
-			if t.cacheHolder != "" {
-				if start := bootLines[t.cacheHolder]; start.Cold && l.At-start.At < int64(8e6) {
+			if try.cacheHolder != "" {
+				if start := bootLines[try.cacheHolder]; start.Cold && line.At-start.At < int64(8e6) {
 					hit(cacheHeld, coldStart)
 				}
 			}
 		case record.Ran, record.Repeat:
-			t.stage = streaming
-			if start := bootLines[l.Box]; start.Cold && l.At-start.At < int64(8e6) {
+			try.stage = streaming
+			if start := bootLines[line.Box]; start.Cold && line.At-start.At < int64(8e6) {
 				hit(streaming, coldStart)
 			}
-			if l.What == record.Repeat {
+			if line.What == record.Repeat {
 				hit(decoding, duplicated)
 			}
 		case record.First:
-			t.firstToken = true
+			try.firstToken = true
 		case record.Held:
-			t.cacheHolder = l.Box
+			try.cacheHolder = line.Box
 		case record.End:
-			if t.backend != l.Box {
+			if try.backend != line.Box {
 				continue
 			}
-			stage := t.stage
-			if t.backend = ""; stage == streaming && !t.firstToken {
+			stage := try.stage
+			if try.backend = ""; stage == streaming && !try.firstToken {
 				stage = decoding
 			}
-			switch t.stage = queued; {
-			case l.Word == "broke" && downSince[l.Box] == l.At:
+			switch try.stage = queued; {
+			case line.Word == "broke" && downSince[line.Box] == line.At:
 				hit(stage, crashes)
-			case l.Word == "broke":
+			case line.Word == "broke":
 				hit(stage, resets)
-			case l.Word == "failed":
+			case line.Word == "failed":
 				hit(stage, fails)
-			case l.Word == kserve.OutcomeFull:
+			case line.Word == kserve.OutcomeFull:
 				hit(stage, full)
-			case l.Word == kserve.OutcomeNoKVCache:
+			case line.Word == kserve.OutcomeNoKVCache:
 				hit(cacheHeld, truncated)
-			case l.Word == "closed" && active["hang"]:
+			case line.Word == "closed" && active["hang"]:
 				hit(stage, hangs)
-			case l.Word == "closed":
+			case line.Word == "closed":
 				hit(stage, timesOut)
-			case l.Word == kserve.OutcomePrefilled:
-				t.stage = cacheHeld
+			case line.Word == kserve.OutcomePrefilled:
+				try.stage = cacheHeld
 			}
-			if active["slow"] && (l.Word == kserve.OutcomePrefilled || l.Word == kserve.OutcomeCompleted) {
+			if active["slow"] && (line.Word == kserve.OutcomePrefilled || line.Word == kserve.OutcomeCompleted) {
 				hit(stage, slow)
 			}
-			if active["link_slow"] && l.Stage == kserve.PhaseDecode {
+			if active["link_slow"] && line.Stage == kserve.PhaseDecode {
 				hit(cacheHeld, slow)
 			}
 		case record.Let:
-			t.cacheHolder = ""
-			if l.Word == "expired" {
+			try.cacheHolder = ""
+			if line.Word == "expired" {
 				hit(cacheHeld, timesOut)
 			}
 		case record.Quit:
-			hit(t.stage, clientLeaves)
-			if t.cacheHolder != "" {
+			hit(try.stage, clientLeaves)
+			if try.cacheHolder != "" {
 				hit(cacheHeld, clientLeaves)
 			}
-			delete(pending, l.Try)
+			delete(pending, line.Try)
 		case record.Final:
-			if l.Trips > t.attempts {
+			if line.Trips > try.attempts {
 				hit(connecting, fails)
 			}
-			if l.Word != kserve.Served && l.At-t.sent.At > t.sent.ExpiryUs-150_000 {
-				hit(t.stage, timesOut)
+			if line.Word != kserve.Served && line.At-try.sent.At > try.sent.ExpiryUs-150_000 {
+				hit(try.stage, timesOut)
 			}
-			if l.Word == kserve.Rejected && t.attempts == 0 {
+			if line.Word == kserve.Rejected && try.attempts == 0 {
 				hit(queued, full)
 			}
-			delete(pending, l.Try)
+			delete(pending, line.Try)
 		case record.Cut:
-			delete(pending, l.Try)
+			delete(pending, line.Try)
 		}
 	}
 }
@@ -365,27 +365,27 @@
 	counts, mu, pending := hitCounts{}, sync.Mutex{}, sync.WaitGroup{}
 	slots := make(chan bool, 4)
 	for name, change := range scenarios {
-		d, e := day.Parse(name, raw)
-		if e != nil {
-			return nil, e
+		scenario, runErr := day.Parse(name, raw)
+		if runErr != nil {
+			return nil, runErr
 		}
-		change(&d)
+		change(&scenario)
 		// Twice, with different seeds: a cell that is rarely hit must not depend on one seed.
-		reseeded := d
+		reseeded := scenario
 		reseeded.Head.Seed += 1000
-		for _, d := range []day.Day{d, reseeded} {
+		for _, scenario := range []day.Day{scenario, reseeded} {
 			pending.Go(func() {
 				slots <- true
 				defer func() { <-slots }()
 				var lines []record.Line
-				out, e := fleet.PlayLines(d, "module", func(l record.Line) { lines = append(lines, l) })
+				out, runErr := fleet.PlayLines(scenario, "module", func(l record.Line) { lines = append(lines, l) })
 				mu.Lock()
 				defer mu.Unlock()
-				if e == nil && (!out.Kept() || out.Tries < 100) {
-					e = &scenarioError{name, out.Text()}
+				if runErr == nil && (!out.Kept() || out.Tries < 100) {
+					runErr = &scenarioError{name, out.Text()}
 				}
-				if e != nil {
-					err = e
+				if runErr != nil {
+					err = runErr
 				}
 				countHits(lines, counts)
 			})
@@ -397,7 +397,7 @@
 
 type scenarioError struct{ name, text string }
 
-func (b *scenarioError) Error() string { return b.name + "\n" + b.text }
+func (e *scenarioError) Error() string { return e.name + "\n" + e.text }
 
 func TestScenariosOfOneFaultKeepTheRules(t *testing.T) {
 	if _, err := playScenarios(); err != nil {
--- a/internal/stages/sockets_test.go
+++ b/internal/stages/sockets_test.go
@@ -63,6 +63,7 @@
 	}
 }
 
+// clientsLeaveWhileConnecting has clients disconnect while no backend answers a probe.
 func clientsLeaveWhileConnecting(s *testCluster) func() {
 	for _, b := range s.backends {
 		b.onProbe = func(c *call) { c.countFault(); <-c.r.Context().Done() }
@@ -70,6 +71,7 @@
 	return func() { s.submit(2, func(w *standin.Request) { w.LeaveAfter = 60 * time.Millisecond }) }
 }
 
+// deadlinePassesWhileConnecting has clients with short deadlines while no backend answers a probe.
 func deadlinePassesWhileConnecting(s *testCluster) func() {
 	for _, b := range s.backends {
 		b.onProbe = func(c *call) { c.countFault(); <-c.r.Context().Done() }
@@ -93,6 +95,7 @@
 	}
 }
 
+// clientsLeaveDuringShutdown has clients disconnect while the dispatcher stops and decode backends do not answer.
 func clientsLeaveDuringShutdown(s *testCluster) func() {
 	play := stopsDuring("writer", func(c *call) { <-c.r.Context().Done() })(s)
 	return func() {
@@ -114,8 +117,8 @@
 func startsWithCachedList(cached string) setupFunc {
 	return func(s *testCluster) func() {
 		s.config.Instance.EndpointCacheFolder = s.t.TempDir()
-		path := filepath.Join(s.config.Instance.EndpointCacheFolder, "boxlist-d.json")
-		if err := os.WriteFile(path, []byte(cached), 0o644); err != nil {
+		if err := os.WriteFile(filepath.Join(s.config.Instance.EndpointCacheFolder, "boxlist-d.json"),
+			[]byte(cached), 0o644); err != nil {
 			s.t.Fatal(err)
 		}
 		s.faultCount.Add(1)
@@ -130,8 +133,8 @@
 func startsWithoutDiscovery(s *testCluster) func() {
 	s.config.Instance.EndpointCacheFolder = s.t.TempDir()
 	s.buildFullUpdate()
-	path := filepath.Join(s.config.Instance.EndpointCacheFolder, "boxlist-d.json")
-	if err := os.WriteFile(path, []byte(`{"saved_unix_ms":1,"push":`+s.lastUpdate+`}`), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(s.config.Instance.EndpointCacheFolder, "boxlist-d.json"),
+		[]byte(`{"saved_unix_ms":1,"push":`+s.lastUpdate+`}`), 0o644); err != nil {
 		s.t.Fatal(err)
 	}
 	s.discoveryDown = true
@@ -154,8 +157,8 @@
 			return c.LocalAddr().String()
 		}
 		s.config.Instance.PeerListen = freeAddr()
-		s.config.Instance.FleetSize, s.config.Limits.PeerUpdates = 2, true
-		s.config.Instance.PeerAddrs = []string{s.config.Instance.PeerListen, freeAddr()}
+		s.config.Instance.FleetSize, s.config.Instance.PeerAddrs, s.config.Limits.PeerUpdates =
+			2, []string{s.config.Instance.PeerListen, freeAddr()}, true
 		return func() {
 			if raw != nil {
 				c, err := net.Dial("udp", s.config.Instance.PeerListen)
@@ -232,7 +235,7 @@
 	deep := func(n int) string {
 		return `{"text_input":"x","parameters":{"x":` + strings.Repeat("[", n) + strings.Repeat("]", n) + `}}`
 	}
-	for _, c := range []struct {
+	for _, test := range []struct {
 		endpoint, body string
 		status         int
 		message        string
@@ -270,15 +273,15 @@
 			"inputs.0"},
 		{"infer", `{"inputs":[{"name":"t","shape":[1],"datatype":"BYTES","data":["x","y"]}]}`, 400, "inputs.0.data"},
 	} {
-		resp, err := http.Post("http://"+s.addr+"/v2/models/lodge/"+c.endpoint, "application/json",
-			strings.NewReader(c.body))
+		resp, err := http.Post("http://"+s.addr+"/v2/models/lodge/"+test.endpoint, "application/json",
+			strings.NewReader(test.body))
 		if err != nil {
 			t.Fatal(err)
 		}
 		raw, _ := io.ReadAll(resp.Body)
 		resp.Body.Close()
-		if resp.StatusCode != c.status || !strings.Contains(string(raw), c.message) {
-			t.Errorf("body %.80s: status %d, answer %.200s", c.body, resp.StatusCode, raw)
+		if resp.StatusCode != test.status || !strings.Contains(string(raw), test.message) {
+			t.Errorf("body %.80s: status %d, answer %.200s", test.body, resp.StatusCode, raw)
 		}
 	}
 	if state := s.readState(); state["taken"] != 0.0 || state["open"] != 0.0 {
--- a/internal/stages/table_test.go
+++ b/internal/stages/table_test.go
@@ -332,7 +332,7 @@
 	}
 	for _, stage := range stages {
 		for _, fault := range faults {
-			switch c := table[stage][fault].(type) {
+			switch cell := table[stage][fault].(type) {
 			case nil:
 				t.Errorf("%s, %s: neither tested nor given a reason why it cannot happen", stage, fault)
 			case virtualTime:
@@ -340,14 +340,14 @@
 					t.Errorf("%s, %s: the fault never took effect in virtual time", stage, fault)
 				}
 			case testedIn:
-				if !testExists(t, c) {
-					t.Errorf("%s, %s: there is no test %s in %s", stage, fault, c.test, c.folder)
+				if !testExists(t, cell) {
+					t.Errorf("%s, %s: there is no test %s in %s", stage, fault, cell.test, cell.folder)
 				}
 			case overSockets:
 				t.Run(stage+"/"+fault, func(t *testing.T) {
 					t.Parallel()
 					var play func()
-					s := startCluster(t, func(s *testCluster) { play = c(s) })
+					s := startCluster(t, func(s *testCluster) { play = cell(s) })
 					play()
 					s.checkRules()
 				})
--- a/internal/stages/token_test.go
+++ b/internal/stages/token_test.go
@@ -12,7 +12,7 @@
 // The dispatcher forwards what a backend streams as events of its own. An event that is not a token, or has line
 // breaks in it, could end the answer in the dispatcher's name, or become two events.
 func TestInvalidTokenEventIsNotForwarded(t *testing.T) {
-	for name, c := range map[string]struct {
+	for name, test := range map[string]struct {
 		event  string
 		served bool
 	}{
@@ -23,12 +23,12 @@
 		t.Run(name, func(t *testing.T) {
 			s := startCluster(t, func(s *testCluster) {
 				s.eachBackend("writer", func(b *testBackend) {
-					b.onAttempt = func(cl *call) {
-						cl.takeKVCache()
-						cl.startStream()
-						cl.countFault()
-						cl.finish(kserve.OutcomeCompleted)
-						cl.writeRaw(c.event + endEvent)
+					b.onAttempt = func(c *call) {
+						c.takeKVCache()
+						c.startStream()
+						c.countFault()
+						c.finish(kserve.OutcomeCompleted)
+						c.writeRaw(test.event + endEvent)
 					}
 				})
 			})
@@ -41,7 +41,7 @@
 			raw, _ := io.ReadAll(resp.Body)
 			response, events := string(raw), strings.Count(string(raw), "event: ")
 			if strings.Contains(response, "declined") || events != 1 ||
-				strings.Contains(response, "satisfied") != c.served ||
+				strings.Contains(response, "satisfied") != test.served ||
 				strings.Count(response, "\n\n") != strings.Count(response, "data: ") {
 				t.Errorf("the client received %q", response)
 			}
