--- a/internal/stages/cluster_test.go
+++ b/internal/stages/cluster_test.go
@@ -314,7 +314,7 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// waitFor polls until the condition holds and fails the test after five seconds.
+// waitFor polls until the condition holds and fails the test after at least five seconds.
 func (s *testCluster) waitFor(what string, condition func() bool) {
 	s.t.Helper()
 	for range 1000 {
@@ -323,7 +323,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	s.t.Fatalf("timed out after 5 s waiting for %s", what)
+	s.t.Fatalf("timed out after at least 5 s waiting for %s", what)
 }
 
 // addBackend starts a backend of a kind.
--- a/internal/stages/table_test.go
+++ b/internal/stages/table_test.go
@@ -69,7 +69,7 @@
 const (
 	noBackend        = impossible("no backend takes part")
 	passiveCache     = impossible("a held KV cache sends nothing; faults of its prefill backend are in the row of prefill")
-	noClientDeadline = impossible("no client's deadline applies")
+	noClientDeadline = impossible("no client takes part, so none leaves and no deadline passes")
 	queuedLocally    = impossible("a queued request is known to its dispatcher only")
 )
 
