--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -57,7 +57,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	lines := 0
-	err = Do(ctx, s, p, "v", day.Stage{}, func(string, ...any) {
+	err = Do(ctx, s, p, "v", day.RunOptions{}, func(string, ...any) {
 		if lines++; lines == 4 {
 			cancel()
 		}
@@ -75,7 +75,7 @@
 		t.Fatalf("%d runs are kept, %v", len(before), err)
 	}
 	again := 0
-	if err := Do(context.Background(), s, p, "v", day.Stage{}, func(string, ...any) { again++ }); err != nil {
+	if err := Do(context.Background(), s, p, "v", day.RunOptions{}, func(string, ...any) { again++ }); err != nil {
 		t.Fatal(err)
 	}
 	after, _ := s.Runs("t")
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -62,20 +62,20 @@
 	to     *backend
 	start  uint64
 	job    *engine.Job
-	line   record.Line
+	line   record.Event
 	off    error
 	told   bool // the dispatcher knows how it ended
 	ended  bool // the backend is done with it
 	came   bool
 }
 
-func (t *attempt) id() string { return fmt.Sprintf("%s/%d", t.line.Key, t.line.Trip) }
+func (t *attempt) id() string { return fmt.Sprintf("%s/%d", t.line.RequestKey, t.line.Attempt) }
 
 func (c *transport) Start(f *dispatch.Attempt) {
 	d := (*dispatcher)(c)
 	w := d.w
 	t := &attempt{w: w, from: d, loop: d.loop, flight: f, to: w.boxes[f.Backend.Name]}
-	t.line = record.Line{Box: t.to.make.Name, Try: f.Request.Params.ID, Grade: f.Request.Class, Key: f.RequestKey, Stage: f.Stage(), Trip: f.Scheduled.Number}
+	t.line = record.Event{Backend: t.to.make.Name, Try: f.Request.Params.ID, Class: f.Request.Class, RequestKey: f.RequestKey, Phase: f.Stage(), Attempt: f.Scheduled.Number}
 	f.Cancel = func(why error) {
 		if t.off != nil || t.told {
 			return
@@ -138,7 +138,7 @@
 	t.ended = true
 	delete(t.to.trips, t)
 	l := t.line
-	l.What, l.Word = record.End, word
+	l.Kind, l.Detail = record.AttemptEnded, word
 	t.w.put(l)
 }
 
@@ -155,10 +155,10 @@
 		return
 	}
 	l := t.line
-	l.What = record.Closed
+	l.Kind = record.AttemptClosed
 	t.w.put(l)
 	b := t.to
-	if b.up && b.start == t.start && t.job != nil && !b.make.Ignores {
+	if b.up && b.start == t.start && t.job != nil && !b.make.IgnoresCancel {
 		b.engine.Cancel(t.job)
 		b.kick()
 	}
@@ -177,21 +177,21 @@
 	}
 	t.came, t.start = true, b.start
 	b.trips[t] = true
-	work := b.work(t.line.Grade, t.line.Stage)
+	work := b.work(t.line.Class, t.line.Phase)
 	l := t.line
-	l.What, l.Work = record.Trip, work
+	l.Kind, l.Work = record.AttemptReceived, work
 	w.put(l)
 	if b.weigh(work) {
 		b.fell = true
-		w.put(record.Line{What: record.Fell, Box: b.make.Name, Start: b.start})
+		w.put(record.Event{Kind: record.Overloaded, Backend: b.make.Name, StartID: b.start})
 		b.kill("pushed over")
 		return
 	}
 	if b.hang {
 		return
 	}
-	if b.fail > 0 && (b.failOf == "" || b.failOf == t.line.Grade) && w.rng.Float64() < b.fail {
-		if t.line.Stage != kserve.PhasePrefill {
+	if b.fail > 0 && (b.failOf == "" || b.failOf == t.line.Class) && w.rng.Float64() < b.fail {
+		if t.line.Phase != kserve.PhasePrefill {
 			t.ran()
 		}
 		t.end("failed")
@@ -199,9 +199,9 @@
 		return
 	}
 	q := t.flight.Scheduled.Request
-	j := &engine.Job{Key: t.line.Key, Session: q.SessionKey, Shared: q.PrefixKey, Prompt: int(q.PromptTokens), Prefix: int(q.PrefixTokens)}
+	j := &engine.Job{Key: t.line.RequestKey, Session: q.SessionKey, Shared: q.PrefixKey, Prompt: int(q.PromptTokens), Prefix: int(q.PrefixTokens)}
 	t.job = j
-	switch t.line.Stage {
+	switch t.line.Phase {
 	case kserve.PhasePrefill:
 		j.Stage = engine.Read
 	case kserve.PhaseDecode:
@@ -211,7 +211,7 @@
 	default:
 		j.Stage = engine.Whole
 	}
-	j.Answer = standin.AnswerTokens(w.day.TalkOf(t.line.Grade).AnswerTokens, t.line.Try, int(q.MaxOutputTokens))
+	j.Answer = standin.AnswerTokens(w.day.RequestShape(t.line.Class).AnswerTokens, t.line.Try, int(q.MaxOutputTokens))
 	if j.Stage == engine.Read {
 		j.Answer = 1
 	}
@@ -239,12 +239,12 @@
 
 func (t *attempt) ran() {
 	l, w := t.line, t.w
-	l.What = record.Ran
-	if i := w.day.ClassIndex(l.Grade); i >= 0 && w.day.Classes[i].Effect == "deduplicated" {
+	l.Kind = record.EffectStarted
+	if i := w.day.ClassIndex(l.Class); i >= 0 && w.day.Classes[i].Effect == "deduplicated" {
 		g := w.day.Classes[i]
 		key := map[string]string{"zone": t.to.make.Zone, "rack": t.to.make.Rack}[g.DedupScope] + " " + l.Try
 		if at, known := w.seen[key]; known && w.now-at < g.DedupWindow.Std() {
-			l.What = record.Repeat
+			l.Kind = record.DuplicateDropped
 		} else {
 			w.seen[key] = w.now
 		}
@@ -265,7 +265,7 @@
 		t.w.after(hop, func() {
 			if !c.over && !c.first {
 				c.first = true
-				c.put(record.First, "", nil)
+				c.put(record.FirstToken, "", nil)
 			}
 		})
 	}
@@ -279,23 +279,23 @@
 	}
 	switch e {
 	case engine.Done:
-		if t.line.Stage != kserve.PhaseDecode {
+		if t.line.Phase != kserve.PhaseDecode {
 			left := float64(t.job.Prompt - kept)
-			b.work(t.line.Grade, t.line.Stage) // its mean has begun
-			w.reads[t.line.Grade][0] += left
-			w.reads[t.line.Grade][1]++
+			b.work(t.line.Class, t.line.Phase) // its mean has begun
+			w.reads[t.line.Class][0] += left
+			w.reads[t.line.Class][1]++
 		}
-		if t.line.Stage != kserve.PhasePrefill {
+		if t.line.Phase != kserve.PhasePrefill {
 			t.end(kserve.OutcomeCompleted)
 			t.back(brain.Result{Outcome: brain.Served, Detail: kept})
 			return
 		}
-		if upTo, ok := b.released[t.line.Key]; ok && t.line.Trip <= upTo {
-			b.engine.Release(t.line.Key)
+		if upTo, ok := b.released[t.line.RequestKey]; ok && t.line.Attempt <= upTo {
+			b.engine.Release(t.line.RequestKey)
 			t.end("dropped")
 			return
 		}
-		w.put(record.Line{What: record.Held, Box: b.make.Name, Key: t.line.Key, Try: t.line.Try, Grade: t.line.Grade})
+		w.put(record.Event{Kind: record.KVCacheHeld, Backend: b.make.Name, RequestKey: t.line.RequestKey, Try: t.line.Try, Class: t.line.Class})
 		t.end(kserve.OutcomePrefilled)
 		t.back(brain.Result{Outcome: brain.Prefilled, Detail: kept})
 		if b.crashes > 0 && w.rng.Float64() < b.crashes {
@@ -317,7 +317,7 @@
 
 // fetch moves a state from its reader to a writer, over the reader's own port within a rack, else over the rack's link.
 func (w *world) fetch(from, to *backend, t *attempt, arrived func(bool)) {
-	key := t.line.Key
+	key := t.line.RequestKey
 	w.after(hop, func() {
 		tokens, ok := 0, false
 		if from.up {
@@ -328,13 +328,13 @@
 			return
 		}
 		from.engine.Moving(key, true)
-		start, took := from.start, time.Duration(float64(tokens)/w.day.Links.Near*float64(time.Second))
+		start, took := from.start, time.Duration(float64(tokens)/w.day.Links.NearTokensPerSecond*float64(time.Second))
 		if from.make.Rack != to.make.Rack {
 			times := w.slowLink
 			if from.make.Zone != to.make.Zone {
-				times *= max(w.day.Links.Zone, 1)
+				times *= max(w.day.Links.CrossZoneFactor, 1)
 			}
-			free := max(w.racks[from.make.Rack], w.now) + time.Duration(float64(tokens)/w.day.Links.Far*times*float64(time.Second))
+			free := max(w.racks[from.make.Rack], w.now) + time.Duration(float64(tokens)/w.day.Links.FarTokensPerSecond*times*float64(time.Second))
 			w.racks[from.make.Rack] = free
 			took = free - w.now
 		}
@@ -346,7 +346,7 @@
 			}
 			if t.ended || !to.up || to.start != t.start { // nobody fetches any more: it waits on
 				from.engine.Moving(key, false)
-				if upTo, ok := from.released[key]; ok && upTo >= t.line.Trip {
+				if upTo, ok := from.released[key]; ok && upTo >= t.line.Attempt {
 					from.release(key, "released")
 				}
 				return
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -16,7 +16,7 @@
 // backend is one engine and its process.
 type backend struct {
 	w        *world
-	make     day.Made
+	make     day.BackendSpec
 	engine   *engine.Engine
 	start    uint64
 	started  time.Duration
@@ -77,10 +77,10 @@
 		if !b.up {
 			word = "lost"
 		}
-		b.w.put(record.Line{What: record.Let, Box: b.make.Name, Key: key, Word: word})
+		b.w.put(record.Event{Kind: record.KVCacheReleased, Backend: b.make.Name, RequestKey: key, Detail: word})
 	}
 	b.trips, b.released = map[*attempt]bool{}, map[string]int{}
-	b.w.put(record.Line{What: record.Up, Box: b.make.Name, Start: b.start, Cold: cold})
+	b.w.put(record.Event{Kind: record.ProcessStarted, Backend: b.make.Name, StartID: b.start, SlowStart: cold})
 }
 
 func (b *backend) kill(why string) {
@@ -88,7 +88,7 @@
 		return
 	}
 	b.up = false
-	b.w.put(record.Line{What: record.Down, Box: b.make.Name, Start: b.start, Word: why})
+	b.w.put(record.Event{Kind: record.ProcessEnded, Backend: b.make.Name, StartID: b.start, Detail: why})
 	trips := make([]*attempt, 0, len(b.trips))
 	for t := range b.trips {
 		trips = append(trips, t)
@@ -101,7 +101,7 @@
 }
 
 // add starts a new backend.
-func (w *world) add(m day.Made, cold bool) *backend {
+func (w *world) add(m day.BackendSpec, cold bool) *backend {
 	b := &backend{w: w, make: m}
 	w.boxes[m.Name] = b
 	w.byID[dispatch.BackendID(m.Name)] = b
@@ -112,7 +112,7 @@
 
 func (b *backend) release(key, why string) {
 	if b.engine.Release(key) {
-		b.w.put(record.Line{What: record.Let, Box: b.make.Name, Key: key, Word: why})
+		b.w.put(record.Event{Kind: record.KVCacheReleased, Backend: b.make.Name, RequestKey: key, Detail: why})
 		b.kick()
 	}
 }
@@ -128,7 +128,7 @@
 
 // work is what an attempt asks of a backend, in seconds of its full capacity.
 func (b *backend) work(grade, stage string) float64 {
-	m, talk := b.make.Engine, b.w.day.TalkOf(grade)
+	m, talk := b.make.Engine, b.w.day.RequestShape(grade)
 	sum := b.w.reads[grade]
 	if sum == nil {
 		sum = &[2]float64{talk.NewTokens + float64(talk.PrefixTokens)/4, 1}
--- a/internal/stages/attempts_test.go
+++ b/internal/stages/attempts_test.go
@@ -78,17 +78,17 @@
 			pending.Wait()
 			s.stop()
 			sent, attemptsOf, runs := map[string]int{}, map[string]map[int]bool{}, map[string]int{}
-			for _, line := range s.recording.Lines() {
-				switch line.What {
-				case record.Trip:
-					sent[fmt.Sprintf("%s attempt %d", line.Key, line.Trip)]++
-					if attemptsOf[line.Key] == nil {
-						attemptsOf[line.Key] = map[int]bool{}
+			for _, line := range s.recording.Events() {
+				switch line.Kind {
+				case record.AttemptReceived:
+					sent[fmt.Sprintf("%s attempt %d", line.RequestKey, line.Attempt)]++
+					if attemptsOf[line.RequestKey] == nil {
+						attemptsOf[line.RequestKey] = map[int]bool{}
 					}
-					attemptsOf[line.Key][line.Trip] = true
-				case record.Ran:
-					if line.Grade == "unrepeatable" {
-						runs[line.Key]++
+					attemptsOf[line.RequestKey][line.Attempt] = true
+				case record.EffectStarted:
+					if line.Class == "unrepeatable" {
+						runs[line.RequestKey]++
 					}
 				}
 			}
--- a/internal/stages/cluster_test.go
+++ b/internal/stages/cluster_test.go
@@ -33,7 +33,7 @@
 type testCluster struct {
 	t          *testing.T
 	config     setup.DispatcherConfig
-	recording  *record.Book
+	recording  *record.Recorder
 	clients    *standin.Clients
 	addr       string // of the dispatcher
 	stop       func()
@@ -75,14 +75,14 @@
 }
 
 func (c *call) record(what, word string) {
-	c.backend.cluster.recording.Put(record.Line{What: what, Word: word, Box: c.backend.name, Try: c.params.DedupKey,
-		Grade: c.params.Class, Key: c.params.RequestKey(), Stage: c.params.Phase, Trip: c.params.Attempt})
+	c.backend.cluster.recording.Record(record.Event{Kind: what, Detail: word, Backend: c.backend.name, Try: c.params.DedupKey,
+		Class: c.params.Class, RequestKey: c.params.RequestKey(), Phase: c.params.Phase, Attempt: c.params.Attempt})
 }
 
 func (c *call) finish(word string) {
 	if !c.ended {
 		c.ended = true
-		c.record(record.End, word)
+		c.record(record.AttemptEnded, word)
 	}
 }
 
@@ -118,7 +118,7 @@
 	c.backend.cluster.mu.Lock()
 	c.backend.cluster.kvCaches[c.params.RequestKey()] = c.backend
 	c.backend.cluster.mu.Unlock()
-	c.record(record.Held, "")
+	c.record(record.KVCacheHeld, "")
 }
 
 // takeKVCache transfers the KV cache of the request to this backend. It reports false if no backend holds one.
@@ -132,7 +132,7 @@
 	delete(s.kvCaches, key)
 	s.mu.Unlock()
 	if b != nil {
-		s.recording.Put(record.Line{What: record.Let, Word: why, Box: b.name, Key: key})
+		s.recording.Record(record.Event{Kind: record.KVCacheReleased, Detail: why, Backend: b.name, RequestKey: key})
 	}
 	return b != nil
 }
@@ -153,10 +153,10 @@
 	s.executed[c.params.DedupKey] = true
 	s.mu.Unlock()
 	if repeated && c.params.Class == "deduplicated" {
-		c.record(record.Repeat, "")
+		c.record(record.DuplicateDropped, "")
 		return
 	}
-	c.record(record.Ran, "")
+	c.record(record.EffectStarted, "")
 }
 
 // startStream opens a stream and writes the first token, after the effect is recorded.
@@ -206,8 +206,8 @@
 			return
 		}
 		c.params, c.attemptNumber = params, b.attempts.Add(1)
-		c.record(record.Trip, "")
-		stopWatching := context.AfterFunc(r.Context(), func() { c.record(record.Closed, "") })
+		c.record(record.AttemptReceived, "")
+		stopWatching := context.AfterFunc(r.Context(), func() { c.record(record.AttemptClosed, "") })
 		defer stopWatching()
 		defer c.finish("broke")
 		if b.onAttempt != nil {
@@ -253,7 +253,7 @@
 	s.config.Limits.DecodeCanPrefill, s.config.Limits.StallTimeout, s.config.Rules.KVCacheHoldLimit =
 		false, setup.Duration(300*time.Millisecond), setup.Duration(300*time.Millisecond)
 	var err error
-	if s.recording, err = record.Open("", record.Head{}); err != nil {
+	if s.recording, err = record.Open("", record.Header{}); err != nil {
 		t.Fatal(err)
 	}
 	for _, kind := range []string{"reader", "writer", "writer"} {
@@ -433,9 +433,9 @@
 // finals counts the final answers that clients received, by outcome.
 func (s *testCluster) finals() map[string]int {
 	n := map[string]int{}
-	for _, l := range s.recording.Lines() {
-		if l.What == record.Final {
-			n[l.Word]++
+	for _, l := range s.recording.Events() {
+		if l.Kind == record.FinalAnswer {
+			n[l.Detail]++
 		}
 	}
 	return n
@@ -460,8 +460,8 @@
 func (s *testCluster) checkRules() judge.Verdict {
 	s.t.Helper()
 	s.stop()
-	verdict := judge.Judge(record.Head{Day: s.t.Name(), Terms: s.config.Deployment}, s.recording.Lines())
-	if !verdict.Kept() || verdict.Tries == 0 {
+	verdict := judge.Check(record.Header{Scenario: s.t.Name(), Terms: s.config.Deployment}, s.recording.Events())
+	if !verdict.Passed() || verdict.Tries == 0 {
 		s.t.Errorf("rules broken or nothing submitted: %d tries\n%s", verdict.Tries, verdict.Text())
 	}
 	if s.faultCount.Load() == 0 {
--- a/internal/stages/dedup_window_test.go
+++ b/internal/stages/dedup_window_test.go
@@ -40,15 +40,15 @@
 	request.Deadline, request.LatencyTarget = 2*time.Second, time.Second
 	s.clients.Submit(context.Background(), request)
 	firstSent := map[string]int64{}
-	for _, line := range s.recording.Lines() {
-		if line.What != record.Trip || line.Grade != "deduplicated" || line.Stage == kserve.PhasePrefill {
+	for _, line := range s.recording.Events() {
+		if line.Kind != record.AttemptReceived || line.Class != "deduplicated" || line.Phase == kserve.PhasePrefill {
 			continue
 		}
-		if sentAt, ok := firstSent[line.Key]; !ok {
-			firstSent[line.Key] = line.At
-		} else if delay := time.Duration(line.At-sentAt) * time.Microsecond; delay > dedupWindow {
+		if sentAt, ok := firstSent[line.RequestKey]; !ok {
+			firstSent[line.RequestKey] = line.TimeUs
+		} else if delay := time.Duration(line.TimeUs-sentAt) * time.Microsecond; delay > dedupWindow {
 			t.Errorf("attempt %d reached %s %v after the first that may have executed, want at most %v",
-				line.Trip, line.Box, delay, dedupWindow)
+				line.Attempt, line.Backend, delay, dedupWindow)
 		}
 	}
 	s.checkRules()
--- a/internal/stages/findings_test.go
+++ b/internal/stages/findings_test.go
@@ -31,12 +31,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !out.Kept() {
+	if !out.Passed() {
 		t.Fatal(out.Text())
 	}
-	if out.Service < 0.5 {
+	if out.ValueShare < 0.5 {
 		err = fmt.Errorf("service %.3f while all backends warm up, which received %.0f%% of what they can serve at most; "+
-			"0.65 without the slow-start limit, at 87%%", out.Service, 100*out.ColdWorst)
+			"0.65 without the slow-start limit, at 87%%", out.ValueShare, 100*out.PeakSlowStartLoad)
 	}
 	skipOpenFinding(t, 30, err)
 }
@@ -71,12 +71,12 @@
 				t.Fatal(err)
 			}
 			scenarios["a reset while backends hang"](&d)
-			d.Head.Seed, d.Limits.ThrottleRetries = seed+1, throttled
+			d.Header.Seed, d.Limits.ThrottleRetries = seed+1, throttled
 			out, err := fleet.Play(d, "module")
-			if err != nil || !out.Kept() {
+			if err != nil || !out.Passed() {
 				t.Fatal(err, out.Text())
 			}
-			service[throttled] += out.Service / 3
+			service[throttled] += out.ValueShare / 3
 		}
 	}
 	t.Logf("service %.3f with retry throttling, %.3f without", service[true], service[false])
--- a/internal/stages/scenarios_test.go
+++ b/internal/stages/scenarios_test.go
@@ -14,9 +14,9 @@
 )
 
 // newFault returns a fault of a scenario; start and length are in seconds.
-func newFault(kind string, start, length float64, change func(*day.Trouble), backends ...string) day.Trouble {
-	fault := day.Trouble{Kind: kind, At: setup.Duration(start * 1e9), Length: setup.Duration(length * 1e9),
-		Boxes: backends, Share: 0.3, Size: 8, By: setup.Duration(3 * time.Second)}
+func newFault(kind string, start, length float64, change func(*day.Fault), backends ...string) day.Fault {
+	fault := day.Fault{Kind: kind, Start: setup.Duration(start * 1e9), Duration: setup.Duration(length * 1e9),
+		Backends: backends, Share: 0.3, Factor: 8, Delay: setup.Duration(3 * time.Second)}
 	if change != nil {
 		change(&fault)
 	}
@@ -24,117 +24,117 @@
 }
 
 // withShare sets the share of requests or clients that a fault affects.
-func withShare(fraction float64) func(*day.Trouble) {
-	return func(t *day.Trouble) { t.Share = fraction }
+func withShare(fraction float64) func(*day.Fault) {
+	return func(t *day.Fault) { t.Share = fraction }
 }
 
 // scenarios run in virtual time. Each has one fault, or two that overlap where a rule depends on both.
-var scenarios = map[string]func(d *day.Day){
-	"backends crash": func(d *day.Day) {
-		d.Troubles = []day.Trouble{
+var scenarios = map[string]func(d *day.Scenario){
+	"backends crash": func(d *day.Scenario) {
+		d.Faults = []day.Fault{
 			newFault("crash", 2, 2, nil, "reader-1", "writer-1"),
 			newFault("crash", 5, 2, nil, "reader-2", "writer-2", "mixed-1"),
 		}
 	},
-	"prefill backends crash after prefill": func(d *day.Day) {
-		d.Troubles = []day.Trouble{
+	"prefill backends crash after prefill": func(d *day.Scenario) {
+		d.Faults = []day.Fault{
 			newFault("crash_after_read", 2, 2, withShare(0.1), "reader"),
 			newFault("crash_after_read", 5, 2, withShare(0.1), "reader"),
 		}
 	},
-	"streams reset": func(d *day.Day) {
-		d.Troubles = []day.Trouble{newFault("reset", 2, 6, nil, "writer", "mixed")}
+	"streams reset": func(d *day.Scenario) {
+		d.Faults = []day.Fault{newFault("reset", 2, 6, nil, "writer", "mixed")}
 	},
-	"decode resets": func(d *day.Day) {
-		d.Troubles = []day.Trouble{newFault("reset_running", 2, 6, nil, "writer", "mixed")}
+	"decode resets": func(d *day.Scenario) {
+		d.Faults = []day.Fault{newFault("reset_running", 2, 6, nil, "writer", "mixed")}
 	},
-	"backends fail": func(d *day.Day) {
-		d.Troubles = []day.Trouble{
+	"backends fail": func(d *day.Scenario) {
+		d.Faults = []day.Fault{
 			newFault("failing", 2, 6, nil, "reader", "writer", "mixed"),
 		}
 	},
-	"backends hang": func(d *day.Day) {
-		d.Troubles = []day.Trouble{newFault("hang", 2, 5, nil, "reader-1", "writer-1")}
+	"backends hang": func(d *day.Scenario) {
+		d.Faults = []day.Fault{newFault("hang", 2, 5, nil, "reader-1", "writer-1")}
 	},
-	"all hang": func(d *day.Day) {
-		d.Troubles = []day.Trouble{newFault("hang", 3, 3, nil, "reader", "writer", "mixed")}
+	"all hang": func(d *day.Scenario) {
+		d.Faults = []day.Fault{newFault("hang", 3, 3, nil, "reader", "writer", "mixed")}
 	},
-	"backends are slow": func(d *day.Day) {
-		d.Troubles = []day.Trouble{
+	"backends are slow": func(d *day.Scenario) {
+		d.Faults = []day.Fault{
 			newFault("slow", 2, 6, nil, "reader-1", "writer-1", "mixed-1"),
 		}
 	},
-	"links are slow and clients disconnect": func(d *day.Day) {
-		d.Links.Far, d.Links.Near = 20_000, 20_000
-		d.Troubles = []day.Trouble{
+	"links are slow and clients disconnect": func(d *day.Scenario) {
+		d.Links.FarTokensPerSecond, d.Links.NearTokensPerSecond = 20_000, 20_000
+		d.Faults = []day.Fault{
 			newFault("link_slow", 2, 6, nil),
 			newFault("leave", 1, 8, withShare(0.5)),
 			newFault("drain", 3, 2, nil, "reader-1"),
-			newFault("kill_dispatcher", 5, 0.5, func(t *day.Trouble) { t.Dispatchers = []int{0} }),
+			newFault("kill_dispatcher", 5, 0.5, func(t *day.Fault) { t.Dispatchers = []int{0} }),
 			newFault("crash", 6, 1, nil, "reader-2"),
 		}
 	},
-	"links are slow": func(d *day.Day) {
-		d.Troubles = []day.Trouble{
-			newFault("link_slow", 2, 6, func(t *day.Trouble) { t.Size = 60 }),
+	"links are slow": func(d *day.Scenario) {
+		d.Faults = []day.Fault{
+			newFault("link_slow", 2, 6, func(t *day.Fault) { t.Factor = 60 }),
 		}
 	},
-	"backends have little capacity": func(d *day.Day) {
-		for i := range d.Boxes {
-			d.Boxes[i].Slots, d.Boxes[i].Queue = 1, 1
+	"backends have little capacity": func(d *day.Scenario) {
+		for i := range d.Backends {
+			d.Backends[i].Slots, d.Backends[i].Queue = 1, 1
 		}
-		d.Head.PerS = 60
+		d.Header.RequestsPerSecond = 60
 	},
-	"backends drain": func(d *day.Day) {
-		d.Head.PerS = 60
-		d.Troubles = []day.Trouble{
+	"backends drain": func(d *day.Scenario) {
+		d.Header.RequestsPerSecond = 60
+		d.Faults = []day.Fault{
 			newFault("drain", 2, 1.5, nil, "reader-1", "writer-1"),
 			newFault("drain", 5, 1.5, nil, "reader-2", "writer-2", "mixed-1"),
 		}
 	},
-	"backends warm up": func(d *day.Day) {
-		d.Head.PerS = 50
-		d.Troubles = []day.Trouble{
+	"backends warm up": func(d *day.Scenario) {
+		d.Header.RequestsPerSecond = 50
+		d.Faults = []day.Fault{
 			newFault("restart", 2, 0, nil, "reader-1", "writer-1", "mixed-1"),
 			newFault("restart", 5, 0, nil, "reader-2", "writer-2"),
 		}
 	},
-	"dispatchers are killed": func(d *day.Day) {
-		d.Head.PerS, d.Head.Dispatchers = 60, 3
+	"dispatchers are killed": func(d *day.Scenario) {
+		d.Header.RequestsPerSecond, d.Header.Dispatchers = 60, 3
 		for i := range 6 {
-			d.Troubles = append(d.Troubles, newFault("kill_dispatcher", 1.5+float64(i), 0.5,
-				func(t *day.Trouble) { t.Dispatchers = []int{i % 3} }))
+			d.Faults = append(d.Faults, newFault("kill_dispatcher", 1.5+float64(i), 0.5,
+				func(t *day.Fault) { t.Dispatchers = []int{i % 3} }))
 		}
 	},
-	"clients disconnect": func(d *day.Day) {
-		d.Head.PerS = 60
-		d.Troubles = []day.Trouble{
+	"clients disconnect": func(d *day.Scenario) {
+		d.Header.RequestsPerSecond = 60
+		d.Faults = []day.Fault{
 			newFault("leave", 1, 8, withShare(0.5)),
 			newFault("slow", 3, 4, nil, "reader", "writer", "mixed"),
 		}
 	},
-	"clients have short deadlines": func(d *day.Day) {
+	"clients have short deadlines": func(d *day.Scenario) {
 		d.Clients.PatienceMin, d.Clients.PatienceMax = 0.05, 0.15
-		d.Head.PerS = 40
-		d.Troubles = []day.Trouble{
+		d.Header.RequestsPerSecond = 40
+		d.Faults = []day.Fault{
 			newFault("slow", 2, 6, nil, "reader", "writer", "mixed"),
 		}
 	},
-	"a burst and a kill": func(d *day.Day) {
-		d.Troubles = []day.Trouble{
-			newFault("burst", 2, 4, func(t *day.Trouble) { t.Size = 15 }),
-			newFault("kill_dispatcher", 4, 0.5, func(t *day.Trouble) { t.Dispatchers = []int{0} }),
+	"a burst and a kill": func(d *day.Scenario) {
+		d.Faults = []day.Fault{
+			newFault("burst", 2, 4, func(t *day.Fault) { t.Factor = 15 }),
+			newFault("kill_dispatcher", 4, 0.5, func(t *day.Fault) { t.Dispatchers = []int{0} }),
 		}
 	},
-	"service discovery is stale": func(d *day.Day) {
-		d.Troubles = []day.Trouble{
+	"service discovery is stale": func(d *day.Scenario) {
+		d.Faults = []day.Fault{
 			newFault("list_stale", 1, 8, nil),
 			newFault("restart", 3, 0, nil, "reader-1", "writer-1"),
 			newFault("drain", 4, 2, nil, "writer-2"),
 		}
 	},
-	"a gap in service discovery and a drain": func(d *day.Day) {
-		d.Troubles = []day.Trouble{
+	"a gap in service discovery and a drain": func(d *day.Scenario) {
+		d.Faults = []day.Fault{
 			newFault("list_gap", 1, 1, nil),
 			newFault("drain", 1.5, 3, nil, "writer-1"),
 			newFault("list_down", 4, 3, nil),
@@ -142,44 +142,44 @@
 		}
 	},
 	// Pairs of faults that overlap.
-	"a kill while backends drain": func(d *day.Day) {
-		d.Head.PerS, d.Head.Dispatchers = 50, 3
-		d.Troubles = []day.Trouble{
+	"a kill while backends drain": func(d *day.Scenario) {
+		d.Header.RequestsPerSecond, d.Header.Dispatchers = 50, 3
+		d.Faults = []day.Fault{
 			newFault("drain", 2, 3, nil, "reader-1", "writer-1"),
-			newFault("kill_dispatcher", 2.8, 0.5, func(t *day.Trouble) { t.Dispatchers = []int{0, 1} }),
+			newFault("kill_dispatcher", 2.8, 0.5, func(t *day.Fault) { t.Dispatchers = []int{0, 1} }),
 		}
 	},
-	"a kill while backends warm up": func(d *day.Day) {
-		d.Head.PerS, d.Head.Dispatchers = 50, 3
-		d.Troubles = []day.Trouble{
+	"a kill while backends warm up": func(d *day.Scenario) {
+		d.Header.RequestsPerSecond, d.Header.Dispatchers = 50, 3
+		d.Faults = []day.Fault{
 			newFault("restart", 2, 0, nil, "reader-1", "reader-2", "writer-1", "writer-2"),
-			newFault("kill_dispatcher", 3, 0.3, func(t *day.Trouble) { t.Dispatchers = []int{0, 1, 2} }),
+			newFault("kill_dispatcher", 3, 0.3, func(t *day.Fault) { t.Dispatchers = []int{0, 1, 2} }),
 		}
 	},
-	"all backends warm up and service discovery is stale": func(d *day.Day) {
-		d.Head.PerS = 50
-		d.Troubles = []day.Trouble{
+	"all backends warm up and service discovery is stale": func(d *day.Scenario) {
+		d.Header.RequestsPerSecond = 50
+		d.Faults = []day.Fault{
 			newFault("list_stale", 1, 8, nil),
 			newFault("restart", 3, 0, nil, "reader", "writer", "mixed"),
 		}
 	},
-	"a prefill backend crashes and the client disconnects": func(d *day.Day) {
-		d.Head.PerS = 40
-		d.Troubles = []day.Trouble{
+	"a prefill backend crashes and the client disconnects": func(d *day.Scenario) {
+		d.Header.RequestsPerSecond = 40
+		d.Faults = []day.Fault{
 			newFault("crash_after_read", 2, 5, withShare(0.1), "reader"),
 			newFault("leave", 1, 8, withShare(0.5)),
 		}
 	},
-	"a reset while backends hang": func(d *day.Day) {
-		d.Troubles = []day.Trouble{
+	"a reset while backends hang": func(d *day.Scenario) {
+		d.Faults = []day.Fault{
 			newFault("hang", 2, 5, nil, "writer-1"),
 			newFault("reset_running", 2, 5, withShare(0.5), "writer-2", "writer-3", "mixed"),
 		}
 	},
-	"a drain during a retry storm": func(d *day.Day) {
+	"a drain during a retry storm": func(d *day.Scenario) {
 		d.Clients.Retries = 10
-		d.Troubles = []day.Trouble{
-			newFault("burst", 2, 3, func(t *day.Trouble) { t.Size = 12 }),
+		d.Faults = []day.Fault{
+			newFault("burst", 2, 3, func(t *day.Fault) { t.Factor = 12 }),
 			newFault("crash", 3, 3, nil, "reader-1", "writer-1"),
 			newFault("drain", 4, 2, nil, "reader-2", "writer-2"),
 		}
@@ -190,47 +190,47 @@
 type hitCounts map[[2]string]int
 
 // countHits reads a recording and adds to counts which faults affected requests at which stages.
-func countHits(lines []record.Line, counts hitCounts) {
+func countHits(lines []record.Event, counts hitCounts) {
 	type tryState struct {
 		dispatcher, stage, backend, cacheHolder string
-		sent                                    record.Line
+		sent                                    record.Event
 		attempts                                int
 		firstToken                              bool
 	}
-	pending, bootLines := map[string]*tryState{}, map[string]record.Line{}
+	pending, bootLines := map[string]*tryState{}, map[string]record.Event{}
 	downSince := map[string]int64{}
 	active := map[string]bool{}
 	hit := func(stage, fault string) { counts[[2]string{stage, fault}]++ }
 	for _, line := range lines {
 		try := pending[line.Try]
-		switch line.What {
+		switch line.Kind {
 		case record.Note:
 			for _, kind := range []string{"hang", "slow", "link_slow", "list_stale", "list_down"} {
-				if line.Word == kind+" begins" {
+				if line.Detail == kind+" begins" {
 					active[kind] = true
-				} else if line.Word == kind+" ends" {
+				} else if line.Detail == kind+" ends" {
 					active[kind] = false
 				}
 			}
-			if line.Word == "a push of the list is lost" {
+			if line.Detail == "a push of the list is lost" {
 				hit(discovery, truncated)
 			}
 			if active["list_down"] {
 				hit(discovery, hangs)
 			}
-		case record.Asked:
+		case record.RequestSent:
 			pending[line.Try] = &tryState{dispatcher: line.Dispatcher, stage: queued, sent: line}
-		case record.Up:
-			if line.Box != "" {
-				bootLines[line.Box] = line
-			} else if line.At > 0 {
+		case record.ProcessStarted:
+			if line.Backend != "" {
+				bootLines[line.Backend] = line
+			} else if line.TimeUs > 0 {
 				hit(restarting, dispatcherKilled)
 			}
-		case record.Down:
-			if line.Box != "" {
-				downSince[line.Box] = line.At
+		case record.ProcessEnded:
+			if line.Backend != "" {
+				downSince[line.Backend] = line.TimeUs
 				for _, try := range pending {
-					if try.cacheHolder == line.Box {
+					if try.cacheHolder == line.Backend {
 						hit(cacheHeld, crashes)
 					}
 					if try.stage == queued {
@@ -248,19 +248,19 @@
 					hit(cacheHeld, dispatcherKilled)
 				}
 			}
-		case record.Told:
+		case record.EndpointNotified:
 			if active["list_stale"] {
 				hit(discovery, slow)
 			}
-			if line.Word == "ready" {
+			if line.Detail == "ready" {
 				continue
 			}
 			hit(discovery, drained)
 			for _, try := range pending {
-				if try.dispatcher == line.Dispatcher && (try.backend == line.Box || try.stage == queued) {
+				if try.dispatcher == line.Dispatcher && (try.backend == line.Backend || try.stage == queued) {
 					hit(try.stage, drained)
 				}
-				if try.dispatcher == line.Dispatcher && try.cacheHolder == line.Box {
+				if try.dispatcher == line.Dispatcher && try.cacheHolder == line.Backend {
 					hit(cacheHeld, drained)
 				}
 			}
@@ -268,36 +268,36 @@
 		if try == nil {
 			continue
 		}
-		switch line.What {
-		case record.Trip:
+		switch line.Kind {
+		case record.AttemptReceived:
 			try.attempts++
-			try.backend, try.stage = line.Box, map[string]string{
+			try.backend, try.stage = line.Backend, map[string]string{
 				kserve.PhasePrefill:  prefilling,
 				kserve.PhaseDecode:   decoding,
 				kserve.PhaseCombined: decoding,
-			}[line.Stage]
-			if start := bootLines[line.Box]; start.Cold && line.At-start.At < int64(8e6) {
+			}[line.Phase]
+			if start := bootLines[line.Backend]; start.SlowStart && line.TimeUs-start.TimeUs < int64(8e6) {
 				hit(try.stage, coldStart)
 			}
 			if try.cacheHolder != "" {
-				if start := bootLines[try.cacheHolder]; start.Cold && line.At-start.At < int64(8e6) {
+				if start := bootLines[try.cacheHolder]; start.SlowStart && line.TimeUs-start.TimeUs < int64(8e6) {
 					hit(cacheHeld, coldStart)
 				}
 			}
-		case record.Ran, record.Repeat:
+		case record.EffectStarted, record.DuplicateDropped:
 			try.stage = streaming
-			if start := bootLines[line.Box]; start.Cold && line.At-start.At < int64(8e6) {
+			if start := bootLines[line.Backend]; start.SlowStart && line.TimeUs-start.TimeUs < int64(8e6) {
 				hit(streaming, coldStart)
 			}
-			if line.What == record.Repeat {
+			if line.Kind == record.DuplicateDropped {
 				hit(decoding, duplicated)
 			}
-		case record.First:
+		case record.FirstToken:
 			try.firstToken = true
-		case record.Held:
-			try.cacheHolder = line.Box
-		case record.End:
-			if try.backend != line.Box {
+		case record.KVCacheHeld:
+			try.cacheHolder = line.Backend
+		case record.AttemptEnded:
+			if try.backend != line.Backend {
 				continue
 			}
 			stage := try.stage
@@ -305,52 +305,52 @@
 				stage = decoding
 			}
 			switch try.stage = queued; {
-			case line.Word == "broke" && downSince[line.Box] == line.At:
+			case line.Detail == "broke" && downSince[line.Backend] == line.TimeUs:
 				hit(stage, crashes)
-			case line.Word == "broke":
+			case line.Detail == "broke":
 				hit(stage, resets)
-			case line.Word == "failed":
+			case line.Detail == "failed":
 				hit(stage, fails)
-			case line.Word == kserve.OutcomeFull:
+			case line.Detail == kserve.OutcomeFull:
 				hit(stage, full)
-			case line.Word == kserve.OutcomeNoKVCache:
+			case line.Detail == kserve.OutcomeNoKVCache:
 				hit(cacheHeld, truncated)
-			case line.Word == "closed" && active["hang"]:
+			case line.Detail == "closed" && active["hang"]:
 				hit(stage, hangs)
-			case line.Word == "closed":
+			case line.Detail == "closed":
 				hit(stage, timesOut)
-			case line.Word == kserve.OutcomePrefilled:
+			case line.Detail == kserve.OutcomePrefilled:
 				try.stage = cacheHeld
 			}
-			if active["slow"] && (line.Word == kserve.OutcomePrefilled || line.Word == kserve.OutcomeCompleted) {
+			if active["slow"] && (line.Detail == kserve.OutcomePrefilled || line.Detail == kserve.OutcomeCompleted) {
 				hit(stage, slow)
 			}
-			if active["link_slow"] && line.Stage == kserve.PhaseDecode {
+			if active["link_slow"] && line.Phase == kserve.PhaseDecode {
 				hit(cacheHeld, slow)
 			}
-		case record.Let:
+		case record.KVCacheReleased:
 			try.cacheHolder = ""
-			if line.Word == "expired" {
+			if line.Detail == "expired" {
 				hit(cacheHeld, timesOut)
 			}
-		case record.Quit:
+		case record.ClientLeft:
 			hit(try.stage, clientLeaves)
 			if try.cacheHolder != "" {
 				hit(cacheHeld, clientLeaves)
 			}
 			delete(pending, line.Try)
-		case record.Final:
-			if line.Trips > try.attempts {
+		case record.FinalAnswer:
+			if line.Attempts > try.attempts {
 				hit(connecting, fails)
 			}
-			if line.Word != kserve.Served && line.At-try.sent.At > try.sent.ExpiryUs-150_000 {
+			if line.Detail != kserve.Served && line.TimeUs-try.sent.TimeUs > try.sent.DeadlineUs-150_000 {
 				hit(try.stage, timesOut)
 			}
-			if line.Word == kserve.Rejected && try.attempts == 0 {
+			if line.Detail == kserve.Rejected && try.attempts == 0 {
 				hit(queued, full)
 			}
 			delete(pending, line.Try)
-		case record.Cut:
+		case record.ConnectionLost:
 			delete(pending, line.Try)
 		}
 	}
@@ -372,16 +372,16 @@
 		change(&scenario)
 		// Twice, with different seeds: a cell that is rarely hit must not depend on one seed.
 		reseeded := scenario
-		reseeded.Head.Seed += 1000
-		for _, scenario := range []day.Day{scenario, reseeded} {
+		reseeded.Header.Seed += 1000
+		for _, scenario := range []day.Scenario{scenario, reseeded} {
 			pending.Go(func() {
 				slots <- true
 				defer func() { <-slots }()
-				var lines []record.Line
-				out, runErr := fleet.PlayLines(scenario, "module", func(l record.Line) { lines = append(lines, l) })
+				var lines []record.Event
+				out, runErr := fleet.PlayLines(scenario, "module", func(l record.Event) { lines = append(lines, l) })
 				mu.Lock()
 				defer mu.Unlock()
-				if runErr == nil && (!out.Kept() || out.Tries < 100) {
+				if runErr == nil && (!out.Passed() || out.Tries < 100) {
 					runErr = &scenarioError{name, out.Text()}
 				}
 				if runErr != nil {
