--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -137,7 +137,7 @@
 
 // Whatever messages are lost, repeated or delayed, and whichever dispatchers are partitioned or restart, including
 // the owner: no month uses more than its allowance plus the emergency share.
-func TestNoInterleavingOfLeasesOvershootsTheStatedBound(t *testing.T) {
+func TestNoInterleavingOfLeasesExceedsTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		locals := rapid.IntRange(1, 12).Draw(t, "dispatchers")
 		terms := Terms{Name: "c", PerSecond: -1, Monthly: float64(rapid.IntRange(0, 60000).Draw(t, "monthly"))}
@@ -203,7 +203,7 @@
 	}
 }
 
-func TestWhatIsUsedUpIsDeclinedWithTheTimeOfItsRenewal(t *testing.T) {
+func TestExhaustedBudgetRejectsUntilRenewal(t *testing.T) {
 	fleet := newTestFleet(Terms{Name: "c", PerSecond: -1, Monthly: 1000}, 2, 1)
 	used, decisions := map[int64]float64{}, [2]int{}
 	for range 30 {
@@ -262,7 +262,7 @@
 	}
 }
 
-func TestAQuestionIsNotHeldForAKeeperThatIsSilent(t *testing.T) {
+func TestRequestDoesNotWaitForSilentOwner(t *testing.T) {
 	fleet := newTestFleet(Terms{Name: "c", PerSecond: -1, Monthly: 100_000}, 4, 1)
 	fleet.partitioned[1] = true
 	sent, decidedAt := fleet.now, time.Duration(0)
@@ -287,7 +287,7 @@
 }
 
 // A dispatcher that restarts repeatedly while the owner is unreachable must not get a new emergency part each time.
-func TestARestartGivesNoNewEmergencyPart(t *testing.T) {
+func TestRestartGivesNoNewEmergencyPart(t *testing.T) {
 	terms := Terms{Name: "c", PerSecond: -1, Monthly: 100_000}
 	fleet := newTestFleet(terms, 4, 1)
 	fleet.partitioned[1] = true
@@ -305,7 +305,7 @@
 	}
 }
 
-func TestARateGoesOnWithoutItsKeeperInEqualParts(t *testing.T) {
+func TestRateIsSplitEquallyWithoutOwner(t *testing.T) {
 	fleet := newTestFleet(Terms{Name: "c", PerSecond: 4000, Burst: 4000, Monthly: -1}, 4, 1)
 	for i := range 4 {
 		fleet.partitioned[i] = true
--- a/internal/day/run_test.go
+++ b/internal/day/run_test.go
@@ -67,7 +67,7 @@
 }
 
 // The scenarios run in parallel, so that all of them take little longer than the longest.
-func TestShortDaysKeepTheRules(t *testing.T) {
+func TestShortScenariosPassAllRules(t *testing.T) {
 	for _, name := range []string{"crash-after-read", "reset-running", "overlap-kill-in-burst", "stop-dispatcher",
 		"list-gap", "drain", "ledger"} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/ledger/journal_test.go
+++ b/internal/ledger/journal_test.go
@@ -151,7 +151,7 @@
 
 // A crash at any step of a start, an append or a rotation, with any share of the unsynced data: every record that was
 // reported durable is there, in order, no record that was never written is, and appending continues.
-func TestTheJournalOutlivesACrashAtEveryStep(t *testing.T) {
+func TestJournalSurvivesCrashAtEveryStep(t *testing.T) {
 	crashed := 0
 	for step := 1; ; step++ {
 		ended := false
@@ -255,7 +255,7 @@
 
 // An append to a full disk, or to one that fails to sync, returns an error and leaves no partial record; later ones
 // succeed.
-func TestAFullOrFailingDisk(t *testing.T) {
+func TestAppendToFullOrFailingDisk(t *testing.T) {
 	disk := newCrashDisk()
 	_, j := reopen(t, disk)
 	if err := j.Append(numberedRecord(1)); err != nil {
