--- a/cmd/sloetrestle/experiment.go
+++ b/cmd/sloetrestle/experiment.go
@@ -55,7 +55,7 @@
 				return err
 			}
 			stage := day.RunOptions{ServeCommand: []string{self, "serve", "--level", "warn", "--config"}}
-			return experiment.Do(cmd.Context(), store, plan, dispatch.Version, stage, func(format string, a ...any) {
+			return experiment.Execute(cmd.Context(), store, plan, dispatch.Version, stage, func(format string, a ...any) {
 				fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", a...)
 			})
 		}),
@@ -91,8 +91,8 @@
 			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintf(table, "alike\t%s\tagainst\t%s\t\tdifference\tbeyond the noise\n", by, figure)
 			for _, d := range diffs {
-				fmt.Fprintf(table, "%s\t%s\t%s\t%.3f\t%.3f\t%+.3f\t%v\n", d.Setting, d.This, d.Than, d.Medians[1], d.Medians[0],
-					d.Medians[1]-d.Medians[0], d.Beyond)
+				fmt.Fprintf(table, "%s\t%s\t%s\t%.3f\t%.3f\t%+.3f\t%v\n", d.Setting, d.Value, d.Reference, d.Medians[1], d.Medians[0],
+					d.Medians[1]-d.Medians[0], d.Significant)
 			}
 			return table.Flush()
 		}),
@@ -118,7 +118,7 @@
 				runs = matching
 			}
 			if xKey == "second" {
-				return experiment.Over(runs, figure, linesKey, output, title)
+				return experiment.TimeChart(runs, figure, linesKey, output, title)
 			}
 			return experiment.Chart(runs, xKey, figure, linesKey, output, title)
 		}),
--- a/internal/day/backends.go
+++ b/internal/day/backends.go
@@ -15,7 +15,7 @@
 	Units                        float64
 	IgnoresCancel                bool // a cancel does not stop its work
 	Group                        BackendGroup
-	Engine                       engine.Make
+	Engine                       engine.Config
 }
 
 // kvCacheLifetime is how long a KV cache is held for a dispatcher that may have been killed.
@@ -30,15 +30,15 @@
 		e := group.Engine
 		// The defaults have the published orders of magnitude for 70B-class models on one server of eight accelerators:
 		// a decode step of 10 to 25 ms, blocks of 16 to 64 tokens, chunks of 512 to 8,192 tokens.
-		engineSpec := engine.Make{
-			Reads: kind.Role != "writer", Writes: kind.Role != "reader", Slots: group.Slots, Queue: group.Queue,
-			BlockTokens: cmp.Or(e.BlockTokens, 32), Chunk: cmp.Or(e.ChunkTokens, 2048),
-			Step:        cmp.Or(e.StepTime.Std(), group.TokenTime.Std()),
-			PerAnswer:   cmp.Or(e.StepPerAnswer.Std(), 150*time.Microsecond),
-			PerContextK: cmp.Or(e.StepPer1000Context.Std(), 40*time.Microsecond),
-			PairsPerM:   cmp.Or(e.StepPerMillionPairs.Std(), 800*time.Microsecond), ReadPerS: group.PrefillTokensPerSecond,
-			StateLife: kvCacheLifetime, ColdShare: d.Rules.SlowStartShare, ColdRamp: d.Rules.SlowStartRamp.Std(),
-			Load: e.ModelLoadTime.Std(),
+		engineSpec := engine.Config{
+			Prefills: kind.Role != "writer", Decodes: kind.Role != "reader", Slots: group.Slots, MaxQueued: group.Queue,
+			BlockTokens: cmp.Or(e.BlockTokens, 32), ChunkTokens: cmp.Or(e.ChunkTokens, 2048),
+			StepTime:                 cmp.Or(e.StepTime.Std(), group.TokenTime.Std()),
+			TimePerSequence:          cmp.Or(e.StepPerAnswer.Std(), 150*time.Microsecond),
+			TimePer1000ContextTokens: cmp.Or(e.StepPer1000Context.Std(), 40*time.Microsecond),
+			TimePerMillionPairs:      cmp.Or(e.StepPerMillionPairs.Std(), 800*time.Microsecond), PrefillTokensPerSecond: group.PrefillTokensPerSecond,
+			KVCacheTTL: kvCacheLifetime, SlowStartShare: d.Rules.SlowStartShare, SlowStartRamp: d.Rules.SlowStartRamp.Std(),
+			ModelLoadTime: e.ModelLoadTime.Std(),
 		}
 		engineSpec.Blocks = max(kind.MemoryTokens/engineSpec.BlockTokens, 1)
 		for range group.Count {
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -123,7 +123,7 @@
 
 // Do runs what a plan lacks, and stops between runs when the context ends. Virtual runs go side by side, those on sockets
 // one after the other: they would take each other's processors.
-func Do(ctx context.Context, s *Store, p *Plan, version string, stage day.RunOptions, say func(string, ...any)) error {
+func Execute(ctx context.Context, s *Store, p *Plan, version string, stage day.RunOptions, say func(string, ...any)) error {
 	if err := s.Begin(p); err != nil {
 		return err
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -43,11 +43,11 @@
 
 // Play plays a day with a policy: "module", or one of the baselines.
 func Play(d day.Scenario, policy string) (Outcome, error) {
-	return PlayLines(d, policy, nil)
+	return PlayWithRecords(d, policy, nil)
 }
 
 // PlayLines does the same and hands on each line of the record.
-func PlayLines(d day.Scenario, policy string, each func(record.Event)) (Outcome, error) {
+func PlayWithRecords(d day.Scenario, policy string, each func(record.Event)) (Outcome, error) {
 	w, err := newWorld(d, policy, each)
 	if err != nil {
 		return Outcome{}, err
@@ -149,7 +149,7 @@
 // build makes backends, list and dispatchers.
 func (w *world) build() error {
 	for _, m := range w.day.BackendSpecs() {
-		if err := m.Engine.Check(); err != nil {
+		if err := m.Engine.Validate(); err != nil {
 			return fmt.Errorf("box %s: %w", m.Name, err)
 		}
 		w.publish(w.add(m, false), boxlist.Ready, 0)
--- a/internal/fleet/release_test.go
+++ b/internal/fleet/release_test.go
@@ -141,7 +141,7 @@
 	}
 	asked, served, of := map[string]record.Event{}, map[string]bool{}, map[string]string{}
 	got.starts = map[string]*slowStart{}
-	out, err := PlayLines(d, policy, func(l record.Event) {
+	out, err := PlayWithRecords(d, policy, func(l record.Event) {
 		switch l.Kind {
 		case record.ProcessStarted:
 			if l.SlowStart {
--- a/internal/fleet/storm_test.go
+++ b/internal/fleet/storm_test.go
@@ -125,7 +125,7 @@
 		by = map[string]float64{}
 		asked, began := map[string]record.Event{}, map[string]bool{}
 		total := map[string]float64{}
-		_, err := PlayLines(d, "module", func(l record.Event) {
+		_, err := PlayWithRecords(d, "module", func(l record.Event) {
 			if l.Kind == record.RequestSent && strings.HasSuffix(l.Try, ".0") && l.TimeUs > 12e6 && l.TimeUs < 30e6 {
 				asked[l.Request] = l
 				total[of[l.Request]]++
--- a/internal/fleet/trouble_test.go
+++ b/internal/fleet/trouble_test.go
@@ -29,7 +29,7 @@
 			{Kind: "drain", Start: setup.Duration(2500 * time.Millisecond), Duration: setup.Duration(time.Second), Backends: []string{"writer-2"}},
 		}
 		n := 0
-		out, err := PlayLines(d, "module", func(l record.Event) {
+		out, err := PlayWithRecords(d, "module", func(l record.Event) {
 			if struck(l) {
 				n++
 			}
--- a/internal/stages/scenarios_test.go
+++ b/internal/stages/scenarios_test.go
@@ -378,7 +378,7 @@
 				slots <- true
 				defer func() { <-slots }()
 				var lines []record.Event
-				out, runErr := fleet.PlayLines(scenario, "module", func(l record.Event) { lines = append(lines, l) })
+				out, runErr := fleet.PlayWithRecords(scenario, "module", func(l record.Event) { lines = append(lines, l) })
 				mu.Lock()
 				defer mu.Unlock()
 				if runErr == nil && (!out.Passed() || out.Tries < 100) {
