--- a/internal/day/makes.go
+++ b/internal/day/makes.go
@@ -15,7 +15,7 @@
 	Units                        float64
 	Ignores                      bool // a cancel does not stop its work
 	Boxes                        Boxes
-	Engine                       engine.Make
+	Engine                       engine.Config
 }
 
 // stateLife is how long a state waits for a dispatcher that may have been killed.
@@ -30,11 +30,11 @@
 		e := b.Engine
 		// The presets are of published orders of magnitude for 70B-class models on one server of eight accelerators: a
 		// decoding step of 10 to 25 ms, blocks of 16 to 64 tokens, chunks of 512 to 8,192 tokens.
-		made := engine.Make{
-			Reads: k.Role != "writer", Writes: k.Role != "reader", Slots: b.Slots, Queue: b.Queue, BlockTokens: cmp.Or(e.BlockTokens, 32),
-			Chunk: cmp.Or(e.Chunk, 2048), Step: cmp.Or(e.Step.Std(), b.TokenTime.Std()), PerAnswer: cmp.Or(e.PerAnswer.Std(), 150*time.Microsecond),
-			PerContextK: cmp.Or(e.PerContextK.Std(), 40*time.Microsecond), PairsPerM: cmp.Or(e.PairsPerM.Std(), 800*time.Microsecond), ReadPerS: b.ReadPerS,
-			StateLife: stateLife, ColdShare: d.Rules.SlowStartShare, ColdRamp: d.Rules.SlowStartRamp.Std(), Load: e.Load.Std(),
+		made := engine.Config{
+			Prefills: k.Role != "writer", Decodes: k.Role != "reader", Slots: b.Slots, MaxQueued: b.Queue, BlockTokens: cmp.Or(e.BlockTokens, 32),
+			ChunkTokens: cmp.Or(e.Chunk, 2048), StepTime: cmp.Or(e.Step.Std(), b.TokenTime.Std()), TimePerSequence: cmp.Or(e.PerAnswer.Std(), 150*time.Microsecond),
+			TimePer1000ContextTokens: cmp.Or(e.PerContextK.Std(), 40*time.Microsecond), TimePerMillionPairs: cmp.Or(e.PairsPerM.Std(), 800*time.Microsecond), PrefillTokensPerSecond: b.ReadPerS,
+			KVCacheTTL: stateLife, SlowStartShare: d.Rules.SlowStartShare, SlowStartRamp: d.Rules.SlowStartRamp.Std(), ModelLoadTime: e.Load.Std(),
 		}
 		made.Blocks = max(k.MemoryTokens/made.BlockTokens, 1)
 		for range b.Count {
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -132,9 +132,9 @@
 	backend := s.fleet.NewBackend(standin.Config{
 		Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1,
 		Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: freeAddress(s.t)}},
-		Engine: engine.Make{
-			Reads: kind == "reader", Writes: kind == "writer", Slots: 64, Queue: 300, Blocks: 6000, BlockTokens: 32,
-			Chunk: 4096, Step: 5 * time.Millisecond, ReadPerS: 50000, StateLife: 8 * time.Second,
+		Engine: engine.Config{
+			Prefills: kind == "reader", Decodes: kind == "writer", Slots: 64, MaxQueued: 300, Blocks: 6000, BlockTokens: 32,
+			ChunkTokens: 4096, StepTime: 5 * time.Millisecond, PrefillTokensPerSecond: 50000, KVCacheTTL: 8 * time.Second,
 		},
 	})
 	if err := backend.Boot(false); err != nil {
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -121,9 +121,9 @@
 	return names, runs, err
 }
 
-// Do runs what a plan lacks, and stops between runs when the context ends. Virtual runs go side by side, those on sockets
+// Execute runs what a plan lacks, and stops between runs when the context ends. Virtual runs go side by side, those on sockets
 // one after the other: they would take each other's processors.
-func Do(ctx context.Context, s *Store, p *Plan, version string, stage day.Stage, say func(string, ...any)) error {
+func Execute(ctx context.Context, s *Store, p *Plan, version string, stage day.Stage, say func(string, ...any)) error {
 	if err := s.Begin(p); err != nil {
 		return err
 	}
--- a/internal/experiment/tables.go
+++ b/internal/experiment/tables.go
@@ -170,9 +170,9 @@
 // Difference is how one value of a key does against another, all else alike.
 type Difference struct {
 	Setting    Setting // what is alike
-	Than, This string
+	Reference, Value string
 	Medians    [2]float64
-	Beyond     bool // the noise of the repeats
+	Significant     bool // the noise of the repeats
 }
 
 // Compare sets each value of a key beside the first one. A difference is beyond the noise if it is more than twice the
@@ -285,8 +285,8 @@
 	return p.Save(18*vg.Centimeter, 11*vg.Centimeter, file)
 }
 
-// Over draws a figure over the seconds of a run: share, or tries; a line for each value of a key, the mean of its runs.
-func Over(runs []Run, of, lines, file, title string) error {
+// TimeChart draws a figure over the seconds of a run: share, or tries; a line for each value of a key, the mean of its runs.
+func TimeChart(runs []Run, of, lines, file, title string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "second of the day", of
 	sums, counts := map[string][]float64{}, map[string]float64{}
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -199,23 +199,23 @@
 		return
 	}
 	q := t.flight.Scheduled.Request
-	j := &engine.Job{Key: t.line.Key, Session: q.SessionKey, Shared: q.PrefixKey, Prompt: int(q.PromptTokens), Prefix: int(q.PrefixTokens)}
+	j := &engine.Job{Key: t.line.Key, Session: q.SessionKey, SharedPrefix: q.PrefixKey, PromptTokens: int(q.PromptTokens), PrefixTokens: int(q.PrefixTokens)}
 	t.job = j
 	switch t.line.Stage {
 	case kserve.PhasePrefill:
-		j.Stage = engine.Read
+		j.Stage = engine.StagePrefill
 	case kserve.PhaseDecode:
-		j.Stage = engine.Write
+		j.Stage = engine.StageDecode
 		state := w.boxes[t.flight.PrefillBackend.Name]
-		j.Fetch = func(arrived func(bool)) { w.fetch(state, b, t, arrived) }
+		j.FetchKVCache = func(arrived func(bool)) { w.fetch(state, b, t, arrived) }
 	default:
-		j.Stage = engine.Whole
+		j.Stage = engine.StageWhole
 	}
-	j.Answer = standin.AnswerTokens(w.day.TalkOf(t.line.Grade).AnswerTokens, t.line.Try, int(q.MaxOutputTokens))
-	if j.Stage == engine.Read {
-		j.Answer = 1
+	j.OutputTokens = standin.AnswerTokens(w.day.TalkOf(t.line.Grade).AnswerTokens, t.line.Try, int(q.MaxOutputTokens))
+	if j.Stage == engine.StagePrefill {
+		j.OutputTokens = 1
 	}
-	j.Token = func(n int) {
+	j.OnToken = func(n int) {
 		t.flight.StreamedTokens.Store(int64(n))
 		if n > 1 {
 			if n == 2 && b.resets > 0 && w.rng.Float64() < b.resets {
@@ -232,7 +232,7 @@
 		}
 		w.after(hop, t.began)
 	}
-	j.Ended = func(e engine.End, kept int) { t.done(e, kept) }
+	j.OnEnd = func(e engine.Outcome, kept int) { t.done(e, kept) }
 	b.engine.Submit(w.now, j)
 	b.kick()
 }
@@ -272,7 +272,7 @@
 }
 
 // done is the engine's end of a job.
-func (t *attempt) done(e engine.End, kept int) {
+func (t *attempt) done(e engine.Outcome, kept int) {
 	b, w := t.to, t.w
 	if t.ended {
 		return
@@ -280,7 +280,7 @@
 	switch e {
 	case engine.Done:
 		if t.line.Stage != kserve.PhaseDecode {
-			left := float64(t.job.Prompt - kept)
+			left := float64(t.job.PromptTokens - kept)
 			b.work(t.line.Grade, t.line.Stage) // its mean has begun
 			w.reads[t.line.Grade][0] += left
 			w.reads[t.line.Grade][1]++
@@ -291,7 +291,7 @@
 			return
 		}
 		if upTo, ok := b.released[t.line.Key]; ok && t.line.Trip <= upTo {
-			b.engine.Release(t.line.Key)
+			b.engine.ReleaseKVCache(t.line.Key)
 			t.end("dropped")
 			return
 		}
@@ -309,7 +309,7 @@
 	case engine.Full, engine.TooBig:
 		t.end(kserve.OutcomeFull)
 		t.back(brain.Result{Outcome: brain.Rejected})
-	case engine.NoState:
+	case engine.NoKVCache:
 		t.end(kserve.OutcomeNoKVCache)
 		t.back(brain.Result{Outcome: brain.Rejected, Detail: 1})
 	}
@@ -321,13 +321,13 @@
 	w.after(hop, func() {
 		tokens, ok := 0, false
 		if from.up {
-			tokens, ok = from.engine.Waits(key)
+			tokens, ok = from.engine.HeldKVCache(key)
 		}
 		if !ok {
 			w.after(hop, func() { arrived(false); to.kick() })
 			return
 		}
-		from.engine.Moving(key, true)
+		from.engine.SetKVCacheMoving(key, true)
 		start, took := from.start, time.Duration(float64(tokens)/w.day.Links.Near*float64(time.Second))
 		if from.make.Rack != to.make.Rack {
 			times := w.slowLink
@@ -345,7 +345,7 @@
 				return
 			}
 			if t.ended || !to.up || to.start != t.start { // nobody fetches any more: it waits on
-				from.engine.Moving(key, false)
+				from.engine.SetKVCacheMoving(key, false)
 				if upTo, ok := from.released[key]; ok && upTo >= t.line.Trip {
 					from.release(key, "released")
 				}
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -51,7 +51,7 @@
 		b.w.after(load, func() { b.busy = false; b.kick() })
 		return
 	}
-	took, ok := b.engine.Begin(b.w.now)
+	took, ok := b.engine.BeginStep(b.w.now)
 	if !ok {
 		return
 	}
@@ -63,7 +63,7 @@
 			b.kick()
 			return
 		}
-		e.Finish(b.w.now)
+		e.FinishStep(b.w.now)
 		b.kick()
 	})
 }
@@ -72,7 +72,7 @@
 	b.w.starts++
 	b.start, b.started, b.cold, b.up, b.busy, b.fell, b.sent = b.w.starts, b.w.now, cold, true, false, false, nil
 	b.engine = engine.New(b.make.Engine, b.w.now, cold)
-	b.engine.Gone = func(key string) {
+	b.engine.OnKVCacheDropped = func(key string) {
 		word := "expired"
 		if !b.up {
 			word = "lost"
@@ -111,14 +111,14 @@
 }
 
 func (b *backend) release(key, why string) {
-	if b.engine.Release(key) {
+	if b.engine.ReleaseKVCache(key) {
 		b.w.put(record.Line{What: record.Let, Box: b.make.Name, Key: key, Word: why})
 		b.kick()
 	}
 }
 
 func (b *backend) load() []float64 {
-	values := b.engine.Report()
+	values := b.engine.LoadReport()
 	var out []float64
 	for _, name := range b.w.day.ReportFields {
 		out = append(out, values[name])
@@ -134,8 +134,8 @@
 		sum = &[2]float64{talk.NewTokens + float64(talk.PrefixTokens)/4, 1}
 		b.w.reads[grade] = sum
 	}
-	read := sum[0] / sum[1] / m.ReadPerS
-	step := m.Step.Seconds() + float64(m.Slots)*m.PerAnswer.Seconds() + float64(m.Slots)*m.PerContextK.Seconds()
+	read := sum[0] / sum[1] / m.PrefillTokensPerSecond
+	step := m.StepTime.Seconds() + float64(m.Slots)*m.TimePerSequence.Seconds() + float64(m.Slots)*m.TimePer1000ContextTokens.Seconds()
 	write := talk.AnswerTokens * step / float64(m.Slots)
 	switch stage {
 	case kserve.PhasePrefill:
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -42,13 +42,13 @@
 	later := func(do func()) { w.after(length, do) }
 	switch t.Kind {
 	case "slow":
-		each(func(b *backend) { b.engine.Slow = t.Size })
-		later(func() { each(func(b *backend) { b.engine.Slow = 0 }) })
+		each(func(b *backend) { b.engine.Slowdown = t.Size })
+		later(func() { each(func(b *backend) { b.engine.Slowdown = 0 }) })
 	case "neighbour":
-		each(func(b *backend) { b.engine.Neighbour = t.Share })
-		later(func() { each(func(b *backend) { b.engine.Neighbour = 0 }) })
+		each(func(b *backend) { b.engine.NeighbourShare = t.Share })
+		later(func() { each(func(b *backend) { b.engine.NeighbourShare = 0 }) })
 	case "ageing":
-		each(func(b *backend) { b.engine.Age(w.now, t.Share) })
+		each(func(b *backend) { b.engine.SetAgingRate(w.now, t.Share) })
 		later(func() {
 			each(func(b *backend) { b.kill("aged"); w.publish(b, boxlist.Removed, w.day.List.Silent.Std()) })
 			w.after(2*time.Second, back)
@@ -86,7 +86,7 @@
 		w.skipList = true
 	case "no_cancel", "leave", "give_up", "burst", "shared_text", "long_prompts": // of the boxes' make, or of the questions' plan
 	case "forget":
-		each(func(b *backend) { b.engine.Forget() })
+		each(func(b *backend) { b.engine.DropCache() })
 	case "crash":
 		each(func(b *backend) {
 			b.kill("crashed")
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -149,7 +149,7 @@
 // build makes backends, list and dispatchers.
 func (w *world) build() error {
 	for _, m := range w.day.Makes() {
-		if err := m.Engine.Check(); err != nil {
+		if err := m.Engine.Validate(); err != nil {
 			return fmt.Errorf("box %s: %w", m.Name, err)
 		}
 		w.publish(w.add(m, false), boxlist.Ready, 0)
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -28,13 +28,13 @@
 	Units                        float64
 	Addresses                    []addresses.Spec
 	Seed                         uint64
-	Engine                       engine.Make
+	Engine                       engine.Config
 }
 
 // InstantEngine is an engine that takes next to no time, for tests that are not about engines.
-var InstantEngine = engine.Make{
-	Reads: true, Writes: true, Slots: 1 << 20, Queue: 1 << 20, Blocks: 1 << 40, BlockTokens: 1 << 20,
-	Chunk: 1 << 30, Step: time.Microsecond, ReadPerS: 1e12, StateLife: 8 * time.Second,
+var InstantEngine = engine.Config{
+	Prefills: true, Decodes: true, Slots: 1 << 20, MaxQueued: 1 << 20, Blocks: 1 << 40, BlockTokens: 1 << 20,
+	ChunkTokens: 1 << 30, StepTime: time.Microsecond, PrefillTokensPerSecond: 1e12, KVCacheTTL: 8 * time.Second,
 }
 
 // Faults are the current faults of a backend.
@@ -216,10 +216,10 @@
 		return
 	}
 	now := b.fleet.Record.Since()
-	b.engine.Slow, b.engine.Neighbour, b.engine.EvictFresh =
+	b.engine.Slowdown, b.engine.NeighbourShare, b.engine.EvictFresh =
 		b.faults.SlowFactor, b.faults.NeighbourShare, b.faults.EvictFetched
-	if b.engine.AgeBy != b.faults.AgingRate {
-		b.engine.Age(now, b.faults.AgingRate)
+	if b.engine.AgingRate != b.faults.AgingRate {
+		b.engine.SetAgingRate(now, b.faults.AgingRate)
 	}
 }
 
@@ -228,7 +228,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.running {
-		b.engine.Forget()
+		b.engine.DropCache()
 	}
 }
 
@@ -251,7 +251,7 @@
 		now := b.fleet.Record.Since()
 		wait, ok := eng.Loading(now), false
 		if wait == 0 {
-			wait, ok = eng.Begin(max(due, now-maxStepLag))
+			wait, ok = eng.BeginStep(max(due, now-maxStepLag))
 		}
 		b.recordExpired()
 		b.mu.Unlock()
@@ -266,7 +266,7 @@
 			}
 			b.mu.Lock()
 			if ctx.Err() == nil {
-				eng.Finish(due)
+				eng.FinishStep(due)
 			}
 			b.mu.Unlock()
 		case wait > 0:
@@ -300,7 +300,7 @@
 // recordExpired records the held KV caches that the engine has dropped by itself. b.mu must be held.
 func (b *Backend) recordExpired() {
 	for key, try := range b.heldTries {
-		if _, held := b.engine.Waits(key); !held && !b.engine.Moves(key) {
+		if _, held := b.engine.HeldKVCache(key); !held && !b.engine.KVCacheMoving(key) {
 			delete(b.heldTries, key)
 			b.fleet.Record.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: "expired"})
 		}
@@ -310,9 +310,9 @@
 // meanWork returns the mean work of an attempt of this class and stage, in seconds of the backend's full capacity.
 func (b *Backend) meanWork(attempt kserve.AttemptParams) float64 {
 	config := b.Engine
-	prefill := b.fleet.meanUncached(attempt.Class) / config.ReadPerS
-	step := config.Step.Seconds() + float64(config.Slots)*config.PerAnswer.Seconds() +
-		float64(config.Slots)*config.PerContextK.Seconds()
+	prefill := b.fleet.meanUncached(attempt.Class) / config.PrefillTokensPerSecond
+	step := config.StepTime.Seconds() + float64(config.Slots)*config.TimePerSequence.Seconds() +
+		float64(config.Slots)*config.TimePer1000ContextTokens.Seconds()
 	decode := b.fleet.Profiles[attempt.Class].AnswerTokens * step / float64(config.Slots)
 	switch attempt.Phase {
 	case kserve.PhasePrefill:
@@ -352,7 +352,7 @@
 func (b *Backend) loadReport() []float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	values := b.engine.Report()
+	values := b.engine.LoadReport()
 	var report []float64
 	for _, name := range b.fleet.Terms.ReportFields {
 		report = append(report, values[name])
@@ -466,22 +466,22 @@
 	}
 	run := &engineJob{changed: make(chan struct{}, 1)}
 	run.job = engine.Job{
-		Key: attempt.RequestKey(), Session: attempt.Session, Shared: attempt.SharedPrefix,
-		Prompt: attempt.PromptTokens, Prefix: attempt.PrefixTokens, Answer: 1,
+		Key: attempt.RequestKey(), Session: attempt.Session, SharedPrefix: attempt.SharedPrefix,
+		PromptTokens: attempt.PromptTokens, PrefixTokens: attempt.PrefixTokens, OutputTokens: 1,
 	}
 	switch attempt.Phase {
 	case kserve.PhasePrefill:
-		run.job.Stage = engine.Read
+		run.job.Stage = engine.StagePrefill
 	case kserve.PhaseDecode:
-		run.job.Stage = engine.Write
+		run.job.Stage = engine.StageDecode
 	default:
-		run.job.Stage = engine.Whole
+		run.job.Stage = engine.StageWhole
 	}
 	if attempt.Phase != kserve.PhasePrefill {
-		run.job.Answer = b.fleet.answerTokens(attempt.Class, attempt.DedupKey, attempt.MaxTokens)
+		run.job.OutputTokens = b.fleet.answerTokens(attempt.Class, attempt.DedupKey, attempt.MaxTokens)
 	}
-	run.job.Token = func(ready int) { run.tokens.Store(int64(ready)); run.notify() }
-	run.job.Ended = func(end engine.End, cached int) {
+	run.job.OnToken = func(ready int) { run.tokens.Store(int64(ready)); run.notify() }
+	run.job.OnEnd = func(end engine.Outcome, cached int) {
 		run.cachedTokens.Store(int64(cached))
 		run.end.Store(1 + int64(end))
 		run.notify()
@@ -492,7 +492,7 @@
 		return
 	}
 	eng := b.engine
-	run.job.Fetch = func(arrived func(bool)) {
+	run.job.FetchKVCache = func(arrived func(bool)) {
 		b.handlers.Add(1)
 		go func() {
 			defer b.handlers.Done()
@@ -506,12 +506,12 @@
 		}()
 	}
 	if attempt.Phase == kserve.PhasePrefill {
-		ended := run.job.Ended
-		run.job.Ended = func(end engine.End, cached int) { // b.mu is held
+		ended := run.job.OnEnd
+		run.job.OnEnd = func(end engine.Outcome, cached int) { // b.mu is held
 			if end == engine.Done {
 				if entry, ok := b.releases[attempt.RequestKey()]; ok && attempt.Attempt <= entry.attempt {
-					eng.Release(attempt.RequestKey()) // it was released before the prefill ended
-					end = engine.Dropped
+					eng.ReleaseKVCache(attempt.RequestKey()) // it was released before the prefill ended
+					end = engine.Cancelled
 				} else {
 					b.heldTries[attempt.RequestKey()] = attempt.DedupKey
 					b.fleet.Record.Put(record.Line{
@@ -525,7 +525,7 @@
 	usage = func() (int, int, int) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return run.job.Spent()
+		return run.job.Usage()
 	}
 	eng.Submit(b.fleet.Record.Since(), &run.job)
 	b.wakeEngine()
@@ -545,7 +545,7 @@
 		case <-ctx.Done():
 			return
 		}
-		end := engine.End(run.end.Load() - 1)
+		end := engine.Outcome(run.end.Load() - 1)
 		for ready := int(run.tokens.Load()); written < ready; written++ {
 			if written == 0 {
 				recordEffect()
@@ -554,7 +554,7 @@
 				}
 				w.Header().Set("Content-Type", "text/event-stream")
 			}
-			if reset && written == (run.job.Answer+1)/2 {
+			if reset && written == (run.job.OutputTokens+1)/2 {
 				panic(http.ErrAbortHandler)
 			}
 			if kserve.WriteEvent(w, "", kserve.Token{Model: b.fleet.Terms.Model, Text: " word"}) != nil {
@@ -594,7 +594,7 @@
 			}
 		case end == engine.Full || end == engine.TooBig:
 			respond(http.StatusServiceUnavailable, kserve.AttemptResult{Outcome: kserve.OutcomeFull, Error: end.String()})
-		case end == engine.NoState:
+		case end == engine.NoKVCache:
 			respond(http.StatusServiceUnavailable,
 				kserve.AttemptResult{Outcome: kserve.OutcomeNoKVCache, Error: "no state could be fetched"})
 		default: // the process died or the work was dropped: abort the connection
@@ -616,13 +616,13 @@
 	if !held {
 		return false
 	}
-	if b.engine.Moves(key) && reason != "taken" {
+	if b.engine.KVCacheMoving(key) && reason != "taken" {
 		b.releaseAfterFetch[key] = true
 		return true
 	}
 	delete(b.heldTries, key)
 	delete(b.releaseAfterFetch, key)
-	b.engine.Release(key)
+	b.engine.ReleaseKVCache(key)
 	b.wakeEngine()
 	b.fleet.Record.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: reason})
 	return true
@@ -679,20 +679,20 @@
 	startNumber := b.StartNumber
 	tokens, held := 0, false
 	if b.running {
-		tokens, held = b.engine.Waits(key)
+		tokens, held = b.engine.HeldKVCache(key)
 	}
 	if !held {
 		b.mu.Unlock()
 		kserve.WriteJSON(w, http.StatusNotFound, map[string]string{"error": "no such state waits"})
 		return
 	}
-	b.engine.Moving(key, true)
+	b.engine.SetKVCacheMoving(key, true)
 	b.mu.Unlock()
 	if b.fleet.transfer(r.Context(), b, r.Header.Get("Rack"), r.Header.Get("Zone"), float64(tokens)) != nil {
 		b.mu.Lock()
 		releaseNow := b.releaseAfterFetch[key]
 		if b.StartNumber == startNumber && b.running {
-			b.engine.Moving(key, false)
+			b.engine.SetKVCacheMoving(key, false)
 		}
 		b.mu.Unlock()
 		if releaseNow {
