--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -17,16 +17,16 @@
 type Policy struct {
 	View  View // what Informed sees
 	name  string
-	door  brain.Runtime
+	runtime  brain.Runtime
 	rng   *brain.PCG
-	facts brain.Settings
-	hosts []*brain.Backend
-	next  int
-	grade []*brain.Class
+	settings brain.Settings
+	backends []*brain.Backend
+	nextBackend  int
+	classes []*brain.Class
 }
 
 // New makes a policy by its name.
-func New(name string, facts brain.Settings, seed uint64, door brain.Runtime) (*Policy, error) {
+func New(name string, settings brain.Settings, seed uint64, runtime brain.Runtime) (*Policy, error) {
 	known := false
 	for _, n := range Names {
 		known = known || n == name
@@ -34,34 +34,34 @@
 	if !known {
 		return nil, fmt.Errorf("policy %q is none of %v", name, Names)
 	}
-	grades, err := facts.Classes()
-	return &Policy{name: name, door: door, rng: brain.NewPCG(seed), facts: facts, grade: grades}, err
+	classes, err := settings.Classes()
+	return &Policy{name: name, runtime: runtime, rng: brain.NewPCG(seed), settings: settings, classes: classes}, err
 }
 
 func (p *Policy) UpdateEndpoints(lines []brain.Endpoint, whole bool) {
 	if whole {
-		for _, h := range p.hosts {
+		for _, h := range p.backends {
 			h.State = brain.Removed
 		}
 	}
 	for _, l := range lines {
 		known := false
-		for _, h := range p.hosts {
+		for _, h := range p.backends {
 			known = known || h == l.Backend
 		}
 		if !known {
-			l.Backend.Role = p.facts.RoleOf(l.Backend.Kind)
-			p.hosts = append(p.hosts, l.Backend)
+			l.Backend.Role = p.settings.RoleOf(l.Backend.Kind)
+			p.backends = append(p.backends, l.Backend)
 		}
 		l.Backend.State, l.Backend.CapacityUnits = l.State, l.CapacityUnits
 	}
 }
 
-func (p *Policy) Submit(q *brain.Request, grade, _ int) {
-	q.Class = p.grade[min(grade, len(p.grade)-1)]
-	q.ReceivedAt, q.Deadline = p.door.Now(), p.door.Now()+q.Timeout
+func (p *Policy) Submit(q *brain.Request, class, _ int) {
+	q.Class = p.classes[min(class, len(p.classes)-1)]
+	q.ReceivedAt, q.Deadline = p.runtime.Now(), p.runtime.Now()+q.Timeout
 	q.KVTokens = q.PromptTokens + q.MaxOutputTokens
-	p.begin(q)
+	p.dispatch(q)
 }
 
 // MaySend tells whether a trip that was chosen may still go out.
@@ -71,7 +71,7 @@
 		return brain.AttemptEnded
 	case t.Request.Finished:
 		return brain.RequestFinished
-	case p.door.Now() >= t.Request.Deadline:
+	case p.runtime.Now() >= t.Request.Deadline:
 		return brain.DeadlinePassed
 	case t.Backend.State != brain.Ready:
 		return brain.BackendNotReady
@@ -80,69 +80,69 @@
 }
 
 // begin takes the first step: apart, in place, or at a mixed host, as the policy has it.
-func (p *Policy) begin(q *brain.Request) {
+func (p *Policy) dispatch(q *brain.Request) {
 	if p.name == Informed {
-		p.beginInformed(q)
+		p.dispatchInformed(q)
 		return
 	}
-	mixed, writers, readers := p.able(q, brain.RoleMixed), p.able(q, brain.RoleDecode), p.able(q, brain.RolePrefill)
-	whole := append(append([]*brain.Backend(nil), mixed...), writers...)
+	mixed, decoders, prefillers := p.eligible(q, brain.RoleMixed), p.eligible(q, brain.RoleDecode), p.eligible(q, brain.RolePrefill)
+	wholeBackends := append(append([]*brain.Backend(nil), mixed...), decoders...)
 	switch {
-	case p.name == "always_in_place" && len(whole) > 0 && p.facts.Bool("familyInfo.localRead"):
-		p.send(q, p.pick(whole), brain.StageWhole)
-	case p.name == "always_apart" && len(readers) > 0, len(mixed) == 0 && len(readers) > 0:
-		p.send(q, p.pick(readers), brain.StagePrefill)
-	case len(mixed) > 0 && (len(readers) == 0 || p.rng.Float() < float64(len(mixed))/float64(len(mixed)+len(writers))):
+	case p.name == "always_in_place" && len(wholeBackends) > 0 && p.settings.Bool("familyInfo.localRead"):
+		p.send(q, p.pick(wholeBackends), brain.StageWhole)
+	case p.name == "always_apart" && len(prefillers) > 0, len(mixed) == 0 && len(prefillers) > 0:
+		p.send(q, p.pick(prefillers), brain.StagePrefill)
+	case len(mixed) > 0 && (len(prefillers) == 0 || p.rng.Float() < float64(len(mixed))/float64(len(mixed)+len(decoders))):
 		p.send(q, p.pick(mixed), brain.StageWhole)
-	case len(readers) > 0:
-		p.send(q, p.pick(readers), brain.StagePrefill)
+	case len(prefillers) > 0:
+		p.send(q, p.pick(prefillers), brain.StagePrefill)
 	default:
-		p.giveUp(q)
+		p.rejectOrFail(q)
 	}
 }
 
 // able lists hosts of a role that may take the question now.
-func (p *Policy) able(q *brain.Request, role brain.Role) []*brain.Backend {
-	if p.door.Now() >= q.Deadline || len(q.Attempts) >= int(p.facts.Number("policyLimits.maxAttempts", 1)) {
+func (p *Policy) eligible(q *brain.Request, role brain.Role) []*brain.Backend {
+	if p.runtime.Now() >= q.Deadline || len(q.Attempts) >= int(p.settings.Number("policyLimits.maxAttempts", 1)) {
 		return nil
 	}
 	if t := q.MayHaveRun(); t != nil && role != brain.RolePrefill && q.Class.Effect != brain.Idempotent {
 		return nil
 	}
-	return brain.Filter(p.hosts, func(h *brain.Backend) bool { return h.Role == role && h.State == brain.Ready && !q.FailedAt(h) })
+	return brain.Filter(p.backends, func(h *brain.Backend) bool { return h.Role == role && h.State == brain.Ready && !q.FailedAt(h) })
 }
 
-func (p *Policy) pick(hosts []*brain.Backend) *brain.Backend {
+func (p *Policy) pick(backends []*brain.Backend) *brain.Backend {
 	switch p.name {
 	case "round_robin":
-		p.next++
-		return hosts[p.next%len(hosts)]
+		p.nextBackend++
+		return backends[p.nextBackend%len(backends)]
 	case "least_streams":
-		start := int(p.rng.Float() * float64(len(hosts)))
-		best := hosts[start]
-		for i := range hosts {
-			h := hosts[(start+i)%len(hosts)]
+		start := int(p.rng.Float() * float64(len(backends)))
+		best := backends[start]
+		for i := range backends {
+			h := backends[(start+i)%len(backends)]
 			if float64(h.Streams)+h.PrefillBacklog/1000 < float64(best.Streams)+best.PrefillBacklog/1000 {
 				best = h
 			}
 		}
 		return best
 	}
-	return hosts[int(p.rng.Float()*float64(len(hosts)))]
+	return backends[int(p.rng.Float()*float64(len(backends)))]
 }
 
 func (p *Policy) send(q *brain.Request, h *brain.Backend, stage brain.Stage) {
-	t := &brain.Attempt{Request: q, Backend: h, Number: len(q.Attempts), SentAt: p.door.Now(), Stage: stage}
+	t := &brain.Attempt{Request: q, Backend: h, Number: len(q.Attempts), SentAt: p.runtime.Now(), Stage: stage}
 	if stage != brain.StageDecode {
 		t.PrefillTokens = q.PromptTokens
 	}
 	t.ApplyLoad(1)
 	q.Attempts = append(q.Attempts, t)
-	p.door.Send(t, q.Deadline-t.SentAt)
+	p.runtime.Send(t, q.Deadline-t.SentAt)
 }
 
 func (p *Policy) FirstToken(t *brain.Attempt, _ time.Duration) {
-	t.FirstTokenAt = p.door.Now()
+	t.FirstTokenAt = p.runtime.Now()
 	t.Request.KVHolder = nil
 }
 
@@ -158,33 +158,33 @@
 		q.KVHolder = nil
 	}
 	if q.Finished {
-		p.letGo(q)
+		p.releaseKVCache(q)
 		return
 	}
 	if q.KVHolder != nil {
-		if able := append(p.able(q, brain.RoleDecode), p.able(q, brain.RoleMixed)...); len(able) > 0 {
-			p.send(q, p.pickDecode(q, able), brain.StageDecode)
+		if eligible := append(p.eligible(q, brain.RoleDecode), p.eligible(q, brain.RoleMixed)...); len(eligible) > 0 {
+			p.send(q, p.pickDecode(q, eligible), brain.StageDecode)
 			return
 		}
 	}
-	p.letGo(q)
-	p.begin(q)
+	p.releaseKVCache(q)
+	p.dispatch(q)
 }
 
-func (p *Policy) letGo(q *brain.Request) {
+func (p *Policy) releaseKVCache(q *brain.Request) {
 	if q.KVHolder != nil && q.InFlight() == nil {
 		q.KVHolder = nil
-		p.door.Release(q)
+		p.runtime.Release(q)
 	}
 }
 
-func (p *Policy) giveUp(q *brain.Request) {
+func (p *Policy) rejectOrFail(q *brain.Request) {
 	q.Finished = true
 	if q.Class.Effect != brain.Idempotent && q.MayHaveRun() != nil {
-		p.door.Fail(q)
+		p.runtime.Fail(q)
 		return
 	}
-	p.door.Reject(q, p.facts.Duration("policyLimits.maxRetryAfterUs"))
+	p.runtime.Reject(q, p.settings.Duration("policyLimits.maxRetryAfterUs"))
 }
 
 func (p *Policy) ClientDisconnected(q *brain.Request) {
@@ -193,9 +193,9 @@
 	}
 	q.Finished = true
 	if t := q.InFlight(); t != nil && t.FirstTokenAt == 0 {
-		p.door.Cancel(t)
+		p.runtime.Cancel(t)
 	}
-	p.letGo(q)
+	p.releaseKVCache(q)
 }
 
 func (p *Policy) PeerUpdated(brain.PeerUpdate) {}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -94,51 +94,51 @@
 
 	engine  *Engine
 	blocks  []*block
-	read    int // tokens of the prompt, and of the answer so far, that are in memory
-	cost    int // tokens that were read for it, in all
-	target  int // how many have to be before the next token
-	kept    int
-	out     int // tokens answered
-	came    uint64
-	state   phase
+	tokensInMemory    int // tokens of the prompt, and of the answer so far, that are in memory
+	prefilledTokens    int // tokens that were read for it, in all
+	targetTokens  int // how many have to be before the next token
+	cachedTokens    int
+	generatedTokens     int // tokens answered
+	arrivalNumber    uint64
+	phase   phase
 	fetched bool
-	Preempt int // how often it was put back
+	Preemptions int // how often it was put back
 }
 
 // Usage is what the job has cost its engine so far: tokens read (anew too, after it was put back) and found kept, and answer
 // tokens made.
-func (j *Job) Usage() (read, kept, answer int) {
+func (j *Job) Usage() (prefilled, cached, generated int) {
 	if j.Stage != StageDecode {
-		kept = j.kept
+		cached = j.cachedTokens
 	}
 	if j.Stage != StagePrefill {
-		answer = j.out
+		generated = j.generatedTokens
 	}
-	return j.cost, kept, answer
+	return j.prefilledTokens, cached, generated
 }
 
 type phase int
 
 const (
-	queued phase = iota
-	fetching
-	reading
-	running
-	over
+	phaseQueued phase = iota
+	phaseFetching
+	phasePrefill
+	phaseDecode
+	phaseEnded
 )
 
 // block is one block of memory. Whole ones have a hash and are found by it; ref counts who uses it.
 type block struct {
 	hash uint64
 	ref  int
-	rest *list.Element // its place among those that nobody uses
+	idleElement *list.Element // its place among those that nobody uses
 }
 
 // held is a state that waits at a reader.
-type held struct {
+type heldKVCache struct {
 	job   *Job
 	since time.Duration
-	taken bool
+	moving bool
 }
 
 // CacheEvent says what became of a kept block; they are numbered without gaps.
@@ -156,24 +156,24 @@
 
 	queue   []*Job // by when they came; those put back first
 	active  []*Job // that have a slot, by when they came
-	states  map[string]*held
-	order   []string // of states, by when they began to wait
-	tree    map[uint64]*block
-	free    int       // blocks that hold nothing
-	rest    list.List // blocks that are kept and used by none, longest unused first
-	jobs    uint64
-	events  uint64
-	started time.Duration
-	cold    bool
+	kvCaches  map[string]*heldKVCache
+	kvCacheOrder   []string // of states, by when they began to wait
+	cachedBlocks    map[uint64]*block
+	freeBlocks    int       // blocks that hold nothing
+	idleBlocks    list.List // blocks that are kept and used by none, longest unused first
+	jobCount    uint64
+	eventCount  uint64
+	startedAt time.Duration
+	slowStart    bool
 	planned []*Job // of the step that is on
-	chunks  []int
+	plannedTokens  []int
 	inStep  bool
 
 	// What may be wrong with it.
 	Slowdown       float64 // times; 0 and 1: nothing
 	NeighbourShare  float64 // share of the machine that another program takes
 	AgingRate      float64 // share by which its pace falls each second
-	agedFrom   time.Duration
+	agingSince   time.Duration
 	EvictFresh bool // memory pressure takes a state that has just been fetched
 
 	Counts Counts
@@ -186,34 +186,34 @@
 }
 
 // Add sums two engines' counts.
-func (c *Counts) Add(o Counts) {
-	c.Steps, c.Tokens, c.ReadTokens, c.KeptTokens = c.Steps+o.Steps, c.Tokens+o.Tokens, c.ReadTokens+o.ReadTokens, c.KeptTokens+o.KeptTokens
-	c.Preempted, c.Evicted, c.Refused = c.Preempted+o.Preempted, c.Evicted+o.Evicted, c.Refused+o.Refused
-	c.StatesExpired, c.FreshEvicted = c.StatesExpired+o.StatesExpired, c.FreshEvicted+o.FreshEvicted
+func (c *Counts) Add(other Counts) {
+	c.Steps, c.Tokens, c.ReadTokens, c.KeptTokens = c.Steps+other.Steps, c.Tokens+other.Tokens, c.ReadTokens+other.ReadTokens, c.KeptTokens+other.KeptTokens
+	c.Preempted, c.Evicted, c.Refused = c.Preempted+other.Preempted, c.Evicted+other.Evicted, c.Refused+other.Refused
+	c.StatesExpired, c.FreshEvicted = c.StatesExpired+other.StatesExpired, c.FreshEvicted+other.FreshEvicted
 	for i := range c.Ends {
-		c.Ends[i] += o.Ends[i]
+		c.Ends[i] += other.Ends[i]
 	}
 }
 
 // New starts an engine at a time; a cold one ramps up.
-func New(m Config, now time.Duration, cold bool) *Engine {
-	return &Engine{Config: m, states: map[string]*held{}, tree: map[uint64]*block{}, free: m.Blocks, started: now, cold: cold, agedFrom: now}
+func New(config Config, now time.Duration, slowStart bool) *Engine {
+	return &Engine{Config: config, kvCaches: map[string]*heldKVCache{}, cachedBlocks: map[uint64]*block{}, freeBlocks: config.Blocks, startedAt: now, slowStart: slowStart, agingSince: now}
 }
 
 // Submit takes a job, or ends it at once.
 func (e *Engine) Submit(now time.Duration, j *Job) {
 	j.engine = e
-	e.jobs++
-	j.came = e.jobs
+	e.jobCount++
+	j.arrivalNumber = e.jobCount
 	switch {
 	case j.Stage == StagePrefill && !e.Prefills, j.Stage != StagePrefill && !e.Decodes:
-		e.end(j, NoKVCache)
+		e.endJob(j, NoKVCache)
 	case e.blocksFor(j.PromptTokens+j.OutputTokens) > e.Blocks:
 		// It could never be answered here: taking it would only put others back again and again.
-		e.end(j, TooBig)
+		e.endJob(j, TooBig)
 	case len(e.active) >= e.Slots && len(e.queue) >= e.MaxQueued:
 		e.Counts.Refused++
-		e.end(j, Full)
+		e.endJob(j, Full)
 	default:
 		e.queue = append(e.queue, j)
 	}
@@ -223,23 +223,23 @@
 
 // hashes are those of a prompt's whole blocks, each with all before it. A block of the shared beginning is alike in all
 // sessions, the rest in one.
-func (e *Engine) hashes(j *Job) iter.Seq2[int, uint64] {
+func (e *Engine) blockHashes(j *Job) iter.Seq2[int, uint64] {
 	return func(yield func(int, uint64) bool) {
 		var raw [24]byte
-		before := uint64(0)
+		previous := uint64(0)
 		for i := 0; (i+1)*e.BlockTokens <= j.PromptTokens; i++ {
-			of := j.Session
+			owner := j.Session
 			if j.SharedPrefix != 0 && (i+1)*e.BlockTokens <= j.PrefixTokens {
-				of = j.SharedPrefix
+				owner = j.SharedPrefix
 			}
-			if of == 0 {
+			if owner == 0 {
 				return // nothing by which it could be known again
 			}
-			binary.LittleEndian.PutUint64(raw[:], before)
-			binary.LittleEndian.PutUint64(raw[8:], of)
+			binary.LittleEndian.PutUint64(raw[:], previous)
+			binary.LittleEndian.PutUint64(raw[8:], owner)
 			binary.LittleEndian.PutUint64(raw[16:], uint64(i))
-			before = xxhash.Sum64(raw[:])
-			if !yield(i, before) {
+			previous = xxhash.Sum64(raw[:])
+			if !yield(i, previous) {
 				return
 			}
 		}
@@ -247,52 +247,52 @@
 }
 
 // KeptFor tells how many tokens of a prompt are kept.
-func (e *Engine) KeptFor(j *Job) int {
-	kept := 0
-	for i, h := range e.hashes(j) {
-		if e.tree[h] == nil {
+func (e *Engine) CachedTokens(j *Job) int {
+	cached := 0
+	for i, hash := range e.blockHashes(j) {
+		if e.cachedBlocks[hash] == nil {
 			break
 		}
-		kept = (i + 1) * e.BlockTokens
+		cached = (i + 1) * e.BlockTokens
 	}
-	return kept
+	return cached
 }
 
 // take gets a block for a job: a free one, else the kept one that was unused longest. False: all are in use.
-func (e *Engine) take(j *Job) bool {
-	if e.free == 0 && !e.evict() {
+func (e *Engine) allocateBlock(j *Job) bool {
+	if e.freeBlocks == 0 && !e.evictBlock() {
 		return false
 	}
-	e.free--
+	e.freeBlocks--
 	j.blocks = append(j.blocks, &block{ref: 1})
 	return true
 }
 
 // evict frees the kept block that was unused longest.
-func (e *Engine) evict() bool {
-	if e.rest.Len() == 0 {
+func (e *Engine) evictBlock() bool {
+	if e.idleBlocks.Len() == 0 {
 		return false
 	}
-	oldest, _ := e.rest.Front().Value.(*block)
-	e.rest.Remove(oldest.rest)
-	delete(e.tree, oldest.hash)
-	e.free++
+	oldest, _ := e.idleBlocks.Front().Value.(*block)
+	e.idleBlocks.Remove(oldest.idleElement)
+	delete(e.cachedBlocks, oldest.hash)
+	e.freeBlocks++
 	e.Counts.Evicted++
-	e.say("evicted", oldest.hash)
+	e.emitCacheEvent("evicted", oldest.hash)
 	return true
 }
 
-func (e *Engine) say(kind string, hash uint64) {
-	e.events++
+func (e *Engine) emitCacheEvent(kind string, hash uint64) {
+	e.eventCount++
 	if e.OnCacheEvent != nil {
-		e.OnCacheEvent(CacheEvent{e.events, kind, hash})
+		e.OnCacheEvent(CacheEvent{e.eventCount, kind, hash})
 	}
 }
 
 // room gives a job what blocks it lacks for so many tokens.
-func (e *Engine) room(j *Job, tokens int) bool {
+func (e *Engine) reserveBlocks(j *Job, tokens int) bool {
 	for len(j.blocks) < e.blocksFor(tokens) {
-		if !e.take(j) {
+		if !e.allocateBlock(j) {
 			return false
 		}
 	}
@@ -300,37 +300,37 @@
 }
 
 // adopt lets a job use the blocks that are kept of its prompt; the last token is always read anew, as it makes the next.
-func (e *Engine) adopt(j *Job) {
-	for _, h := range e.hashes(j) {
-		b := e.tree[h]
+func (e *Engine) reuseCachedBlocks(j *Job) {
+	for _, hash := range e.blockHashes(j) {
+		b := e.cachedBlocks[hash]
 		if b == nil || (len(j.blocks)+1)*e.BlockTokens >= j.PromptTokens {
 			break
 		}
 		if b.ref == 0 {
-			e.rest.Remove(b.rest)
+			e.idleBlocks.Remove(b.idleElement)
 		}
 		b.ref++
 		j.blocks = append(j.blocks, b)
 	}
-	j.read = len(j.blocks) * e.BlockTokens
+	j.tokensInMemory = len(j.blocks) * e.BlockTokens
 }
 
 // keep enters a job's whole prompt blocks into the tree, as they have been read.
-func (e *Engine) keep(j *Job) {
-	for i, h := range e.hashes(j) {
-		if i >= len(j.blocks) || (i+1)*e.BlockTokens > j.read {
+func (e *Engine) cachePromptBlocks(j *Job) {
+	for i, hash := range e.blockHashes(j) {
+		if i >= len(j.blocks) || (i+1)*e.BlockTokens > j.tokensInMemory {
 			break
 		}
-		if b := j.blocks[i]; b.hash == 0 && e.tree[h] == nil {
-			b.hash = h
-			e.tree[h] = b
-			e.say("stored", h)
+		if b := j.blocks[i]; b.hash == 0 && e.cachedBlocks[hash] == nil {
+			b.hash = hash
+			e.cachedBlocks[hash] = b
+			e.emitCacheEvent("stored", hash)
 		}
 	}
 }
 
 // letGo gives a job's blocks back: kept ones stay until they are evicted, the last of a chain to be evicted first.
-func (e *Engine) letGo(j *Job) {
+func (e *Engine) releaseBlocks(j *Job) {
 	for i := len(j.blocks) - 1; i >= 0; i-- {
 		b := j.blocks[i]
 		b.ref--
@@ -338,59 +338,59 @@
 			continue
 		}
 		if b.hash != 0 {
-			b.rest = e.rest.PushBack(b)
+			b.idleElement = e.idleBlocks.PushBack(b)
 		} else {
-			e.free++
+			e.freeBlocks++
 		}
 	}
 	j.blocks = nil
-	j.read = 0
+	j.tokensInMemory = 0
 }
 
 // end ends a job wherever it is.
-func (e *Engine) end(j *Job, how Outcome) {
-	if j.state == over {
+func (e *Engine) endJob(j *Job, outcome Outcome) {
+	if j.phase == phaseEnded {
 		return
 	}
-	j.state = over
-	e.letGo(j)
+	j.phase = phaseEnded
+	e.releaseBlocks(j)
 	e.active = slices.DeleteFunc(e.active, func(o *Job) bool { return o == j })
 	e.queue = slices.DeleteFunc(e.queue, func(o *Job) bool { return o == j })
-	e.Counts.Ends[how]++
+	e.Counts.Ends[outcome]++
 	if j.OnEnd != nil {
-		j.OnEnd(how, j.kept)
+		j.OnEnd(outcome, j.cachedTokens)
 	}
 }
 
 // Cancel drops a job.
-func (e *Engine) Cancel(j *Job) { e.end(j, Cancelled) }
+func (e *Engine) Cancel(j *Job) { e.endJob(j, Cancelled) }
 
 // Stop loses all that the engine holds.
 func (e *Engine) Stop() {
 	for len(e.active) > 0 {
-		e.end(e.active[0], Lost)
+		e.endJob(e.active[0], Lost)
 	}
 	for len(e.queue) > 0 {
-		e.end(e.queue[0], Lost)
+		e.endJob(e.queue[0], Lost)
 	}
-	for _, key := range slices.Clone(e.order) {
-		e.drop(key)
+	for _, key := range slices.Clone(e.kvCacheOrder) {
+		e.dropKVCache(key)
 	}
 	e.DropCache()
 }
 
 // DropCache drops all kept blocks that are in no use.
 func (e *Engine) DropCache() {
-	for h, b := range e.tree {
+	for h, b := range e.cachedBlocks {
 		if b.ref > 0 {
 			b.hash = 0
 		} else {
-			e.free++
-			e.rest.Remove(b.rest)
+			e.freeBlocks++
+			e.idleBlocks.Remove(b.idleElement)
 		}
-		delete(e.tree, h)
+		delete(e.cachedBlocks, h)
 	}
-	e.say("cleared", 0)
+	e.emitCacheEvent("cleared", 0)
 }
 
 // admit gives slots to jobs that wait, first come first. One that finds no memory waits, and all behind it.
@@ -398,87 +398,87 @@
 	for len(e.queue) > 0 && len(e.active) < e.Slots {
 		j := e.queue[0]
 		if j.Stage == StageDecode && !j.fetched {
-			if !e.room(j, j.PromptTokens) {
-				e.letGo(j)
+			if !e.reserveBlocks(j, j.PromptTokens) {
+				e.releaseBlocks(j)
 				return
 			}
 			e.queue = e.queue[1:]
 			e.active = append(e.active, j)
-			j.state = fetching
+			j.phase = phaseFetching
 			if j.FetchKVCache == nil {
-				e.arrived(j, false)
+				e.kvCacheArrived(j, false)
 			} else {
-				j.FetchKVCache(func(ok bool) { e.arrived(j, ok) })
+				j.FetchKVCache(func(ok bool) { e.kvCacheArrived(j, ok) })
 			}
 			continue
 		}
-		j.target = j.PromptTokens + j.out
-		e.adopt(j)
-		kept := j.read
-		if !e.room(j, j.target) {
-			e.letGo(j)
+		j.targetTokens = j.PromptTokens + j.generatedTokens
+		e.reuseCachedBlocks(j)
+		cached := j.tokensInMemory
+		if !e.reserveBlocks(j, j.targetTokens) {
+			e.releaseBlocks(j)
 			return
 		}
-		if j.out == 0 {
-			j.kept = kept
-			e.Counts.KeptTokens += int64(kept)
+		if j.generatedTokens == 0 {
+			j.cachedTokens = cached
+			e.Counts.KeptTokens += int64(cached)
 		}
 		e.queue = e.queue[1:]
 		e.active = append(e.active, j)
-		j.state = reading
+		j.phase = phasePrefill
 	}
 }
 
 // arrived takes the end of a state's move.
-func (e *Engine) arrived(j *Job, ok bool) {
-	if j.state != fetching {
+func (e *Engine) kvCacheArrived(j *Job, ok bool) {
+	if j.phase != phaseFetching {
 		return
 	}
 	if !ok {
-		e.end(j, NoKVCache)
+		e.endJob(j, NoKVCache)
 		return
 	}
 	j.fetched = true
-	if e.EvictFresh && e.free+e.rest.Len() < e.Blocks/8 {
+	if e.EvictFresh && e.freeBlocks+e.idleBlocks.Len() < e.Blocks/8 {
 		// Pressure takes what has just come: it is read anew here, as after a preemption.
 		e.Counts.FreshEvicted++
-		e.putBack(j)
+		e.preempt(j)
 		return
 	}
-	j.read, j.target = j.PromptTokens, j.PromptTokens
-	j.state = running
-	e.keep(j)
+	j.tokensInMemory, j.targetTokens = j.PromptTokens, j.PromptTokens
+	j.phase = phaseDecode
+	e.cachePromptBlocks(j)
 }
 
 // putBack frees a job's memory and lets it wait at the head of the queue, to be read anew with what it has answered.
-func (e *Engine) putBack(j *Job) {
-	e.letGo(j)
+func (e *Engine) preempt(j *Job) {
+	e.releaseBlocks(j)
 	e.active = slices.DeleteFunc(e.active, func(o *Job) bool { return o == j })
-	j.state = queued
-	j.Preempt++
+	j.phase = phaseQueued
+	j.Preemptions++
 	e.queue = slices.Insert(e.queue, 0, j)
 }
 
 // BeginStep plans the next step and returns how long it takes; false: there is nothing to do until something is submitted
 // or arrives.
 func (e *Engine) BeginStep(now time.Duration) (time.Duration, bool) {
-	e.expire(now)
+	e.expireKVCaches(now)
 	e.admit(now)
-	e.planned, e.chunks = e.planned[:0], e.chunks[:0]
+	e.planned, e.plannedTokens = e.planned[:0], e.plannedTokens[:0]
 	budget := e.ChunkTokens
-	answers, context, pairs, tokens := 0, 0.0, 0.0, 0
+	sequences, contextTokens, pairs, prefillTokens := 0, 0.0, 0.0, 0
 	for _, j := range e.active {
-		switch j.state {
-		case running:
-			answers++
-			context += float64(j.read)
-			e.planned, e.chunks = append(e.planned, j), append(e.chunks, 0)
-		case reading:
-			if n := min(budget, j.target-j.read); n > 0 {
-				budget -= n
-				tokens += n
-				pairs += float64(n) * (float64(j.read) + float64(n)/2)
-				e.planned, e.chunks = append(e.planned, j), append(e.chunks, n)
+		switch j.phase {
+		case phaseDecode:
+			sequences++
+			contextTokens += float64(j.tokensInMemory)
+			e.planned, e.plannedTokens = append(e.planned, j), append(e.plannedTokens, 0)
+		case phasePrefill:
+			if chunk := min(budget, j.targetTokens-j.tokensInMemory); chunk > 0 {
+				budget -= chunk
+				prefillTokens += chunk
+				pairs += float64(chunk) * (float64(j.tokensInMemory) + float64(chunk)/2)
+				e.planned, e.plannedTokens = append(e.planned, j), append(e.plannedTokens, chunk)
 			}
 		}
 	}
@@ -486,122 +486,122 @@
 		return 0, false
 	}
 	e.inStep = true
-	took := e.StepTime.Seconds() + float64(answers)*e.TimePerSequence.Seconds() + context/1000*e.TimePer1000ContextTokens.Seconds() +
-		float64(tokens)/e.PrefillTokensPerSecond + pairs/1e6*e.TimePerMillionPairs.Seconds()
-	return time.Duration(took / e.Speed(now) * float64(time.Second)), true
+	stepTime := e.StepTime.Seconds() + float64(sequences)*e.TimePerSequence.Seconds() + contextTokens/1000*e.TimePer1000ContextTokens.Seconds() +
+		float64(prefillTokens)/e.PrefillTokensPerSecond + pairs/1e6*e.TimePerMillionPairs.Seconds()
+	return time.Duration(stepTime / e.Speed(now) * float64(time.Second)), true
 }
 
 // Speed is which part of its full speed the engine has now.
 func (e *Engine) Speed(now time.Duration) float64 {
-	p := 1.0
-	if up := now - e.started - e.ModelLoadTime; e.cold && up < e.SlowStartRamp {
-		p = e.SlowStartShare + (1-e.SlowStartShare)*max(float64(up)/float64(e.SlowStartRamp), 0)
+	speed := 1.0
+	if uptime := now - e.startedAt - e.ModelLoadTime; e.slowStart && uptime < e.SlowStartRamp {
+		speed = e.SlowStartShare + (1-e.SlowStartShare)*max(float64(uptime)/float64(e.SlowStartRamp), 0)
 	}
 	if e.Slowdown > 1 {
-		p /= e.Slowdown
+		speed /= e.Slowdown
 	}
-	p *= 1 - min(max(e.NeighbourShare, 0), 0.95)
+	speed *= 1 - min(max(e.NeighbourShare, 0), 0.95)
 	if e.AgingRate > 0 {
-		p *= math.Pow(1-min(e.AgingRate, 0.5), (now - e.agedFrom).Seconds())
+		speed *= math.Pow(1-min(e.AgingRate, 0.5), (now - e.agingSince).Seconds())
 	}
-	return max(p, 0.001)
+	return max(speed, 0.001)
 }
 
 // Loading tells how long it still loads its model.
 func (e *Engine) Loading(now time.Duration) time.Duration {
-	if !e.cold {
+	if !e.slowStart {
 		return 0
 	}
-	return max(e.started+e.ModelLoadTime-now, 0)
+	return max(e.startedAt+e.ModelLoadTime-now, 0)
 }
 
 // SetAgingRate begins to slow it down, by a share each second; 0 ends that.
-func (e *Engine) SetAgingRate(now time.Duration, by float64) { e.AgingRate, e.agedFrom = by, now }
+func (e *Engine) SetAgingRate(now time.Duration, rate float64) { e.AgingRate, e.agingSince = rate, now }
 
 // FinishStep applies the step that Begin planned.
 func (e *Engine) FinishStep(now time.Duration) {
 	e.inStep = false
 	e.Counts.Steps++
-	planned, chunks := slices.Clone(e.planned), slices.Clone(e.chunks)
+	planned, plannedTokens := slices.Clone(e.planned), slices.Clone(e.plannedTokens)
 	for i, j := range planned {
-		if j.state == reading && chunks[i] > 0 {
-			j.read += chunks[i]
-			j.cost += chunks[i]
-			e.Counts.ReadTokens += int64(chunks[i])
-			if j.read < j.target {
+		if j.phase == phasePrefill && plannedTokens[i] > 0 {
+			j.tokensInMemory += plannedTokens[i]
+			j.prefilledTokens += plannedTokens[i]
+			e.Counts.ReadTokens += int64(plannedTokens[i])
+			if j.tokensInMemory < j.targetTokens {
 				continue
 			}
-			e.keep(j)
+			e.cachePromptBlocks(j)
 			if j.Stage == StagePrefill {
-				e.wait(now, j)
+				e.holdKVCache(now, j)
 				continue
 			}
-			j.state = running
-			e.answer(j)
-		} else if j.state == running && chunks[i] == 0 {
-			e.answer(j)
+			j.phase = phaseDecode
+			e.decodeToken(j)
+		} else if j.phase == phaseDecode && plannedTokens[i] == 0 {
+			e.decodeToken(j)
 		}
 	}
 }
 
 // answer adds one token to a running answer.
-func (e *Engine) answer(j *Job) {
-	for j.state == running && !e.room(j, j.PromptTokens+j.out+1) {
+func (e *Engine) decodeToken(j *Job) {
+	for j.phase == phaseDecode && !e.reserveBlocks(j, j.PromptTokens+j.generatedTokens+1) {
 		// Memory is out: the newest answer goes back, so that the oldest always comes to its end.
 		var newest *Job
 		for _, o := range e.active {
-			if o.state == running && (newest == nil || o.came > newest.came) {
+			if o.phase == phaseDecode && (newest == nil || o.arrivalNumber > newest.arrivalNumber) {
 				newest = o
 			}
 		}
 		e.Counts.Preempted++
-		e.putBack(newest)
+		e.preempt(newest)
 	}
-	if j.state != running {
+	if j.phase != phaseDecode {
 		return
 	}
-	j.out++
-	j.read = j.PromptTokens + j.out
+	j.generatedTokens++
+	j.tokensInMemory = j.PromptTokens + j.generatedTokens
 	e.Counts.Tokens++
 	if j.OnToken != nil {
-		j.OnToken(j.out)
+		j.OnToken(j.generatedTokens)
 	}
-	if j.state == running && j.out >= j.OutputTokens {
-		e.end(j, Done)
+	if j.phase == phaseDecode && j.generatedTokens >= j.OutputTokens {
+		e.endJob(j, Done)
 	}
 }
 
 // wait lets a read state wait with its blocks.
-func (e *Engine) wait(now time.Duration, j *Job) {
+func (e *Engine) holdKVCache(now time.Duration, j *Job) {
 	e.active = slices.DeleteFunc(e.active, func(o *Job) bool { return o == j })
-	j.state = over
-	if old := e.states[j.Key]; old != nil {
+	j.phase = phaseEnded
+	if old := e.kvCaches[j.Key]; old != nil {
 		e.ReleaseKVCache(j.Key)
 	}
-	e.states[j.Key] = &held{job: j, since: now}
-	e.order = append(e.order, j.Key)
+	e.kvCaches[j.Key] = &heldKVCache{job: j, since: now}
+	e.kvCacheOrder = append(e.kvCacheOrder, j.Key)
 	e.Counts.Ends[Done]++
 	if j.OnEnd != nil {
-		j.OnEnd(Done, j.kept)
+		j.OnEnd(Done, j.cachedTokens)
 	}
 }
 
 // expire drops states that waited too long.
-func (e *Engine) expire(now time.Duration) {
-	for len(e.order) > 0 {
-		h := e.states[e.order[0]]
+func (e *Engine) expireKVCaches(now time.Duration) {
+	for len(e.kvCacheOrder) > 0 {
+		h := e.kvCaches[e.kvCacheOrder[0]]
 		if e.KVCacheTTL <= 0 || now-h.since < e.KVCacheTTL {
 			return
 		}
 		e.Counts.StatesExpired++
-		e.drop(e.order[0])
+		e.dropKVCache(e.kvCacheOrder[0])
 	}
 }
 
 // HeldKVCache returns the tokens of a state that waits; false: there is none, or it is on its way already.
 func (e *Engine) HeldKVCache(key string) (tokens int, ok bool) {
-	h := e.states[key]
-	if h == nil || h.taken {
+	h := e.kvCaches[key]
+	if h == nil || h.moving {
 		return 0, false
 	}
 	return h.job.PromptTokens, true
@@ -609,31 +609,31 @@
 
 // KVCacheMoving tells whether a state is on its way.
 func (e *Engine) KVCacheMoving(key string) bool {
-	h := e.states[key]
-	return h != nil && h.taken
+	h := e.kvCaches[key]
+	return h != nil && h.moving
 }
 
 // SetKVCacheMoving marks a state as on its way, or, if the move failed, as waiting again.
-func (e *Engine) SetKVCacheMoving(key string, on bool) {
-	if h := e.states[key]; h != nil {
-		h.taken = on
+func (e *Engine) SetKVCacheMoving(key string, moving bool) {
+	if h := e.kvCaches[key]; h != nil {
+		h.moving = moving
 	}
 }
 
 // ReleaseKVCache lets go of a state.
 func (e *Engine) ReleaseKVCache(key string) bool {
-	h := e.states[key]
+	h := e.kvCaches[key]
 	if h == nil {
 		return false
 	}
-	delete(e.states, key)
-	e.order = slices.DeleteFunc(e.order, func(k string) bool { return k == key })
-	e.letGo(h.job)
+	delete(e.kvCaches, key)
+	e.kvCacheOrder = slices.DeleteFunc(e.kvCacheOrder, func(k string) bool { return k == key })
+	e.releaseBlocks(h.job)
 	return true
 }
 
 // drop lets go of a state by the engine's own doing.
-func (e *Engine) drop(key string) {
+func (e *Engine) dropKVCache(key string) {
 	if e.ReleaseKVCache(key) && e.OnKVCacheDropped != nil {
 		e.OnKVCacheDropped(key)
 	}
@@ -641,23 +641,23 @@
 
 // LoadReport is what a load report may hold.
 func (e *Engine) LoadReport() map[string]float64 {
-	waiting := 0
+	waitingTokens := 0
 	for _, j := range e.active {
-		if j.state == reading {
-			waiting += j.target - j.read
+		if j.phase == phasePrefill {
+			waitingTokens += j.targetTokens - j.tokensInMemory
 		}
 	}
 	for _, j := range e.queue {
-		waiting += j.PromptTokens
+		waitingTokens += j.PromptTokens
 	}
 	return map[string]float64{
-		"util": float64(len(e.active)) / float64(e.Slots), "queue": float64(len(e.queue)), "inflight": float64(len(e.active) + len(e.queue) + len(e.states)),
-		"x0": float64(e.Blocks-e.free-e.rest.Len()) / float64(e.Blocks), "x1": float64(waiting) / 1000,
+		"util": float64(len(e.active)) / float64(e.Slots), "queue": float64(len(e.queue)), "inflight": float64(len(e.active) + len(e.queue) + len(e.kvCaches)),
+		"x0": float64(e.Blocks-e.freeBlocks-e.idleBlocks.Len()) / float64(e.Blocks), "x1": float64(waitingTokens) / 1000,
 	}
 }
 
 // Memory counts the blocks: free, kept and unused, and in use.
-func (e *Engine) Memory() (free, idle, used int) {
+func (e *Engine) BlockCounts() (free, idle, used int) {
 	seen := map[*block]bool{}
 	count := func(j *Job) {
 		for _, b := range j.blocks {
@@ -670,13 +670,13 @@
 	for _, j := range e.queue {
 		count(j)
 	}
-	for _, h := range e.states {
+	for _, h := range e.kvCaches {
 		count(h.job)
 	}
-	return e.free, e.rest.Len(), len(seen)
+	return e.freeBlocks, e.idleBlocks.Len(), len(seen)
 }
 
 // Held counts its jobs: with a slot, waiting, and states.
-func (e *Engine) Held() (active, queued, states int) {
-	return len(e.active), len(e.queue), len(e.states)
+func (e *Engine) JobCounts() (active, queued, kvCaches int) {
+	return len(e.active), len(e.queue), len(e.kvCaches)
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func writer() Config {
+func testConfig() Config {
 	return Config{Prefills: true, Decodes: true, Slots: 4, MaxQueued: 4, Blocks: 100, BlockTokens: 16, ChunkTokens: 256, StepTime: 10 * time.Millisecond,
 		TimePerSequence: time.Millisecond, PrefillTokensPerSecond: 10000, KVCacheTTL: 5 * time.Second}
 }
@@ -27,51 +27,51 @@
 }
 
 // asked is a job that counts what becomes of it.
-type asked struct {
+type trackedJob struct {
 	Job
 	tokens, ends int
-	how          Outcome
-	keptThen     int
+	outcome          Outcome
+	cachedTokens     int
 }
 
-func job(stage Stage, session, shared uint64, prompt, prefix, answer int) *asked {
-	a := &asked{Job: Job{Key: fmt.Sprint(session, stage, prompt), Stage: stage, Session: session, SharedPrefix: shared, PromptTokens: prompt, PrefixTokens: prefix, OutputTokens: answer}}
+func newJob(stage Stage, session, shared uint64, prompt, prefix, answer int) *trackedJob {
+	a := &trackedJob{Job: Job{Key: fmt.Sprint(session, stage, prompt), Stage: stage, Session: session, SharedPrefix: shared, PromptTokens: prompt, PrefixTokens: prefix, OutputTokens: answer}}
 	a.OnToken = func(n int) { a.tokens = n }
-	a.OnEnd = func(e Outcome, kept int) { a.ends++; a.how, a.keptThen = e, kept }
+	a.OnEnd = func(e Outcome, kept int) { a.ends++; a.outcome, a.cachedTokens = e, kept }
 	return a
 }
 
 func TestAnAnswerHasItsTokensAndLeavesItsPromptKept(t *testing.T) {
-	e := New(writer(), 0, false)
-	a := job(StageWhole, 1, 9, 320, 160, 10)
+	e := New(testConfig(), 0, false)
+	a := newJob(StageWhole, 1, 9, 320, 160, 10)
 	e.Submit(0, &a.Job)
 	now := drive(e, 0, 100)
-	if a.ends != 1 || a.how != Done || a.tokens != 10 || a.keptThen != 0 {
+	if a.ends != 1 || a.outcome != Done || a.tokens != 10 || a.cachedTokens != 0 {
 		t.Errorf("%+v", a)
 	}
 	// Two steps to read 320 tokens by 256, the second with the first token; nine more.
 	if want := 11*10*time.Millisecond + 32*time.Millisecond + 9*time.Millisecond; now != want {
 		t.Errorf("took %v, not %v", now, want)
 	}
-	b := job(StageWhole, 2, 9, 320, 160, 1) // another session with the same beginning
-	c := job(StageWhole, 1, 9, 400, 160, 1) // the same one goes on
+	b := newJob(StageWhole, 2, 9, 320, 160, 1) // another session with the same beginning
+	c := newJob(StageWhole, 1, 9, 400, 160, 1) // the same one goes on
 	e.Submit(now, &b.Job)
 	now = drive(e, now, 100)
 	e.Submit(now, &c.Job)
 	drive(e, now, 100)
-	if b.keptThen != 160 || c.keptThen != 320 {
-		t.Errorf("kept %d of a shared beginning of 160, %d of a session's 320", b.keptThen, c.keptThen)
+	if b.cachedTokens != 160 || c.cachedTokens != 320 {
+		t.Errorf("kept %d of a shared beginning of 160, %d of a session's 320", b.cachedTokens, c.cachedTokens)
 	}
 }
 
 func TestStepsGrowWithWhatIsDone(t *testing.T) {
-	m := writer()
+	m := testConfig()
 	m.TimePer1000ContextTokens, m.TimePerMillionPairs = time.Millisecond, time.Millisecond
 	time1 := func(jobs int, slow float64) time.Duration {
 		e := New(m, 0, false)
 		e.Slowdown = slow
 		for i := range jobs {
-			a := job(StageWhole, uint64(i+1), 0, 200, 0, 50)
+			a := newJob(StageWhole, uint64(i+1), 0, 200, 0, 50)
 			e.Submit(0, &a.Job)
 		}
 		now := drive(e, 0, 8)
@@ -84,12 +84,12 @@
 }
 
 func TestPastSlotsAndQueueTheAnswerIsFull(t *testing.T) {
-	e := New(writer(), 0, false)
+	e := New(testConfig(), 0, false)
 	full := 0
 	for i := range 12 {
-		a := job(StageWhole, uint64(i+1), 0, 32, 0, 5)
+		a := newJob(StageWhole, uint64(i+1), 0, 32, 0, 5)
 		e.Submit(0, &a.Job)
-		if a.how == Full && a.ends == 1 {
+		if a.outcome == Full && a.ends == 1 {
 			full++
 		}
 		e.BeginStep(0)
@@ -97,71 +97,71 @@
 	if full != 4 {
 		t.Errorf("%d of 12 were refused, with room for 4 and 4 more", full)
 	}
-	big := job(StageWhole, 99, 0, 1601, 0, 1)
+	big := newJob(StageWhole, 99, 0, 1601, 0, 1)
 	e.Submit(0, &big.Job)
-	if big.how != TooBig || big.ends != 1 {
-		t.Errorf("a prompt larger than the memory: %v", big.how)
+	if big.outcome != TooBig || big.ends != 1 {
+		t.Errorf("a prompt larger than the memory: %v", big.outcome)
 	}
 }
 
 // When memory runs out the newest goes back, again and again if it must; all come to their end.
 func TestThrashEnds(t *testing.T) {
-	m := writer()
+	m := testConfig()
 	m.Blocks = 30
 	e := New(m, 0, false)
-	var all []*asked
+	var all []*trackedJob
 	for i := range 4 {
-		a := job(StageWhole, uint64(i+1), 0, 100, 0, 200)
+		a := newJob(StageWhole, uint64(i+1), 0, 100, 0, 200)
 		all = append(all, a)
 		e.Submit(0, &a.Job)
 	}
 	drive(e, 0, 5000)
 	for i, a := range all {
-		if a.how != Done || a.tokens != 200 {
-			t.Errorf("answer %d ended %v with %d tokens", i, a.how, a.tokens)
+		if a.outcome != Done || a.tokens != 200 {
+			t.Errorf("answer %d ended %v with %d tokens", i, a.outcome, a.tokens)
 		}
 	}
 	if e.Counts.Preempted == 0 {
 		t.Error("memory never ran out")
 	}
-	if all[0].Preempt > 0 {
-		t.Errorf("the oldest was put back %d times", all[0].Preempt)
+	if all[0].Preemptions > 0 {
+		t.Errorf("the oldest was put back %d times", all[0].Preemptions)
 	}
 }
 
 func TestStatesWaitMoveExpireAndAreLetGo(t *testing.T) {
-	e := New(writer(), 0, false)
-	a := job(StagePrefill, 1, 0, 320, 0, 1)
+	e := New(testConfig(), 0, false)
+	a := newJob(StagePrefill, 1, 0, 320, 0, 1)
 	e.Submit(0, &a.Job)
 	now := drive(e, 0, 50)
-	if n, ok := e.HeldKVCache(a.Key); !ok || n != 320 || a.how != Done {
-		t.Fatalf("%d tokens wait (%v), ended %v", n, ok, a.how)
+	if n, ok := e.HeldKVCache(a.Key); !ok || n != 320 || a.outcome != Done {
+		t.Fatalf("%d tokens wait (%v), ended %v", n, ok, a.outcome)
 	}
 	e.SetKVCacheMoving(a.Key, true)
 	if _, ok := e.HeldKVCache(a.Key); ok {
 		t.Error("a state that moves is given twice")
 	}
 	e.SetKVCacheMoving(a.Key, false)
-	_, _, before := e.Memory()
+	_, _, before := e.BlockCounts()
 	e.BeginStep(now + 4*time.Second)
 	if _, ok := e.HeldKVCache(a.Key); !ok {
 		t.Error("it expired early")
 	}
 	e.BeginStep(now + 6*time.Second)
 	_, ok := e.HeldKVCache(a.Key)
-	if _, _, after := e.Memory(); ok || before != 20 || after != 0 || e.Counts.StatesExpired != 1 {
+	if _, _, after := e.BlockCounts(); ok || before != 20 || after != 0 || e.Counts.StatesExpired != 1 {
 		t.Errorf("waits %v, %d blocks used and then %d, expired %d", ok, before, after, e.Counts.StatesExpired)
 	}
 }
 
 func TestAFetchedStateUnderPressureIsReadAnew(t *testing.T) {
-	m := writer()
+	m := testConfig()
 	e := New(m, 0, false)
 	e.EvictFresh = true
-	hog := job(StageWhole, 1, 0, 1450, 0, 60)
+	hog := newJob(StageWhole, 1, 0, 1450, 0, 60)
 	e.Submit(0, &hog.Job)
 	now := drive(e, 0, 10)
-	a := job(StageDecode, 2, 0, 64, 0, 3)
+	a := newJob(StageDecode, 2, 0, 64, 0, 3)
 	var arrived func(bool)
 	a.FetchKVCache = func(f func(bool)) { arrived = f }
 	e.Submit(now, &a.Job)
@@ -171,27 +171,27 @@
 	}
 	arrived(true)
 	drive(e, now, 500)
-	if e.Counts.FreshEvicted != 1 || a.how != Done || a.tokens != 3 {
-		t.Errorf("evicted %d, ended %v with %d tokens", e.Counts.FreshEvicted, a.how, a.tokens)
+	if e.Counts.FreshEvicted != 1 || a.outcome != Done || a.tokens != 3 {
+		t.Errorf("evicted %d, ended %v with %d tokens", e.Counts.FreshEvicted, a.outcome, a.tokens)
 	}
-	b := job(StageDecode, 3, 0, 64, 0, 3)
+	b := newJob(StageDecode, 3, 0, 64, 0, 3)
 	b.FetchKVCache = func(f func(bool)) { f(false) }
 	e.Submit(now, &b.Job)
 	e.BeginStep(now)
-	if b.how != NoKVCache {
-		t.Errorf("a state that could not be had: %v", b.how)
+	if b.outcome != NoKVCache {
+		t.Errorf("a state that could not be had: %v", b.outcome)
 	}
 }
 
 func TestAColdAnAgeingAndASharedEngineAreSlower(t *testing.T) {
-	m := writer()
+	m := testConfig()
 	m.SlowStartShare, m.SlowStartRamp, m.ModelLoadTime = 0.25, 10*time.Second, 2*time.Second
 	step := func(cold bool, at time.Duration, change func(*Engine)) time.Duration {
 		e := New(m, 0, cold)
 		if change != nil {
 			change(e)
 		}
-		a := job(StageWhole, 1, 0, 16, 0, 5)
+		a := newJob(StageWhole, 1, 0, 16, 0, 5)
 		e.Submit(at, &a.Job)
 		took, _ := e.BeginStep(at)
 		return took
@@ -217,7 +217,7 @@
 // in use, every job ends once at most, and all that is left alone ends.
 func TestConservation(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := writer()
+		m := testConfig()
 		m.Blocks, m.Slots = rapid.IntRange(10, 60).Draw(t, "blocks"), rapid.IntRange(1, 6).Draw(t, "slots")
 		e := New(m, 0, false)
 		stored := map[uint64]bool{}
@@ -242,14 +242,14 @@
 			}
 		}
 		now := time.Duration(0)
-		var all []*asked
+		var all []*trackedJob
 		var arrivals []func(bool)
 		check := func() {
-			free, idle, used := e.Memory()
+			free, idle, used := e.BlockCounts()
 			if free+idle+used != m.Blocks || free < 0 || idle < 0 {
 				t.Fatalf("%d free, %d kept and %d used of %d blocks", free, idle, used, m.Blocks)
 			}
-			for h, b := range e.tree {
+			for h, b := range e.cachedBlocks {
 				if b.hash != h || b.ref < 0 || !stored[h] {
 					t.Fatalf("block %x of the tree: hash %x, used by %d, told %v", h, b.hash, b.ref, stored[h])
 				}
@@ -264,7 +264,7 @@
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0, 1, 2:
 				prompt := rapid.IntRange(1, 400).Draw(t, "prompt")
-				a := job(Stage(rapid.IntRange(0, 2).Draw(t, "stage")), uint64(rapid.IntRange(0, 4).Draw(t, "session")), uint64(rapid.IntRange(0, 2).Draw(t, "shared")),
+				a := newJob(Stage(rapid.IntRange(0, 2).Draw(t, "stage")), uint64(rapid.IntRange(0, 4).Draw(t, "session")), uint64(rapid.IntRange(0, 2).Draw(t, "shared")),
 					prompt, rapid.IntRange(0, prompt).Draw(t, "prefix"), rapid.IntRange(1, 120).Draw(t, "answer"))
 				a.Key = fmt.Sprint(i)
 				a.FetchKVCache = func(f func(bool)) { arrivals = append(arrivals, f) }
@@ -306,7 +306,7 @@
 			}
 		}
 		e.Stop()
-		if free, idle, used := e.Memory(); free != m.Blocks || idle+used != 0 {
+		if free, idle, used := e.BlockCounts(); free != m.Blocks || idle+used != 0 {
 			t.Fatalf("after the stop %d free, %d kept, %d used", free, idle, used)
 		}
 	})
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -11,7 +11,7 @@
 	"sloetrestle/internal/day"
 )
 
-func plan(t *testing.T, text string) (*Plan, error) {
+func loadPlanText(t *testing.T, text string) (*Plan, error) {
 	t.Helper()
 	dir := t.TempDir()
 	base, err := os.ReadFile("../../examples/quiet.toml")
@@ -29,7 +29,7 @@
 	return LoadPlan(file)
 }
 
-const text = `
+const planText = `
 [experiment]
 name = "t"
 base = "day.toml"
@@ -46,7 +46,7 @@
 `
 
 func TestAnInterruptedExperimentGoesOnWhereItStopped(t *testing.T) {
-	p, err := plan(t, text)
+	p, err := loadPlanText(t, planText)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -82,7 +82,7 @@
 	if len(after) != 12 || again-1 != 12-len(before) {
 		t.Errorf("%d runs are kept after %d more; %d were before", len(after), again-1, len(before))
 	}
-	if other, err := plan(t, strings.Replace(text, "repeats = 3", "repeats = 2", 1)); err != nil || s.Begin(other) == nil {
+	if other, err := loadPlanText(t, strings.Replace(planText, "repeats = 3", "repeats = 2", 1)); err != nil || s.Begin(other) == nil {
 		t.Errorf("another plan goes on under the same name (%v)", err)
 	}
 	var table, csv bytes.Buffer
@@ -113,7 +113,7 @@
 		`policies = ["module", "r`:   {`polices = ["module", "r`, "no such key"},
 		`key = "day.questions_a_sec`: {`key = "day.questions_an_hour", values = [1]` + "\n#", "plan.toml"},
 	} {
-		if _, err := plan(t, strings.Replace(text, old, c[0], 1)); err == nil || !strings.Contains(err.Error(), c[1]) {
+		if _, err := loadPlanText(t, strings.Replace(planText, old, c[0], 1)); err == nil || !strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%s: %v", c[0], err)
 		}
 	}
@@ -122,7 +122,7 @@
 func TestCompareTellsADifferenceFromNoise(t *testing.T) {
 	var runs []Run
 	add := func(policy, repeat string, service float64) {
-		runs = append(runs, Run{Setting: Setting{"policy": policy, "repeat": repeat}, Figures: map[string]float64{"service": service}, Kept: true})
+		runs = append(runs, Run{Setting: Setting{"policy": policy, "repeat": repeat}, Figures: map[string]float64{"service": service}, RulesKept: true})
 	}
 	for i, seed := range []string{"0", "1", "2", "3"} {
 		noise := []float64{0.05, -0.04, 0.02, -0.03}[i]
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -39,7 +39,7 @@
 	Values []any  `toml:"values"`
 }
 
-const mostRuns = 20000
+const maxRuns = 20000
 
 // LoadPlan reads a plan and its day.
 func LoadPlan(file string) (*Plan, error) {
@@ -60,7 +60,7 @@
 		return nil, fmt.Errorf("%s: %w", p.Experiment.Base, err)
 	}
 	for _, s := range p.Settings() { // what can't be played is told before anything is
-		if _, err := p.Day(s); err != nil {
+		if _, err := p.Scenario(s); err != nil {
 			return nil, fmt.Errorf("%s: with %s: %w", file, s, err)
 		}
 	}
@@ -90,8 +90,8 @@
 		}
 		runs *= len(a.Values)
 	}
-	if runs > mostRuns {
-		return setup.Invalidf("vary", "come to %d runs; %d at most", runs, mostRuns)
+	if runs > maxRuns {
+		return setup.Invalidf("vary", "come to %d runs; %d at most", runs, maxRuns)
 	}
 	return nil
 }
@@ -116,7 +116,7 @@
 // Settings lists all runs.
 func (p *Plan) Settings() []Setting {
 	all := []Setting{{}}
-	spread := func(key string, values []string) {
+	addAxis := func(key string, values []string) {
 		var next []Setting
 		for _, s := range all {
 			for _, v := range values {
@@ -129,29 +129,29 @@
 		}
 		all = next
 	}
-	spread("policy", p.Experiment.Policies)
+	addAxis("policy", p.Experiment.Policies)
 	for _, a := range p.Vary {
 		var values []string
 		for _, v := range a.Values {
 			values = append(values, fmt.Sprint(v))
 		}
-		spread(a.Key, values)
+		addAxis(a.Key, values)
 	}
 	var repeats []string
 	for i := range p.Experiment.Repeats {
 		repeats = append(repeats, strconv.Itoa(i))
 	}
-	spread("repeat", repeats)
+	addAxis("repeat", repeats)
 	return all
 }
 
 // Day makes the day of a setting. A repeat changes nothing but the seed.
-func (p *Plan) Day(s Setting) (day.Day, error) {
+func (p *Plan) Scenario(setting Setting) (day.Day, error) {
 	tree := clone(p.base).(map[string]any)
 	for _, a := range p.Vary {
 		for _, v := range a.Values {
-			if fmt.Sprint(v) == s[a.Key] {
-				if err := set(tree, strings.Split(a.Key, "."), v); err != nil {
+			if fmt.Sprint(v) == setting[a.Key] {
+				if err := setKey(tree, strings.Split(a.Key, "."), v); err != nil {
 					return day.Day{}, fmt.Errorf("vary %s: %w", a.Key, err)
 				}
 			}
@@ -161,13 +161,13 @@
 	if err != nil {
 		return day.Day{}, err
 	}
-	d, err := day.Parse(p.Experiment.Base, raw)
+	scenario, err := day.Parse(p.Experiment.Base, raw)
 	if err != nil {
-		return d, err
+		return scenario, err
 	}
-	repeat, err := strconv.Atoi(s["repeat"])
-	d.Head.Seed += uint64(repeat) * 1000003
-	return d, err
+	repeat, err := strconv.Atoi(setting["repeat"])
+	scenario.Head.Seed += uint64(repeat) * 1000003
+	return scenario, err
 }
 
 func clone(v any) any {
@@ -189,7 +189,7 @@
 }
 
 // set puts a value under a dotted key. Tables on the way may be new; numbers count in lists that are there.
-func set(in any, key []string, value any) error {
+func setKey(in any, key []string, value any) error {
 	switch in := in.(type) {
 	case map[string]any:
 		if len(key) == 1 {
@@ -205,13 +205,13 @@
 		if in[key[0]] == nil {
 			in[key[0]] = map[string]any{}
 		}
-		return set(in[key[0]], key[1:], value)
+		return setKey(in[key[0]], key[1:], value)
 	case []any:
 		i, err := strconv.Atoi(key[0])
 		if err != nil || i < 0 || i >= len(in) || len(key) == 1 {
 			return fmt.Errorf("%q is no number of a table there", key[0])
 		}
-		return set(in[i], key[1:], value)
+		return setKey(in[i], key[1:], value)
 	}
 	return fmt.Errorf("%q is no table", key[0])
 }
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -20,15 +20,15 @@
 type Run struct {
 	Setting Setting            `json:"setting"`
 	Figures map[string]float64 `json:"figures"`
-	Kept    bool               `json:"rules_kept"`
-	Broken  []string           `json:"broken,omitempty"`
+	RulesKept    bool               `json:"rules_kept"`
+	BrokenRules  []string           `json:"broken,omitempty"`
 	Digest  string             `json:"digest,omitempty"`
 	Version string             `json:"version"`
 	Machine string             `json:"machine"`
 	Form    string             `json:"form"`
-	At      time.Time          `json:"at"`
-	TookS   float64            `json:"took_s"`
-	Share   []float64          `json:"share,omitempty"` // answered in time of those asked in each second
+	StartedAt      time.Time          `json:"at"`
+	DurationSeconds   float64            `json:"took_s"`
+	OnTimeShare   []float64          `json:"share,omitempty"` // answered in time of those asked in each second
 	Tries   []float64          `json:"tries,omitempty"`
 }
 
@@ -123,18 +123,18 @@
 
 // Execute runs what a plan lacks, and stops between runs when the context ends. Virtual runs go side by side, those on sockets
 // one after the other: they would take each other's processors.
-func Execute(ctx context.Context, s *Store, p *Plan, version string, stage day.Stage, say func(string, ...any)) error {
+func Execute(ctx context.Context, s *Store, p *Plan, version string, stage day.Stage, logf func(string, ...any)) error {
 	if err := s.Begin(p); err != nil {
 		return err
 	}
-	var todo []Setting
+	var missing []Setting
 	all := p.Settings()
-	for _, set := range all {
-		if !s.Has(p.Experiment.Name, set) {
-			todo = append(todo, set)
+	for _, setting := range all {
+		if !s.Has(p.Experiment.Name, setting) {
+			missing = append(missing, setting)
 		}
 	}
-	say("%s: %d runs, %d of them kept already", p.Experiment.Name, len(all), len(all)-len(todo))
+	logf("%s: %d runs, %d of them kept already", p.Experiment.Name, len(all), len(all)-len(missing))
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(1)
 	if p.Experiment.Form == "virtual" {
@@ -142,68 +142,68 @@
 	}
 	var mu sync.Mutex
 	done := 0
-	for _, set := range todo {
+	for _, setting := range missing {
 		group.Go(func() error {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			r, err := once(ctx, p, set, stage)
+			r, err := runOnce(ctx, p, setting, stage)
 			if err != nil {
-				return fmt.Errorf("%s: %w", set, err)
+				return fmt.Errorf("%s: %w", setting, err)
 			}
-			r.Version, r.Machine, r.Form = version, machine(), p.Experiment.Form
+			r.Version, r.Machine, r.Form = version, machineDescription(), p.Experiment.Form
 			if err := s.Put(p.Experiment.Name, r); err != nil {
 				return err
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			done++
-			say("%4d of %d  %s  service %.3f  p99 %.0f ms  %s", done, len(todo), set, r.Figures["service"], r.Figures["first_p99_ms"], rules(r))
+			logf("%4d of %d  %s  service %.3f  p99 %.0f ms  %s", done, len(missing), setting, r.Figures["service"], r.Figures["first_p99_ms"], rulesText(r))
 			return nil
 		})
 	}
 	return group.Wait()
 }
 
-func rules(r Run) string {
-	if r.Kept {
+func rulesText(r Run) string {
+	if r.RulesKept {
 		return "rules kept"
 	}
-	return fmt.Sprint("BROKEN ", r.Broken)
+	return fmt.Sprint("BROKEN ", r.BrokenRules)
 }
 
-func machine() string {
+func machineDescription() string {
 	return fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
 }
 
-func once(ctx context.Context, p *Plan, set Setting, stage day.Stage) (Run, error) {
-	d, err := p.Day(set)
+func runOnce(ctx context.Context, p *Plan, setting Setting, stage day.Stage) (Run, error) {
+	d, err := p.Scenario(setting)
 	if err != nil {
 		return Run{}, err
 	}
-	began := time.Now()
-	r := Run{Setting: set, At: began.UTC()}
-	var v judge.Verdict
+	startedAt := time.Now()
+	r := Run{Setting: setting, StartedAt: startedAt.UTC()}
+	var verdict judge.Verdict
 	if p.Experiment.Form == "virtual" {
-		out, err := fleet.Play(d, set["policy"])
+		out, err := fleet.Play(d, setting["policy"])
 		if err != nil {
 			return r, err
 		}
-		v, r.Digest = out.Verdict, out.Digest
-		r.Figures = figures(v)
+		verdict, r.Digest = out.Verdict, out.Digest
+		r.Figures = figures(verdict)
 		r.Figures["followers"], r.Figures["others"] = out.Followers, out.Others
 		for name, b := range out.Budgets {
-			r.Figures["budget_"+name] = b.Share
-			r.Figures["budget_declined_"+name] = float64(b.Declined) / max(float64(b.Declined+b.Passed), 1)
+			r.Figures["budget_"+name] = b.MonthlyShare
+			r.Figures["budget_declined_"+name] = float64(b.Rejected) / max(float64(b.Rejected+b.Admitted), 1)
 		}
-		r.Share, r.Tries = out.Share, out.Again
+		r.OnTimeShare, r.Tries = out.OnTimeShare, out.TriesPerSecond
 		for _, t := range d.Troubles {
 			if t.Kind == "crash" { // not back within the run counts as the whole of it
-				s, ok := judge.Recovered(out.Share, out.Asked, t.At.Std(), (t.At + t.Length).Std())
+				seconds, ok := judge.Recovered(out.OnTimeShare, out.Submitted, t.At.Std(), (t.At + t.Length).Std())
 				if !ok {
-					s = (d.Head.Length - t.At - t.Length).Std().Seconds()
+					seconds = (d.Head.Length - t.At - t.Length).Std().Seconds()
 				}
-				r.Figures["recovered_s"], r.Figures["recovered"] = s, map[bool]float64{true: 1}[ok]
+				r.Figures["recovered_s"], r.Figures["recovered"] = seconds, map[bool]float64{true: 1}[ok]
 			}
 		}
 		for _, c := range out.Engines {
@@ -213,36 +213,36 @@
 			r.Figures["read_tokens"] += float64(c.ReadTokens)
 		}
 	} else {
-		if v, err = day.Play(ctx, d, stage); err != nil {
+		if verdict, err = day.Play(ctx, d, stage); err != nil {
 			return r, err
 		}
-		r.Figures = figures(v)
+		r.Figures = figures(verdict)
 	}
-	r.Kept = v.Kept()
-	for _, rule := range v.Rules {
+	r.RulesKept = verdict.Kept()
+	for _, rule := range verdict.Rules {
 		if !rule.Kept {
-			r.Broken = append(r.Broken, rule.Name)
+			r.BrokenRules = append(r.BrokenRules, rule.Name)
 		}
 	}
-	r.TookS = time.Since(began).Seconds()
+	r.DurationSeconds = time.Since(startedAt).Seconds()
 	return r, nil
 }
 
 // figures are those that tables and charts may show.
-func figures(v judge.Verdict) map[string]float64 {
-	f := map[string]float64{"service": v.Service, "first_p50_ms": v.FirstP50, "first_p99_ms": v.FirstP99, "trips": v.Trips, "cold_worst": v.ColdWorst, "pinned_ms": v.PinWorst}
-	var asked, inTime, late, declined, forfeited, other float64
-	for _, r := range v.Rows {
-		asked += float64(r.Asked)
+func figures(verdict judge.Verdict) map[string]float64 {
+	values := map[string]float64{"service": verdict.Service, "first_p50_ms": verdict.FirstP50, "first_p99_ms": verdict.FirstP99, "trips": verdict.Trips, "cold_worst": verdict.ColdWorst, "pinned_ms": verdict.PinWorst}
+	var requests, inTime, late, rejected, failed, leftOrCut float64
+	for _, r := range verdict.Rows {
+		requests += float64(r.Asked)
 		inTime += float64(r.InTime)
 		late += float64(r.Late)
-		declined += float64(r.Declined)
-		forfeited += float64(r.Forfeited)
-		other += float64(r.Quit + r.Cut)
-		f["service_"+r.Grade] = r.Service
+		rejected += float64(r.Declined)
+		failed += float64(r.Forfeited)
+		leftOrCut += float64(r.Quit + r.Cut)
+		values["service_"+r.Grade] = r.Service
 	}
-	asked = max(asked, 1)
-	f["asked"], f["in_time"], f["late"], f["declined"], f["forfeited"], f["left_or_cut"] = asked, inTime/asked, late/asked, declined/asked, forfeited/asked, other/asked
-	f["tries"] = float64(v.Tries) / asked
-	return f
+	requests = max(requests, 1)
+	values["asked"], values["in_time"], values["late"], values["declined"], values["forfeited"], values["left_or_cut"] = requests, inTime/requests, late/requests, rejected/requests, failed/requests, leftOrCut/requests
+	values["tries"] = float64(verdict.Tries) / requests
+	return values
 }
--- a/internal/experiment/tables.go
+++ b/internal/experiment/tables.go
@@ -26,26 +26,26 @@
 
 // Groups gathers repeats.
 func Groups(runs []Run) []Group {
-	by := map[string]*Group{}
+	groups := map[string]*Group{}
 	var order []string
 	for _, r := range runs {
-		s := without(r.Setting, "repeat")
+		s := withoutKey(r.Setting, "repeat")
 		key := s.String()
-		if by[key] == nil {
-			by[key] = &Group{Setting: s}
+		if groups[key] == nil {
+			groups[key] = &Group{Setting: s}
 			order = append(order, key)
 		}
-		by[key].Runs = append(by[key].Runs, r)
+		groups[key].Runs = append(groups[key].Runs, r)
 	}
-	slices.SortFunc(order, natural)
+	slices.SortFunc(order, compareNatural)
 	out := make([]Group, len(order))
 	for i, k := range order {
-		out[i] = *by[k]
+		out[i] = *groups[k]
 	}
 	return out
 }
 
-func without(s Setting, key string) Setting {
+func withoutKey(s Setting, key string) Setting {
 	t := Setting{}
 	for k, v := range s {
 		if k != key {
@@ -56,7 +56,7 @@
 }
 
 // natural orders settings with numbers in them as numbers.
-func natural(a, b string) int {
+func compareNatural(a, b string) int {
 	x, y := strings.Fields(a), strings.Fields(b)
 	for i := range min(len(x), len(y)) {
 		if x[i] == y[i] {
@@ -104,7 +104,7 @@
 	for _, g := range Groups(runs) {
 		kept := "kept"
 		for _, r := range g.Runs {
-			if !r.Kept {
+			if !r.RulesKept {
 				kept = "BROKEN"
 			}
 		}
@@ -115,14 +115,14 @@
 				fmt.Fprint(w, "\t-")
 				continue
 			}
-			fmt.Fprintf(w, "\t%s (%s to %s)", short(median(v)), short(v[0]), short(v[len(v)-1]))
+			fmt.Fprintf(w, "\t%s (%s to %s)", formatFigure(median(v)), formatFigure(v[0]), formatFigure(v[len(v)-1]))
 		}
 		fmt.Fprintln(w)
 	}
 	return w.Flush()
 }
 
-func short(x float64) string {
+func formatFigure(x float64) string {
 	if math.Abs(x) >= 100 {
 		return strconv.FormatFloat(x, 'f', 0, 64)
 	}
@@ -148,7 +148,7 @@
 		for _, k := range ks {
 			row = append(row, r.Setting[k])
 		}
-		row = append(row, strconv.FormatBool(r.Kept), r.Version, r.Form)
+		row = append(row, strconv.FormatBool(r.RulesKept), r.Version, r.Form)
 		for _, n := range ns {
 			row = append(row, strconv.FormatFloat(r.Figures[n], 'g', -1, 64))
 		}
@@ -179,21 +179,21 @@
 // standard error of the two groups' means, and each has three runs at least; of seeds that are paired, their
 // differences' error counts.
 func Compare(runs []Run, key, figure string) ([]Difference, error) {
-	by := map[string]map[string]Group{}
+	groups := map[string]map[string]Group{}
 	var values, order []string
 	for _, g := range Groups(runs) {
-		v, ok := g.Setting[key]
+		value, ok := g.Setting[key]
 		if !ok {
 			return nil, fmt.Errorf("the experiment does not vary %q", key)
 		}
-		rest := without(g.Setting, key).String()
-		if by[rest] == nil {
-			by[rest] = map[string]Group{}
+		rest := withoutKey(g.Setting, key).String()
+		if groups[rest] == nil {
+			groups[rest] = map[string]Group{}
 			order = append(order, rest)
 		}
-		by[rest][v] = g
-		if !slices.Contains(values, v) {
-			values = append(values, v)
+		groups[rest][value] = g
+		if !slices.Contains(values, value) {
+			values = append(values, value)
 		}
 	}
 	if i := slices.Index(values, "module"); i > 0 {
@@ -201,22 +201,22 @@
 	}
 	var out []Difference
 	for _, rest := range order {
-		a, ok := by[rest][values[0]]
+		reference, ok := groups[rest][values[0]]
 		if !ok {
 			continue
 		}
-		for _, v := range values[1:] {
-			b, ok := by[rest][v]
+		for _, value := range values[1:] {
+			other, ok := groups[rest][value]
 			if !ok {
 				continue
 			}
-			out = append(out, Difference{without(a.Setting, key), values[0], v, [2]float64{median(a.Values(figure)), median(b.Values(figure))}, beyond(a, b, figure)})
+			out = append(out, Difference{withoutKey(reference.Setting, key), values[0], value, [2]float64{median(reference.Values(figure)), median(other.Values(figure))}, significant(reference, other, figure)})
 		}
 	}
 	return out, nil
 }
 
-func beyond(a, b Group, figure string) bool {
+func significant(a, b Group, figure string) bool {
 	var diffs []float64
 	for _, x := range a.Runs {
 		for _, y := range b.Runs {
@@ -235,9 +235,9 @@
 // Chart draws medians with their spread over a key with numbers, a line for each value of another. The file's ending says
 // which form: png or svg.
 func Chart(runs []Run, x, figure, lines, file, title string) error {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, figure
-	p.Legend.Top = true
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, x, figure
+	chart.Legend.Top = true
 	byLine := map[string][]Group{}
 	var order []string
 	for _, g := range Groups(runs) {
@@ -248,22 +248,22 @@
 		byLine[name] = append(byLine[name], g)
 	}
 	for i, name := range order {
-		var pts plotter.XYs
-		var errs plotter.YErrors
+		var medians plotter.XYs
+		var spreads plotter.YErrors
 		for _, g := range byLine[name] {
-			at, err := strconv.ParseFloat(g.Setting[x], 64)
+			position, err := strconv.ParseFloat(g.Setting[x], 64)
 			if err != nil {
 				return fmt.Errorf("%s is %q, which is no number to draw over", x, g.Setting[x])
 			}
-			v := g.Values(figure)
-			if len(v) == 0 {
+			values := g.Values(figure)
+			if len(values) == 0 {
 				return fmt.Errorf("the runs have no figure %q", figure)
 			}
-			m := median(v)
-			pts = append(pts, plotter.XY{X: at, Y: m})
-			errs = append(errs, struct{ Low, High float64 }{m - v[0], v[len(v)-1] - m})
+			m := median(values)
+			medians = append(medians, plotter.XY{X: position, Y: m})
+			spreads = append(spreads, struct{ Low, High float64 }{m - values[0], values[len(values)-1] - m})
 		}
-		line, points, err := plotter.NewLinePoints(pts)
+		line, points, err := plotter.NewLinePoints(medians)
 		if err != nil {
 			return err
 		}
@@ -271,56 +271,56 @@
 		bars, err := plotter.NewYErrorBars(struct {
 			plotter.XYer
 			plotter.YErrorer
-		}{pts, errs})
+		}{medians, spreads})
 		if err != nil {
 			return err
 		}
 		bars.Color = plotutil.Color(i)
-		p.Add(line, points, bars)
+		chart.Add(line, points, bars)
 		if name != "" {
-			p.Legend.Add(name, line, points)
+			chart.Legend.Add(name, line, points)
 		}
 	}
-	p.Add(plotter.NewGrid())
-	return p.Save(18*vg.Centimeter, 11*vg.Centimeter, file)
+	chart.Add(plotter.NewGrid())
+	return chart.Save(18*vg.Centimeter, 11*vg.Centimeter, file)
 }
 
 // TimeChart draws a figure over the seconds of a run: share, or tries; a line for each value of a key, the mean of its runs.
-func TimeChart(runs []Run, of, lines, file, title string) error {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "second of the day", of
+func TimeChart(runs []Run, figure, lines, file, title string) error {
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, "second of the day", figure
 	sums, counts := map[string][]float64{}, map[string]float64{}
 	var order []string
 	for _, r := range runs {
-		name, v := r.Setting[lines], r.Share
-		if of == "tries" {
-			v = r.Tries
+		name, series := r.Setting[lines], r.OnTimeShare
+		if figure == "tries" {
+			series = r.Tries
 		}
 		if counts[name] == 0 {
 			order = append(order, name)
 		}
 		counts[name]++
-		for i, x := range v {
+		for i, x := range series {
 			if i >= len(sums[name]) {
 				sums[name] = append(sums[name], 0)
 			}
 			sums[name][i] += x
 		}
 	}
-	slices.SortFunc(order, natural)
+	slices.SortFunc(order, compareNatural)
 	for i, name := range order {
-		var pts plotter.XYs
-		for at, x := range sums[name] {
-			pts = append(pts, plotter.XY{X: float64(at), Y: x / counts[name]})
+		var points plotter.XYs
+		for second, x := range sums[name] {
+			points = append(points, plotter.XY{X: float64(second), Y: x / counts[name]})
 		}
-		line, err := plotter.NewLine(pts)
+		line, err := plotter.NewLine(points)
 		if err != nil {
 			return err
 		}
 		line.Color = plotutil.Color(i)
-		p.Add(line)
-		p.Legend.Add(name, line)
+		chart.Add(line)
+		chart.Legend.Add(name, line)
 	}
-	p.Add(plotter.NewGrid())
-	return p.Save(18*vg.Centimeter, 9*vg.Centimeter, file)
+	chart.Add(plotter.NewGrid())
+	return chart.Save(18*vg.Centimeter, 9*vg.Centimeter, file)
 }
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -23,12 +23,12 @@
 	if peer < 0 || peer >= len(d.w.dispatchers) {
 		return
 	}
-	to, name := d.w.dispatchers[peer], d.w.byID[n.Backend.ID].make.Name
+	to, name := d.w.dispatchers[peer], d.w.byID[n.Backend.ID].spec.Name
 	d.w.after(2*time.Millisecond, func() {
-		if !to.up {
+		if !to.running {
 			return
 		}
-		to.do(func() {
+		to.runInLoop(func() {
 			if h := to.loop.SchedulerBackend(name); h != nil {
 				n := n
 				n.Backend = h // each dispatcher has its own
@@ -44,90 +44,90 @@
 	}
 	w := c.w
 	r := kserve.Release{RequestKey: c.loop.RequestKey(a), LastAttempt: len(a.Scheduled.Attempts) - 1}
-	to := w.boxes[b.Name]
-	w.after(hop, func() {
-		if to.up {
-			to.released[r.RequestKey] = r.LastAttempt
-			to.release(r.RequestKey, "released")
+	to := w.backends[b.Name]
+	w.after(networkDelay, func() {
+		if to.running {
+			to.releasedUpTo[r.RequestKey] = r.LastAttempt
+			to.releaseKVCache(r.RequestKey, "released")
 		}
 	})
 }
 
 // attempt is one attempt on its way, at both ends.
 type attempt struct {
-	w      *world
-	from   *dispatcher
+	w      *simulation
+	dispatcher   *dispatcher
 	loop   *dispatch.Loop
-	flight *dispatch.Attempt
-	to     *backend
-	start  uint64
+	dispatched *dispatch.Attempt
+	backend     *backend
+	incarnation  uint64
 	job    *engine.Job
-	line   record.Line
-	off    error
-	told   bool // the dispatcher knows how it ended
+	baseRecord   record.Line
+	cancelCause    error
+	reported   bool // the dispatcher knows how it ended
 	ended  bool // the backend is done with it
-	came   bool
+	arrived   bool
 }
 
-func (t *attempt) id() string { return fmt.Sprintf("%s/%d", t.line.Key, t.line.Trip) }
+func (t *attempt) id() string { return fmt.Sprintf("%s/%d", t.baseRecord.Key, t.baseRecord.Trip) }
 
 func (c *transport) Start(f *dispatch.Attempt) {
 	d := (*dispatcher)(c)
 	w := d.w
-	t := &attempt{w: w, from: d, loop: d.loop, flight: f, to: w.boxes[f.Backend.Name]}
-	t.line = record.Line{Box: t.to.make.Name, Try: f.Request.Params.ID, Grade: f.Request.Class, Key: f.RequestKey, Stage: f.Stage(), Trip: f.Scheduled.Number}
+	t := &attempt{w: w, dispatcher: d, loop: d.loop, dispatched: f, backend: w.backends[f.Backend.Name]}
+	t.baseRecord = record.Line{Box: t.backend.spec.Name, Try: f.Request.Params.ID, Grade: f.Request.Class, Key: f.RequestKey, Stage: f.Stage(), Trip: f.Scheduled.Number}
 	f.Cancel = func(why error) {
-		if t.off != nil || t.told {
+		if t.cancelCause != nil || t.reported {
 			return
 		}
-		t.off = why
+		t.cancelCause = why
 		// The connection is closed: this end knows at once, the other a hop later.
 		o := brain.TimedOut
 		if why == dispatch.ErrNotNeeded {
 			o = brain.Cancelled
 		}
-		w.after(0, func() { t.tell(brain.Result{Outcome: o}) })
-		w.after(hop, t.closed)
+		w.after(0, func() { t.reportResult(brain.Result{Outcome: o}) })
+		w.after(networkDelay, t.connectionClosed)
 	}
-	if !t.to.up {
-		wait := unreach
-		if t.to.fell {
-			wait = dialTime // its machine is stuck, nobody refuses
+	if !t.backend.running {
+		wait := refusedConnectionTime
+		if t.backend.overloaded {
+			wait = dialTimeout // its machine is stuck, nobody refuses
 		}
-		w.after(wait, func() { t.tell(brain.Result{Outcome: brain.Unreachable}) })
+		w.after(wait, func() { t.reportResult(brain.Result{Outcome: brain.Unreachable}) })
 		return
 	}
-	wait, limit := w.connectTime(), dialTime
+	wait, limit := w.connectDelay(), dialTimeout
 	if least := f.Scheduled.ConnectTimeout; least > 0 {
 		limit = min(limit, least)
 	}
 	if wait > limit {
-		w.after(limit, func() { t.tell(brain.Result{Outcome: brain.Unreachable}) })
+		w.after(limit, func() { t.reportResult(brain.Result{Outcome: brain.Unreachable}) })
 		return
 	}
-	w.after(hop+wait, t.arrive)
+	w.after(networkDelay+wait, t.arrive)
 }
 
 // connectTime is how long a connection takes beside the way there: nothing, but where connections come up late.
-func (w *world) connectTime() time.Duration {
-	if w.lateShare == 0 || w.rng.Float64() >= w.lateShare {
+func (w *simulation) connectDelay() time.Duration {
+	if w.slowConnectShare == 0 || w.rng.Float64() >= w.slowConnectShare {
 		return 0
 	}
-	return time.Duration(w.rng.Float64() * float64(w.lateBy))
+	return time.Duration(w.rng.Float64() * float64(w.slowConnectMax))
 }
 
 // tell gives the dispatcher an attempt's end.
-func (t *attempt) tell(r brain.Result) {
-	if t.told || !t.from.up || t.from.loop != t.loop {
+func (t *attempt) reportResult(r brain.Result) {
+	if t.reported || !t.dispatcher.running || t.dispatcher.loop != t.loop {
 		return
 	}
-	t.told = true
-	t.from.do(func() { t.loop.AttemptEnded(t.flight, r) })
+	t.reported = true
+	t.dispatcher.runInLoop(func() { t.loop.AttemptEnded(t.dispatched, r) })
 }
 
-func (t *attempt) back(r brain.Result) {
-	r.LoadReport = t.to.load()
-	t.w.after(hop, func() { t.tell(r) })
+func (t *attempt) respond(r brain.Result) {
+	r.LoadReport = t.backend.loadReport()
+	t.w.after(networkDelay, func() { t.reportResult(r) })
 }
 
 // end is the backend's end of an attempt.
@@ -136,224 +136,224 @@
 		return
 	}
 	t.ended = true
-	delete(t.to.trips, t)
-	l := t.line
+	delete(t.backend.attempts, t)
+	l := t.baseRecord
 	l.What, l.Word = record.End, word
-	t.w.put(l)
+	t.w.addRecord(l)
 }
 
 // broke is an attempt whose backend died.
-func (t *attempt) broke() {
+func (t *attempt) loseConnection() {
 	t.end("broke")
-	t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.ConnectionLost}) })
+	t.w.after(networkDelay, func() { t.reportResult(brain.Result{Outcome: brain.ConnectionLost}) })
 }
 
 // closed is an attempt whose dispatcher has closed the connection.
-func (t *attempt) closed() {
-	if t.ended || !t.came {
-		t.ended = t.ended || !t.came
+func (t *attempt) connectionClosed() {
+	if t.ended || !t.arrived {
+		t.ended = t.ended || !t.arrived
 		return
 	}
-	l := t.line
+	l := t.baseRecord
 	l.What = record.Closed
-	t.w.put(l)
-	b := t.to
-	if b.up && b.start == t.start && t.job != nil && !b.make.Ignores {
+	t.w.addRecord(l)
+	b := t.backend
+	if b.running && b.incarnation == t.incarnation && t.job != nil && !b.spec.Ignores {
 		b.engine.Cancel(t.job)
-		b.kick()
+		b.runSteps()
 	}
 	t.end("closed")
 }
 
 // arrive is an attempt's bytes at its backend.
 func (t *attempt) arrive() {
-	b, w := t.to, t.w
+	b, w := t.backend, t.w
 	if t.ended {
 		return
 	}
-	if !b.up {
-		t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.ConnectionLost}) })
+	if !b.running {
+		t.w.after(networkDelay, func() { t.reportResult(brain.Result{Outcome: brain.ConnectionLost}) })
 		return
 	}
-	t.came, t.start = true, b.start
-	b.trips[t] = true
-	work := b.work(t.line.Grade, t.line.Stage)
-	l := t.line
+	t.arrived, t.incarnation = true, b.incarnation
+	b.attempts[t] = true
+	work := b.attemptWork(t.baseRecord.Grade, t.baseRecord.Stage)
+	l := t.baseRecord
 	l.What, l.Work = record.Trip, work
-	w.put(l)
-	if b.weigh(work) {
-		b.fell = true
-		w.put(record.Line{What: record.Fell, Box: b.make.Name, Start: b.start})
+	w.addRecord(l)
+	if b.exceedsSlowStart(work) {
+		b.overloaded = true
+		w.addRecord(record.Line{What: record.Fell, Box: b.spec.Name, Start: b.incarnation})
 		b.kill("pushed over")
 		return
 	}
-	if b.hang {
+	if b.hangs {
 		return
 	}
-	if b.fail > 0 && (b.failOf == "" || b.failOf == t.line.Grade) && w.rng.Float64() < b.fail {
-		if t.line.Stage != kserve.PhasePrefill {
-			t.ran()
+	if b.failShare > 0 && (b.failClass == "" || b.failClass == t.baseRecord.Grade) && w.rng.Float64() < b.failShare {
+		if t.baseRecord.Stage != kserve.PhasePrefill {
+			t.recordRun()
 		}
 		t.end("failed")
-		t.back(brain.Result{Outcome: brain.Failed})
+		t.respond(brain.Result{Outcome: brain.Failed})
 		return
 	}
-	q := t.flight.Scheduled.Request
-	j := &engine.Job{Key: t.line.Key, Session: q.SessionKey, SharedPrefix: q.PrefixKey, PromptTokens: int(q.PromptTokens), PrefixTokens: int(q.PrefixTokens)}
+	q := t.dispatched.Scheduled.Request
+	j := &engine.Job{Key: t.baseRecord.Key, Session: q.SessionKey, SharedPrefix: q.PrefixKey, PromptTokens: int(q.PromptTokens), PrefixTokens: int(q.PrefixTokens)}
 	t.job = j
-	switch t.line.Stage {
+	switch t.baseRecord.Stage {
 	case kserve.PhasePrefill:
 		j.Stage = engine.StagePrefill
 	case kserve.PhaseDecode:
 		j.Stage = engine.StageDecode
-		state := w.boxes[t.flight.PrefillBackend.Name]
-		j.FetchKVCache = func(arrived func(bool)) { w.fetch(state, b, t, arrived) }
+		state := w.backends[t.dispatched.PrefillBackend.Name]
+		j.FetchKVCache = func(arrived func(bool)) { w.transferKVCache(state, b, t, arrived) }
 	default:
 		j.Stage = engine.StageWhole
 	}
-	j.OutputTokens = standin.AnswerTokens(w.day.TalkOf(t.line.Grade).AnswerTokens, t.line.Try, int(q.MaxOutputTokens))
+	j.OutputTokens = standin.AnswerTokens(w.scenario.TalkOf(t.baseRecord.Grade).AnswerTokens, t.baseRecord.Try, int(q.MaxOutputTokens))
 	if j.Stage == engine.StagePrefill {
 		j.OutputTokens = 1
 	}
 	j.OnToken = func(n int) {
-		t.flight.StreamedTokens.Store(int64(n))
+		t.dispatched.StreamedTokens.Store(int64(n))
 		if n > 1 {
-			if n == 2 && b.resets > 0 && w.rng.Float64() < b.resets {
+			if n == 2 && b.resetShare > 0 && w.rng.Float64() < b.resetShare {
 				b.engine.Cancel(j)
-				t.broke()
+				t.loseConnection()
 			}
 			return
 		}
-		t.ran()
-		if b.cuts > 0 && w.rng.Float64() < b.cuts {
+		t.recordRun()
+		if b.cutShare > 0 && w.rng.Float64() < b.cutShare {
 			b.engine.Cancel(j)
-			t.broke()
+			t.loseConnection()
 			return
 		}
-		w.after(hop, t.began)
+		w.after(networkDelay, t.firstToken)
 	}
-	j.OnEnd = func(e engine.Outcome, kept int) { t.done(e, kept) }
+	j.OnEnd = func(e engine.Outcome, kept int) { t.jobEnded(e, kept) }
 	b.engine.Submit(w.now, j)
-	b.kick()
+	b.runSteps()
 }
 
-func (t *attempt) ran() {
-	l, w := t.line, t.w
+func (t *attempt) recordRun() {
+	l, w := t.baseRecord, t.w
 	l.What = record.Ran
-	if i := w.day.ClassIndex(l.Grade); i >= 0 && w.day.Classes[i].Effect == "deduplicated" {
-		g := w.day.Classes[i]
-		key := map[string]string{"zone": t.to.make.Zone, "rack": t.to.make.Rack}[g.DedupScope] + " " + l.Try
-		if at, known := w.seen[key]; known && w.now-at < g.DedupWindow.Std() {
+	if i := w.scenario.ClassIndex(l.Grade); i >= 0 && w.scenario.Classes[i].Effect == "deduplicated" {
+		g := w.scenario.Classes[i]
+		key := map[string]string{"zone": t.backend.spec.Zone, "rack": t.backend.spec.Rack}[g.DedupScope] + " " + l.Try
+		if at, known := w.dedupMarks[key]; known && w.now-at < g.DedupWindow.Std() {
 			l.What = record.Repeat
 		} else {
-			w.seen[key] = w.now
+			w.dedupMarks[key] = w.now
 		}
 	}
-	w.put(l)
+	w.addRecord(l)
 }
 
 // began is the first token at the dispatcher, and a hop later at the client.
-func (t *attempt) began() {
-	if t.told || !t.from.up || t.from.loop != t.loop {
+func (t *attempt) firstToken() {
+	if t.reported || !t.dispatcher.running || t.dispatcher.loop != t.loop {
 		return
 	}
-	t.from.do(func() { t.loop.AttemptBegan(t.flight) })
-	if t.off != nil || t.flight.Scheduled.FirstTokenAt == 0 {
+	t.dispatcher.runInLoop(func() { t.loop.AttemptBegan(t.dispatched) })
+	if t.cancelCause != nil || t.dispatched.Scheduled.FirstTokenAt == 0 {
 		return
 	}
-	if c := t.from.of[t.flight.Request]; c != nil {
-		t.w.after(hop, func() {
-			if !c.over && !c.first {
-				c.first = true
-				c.put(record.First, "", nil)
+	if c := t.dispatcher.clientOf[t.dispatched.Request]; c != nil {
+		t.w.after(networkDelay, func() {
+			if !c.finished && !c.gotFirstToken {
+				c.gotFirstToken = true
+				c.addRecord(record.First, "", nil)
 			}
 		})
 	}
 }
 
 // done is the engine's end of a job.
-func (t *attempt) done(e engine.Outcome, kept int) {
-	b, w := t.to, t.w
+func (t *attempt) jobEnded(e engine.Outcome, kept int) {
+	b, w := t.backend, t.w
 	if t.ended {
 		return
 	}
 	switch e {
 	case engine.Done:
-		if t.line.Stage != kserve.PhaseDecode {
+		if t.baseRecord.Stage != kserve.PhaseDecode {
 			left := float64(t.job.PromptTokens - kept)
-			b.work(t.line.Grade, t.line.Stage) // its mean has begun
-			w.reads[t.line.Grade][0] += left
-			w.reads[t.line.Grade][1]++
+			b.attemptWork(t.baseRecord.Grade, t.baseRecord.Stage) // its mean has begun
+			w.prefillTokens[t.baseRecord.Grade][0] += left
+			w.prefillTokens[t.baseRecord.Grade][1]++
 		}
-		if t.line.Stage != kserve.PhasePrefill {
+		if t.baseRecord.Stage != kserve.PhasePrefill {
 			t.end(kserve.OutcomeCompleted)
-			t.back(brain.Result{Outcome: brain.Served, Detail: kept})
+			t.respond(brain.Result{Outcome: brain.Served, Detail: kept})
 			return
 		}
-		if upTo, ok := b.released[t.line.Key]; ok && t.line.Trip <= upTo {
-			b.engine.ReleaseKVCache(t.line.Key)
+		if upTo, ok := b.releasedUpTo[t.baseRecord.Key]; ok && t.baseRecord.Trip <= upTo {
+			b.engine.ReleaseKVCache(t.baseRecord.Key)
 			t.end("dropped")
 			return
 		}
-		w.put(record.Line{What: record.Held, Box: b.make.Name, Key: t.line.Key, Try: t.line.Try, Grade: t.line.Grade})
+		w.addRecord(record.Line{What: record.Held, Box: b.spec.Name, Key: t.baseRecord.Key, Try: t.baseRecord.Try, Grade: t.baseRecord.Grade})
 		t.end(kserve.OutcomePrefilled)
-		t.back(brain.Result{Outcome: brain.Prefilled, Detail: kept})
-		if b.crashes > 0 && w.rng.Float64() < b.crashes {
-			start := b.start
+		t.respond(brain.Result{Outcome: brain.Prefilled, Detail: kept})
+		if b.crashShare > 0 && w.rng.Float64() < b.crashShare {
+			start := b.incarnation
 			w.after(2*time.Millisecond, func() { // the dispatcher knows of the read
-				if b.start == start {
+				if b.incarnation == start {
 					b.kill("crashed after reading")
 				}
 			})
 		}
 	case engine.Full, engine.TooBig:
 		t.end(kserve.OutcomeFull)
-		t.back(brain.Result{Outcome: brain.Rejected})
+		t.respond(brain.Result{Outcome: brain.Rejected})
 	case engine.NoKVCache:
 		t.end(kserve.OutcomeNoKVCache)
-		t.back(brain.Result{Outcome: brain.Rejected, Detail: 1})
+		t.respond(brain.Result{Outcome: brain.Rejected, Detail: 1})
 	}
 }
 
 // fetch moves a state from its reader to a writer, over the reader's own port within a rack, else over the rack's link.
-func (w *world) fetch(from, to *backend, t *attempt, arrived func(bool)) {
-	key := t.line.Key
-	w.after(hop, func() {
+func (w *simulation) transferKVCache(from, to *backend, t *attempt, arrived func(bool)) {
+	key := t.baseRecord.Key
+	w.after(networkDelay, func() {
 		tokens, ok := 0, false
-		if from.up {
+		if from.running {
 			tokens, ok = from.engine.HeldKVCache(key)
 		}
 		if !ok {
-			w.after(hop, func() { arrived(false); to.kick() })
+			w.after(networkDelay, func() { arrived(false); to.runSteps() })
 			return
 		}
 		from.engine.SetKVCacheMoving(key, true)
-		start, took := from.start, time.Duration(float64(tokens)/w.day.Links.Near*float64(time.Second))
-		if from.make.Rack != to.make.Rack {
-			times := w.slowLink
-			if from.make.Zone != to.make.Zone {
-				times *= max(w.day.Links.Zone, 1)
+		start, took := from.incarnation, time.Duration(float64(tokens)/w.scenario.Links.Near*float64(time.Second))
+		if from.spec.Rack != to.spec.Rack {
+			times := w.linkSlowdown
+			if from.spec.Zone != to.spec.Zone {
+				times *= max(w.scenario.Links.Zone, 1)
 			}
-			free := max(w.racks[from.make.Rack], w.now) + time.Duration(float64(tokens)/w.day.Links.Far*times*float64(time.Second))
-			w.racks[from.make.Rack] = free
+			free := max(w.rackLinkFreeAt[from.spec.Rack], w.now) + time.Duration(float64(tokens)/w.scenario.Links.Far*times*float64(time.Second))
+			w.rackLinkFreeAt[from.spec.Rack] = free
 			took = free - w.now
 		}
 		w.after(took, func() {
-			if !from.up || from.start != start {
+			if !from.running || from.incarnation != start {
 				arrived(false)
-				to.kick()
+				to.runSteps()
 				return
 			}
-			if t.ended || !to.up || to.start != t.start { // nobody fetches any more: it waits on
+			if t.ended || !to.running || to.incarnation != t.incarnation { // nobody fetches any more: it waits on
 				from.engine.SetKVCacheMoving(key, false)
-				if upTo, ok := from.released[key]; ok && upTo >= t.line.Trip {
-					from.release(key, "released")
+				if upTo, ok := from.releasedUpTo[key]; ok && upTo >= t.baseRecord.Trip {
+					from.releaseKVCache(key, "released")
 				}
 				return
 			}
-			from.release(key, "taken")
+			from.releaseKVCache(key, "taken")
 			arrived(true)
-			to.kick()
+			to.runSteps()
 		})
 	})
 }
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -15,124 +15,124 @@
 
 // backend is one engine and its process.
 type backend struct {
-	w        *world
-	make     day.Made
+	w        *simulation
+	spec     day.Made
 	engine   *engine.Engine
-	start    uint64
-	started  time.Duration
-	cold     bool
-	up       bool
-	busy     bool
-	hang     bool
-	fail     float64
-	failOf   string
-	resets   float64
-	cuts     float64 // share of attempts cut off when they have begun to run
-	crashes  float64 // share of reads after which it dies
-	trips    map[*attempt]bool
-	released map[string]int
-	sent     []sent
-	fell     bool
-	seen     baseline.Load // as baseline.Informed sees it
+	incarnation    uint64
+	startedAt  time.Duration
+	slowStart     bool
+	running       bool
+	stepScheduled     bool
+	hangs     bool
+	failShare     float64
+	failClass   string
+	resetShare   float64
+	cutShare     float64 // share of attempts cut off when they have begun to run
+	crashShare  float64 // share of reads after which it dies
+	attempts    map[*attempt]bool
+	releasedUpTo map[string]int
+	recentWork     []sentWork
+	overloaded     bool
+	observed     baseline.Load // as baseline.Informed sees it
 }
 
-type sent struct {
+type sentWork struct {
 	at   time.Duration
 	work float64
 }
 
 // kick has an engine go on with its steps.
-func (b *backend) kick() {
-	if b.busy || !b.up {
+func (b *backend) runSteps() {
+	if b.stepScheduled || !b.running {
 		return
 	}
 	if load := b.engine.Loading(b.w.now); load > 0 {
-		b.busy = true
-		b.w.after(load, func() { b.busy = false; b.kick() })
+		b.stepScheduled = true
+		b.w.after(load, func() { b.stepScheduled = false; b.runSteps() })
 		return
 	}
 	took, ok := b.engine.BeginStep(b.w.now)
 	if !ok {
 		return
 	}
-	b.busy = true
+	b.stepScheduled = true
 	e := b.engine
 	b.w.after(took, func() {
-		b.busy = false
+		b.stepScheduled = false
 		if b.engine != e { // it was killed meanwhile
-			b.kick()
+			b.runSteps()
 			return
 		}
 		e.FinishStep(b.w.now)
-		b.kick()
+		b.runSteps()
 	})
 }
 
-func (b *backend) boot(cold bool) {
-	b.w.starts++
-	b.start, b.started, b.cold, b.up, b.busy, b.fell, b.sent = b.w.starts, b.w.now, cold, true, false, false, nil
-	b.engine = engine.New(b.make.Engine, b.w.now, cold)
+func (b *backend) start(cold bool) {
+	b.w.lastIncarnation++
+	b.incarnation, b.startedAt, b.slowStart, b.running, b.stepScheduled, b.overloaded, b.recentWork = b.w.lastIncarnation, b.w.now, cold, true, false, false, nil
+	b.engine = engine.New(b.spec.Engine, b.w.now, cold)
 	b.engine.OnKVCacheDropped = func(key string) {
 		word := "expired"
-		if !b.up {
+		if !b.running {
 			word = "lost"
 		}
-		b.w.put(record.Line{What: record.Let, Box: b.make.Name, Key: key, Word: word})
+		b.w.addRecord(record.Line{What: record.Let, Box: b.spec.Name, Key: key, Word: word})
 	}
-	b.trips, b.released = map[*attempt]bool{}, map[string]int{}
-	b.w.put(record.Line{What: record.Up, Box: b.make.Name, Start: b.start, Cold: cold})
+	b.attempts, b.releasedUpTo = map[*attempt]bool{}, map[string]int{}
+	b.w.addRecord(record.Line{What: record.Up, Box: b.spec.Name, Start: b.incarnation, Cold: cold})
 }
 
 func (b *backend) kill(why string) {
-	if !b.up {
+	if !b.running {
 		return
 	}
-	b.up = false
-	b.w.put(record.Line{What: record.Down, Box: b.make.Name, Start: b.start, Word: why})
-	trips := make([]*attempt, 0, len(b.trips))
-	for t := range b.trips {
+	b.running = false
+	b.w.addRecord(record.Line{What: record.Down, Box: b.spec.Name, Start: b.incarnation, Word: why})
+	trips := make([]*attempt, 0, len(b.attempts))
+	for t := range b.attempts {
 		trips = append(trips, t)
 	}
 	slices.SortFunc(trips, func(x, y *attempt) int { return strings.Compare(x.id(), y.id()) })
 	for _, t := range trips {
-		t.broke()
+		t.loseConnection()
 	}
 	b.engine.Stop()
 }
 
 // add starts a new backend.
-func (w *world) add(m day.Made, cold bool) *backend {
-	b := &backend{w: w, make: m}
-	w.boxes[m.Name] = b
+func (w *simulation) addBackend(m day.Made, cold bool) *backend {
+	b := &backend{w: w, spec: m}
+	w.backends[m.Name] = b
 	w.byID[dispatch.BackendID(m.Name)] = b
-	w.order = append(w.order, b)
-	b.boot(cold)
+	w.backendOrder = append(w.backendOrder, b)
+	b.start(cold)
 	return b
 }
 
-func (b *backend) release(key, why string) {
+func (b *backend) releaseKVCache(key, why string) {
 	if b.engine.ReleaseKVCache(key) {
-		b.w.put(record.Line{What: record.Let, Box: b.make.Name, Key: key, Word: why})
-		b.kick()
+		b.w.addRecord(record.Line{What: record.Let, Box: b.spec.Name, Key: key, Word: why})
+		b.runSteps()
 	}
 }
 
-func (b *backend) load() []float64 {
+func (b *backend) loadReport() []float64 {
 	values := b.engine.LoadReport()
 	var out []float64
-	for _, name := range b.w.day.ReportFields {
+	for _, name := range b.w.scenario.ReportFields {
 		out = append(out, values[name])
 	}
 	return out
 }
 
 // work is what an attempt asks of a backend, in seconds of its full capacity.
-func (b *backend) work(grade, stage string) float64 {
-	m, talk := b.make.Engine, b.w.day.TalkOf(grade)
-	sum := b.w.reads[grade]
+func (b *backend) attemptWork(grade, stage string) float64 {
+	m, talk := b.spec.Engine, b.w.scenario.TalkOf(grade)
+	sum := b.w.prefillTokens[grade]
 	if sum == nil {
 		sum = &[2]float64{talk.NewTokens + float64(talk.PrefixTokens)/4, 1}
-		b.w.reads[grade] = sum
+		b.w.prefillTokens[grade] = sum
 	}
 	read := sum[0] / sum[1] / m.PrefillTokensPerSecond
 	step := m.StepTime.Seconds() + float64(m.Slots)*m.TimePerSequence.Seconds() + float64(m.Slots)*m.TimePer1000ContextTokens.Seconds()
@@ -147,15 +147,15 @@
 }
 
 // weigh counts work against what a cold backend bears, and tells whether it falls over.
-func (b *backend) weigh(work float64) bool {
-	r, now := b.w.day.Rules, b.w.now
-	up := now - b.started
-	if !b.cold || up > r.SlowStartRamp.Std() {
+func (b *backend) exceedsSlowStart(work float64) bool {
+	r, now := b.w.scenario.Rules, b.w.now
+	up := now - b.startedAt
+	if !b.slowStart || up > r.SlowStartRamp.Std() {
 		return false
 	}
-	b.sent = append(b.sent, sent{now, work})
+	b.recentWork = append(b.recentWork, sentWork{now, work})
 	sum := 0.0
-	for _, s := range b.sent {
+	for _, s := range b.recentWork {
 		if s.at >= now-r.SlowStartWindow.Std() {
 			sum += s.work
 		}
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -13,29 +13,29 @@
 
 // client is one try.
 type client struct {
-	w     *world
-	wish  *standin.Request
+	w     *simulation
+	request  *standin.Request
 	try   int
 	id    string
-	d     *dispatcher
-	asked *dispatch.ClientRequest
-	over  bool
-	first bool
+	dispatcher     *dispatcher
+	submitted *dispatch.ClientRequest
+	finished  bool
+	gotFirstToken bool
 }
 
-func (c *client) put(what, word string, more func(*record.Line)) {
-	l := record.Line{What: what, Word: word, Try: c.id, Question: c.wish.Name, Grade: c.wish.Class, Dispatcher: c.d.name}
+func (c *client) addRecord(what, word string, more func(*record.Line)) {
+	l := record.Line{What: what, Word: word, Try: c.id, Question: c.request.Name, Grade: c.request.Class, Dispatcher: c.dispatcher.name}
 	if more != nil {
 		more(&l)
 	}
-	c.w.put(l)
+	c.w.addRecord(l)
 }
 
 // ask makes one try of a request.
-func (w *world) ask(wish *standin.Request, try int, ticket string) {
+func (w *simulation) submit(wish *standin.Request, try int, ticket string) {
 	var up []*dispatcher
 	for _, d := range w.dispatchers {
-		if d.front {
+		if d.inRotation {
 			up = append(up, d)
 		}
 	}
@@ -43,77 +43,77 @@
 		up = w.dispatchers
 	}
 	d := up[(uint64(wish.SubmitAt)+uint64(try)*7919)*0x9e3779b97f4a7c15>>33%uint64(len(up))]
-	c := &client{w: w, wish: wish, try: try, id: fmt.Sprintf("%s.%d", wish.Name, try), d: d}
+	c := &client{w: w, request: wish, try: try, id: fmt.Sprintf("%s.%d", wish.Name, try), dispatcher: d}
 	left := time.Duration(float64(wish.Deadline) * wish.PatienceShare)
 	follows := ""
 	if wish.HonoursRetryAfter {
 		follows = "follows"
 	}
-	c.put(record.Asked, follows, func(l *record.Line) {
+	c.addRecord(record.Asked, follows, func(l *record.Line) {
 		l.ExpiryUs, l.PromiseUs, l.Tokens = left.Microseconds(), wish.LatencyTarget.Microseconds(), wish.PromptTokens
 	})
-	if !d.up {
-		c.cut("unreached: the dispatcher is down")
+	if !d.running {
+		c.loseConnection("unreached: the dispatcher is down")
 		return
 	}
 	if wish.LeaveAfter > 0 {
 		w.after(wish.LeaveAfter, func() {
-			if !c.over {
-				c.over = true
-				c.put(record.Quit, "", nil)
-				if d.up && d.open[c] {
-					delete(d.open, c)
-					delete(d.of, c.asked)
-					d.do(func() { d.loop.ClientDisconnected(c.asked) })
+			if !c.finished {
+				c.finished = true
+				c.addRecord(record.Quit, "", nil)
+				if d.running && d.openClients[c] {
+					delete(d.openClients, c)
+					delete(d.clientOf, c.submitted)
+					d.runInLoop(func() { d.loop.ClientDisconnected(c.submitted) })
 				}
 			}
 		})
 	}
-	d.open[c] = true
-	c.asked = &dispatch.ClientRequest{Params: kserve.Request{ID: c.id, Session: wish.Session, SharedPrefix: wish.PrefixID, PromptTokens: wish.PromptTokens, PrefixTokens: wish.PrefixTokens, MaxTokens: wish.MaxTokens,
+	d.openClients[c] = true
+	c.submitted = &dispatch.ClientRequest{Params: kserve.Request{ID: c.id, Session: wish.Session, SharedPrefix: wish.PrefixID, PromptTokens: wish.PromptTokens, PrefixTokens: wish.PrefixTokens, MaxTokens: wish.MaxTokens,
 		IsRetry: try > 0, RetryTicket: ticket}, Class: wish.Class, Tenant: wish.Tenant}
-	d.of[c.asked] = c
-	c.asked.OnFinal = func(f kserve.FinalResponse) { w.after(hop, func() { c.final(f) }) }
-	grade, channel := w.day.ClassIndex(wish.Class), max(w.day.TenantIndex(wish.Tenant), 0)
-	w.after(hop, func() {
-		if c.over && wish.LeaveAfter == 0 || !d.open[c] {
+	d.clientOf[c.submitted] = c
+	c.submitted.OnFinal = func(f kserve.FinalResponse) { w.after(networkDelay, func() { c.final(f) }) }
+	grade, channel := w.scenario.ClassIndex(wish.Class), max(w.scenario.TenantIndex(wish.Tenant), 0)
+	w.after(networkDelay, func() {
+		if c.finished && wish.LeaveAfter == 0 || !d.openClients[c] {
 			return
 		}
-		d.do(func() { d.loop.Submit(c.asked, grade, channel, left-2*hop) })
+		d.runInLoop(func() { d.loop.Submit(c.submitted, grade, channel, left-2*networkDelay) })
 	})
 }
 
 func (c *client) final(f kserve.FinalResponse) {
-	if c.over {
+	if c.finished {
 		return
 	}
-	c.over = true
-	delete(c.d.open, c)
-	delete(c.d.of, c.asked)
-	c.put(record.Final, f.Outcome, func(l *record.Line) { l.AfterMs, l.Trips = f.RetryAfterMs, f.Attempts })
-	if f.Outcome != kserve.Served && (f.Outcome == kserve.Rejected || c.wish.Idempotent) {
+	c.finished = true
+	delete(c.dispatcher.openClients, c)
+	delete(c.dispatcher.clientOf, c.submitted)
+	c.addRecord(record.Final, f.Outcome, func(l *record.Line) { l.AfterMs, l.Trips = f.RetryAfterMs, f.Attempts })
+	if f.Outcome != kserve.Served && (f.Outcome == kserve.Rejected || c.request.Idempotent) {
 		ticket := f.RetryTicket
-		if !c.wish.HonoursRetryAfter {
+		if !c.request.HonoursRetryAfter {
 			ticket = ""
 		}
-		c.again(time.Duration(f.RetryAfterMs)*time.Millisecond, ticket)
+		c.retry(time.Duration(f.RetryAfterMs)*time.Millisecond, ticket)
 	}
 }
 
-func (c *client) cut(why string) {
-	if c.over {
+func (c *client) loseConnection(why string) {
+	if c.finished {
 		return
 	}
-	c.over = true
-	delete(c.d.open, c)
-	c.put(record.Cut, why, nil)
-	if strings.HasPrefix(why, "unreached") || c.wish.Idempotent {
-		c.again(0, "")
+	c.finished = true
+	delete(c.dispatcher.openClients, c)
+	c.addRecord(record.Cut, why, nil)
+	if strings.HasPrefix(why, "unreached") || c.request.Idempotent {
+		c.retry(0, "")
 	}
 }
 
-func (c *client) again(told time.Duration, ticket string) {
-	if c.try < c.wish.Retries {
-		c.w.after(c.wish.RetryDelay(c.try, told), func() { c.w.ask(c.wish, c.try+1, ticket) })
+func (c *client) retry(told time.Duration, ticket string) {
+	if c.try < c.request.Retries {
+		c.w.after(c.request.RetryDelay(c.try, told), func() { c.w.submit(c.request, c.try+1, ticket) })
 	}
 }
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -12,55 +12,55 @@
 )
 
 // publish says of a backend what dispatchers hear after a while.
-func (w *world) publish(b *backend, standing string, after time.Duration) {
-	line := boxlist.Endpoint{Name: b.make.Name, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: "127.0.0.1:1"}}, Kind: b.make.Kind, Zone: b.make.Zone,
-		Rack: b.make.Rack, State: standing, Units: b.make.Units, Incarnation: b.start, UptimeMs: -1}
-	started, cold := b.started, b.cold
-	w.at(max(w.now+after+w.lateList, w.downList), func() {
+func (w *simulation) publish(b *backend, standing string, after time.Duration) {
+	line := boxlist.Endpoint{Name: b.spec.Name, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: "127.0.0.1:1"}}, Kind: b.spec.Kind, Zone: b.spec.Zone,
+		Rack: b.spec.Rack, State: standing, Units: b.spec.Units, Incarnation: b.incarnation, UptimeMs: -1}
+	started, cold := b.startedAt, b.slowStart
+	w.schedule(max(w.now+after+w.discoveryDelay, w.discoveryDownUntil), func() {
 		l := line
 		if cold {
 			l.UptimeMs = (w.now - started).Milliseconds()
 		}
-		lost := w.skipList
-		if w.skipList = false; lost {
-			w.put(record.Line{What: record.Note, Word: "a push of the list is lost"})
+		lost := w.dropNextUpdate
+		if w.dropNextUpdate = false; lost {
+			w.addRecord(record.Line{What: record.Note, Word: "a push of the list is lost"})
 		}
 		for _, d := range w.dispatchers {
 			if lost { // the gap is noticed by the next beat, and the whole list asked for
-				w.after(gap, func() { d.whole(l) })
+				w.after(missedUpdateDelay, func() { d.sendFullList(l) })
 				continue
 			}
-			d.hear([]boxlist.Endpoint{l}, false)
+			d.updateEndpoints([]boxlist.Endpoint{l}, false)
 		}
 	})
 }
 
 // byName lists backends in one order.
-func byName(boxes map[string]boxlist.Endpoint) []boxlist.Endpoint {
+func sortedByName(boxes map[string]boxlist.Endpoint) []boxlist.Endpoint {
 	return slices.SortedFunc(maps.Values(boxes), func(a, b boxlist.Endpoint) int { return strings.Compare(a.Name, b.Name) })
 }
 
 // gap is how long a lost change goes unnoticed.
-const gap = time.Second
+const missedUpdateDelay = time.Second
 
 // whole tells a dispatcher the whole list, with a change that it missed.
-func (d *dispatcher) whole(missed boxlist.Endpoint) {
-	known := maps.Clone(d.known)
+func (d *dispatcher) sendFullList(missed boxlist.Endpoint) {
+	known := maps.Clone(d.lastKnown)
 	known[missed.Name] = missed
-	lines := slices.DeleteFunc(byName(known), func(l boxlist.Endpoint) bool { return l.State == boxlist.Removed })
-	d.w.put(record.Line{What: record.Told, Dispatcher: d.name, Box: missed.Name, Word: missed.State, Start: missed.Incarnation})
-	d.hear(lines, true)
+	lines := slices.DeleteFunc(sortedByName(known), func(l boxlist.Endpoint) bool { return l.State == boxlist.Removed })
+	d.w.addRecord(record.Line{What: record.Told, Dispatcher: d.name, Box: missed.Name, Word: missed.State, Start: missed.Incarnation})
+	d.updateEndpoints(lines, true)
 }
 
-func (d *dispatcher) hear(lines []boxlist.Endpoint, whole bool) {
-	if !d.up {
+func (d *dispatcher) updateEndpoints(lines []boxlist.Endpoint, whole bool) {
+	if !d.running {
 		return
 	}
 	for _, l := range lines {
-		d.known[l.Name] = l
+		d.lastKnown[l.Name] = l
 		if !whole {
-			d.w.put(record.Line{What: record.Told, Dispatcher: d.name, Box: l.Name, Word: l.State, Start: l.Incarnation})
+			d.w.addRecord(record.Line{What: record.Told, Dispatcher: d.name, Box: l.Name, Word: l.State, Start: l.Incarnation})
 		}
 	}
-	d.do(func() { d.loop.UpdateBackends(lines, whole) })
+	d.runInLoop(func() { d.loop.UpdateBackends(lines, whole) })
 }
--- a/internal/fleet/dispatcher.go
+++ b/internal/fleet/dispatcher.go
@@ -18,30 +18,30 @@
 
 // dispatcher is the real loop with the real module, in virtual time.
 type dispatcher struct {
-	w      *world
+	w      *simulation
 	number int
 	name   string
 	loop   *dispatch.Loop
-	up     bool
-	front  bool
+	running     bool
+	inRotation  bool
 	starts int
-	books  *dispatch.Accounting
-	known  map[string]boxlist.Endpoint
-	due    time.Duration
-	set    bool
-	open   map[*client]bool
-	of     map[*dispatch.ClientRequest]*client
+	accounting  *dispatch.Accounting
+	lastKnown  map[string]boxlist.Endpoint
+	timerDue    time.Duration
+	timerSet    bool
+	openClients   map[*client]bool
+	clientOf     map[*dispatch.ClientRequest]*client
 }
 
-func (d *dispatcher) boot(kept map[string]boxlist.Endpoint) error {
+func (d *dispatcher) start(kept map[string]boxlist.Endpoint) error {
 	w := d.w
 	file := setup.DefaultDispatcherConfig()
-	file.Deployment = w.day.Deployment
+	file.Deployment = w.scenario.Deployment
 	file.Instance.Name, file.Instance.Index, file.Instance.FleetSize = d.name, d.number, len(w.dispatchers)
-	file.Instance.FleetSize = max(w.day.Head.Dispatchers, 1)
-	file.Instance.Zone = w.day.Zones[d.number%len(w.day.Zones)]
+	file.Instance.FleetSize = max(w.scenario.Head.Dispatchers, 1)
+	file.Instance.Zone = w.scenario.Zones[d.number%len(w.scenario.Zones)]
 	d.starts++
-	seed := w.day.Head.Seed*1000 + uint64(d.number) + 1 + uint64(d.starts-1)*7919
+	seed := w.scenario.Head.Seed*1000 + uint64(d.number) + 1 + uint64(d.starts-1)*7919
 	facts := file.SchedulerParameters()
 	loop, err := dispatch.NewLoop(facts, seed, dispatch.Resolver{ZoneNumber: file.ZoneIndex, KindNumber: file.KindIndex}, (*transport)(d), func() time.Duration { return w.now },
 		fmt.Sprintf("%s.%d", d.name, d.starts), slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -60,40 +60,40 @@
 		loop.RetryThrottle = storm.New(file.Limits.MaxRetryAfter.Std(), len(file.Tenants), seed^0x5709,
 			storm.TicketSigner{Key: []byte("the fleet's"), Issuer: uint32(d.starts)<<16 | uint32(d.number)})
 	}
-	d.loop, d.up, d.front, d.set, d.books = loop, true, true, false, nil
-	d.budgets()
-	d.open, d.of = map[*client]bool{}, map[*dispatch.ClientRequest]*client{}
-	d.known = map[string]boxlist.Endpoint{}
-	w.put(record.Line{What: record.Up, Dispatcher: d.name})
+	d.loop, d.running, d.inRotation, d.timerSet, d.accounting = loop, true, true, false, nil
+	d.setUpBudgets()
+	d.openClients, d.clientOf = map[*client]bool{}, map[*dispatch.ClientRequest]*client{}
+	d.lastKnown = map[string]boxlist.Endpoint{}
+	w.addRecord(record.Line{What: record.Up, Dispatcher: d.name})
 	if kept != nil {
-		d.hear(byName(kept), true)
+		d.updateEndpoints(sortedByName(kept), true)
 	}
 	d.armTimer()
 	return nil
 }
 
 // do runs one thing in the loop, and winds its timers.
-func (d *dispatcher) do(f func()) {
+func (d *dispatcher) runInLoop(f func()) {
 	d.loop.RunTurn(f)
 	d.armTimer()
 }
 
 func (d *dispatcher) armTimer() {
 	due, ok := d.loop.NextTimer()
-	if !ok || !d.up {
+	if !ok || !d.running {
 		return
 	}
-	due = (due + beat - 1) / beat * beat
-	if d.set && d.due <= due {
+	due = (due + timerResolution - 1) / timerResolution * timerResolution
+	if d.timerSet && d.timerDue <= due {
 		return
 	}
-	d.set, d.due = true, due
+	d.timerSet, d.timerDue = true, due
 	loop := d.loop
-	d.w.at(due, func() {
-		if d.loop != loop || !d.up || !d.set || d.due != due {
+	d.w.schedule(due, func() {
+		if d.loop != loop || !d.running || !d.timerSet || d.timerDue != due {
 			return
 		}
-		d.set = false
+		d.timerSet = false
 		loop.RunTimers()
 		d.armTimer()
 	})
@@ -102,27 +102,27 @@
 // kill ends a dispatcher outright; its clients notice at once, the front after a while.
 func (d *dispatcher) kill() {
 	w := d.w
-	w.put(record.Line{What: record.Down, Dispatcher: d.name, Word: "killed"})
-	d.up = false
-	open := make([]*client, 0, len(d.open))
-	for c := range d.open {
+	w.addRecord(record.Line{What: record.Down, Dispatcher: d.name, Word: "killed"})
+	d.running = false
+	open := make([]*client, 0, len(d.openClients))
+	for c := range d.openClients {
 		open = append(open, c)
 	}
 	slices.SortFunc(open, func(a, b *client) int { return strings.Compare(a.id, b.id) })
 	for _, c := range open {
-		c.cut("the connection broke")
+		c.loseConnection("the connection broke")
 	}
-	for _, b := range w.order {
+	for _, b := range w.backendOrder {
 		var gone []*attempt
-		for t := range b.trips {
-			if t.from == d {
+		for t := range b.attempts {
+			if t.dispatcher == d {
 				gone = append(gone, t)
 			}
 		}
 		slices.SortFunc(gone, func(x, y *attempt) int { return strings.Compare(x.id(), y.id()) })
 		for _, t := range gone {
-			t.closed()
+			t.connectionClosed()
 		}
 	}
-	w.after(w.day.Head.FrontNotice.Std(), func() { d.front = d.front && d.up })
+	w.after(w.scenario.Head.FrontNotice.Std(), func() { d.inRotation = d.inRotation && d.running })
 }
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -10,10 +10,10 @@
 	"sloetrestle/internal/record"
 )
 
-func (w *world) hit(t day.Trouble) []*backend {
+func (w *simulation) affectedBackends(t day.Trouble) []*backend {
 	var hit []*backend
-	for _, b := range w.order {
-		if slices.ContainsFunc(t.Boxes, func(n string) bool { return n == b.make.Name || n == b.make.Kind }) {
+	for _, b := range w.backendOrder {
+		if slices.ContainsFunc(t.Boxes, func(n string) bool { return n == b.spec.Name || n == b.spec.Kind }) {
 			hit = append(hit, b)
 		}
 	}
@@ -22,9 +22,9 @@
 
 // inject begins a fault and sets its end. Those of the requests themselves are in the plan; those of single addresses
 // have no meaning without sockets.
-func (w *world) inject(t day.Trouble) {
-	w.put(record.Line{What: record.Note, Word: t.Kind + " begins"})
-	hit, length, notice := w.hit(t), t.Length.Std(), w.day.List.Notice.Std()
+func (w *simulation) inject(t day.Trouble) {
+	w.addRecord(record.Line{What: record.Note, Word: t.Kind + " begins"})
+	hit, length, notice := w.affectedBackends(t), t.Length.Std(), w.scenario.List.Notice.Std()
 	each := func(do func(*backend)) {
 		for _, b := range hit {
 			do(b)
@@ -32,10 +32,10 @@
 	}
 	back := func() {
 		each(func(b *backend) {
-			if !b.up {
-				b.boot(true)
+			if !b.running {
+				b.start(true)
 				w.publish(b, boxlist.Ready, notice)
-				b.kick()
+				b.runSteps()
 			}
 		})
 	}
@@ -50,47 +50,47 @@
 	case "ageing":
 		each(func(b *backend) { b.engine.SetAgingRate(w.now, t.Share) })
 		later(func() {
-			each(func(b *backend) { b.kill("aged"); w.publish(b, boxlist.Removed, w.day.List.Silent.Std()) })
+			each(func(b *backend) { b.kill("aged"); w.publish(b, boxlist.Removed, w.scenario.List.Silent.Std()) })
 			w.after(2*time.Second, back)
 		})
 	case "evict_fresh":
 		each(func(b *backend) { b.engine.EvictFresh = true })
 		later(func() { each(func(b *backend) { b.engine.EvictFresh = false }) })
 	case "failing", "grade_failing":
-		each(func(b *backend) { b.fail, b.failOf = t.Share, t.Grade })
-		later(func() { each(func(b *backend) { b.fail = 0 }) })
+		each(func(b *backend) { b.failShare, b.failClass = t.Share, t.Grade })
+		later(func() { each(func(b *backend) { b.failShare = 0 }) })
 	case "hang":
-		each(func(b *backend) { b.hang = true })
-		later(func() { each(func(b *backend) { b.hang = false }) })
+		each(func(b *backend) { b.hangs = true })
+		later(func() { each(func(b *backend) { b.hangs = false }) })
 	case "reset":
-		each(func(b *backend) { b.resets = t.Share })
-		later(func() { each(func(b *backend) { b.resets = 0 }) })
+		each(func(b *backend) { b.resetShare = t.Share })
+		later(func() { each(func(b *backend) { b.resetShare = 0 }) })
 	case "reset_running":
-		each(func(b *backend) { b.cuts = t.Share })
-		later(func() { each(func(b *backend) { b.cuts = 0 }) })
+		each(func(b *backend) { b.cutShare = t.Share })
+		later(func() { each(func(b *backend) { b.cutShare = 0 }) })
 	case "crash_after_read":
-		each(func(b *backend) { b.crashes = t.Share })
-		later(func() { each(func(b *backend) { b.crashes = 0 }); back() })
+		each(func(b *backend) { b.crashShare = t.Share })
+		later(func() { each(func(b *backend) { b.crashShare = 0 }); back() })
 	case "replace":
 		each(func(b *backend) {
 			w.publish(b, boxlist.Draining, notice)
-			w.replace(b, notice)
+			w.startReplacement(b, notice)
 		})
 		later(func() { each(func(b *backend) { b.kill("replaced"); w.publish(b, boxlist.Removed, notice) }) })
 	case "connect_late":
-		w.lateShare, w.lateBy = t.Share, t.By.Std()
-		later(func() { w.lateShare = 0 })
+		w.slowConnectShare, w.slowConnectMax = t.Share, t.By.Std()
+		later(func() { w.slowConnectShare = 0 })
 	case "list_down":
-		w.downList = w.now + length
+		w.discoveryDownUntil = w.now + length
 	case "list_gap":
-		w.skipList = true
+		w.dropNextUpdate = true
 	case "no_cancel", "leave", "give_up", "burst", "shared_text", "long_prompts": // of the boxes' make, or of the questions' plan
 	case "forget":
 		each(func(b *backend) { b.engine.DropCache() })
 	case "crash":
 		each(func(b *backend) {
 			b.kill("crashed")
-			if silent := w.day.List.Silent.Std(); length > silent {
+			if silent := w.scenario.List.Silent.Std(); length > silent {
 				w.publish(b, boxlist.Removed, silent)
 			}
 		})
@@ -105,11 +105,11 @@
 			w.after(time.Second, back)
 		})
 	case "list_stale":
-		w.lateList = t.By.Std()
-		later(func() { w.lateList = 0 })
+		w.discoveryDelay = t.By.Std()
+		later(func() { w.discoveryDelay = 0 })
 	case "link_slow":
-		w.slowLink = t.Size
-		later(func() { w.slowLink = 1 })
+		w.linkSlowdown = t.Size
+		later(func() { w.linkSlowdown = 1 })
 	case "kill_dispatcher":
 		for _, n := range t.Dispatchers {
 			w.dispatchers[n].kill()
@@ -117,20 +117,20 @@
 		later(func() {
 			for _, n := range t.Dispatchers {
 				d := w.dispatchers[n]
-				d.boot(d.known)
+				d.start(d.lastKnown)
 			}
 		})
 	default: // of sockets and processes
-		w.put(record.Line{What: record.Note, Word: t.Kind + " is not played here"})
+		w.addRecord(record.Line{What: record.Note, Word: t.Kind + " is not played here"})
 	}
 	if !strings.HasPrefix(t.Kind, "address_") {
-		later(func() { w.put(record.Line{What: record.Note, Word: t.Kind + " ends"}) })
+		later(func() { w.addRecord(record.Line{What: record.Note, Word: t.Kind + " ends"}) })
 	}
 }
 
 // replace starts a new backend in the place of one that drains: alike, with a name of its own, and cold.
-func (w *world) replace(old *backend, notice time.Duration) {
-	made := old.make
+func (w *simulation) startReplacement(old *backend, notice time.Duration) {
+	made := old.spec
 	made.Name += "-new"
-	w.publish(w.add(made, true), boxlist.Ready, notice)
+	w.publish(w.addBackend(made, true), boxlist.Ready, notice)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	"sloetrestle/internal/setup"
 )
 
-func load(t testing.TB, name string) day.Day {
+func loadScenario(t testing.TB, name string) day.Day {
 	t.Helper()
 	raw, err := os.ReadFile("../../examples/" + name + ".toml")
 	if err != nil {
@@ -27,7 +27,7 @@
 func TestDaysKeepTheRulesInVirtualTime(t *testing.T) {
 	for _, name := range []string{"quiet", "demo", "crash-after-read", "reset", "failing", "grade-failing", "hang", "drain", "restart", "list-stale", "kill-dispatcher",
 		"leave", "no-cancel", "link-slow", "forget", "burst", "long-prompts", "shared-text", "stale-cold", "overlap-kill-in-burst", "ageing", "neighbour", "evict-fresh"} {
-		d := load(t, name)
+		d := loadScenario(t, name)
 		out, err := Play(d, "module")
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
@@ -39,7 +39,7 @@
 }
 
 func TestTheSameSeedGivesTheSameRecord(t *testing.T) {
-	d := load(t, "demo")
+	d := loadScenario(t, "demo")
 	var digests []string
 	for _, procs := range []int{1, 2, 4} {
 		old := runtime.GOMAXPROCS(procs)
@@ -61,7 +61,7 @@
 }
 
 func TestBaselinesKeepTheRulesOnAQuietDay(t *testing.T) {
-	d := load(t, "quiet")
+	d := loadScenario(t, "quiet")
 	for _, name := range baseline.Names {
 		out, err := Play(d, name)
 		if err != nil {
@@ -78,7 +78,7 @@
 
 // Load that comes to 2.5 times what the engines can do must end: once it has passed, questions are satisfied again.
 func TestTheFleetComesBackAfterAnOverload(t *testing.T) {
-	d := load(t, "quiet")
+	d := loadScenario(t, "quiet")
 	d.Head.Length, d.Head.PerS = setup.Duration(40e9), 60
 	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(5e9), Length: setup.Duration(10e9), Size: 6}}
 	out, err := Play(d, "module")
@@ -94,12 +94,12 @@
 	}
 }
 
-func BenchmarkFleet31(b *testing.B) { benchmark(b, 1, 33) }
-func BenchmarkFleet79(b *testing.B) { benchmark(b, 2.55, 160) }
+func BenchmarkFleet31(b *testing.B) { benchmarkScenario(b, 1, 33) }
+func BenchmarkFleet79(b *testing.B) { benchmarkScenario(b, 2.55, 160) }
 
 // benchmark plays a day of 31 boxes, so many times larger.
-func benchmark(b *testing.B, times float64, dispatchers int) {
-	d := load(b, "quiet")
+func benchmarkScenario(b *testing.B, times float64, dispatchers int) {
+	d := loadScenario(b, "quiet")
 	for i, n := range []float64{13, 15, 3} {
 		d.Boxes[i].Count = int(n * times)
 	}
@@ -111,7 +111,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		questions += out.Questions
+		questions += out.Requests
 	}
 	b.ReportMetric(float64(questions)/b.Elapsed().Seconds(), "questions/s")
 }
--- a/internal/fleet/release_test.go
+++ b/internal/fleet/release_test.go
@@ -14,7 +14,7 @@
 
 // release is a day on which six in ten backends are replaced within 7 s by ones in slow start, played by so many dispatchers.
 // What a backend was asked goes on there when its client has gone.
-func release(t testing.TB, dispatchers int, seed uint64) day.Day {
+func rolloutScenario(t testing.TB, dispatchers int, seed uint64) day.Day {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/release.toml")
 	if err != nil {
@@ -48,64 +48,64 @@
 }
 
 // value sums what was asked for and what was served in time.
-type value struct{ asked, served float64 }
+type trafficValue struct{ submitted, served float64 }
 
-func (v value) share() float64 { return v.served / max(v.asked, 1e-9) }
+func (v trafficValue) share() float64 { return v.served / max(v.submitted, 1e-9) }
 
 // dayValue is the value of a day, and of its thirds and classes.
-type dayValue struct {
-	all     value
-	thirds  [3]value
-	classes map[string]*value
-	starts  map[string]*slowStart // by backend
+type scenarioValue struct {
+	all     trafficValue
+	thirds  [3]trafficValue
+	classes map[string]*trafficValue
+	slowStarts  map[string]*slowStart // by backend
 }
 
 // slowStart is what a backend was sent since it started.
 type slowStart struct {
-	began int64
-	calls []record.Line
+	startedAt int64
+	attempts []record.Line
 }
 
 // offence looks for a window of the rule in which the backend got more calls than it may, from the whole fleet: as many of mean
 // work as the stated multiple of its present capacity comes to, n, plus 2 sqrt(n) + 2, under 30 plus 3 sqrt(n) + 3.
-func (s *slowStart) offence(rules setup.Rules) (calls, most float64, found bool) {
+func (s *slowStart) findViolation(rules setup.Rules) (attempts, limit float64, found bool) {
 	window, ramp := rules.SlowStartWindow.Std(), rules.SlowStartRamp.Std().Microseconds()
 	work := 0.0
-	for _, c := range s.calls {
-		work += c.Work / float64(len(s.calls))
+	for _, call := range s.attempts {
+		work += call.Work / float64(len(s.attempts))
 	}
 	first := 0
-	for i, c := range s.calls {
-		if c.At-s.began > ramp {
+	for i, call := range s.attempts {
+		if call.At-s.startedAt > ramp {
 			break
 		}
-		for s.calls[first].At <= c.At-window.Microseconds() {
+		for s.attempts[first].At <= call.At-window.Microseconds() {
 			first++
 		}
-		warm := rules.SlowStartShare + (1-rules.SlowStartShare)*float64(s.calls[first].At-s.began)/float64(ramp)
-		n := rules.SlowStartMultiple * warm * window.Seconds() / work
-		if calls, most = float64(i-first+1), n+2*math.Sqrt(n)+2; n < 30 {
-			most = n + 3*math.Sqrt(n) + 3
+		capacityShare := rules.SlowStartShare + (1-rules.SlowStartShare)*float64(s.attempts[first].At-s.startedAt)/float64(ramp)
+		meanAttempts := rules.SlowStartMultiple * capacityShare * window.Seconds() / work
+		if attempts, limit = float64(i-first+1), meanAttempts+2*math.Sqrt(meanAttempts)+2; meanAttempts < 30 {
+			limit = meanAttempts + 3*math.Sqrt(meanAttempts) + 3
 		}
-		if calls > most {
-			return calls, most, true
+		if attempts > limit {
+			return attempts, limit, true
 		}
 	}
 	return 0, 0, false
 }
 
 // checkSlowStarts holds every backend in slow start to its calls.
-func (got dayValue) checkSlowStarts(t *testing.T, d day.Day) {
+func (got scenarioValue) checkSlowStarts(t *testing.T, d day.Day) {
 	t.Helper()
-	looked := 0
-	for name, s := range got.starts {
-		looked += len(s.calls)
-		if calls, most, found := s.offence(d.Rules); found {
-			t.Errorf("%s got %.0f calls within %v, %.1f at most", name, calls, d.Rules.SlowStartWindow.Std(), most)
+	checked := 0
+	for name, s := range got.slowStarts {
+		checked += len(s.attempts)
+		if attempts, limit, found := s.findViolation(d.Rules); found {
+			t.Errorf("%s got %.0f calls within %v, %.1f at most", name, attempts, d.Rules.SlowStartWindow.Std(), limit)
 		}
 	}
-	if looked < 100 {
-		t.Errorf("%d calls to backends in slow start: this shows nothing", looked)
+	if checked < 100 {
+		t.Errorf("%d calls to backends in slow start: this shows nothing", checked)
 	}
 }
 
@@ -115,11 +115,11 @@
 		SlowStartMultiple: 2.5, SlowStartWindow: setup.Duration(2 * time.Second), SlowStartShare: 0.5, SlowStartRamp: setup.Duration(1000 * time.Second),
 	}
 	for calls, offends := range map[int]bool{16: false, 17: true} {
-		s := &slowStart{began: 1e6}
+		s := &slowStart{startedAt: 1e6}
 		for i := range calls {
-			s.calls = append(s.calls, record.Line{At: 1e6 + int64(i)*1e5, Work: 0.4})
+			s.attempts = append(s.attempts, record.Line{At: 1e6 + int64(i)*1e5, Work: 0.4})
 		}
-		if _, _, found := s.offence(rules); found != offends {
+		if _, _, found := s.findViolation(rules); found != offends {
 			t.Errorf("%d calls: found %v", calls, found)
 		}
 	}
@@ -127,41 +127,41 @@
 
 // measure plays a day and weighs what its clients got: a request's value is its class's for each token, all of it for a first
 // token by the latency target, counted from the first time that the client asked.
-func measure(t *testing.T, d day.Day, policy string) (dayValue, Outcome) {
+func measure(t *testing.T, d day.Day, policy string) (scenarioValue, Outcome) {
 	t.Helper()
-	got := dayValue{classes: map[string]*value{}}
+	got := scenarioValue{classes: map[string]*trafficValue{}}
 	for _, g := range d.Classes {
-		got.classes[g.Name] = &value{}
+		got.classes[g.Name] = &trafficValue{}
 	}
-	count := func(l record.Line, add func(*value, float64)) {
+	count := func(l record.Line, add func(*trafficValue, float64)) {
 		third := min(int(3*time.Duration(l.At)*time.Microsecond/d.Head.Length.Std()), 2)
-		for _, v := range []*value{&got.all, &got.thirds[third], got.classes[l.Grade]} {
+		for _, v := range []*trafficValue{&got.all, &got.thirds[third], got.classes[l.Grade]} {
 			add(v, d.Classes[d.ClassIndex(l.Grade)].Value*float64(l.Tokens))
 		}
 	}
 	asked, served, of := map[string]record.Line{}, map[string]bool{}, map[string]string{}
-	got.starts = map[string]*slowStart{}
+	got.slowStarts = map[string]*slowStart{}
 	out, err := PlayLines(d, policy, func(l record.Line) {
 		switch l.What {
 		case record.Up:
 			if l.Cold {
-				got.starts[l.Box] = &slowStart{began: l.At}
+				got.slowStarts[l.Box] = &slowStart{startedAt: l.At}
 			}
 		case record.Trip:
-			if s := got.starts[l.Box]; s != nil {
-				s.calls = append(s.calls, l)
+			if s := got.slowStarts[l.Box]; s != nil {
+				s.attempts = append(s.attempts, l)
 			}
 		case record.Asked:
 			of[l.Try] = l.Question
 			if _, known := asked[l.Question]; !known {
 				asked[l.Question] = l
-				count(l, func(v *value, worth float64) { v.asked += worth })
+				count(l, func(v *trafficValue, worth float64) { v.submitted += worth })
 			}
 		case record.First:
 			first := asked[of[l.Try]]
 			if !served[first.Question] && l.At-first.At <= first.PromiseUs {
 				served[first.Question] = true
-				count(first, func(v *value, worth float64) { v.served += worth })
+				count(first, func(v *trafficValue, worth float64) { v.served += worth })
 			}
 		}
 	})
@@ -176,7 +176,7 @@
 
 // enough checks what users ask for beside the reference that sees the true state late: half of the value that it serves in all
 // and of each class, and a fifth in each third of the day.
-func (got dayValue) enough(t *testing.T, reference dayValue) {
+func (got scenarioValue) checkAgainst(t *testing.T, reference scenarioValue) {
 	t.Helper()
 	if got.all.share() < reference.all.share()/2 {
 		t.Errorf("%.3f of the value is served, wanted half of %.3f", got.all.share(), reference.all.share())
@@ -194,10 +194,10 @@
 }
 
 // checkModule plays a day with the module and checks all of it: what is served beside the reference, slow starts, the five rules.
-func checkModule(t *testing.T, d day.Day, reference dayValue) dayValue {
+func checkModule(t *testing.T, d day.Day, reference scenarioValue) scenarioValue {
 	t.Helper()
 	got, out := measure(t, d, "module")
-	got.enough(t, reference)
+	got.checkAgainst(t, reference)
 	got.checkSlowStarts(t, d)
 	if !out.Kept() {
 		t.Errorf("%d dispatchers\n%s", d.Head.Dispatchers, out.Text())
@@ -210,7 +210,7 @@
 // on what nobody waited for any more.
 func TestAReleaseUnder300DispatchersServesEnough(t *testing.T) {
 	t.Parallel()
-	d := release(t, 300, 3)
+	d := rolloutScenario(t, 300, 3)
 	reference, _ := measure(t, d, baseline.Informed)
 	checkModule(t, d, reference)
 }
@@ -218,19 +218,19 @@
 // mostLost is how much less of the value a fleet of many dispatchers may serve than one of few that has the same load and
 // backends. Some is lost by what each knows: of 300, each learns from one request a second which prefixes are common and which
 // backends are full.
-const mostLost = 0.2
+const maxLostValue = 0.2
 
 // With load and backends held the same, the number of dispatchers must not matter much.
 func TestServiceHoldsForAnyNumberOfDispatchers(t *testing.T) {
 	t.Parallel()
-	reference, _ := measure(t, release(t, 30, 1), baseline.Informed)
+	reference, _ := measure(t, rolloutScenario(t, 30, 1), baseline.Informed)
 	best, worst := 0.0, 1.0
 	for _, dispatchers := range []int{1, 30, 100, 300} {
-		d := release(t, dispatchers, 1)
+		d := rolloutScenario(t, dispatchers, 1)
 		got := checkModule(t, d, reference)
 		best, worst = max(best, got.all.share()), min(worst, got.all.share())
 	}
-	if worst < best-mostLost {
+	if worst < best-maxLostValue {
 		t.Errorf("between %.3f and %.3f of the value is served, by how many dispatchers there are", worst, best)
 	}
 }
@@ -238,7 +238,7 @@
 // The same with six dispatchers, each of which has a queue that lets the class go first that is worth most for its work.
 func TestSixDispatchersServeEachClassEnough(t *testing.T) {
 	t.Parallel()
-	d := release(t, 6, 1)
+	d := rolloutScenario(t, 6, 1)
 	reference, _ := measure(t, d, baseline.Informed)
 	checkModule(t, d, reference)
 }
--- a/internal/fleet/storm_test.go
+++ b/internal/fleet/storm_test.go
@@ -13,8 +13,8 @@
 
 // outage is a day on which four of seven boxes are away for a while, and clients ask again up to 25 times. Load alone is
 // servable.
-func outage(t testing.TB) day.Day {
-	d := load(t, "quiet")
+func outageScenario(t testing.TB) day.Day {
+	d := loadScenario(t, "quiet")
 	d.Head.Length, d.Head.PerS, d.Head.Dispatchers = setup.Duration(60e9), 110, 3
 	d.Clients.Retries, d.Clients.Wait, d.Clients.Honour = 25, setup.Duration(300e6), 1
 	d.Limits.MaxRetryAfter = setup.Duration(10e9)
@@ -23,7 +23,7 @@
 	return d
 }
 
-func recovered(t *testing.T, name string, d day.Day, back time.Duration) (float64, bool) {
+func recoveryTime(t *testing.T, name string, d day.Day, back time.Duration) (float64, bool) {
 	t.Helper()
 	out, err := Play(d, "module")
 	if err != nil {
@@ -32,7 +32,7 @@
 	if !out.Kept() {
 		t.Errorf("%s\n%s", name, out.Text())
 	}
-	s, ok := judge.Recovered(out.Share, out.Asked, 10*time.Second, back)
+	s, ok := judge.Recovered(out.OnTimeShare, out.Submitted, 10*time.Second, back)
 	t.Logf("%s: back after %.0f s (%v), service %.3f, %d tries, followers %.3f, others %.3f", name, s, ok, out.Service, out.Tries, out.Followers, out.Others)
 	return s, ok
 }
@@ -55,25 +55,25 @@
 			d.Troubles = append(d.Troubles, day.Trouble{Kind: "kill_dispatcher", At: setup.Duration(20e9), Length: setup.Duration(1e9), Dispatchers: []int{0}})
 		},
 	} {
-		d := outage(t)
+		d := outageScenario(t)
 		change(&d)
-		if s, ok := recovered(t, name, d, back); !ok || s > 15 {
+		if s, ok := recoveryTime(t, name, d, back); !ok || s > 15 {
 			t.Errorf("%s: back after %.0f s (%v)", name, s, ok)
 		}
 	}
 }
 
 func TestASecondOutageDuringRecovery(t *testing.T) {
-	d := outage(t)
+	d := outageScenario(t)
 	d.Troubles = append(d.Troubles, day.Trouble{Kind: "crash", At: setup.Duration(27e9), Length: setup.Duration(6e9), Boxes: []string{"reader-2", "writer-3"}})
-	if s, ok := recovered(t, "twice", d, 33*time.Second); !ok || s > 20 {
+	if s, ok := recoveryTime(t, "twice", d, 33*time.Second); !ok || s > 20 {
 		t.Errorf("back after %.0f s (%v)", s, ok)
 	}
 }
 
 // What the guard is for: clients that follow its advice are satisfied in the end, with a fraction of the tries.
 func TestTheGuardSparesTriesAndServesMore(t *testing.T) {
-	with := outage(t)
+	with := outageScenario(t)
 	with.Head.PerS = 130
 	without := with
 	without.Limits.ThrottleRetries, without.Limits.MaxRetryAfter = false, 0
@@ -95,21 +95,21 @@
 // Load alone is servable, load and what is asked again is not: a burst is enough for clients that ask again at once to keep a
 // fleet down for good. With the guard it comes out of that without help.
 func TestTheFleetLeavesAMetastableState(t *testing.T) {
-	d := outage(t)
+	d := outageScenario(t)
 	d.Clients.Honour, d.Clients.Wait, d.Clients.Retries, d.Head.Dispatchers = 0, setup.Duration(50e6), 50, 33
 	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(10e9), Length: setup.Duration(8e9), Size: 4}}
-	if s, ok := recovered(t, "after a burst", d, 18*time.Second); !ok || s > 15 {
+	if s, ok := recoveryTime(t, "after a burst", d, 18*time.Second); !ok || s > 15 {
 		t.Errorf("back after %.0f s (%v)", s, ok)
 	}
 	d.Limits.ThrottleRetries, d.Limits.MaxRetryAfter = false, 0
-	if s, ok := recovered(t, "without the guard", d, 18*time.Second); ok && s < 25 {
+	if s, ok := recoveryTime(t, "without the guard", d, 18*time.Second); ok && s < 25 {
 		t.Errorf("without the guard it is back after %.0f s: this day shows nothing", s)
 	}
 }
 
 // One channel asks for four times what it did, and its clients ask again at once: the other's questions are served as before.
 func TestOneChannelsStormLeavesTheOtherServed(t *testing.T) {
-	d := outage(t)
+	d := outageScenario(t)
 	d.Head.PerS, d.Clients.Honour, d.Clients.Wait = 80, 0, setup.Duration(100e6)
 	d.Tenants = []setup.Tenant{{Name: "web-app", Share: 0.6, RequestsPerSecond: 60}, {Name: "ranger-office", Share: 0.4, RequestsPerSecond: 60}}
 	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(10e9), Length: setup.Duration(20e9), Size: 3, Channel: "web-app"}}
--- a/internal/fleet/trouble_test.go
+++ b/internal/fleet/trouble_test.go
@@ -21,7 +21,7 @@
 			return l.What == record.Note && l.Word == "stop_dispatcher is not played here"
 		},
 	} {
-		d := load(t, "quiet")
+		d := loadScenario(t, "quiet")
 		d.Troubles = []day.Trouble{
 			{Kind: kind, At: setup.Duration(2 * time.Second), Length: setup.Duration(3 * time.Second), Boxes: []string{"reader", "writer"}, Share: 0.3, Dispatchers: []int{0}},
 			{Kind: "drain", At: setup.Duration(2500 * time.Millisecond), Length: setup.Duration(time.Second), Boxes: []string{"writer-2"}},
