--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -507,8 +507,8 @@
 	return max(speed, 0.001)
 }
 
-// Loading tells how long it still loads its model.
-func (e *Engine) Loading(now time.Duration) time.Duration {
+// LoadTimeLeft tells how long it still loads its model.
+func (e *Engine) LoadTimeLeft(now time.Duration) time.Duration {
 	if !e.slowStart {
 		return 0
 	}
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -208,7 +208,7 @@
 	if took := step(true, 12*time.Second, nil); took != warm {
 		t.Errorf("after its ramp a step takes %v, not %v", took, warm)
 	}
-	if New(m, 0, true).Loading(500*time.Millisecond) != 1500*time.Millisecond {
+	if New(m, 0, true).LoadTimeLeft(500*time.Millisecond) != 1500*time.Millisecond {
 		t.Error("the model loads in no time")
 	}
 }
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -46,7 +46,7 @@
 	if b.stepScheduled || !b.running {
 		return
 	}
-	if load := b.engine.Loading(b.w.now); load > 0 {
+	if load := b.engine.LoadTimeLeft(b.w.now); load > 0 {
 		b.stepScheduled = true
 		b.w.after(load, func() { b.stepScheduled = false; b.runSteps() })
 		return
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -249,7 +249,7 @@
 	for {
 		b.mu.Lock()
 		now := b.fleet.Record.Since()
-		wait, ok := eng.Loading(now), false
+		wait, ok := eng.LoadTimeLeft(now), false
 		if wait == 0 {
 			wait, ok = eng.BeginStep(max(due, now-maxStepLag))
 		}
