--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline has plain policies to compare the module with, and nothing else: they are hosted in its place by
-// experiments, never by a running dispatcher. They keep the five rules as far as one dispatcher can without thought.
-// Begin with New.
+// Package baseline has simple scheduling policies as references for the scheduler. Experiments run them in its place; a
+// running dispatcher never does. They keep the checker's five rules as far as one dispatcher can without coordination. Begin
+// with New.
 package baseline
 
 import (
@@ -10,44 +10,45 @@
 	"sloetrestle/brain"
 )
 
-// Names of the policies.
+// Names lists the names of the policies.
 var Names = []string{"random", "least_streams", "round_robin", "always_apart", "always_in_place", Informed}
 
-// Policy is one plain dispatcher.
+// Policy is a scheduler that follows one simple policy.
 type Policy struct {
-	View  View // what Informed sees
-	name  string
-	runtime  brain.Runtime
-	rng   *brain.PCG
-	settings brain.Settings
-	backends []*brain.Backend
-	nextBackend  int
-	classes []*brain.Class
+	View        View // required by Informed
+	name        string
+	runtime     brain.Runtime
+	rng         *brain.PCG
+	settings    brain.Settings
+	backends    []*brain.Backend
+	nextBackend int
+	classes     []*brain.Class
 }
 
-// New makes a policy by its name.
+// New returns the policy of the given name.
 func New(name string, settings brain.Settings, seed uint64, runtime brain.Runtime) (*Policy, error) {
 	known := false
 	for _, n := range Names {
 		known = known || n == name
 	}
 	if !known {
-		return nil, fmt.Errorf("policy %q is none of %v", name, Names)
+		return nil, fmt.Errorf("unknown policy %q: must be one of %v", name, Names)
 	}
 	classes, err := settings.Classes()
 	return &Policy{name: name, runtime: runtime, rng: brain.NewPCG(seed), settings: settings, classes: classes}, err
 }
 
+// UpdateEndpoints applies endpoint updates, or with whole the full list.
 func (p *Policy) UpdateEndpoints(lines []brain.Endpoint, whole bool) {
 	if whole {
-		for _, h := range p.backends {
-			h.State = brain.Removed
+		for _, backend := range p.backends {
+			backend.State = brain.Removed
 		}
 	}
 	for _, l := range lines {
 		known := false
-		for _, h := range p.backends {
-			known = known || h == l.Backend
+		for _, backend := range p.backends {
+			known = known || backend == l.Backend
 		}
 		if !known {
 			l.Backend.Role = p.settings.RoleOf(l.Backend.Kind)
@@ -57,59 +58,63 @@
 	}
 }
 
-func (p *Policy) Submit(q *brain.Request, class, _ int) {
-	q.Class = p.classes[min(class, len(p.classes)-1)]
-	q.ReceivedAt, q.Deadline = p.runtime.Now(), p.runtime.Now()+q.Timeout
-	q.KVTokens = q.PromptTokens + q.MaxOutputTokens
-	p.dispatch(q)
+// Submit schedules a new request.
+func (p *Policy) Submit(request *brain.Request, class, _ int) {
+	request.Class = p.classes[min(class, len(p.classes)-1)]
+	request.ReceivedAt, request.Deadline = p.runtime.Now(), p.runtime.Now()+request.Timeout
+	request.KVTokens = request.PromptTokens + request.MaxOutputTokens
+	p.dispatch(request)
 }
 
-// MaySend tells whether a trip that was chosen may still go out.
-func (p *Policy) MaySend(t *brain.Attempt) brain.Permission {
+// MaySend tells whether a scheduled attempt may still be sent.
+func (p *Policy) MaySend(attempt *brain.Attempt) brain.Permission {
 	switch {
-	case t.Ended:
+	case attempt.Ended:
 		return brain.AttemptEnded
-	case t.Request.Finished:
+	case attempt.Request.Finished:
 		return brain.RequestFinished
-	case p.runtime.Now() >= t.Request.Deadline:
+	case p.runtime.Now() >= attempt.Request.Deadline:
 		return brain.DeadlinePassed
-	case t.Backend.State != brain.Ready:
+	case attempt.Backend.State != brain.Ready:
 		return brain.BackendNotReady
 	}
 	return brain.Allowed
 }
 
-// begin takes the first step: apart, in place, or at a mixed host, as the policy has it.
-func (p *Policy) dispatch(q *brain.Request) {
+// dispatch sends a request's first attempt according to the policy: separate prefill and decode, a decode backend that does
+// both, or a mixed backend.
+func (p *Policy) dispatch(request *brain.Request) {
 	if p.name == Informed {
-		p.dispatchInformed(q)
+		p.dispatchInformed(request)
 		return
 	}
-	mixed, decoders, prefillers := p.eligible(q, brain.RoleMixed), p.eligible(q, brain.RoleDecode), p.eligible(q, brain.RolePrefill)
+	mixed, decoders, prefillers := p.eligible(request, brain.RoleMixed), p.eligible(request, brain.RoleDecode), p.eligible(request, brain.RolePrefill)
 	wholeBackends := append(append([]*brain.Backend(nil), mixed...), decoders...)
 	switch {
 	case p.name == "always_in_place" && len(wholeBackends) > 0 && p.settings.Bool("familyInfo.localRead"):
-		p.send(q, p.pick(wholeBackends), brain.StageWhole)
+		p.send(request, p.pick(wholeBackends), brain.StageWhole)
 	case p.name == "always_apart" && len(prefillers) > 0, len(mixed) == 0 && len(prefillers) > 0:
-		p.send(q, p.pick(prefillers), brain.StagePrefill)
+		p.send(request, p.pick(prefillers), brain.StagePrefill)
 	case len(mixed) > 0 && (len(prefillers) == 0 || p.rng.Float() < float64(len(mixed))/float64(len(mixed)+len(decoders))):
-		p.send(q, p.pick(mixed), brain.StageWhole)
+		p.send(request, p.pick(mixed), brain.StageWhole)
 	case len(prefillers) > 0:
-		p.send(q, p.pick(prefillers), brain.StagePrefill)
+		p.send(request, p.pick(prefillers), brain.StagePrefill)
 	default:
-		p.rejectOrFail(q)
+		p.rejectOrFail(request)
 	}
 }
 
-// able lists hosts of a role that may take the question now.
-func (p *Policy) eligible(q *brain.Request, role brain.Role) []*brain.Backend {
-	if p.runtime.Now() >= q.Deadline || len(q.Attempts) >= int(p.settings.Number("policyLimits.maxAttempts", 1)) {
+// eligible lists the backends of a role that may be sent the request now.
+func (p *Policy) eligible(request *brain.Request, role brain.Role) []*brain.Backend {
+	if p.runtime.Now() >= request.Deadline || len(request.Attempts) >= int(p.settings.Number("policyLimits.maxAttempts", 1)) {
 		return nil
 	}
-	if t := q.MayHaveRun(); t != nil && role != brain.RolePrefill && q.Class.Effect != brain.Idempotent {
+	if attempt := request.MayHaveRun(); attempt != nil && role != brain.RolePrefill && request.Class.Effect != brain.Idempotent {
 		return nil
 	}
-	return brain.Filter(p.backends, func(h *brain.Backend) bool { return h.Role == role && h.State == brain.Ready && !q.FailedAt(h) })
+	return brain.Filter(p.backends, func(backend *brain.Backend) bool {
+		return backend.Role == role && backend.State == brain.Ready && !request.FailedAt(backend)
+	})
 }
 
 func (p *Policy) pick(backends []*brain.Backend) *brain.Backend {
@@ -121,9 +126,9 @@
 		start := int(p.rng.Float() * float64(len(backends)))
 		best := backends[start]
 		for i := range backends {
-			h := backends[(start+i)%len(backends)]
-			if float64(h.Streams)+h.PrefillBacklog/1000 < float64(best.Streams)+best.PrefillBacklog/1000 {
-				best = h
+			backend := backends[(start+i)%len(backends)]
+			if float64(backend.Streams)+backend.PrefillBacklog/1000 < float64(best.Streams)+best.PrefillBacklog/1000 {
+				best = backend
 			}
 		}
 		return best
@@ -131,71 +136,75 @@
 	return backends[int(p.rng.Float()*float64(len(backends)))]
 }
 
-func (p *Policy) send(q *brain.Request, h *brain.Backend, stage brain.Stage) {
-	t := &brain.Attempt{Request: q, Backend: h, Number: len(q.Attempts), SentAt: p.runtime.Now(), Stage: stage}
+func (p *Policy) send(request *brain.Request, backend *brain.Backend, stage brain.Stage) {
+	attempt := &brain.Attempt{Request: request, Backend: backend, Number: len(request.Attempts), SentAt: p.runtime.Now(), Stage: stage}
 	if stage != brain.StageDecode {
-		t.PrefillTokens = q.PromptTokens
+		attempt.PrefillTokens = request.PromptTokens
 	}
-	t.ApplyLoad(1)
-	q.Attempts = append(q.Attempts, t)
-	p.runtime.Send(t, q.Deadline-t.SentAt)
+	attempt.ApplyLoad(1)
+	request.Attempts = append(request.Attempts, attempt)
+	p.runtime.Send(attempt, request.Deadline-attempt.SentAt)
 }
 
-func (p *Policy) FirstToken(t *brain.Attempt, _ time.Duration) {
-	t.FirstTokenAt = p.runtime.Now()
-	t.Request.KVHolder = nil
+// FirstToken notes that an attempt has streamed its first token; its KV cache is then no longer held elsewhere.
+func (p *Policy) FirstToken(attempt *brain.Attempt, _ time.Duration) {
+	attempt.FirstTokenAt = p.runtime.Now()
+	attempt.Request.KVHolder = nil
 }
 
-func (p *Policy) AttemptDone(t *brain.Attempt, r brain.Result) {
-	q := t.Request
-	t.Ended, t.Outcome = true, r.Outcome
-	t.ApplyLoad(-1)
-	q.Finished = q.Finished || r.Finished
+// AttemptDone takes an attempt's result and schedules the request's next attempt, if it needs one.
+func (p *Policy) AttemptDone(attempt *brain.Attempt, result brain.Result) {
+	request := attempt.Request
+	attempt.Ended, attempt.Outcome = true, result.Outcome
+	attempt.ApplyLoad(-1)
+	request.Finished = request.Finished || result.Finished
 	switch {
-	case r.Outcome == brain.Prefilled:
-		q.KVHolder = t.Backend
-	case r.Outcome == brain.Rejected && r.Detail == 1:
-		q.KVHolder = nil
+	case result.Outcome == brain.Prefilled:
+		request.KVHolder = attempt.Backend
+	case result.Outcome == brain.Rejected && result.Detail == 1:
+		request.KVHolder = nil
 	}
-	if q.Finished {
-		p.releaseKVCache(q)
+	if request.Finished {
+		p.releaseKVCache(request)
 		return
 	}
-	if q.KVHolder != nil {
-		if eligible := append(p.eligible(q, brain.RoleDecode), p.eligible(q, brain.RoleMixed)...); len(eligible) > 0 {
-			p.send(q, p.pickDecode(q, eligible), brain.StageDecode)
+	if request.KVHolder != nil {
+		if eligible := append(p.eligible(request, brain.RoleDecode), p.eligible(request, brain.RoleMixed)...); len(eligible) > 0 {
+			p.send(request, p.pickDecode(request, eligible), brain.StageDecode)
 			return
 		}
 	}
-	p.releaseKVCache(q)
-	p.dispatch(q)
+	p.releaseKVCache(request)
+	p.dispatch(request)
 }
 
-func (p *Policy) releaseKVCache(q *brain.Request) {
-	if q.KVHolder != nil && q.InFlight() == nil {
-		q.KVHolder = nil
-		p.runtime.Release(q)
+func (p *Policy) releaseKVCache(request *brain.Request) {
+	if request.KVHolder != nil && request.InFlight() == nil {
+		request.KVHolder = nil
+		p.runtime.Release(request)
 	}
 }
 
-func (p *Policy) rejectOrFail(q *brain.Request) {
-	q.Finished = true
-	if q.Class.Effect != brain.Idempotent && q.MayHaveRun() != nil {
-		p.runtime.Fail(q)
+func (p *Policy) rejectOrFail(request *brain.Request) {
+	request.Finished = true
+	if request.Class.Effect != brain.Idempotent && request.MayHaveRun() != nil {
+		p.runtime.Fail(request)
 		return
 	}
-	p.runtime.Reject(q, p.settings.Duration("policyLimits.maxRetryAfterUs"))
+	p.runtime.Reject(request, p.settings.Duration("policyLimits.maxRetryAfterUs"))
 }
 
-func (p *Policy) ClientDisconnected(q *brain.Request) {
-	if q.Finished {
+// ClientDisconnected ends the request of a client that has disconnected.
+func (p *Policy) ClientDisconnected(request *brain.Request) {
+	if request.Finished {
 		return
 	}
-	q.Finished = true
-	if t := q.InFlight(); t != nil && t.FirstTokenAt == 0 {
-		p.runtime.Cancel(t)
+	request.Finished = true
+	if attempt := request.InFlight(); attempt != nil && attempt.FirstTokenAt == 0 {
+		p.runtime.Cancel(attempt)
 	}
-	p.releaseKVCache(q)
+	p.releaseKVCache(request)
 }
 
+// PeerUpdated does nothing: the policies take no account of peer updates.
 func (p *Policy) PeerUpdated(brain.PeerUpdate) {}
--- a/internal/baseline/informed.go
+++ b/internal/baseline/informed.go
@@ -6,56 +6,56 @@
 	"sloetrestle/brain"
 )
 
-// Informed names the reference that the module is measured against: its dispatchers see the true state of every backend,
-// though some time late, and at once what each other send, as no real ones can. A request goes to the backend that will
-// have read it first; one that can't reach its latency target is rejected.
+// Informed names the reference policy with information that no real dispatcher has: each sees the true state of every
+// backend, though with a delay, and without delay what the others send. A request goes to the backend that is expected to finish
+// its prefill first. A request that can't meet its latency target is rejected.
 const Informed = "informed"
 
-// Load is the true state of one backend, as it was when it was last looked at.
+// Load is the true state of one backend when it was last observed.
 type Load struct {
-	Up      bool
-	PrefillTokensPerSecond    float64 // prompt tokens a second at its present speed
-	BacklogTokens float64 // prompt tokens that wait to be read
-	StreamLoad float64 // running answers against what it can run at its present speed
-	CachedTokens  float64 // tokens of the request's prompt that it keeps
+	Up                     bool
+	PrefillTokensPerSecond float64 // at its present speed
+	BacklogTokens          float64 // prompt tokens still to prefill
+	StreamLoad             float64 // running streams as a share of what it can run at its present speed
+	CachedTokens           float64 // tokens of the request's prompt in its prefix cache
 }
 
-// View shows Informed the backends.
+// View gives the Informed policy the states of the backends.
 type View interface {
-	Load(h *brain.Backend, q *brain.Request) Load
-	AttemptSent(t *brain.Attempt, tokens float64) // an attempt, with what is to be read for it
+	Load(backend *brain.Backend, request *brain.Request) Load
+	AttemptSent(attempt *brain.Attempt, tokens float64) // reports an attempt and its uncached prompt tokens
 }
 
-// prefillTime is how long a backend would take until the request's prompt is read.
-func (l Load) prefillTime(q *brain.Request) time.Duration {
-	return time.Duration((l.BacklogTokens + q.PromptTokens - l.CachedTokens) / l.PrefillTokensPerSecond * float64(time.Second))
+// prefillTime returns how long the backend takes until the request's prompt is prefilled.
+func (l Load) prefillTime(request *brain.Request) time.Duration {
+	return time.Duration((l.BacklogTokens + request.PromptTokens - l.CachedTokens) / l.PrefillTokensPerSecond * float64(time.Second))
 }
 
-// up lists the backends that are seen to work.
-func (p *Policy) observedUp(q *brain.Request, backends []*brain.Backend) []*brain.Backend {
-	return brain.Filter(backends, func(h *brain.Backend) bool { return p.View.Load(h, q).Up })
+// observedUp lists the backends that were up when last observed.
+func (p *Policy) observedUp(request *brain.Request, backends []*brain.Backend) []*brain.Backend {
+	return brain.Filter(backends, func(backend *brain.Backend) bool { return p.View.Load(backend, request).Up })
 }
 
-// beginInformed sends a request to the backend that will have read it first, or rejects it.
-func (p *Policy) dispatchInformed(q *brain.Request) {
-	best := brain.MinBy(p.observedUp(q, p.eligible(q, brain.RolePrefill)), func(h *brain.Backend) float64 {
-		return p.View.Load(h, q).prefillTime(q).Seconds()
+// dispatchInformed sends a request to the backend expected to finish its prefill first, or rejects it.
+func (p *Policy) dispatchInformed(request *brain.Request) {
+	best := brain.MinBy(p.observedUp(request, p.eligible(request, brain.RolePrefill)), func(backend *brain.Backend) float64 {
+		return p.View.Load(backend, request).prefillTime(request).Seconds()
 	})
-	target := q.ReceivedAt + q.Class.Target + time.Duration(q.PromptTokens/1000*float64(q.Class.TargetPer1000Tokens))
-	if best == nil || p.runtime.Now()+p.View.Load(best, q).prefillTime(q) > min(target, q.Deadline) {
-		p.rejectOrFail(q)
+	target := request.ReceivedAt + request.Class.Target + time.Duration(request.PromptTokens/1000*float64(request.Class.TargetPer1000Tokens))
+	if best == nil || p.runtime.Now()+p.View.Load(best, request).prefillTime(request) > min(target, request.Deadline) {
+		p.rejectOrFail(request)
 		return
 	}
-	p.send(q, best, brain.StagePrefill)
-	p.View.AttemptSent(q.InFlight(), q.PromptTokens-p.View.Load(best, q).CachedTokens)
+	p.send(request, best, brain.StagePrefill)
+	p.View.AttemptSent(request.InFlight(), request.PromptTokens-p.View.Load(best, request).CachedTokens)
 }
 
-// pickDecode takes the backend that answers: of Informed the one with the fewest running answers.
-func (p *Policy) pickDecode(q *brain.Request, eligible []*brain.Backend) *brain.Backend {
+// pickDecode picks the decode backend: for Informed, the one with the least stream load.
+func (p *Policy) pickDecode(request *brain.Request, eligible []*brain.Backend) *brain.Backend {
 	if p.name != Informed {
 		return p.pick(eligible)
 	}
-	best := brain.MinBy(p.observedUp(q, eligible), func(h *brain.Backend) float64 { return p.View.Load(h, q).StreamLoad })
+	best := brain.MinBy(p.observedUp(request, eligible), func(backend *brain.Backend) float64 { return p.View.Load(backend, request).StreamLoad })
 	if best == nil {
 		return eligible[0]
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine is a model of a language-model server under pressure: a scheduler that works in steps, with chunked
-// reading of prompts between the tokens of running answers, memory in blocks with reference counts, kept prefixes as
-// a tree of block hashes, preemption when blocks run out, and read states that wait. It is free of I/O and of clocks:
-// whoever drives it says what time it is, and runs it in virtual or in real time alike. Its figures are emulated, never
-// measured on an engine. Begin with Engine.Submit, Begin and Finish.
+// Package engine models an LLM inference server: a step-based scheduler with continuous batching and chunked prefill,
+// paged KV memory with reference counts, a prefix cache keyed by chained block hashes, preemption when blocks run out, and
+// prefilled KV caches held until a decode backend fetches them. It does no I/O and reads no clock: the caller passes the
+// time, so that an engine runs in virtual or in real time alike, and its timings are emulated. Begin with Engine.Submit,
+// BeginStep and FinishStep.
 package engine
 
 import (
@@ -17,104 +17,104 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Config is how an engine is built. The presets' orders of magnitude are of published 70B-class deployments; each value
-// stands in a day's file with its unit.
+// Config describes an engine: its roles, capacities and timing model. The presets have the orders of magnitude of
+// published deployments of 70B-class models.
 type Config struct {
-	Prefills, Decodes bool // roles: a reader has the one, a writer the other, a mixed server both
+	Prefills, Decodes bool // roles; a mixed backend has both
 
-	Slots       int // answers that run at once, prompts being read among them
-	MaxQueued       int // more that may wait
-	Blocks      int // of memory
-	BlockTokens int // tokens to a block
-	ChunkTokens       int // prompt tokens read in one step at most
+	Slots       int // jobs that run at once, in prefill or decode
+	MaxQueued   int // jobs that may wait for a slot
+	Blocks      int // of KV memory
+	BlockTokens int // tokens per block
+	ChunkTokens int // prompt tokens prefilled in one step at most
 
-	StepTime        time.Duration // a step that does nothing else
-	TimePerSequence   time.Duration // for each running answer, in each step
-	TimePer1000ContextTokens time.Duration // for each 1,000 tokens of their contexts
-	PrefillTokensPerSecond    float64       // prompt tokens a second, alone
-	TimePerMillionPairs   time.Duration // for each million pairs of a token read and one before it: long prompts cost more
+	StepTime                 time.Duration // base time of a step
+	TimePerSequence          time.Duration // added to a step by each decoding sequence
+	TimePer1000ContextTokens time.Duration // added to a step for each 1,000 tokens of their contexts
+	PrefillTokensPerSecond   float64       // with nothing else running
+	TimePerMillionPairs      time.Duration // attention cost for each million pairs of a prefilled token and one before it
 
-	KVCacheTTL time.Duration // how long a read state waits at most
-	SlowStartShare float64       // of its pace, right after a start
-	SlowStartRamp  time.Duration // until it has all of it
-	ModelLoadTime      time.Duration // of the model, before the first step
+	KVCacheTTL     time.Duration // how long a prefilled KV cache is held; 0: without bound
+	SlowStartShare float64       // share of the full speed right after a slow start
+	SlowStartRamp  time.Duration // from the end of loading until full speed
+	ModelLoadTime  time.Duration // before the first step of a slow start
 }
 
-// Validate names what makes no sense.
+// Validate returns an error that names the settings that are out of range.
 func (m Config) Validate() error {
 	switch {
 	case m.Slots < 1 || m.MaxQueued < 0 || m.Blocks < 1 || m.BlockTokens < 1 || m.ChunkTokens < 1:
-		return fmt.Errorf("slots, blocks, block_tokens and chunk must be at least 1, and queue not negative")
+		return fmt.Errorf("slots, blocks, block_tokens and chunk must be at least 1, and queue must not be negative")
 	case m.StepTime <= 0 || m.PrefillTokensPerSecond <= 0:
 		return fmt.Errorf("step and read_tokens_a_second must be above 0")
 	case !m.Prefills && !m.Decodes:
-		return fmt.Errorf("an engine reads, writes, or both")
+		return fmt.Errorf("an engine needs the role prefill, decode, or both")
 	}
 	return nil
 }
 
-// Stage is what a job asks.
+// Stage is the part of a request's work that a job does.
 type Stage int
 
 const (
-	StagePrefill  Stage = iota // read the prompt and keep the state
-	StageDecode              // take a state that is fetched, and answer
-	StageWhole              // read and answer
+	StagePrefill Stage = iota // prefill the prompt and hold its KV cache
+	StageDecode               // fetch a KV cache and decode
+	StageWhole                // prefill and decode
 )
 
-// Outcome is how a job ended.
+// Outcome tells how a job ended.
 type Outcome int
 
 const (
-	Done    Outcome = iota // read or answered
-	Full               // refused: slots and queue
-	NoKVCache            // the state could not be had
-	TooBig             // it can never have the memory it needs
-	Cancelled            // it was cancelled
-	Lost               // the engine stopped
+	Done      Outcome = iota // prefilled, or all tokens generated
+	Full                     // rejected: slots and queue are full
+	NoKVCache                // the KV cache could not be fetched
+	TooBig                   // it needs more memory than the engine has
+	Cancelled                // cancelled by the caller
+	Lost                     // the engine stopped
 )
 
 func (e Outcome) String() string {
 	return [...]string{"done", "full", "no_state", "too_big", "dropped", "lost"}[e]
 }
 
-// Job is one trip at the engine. The functions are called by the engine while it is being driven; any may be nil.
+// Job is one attempt at the engine. The engine calls the job's functions from within its own methods; each may be nil.
 type Job struct {
-	Key     string // of the question
-	Stage   Stage
-	Session uint64
-	SharedPrefix  uint64
-	PromptTokens  int
-	PrefixTokens  int // of it, the shared beginning
-	OutputTokens  int // tokens it will have, which nobody is told
-
-	FetchKVCache func(arrived func(ok bool)) // starts the move of a state; arrived is to be called, later, with how it went
-	OnToken func(n int)                 // one more token is out; 1 is the first
-	OnEnd func(e Outcome, kept int)
-
-	engine  *Engine
-	blocks  []*block
-	tokensInMemory    int // tokens of the prompt, and of the answer so far, that are in memory
-	prefilledTokens    int // tokens that were read for it, in all
-	targetTokens  int // how many have to be before the next token
+	Key          string // of the request
+	Stage        Stage
+	Session      uint64
+	SharedPrefix uint64
+	PromptTokens int
+	PrefixTokens int // the part of the prompt that is a shared prefix
+	OutputTokens int // length of the output, unknown to the scheduler
+
+	FetchKVCache func(arrived func(ok bool)) // starts a transfer; arrived must be called later with its success
+	OnToken      func(n int)                 // the n-th output token is generated, from 1
+	OnEnd        func(outcome Outcome, cachedTokens int)
+
+	engine          *Engine
+	blocks          []*block
+	tokensInMemory  int // of the prompt and of the output so far
+	prefilledTokens int // total, repeated prefills included
+	targetTokens    int // tokens that must be in memory before the next output token
 	cachedTokens    int
-	generatedTokens     int // tokens answered
-	arrivalNumber    uint64
-	phase   phase
-	fetched bool
-	Preemptions int // how often it was put back
+	generatedTokens int
+	arrivalNumber   uint64
+	phase           phase
+	fetched         bool
+	Preemptions     int // how often it was preempted
 }
 
-// Usage is what the job has cost its engine so far: tokens read (anew too, after it was put back) and found kept, and answer
-// tokens made.
-func (j *Job) Usage() (prefilled, cached, generated int) {
-	if j.Stage != StageDecode {
-		cached = j.cachedTokens
+// Usage returns what the job has cost its engine so far, in tokens: prefilled (again too, after a preemption), found in the
+// prefix cache, and generated.
+func (job *Job) Usage() (prefilled, cached, generated int) {
+	if job.Stage != StageDecode {
+		cached = job.cachedTokens
 	}
-	if j.Stage != StagePrefill {
-		generated = j.generatedTokens
+	if job.Stage != StagePrefill {
+		generated = job.generatedTokens
 	}
-	return j.prefilledTokens, cached, generated
+	return job.prefilledTokens, cached, generated
 }
 
 type phase int
@@ -127,67 +127,68 @@
 	phaseEnded
 )
 
-// block is one block of memory. Whole ones have a hash and are found by it; ref counts who uses it.
+// block is one block of KV memory. Full prompt blocks are found by their hash; ref counts the jobs that use the block.
 type block struct {
-	hash uint64
-	ref  int
-	idleElement *list.Element // its place among those that nobody uses
+	hash        uint64
+	ref         int
+	idleElement *list.Element // its place in Engine.idleBlocks
 }
 
-// held is a state that waits at a reader.
+// heldKVCache is the KV cache of a prefilled prompt, held until a decode backend fetches it.
 type heldKVCache struct {
-	job   *Job
-	since time.Duration
+	job    *Job
+	since  time.Duration
 	moving bool
 }
 
-// CacheEvent says what became of a kept block; they are numbered without gaps.
+// CacheEvent reports a change of the prefix cache. Events are numbered without gaps.
 type CacheEvent struct {
 	Number uint64
 	Kind   string // stored, evicted or cleared
 	Block  uint64
 }
 
-// Engine is one server.
+// Engine is one emulated inference server. It is not safe for concurrent use.
 type Engine struct {
 	Config
-	OnCacheEvent func(CacheEvent)
-	OnKVCacheDropped  func(key string) // a state that nobody let go of waits no more: it expired, or the engine stopped
-
-	queue   []*Job // by when they came; those put back first
-	active  []*Job // that have a slot, by when they came
-	kvCaches  map[string]*heldKVCache
-	kvCacheOrder   []string // of states, by when they began to wait
-	cachedBlocks    map[uint64]*block
-	freeBlocks    int       // blocks that hold nothing
-	idleBlocks    list.List // blocks that are kept and used by none, longest unused first
-	jobCount    uint64
-	eventCount  uint64
-	startedAt time.Duration
-	slowStart    bool
-	planned []*Job // of the step that is on
-	plannedTokens  []int
-	inStep  bool
-
-	// What may be wrong with it.
-	Slowdown       float64 // times; 0 and 1: nothing
-	NeighbourShare  float64 // share of the machine that another program takes
-	AgingRate      float64 // share by which its pace falls each second
-	agingSince   time.Duration
-	EvictFresh bool // memory pressure takes a state that has just been fetched
+	OnCacheEvent     func(CacheEvent)
+	OnKVCacheDropped func(key string) // a held KV cache expired, or the engine stopped
+
+	queue         []*Job // by arrival; preempted jobs first
+	active        []*Job // jobs that have a slot, by admission
+	kvCaches      map[string]*heldKVCache
+	kvCacheOrder  []string // keys of kvCaches, oldest first
+	cachedBlocks  map[uint64]*block
+	freeBlocks    int       // blocks with no content
+	idleBlocks    list.List // cached blocks that no job uses, least recently used first
+	jobCount      uint64
+	eventCount    uint64
+	startedAt     time.Duration
+	slowStart     bool
+	planned       []*Job // jobs of the current step
+	plannedTokens []int
+	inStep        bool
+
+	// Injected faults.
+	Slowdown       float64 // factor on the time of a step; 0 and 1: none
+	NeighbourShare float64 // share of the machine that another process takes
+	AgingRate      float64 // share of the speed lost each second
+	agingSince     time.Duration
+	EvictFresh     bool // evict KV caches just fetched under memory pressure
 
 	Counts Counts
 }
 
-// Counts are what an engine has done.
+// Counts are an engine's totals since its start.
 type Counts struct {
 	Steps, Tokens, ReadTokens, KeptTokens, Preempted, Evicted, Refused, StatesExpired, FreshEvicted int64
 	Ends                                                                                            [Lost + 1]int64
 }
 
-// Add sums two engines' counts.
+// Add adds another engine's counts.
 func (c *Counts) Add(other Counts) {
-	c.Steps, c.Tokens, c.ReadTokens, c.KeptTokens = c.Steps+other.Steps, c.Tokens+other.Tokens, c.ReadTokens+other.ReadTokens, c.KeptTokens+other.KeptTokens
+	c.Steps, c.Tokens, c.ReadTokens, c.KeptTokens =
+		c.Steps+other.Steps, c.Tokens+other.Tokens, c.ReadTokens+other.ReadTokens, c.KeptTokens+other.KeptTokens
 	c.Preempted, c.Evicted, c.Refused = c.Preempted+other.Preempted, c.Evicted+other.Evicted, c.Refused+other.Refused
 	c.StatesExpired, c.FreshEvicted = c.StatesExpired+other.StatesExpired, c.FreshEvicted+other.FreshEvicted
 	for i := range c.Ends {
@@ -195,45 +196,45 @@
 	}
 }
 
-// New starts an engine at a time; a cold one ramps up.
+// New starts an engine at the given time. With slowStart it first loads its model and then ramps up its speed.
 func New(config Config, now time.Duration, slowStart bool) *Engine {
 	return &Engine{Config: config, kvCaches: map[string]*heldKVCache{}, cachedBlocks: map[uint64]*block{}, freeBlocks: config.Blocks, startedAt: now, slowStart: slowStart, agingSince: now}
 }
 
-// Submit takes a job, or ends it at once.
-func (e *Engine) Submit(now time.Duration, j *Job) {
-	j.engine = e
+// Submit queues a job, or ends it at once if the engine can't take it.
+func (e *Engine) Submit(now time.Duration, job *Job) {
+	job.engine = e
 	e.jobCount++
-	j.arrivalNumber = e.jobCount
+	job.arrivalNumber = e.jobCount
 	switch {
-	case j.Stage == StagePrefill && !e.Prefills, j.Stage != StagePrefill && !e.Decodes:
-		e.endJob(j, NoKVCache)
-	case e.blocksFor(j.PromptTokens+j.OutputTokens) > e.Blocks:
-		// It could never be answered here: taking it would only put others back again and again.
-		e.endJob(j, TooBig)
+	case job.Stage == StagePrefill && !e.Prefills, job.Stage != StagePrefill && !e.Decodes:
+		e.endJob(job, NoKVCache)
+	case e.blocksFor(job.PromptTokens+job.OutputTokens) > e.Blocks:
+		// It could never finish here: admitting it would only preempt the others again and again.
+		e.endJob(job, TooBig)
 	case len(e.active) >= e.Slots && len(e.queue) >= e.MaxQueued:
 		e.Counts.Refused++
-		e.endJob(j, Full)
+		e.endJob(job, Full)
 	default:
-		e.queue = append(e.queue, j)
+		e.queue = append(e.queue, job)
 	}
 }
 
 func (e *Engine) blocksFor(tokens int) int { return (tokens + e.BlockTokens - 1) / e.BlockTokens }
 
-// hashes are those of a prompt's whole blocks, each with all before it. A block of the shared beginning is alike in all
-// sessions, the rest in one.
-func (e *Engine) blockHashes(j *Job) iter.Seq2[int, uint64] {
+// blockHashes yields the index and hash of each full block of the job's prompt. A hash covers all blocks before it. Blocks
+// within the shared prefix are common to all sessions, the others to one session.
+func (e *Engine) blockHashes(job *Job) iter.Seq2[int, uint64] {
 	return func(yield func(int, uint64) bool) {
 		var raw [24]byte
 		previous := uint64(0)
-		for i := 0; (i+1)*e.BlockTokens <= j.PromptTokens; i++ {
-			owner := j.Session
-			if j.SharedPrefix != 0 && (i+1)*e.BlockTokens <= j.PrefixTokens {
-				owner = j.SharedPrefix
+		for i := 0; (i+1)*e.BlockTokens <= job.PromptTokens; i++ {
+			owner := job.Session
+			if job.SharedPrefix != 0 && (i+1)*e.BlockTokens <= job.PrefixTokens {
+				owner = job.SharedPrefix
 			}
 			if owner == 0 {
-				return // nothing by which it could be known again
+				return // no session: not cacheable
 			}
 			binary.LittleEndian.PutUint64(raw[:], previous)
 			binary.LittleEndian.PutUint64(raw[8:], owner)
@@ -246,10 +247,10 @@
 	}
 }
 
-// KeptFor tells how many tokens of a prompt are kept.
-func (e *Engine) CachedTokens(j *Job) int {
+// CachedTokens returns how many leading tokens of the job's prompt are in the prefix cache.
+func (e *Engine) CachedTokens(job *Job) int {
 	cached := 0
-	for i, hash := range e.blockHashes(j) {
+	for i, hash := range e.blockHashes(job) {
 		if e.cachedBlocks[hash] == nil {
 			break
 		}
@@ -258,17 +259,18 @@
 	return cached
 }
 
-// take gets a block for a job: a free one, else the kept one that was unused longest. False: all are in use.
-func (e *Engine) allocateBlock(j *Job) bool {
+// allocateBlock gives the job a block, and evicts the least recently used cached one if none is free. It returns false if
+// all blocks are in use.
+func (e *Engine) allocateBlock(job *Job) bool {
 	if e.freeBlocks == 0 && !e.evictBlock() {
 		return false
 	}
 	e.freeBlocks--
-	j.blocks = append(j.blocks, &block{ref: 1})
+	job.blocks = append(job.blocks, &block{ref: 1})
 	return true
 }
 
-// evict frees the kept block that was unused longest.
+// evictBlock frees the least recently used cached block that no job uses.
 func (e *Engine) evictBlock() bool {
 	if e.idleBlocks.Len() == 0 {
 		return false
@@ -289,39 +291,40 @@
 	}
 }
 
-// room gives a job what blocks it lacks for so many tokens.
-func (e *Engine) reserveBlocks(j *Job, tokens int) bool {
-	for len(j.blocks) < e.blocksFor(tokens) {
-		if !e.allocateBlock(j) {
+// reserveBlocks gives the job the blocks that it lacks for the given number of tokens.
+func (e *Engine) reserveBlocks(job *Job, tokens int) bool {
+	for len(job.blocks) < e.blocksFor(tokens) {
+		if !e.allocateBlock(job) {
 			return false
 		}
 	}
 	return true
 }
 
-// adopt lets a job use the blocks that are kept of its prompt; the last token is always read anew, as it makes the next.
-func (e *Engine) reuseCachedBlocks(j *Job) {
-	for _, hash := range e.blockHashes(j) {
+// reuseCachedBlocks gives the job the cached blocks of its prompt. The last prompt token is always computed anew, since the
+// first output token follows from it.
+func (e *Engine) reuseCachedBlocks(job *Job) {
+	for _, hash := range e.blockHashes(job) {
 		b := e.cachedBlocks[hash]
-		if b == nil || (len(j.blocks)+1)*e.BlockTokens >= j.PromptTokens {
+		if b == nil || (len(job.blocks)+1)*e.BlockTokens >= job.PromptTokens {
 			break
 		}
 		if b.ref == 0 {
 			e.idleBlocks.Remove(b.idleElement)
 		}
 		b.ref++
-		j.blocks = append(j.blocks, b)
+		job.blocks = append(job.blocks, b)
 	}
-	j.tokensInMemory = len(j.blocks) * e.BlockTokens
+	job.tokensInMemory = len(job.blocks) * e.BlockTokens
 }
 
-// keep enters a job's whole prompt blocks into the tree, as they have been read.
-func (e *Engine) cachePromptBlocks(j *Job) {
-	for i, hash := range e.blockHashes(j) {
-		if i >= len(j.blocks) || (i+1)*e.BlockTokens > j.tokensInMemory {
+// cachePromptBlocks adds the job's full, prefilled prompt blocks to the prefix cache.
+func (e *Engine) cachePromptBlocks(job *Job) {
+	for i, hash := range e.blockHashes(job) {
+		if i >= len(job.blocks) || (i+1)*e.BlockTokens > job.tokensInMemory {
 			break
 		}
-		if b := j.blocks[i]; b.hash == 0 && e.cachedBlocks[hash] == nil {
+		if b := job.blocks[i]; b.hash == 0 && e.cachedBlocks[hash] == nil {
 			b.hash = hash
 			e.cachedBlocks[hash] = b
 			e.emitCacheEvent("stored", hash)
@@ -329,10 +332,10 @@
 	}
 }
 
-// letGo gives a job's blocks back: kept ones stay until they are evicted, the last of a chain to be evicted first.
-func (e *Engine) releaseBlocks(j *Job) {
-	for i := len(j.blocks) - 1; i >= 0; i-- {
-		b := j.blocks[i]
+// releaseBlocks returns the job's blocks. Cached ones stay until they are evicted, the last of a chain first.
+func (e *Engine) releaseBlocks(job *Job) {
+	for i := len(job.blocks) - 1; i >= 0; i-- {
+		b := job.blocks[i]
 		b.ref--
 		if b.ref > 0 {
 			continue
@@ -343,29 +346,29 @@
 			e.freeBlocks++
 		}
 	}
-	j.blocks = nil
-	j.tokensInMemory = 0
+	job.blocks = nil
+	job.tokensInMemory = 0
 }
 
-// end ends a job wherever it is.
-func (e *Engine) endJob(j *Job, outcome Outcome) {
-	if j.phase == phaseEnded {
+// endJob ends a job in whatever phase it is.
+func (e *Engine) endJob(job *Job, outcome Outcome) {
+	if job.phase == phaseEnded {
 		return
 	}
-	j.phase = phaseEnded
-	e.releaseBlocks(j)
-	e.active = slices.DeleteFunc(e.active, func(o *Job) bool { return o == j })
-	e.queue = slices.DeleteFunc(e.queue, func(o *Job) bool { return o == j })
+	job.phase = phaseEnded
+	e.releaseBlocks(job)
+	e.active = slices.DeleteFunc(e.active, func(o *Job) bool { return o == job })
+	e.queue = slices.DeleteFunc(e.queue, func(o *Job) bool { return o == job })
 	e.Counts.Ends[outcome]++
-	if j.OnEnd != nil {
-		j.OnEnd(outcome, j.cachedTokens)
+	if job.OnEnd != nil {
+		job.OnEnd(outcome, job.cachedTokens)
 	}
 }
 
-// Cancel drops a job.
-func (e *Engine) Cancel(j *Job) { e.endJob(j, Cancelled) }
+// Cancel ends a job with outcome Cancelled.
+func (e *Engine) Cancel(job *Job) { e.endJob(job, Cancelled) }
 
-// Stop loses all that the engine holds.
+// Stop ends all jobs with outcome Lost, and drops held KV caches and the prefix cache.
 func (e *Engine) Stop() {
 	for len(e.active) > 0 {
 		e.endJob(e.active[0], Lost)
@@ -379,7 +382,7 @@
 	e.DropCache()
 }
 
-// DropCache drops all kept blocks that are in no use.
+// DropCache empties the prefix cache. Blocks in use stay with their jobs, but are no longer found by others.
 func (e *Engine) DropCache() {
 	for h, b := range e.cachedBlocks {
 		if b.ref > 0 {
@@ -393,92 +396,92 @@
 	e.emitCacheEvent("cleared", 0)
 }
 
-// admit gives slots to jobs that wait, first come first. One that finds no memory waits, and all behind it.
+// admit gives slots to queued jobs in order. A job that finds no memory stays at the head and blocks those behind it.
 func (e *Engine) admit(now time.Duration) {
 	for len(e.queue) > 0 && len(e.active) < e.Slots {
-		j := e.queue[0]
-		if j.Stage == StageDecode && !j.fetched {
-			if !e.reserveBlocks(j, j.PromptTokens) {
-				e.releaseBlocks(j)
+		job := e.queue[0]
+		if job.Stage == StageDecode && !job.fetched {
+			if !e.reserveBlocks(job, job.PromptTokens) {
+				e.releaseBlocks(job)
 				return
 			}
 			e.queue = e.queue[1:]
-			e.active = append(e.active, j)
-			j.phase = phaseFetching
-			if j.FetchKVCache == nil {
-				e.kvCacheArrived(j, false)
+			e.active = append(e.active, job)
+			job.phase = phaseFetching
+			if job.FetchKVCache == nil {
+				e.kvCacheArrived(job, false)
 			} else {
-				j.FetchKVCache(func(ok bool) { e.kvCacheArrived(j, ok) })
+				job.FetchKVCache(func(ok bool) { e.kvCacheArrived(job, ok) })
 			}
 			continue
 		}
-		j.targetTokens = j.PromptTokens + j.generatedTokens
-		e.reuseCachedBlocks(j)
-		cached := j.tokensInMemory
-		if !e.reserveBlocks(j, j.targetTokens) {
-			e.releaseBlocks(j)
+		job.targetTokens = job.PromptTokens + job.generatedTokens
+		e.reuseCachedBlocks(job)
+		cached := job.tokensInMemory
+		if !e.reserveBlocks(job, job.targetTokens) {
+			e.releaseBlocks(job)
 			return
 		}
-		if j.generatedTokens == 0 {
-			j.cachedTokens = cached
+		if job.generatedTokens == 0 {
+			job.cachedTokens = cached
 			e.Counts.KeptTokens += int64(cached)
 		}
 		e.queue = e.queue[1:]
-		e.active = append(e.active, j)
-		j.phase = phasePrefill
+		e.active = append(e.active, job)
+		job.phase = phasePrefill
 	}
 }
 
-// arrived takes the end of a state's move.
-func (e *Engine) kvCacheArrived(j *Job, ok bool) {
-	if j.phase != phaseFetching {
+// kvCacheArrived handles the end of a KV cache transfer.
+func (e *Engine) kvCacheArrived(job *Job, ok bool) {
+	if job.phase != phaseFetching {
 		return
 	}
 	if !ok {
-		e.endJob(j, NoKVCache)
+		e.endJob(job, NoKVCache)
 		return
 	}
-	j.fetched = true
+	job.fetched = true
 	if e.EvictFresh && e.freeBlocks+e.idleBlocks.Len() < e.Blocks/8 {
-		// Pressure takes what has just come: it is read anew here, as after a preemption.
+		// Memory pressure evicts the KV cache just fetched: the prompt is prefilled here, as after a preemption.
 		e.Counts.FreshEvicted++
-		e.preempt(j)
+		e.preempt(job)
 		return
 	}
-	j.tokensInMemory, j.targetTokens = j.PromptTokens, j.PromptTokens
-	j.phase = phaseDecode
-	e.cachePromptBlocks(j)
+	job.tokensInMemory, job.targetTokens = job.PromptTokens, job.PromptTokens
+	job.phase = phaseDecode
+	e.cachePromptBlocks(job)
 }
 
-// putBack frees a job's memory and lets it wait at the head of the queue, to be read anew with what it has answered.
-func (e *Engine) preempt(j *Job) {
-	e.releaseBlocks(j)
-	e.active = slices.DeleteFunc(e.active, func(o *Job) bool { return o == j })
-	j.phase = phaseQueued
-	j.Preemptions++
-	e.queue = slices.Insert(e.queue, 0, j)
+// preempt frees the job's memory and returns it to the head of the queue. Its prompt and generated tokens are prefilled anew.
+func (e *Engine) preempt(job *Job) {
+	e.releaseBlocks(job)
+	e.active = slices.DeleteFunc(e.active, func(o *Job) bool { return o == job })
+	job.phase = phaseQueued
+	job.Preemptions++
+	e.queue = slices.Insert(e.queue, 0, job)
 }
 
-// BeginStep plans the next step and returns how long it takes; false: there is nothing to do until something is submitted
-// or arrives.
+// BeginStep plans the next step and returns how long it takes. It returns false if there is nothing to do until a job is
+// submitted or a KV cache arrives.
 func (e *Engine) BeginStep(now time.Duration) (time.Duration, bool) {
 	e.expireKVCaches(now)
 	e.admit(now)
 	e.planned, e.plannedTokens = e.planned[:0], e.plannedTokens[:0]
 	budget := e.ChunkTokens
 	sequences, contextTokens, pairs, prefillTokens := 0, 0.0, 0.0, 0
-	for _, j := range e.active {
-		switch j.phase {
+	for _, job := range e.active {
+		switch job.phase {
 		case phaseDecode:
 			sequences++
-			contextTokens += float64(j.tokensInMemory)
-			e.planned, e.plannedTokens = append(e.planned, j), append(e.plannedTokens, 0)
+			contextTokens += float64(job.tokensInMemory)
+			e.planned, e.plannedTokens = append(e.planned, job), append(e.plannedTokens, 0)
 		case phasePrefill:
-			if chunk := min(budget, j.targetTokens-j.tokensInMemory); chunk > 0 {
+			if chunk := min(budget, job.targetTokens-job.tokensInMemory); chunk > 0 {
 				budget -= chunk
 				prefillTokens += chunk
-				pairs += float64(chunk) * (float64(j.tokensInMemory) + float64(chunk)/2)
-				e.planned, e.plannedTokens = append(e.planned, j), append(e.plannedTokens, chunk)
+				pairs += float64(chunk) * (float64(job.tokensInMemory) + float64(chunk)/2)
+				e.planned, e.plannedTokens = append(e.planned, job), append(e.plannedTokens, chunk)
 			}
 		}
 	}
@@ -491,7 +494,7 @@
 	return time.Duration(stepTime / e.Speed(now) * float64(time.Second)), true
 }
 
-// Speed is which part of its full speed the engine has now.
+// Speed returns the engine's speed now as a share of its full speed.
 func (e *Engine) Speed(now time.Duration) float64 {
 	speed := 1.0
 	if uptime := now - e.startedAt - e.ModelLoadTime; e.slowStart && uptime < e.SlowStartRamp {
@@ -507,7 +510,7 @@
 	return max(speed, 0.001)
 }
 
-// LoadTimeLeft tells how long it still loads its model.
+// LoadTimeLeft returns how long the engine still loads its model.
 func (e *Engine) LoadTimeLeft(now time.Duration) time.Duration {
 	if !e.slowStart {
 		return 0
@@ -515,39 +518,39 @@
 	return max(e.startedAt+e.ModelLoadTime-now, 0)
 }
 
-// SetAgingRate begins to slow it down, by a share each second; 0 ends that.
+// SetAgingRate makes the engine lose the given share of its speed each second from now on; 0 restores it.
 func (e *Engine) SetAgingRate(now time.Duration, rate float64) { e.AgingRate, e.agingSince = rate, now }
 
-// FinishStep applies the step that Begin planned.
+// FinishStep applies the step that BeginStep planned.
 func (e *Engine) FinishStep(now time.Duration) {
 	e.inStep = false
 	e.Counts.Steps++
 	planned, plannedTokens := slices.Clone(e.planned), slices.Clone(e.plannedTokens)
-	for i, j := range planned {
-		if j.phase == phasePrefill && plannedTokens[i] > 0 {
-			j.tokensInMemory += plannedTokens[i]
-			j.prefilledTokens += plannedTokens[i]
+	for i, job := range planned {
+		if job.phase == phasePrefill && plannedTokens[i] > 0 {
+			job.tokensInMemory += plannedTokens[i]
+			job.prefilledTokens += plannedTokens[i]
 			e.Counts.ReadTokens += int64(plannedTokens[i])
-			if j.tokensInMemory < j.targetTokens {
+			if job.tokensInMemory < job.targetTokens {
 				continue
 			}
-			e.cachePromptBlocks(j)
-			if j.Stage == StagePrefill {
-				e.holdKVCache(now, j)
+			e.cachePromptBlocks(job)
+			if job.Stage == StagePrefill {
+				e.holdKVCache(now, job)
 				continue
 			}
-			j.phase = phaseDecode
-			e.decodeToken(j)
-		} else if j.phase == phaseDecode && plannedTokens[i] == 0 {
-			e.decodeToken(j)
+			job.phase = phaseDecode
+			e.decodeToken(job)
+		} else if job.phase == phaseDecode && plannedTokens[i] == 0 {
+			e.decodeToken(job)
 		}
 	}
 }
 
-// answer adds one token to a running answer.
-func (e *Engine) decodeToken(j *Job) {
-	for j.phase == phaseDecode && !e.reserveBlocks(j, j.PromptTokens+j.generatedTokens+1) {
-		// Memory is out: the newest answer goes back, so that the oldest always comes to its end.
+// decodeToken adds one token to a job's output.
+func (e *Engine) decodeToken(job *Job) {
+	for job.phase == phaseDecode && !e.reserveBlocks(job, job.PromptTokens+job.generatedTokens+1) {
+		// Out of memory: preempt the newest decoding job, so that the oldest always finishes.
 		var newest *Job
 		for _, o := range e.active {
 			if o.phase == phaseDecode && (newest == nil || o.arrivalNumber > newest.arrivalNumber) {
@@ -557,36 +560,36 @@
 		e.Counts.Preempted++
 		e.preempt(newest)
 	}
-	if j.phase != phaseDecode {
+	if job.phase != phaseDecode {
 		return
 	}
-	j.generatedTokens++
-	j.tokensInMemory = j.PromptTokens + j.generatedTokens
+	job.generatedTokens++
+	job.tokensInMemory = job.PromptTokens + job.generatedTokens
 	e.Counts.Tokens++
-	if j.OnToken != nil {
-		j.OnToken(j.generatedTokens)
+	if job.OnToken != nil {
+		job.OnToken(job.generatedTokens)
 	}
-	if j.phase == phaseDecode && j.generatedTokens >= j.OutputTokens {
-		e.endJob(j, Done)
+	if job.phase == phaseDecode && job.generatedTokens >= job.OutputTokens {
+		e.endJob(job, Done)
 	}
 }
 
-// wait lets a read state wait with its blocks.
-func (e *Engine) holdKVCache(now time.Duration, j *Job) {
-	e.active = slices.DeleteFunc(e.active, func(o *Job) bool { return o == j })
-	j.phase = phaseEnded
-	if old := e.kvCaches[j.Key]; old != nil {
-		e.ReleaseKVCache(j.Key)
+// holdKVCache ends a prefill job and holds its KV cache with its blocks.
+func (e *Engine) holdKVCache(now time.Duration, job *Job) {
+	e.active = slices.DeleteFunc(e.active, func(o *Job) bool { return o == job })
+	job.phase = phaseEnded
+	if old := e.kvCaches[job.Key]; old != nil {
+		e.ReleaseKVCache(job.Key)
 	}
-	e.kvCaches[j.Key] = &heldKVCache{job: j, since: now}
-	e.kvCacheOrder = append(e.kvCacheOrder, j.Key)
+	e.kvCaches[job.Key] = &heldKVCache{job: job, since: now}
+	e.kvCacheOrder = append(e.kvCacheOrder, job.Key)
 	e.Counts.Ends[Done]++
-	if j.OnEnd != nil {
-		j.OnEnd(Done, j.cachedTokens)
+	if job.OnEnd != nil {
+		job.OnEnd(Done, job.cachedTokens)
 	}
 }
 
-// expire drops states that waited too long.
+// expireKVCaches drops KV caches held for longer than KVCacheTTL.
 func (e *Engine) expireKVCaches(now time.Duration) {
 	for len(e.kvCacheOrder) > 0 {
 		h := e.kvCaches[e.kvCacheOrder[0]]
@@ -598,7 +601,8 @@
 	}
 }
 
-// HeldKVCache returns the tokens of a state that waits; false: there is none, or it is on its way already.
+// HeldKVCache returns the tokens of a KV cache that is ready to be fetched. It returns false if there is none, or if it is
+// being transferred already.
 func (e *Engine) HeldKVCache(key string) (tokens int, ok bool) {
 	h := e.kvCaches[key]
 	if h == nil || h.moving {
@@ -607,20 +611,20 @@
 	return h.job.PromptTokens, true
 }
 
-// KVCacheMoving tells whether a state is on its way.
+// KVCacheMoving tells whether a KV cache is being transferred.
 func (e *Engine) KVCacheMoving(key string) bool {
 	h := e.kvCaches[key]
 	return h != nil && h.moving
 }
 
-// SetKVCacheMoving marks a state as on its way, or, if the move failed, as waiting again.
+// SetKVCacheMoving marks a KV cache as being transferred or, after a failed transfer, as ready again.
 func (e *Engine) SetKVCacheMoving(key string, moving bool) {
 	if h := e.kvCaches[key]; h != nil {
 		h.moving = moving
 	}
 }
 
-// ReleaseKVCache lets go of a state.
+// ReleaseKVCache frees a held KV cache. It returns false if there is none.
 func (e *Engine) ReleaseKVCache(key string) bool {
 	h := e.kvCaches[key]
 	if h == nil {
@@ -632,43 +636,45 @@
 	return true
 }
 
-// drop lets go of a state by the engine's own doing.
+// dropKVCache releases a KV cache on the engine's own account and reports it through OnKVCacheDropped.
 func (e *Engine) dropKVCache(key string) {
 	if e.ReleaseKVCache(key) && e.OnKVCacheDropped != nil {
 		e.OnKVCacheDropped(key)
 	}
 }
 
-// LoadReport is what a load report may hold.
+// LoadReport returns the values that a load report may hold: the share of slots in use, queued jobs, jobs and held KV caches,
+// the share of blocks in use (x0), and prompt tokens still to prefill in thousands (x1).
 func (e *Engine) LoadReport() map[string]float64 {
 	waitingTokens := 0
-	for _, j := range e.active {
-		if j.phase == phasePrefill {
-			waitingTokens += j.targetTokens - j.tokensInMemory
+	for _, job := range e.active {
+		if job.phase == phasePrefill {
+			waitingTokens += job.targetTokens - job.tokensInMemory
 		}
 	}
-	for _, j := range e.queue {
-		waitingTokens += j.PromptTokens
+	for _, job := range e.queue {
+		waitingTokens += job.PromptTokens
 	}
 	return map[string]float64{
-		"util": float64(len(e.active)) / float64(e.Slots), "queue": float64(len(e.queue)), "inflight": float64(len(e.active) + len(e.queue) + len(e.kvCaches)),
-		"x0": float64(e.Blocks-e.freeBlocks-e.idleBlocks.Len()) / float64(e.Blocks), "x1": float64(waitingTokens) / 1000,
+		"util": float64(len(e.active)) / float64(e.Slots), "queue": float64(len(e.queue)),
+		"inflight": float64(len(e.active) + len(e.queue) + len(e.kvCaches)),
+		"x0":       float64(e.Blocks-e.freeBlocks-e.idleBlocks.Len()) / float64(e.Blocks), "x1": float64(waitingTokens) / 1000,
 	}
 }
 
-// Memory counts the blocks: free, kept and unused, and in use.
+// BlockCounts returns the numbers of free, cached but unused, and used blocks.
 func (e *Engine) BlockCounts() (free, idle, used int) {
 	seen := map[*block]bool{}
-	count := func(j *Job) {
-		for _, b := range j.blocks {
+	count := func(job *Job) {
+		for _, b := range job.blocks {
 			seen[b] = true
 		}
 	}
-	for _, j := range e.active {
-		count(j)
+	for _, job := range e.active {
+		count(job)
 	}
-	for _, j := range e.queue {
-		count(j)
+	for _, job := range e.queue {
+		count(job)
 	}
 	for _, h := range e.kvCaches {
 		count(h.job)
@@ -676,7 +682,7 @@
 	return e.freeBlocks, e.idleBlocks.Len(), len(seen)
 }
 
-// Held counts its jobs: with a slot, waiting, and states.
+// JobCounts returns the numbers of jobs with a slot, queued jobs, and held KV caches.
 func (e *Engine) JobCounts() (active, queued, kvCaches int) {
 	return len(e.active), len(e.queue), len(e.kvCaches)
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -13,7 +13,7 @@
 		TimePerSequence: time.Millisecond, PrefillTokensPerSecond: 10000, KVCacheTTL: 5 * time.Second}
 }
 
-// drive runs an engine until it has nothing to do, or for so many steps.
+// drive runs an engine until it is idle, or for the given number of steps.
 func drive(e *Engine, now time.Duration, steps int) time.Duration {
 	for range steps {
 		took, ok := e.BeginStep(now)
@@ -26,12 +26,12 @@
 	return now
 }
 
-// asked is a job that counts what becomes of it.
+// trackedJob is a job that records its tokens and its end.
 type trackedJob struct {
 	Job
 	tokens, ends int
-	outcome          Outcome
-	cachedTokens     int
+	outcome      Outcome
+	cachedTokens int
 }
 
 func newJob(stage Stage, session, shared uint64, prompt, prefix, answer int) *trackedJob {
@@ -41,7 +41,7 @@
 	return a
 }
 
-func TestAnAnswerHasItsTokensAndLeavesItsPromptKept(t *testing.T) {
+func TestJobGeneratesAllTokensAndCachesItsPrompt(t *testing.T) {
 	e := New(testConfig(), 0, false)
 	a := newJob(StageWhole, 1, 9, 320, 160, 10)
 	e.Submit(0, &a.Job)
@@ -49,22 +49,22 @@
 	if a.ends != 1 || a.outcome != Done || a.tokens != 10 || a.cachedTokens != 0 {
 		t.Errorf("%+v", a)
 	}
-	// Two steps to read 320 tokens by 256, the second with the first token; nine more.
+	// Two steps prefill 320 tokens in chunks of 256, the second of them with the first output token; nine more decode.
 	if want := 11*10*time.Millisecond + 32*time.Millisecond + 9*time.Millisecond; now != want {
-		t.Errorf("took %v, not %v", now, want)
+		t.Errorf("drive() ended at %v, want %v", now, want)
 	}
-	b := newJob(StageWhole, 2, 9, 320, 160, 1) // another session with the same beginning
-	c := newJob(StageWhole, 1, 9, 400, 160, 1) // the same one goes on
+	b := newJob(StageWhole, 2, 9, 320, 160, 1) // another session with the same prefix
+	c := newJob(StageWhole, 1, 9, 400, 160, 1) // the same session continues
 	e.Submit(now, &b.Job)
 	now = drive(e, now, 100)
 	e.Submit(now, &c.Job)
 	drive(e, now, 100)
 	if b.cachedTokens != 160 || c.cachedTokens != 320 {
-		t.Errorf("kept %d of a shared beginning of 160, %d of a session's 320", b.cachedTokens, c.cachedTokens)
+		t.Errorf("cached %d tokens of a shared prefix of 160, and %d of a session's 320", b.cachedTokens, c.cachedTokens)
 	}
 }
 
-func TestStepsGrowWithWhatIsDone(t *testing.T) {
+func TestStepTimeGrowsWithSequencesAndSlowdown(t *testing.T) {
 	m := testConfig()
 	m.TimePer1000ContextTokens, m.TimePerMillionPairs = time.Millisecond, time.Millisecond
 	time1 := func(jobs int, slow float64) time.Duration {
@@ -79,11 +79,11 @@
 		return took
 	}
 	if one, four, slow := time1(1, 1), time1(4, 1), time1(4, 3); one >= four || slow < 2*four {
-		t.Errorf("a step takes %v with one answer, %v with four, %v with four and a third of the pace", one, four, slow)
+		t.Errorf("a step takes %v with one sequence, %v with four, %v with four at a third of the speed", one, four, slow)
 	}
 }
 
-func TestPastSlotsAndQueueTheAnswerIsFull(t *testing.T) {
+func TestSubmitBeyondSlotsAndQueueIsRejected(t *testing.T) {
 	e := New(testConfig(), 0, false)
 	full := 0
 	for i := range 12 {
@@ -95,17 +95,17 @@
 		e.BeginStep(0)
 	}
 	if full != 4 {
-		t.Errorf("%d of 12 were refused, with room for 4 and 4 more", full)
+		t.Errorf("%d of 12 jobs rejected, want 4: there are 4 slots and 4 places in the queue", full)
 	}
 	big := newJob(StageWhole, 99, 0, 1601, 0, 1)
 	e.Submit(0, &big.Job)
 	if big.outcome != TooBig || big.ends != 1 {
-		t.Errorf("a prompt larger than the memory: %v", big.outcome)
+		t.Errorf("a prompt larger than the memory ended %v", big.outcome)
 	}
 }
 
-// When memory runs out the newest goes back, again and again if it must; all come to their end.
-func TestThrashEnds(t *testing.T) {
+// When memory runs out the newest job is preempted, repeatedly if need be, and all jobs still finish.
+func TestPreemptedJobsFinish(t *testing.T) {
 	m := testConfig()
 	m.Blocks = 30
 	e := New(m, 0, false)
@@ -118,14 +118,14 @@
 	drive(e, 0, 5000)
 	for i, a := range all {
 		if a.outcome != Done || a.tokens != 200 {
-			t.Errorf("answer %d ended %v with %d tokens", i, a.outcome, a.tokens)
+			t.Errorf("job %d ended %v with %d tokens", i, a.outcome, a.tokens)
 		}
 	}
 	if e.Counts.Preempted == 0 {
-		t.Error("memory never ran out")
+		t.Error("no preemption: memory never ran out")
 	}
 	if all[0].Preemptions > 0 {
-		t.Errorf("the oldest was put back %d times", all[0].Preemptions)
+		t.Errorf("the oldest job was preempted %d times, want 0", all[0].Preemptions)
 	}
 }
 
@@ -135,26 +135,26 @@
 	e.Submit(0, &a.Job)
 	now := drive(e, 0, 50)
 	if n, ok := e.HeldKVCache(a.Key); !ok || n != 320 || a.outcome != Done {
-		t.Fatalf("%d tokens wait (%v), ended %v", n, ok, a.outcome)
+		t.Fatalf("held KV cache of %d tokens (%v), job ended %v", n, ok, a.outcome)
 	}
 	e.SetKVCacheMoving(a.Key, true)
 	if _, ok := e.HeldKVCache(a.Key); ok {
-		t.Error("a state that moves is given twice")
+		t.Error("a KV cache in transfer is offered again")
 	}
 	e.SetKVCacheMoving(a.Key, false)
 	_, _, before := e.BlockCounts()
 	e.BeginStep(now + 4*time.Second)
 	if _, ok := e.HeldKVCache(a.Key); !ok {
-		t.Error("it expired early")
+		t.Error("the KV cache expired before its TTL")
 	}
 	e.BeginStep(now + 6*time.Second)
 	_, ok := e.HeldKVCache(a.Key)
 	if _, _, after := e.BlockCounts(); ok || before != 20 || after != 0 || e.Counts.StatesExpired != 1 {
-		t.Errorf("waits %v, %d blocks used and then %d, expired %d", ok, before, after, e.Counts.StatesExpired)
+		t.Errorf("held %v, blocks in use %d before and %d after, expired %d", ok, before, after, e.Counts.StatesExpired)
 	}
 }
 
-func TestAFetchedStateUnderPressureIsReadAnew(t *testing.T) {
+func TestKVCacheEvictedAfterFetchIsRecomputed(t *testing.T) {
 	m := testConfig()
 	e := New(m, 0, false)
 	e.EvictFresh = true
@@ -167,23 +167,23 @@
 	e.Submit(now, &a.Job)
 	e.BeginStep(now)
 	if arrived == nil {
-		t.Fatal("nothing was fetched")
+		t.Fatal("no KV cache was fetched")
 	}
 	arrived(true)
 	drive(e, now, 500)
 	if e.Counts.FreshEvicted != 1 || a.outcome != Done || a.tokens != 3 {
-		t.Errorf("evicted %d, ended %v with %d tokens", e.Counts.FreshEvicted, a.outcome, a.tokens)
+		t.Errorf("evicted %d KV caches, job ended %v with %d tokens", e.Counts.FreshEvicted, a.outcome, a.tokens)
 	}
 	b := newJob(StageDecode, 3, 0, 64, 0, 3)
 	b.FetchKVCache = func(f func(bool)) { f(false) }
 	e.Submit(now, &b.Job)
 	e.BeginStep(now)
 	if b.outcome != NoKVCache {
-		t.Errorf("a state that could not be had: %v", b.outcome)
+		t.Errorf("job with a failed KV cache transfer ended %v", b.outcome)
 	}
 }
 
-func TestAColdAnAgeingAndASharedEngineAreSlower(t *testing.T) {
+func TestSlowStartAgingAndNeighbourSlowTheEngine(t *testing.T) {
 	m := testConfig()
 	m.SlowStartShare, m.SlowStartRamp, m.ModelLoadTime = 0.25, 10*time.Second, 2*time.Second
 	step := func(cold bool, at time.Duration, change func(*Engine)) time.Duration {
@@ -198,24 +198,24 @@
 	}
 	warm := step(false, 0, nil)
 	for what, took := range map[string]time.Duration{
-		"at a quarter": step(true, 2*time.Second, nil), "beside another program": step(false, 0, func(e *Engine) { e.NeighbourShare = 0.75 }),
-		"aged": step(false, 28*time.Second, func(e *Engine) { e.SetAgingRate(0, 0.05) }),
+		"in slow start at a quarter": step(true, 2*time.Second, nil), "beside another process": step(false, 0, func(e *Engine) { e.NeighbourShare = 0.75 }),
+		"after aging": step(false, 28*time.Second, func(e *Engine) { e.SetAgingRate(0, 0.05) }),
 	} {
 		if took < 3*warm || took > 6*warm {
-			t.Errorf("%s a step takes %v, warm %v", what, took, warm)
+			t.Errorf("%s a step takes %v, at full speed %v", what, took, warm)
 		}
 	}
 	if took := step(true, 12*time.Second, nil); took != warm {
-		t.Errorf("after its ramp a step takes %v, not %v", took, warm)
+		t.Errorf("after its ramp a step takes %v, want %v", took, warm)
 	}
 	if New(m, 0, true).LoadTimeLeft(500*time.Millisecond) != 1500*time.Millisecond {
-		t.Error("the model loads in no time")
+		t.Error("LoadTimeLeft() 500ms after a slow start is not 1.5s")
 	}
 }
 
-// Whatever is asked, cancelled and released, in whatever order: blocks are neither lost nor made, none is freed while it is
-// in use, every job ends once at most, and all that is left alone ends.
-func TestConservation(t *testing.T) {
+// For any order of submissions, cancellations and releases: the number of blocks is constant, no block is freed while in use,
+// no job ends more than once, and once nothing more is submitted each job ends.
+func TestBlocksAreConservedAndEachJobEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := testConfig()
 		m.Blocks, m.Slots = rapid.IntRange(10, 60).Draw(t, "blocks"), rapid.IntRange(1, 6).Draw(t, "slots")
@@ -234,7 +234,7 @@
 				stored[c.Block] = true
 			case "evicted":
 				if !stored[c.Block] {
-					t.Fatalf("block %x was evicted and is not stored", c.Block)
+					t.Fatalf("block %x was evicted without having been stored", c.Block)
 				}
 				delete(stored, c.Block)
 			case "cleared":
@@ -247,11 +247,11 @@
 		check := func() {
 			free, idle, used := e.BlockCounts()
 			if free+idle+used != m.Blocks || free < 0 || idle < 0 {
-				t.Fatalf("%d free, %d kept and %d used of %d blocks", free, idle, used, m.Blocks)
+				t.Fatalf("%d free, %d cached and %d used of %d blocks", free, idle, used, m.Blocks)
 			}
 			for h, b := range e.cachedBlocks {
 				if b.hash != h || b.ref < 0 || !stored[h] {
-					t.Fatalf("block %x of the tree: hash %x, used by %d, told %v", h, b.hash, b.ref, stored[h])
+					t.Fatalf("cached block %x: hash %x, reference count %d, event sent %v", h, b.hash, b.ref, stored[h])
 				}
 			}
 			for _, a := range all {
@@ -307,7 +307,7 @@
 		}
 		e.Stop()
 		if free, idle, used := e.BlockCounts(); free != m.Blocks || idle+used != 0 {
-			t.Fatalf("after the stop %d free, %d kept, %d used", free, idle, used)
+			t.Fatalf("after Stop(): %d free, %d cached, %d used", free, idle, used)
 		}
 	})
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -45,7 +45,7 @@
 values = [2]
 `
 
-func TestAnInterruptedExperimentGoesOnWhereItStopped(t *testing.T) {
+func TestInterruptedExperimentResumes(t *testing.T) {
 	p, err := loadPlanText(t, planText)
 	if err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 		}
 	})
 	if err == nil {
-		t.Error("an interrupted experiment tells nothing")
+		t.Error("an interrupted experiment returned no error")
 	}
 	s.Close()
 	if s, err = OpenStore(file); err != nil {
@@ -72,7 +72,7 @@
 	defer s.Close()
 	before, err := s.Runs("t")
 	if err != nil || len(before) == 0 || len(before) == 12 {
-		t.Fatalf("%d runs are kept, %v", len(before), err)
+		t.Fatalf("%d runs are stored, %v", len(before), err)
 	}
 	again := 0
 	if err := Execute(context.Background(), s, p, "v", day.Stage{}, func(string, ...any) { again++ }); err != nil {
@@ -80,10 +80,10 @@
 	}
 	after, _ := s.Runs("t")
 	if len(after) != 12 || again-1 != 12-len(before) {
-		t.Errorf("%d runs are kept after %d more; %d were before", len(after), again-1, len(before))
+		t.Errorf("%d runs are stored after %d more, %d before", len(after), again-1, len(before))
 	}
 	if other, err := loadPlanText(t, strings.Replace(planText, "repeats = 3", "repeats = 2", 1)); err != nil || s.Begin(other) == nil {
-		t.Errorf("another plan goes on under the same name (%v)", err)
+		t.Errorf("a different plan resumes under the same name (%v)", err)
 	}
 	var table, csv bytes.Buffer
 	if err := Table(&table, after, []string{"service", "first_p99_ms"}); err != nil || strings.Count(table.String(), "\n") != 5 {
@@ -97,14 +97,14 @@
 		t.Error(err)
 	}
 	if raw, err := os.ReadFile(chart); err != nil || !bytes.Contains(raw, []byte("<svg")) {
-		t.Errorf("no chart: %v", err)
+		t.Errorf("the chart file is not SVG: %v", err)
 	}
 	if err := Chart(after, "policy", "service", "repeat", chart, "t"); err == nil {
-		t.Error("a chart over words")
+		t.Error("a chart over a non-numeric key was drawn")
 	}
 }
 
-func TestPlansThatCannotBePlayedAreNamed(t *testing.T) {
+func TestInvalidPlansAreRejectedWithTheKey(t *testing.T) {
 	for old, c := range map[string][2]string{
 		"repeats = 3":                {"repeats = 0", "experiment.repeats"},
 		`base = "day.toml"`:          {`base = "night.toml"`, "night.toml"},
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestCompareTellsADifferenceFromNoise(t *testing.T) {
+func TestCompareTellsDifferenceFromNoise(t *testing.T) {
 	var runs []Run
 	add := func(policy, repeat string, service float64) {
 		runs = append(runs, Run{Setting: Setting{"policy": policy, "repeat": repeat}, Figures: map[string]float64{"service": service}, RulesKept: true})
@@ -127,8 +127,8 @@
 	for i, seed := range []string{"0", "1", "2", "3"} {
 		noise := []float64{0.05, -0.04, 0.02, -0.03}[i]
 		add("module", seed, 0.8+noise)
-		add("worse", seed, 0.7+noise+0.002*float64(i)) // less on each seed
-		add("alike", seed, 0.8-noise)                  // as much more as less
+		add("worse", seed, 0.7+noise+0.002*float64(i)) // lower with each seed
+		add("alike", seed, 0.8-noise)                  // higher as often as lower
 	}
 	diffs, err := Compare(runs, "policy", "service")
 	if err != nil || len(diffs) != 2 {
@@ -140,6 +140,6 @@
 		}
 	}
 	if _, err := Compare(runs, "moon", "service"); err == nil {
-		t.Error("a key that is not varied")
+		t.Error("a comparison by a key that is not varied succeeded")
 	}
 }
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,6 +1,6 @@
-// Package experiment runs a day many times, one thing varied at a time, keeps each run's figures with what it was run
-// with in an embedded store, goes on where it was interrupted, and makes tables and charts of them. It decides nothing and
-// no test of the program depends on it. Begin with Plan.
+// Package experiment runs a scenario many times with varied settings, and stores each run's figures with its settings in an
+// embedded database, so that an interrupted experiment resumes. It makes tables and charts of the runs; it sets no bounds and no
+// test of the program depends on it. Begin with Plan.
 package experiment
 
 import (
@@ -18,13 +18,13 @@
 	"sloetrestle/internal/setup"
 )
 
-// Plan says what to vary.
+// Plan describes an experiment: the base scenario, and what to vary.
 type Plan struct {
 	Experiment struct {
 		Name     string   `toml:"name"`
-		Base     string   `toml:"base"` // the day's file, from the plan's folder
+		Base     string   `toml:"base"` // the scenario's file, relative to the plan's folder
 		Repeats  int      `toml:"repeats"`
-		Policies []string `toml:"policies"` // module, or a baseline's name
+		Policies []string `toml:"policies"` // module, or the name of a baseline policy
 		Form     string   `toml:"form"`     // virtual, or sockets
 	} `toml:"experiment"`
 	Vary []Axis `toml:"vary"`
@@ -33,7 +33,7 @@
 	raw  []byte
 }
 
-// Axis is one key and the values that it takes. Trouble and box tables are named by their number, as in box.0.count.
+// Axis is one key of the scenario and the values it takes. Entries of lists of tables are named by index, as in box.0.count.
 type Axis struct {
 	Key    string `toml:"key"`
 	Values []any  `toml:"values"`
@@ -41,7 +41,7 @@
 
 const maxRuns = 20000
 
-// LoadPlan reads a plan and its day.
+// LoadPlan reads a plan and its base scenario. It returns an error if any of the plan's settings is invalid.
 func LoadPlan(file string) (*Plan, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -59,7 +59,7 @@
 	if err := toml.Unmarshal(text, &p.base); err != nil {
 		return nil, fmt.Errorf("%s: %w", p.Experiment.Base, err)
 	}
-	for _, s := range p.Settings() { // what can't be played is told before anything is
+	for _, s := range p.Settings() { // reject invalid settings before the first run
 		if _, err := p.Scenario(s); err != nil {
 			return nil, fmt.Errorf("%s: with %s: %w", file, s, err)
 		}
@@ -71,17 +71,17 @@
 	e := p.Experiment
 	switch {
 	case e.Name == "" || strings.ContainsAny(e.Name, "/ \t"):
-		return setup.Invalidf("experiment.name", "needs a word without spaces")
+		return setup.Invalidf("experiment.name", "must be a word without spaces or slashes")
 	case e.Base == "":
-		return setup.Invalidf("experiment.base", "names no day")
+		return setup.Invalidf("experiment.base", "must name a scenario file")
 	case e.Repeats < 1:
 		return setup.Invalidf("experiment.repeats", "must be at least 1")
 	case e.Form != "virtual" && e.Form != "sockets":
 		return setup.Invalidf("experiment.form", "must be virtual or sockets, not %q", e.Form)
 	case len(e.Policies) == 0:
-		return setup.Invalidf("experiment.policies", "names none")
+		return setup.Invalidf("experiment.policies", "must name at least one policy")
 	case e.Form == "sockets" && !slices.Equal(e.Policies, []string{"module"}):
-		return setup.Invalidf("experiment.policies", "on sockets only the module runs: baselines are no dispatchers")
+		return setup.Invalidf("experiment.policies", "form sockets allows only the policy module, not %q", e.Policies)
 	}
 	runs := len(e.Policies) * e.Repeats
 	for i, a := range p.Vary {
@@ -91,15 +91,15 @@
 		runs *= len(a.Values)
 	}
 	if runs > maxRuns {
-		return setup.Invalidf("vary", "come to %d runs; %d at most", runs, maxRuns)
+		return setup.Invalidf("vary", "amounts to %d runs, at most %d are allowed", runs, maxRuns)
 	}
 	return nil
 }
 
-// Setting is one run's choice: a value for each key, "policy" and "repeat" among them.
+// Setting is the settings of one run: a value for each key, "policy" and "repeat" among them.
 type Setting map[string]string
 
-// String is the setting in one order of keys: it names the run.
+// String lists the keys and values in the order of keys. It identifies the run in the store.
 func (s Setting) String() string {
 	keys := make([]string, 0, len(s))
 	for k := range s {
@@ -113,7 +113,7 @@
 	return strings.Join(parts, " ")
 }
 
-// Settings lists all runs.
+// Settings lists the settings of all runs.
 func (p *Plan) Settings() []Setting {
 	all := []Setting{{}}
 	addAxis := func(key string, values []string) {
@@ -145,7 +145,7 @@
 	return all
 }
 
-// Day makes the day of a setting. A repeat changes nothing but the seed.
+// Scenario returns the scenario of a setting. Repeats differ in nothing but the seed.
 func (p *Plan) Scenario(setting Setting) (day.Day, error) {
 	tree := clone(p.base).(map[string]any)
 	for _, a := range p.Vary {
@@ -188,12 +188,12 @@
 	return v
 }
 
-// set puts a value under a dotted key. Tables on the way may be new; numbers count in lists that are there.
+// setKey sets the value of a dotted key. Tables along it are created; a number is the index of an existing list entry.
 func setKey(in any, key []string, value any) error {
 	switch in := in.(type) {
 	case map[string]any:
 		if len(key) == 1 {
-			// A whole number stands for a real one where the base has that.
+			// Where the base has a float, an integer in the plan is converted.
 			if _, real := in[key[0]].(float64); real {
 				if n, whole := value.(int64); whole {
 					value = float64(n)
@@ -209,9 +209,9 @@
 	case []any:
 		i, err := strconv.Atoi(key[0])
 		if err != nil || i < 0 || i >= len(in) || len(key) == 1 {
-			return fmt.Errorf("%q is no number of a table there", key[0])
+			return fmt.Errorf("%q is not the index of an existing table", key[0])
 		}
 		return setKey(in[i], key[1:], value)
 	}
-	return fmt.Errorf("%q is no table", key[0])
+	return fmt.Errorf("%q is not a table", key[0])
 }
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -16,39 +16,40 @@
 	"sloetrestle/internal/judge"
 )
 
-// Run is one run as it is kept.
+// Run is one stored run.
 type Run struct {
-	Setting Setting            `json:"setting"`
-	Figures map[string]float64 `json:"figures"`
-	RulesKept    bool               `json:"rules_kept"`
-	BrokenRules  []string           `json:"broken,omitempty"`
-	Digest  string             `json:"digest,omitempty"`
-	Version string             `json:"version"`
-	Machine string             `json:"machine"`
-	Form    string             `json:"form"`
-	StartedAt      time.Time          `json:"at"`
-	DurationSeconds   float64            `json:"took_s"`
-	OnTimeShare   []float64          `json:"share,omitempty"` // answered in time of those asked in each second
-	Tries   []float64          `json:"tries,omitempty"`
+	Setting         Setting            `json:"setting"`
+	Figures         map[string]float64 `json:"figures"`
+	RulesKept       bool               `json:"rules_kept"`
+	BrokenRules     []string           `json:"broken,omitempty"`
+	Digest          string             `json:"digest,omitempty"`
+	Version         string             `json:"version"`
+	Machine         string             `json:"machine"`
+	Form            string             `json:"form"`
+	StartedAt       time.Time          `json:"at"`
+	DurationSeconds float64            `json:"took_s"`
+	OnTimeShare     []float64          `json:"share,omitempty"` // share answered in time of the requests submitted in each second
+	Tries           []float64          `json:"tries,omitempty"`
 }
 
-// Store keeps experiments in one file.
+// Store is a database file of experiments.
 type Store struct{ db *bbolt.DB }
 
-// OpenStore opens or makes the file.
+// OpenStore opens the file, or creates it.
 func OpenStore(file string) (*Store, error) {
 	db, err := bbolt.Open(file, 0o644, &bbolt.Options{Timeout: 2 * time.Second})
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", file, err)
+		return nil, fmt.Errorf("open experiment store %s: %w", file, err)
 	}
 	return &Store{db}, nil
 }
 
+// Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
 const planKey = "\x00plan" // sorts before every setting
 
-// Begin enters an experiment. One that is there already goes on, if its plan is the same.
+// Begin registers an experiment. An existing one resumes if its plan is the same, and is an error otherwise.
 func (s *Store) Begin(p *Plan) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		b, err := tx.CreateBucketIfNotExists([]byte(p.Experiment.Name))
@@ -56,13 +57,13 @@
 			return err
 		}
 		if old := b.Get([]byte(planKey)); old != nil && string(old) != string(p.raw) {
-			return fmt.Errorf("experiment %s was begun with another plan; give this one another name", p.Experiment.Name)
+			return fmt.Errorf("experiment %s is stored with a different plan; use another name", p.Experiment.Name)
 		}
 		return b.Put([]byte(planKey), p.raw)
 	})
 }
 
-// Has tells whether a run is kept.
+// Has tells whether the run of a setting is stored.
 func (s *Store) Has(name string, setting Setting) bool {
 	found := false
 	s.db.View(func(tx *bbolt.Tx) error {
@@ -74,7 +75,7 @@
 	return found
 }
 
-// Put keeps a run; it is on disk when Put returns.
+// Put stores a run; it is on disk when Put returns.
 func (s *Store) Put(name string, r Run) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -85,13 +86,13 @@
 	})
 }
 
-// Runs lists what is kept of an experiment, in one order.
+// Runs lists the stored runs of an experiment in the order of their settings.
 func (s *Store) Runs(name string) ([]Run, error) {
 	var runs []Run
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket([]byte(name))
 		if b == nil {
-			return fmt.Errorf("there is no experiment %q", name)
+			return fmt.Errorf("experiment %q is not in the store", name)
 		}
 		return b.ForEach(func(k, v []byte) error {
 			if string(k) == planKey {
@@ -99,7 +100,7 @@
 			}
 			var r Run
 			if err := json.Unmarshal(v, &r); err != nil {
-				return fmt.Errorf("run %s: %w", k, err)
+				return fmt.Errorf("decode run %s: %w", k, err)
 			}
 			runs = append(runs, r)
 			return nil
@@ -108,7 +109,7 @@
 	return runs, err
 }
 
-// Names lists the experiments with the number of runs kept.
+// Names lists the experiments and the number of runs stored of each.
 func (s *Store) Names() (names []string, runs map[string]int, err error) {
 	runs = map[string]int{}
 	err = s.db.View(func(tx *bbolt.Tx) error {
@@ -121,8 +122,8 @@
 	return names, runs, err
 }
 
-// Execute runs what a plan lacks, and stops between runs when the context ends. Virtual runs go side by side, those on sockets
-// one after the other: they would take each other's processors.
+// Execute runs the settings of a plan that have no stored run, and stops between runs when the context ends. Virtual runs go
+// in parallel. Runs on sockets go one at a time, since they would compete for the processors.
 func Execute(ctx context.Context, s *Store, p *Plan, version string, stage day.Stage, logf func(string, ...any)) error {
 	if err := s.Begin(p); err != nil {
 		return err
@@ -198,7 +199,7 @@
 		}
 		r.OnTimeShare, r.Tries = out.OnTimeShare, out.TriesPerSecond
 		for _, t := range d.Troubles {
-			if t.Kind == "crash" { // not back within the run counts as the whole of it
+			if t.Kind == "crash" { // no recovery within the run counts as the whole rest of it
 				seconds, ok := judge.Recovered(out.OnTimeShare, out.Submitted, t.At.Std(), (t.At + t.Length).Std())
 				if !ok {
 					seconds = (d.Head.Length - t.At - t.Length).Std().Seconds()
@@ -228,7 +229,7 @@
 	return r, nil
 }
 
-// figures are those that tables and charts may show.
+// figures returns the figures of a verdict that tables and charts can show.
 func figures(verdict judge.Verdict) map[string]float64 {
 	values := map[string]float64{"service": verdict.Service, "first_p50_ms": verdict.FirstP50, "first_p99_ms": verdict.FirstP99, "trips": verdict.Trips, "cold_worst": verdict.ColdWorst, "pinned_ms": verdict.PinWorst}
 	var requests, inTime, late, rejected, failed, leftOrCut float64
--- a/internal/experiment/tables.go
+++ b/internal/experiment/tables.go
@@ -18,13 +18,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Group is the runs that differ in nothing but the repeat.
+// Group is the runs whose settings differ in nothing but the repeat.
 type Group struct {
 	Setting Setting
 	Runs    []Run
 }
 
-// Groups gathers repeats.
+// Groups groups runs by their settings without the repeat.
 func Groups(runs []Run) []Group {
 	groups := map[string]*Group{}
 	var order []string
@@ -55,7 +55,7 @@
 	return t
 }
 
-// natural orders settings with numbers in them as numbers.
+// compareNatural orders settings by key and value, numeric values as numbers.
 func compareNatural(a, b string) int {
 	x, y := strings.Fields(a), strings.Fields(b)
 	for i := range min(len(x), len(y)) {
@@ -77,7 +77,7 @@
 	return len(x) - len(y)
 }
 
-// Values lists a figure's values of a group, in order.
+// Values returns a figure's values in a group, in ascending order.
 func (g Group) Values(figure string) []float64 {
 	var v []float64
 	for _, r := range g.Runs {
@@ -97,7 +97,7 @@
 	return (sorted[(n-1)/2] + sorted[n/2]) / 2
 }
 
-// Table writes medians with their spread, from the least to the most.
+// Table writes each group's median of the named figures, with the least and the greatest value.
 func Table(out io.Writer, runs []Run, names []string) error {
 	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
 	fmt.Fprintf(w, "setting\truns\trules\t%s\n", strings.Join(names, "\t"))
@@ -129,7 +129,7 @@
 	return strconv.FormatFloat(x, 'f', 3, 64)
 }
 
-// CSV writes all runs, one a line.
+// CSV writes all runs as CSV, one per line.
 func CSV(out io.Writer, runs []Run) error {
 	keys, names := map[string]bool{}, map[string]bool{}
 	for _, r := range runs {
@@ -167,24 +167,24 @@
 	return out
 }
 
-// Difference is how one value of a key does against another, all else alike.
+// Difference compares one value of a key with the reference value, all other settings equal.
 type Difference struct {
-	Setting    Setting // what is alike
+	Setting          Setting // the settings that are equal
 	Reference, Value string
-	Medians    [2]float64
-	Significant     bool // the noise of the repeats
+	Medians          [2]float64
+	Significant      bool // beyond the noise of the repeats
 }
 
-// Compare sets each value of a key beside the first one. A difference is beyond the noise if it is more than twice the
-// standard error of the two groups' means, and each has three runs at least; of seeds that are paired, their
-// differences' error counts.
+// Compare compares each value of a key with a reference: "module" if it is among the values, otherwise the first. Runs are
+// paired by repeat, that is by seed. A difference is significant if its mean is more than twice its standard error, over at least
+// three pairs.
 func Compare(runs []Run, key, figure string) ([]Difference, error) {
 	groups := map[string]map[string]Group{}
 	var values, order []string
 	for _, g := range Groups(runs) {
 		value, ok := g.Setting[key]
 		if !ok {
-			return nil, fmt.Errorf("the experiment does not vary %q", key)
+			return nil, fmt.Errorf("compare runs: the experiment does not vary %q", key)
 		}
 		rest := withoutKey(g.Setting, key).String()
 		if groups[rest] == nil {
@@ -232,8 +232,8 @@
 	return math.Abs(mean) > 2*sd/math.Sqrt(float64(len(diffs)))
 }
 
-// Chart draws medians with their spread over a key with numbers, a line for each value of another. The file's ending says
-// which form: png or svg.
+// Chart draws medians with their spread over a numeric key, with one line for each value of another key. The extension of the
+// file gives the format: png or svg.
 func Chart(runs []Run, x, figure, lines, file, title string) error {
 	chart := plot.New()
 	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, x, figure
@@ -253,11 +253,11 @@
 		for _, g := range byLine[name] {
 			position, err := strconv.ParseFloat(g.Setting[x], 64)
 			if err != nil {
-				return fmt.Errorf("%s is %q, which is no number to draw over", x, g.Setting[x])
+				return fmt.Errorf("draw chart: %s is %q, not a number", x, g.Setting[x])
 			}
 			values := g.Values(figure)
 			if len(values) == 0 {
-				return fmt.Errorf("the runs have no figure %q", figure)
+				return fmt.Errorf("draw chart: the runs have no figure %q", figure)
 			}
 			m := median(values)
 			medians = append(medians, plotter.XY{X: position, Y: m})
@@ -285,7 +285,8 @@
 	return chart.Save(18*vg.Centimeter, 11*vg.Centimeter, file)
 }
 
-// TimeChart draws a figure over the seconds of a run: share, or tries; a line for each value of a key, the mean of its runs.
+// TimeChart draws a figure, share or tries, over the seconds of a run, with one line for each value of a key: the mean of
+// its runs.
 func TimeChart(runs []Run, figure, lines, file, title string) error {
 	chart := plot.New()
 	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, "second of the day", figure
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -13,25 +13,25 @@
 	"sloetrestle/internal/standin"
 )
 
-// transport takes a dispatcher's attempts to the engines.
+// transport is the dispatcher's connection to the backends: it delivers attempts, releases and peer updates.
 type transport dispatcher
 
 func (c *transport) SetAddresses(*dispatch.Backend, []addresses.Spec) {}
 
 func (c *transport) SendPeerUpdate(peer int, n brain.PeerUpdate) {
 	d := (*dispatcher)(c)
-	if peer < 0 || peer >= len(d.w.dispatchers) {
+	if peer < 0 || peer >= len(d.sim.dispatchers) {
 		return
 	}
-	to, name := d.w.dispatchers[peer], d.w.byID[n.Backend.ID].spec.Name
-	d.w.after(2*time.Millisecond, func() {
+	to, name := d.sim.dispatchers[peer], d.sim.byID[n.Backend.ID].spec.Name
+	d.sim.after(2*time.Millisecond, func() {
 		if !to.running {
 			return
 		}
 		to.runInLoop(func() {
 			if h := to.loop.SchedulerBackend(name); h != nil {
 				n := n
-				n.Backend = h // each dispatcher has its own
+				n.Backend = h // each dispatcher has backend objects of its own
 				to.loop.ApplyPeerUpdate(n)
 			}
 		})
@@ -40,12 +40,12 @@
 
 func (c *transport) Release(b *dispatch.Backend, a *dispatch.ClientRequest) {
 	if a.AttemptInFlight() {
-		return // attempts arrive here, and wait for the state
+		return // the KV cache is still needed: the attempt fetches it
 	}
-	w := c.w
+	sim := c.sim
 	r := kserve.Release{RequestKey: c.loop.RequestKey(a), LastAttempt: len(a.Scheduled.Attempts) - 1}
-	to := w.backends[b.Name]
-	w.after(networkDelay, func() {
+	to := sim.backends[b.Name]
+	sim.after(networkDelay, func() {
 		if to.running {
 			to.releasedUpTo[r.RequestKey] = r.LastAttempt
 			to.releaseKVCache(r.RequestKey, "released")
@@ -53,70 +53,70 @@
 	})
 }
 
-// attempt is one attempt on its way, at both ends.
+// attempt is one attempt in flight, with the state of both of its ends.
 type attempt struct {
-	w      *simulation
-	dispatcher   *dispatcher
-	loop   *dispatch.Loop
-	dispatched *dispatch.Attempt
+	sim         *simulation
+	dispatcher  *dispatcher
+	loop        *dispatch.Loop
+	dispatched  *dispatch.Attempt
 	backend     *backend
-	incarnation  uint64
-	job    *engine.Job
-	baseRecord   record.Line
-	cancelCause    error
-	reported   bool // the dispatcher knows how it ended
-	ended  bool // the backend is done with it
-	arrived   bool
+	incarnation uint64
+	job         *engine.Job
+	baseRecord  record.Line
+	cancelCause error
+	reported    bool // the dispatcher has been given the result
+	ended       bool // the backend has ended it
+	arrived     bool
 }
 
 func (t *attempt) id() string { return fmt.Sprintf("%s/%d", t.baseRecord.Key, t.baseRecord.Trip) }
 
 func (c *transport) Start(f *dispatch.Attempt) {
 	d := (*dispatcher)(c)
-	w := d.w
-	t := &attempt{w: w, dispatcher: d, loop: d.loop, dispatched: f, backend: w.backends[f.Backend.Name]}
+	sim := d.sim
+	t := &attempt{sim: sim, dispatcher: d, loop: d.loop, dispatched: f, backend: sim.backends[f.Backend.Name]}
 	t.baseRecord = record.Line{Box: t.backend.spec.Name, Try: f.Request.Params.ID, Grade: f.Request.Class, Key: f.RequestKey, Stage: f.Stage(), Trip: f.Scheduled.Number}
 	f.Cancel = func(why error) {
 		if t.cancelCause != nil || t.reported {
 			return
 		}
 		t.cancelCause = why
-		// The connection is closed: this end knows at once, the other a hop later.
+		// The connection is closed: the dispatcher knows at once, the backend after the network delay.
 		o := brain.TimedOut
 		if why == dispatch.ErrNotNeeded {
 			o = brain.Cancelled
 		}
-		w.after(0, func() { t.reportResult(brain.Result{Outcome: o}) })
-		w.after(networkDelay, t.connectionClosed)
+		sim.after(0, func() { t.reportResult(brain.Result{Outcome: o}) })
+		sim.after(networkDelay, t.connectionClosed)
 	}
 	if !t.backend.running {
 		wait := refusedConnectionTime
 		if t.backend.overloaded {
-			wait = dialTimeout // its machine is stuck, nobody refuses
+			wait = dialTimeout // the machine hangs: the connection is not refused
 		}
-		w.after(wait, func() { t.reportResult(brain.Result{Outcome: brain.Unreachable}) })
+		sim.after(wait, func() { t.reportResult(brain.Result{Outcome: brain.Unreachable}) })
 		return
 	}
-	wait, limit := w.connectDelay(), dialTimeout
+	wait, limit := sim.connectDelay(), dialTimeout
 	if least := f.Scheduled.ConnectTimeout; least > 0 {
 		limit = min(limit, least)
 	}
 	if wait > limit {
-		w.after(limit, func() { t.reportResult(brain.Result{Outcome: brain.Unreachable}) })
+		sim.after(limit, func() { t.reportResult(brain.Result{Outcome: brain.Unreachable}) })
 		return
 	}
-	w.after(networkDelay+wait, t.arrive)
+	sim.after(networkDelay+wait, t.arrive)
 }
 
-// connectTime is how long a connection takes beside the way there: nothing, but where connections come up late.
-func (w *simulation) connectDelay() time.Duration {
-	if w.slowConnectShare == 0 || w.rng.Float64() >= w.slowConnectShare {
+// connectDelay returns the time that a connection takes in excess of the network delay: 0 unless slow connects are injected.
+func (sim *simulation) connectDelay() time.Duration {
+	if sim.slowConnectShare == 0 || sim.rng.Float64() >= sim.slowConnectShare {
 		return 0
 	}
-	return time.Duration(w.rng.Float64() * float64(w.slowConnectMax))
+	return time.Duration(sim.rng.Float64() * float64(sim.slowConnectMax))
 }
 
-// tell gives the dispatcher an attempt's end.
+// reportResult reports the attempt's end to the dispatcher, unless that has restarted since.
 func (t *attempt) reportResult(r brain.Result) {
 	if t.reported || !t.dispatcher.running || t.dispatcher.loop != t.loop {
 		return
@@ -127,10 +127,10 @@
 
 func (t *attempt) respond(r brain.Result) {
 	r.LoadReport = t.backend.loadReport()
-	t.w.after(networkDelay, func() { t.reportResult(r) })
+	t.sim.after(networkDelay, func() { t.reportResult(r) })
 }
 
-// end is the backend's end of an attempt.
+// end marks the attempt as ended at the backend and records how.
 func (t *attempt) end(word string) {
 	if t.ended {
 		return
@@ -139,16 +139,16 @@
 	delete(t.backend.attempts, t)
 	l := t.baseRecord
 	l.What, l.Word = record.End, word
-	t.w.addRecord(l)
+	t.sim.addRecord(l)
 }
 
-// broke is an attempt whose backend died.
+// loseConnection ends an attempt whose backend or connection failed.
 func (t *attempt) loseConnection() {
 	t.end("broke")
-	t.w.after(networkDelay, func() { t.reportResult(brain.Result{Outcome: brain.ConnectionLost}) })
+	t.sim.after(networkDelay, func() { t.reportResult(brain.Result{Outcome: brain.ConnectionLost}) })
 }
 
-// closed is an attempt whose dispatcher has closed the connection.
+// connectionClosed handles at the backend that the dispatcher has closed the connection.
 func (t *attempt) connectionClosed() {
 	if t.ended || !t.arrived {
 		t.ended = t.ended || !t.arrived
@@ -156,7 +156,7 @@
 	}
 	l := t.baseRecord
 	l.What = record.Closed
-	t.w.addRecord(l)
+	t.sim.addRecord(l)
 	b := t.backend
 	if b.running && b.incarnation == t.incarnation && t.job != nil && !b.spec.Ignores {
 		b.engine.Cancel(t.job)
@@ -165,14 +165,14 @@
 	t.end("closed")
 }
 
-// arrive is an attempt's bytes at its backend.
+// arrive delivers the attempt to its backend.
 func (t *attempt) arrive() {
-	b, w := t.backend, t.w
+	b, sim := t.backend, t.sim
 	if t.ended {
 		return
 	}
 	if !b.running {
-		t.w.after(networkDelay, func() { t.reportResult(brain.Result{Outcome: brain.ConnectionLost}) })
+		t.sim.after(networkDelay, func() { t.reportResult(brain.Result{Outcome: brain.ConnectionLost}) })
 		return
 	}
 	t.arrived, t.incarnation = true, b.incarnation
@@ -180,17 +180,17 @@
 	work := b.attemptWork(t.baseRecord.Grade, t.baseRecord.Stage)
 	l := t.baseRecord
 	l.What, l.Work = record.Trip, work
-	w.addRecord(l)
+	sim.addRecord(l)
 	if b.exceedsSlowStart(work) {
 		b.overloaded = true
-		w.addRecord(record.Line{What: record.Fell, Box: b.spec.Name, Start: b.incarnation})
+		sim.addRecord(record.Line{What: record.Fell, Box: b.spec.Name, Start: b.incarnation})
 		b.kill("pushed over")
 		return
 	}
 	if b.hangs {
 		return
 	}
-	if b.failShare > 0 && (b.failClass == "" || b.failClass == t.baseRecord.Grade) && w.rng.Float64() < b.failShare {
+	if b.failShare > 0 && (b.failClass == "" || b.failClass == t.baseRecord.Grade) && sim.rng.Float64() < b.failShare {
 		if t.baseRecord.Stage != kserve.PhasePrefill {
 			t.recordRun()
 		}
@@ -206,53 +206,53 @@
 		j.Stage = engine.StagePrefill
 	case kserve.PhaseDecode:
 		j.Stage = engine.StageDecode
-		state := w.backends[t.dispatched.PrefillBackend.Name]
-		j.FetchKVCache = func(arrived func(bool)) { w.transferKVCache(state, b, t, arrived) }
+		state := sim.backends[t.dispatched.PrefillBackend.Name]
+		j.FetchKVCache = func(arrived func(bool)) { sim.transferKVCache(state, b, t, arrived) }
 	default:
 		j.Stage = engine.StageWhole
 	}
-	j.OutputTokens = standin.AnswerTokens(w.scenario.TalkOf(t.baseRecord.Grade).AnswerTokens, t.baseRecord.Try, int(q.MaxOutputTokens))
+	j.OutputTokens = standin.AnswerTokens(sim.scenario.TalkOf(t.baseRecord.Grade).AnswerTokens, t.baseRecord.Try, int(q.MaxOutputTokens))
 	if j.Stage == engine.StagePrefill {
 		j.OutputTokens = 1
 	}
 	j.OnToken = func(n int) {
 		t.dispatched.StreamedTokens.Store(int64(n))
 		if n > 1 {
-			if n == 2 && b.resetShare > 0 && w.rng.Float64() < b.resetShare {
+			if n == 2 && b.resetShare > 0 && sim.rng.Float64() < b.resetShare {
 				b.engine.Cancel(j)
 				t.loseConnection()
 			}
 			return
 		}
 		t.recordRun()
-		if b.cutShare > 0 && w.rng.Float64() < b.cutShare {
+		if b.cutShare > 0 && sim.rng.Float64() < b.cutShare {
 			b.engine.Cancel(j)
 			t.loseConnection()
 			return
 		}
-		w.after(networkDelay, t.firstToken)
+		sim.after(networkDelay, t.firstToken)
 	}
 	j.OnEnd = func(e engine.Outcome, kept int) { t.jobEnded(e, kept) }
-	b.engine.Submit(w.now, j)
+	b.engine.Submit(sim.now, j)
 	b.runSteps()
 }
 
 func (t *attempt) recordRun() {
-	l, w := t.baseRecord, t.w
+	l, sim := t.baseRecord, t.sim
 	l.What = record.Ran
-	if i := w.scenario.ClassIndex(l.Grade); i >= 0 && w.scenario.Classes[i].Effect == "deduplicated" {
-		g := w.scenario.Classes[i]
+	if i := sim.scenario.ClassIndex(l.Grade); i >= 0 && sim.scenario.Classes[i].Effect == "deduplicated" {
+		g := sim.scenario.Classes[i]
 		key := map[string]string{"zone": t.backend.spec.Zone, "rack": t.backend.spec.Rack}[g.DedupScope] + " " + l.Try
-		if at, known := w.dedupMarks[key]; known && w.now-at < g.DedupWindow.Std() {
+		if at, known := sim.dedupMarks[key]; known && sim.now-at < g.DedupWindow.Std() {
 			l.What = record.Repeat
 		} else {
-			w.dedupMarks[key] = w.now
+			sim.dedupMarks[key] = sim.now
 		}
 	}
-	w.addRecord(l)
+	sim.addRecord(l)
 }
 
-// began is the first token at the dispatcher, and a hop later at the client.
+// firstToken delivers the first token to the dispatcher and, a network delay later, to the client.
 func (t *attempt) firstToken() {
 	if t.reported || !t.dispatcher.running || t.dispatcher.loop != t.loop {
 		return
@@ -262,7 +262,7 @@
 		return
 	}
 	if c := t.dispatcher.clientOf[t.dispatched.Request]; c != nil {
-		t.w.after(networkDelay, func() {
+		t.sim.after(networkDelay, func() {
 			if !c.finished && !c.gotFirstToken {
 				c.gotFirstToken = true
 				c.addRecord(record.First, "", nil)
@@ -271,9 +271,9 @@
 	}
 }
 
-// done is the engine's end of a job.
+// jobEnded handles the end of the engine's job.
 func (t *attempt) jobEnded(e engine.Outcome, kept int) {
-	b, w := t.backend, t.w
+	b, sim := t.backend, t.sim
 	if t.ended {
 		return
 	}
@@ -281,9 +281,9 @@
 	case engine.Done:
 		if t.baseRecord.Stage != kserve.PhaseDecode {
 			left := float64(t.job.PromptTokens - kept)
-			b.attemptWork(t.baseRecord.Grade, t.baseRecord.Stage) // its mean has begun
-			w.prefillTokens[t.baseRecord.Grade][0] += left
-			w.prefillTokens[t.baseRecord.Grade][1]++
+			b.attemptWork(t.baseRecord.Grade, t.baseRecord.Stage) // seeds the mean on first use
+			sim.prefillTokens[t.baseRecord.Grade][0] += left
+			sim.prefillTokens[t.baseRecord.Grade][1]++
 		}
 		if t.baseRecord.Stage != kserve.PhasePrefill {
 			t.end(kserve.OutcomeCompleted)
@@ -295,12 +295,12 @@
 			t.end("dropped")
 			return
 		}
-		w.addRecord(record.Line{What: record.Held, Box: b.spec.Name, Key: t.baseRecord.Key, Try: t.baseRecord.Try, Grade: t.baseRecord.Grade})
+		sim.addRecord(record.Line{What: record.Held, Box: b.spec.Name, Key: t.baseRecord.Key, Try: t.baseRecord.Try, Grade: t.baseRecord.Grade})
 		t.end(kserve.OutcomePrefilled)
 		t.respond(brain.Result{Outcome: brain.Prefilled, Detail: kept})
-		if b.crashShare > 0 && w.rng.Float64() < b.crashShare {
+		if b.crashShare > 0 && sim.rng.Float64() < b.crashShare {
 			start := b.incarnation
-			w.after(2*time.Millisecond, func() { // the dispatcher knows of the read
+			sim.after(2*time.Millisecond, func() { // by then the dispatcher has the prefill result
 				if b.incarnation == start {
 					b.kill("crashed after reading")
 				}
@@ -315,36 +315,37 @@
 	}
 }
 
-// fetch moves a state from its reader to a writer, over the reader's own port within a rack, else over the rack's link.
-func (w *simulation) transferKVCache(from, to *backend, t *attempt, arrived func(bool)) {
+// transferKVCache moves a KV cache from its prefill backend to a decode backend: within a rack over the prefill backend's own
+// port, otherwise over the rack's shared link, where transfers queue.
+func (sim *simulation) transferKVCache(from, to *backend, t *attempt, arrived func(bool)) {
 	key := t.baseRecord.Key
-	w.after(networkDelay, func() {
+	sim.after(networkDelay, func() {
 		tokens, ok := 0, false
 		if from.running {
 			tokens, ok = from.engine.HeldKVCache(key)
 		}
 		if !ok {
-			w.after(networkDelay, func() { arrived(false); to.runSteps() })
+			sim.after(networkDelay, func() { arrived(false); to.runSteps() })
 			return
 		}
 		from.engine.SetKVCacheMoving(key, true)
-		start, took := from.incarnation, time.Duration(float64(tokens)/w.scenario.Links.Near*float64(time.Second))
+		start, took := from.incarnation, time.Duration(float64(tokens)/sim.scenario.Links.Near*float64(time.Second))
 		if from.spec.Rack != to.spec.Rack {
-			times := w.linkSlowdown
+			times := sim.linkSlowdown
 			if from.spec.Zone != to.spec.Zone {
-				times *= max(w.scenario.Links.Zone, 1)
+				times *= max(sim.scenario.Links.Zone, 1)
 			}
-			free := max(w.rackLinkFreeAt[from.spec.Rack], w.now) + time.Duration(float64(tokens)/w.scenario.Links.Far*times*float64(time.Second))
-			w.rackLinkFreeAt[from.spec.Rack] = free
-			took = free - w.now
+			free := max(sim.rackLinkFreeAt[from.spec.Rack], sim.now) + time.Duration(float64(tokens)/sim.scenario.Links.Far*times*float64(time.Second))
+			sim.rackLinkFreeAt[from.spec.Rack] = free
+			took = free - sim.now
 		}
-		w.after(took, func() {
+		sim.after(took, func() {
 			if !from.running || from.incarnation != start {
 				arrived(false)
 				to.runSteps()
 				return
 			}
-			if t.ended || !to.running || to.incarnation != t.incarnation { // nobody fetches any more: it waits on
+			if t.ended || !to.running || to.incarnation != t.incarnation { // no longer needed there: keep it ready
 				from.engine.SetKVCacheMoving(key, false)
 				if upTo, ok := from.releasedUpTo[key]; ok && upTo >= t.baseRecord.Trip {
 					from.releaseKVCache(key, "released")
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -8,22 +8,22 @@
 	"sloetrestle/internal/dispatch"
 )
 
-// budgets gives a dispatcher's loop its purses, and keepers of the budgets that it keeps. Messages take a hop; a keeper's sums
-// are durable after a disk's time, and outlast its restart.
+// setUpBudgets gives the dispatcher's loop its token budgets, and keepers of the budgets that it owns. Messages between them
+// take the network delay. A keeper's sums are durable after commitTime and survive its restart.
 func (d *dispatcher) setUpBudgets() {
-	w := d.w
-	if len(w.scenario.Budgets) == 0 {
+	sim := d.sim
+	if len(sim.scenario.Budgets) == 0 {
 		return
 	}
 	b := &dispatch.Accounting{Month: testMonth, OwnedBudgets: map[string]*budget.Keeper{}}
-	of := len(w.dispatchers)
-	if n := w.scenario.Head.Dispatchers; n > of {
+	of := len(sim.dispatchers)
+	if n := sim.scenario.Head.Dispatchers; n > of {
 		of = n
 	}
 	loop := d.loop
-	for _, s := range w.scenario.Budgets {
+	for _, s := range sim.scenario.Budgets {
 		t, at := s.TokenLimits(), 0
-		if w.scenario.Head.SplitBudgets { // the plain way, to compare with: an equal part for each
+		if sim.scenario.Head.SplitBudgets { // static equal parts, as a reference for comparison
 			part := float64(of)
 			t.PerS, t.Burst, t.Monthly, t.Borrow = t.PerS/part, t.Burst/part, t.Monthly/part, t.Borrow/part
 			at = d.number
@@ -32,10 +32,10 @@
 		}
 		if at == d.number {
 			key := fmt.Sprintf("%s %d", t.Name, at)
-			b.OwnedBudgets[t.Name] = budget.NewKeeper(t, w.now, testMonth(w.now), w.durableLoans[key], 0, 0, func(what string, _ int64, tokens float64, done func()) {
-				w.after(commitTime, func() {
+			b.OwnedBudgets[t.Name] = budget.NewKeeper(t, sim.now, testMonth(sim.now), sim.durableLoans[key], 0, 0, func(what string, _ int64, tokens float64, done func()) {
+				sim.after(commitTime, func() {
 					if what == "lent" {
-						w.durableLoans[key] = max(w.durableLoans[key], tokens)
+						sim.durableLoans[key] = max(sim.durableLoans[key], tokens)
 					}
 					if done != nil && d.loop == loop && d.running {
 						d.runInLoop(done)
@@ -44,17 +44,17 @@
 			})
 		}
 		var p *budget.Purse
-		p = budget.NewPurse(t, loop.Epoch, of, testMonth(w.now), func(a budget.Ask) {
-			w.after(networkDelay, func() {
-				k := w.dispatchers[at]
+		p = budget.NewPurse(t, loop.Epoch, of, testMonth(sim.now), func(a budget.Ask) {
+			sim.after(networkDelay, func() {
+				k := sim.dispatchers[at]
 				if !k.running || k.accounting == nil {
 					return
 				}
 				k.runInLoop(func() {
-					k.accounting.OwnedBudgets[a.Name].Asked(w.now, testMonth(w.now), a, func(l budget.Lend) {
-						w.after(networkDelay, func() {
+					k.accounting.OwnedBudgets[a.Name].Asked(sim.now, testMonth(sim.now), a, func(l budget.Lend) {
+						sim.after(networkDelay, func() {
 							if d.loop == loop && d.running {
-								d.runInLoop(func() { p.Lent(w.now, l) })
+								d.runInLoop(func() { p.Lent(sim.now, l) })
 							}
 						})
 					})
@@ -62,35 +62,37 @@
 			})
 		})
 		b.Budgets = append(b.Budgets, p)
-		w.budgets = append(w.budgets, p)
+		sim.budgets = append(sim.budgets, p)
 	}
 	d.accounting = b
 	loop.SetAccounting(b)
 }
 
-const commitTime = 22 * time.Millisecond // half a group's wait, and a disk's sync
+const commitTime = 22 * time.Millisecond // half the group-commit delay and one disk sync
 
-// month is one that outlasts every day.
-func testMonth(now time.Duration) budget.Month { return budget.Month{Number: 1, Left: 24*time.Hour - now} }
+// testMonth returns a month that outlasts every scenario.
+func testMonth(now time.Duration) budget.Month {
+	return budget.Month{Number: 1, Left: 24*time.Hour - now}
+}
 
-// BudgetUse is what came of a budget.
+// BudgetUse is the use of one budget in a run.
 type BudgetUse struct {
-	UsedTokens     float64 `json:"used"` // tokens, over all dispatchers
-	MonthlyShare    float64 `json:"share"`
-	Rejected int64   `json:"declined"`
-	Admitted   int64   `json:"passed"`
+	UsedTokens   float64 `json:"used"` // over all dispatchers
+	MonthlyShare float64 `json:"share"`
+	Rejected     int64   `json:"declined"`
+	Admitted     int64   `json:"passed"`
 }
 
-func (w *simulation) budgetUse() map[string]BudgetUse {
+func (sim *simulation) budgetUse() map[string]BudgetUse {
 	out := map[string]BudgetUse{}
-	for _, p := range w.budgets {
+	for _, p := range sim.budgets {
 		u := out[p.Terms.Name]
 		u.UsedTokens += p.Counts.Used
 		u.Rejected += p.Counts.Declined
 		u.Admitted += p.Counts.Passed + p.Counts.Emergencies
 		out[p.Terms.Name] = u
 	}
-	for _, s := range w.scenario.Budgets {
+	for _, s := range sim.scenario.Budgets {
 		if t := s.TokenLimits(); t.Monthly > 0 {
 			u := out[t.Name]
 			u.MonthlyShare = u.UsedTokens / t.Monthly
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -11,15 +11,15 @@
 	"sloetrestle/internal/standin"
 )
 
-// client is one try.
+// client is one try of a request by its client.
 type client struct {
-	w     *simulation
-	request  *standin.Request
-	try   int
-	id    string
-	dispatcher     *dispatcher
-	submitted *dispatch.ClientRequest
-	finished  bool
+	sim           *simulation
+	request       *standin.Request
+	try           int
+	id            string
+	dispatcher    *dispatcher
+	submitted     *dispatch.ClientRequest
+	finished      bool
 	gotFirstToken bool
 }
 
@@ -28,22 +28,22 @@
 	if more != nil {
 		more(&l)
 	}
-	c.w.addRecord(l)
+	c.sim.addRecord(l)
 }
 
-// ask makes one try of a request.
-func (w *simulation) submit(wish *standin.Request, try int, ticket string) {
+// submit makes one try of a request.
+func (sim *simulation) submit(wish *standin.Request, try int, ticket string) {
 	var up []*dispatcher
-	for _, d := range w.dispatchers {
+	for _, d := range sim.dispatchers {
 		if d.inRotation {
 			up = append(up, d)
 		}
 	}
 	if len(up) == 0 {
-		up = w.dispatchers
+		up = sim.dispatchers
 	}
 	d := up[(uint64(wish.SubmitAt)+uint64(try)*7919)*0x9e3779b97f4a7c15>>33%uint64(len(up))]
-	c := &client{w: w, request: wish, try: try, id: fmt.Sprintf("%s.%d", wish.Name, try), dispatcher: d}
+	c := &client{sim: sim, request: wish, try: try, id: fmt.Sprintf("%s.%d", wish.Name, try), dispatcher: d}
 	left := time.Duration(float64(wish.Deadline) * wish.PatienceShare)
 	follows := ""
 	if wish.HonoursRetryAfter {
@@ -57,7 +57,7 @@
 		return
 	}
 	if wish.LeaveAfter > 0 {
-		w.after(wish.LeaveAfter, func() {
+		sim.after(wish.LeaveAfter, func() {
 			if !c.finished {
 				c.finished = true
 				c.addRecord(record.Quit, "", nil)
@@ -73,9 +73,9 @@
 	c.submitted = &dispatch.ClientRequest{Params: kserve.Request{ID: c.id, Session: wish.Session, SharedPrefix: wish.PrefixID, PromptTokens: wish.PromptTokens, PrefixTokens: wish.PrefixTokens, MaxTokens: wish.MaxTokens,
 		IsRetry: try > 0, RetryTicket: ticket}, Class: wish.Class, Tenant: wish.Tenant}
 	d.clientOf[c.submitted] = c
-	c.submitted.OnFinal = func(f kserve.FinalResponse) { w.after(networkDelay, func() { c.final(f) }) }
-	grade, channel := w.scenario.ClassIndex(wish.Class), max(w.scenario.TenantIndex(wish.Tenant), 0)
-	w.after(networkDelay, func() {
+	c.submitted.OnFinal = func(f kserve.FinalResponse) { sim.after(networkDelay, func() { c.final(f) }) }
+	grade, channel := sim.scenario.ClassIndex(wish.Class), max(sim.scenario.TenantIndex(wish.Tenant), 0)
+	sim.after(networkDelay, func() {
 		if c.finished && wish.LeaveAfter == 0 || !d.openClients[c] {
 			return
 		}
@@ -114,6 +114,6 @@
 
 func (c *client) retry(told time.Duration, ticket string) {
 	if c.try < c.request.Retries {
-		c.w.after(c.request.RetryDelay(c.try, told), func() { c.w.submit(c.request, c.try+1, ticket) })
+		c.sim.after(c.request.RetryDelay(c.try, told), func() { c.sim.submit(c.request, c.try+1, ticket) })
 	}
 }
--- a/internal/fleet/dispatcher.go
+++ b/internal/fleet/dispatcher.go
@@ -16,44 +16,44 @@
 	"sloetrestle/internal/storm"
 )
 
-// dispatcher is the real loop with the real module, in virtual time.
+// dispatcher is one dispatcher: the production event loop and scheduler, in virtual time.
 type dispatcher struct {
-	w      *simulation
-	number int
-	name   string
-	loop   *dispatch.Loop
+	sim         *simulation
+	number      int
+	name        string
+	loop        *dispatch.Loop
 	running     bool
 	inRotation  bool
-	starts int
+	starts      int
 	accounting  *dispatch.Accounting
-	lastKnown  map[string]boxlist.Endpoint
+	lastKnown   map[string]boxlist.Endpoint
 	timerDue    time.Duration
 	timerSet    bool
-	openClients   map[*client]bool
-	clientOf     map[*dispatch.ClientRequest]*client
+	openClients map[*client]bool
+	clientOf    map[*dispatch.ClientRequest]*client
 }
 
 func (d *dispatcher) start(kept map[string]boxlist.Endpoint) error {
-	w := d.w
+	sim := d.sim
 	file := setup.DefaultDispatcherConfig()
-	file.Deployment = w.scenario.Deployment
-	file.Instance.Name, file.Instance.Index, file.Instance.FleetSize = d.name, d.number, len(w.dispatchers)
-	file.Instance.FleetSize = max(w.scenario.Head.Dispatchers, 1)
-	file.Instance.Zone = w.scenario.Zones[d.number%len(w.scenario.Zones)]
+	file.Deployment = sim.scenario.Deployment
+	file.Instance.Name, file.Instance.Index, file.Instance.FleetSize = d.name, d.number, len(sim.dispatchers)
+	file.Instance.FleetSize = max(sim.scenario.Head.Dispatchers, 1)
+	file.Instance.Zone = sim.scenario.Zones[d.number%len(sim.scenario.Zones)]
 	d.starts++
-	seed := w.scenario.Head.Seed*1000 + uint64(d.number) + 1 + uint64(d.starts-1)*7919
+	seed := sim.scenario.Head.Seed*1000 + uint64(d.number) + 1 + uint64(d.starts-1)*7919
 	facts := file.SchedulerParameters()
-	loop, err := dispatch.NewLoop(facts, seed, dispatch.Resolver{ZoneNumber: file.ZoneIndex, KindNumber: file.KindIndex}, (*transport)(d), func() time.Duration { return w.now },
+	loop, err := dispatch.NewLoop(facts, seed, dispatch.Resolver{ZoneNumber: file.ZoneIndex, KindNumber: file.KindIndex}, (*transport)(d), func() time.Duration { return sim.now },
 		fmt.Sprintf("%s.%d", d.name, d.starts), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		return err
 	}
-	if w.policy != "module" && w.policy != "" {
-		p, err := baseline.New(w.policy, facts, seed, loop)
+	if sim.policy != "module" && sim.policy != "" {
+		p, err := baseline.New(sim.policy, facts, seed, loop)
 		if err != nil {
 			return err
 		}
-		p.View = view{w}
+		p.View = view{sim}
 		loop.SetScheduler(p)
 	}
 	if file.Limits.ThrottleRetries {
@@ -64,7 +64,7 @@
 	d.setUpBudgets()
 	d.openClients, d.clientOf = map[*client]bool{}, map[*dispatch.ClientRequest]*client{}
 	d.lastKnown = map[string]boxlist.Endpoint{}
-	w.addRecord(record.Line{What: record.Up, Dispatcher: d.name})
+	sim.addRecord(record.Line{What: record.Up, Dispatcher: d.name})
 	if kept != nil {
 		d.updateEndpoints(sortedByName(kept), true)
 	}
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// do runs one thing in the loop, and winds its timers.
+// runInLoop runs a function in the event loop and re-arms its timer.
 func (d *dispatcher) runInLoop(f func()) {
 	d.loop.RunTurn(f)
 	d.armTimer()
@@ -89,7 +89,7 @@
 	}
 	d.timerSet, d.timerDue = true, due
 	loop := d.loop
-	d.w.schedule(due, func() {
+	d.sim.schedule(due, func() {
 		if d.loop != loop || !d.running || !d.timerSet || d.timerDue != due {
 			return
 		}
@@ -99,10 +99,10 @@
 	})
 }
 
-// kill ends a dispatcher outright; its clients notice at once, the front after a while.
+// kill ends a dispatcher without a shutdown. Its clients notice at once, the load balancer in front after a while.
 func (d *dispatcher) kill() {
-	w := d.w
-	w.addRecord(record.Line{What: record.Down, Dispatcher: d.name, Word: "killed"})
+	sim := d.sim
+	sim.addRecord(record.Line{What: record.Down, Dispatcher: d.name, Word: "killed"})
 	d.running = false
 	open := make([]*client, 0, len(d.openClients))
 	for c := range d.openClients {
@@ -112,7 +112,7 @@
 	for _, c := range open {
 		c.loseConnection("the connection broke")
 	}
-	for _, b := range w.backendOrder {
+	for _, b := range sim.backendOrder {
 		var gone []*attempt
 		for t := range b.attempts {
 			if t.dispatcher == d {
@@ -124,5 +124,5 @@
 			t.connectionClosed()
 		}
 	}
-	w.after(w.scenario.Head.FrontNotice.Std(), func() { d.inRotation = d.inRotation && d.running })
+	sim.after(sim.scenario.Head.FrontNotice.Std(), func() { d.inRotation = d.inRotation && d.running })
 }
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -10,9 +10,9 @@
 	"sloetrestle/internal/record"
 )
 
-func (w *simulation) affectedBackends(t day.Trouble) []*backend {
+func (sim *simulation) affectedBackends(t day.Trouble) []*backend {
 	var hit []*backend
-	for _, b := range w.backendOrder {
+	for _, b := range sim.backendOrder {
 		if slices.ContainsFunc(t.Boxes, func(n string) bool { return n == b.spec.Name || n == b.spec.Kind }) {
 			hit = append(hit, b)
 		}
@@ -20,11 +20,11 @@
 	return hit
 }
 
-// inject begins a fault and sets its end. Those of the requests themselves are in the plan; those of single addresses
-// have no meaning without sockets.
-func (w *simulation) inject(t day.Trouble) {
-	w.addRecord(record.Line{What: record.Note, Word: t.Kind + " begins"})
-	hit, length, notice := w.affectedBackends(t), t.Length.Std(), w.scenario.List.Notice.Std()
+// inject starts a fault and schedules its end. Faults of the requests themselves are part of the traffic plan. Faults of
+// single addresses have no meaning without sockets.
+func (sim *simulation) inject(t day.Trouble) {
+	sim.addRecord(record.Line{What: record.Note, Word: t.Kind + " begins"})
+	hit, length, notice := sim.affectedBackends(t), t.Length.Std(), sim.scenario.List.Notice.Std()
 	each := func(do func(*backend)) {
 		for _, b := range hit {
 			do(b)
@@ -34,12 +34,12 @@
 		each(func(b *backend) {
 			if !b.running {
 				b.start(true)
-				w.publish(b, boxlist.Ready, notice)
+				sim.publish(b, boxlist.Ready, notice)
 				b.runSteps()
 			}
 		})
 	}
-	later := func(do func()) { w.after(length, do) }
+	later := func(do func()) { sim.after(length, do) }
 	switch t.Kind {
 	case "slow":
 		each(func(b *backend) { b.engine.Slowdown = t.Size })
@@ -48,10 +48,10 @@
 		each(func(b *backend) { b.engine.NeighbourShare = t.Share })
 		later(func() { each(func(b *backend) { b.engine.NeighbourShare = 0 }) })
 	case "ageing":
-		each(func(b *backend) { b.engine.SetAgingRate(w.now, t.Share) })
+		each(func(b *backend) { b.engine.SetAgingRate(sim.now, t.Share) })
 		later(func() {
-			each(func(b *backend) { b.kill("aged"); w.publish(b, boxlist.Removed, w.scenario.List.Silent.Std()) })
-			w.after(2*time.Second, back)
+			each(func(b *backend) { b.kill("aged"); sim.publish(b, boxlist.Removed, sim.scenario.List.Silent.Std()) })
+			sim.after(2*time.Second, back)
 		})
 	case "evict_fresh":
 		each(func(b *backend) { b.engine.EvictFresh = true })
@@ -73,25 +73,25 @@
 		later(func() { each(func(b *backend) { b.crashShare = 0 }); back() })
 	case "replace":
 		each(func(b *backend) {
-			w.publish(b, boxlist.Draining, notice)
-			w.startReplacement(b, notice)
+			sim.publish(b, boxlist.Draining, notice)
+			sim.startReplacement(b, notice)
 		})
-		later(func() { each(func(b *backend) { b.kill("replaced"); w.publish(b, boxlist.Removed, notice) }) })
+		later(func() { each(func(b *backend) { b.kill("replaced"); sim.publish(b, boxlist.Removed, notice) }) })
 	case "connect_late":
-		w.slowConnectShare, w.slowConnectMax = t.Share, t.By.Std()
-		later(func() { w.slowConnectShare = 0 })
+		sim.slowConnectShare, sim.slowConnectMax = t.Share, t.By.Std()
+		later(func() { sim.slowConnectShare = 0 })
 	case "list_down":
-		w.discoveryDownUntil = w.now + length
+		sim.discoveryDownUntil = sim.now + length
 	case "list_gap":
-		w.dropNextUpdate = true
-	case "no_cancel", "leave", "give_up", "burst", "shared_text", "long_prompts": // of the boxes' make, or of the questions' plan
+		sim.dropNextUpdate = true
+	case "no_cancel", "leave", "give_up", "burst", "shared_text", "long_prompts": // part of the backends' specs or of the traffic plan
 	case "forget":
 		each(func(b *backend) { b.engine.DropCache() })
 	case "crash":
 		each(func(b *backend) {
 			b.kill("crashed")
-			if silent := w.scenario.List.Silent.Std(); length > silent {
-				w.publish(b, boxlist.Removed, silent)
+			if silent := sim.scenario.List.Silent.Std(); length > silent {
+				sim.publish(b, boxlist.Removed, silent)
 			}
 		})
 		later(back)
@@ -99,38 +99,38 @@
 		each(func(b *backend) { b.kill("restarted") })
 		back()
 	case "drain":
-		each(func(b *backend) { w.publish(b, boxlist.Draining, notice) })
+		each(func(b *backend) { sim.publish(b, boxlist.Draining, notice) })
 		later(func() {
-			each(func(b *backend) { b.kill("drained"); w.publish(b, boxlist.Removed, notice) })
-			w.after(time.Second, back)
+			each(func(b *backend) { b.kill("drained"); sim.publish(b, boxlist.Removed, notice) })
+			sim.after(time.Second, back)
 		})
 	case "list_stale":
-		w.discoveryDelay = t.By.Std()
-		later(func() { w.discoveryDelay = 0 })
+		sim.discoveryDelay = t.By.Std()
+		later(func() { sim.discoveryDelay = 0 })
 	case "link_slow":
-		w.linkSlowdown = t.Size
-		later(func() { w.linkSlowdown = 1 })
+		sim.linkSlowdown = t.Size
+		later(func() { sim.linkSlowdown = 1 })
 	case "kill_dispatcher":
 		for _, n := range t.Dispatchers {
-			w.dispatchers[n].kill()
+			sim.dispatchers[n].kill()
 		}
 		later(func() {
 			for _, n := range t.Dispatchers {
-				d := w.dispatchers[n]
+				d := sim.dispatchers[n]
 				d.start(d.lastKnown)
 			}
 		})
-	default: // of sockets and processes
-		w.addRecord(record.Line{What: record.Note, Word: t.Kind + " is not played here"})
+	default: // faults of sockets and processes
+		sim.addRecord(record.Line{What: record.Note, Word: t.Kind + " is not played here"})
 	}
 	if !strings.HasPrefix(t.Kind, "address_") {
-		later(func() { w.addRecord(record.Line{What: record.Note, Word: t.Kind + " ends"}) })
+		later(func() { sim.addRecord(record.Line{What: record.Note, Word: t.Kind + " ends"}) })
 	}
 }
 
-// replace starts a new backend in the place of one that drains: alike, with a name of its own, and cold.
-func (w *simulation) startReplacement(old *backend, notice time.Duration) {
+// startReplacement starts a backend in slow start in place of one that drains, of the same spec but with a name of its own.
+func (sim *simulation) startReplacement(old *backend, notice time.Duration) {
 	made := old.spec
 	made.Name += "-new"
-	w.publish(w.addBackend(made, true), boxlist.Ready, notice)
+	sim.publish(sim.addBackend(made, true), boxlist.Ready, notice)
 }
--- a/internal/fleet/trouble_test.go
+++ b/internal/fleet/fault_test.go
@@ -9,9 +9,9 @@
 	"sloetrestle/internal/setup"
 )
 
-// A trouble that does nothing makes a day that keeps the rules show nothing: each kind that has a meaning without sockets must
-// leave its mark in the record.
-func TestTroublesStrikeInVirtualTime(t *testing.T) {
+// A fault without effect would make the rule checks vacuous: each kind that has a meaning without sockets must show in the
+// records.
+func TestFaultsTakeEffectInVirtualTime(t *testing.T) {
 	for kind, struck := range map[string]func(l record.Line) bool{
 		"crash_after_read": func(l record.Line) bool { return l.What == record.Down && l.Word == "crashed after reading" },
 		"reset_running":    func(l record.Line) bool { return l.What == record.End && l.Stage != "read" && l.Word == "broke" },
@@ -36,7 +36,7 @@
 			t.Fatal(err)
 		}
 		if n == 0 || !out.Kept() {
-			t.Errorf("%s struck %d times\n%s", kind, n, out.Text())
+			t.Errorf("fault %s took effect %d times\n%s", kind, n, out.Text())
 		}
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,6 @@
-// Package fleet plays a scripted day in virtual time: many dispatchers, each the real loop with the real module, and many
-// engines in one process, with no sockets and no clock. The same script and seed give the same record to the last line.
-// It decides nothing; what it leaves is a record for internal/judge. Begin with Play.
+// Package fleet plays a scripted scenario in virtual time, in one process: many dispatchers, each with the production event
+// loop and scheduler, and many emulated engines, without sockets or clock. The same script and seed give the same records to
+// the last line. It does not check the rules itself: the records go to the checker. Begin with Play.
 package fleet
 
 import (
@@ -23,71 +23,71 @@
 )
 
 const (
-	networkDelay      = 200 * time.Microsecond // one way between any two, a hall's network
-	timerResolution     = 2 * time.Millisecond   // how often a dispatcher's timers are looked at, as on the bench
-	refusedConnectionTime  = 1 * time.Millisecond   // for a refused connection
-	dialTimeout = 250 * time.Millisecond
+	networkDelay          = 200 * time.Microsecond // one way between any two processes in a data center
+	timerResolution       = 2 * time.Millisecond   // dispatchers' timers fire at multiples of it
+	refusedConnectionTime = 1 * time.Millisecond   // until a refused connection is reported
+	dialTimeout           = 250 * time.Millisecond
 )
 
-// Outcome is what a run comes to, beside its verdict.
+// Outcome is the result of a run: the checker's verdict, and figures of the run.
 type Outcome struct {
 	judge.Verdict
-	Digest    string                   `json:"digest"` // of the record
-	Requests int                      `json:"questions"`
-	Engines   map[string]engine.Counts `json:"engines"`
-	OnTimeShare     []float64                `json:"share"` // answered in time of those first asked in each second
-	Submitted     []float64                `json:"asked"`
-	TriesPerSecond     []float64                `json:"again"` // tries in each second
-	Budgets   map[string]BudgetUse     `json:"budgets,omitempty"`
+	Digest         string                   `json:"digest"` // of all records
+	Requests       int                      `json:"questions"`
+	Engines        map[string]engine.Counts `json:"engines"`
+	OnTimeShare    []float64                `json:"share"` // share answered in time of the requests first submitted in each second
+	Submitted      []float64                `json:"asked"`
+	TriesPerSecond []float64                `json:"again"`
+	Budgets        map[string]BudgetUse     `json:"budgets,omitempty"`
 }
 
-// Play plays a day with a policy: "module", or one of the baselines.
+// Play plays a scenario with a policy: "module" for the scheduler, or the name of a baseline policy.
 func Play(d day.Day, policy string) (Outcome, error) {
 	return PlayLines(d, policy, nil)
 }
 
-// PlayLines does the same and hands on each line of the record.
+// PlayLines does the same and calls a function with each record.
 func PlayLines(d day.Day, policy string, each func(record.Line)) (Outcome, error) {
-	w, err := newSimulation(d, policy, each)
+	sim, err := newSimulation(d, policy, each)
 	if err != nil {
 		return Outcome{}, err
 	}
-	return w.runToEnd(), nil
+	return sim.runToEnd(), nil
 }
 
-// newWorld makes backends, discovery and dispatchers, and clients that will ask.
+// newSimulation builds backends, discovery and dispatchers, and schedules the clients' requests and the faults.
 func newSimulation(d day.Day, policy string, each func(record.Line)) (*simulation, error) {
-	w := &simulation{
+	sim := &simulation{
 		scenario: d, policy: policy, rng: rand.New(rand.NewPCG(d.Head.Seed, 77)), backends: map[string]*backend{}, byID: map[uint32]*backend{}, onRecord: each,
 		linkSlowdown: 1, durableLoans: map[string]float64{}, rackLinkFreeAt: map[string]time.Duration{}, digest: xxhash.New(), dedupMarks: map[string]time.Duration{},
 		prefillTokens: map[string]*[2]float64{}, requests: d.Plan(),
 	}
-	if err := w.build(); err != nil {
+	if err := sim.build(); err != nil {
 		return nil, err
 	}
 	if policy == baseline.Informed {
-		w.observeBackends()
+		sim.observeBackends()
 	}
-	for i := range w.requests {
-		w.schedule(w.requests[i].SubmitAt, func() { w.submit(&w.requests[i], 0, "") })
+	for i := range sim.requests {
+		sim.schedule(sim.requests[i].SubmitAt, func() { sim.submit(&sim.requests[i], 0, "") })
 	}
 	for _, t := range d.Troubles {
-		w.schedule(t.At.Std(), func() { w.inject(t) })
+		sim.schedule(t.At.Std(), func() { sim.inject(t) })
 	}
-	return w, nil
+	return sim, nil
 }
 
-// play runs the day to its end.
-func (w *simulation) runToEnd() Outcome {
-	d := w.scenario
-	w.run(d.Head.Length.Std() + drainTime)
+// runToEnd runs the scenario to its end.
+func (sim *simulation) runToEnd() Outcome {
+	d := sim.scenario
+	sim.run(d.Head.Length.Std() + drainTime)
 	head := record.Head{Day: d.Head.Name, Seed: d.Head.Seed, Terms: d.Deployment}
 	out := Outcome{
-		Verdict: judge.Judge(head, w.lines), Digest: fmt.Sprintf("%x", w.digest.Sum64()), Requests: len(w.requests), Engines: map[string]engine.Counts{},
+		Verdict: judge.Judge(head, sim.lines), Digest: fmt.Sprintf("%x", sim.digest.Sum64()), Requests: len(sim.requests), Engines: map[string]engine.Counts{},
 	}
-	out.OnTimeShare, out.Submitted, out.TriesPerSecond = judge.Timeline(head, w.lines)
-	out.Budgets = w.budgetUse()
-	for _, b := range w.backendOrder {
+	out.OnTimeShare, out.Submitted, out.TriesPerSecond = judge.Timeline(head, sim.lines)
+	out.Budgets = sim.budgetUse()
+	for _, b := range sim.backendOrder {
 		sum := out.Engines[b.spec.Kind]
 		sum.Add(b.engine.Counts)
 		out.Engines[b.spec.Kind] = sum
@@ -95,68 +95,68 @@
 	return out
 }
 
-// tail is how long a day runs on after its last request.
+// drainTime is how long a scenario runs on after its last request.
 const drainTime = 40 * time.Second
 
 type simulation struct {
-	scenario    day.Day
-	policy string
-	now    time.Duration
-	timers agenda.Queue
-	rng    *rand.Rand
+	scenario day.Day
+	policy   string
+	now      time.Duration
+	timers   agenda.Queue
+	rng      *rand.Rand
 	requests []standin.Request
-	lines  []record.Line
-	onRecord   func(record.Line)
-	digest    hash.Hash64
+	lines    []record.Line
+	onRecord func(record.Line)
+	digest   hash.Hash64
 
-	backends       map[string]*backend // by name
-	byID        map[uint32]*backend
+	backends           map[string]*backend // by name
+	byID               map[uint32]*backend
 	backendOrder       []*backend
-	dispatchers []*dispatcher
-	discoveryDelay    time.Duration
-	discoveryDownUntil    time.Duration // until then nothing is heard of it
-	dropNextUpdate    bool          // its next change is lost
-	slowConnectShare   float64       // of connections to backends that come up late
-	slowConnectMax      time.Duration // at most
-	linkSlowdown    float64
-	rackLinkFreeAt       map[string]time.Duration // when a rack's link is free
-	dedupMarks        map[string]time.Duration // marks, by group
-	prefillTokens       map[string]*[2]float64   // tokens left to read by grade: sum and number
-	lastIncarnation      uint64
-	durableLoans        map[string]float64 // what keepers have made durable
-	budgets      []*budget.Purse
+	dispatchers        []*dispatcher
+	discoveryDelay     time.Duration
+	discoveryDownUntil time.Duration // no update is delivered before
+	dropNextUpdate     bool          // lose the next update
+	slowConnectShare   float64       // share of connections to backends that are slow to connect
+	slowConnectMax     time.Duration // upper bound of their extra delay
+	linkSlowdown       float64
+	rackLinkFreeAt     map[string]time.Duration // when a rack's link has no transfers left
+	dedupMarks         map[string]time.Duration // time of each deduplication key, by group
+	prefillTokens      map[string]*[2]float64   // uncached prompt tokens by class: sum and count
+	lastIncarnation    uint64
+	durableLoans       map[string]float64 // keepers' durable sums
+	budgets            []*budget.Purse
 }
 
-func (w *simulation) schedule(at time.Duration, do func()) {
-	w.timers.Schedule(max(at, w.now), do)
+func (sim *simulation) schedule(at time.Duration, do func()) {
+	sim.timers.Schedule(max(at, sim.now), do)
 }
 
-func (w *simulation) after(d time.Duration, do func()) { w.schedule(w.now+d, do) }
+func (sim *simulation) after(d time.Duration, do func()) { sim.schedule(sim.now+d, do) }
 
-func (w *simulation) run(until time.Duration) {
-	w.timers.RunUntil(until, func(at time.Duration) { w.now = at })
+func (sim *simulation) run(until time.Duration) {
+	sim.timers.RunUntil(until, func(at time.Duration) { sim.now = at })
 }
 
-func (w *simulation) addRecord(l record.Line) {
-	l.At = w.now.Microseconds()
-	w.lines = append(w.lines, l)
-	fmt.Fprintf(w.digest, "%d %s %s %s %s %s %d %s\n", l.At, l.What, l.Box, l.Try, l.Word, l.Key, l.Trip, l.Dispatcher)
-	if w.onRecord != nil {
-		w.onRecord(l)
+func (sim *simulation) addRecord(l record.Line) {
+	l.At = sim.now.Microseconds()
+	sim.lines = append(sim.lines, l)
+	fmt.Fprintf(sim.digest, "%d %s %s %s %s %s %d %s\n", l.At, l.What, l.Box, l.Try, l.Word, l.Key, l.Trip, l.Dispatcher)
+	if sim.onRecord != nil {
+		sim.onRecord(l)
 	}
 }
 
-// build makes backends, list and dispatchers.
-func (w *simulation) build() error {
-	for _, m := range w.scenario.Makes() {
+// build creates the backends, announces them, and starts the dispatchers.
+func (sim *simulation) build() error {
+	for _, m := range sim.scenario.Makes() {
 		if err := m.Engine.Validate(); err != nil {
-			return fmt.Errorf("box %s: %w", m.Name, err)
+			return fmt.Errorf("backend %s: %w", m.Name, err)
 		}
-		w.publish(w.addBackend(m, false), boxlist.Ready, 0)
+		sim.publish(sim.addBackend(m, false), boxlist.Ready, 0)
 	}
-	for i := range w.scenario.Head.Dispatchers {
-		d := &dispatcher{w: w, number: i, name: fmt.Sprintf("d%d", i)}
-		w.dispatchers = append(w.dispatchers, d)
+	for i := range sim.scenario.Head.Dispatchers {
+		d := &dispatcher{sim: sim, number: i, name: fmt.Sprintf("d%d", i)}
+		sim.dispatchers = append(sim.dispatchers, d)
 		if err := d.start(nil); err != nil {
 			return err
 		}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -23,7 +23,7 @@
 	return d
 }
 
-// The days that processes play on sockets keep the rules in virtual time too, with engines in place of simple boxes.
+// The scenarios that processes play on sockets must keep the rules in virtual time too, with emulated engines as backends.
 func TestDaysKeepTheRulesInVirtualTime(t *testing.T) {
 	for _, name := range []string{"quiet", "demo", "crash-after-read", "reset", "failing", "grade-failing", "hang", "drain", "restart", "list-stale", "kill-dispatcher",
 		"leave", "no-cancel", "link-slow", "forget", "burst", "long-prompts", "shared-text", "stale-cold", "overlap-kill-in-burst", "ageing", "neighbour", "evict-fresh"} {
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestTheSameSeedGivesTheSameRecord(t *testing.T) {
+func TestSameSeedGivesSameRecords(t *testing.T) {
 	d := loadScenario(t, "demo")
 	var digests []string
 	for _, procs := range []int{1, 2, 4} {
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestBaselinesKeepTheRulesOnAQuietDay(t *testing.T) {
+func TestBaselinePoliciesKeepTheRules(t *testing.T) {
 	d := loadScenario(t, "quiet")
 	for _, name := range baseline.Names {
 		out, err := Play(d, name)
@@ -72,12 +72,12 @@
 		}
 	}
 	if _, err := Play(d, "astrology"); err == nil {
-		t.Error("a policy that is none plays")
+		t.Error("an unknown policy was accepted")
 	}
 }
 
-// Load that comes to 2.5 times what the engines can do must end: once it has passed, questions are satisfied again.
-func TestTheFleetComesBackAfterAnOverload(t *testing.T) {
+// A load of 2.5 times the engines' capacity must not outlast its cause: once it has passed, requests are served again.
+func TestFleetRecoversAfterOverload(t *testing.T) {
 	d := loadScenario(t, "quiet")
 	d.Head.Length, d.Head.PerS = setup.Duration(40e9), 60
 	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(5e9), Length: setup.Duration(10e9), Size: 6}}
@@ -90,14 +90,14 @@
 		lost += r.Declined + r.Forfeited + r.Late
 	}
 	if !out.Kept() || lost == 0 || out.Service < 0.4 {
-		t.Errorf("%d were not satisfied in time\n%s", lost, out.Text())
+		t.Errorf("%d requests were not served in time\n%s", lost, out.Text())
 	}
 }
 
 func BenchmarkFleet31(b *testing.B) { benchmarkScenario(b, 1, 33) }
 func BenchmarkFleet79(b *testing.B) { benchmarkScenario(b, 2.55, 160) }
 
-// benchmark plays a day of 31 boxes, so many times larger.
+// benchmarkScenario plays a scenario of 31 backends, enlarged by the given factor.
 func benchmarkScenario(b *testing.B, times float64, dispatchers int) {
 	d := loadScenario(b, "quiet")
 	for i, n := range []float64{13, 15, 3} {
--- a/internal/fleet/release_test.go
+++ b/internal/fleet/release_test.go
@@ -12,8 +12,8 @@
 	"sloetrestle/internal/setup"
 )
 
-// release is a day on which six in ten backends are replaced within 7 s by ones in slow start, played by so many dispatchers.
-// What a backend was asked goes on there when its client has gone.
+// rolloutScenario replaces six in ten backends within 7 s by ones in slow start, under the given number of dispatchers. The
+// prefill backends ignore cancellation: their work continues after the client has disconnected.
 func rolloutScenario(t testing.TB, dispatchers int, seed uint64) day.Day {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/release.toml")
@@ -47,27 +47,28 @@
 	return d
 }
 
-// value sums what was asked for and what was served in time.
+// trafficValue sums the value of the requests submitted and of those served in time.
 type trafficValue struct{ submitted, served float64 }
 
 func (v trafficValue) share() float64 { return v.served / max(v.submitted, 1e-9) }
 
-// dayValue is the value of a day, and of its thirds and classes.
+// scenarioValue is the value in a scenario, in each third of it, and of each class.
 type scenarioValue struct {
-	all     trafficValue
-	thirds  [3]trafficValue
-	classes map[string]*trafficValue
-	slowStarts  map[string]*slowStart // by backend
+	all        trafficValue
+	thirds     [3]trafficValue
+	classes    map[string]*trafficValue
+	slowStarts map[string]*slowStart // by backend
 }
 
-// slowStart is what a backend was sent since it started.
+// slowStart holds the attempts sent to a backend since it started.
 type slowStart struct {
 	startedAt int64
-	attempts []record.Line
+	attempts  []record.Line
 }
 
-// offence looks for a window of the rule in which the backend got more calls than it may, from the whole fleet: as many of mean
-// work as the stated multiple of its present capacity comes to, n, plus 2 sqrt(n) + 2, under 30 plus 3 sqrt(n) + 3.
+// findViolation looks for a window of the slow-start rule in which the backend got more attempts, from the whole fleet, than it
+// may: n attempts of mean work amount to the stated multiple of its present capacity, and n + 2 sqrt(n) + 2 are allowed, or
+// n + 3 sqrt(n) + 3 for n under 30.
 func (s *slowStart) findViolation(rules setup.Rules) (attempts, limit float64, found bool) {
 	window, ramp := rules.SlowStartWindow.Std(), rules.SlowStartRamp.Std().Microseconds()
 	work := 0.0
@@ -94,23 +95,24 @@
 	return 0, 0, false
 }
 
-// checkSlowStarts holds every backend in slow start to its calls.
+// checkSlowStarts checks the attempts to every backend in slow start.
 func (got scenarioValue) checkSlowStarts(t *testing.T, d day.Day) {
 	t.Helper()
 	checked := 0
 	for name, s := range got.slowStarts {
 		checked += len(s.attempts)
 		if attempts, limit, found := s.findViolation(d.Rules); found {
-			t.Errorf("%s got %.0f calls within %v, %.1f at most", name, attempts, d.Rules.SlowStartWindow.Std(), limit)
+			t.Errorf("backend %s in slow start got %.0f attempts within %v, at most %.1f are allowed", name, attempts, d.Rules.SlowStartWindow.Std(), limit)
 		}
 	}
 	if checked < 100 {
-		t.Errorf("%d calls to backends in slow start: this shows nothing", checked)
+		t.Errorf("only %d attempts to backends in slow start: the check shows nothing", checked)
 	}
 }
 
-// By 0.4 s of work a call and half of the capacity, a backend may have 2.5 * 0.5 * 2 / 0.4 = 6.25 calls within 2 s, and 10.5 more.
-func TestTheCheckOfSlowStartsFindsOneCallTooMany(t *testing.T) {
+// With 0.4 s of work per attempt and half of the capacity, a backend may get 2.5 * 0.5 * 2 / 0.4 = 6.25 attempts within 2 s,
+// and 10.5 more.
+func TestSlowStartCheckFindsOneAttemptTooMany(t *testing.T) {
 	rules := setup.Rules{
 		SlowStartMultiple: 2.5, SlowStartWindow: setup.Duration(2 * time.Second), SlowStartShare: 0.5, SlowStartRamp: setup.Duration(1000 * time.Second),
 	}
@@ -120,13 +122,13 @@
 			s.attempts = append(s.attempts, record.Line{At: 1e6 + int64(i)*1e5, Work: 0.4})
 		}
 		if _, _, found := s.findViolation(rules); found != offends {
-			t.Errorf("%d calls: found %v", calls, found)
+			t.Errorf("%d attempts: violation found: %v", calls, found)
 		}
 	}
 }
 
-// measure plays a day and weighs what its clients got: a request's value is its class's for each token, all of it for a first
-// token by the latency target, counted from the first time that the client asked.
+// measure plays a scenario and sums the value served. A request's value is its class's for each token, and counts in full if the
+// first token comes by the latency target, from the client's first submission.
 func measure(t *testing.T, d day.Day, policy string) (scenarioValue, Outcome) {
 	t.Helper()
 	got := scenarioValue{classes: map[string]*trafficValue{}}
@@ -168,32 +170,33 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d dispatchers, seed %d, %s: %.3f, thirds %.3f %.3f %.3f, %.2f attempts a request, backends in slow start at %.0f%% of what they bear",
+	t.Logf("%d dispatchers, seed %d, %s: %.3f, thirds %.3f %.3f %.3f, %.2f attempts per request, backends in slow start at %.0f%% of their limit",
 		d.Head.Dispatchers, d.Head.Seed, policy, got.all.share(), got.thirds[0].share(), got.thirds[1].share(), got.thirds[2].share(),
 		out.Trips, 100*out.ColdWorst)
 	return got, out
 }
 
-// enough checks what users ask for beside the reference that sees the true state late: half of the value that it serves in all
-// and of each class, and a fifth in each third of the day.
+// checkAgainst compares the value served with the reference policy that sees the true state with a delay: at least half of its
+// value in total and of each class, and a fifth in each third of the scenario.
 func (got scenarioValue) checkAgainst(t *testing.T, reference scenarioValue) {
 	t.Helper()
 	if got.all.share() < reference.all.share()/2 {
-		t.Errorf("%.3f of the value is served, wanted half of %.3f", got.all.share(), reference.all.share())
+		t.Errorf("%.3f of the value is served, want half of %.3f", got.all.share(), reference.all.share())
 	}
 	for i, v := range got.thirds {
 		if v.share() < reference.thirds[i].share()/5 {
-			t.Errorf("third %d of the day: %.3f is served, wanted a fifth of %.3f", i+1, v.share(), reference.thirds[i].share())
+			t.Errorf("third %d of the scenario: %.3f of the value is served, want a fifth of %.3f", i+1, v.share(), reference.thirds[i].share())
 		}
 	}
 	for class, v := range got.classes {
 		if v.share() < reference.classes[class].share()/2 {
-			t.Errorf("class %s: %.3f is served, wanted half of %.3f", class, v.share(), reference.classes[class].share())
+			t.Errorf("class %s: %.3f of the value is served, want half of %.3f", class, v.share(), reference.classes[class].share())
 		}
 	}
 }
 
-// checkModule plays a day with the module and checks all of it: what is served beside the reference, slow starts, the five rules.
+// checkModule plays a scenario with the scheduler and checks the value served against the reference, slow starts, and the five
+// rules.
 func checkModule(t *testing.T, d day.Day, reference scenarioValue) scenarioValue {
 	t.Helper()
 	got, out := measure(t, d, "module")
@@ -205,23 +208,23 @@
 	return got
 }
 
-// Requests that were given up on widened the window as if first tokens had come quickly, and no window went below one request
-// a dispatcher: 300 dispatchers never had less than 300 out at a fleet that could do with a hundred. Backends spent their time
-// on what nobody waited for any more.
-func TestAReleaseUnder300DispatchersServesEnough(t *testing.T) {
+// Guards against congestion that the concurrency windows don't relieve: abandoned requests widened a window as if first tokens
+// had come quickly, and no window went below one request per dispatcher, so that 300 dispatchers always had at least 300
+// outstanding at a fleet that could serve a hundred. Backends then worked on requests that nobody waited for.
+func TestRolloutWith300DispatchersServesEnough(t *testing.T) {
 	t.Parallel()
 	d := rolloutScenario(t, 300, 3)
 	reference, _ := measure(t, d, baseline.Informed)
 	checkModule(t, d, reference)
 }
 
-// mostLost is how much less of the value a fleet of many dispatchers may serve than one of few that has the same load and
-// backends. Some is lost by what each knows: of 300, each learns from one request a second which prefixes are common and which
-// backends are full.
+// maxLostValue is how much less of the value a fleet of many dispatchers may serve than one of few with the same load and
+// backends. Some loss is inherent: each of 300 dispatchers sees one request a second, from which to learn which prefixes are
+// common and which backends are full.
 const maxLostValue = 0.2
 
-// With load and backends held the same, the number of dispatchers must not matter much.
-func TestServiceHoldsForAnyNumberOfDispatchers(t *testing.T) {
+// With the same load and backends, the service must depend little on the number of dispatchers.
+func TestServiceIsIndependentOfDispatcherCount(t *testing.T) {
 	t.Parallel()
 	reference, _ := measure(t, rolloutScenario(t, 30, 1), baseline.Informed)
 	best, worst := 0.0, 1.0
@@ -231,11 +234,11 @@
 		best, worst = max(best, got.all.share()), min(worst, got.all.share())
 	}
 	if worst < best-maxLostValue {
-		t.Errorf("between %.3f and %.3f of the value is served, by how many dispatchers there are", worst, best)
+		t.Errorf("the share of the value served varies from %.3f to %.3f with the number of dispatchers", worst, best)
 	}
 }
 
-// The same with six dispatchers, each of which has a queue that lets the class go first that is worth most for its work.
+// The same with six dispatchers, whose queues put first the class with the most value for its work.
 func TestSixDispatchersServeEachClassEnough(t *testing.T) {
 	t.Parallel()
 	d := rolloutScenario(t, 6, 1)
--- a/internal/fleet/storm_test.go
+++ b/internal/fleet/retry_throttling_test.go
@@ -11,8 +11,8 @@
 	"sloetrestle/internal/setup"
 )
 
-// outage is a day on which four of seven boxes are away for a while, and clients ask again up to 25 times. Load alone is
-// servable.
+// outageScenario takes four of seven backends away for a while, with clients that retry up to 25 times. The load without
+// retries can be served.
 func outageScenario(t testing.TB) day.Day {
 	d := loadScenario(t, "quiet")
 	d.Head.Length, d.Head.PerS, d.Head.Dispatchers = setup.Duration(60e9), 110, 3
@@ -33,46 +33,46 @@
 		t.Errorf("%s\n%s", name, out.Text())
 	}
 	s, ok := judge.Recovered(out.OnTimeShare, out.Submitted, 10*time.Second, back)
-	t.Logf("%s: back after %.0f s (%v), service %.3f, %d tries, followers %.3f, others %.3f", name, s, ok, out.Service, out.Tries, out.Followers, out.Others)
+	t.Logf("%s: recovered after %.0f s (%v), service %.3f, %d tries, followers %.3f, others %.3f", name, s, ok, out.Service, out.Tries, out.Followers, out.Others)
 	return s, ok
 }
 
-func TestTheFleetComesOutOfAStormByItself(t *testing.T) {
+func TestFleetRecoversFromRetryStorm(t *testing.T) {
 	const back = 25 * time.Second
 	for name, change := range map[string]func(*day.Day){
-		"all follow":                      func(d *day.Day) {},
-		"half follow":                     func(d *day.Day) { d.Clients.Honour = 0.5 },
-		"none follow":                     func(d *day.Day) { d.Clients.Honour = 0 },
+		"all honour Retry-After":          func(d *day.Day) {},
+		"half honour Retry-After":         func(d *day.Day) { d.Clients.Honour = 0.5 },
+		"none honour Retry-After":         func(d *day.Day) { d.Clients.Honour = 0 },
 		"33 dispatchers":                  func(d *day.Day) { d.Head.Dispatchers = 33 },
 		"reconnects faster than restarts": func(d *day.Day) { d.Clients.Wait, d.Clients.Honour, d.Clients.Retries = setup.Duration(50e6), 0.5, 50 },
-		"the boxes fade instead": func(d *day.Day) { // a slow leak: boxes lose their pace, crash and come back cold
+		"backends lose speed before the crash": func(d *day.Day) { // as with a leak: they slow down, crash, and come back in slow start
 			d.Troubles = []day.Trouble{{Kind: "ageing", At: setup.Duration(10e9), Length: setup.Duration(13e9), Share: 0.1, Boxes: []string{"reader-1", "writer-1", "writer-2"}}}
 		},
-		"the list is stale": func(d *day.Day) {
+		"stale endpoint list": func(d *day.Day) {
 			d.Troubles = append(d.Troubles, day.Trouble{Kind: "list_stale", At: setup.Duration(9e9), Length: setup.Duration(20e9), By: setup.Duration(3e9)})
 		},
-		"a dispatcher restarts in it": func(d *day.Day) {
+		"a dispatcher restarts meanwhile": func(d *day.Day) {
 			d.Troubles = append(d.Troubles, day.Trouble{Kind: "kill_dispatcher", At: setup.Duration(20e9), Length: setup.Duration(1e9), Dispatchers: []int{0}})
 		},
 	} {
 		d := outageScenario(t)
 		change(&d)
 		if s, ok := recoveryTime(t, name, d, back); !ok || s > 15 {
-			t.Errorf("%s: back after %.0f s (%v)", name, s, ok)
+			t.Errorf("%s: recovered after %.0f s (%v), want 15 s at most", name, s, ok)
 		}
 	}
 }
 
-func TestASecondOutageDuringRecovery(t *testing.T) {
+func TestFleetRecoversFromSecondOutage(t *testing.T) {
 	d := outageScenario(t)
 	d.Troubles = append(d.Troubles, day.Trouble{Kind: "crash", At: setup.Duration(27e9), Length: setup.Duration(6e9), Boxes: []string{"reader-2", "writer-3"}})
-	if s, ok := recoveryTime(t, "twice", d, 33*time.Second); !ok || s > 20 {
-		t.Errorf("back after %.0f s (%v)", s, ok)
+	if s, ok := recoveryTime(t, "second outage", d, 33*time.Second); !ok || s > 20 {
+		t.Errorf("recovered after %.0f s (%v), want 20 s at most", s, ok)
 	}
 }
 
-// What the guard is for: clients that follow its advice are satisfied in the end, with a fraction of the tries.
-func TestTheGuardSparesTriesAndServesMore(t *testing.T) {
+// Retry throttling must pay off for clients that honour Retry-After: more of them are served, with a fraction of the tries.
+func TestRetryThrottlingSavesTriesAndServesMore(t *testing.T) {
 	with := outageScenario(t)
 	with.Head.PerS = 130
 	without := with
@@ -86,29 +86,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Since the module's window has a bound, it serves more without the guard too: 0.719 and 0.700 here.
+	// The scheduler's bounded window serves more without throttling too, so the required gain is small: 0.719 against 0.700 here.
 	if a.Service < b.Service+0.01 || a.Tries > b.Tries/2 || a.Followers < b.Others+0.05 {
-		t.Errorf("with the guard service %.3f in %d tries, %.3f of the followers satisfied; without %.3f in %d, %.3f", a.Service, a.Tries, a.Followers, b.Service, b.Tries, b.Others)
+		t.Errorf("with throttling service %.3f in %d tries, %.3f of the clients that honour it served; without %.3f in %d, %.3f", a.Service, a.Tries, a.Followers, b.Service, b.Tries, b.Others)
 	}
 }
 
-// Load alone is servable, load and what is asked again is not: a burst is enough for clients that ask again at once to keep a
-// fleet down for good. With the guard it comes out of that without help.
-func TestTheFleetLeavesAMetastableState(t *testing.T) {
+// The load can be served, but not together with the retries: after a burst, clients that retry at once keep a fleet in overload
+// for good. With retry throttling it recovers without help.
+func TestRetryThrottlingEndsMetastableOverload(t *testing.T) {
 	d := outageScenario(t)
 	d.Clients.Honour, d.Clients.Wait, d.Clients.Retries, d.Head.Dispatchers = 0, setup.Duration(50e6), 50, 33
 	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(10e9), Length: setup.Duration(8e9), Size: 4}}
 	if s, ok := recoveryTime(t, "after a burst", d, 18*time.Second); !ok || s > 15 {
-		t.Errorf("back after %.0f s (%v)", s, ok)
+		t.Errorf("recovered after %.0f s (%v), want 15 s at most", s, ok)
 	}
 	d.Limits.ThrottleRetries, d.Limits.MaxRetryAfter = false, 0
-	if s, ok := recoveryTime(t, "without the guard", d, 18*time.Second); ok && s < 25 {
-		t.Errorf("without the guard it is back after %.0f s: this day shows nothing", s)
+	if s, ok := recoveryTime(t, "without throttling", d, 18*time.Second); ok && s < 25 {
+		t.Errorf("without throttling it recovers after %.0f s: the scenario shows nothing", s)
 	}
 }
 
-// One channel asks for four times what it did, and its clients ask again at once: the other's questions are served as before.
-func TestOneChannelsStormLeavesTheOtherServed(t *testing.T) {
+// One tenant sends four times its load and its clients retry at once: the other tenant's requests are served as before.
+func TestRetryStormOfOneTenantSparesTheOther(t *testing.T) {
 	d := outageScenario(t)
 	d.Head.PerS, d.Clients.Honour, d.Clients.Wait = 80, 0, setup.Duration(100e6)
 	d.Tenants = []setup.Tenant{{Name: "web-app", Share: 0.6, RequestsPerSecond: 60}, {Name: "ranger-office", Share: 0.4, RequestsPerSecond: 60}}
@@ -142,8 +142,8 @@
 		return by
 	}
 	with, without := share(true), share(false)
-	t.Logf("answered in time with the guard %v, without %v", with, without)
+	t.Logf("share answered in time with throttling %v, without %v", with, without)
 	if with["ranger-office"] < 0.9 || with["web-app"] > 0.9 || with["ranger-office"] < without["ranger-office"] {
-		t.Errorf("answered in time with the guard %v, without %v", with, without)
+		t.Errorf("share answered in time with throttling %v, without %v", with, without)
 	}
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -8,18 +8,18 @@
 	"sloetrestle/internal/engine"
 )
 
-// observeEvery is how late baseline.Informed sees the state of backends, at most.
+// observeEvery is the interval of the informed baseline policy's observations, and so their greatest age.
 const observeEvery = 250 * time.Millisecond
 
-// observe takes down the true state of all backends, again and again.
-func (w *simulation) observeBackends() {
-	for _, b := range w.backendOrder {
-		b.observed = b.trueLoad(w.now)
+// observeBackends copies the true state of all backends, periodically.
+func (sim *simulation) observeBackends() {
+	for _, b := range sim.backendOrder {
+		b.observed = b.trueLoad(sim.now)
 	}
-	w.after(observeEvery, w.observeBackends)
+	sim.after(observeEvery, sim.observeBackends)
 }
 
-// trueLoad is the backend's true state now.
+// trueLoad returns the backend's true state now.
 func (b *backend) trueLoad(now time.Duration) baseline.Load {
 	report, speed := b.engine.LoadReport(), b.engine.Speed(now)
 	return baseline.Load{
@@ -27,11 +27,11 @@
 	}
 }
 
-// view shows baseline.Informed the backends as last observed.
-type view struct{ w *simulation }
+// view gives the informed baseline policy the backends' states as last observed.
+type view struct{ sim *simulation }
 
 func (v view) Load(h *brain.Backend, q *brain.Request) baseline.Load {
-	b := v.w.byID[h.ID]
+	b := v.sim.byID[h.ID]
 	load := b.observed
 	if h.Role == brain.RolePrefill {
 		load.CachedTokens = float64(b.engine.CachedTokens(&engine.Job{Session: q.SessionKey, SharedPrefix: q.PrefixKey, PromptTokens: int(q.PromptTokens), PrefixTokens: int(q.PrefixTokens)}))
@@ -39,4 +39,6 @@
 	return load
 }
 
-func (v view) AttemptSent(t *brain.Attempt, tokens float64) { v.w.byID[t.Backend.ID].observed.BacklogTokens += tokens }
+func (v view) AttemptSent(t *brain.Attempt, tokens float64) {
+	v.sim.byID[t.Backend.ID].observed.BacklogTokens += tokens
+}
