--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline has simple scheduling policies as references for the scheduler. Experiments run them in its place; a
-// running dispatcher never does. They keep the checker's five rules as far as one dispatcher can without coordination. Begin
-// with New.
+// Package baseline has simple scheduling policies as references for the scheduler. Experiments run them in its
+// place; a running dispatcher never does. They keep the checker's five rules as far as one dispatcher can without
+// coordination. Begin with New.
 package baseline
 
 import (
@@ -38,23 +38,23 @@
 	return &Policy{name: name, runtime: runtime, rng: brain.NewPCG(seed), settings: settings, classes: classes}, err
 }
 
-// UpdateEndpoints applies endpoint updates, or with whole the full list.
-func (p *Policy) UpdateEndpoints(lines []brain.Endpoint, whole bool) {
-	if whole {
+// UpdateEndpoints applies endpoint updates, or with full the complete list.
+func (p *Policy) UpdateEndpoints(endpoints []brain.Endpoint, full bool) {
+	if full {
 		for _, backend := range p.backends {
 			backend.State = brain.Removed
 		}
 	}
-	for _, l := range lines {
+	for _, endpoint := range endpoints {
 		known := false
 		for _, backend := range p.backends {
-			known = known || backend == l.Backend
+			known = known || backend == endpoint.Backend
 		}
 		if !known {
-			l.Backend.Role = p.settings.RoleOf(l.Backend.Kind)
-			p.backends = append(p.backends, l.Backend)
+			endpoint.Backend.Role = p.settings.RoleOf(endpoint.Backend.Kind)
+			p.backends = append(p.backends, endpoint.Backend)
 		}
-		l.Backend.State, l.Backend.CapacityUnits = l.State, l.CapacityUnits
+		endpoint.Backend.State, endpoint.Backend.CapacityUnits = endpoint.State, endpoint.CapacityUnits
 	}
 }
 
@@ -81,14 +81,15 @@
 	return brain.Allowed
 }
 
-// dispatch sends a request's first attempt according to the policy: separate prefill and decode, a decode backend that does
-// both, or a mixed backend.
+// dispatch sends a request's first attempt according to the policy: separate prefill and decode, a decode backend
+// that does both, or a mixed backend.
 func (p *Policy) dispatch(request *brain.Request) {
 	if p.name == Informed {
 		p.dispatchInformed(request)
 		return
 	}
-	mixed, decoders, prefillers := p.eligible(request, brain.RoleMixed), p.eligible(request, brain.RoleDecode), p.eligible(request, brain.RolePrefill)
+	mixed, decoders, prefillers := p.eligible(request, brain.RoleMixed), p.eligible(request, brain.RoleDecode),
+		p.eligible(request, brain.RolePrefill)
 	wholeBackends := append(append([]*brain.Backend(nil), mixed...), decoders...)
 	switch {
 	case p.name == "always_in_place" && len(wholeBackends) > 0 && p.settings.Bool("familyInfo.localRead"):
@@ -106,10 +107,12 @@
 
 // eligible lists the backends of a role that may be sent the request now.
 func (p *Policy) eligible(request *brain.Request, role brain.Role) []*brain.Backend {
-	if p.runtime.Now() >= request.Deadline || len(request.Attempts) >= int(p.settings.Number("policyLimits.maxAttempts", 1)) {
+	if p.runtime.Now() >= request.Deadline ||
+		len(request.Attempts) >= int(p.settings.Number("policyLimits.maxAttempts", 1)) {
 		return nil
 	}
-	if attempt := request.MayHaveRun(); attempt != nil && role != brain.RolePrefill && request.Class.Effect != brain.Idempotent {
+	if attempt := request.MayHaveRun(); attempt != nil && role != brain.RolePrefill &&
+		request.Class.Effect != brain.Idempotent {
 		return nil
 	}
 	return brain.Filter(p.backends, func(backend *brain.Backend) bool {
@@ -137,7 +140,8 @@
 }
 
 func (p *Policy) send(request *brain.Request, backend *brain.Backend, stage brain.Stage) {
-	attempt := &brain.Attempt{Request: request, Backend: backend, Number: len(request.Attempts), SentAt: p.runtime.Now(), Stage: stage}
+	attempt := &brain.Attempt{Request: request, Backend: backend, Number: len(request.Attempts), SentAt: p.runtime.Now(),
+		Stage: stage}
 	if stage != brain.StageDecode {
 		attempt.PrefillTokens = request.PromptTokens
 	}
@@ -169,7 +173,8 @@
 		return
 	}
 	if request.KVHolder != nil {
-		if eligible := append(p.eligible(request, brain.RoleDecode), p.eligible(request, brain.RoleMixed)...); len(eligible) > 0 {
+		if eligible := append(p.eligible(request, brain.RoleDecode),
+			p.eligible(request, brain.RoleMixed)...); len(eligible) > 0 {
 			p.send(request, p.pickDecode(request, eligible), brain.StageDecode)
 			return
 		}
--- a/internal/baseline/informed.go
+++ b/internal/baseline/informed.go
@@ -6,9 +6,9 @@
 	"sloetrestle/brain"
 )
 
-// Informed names the reference policy with information that no real dispatcher has: each sees the true state of every
-// backend, though with a delay, and without delay what the others send. A request goes to the backend that is expected to finish
-// its prefill first. A request that can't meet its latency target is rejected.
+// Informed names the reference policy with information that no real dispatcher has: each sees the true state of
+// every backend, though with a delay, and without delay what the others send. A request goes to the backend that is
+// expected to finish its prefill first. A request that can't meet its latency target is rejected.
 const Informed = "informed"
 
 // Load is the true state of one backend when it was last observed.
@@ -28,7 +28,8 @@
 
 // prefillTime returns how long the backend takes until the request's prompt is prefilled.
 func (l Load) prefillTime(request *brain.Request) time.Duration {
-	return time.Duration((l.BacklogTokens + request.PromptTokens - l.CachedTokens) / l.PrefillTokensPerSecond * float64(time.Second))
+	return time.Duration((l.BacklogTokens + request.PromptTokens - l.CachedTokens) / l.PrefillTokensPerSecond *
+		float64(time.Second))
 }
 
 // observedUp lists the backends that were up when last observed.
@@ -38,10 +39,12 @@
 
 // dispatchInformed sends a request to the backend expected to finish its prefill first, or rejects it.
 func (p *Policy) dispatchInformed(request *brain.Request) {
-	best := brain.MinBy(p.observedUp(request, p.eligible(request, brain.RolePrefill)), func(backend *brain.Backend) float64 {
-		return p.View.Load(backend, request).prefillTime(request).Seconds()
-	})
-	target := request.ReceivedAt + request.Class.Target + time.Duration(request.PromptTokens/1000*float64(request.Class.TargetPer1000Tokens))
+	best := brain.MinBy(p.observedUp(request, p.eligible(request, brain.RolePrefill)),
+		func(backend *brain.Backend) float64 {
+			return p.View.Load(backend, request).prefillTime(request).Seconds()
+		})
+	target := request.ReceivedAt + request.Class.Target +
+		time.Duration(request.PromptTokens/1000*float64(request.Class.TargetPer1000Tokens))
 	if best == nil || p.runtime.Now()+p.View.Load(best, request).prefillTime(request) > min(target, request.Deadline) {
 		p.rejectOrFail(request)
 		return
@@ -55,7 +58,8 @@
 	if p.name != Informed {
 		return p.pick(eligible)
 	}
-	best := brain.MinBy(p.observedUp(request, eligible), func(backend *brain.Backend) float64 { return p.View.Load(backend, request).StreamLoad })
+	best := brain.MinBy(p.observedUp(request, eligible),
+		func(backend *brain.Backend) float64 { return p.View.Load(backend, request).StreamLoad })
 	if best == nil {
 		return eligible[0]
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -1,8 +1,8 @@
-// Package engine models an LLM inference server: a step-based scheduler with continuous batching and chunked prefill,
-// paged KV memory with reference counts, a prefix cache keyed by chained block hashes, preemption when blocks run out, and
-// prefilled KV caches held until a decode backend fetches them. It does no I/O and reads no clock: the caller passes the
-// time, so that an engine runs in virtual or in real time alike, and its timings are emulated. Begin with Engine.Submit,
-// BeginStep and FinishStep.
+// Package engine models an LLM inference server: a step-based scheduler with continuous batching and chunked
+// prefill, paged KV memory with reference counts, a prefix cache keyed by chained block hashes, preemption when
+// blocks run out, and prefilled KV caches held until a decode backend fetches them. It does no I/O and reads no
+// clock: the caller passes the time, so that an engine runs in virtual or in real time alike, and its timings are
+// emulated. Begin with Engine.Submit, BeginStep and FinishStep.
 package engine
 
 import (
@@ -41,13 +41,13 @@
 }
 
 // Validate returns an error that names the settings that are out of range.
-func (m Config) Validate() error {
+func (c Config) Validate() error {
 	switch {
-	case m.Slots < 1 || m.MaxQueued < 0 || m.Blocks < 1 || m.BlockTokens < 1 || m.ChunkTokens < 1:
+	case c.Slots < 1 || c.MaxQueued < 0 || c.Blocks < 1 || c.BlockTokens < 1 || c.ChunkTokens < 1:
 		return fmt.Errorf("slots, blocks, block_tokens and chunk must be at least 1, and queue must not be negative")
-	case m.StepTime <= 0 || m.PrefillTokensPerSecond <= 0:
+	case c.StepTime <= 0 || c.PrefillTokensPerSecond <= 0:
 		return fmt.Errorf("step and read_tokens_a_second must be above 0")
-	case !m.Prefills && !m.Decodes:
+	case !c.Prefills && !c.Decodes:
 		return fmt.Errorf("an engine needs the role prefill, decode, or both")
 	}
 	return nil
@@ -74,8 +74,8 @@
 	Lost                     // the engine stopped
 )
 
-func (e Outcome) String() string {
-	return [...]string{"done", "full", "no_state", "too_big", "dropped", "lost"}[e]
+func (o Outcome) String() string {
+	return [...]string{"done", "full", "no_state", "too_big", "dropped", "lost"}[o]
 }
 
 // Job is one attempt at the engine. The engine calls the job's functions from within its own methods; each may be nil.
@@ -105,8 +105,8 @@
 	Preemptions     int // how often it was preempted
 }
 
-// Usage returns what the job has cost its engine so far, in tokens: prefilled (again too, after a preemption), found in the
-// prefix cache, and generated.
+// Usage returns what the job has cost its engine so far, in tokens: prefilled (again too, after a preemption),
+// found in the prefix cache, and generated.
 func (job *Job) Usage() (prefilled, cached, generated int) {
 	if job.Stage != StageDecode {
 		cached = job.cachedTokens
@@ -198,7 +198,8 @@
 
 // New starts an engine at the given time. With slowStart it first loads its model and then ramps up its speed.
 func New(config Config, now time.Duration, slowStart bool) *Engine {
-	return &Engine{Config: config, kvCaches: map[string]*heldKVCache{}, cachedBlocks: map[uint64]*block{}, freeBlocks: config.Blocks, startedAt: now, slowStart: slowStart, agingSince: now}
+	return &Engine{Config: config, kvCaches: map[string]*heldKVCache{}, cachedBlocks: map[uint64]*block{},
+		freeBlocks: config.Blocks, startedAt: now, slowStart: slowStart, agingSince: now}
 }
 
 // Submit queues a job, or ends it at once if the engine can't take it.
@@ -222,8 +223,8 @@
 
 func (e *Engine) blocksFor(tokens int) int { return (tokens + e.BlockTokens - 1) / e.BlockTokens }
 
-// blockHashes yields the index and hash of each full block of the job's prompt. A hash covers all blocks before it. Blocks
-// within the shared prefix are common to all sessions, the others to one session.
+// blockHashes yields the index and hash of each full block of the job's prompt. A hash covers all blocks before it.
+// Blocks within the shared prefix are common to all sessions, the others to one session.
 func (e *Engine) blockHashes(job *Job) iter.Seq2[int, uint64] {
 	return func(yield func(int, uint64) bool) {
 		var raw [24]byte
@@ -259,8 +260,8 @@
 	return cached
 }
 
-// allocateBlock gives the job a block, and evicts the least recently used cached one if none is free. It returns false if
-// all blocks are in use.
+// allocateBlock gives the job a block, and evicts the least recently used cached one if none is free. It returns
+// false if all blocks are in use.
 func (e *Engine) allocateBlock(job *Job) bool {
 	if e.freeBlocks == 0 && !e.evictBlock() {
 		return false
@@ -301,8 +302,8 @@
 	return true
 }
 
-// reuseCachedBlocks gives the job the cached blocks of its prompt. The last prompt token is always computed anew, since the
-// first output token follows from it.
+// reuseCachedBlocks gives the job the cached blocks of its prompt. The last prompt token is always computed anew,
+// since the first output token follows from it.
 func (e *Engine) reuseCachedBlocks(job *Job) {
 	for _, hash := range e.blockHashes(job) {
 		b := e.cachedBlocks[hash]
@@ -384,14 +385,14 @@
 
 // DropCache empties the prefix cache. Blocks in use stay with their jobs, but are no longer found by others.
 func (e *Engine) DropCache() {
-	for h, b := range e.cachedBlocks {
+	for hash, b := range e.cachedBlocks {
 		if b.ref > 0 {
 			b.hash = 0
 		} else {
 			e.freeBlocks++
 			e.idleBlocks.Remove(b.idleElement)
 		}
-		delete(e.cachedBlocks, h)
+		delete(e.cachedBlocks, hash)
 	}
 	e.emitCacheEvent("cleared", 0)
 }
@@ -453,7 +454,8 @@
 	e.cachePromptBlocks(job)
 }
 
-// preempt frees the job's memory and returns it to the head of the queue. Its prompt and generated tokens are prefilled anew.
+// preempt frees the job's memory and returns it to the head of the queue. Its prompt and generated tokens are
+// prefilled anew.
 func (e *Engine) preempt(job *Job) {
 	e.releaseBlocks(job)
 	e.active = slices.DeleteFunc(e.active, func(o *Job) bool { return o == job })
@@ -462,8 +464,8 @@
 	e.queue = slices.Insert(e.queue, 0, job)
 }
 
-// BeginStep plans the next step and returns how long it takes. It returns false if there is nothing to do until a job is
-// submitted or a KV cache arrives.
+// BeginStep plans the next step and returns how long it takes. It returns false if there is nothing to do until a
+// job is submitted or a KV cache arrives.
 func (e *Engine) BeginStep(now time.Duration) (time.Duration, bool) {
 	e.expireKVCaches(now)
 	e.admit(now)
@@ -489,7 +491,8 @@
 		return 0, false
 	}
 	e.inStep = true
-	stepTime := e.StepTime.Seconds() + float64(sequences)*e.TimePerSequence.Seconds() + contextTokens/1000*e.TimePer1000ContextTokens.Seconds() +
+	stepTime := e.StepTime.Seconds() + float64(sequences)*e.TimePerSequence.Seconds() +
+		contextTokens/1000*e.TimePer1000ContextTokens.Seconds() +
 		float64(prefillTokens)/e.PrefillTokensPerSecond + pairs/1e6*e.TimePerMillionPairs.Seconds()
 	return time.Duration(stepTime / e.Speed(now) * float64(time.Second)), true
 }
@@ -552,9 +555,9 @@
 	for job.phase == phaseDecode && !e.reserveBlocks(job, job.PromptTokens+job.generatedTokens+1) {
 		// Out of memory: preempt the newest decoding job, so that the oldest always finishes.
 		var newest *Job
-		for _, o := range e.active {
-			if o.phase == phaseDecode && (newest == nil || o.arrivalNumber > newest.arrivalNumber) {
-				newest = o
+		for _, other := range e.active {
+			if other.phase == phaseDecode && (newest == nil || other.arrivalNumber > newest.arrivalNumber) {
+				newest = other
 			}
 		}
 		e.Counts.Preempted++
@@ -578,7 +581,7 @@
 func (e *Engine) holdKVCache(now time.Duration, job *Job) {
 	e.active = slices.DeleteFunc(e.active, func(o *Job) bool { return o == job })
 	job.phase = phaseEnded
-	if old := e.kvCaches[job.Key]; old != nil {
+	if previous := e.kvCaches[job.Key]; previous != nil {
 		e.ReleaseKVCache(job.Key)
 	}
 	e.kvCaches[job.Key] = &heldKVCache{job: job, since: now}
@@ -592,8 +595,8 @@
 // expireKVCaches drops KV caches held for longer than KVCacheTTL.
 func (e *Engine) expireKVCaches(now time.Duration) {
 	for len(e.kvCacheOrder) > 0 {
-		h := e.kvCaches[e.kvCacheOrder[0]]
-		if e.KVCacheTTL <= 0 || now-h.since < e.KVCacheTTL {
+		held := e.kvCaches[e.kvCacheOrder[0]]
+		if e.KVCacheTTL <= 0 || now-held.since < e.KVCacheTTL {
 			return
 		}
 		e.Counts.StatesExpired++
@@ -601,38 +604,38 @@
 	}
 }
 
-// HeldKVCache returns the tokens of a KV cache that is ready to be fetched. It returns false if there is none, or if it is
-// being transferred already.
+// HeldKVCache returns the tokens of a KV cache that is ready to be fetched. It returns false if there is none, or
+// if it is being transferred already.
 func (e *Engine) HeldKVCache(key string) (tokens int, ok bool) {
-	h := e.kvCaches[key]
-	if h == nil || h.moving {
+	held := e.kvCaches[key]
+	if held == nil || held.moving {
 		return 0, false
 	}
-	return h.job.PromptTokens, true
+	return held.job.PromptTokens, true
 }
 
 // KVCacheMoving tells whether a KV cache is being transferred.
 func (e *Engine) KVCacheMoving(key string) bool {
-	h := e.kvCaches[key]
-	return h != nil && h.moving
+	held := e.kvCaches[key]
+	return held != nil && held.moving
 }
 
 // SetKVCacheMoving marks a KV cache as being transferred or, after a failed transfer, as ready again.
 func (e *Engine) SetKVCacheMoving(key string, moving bool) {
-	if h := e.kvCaches[key]; h != nil {
-		h.moving = moving
+	if held := e.kvCaches[key]; held != nil {
+		held.moving = moving
 	}
 }
 
 // ReleaseKVCache frees a held KV cache. It returns false if there is none.
 func (e *Engine) ReleaseKVCache(key string) bool {
-	h := e.kvCaches[key]
-	if h == nil {
+	held := e.kvCaches[key]
+	if held == nil {
 		return false
 	}
 	delete(e.kvCaches, key)
 	e.kvCacheOrder = slices.DeleteFunc(e.kvCacheOrder, func(k string) bool { return k == key })
-	e.releaseBlocks(h.job)
+	e.releaseBlocks(held.job)
 	return true
 }
 
@@ -643,8 +646,8 @@
 	}
 }
 
-// LoadReport returns the values that a load report may hold: the share of slots in use, queued jobs, jobs and held KV caches,
-// the share of blocks in use (x0), and prompt tokens still to prefill in thousands (x1).
+// LoadReport returns the values that a load report may hold: the share of slots in use, queued jobs, jobs and held
+// KV caches, the share of blocks in use (x0), and prompt tokens still to prefill in thousands (x1).
 func (e *Engine) LoadReport() map[string]float64 {
 	waitingTokens := 0
 	for _, job := range e.active {
@@ -658,7 +661,8 @@
 	return map[string]float64{
 		"util": float64(len(e.active)) / float64(e.Slots), "queue": float64(len(e.queue)),
 		"inflight": float64(len(e.active) + len(e.queue) + len(e.kvCaches)),
-		"x0":       float64(e.Blocks-e.freeBlocks-e.idleBlocks.Len()) / float64(e.Blocks), "x1": float64(waitingTokens) / 1000,
+		"x0":       float64(e.Blocks-e.freeBlocks-e.idleBlocks.Len()) / float64(e.Blocks),
+		"x1":       float64(waitingTokens) / 1000,
 	}
 }
 
@@ -676,8 +680,8 @@
 	for _, job := range e.queue {
 		count(job)
 	}
-	for _, h := range e.kvCaches {
-		count(h.job)
+	for _, held := range e.kvCaches {
+		count(held.job)
 	}
 	return e.freeBlocks, e.idleBlocks.Len(), len(seen)
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -9,18 +9,19 @@
 )
 
 func testConfig() Config {
-	return Config{Prefills: true, Decodes: true, Slots: 4, MaxQueued: 4, Blocks: 100, BlockTokens: 16, ChunkTokens: 256, StepTime: 10 * time.Millisecond,
+	return Config{Prefills: true, Decodes: true, Slots: 4, MaxQueued: 4, Blocks: 100, BlockTokens: 16, ChunkTokens: 256,
+		StepTime:        10 * time.Millisecond,
 		TimePerSequence: time.Millisecond, PrefillTokensPerSecond: 10000, KVCacheTTL: 5 * time.Second}
 }
 
 // drive runs an engine until it is idle, or for the given number of steps.
 func drive(e *Engine, now time.Duration, steps int) time.Duration {
 	for range steps {
-		took, ok := e.BeginStep(now)
+		stepTime, ok := e.BeginStep(now)
 		if !ok {
 			break
 		}
-		now += took
+		now += stepTime
 		e.FinishStep(now)
 	}
 	return now
@@ -34,41 +35,43 @@
 	cachedTokens int
 }
 
-func newJob(stage Stage, session, shared uint64, prompt, prefix, answer int) *trackedJob {
-	a := &trackedJob{Job: Job{Key: fmt.Sprint(session, stage, prompt), Stage: stage, Session: session, SharedPrefix: shared, PromptTokens: prompt, PrefixTokens: prefix, OutputTokens: answer}}
-	a.OnToken = func(n int) { a.tokens = n }
-	a.OnEnd = func(e Outcome, kept int) { a.ends++; a.outcome, a.cachedTokens = e, kept }
-	return a
+func newJob(stage Stage, session, shared uint64, prompt, prefix, output int) *trackedJob {
+	tracked := &trackedJob{Job: Job{Key: fmt.Sprint(session, stage, prompt), Stage: stage, Session: session,
+		SharedPrefix: shared, PromptTokens: prompt, PrefixTokens: prefix, OutputTokens: output}}
+	tracked.OnToken = func(n int) { tracked.tokens = n }
+	tracked.OnEnd = func(e Outcome, kept int) { tracked.ends++; tracked.outcome, tracked.cachedTokens = e, kept }
+	return tracked
 }
 
 func TestJobGeneratesAllTokensAndCachesItsPrompt(t *testing.T) {
 	e := New(testConfig(), 0, false)
-	a := newJob(StageWhole, 1, 9, 320, 160, 10)
-	e.Submit(0, &a.Job)
+	first := newJob(StageWhole, 1, 9, 320, 160, 10)
+	e.Submit(0, &first.Job)
 	now := drive(e, 0, 100)
-	if a.ends != 1 || a.outcome != Done || a.tokens != 10 || a.cachedTokens != 0 {
-		t.Errorf("%+v", a)
+	if first.ends != 1 || first.outcome != Done || first.tokens != 10 || first.cachedTokens != 0 {
+		t.Errorf("%+v", first)
 	}
 	// Two steps prefill 320 tokens in chunks of 256, the second of them with the first output token; nine more decode.
 	if want := 11*10*time.Millisecond + 32*time.Millisecond + 9*time.Millisecond; now != want {
 		t.Errorf("drive() ended at %v, want %v", now, want)
 	}
-	b := newJob(StageWhole, 2, 9, 320, 160, 1) // another session with the same prefix
-	c := newJob(StageWhole, 1, 9, 400, 160, 1) // the same session continues
-	e.Submit(now, &b.Job)
+	otherSession := newJob(StageWhole, 2, 9, 320, 160, 1) // another session with the same prefix
+	sameSession := newJob(StageWhole, 1, 9, 400, 160, 1)  // the same session continues
+	e.Submit(now, &otherSession.Job)
 	now = drive(e, now, 100)
-	e.Submit(now, &c.Job)
+	e.Submit(now, &sameSession.Job)
 	drive(e, now, 100)
-	if b.cachedTokens != 160 || c.cachedTokens != 320 {
-		t.Errorf("cached %d tokens of a shared prefix of 160, and %d of a session's 320", b.cachedTokens, c.cachedTokens)
+	if otherSession.cachedTokens != 160 || sameSession.cachedTokens != 320 {
+		t.Errorf("cached %d tokens of a shared prefix of 160, and %d of a session's 320", otherSession.cachedTokens,
+			sameSession.cachedTokens)
 	}
 }
 
 func TestStepTimeGrowsWithSequencesAndSlowdown(t *testing.T) {
-	m := testConfig()
-	m.TimePer1000ContextTokens, m.TimePerMillionPairs = time.Millisecond, time.Millisecond
-	time1 := func(jobs int, slow float64) time.Duration {
-		e := New(m, 0, false)
+	config := testConfig()
+	config.TimePer1000ContextTokens, config.TimePerMillionPairs = time.Millisecond, time.Millisecond
+	stepTime := func(jobs int, slow float64) time.Duration {
+		e := New(config, 0, false)
 		e.Slowdown = slow
 		for i := range jobs {
 			a := newJob(StageWhole, uint64(i+1), 0, 200, 0, 50)
@@ -78,7 +81,7 @@
 		took, _ := e.BeginStep(now)
 		return took
 	}
-	if one, four, slow := time1(1, 1), time1(4, 1), time1(4, 3); one >= four || slow < 2*four {
+	if one, four, slow := stepTime(1, 1), stepTime(4, 1), stepTime(4, 3); one >= four || slow < 2*four {
 		t.Errorf("a step takes %v with one sequence, %v with four, %v with four at a third of the speed", one, four, slow)
 	}
 }
@@ -106,19 +109,19 @@
 
 // When memory runs out the newest job is preempted, repeatedly if need be, and all jobs still finish.
 func TestPreemptedJobsFinish(t *testing.T) {
-	m := testConfig()
-	m.Blocks = 30
-	e := New(m, 0, false)
+	config := testConfig()
+	config.Blocks = 30
+	e := New(config, 0, false)
 	var all []*trackedJob
 	for i := range 4 {
-		a := newJob(StageWhole, uint64(i+1), 0, 100, 0, 200)
-		all = append(all, a)
-		e.Submit(0, &a.Job)
+		tracked := newJob(StageWhole, uint64(i+1), 0, 100, 0, 200)
+		all = append(all, tracked)
+		e.Submit(0, &tracked.Job)
 	}
 	drive(e, 0, 5000)
-	for i, a := range all {
-		if a.outcome != Done || a.tokens != 200 {
-			t.Errorf("job %d ended %v with %d tokens", i, a.outcome, a.tokens)
+	for i, tracked := range all {
+		if tracked.outcome != Done || tracked.tokens != 200 {
+			t.Errorf("job %d ended %v with %d tokens", i, tracked.outcome, tracked.tokens)
 		}
 	}
 	if e.Counts.Preempted == 0 {
@@ -131,95 +134,97 @@
 
 func TestStatesWaitMoveExpireAndAreLetGo(t *testing.T) {
 	e := New(testConfig(), 0, false)
-	a := newJob(StagePrefill, 1, 0, 320, 0, 1)
-	e.Submit(0, &a.Job)
+	prefill := newJob(StagePrefill, 1, 0, 320, 0, 1)
+	e.Submit(0, &prefill.Job)
 	now := drive(e, 0, 50)
-	if n, ok := e.HeldKVCache(a.Key); !ok || n != 320 || a.outcome != Done {
-		t.Fatalf("held KV cache of %d tokens (%v), job ended %v", n, ok, a.outcome)
+	if n, ok := e.HeldKVCache(prefill.Key); !ok || n != 320 || prefill.outcome != Done {
+		t.Fatalf("held KV cache of %d tokens (%v), job ended %v", n, ok, prefill.outcome)
 	}
-	e.SetKVCacheMoving(a.Key, true)
-	if _, ok := e.HeldKVCache(a.Key); ok {
+	e.SetKVCacheMoving(prefill.Key, true)
+	if _, ok := e.HeldKVCache(prefill.Key); ok {
 		t.Error("a KV cache in transfer is offered again")
 	}
-	e.SetKVCacheMoving(a.Key, false)
+	e.SetKVCacheMoving(prefill.Key, false)
 	_, _, before := e.BlockCounts()
 	e.BeginStep(now + 4*time.Second)
-	if _, ok := e.HeldKVCache(a.Key); !ok {
+	if _, ok := e.HeldKVCache(prefill.Key); !ok {
 		t.Error("the KV cache expired before its TTL")
 	}
 	e.BeginStep(now + 6*time.Second)
-	_, ok := e.HeldKVCache(a.Key)
+	_, ok := e.HeldKVCache(prefill.Key)
 	if _, _, after := e.BlockCounts(); ok || before != 20 || after != 0 || e.Counts.StatesExpired != 1 {
 		t.Errorf("held %v, blocks in use %d before and %d after, expired %d", ok, before, after, e.Counts.StatesExpired)
 	}
 }
 
 func TestKVCacheEvictedAfterFetchIsRecomputed(t *testing.T) {
-	m := testConfig()
-	e := New(m, 0, false)
+	config := testConfig()
+	e := New(config, 0, false)
 	e.EvictFresh = true
-	hog := newJob(StageWhole, 1, 0, 1450, 0, 60)
-	e.Submit(0, &hog.Job)
+	large := newJob(StageWhole, 1, 0, 1450, 0, 60)
+	e.Submit(0, &large.Job)
 	now := drive(e, 0, 10)
-	a := newJob(StageDecode, 2, 0, 64, 0, 3)
+	fetching := newJob(StageDecode, 2, 0, 64, 0, 3)
 	var arrived func(bool)
-	a.FetchKVCache = func(f func(bool)) { arrived = f }
-	e.Submit(now, &a.Job)
+	fetching.FetchKVCache = func(f func(bool)) { arrived = f }
+	e.Submit(now, &fetching.Job)
 	e.BeginStep(now)
 	if arrived == nil {
 		t.Fatal("no KV cache was fetched")
 	}
 	arrived(true)
 	drive(e, now, 500)
-	if e.Counts.FreshEvicted != 1 || a.outcome != Done || a.tokens != 3 {
-		t.Errorf("evicted %d KV caches, job ended %v with %d tokens", e.Counts.FreshEvicted, a.outcome, a.tokens)
+	if e.Counts.FreshEvicted != 1 || fetching.outcome != Done || fetching.tokens != 3 {
+		t.Errorf("evicted %d KV caches, job ended %v with %d tokens", e.Counts.FreshEvicted, fetching.outcome,
+			fetching.tokens)
 	}
-	b := newJob(StageDecode, 3, 0, 64, 0, 3)
-	b.FetchKVCache = func(f func(bool)) { f(false) }
-	e.Submit(now, &b.Job)
+	failing := newJob(StageDecode, 3, 0, 64, 0, 3)
+	failing.FetchKVCache = func(f func(bool)) { f(false) }
+	e.Submit(now, &failing.Job)
 	e.BeginStep(now)
-	if b.outcome != NoKVCache {
-		t.Errorf("job with a failed KV cache transfer ended %v", b.outcome)
+	if failing.outcome != NoKVCache {
+		t.Errorf("job with a failed KV cache transfer ended %v", failing.outcome)
 	}
 }
 
 func TestSlowStartAgingAndNeighbourSlowTheEngine(t *testing.T) {
-	m := testConfig()
-	m.SlowStartShare, m.SlowStartRamp, m.ModelLoadTime = 0.25, 10*time.Second, 2*time.Second
-	step := func(cold bool, at time.Duration, change func(*Engine)) time.Duration {
-		e := New(m, 0, cold)
+	config := testConfig()
+	config.SlowStartShare, config.SlowStartRamp, config.ModelLoadTime = 0.25, 10*time.Second, 2*time.Second
+	step := func(slowStart bool, now time.Duration, change func(*Engine)) time.Duration {
+		e := New(config, 0, slowStart)
 		if change != nil {
 			change(e)
 		}
 		a := newJob(StageWhole, 1, 0, 16, 0, 5)
-		e.Submit(at, &a.Job)
-		took, _ := e.BeginStep(at)
+		e.Submit(now, &a.Job)
+		took, _ := e.BeginStep(now)
 		return took
 	}
-	warm := step(false, 0, nil)
+	fullSpeed := step(false, 0, nil)
 	for what, took := range map[string]time.Duration{
-		"in slow start at a quarter": step(true, 2*time.Second, nil), "beside another process": step(false, 0, func(e *Engine) { e.NeighbourShare = 0.75 }),
+		"in slow start at a quarter": step(true, 2*time.Second, nil), "beside another process": step(false, 0,
+			func(e *Engine) { e.NeighbourShare = 0.75 }),
 		"after aging": step(false, 28*time.Second, func(e *Engine) { e.SetAgingRate(0, 0.05) }),
 	} {
-		if took < 3*warm || took > 6*warm {
-			t.Errorf("%s a step takes %v, at full speed %v", what, took, warm)
+		if took < 3*fullSpeed || took > 6*fullSpeed {
+			t.Errorf("%s a step takes %v, at full speed %v", what, took, fullSpeed)
 		}
 	}
-	if took := step(true, 12*time.Second, nil); took != warm {
-		t.Errorf("after its ramp a step takes %v, want %v", took, warm)
+	if took := step(true, 12*time.Second, nil); took != fullSpeed {
+		t.Errorf("after its ramp a step takes %v, want %v", took, fullSpeed)
 	}
-	if New(m, 0, true).LoadTimeLeft(500*time.Millisecond) != 1500*time.Millisecond {
+	if New(config, 0, true).LoadTimeLeft(500*time.Millisecond) != 1500*time.Millisecond {
 		t.Error("LoadTimeLeft() 500ms after a slow start is not 1.5s")
 	}
 }
 
-// For any order of submissions, cancellations and releases: the number of blocks is constant, no block is freed while in use,
-// no job ends more than once, and once nothing more is submitted each job ends.
+// For any order of submissions, cancellations and releases: the number of blocks is constant, no block is freed
+// while in use, no job ends more than once, and once nothing more is submitted each job ends.
 func TestBlocksAreConservedAndEachJobEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := testConfig()
-		m.Blocks, m.Slots = rapid.IntRange(10, 60).Draw(t, "blocks"), rapid.IntRange(1, 6).Draw(t, "slots")
-		e := New(m, 0, false)
+		config := testConfig()
+		config.Blocks, config.Slots = rapid.IntRange(10, 60).Draw(t, "blocks"), rapid.IntRange(1, 6).Draw(t, "slots")
+		e := New(config, 0, false)
 		stored := map[uint64]bool{}
 		number := uint64(0)
 		e.OnCacheEvent = func(c CacheEvent) {
@@ -246,17 +251,17 @@
 		var arrivals []func(bool)
 		check := func() {
 			free, idle, used := e.BlockCounts()
-			if free+idle+used != m.Blocks || free < 0 || idle < 0 {
-				t.Fatalf("%d free, %d cached and %d used of %d blocks", free, idle, used, m.Blocks)
+			if free+idle+used != config.Blocks || free < 0 || idle < 0 {
+				t.Fatalf("%d free, %d cached and %d used of %d blocks", free, idle, used, config.Blocks)
 			}
 			for h, b := range e.cachedBlocks {
 				if b.hash != h || b.ref < 0 || !stored[h] {
 					t.Fatalf("cached block %x: hash %x, reference count %d, event sent %v", h, b.hash, b.ref, stored[h])
 				}
 			}
-			for _, a := range all {
-				if a.ends > 1 {
-					t.Fatalf("%s ended %d times", a.Key, a.ends)
+			for _, tracked := range all {
+				if tracked.ends > 1 {
+					t.Fatalf("%s ended %d times", tracked.Key, tracked.ends)
 				}
 			}
 		}
@@ -264,16 +269,17 @@
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0, 1, 2:
 				prompt := rapid.IntRange(1, 400).Draw(t, "prompt")
-				a := newJob(Stage(rapid.IntRange(0, 2).Draw(t, "stage")), uint64(rapid.IntRange(0, 4).Draw(t, "session")), uint64(rapid.IntRange(0, 2).Draw(t, "shared")),
+				tracked := newJob(Stage(rapid.IntRange(0, 2).Draw(t, "stage")), uint64(rapid.IntRange(0, 4).Draw(t, "session")),
+					uint64(rapid.IntRange(0, 2).Draw(t, "shared")),
 					prompt, rapid.IntRange(0, prompt).Draw(t, "prefix"), rapid.IntRange(1, 120).Draw(t, "answer"))
-				a.Key = fmt.Sprint(i)
-				a.FetchKVCache = func(f func(bool)) { arrivals = append(arrivals, f) }
-				all = append(all, a)
-				e.Submit(now, &a.Job)
+				tracked.Key = fmt.Sprint(i)
+				tracked.FetchKVCache = func(f func(bool)) { arrivals = append(arrivals, f) }
+				all = append(all, tracked)
+				e.Submit(now, &tracked.Job)
 			case 3:
 				if len(all) > 0 {
-					if a := all[rapid.IntRange(0, len(all)-1).Draw(t, "which")]; a.ends == 0 {
-						e.Cancel(&a.Job)
+					if tracked := all[rapid.IntRange(0, len(all)-1).Draw(t, "which")]; tracked.ends == 0 {
+						e.Cancel(&tracked.Job)
 					}
 				}
 			case 4:
@@ -293,20 +299,21 @@
 			check()
 		}
 		for range 200 {
-			now = drive(e, now, 500) + m.KVCacheTTL
+			now = drive(e, now, 500) + config.KVCacheTTL
 			for _, f := range arrivals {
 				f(true)
 			}
 			arrivals = nil
 			check()
 		}
-		for _, a := range all {
-			if a.ends != 1 {
-				t.Fatalf("%s (stage %d, prompt %d, answer %d) never ended", a.Key, a.Stage, a.PromptTokens, a.OutputTokens)
+		for _, tracked := range all {
+			if tracked.ends != 1 {
+				t.Fatalf("%s (stage %d, prompt %d, answer %d) never ended", tracked.Key, tracked.Stage, tracked.PromptTokens,
+					tracked.OutputTokens)
 			}
 		}
 		e.Stop()
-		if free, idle, used := e.BlockCounts(); free != m.Blocks || idle+used != 0 {
+		if free, idle, used := e.BlockCounts(); free != config.Blocks || idle+used != 0 {
 			t.Fatalf("after Stop(): %d free, %d cached, %d used", free, idle, used)
 		}
 	})
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -46,18 +46,18 @@
 `
 
 func TestInterruptedExperimentResumes(t *testing.T) {
-	p, err := loadPlanText(t, planText)
+	plan, err := loadPlanText(t, planText)
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "e.db")
-	s, err := OpenStore(file)
+	store, err := OpenStore(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	lines := 0
-	err = Execute(ctx, s, p, "v", day.Stage{}, func(string, ...any) {
+	err = Execute(ctx, store, plan, "v", day.Stage{}, func(string, ...any) {
 		if lines++; lines == 4 {
 			cancel()
 		}
@@ -65,28 +65,30 @@
 	if err == nil {
 		t.Error("an interrupted experiment returned no error")
 	}
-	s.Close()
-	if s, err = OpenStore(file); err != nil {
+	store.Close()
+	if store, err = OpenStore(file); err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	before, err := s.Runs("t")
+	defer store.Close()
+	before, err := store.Runs("t")
 	if err != nil || len(before) == 0 || len(before) == 12 {
 		t.Fatalf("%d runs are stored, %v", len(before), err)
 	}
-	again := 0
-	if err := Execute(context.Background(), s, p, "v", day.Stage{}, func(string, ...any) { again++ }); err != nil {
+	logged := 0
+	if err := Execute(context.Background(), store, plan, "v", day.Stage{}, func(string, ...any) { logged++ }); err != nil {
 		t.Fatal(err)
 	}
-	after, _ := s.Runs("t")
-	if len(after) != 12 || again-1 != 12-len(before) {
-		t.Errorf("%d runs are stored after %d more, %d before", len(after), again-1, len(before))
+	after, _ := store.Runs("t")
+	if len(after) != 12 || logged-1 != 12-len(before) {
+		t.Errorf("%d runs are stored after %d more, %d before", len(after), logged-1, len(before))
 	}
-	if other, err := loadPlanText(t, strings.Replace(planText, "repeats = 3", "repeats = 2", 1)); err != nil || s.Begin(other) == nil {
+	if other, err := loadPlanText(t, strings.Replace(planText, "repeats = 3", "repeats = 2", 1)); err != nil ||
+		store.Begin(other) == nil {
 		t.Errorf("a different plan resumes under the same name (%v)", err)
 	}
 	var table, csv bytes.Buffer
-	if err := Table(&table, after, []string{"service", "first_p99_ms"}); err != nil || strings.Count(table.String(), "\n") != 5 {
+	if err := Table(&table, after, []string{"service", "first_p99_ms"}); err != nil ||
+		strings.Count(table.String(), "\n") != 5 {
 		t.Errorf("%v\n%s", err, table.String())
 	}
 	if err := CSV(&csv, after); err != nil || strings.Count(csv.String(), "\n") != 13 {
@@ -113,7 +115,8 @@
 		`policies = ["module", "r`:   {`polices = ["module", "r`, "no such key"},
 		`key = "day.questions_a_sec`: {`key = "day.questions_an_hour", values = [1]` + "\n#", "plan.toml"},
 	} {
-		if _, err := loadPlanText(t, strings.Replace(planText, old, c[0], 1)); err == nil || !strings.Contains(err.Error(), c[1]) {
+		if _, err := loadPlanText(t, strings.Replace(planText, old, c[0], 1)); err == nil ||
+			!strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%s: %v", c[0], err)
 		}
 	}
@@ -122,7 +125,8 @@
 func TestCompareTellsDifferenceFromNoise(t *testing.T) {
 	var runs []Run
 	add := func(policy, repeat string, service float64) {
-		runs = append(runs, Run{Setting: Setting{"policy": policy, "repeat": repeat}, Figures: map[string]float64{"service": service}, RulesKept: true})
+		runs = append(runs, Run{Setting: Setting{"policy": policy, "repeat": repeat},
+			Figures: map[string]float64{"service": service}, RulesKept: true})
 	}
 	for i, seed := range []string{"0", "1", "2", "3"} {
 		noise := []float64{0.05, -0.04, 0.02, -0.03}[i]
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,6 +1,6 @@
-// Package experiment runs a scenario many times with varied settings, and stores each run's figures with its settings in an
-// embedded database, so that an interrupted experiment resumes. It makes tables and charts of the runs; it sets no bounds and no
-// test of the program depends on it. Begin with Plan.
+// Package experiment runs a scenario many times with varied settings, and stores each run's figures with its
+// settings in an embedded database, so that an interrupted experiment resumes. It makes tables and charts of the
+// runs; it sets no bounds and no test of the program depends on it. Begin with Plan.
 package experiment
 
 import (
@@ -33,7 +33,8 @@
 	raw  []byte
 }
 
-// Axis is one key of the scenario and the values it takes. Entries of lists of tables are named by index, as in box.0.count.
+// Axis is one key of the scenario and the values it takes. Entries of lists of tables are named by index, as in
+// box.0.count.
 type Axis struct {
 	Key    string `toml:"key"`
 	Values []any  `toml:"values"`
@@ -47,48 +48,49 @@
 	if err != nil {
 		return nil, err
 	}
-	p := &Plan{raw: raw}
-	p.Experiment.Repeats, p.Experiment.Policies, p.Experiment.Form = 1, []string{"module"}, "virtual"
-	if err := setup.Decode(file, raw, p, p.check); err != nil {
+	plan := &Plan{raw: raw}
+	plan.Experiment.Repeats, plan.Experiment.Policies, plan.Experiment.Form = 1, []string{"module"}, "virtual"
+	if err := setup.Decode(file, raw, plan, plan.check); err != nil {
 		return nil, err
 	}
-	text, err := os.ReadFile(filepath.Join(filepath.Dir(file), p.Experiment.Base))
+	text, err := os.ReadFile(filepath.Join(filepath.Dir(file), plan.Experiment.Base))
 	if err != nil {
 		return nil, fmt.Errorf("%s: experiment.base: %w", file, err)
 	}
-	if err := toml.Unmarshal(text, &p.base); err != nil {
-		return nil, fmt.Errorf("%s: %w", p.Experiment.Base, err)
+	if err := toml.Unmarshal(text, &plan.base); err != nil {
+		return nil, fmt.Errorf("%s: %w", plan.Experiment.Base, err)
 	}
-	for _, s := range p.Settings() { // reject invalid settings before the first run
-		if _, err := p.Scenario(s); err != nil {
-			return nil, fmt.Errorf("%s: with %s: %w", file, s, err)
+	for _, setting := range plan.Settings() { // reject invalid settings before the first run
+		if _, err := plan.Scenario(setting); err != nil {
+			return nil, fmt.Errorf("%s: with %s: %w", file, setting, err)
 		}
 	}
-	return p, nil
+	return plan, nil
 }
 
 func (p *Plan) check() error {
-	e := p.Experiment
+	experiment := p.Experiment
 	switch {
-	case e.Name == "" || strings.ContainsAny(e.Name, "/ \t"):
+	case experiment.Name == "" || strings.ContainsAny(experiment.Name, "/ \t"):
 		return setup.Invalidf("experiment.name", "must be a word without spaces or slashes")
-	case e.Base == "":
+	case experiment.Base == "":
 		return setup.Invalidf("experiment.base", "must name a scenario file")
-	case e.Repeats < 1:
+	case experiment.Repeats < 1:
 		return setup.Invalidf("experiment.repeats", "must be at least 1")
-	case e.Form != "virtual" && e.Form != "sockets":
-		return setup.Invalidf("experiment.form", "must be virtual or sockets, not %q", e.Form)
-	case len(e.Policies) == 0:
+	case experiment.Form != "virtual" && experiment.Form != "sockets":
+		return setup.Invalidf("experiment.form", "must be virtual or sockets, not %q", experiment.Form)
+	case len(experiment.Policies) == 0:
 		return setup.Invalidf("experiment.policies", "must name at least one policy")
-	case e.Form == "sockets" && !slices.Equal(e.Policies, []string{"module"}):
-		return setup.Invalidf("experiment.policies", "form sockets allows only the policy module, not %q", e.Policies)
+	case experiment.Form == "sockets" && !slices.Equal(experiment.Policies, []string{"module"}):
+		return setup.Invalidf("experiment.policies", "form sockets allows only the policy module, not %q",
+			experiment.Policies)
 	}
-	runs := len(e.Policies) * e.Repeats
-	for i, a := range p.Vary {
-		if a.Key == "" || len(a.Values) == 0 {
+	runs := len(experiment.Policies) * experiment.Repeats
+	for i, axis := range p.Vary {
+		if axis.Key == "" || len(axis.Values) == 0 {
 			return setup.Invalidf(fmt.Sprintf("vary.%d.values", i), "an axis needs a key and values")
 		}
-		runs *= len(a.Values)
+		runs *= len(axis.Values)
 	}
 	if runs > maxRuns {
 		return setup.Invalidf("vary", "amounts to %d runs, at most %d are allowed", runs, maxRuns)
@@ -148,11 +150,11 @@
 // Scenario returns the scenario of a setting. Repeats differ in nothing but the seed.
 func (p *Plan) Scenario(setting Setting) (day.Day, error) {
 	tree := clone(p.base).(map[string]any)
-	for _, a := range p.Vary {
-		for _, v := range a.Values {
-			if fmt.Sprint(v) == setting[a.Key] {
-				if err := setKey(tree, strings.Split(a.Key, "."), v); err != nil {
-					return day.Day{}, fmt.Errorf("vary %s: %w", a.Key, err)
+	for _, axis := range p.Vary {
+		for _, value := range axis.Values {
+			if fmt.Sprint(value) == setting[axis.Key] {
+				if err := setKey(tree, strings.Split(axis.Key, "."), value); err != nil {
+					return day.Day{}, fmt.Errorf("vary %s: %w", axis.Key, err)
 				}
 			}
 		}
@@ -189,8 +191,8 @@
 }
 
 // setKey sets the value of a dotted key. Tables along it are created; a number is the index of an existing list entry.
-func setKey(in any, key []string, value any) error {
-	switch in := in.(type) {
+func setKey(node any, key []string, value any) error {
+	switch in := node.(type) {
 	case map[string]any:
 		if len(key) == 1 {
 			// Where the base has a float, an integer in the plan is converted.
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -28,7 +28,7 @@
 	Form            string             `json:"form"`
 	StartedAt       time.Time          `json:"at"`
 	DurationSeconds float64            `json:"took_s"`
-	OnTimeShare     []float64          `json:"share,omitempty"` // share answered in time of the requests submitted in each second
+	OnTimeShare     []float64          `json:"share,omitempty"` // by second of first submission
 	Tries           []float64          `json:"tries,omitempty"`
 }
 
@@ -122,23 +122,24 @@
 	return names, runs, err
 }
 
-// Execute runs the settings of a plan that have no stored run, and stops between runs when the context ends. Virtual runs go
-// in parallel. Runs on sockets go one at a time, since they would compete for the processors.
-func Execute(ctx context.Context, s *Store, p *Plan, version string, stage day.Stage, logf func(string, ...any)) error {
-	if err := s.Begin(p); err != nil {
+// Execute runs the settings of a plan that have no stored run, and stops between runs when the context ends.
+// Virtual runs go in parallel. Runs on sockets go one at a time, since they would compete for the processors.
+func Execute(ctx context.Context, store *Store, plan *Plan, version string, stage day.Stage,
+	logf func(string, ...any)) error {
+	if err := store.Begin(plan); err != nil {
 		return err
 	}
 	var missing []Setting
-	all := p.Settings()
+	all := plan.Settings()
 	for _, setting := range all {
-		if !s.Has(p.Experiment.Name, setting) {
+		if !store.Has(plan.Experiment.Name, setting) {
 			missing = append(missing, setting)
 		}
 	}
-	logf("%s: %d runs, %d of them kept already", p.Experiment.Name, len(all), len(all)-len(missing))
+	logf("%s: %d runs, %d of them already stored", plan.Experiment.Name, len(all), len(all)-len(missing))
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(1)
-	if p.Experiment.Form == "virtual" {
+	if plan.Experiment.Form == "virtual" {
 		group.SetLimit(runtime.NumCPU())
 	}
 	var mu sync.Mutex
@@ -148,18 +149,19 @@
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			r, err := runOnce(ctx, p, setting, stage)
+			run, err := runOnce(ctx, plan, setting, stage)
 			if err != nil {
 				return fmt.Errorf("%s: %w", setting, err)
 			}
-			r.Version, r.Machine, r.Form = version, machineDescription(), p.Experiment.Form
-			if err := s.Put(p.Experiment.Name, r); err != nil {
+			run.Version, run.Machine, run.Form = version, machineDescription(), plan.Experiment.Form
+			if err := store.Put(plan.Experiment.Name, run); err != nil {
 				return err
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			done++
-			logf("%4d of %d  %s  service %.3f  p99 %.0f ms  %s", done, len(missing), setting, r.Figures["service"], r.Figures["first_p99_ms"], rulesText(r))
+			logf("%4d of %d  %s  service %.3f  p99 %.0f ms  %s", done, len(missing), setting, run.Figures["service"],
+				run.Figures["first_p99_ms"], rulesText(run))
 			return nil
 		})
 	}
@@ -177,73 +179,77 @@
 	return fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
 }
 
-func runOnce(ctx context.Context, p *Plan, setting Setting, stage day.Stage) (Run, error) {
-	d, err := p.Scenario(setting)
+func runOnce(ctx context.Context, plan *Plan, setting Setting, stage day.Stage) (Run, error) {
+	scenario, err := plan.Scenario(setting)
 	if err != nil {
 		return Run{}, err
 	}
 	startedAt := time.Now()
-	r := Run{Setting: setting, StartedAt: startedAt.UTC()}
+	run := Run{Setting: setting, StartedAt: startedAt.UTC()}
 	var verdict judge.Verdict
-	if p.Experiment.Form == "virtual" {
-		out, err := fleet.Play(d, setting["policy"])
+	if plan.Experiment.Form == "virtual" {
+		out, err := fleet.Play(scenario, setting["policy"])
 		if err != nil {
-			return r, err
+			return run, err
 		}
-		verdict, r.Digest = out.Verdict, out.Digest
-		r.Figures = figures(verdict)
-		r.Figures["followers"], r.Figures["others"] = out.Followers, out.Others
-		for name, b := range out.Budgets {
-			r.Figures["budget_"+name] = b.MonthlyShare
-			r.Figures["budget_declined_"+name] = float64(b.Rejected) / max(float64(b.Rejected+b.Admitted), 1)
+		verdict, run.Digest = out.Verdict, out.Digest
+		run.Figures = figures(verdict)
+		run.Figures["followers"], run.Figures["others"] = out.Followers, out.Others
+		for name, use := range out.Budgets {
+			run.Figures["budget_"+name] = use.MonthlyShare
+			run.Figures["budget_declined_"+name] = float64(use.Rejected) / max(float64(use.Rejected+use.Admitted), 1)
 		}
-		r.OnTimeShare, r.Tries = out.OnTimeShare, out.TriesPerSecond
-		for _, t := range d.Troubles {
-			if t.Kind == "crash" { // no recovery within the run counts as the whole rest of it
-				seconds, ok := judge.Recovered(out.OnTimeShare, out.Submitted, t.At.Std(), (t.At + t.Length).Std())
+		run.OnTimeShare, run.Tries = out.OnTimeShare, out.TriesPerSecond
+		for _, fault := range scenario.Troubles {
+			if fault.Kind == "crash" { // no recovery within the run counts as the whole rest of it
+				seconds, ok := judge.Recovered(out.OnTimeShare, out.Submitted, fault.At.Std(), (fault.At + fault.Length).Std())
 				if !ok {
-					seconds = (d.Head.Length - t.At - t.Length).Std().Seconds()
+					seconds = (scenario.Head.Length - fault.At - fault.Length).Std().Seconds()
 				}
-				r.Figures["recovered_s"], r.Figures["recovered"] = seconds, map[bool]float64{true: 1}[ok]
+				run.Figures["recovered_s"], run.Figures["recovered"] = seconds, map[bool]float64{true: 1}[ok]
 			}
 		}
-		for _, c := range out.Engines {
-			r.Figures["preempted"] += float64(c.Preempted)
-			r.Figures["engine_refused"] += float64(c.Refused)
-			r.Figures["kept_tokens"] += float64(c.KeptTokens)
-			r.Figures["read_tokens"] += float64(c.ReadTokens)
+		for _, counts := range out.Engines {
+			run.Figures["preempted"] += float64(counts.Preempted)
+			run.Figures["engine_refused"] += float64(counts.Refused)
+			run.Figures["kept_tokens"] += float64(counts.KeptTokens)
+			run.Figures["read_tokens"] += float64(counts.ReadTokens)
 		}
 	} else {
-		if verdict, err = day.Play(ctx, d, stage); err != nil {
-			return r, err
+		if verdict, err = day.Play(ctx, scenario, stage); err != nil {
+			return run, err
 		}
-		r.Figures = figures(verdict)
+		run.Figures = figures(verdict)
 	}
-	r.RulesKept = verdict.Kept()
+	run.RulesKept = verdict.Kept()
 	for _, rule := range verdict.Rules {
 		if !rule.Kept {
-			r.BrokenRules = append(r.BrokenRules, rule.Name)
+			run.BrokenRules = append(run.BrokenRules, rule.Name)
 		}
 	}
-	r.DurationSeconds = time.Since(startedAt).Seconds()
-	return r, nil
+	run.DurationSeconds = time.Since(startedAt).Seconds()
+	return run, nil
 }
 
 // figures returns the figures of a verdict that tables and charts can show.
 func figures(verdict judge.Verdict) map[string]float64 {
-	values := map[string]float64{"service": verdict.Service, "first_p50_ms": verdict.FirstP50, "first_p99_ms": verdict.FirstP99, "trips": verdict.Trips, "cold_worst": verdict.ColdWorst, "pinned_ms": verdict.PinWorst}
+	values := map[string]float64{"service": verdict.Service, "first_p50_ms": verdict.FirstP50,
+		"first_p99_ms": verdict.FirstP99, "trips": verdict.Trips, "cold_worst": verdict.ColdWorst,
+		"pinned_ms": verdict.PinWorst}
 	var requests, inTime, late, rejected, failed, leftOrCut float64
-	for _, r := range verdict.Rows {
-		requests += float64(r.Asked)
-		inTime += float64(r.InTime)
-		late += float64(r.Late)
-		rejected += float64(r.Declined)
-		failed += float64(r.Forfeited)
-		leftOrCut += float64(r.Quit + r.Cut)
-		values["service_"+r.Grade] = r.Service
+	for _, row := range verdict.Rows {
+		requests += float64(row.Asked)
+		inTime += float64(row.InTime)
+		late += float64(row.Late)
+		rejected += float64(row.Declined)
+		failed += float64(row.Forfeited)
+		leftOrCut += float64(row.Quit + row.Cut)
+		values["service_"+row.Grade] = row.Service
 	}
 	requests = max(requests, 1)
-	values["asked"], values["in_time"], values["late"], values["declined"], values["forfeited"], values["left_or_cut"] = requests, inTime/requests, late/requests, rejected/requests, failed/requests, leftOrCut/requests
+	values["asked"], values["in_time"], values["late"], values["declined"], values["forfeited"],
+		values["left_or_cut"] = requests, inTime/requests, late/requests, rejected/requests, failed/requests,
+		leftOrCut/requests
 	values["tries"] = float64(verdict.Tries) / requests
 	return values
 }
--- a/internal/experiment/tables.go
+++ b/internal/experiment/tables.go
@@ -57,13 +57,13 @@
 
 // compareNatural orders settings by key and value, numeric values as numbers.
 func compareNatural(a, b string) int {
-	x, y := strings.Fields(a), strings.Fields(b)
-	for i := range min(len(x), len(y)) {
-		if x[i] == y[i] {
+	fieldsA, fieldsB := strings.Fields(a), strings.Fields(b)
+	for i := range min(len(fieldsA), len(fieldsB)) {
+		if fieldsA[i] == fieldsB[i] {
 			continue
 		}
-		ka, va, _ := strings.Cut(x[i], "=")
-		kb, vb, _ := strings.Cut(y[i], "=")
+		ka, va, _ := strings.Cut(fieldsA[i], "=")
+		kb, vb, _ := strings.Cut(fieldsB[i], "=")
 		na, ea := strconv.ParseFloat(va, 64)
 		nb, eb := strconv.ParseFloat(vb, 64)
 		if ka == kb && ea == nil && eb == nil && na != nb {
@@ -72,9 +72,9 @@
 			}
 			return 1
 		}
-		return strings.Compare(x[i], y[i])
+		return strings.Compare(fieldsA[i], fieldsB[i])
 	}
-	return len(x) - len(y)
+	return len(fieldsA) - len(fieldsB)
 }
 
 // Values returns a figure's values in a group, in ascending order.
@@ -99,27 +99,28 @@
 
 // Table writes each group's median of the named figures, with the least and the greatest value.
 func Table(out io.Writer, runs []Run, names []string) error {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "setting\truns\trules\t%s\n", strings.Join(names, "\t"))
-	for _, g := range Groups(runs) {
-		kept := "kept"
-		for _, r := range g.Runs {
+	writer := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintf(writer, "setting\truns\trules\t%s\n", strings.Join(names, "\t"))
+	for _, group := range Groups(runs) {
+		rules := "kept"
+		for _, r := range group.Runs {
 			if !r.RulesKept {
-				kept = "BROKEN"
+				rules = "BROKEN"
 			}
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s", g.Setting, len(g.Runs), kept)
-		for _, n := range names {
-			v := g.Values(n)
-			if len(v) == 0 {
-				fmt.Fprint(w, "\t-")
+		fmt.Fprintf(writer, "%s\t%d\t%s", group.Setting, len(group.Runs), rules)
+		for _, name := range names {
+			values := group.Values(name)
+			if len(values) == 0 {
+				fmt.Fprint(writer, "\t-")
 				continue
 			}
-			fmt.Fprintf(w, "\t%s (%s to %s)", formatFigure(median(v)), formatFigure(v[0]), formatFigure(v[len(v)-1]))
+			fmt.Fprintf(writer, "\t%s (%s to %s)", formatFigure(median(values)), formatFigure(values[0]),
+				formatFigure(values[len(values)-1]))
 		}
-		fmt.Fprintln(w)
+		fmt.Fprintln(writer)
 	}
-	return w.Flush()
+	return writer.Flush()
 }
 
 func formatFigure(x float64) string {
@@ -140,22 +141,22 @@
 			names[n] = true
 		}
 	}
-	ks, ns := sortedKeys(keys), sortedKeys(names)
-	w := csv.NewWriter(out)
-	w.Write(append(append(slices.Clone(ks), "rules_kept", "version", "form"), ns...))
+	keyNames, figureNames := sortedKeys(keys), sortedKeys(names)
+	writer := csv.NewWriter(out)
+	writer.Write(append(append(slices.Clone(keyNames), "rules_kept", "version", "form"), figureNames...))
 	for _, r := range runs {
 		var row []string
-		for _, k := range ks {
+		for _, k := range keyNames {
 			row = append(row, r.Setting[k])
 		}
 		row = append(row, strconv.FormatBool(r.RulesKept), r.Version, r.Form)
-		for _, n := range ns {
+		for _, n := range figureNames {
 			row = append(row, strconv.FormatFloat(r.Figures[n], 'g', -1, 64))
 		}
-		w.Write(row)
+		writer.Write(row)
 	}
-	w.Flush()
-	return w.Error()
+	writer.Flush()
+	return writer.Error()
 }
 
 func sortedKeys(m map[string]bool) []string {
@@ -175,9 +176,9 @@
 	Significant      bool // beyond the noise of the repeats
 }
 
-// Compare compares each value of a key with a reference: "module" if it is among the values, otherwise the first. Runs are
-// paired by repeat, that is by seed. A difference is significant if its mean is more than twice its standard error, over at least
-// three pairs.
+// Compare compares each value of a key with a reference: "module" if it is among the values, otherwise the first.
+// Runs are paired by repeat, that is by seed. A difference is significant if its mean is more than twice its
+// standard error, over at least three pairs.
 func Compare(runs []Run, key, figure string) ([]Difference, error) {
 	groups := map[string]map[string]Group{}
 	var values, order []string
@@ -210,7 +211,8 @@
 			if !ok {
 				continue
 			}
-			out = append(out, Difference{withoutKey(reference.Setting, key), values[0], value, [2]float64{median(reference.Values(figure)), median(other.Values(figure))}, significant(reference, other, figure)})
+			out = append(out, Difference{withoutKey(reference.Setting, key), values[0], value,
+				[2]float64{median(reference.Values(figure)), median(other.Values(figure))}, significant(reference, other, figure)})
 		}
 	}
 	return out, nil
@@ -218,10 +220,10 @@
 
 func significant(a, b Group, figure string) bool {
 	var diffs []float64
-	for _, x := range a.Runs {
-		for _, y := range b.Runs {
-			if x.Setting["repeat"] == y.Setting["repeat"] {
-				diffs = append(diffs, y.Figures[figure]-x.Figures[figure])
+	for _, runA := range a.Runs {
+		for _, runB := range b.Runs {
+			if runA.Setting["repeat"] == runB.Setting["repeat"] {
+				diffs = append(diffs, runB.Figures[figure]-runA.Figures[figure])
 			}
 		}
 	}
@@ -232,36 +234,36 @@
 	return math.Abs(mean) > 2*sd/math.Sqrt(float64(len(diffs)))
 }
 
-// Chart draws medians with their spread over a numeric key, with one line for each value of another key. The extension of the
-// file gives the format: png or svg.
+// Chart draws medians with their spread over a numeric key, with one line for each value of another key. The
+// extension of the file gives the format: png or svg.
 func Chart(runs []Run, x, figure, lines, file, title string) error {
 	chart := plot.New()
 	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, x, figure
 	chart.Legend.Top = true
 	byLine := map[string][]Group{}
 	var order []string
-	for _, g := range Groups(runs) {
-		name := g.Setting[lines]
+	for _, group := range Groups(runs) {
+		name := group.Setting[lines]
 		if _, ok := byLine[name]; !ok {
 			order = append(order, name)
 		}
-		byLine[name] = append(byLine[name], g)
+		byLine[name] = append(byLine[name], group)
 	}
 	for i, name := range order {
 		var medians plotter.XYs
 		var spreads plotter.YErrors
-		for _, g := range byLine[name] {
-			position, err := strconv.ParseFloat(g.Setting[x], 64)
+		for _, group := range byLine[name] {
+			position, err := strconv.ParseFloat(group.Setting[x], 64)
 			if err != nil {
-				return fmt.Errorf("draw chart: %s is %q, not a number", x, g.Setting[x])
+				return fmt.Errorf("draw chart: %s is %q, not a number", x, group.Setting[x])
 			}
-			values := g.Values(figure)
+			values := group.Values(figure)
 			if len(values) == 0 {
 				return fmt.Errorf("draw chart: the runs have no figure %q", figure)
 			}
-			m := median(values)
-			medians = append(medians, plotter.XY{X: position, Y: m})
-			spreads = append(spreads, struct{ Low, High float64 }{m - values[0], values[len(values)-1] - m})
+			middle := median(values)
+			medians = append(medians, plotter.XY{X: position, Y: middle})
+			spreads = append(spreads, struct{ Low, High float64 }{middle - values[0], values[len(values)-1] - middle})
 		}
 		line, points, err := plotter.NewLinePoints(medians)
 		if err != nil {
@@ -285,17 +287,17 @@
 	return chart.Save(18*vg.Centimeter, 11*vg.Centimeter, file)
 }
 
-// TimeChart draws a figure, share or tries, over the seconds of a run, with one line for each value of a key: the mean of
-// its runs.
+// TimeChart draws a figure, share or tries, over the seconds of a run, with one line for each value of a key: the
+// mean of its runs.
 func TimeChart(runs []Run, figure, lines, file, title string) error {
 	chart := plot.New()
 	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, "second of the day", figure
 	sums, counts := map[string][]float64{}, map[string]float64{}
 	var order []string
-	for _, r := range runs {
-		name, series := r.Setting[lines], r.OnTimeShare
+	for _, run := range runs {
+		name, series := run.Setting[lines], run.OnTimeShare
 		if figure == "tries" {
-			series = r.Tries
+			series = run.Tries
 		}
 		if counts[name] == 0 {
 			order = append(order, name)
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -18,37 +18,37 @@
 
 func (c *transport) SetAddresses(*dispatch.Backend, []addresses.Spec) {}
 
-func (c *transport) SendPeerUpdate(peer int, n brain.PeerUpdate) {
+func (c *transport) SendPeerUpdate(peer int, update brain.PeerUpdate) {
 	d := (*dispatcher)(c)
 	if peer < 0 || peer >= len(d.sim.dispatchers) {
 		return
 	}
-	to, name := d.sim.dispatchers[peer], d.sim.byID[n.Backend.ID].spec.Name
+	receiver, name := d.sim.dispatchers[peer], d.sim.byID[update.Backend.ID].spec.Name
 	d.sim.after(2*time.Millisecond, func() {
-		if !to.running {
+		if !receiver.running {
 			return
 		}
-		to.runInLoop(func() {
-			if h := to.loop.SchedulerBackend(name); h != nil {
-				n := n
-				n.Backend = h // each dispatcher has backend objects of its own
-				to.loop.ApplyPeerUpdate(n)
+		receiver.runInLoop(func() {
+			if schedulerBackend := receiver.loop.SchedulerBackend(name); schedulerBackend != nil {
+				update := update
+				update.Backend = schedulerBackend // each dispatcher has backend objects of its own
+				receiver.loop.ApplyPeerUpdate(update)
 			}
 		})
 	})
 }
 
-func (c *transport) Release(b *dispatch.Backend, a *dispatch.ClientRequest) {
-	if a.AttemptInFlight() {
+func (c *transport) Release(b *dispatch.Backend, request *dispatch.ClientRequest) {
+	if request.AttemptInFlight() {
 		return // the KV cache is still needed: the attempt fetches it
 	}
 	sim := c.sim
-	r := kserve.Release{RequestKey: c.loop.RequestKey(a), LastAttempt: len(a.Scheduled.Attempts) - 1}
-	to := sim.backends[b.Name]
+	release := kserve.Release{RequestKey: c.loop.RequestKey(request), LastAttempt: len(request.Scheduled.Attempts) - 1}
+	target := sim.backends[b.Name]
 	sim.after(networkDelay, func() {
-		if to.running {
-			to.releasedUpTo[r.RequestKey] = r.LastAttempt
-			to.releaseKVCache(r.RequestKey, "released")
+		if target.running {
+			target.releasedUpTo[release.RequestKey] = release.LastAttempt
+			target.releaseKVCache(release.RequestKey, "released")
 		}
 	})
 }
@@ -71,22 +71,25 @@
 
 func (t *attempt) id() string { return fmt.Sprintf("%s/%d", t.baseRecord.Key, t.baseRecord.Trip) }
 
-func (c *transport) Start(f *dispatch.Attempt) {
+func (c *transport) Start(dispatched *dispatch.Attempt) {
 	d := (*dispatcher)(c)
 	sim := d.sim
-	t := &attempt{sim: sim, dispatcher: d, loop: d.loop, dispatched: f, backend: sim.backends[f.Backend.Name]}
-	t.baseRecord = record.Line{Box: t.backend.spec.Name, Try: f.Request.Params.ID, Grade: f.Request.Class, Key: f.RequestKey, Stage: f.Stage(), Trip: f.Scheduled.Number}
-	f.Cancel = func(why error) {
+	t := &attempt{sim: sim, dispatcher: d, loop: d.loop, dispatched: dispatched,
+		backend: sim.backends[dispatched.Backend.Name]}
+	t.baseRecord = record.Line{Box: t.backend.spec.Name, Try: dispatched.Request.Params.ID,
+		Grade: dispatched.Request.Class, Key: dispatched.RequestKey, Stage: dispatched.Stage(),
+		Trip: dispatched.Scheduled.Number}
+	dispatched.Cancel = func(cause error) {
 		if t.cancelCause != nil || t.reported {
 			return
 		}
-		t.cancelCause = why
+		t.cancelCause = cause
 		// The connection is closed: the dispatcher knows at once, the backend after the network delay.
-		o := brain.TimedOut
-		if why == dispatch.ErrNotNeeded {
-			o = brain.Cancelled
+		outcome := brain.TimedOut
+		if cause == dispatch.ErrNotNeeded {
+			outcome = brain.Cancelled
 		}
-		sim.after(0, func() { t.reportResult(brain.Result{Outcome: o}) })
+		sim.after(0, func() { t.reportResult(brain.Result{Outcome: outcome}) })
 		sim.after(networkDelay, t.connectionClosed)
 	}
 	if !t.backend.running {
@@ -98,8 +101,8 @@
 		return
 	}
 	wait, limit := sim.connectDelay(), dialTimeout
-	if least := f.Scheduled.ConnectTimeout; least > 0 {
-		limit = min(limit, least)
+	if connectTimeout := dispatched.Scheduled.ConnectTimeout; connectTimeout > 0 {
+		limit = min(limit, connectTimeout)
 	}
 	if wait > limit {
 		sim.after(limit, func() { t.reportResult(brain.Result{Outcome: brain.Unreachable}) })
@@ -108,7 +111,8 @@
 	sim.after(networkDelay+wait, t.arrive)
 }
 
-// connectDelay returns the time that a connection takes in excess of the network delay: 0 unless slow connects are injected.
+// connectDelay returns the time that a connection takes in excess of the network delay: 0 unless slow connects are
+// injected.
 func (sim *simulation) connectDelay() time.Duration {
 	if sim.slowConnectShare == 0 || sim.rng.Float64() >= sim.slowConnectShare {
 		return 0
@@ -178,9 +182,9 @@
 	t.arrived, t.incarnation = true, b.incarnation
 	b.attempts[t] = true
 	work := b.attemptWork(t.baseRecord.Grade, t.baseRecord.Stage)
-	l := t.baseRecord
-	l.What, l.Work = record.Trip, work
-	sim.addRecord(l)
+	arrival := t.baseRecord
+	arrival.What, arrival.Work = record.Trip, work
+	sim.addRecord(arrival)
 	if b.exceedsSlowStart(work) {
 		b.overloaded = true
 		sim.addRecord(record.Line{What: record.Fell, Box: b.spec.Name, Start: b.incarnation})
@@ -198,58 +202,60 @@
 		t.respond(brain.Result{Outcome: brain.Failed})
 		return
 	}
-	q := t.dispatched.Scheduled.Request
-	j := &engine.Job{Key: t.baseRecord.Key, Session: q.SessionKey, SharedPrefix: q.PrefixKey, PromptTokens: int(q.PromptTokens), PrefixTokens: int(q.PrefixTokens)}
-	t.job = j
+	request := t.dispatched.Scheduled.Request
+	job := &engine.Job{Key: t.baseRecord.Key, Session: request.SessionKey, SharedPrefix: request.PrefixKey,
+		PromptTokens: int(request.PromptTokens), PrefixTokens: int(request.PrefixTokens)}
+	t.job = job
 	switch t.baseRecord.Stage {
 	case kserve.PhasePrefill:
-		j.Stage = engine.StagePrefill
+		job.Stage = engine.StagePrefill
 	case kserve.PhaseDecode:
-		j.Stage = engine.StageDecode
-		state := sim.backends[t.dispatched.PrefillBackend.Name]
-		j.FetchKVCache = func(arrived func(bool)) { sim.transferKVCache(state, b, t, arrived) }
+		job.Stage = engine.StageDecode
+		prefillBackend := sim.backends[t.dispatched.PrefillBackend.Name]
+		job.FetchKVCache = func(arrived func(bool)) { sim.transferKVCache(prefillBackend, b, t, arrived) }
 	default:
-		j.Stage = engine.StageWhole
+		job.Stage = engine.StageWhole
 	}
-	j.OutputTokens = standin.AnswerTokens(sim.scenario.TalkOf(t.baseRecord.Grade).AnswerTokens, t.baseRecord.Try, int(q.MaxOutputTokens))
-	if j.Stage == engine.StagePrefill {
-		j.OutputTokens = 1
+	job.OutputTokens = standin.AnswerTokens(sim.scenario.TalkOf(t.baseRecord.Grade).AnswerTokens, t.baseRecord.Try,
+		int(request.MaxOutputTokens))
+	if job.Stage == engine.StagePrefill {
+		job.OutputTokens = 1
 	}
-	j.OnToken = func(n int) {
+	job.OnToken = func(n int) {
 		t.dispatched.StreamedTokens.Store(int64(n))
 		if n > 1 {
 			if n == 2 && b.resetShare > 0 && sim.rng.Float64() < b.resetShare {
-				b.engine.Cancel(j)
+				b.engine.Cancel(job)
 				t.loseConnection()
 			}
 			return
 		}
 		t.recordRun()
 		if b.cutShare > 0 && sim.rng.Float64() < b.cutShare {
-			b.engine.Cancel(j)
+			b.engine.Cancel(job)
 			t.loseConnection()
 			return
 		}
 		sim.after(networkDelay, t.firstToken)
 	}
-	j.OnEnd = func(e engine.Outcome, kept int) { t.jobEnded(e, kept) }
-	b.engine.Submit(sim.now, j)
+	job.OnEnd = func(outcome engine.Outcome, cachedTokens int) { t.jobEnded(outcome, cachedTokens) }
+	b.engine.Submit(sim.now, job)
 	b.runSteps()
 }
 
 func (t *attempt) recordRun() {
-	l, sim := t.baseRecord, t.sim
-	l.What = record.Ran
-	if i := sim.scenario.ClassIndex(l.Grade); i >= 0 && sim.scenario.Classes[i].Effect == "deduplicated" {
-		g := sim.scenario.Classes[i]
-		key := map[string]string{"zone": t.backend.spec.Zone, "rack": t.backend.spec.Rack}[g.DedupScope] + " " + l.Try
-		if at, known := sim.dedupMarks[key]; known && sim.now-at < g.DedupWindow.Std() {
-			l.What = record.Repeat
+	run, sim := t.baseRecord, t.sim
+	run.What = record.Ran
+	if i := sim.scenario.ClassIndex(run.Grade); i >= 0 && sim.scenario.Classes[i].Effect == "deduplicated" {
+		class := sim.scenario.Classes[i]
+		key := map[string]string{"zone": t.backend.spec.Zone, "rack": t.backend.spec.Rack}[class.DedupScope] + " " + run.Try
+		if markedAt, known := sim.dedupMarks[key]; known && sim.now-markedAt < class.DedupWindow.Std() {
+			run.What = record.Repeat
 		} else {
 			sim.dedupMarks[key] = sim.now
 		}
 	}
-	sim.addRecord(l)
+	sim.addRecord(run)
 }
 
 // firstToken delivers the first token to the dispatcher and, a network delay later, to the client.
@@ -272,22 +278,22 @@
 }
 
 // jobEnded handles the end of the engine's job.
-func (t *attempt) jobEnded(e engine.Outcome, kept int) {
+func (t *attempt) jobEnded(outcome engine.Outcome, cachedTokens int) {
 	b, sim := t.backend, t.sim
 	if t.ended {
 		return
 	}
-	switch e {
+	switch outcome {
 	case engine.Done:
 		if t.baseRecord.Stage != kserve.PhaseDecode {
-			left := float64(t.job.PromptTokens - kept)
+			uncachedTokens := float64(t.job.PromptTokens - cachedTokens)
 			b.attemptWork(t.baseRecord.Grade, t.baseRecord.Stage) // seeds the mean on first use
-			sim.prefillTokens[t.baseRecord.Grade][0] += left
+			sim.prefillTokens[t.baseRecord.Grade][0] += uncachedTokens
 			sim.prefillTokens[t.baseRecord.Grade][1]++
 		}
 		if t.baseRecord.Stage != kserve.PhasePrefill {
 			t.end(kserve.OutcomeCompleted)
-			t.respond(brain.Result{Outcome: brain.Served, Detail: kept})
+			t.respond(brain.Result{Outcome: brain.Served, Detail: cachedTokens})
 			return
 		}
 		if upTo, ok := b.releasedUpTo[t.baseRecord.Key]; ok && t.baseRecord.Trip <= upTo {
@@ -295,13 +301,14 @@
 			t.end("dropped")
 			return
 		}
-		sim.addRecord(record.Line{What: record.Held, Box: b.spec.Name, Key: t.baseRecord.Key, Try: t.baseRecord.Try, Grade: t.baseRecord.Grade})
+		sim.addRecord(record.Line{What: record.Held, Box: b.spec.Name, Key: t.baseRecord.Key, Try: t.baseRecord.Try,
+			Grade: t.baseRecord.Grade})
 		t.end(kserve.OutcomePrefilled)
-		t.respond(brain.Result{Outcome: brain.Prefilled, Detail: kept})
+		t.respond(brain.Result{Outcome: brain.Prefilled, Detail: cachedTokens})
 		if b.crashShare > 0 && sim.rng.Float64() < b.crashShare {
-			start := b.incarnation
+			incarnation := b.incarnation
 			sim.after(2*time.Millisecond, func() { // by then the dispatcher has the prefill result
-				if b.incarnation == start {
+				if b.incarnation == incarnation {
 					b.kill("crashed after reading")
 				}
 			})
@@ -315,8 +322,8 @@
 	}
 }
 
-// transferKVCache moves a KV cache from its prefill backend to a decode backend: within a rack over the prefill backend's own
-// port, otherwise over the rack's shared link, where transfers queue.
+// transferKVCache moves a KV cache from its prefill backend to a decode backend: within a rack over the prefill
+// backend's own port, otherwise over the rack's shared link, where transfers queue.
 func (sim *simulation) transferKVCache(from, to *backend, t *attempt, arrived func(bool)) {
 	key := t.baseRecord.Key
 	sim.after(networkDelay, func() {
@@ -329,18 +336,20 @@
 			return
 		}
 		from.engine.SetKVCacheMoving(key, true)
-		start, took := from.incarnation, time.Duration(float64(tokens)/sim.scenario.Links.Near*float64(time.Second))
+		incarnation, transferTime := from.incarnation,
+			time.Duration(float64(tokens)/sim.scenario.Links.Near*float64(time.Second))
 		if from.spec.Rack != to.spec.Rack {
-			times := sim.linkSlowdown
+			slowdown := sim.linkSlowdown
 			if from.spec.Zone != to.spec.Zone {
-				times *= max(sim.scenario.Links.Zone, 1)
+				slowdown *= max(sim.scenario.Links.Zone, 1)
 			}
-			free := max(sim.rackLinkFreeAt[from.spec.Rack], sim.now) + time.Duration(float64(tokens)/sim.scenario.Links.Far*times*float64(time.Second))
-			sim.rackLinkFreeAt[from.spec.Rack] = free
-			took = free - sim.now
+			linkFreeAt := max(sim.rackLinkFreeAt[from.spec.Rack], sim.now) +
+				time.Duration(float64(tokens)/sim.scenario.Links.Far*slowdown*float64(time.Second))
+			sim.rackLinkFreeAt[from.spec.Rack] = linkFreeAt
+			transferTime = linkFreeAt - sim.now
 		}
-		sim.after(took, func() {
-			if !from.running || from.incarnation != start {
+		sim.after(transferTime, func() {
+			if !from.running || from.incarnation != incarnation {
 				arrived(false)
 				to.runSteps()
 				return
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -37,8 +37,8 @@
 }
 
 type sentWork struct {
-	at   time.Duration
-	work float64
+	sentAt time.Duration
+	work   float64
 }
 
 // runSteps schedules the engine's next step, if it is idle and has work.
@@ -46,18 +46,18 @@
 	if b.stepScheduled || !b.running {
 		return
 	}
-	if load := b.engine.LoadTimeLeft(b.sim.now); load > 0 {
+	if loadTime := b.engine.LoadTimeLeft(b.sim.now); loadTime > 0 {
 		b.stepScheduled = true
-		b.sim.after(load, func() { b.stepScheduled = false; b.runSteps() })
+		b.sim.after(loadTime, func() { b.stepScheduled = false; b.runSteps() })
 		return
 	}
-	took, ok := b.engine.BeginStep(b.sim.now)
+	stepTime, ok := b.engine.BeginStep(b.sim.now)
 	if !ok {
 		return
 	}
 	b.stepScheduled = true
 	e := b.engine
-	b.sim.after(took, func() {
+	b.sim.after(stepTime, func() {
 		b.stepScheduled = false
 		if b.engine != e { // restarted meanwhile
 			b.runSteps()
@@ -68,51 +68,52 @@
 	})
 }
 
-func (b *backend) start(cold bool) {
+func (b *backend) start(slowStart bool) {
 	b.sim.lastIncarnation++
-	b.incarnation, b.startedAt, b.slowStart, b.running, b.stepScheduled, b.overloaded, b.recentWork = b.sim.lastIncarnation, b.sim.now, cold, true, false, false, nil
-	b.engine = engine.New(b.spec.Engine, b.sim.now, cold)
+	b.incarnation, b.startedAt, b.slowStart, b.running, b.stepScheduled, b.overloaded,
+		b.recentWork = b.sim.lastIncarnation, b.sim.now, slowStart, true, false, false, nil
+	b.engine = engine.New(b.spec.Engine, b.sim.now, slowStart)
 	b.engine.OnKVCacheDropped = func(key string) {
-		word := "expired"
+		reason := "expired"
 		if !b.running {
-			word = "lost"
+			reason = "lost"
 		}
-		b.sim.addRecord(record.Line{What: record.Let, Box: b.spec.Name, Key: key, Word: word})
+		b.sim.addRecord(record.Line{What: record.Let, Box: b.spec.Name, Key: key, Word: reason})
 	}
 	b.attempts, b.releasedUpTo = map[*attempt]bool{}, map[string]int{}
-	b.sim.addRecord(record.Line{What: record.Up, Box: b.spec.Name, Start: b.incarnation, Cold: cold})
+	b.sim.addRecord(record.Line{What: record.Up, Box: b.spec.Name, Start: b.incarnation, Cold: slowStart})
 }
 
-func (b *backend) kill(why string) {
+func (b *backend) kill(reason string) {
 	if !b.running {
 		return
 	}
 	b.running = false
-	b.sim.addRecord(record.Line{What: record.Down, Box: b.spec.Name, Start: b.incarnation, Word: why})
-	trips := make([]*attempt, 0, len(b.attempts))
+	b.sim.addRecord(record.Line{What: record.Down, Box: b.spec.Name, Start: b.incarnation, Word: reason})
+	attempts := make([]*attempt, 0, len(b.attempts))
 	for t := range b.attempts {
-		trips = append(trips, t)
+		attempts = append(attempts, t)
 	}
-	slices.SortFunc(trips, func(x, y *attempt) int { return strings.Compare(x.id(), y.id()) })
-	for _, t := range trips {
+	slices.SortFunc(attempts, func(x, y *attempt) int { return strings.Compare(x.id(), y.id()) })
+	for _, t := range attempts {
 		t.loseConnection()
 	}
 	b.engine.Stop()
 }
 
 // addBackend adds a backend to the fleet and starts it.
-func (sim *simulation) addBackend(m day.Made, cold bool) *backend {
-	b := &backend{sim: sim, spec: m}
-	sim.backends[m.Name] = b
-	sim.byID[dispatch.BackendID(m.Name)] = b
+func (sim *simulation) addBackend(spec day.Made, slowStart bool) *backend {
+	b := &backend{sim: sim, spec: spec}
+	sim.backends[spec.Name] = b
+	sim.byID[dispatch.BackendID(spec.Name)] = b
 	sim.backendOrder = append(sim.backendOrder, b)
-	b.start(cold)
+	b.start(slowStart)
 	return b
 }
 
-func (b *backend) releaseKVCache(key, why string) {
+func (b *backend) releaseKVCache(key, reason string) {
 	if b.engine.ReleaseKVCache(key) {
-		b.sim.addRecord(record.Line{What: record.Let, Box: b.spec.Name, Key: key, Word: why})
+		b.sim.addRecord(record.Line{What: record.Let, Box: b.spec.Name, Key: key, Word: reason})
 		b.runSteps()
 	}
 }
@@ -126,42 +127,43 @@
 	return out
 }
 
-// attemptWork returns the expected work of an attempt in seconds of the backend's full capacity. The prefill part follows the
-// mean number of uncached prompt tokens seen for the class so far.
-func (b *backend) attemptWork(grade, stage string) float64 {
-	m, talk := b.spec.Engine, b.sim.scenario.TalkOf(grade)
-	sum := b.sim.prefillTokens[grade]
-	if sum == nil {
-		sum = &[2]float64{talk.NewTokens + float64(talk.PrefixTokens)/4, 1}
-		b.sim.prefillTokens[grade] = sum
+// attemptWork returns the expected work of an attempt in seconds of the backend's full capacity. The prefill part
+// follows the mean number of uncached prompt tokens seen for the class so far.
+func (b *backend) attemptWork(class, phase string) float64 {
+	config, profile := b.spec.Engine, b.sim.scenario.TalkOf(class)
+	uncached := b.sim.prefillTokens[class]
+	if uncached == nil {
+		uncached = &[2]float64{profile.NewTokens + float64(profile.PrefixTokens)/4, 1}
+		b.sim.prefillTokens[class] = uncached
 	}
-	read := sum[0] / sum[1] / m.PrefillTokensPerSecond
-	step := m.StepTime.Seconds() + float64(m.Slots)*m.TimePerSequence.Seconds() + float64(m.Slots)*m.TimePer1000ContextTokens.Seconds()
-	write := talk.AnswerTokens * step / float64(m.Slots)
-	switch stage {
+	prefillWork := uncached[0] / uncached[1] / config.PrefillTokensPerSecond
+	stepTime := config.StepTime.Seconds() + float64(config.Slots)*config.TimePerSequence.Seconds() +
+		float64(config.Slots)*config.TimePer1000ContextTokens.Seconds()
+	decodeWork := profile.AnswerTokens * stepTime / float64(config.Slots)
+	switch phase {
 	case kserve.PhasePrefill:
-		return read
+		return prefillWork
 	case kserve.PhaseDecode:
-		return write
+		return decodeWork
 	}
-	return read + write
+	return prefillWork + decodeWork
 }
 
-// exceedsSlowStart adds work to the slow-start window and tells whether the sum is more than the backend can bear, which is
-// the allowed multiple of its present share of capacity and a margin of 10 %.
+// exceedsSlowStart adds work to the slow-start window and tells whether the sum is more than the backend can bear,
+// which is the allowed multiple of its present share of capacity and a margin of 10 %.
 func (b *backend) exceedsSlowStart(work float64) bool {
-	r, now := b.sim.scenario.Rules, b.sim.now
-	up := now - b.startedAt
-	if !b.slowStart || up > r.SlowStartRamp.Std() {
+	rules, now := b.sim.scenario.Rules, b.sim.now
+	uptime := now - b.startedAt
+	if !b.slowStart || uptime > rules.SlowStartRamp.Std() {
 		return false
 	}
 	b.recentWork = append(b.recentWork, sentWork{now, work})
 	sum := 0.0
-	for _, s := range b.recentWork {
-		if s.at >= now-r.SlowStartWindow.Std() {
-			sum += s.work
+	for _, sent := range b.recentWork {
+		if sent.sentAt >= now-rules.SlowStartWindow.Std() {
+			sum += sent.work
 		}
 	}
-	share := r.SlowStartShare + (1-r.SlowStartShare)*float64(up)/float64(r.SlowStartRamp.Std())
-	return sum > 1.1*r.SlowStartMultiple*share*r.SlowStartWindow.Std().Seconds()
+	share := rules.SlowStartShare + (1-rules.SlowStartShare)*float64(uptime)/float64(rules.SlowStartRamp.Std())
+	return sum > 1.1*rules.SlowStartMultiple*share*rules.SlowStartWindow.Std().Seconds()
 }
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -12,14 +12,15 @@
 )
 
 // publish announces a backend's state to all dispatchers after the given delay.
-func (sim *simulation) publish(b *backend, standing string, after time.Duration) {
-	line := boxlist.Endpoint{Name: b.spec.Name, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: "127.0.0.1:1"}}, Kind: b.spec.Kind, Zone: b.spec.Zone,
-		Rack: b.spec.Rack, State: standing, Units: b.spec.Units, Incarnation: b.incarnation, UptimeMs: -1}
-	started, cold := b.startedAt, b.slowStart
-	sim.schedule(max(sim.now+after+sim.discoveryDelay, sim.discoveryDownUntil), func() {
-		l := line
-		if cold {
-			l.UptimeMs = (sim.now - started).Milliseconds()
+func (sim *simulation) publish(b *backend, state string, delay time.Duration) {
+	endpoint := boxlist.Endpoint{Name: b.spec.Name, Addresses: []addresses.Spec{{Network: addresses.TCP4,
+		Addr: "127.0.0.1:1"}}, Kind: b.spec.Kind, Zone: b.spec.Zone,
+		Rack: b.spec.Rack, State: state, Units: b.spec.Units, Incarnation: b.incarnation, UptimeMs: -1}
+	startedAt, slowStart := b.startedAt, b.slowStart
+	sim.schedule(max(sim.now+delay+sim.discoveryDelay, sim.discoveryDownUntil), func() {
+		update := endpoint
+		if slowStart {
+			update.UptimeMs = (sim.now - startedAt).Milliseconds()
 		}
 		lost := sim.dropNextUpdate
 		if sim.dropNextUpdate = false; lost {
@@ -27,17 +28,20 @@
 		}
 		for _, d := range sim.dispatchers {
 			if lost { // noticed at the next heartbeat, which makes it fetch the full list
-				sim.after(missedUpdateDelay, func() { d.sendFullList(l) })
+				sim.after(missedUpdateDelay, func() { d.sendFullList(update) })
 				continue
 			}
-			d.updateEndpoints([]boxlist.Endpoint{l}, false)
+			d.updateEndpoints([]boxlist.Endpoint{update}, false)
 		}
 	})
 }
 
 // sortedByName returns the endpoints in the order of their names.
-func sortedByName(boxes map[string]boxlist.Endpoint) []boxlist.Endpoint {
-	return slices.SortedFunc(maps.Values(boxes), func(a, b boxlist.Endpoint) int { return strings.Compare(a.Name, b.Name) })
+func sortedByName(endpoints map[string]boxlist.Endpoint) []boxlist.Endpoint {
+	return slices.SortedFunc(maps.Values(endpoints), func(a, b boxlist.Endpoint) int {
+		return strings.Compare(a.Name,
+			b.Name)
+	})
 }
 
 // missedUpdateDelay is how long a lost update goes unnoticed.
@@ -45,22 +49,25 @@
 
 // sendFullList gives a dispatcher the full endpoint list, with an update that it missed.
 func (d *dispatcher) sendFullList(missed boxlist.Endpoint) {
-	known := maps.Clone(d.lastKnown)
-	known[missed.Name] = missed
-	lines := slices.DeleteFunc(sortedByName(known), func(l boxlist.Endpoint) bool { return l.State == boxlist.Removed })
-	d.sim.addRecord(record.Line{What: record.Told, Dispatcher: d.name, Box: missed.Name, Word: missed.State, Start: missed.Incarnation})
-	d.updateEndpoints(lines, true)
+	byName := maps.Clone(d.lastKnown)
+	byName[missed.Name] = missed
+	endpoints := slices.DeleteFunc(sortedByName(byName),
+		func(endpoint boxlist.Endpoint) bool { return endpoint.State == boxlist.Removed })
+	d.sim.addRecord(record.Line{What: record.Told, Dispatcher: d.name, Box: missed.Name, Word: missed.State,
+		Start: missed.Incarnation})
+	d.updateEndpoints(endpoints, true)
 }
 
-func (d *dispatcher) updateEndpoints(lines []boxlist.Endpoint, whole bool) {
+func (d *dispatcher) updateEndpoints(endpoints []boxlist.Endpoint, full bool) {
 	if !d.running {
 		return
 	}
-	for _, l := range lines {
-		d.lastKnown[l.Name] = l
-		if !whole {
-			d.sim.addRecord(record.Line{What: record.Told, Dispatcher: d.name, Box: l.Name, Word: l.State, Start: l.Incarnation})
+	for _, endpoint := range endpoints {
+		d.lastKnown[endpoint.Name] = endpoint
+		if !full {
+			d.sim.addRecord(record.Line{What: record.Told, Dispatcher: d.name, Box: endpoint.Name, Word: endpoint.State,
+				Start: endpoint.Incarnation})
 		}
 	}
-	d.runInLoop(func() { d.loop.UpdateBackends(lines, whole) })
+	d.runInLoop(func() { d.loop.UpdateBackends(endpoints, full) })
 }
--- a/internal/fleet/dispatcher.go
+++ b/internal/fleet/dispatcher.go
@@ -33,31 +33,32 @@
 	clientOf    map[*dispatch.ClientRequest]*client
 }
 
-func (d *dispatcher) start(kept map[string]boxlist.Endpoint) error {
+func (d *dispatcher) start(endpoints map[string]boxlist.Endpoint) error {
 	sim := d.sim
-	file := setup.DefaultDispatcherConfig()
-	file.Deployment = sim.scenario.Deployment
-	file.Instance.Name, file.Instance.Index, file.Instance.FleetSize = d.name, d.number, len(sim.dispatchers)
-	file.Instance.FleetSize = max(sim.scenario.Head.Dispatchers, 1)
-	file.Instance.Zone = sim.scenario.Zones[d.number%len(sim.scenario.Zones)]
+	config := setup.DefaultDispatcherConfig()
+	config.Deployment = sim.scenario.Deployment
+	config.Instance.Name, config.Instance.Index, config.Instance.FleetSize = d.name, d.number, len(sim.dispatchers)
+	config.Instance.FleetSize = max(sim.scenario.Head.Dispatchers, 1)
+	config.Instance.Zone = sim.scenario.Zones[d.number%len(sim.scenario.Zones)]
 	d.starts++
 	seed := sim.scenario.Head.Seed*1000 + uint64(d.number) + 1 + uint64(d.starts-1)*7919
-	facts := file.SchedulerParameters()
-	loop, err := dispatch.NewLoop(facts, seed, dispatch.Resolver{ZoneNumber: file.ZoneIndex, KindNumber: file.KindIndex}, (*transport)(d), func() time.Duration { return sim.now },
+	parameters := config.SchedulerParameters()
+	loop, err := dispatch.NewLoop(parameters, seed, dispatch.Resolver{ZoneNumber: config.ZoneIndex,
+		KindNumber: config.KindIndex}, (*transport)(d), func() time.Duration { return sim.now },
 		fmt.Sprintf("%s.%d", d.name, d.starts), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		return err
 	}
 	if sim.policy != "module" && sim.policy != "" {
-		p, err := baseline.New(sim.policy, facts, seed, loop)
+		policy, err := baseline.New(sim.policy, parameters, seed, loop)
 		if err != nil {
 			return err
 		}
-		p.View = view{sim}
-		loop.SetScheduler(p)
+		policy.View = view{sim}
+		loop.SetScheduler(policy)
 	}
-	if file.Limits.ThrottleRetries {
-		loop.RetryThrottle = storm.New(file.Limits.MaxRetryAfter.Std(), len(file.Tenants), seed^0x5709,
+	if config.Limits.ThrottleRetries {
+		loop.RetryThrottle = storm.New(config.Limits.MaxRetryAfter.Std(), len(config.Tenants), seed^0x5709,
 			storm.TicketSigner{Key: []byte("the fleet's"), Issuer: uint32(d.starts)<<16 | uint32(d.number)})
 	}
 	d.loop, d.running, d.inRotation, d.timerSet, d.accounting = loop, true, true, false, nil
@@ -65,16 +66,16 @@
 	d.openClients, d.clientOf = map[*client]bool{}, map[*dispatch.ClientRequest]*client{}
 	d.lastKnown = map[string]boxlist.Endpoint{}
 	sim.addRecord(record.Line{What: record.Up, Dispatcher: d.name})
-	if kept != nil {
-		d.updateEndpoints(sortedByName(kept), true)
+	if endpoints != nil {
+		d.updateEndpoints(sortedByName(endpoints), true)
 	}
 	d.armTimer()
 	return nil
 }
 
 // runInLoop runs a function in the event loop and re-arms its timer.
-func (d *dispatcher) runInLoop(f func()) {
-	d.loop.RunTurn(f)
+func (d *dispatcher) runInLoop(turn func()) {
+	d.loop.RunTurn(turn)
 	d.armTimer()
 }
 
@@ -104,23 +105,23 @@
 	sim := d.sim
 	sim.addRecord(record.Line{What: record.Down, Dispatcher: d.name, Word: "killed"})
 	d.running = false
-	open := make([]*client, 0, len(d.openClients))
+	clients := make([]*client, 0, len(d.openClients))
 	for c := range d.openClients {
-		open = append(open, c)
+		clients = append(clients, c)
 	}
-	slices.SortFunc(open, func(a, b *client) int { return strings.Compare(a.id, b.id) })
-	for _, c := range open {
+	slices.SortFunc(clients, func(a, b *client) int { return strings.Compare(a.id, b.id) })
+	for _, c := range clients {
 		c.loseConnection("the connection broke")
 	}
 	for _, b := range sim.backendOrder {
-		var gone []*attempt
+		var attempts []*attempt
 		for t := range b.attempts {
 			if t.dispatcher == d {
-				gone = append(gone, t)
+				attempts = append(attempts, t)
 			}
 		}
-		slices.SortFunc(gone, func(x, y *attempt) int { return strings.Compare(x.id(), y.id()) })
-		for _, t := range gone {
+		slices.SortFunc(attempts, func(x, y *attempt) int { return strings.Compare(x.id(), y.id()) })
+		for _, t := range attempts {
 			t.connectionClosed()
 		}
 	}
--- a/internal/fleet/fault_test.go
+++ b/internal/fleet/fault_test.go
@@ -9,34 +9,42 @@
 	"sloetrestle/internal/setup"
 )
 
-// A fault without effect would make the rule checks vacuous: each kind that has a meaning without sockets must show in the
-// records.
+// A fault without effect would make the rule checks vacuous: each kind that has a meaning without sockets must show
+// in the records.
 func TestFaultsTakeEffectInVirtualTime(t *testing.T) {
-	for kind, struck := range map[string]func(l record.Line) bool{
+	for kind, tookEffect := range map[string]func(l record.Line) bool{
 		"crash_after_read": func(l record.Line) bool { return l.What == record.Down && l.Word == "crashed after reading" },
-		"reset_running":    func(l record.Line) bool { return l.What == record.End && l.Stage != "read" && l.Word == "broke" },
-		"list_down":        func(l record.Line) bool { return l.What == record.Note && l.Word == "list_down ends" },
-		"list_gap":         func(l record.Line) bool { return l.What == record.Note && l.Word == "a push of the list is lost" },
+		"reset_running": func(l record.Line) bool {
+			return l.What == record.End && l.Stage != "read" &&
+				l.Word == "broke"
+		},
+		"list_down": func(l record.Line) bool { return l.What == record.Note && l.Word == "list_down ends" },
+		"list_gap": func(l record.Line) bool {
+			return l.What == record.Note &&
+				l.Word == "a push of the list is lost"
+		},
 		"stop_dispatcher": func(l record.Line) bool {
 			return l.What == record.Note && l.Word == "stop_dispatcher is not played here"
 		},
 	} {
-		d := loadScenario(t, "quiet")
-		d.Troubles = []day.Trouble{
-			{Kind: kind, At: setup.Duration(2 * time.Second), Length: setup.Duration(3 * time.Second), Boxes: []string{"reader", "writer"}, Share: 0.3, Dispatchers: []int{0}},
-			{Kind: "drain", At: setup.Duration(2500 * time.Millisecond), Length: setup.Duration(time.Second), Boxes: []string{"writer-2"}},
+		scenario := loadScenario(t, "quiet")
+		scenario.Troubles = []day.Trouble{
+			{Kind: kind, At: setup.Duration(2 * time.Second), Length: setup.Duration(3 * time.Second),
+				Boxes: []string{"reader", "writer"}, Share: 0.3, Dispatchers: []int{0}},
+			{Kind: "drain", At: setup.Duration(2500 * time.Millisecond), Length: setup.Duration(time.Second),
+				Boxes: []string{"writer-2"}},
 		}
-		n := 0
-		out, err := PlayLines(d, "module", func(l record.Line) {
-			if struck(l) {
-				n++
+		count := 0
+		out, err := PlayWithRecords(scenario, "module", func(l record.Line) {
+			if tookEffect(l) {
+				count++
 			}
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n == 0 || !out.Kept() {
-			t.Errorf("fault %s took effect %d times\n%s", kind, n, out.Text())
+		if count == 0 || !out.Kept() {
+			t.Errorf("fault %s took effect %d times\n%s", kind, count, out.Text())
 		}
 	}
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,7 @@
-// Package fleet plays a scripted scenario in virtual time, in one process: many dispatchers, each with the production event
-// loop and scheduler, and many emulated engines, without sockets or clock. The same script and seed give the same records to
-// the last line. It does not check the rules itself: the records go to the checker. Begin with Play.
+// Package fleet plays a scripted scenario in virtual time, in one process: many dispatchers, each with the
+// production event loop and scheduler, and many emulated engines, without sockets or clock. The same script and
+// seed give the same records to the last line. It does not check the rules itself: the records go to the checker.
+// Begin with Play.
 package fleet
 
 import (
@@ -35,20 +36,20 @@
 	Digest         string                   `json:"digest"` // of all records
 	Requests       int                      `json:"questions"`
 	Engines        map[string]engine.Counts `json:"engines"`
-	OnTimeShare    []float64                `json:"share"` // share answered in time of the requests first submitted in each second
+	OnTimeShare    []float64                `json:"share"` // by second of first submission
 	Submitted      []float64                `json:"asked"`
 	TriesPerSecond []float64                `json:"again"`
 	Budgets        map[string]BudgetUse     `json:"budgets,omitempty"`
 }
 
 // Play plays a scenario with a policy: "module" for the scheduler, or the name of a baseline policy.
-func Play(d day.Day, policy string) (Outcome, error) {
-	return PlayLines(d, policy, nil)
+func Play(scenario day.Day, policy string) (Outcome, error) {
+	return PlayWithRecords(scenario, policy, nil)
 }
 
-// PlayLines does the same and calls a function with each record.
-func PlayLines(d day.Day, policy string, each func(record.Line)) (Outcome, error) {
-	sim, err := newSimulation(d, policy, each)
+// PlayWithRecords does the same and calls a function with each record.
+func PlayWithRecords(scenario day.Day, policy string, onRecord func(record.Line)) (Outcome, error) {
+	sim, err := newSimulation(scenario, policy, onRecord)
 	if err != nil {
 		return Outcome{}, err
 	}
@@ -56,11 +57,13 @@
 }
 
 // newSimulation builds backends, discovery and dispatchers, and schedules the clients' requests and the faults.
-func newSimulation(d day.Day, policy string, each func(record.Line)) (*simulation, error) {
+func newSimulation(scenario day.Day, policy string, onRecord func(record.Line)) (*simulation, error) {
 	sim := &simulation{
-		scenario: d, policy: policy, rng: rand.New(rand.NewPCG(d.Head.Seed, 77)), backends: map[string]*backend{}, byID: map[uint32]*backend{}, onRecord: each,
-		linkSlowdown: 1, durableLoans: map[string]float64{}, rackLinkFreeAt: map[string]time.Duration{}, digest: xxhash.New(), dedupMarks: map[string]time.Duration{},
-		prefillTokens: map[string]*[2]float64{}, requests: d.Plan(),
+		scenario: scenario, policy: policy, rng: rand.New(rand.NewPCG(scenario.Head.Seed, 77)),
+		backends: map[string]*backend{}, byID: map[uint32]*backend{}, onRecord: onRecord,
+		linkSlowdown: 1, durableLoans: map[string]float64{}, rackLinkFreeAt: map[string]time.Duration{},
+		digest: xxhash.New(), dedupMarks: map[string]time.Duration{},
+		prefillTokens: map[string]*[2]float64{}, requests: scenario.Plan(),
 	}
 	if err := sim.build(); err != nil {
 		return nil, err
@@ -71,21 +74,22 @@
 	for i := range sim.requests {
 		sim.schedule(sim.requests[i].SubmitAt, func() { sim.submit(&sim.requests[i], 0, "") })
 	}
-	for _, t := range d.Troubles {
-		sim.schedule(t.At.Std(), func() { sim.inject(t) })
+	for _, fault := range scenario.Troubles {
+		sim.schedule(fault.At.Std(), func() { sim.inject(fault) })
 	}
 	return sim, nil
 }
 
 // runToEnd runs the scenario to its end.
 func (sim *simulation) runToEnd() Outcome {
-	d := sim.scenario
-	sim.run(d.Head.Length.Std() + drainTime)
-	head := record.Head{Day: d.Head.Name, Seed: d.Head.Seed, Terms: d.Deployment}
+	scenario := sim.scenario
+	sim.run(scenario.Head.Length.Std() + drainTime)
+	head := record.Head{Day: scenario.Head.Name, Seed: scenario.Head.Seed, Terms: scenario.Deployment}
 	out := Outcome{
-		Verdict: judge.Judge(head, sim.lines), Digest: fmt.Sprintf("%x", sim.digest.Sum64()), Requests: len(sim.requests), Engines: map[string]engine.Counts{},
+		Verdict: judge.Judge(head, sim.records), Digest: fmt.Sprintf("%x", sim.digest.Sum64()), Requests: len(sim.requests),
+		Engines: map[string]engine.Counts{},
 	}
-	out.OnTimeShare, out.Submitted, out.TriesPerSecond = judge.Timeline(head, sim.lines)
+	out.OnTimeShare, out.Submitted, out.TriesPerSecond = judge.Timeline(head, sim.records)
 	out.Budgets = sim.budgetUse()
 	for _, b := range sim.backendOrder {
 		sum := out.Engines[b.spec.Kind]
@@ -105,7 +109,7 @@
 	timers   agenda.Queue
 	rng      *rand.Rand
 	requests []standin.Request
-	lines    []record.Line
+	records  []record.Line
 	onRecord func(record.Line)
 	digest   hash.Hash64
 
@@ -134,12 +138,12 @@
 func (sim *simulation) after(d time.Duration, do func()) { sim.schedule(sim.now+d, do) }
 
 func (sim *simulation) run(until time.Duration) {
-	sim.timers.RunUntil(until, func(at time.Duration) { sim.now = at })
+	sim.timers.RunUntil(until, func(now time.Duration) { sim.now = now })
 }
 
 func (sim *simulation) addRecord(l record.Line) {
 	l.At = sim.now.Microseconds()
-	sim.lines = append(sim.lines, l)
+	sim.records = append(sim.records, l)
 	fmt.Fprintf(sim.digest, "%d %s %s %s %s %s %d %s\n", l.At, l.What, l.Box, l.Try, l.Word, l.Key, l.Trip, l.Dispatcher)
 	if sim.onRecord != nil {
 		sim.onRecord(l)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -16,19 +16,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := day.Parse(name, raw)
+	scenario, err := day.Parse(name, raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return scenario
 }
 
-// The scenarios that processes play on sockets must keep the rules in virtual time too, with emulated engines as backends.
+// The scenarios that processes play on sockets must keep the rules in virtual time too, with emulated engines as
+// backends.
 func TestDaysKeepTheRulesInVirtualTime(t *testing.T) {
-	for _, name := range []string{"quiet", "demo", "crash-after-read", "reset", "failing", "grade-failing", "hang", "drain", "restart", "list-stale", "kill-dispatcher",
-		"leave", "no-cancel", "link-slow", "forget", "burst", "long-prompts", "shared-text", "stale-cold", "overlap-kill-in-burst", "ageing", "neighbour", "evict-fresh"} {
-		d := loadScenario(t, name)
-		out, err := Play(d, "module")
+	for _, name := range []string{"quiet", "demo", "crash-after-read", "reset", "failing", "grade-failing", "hang",
+		"drain", "restart", "list-stale", "kill-dispatcher",
+		"leave", "no-cancel", "link-slow", "forget", "burst", "long-prompts", "shared-text", "stale-cold",
+		"overlap-kill-in-burst", "ageing", "neighbour", "evict-fresh"} {
+		scenario := loadScenario(t, name)
+		out, err := Play(scenario, "module")
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -39,19 +42,19 @@
 }
 
 func TestSameSeedGivesSameRecords(t *testing.T) {
-	d := loadScenario(t, "demo")
+	scenario := loadScenario(t, "demo")
 	var digests []string
 	for _, procs := range []int{1, 2, 4} {
-		old := runtime.GOMAXPROCS(procs)
-		out, err := Play(d, "module")
-		runtime.GOMAXPROCS(old)
+		previous := runtime.GOMAXPROCS(procs)
+		out, err := Play(scenario, "module")
+		runtime.GOMAXPROCS(previous)
 		if err != nil {
 			t.Fatal(err)
 		}
 		digests = append(digests, out.Digest)
 	}
-	d.Head.Seed++
-	other, err := Play(d, "module")
+	scenario.Head.Seed++
+	other, err := Play(scenario, "module")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,9 +64,9 @@
 }
 
 func TestBaselinePoliciesKeepTheRules(t *testing.T) {
-	d := loadScenario(t, "quiet")
+	scenario := loadScenario(t, "quiet")
 	for _, name := range baseline.Names {
-		out, err := Play(d, name)
+		out, err := Play(scenario, name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,17 +74,17 @@
 			t.Errorf("%s\n%s", name, out.Text())
 		}
 	}
-	if _, err := Play(d, "astrology"); err == nil {
+	if _, err := Play(scenario, "astrology"); err == nil {
 		t.Error("an unknown policy was accepted")
 	}
 }
 
 // A load of 2.5 times the engines' capacity must not outlast its cause: once it has passed, requests are served again.
 func TestFleetRecoversAfterOverload(t *testing.T) {
-	d := loadScenario(t, "quiet")
-	d.Head.Length, d.Head.PerS = setup.Duration(40e9), 60
-	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(5e9), Length: setup.Duration(10e9), Size: 6}}
-	out, err := Play(d, "module")
+	scenario := loadScenario(t, "quiet")
+	scenario.Head.Length, scenario.Head.PerS = setup.Duration(40e9), 60
+	scenario.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(5e9), Length: setup.Duration(10e9), Size: 6}}
+	out, err := Play(scenario, "module")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,20 +101,20 @@
 func BenchmarkFleet79(b *testing.B) { benchmarkScenario(b, 2.55, 160) }
 
 // benchmarkScenario plays a scenario of 31 backends, enlarged by the given factor.
-func benchmarkScenario(b *testing.B, times float64, dispatchers int) {
-	d := loadScenario(b, "quiet")
+func benchmarkScenario(b *testing.B, factor float64, dispatchers int) {
+	scenario := loadScenario(b, "quiet")
 	for i, n := range []float64{13, 15, 3} {
-		d.Boxes[i].Count = int(n * times)
+		scenario.Boxes[i].Count = int(n * factor)
 	}
-	d.Head.PerS, d.Head.Dispatchers = 100*times, dispatchers
+	scenario.Head.PerS, scenario.Head.Dispatchers = 100*factor, dispatchers
 	b.ReportAllocs()
-	questions := 0
+	requests := 0
 	for b.Loop() {
-		out, err := Play(d, "module")
+		out, err := Play(scenario, "module")
 		if err != nil {
 			b.Fatal(err)
 		}
-		questions += out.Requests
+		requests += out.Requests
 	}
-	b.ReportMetric(float64(questions)/b.Elapsed().Seconds(), "questions/s")
+	b.ReportMetric(float64(requests)/b.Elapsed().Seconds(), "questions/s")
 }
--- a/internal/fleet/release_test.go
+++ b/internal/fleet/release_test.go
@@ -12,39 +12,41 @@
 	"sloetrestle/internal/setup"
 )
 
-// rolloutScenario replaces six in ten backends within 7 s by ones in slow start, under the given number of dispatchers. The
-// prefill backends ignore cancellation: their work continues after the client has disconnected.
+// rolloutScenario replaces six in ten backends within 7 s by ones in slow start, under the given number of
+// dispatchers. The prefill backends ignore cancellation: their work continues after the client has disconnected.
 func rolloutScenario(t testing.TB, dispatchers int, seed uint64) day.Day {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/release.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := day.Parse("release", raw)
+	scenario, err := day.Parse("release", raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Head.Dispatchers, d.Head.Seed = dispatchers, seed
-	whole := d.Head.Length
-	d.Troubles = []day.Trouble{
-		{Kind: "no_cancel", At: 0, Length: whole, Boxes: []string{"prefill"}},
+	scenario.Head.Dispatchers, scenario.Head.Seed = dispatchers, seed
+	length := scenario.Head.Length
+	scenario.Troubles = []day.Trouble{
+		{Kind: "no_cancel", At: 0, Length: length, Boxes: []string{"prefill"}},
 		{Kind: "burst", At: 0, Length: setup.Duration(7 * time.Second), Size: 0.5}, // half the load, while caches fill
-		{Kind: "give_up", At: setup.Duration(9 * time.Second), Length: setup.Duration(16 * time.Second), Share: 0.4, Size: 0.5},
-		{Kind: "connect_late", At: 0, Length: whole, Share: 0.02, By: setup.Duration(time.Second)},
+		{Kind: "give_up", At: setup.Duration(9 * time.Second), Length: setup.Duration(16 * time.Second), Share: 0.4,
+			Size: 0.5},
+		{Kind: "connect_late", At: 0, Length: length, Share: 0.02, By: setup.Duration(time.Second)},
 	}
 	var batches [2][]string
-	for _, kind := range d.Boxes {
-		for i, name := range d.NamesOf(kind.Kind) {
-			if place := i % 10; place < 6 {
-				batches[place%2] = append(batches[place%2], name)
+	for _, kind := range scenario.Boxes {
+		for i, name := range scenario.NamesOf(kind.Kind) {
+			if position := i % 10; position < 6 {
+				batches[position%2] = append(batches[position%2], name)
 			}
 		}
 	}
 	for i, names := range batches {
-		at := 9*time.Second + time.Duration(i)*3500*time.Millisecond
-		d.Troubles = append(d.Troubles, day.Trouble{Kind: "replace", At: setup.Duration(at), Length: setup.Duration(6 * time.Second), Boxes: names})
+		start := 9*time.Second + time.Duration(i)*3500*time.Millisecond
+		scenario.Troubles = append(scenario.Troubles, day.Trouble{Kind: "replace", At: setup.Duration(start),
+			Length: setup.Duration(6 * time.Second), Boxes: names})
 	}
-	return d
+	return scenario
 }
 
 // trafficValue sums the value of the requests submitted and of those served in time.
@@ -66,24 +68,25 @@
 	attempts  []record.Line
 }
 
-// findViolation looks for a window of the slow-start rule in which the backend got more attempts, from the whole fleet, than it
-// may: n attempts of mean work amount to the stated multiple of its present capacity, and n + 2 sqrt(n) + 2 are allowed, or
-// n + 3 sqrt(n) + 3 for n under 30.
+// findViolation looks for a window of the slow-start rule in which the backend got more attempts, from the whole
+// fleet, than it may: n attempts of mean work amount to the stated multiple of its present capacity, and n + 2
+// sqrt(n) + 2 are allowed, or n + 3 sqrt(n) + 3 for n under 30.
 func (s *slowStart) findViolation(rules setup.Rules) (attempts, limit float64, found bool) {
 	window, ramp := rules.SlowStartWindow.Std(), rules.SlowStartRamp.Std().Microseconds()
 	work := 0.0
-	for _, call := range s.attempts {
-		work += call.Work / float64(len(s.attempts))
+	for _, sent := range s.attempts {
+		work += sent.Work / float64(len(s.attempts))
 	}
 	first := 0
-	for i, call := range s.attempts {
-		if call.At-s.startedAt > ramp {
+	for i, sent := range s.attempts {
+		if sent.At-s.startedAt > ramp {
 			break
 		}
-		for s.attempts[first].At <= call.At-window.Microseconds() {
+		for s.attempts[first].At <= sent.At-window.Microseconds() {
 			first++
 		}
-		capacityShare := rules.SlowStartShare + (1-rules.SlowStartShare)*float64(s.attempts[first].At-s.startedAt)/float64(ramp)
+		capacityShare := rules.SlowStartShare +
+			(1-rules.SlowStartShare)*float64(s.attempts[first].At-s.startedAt)/float64(ramp)
 		meanAttempts := rules.SlowStartMultiple * capacityShare * window.Seconds() / work
 		if attempts, limit = float64(i-first+1), meanAttempts+2*math.Sqrt(meanAttempts)+2; meanAttempts < 30 {
 			limit = meanAttempts + 3*math.Sqrt(meanAttempts) + 3
@@ -96,13 +99,14 @@
 }
 
 // checkSlowStarts checks the attempts to every backend in slow start.
-func (got scenarioValue) checkSlowStarts(t *testing.T, d day.Day) {
+func (got scenarioValue) checkSlowStarts(t *testing.T, scenario day.Day) {
 	t.Helper()
 	checked := 0
 	for name, s := range got.slowStarts {
 		checked += len(s.attempts)
-		if attempts, limit, found := s.findViolation(d.Rules); found {
-			t.Errorf("backend %s in slow start got %.0f attempts within %v, at most %.1f are allowed", name, attempts, d.Rules.SlowStartWindow.Std(), limit)
+		if attempts, limit, found := s.findViolation(scenario.Rules); found {
+			t.Errorf("backend %s in slow start got %.0f attempts within %v, at most %.1f are allowed", name, attempts,
+				scenario.Rules.SlowStartWindow.Std(), limit)
 		}
 	}
 	if checked < 100 {
@@ -110,40 +114,41 @@
 	}
 }
 
-// With 0.4 s of work per attempt and half of the capacity, a backend may get 2.5 * 0.5 * 2 / 0.4 = 6.25 attempts within 2 s,
-// and 10.5 more.
+// With 0.4 s of work per attempt and half of the capacity, a backend may get 2.5 * 0.5 * 2 / 0.4 = 6.25 attempts
+// within 2 s, and 10.5 more.
 func TestSlowStartCheckFindsOneAttemptTooMany(t *testing.T) {
 	rules := setup.Rules{
-		SlowStartMultiple: 2.5, SlowStartWindow: setup.Duration(2 * time.Second), SlowStartShare: 0.5, SlowStartRamp: setup.Duration(1000 * time.Second),
+		SlowStartMultiple: 2.5, SlowStartWindow: setup.Duration(2 * time.Second), SlowStartShare: 0.5,
+		SlowStartRamp: setup.Duration(1000 * time.Second),
 	}
-	for calls, offends := range map[int]bool{16: false, 17: true} {
+	for attempts, violates := range map[int]bool{16: false, 17: true} {
 		s := &slowStart{startedAt: 1e6}
-		for i := range calls {
+		for i := range attempts {
 			s.attempts = append(s.attempts, record.Line{At: 1e6 + int64(i)*1e5, Work: 0.4})
 		}
-		if _, _, found := s.findViolation(rules); found != offends {
-			t.Errorf("%d attempts: violation found: %v", calls, found)
+		if _, _, found := s.findViolation(rules); found != violates {
+			t.Errorf("%d attempts: violation found: %v", attempts, found)
 		}
 	}
 }
 
-// measure plays a scenario and sums the value served. A request's value is its class's for each token, and counts in full if the
-// first token comes by the latency target, from the client's first submission.
-func measure(t *testing.T, d day.Day, policy string) (scenarioValue, Outcome) {
+// measure plays a scenario and sums the value served. A request's value is its class's for each token, and counts
+// in full if the first token comes by the latency target, from the client's first submission.
+func measure(t *testing.T, scenario day.Day, policy string) (scenarioValue, Outcome) {
 	t.Helper()
 	got := scenarioValue{classes: map[string]*trafficValue{}}
-	for _, g := range d.Classes {
-		got.classes[g.Name] = &trafficValue{}
+	for _, class := range scenario.Classes {
+		got.classes[class.Name] = &trafficValue{}
 	}
 	count := func(l record.Line, add func(*trafficValue, float64)) {
-		third := min(int(3*time.Duration(l.At)*time.Microsecond/d.Head.Length.Std()), 2)
+		third := min(int(3*time.Duration(l.At)*time.Microsecond/scenario.Head.Length.Std()), 2)
 		for _, v := range []*trafficValue{&got.all, &got.thirds[third], got.classes[l.Grade]} {
-			add(v, d.Classes[d.ClassIndex(l.Grade)].Value*float64(l.Tokens))
+			add(v, scenario.Classes[scenario.ClassIndex(l.Grade)].Value*float64(l.Tokens))
 		}
 	}
-	asked, served, of := map[string]record.Line{}, map[string]bool{}, map[string]string{}
+	submitted, served, requestOf := map[string]record.Line{}, map[string]bool{}, map[string]string{}
 	got.slowStarts = map[string]*slowStart{}
-	out, err := PlayLines(d, policy, func(l record.Line) {
+	out, err := PlayWithRecords(scenario, policy, func(l record.Line) {
 		switch l.What {
 		case record.Up:
 			if l.Cold {
@@ -154,73 +159,77 @@
 				s.attempts = append(s.attempts, l)
 			}
 		case record.Asked:
-			of[l.Try] = l.Question
-			if _, known := asked[l.Question]; !known {
-				asked[l.Question] = l
-				count(l, func(v *trafficValue, worth float64) { v.submitted += worth })
+			requestOf[l.Try] = l.Question
+			if _, known := submitted[l.Question]; !known {
+				submitted[l.Question] = l
+				count(l, func(v *trafficValue, value float64) { v.submitted += value })
 			}
 		case record.First:
-			first := asked[of[l.Try]]
+			first := submitted[requestOf[l.Try]]
 			if !served[first.Question] && l.At-first.At <= first.PromiseUs {
 				served[first.Question] = true
-				count(first, func(v *trafficValue, worth float64) { v.served += worth })
+				count(first, func(v *trafficValue, value float64) { v.served += value })
 			}
 		}
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%d dispatchers, seed %d, %s: %.3f, thirds %.3f %.3f %.3f, %.2f attempts per request, backends in slow start at %.0f%% of their limit",
-		d.Head.Dispatchers, d.Head.Seed, policy, got.all.share(), got.thirds[0].share(), got.thirds[1].share(), got.thirds[2].share(),
+	t.Logf("%d dispatchers, seed %d, %s: %.3f, thirds %.3f %.3f %.3f, %.2f attempts per request, slow starts at %.0f%%",
+		scenario.Head.Dispatchers, scenario.Head.Seed, policy, got.all.share(), got.thirds[0].share(), got.thirds[1].share(),
+		got.thirds[2].share(),
 		out.Trips, 100*out.ColdWorst)
 	return got, out
 }
 
-// checkAgainst compares the value served with the reference policy that sees the true state with a delay: at least half of its
-// value in total and of each class, and a fifth in each third of the scenario.
+// checkAgainst compares the value served with the reference policy that sees the true state with a delay: at least
+// half of its value in total and of each class, and a fifth in each third of the scenario.
 func (got scenarioValue) checkAgainst(t *testing.T, reference scenarioValue) {
 	t.Helper()
 	if got.all.share() < reference.all.share()/2 {
 		t.Errorf("%.3f of the value is served, want half of %.3f", got.all.share(), reference.all.share())
 	}
-	for i, v := range got.thirds {
-		if v.share() < reference.thirds[i].share()/5 {
-			t.Errorf("third %d of the scenario: %.3f of the value is served, want a fifth of %.3f", i+1, v.share(), reference.thirds[i].share())
+	for i, served := range got.thirds {
+		if served.share() < reference.thirds[i].share()/5 {
+			t.Errorf("third %d of the scenario: %.3f of the value is served, want a fifth of %.3f", i+1, served.share(),
+				reference.thirds[i].share())
 		}
 	}
-	for class, v := range got.classes {
-		if v.share() < reference.classes[class].share()/2 {
-			t.Errorf("class %s: %.3f of the value is served, want half of %.3f", class, v.share(), reference.classes[class].share())
+	for class, served := range got.classes {
+		if served.share() < reference.classes[class].share()/2 {
+			t.Errorf("class %s: %.3f of the value is served, want half of %.3f", class, served.share(),
+				reference.classes[class].share())
 		}
 	}
 }
 
-// checkModule plays a scenario with the scheduler and checks the value served against the reference, slow starts, and the five
-// rules.
-func checkModule(t *testing.T, d day.Day, reference scenarioValue) scenarioValue {
+// checkScheduler plays a scenario with the scheduler and checks the value served against the reference, slow
+// starts, and the five rules.
+func checkScheduler(t *testing.T, scenario day.Day, reference scenarioValue) scenarioValue {
 	t.Helper()
-	got, out := measure(t, d, "module")
+	got, out := measure(t, scenario, "module")
 	got.checkAgainst(t, reference)
-	got.checkSlowStarts(t, d)
+	got.checkSlowStarts(t, scenario)
 	if !out.Kept() {
-		t.Errorf("%d dispatchers\n%s", d.Head.Dispatchers, out.Text())
+		t.Errorf("%d dispatchers\n%s", scenario.Head.Dispatchers, out.Text())
 	}
 	return got
 }
 
-// Guards against congestion that the concurrency windows don't relieve: abandoned requests widened a window as if first tokens
-// had come quickly, and no window went below one request per dispatcher, so that 300 dispatchers always had at least 300
-// outstanding at a fleet that could serve a hundred. Backends then worked on requests that nobody waited for.
+// Guards against congestion that the concurrency windows don't relieve: abandoned requests widened a window as if
+// first tokens had come quickly, and no window went below one request per dispatcher, so that 300 dispatchers
+// always had at least 300 outstanding at a fleet that could serve a hundred. Backends then worked on requests that
+// nobody waited for.
 func TestRolloutWith300DispatchersServesEnough(t *testing.T) {
 	t.Parallel()
-	d := rolloutScenario(t, 300, 3)
-	reference, _ := measure(t, d, baseline.Informed)
-	checkModule(t, d, reference)
+	scenario := rolloutScenario(t, 300, 3)
+	reference, _ := measure(t, scenario, baseline.Informed)
+	checkScheduler(t, scenario, reference)
 }
 
-// maxLostValue is how much less of the value a fleet of many dispatchers may serve than one of few with the same load and
-// backends. Some loss is inherent: each of 300 dispatchers sees one request a second, from which to learn which prefixes are
-// common and which backends are full.
+// maxLostValue is how much less of the value a fleet of many dispatchers may serve than one of few with the same
+// load and backends. Some loss is inherent: each of 300 dispatchers sees one request a second, from which to learn
+// which prefixes are common and which backends are full.
 const maxLostValue = 0.2
 
 // With the same load and backends, the service must depend little on the number of dispatchers.
@@ -229,8 +238,8 @@
 	reference, _ := measure(t, rolloutScenario(t, 30, 1), baseline.Informed)
 	best, worst := 0.0, 1.0
 	for _, dispatchers := range []int{1, 30, 100, 300} {
-		d := rolloutScenario(t, dispatchers, 1)
-		got := checkModule(t, d, reference)
+		scenario := rolloutScenario(t, dispatchers, 1)
+		got := checkScheduler(t, scenario, reference)
 		best, worst = max(best, got.all.share()), min(worst, got.all.share())
 	}
 	if worst < best-maxLostValue {
@@ -241,7 +250,7 @@
 // The same with six dispatchers, whose queues put first the class with the most value for its work.
 func TestSixDispatchersServeEachClassEnough(t *testing.T) {
 	t.Parallel()
-	d := rolloutScenario(t, 6, 1)
-	reference, _ := measure(t, d, baseline.Informed)
-	checkModule(t, d, reference)
+	scenario := rolloutScenario(t, 6, 1)
+	reference, _ := measure(t, scenario, baseline.Informed)
+	checkScheduler(t, scenario, reference)
 }
--- a/internal/fleet/retry_throttling_test.go
+++ b/internal/fleet/retry_throttling_test.go
@@ -11,135 +11,152 @@
 	"sloetrestle/internal/setup"
 )
 
-// outageScenario takes four of seven backends away for a while, with clients that retry up to 25 times. The load without
-// retries can be served.
+// outageScenario takes four of seven backends away for a while, with clients that retry up to 25 times. The load
+// without retries can be served.
 func outageScenario(t testing.TB) day.Day {
-	d := loadScenario(t, "quiet")
-	d.Head.Length, d.Head.PerS, d.Head.Dispatchers = setup.Duration(60e9), 110, 3
-	d.Clients.Retries, d.Clients.Wait, d.Clients.Honour = 25, setup.Duration(300e6), 1
-	d.Limits.MaxRetryAfter = setup.Duration(10e9)
-	d.Tenants = []setup.Tenant{{Name: "web-app", Share: 0.6, RequestsPerSecond: 4000}, {Name: "ranger-office", Share: 0.4, RequestsPerSecond: 4000}}
-	d.Troubles = []day.Trouble{{Kind: "crash", At: setup.Duration(10e9), Length: setup.Duration(15e9), Boxes: []string{"reader-1", "writer-1", "writer-2", "mixed-1"}}}
-	return d
+	scenario := loadScenario(t, "quiet")
+	scenario.Head.Length, scenario.Head.PerS, scenario.Head.Dispatchers = setup.Duration(60e9), 110, 3
+	scenario.Clients.Retries, scenario.Clients.Wait, scenario.Clients.Honour = 25, setup.Duration(300e6), 1
+	scenario.Limits.MaxRetryAfter = setup.Duration(10e9)
+	scenario.Tenants = []setup.Tenant{{Name: "web-app", Share: 0.6, RequestsPerSecond: 4000},
+		{Name: "ranger-office", Share: 0.4, RequestsPerSecond: 4000}}
+	scenario.Troubles = []day.Trouble{{Kind: "crash", At: setup.Duration(10e9), Length: setup.Duration(15e9),
+		Boxes: []string{"reader-1", "writer-1", "writer-2", "mixed-1"}}}
+	return scenario
 }
 
-func recoveryTime(t *testing.T, name string, d day.Day, back time.Duration) (float64, bool) {
+func recoveryTime(t *testing.T, name string, scenario day.Day, cleared time.Duration) (float64, bool) {
 	t.Helper()
-	out, err := Play(d, "module")
+	out, err := Play(scenario, "module")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !out.Kept() {
 		t.Errorf("%s\n%s", name, out.Text())
 	}
-	s, ok := judge.Recovered(out.OnTimeShare, out.Submitted, 10*time.Second, back)
-	t.Logf("%s: recovered after %.0f s (%v), service %.3f, %d tries, followers %.3f, others %.3f", name, s, ok, out.Service, out.Tries, out.Followers, out.Others)
-	return s, ok
+	seconds, ok := judge.Recovered(out.OnTimeShare, out.Submitted, 10*time.Second, cleared)
+	t.Logf("%s: recovered after %.0f s (%v), service %.3f, %d tries, followers %.3f, others %.3f", name, seconds, ok,
+		out.Service, out.Tries, out.Followers, out.Others)
+	return seconds, ok
 }
 
 func TestFleetRecoversFromRetryStorm(t *testing.T) {
-	const back = 25 * time.Second
+	const cleared = 25 * time.Second
 	for name, change := range map[string]func(*day.Day){
-		"all honour Retry-After":          func(d *day.Day) {},
-		"half honour Retry-After":         func(d *day.Day) { d.Clients.Honour = 0.5 },
-		"none honour Retry-After":         func(d *day.Day) { d.Clients.Honour = 0 },
-		"33 dispatchers":                  func(d *day.Day) { d.Head.Dispatchers = 33 },
-		"reconnects faster than restarts": func(d *day.Day) { d.Clients.Wait, d.Clients.Honour, d.Clients.Retries = setup.Duration(50e6), 0.5, 50 },
-		"backends lose speed before the crash": func(d *day.Day) { // as with a leak: they slow down, crash, and come back in slow start
-			d.Troubles = []day.Trouble{{Kind: "ageing", At: setup.Duration(10e9), Length: setup.Duration(13e9), Share: 0.1, Boxes: []string{"reader-1", "writer-1", "writer-2"}}}
+		"all honour Retry-After":  func(d *day.Day) {},
+		"half honour Retry-After": func(d *day.Day) { d.Clients.Honour = 0.5 },
+		"none honour Retry-After": func(d *day.Day) { d.Clients.Honour = 0 },
+		"33 dispatchers":          func(d *day.Day) { d.Head.Dispatchers = 33 },
+		"reconnects faster than restarts": func(d *day.Day) {
+			d.Clients.Wait, d.Clients.Honour,
+				d.Clients.Retries = setup.Duration(50e6), 0.5, 50
+		},
+		"backends lose speed before the crash": func(d *day.Day) { // as with a leak, and return in slow start
+			d.Troubles = []day.Trouble{{Kind: "ageing", At: setup.Duration(10e9), Length: setup.Duration(13e9), Share: 0.1,
+				Boxes: []string{"reader-1", "writer-1", "writer-2"}}}
 		},
 		"stale endpoint list": func(d *day.Day) {
-			d.Troubles = append(d.Troubles, day.Trouble{Kind: "list_stale", At: setup.Duration(9e9), Length: setup.Duration(20e9), By: setup.Duration(3e9)})
+			d.Troubles = append(d.Troubles, day.Trouble{Kind: "list_stale", At: setup.Duration(9e9),
+				Length: setup.Duration(20e9), By: setup.Duration(3e9)})
 		},
 		"a dispatcher restarts meanwhile": func(d *day.Day) {
-			d.Troubles = append(d.Troubles, day.Trouble{Kind: "kill_dispatcher", At: setup.Duration(20e9), Length: setup.Duration(1e9), Dispatchers: []int{0}})
+			d.Troubles = append(d.Troubles, day.Trouble{Kind: "kill_dispatcher", At: setup.Duration(20e9),
+				Length: setup.Duration(1e9), Dispatchers: []int{0}})
 		},
 	} {
 		d := outageScenario(t)
 		change(&d)
-		if s, ok := recoveryTime(t, name, d, back); !ok || s > 15 {
-			t.Errorf("%s: recovered after %.0f s (%v), want 15 s at most", name, s, ok)
+		if seconds, ok := recoveryTime(t, name, d, cleared); !ok || seconds > 15 {
+			t.Errorf("%s: recovered after %.0f s (%v), want 15 s at most", name, seconds, ok)
 		}
 	}
 }
 
 func TestFleetRecoversFromSecondOutage(t *testing.T) {
 	d := outageScenario(t)
-	d.Troubles = append(d.Troubles, day.Trouble{Kind: "crash", At: setup.Duration(27e9), Length: setup.Duration(6e9), Boxes: []string{"reader-2", "writer-3"}})
-	if s, ok := recoveryTime(t, "second outage", d, 33*time.Second); !ok || s > 20 {
-		t.Errorf("recovered after %.0f s (%v), want 20 s at most", s, ok)
+	d.Troubles = append(d.Troubles, day.Trouble{Kind: "crash", At: setup.Duration(27e9), Length: setup.Duration(6e9),
+		Boxes: []string{"reader-2", "writer-3"}})
+	if seconds, ok := recoveryTime(t, "second outage", d, 33*time.Second); !ok || seconds > 20 {
+		t.Errorf("recovered after %.0f s (%v), want 20 s at most", seconds, ok)
 	}
 }
 
-// Retry throttling must pay off for clients that honour Retry-After: more of them are served, with a fraction of the tries.
+// Retry throttling must pay off for clients that honour Retry-After: more of them are served, with a fraction of
+// the tries.
 func TestRetryThrottlingSavesTriesAndServesMore(t *testing.T) {
 	with := outageScenario(t)
 	with.Head.PerS = 130
 	without := with
 	without.Limits.ThrottleRetries, without.Limits.MaxRetryAfter = false, 0
 	without.Clients.Honour = 0
-	a, err := Play(with, "module")
+	throttled, err := Play(with, "module")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := Play(without, "module")
+	unthrottled, err := Play(without, "module")
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The scheduler's bounded window serves more without throttling too, so the required gain is small: 0.719 against 0.700 here.
-	if a.Service < b.Service+0.01 || a.Tries > b.Tries/2 || a.Followers < b.Others+0.05 {
-		t.Errorf("with throttling service %.3f in %d tries, %.3f of the clients that honour it served; without %.3f in %d, %.3f", a.Service, a.Tries, a.Followers, b.Service, b.Tries, b.Others)
+	// The scheduler's bounded window serves more without throttling too, so the required gain is small: 0.719 against
+	// 0.700 here.
+	if throttled.Service < unthrottled.Service+0.01 || throttled.Tries > unthrottled.Tries/2 ||
+		throttled.Followers < unthrottled.Others+0.05 {
+		t.Errorf("throttled: service %.3f, %d tries, %.3f of those that honour it served; not throttled: %.3f, %d, %.3f",
+			throttled.Service, throttled.Tries, throttled.Followers, unthrottled.Service, unthrottled.Tries, unthrottled.Others)
 	}
 }
 
-// The load can be served, but not together with the retries: after a burst, clients that retry at once keep a fleet in overload
-// for good. With retry throttling it recovers without help.
+// The load can be served, but not together with the retries: after a burst, clients that retry at once keep a fleet
+// in overload for good. With retry throttling it recovers without help.
 func TestRetryThrottlingEndsMetastableOverload(t *testing.T) {
-	d := outageScenario(t)
-	d.Clients.Honour, d.Clients.Wait, d.Clients.Retries, d.Head.Dispatchers = 0, setup.Duration(50e6), 50, 33
-	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(10e9), Length: setup.Duration(8e9), Size: 4}}
-	if s, ok := recoveryTime(t, "after a burst", d, 18*time.Second); !ok || s > 15 {
-		t.Errorf("recovered after %.0f s (%v), want 15 s at most", s, ok)
+	scenario := outageScenario(t)
+	scenario.Clients.Honour, scenario.Clients.Wait, scenario.Clients.Retries, scenario.Head.Dispatchers = 0,
+		setup.Duration(50e6), 50, 33
+	scenario.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(10e9), Length: setup.Duration(8e9), Size: 4}}
+	if seconds, ok := recoveryTime(t, "after a burst", scenario, 18*time.Second); !ok || seconds > 15 {
+		t.Errorf("recovered after %.0f s (%v), want 15 s at most", seconds, ok)
 	}
-	d.Limits.ThrottleRetries, d.Limits.MaxRetryAfter = false, 0
-	if s, ok := recoveryTime(t, "without throttling", d, 18*time.Second); ok && s < 25 {
-		t.Errorf("without throttling it recovers after %.0f s: the scenario shows nothing", s)
+	scenario.Limits.ThrottleRetries, scenario.Limits.MaxRetryAfter = false, 0
+	if seconds, ok := recoveryTime(t, "without throttling", scenario, 18*time.Second); ok && seconds < 25 {
+		t.Errorf("without throttling it recovers after %.0f s: the scenario shows nothing", seconds)
 	}
 }
 
 // One tenant sends four times its load and its clients retry at once: the other tenant's requests are served as before.
 func TestRetryStormOfOneTenantSparesTheOther(t *testing.T) {
-	d := outageScenario(t)
-	d.Head.PerS, d.Clients.Honour, d.Clients.Wait = 80, 0, setup.Duration(100e6)
-	d.Tenants = []setup.Tenant{{Name: "web-app", Share: 0.6, RequestsPerSecond: 60}, {Name: "ranger-office", Share: 0.4, RequestsPerSecond: 60}}
-	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(10e9), Length: setup.Duration(20e9), Size: 3, Channel: "web-app"}}
-	of := map[string]string{}
-	for _, w := range d.Plan() {
-		of[w.Name] = w.Tenant
+	scenario := outageScenario(t)
+	scenario.Head.PerS, scenario.Clients.Honour, scenario.Clients.Wait = 80, 0, setup.Duration(100e6)
+	scenario.Tenants = []setup.Tenant{{Name: "web-app", Share: 0.6, RequestsPerSecond: 60},
+		{Name: "ranger-office", Share: 0.4, RequestsPerSecond: 60}}
+	scenario.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(10e9), Length: setup.Duration(20e9), Size: 3,
+		Channel: "web-app"}}
+	tenantOf := map[string]string{}
+	for _, request := range scenario.Plan() {
+		tenantOf[request.Name] = request.Tenant
 	}
-	share := func(guard bool) (by map[string]float64) {
-		d := d
-		d.Limits.ThrottleRetries = guard
-		by = map[string]float64{}
-		asked, began := map[string]record.Line{}, map[string]bool{}
+	share := func(throttle bool) (onTime map[string]float64) {
+		scenario := scenario
+		scenario.Limits.ThrottleRetries = throttle
+		onTime = map[string]float64{}
+		submitted, served := map[string]record.Line{}, map[string]bool{}
 		total := map[string]float64{}
-		_, err := PlayLines(d, "module", func(l record.Line) {
+		_, err := PlayWithRecords(scenario, "module", func(l record.Line) {
 			if l.What == record.Asked && strings.HasSuffix(l.Try, ".0") && l.At > 12e6 && l.At < 30e6 {
-				asked[l.Question] = l
-				total[of[l.Question]]++
+				submitted[l.Question] = l
+				total[tenantOf[l.Question]]++
 			}
-			if a, ok := asked[l.Question]; ok && l.What == record.First && !began[l.Question] && l.At-a.At <= a.PromiseUs {
-				began[l.Question] = true
-				by[of[l.Question]]++
+			if a, ok := submitted[l.Question]; ok && l.What == record.First && !served[l.Question] && l.At-a.At <= a.PromiseUs {
+				served[l.Question] = true
+				onTime[tenantOf[l.Question]]++
 			}
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		for c, n := range total {
-			by[c] /= n
+		for tenant, n := range total {
+			onTime[tenant] /= n
 		}
-		return by
+		return onTime
 	}
 	with, without := share(true), share(false)
 	t.Logf("share answered in time with throttling %v, without %v", with, without)
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -23,22 +23,24 @@
 func (b *backend) trueLoad(now time.Duration) baseline.Load {
 	report, speed := b.engine.LoadReport(), b.engine.Speed(now)
 	return baseline.Load{
-		Up: b.running && !b.hangs, PrefillTokensPerSecond: b.spec.Engine.PrefillTokensPerSecond * speed, BacklogTokens: report["x1"] * 1000, StreamLoad: report["util"] / speed,
+		Up: b.running && !b.hangs, PrefillTokensPerSecond: b.spec.Engine.PrefillTokensPerSecond * speed,
+		BacklogTokens: report["x1"] * 1000, StreamLoad: report["util"] / speed,
 	}
 }
 
 // view gives the informed baseline policy the backends' states as last observed.
 type view struct{ sim *simulation }
 
-func (v view) Load(h *brain.Backend, q *brain.Request) baseline.Load {
-	b := v.sim.byID[h.ID]
+func (v view) Load(schedulerBackend *brain.Backend, request *brain.Request) baseline.Load {
+	b := v.sim.byID[schedulerBackend.ID]
 	load := b.observed
-	if h.Role == brain.RolePrefill {
-		load.CachedTokens = float64(b.engine.CachedTokens(&engine.Job{Session: q.SessionKey, SharedPrefix: q.PrefixKey, PromptTokens: int(q.PromptTokens), PrefixTokens: int(q.PrefixTokens)}))
+	if schedulerBackend.Role == brain.RolePrefill {
+		load.CachedTokens = float64(b.engine.CachedTokens(&engine.Job{Session: request.SessionKey,
+			SharedPrefix: request.PrefixKey, PromptTokens: int(request.PromptTokens), PrefixTokens: int(request.PrefixTokens)}))
 	}
 	return load
 }
 
-func (v view) AttemptSent(t *brain.Attempt, tokens float64) {
-	v.sim.byID[t.Backend.ID].observed.BacklogTokens += tokens
+func (v view) AttemptSent(attempt *brain.Attempt, tokens float64) {
+	v.sim.byID[attempt.Backend.ID].observed.BacklogTokens += tokens
 }
--- a/internal/stages/virtual_test.go
+++ b/internal/stages/virtual_test.go
@@ -306,7 +306,7 @@
 				room <- true
 				defer func() { <-room }()
 				var lines []record.Line
-				out, e := fleet.PlayLines(d, "module", func(l record.Line) { lines = append(lines, l) })
+				out, e := fleet.PlayWithRecords(d, "module", func(l record.Line) { lines = append(lines, l) })
 				mu.Lock()
 				defer mu.Unlock()
 				if e == nil && (!out.Kept() || out.Tries < 100) {
