--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -150,7 +150,7 @@
 	p.runtime.Send(attempt, request.Deadline-attempt.SentAt)
 }
 
-// FirstToken notes that an attempt has streamed its first token; its KV cache is then no longer held elsewhere.
+// FirstToken notes that an attempt has streamed its first token; its KV cache then needs no release any more.
 func (p *Policy) FirstToken(attempt *brain.Attempt, _ time.Duration) {
 	attempt.FirstTokenAt = p.runtime.Now()
 	attempt.Request.KVHolder = nil
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -74,6 +74,7 @@
 	Lost                     // the engine stopped
 )
 
+// String returns the outcome's name.
 func (o Outcome) String() string {
 	return [...]string{"done", "full", "no_state", "too_big", "dropped", "lost"}[o]
 }
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -10,8 +10,7 @@
 
 func testConfig() Config {
 	return Config{Prefills: true, Decodes: true, Slots: 4, MaxQueued: 4, Blocks: 100, BlockTokens: 16, ChunkTokens: 256,
-		StepTime:        10 * time.Millisecond,
-		TimePerSequence: time.Millisecond, PrefillTokensPerSecond: 10000, KVCacheTTL: 5 * time.Second}
+		StepTime: 10 * time.Millisecond, TimePerSequence: time.Millisecond, PrefillTokensPerSecond: 10000, KVCacheTTL: 5 * time.Second}
 }
 
 // drive runs an engine until it is idle, or for the given number of steps.
@@ -39,7 +38,10 @@
 	tracked := &trackedJob{Job: Job{Key: fmt.Sprint(session, stage, prompt), Stage: stage, Session: session,
 		SharedPrefix: shared, PromptTokens: prompt, PrefixTokens: prefix, OutputTokens: output}}
 	tracked.OnToken = func(n int) { tracked.tokens = n }
-	tracked.OnEnd = func(e Outcome, kept int) { tracked.ends++; tracked.outcome, tracked.cachedTokens = e, kept }
+	tracked.OnEnd = func(outcome Outcome, cached int) {
+		tracked.ends++
+		tracked.outcome, tracked.cachedTokens = outcome, cached
+	}
 	return tracked
 }
 
--- a/internal/fleet/retry_throttling_test.go
+++ b/internal/fleet/retry_throttling_test.go
@@ -48,8 +48,7 @@
 		"none honour Retry-After": func(d *day.Day) { d.Clients.Honour = 0 },
 		"33 dispatchers":          func(d *day.Day) { d.Head.Dispatchers = 33 },
 		"reconnects faster than restarts": func(d *day.Day) {
-			d.Clients.Wait, d.Clients.Honour,
-				d.Clients.Retries = setup.Duration(50e6), 0.5, 50
+			d.Clients.Wait, d.Clients.Honour, d.Clients.Retries = setup.Duration(50e6), 0.5, 50
 		},
 		"backends lose speed before the crash": func(d *day.Day) { // as with a leak, and return in slow start
 			d.Troubles = []day.Trouble{{Kind: "ageing", At: setup.Duration(10e9), Length: setup.Duration(13e9), Share: 0.1,
