--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -38,10 +38,7 @@
 	tracked := &trackedJob{Job: Job{Key: fmt.Sprint(session, stage, prompt), Stage: stage, Session: session,
 		SharedPrefix: shared, PromptTokens: prompt, PrefixTokens: prefix, OutputTokens: output}}
 	tracked.OnToken = func(n int) { tracked.tokens = n }
-	tracked.OnEnd = func(outcome Outcome, cached int) {
-		tracked.ends++
-		tracked.outcome, tracked.cachedTokens = outcome, cached
-	}
+	tracked.OnEnd = func(o Outcome, cached int) { tracked.ends++; tracked.outcome, tracked.cachedTokens = o, cached }
 	return tracked
 }
 
