--- a/internal/fleet/fault_test.go
+++ b/internal/fleet/fault_test.go
@@ -15,13 +15,11 @@
 	for kind, tookEffect := range map[string]func(l record.Line) bool{
 		"crash_after_read": func(l record.Line) bool { return l.What == record.Down && l.Word == "crashed after reading" },
 		"reset_running": func(l record.Line) bool {
-			return l.What == record.End && l.Stage != "read" &&
-				l.Word == "broke"
+			return l.What == record.End && l.Stage != "read" && l.Word == "broke"
 		},
 		"list_down": func(l record.Line) bool { return l.What == record.Note && l.Word == "list_down ends" },
 		"list_gap": func(l record.Line) bool {
-			return l.What == record.Note &&
-				l.Word == "a push of the list is lost"
+			return l.What == record.Note && l.Word == "a push of the list is lost"
 		},
 		"stop_dispatcher": func(l record.Line) bool {
 			return l.What == record.Note && l.Word == "stop_dispatcher is not played here"
--- a/internal/fleet/retry_throttling_test.go
+++ b/internal/fleet/retry_throttling_test.go
@@ -109,8 +109,8 @@
 // in overload for good. With retry throttling it recovers without help.
 func TestRetryThrottlingEndsMetastableOverload(t *testing.T) {
 	scenario := outageScenario(t)
-	scenario.Clients.Honour, scenario.Clients.Wait, scenario.Clients.Retries, scenario.Head.Dispatchers = 0,
-		setup.Duration(50e6), 50, 33
+	scenario.Clients.Honour, scenario.Clients.Wait, scenario.Clients.Retries, scenario.Head.Dispatchers =
+		0, setup.Duration(50e6), 50, 33
 	scenario.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(10e9), Length: setup.Duration(8e9), Size: 4}}
 	if seconds, ok := recoveryTime(t, "after a burst", scenario, 18*time.Second); !ok || seconds > 15 {
 		t.Errorf("recovered after %.0f s (%v), want 15 s at most", seconds, ok)
