--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -247,9 +247,8 @@
 		values["service_"+row.Grade] = row.Service
 	}
 	requests = max(requests, 1)
-	values["asked"], values["in_time"], values["late"], values["declined"], values["forfeited"],
-		values["left_or_cut"] = requests, inTime/requests, late/requests, rejected/requests, failed/requests,
-		leftOrCut/requests
+	values["asked"], values["in_time"], values["late"], values["declined"], values["forfeited"], values["left_or_cut"] =
+		requests, inTime/requests, late/requests, rejected/requests, failed/requests, leftOrCut/requests
 	values["tries"] = float64(verdict.Tries) / requests
 	return values
 }
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -70,8 +70,8 @@
 
 func (b *backend) start(slowStart bool) {
 	b.sim.lastIncarnation++
-	b.incarnation, b.startedAt, b.slowStart, b.running, b.stepScheduled, b.overloaded,
-		b.recentWork = b.sim.lastIncarnation, b.sim.now, slowStart, true, false, false, nil
+	b.incarnation, b.startedAt, b.slowStart, b.running, b.stepScheduled, b.overloaded, b.recentWork =
+		b.sim.lastIncarnation, b.sim.now, slowStart, true, false, false, nil
 	b.engine = engine.New(b.spec.Engine, b.sim.now, slowStart)
 	b.engine.OnKVCacheDropped = func(key string) {
 		reason := "expired"
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -73,8 +73,7 @@
 	d.openClients[c] = true
 	c.submitted = &dispatch.ClientRequest{Params: kserve.Request{ID: c.id, Session: request.Session,
 		SharedPrefix: request.PrefixID, PromptTokens: request.PromptTokens, PrefixTokens: request.PrefixTokens,
-		MaxTokens: request.MaxTokens,
-		IsRetry:   try > 0, RetryTicket: ticket}, Class: request.Class, Tenant: request.Tenant}
+		MaxTokens: request.MaxTokens, IsRetry: try > 0, RetryTicket: ticket}, Class: request.Class, Tenant: request.Tenant}
 	d.clientOf[c.submitted] = c
 	c.submitted.OnFinal = func(response kserve.FinalResponse) { sim.after(networkDelay, func() { c.final(response) }) }
 	class, tenant := sim.scenario.ClassIndex(request.Class), max(sim.scenario.TenantIndex(request.Tenant), 0)
@@ -94,8 +93,7 @@
 	delete(c.dispatcher.openClients, c)
 	delete(c.dispatcher.clientOf, c.submitted)
 	c.addRecord(record.Final, response.Outcome, func(l *record.Line) {
-		l.AfterMs, l.Trips = response.RetryAfterMs,
-			response.Attempts
+		l.AfterMs, l.Trips = response.RetryAfterMs, response.Attempts
 	})
 	if response.Outcome != kserve.Served && (response.Outcome == kserve.Rejected || c.request.Idempotent) {
 		ticket := response.RetryTicket
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -13,8 +13,8 @@
 
 // publish announces a backend's state to all dispatchers after the given delay.
 func (sim *simulation) publish(b *backend, state string, delay time.Duration) {
-	endpoint := boxlist.Endpoint{Name: b.spec.Name, Addresses: []addresses.Spec{{Network: addresses.TCP4,
-		Addr: "127.0.0.1:1"}}, Kind: b.spec.Kind, Zone: b.spec.Zone,
+	endpoint := boxlist.Endpoint{Name: b.spec.Name,
+		Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: "127.0.0.1:1"}}, Kind: b.spec.Kind, Zone: b.spec.Zone,
 		Rack: b.spec.Rack, State: state, Units: b.spec.Units, Incarnation: b.incarnation, UptimeMs: -1}
 	startedAt, slowStart := b.startedAt, b.slowStart
 	sim.schedule(max(sim.now+delay+sim.discoveryDelay, sim.discoveryDownUntil), func() {
@@ -39,8 +39,7 @@
 // sortedByName returns the endpoints in the order of their names.
 func sortedByName(endpoints map[string]boxlist.Endpoint) []boxlist.Endpoint {
 	return slices.SortedFunc(maps.Values(endpoints), func(a, b boxlist.Endpoint) int {
-		return strings.Compare(a.Name,
-			b.Name)
+		return strings.Compare(a.Name, b.Name)
 	})
 }
 
