--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -10,7 +10,8 @@
 
 func testConfig() Config {
 	return Config{Prefills: true, Decodes: true, Slots: 4, MaxQueued: 4, Blocks: 100, BlockTokens: 16, ChunkTokens: 256,
-		StepTime: 10 * time.Millisecond, TimePerSequence: time.Millisecond, PrefillTokensPerSecond: 10000, KVCacheTTL: 5 * time.Second}
+		StepTime: 10 * time.Millisecond, TimePerSequence: time.Millisecond,
+		PrefillTokensPerSecond: 10000, KVCacheTTL: 5 * time.Second}
 }
 
 // drive runs an engine until it is idle, or for the given number of steps.
