--- a/cmd/sloetrestle/experiment.go
+++ b/cmd/sloetrestle/experiment.go
@@ -18,7 +18,7 @@
 	c := &cobra.Command{Use: "experiment", Short: "Run days many times, one thing varied at a time, and keep the figures"}
 	c.PersistentFlags().StringVar(&file, "store", "experiments.db", "the file that keeps them")
 	with := func(do func(cmd *cobra.Command, s *experiment.Store, args []string) error) func(*cobra.Command, []string) error {
-		return works(func(cmd *cobra.Command, args []string) error {
+		return markErrors(func(cmd *cobra.Command, args []string) error {
 			s, err := experiment.OpenStore(file)
 			if err != nil {
 				return err
@@ -46,7 +46,7 @@
 			if err != nil {
 				return err
 			}
-			stage := day.Stage{Serve: []string{self, "serve", "--level", "warn", "--config"}}
+			stage := day.RunOptions{ServeCommand: []string{self, "serve", "--level", "warn", "--config"}}
 			return experiment.Execute(cmd.Context(), s, p, dispatch.Version, stage, func(f string, a ...any) { fmt.Fprintf(cmd.ErrOrStderr(), f+"\n", a...) })
 		})}
 	list := &cobra.Command{Use: "list", Short: "List the experiments", Args: cobra.NoArgs, RunE: with(func(cmd *cobra.Command, s *experiment.Store, _ []string) error {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -57,7 +57,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	lines := 0
-	err = Execute(ctx, store, plan, "v", day.Stage{}, func(string, ...any) {
+	err = Execute(ctx, store, plan, "v", day.RunOptions{}, func(string, ...any) {
 		if lines++; lines == 4 {
 			cancel()
 		}
@@ -75,7 +75,7 @@
 		t.Fatalf("%d runs are stored, %v", len(before), err)
 	}
 	logged := 0
-	if err := Execute(context.Background(), store, plan, "v", day.Stage{}, func(string, ...any) { logged++ }); err != nil {
+	if err := Execute(context.Background(), store, plan, "v", day.RunOptions{}, func(string, ...any) { logged++ }); err != nil {
 		t.Fatal(err)
 	}
 	after, _ := store.Runs("t")
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -148,27 +148,27 @@
 }
 
 // Scenario returns the scenario of a setting. Repeats differ in nothing but the seed.
-func (p *Plan) Scenario(setting Setting) (day.Day, error) {
+func (p *Plan) Scenario(setting Setting) (day.Scenario, error) {
 	tree := clone(p.base).(map[string]any)
 	for _, axis := range p.Vary {
 		for _, value := range axis.Values {
 			if fmt.Sprint(value) == setting[axis.Key] {
 				if err := setKey(tree, strings.Split(axis.Key, "."), value); err != nil {
-					return day.Day{}, fmt.Errorf("vary %s: %w", axis.Key, err)
+					return day.Scenario{}, fmt.Errorf("vary %s: %w", axis.Key, err)
 				}
 			}
 		}
 	}
 	raw, err := toml.Marshal(tree)
 	if err != nil {
-		return day.Day{}, err
+		return day.Scenario{}, err
 	}
 	scenario, err := day.Parse(p.Experiment.Base, raw)
 	if err != nil {
 		return scenario, err
 	}
 	repeat, err := strconv.Atoi(setting["repeat"])
-	scenario.Head.Seed += uint64(repeat) * 1000003
+	scenario.Header.Seed += uint64(repeat) * 1000003
 	return scenario, err
 }
 
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -124,7 +124,7 @@
 
 // Execute runs the settings of a plan that have no stored run, and stops between runs when the context ends.
 // Virtual runs go in parallel. Runs on sockets go one at a time, since they would compete for the processors.
-func Execute(ctx context.Context, store *Store, plan *Plan, version string, stage day.Stage,
+func Execute(ctx context.Context, store *Store, plan *Plan, version string, stage day.RunOptions,
 	logf func(string, ...any)) error {
 	if err := store.Begin(plan); err != nil {
 		return err
@@ -179,7 +179,7 @@
 	return fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
 }
 
-func runOnce(ctx context.Context, plan *Plan, setting Setting, stage day.Stage) (Run, error) {
+func runOnce(ctx context.Context, plan *Plan, setting Setting, stage day.RunOptions) (Run, error) {
 	scenario, err := plan.Scenario(setting)
 	if err != nil {
 		return Run{}, err
@@ -200,11 +200,11 @@
 			run.Figures["budget_declined_"+name] = float64(use.Rejected) / max(float64(use.Rejected+use.Admitted), 1)
 		}
 		run.OnTimeShare, run.Tries = out.OnTimeShare, out.TriesPerSecond
-		for _, fault := range scenario.Troubles {
+		for _, fault := range scenario.Faults {
 			if fault.Kind == "crash" { // no recovery within the run counts as the whole rest of it
-				seconds, ok := judge.Recovered(out.OnTimeShare, out.Submitted, fault.At.Std(), (fault.At + fault.Length).Std())
+				seconds, ok := judge.RecoverySeconds(out.OnTimeShare, out.Submitted, fault.Start.Std(), (fault.Start + fault.Duration).Std())
 				if !ok {
-					seconds = (scenario.Head.Length - fault.At - fault.Length).Std().Seconds()
+					seconds = (scenario.Header.Duration - fault.Start - fault.Duration).Std().Seconds()
 				}
 				run.Figures["recovered_s"], run.Figures["recovered"] = seconds, map[bool]float64{true: 1}[ok]
 			}
@@ -216,14 +216,14 @@
 			run.Figures["read_tokens"] += float64(counts.ReadTokens)
 		}
 	} else {
-		if verdict, err = day.Play(ctx, scenario, stage); err != nil {
+		if verdict, err = day.Run(ctx, scenario, stage); err != nil {
 			return run, err
 		}
 		run.Figures = figures(verdict)
 	}
-	run.RulesKept = verdict.Kept()
+	run.RulesKept = verdict.Passed()
 	for _, rule := range verdict.Rules {
-		if !rule.Kept {
+		if !rule.Passed {
 			run.BrokenRules = append(run.BrokenRules, rule.Name)
 		}
 	}
@@ -233,18 +233,18 @@
 
 // figures returns the figures of a verdict that tables and charts can show.
 func figures(verdict judge.Verdict) map[string]float64 {
-	values := map[string]float64{"service": verdict.Service, "first_p50_ms": verdict.FirstP50,
-		"first_p99_ms": verdict.FirstP99, "trips": verdict.Trips, "cold_worst": verdict.ColdWorst,
-		"pinned_ms": verdict.PinWorst}
+	values := map[string]float64{"service": verdict.ValueShare, "first_p50_ms": verdict.FirstTokenP50Ms,
+		"first_p99_ms": verdict.FirstTokenP99Ms, "trips": verdict.AttemptsPerRequest, "cold_worst": verdict.PeakSlowStartLoad,
+		"pinned_ms": verdict.MaxIdleKVCacheMs}
 	var requests, inTime, late, rejected, failed, leftOrCut float64
-	for _, row := range verdict.Rows {
-		requests += float64(row.Asked)
+	for _, row := range verdict.Classes {
+		requests += float64(row.Requests)
 		inTime += float64(row.InTime)
 		late += float64(row.Late)
-		rejected += float64(row.Declined)
-		failed += float64(row.Forfeited)
-		leftOrCut += float64(row.Quit + row.Cut)
-		values["service_"+row.Grade] = row.Service
+		rejected += float64(row.Rejected)
+		failed += float64(row.Failed)
+		leftOrCut += float64(row.ClientLeft + row.ConnectionLost)
+		values["service_"+row.Class] = row.ValueShare
 	}
 	requests = max(requests, 1)
 	values["asked"], values["in_time"], values["late"], values["declined"], values["forfeited"], values["left_or_cut"] =
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -62,23 +62,25 @@
 	backend     *backend
 	incarnation uint64
 	job         *engine.Job
-	baseRecord  record.Line
+	baseRecord  record.Event
 	cancelCause error
 	reported    bool // the dispatcher has been given the result
 	ended       bool // the backend has ended it
 	arrived     bool
 }
 
-func (t *attempt) id() string { return fmt.Sprintf("%s/%d", t.baseRecord.Key, t.baseRecord.Trip) }
+func (t *attempt) id() string {
+	return fmt.Sprintf("%s/%d", t.baseRecord.RequestKey, t.baseRecord.Attempt)
+}
 
 func (c *transport) Start(dispatched *dispatch.Attempt) {
 	d := (*dispatcher)(c)
 	sim := d.sim
 	t := &attempt{sim: sim, dispatcher: d, loop: d.loop, dispatched: dispatched,
 		backend: sim.backends[dispatched.Backend.Name]}
-	t.baseRecord = record.Line{Box: t.backend.spec.Name, Try: dispatched.Request.Params.ID,
-		Grade: dispatched.Request.Class, Key: dispatched.RequestKey, Stage: dispatched.Stage(),
-		Trip: dispatched.Scheduled.Number}
+	t.baseRecord = record.Event{Backend: t.backend.spec.Name, Try: dispatched.Request.Params.ID,
+		Class: dispatched.Request.Class, RequestKey: dispatched.RequestKey, Phase: dispatched.Stage(),
+		Attempt: dispatched.Scheduled.Number}
 	dispatched.Cancel = func(cause error) {
 		if t.cancelCause != nil || t.reported {
 			return
@@ -142,7 +144,7 @@
 	t.ended = true
 	delete(t.backend.attempts, t)
 	l := t.baseRecord
-	l.What, l.Word = record.End, word
+	l.Kind, l.Detail = record.AttemptEnded, word
 	t.sim.addRecord(l)
 }
 
@@ -159,10 +161,10 @@
 		return
 	}
 	l := t.baseRecord
-	l.What = record.Closed
+	l.Kind = record.AttemptClosed
 	t.sim.addRecord(l)
 	b := t.backend
-	if b.running && b.incarnation == t.incarnation && t.job != nil && !b.spec.Ignores {
+	if b.running && b.incarnation == t.incarnation && t.job != nil && !b.spec.IgnoresCancel {
 		b.engine.Cancel(t.job)
 		b.runSteps()
 	}
@@ -181,21 +183,21 @@
 	}
 	t.arrived, t.incarnation = true, b.incarnation
 	b.attempts[t] = true
-	work := b.attemptWork(t.baseRecord.Grade, t.baseRecord.Stage)
+	work := b.attemptWork(t.baseRecord.Class, t.baseRecord.Phase)
 	arrival := t.baseRecord
-	arrival.What, arrival.Work = record.Trip, work
+	arrival.Kind, arrival.Work = record.AttemptReceived, work
 	sim.addRecord(arrival)
 	if b.exceedsSlowStart(work) {
 		b.overloaded = true
-		sim.addRecord(record.Line{What: record.Fell, Box: b.spec.Name, Start: b.incarnation})
+		sim.addRecord(record.Event{Kind: record.Overloaded, Backend: b.spec.Name, StartID: b.incarnation})
 		b.kill("pushed over")
 		return
 	}
 	if b.hangs {
 		return
 	}
-	if b.failShare > 0 && (b.failClass == "" || b.failClass == t.baseRecord.Grade) && sim.rng.Float64() < b.failShare {
-		if t.baseRecord.Stage != kserve.PhasePrefill {
+	if b.failShare > 0 && (b.failClass == "" || b.failClass == t.baseRecord.Class) && sim.rng.Float64() < b.failShare {
+		if t.baseRecord.Phase != kserve.PhasePrefill {
 			t.recordRun()
 		}
 		t.end("failed")
@@ -203,10 +205,10 @@
 		return
 	}
 	request := t.dispatched.Scheduled.Request
-	job := &engine.Job{Key: t.baseRecord.Key, Session: request.SessionKey, SharedPrefix: request.PrefixKey,
+	job := &engine.Job{Key: t.baseRecord.RequestKey, Session: request.SessionKey, SharedPrefix: request.PrefixKey,
 		PromptTokens: int(request.PromptTokens), PrefixTokens: int(request.PrefixTokens)}
 	t.job = job
-	switch t.baseRecord.Stage {
+	switch t.baseRecord.Phase {
 	case kserve.PhasePrefill:
 		job.Stage = engine.StagePrefill
 	case kserve.PhaseDecode:
@@ -216,7 +218,7 @@
 	default:
 		job.Stage = engine.StageWhole
 	}
-	job.OutputTokens = standin.AnswerTokens(sim.scenario.TalkOf(t.baseRecord.Grade).AnswerTokens, t.baseRecord.Try,
+	job.OutputTokens = standin.AnswerTokens(sim.scenario.RequestShape(t.baseRecord.Class).AnswerTokens, t.baseRecord.Try,
 		int(request.MaxOutputTokens))
 	if job.Stage == engine.StagePrefill {
 		job.OutputTokens = 1
@@ -245,12 +247,12 @@
 
 func (t *attempt) recordRun() {
 	run, sim := t.baseRecord, t.sim
-	run.What = record.Ran
-	if i := sim.scenario.ClassIndex(run.Grade); i >= 0 && sim.scenario.Classes[i].Effect == "deduplicated" {
+	run.Kind = record.EffectStarted
+	if i := sim.scenario.ClassIndex(run.Class); i >= 0 && sim.scenario.Classes[i].Effect == "deduplicated" {
 		class := sim.scenario.Classes[i]
 		key := map[string]string{"zone": t.backend.spec.Zone, "rack": t.backend.spec.Rack}[class.DedupScope] + " " + run.Try
 		if markedAt, known := sim.dedupMarks[key]; known && sim.now-markedAt < class.DedupWindow.Std() {
-			run.What = record.Repeat
+			run.Kind = record.DuplicateDropped
 		} else {
 			sim.dedupMarks[key] = sim.now
 		}
@@ -271,7 +273,7 @@
 		t.sim.after(networkDelay, func() {
 			if !c.finished && !c.gotFirstToken {
 				c.gotFirstToken = true
-				c.addRecord(record.First, "", nil)
+				c.addRecord(record.FirstToken, "", nil)
 			}
 		})
 	}
@@ -285,24 +287,24 @@
 	}
 	switch outcome {
 	case engine.Done:
-		if t.baseRecord.Stage != kserve.PhaseDecode {
+		if t.baseRecord.Phase != kserve.PhaseDecode {
 			uncachedTokens := float64(t.job.PromptTokens - cachedTokens)
-			b.attemptWork(t.baseRecord.Grade, t.baseRecord.Stage) // seeds the mean on first use
-			sim.prefillTokens[t.baseRecord.Grade][0] += uncachedTokens
-			sim.prefillTokens[t.baseRecord.Grade][1]++
+			b.attemptWork(t.baseRecord.Class, t.baseRecord.Phase) // seeds the mean on first use
+			sim.prefillTokens[t.baseRecord.Class][0] += uncachedTokens
+			sim.prefillTokens[t.baseRecord.Class][1]++
 		}
-		if t.baseRecord.Stage != kserve.PhasePrefill {
+		if t.baseRecord.Phase != kserve.PhasePrefill {
 			t.end(kserve.OutcomeCompleted)
 			t.respond(brain.Result{Outcome: brain.Served, Detail: cachedTokens})
 			return
 		}
-		if upTo, ok := b.releasedUpTo[t.baseRecord.Key]; ok && t.baseRecord.Trip <= upTo {
-			b.engine.ReleaseKVCache(t.baseRecord.Key)
+		if upTo, ok := b.releasedUpTo[t.baseRecord.RequestKey]; ok && t.baseRecord.Attempt <= upTo {
+			b.engine.ReleaseKVCache(t.baseRecord.RequestKey)
 			t.end("dropped")
 			return
 		}
-		sim.addRecord(record.Line{What: record.Held, Box: b.spec.Name, Key: t.baseRecord.Key, Try: t.baseRecord.Try,
-			Grade: t.baseRecord.Grade})
+		sim.addRecord(record.Event{Kind: record.KVCacheHeld, Backend: b.spec.Name, RequestKey: t.baseRecord.RequestKey, Try: t.baseRecord.Try,
+			Class: t.baseRecord.Class})
 		t.end(kserve.OutcomePrefilled)
 		t.respond(brain.Result{Outcome: brain.Prefilled, Detail: cachedTokens})
 		if b.crashShare > 0 && sim.rng.Float64() < b.crashShare {
@@ -325,7 +327,7 @@
 // transferKVCache moves a KV cache from its prefill backend to a decode backend: within a rack over the prefill
 // backend's own port, otherwise over the rack's shared link, where transfers queue.
 func (sim *simulation) transferKVCache(from, to *backend, t *attempt, arrived func(bool)) {
-	key := t.baseRecord.Key
+	key := t.baseRecord.RequestKey
 	sim.after(networkDelay, func() {
 		tokens, ok := 0, false
 		if from.running {
@@ -337,14 +339,14 @@
 		}
 		from.engine.SetKVCacheMoving(key, true)
 		incarnation, transferTime := from.incarnation,
-			time.Duration(float64(tokens)/sim.scenario.Links.Near*float64(time.Second))
+			time.Duration(float64(tokens)/sim.scenario.Links.NearTokensPerSecond*float64(time.Second))
 		if from.spec.Rack != to.spec.Rack {
 			slowdown := sim.linkSlowdown
 			if from.spec.Zone != to.spec.Zone {
-				slowdown *= max(sim.scenario.Links.Zone, 1)
+				slowdown *= max(sim.scenario.Links.CrossZoneFactor, 1)
 			}
 			linkFreeAt := max(sim.rackLinkFreeAt[from.spec.Rack], sim.now) +
-				time.Duration(float64(tokens)/sim.scenario.Links.Far*slowdown*float64(time.Second))
+				time.Duration(float64(tokens)/sim.scenario.Links.FarTokensPerSecond*slowdown*float64(time.Second))
 			sim.rackLinkFreeAt[from.spec.Rack] = linkFreeAt
 			transferTime = linkFreeAt - sim.now
 		}
@@ -356,7 +358,7 @@
 			}
 			if t.ended || !to.running || to.incarnation != t.incarnation { // no longer needed there: keep it ready
 				from.engine.SetKVCacheMoving(key, false)
-				if upTo, ok := from.releasedUpTo[key]; ok && upTo >= t.baseRecord.Trip {
+				if upTo, ok := from.releasedUpTo[key]; ok && upTo >= t.baseRecord.Attempt {
 					from.releaseKVCache(key, "released")
 				}
 				return
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -16,7 +16,7 @@
 // backend is one emulated backend: an engine, its process, and the faults injected into it.
 type backend struct {
 	sim           *simulation
-	spec          day.Made
+	spec          day.BackendSpec
 	engine        *engine.Engine
 	incarnation   uint64
 	startedAt     time.Duration
@@ -78,10 +78,10 @@
 		if !b.running {
 			reason = "lost"
 		}
-		b.sim.addRecord(record.Line{What: record.Let, Box: b.spec.Name, Key: key, Word: reason})
+		b.sim.addRecord(record.Event{Kind: record.KVCacheReleased, Backend: b.spec.Name, RequestKey: key, Detail: reason})
 	}
 	b.attempts, b.releasedUpTo = map[*attempt]bool{}, map[string]int{}
-	b.sim.addRecord(record.Line{What: record.Up, Box: b.spec.Name, Start: b.incarnation, Cold: slowStart})
+	b.sim.addRecord(record.Event{Kind: record.ProcessStarted, Backend: b.spec.Name, StartID: b.incarnation, SlowStart: slowStart})
 }
 
 func (b *backend) kill(reason string) {
@@ -89,7 +89,7 @@
 		return
 	}
 	b.running = false
-	b.sim.addRecord(record.Line{What: record.Down, Box: b.spec.Name, Start: b.incarnation, Word: reason})
+	b.sim.addRecord(record.Event{Kind: record.ProcessEnded, Backend: b.spec.Name, StartID: b.incarnation, Detail: reason})
 	attempts := make([]*attempt, 0, len(b.attempts))
 	for t := range b.attempts {
 		attempts = append(attempts, t)
@@ -102,7 +102,7 @@
 }
 
 // addBackend adds a backend to the fleet and starts it.
-func (sim *simulation) addBackend(spec day.Made, slowStart bool) *backend {
+func (sim *simulation) addBackend(spec day.BackendSpec, slowStart bool) *backend {
 	b := &backend{sim: sim, spec: spec}
 	sim.backends[spec.Name] = b
 	sim.byID[dispatch.BackendID(spec.Name)] = b
@@ -113,7 +113,7 @@
 
 func (b *backend) releaseKVCache(key, reason string) {
 	if b.engine.ReleaseKVCache(key) {
-		b.sim.addRecord(record.Line{What: record.Let, Box: b.spec.Name, Key: key, Word: reason})
+		b.sim.addRecord(record.Event{Kind: record.KVCacheReleased, Backend: b.spec.Name, RequestKey: key, Detail: reason})
 		b.runSteps()
 	}
 }
@@ -130,7 +130,7 @@
 // attemptWork returns the expected work of an attempt in seconds of the backend's full capacity. The prefill part
 // follows the mean number of uncached prompt tokens seen for the class so far.
 func (b *backend) attemptWork(class, phase string) float64 {
-	config, profile := b.spec.Engine, b.sim.scenario.TalkOf(class)
+	config, profile := b.spec.Engine, b.sim.scenario.RequestShape(class)
 	uncached := b.sim.prefillTokens[class]
 	if uncached == nil {
 		uncached = &[2]float64{profile.NewTokens + float64(profile.PrefixTokens)/4, 1}
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -15,25 +15,25 @@
 	if len(sim.scenario.Budgets) == 0 {
 		return
 	}
-	accounting := &dispatch.Accounting{Month: endlessMonth, OwnedBudgets: map[string]*budget.Keeper{}}
+	accounting := &dispatch.Accounting{Month: endlessMonth, OwnedBudgets: map[string]*budget.Owner{}}
 	dispatcherCount := len(sim.dispatchers)
-	if n := sim.scenario.Head.Dispatchers; n > dispatcherCount {
+	if n := sim.scenario.Header.Dispatchers; n > dispatcherCount {
 		dispatcherCount = n
 	}
 	loop := d.loop
 	for _, config := range sim.scenario.Budgets {
 		limits, owner := config.TokenLimits(), 0
-		if sim.scenario.Head.SplitBudgets { // static equal parts, as a reference for comparison
+		if sim.scenario.Header.SplitBudgets { // static equal parts, as a reference for comparison
 			parts := float64(dispatcherCount)
-			limits.PerS, limits.Burst, limits.Monthly, limits.Borrow = limits.PerS/parts, limits.Burst/parts,
+			limits.PerSecond, limits.Burst, limits.Monthly, limits.Borrow = limits.PerSecond/parts, limits.Burst/parts,
 				limits.Monthly/parts, limits.Borrow/parts
 			owner = d.number
 		} else {
-			owner = budget.Keep(limits.Name, dispatcherCount)
+			owner = budget.OwnerIndex(limits.Name, dispatcherCount)
 		}
 		if owner == d.number {
 			key := fmt.Sprintf("%s %d", limits.Name, owner)
-			accounting.OwnedBudgets[limits.Name] = budget.NewKeeper(limits, sim.now, endlessMonth(sim.now),
+			accounting.OwnedBudgets[limits.Name] = budget.NewOwner(limits, sim.now, endlessMonth(sim.now),
 				sim.durableLoans[key], 0, 0, func(what string, _ int64, tokens float64, done func()) {
 					sim.after(commitTime, func() {
 						if what == "lent" {
@@ -45,19 +45,19 @@
 					})
 				})
 		}
-		var tenantBudget *budget.Purse
-		tenantBudget = budget.NewPurse(limits, loop.Epoch, dispatcherCount, endlessMonth(sim.now), func(ask budget.Ask) {
+		var tenantBudget *budget.LocalBudget
+		tenantBudget = budget.NewLocalBudget(limits, loop.Epoch, dispatcherCount, endlessMonth(sim.now), func(ask budget.LeaseRequest) {
 			sim.after(networkDelay, func() {
 				keeperDispatcher := sim.dispatchers[owner]
 				if !keeperDispatcher.running || keeperDispatcher.accounting == nil {
 					return
 				}
 				keeperDispatcher.runInLoop(func() {
-					keeperDispatcher.accounting.OwnedBudgets[ask.Name].Asked(sim.now, endlessMonth(sim.now), ask,
-						func(loan budget.Lend) {
+					keeperDispatcher.accounting.OwnedBudgets[ask.Name].HandleRequest(sim.now, endlessMonth(sim.now), ask,
+						func(loan budget.LeaseReply) {
 							sim.after(networkDelay, func() {
 								if d.loop == loop && d.running {
-									d.runInLoop(func() { tenantBudget.Lent(sim.now, loan) })
+									d.runInLoop(func() { tenantBudget.HandleReply(sim.now, loan) })
 								}
 							})
 						})
@@ -75,7 +75,7 @@
 
 // testMonth returns a month that outlasts every scenario.
 func endlessMonth(now time.Duration) budget.Month {
-	return budget.Month{Number: 1, Left: 24*time.Hour - now}
+	return budget.Month{Number: 1, Remaining: 24*time.Hour - now}
 }
 
 // BudgetUse is the use of one budget in a run.
@@ -91,8 +91,8 @@
 	for _, tenantBudget := range sim.budgets {
 		use := out[tenantBudget.Terms.Name]
 		use.UsedTokens += tenantBudget.Counts.Used
-		use.Rejected += tenantBudget.Counts.Declined
-		use.Admitted += tenantBudget.Counts.Passed + tenantBudget.Counts.Emergencies
+		use.Rejected += tenantBudget.Counts.Rejected
+		use.Admitted += tenantBudget.Counts.Admitted + tenantBudget.Counts.EmergencyAdmitted
 		out[tenantBudget.Terms.Name] = use
 	}
 	for _, config := range sim.scenario.Budgets {
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -23,8 +23,8 @@
 	gotFirstToken bool
 }
 
-func (c *client) addRecord(what, word string, fill func(*record.Line)) {
-	l := record.Line{What: what, Word: word, Try: c.id, Question: c.request.Name, Grade: c.request.Class,
+func (c *client) addRecord(what, word string, fill func(*record.Event)) {
+	l := record.Event{Kind: what, Detail: word, Try: c.id, Request: c.request.Name, Class: c.request.Class,
 		Dispatcher: c.dispatcher.name}
 	if fill != nil {
 		fill(&l)
@@ -50,8 +50,8 @@
 	if request.HonoursRetryAfter {
 		retryAdvice = "follows"
 	}
-	c.addRecord(record.Asked, retryAdvice, func(l *record.Line) {
-		l.ExpiryUs, l.PromiseUs, l.Tokens = timeout.Microseconds(), request.LatencyTarget.Microseconds(), request.PromptTokens
+	c.addRecord(record.RequestSent, retryAdvice, func(l *record.Event) {
+		l.DeadlineUs, l.LatencyTargetUs, l.Tokens = timeout.Microseconds(), request.LatencyTarget.Microseconds(), request.PromptTokens
 	})
 	if !d.running {
 		c.loseConnection("unreached: the dispatcher is down")
@@ -61,7 +61,7 @@
 		sim.after(request.LeaveAfter, func() {
 			if !c.finished {
 				c.finished = true
-				c.addRecord(record.Quit, "", nil)
+				c.addRecord(record.ClientLeft, "", nil)
 				if d.running && d.openClients[c] {
 					delete(d.openClients, c)
 					delete(d.clientOf, c.submitted)
@@ -92,8 +92,8 @@
 	c.finished = true
 	delete(c.dispatcher.openClients, c)
 	delete(c.dispatcher.clientOf, c.submitted)
-	c.addRecord(record.Final, response.Outcome, func(l *record.Line) {
-		l.AfterMs, l.Trips = response.RetryAfterMs, response.Attempts
+	c.addRecord(record.FinalAnswer, response.Outcome, func(l *record.Event) {
+		l.RetryAfterMs, l.Attempts = response.RetryAfterMs, response.Attempts
 	})
 	if response.Outcome != kserve.Served && (response.Outcome == kserve.Rejected || c.request.Idempotent) {
 		ticket := response.RetryTicket
@@ -110,7 +110,7 @@
 	}
 	c.finished = true
 	delete(c.dispatcher.openClients, c)
-	c.addRecord(record.Cut, reason, nil)
+	c.addRecord(record.ConnectionLost, reason, nil)
 	if strings.HasPrefix(reason, "unreached") || c.request.Idempotent {
 		c.retry(0, "")
 	}
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -24,7 +24,7 @@
 		}
 		lost := sim.dropNextUpdate
 		if sim.dropNextUpdate = false; lost {
-			sim.addRecord(record.Line{What: record.Note, Word: "a push of the list is lost"})
+			sim.addRecord(record.Event{Kind: record.Note, Detail: "a push of the list is lost"})
 		}
 		for _, d := range sim.dispatchers {
 			if lost { // noticed at the next heartbeat, which makes it fetch the full list
@@ -52,8 +52,8 @@
 	byName[missed.Name] = missed
 	endpoints := slices.DeleteFunc(sortedByName(byName),
 		func(endpoint boxlist.Endpoint) bool { return endpoint.State == boxlist.Removed })
-	d.sim.addRecord(record.Line{What: record.Told, Dispatcher: d.name, Box: missed.Name, Word: missed.State,
-		Start: missed.Incarnation})
+	d.sim.addRecord(record.Event{Kind: record.EndpointNotified, Dispatcher: d.name, Backend: missed.Name, Detail: missed.State,
+		StartID: missed.Incarnation})
 	d.updateEndpoints(endpoints, true)
 }
 
@@ -64,8 +64,8 @@
 	for _, endpoint := range endpoints {
 		d.lastKnown[endpoint.Name] = endpoint
 		if !full {
-			d.sim.addRecord(record.Line{What: record.Told, Dispatcher: d.name, Box: endpoint.Name, Word: endpoint.State,
-				Start: endpoint.Incarnation})
+			d.sim.addRecord(record.Event{Kind: record.EndpointNotified, Dispatcher: d.name, Backend: endpoint.Name, Detail: endpoint.State,
+				StartID: endpoint.Incarnation})
 		}
 	}
 	d.runInLoop(func() { d.loop.UpdateBackends(endpoints, full) })
--- a/internal/fleet/dispatcher.go
+++ b/internal/fleet/dispatcher.go
@@ -38,10 +38,10 @@
 	config := setup.DefaultDispatcherConfig()
 	config.Deployment = sim.scenario.Deployment
 	config.Instance.Name, config.Instance.Index, config.Instance.FleetSize = d.name, d.number, len(sim.dispatchers)
-	config.Instance.FleetSize = max(sim.scenario.Head.Dispatchers, 1)
+	config.Instance.FleetSize = max(sim.scenario.Header.Dispatchers, 1)
 	config.Instance.Zone = sim.scenario.Zones[d.number%len(sim.scenario.Zones)]
 	d.starts++
-	seed := sim.scenario.Head.Seed*1000 + uint64(d.number) + 1 + uint64(d.starts-1)*7919
+	seed := sim.scenario.Header.Seed*1000 + uint64(d.number) + 1 + uint64(d.starts-1)*7919
 	parameters := config.SchedulerParameters()
 	loop, err := dispatch.NewLoop(parameters, seed, dispatch.Resolver{ZoneNumber: config.ZoneIndex,
 		KindNumber: config.KindIndex}, (*transport)(d), func() time.Duration { return sim.now },
@@ -65,7 +65,7 @@
 	d.setUpBudgets()
 	d.openClients, d.clientOf = map[*client]bool{}, map[*dispatch.ClientRequest]*client{}
 	d.lastKnown = map[string]boxlist.Endpoint{}
-	sim.addRecord(record.Line{What: record.Up, Dispatcher: d.name})
+	sim.addRecord(record.Event{Kind: record.ProcessStarted, Dispatcher: d.name})
 	if endpoints != nil {
 		d.updateEndpoints(sortedByName(endpoints), true)
 	}
@@ -103,7 +103,7 @@
 // kill ends a dispatcher without a shutdown. Its clients notice at once, the load balancer in front after a while.
 func (d *dispatcher) kill() {
 	sim := d.sim
-	sim.addRecord(record.Line{What: record.Down, Dispatcher: d.name, Word: "killed"})
+	sim.addRecord(record.Event{Kind: record.ProcessEnded, Dispatcher: d.name, Detail: "killed"})
 	d.running = false
 	clients := make([]*client, 0, len(d.openClients))
 	for c := range d.openClients {
@@ -125,5 +125,5 @@
 			t.connectionClosed()
 		}
 	}
-	sim.after(sim.scenario.Head.FrontNotice.Std(), func() { d.inRotation = d.inRotation && d.running })
+	sim.after(sim.scenario.Header.LoadBalancerNotice.Std(), func() { d.inRotation = d.inRotation && d.running })
 }
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -10,10 +10,10 @@
 	"sloetrestle/internal/record"
 )
 
-func (sim *simulation) affectedBackends(fault day.Trouble) []*backend {
+func (sim *simulation) affectedBackends(fault day.Fault) []*backend {
 	var affected []*backend
 	for _, b := range sim.backendOrder {
-		if slices.ContainsFunc(fault.Boxes, func(n string) bool { return n == b.spec.Name || n == b.spec.Kind }) {
+		if slices.ContainsFunc(fault.Backends, func(n string) bool { return n == b.spec.Name || n == b.spec.Kind }) {
 			affected = append(affected, b)
 		}
 	}
@@ -22,9 +22,9 @@
 
 // inject starts a fault and schedules its end. Faults of the requests themselves are part of the traffic plan.
 // Faults of single addresses have no meaning without sockets.
-func (sim *simulation) inject(fault day.Trouble) {
-	sim.addRecord(record.Line{What: record.Note, Word: fault.Kind + " begins"})
-	affected, length, noticeDelay := sim.affectedBackends(fault), fault.Length.Std(), sim.scenario.List.Notice.Std()
+func (sim *simulation) inject(fault day.Fault) {
+	sim.addRecord(record.Event{Kind: record.Note, Detail: fault.Kind + " begins"})
+	affected, length, noticeDelay := sim.affectedBackends(fault), fault.Duration.Std(), sim.scenario.Discovery.NoticeDelay.Std()
 	each := func(do func(*backend)) {
 		for _, b := range affected {
 			do(b)
@@ -42,7 +42,7 @@
 	later := func(do func()) { sim.after(length, do) }
 	switch fault.Kind {
 	case "slow":
-		each(func(b *backend) { b.engine.Slowdown = fault.Size })
+		each(func(b *backend) { b.engine.Slowdown = fault.Factor })
 		later(func() { each(func(b *backend) { b.engine.Slowdown = 0 }) })
 	case "neighbour":
 		each(func(b *backend) { b.engine.NeighbourShare = fault.Share })
@@ -50,14 +50,17 @@
 	case "ageing":
 		each(func(b *backend) { b.engine.SetAgingRate(sim.now, fault.Share) })
 		later(func() {
-			each(func(b *backend) { b.kill("aged"); sim.publish(b, boxlist.Removed, sim.scenario.List.Silent.Std()) })
+			each(func(b *backend) {
+				b.kill("aged")
+				sim.publish(b, boxlist.Removed, sim.scenario.Discovery.FailureNoticeDelay.Std())
+			})
 			sim.after(2*time.Second, restart)
 		})
 	case "evict_fresh":
 		each(func(b *backend) { b.engine.EvictFresh = true })
 		later(func() { each(func(b *backend) { b.engine.EvictFresh = false }) })
 	case "failing", "grade_failing":
-		each(func(b *backend) { b.failShare, b.failClass = fault.Share, fault.Grade })
+		each(func(b *backend) { b.failShare, b.failClass = fault.Share, fault.Class })
 		later(func() { each(func(b *backend) { b.failShare = 0 }) })
 	case "hang":
 		each(func(b *backend) { b.hangs = true })
@@ -78,7 +81,7 @@
 		})
 		later(func() { each(func(b *backend) { b.kill("replaced"); sim.publish(b, boxlist.Removed, noticeDelay) }) })
 	case "connect_late":
-		sim.slowConnectShare, sim.slowConnectMax = fault.Share, fault.By.Std()
+		sim.slowConnectShare, sim.slowConnectMax = fault.Share, fault.Delay.Std()
 		later(func() { sim.slowConnectShare = 0 })
 	case "list_down":
 		sim.discoveryDownUntil = sim.now + length
@@ -91,7 +94,7 @@
 	case "crash":
 		each(func(b *backend) {
 			b.kill("crashed")
-			if silent := sim.scenario.List.Silent.Std(); length > silent {
+			if silent := sim.scenario.Discovery.FailureNoticeDelay.Std(); length > silent {
 				sim.publish(b, boxlist.Removed, silent)
 			}
 		})
@@ -106,10 +109,10 @@
 			sim.after(time.Second, restart)
 		})
 	case "list_stale":
-		sim.discoveryDelay = fault.By.Std()
+		sim.discoveryDelay = fault.Delay.Std()
 		later(func() { sim.discoveryDelay = 0 })
 	case "link_slow":
-		sim.linkSlowdown = fault.Size
+		sim.linkSlowdown = fault.Factor
 		later(func() { sim.linkSlowdown = 1 })
 	case "kill_dispatcher":
 		for _, n := range fault.Dispatchers {
@@ -122,10 +125,10 @@
 			}
 		})
 	default: // faults of sockets and processes
-		sim.addRecord(record.Line{What: record.Note, Word: fault.Kind + " is not played here"})
+		sim.addRecord(record.Event{Kind: record.Note, Detail: fault.Kind + " is not played here"})
 	}
 	if !strings.HasPrefix(fault.Kind, "address_") {
-		later(func() { sim.addRecord(record.Line{What: record.Note, Word: fault.Kind + " ends"}) })
+		later(func() { sim.addRecord(record.Event{Kind: record.Note, Detail: fault.Kind + " ends"}) })
 	}
 }
 
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -43,12 +43,12 @@
 }
 
 // Play plays a scenario with a policy: "module" for the scheduler, or the name of a baseline policy.
-func Play(scenario day.Day, policy string) (Outcome, error) {
+func Play(scenario day.Scenario, policy string) (Outcome, error) {
 	return PlayWithRecords(scenario, policy, nil)
 }
 
 // PlayWithRecords does the same and calls a function with each record.
-func PlayWithRecords(scenario day.Day, policy string, onRecord func(record.Line)) (Outcome, error) {
+func PlayWithRecords(scenario day.Scenario, policy string, onRecord func(record.Event)) (Outcome, error) {
 	sim, err := newSimulation(scenario, policy, onRecord)
 	if err != nil {
 		return Outcome{}, err
@@ -57,9 +57,9 @@
 }
 
 // newSimulation builds backends, discovery and dispatchers, and schedules the clients' requests and the faults.
-func newSimulation(scenario day.Day, policy string, onRecord func(record.Line)) (*simulation, error) {
+func newSimulation(scenario day.Scenario, policy string, onRecord func(record.Event)) (*simulation, error) {
 	sim := &simulation{
-		scenario: scenario, policy: policy, rng: rand.New(rand.NewPCG(scenario.Head.Seed, 77)),
+		scenario: scenario, policy: policy, rng: rand.New(rand.NewPCG(scenario.Header.Seed, 77)),
 		backends: map[string]*backend{}, byID: map[uint32]*backend{}, onRecord: onRecord,
 		linkSlowdown: 1, durableLoans: map[string]float64{}, rackLinkFreeAt: map[string]time.Duration{},
 		digest: xxhash.New(), dedupMarks: map[string]time.Duration{},
@@ -74,8 +74,8 @@
 	for i := range sim.requests {
 		sim.schedule(sim.requests[i].SubmitAt, func() { sim.submit(&sim.requests[i], 0, "") })
 	}
-	for _, fault := range scenario.Troubles {
-		sim.schedule(fault.At.Std(), func() { sim.inject(fault) })
+	for _, fault := range scenario.Faults {
+		sim.schedule(fault.Start.Std(), func() { sim.inject(fault) })
 	}
 	return sim, nil
 }
@@ -83,10 +83,10 @@
 // runToEnd runs the scenario to its end.
 func (sim *simulation) runToEnd() Outcome {
 	scenario := sim.scenario
-	sim.run(scenario.Head.Length.Std() + drainTime)
-	head := record.Head{Day: scenario.Head.Name, Seed: scenario.Head.Seed, Terms: scenario.Deployment}
+	sim.run(scenario.Header.Duration.Std() + drainTime)
+	head := record.Header{Scenario: scenario.Header.Name, Seed: scenario.Header.Seed, Terms: scenario.Deployment}
 	out := Outcome{
-		Verdict: judge.Judge(head, sim.records), Digest: fmt.Sprintf("%x", sim.digest.Sum64()), Requests: len(sim.requests),
+		Verdict: judge.Check(head, sim.records), Digest: fmt.Sprintf("%x", sim.digest.Sum64()), Requests: len(sim.requests),
 		Engines: map[string]engine.Counts{},
 	}
 	out.OnTimeShare, out.Submitted, out.TriesPerSecond = judge.Timeline(head, sim.records)
@@ -103,14 +103,14 @@
 const drainTime = 40 * time.Second
 
 type simulation struct {
-	scenario day.Day
+	scenario day.Scenario
 	policy   string
 	now      time.Duration
 	timers   agenda.Queue
 	rng      *rand.Rand
 	requests []standin.Request
-	records  []record.Line
-	onRecord func(record.Line)
+	records  []record.Event
+	onRecord func(record.Event)
 	digest   hash.Hash64
 
 	backends           map[string]*backend // by name
@@ -128,7 +128,7 @@
 	prefillTokens      map[string]*[2]float64   // uncached prompt tokens by class: sum and count
 	lastIncarnation    uint64
 	durableLoans       map[string]float64 // keepers' durable sums
-	budgets            []*budget.Purse
+	budgets            []*budget.LocalBudget
 }
 
 func (sim *simulation) schedule(at time.Duration, do func()) {
@@ -141,10 +141,10 @@
 	sim.timers.RunUntil(until, func(now time.Duration) { sim.now = now })
 }
 
-func (sim *simulation) addRecord(l record.Line) {
-	l.At = sim.now.Microseconds()
+func (sim *simulation) addRecord(l record.Event) {
+	l.TimeUs = sim.now.Microseconds()
 	sim.records = append(sim.records, l)
-	fmt.Fprintf(sim.digest, "%d %s %s %s %s %s %d %s\n", l.At, l.What, l.Box, l.Try, l.Word, l.Key, l.Trip, l.Dispatcher)
+	fmt.Fprintf(sim.digest, "%d %s %s %s %s %s %d %s\n", l.TimeUs, l.Kind, l.Backend, l.Try, l.Detail, l.RequestKey, l.Attempt, l.Dispatcher)
 	if sim.onRecord != nil {
 		sim.onRecord(l)
 	}
@@ -152,13 +152,13 @@
 
 // build creates the backends, announces them, and starts the dispatchers.
 func (sim *simulation) build() error {
-	for _, m := range sim.scenario.Makes() {
+	for _, m := range sim.scenario.BackendSpecs() {
 		if err := m.Engine.Validate(); err != nil {
 			return fmt.Errorf("backend %s: %w", m.Name, err)
 		}
 		sim.publish(sim.addBackend(m, false), boxlist.Ready, 0)
 	}
-	for i := range sim.scenario.Head.Dispatchers {
+	for i := range sim.scenario.Header.Dispatchers {
 		d := &dispatcher{sim: sim, number: i, name: fmt.Sprintf("d%d", i)}
 		sim.dispatchers = append(sim.dispatchers, d)
 		if err := d.start(nil); err != nil {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	"sloetrestle/internal/setup"
 )
 
-func loadScenario(t testing.TB, name string) day.Day {
+func loadScenario(t testing.TB, name string) day.Scenario {
 	t.Helper()
 	raw, err := os.ReadFile("../../examples/" + name + ".toml")
 	if err != nil {
@@ -35,7 +35,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if !out.Kept() || out.Tries < 100 || out.Effects < 100 {
+		if !out.Passed() || out.Tries < 100 || out.Effects < 100 {
 			t.Errorf("%s: %d tries, %d effects\n%s", name, out.Tries, out.Effects, out.Text())
 		}
 	}
@@ -53,7 +53,7 @@
 		}
 		digests = append(digests, out.Digest)
 	}
-	scenario.Head.Seed++
+	scenario.Header.Seed++
 	other, err := Play(scenario, "module")
 	if err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !out.Kept() || out.Service < 0.5 {
+		if !out.Passed() || out.ValueShare < 0.5 {
 			t.Errorf("%s\n%s", name, out.Text())
 		}
 	}
@@ -82,17 +82,17 @@
 // A load of 2.5 times the engines' capacity must not outlast its cause: once it has passed, requests are served again.
 func TestFleetRecoversAfterOverload(t *testing.T) {
 	scenario := loadScenario(t, "quiet")
-	scenario.Head.Length, scenario.Head.PerS = setup.Duration(40e9), 60
-	scenario.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(5e9), Length: setup.Duration(10e9), Size: 6}}
+	scenario.Header.Duration, scenario.Header.RequestsPerSecond = setup.Duration(40e9), 60
+	scenario.Faults = []day.Fault{{Kind: "burst", Start: setup.Duration(5e9), Duration: setup.Duration(10e9), Factor: 6}}
 	out, err := Play(scenario, "module")
 	if err != nil {
 		t.Fatal(err)
 	}
 	lost := 0
-	for _, r := range out.Rows {
-		lost += r.Declined + r.Forfeited + r.Late
+	for _, r := range out.Classes {
+		lost += r.Rejected + r.Failed + r.Late
 	}
-	if !out.Kept() || lost == 0 || out.Service < 0.4 {
+	if !out.Passed() || lost == 0 || out.ValueShare < 0.4 {
 		t.Errorf("%d requests were not served in time\n%s", lost, out.Text())
 	}
 }
@@ -104,9 +104,9 @@
 func benchmarkScenario(b *testing.B, factor float64, dispatchers int) {
 	scenario := loadScenario(b, "quiet")
 	for i, n := range []float64{13, 15, 3} {
-		scenario.Boxes[i].Count = int(n * factor)
+		scenario.Backends[i].Count = int(n * factor)
 	}
-	scenario.Head.PerS, scenario.Head.Dispatchers = 100*factor, dispatchers
+	scenario.Header.RequestsPerSecond, scenario.Header.Dispatchers = 100*factor, dispatchers
 	b.ReportAllocs()
 	requests := 0
 	for b.Loop() {
--- a/internal/fleet/release_test.go
+++ b/internal/fleet/release_test.go
@@ -14,7 +14,7 @@
 
 // rolloutScenario replaces six in ten backends within 7 s by ones in slow start, under the given number of
 // dispatchers. The prefill backends ignore cancellation: their work continues after the client has disconnected.
-func rolloutScenario(t testing.TB, dispatchers int, seed uint64) day.Day {
+func rolloutScenario(t testing.TB, dispatchers int, seed uint64) day.Scenario {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/release.toml")
 	if err != nil {
@@ -24,18 +24,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	scenario.Head.Dispatchers, scenario.Head.Seed = dispatchers, seed
-	length := scenario.Head.Length
-	scenario.Troubles = []day.Trouble{
-		{Kind: "no_cancel", At: 0, Length: length, Boxes: []string{"prefill"}},
-		{Kind: "burst", At: 0, Length: setup.Duration(7 * time.Second), Size: 0.5}, // half the load, while caches fill
-		{Kind: "give_up", At: setup.Duration(9 * time.Second), Length: setup.Duration(16 * time.Second), Share: 0.4,
-			Size: 0.5},
-		{Kind: "connect_late", At: 0, Length: length, Share: 0.02, By: setup.Duration(time.Second)},
+	scenario.Header.Dispatchers, scenario.Header.Seed = dispatchers, seed
+	length := scenario.Header.Duration
+	scenario.Faults = []day.Fault{
+		{Kind: "no_cancel", Start: 0, Duration: length, Backends: []string{"prefill"}},
+		{Kind: "burst", Start: 0, Duration: setup.Duration(7 * time.Second), Factor: 0.5}, // half the load, while caches fill
+		{Kind: "give_up", Start: setup.Duration(9 * time.Second), Duration: setup.Duration(16 * time.Second), Share: 0.4,
+			Factor: 0.5},
+		{Kind: "connect_late", Start: 0, Duration: length, Share: 0.02, Delay: setup.Duration(time.Second)},
 	}
 	var batches [2][]string
-	for _, kind := range scenario.Boxes {
-		for i, name := range scenario.NamesOf(kind.Kind) {
+	for _, kind := range scenario.Backends {
+		for i, name := range scenario.BackendNames(kind.Kind) {
 			if position := i % 10; position < 6 {
 				batches[position%2] = append(batches[position%2], name)
 			}
@@ -43,8 +43,8 @@
 	}
 	for i, names := range batches {
 		start := 9*time.Second + time.Duration(i)*3500*time.Millisecond
-		scenario.Troubles = append(scenario.Troubles, day.Trouble{Kind: "replace", At: setup.Duration(start),
-			Length: setup.Duration(6 * time.Second), Boxes: names})
+		scenario.Faults = append(scenario.Faults, day.Fault{Kind: "replace", Start: setup.Duration(start),
+			Duration: setup.Duration(6 * time.Second), Backends: names})
 	}
 	return scenario
 }
@@ -65,7 +65,7 @@
 // slowStart holds the attempts sent to a backend since it started.
 type slowStart struct {
 	startedAt int64
-	attempts  []record.Line
+	attempts  []record.Event
 }
 
 // findViolation looks for a window of the slow-start rule in which the backend got more attempts, from the whole
@@ -79,14 +79,14 @@
 	}
 	first := 0
 	for i, sent := range s.attempts {
-		if sent.At-s.startedAt > ramp {
+		if sent.TimeUs-s.startedAt > ramp {
 			break
 		}
-		for s.attempts[first].At <= sent.At-window.Microseconds() {
+		for s.attempts[first].TimeUs <= sent.TimeUs-window.Microseconds() {
 			first++
 		}
 		capacityShare := rules.SlowStartShare +
-			(1-rules.SlowStartShare)*float64(s.attempts[first].At-s.startedAt)/float64(ramp)
+			(1-rules.SlowStartShare)*float64(s.attempts[first].TimeUs-s.startedAt)/float64(ramp)
 		meanAttempts := rules.SlowStartMultiple * capacityShare * window.Seconds() / work
 		if attempts, limit = float64(i-first+1), meanAttempts+2*math.Sqrt(meanAttempts)+2; meanAttempts < 30 {
 			limit = meanAttempts + 3*math.Sqrt(meanAttempts) + 3
@@ -99,7 +99,7 @@
 }
 
 // checkSlowStarts checks the attempts to every backend in slow start.
-func (got scenarioValue) checkSlowStarts(t *testing.T, scenario day.Day) {
+func (got scenarioValue) checkSlowStarts(t *testing.T, scenario day.Scenario) {
 	t.Helper()
 	checked := 0
 	for name, s := range got.slowStarts {
@@ -124,7 +124,7 @@
 	for attempts, violates := range map[int]bool{16: false, 17: true} {
 		s := &slowStart{startedAt: 1e6}
 		for i := range attempts {
-			s.attempts = append(s.attempts, record.Line{At: 1e6 + int64(i)*1e5, Work: 0.4})
+			s.attempts = append(s.attempts, record.Event{TimeUs: 1e6 + int64(i)*1e5, Work: 0.4})
 		}
 		if _, _, found := s.findViolation(rules); found != violates {
 			t.Errorf("%d attempts: violation found: %v", attempts, found)
@@ -134,40 +134,40 @@
 
 // measure plays a scenario and sums the value served. A request's value is its class's for each token, and counts
 // in full if the first token comes by the latency target, from the client's first submission.
-func measure(t *testing.T, scenario day.Day, policy string) (scenarioValue, Outcome) {
+func measure(t *testing.T, scenario day.Scenario, policy string) (scenarioValue, Outcome) {
 	t.Helper()
 	got := scenarioValue{classes: map[string]*trafficValue{}}
 	for _, class := range scenario.Classes {
 		got.classes[class.Name] = &trafficValue{}
 	}
-	count := func(l record.Line, add func(*trafficValue, float64)) {
-		third := min(int(3*time.Duration(l.At)*time.Microsecond/scenario.Head.Length.Std()), 2)
-		for _, v := range []*trafficValue{&got.all, &got.thirds[third], got.classes[l.Grade]} {
-			add(v, scenario.Classes[scenario.ClassIndex(l.Grade)].Value*float64(l.Tokens))
+	count := func(l record.Event, add func(*trafficValue, float64)) {
+		third := min(int(3*time.Duration(l.TimeUs)*time.Microsecond/scenario.Header.Duration.Std()), 2)
+		for _, v := range []*trafficValue{&got.all, &got.thirds[third], got.classes[l.Class]} {
+			add(v, scenario.Classes[scenario.ClassIndex(l.Class)].Value*float64(l.Tokens))
 		}
 	}
-	submitted, served, requestOf := map[string]record.Line{}, map[string]bool{}, map[string]string{}
+	submitted, served, requestOf := map[string]record.Event{}, map[string]bool{}, map[string]string{}
 	got.slowStarts = map[string]*slowStart{}
-	out, err := PlayWithRecords(scenario, policy, func(l record.Line) {
-		switch l.What {
-		case record.Up:
-			if l.Cold {
-				got.slowStarts[l.Box] = &slowStart{startedAt: l.At}
+	out, err := PlayWithRecords(scenario, policy, func(l record.Event) {
+		switch l.Kind {
+		case record.ProcessStarted:
+			if l.SlowStart {
+				got.slowStarts[l.Backend] = &slowStart{startedAt: l.TimeUs}
 			}
-		case record.Trip:
-			if s := got.slowStarts[l.Box]; s != nil {
+		case record.AttemptReceived:
+			if s := got.slowStarts[l.Backend]; s != nil {
 				s.attempts = append(s.attempts, l)
 			}
-		case record.Asked:
-			requestOf[l.Try] = l.Question
-			if _, known := submitted[l.Question]; !known {
-				submitted[l.Question] = l
+		case record.RequestSent:
+			requestOf[l.Try] = l.Request
+			if _, known := submitted[l.Request]; !known {
+				submitted[l.Request] = l
 				count(l, func(v *trafficValue, value float64) { v.submitted += value })
 			}
-		case record.First:
+		case record.FirstToken:
 			first := submitted[requestOf[l.Try]]
-			if !served[first.Question] && l.At-first.At <= first.PromiseUs {
-				served[first.Question] = true
+			if !served[first.Request] && l.TimeUs-first.TimeUs <= first.LatencyTargetUs {
+				served[first.Request] = true
 				count(first, func(v *trafficValue, value float64) { v.served += value })
 			}
 		}
@@ -176,9 +176,9 @@
 		t.Fatal(err)
 	}
 	t.Logf("%d dispatchers, seed %d, %s: %.3f, thirds %.3f %.3f %.3f, %.2f attempts per request, slow starts at %.0f%%",
-		scenario.Head.Dispatchers, scenario.Head.Seed, policy, got.all.share(), got.thirds[0].share(), got.thirds[1].share(),
+		scenario.Header.Dispatchers, scenario.Header.Seed, policy, got.all.share(), got.thirds[0].share(), got.thirds[1].share(),
 		got.thirds[2].share(),
-		out.Trips, 100*out.ColdWorst)
+		out.AttemptsPerRequest, 100*out.PeakSlowStartLoad)
 	return got, out
 }
 
@@ -205,13 +205,13 @@
 
 // checkScheduler plays a scenario with the scheduler and checks the value served against the reference, slow
 // starts, and the five rules.
-func checkScheduler(t *testing.T, scenario day.Day, reference scenarioValue) scenarioValue {
+func checkScheduler(t *testing.T, scenario day.Scenario, reference scenarioValue) scenarioValue {
 	t.Helper()
 	got, out := measure(t, scenario, "module")
 	got.checkAgainst(t, reference)
 	got.checkSlowStarts(t, scenario)
-	if !out.Kept() {
-		t.Errorf("%d dispatchers\n%s", scenario.Head.Dispatchers, out.Text())
+	if !out.Passed() {
+		t.Errorf("%d dispatchers\n%s", scenario.Header.Dispatchers, out.Text())
 	}
 	return got
 }
--- a/internal/fleet/retry_throttling_test.go
+++ b/internal/fleet/retry_throttling_test.go
@@ -13,54 +13,54 @@
 
 // outageScenario takes four of seven backends away for a while, with clients that retry up to 25 times. The load
 // without retries can be served.
-func outageScenario(t testing.TB) day.Day {
+func outageScenario(t testing.TB) day.Scenario {
 	scenario := loadScenario(t, "quiet")
-	scenario.Head.Length, scenario.Head.PerS, scenario.Head.Dispatchers = setup.Duration(60e9), 110, 3
-	scenario.Clients.Retries, scenario.Clients.Wait, scenario.Clients.Honour = 25, setup.Duration(300e6), 1
+	scenario.Header.Duration, scenario.Header.RequestsPerSecond, scenario.Header.Dispatchers = setup.Duration(60e9), 110, 3
+	scenario.Clients.Retries, scenario.Clients.RetryWait, scenario.Clients.FollowAdviceShare = 25, setup.Duration(300e6), 1
 	scenario.Limits.MaxRetryAfter = setup.Duration(10e9)
 	scenario.Tenants = []setup.Tenant{{Name: "web-app", Share: 0.6, RequestsPerSecond: 4000},
 		{Name: "ranger-office", Share: 0.4, RequestsPerSecond: 4000}}
-	scenario.Troubles = []day.Trouble{{Kind: "crash", At: setup.Duration(10e9), Length: setup.Duration(15e9),
-		Boxes: []string{"reader-1", "writer-1", "writer-2", "mixed-1"}}}
+	scenario.Faults = []day.Fault{{Kind: "crash", Start: setup.Duration(10e9), Duration: setup.Duration(15e9),
+		Backends: []string{"reader-1", "writer-1", "writer-2", "mixed-1"}}}
 	return scenario
 }
 
-func recoveryTime(t *testing.T, name string, scenario day.Day, cleared time.Duration) (float64, bool) {
+func recoveryTime(t *testing.T, name string, scenario day.Scenario, cleared time.Duration) (float64, bool) {
 	t.Helper()
 	out, err := Play(scenario, "module")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !out.Kept() {
+	if !out.Passed() {
 		t.Errorf("%s\n%s", name, out.Text())
 	}
-	seconds, ok := judge.Recovered(out.OnTimeShare, out.Submitted, 10*time.Second, cleared)
+	seconds, ok := judge.RecoverySeconds(out.OnTimeShare, out.Submitted, 10*time.Second, cleared)
 	t.Logf("%s: recovered after %.0f s (%v), service %.3f, %d tries, followers %.3f, others %.3f", name, seconds, ok,
-		out.Service, out.Tries, out.Followers, out.Others)
+		out.ValueShare, out.Tries, out.Followers, out.Others)
 	return seconds, ok
 }
 
 func TestFleetRecoversFromRetryStorm(t *testing.T) {
 	const cleared = 25 * time.Second
-	for name, change := range map[string]func(*day.Day){
-		"all honour Retry-After":  func(d *day.Day) {},
-		"half honour Retry-After": func(d *day.Day) { d.Clients.Honour = 0.5 },
-		"none honour Retry-After": func(d *day.Day) { d.Clients.Honour = 0 },
-		"33 dispatchers":          func(d *day.Day) { d.Head.Dispatchers = 33 },
-		"reconnects faster than restarts": func(d *day.Day) {
-			d.Clients.Wait, d.Clients.Honour, d.Clients.Retries = setup.Duration(50e6), 0.5, 50
+	for name, change := range map[string]func(*day.Scenario){
+		"all honour Retry-After":  func(d *day.Scenario) {},
+		"half honour Retry-After": func(d *day.Scenario) { d.Clients.FollowAdviceShare = 0.5 },
+		"none honour Retry-After": func(d *day.Scenario) { d.Clients.FollowAdviceShare = 0 },
+		"33 dispatchers":          func(d *day.Scenario) { d.Header.Dispatchers = 33 },
+		"reconnects faster than restarts": func(d *day.Scenario) {
+			d.Clients.RetryWait, d.Clients.FollowAdviceShare, d.Clients.Retries = setup.Duration(50e6), 0.5, 50
 		},
-		"backends lose speed before the crash": func(d *day.Day) { // as with a leak, and return in slow start
-			d.Troubles = []day.Trouble{{Kind: "ageing", At: setup.Duration(10e9), Length: setup.Duration(13e9), Share: 0.1,
-				Boxes: []string{"reader-1", "writer-1", "writer-2"}}}
+		"backends lose speed before the crash": func(d *day.Scenario) { // as with a leak, and return in slow start
+			d.Faults = []day.Fault{{Kind: "ageing", Start: setup.Duration(10e9), Duration: setup.Duration(13e9), Share: 0.1,
+				Backends: []string{"reader-1", "writer-1", "writer-2"}}}
 		},
-		"stale endpoint list": func(d *day.Day) {
-			d.Troubles = append(d.Troubles, day.Trouble{Kind: "list_stale", At: setup.Duration(9e9),
-				Length: setup.Duration(20e9), By: setup.Duration(3e9)})
+		"stale endpoint list": func(d *day.Scenario) {
+			d.Faults = append(d.Faults, day.Fault{Kind: "list_stale", Start: setup.Duration(9e9),
+				Duration: setup.Duration(20e9), Delay: setup.Duration(3e9)})
 		},
-		"a dispatcher restarts meanwhile": func(d *day.Day) {
-			d.Troubles = append(d.Troubles, day.Trouble{Kind: "kill_dispatcher", At: setup.Duration(20e9),
-				Length: setup.Duration(1e9), Dispatchers: []int{0}})
+		"a dispatcher restarts meanwhile": func(d *day.Scenario) {
+			d.Faults = append(d.Faults, day.Fault{Kind: "kill_dispatcher", Start: setup.Duration(20e9),
+				Duration: setup.Duration(1e9), Dispatchers: []int{0}})
 		},
 	} {
 		d := outageScenario(t)
@@ -73,8 +73,8 @@
 
 func TestFleetRecoversFromSecondOutage(t *testing.T) {
 	d := outageScenario(t)
-	d.Troubles = append(d.Troubles, day.Trouble{Kind: "crash", At: setup.Duration(27e9), Length: setup.Duration(6e9),
-		Boxes: []string{"reader-2", "writer-3"}})
+	d.Faults = append(d.Faults, day.Fault{Kind: "crash", Start: setup.Duration(27e9), Duration: setup.Duration(6e9),
+		Backends: []string{"reader-2", "writer-3"}})
 	if seconds, ok := recoveryTime(t, "second outage", d, 33*time.Second); !ok || seconds > 20 {
 		t.Errorf("recovered after %.0f s (%v), want 20 s at most", seconds, ok)
 	}
@@ -84,10 +84,10 @@
 // the tries.
 func TestRetryThrottlingSavesTriesAndServesMore(t *testing.T) {
 	with := outageScenario(t)
-	with.Head.PerS = 130
+	with.Header.RequestsPerSecond = 130
 	without := with
 	without.Limits.ThrottleRetries, without.Limits.MaxRetryAfter = false, 0
-	without.Clients.Honour = 0
+	without.Clients.FollowAdviceShare = 0
 	throttled, err := Play(with, "module")
 	if err != nil {
 		t.Fatal(err)
@@ -98,10 +98,10 @@
 	}
 	// The scheduler's bounded window serves more without throttling too, so the required gain is small: 0.719 against
 	// 0.700 here.
-	if throttled.Service < unthrottled.Service+0.01 || throttled.Tries > unthrottled.Tries/2 ||
+	if throttled.ValueShare < unthrottled.ValueShare+0.01 || throttled.Tries > unthrottled.Tries/2 ||
 		throttled.Followers < unthrottled.Others+0.05 {
 		t.Errorf("throttled: service %.3f, %d tries, %.3f of those that honour it served; not throttled: %.3f, %d, %.3f",
-			throttled.Service, throttled.Tries, throttled.Followers, unthrottled.Service, unthrottled.Tries, unthrottled.Others)
+			throttled.ValueShare, throttled.Tries, throttled.Followers, unthrottled.ValueShare, unthrottled.Tries, unthrottled.Others)
 	}
 }
 
@@ -109,9 +109,9 @@
 // in overload for good. With retry throttling it recovers without help.
 func TestRetryThrottlingEndsMetastableOverload(t *testing.T) {
 	scenario := outageScenario(t)
-	scenario.Clients.Honour, scenario.Clients.Wait, scenario.Clients.Retries, scenario.Head.Dispatchers =
+	scenario.Clients.FollowAdviceShare, scenario.Clients.RetryWait, scenario.Clients.Retries, scenario.Header.Dispatchers =
 		0, setup.Duration(50e6), 50, 33
-	scenario.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(10e9), Length: setup.Duration(8e9), Size: 4}}
+	scenario.Faults = []day.Fault{{Kind: "burst", Start: setup.Duration(10e9), Duration: setup.Duration(8e9), Factor: 4}}
 	if seconds, ok := recoveryTime(t, "after a burst", scenario, 18*time.Second); !ok || seconds > 15 {
 		t.Errorf("recovered after %.0f s (%v), want 15 s at most", seconds, ok)
 	}
@@ -124,11 +124,11 @@
 // One tenant sends four times its load and its clients retry at once: the other tenant's requests are served as before.
 func TestRetryStormOfOneTenantSparesTheOther(t *testing.T) {
 	scenario := outageScenario(t)
-	scenario.Head.PerS, scenario.Clients.Honour, scenario.Clients.Wait = 80, 0, setup.Duration(100e6)
+	scenario.Header.RequestsPerSecond, scenario.Clients.FollowAdviceShare, scenario.Clients.RetryWait = 80, 0, setup.Duration(100e6)
 	scenario.Tenants = []setup.Tenant{{Name: "web-app", Share: 0.6, RequestsPerSecond: 60},
 		{Name: "ranger-office", Share: 0.4, RequestsPerSecond: 60}}
-	scenario.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(10e9), Length: setup.Duration(20e9), Size: 3,
-		Channel: "web-app"}}
+	scenario.Faults = []day.Fault{{Kind: "burst", Start: setup.Duration(10e9), Duration: setup.Duration(20e9), Factor: 3,
+		Tenant: "web-app"}}
 	tenantOf := map[string]string{}
 	for _, request := range scenario.Plan() {
 		tenantOf[request.Name] = request.Tenant
@@ -137,16 +137,16 @@
 		scenario := scenario
 		scenario.Limits.ThrottleRetries = throttle
 		onTime = map[string]float64{}
-		submitted, served := map[string]record.Line{}, map[string]bool{}
+		submitted, served := map[string]record.Event{}, map[string]bool{}
 		total := map[string]float64{}
-		_, err := PlayWithRecords(scenario, "module", func(l record.Line) {
-			if l.What == record.Asked && strings.HasSuffix(l.Try, ".0") && l.At > 12e6 && l.At < 30e6 {
-				submitted[l.Question] = l
-				total[tenantOf[l.Question]]++
+		_, err := PlayWithRecords(scenario, "module", func(l record.Event) {
+			if l.Kind == record.RequestSent && strings.HasSuffix(l.Try, ".0") && l.TimeUs > 12e6 && l.TimeUs < 30e6 {
+				submitted[l.Request] = l
+				total[tenantOf[l.Request]]++
 			}
-			if a, ok := submitted[l.Question]; ok && l.What == record.First && !served[l.Question] && l.At-a.At <= a.PromiseUs {
-				served[l.Question] = true
-				onTime[tenantOf[l.Question]]++
+			if a, ok := submitted[l.Request]; ok && l.Kind == record.FirstToken && !served[l.Request] && l.TimeUs-a.TimeUs <= a.LatencyTargetUs {
+				served[l.Request] = true
+				onTime[tenantOf[l.Request]]++
 			}
 		})
 		if err != nil {
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -115,7 +115,7 @@
 	ctx, b.cancel = context.WithCancel(context.Background())
 	b.ctx = ctx
 	b.StartNumber, b.startedAt, b.slowStart, b.running, b.overloaded =
-		b.fleet.nextStartNumber(), b.fleet.Record.Since(), slowStart, true, false
+		b.fleet.nextStartNumber(), b.fleet.Record.Elapsed(), slowStart, true, false
 	b.releases, b.heldTries, b.releaseAfterFetch, b.recentWork =
 		map[string]releaseRecord{}, map[string]string{}, map[string]bool{}, nil
 	b.engine, b.wake = engine.New(b.Engine, b.startedAt, slowStart), make(chan struct{}, 1)
@@ -142,7 +142,7 @@
 	server := b.server
 	b.handlers.Add(1)
 	go func() { defer b.handlers.Done(); server.Serve(listener) }()
-	b.fleet.Record.Put(record.Line{What: record.Up, Box: b.Name, Start: b.StartNumber, Cold: slowStart})
+	b.fleet.Record.Record(record.Event{Kind: record.ProcessStarted, Backend: b.Name, StartID: b.StartNumber, SlowStart: slowStart})
 	return nil
 }
 
@@ -171,9 +171,9 @@
 		return
 	}
 	b.running = false
-	b.fleet.Record.Put(record.Line{What: record.Down, Box: b.Name, Start: b.StartNumber, Word: reason})
+	b.fleet.Record.Record(record.Event{Kind: record.ProcessEnded, Backend: b.Name, StartID: b.StartNumber, Detail: reason})
 	for key, try := range b.heldTries {
-		b.fleet.Record.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: "lost"})
+		b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: "lost"})
 	}
 	clear(b.heldTries)
 	b.engine.Stop()
@@ -199,7 +199,7 @@
 func (b *Backend) Uptime() (time.Duration, bool, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.fleet.Record.Since() - b.startedAt, b.slowStart, b.StartNumber
+	return b.fleet.Record.Elapsed() - b.startedAt, b.slowStart, b.StartNumber
 }
 
 // UpdateFaults changes the faults.
@@ -215,7 +215,7 @@
 	if b.engine == nil {
 		return
 	}
-	now := b.fleet.Record.Since()
+	now := b.fleet.Record.Elapsed()
 	b.engine.Slowdown, b.engine.NeighbourShare, b.engine.EvictFresh =
 		b.faults.SlowFactor, b.faults.NeighbourShare, b.faults.EvictFetched
 	if b.engine.AgingRate != b.faults.AgingRate {
@@ -235,7 +235,7 @@
 // slowStartShare returns the share of its full capacity that the backend has now. b.mu must be held.
 func (b *Backend) slowStartShare() float64 {
 	rules := b.fleet.Terms.Rules
-	uptime := b.fleet.Record.Since() - b.startedAt
+	uptime := b.fleet.Record.Elapsed() - b.startedAt
 	if !b.slowStart || uptime >= rules.SlowStartRamp.Std() {
 		return 1
 	}
@@ -248,7 +248,7 @@
 	var due time.Duration // planned end of the current step; planning from it keeps timer lateness from adding up
 	for {
 		b.mu.Lock()
-		now := b.fleet.Record.Since()
+		now := b.fleet.Record.Elapsed()
 		wait, ok := eng.LoadTimeLeft(now), false
 		if wait == 0 {
 			wait, ok = eng.BeginStep(max(due, now-maxStepLag))
@@ -261,7 +261,7 @@
 				due = now
 			}
 			due += wait
-			if sleep(ctx, due-b.fleet.Record.Since()) != nil {
+			if sleep(ctx, due-b.fleet.Record.Elapsed()) != nil {
 				return
 			}
 			b.mu.Lock()
@@ -280,7 +280,7 @@
 			case <-ctx.Done():
 				return
 			}
-			due = b.fleet.Record.Since()
+			due = b.fleet.Record.Elapsed()
 		}
 	}
 }
@@ -302,7 +302,7 @@
 	for key, try := range b.heldTries {
 		if _, held := b.engine.HeldKVCache(key); !held && !b.engine.KVCacheMoving(key) {
 			delete(b.heldTries, key)
-			b.fleet.Record.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: "expired"})
+			b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: "expired"})
 		}
 	}
 }
@@ -328,7 +328,7 @@
 func (b *Backend) overloads(work float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	rules, now := b.fleet.Terms.Rules, b.fleet.Record.Since()
+	rules, now := b.fleet.Terms.Rules, b.fleet.Record.Elapsed()
 	if !b.slowStart || now-b.startedAt > rules.SlowStartRamp.Std() {
 		return false
 	}
@@ -385,33 +385,33 @@
 		kserve.WriteError(w, err)
 		return
 	}
-	line := record.Line{
-		Box: b.Name, Try: attempt.DedupKey, Grade: attempt.Class, Key: attempt.RequestKey(),
-		Stage: attempt.Phase, Trip: attempt.Attempt,
+	line := record.Event{
+		Backend: b.Name, Try: attempt.DedupKey, Class: attempt.Class, RequestKey: attempt.RequestKey(),
+		Phase: attempt.Phase, Attempt: attempt.Attempt,
 	}
 	put := func(what, outcome string) {
 		entry := line
-		entry.What, entry.Word = what, outcome
-		b.fleet.Record.Put(entry)
+		entry.Kind, entry.Detail = what, outcome
+		b.fleet.Record.Record(entry)
 	}
 	work := b.meanWork(attempt)
 	received := line
-	received.What, received.Work = record.Trip, work
+	received.Kind, received.Work = record.AttemptReceived, work
 	if conn := connFromContext(r.Context()); conn != nil {
 		received.Address = conn.endpoint.Spec.String()
 		arrived, closed := conn.timestamps()
-		received.Arrived = b.fleet.Record.Stamp(arrived)
+		received.ArrivedUs = b.fleet.Record.TimestampUs(arrived)
 		if !closed.IsZero() {
 			// The dispatcher has already closed the connection: such an attempt is not started.
-			received.Gone = b.fleet.Record.Stamp(closed)
-			b.fleet.Record.Put(received)
-			put(record.End, "dropped")
+			received.ClosedUs = b.fleet.Record.TimestampUs(closed)
+			b.fleet.Record.Record(received)
+			put(record.AttemptEnded, "dropped")
 			return
 		}
 	}
-	b.fleet.Record.Put(received)
+	b.fleet.Record.Record(received)
 	// The dispatcher may close the connection while the backend works on; that gets an entry of its own.
-	unwatch := context.AfterFunc(r.Context(), func() { put(record.Closed, "") })
+	unwatch := context.AfterFunc(r.Context(), func() { put(record.AttemptClosed, "") })
 	defer unwatch()
 	outcome := "broke"
 	var usage func() (prefilled, cached, generated int)
@@ -423,7 +423,7 @@
 		prefilled, cached, generated := usage()
 		return count(end, prefilled, cached, generated)
 	}
-	defer func() { countOnce(outcome); put(record.End, outcome) }()
+	defer func() { countOnce(outcome); put(record.AttemptEnded, outcome) }()
 
 	b.mu.Lock()
 	startNumber, faults, backendCtx := b.StartNumber, b.faults, b.ctx
@@ -432,15 +432,15 @@
 	crash := b.rng.Float64() < faults.CrashAfterPrefillShare
 	b.mu.Unlock()
 	if b.overloads(work) {
-		b.fleet.Record.Put(record.Line{What: record.Fell, Box: b.Name, Start: startNumber})
+		b.fleet.Record.Record(record.Event{Kind: record.Overloaded, Backend: b.Name, StartID: startNumber})
 		go b.Kill("pushed over")
 		panic(http.ErrAbortHandler)
 	}
 	recordEffect := func() {
 		if b.fleet.isNewEffect(b, attempt.Class, cmp.Or(attempt.DedupKey, attempt.RequestKey())) {
-			put(record.Ran, "")
+			put(record.EffectStarted, "")
 		} else {
-			put(record.Repeat, "")
+			put(record.DuplicateDropped, "")
 		}
 	}
 	respond := func(status int, result kserve.AttemptResult) {
@@ -514,8 +514,8 @@
 					end = engine.Cancelled
 				} else {
 					b.heldTries[attempt.RequestKey()] = attempt.DedupKey
-					b.fleet.Record.Put(record.Line{
-						What: record.Held, Box: b.Name, Key: attempt.RequestKey(), Try: attempt.DedupKey, Grade: attempt.Class,
+					b.fleet.Record.Record(record.Event{
+						Kind: record.KVCacheHeld, Backend: b.Name, RequestKey: attempt.RequestKey(), Try: attempt.DedupKey, Class: attempt.Class,
 					})
 				}
 			}
@@ -527,7 +527,7 @@
 		defer b.mu.Unlock()
 		return run.job.Usage()
 	}
-	eng.Submit(b.fleet.Record.Since(), &run.job)
+	eng.Submit(b.fleet.Record.Elapsed(), &run.job)
 	b.wakeEngine()
 	b.mu.Unlock()
 	defer func() {
@@ -624,7 +624,7 @@
 	delete(b.releaseAfterFetch, key)
 	b.engine.ReleaseKVCache(key)
 	b.wakeEngine()
-	b.fleet.Record.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: reason})
+	b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: reason})
 	return true
 }
 
@@ -639,10 +639,10 @@
 	released := 0
 	for _, entry := range entries {
 		b.mu.Lock()
-		b.releases[entry.RequestKey] = releaseRecord{entry.LastAttempt, b.fleet.Record.Since()}
+		b.releases[entry.RequestKey] = releaseRecord{entry.LastAttempt, b.fleet.Record.Elapsed()}
 		if len(b.releases) > maxReleases {
 			for key, release := range b.releases {
-				if b.fleet.Record.Since()-release.releasedAt > releaseRetention {
+				if b.fleet.Record.Elapsed()-release.releasedAt > releaseRetention {
 					delete(b.releases, key)
 				}
 			}
