--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -11,7 +11,7 @@
 	"sloetrestle/internal/day"
 )
 
-func plan(t *testing.T, text string) (*Plan, error) {
+func loadPlanText(t *testing.T, text string) (*Plan, error) {
 	t.Helper()
 	dir := t.TempDir()
 	base, err := os.ReadFile("../../examples/quiet.toml")
@@ -29,7 +29,7 @@
 	return LoadPlan(file)
 }
 
-const text = `
+const planText = `
 [experiment]
 name = "t"
 base = "day.toml"
@@ -45,48 +45,50 @@
 values = [2]
 `
 
-func TestAnInterruptedExperimentGoesOnWhereItStopped(t *testing.T) {
-	p, err := plan(t, text)
+func TestInterruptedExperimentResumes(t *testing.T) {
+	plan, err := loadPlanText(t, planText)
 	if err != nil {
 		t.Fatal(err)
 	}
 	file := filepath.Join(t.TempDir(), "e.db")
-	s, err := OpenStore(file)
+	store, err := OpenStore(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	lines := 0
-	err = Execute(ctx, s, p, "v", day.RunOptions{}, func(string, ...any) {
+	err = Execute(ctx, store, plan, "v", day.RunOptions{}, func(string, ...any) {
 		if lines++; lines == 4 {
 			cancel()
 		}
 	})
 	if err == nil {
-		t.Error("an interrupted experiment tells nothing")
+		t.Error("an interrupted experiment returned no error")
 	}
-	s.Close()
-	if s, err = OpenStore(file); err != nil {
+	store.Close()
+	if store, err = OpenStore(file); err != nil {
 		t.Fatal(err)
 	}
-	defer s.Close()
-	before, err := s.Runs("t")
+	defer store.Close()
+	before, err := store.Runs("t")
 	if err != nil || len(before) == 0 || len(before) == 12 {
-		t.Fatalf("%d runs are kept, %v", len(before), err)
+		t.Fatalf("%d runs are stored, %v", len(before), err)
 	}
-	again := 0
-	if err := Execute(context.Background(), s, p, "v", day.RunOptions{}, func(string, ...any) { again++ }); err != nil {
+	logged := 0
+	if err := Execute(context.Background(), store, plan, "v", day.RunOptions{}, func(string, ...any) { logged++ }); err != nil {
 		t.Fatal(err)
 	}
-	after, _ := s.Runs("t")
-	if len(after) != 12 || again-1 != 12-len(before) {
-		t.Errorf("%d runs are kept after %d more; %d were before", len(after), again-1, len(before))
+	after, _ := store.Runs("t")
+	if len(after) != 12 || logged-1 != 12-len(before) {
+		t.Errorf("%d runs are stored after %d more, %d before", len(after), logged-1, len(before))
 	}
-	if other, err := plan(t, strings.Replace(text, "repeats = 3", "repeats = 2", 1)); err != nil || s.Begin(other) == nil {
-		t.Errorf("another plan goes on under the same name (%v)", err)
+	if other, err := loadPlanText(t, strings.Replace(planText, "repeats = 3", "repeats = 2", 1)); err != nil ||
+		store.Begin(other) == nil {
+		t.Errorf("a different plan resumes under the same name (%v)", err)
 	}
 	var table, csv bytes.Buffer
-	if err := Table(&table, after, []string{"service", "first_p99_ms"}); err != nil || strings.Count(table.String(), "\n") != 5 {
+	if err := Table(&table, after, []string{"service", "first_p99_ms"}); err != nil ||
+		strings.Count(table.String(), "\n") != 5 {
 		t.Errorf("%v\n%s", err, table.String())
 	}
 	if err := CSV(&csv, after); err != nil || strings.Count(csv.String(), "\n") != 13 {
@@ -97,14 +99,14 @@
 		t.Error(err)
 	}
 	if raw, err := os.ReadFile(chart); err != nil || !bytes.Contains(raw, []byte("<svg")) {
-		t.Errorf("no chart: %v", err)
+		t.Errorf("the chart file is not SVG: %v", err)
 	}
 	if err := Chart(after, "policy", "service", "repeat", chart, "t"); err == nil {
-		t.Error("a chart over words")
+		t.Error("a chart over a non-numeric key was drawn")
 	}
 }
 
-func TestPlansThatCannotBePlayedAreNamed(t *testing.T) {
+func TestInvalidPlansAreRejectedWithTheKey(t *testing.T) {
 	for old, c := range map[string][2]string{
 		"repeats = 3":                {"repeats = 0", "experiment.repeats"},
 		`base = "day.toml"`:          {`base = "night.toml"`, "night.toml"},
@@ -113,22 +115,24 @@
 		`policies = ["module", "r`:   {`polices = ["module", "r`, "no such key"},
 		`key = "day.questions_a_sec`: {`key = "day.questions_an_hour", values = [1]` + "\n#", "plan.toml"},
 	} {
-		if _, err := plan(t, strings.Replace(text, old, c[0], 1)); err == nil || !strings.Contains(err.Error(), c[1]) {
+		if _, err := loadPlanText(t, strings.Replace(planText, old, c[0], 1)); err == nil ||
+			!strings.Contains(err.Error(), c[1]) {
 			t.Errorf("%s: %v", c[0], err)
 		}
 	}
 }
 
-func TestCompareTellsADifferenceFromNoise(t *testing.T) {
+func TestCompareTellsDifferenceFromNoise(t *testing.T) {
 	var runs []Run
 	add := func(policy, repeat string, service float64) {
-		runs = append(runs, Run{Setting: Setting{"policy": policy, "repeat": repeat}, Figures: map[string]float64{"service": service}, Kept: true})
+		runs = append(runs, Run{Setting: Setting{"policy": policy, "repeat": repeat},
+			Figures: map[string]float64{"service": service}, RulesKept: true})
 	}
 	for i, seed := range []string{"0", "1", "2", "3"} {
 		noise := []float64{0.05, -0.04, 0.02, -0.03}[i]
 		add("module", seed, 0.8+noise)
-		add("worse", seed, 0.7+noise+0.002*float64(i)) // less on each seed
-		add("alike", seed, 0.8-noise)                  // as much more as less
+		add("worse", seed, 0.7+noise+0.002*float64(i)) // lower with each seed
+		add("alike", seed, 0.8-noise)                  // higher as often as lower
 	}
 	diffs, err := Compare(runs, "policy", "service")
 	if err != nil || len(diffs) != 2 {
@@ -140,6 +144,6 @@
 		}
 	}
 	if _, err := Compare(runs, "moon", "service"); err == nil {
-		t.Error("a key that is not varied")
+		t.Error("a comparison by a key that is not varied succeeded")
 	}
 }
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -1,6 +1,6 @@
-// Package experiment runs a day many times, one thing varied at a time, keeps each run's figures with what it was run
-// with in an embedded store, goes on where it was interrupted, and makes tables and charts of them. It decides nothing and
-// no test of the program depends on it. Begin with Plan.
+// Package experiment runs a scenario many times with varied settings, and stores each run's figures with its
+// settings in an embedded database, so that an interrupted experiment resumes. It makes tables and charts of the
+// runs; it sets no bounds and no test of the program depends on it. Begin with Plan.
 package experiment
 
 import (
@@ -18,13 +18,13 @@
 	"sloetrestle/internal/setup"
 )
 
-// Plan says what to vary.
+// Plan describes an experiment: the base scenario, and what to vary.
 type Plan struct {
 	Experiment struct {
 		Name     string   `toml:"name"`
-		Base     string   `toml:"base"` // the day's file, from the plan's folder
+		Base     string   `toml:"base"` // the scenario's file, relative to the plan's folder
 		Repeats  int      `toml:"repeats"`
-		Policies []string `toml:"policies"` // module, or a baseline's name
+		Policies []string `toml:"policies"` // module, or the name of a baseline policy
 		Form     string   `toml:"form"`     // virtual, or sockets
 	} `toml:"experiment"`
 	Vary []Axis `toml:"vary"`
@@ -33,73 +33,75 @@
 	raw  []byte
 }
 
-// Axis is one key and the values that it takes. Trouble and box tables are named by their number, as in box.0.count.
+// Axis is one key of the scenario and the values it takes. Entries of lists of tables are named by index, as in
+// box.0.count.
 type Axis struct {
 	Key    string `toml:"key"`
 	Values []any  `toml:"values"`
 }
 
-const mostRuns = 20000
+const maxRuns = 20000
 
-// LoadPlan reads a plan and its day.
+// LoadPlan reads a plan and its base scenario. It returns an error if any of the plan's settings is invalid.
 func LoadPlan(file string) (*Plan, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	p := &Plan{raw: raw}
-	p.Experiment.Repeats, p.Experiment.Policies, p.Experiment.Form = 1, []string{"module"}, "virtual"
-	if err := setup.Decode(file, raw, p, p.check); err != nil {
+	plan := &Plan{raw: raw}
+	plan.Experiment.Repeats, plan.Experiment.Policies, plan.Experiment.Form = 1, []string{"module"}, "virtual"
+	if err := setup.Decode(file, raw, plan, plan.check); err != nil {
 		return nil, err
 	}
-	text, err := os.ReadFile(filepath.Join(filepath.Dir(file), p.Experiment.Base))
+	text, err := os.ReadFile(filepath.Join(filepath.Dir(file), plan.Experiment.Base))
 	if err != nil {
 		return nil, fmt.Errorf("%s: experiment.base: %w", file, err)
 	}
-	if err := toml.Unmarshal(text, &p.base); err != nil {
-		return nil, fmt.Errorf("%s: %w", p.Experiment.Base, err)
+	if err := toml.Unmarshal(text, &plan.base); err != nil {
+		return nil, fmt.Errorf("%s: %w", plan.Experiment.Base, err)
 	}
-	for _, s := range p.Settings() { // what can't be played is told before anything is
-		if _, err := p.Day(s); err != nil {
-			return nil, fmt.Errorf("%s: with %s: %w", file, s, err)
+	for _, setting := range plan.Settings() { // reject invalid settings before the first run
+		if _, err := plan.Scenario(setting); err != nil {
+			return nil, fmt.Errorf("%s: with %s: %w", file, setting, err)
 		}
 	}
-	return p, nil
+	return plan, nil
 }
 
 func (p *Plan) check() error {
-	e := p.Experiment
+	experiment := p.Experiment
 	switch {
-	case e.Name == "" || strings.ContainsAny(e.Name, "/ \t"):
-		return setup.Invalidf("experiment.name", "needs a word without spaces")
-	case e.Base == "":
-		return setup.Invalidf("experiment.base", "names no day")
-	case e.Repeats < 1:
+	case experiment.Name == "" || strings.ContainsAny(experiment.Name, "/ \t"):
+		return setup.Invalidf("experiment.name", "must be a word without spaces or slashes")
+	case experiment.Base == "":
+		return setup.Invalidf("experiment.base", "must name a scenario file")
+	case experiment.Repeats < 1:
 		return setup.Invalidf("experiment.repeats", "must be at least 1")
-	case e.Form != "virtual" && e.Form != "sockets":
-		return setup.Invalidf("experiment.form", "must be virtual or sockets, not %q", e.Form)
-	case len(e.Policies) == 0:
-		return setup.Invalidf("experiment.policies", "names none")
-	case e.Form == "sockets" && !slices.Equal(e.Policies, []string{"module"}):
-		return setup.Invalidf("experiment.policies", "on sockets only the module runs: baselines are no dispatchers")
-	}
-	runs := len(e.Policies) * e.Repeats
-	for i, a := range p.Vary {
-		if a.Key == "" || len(a.Values) == 0 {
+	case experiment.Form != "virtual" && experiment.Form != "sockets":
+		return setup.Invalidf("experiment.form", "must be virtual or sockets, not %q", experiment.Form)
+	case len(experiment.Policies) == 0:
+		return setup.Invalidf("experiment.policies", "must name at least one policy")
+	case experiment.Form == "sockets" && !slices.Equal(experiment.Policies, []string{"module"}):
+		return setup.Invalidf("experiment.policies", "form sockets allows only the policy module, not %q",
+			experiment.Policies)
+	}
+	runs := len(experiment.Policies) * experiment.Repeats
+	for i, axis := range p.Vary {
+		if axis.Key == "" || len(axis.Values) == 0 {
 			return setup.Invalidf(fmt.Sprintf("vary.%d.values", i), "an axis needs a key and values")
 		}
-		runs *= len(a.Values)
+		runs *= len(axis.Values)
 	}
-	if runs > mostRuns {
-		return setup.Invalidf("vary", "come to %d runs; %d at most", runs, mostRuns)
+	if runs > maxRuns {
+		return setup.Invalidf("vary", "amounts to %d runs, at most %d are allowed", runs, maxRuns)
 	}
 	return nil
 }
 
-// Setting is one run's choice: a value for each key, "policy" and "repeat" among them.
+// Setting is the settings of one run: a value for each key, "policy" and "repeat" among them.
 type Setting map[string]string
 
-// String is the setting in one order of keys: it names the run.
+// String lists the keys and values in the order of keys. It identifies the run in the store.
 func (s Setting) String() string {
 	keys := make([]string, 0, len(s))
 	for k := range s {
@@ -113,10 +115,10 @@
 	return strings.Join(parts, " ")
 }
 
-// Settings lists all runs.
+// Settings lists the settings of all runs.
 func (p *Plan) Settings() []Setting {
 	all := []Setting{{}}
-	spread := func(key string, values []string) {
+	addAxis := func(key string, values []string) {
 		var next []Setting
 		for _, s := range all {
 			for _, v := range values {
@@ -129,30 +131,30 @@
 		}
 		all = next
 	}
-	spread("policy", p.Experiment.Policies)
+	addAxis("policy", p.Experiment.Policies)
 	for _, a := range p.Vary {
 		var values []string
 		for _, v := range a.Values {
 			values = append(values, fmt.Sprint(v))
 		}
-		spread(a.Key, values)
+		addAxis(a.Key, values)
 	}
 	var repeats []string
 	for i := range p.Experiment.Repeats {
 		repeats = append(repeats, strconv.Itoa(i))
 	}
-	spread("repeat", repeats)
+	addAxis("repeat", repeats)
 	return all
 }
 
-// Day makes the day of a setting. A repeat changes nothing but the seed.
-func (p *Plan) Day(s Setting) (day.Scenario, error) {
+// Scenario returns the scenario of a setting. Repeats differ in nothing but the seed.
+func (p *Plan) Scenario(setting Setting) (day.Scenario, error) {
 	tree := clone(p.base).(map[string]any)
-	for _, a := range p.Vary {
-		for _, v := range a.Values {
-			if fmt.Sprint(v) == s[a.Key] {
-				if err := set(tree, strings.Split(a.Key, "."), v); err != nil {
-					return day.Scenario{}, fmt.Errorf("vary %s: %w", a.Key, err)
+	for _, axis := range p.Vary {
+		for _, value := range axis.Values {
+			if fmt.Sprint(value) == setting[axis.Key] {
+				if err := setKey(tree, strings.Split(axis.Key, "."), value); err != nil {
+					return day.Scenario{}, fmt.Errorf("vary %s: %w", axis.Key, err)
 				}
 			}
 		}
@@ -161,13 +163,13 @@
 	if err != nil {
 		return day.Scenario{}, err
 	}
-	d, err := day.Parse(p.Experiment.Base, raw)
+	scenario, err := day.Parse(p.Experiment.Base, raw)
 	if err != nil {
-		return d, err
+		return scenario, err
 	}
-	repeat, err := strconv.Atoi(s["repeat"])
-	d.Header.Seed += uint64(repeat) * 1000003
-	return d, err
+	repeat, err := strconv.Atoi(setting["repeat"])
+	scenario.Header.Seed += uint64(repeat) * 1000003
+	return scenario, err
 }
 
 func clone(v any) any {
@@ -188,12 +190,12 @@
 	return v
 }
 
-// set puts a value under a dotted key. Tables on the way may be new; numbers count in lists that are there.
-func set(in any, key []string, value any) error {
-	switch in := in.(type) {
+// setKey sets the value of a dotted key. Tables along it are created; a number is the index of an existing list entry.
+func setKey(node any, key []string, value any) error {
+	switch in := node.(type) {
 	case map[string]any:
 		if len(key) == 1 {
-			// A whole number stands for a real one where the base has that.
+			// Where the base has a float, an integer in the plan is converted.
 			if _, real := in[key[0]].(float64); real {
 				if n, whole := value.(int64); whole {
 					value = float64(n)
@@ -205,13 +207,13 @@
 		if in[key[0]] == nil {
 			in[key[0]] = map[string]any{}
 		}
-		return set(in[key[0]], key[1:], value)
+		return setKey(in[key[0]], key[1:], value)
 	case []any:
 		i, err := strconv.Atoi(key[0])
 		if err != nil || i < 0 || i >= len(in) || len(key) == 1 {
-			return fmt.Errorf("%q is no number of a table there", key[0])
+			return fmt.Errorf("%q is not the index of an existing table", key[0])
 		}
-		return set(in[i], key[1:], value)
+		return setKey(in[i], key[1:], value)
 	}
-	return fmt.Errorf("%q is no table", key[0])
+	return fmt.Errorf("%q is not a table", key[0])
 }
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -13,153 +13,157 @@
 	"sloetrestle/internal/record"
 )
 
-// backend is one engine and its process.
+// backend is one emulated backend: an engine, its process, and the faults injected into it.
 type backend struct {
-	w        *world
-	make     day.BackendSpec
-	engine   *engine.Engine
-	start    uint64
-	started  time.Duration
-	cold     bool
-	up       bool
-	busy     bool
-	hang     bool
-	fail     float64
-	failOf   string
-	resets   float64
-	cuts     float64 // share of attempts cut off when they have begun to run
-	crashes  float64 // share of reads after which it dies
-	trips    map[*attempt]bool
-	released map[string]int
-	sent     []sent
-	fell     bool
-	seen     baseline.Load // as baseline.Informed sees it
+	sim           *simulation
+	spec          day.BackendSpec
+	engine        *engine.Engine
+	incarnation   uint64
+	startedAt     time.Duration
+	slowStart     bool
+	running       bool
+	stepScheduled bool
+	hangs         bool
+	failShare     float64
+	failClass     string
+	resetShare    float64
+	cutShare      float64 // share of attempts cut off at their first token
+	crashShare    float64 // share of prefills after which the backend crashes
+	attempts      map[*attempt]bool
+	releasedUpTo  map[string]int
+	recentWork    []sentWork
+	overloaded    bool
+	observed      baseline.Load // as the informed baseline policy sees it
 }
 
-type sent struct {
-	at   time.Duration
-	work float64
+type sentWork struct {
+	sentAt time.Duration
+	work   float64
 }
 
-// kick has an engine go on with its steps.
-func (b *backend) kick() {
-	if b.busy || !b.up {
+// runSteps schedules the engine's next step, if it is idle and has work.
+func (b *backend) runSteps() {
+	if b.stepScheduled || !b.running {
 		return
 	}
-	if load := b.engine.LoadTimeLeft(b.w.now); load > 0 {
-		b.busy = true
-		b.w.after(load, func() { b.busy = false; b.kick() })
+	if loadTime := b.engine.LoadTimeLeft(b.sim.now); loadTime > 0 {
+		b.stepScheduled = true
+		b.sim.after(loadTime, func() { b.stepScheduled = false; b.runSteps() })
 		return
 	}
-	took, ok := b.engine.BeginStep(b.w.now)
+	stepTime, ok := b.engine.BeginStep(b.sim.now)
 	if !ok {
 		return
 	}
-	b.busy = true
+	b.stepScheduled = true
 	e := b.engine
-	b.w.after(took, func() {
-		b.busy = false
-		if b.engine != e { // it was killed meanwhile
-			b.kick()
+	b.sim.after(stepTime, func() {
+		b.stepScheduled = false
+		if b.engine != e { // restarted meanwhile
+			b.runSteps()
 			return
 		}
-		e.FinishStep(b.w.now)
-		b.kick()
+		e.FinishStep(b.sim.now)
+		b.runSteps()
 	})
 }
 
-func (b *backend) boot(cold bool) {
-	b.w.starts++
-	b.start, b.started, b.cold, b.up, b.busy, b.fell, b.sent = b.w.starts, b.w.now, cold, true, false, false, nil
-	b.engine = engine.New(b.make.Engine, b.w.now, cold)
+func (b *backend) start(slowStart bool) {
+	b.sim.lastIncarnation++
+	b.incarnation, b.startedAt, b.slowStart, b.running, b.stepScheduled, b.overloaded, b.recentWork =
+		b.sim.lastIncarnation, b.sim.now, slowStart, true, false, false, nil
+	b.engine = engine.New(b.spec.Engine, b.sim.now, slowStart)
 	b.engine.OnKVCacheDropped = func(key string) {
-		word := "expired"
-		if !b.up {
-			word = "lost"
+		reason := "expired"
+		if !b.running {
+			reason = "lost"
 		}
-		b.w.put(record.Event{Kind: record.KVCacheReleased, Backend: b.make.Name, RequestKey: key, Detail: word})
+		b.sim.addRecord(record.Event{Kind: record.KVCacheReleased, Backend: b.spec.Name, RequestKey: key, Detail: reason})
 	}
-	b.trips, b.released = map[*attempt]bool{}, map[string]int{}
-	b.w.put(record.Event{Kind: record.ProcessStarted, Backend: b.make.Name, StartID: b.start, SlowStart: cold})
+	b.attempts, b.releasedUpTo = map[*attempt]bool{}, map[string]int{}
+	b.sim.addRecord(record.Event{Kind: record.ProcessStarted, Backend: b.spec.Name, StartID: b.incarnation, SlowStart: slowStart})
 }
 
-func (b *backend) kill(why string) {
-	if !b.up {
+func (b *backend) kill(reason string) {
+	if !b.running {
 		return
 	}
-	b.up = false
-	b.w.put(record.Event{Kind: record.ProcessEnded, Backend: b.make.Name, StartID: b.start, Detail: why})
-	trips := make([]*attempt, 0, len(b.trips))
-	for t := range b.trips {
-		trips = append(trips, t)
+	b.running = false
+	b.sim.addRecord(record.Event{Kind: record.ProcessEnded, Backend: b.spec.Name, StartID: b.incarnation, Detail: reason})
+	attempts := make([]*attempt, 0, len(b.attempts))
+	for t := range b.attempts {
+		attempts = append(attempts, t)
 	}
-	slices.SortFunc(trips, func(x, y *attempt) int { return strings.Compare(x.id(), y.id()) })
-	for _, t := range trips {
-		t.broke()
+	slices.SortFunc(attempts, func(x, y *attempt) int { return strings.Compare(x.id(), y.id()) })
+	for _, t := range attempts {
+		t.loseConnection()
 	}
 	b.engine.Stop()
 }
 
-// add starts a new backend.
-func (w *world) add(m day.BackendSpec, cold bool) *backend {
-	b := &backend{w: w, make: m}
-	w.boxes[m.Name] = b
-	w.byID[dispatch.BackendID(m.Name)] = b
-	w.order = append(w.order, b)
-	b.boot(cold)
+// addBackend adds a backend to the fleet and starts it.
+func (sim *simulation) addBackend(spec day.BackendSpec, slowStart bool) *backend {
+	b := &backend{sim: sim, spec: spec}
+	sim.backends[spec.Name] = b
+	sim.byID[dispatch.BackendID(spec.Name)] = b
+	sim.backendOrder = append(sim.backendOrder, b)
+	b.start(slowStart)
 	return b
 }
 
-func (b *backend) release(key, why string) {
+func (b *backend) releaseKVCache(key, reason string) {
 	if b.engine.ReleaseKVCache(key) {
-		b.w.put(record.Event{Kind: record.KVCacheReleased, Backend: b.make.Name, RequestKey: key, Detail: why})
-		b.kick()
+		b.sim.addRecord(record.Event{Kind: record.KVCacheReleased, Backend: b.spec.Name, RequestKey: key, Detail: reason})
+		b.runSteps()
 	}
 }
 
-func (b *backend) load() []float64 {
+func (b *backend) loadReport() []float64 {
 	values := b.engine.LoadReport()
 	var out []float64
-	for _, name := range b.w.day.ReportFields {
+	for _, name := range b.sim.scenario.ReportFields {
 		out = append(out, values[name])
 	}
 	return out
 }
 
-// work is what an attempt asks of a backend, in seconds of its full capacity.
-func (b *backend) work(grade, stage string) float64 {
-	m, talk := b.make.Engine, b.w.day.RequestShape(grade)
-	sum := b.w.reads[grade]
-	if sum == nil {
-		sum = &[2]float64{talk.NewTokens + float64(talk.PrefixTokens)/4, 1}
-		b.w.reads[grade] = sum
+// attemptWork returns the expected work of an attempt in seconds of the backend's full capacity. The prefill part
+// follows the mean number of uncached prompt tokens seen for the class so far.
+func (b *backend) attemptWork(class, phase string) float64 {
+	config, profile := b.spec.Engine, b.sim.scenario.RequestShape(class)
+	uncached := b.sim.prefillTokens[class]
+	if uncached == nil {
+		uncached = &[2]float64{profile.NewTokens + float64(profile.PrefixTokens)/4, 1}
+		b.sim.prefillTokens[class] = uncached
 	}
-	read := sum[0] / sum[1] / m.PrefillTokensPerSecond
-	step := m.StepTime.Seconds() + float64(m.Slots)*m.TimePerSequence.Seconds() + float64(m.Slots)*m.TimePer1000ContextTokens.Seconds()
-	write := talk.AnswerTokens * step / float64(m.Slots)
-	switch stage {
+	prefillWork := uncached[0] / uncached[1] / config.PrefillTokensPerSecond
+	stepTime := config.StepTime.Seconds() + float64(config.Slots)*config.TimePerSequence.Seconds() +
+		float64(config.Slots)*config.TimePer1000ContextTokens.Seconds()
+	decodeWork := profile.AnswerTokens * stepTime / float64(config.Slots)
+	switch phase {
 	case kserve.PhasePrefill:
-		return read
+		return prefillWork
 	case kserve.PhaseDecode:
-		return write
+		return decodeWork
 	}
-	return read + write
+	return prefillWork + decodeWork
 }
 
-// weigh counts work against what a cold backend bears, and tells whether it falls over.
-func (b *backend) weigh(work float64) bool {
-	r, now := b.w.day.Rules, b.w.now
-	up := now - b.started
-	if !b.cold || up > r.SlowStartRamp.Std() {
+// exceedsSlowStart adds work to the slow-start window and tells whether the sum is more than the backend can bear,
+// which is the allowed multiple of its present share of capacity and a margin of 10 %.
+func (b *backend) exceedsSlowStart(work float64) bool {
+	rules, now := b.sim.scenario.Rules, b.sim.now
+	uptime := now - b.startedAt
+	if !b.slowStart || uptime > rules.SlowStartRamp.Std() {
 		return false
 	}
-	b.sent = append(b.sent, sent{now, work})
+	b.recentWork = append(b.recentWork, sentWork{now, work})
 	sum := 0.0
-	for _, s := range b.sent {
-		if s.at >= now-r.SlowStartWindow.Std() {
-			sum += s.work
+	for _, sent := range b.recentWork {
+		if sent.sentAt >= now-rules.SlowStartWindow.Std() {
+			sum += sent.work
 		}
 	}
-	share := r.SlowStartShare + (1-r.SlowStartShare)*float64(up)/float64(r.SlowStartRamp.Std())
-	return sum > 1.1*r.SlowStartMultiple*share*r.SlowStartWindow.Std().Seconds()
+	share := rules.SlowStartShare + (1-rules.SlowStartShare)*float64(uptime)/float64(rules.SlowStartRamp.Std())
+	return sum > 1.1*rules.SlowStartMultiple*share*rules.SlowStartWindow.Std().Seconds()
 }
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -11,56 +11,62 @@
 	"sloetrestle/internal/record"
 )
 
-// publish says of a backend what dispatchers hear after a while.
-func (w *world) publish(b *backend, standing string, after time.Duration) {
-	line := boxlist.Endpoint{Name: b.make.Name, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: "127.0.0.1:1"}}, Kind: b.make.Kind, Zone: b.make.Zone,
-		Rack: b.make.Rack, State: standing, Units: b.make.Units, Incarnation: b.start, UptimeMs: -1}
-	started, cold := b.started, b.cold
-	w.at(max(w.now+after+w.lateList, w.downList), func() {
-		l := line
-		if cold {
-			l.UptimeMs = (w.now - started).Milliseconds()
+// publish announces a backend's state to all dispatchers after the given delay.
+func (sim *simulation) publish(b *backend, state string, delay time.Duration) {
+	endpoint := boxlist.Endpoint{Name: b.spec.Name,
+		Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: "127.0.0.1:1"}}, Kind: b.spec.Kind, Zone: b.spec.Zone,
+		Rack: b.spec.Rack, State: state, Units: b.spec.Units, Incarnation: b.incarnation, UptimeMs: -1}
+	startedAt, slowStart := b.startedAt, b.slowStart
+	sim.schedule(max(sim.now+delay+sim.discoveryDelay, sim.discoveryDownUntil), func() {
+		update := endpoint
+		if slowStart {
+			update.UptimeMs = (sim.now - startedAt).Milliseconds()
 		}
-		lost := w.skipList
-		if w.skipList = false; lost {
-			w.put(record.Event{Kind: record.Note, Detail: "a push of the list is lost"})
+		lost := sim.dropNextUpdate
+		if sim.dropNextUpdate = false; lost {
+			sim.addRecord(record.Event{Kind: record.Note, Detail: "a push of the list is lost"})
 		}
-		for _, d := range w.dispatchers {
-			if lost { // the gap is noticed by the next beat, and the whole list asked for
-				w.after(gap, func() { d.whole(l) })
+		for _, d := range sim.dispatchers {
+			if lost { // noticed at the next heartbeat, which makes it fetch the full list
+				sim.after(missedUpdateDelay, func() { d.sendFullList(update) })
 				continue
 			}
-			d.hear([]boxlist.Endpoint{l}, false)
+			d.updateEndpoints([]boxlist.Endpoint{update}, false)
 		}
 	})
 }
 
-// byName lists backends in one order.
-func byName(boxes map[string]boxlist.Endpoint) []boxlist.Endpoint {
-	return slices.SortedFunc(maps.Values(boxes), func(a, b boxlist.Endpoint) int { return strings.Compare(a.Name, b.Name) })
+// sortedByName returns the endpoints in the order of their names.
+func sortedByName(endpoints map[string]boxlist.Endpoint) []boxlist.Endpoint {
+	return slices.SortedFunc(maps.Values(endpoints), func(a, b boxlist.Endpoint) int {
+		return strings.Compare(a.Name, b.Name)
+	})
 }
 
-// gap is how long a lost change goes unnoticed.
-const gap = time.Second
+// missedUpdateDelay is how long a lost update goes unnoticed.
+const missedUpdateDelay = time.Second
 
-// whole tells a dispatcher the whole list, with a change that it missed.
-func (d *dispatcher) whole(missed boxlist.Endpoint) {
-	known := maps.Clone(d.known)
-	known[missed.Name] = missed
-	lines := slices.DeleteFunc(byName(known), func(l boxlist.Endpoint) bool { return l.State == boxlist.Removed })
-	d.w.put(record.Event{Kind: record.EndpointNotified, Dispatcher: d.name, Backend: missed.Name, Detail: missed.State, StartID: missed.Incarnation})
-	d.hear(lines, true)
+// sendFullList gives a dispatcher the full endpoint list, with an update that it missed.
+func (d *dispatcher) sendFullList(missed boxlist.Endpoint) {
+	byName := maps.Clone(d.lastKnown)
+	byName[missed.Name] = missed
+	endpoints := slices.DeleteFunc(sortedByName(byName),
+		func(endpoint boxlist.Endpoint) bool { return endpoint.State == boxlist.Removed })
+	d.sim.addRecord(record.Event{Kind: record.EndpointNotified, Dispatcher: d.name, Backend: missed.Name, Detail: missed.State,
+		StartID: missed.Incarnation})
+	d.updateEndpoints(endpoints, true)
 }
 
-func (d *dispatcher) hear(lines []boxlist.Endpoint, whole bool) {
-	if !d.up {
+func (d *dispatcher) updateEndpoints(endpoints []boxlist.Endpoint, full bool) {
+	if !d.running {
 		return
 	}
-	for _, l := range lines {
-		d.known[l.Name] = l
-		if !whole {
-			d.w.put(record.Event{Kind: record.EndpointNotified, Dispatcher: d.name, Backend: l.Name, Detail: l.State, StartID: l.Incarnation})
+	for _, endpoint := range endpoints {
+		d.lastKnown[endpoint.Name] = endpoint
+		if !full {
+			d.sim.addRecord(record.Event{Kind: record.EndpointNotified, Dispatcher: d.name, Backend: endpoint.Name, Detail: endpoint.State,
+				StartID: endpoint.Incarnation})
 		}
 	}
-	d.do(func() { d.loop.UpdateBackends(lines, whole) })
+	d.runInLoop(func() { d.loop.UpdateBackends(endpoints, full) })
 }
--- a/internal/fleet/dispatcher.go
+++ b/internal/fleet/dispatcher.go
@@ -16,113 +16,114 @@
 	"sloetrestle/internal/storm"
 )
 
-// dispatcher is the real loop with the real module, in virtual time.
+// dispatcher is one dispatcher: the production event loop and scheduler, in virtual time.
 type dispatcher struct {
-	w      *world
-	number int
-	name   string
-	loop   *dispatch.Loop
-	up     bool
-	front  bool
-	starts int
-	books  *dispatch.Accounting
-	known  map[string]boxlist.Endpoint
-	due    time.Duration
-	set    bool
-	open   map[*client]bool
-	of     map[*dispatch.ClientRequest]*client
+	sim         *simulation
+	number      int
+	name        string
+	loop        *dispatch.Loop
+	running     bool
+	inRotation  bool
+	starts      int
+	accounting  *dispatch.Accounting
+	lastKnown   map[string]boxlist.Endpoint
+	timerDue    time.Duration
+	timerSet    bool
+	openClients map[*client]bool
+	clientOf    map[*dispatch.ClientRequest]*client
 }
 
-func (d *dispatcher) boot(kept map[string]boxlist.Endpoint) error {
-	w := d.w
-	file := setup.DefaultDispatcherConfig()
-	file.Deployment = w.day.Deployment
-	file.Instance.Name, file.Instance.Index, file.Instance.FleetSize = d.name, d.number, len(w.dispatchers)
-	file.Instance.FleetSize = max(w.day.Header.Dispatchers, 1)
-	file.Instance.Zone = w.day.Zones[d.number%len(w.day.Zones)]
+func (d *dispatcher) start(endpoints map[string]boxlist.Endpoint) error {
+	sim := d.sim
+	config := setup.DefaultDispatcherConfig()
+	config.Deployment = sim.scenario.Deployment
+	config.Instance.Name, config.Instance.Index, config.Instance.FleetSize = d.name, d.number, len(sim.dispatchers)
+	config.Instance.FleetSize = max(sim.scenario.Header.Dispatchers, 1)
+	config.Instance.Zone = sim.scenario.Zones[d.number%len(sim.scenario.Zones)]
 	d.starts++
-	seed := w.day.Header.Seed*1000 + uint64(d.number) + 1 + uint64(d.starts-1)*7919
-	facts := file.SchedulerParameters()
-	loop, err := dispatch.NewLoop(facts, seed, dispatch.Resolver{ZoneNumber: file.ZoneIndex, KindNumber: file.KindIndex}, (*transport)(d), func() time.Duration { return w.now },
+	seed := sim.scenario.Header.Seed*1000 + uint64(d.number) + 1 + uint64(d.starts-1)*7919
+	parameters := config.SchedulerParameters()
+	loop, err := dispatch.NewLoop(parameters, seed, dispatch.Resolver{ZoneNumber: config.ZoneIndex,
+		KindNumber: config.KindIndex}, (*transport)(d), func() time.Duration { return sim.now },
 		fmt.Sprintf("%s.%d", d.name, d.starts), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		return err
 	}
-	if w.policy != "module" && w.policy != "" {
-		p, err := baseline.New(w.policy, facts, seed, loop)
+	if sim.policy != "module" && sim.policy != "" {
+		policy, err := baseline.New(sim.policy, parameters, seed, loop)
 		if err != nil {
 			return err
 		}
-		p.View = view{w}
-		loop.SetScheduler(p)
+		policy.View = view{sim}
+		loop.SetScheduler(policy)
 	}
-	if file.Limits.ThrottleRetries {
-		loop.RetryThrottle = storm.New(file.Limits.MaxRetryAfter.Std(), len(file.Tenants), seed^0x5709,
+	if config.Limits.ThrottleRetries {
+		loop.RetryThrottle = storm.New(config.Limits.MaxRetryAfter.Std(), len(config.Tenants), seed^0x5709,
 			storm.TicketSigner{Key: []byte("the fleet's"), Issuer: uint32(d.starts)<<16 | uint32(d.number)})
 	}
-	d.loop, d.up, d.front, d.set, d.books = loop, true, true, false, nil
-	d.budgets()
-	d.open, d.of = map[*client]bool{}, map[*dispatch.ClientRequest]*client{}
-	d.known = map[string]boxlist.Endpoint{}
-	w.put(record.Event{Kind: record.ProcessStarted, Dispatcher: d.name})
-	if kept != nil {
-		d.hear(byName(kept), true)
+	d.loop, d.running, d.inRotation, d.timerSet, d.accounting = loop, true, true, false, nil
+	d.setUpBudgets()
+	d.openClients, d.clientOf = map[*client]bool{}, map[*dispatch.ClientRequest]*client{}
+	d.lastKnown = map[string]boxlist.Endpoint{}
+	sim.addRecord(record.Event{Kind: record.ProcessStarted, Dispatcher: d.name})
+	if endpoints != nil {
+		d.updateEndpoints(sortedByName(endpoints), true)
 	}
 	d.armTimer()
 	return nil
 }
 
-// do runs one thing in the loop, and winds its timers.
-func (d *dispatcher) do(f func()) {
-	d.loop.RunTurn(f)
+// runInLoop runs a function in the event loop and re-arms its timer.
+func (d *dispatcher) runInLoop(turn func()) {
+	d.loop.RunTurn(turn)
 	d.armTimer()
 }
 
 func (d *dispatcher) armTimer() {
 	due, ok := d.loop.NextTimer()
-	if !ok || !d.up {
+	if !ok || !d.running {
 		return
 	}
-	due = (due + beat - 1) / beat * beat
-	if d.set && d.due <= due {
+	due = (due + timerResolution - 1) / timerResolution * timerResolution
+	if d.timerSet && d.timerDue <= due {
 		return
 	}
-	d.set, d.due = true, due
+	d.timerSet, d.timerDue = true, due
 	loop := d.loop
-	d.w.at(due, func() {
-		if d.loop != loop || !d.up || !d.set || d.due != due {
+	d.sim.schedule(due, func() {
+		if d.loop != loop || !d.running || !d.timerSet || d.timerDue != due {
 			return
 		}
-		d.set = false
+		d.timerSet = false
 		loop.RunTimers()
 		d.armTimer()
 	})
 }
 
-// kill ends a dispatcher outright; its clients notice at once, the front after a while.
+// kill ends a dispatcher without a shutdown. Its clients notice at once, the load balancer in front after a while.
 func (d *dispatcher) kill() {
-	w := d.w
-	w.put(record.Event{Kind: record.ProcessEnded, Dispatcher: d.name, Detail: "killed"})
-	d.up = false
-	open := make([]*client, 0, len(d.open))
-	for c := range d.open {
-		open = append(open, c)
+	sim := d.sim
+	sim.addRecord(record.Event{Kind: record.ProcessEnded, Dispatcher: d.name, Detail: "killed"})
+	d.running = false
+	clients := make([]*client, 0, len(d.openClients))
+	for c := range d.openClients {
+		clients = append(clients, c)
 	}
-	slices.SortFunc(open, func(a, b *client) int { return strings.Compare(a.id, b.id) })
-	for _, c := range open {
-		c.cut("the connection broke")
+	slices.SortFunc(clients, func(a, b *client) int { return strings.Compare(a.id, b.id) })
+	for _, c := range clients {
+		c.loseConnection("the connection broke")
 	}
-	for _, b := range w.order {
-		var gone []*attempt
-		for t := range b.trips {
-			if t.from == d {
-				gone = append(gone, t)
+	for _, b := range sim.backendOrder {
+		var attempts []*attempt
+		for t := range b.attempts {
+			if t.dispatcher == d {
+				attempts = append(attempts, t)
 			}
 		}
-		slices.SortFunc(gone, func(x, y *attempt) int { return strings.Compare(x.id(), y.id()) })
-		for _, t := range gone {
-			t.closed()
+		slices.SortFunc(attempts, func(x, y *attempt) int { return strings.Compare(x.id(), y.id()) })
+		for _, t := range attempts {
+			t.connectionClosed()
 		}
 	}
-	w.after(w.day.Header.LoadBalancerNotice.Std(), func() { d.front = d.front && d.up })
+	sim.after(sim.scenario.Header.LoadBalancerNotice.Std(), func() { d.inRotation = d.inRotation && d.running })
 }
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -8,35 +8,39 @@
 	"sloetrestle/internal/engine"
 )
 
-// observeEvery is how late baseline.Informed sees the state of backends, at most.
+// observeEvery is the interval of the informed baseline policy's observations, and so their greatest age.
 const observeEvery = 250 * time.Millisecond
 
-// observe takes down the true state of all backends, again and again.
-func (w *world) observe() {
-	for _, b := range w.order {
-		b.seen = b.trueLoad(w.now)
+// observeBackends copies the true state of all backends, periodically.
+func (sim *simulation) observeBackends() {
+	for _, b := range sim.backendOrder {
+		b.observed = b.trueLoad(sim.now)
 	}
-	w.after(observeEvery, w.observe)
+	sim.after(observeEvery, sim.observeBackends)
 }
 
-// trueLoad is the backend's true state now.
+// trueLoad returns the backend's true state now.
 func (b *backend) trueLoad(now time.Duration) baseline.Load {
 	report, speed := b.engine.LoadReport(), b.engine.Speed(now)
 	return baseline.Load{
-		Up: b.up && !b.hang, Rate: b.make.Engine.PrefillTokensPerSecond * speed, Backlog: report["x1"] * 1000, Streams: report["util"] / speed,
+		Up: b.running && !b.hangs, PrefillTokensPerSecond: b.spec.Engine.PrefillTokensPerSecond * speed,
+		BacklogTokens: report["x1"] * 1000, StreamLoad: report["util"] / speed,
 	}
 }
 
-// view shows baseline.Informed the backends as last observed.
-type view struct{ w *world }
+// view gives the informed baseline policy the backends' states as last observed.
+type view struct{ sim *simulation }
 
-func (v view) Load(h *brain.Backend, q *brain.Request) baseline.Load {
-	b := v.w.byID[h.ID]
-	load := b.seen
-	if h.Role == brain.RolePrefill {
-		load.Cached = float64(b.engine.KeptFor(&engine.Job{Session: q.SessionKey, SharedPrefix: q.PrefixKey, PromptTokens: int(q.PromptTokens), PrefixTokens: int(q.PrefixTokens)}))
+func (v view) Load(schedulerBackend *brain.Backend, request *brain.Request) baseline.Load {
+	b := v.sim.byID[schedulerBackend.ID]
+	load := b.observed
+	if schedulerBackend.Role == brain.RolePrefill {
+		load.CachedTokens = float64(b.engine.CachedTokens(&engine.Job{Session: request.SessionKey,
+			SharedPrefix: request.PrefixKey, PromptTokens: int(request.PromptTokens), PrefixTokens: int(request.PrefixTokens)}))
 	}
 	return load
 }
 
-func (v view) Sent(t *brain.Attempt, tokens float64) { v.w.byID[t.Backend.ID].seen.Backlog += tokens }
+func (v view) AttemptSent(attempt *brain.Attempt, tokens float64) {
+	v.sim.byID[attempt.Backend.ID].observed.BacklogTokens += tokens
+}
