--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestStatesWaitMoveExpireAndAreLetGo(t *testing.T) {
+func TestHeldKVCacheIsFetchedOnceAndExpires(t *testing.T) {
 	e := New(testConfig(), 0, false)
 	prefill := newJob(StagePrefill, 1, 0, 320, 0, 1)
 	e.Submit(0, &prefill.Job)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -25,7 +25,7 @@
 
 // The scenarios that processes play on sockets must keep the rules in virtual time too, with emulated engines as
 // backends.
-func TestDaysKeepTheRulesInVirtualTime(t *testing.T) {
+func TestScenariosKeepTheRulesInVirtualTime(t *testing.T) {
 	for _, name := range []string{"quiet", "demo", "crash-after-read", "reset", "failing", "grade-failing", "hang",
 		"drain", "restart", "list-stale", "kill-dispatcher",
 		"leave", "no-cancel", "link-slow", "forget", "burst", "long-prompts", "shared-text", "stale-cold",
--- a/internal/stages/table_test.go
+++ b/internal/stages/table_test.go
@@ -145,7 +145,7 @@
 	},
 	cacheHeld: {
 		fails:            passiveCache,
-		full:             testedIn{"internal/engine", "TestStatesWaitMoveExpireAndAreLetGo"},
+		full:             testedIn{"internal/engine", "TestHeldKVCacheIsFetchedOnceAndExpires"},
 		crashes:          virtualTime{},
 		resets:           passiveCache,
 		hangs:            passiveCache,
@@ -226,7 +226,7 @@
 		timesOut:         testedIn{"internal/dispatch", "TestTimedOutPrefillEndsOnceAndIsReleased"},
 		drained:          testedIn{"internal/dispatch", "TestBackendMissingFromCompleteListIsRemoved"},
 		coldStart:        impossible("a backend that starts holds no KV caches"),
-		dispatcherKilled: testedIn{"internal/engine", "TestStatesWaitMoveExpireAndAreLetGo"},
+		dispatcherKilled: testedIn{"internal/engine", "TestHeldKVCacheIsFetchedOnceAndExpires"},
 	},
 	shuttingDown: {
 		fails:            overSockets(stopsDuring("writer", decodeFaults[fails])),
@@ -261,7 +261,7 @@
 		clientLeaves:     noClientDeadline,
 		timesOut:         noClientDeadline,
 		drained:          testedIn{"internal/boxlist", "TestFullListIsFetchedAfterAGapAndSaved"},
-		coldStart:        testedIn{"internal/fleet", "TestDaysKeepTheRulesInVirtualTime"},
+		coldStart:        testedIn{"internal/fleet", "TestScenariosKeepTheRulesInVirtualTime"},
 		dispatcherKilled: virtualTime{},
 	},
 	discovery: {
