--- a/cmd/sloetrestle/soak.go
+++ b/cmd/sloetrestle/soak.go
@@ -31,7 +31,7 @@
 	flags.IntVar(&seeds, "seeds", 1, "number of runs, each with the next seed")
 	flags.IntVar(&options.Processes, "processes", 10, "dispatchers, 1 to 40")
 	flags.DurationVar(&options.Length, "seconds", 30*time.Second, "length of a run, such as 30s")
-	flags.DurationVar(&options.Every, "every", 400*time.Millisecond, "mean time between two faults")
+	flags.DurationVar(&options.FaultInterval, "every", 400*time.Millisecond, "mean time between two faults")
 	flags.IntVar(&options.Clients, "clients", 6, "clients for each dispatcher")
 	flags.IntVar(&options.Backends, "backends", 0, "backends, up to 3200; 0: five")
 	flags.Float64Var(&options.Rate, "rate", 0,
@@ -67,7 +67,7 @@
 				return err
 			}
 			result.Table(cmd.OutOrStdout())
-			if result.Unjudged {
+			if result.Inconclusive {
 				unjudged++
 				continue
 			}
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -209,7 +209,7 @@
 
 // The same seed has the same schedule, faults overlap, and every kind comes up.
 func TestASeedHasOneSchedule(t *testing.T) {
-	o := Options{Seed: 7, Length: 10 * time.Minute, Every: 400 * ms}
+	o := Options{Seed: 7, Length: 10 * time.Minute, FaultInterval: 400 * ms}
 	one, two := Schedule(o), Schedule(o)
 	if len(one) < 1000 || len(one) != len(two) {
 		t.Fatalf("%d and %d faults", len(one), len(two))
@@ -231,7 +231,7 @@
 
 // What is not needed for a failure is dropped.
 func TestShrinkKeepsWhatIsNeeded(t *testing.T) {
-	faults := Schedule(Options{Seed: 3, Length: time.Minute, Every: 400 * ms})
+	faults := Schedule(Options{Seed: 3, Length: time.Minute, FaultInterval: 400 * ms})
 	needs := []Fault{faults[5], faults[40]}
 	fails := func(some []Fault) bool {
 		found := 0
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -11,15 +11,15 @@
 // Result is what came of a run.
 type Result struct {
 	Verdict
-	Seed     uint64
-	Faults   []Fault
-	Requests int
-	Attempts int
-	Statuses map[int]int
-	Resent   int
-	usage    usage
-	Late     time.Duration // by which the soak itself was late
-	Unjudged bool          // it was too late to tell whose a delay is
+	Seed         uint64
+	Faults       []Fault
+	Requests     int
+	Attempts     int
+	Statuses     map[int]int
+	Resent       int
+	usage        usage
+	Lateness     time.Duration // by which the soak itself was late
+	Inconclusive bool          // it was too late to tell whose a delay is
 }
 
 // Table prints what came of a run.
@@ -34,9 +34,9 @@
 	for _, k := range slices.Sorted(maps.Keys(kinds)) {
 		fmt.Fprintf(w, " %s %d", k, kinds[k])
 	}
-	fmt.Fprintf(w, "\npairs that overlapped: %d kinds; the soak itself was late by up to %v\n", len(Overlaps(res.Faults)), res.Late.Round(time.Millisecond))
+	fmt.Fprintf(w, "\npairs that overlapped: %d kinds; the soak itself was late by up to %v\n", len(Overlaps(res.Faults)), res.Lateness.Round(time.Millisecond))
 	fmt.Fprintf(w, "a dispatcher needed %v\n", res.usage)
-	if res.Unjudged {
+	if res.Inconclusive {
 		fmt.Fprintf(w, "NOT JUDGED: the soak lagged by over %v; what follows may be its own\n", latenessMost)
 	}
 	broken := map[string]int{}
@@ -73,8 +73,8 @@
 	}
 	r.record.mu.Unlock()
 	r.mu.Lock()
-	res.Late = r.late.most()
-	res.Unjudged = res.Late > latenessMost
+	res.Lateness = r.late.most()
+	res.Inconclusive = res.Lateness > latenessMost
 	res.Violations = append(res.Violations, r.bad...)
 	res.Chances[ruleBad] = r.saw
 	r.mu.Unlock()
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -84,7 +84,7 @@
 		total += w.weight
 	}
 	var faults []Fault
-	for at := 500 * time.Millisecond; at < o.Length-settleTime; at += time.Duration((0.5 + rng.Float64()) * float64(o.Every)) {
+	for at := 500 * time.Millisecond; at < o.Length-settleTime; at += time.Duration((0.5 + rng.Float64()) * float64(o.FaultInterval)) {
 		draw := rng.IntN(total)
 		i := 0
 		for draw >= weights[i].weight {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -28,17 +28,17 @@
 
 // Options say what is played.
 type Options struct {
-	Seed      uint64
-	Processes int
-	Length    time.Duration
-	Every     time.Duration // between two faults, on the mean
-	Clients   int           // usual ones for each process
-	Backends  int           // 0: as few as show all rules
-	Rate      float64       // requests a second for each process beside those of the usual clients, which wait for their answers
-	Command   []string      // that runs a dispatcher with Shims
-	Env       []string
-	Dir       string  // for the record; empty: none is kept
-	Faults    []Fault // in place of the schedule that the seed draws
+	Seed          uint64
+	Processes     int
+	Length        time.Duration
+	FaultInterval time.Duration // between two faults, on the mean
+	Clients       int           // usual ones for each process
+	Backends      int           // 0: as few as show all rules
+	Rate          float64       // requests a second for each process beside those of the usual clients, which wait for their answers
+	Command       []string      // that runs a dispatcher with Shims
+	Env           []string
+	Dir           string  // for the record; empty: none is kept
+	Faults        []Fault // in place of the schedule that the seed draws
 }
 
 const (
