--- a/cmd/sloetrestle/soak.go
+++ b/cmd/sloetrestle/soak.go
@@ -30,7 +30,7 @@
 	f.IntVar(&seeds, "seeds", 1, "how many runs, each with the next seed")
 	f.IntVar(&o.Processes, "processes", 10, "dispatchers, 1 to 40")
 	f.DurationVar(&o.Length, "seconds", 30*time.Second, "length of a run, such as 30s")
-	f.DurationVar(&o.Every, "every", 400*time.Millisecond, "between two faults, on the mean")
+	f.DurationVar(&o.FaultInterval, "every", 400*time.Millisecond, "between two faults, on the mean")
 	f.IntVar(&o.Clients, "clients", 6, "clients for each dispatcher")
 	f.IntVar(&o.Backends, "backends", 0, "backends, up to 3200; 0: five")
 	f.Float64Var(&o.Rate, "rate", 0, "requests a second for each dispatcher, whatever becomes of the earlier ones, beside those of the clients that wait")
@@ -62,7 +62,7 @@
 				return err
 			}
 			res.Table(cmd.OutOrStdout())
-			if res.Unjudged {
+			if res.Inconclusive {
 				unjudged++
 				continue
 			}
--- a/cmd/sloetrestle/soak_test.go
+++ b/cmd/sloetrestle/soak_test.go
@@ -21,7 +21,7 @@
 	res.Table(&table)
 	t.Log(table.String())
 	if len(res.Violations) > 0 {
-		t.Errorf("%d rules are broken; the soak itself was late by up to %v", len(res.Violations), res.Late)
+		t.Errorf("%d rules are broken; the soak itself was late by up to %v", len(res.Violations), res.Lateness)
 	}
 	for rule, chances := range least {
 		if res.Chances[rule] < chances {
@@ -35,7 +35,7 @@
 // one of them a crowd. "sloetrestle soak" plays longer ones.
 func TestAShortSoakBreaksNoRule(t *testing.T) {
 	for _, seed := range []uint64{11, 1004, 1005} {
-		o := soak.Options{Seed: seed, Processes: 4, Length: 12 * time.Second, Every: 300 * time.Millisecond, Clients: 5}
+		o := soak.Options{Seed: seed, Processes: 4, Length: 12 * time.Second, FaultInterval: 300 * time.Millisecond, Clients: 5}
 		res := judged(t, o, map[string]int{"lost": 150, "held": 100})
 		if res.Requests < 150 || res.Attempts < 150 || len(res.Faults) < 15 {
 			t.Error("too little happened: this shows nothing")
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -18,47 +18,49 @@
 )
 
 // manner is how a client goes about a request.
-type manner int
+type behavior int
 
 const (
-	plain   manner = iota
-	leaves         // it closes before the answer is whole
-	inPiece        // it sends in pieces
-	hurried        // it gives very little time
-	slowly         // it reads slowly
-	rests          // it rests on its connection before it sends, longer than connections may rest
-	manners        //
+	plain         behavior = iota
+	closesEarly            // it closes before the answer is whole
+	sendsInPieces          // it sends in pieces
+	tightDeadline          // it gives very little time
+	readsSlowly            // it reads slowly
+	idlesFirst             // it rests on its connection before it sends, longer than connections may rest
+	behaviorCount          //
 )
 
 const (
-	thinkMost   = 250 * time.Millisecond // between two requests of a client
-	hurriedLeft = 60 * time.Millisecond
-	giveUp      = 6 * time.Second // for an answer, after which a client that waits calls it lost
-	badLimit    = 3 * time.Second // in which a bad client is owed an error or a close
+	maxThinkTime      = 250 * time.Millisecond // between two requests of a client
+	tightDeadlineTime = 60 * time.Millisecond
+	answerTimeout     = 6 * time.Second // for an answer, after which a client that waits calls it lost
+	badClientLimit    = 3 * time.Second // in which a bad client is owed an error or a close
 )
 
 // clients ask the dispatchers.
 type clients struct {
-	run    *run
-	record *record
-	given  atomic.Int64 // ids
+	run       *run
+	record    *record
+	issuedIDs atomic.Int64 // ids
 }
 
 // newID is the id of a further request; it tells the run.
-func (c *clients) newID() string { return fmt.Sprintf("%x-%06x", c.run.options.Seed, c.given.Add(1)) }
+func (c *clients) newID() string {
+	return fmt.Sprintf("%x-%06x", c.run.options.Seed, c.issuedIDs.Add(1))
+}
 
 // usual is a client that keeps to the protocol, request after request.
-func (c *clients) usual(ctx context.Context, rng *rand.Rand) {
+func (c *clients) runWellBehaved(ctx context.Context, rng *rand.Rand) {
 	var conn *clientConn
 	for ctx.Err() == nil {
-		if !system.Sleep(ctx, time.Duration(rng.Float64()*float64(thinkMost))) {
+		if !system.Sleep(ctx, time.Duration(rng.Float64()*float64(maxThinkTime))) {
 			break
 		}
 		how := plain
 		if rng.IntN(3) == 0 {
-			how = manner(rng.IntN(int(manners)))
+			how = behavior(rng.IntN(int(behaviorCount)))
 		}
-		conn = c.ask(ctx, rng, conn, how)
+		conn = c.sendRequest(ctx, rng, conn, how)
 	}
 	conn.close()
 }
@@ -66,7 +68,7 @@
 // clientConn is a client's connection to a dispatcher.
 type clientConn struct {
 	net.Conn
-	from       *bufio.Reader
+	reader     *bufio.Reader
 	dispatcher int
 }
 
@@ -79,7 +81,7 @@
 // connect connects to a dispatcher that the front deals out; nil: there is none.
 func (c *clients) connect(ctx context.Context, rng *rand.Rand) *clientConn {
 	for ctx.Err() == nil {
-		d := c.run.front(rng)
+		d := c.run.pickDispatcher(rng)
 		if d == nil {
 			system.Sleep(ctx, 20*time.Millisecond)
 			continue
@@ -95,12 +97,12 @@
 
 // ask has one request served, and returns the connection if it can be used again. A connection that ends without a byte of an answer has
 // the request sent once more on a new one.
-func (c *clients) ask(ctx context.Context, rng *rand.Rand, conn *clientConn, how manner) *clientConn {
+func (c *clients) sendRequest(ctx context.Context, rng *rand.Rand, conn *clientConn, how behavior) *clientConn {
 	classes := c.run.variant.classes
 	q := &request{id: c.newID(), class: classes[rng.IntN(len(classes))]}
-	q.left = q.class.deadline
-	if how == hurried {
-		q.left = hurriedLeft
+	q.timeout = q.class.deadline
+	if how == tightDeadline {
+		q.timeout = tightDeadlineTime
 	}
 	c.record.with(func() {
 		c.record.requests = append(c.record.requests, q)
@@ -109,11 +111,11 @@
 	for try := 0; try < 2; try++ {
 		if conn == nil {
 			if conn = c.connect(ctx, rng); conn == nil {
-				c.record.with(func() { q.cutOff = true })
+				c.record.with(func() { q.runEnded = true })
 				break
 			}
 		}
-		if how == rests && try == 0 {
+		if how == idlesFirst && try == 0 {
 			system.Sleep(ctx, time.Duration(rng.Float64()*float64(2500*time.Millisecond)))
 		}
 		again, next := c.exchange(ctx, rng, conn, q, how)
@@ -121,50 +123,50 @@
 			return conn
 		}
 	}
-	c.record.with(func() { q.refused = c.record.now() })
+	c.record.with(func() { q.gaveUp = c.record.now() })
 	return conn
 }
 
 // exchange sends a request and reads its answer. again: the connection ended without a byte of it.
-func (c *clients) exchange(ctx context.Context, rng *rand.Rand, conn *clientConn, q *request, how manner) (again bool, next *clientConn) {
+func (c *clients) exchange(ctx context.Context, rng *rand.Rand, conn *clientConn, q *request, how behavior) (again bool, next *clientConn) {
 	raw := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Tenant-Id: web-app\r\n"+
 		"X-Route-Key: s%d\r\nX-Timeout-Ms: %d\r\nX-Attrs: prefix=p%d,prompt_len=400,prefix_len=100,max_out=50\r\nContent-Length: 12\r\n\r\n{\"model\":\"\"}",
-		q.id, q.class.name, rng.IntN(200), q.left.Milliseconds(), rng.IntN(20))
+		q.id, q.class.name, rng.IntN(200), q.timeout.Milliseconds(), rng.IntN(20))
 	began := c.record.now()
-	if err := send(conn, raw, how == inPiece); err != nil {
+	if err := send(conn, raw, how == sendsInPieces); err != nil {
 		conn.close()
 		return true, nil
 	}
 	c.record.with(func() {
-		q.tries, q.sends, q.to = append(q.tries, began), append(q.sends, c.record.now()), append(q.to, conn.dispatcher)
+		q.sendStarts, q.sentAt, q.dispatchers = append(q.sendStarts, began), append(q.sentAt, c.record.now()), append(q.dispatchers, conn.dispatcher)
 	})
-	if how == leaves {
+	if how == closesEarly {
 		system.Sleep(ctx, time.Duration(rng.Float64()*float64(60*time.Millisecond)))
-		c.record.with(func() { q.gone = c.record.now() })
+		c.record.with(func() { q.clientClosed = c.record.now() })
 		conn.close()
 		return false, nil
 	}
-	conn.SetReadDeadline(time.Now().Add(giveUp))
-	resp, err := http.ReadResponse(conn.from, nil)
+	conn.SetReadDeadline(time.Now().Add(answerTimeout))
+	resp, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
 		conn.close()
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
-			c.record.with(func() { q.gone = c.record.now() })
+			c.record.with(func() { q.clientClosed = c.record.now() })
 			return false, nil
 		}
 		return true, nil
 	}
 	var body io.Reader = resp.Body
-	if how == slowly {
+	if how == readsSlowly {
 		body = slowReader{body}
 	}
-	events := &eventReader{from: body, now: c.record.now}
+	events := &eventReader{source: body, now: c.record.now}
 	_, err = io.Copy(io.Discard, events)
 	c.record.with(func() {
-		q.status, q.ended, q.whole = resp.StatusCode, c.record.now(), err == nil
-		if q.events = events.seen; how != slowly {
-			q.late = events.late
+		q.status, q.answerEnd, q.complete = resp.StatusCode, c.record.now(), err == nil
+		if q.eventCount = events.events; how != readsSlowly {
+			q.eventDelay = events.delay
 		}
 	})
 	if err != nil || resp.Close {
@@ -193,44 +195,44 @@
 
 // eventReader reads a stream, and measures by how much its latest event was held back: each states when it was written.
 type eventReader struct {
-	from io.Reader
-	now  func() time.Duration
-	tail []byte
-	seen int
-	late time.Duration
+	source io.Reader
+	now    func() time.Duration
+	tail   []byte
+	events int
+	delay  time.Duration
 }
 
 // eventMark is what eventText puts into an event.
 var eventMark = regexp.MustCompile(`@(\d+);`)
 
 func (e *eventReader) Read(into []byte) (int, error) {
-	n, err := e.from.Read(into)
+	n, err := e.source.Read(into)
 	now := e.now()
 	e.tail = append(e.tail, into[:n]...)
 	end := 0
 	for _, at := range eventMark.FindAllSubmatchIndex(e.tail, -1) {
 		written, _ := strconv.ParseInt(string(e.tail[at[2]:at[3]]), 10, 64)
-		e.late = max(e.late, now-time.Duration(written))
-		e.seen++
+		e.delay = max(e.delay, now-time.Duration(written))
+		e.events++
 		end = at[1]
 	}
-	e.tail = e.tail[max(end, len(e.tail)-eventMarkMost):]
+	e.tail = e.tail[max(end, len(e.tail)-maxEventMark):]
 	return n, err
 }
 
 // eventMarkMost is the longest part of a mark that may stand at the end of what was read.
-const eventMarkMost = 24
+const maxEventMark = 24
 
 // slowReader reads a little at a time.
-type slowReader struct{ from io.Reader }
+type slowReader struct{ source io.Reader }
 
 func (s slowReader) Read(into []byte) (int, error) {
 	time.Sleep(2 * time.Millisecond)
-	return s.from.Read(into[:min(len(into), 200)])
+	return s.source.Read(into[:min(len(into), 200)])
 }
 
 // bad is a client that stops in the middle of a request and stays, or sends what is none. It is owed an error or a close.
-func (c *clients) bad(ctx context.Context, rng *rand.Rand) {
+func (c *clients) runMalformed(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		conn := c.connect(ctx, rng)
 		if conn == nil {
@@ -240,11 +242,11 @@
 		cut := rng.IntN(len(raw) - 1)
 		began := c.record.now()
 		io.WriteString(conn, raw[:cut])
-		conn.SetReadDeadline(time.Now().Add(badLimit + time.Second))
+		conn.SetReadDeadline(time.Now().Add(badClientLimit + time.Second))
 		_, err := io.Copy(io.Discard, conn)
 		took := c.record.now() - began
 		conn.close()
-		c.run.badDone(conn.dispatcher, began, took, err)
+		c.run.recordBadClient(conn.dispatcher, began, took, err)
 		if !system.Sleep(ctx, time.Duration(rng.Float64()*float64(time.Second))) {
 			return
 		}
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -15,45 +15,45 @@
 
 // discovery tells each dispatcher of the backends, through an agent of its own.
 type discovery struct {
-	record *record
-	farm   *farm
-	done   sync.WaitGroup
+	record  *record
+	cluster *cluster
+	done    sync.WaitGroup
 
-	mu     sync.Mutex
-	rev    int64
-	agents []*agent
+	mu       sync.Mutex
+	revision int64
+	agents   []*agent
 }
 
 // agent is one dispatcher's discovery, at either of two addresses.
 type agent struct {
 	*discovery
 	dispatcher int
-	listens    [2]net.Listener
+	listeners  [2]net.Listener
 
 	// The discovery's lock guards these.
-	current int // the address that is followed
-	silent  time.Duration
-	slow    time.Duration
-	quiet   []span // while it could not be reached, or answered late
-	watches map[net.Conn]int
-	conns   map[net.Conn]int
+	current     int // the address that is followed
+	silentUntil time.Duration
+	slowUntil   time.Duration
+	outages     []span // while it could not be reached, or answered late
+	watches     map[net.Conn]int
+	conns       map[net.Conn]int
 }
 
 const (
-	beatTime  = 2 * time.Second
-	slowTime  = 2 * time.Second
-	oldCloses = 1500 * time.Millisecond // after a move, connections to the old address
+	heartbeatInterval = 2 * time.Second
+	slowAnswerDelay   = 2 * time.Second
+	oldAddressGrace   = 1500 * time.Millisecond // after a move, connections to the old address
 )
 
 // addAgent opens a dispatcher's discovery.
 func (d *discovery) addAgent(dispatcher int) error {
 	a := &agent{discovery: d, dispatcher: dispatcher, watches: map[net.Conn]int{}, conns: map[net.Conn]int{}}
-	for i := range a.listens {
+	for i := range a.listeners {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		a.listens[i] = l
+		a.listeners[i] = l
 		d.done.Go(func() { acceptAll(l, &d.done, func(c net.Conn) { a.serve(c, i) }) })
 	}
 	d.agents = append(d.agents, a)
@@ -64,14 +64,14 @@
 func (a *agent) address() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.listens[a.current].Addr().String()
+	return a.listeners[a.current].Addr().String()
 }
 
 // wholeMost is up to how many backends a change is told by the whole list.
-const wholeMost = 50
+const maxFullList = 50
 
 // list is all that discovery has; the lock is held.
-func (a *agent) list() []byte { return a.entries(a.farm.backends, true) }
+func (a *agent) fullList() []byte { return a.entries(a.cluster.backends, true) }
 
 // entries is what discovery has of some backends; the lock is held.
 func (a *agent) entries(backends []*backend, all bool) []byte {
@@ -83,11 +83,11 @@
 			kind = hosts.PrefillKind
 		}
 		targets = append(targets, hosts.Target{
-			UID: b.uid, Endpoint: b.at[a.dispatcher], Zone: "hall-1", Kind: kind, Rack: b.rack, State: b.state, Units: 1, Boot: b.bootMs,
+			UID: b.uid, Endpoint: b.endpoints[a.dispatcher], Zone: "hall-1", Kind: kind, Rack: b.rack, State: b.state, Units: 1, Boot: b.bootMs,
 		})
 		b.mu.Unlock()
 	}
-	raw, err := json.Marshal(map[string]any{"rev": a.rev, "all": all, "targets": targets})
+	raw, err := json.Marshal(map[string]any{"rev": a.revision, "all": all, "targets": targets})
 	if err != nil {
 		panic(err) // plain fields
 	}
@@ -110,8 +110,8 @@
 		if err != nil {
 			return
 		}
-		if a.slowNow() {
-			time.Sleep(slowTime)
+		if a.isSlow() {
+			time.Sleep(slowAnswerDelay)
 		}
 		if !a.answer(c, address, r.URL.Query().Get("stream") != "") {
 			return
@@ -119,10 +119,10 @@
 	}
 }
 
-func (a *agent) slowNow() bool {
+func (a *agent) isSlow() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.record.now() < a.slow
+	return a.record.now() < a.slowUntil
 }
 
 // answer answers with the list, whole or as a watch's first push. While it is silent it answers nothing, and never will on this
@@ -133,10 +133,10 @@
 	if address != a.current {
 		return false
 	}
-	if a.record.now() < a.silent {
+	if a.record.now() < a.silentUntil {
 		return true
 	}
-	raw := string(a.list())
+	raw := string(a.fullList())
 	if !watch {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(raw), raw)
 		return true
@@ -147,7 +147,7 @@
 }
 
 // beat has watches hear that nothing changed.
-func (d *discovery) beat() {
+func (d *discovery) heartbeat() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, a := range d.agents {
@@ -157,7 +157,7 @@
 
 // push writes to the watches, and tells whether there was one to hear it; the lock is held.
 func (a *agent) push(raw string) (heard bool) {
-	if a.record.now() < a.silent {
+	if a.record.now() < a.silentUntil {
 		return false
 	}
 	for c := range a.watches {
@@ -175,9 +175,9 @@
 	b.mu.Lock()
 	b.state = state
 	b.mu.Unlock()
-	d.rev++
-	told, whole := d.farm.backends, true
-	if len(told) > wholeMost {
+	d.revision++
+	told, whole := d.cluster.backends, true
+	if len(told) > maxFullList {
 		told, whole = []*backend{b}, false
 	}
 	for _, a := range d.agents {
@@ -186,26 +186,26 @@
 			written = now
 		}
 		d.record.with(func() {
-			d.record.listings = append(d.record.listings, listing{b.uid, a.dispatcher, state == "in_service", now, written})
+			d.record.stateChanges = append(d.record.stateChanges, stateChange{b.uid, a.dispatcher, state == "in_service", now, written})
 		})
 	}
 }
 
 // silence has the agent say nothing until a time; its watches are dead from then on.
-func (a *agent) silence(until time.Duration) {
+func (a *agent) silenceUntil(until time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.silent = max(a.silent, until)
+	a.silentUntil = max(a.silentUntil, until)
 	clear(a.watches)
-	a.quiet = append(a.quiet, span{a.record.now(), until})
+	a.outages = append(a.outages, span{a.record.now(), until})
 }
 
 // slowDown has the agent answer late until a time.
-func (a *agent) slowDown(until time.Duration) {
+func (a *agent) slowDownUntil(until time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.slow = max(a.slow, until)
-	a.quiet = append(a.quiet, span{a.record.now(), until})
+	a.slowUntil = max(a.slowUntil, until)
+	a.outages = append(a.outages, span{a.record.now(), until})
 }
 
 // reset cuts the agent's connections.
@@ -223,7 +223,7 @@
 	defer a.mu.Unlock()
 	old := a.current
 	a.current = 1 - old
-	time.AfterFunc(oldCloses, func() {
+	time.AfterFunc(oldAddressGrace, func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		for c, address := range a.conns {
@@ -232,13 +232,13 @@
 			}
 		}
 	})
-	return a.listens[a.current].Addr().String()
+	return a.listeners[a.current].Addr().String()
 }
 
 // close ends it.
 func (d *discovery) close() {
 	for _, a := range d.agents {
-		for _, l := range a.listens {
+		for _, l := range a.listeners {
 			l.Close()
 		}
 		a.reset()
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -20,52 +20,52 @@
 
 // dispatcher is one dispatcher, process after process.
 type dispatcher struct {
-	run     *run
-	number  int
-	listen  string
-	peer    string
-	file    string
-	control net.Listener
-	writing sync.Mutex // held while the configuration is written
+	run          *run
+	number       int
+	listen       string
+	peer         string
+	configFile   string
+	shimListener net.Listener
+	configMu     sync.Mutex // held while the configuration is written
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	life   *life
-	shims  net.Conn // of the present process
-	ready  bool
-	lives  int
-	exited chan struct{}
+	mu      sync.Mutex
+	cmd     *exec.Cmd
+	process *process
+	shims   net.Conn // of the present process
+	ready   bool
+	starts  int
+	exited  chan struct{}
 }
 
 const (
-	readyMost = 10 * time.Second
-	frontLag  = 300 * time.Millisecond // for which the front still opens connections to one that stops
-	awayTime  = 200 * time.Millisecond // between two processes
-	burstSize = 6                      // reloads in a burst
+	readyLimit   = 10 * time.Second
+	routingLag   = 300 * time.Millisecond // for which the front still opens connections to one that stops
+	restartDelay = 200 * time.Millisecond // between two processes
+	burstSize    = 6                      // reloads in a burst
 )
 
 // Ports of dispatchers are below those that the system gives to outgoing connections: one of these may else take a dispatcher's while
 // it restarts.
 const (
-	portLeast = 20_000
-	portMost  = 32_000
+	minPort   = 20_000
+	maxPort   = 32_000
 	portTries = 200
 )
 
 // addresses hands out addresses that nobody listens at, each once.
-type addresses struct{ given map[int]bool }
+type portAllocator struct{ used map[int]bool }
 
-func (a *addresses) free() (at string, err error) {
+func (a *portAllocator) free() (at string, err error) {
 	for range portTries {
-		port := portLeast + rand.IntN(portMost-portLeast)
-		if a.given[port] {
+		port := minPort + rand.IntN(maxPort-minPort)
+		if a.used[port] {
 			continue
 		}
 		at = fmt.Sprintf("127.0.0.1:%d", port)
 		l, listening := net.Listen("tcp", at)
 		if err = listening; err == nil {
 			l.Close()
-			a.given[port] = true
+			a.used[port] = true
 			return at, nil
 		}
 	}
@@ -83,18 +83,18 @@
 	for i, c := range d.run.variant.classes {
 		stated := settings["requestClasses"].([]any)[i].(map[string]any)
 		stated["giveUpUs"], stated["effect"] = float64(c.deadline.Microseconds()), c.effect()
-		if c.window > 0 {
-			stated["windowUs"], stated["group"] = float64(c.window.Microseconds()), "all"
+		if c.dedupWindow > 0 {
+			stated["windowUs"], stated["group"] = float64(c.dedupWindow.Microseconds()), "all"
 		}
 	}
-	settings["familyInfo"].(map[string]any)["pinLimitUs"] = float64(d.run.variant.hold.Microseconds())
+	settings["familyInfo"].(map[string]any)["pinLimitUs"] = float64(d.run.variant.cacheTimeout.Microseconds())
 	var peers []string
 	for _, o := range d.run.dispatchers {
 		peers = append(peers, o.peer)
 	}
 	agent := d.run.discovery.agents[d.number]
 	agent.mu.Lock()
-	known := json.RawMessage(agent.list())
+	known := json.RawMessage(agent.fullList())
 	agent.mu.Unlock()
 	raw, err := json.Marshal(map[string]any{
 		"name": fmt.Sprintf("n%d", d.number), "listen": d.listen, "discovery": discovery, "seed": fmt.Sprintf("%x", d.run.options.Seed+uint64(d.number)),
@@ -106,33 +106,33 @@
 	if half {
 		raw = raw[:len(raw)/2]
 	}
-	d.writing.Lock()
-	defer d.writing.Unlock()
-	return os.WriteFile(d.file, raw, 0o600)
+	d.configMu.Lock()
+	defer d.configMu.Unlock()
+	return os.WriteFile(d.configFile, raw, 0o600)
 }
 
 // start starts a process and waits until it is ready.
 func (d *dispatcher) start(ctx context.Context) error {
 	o, record := d.run.options, d.run.record
-	log, err := os.Create(filepath.Join(d.run.dir, fmt.Sprintf("n%d-%d.log", d.number, d.lives)))
+	log, err := os.Create(filepath.Join(d.run.dir, fmt.Sprintf("n%d-%d.log", d.number, d.starts)))
 	if err != nil {
 		return err
 	}
 	cmd := exec.Command(o.Command[0], o.Command[1:]...)
-	cmd.Env = append(append(os.Environ(), o.Env...), "BALANCER_CONFIG="+d.file, ControlVariable+"="+d.control.Addr().String())
+	cmd.Env = append(append(os.Environ(), o.Env...), "BALANCER_CONFIG="+d.configFile, ControlVariable+"="+d.shimListener.Addr().String())
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	l := &life{dispatcher: d.number, began: record.now()}
+	l := &process{dispatcher: d.number, started: record.now()}
 	if err := cmd.Start(); err != nil {
 		log.Close()
 		return err
 	}
 	exited := make(chan struct{})
 	d.mu.Lock()
-	d.cmd, d.life, d.exited, d.ready = cmd, l, exited, false
-	d.lives++
+	d.cmd, d.process, d.exited, d.ready = cmd, l, exited, false
+	d.starts++
 	d.mu.Unlock()
-	record.with(func() { record.lives = append(record.lives, l) })
+	record.with(func() { record.processes = append(record.processes, l) })
 	d.run.group.Go(func() error {
 		defer log.Close()
 		defer close(exited)
@@ -142,20 +142,20 @@
 		d.mu.Unlock()
 		record.with(func() {
 			l.ended = record.now()
-			if err != nil && !l.killed || l.told == 0 && !l.killed {
+			if err != nil && !l.killed || l.terminatedAt == 0 && !l.killed {
 				l.crashed = fmt.Sprintf("it ended by itself: %v", err)
 			}
 		})
 		return nil
 	})
-	d.run.group.Go(func() error { d.takeShims(); return nil })
+	d.run.group.Go(func() error { d.acceptShims(); return nil })
 	return d.awaitReady(ctx, l, exited)
 }
 
 // takeShims takes the connection of the process's shims.
-func (d *dispatcher) takeShims() {
-	d.control.(*net.TCPListener).SetDeadline(time.Now().Add(readyMost))
-	c, err := d.control.Accept()
+func (d *dispatcher) acceptShims() {
+	d.shimListener.(*net.TCPListener).SetDeadline(time.Now().Add(readyLimit))
+	c, err := d.shimListener.Accept()
 	if err != nil {
 		return
 	}
@@ -168,7 +168,7 @@
 }
 
 // order tells the shims of the present process.
-func (d *dispatcher) order(o Order) {
+func (d *dispatcher) sendOrder(o Order) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if raw, err := json.Marshal(o); err == nil && d.shims != nil {
@@ -176,9 +176,9 @@
 	}
 }
 
-func (d *dispatcher) awaitReady(ctx context.Context, l *life, exited <-chan struct{}) error {
+func (d *dispatcher) awaitReady(ctx context.Context, l *process, exited <-chan struct{}) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(2 * readyMost); time.Now().Before(end); {
+	for end := time.Now().Add(2 * readyLimit); time.Now().Before(end); {
 		select {
 		case <-exited:
 			return nil
@@ -189,7 +189,7 @@
 			if resp.StatusCode == http.StatusOK {
 				d.run.record.with(func() { l.ready = d.run.record.now() })
 				d.mu.Lock()
-				d.ready = d.life == l
+				d.ready = d.process == l
 				d.mu.Unlock()
 				return nil
 			}
@@ -213,12 +213,12 @@
 // terminate has a process end as the platform does at a planned restart, and starts the next one.
 func (d *dispatcher) terminate(ctx context.Context, f Fault) {
 	d.mu.Lock()
-	l, exited := d.life, d.exited
+	l, exited := d.process, d.exited
 	d.mu.Unlock()
-	if l.told > 0 || !d.up() {
+	if l.terminatedAt > 0 || !d.acceptsConnections() {
 		return // it ends already
 	}
-	d.run.record.with(func() { l.told = d.run.record.now() })
+	d.run.record.with(func() { l.terminatedAt = d.run.record.now() })
 	d.signal(syscall.SIGTERM)
 	began := time.Now()
 	switch f.Kind {
@@ -230,7 +230,7 @@
 		d.moveDiscovery(ctx, l, f)
 		d.signal(syscall.SIGTERM)
 	}
-	system.Sleep(context.WithoutCancel(ctx), frontLag-time.Since(began))
+	system.Sleep(context.WithoutCancel(ctx), routingLag-time.Since(began))
 	d.mu.Lock()
 	d.ready = false
 	d.mu.Unlock()
@@ -239,20 +239,20 @@
 	case <-time.After(d.run.variant.killAfter() - time.Since(began)):
 		d.kill(l, exited)
 	}
-	if system.Sleep(ctx, awayTime) {
+	if system.Sleep(ctx, restartDelay) {
 		d.start(ctx)
 	}
 }
 
 // up tells whether the front deals connections to it.
-func (d *dispatcher) up() bool {
+func (d *dispatcher) acceptsConnections() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ready
 }
 
 // kill ends a process outright.
-func (d *dispatcher) kill(l *life, exited <-chan struct{}) {
+func (d *dispatcher) kill(l *process, exited <-chan struct{}) {
 	d.run.record.with(func() { l.killed = true })
 	d.signal(syscall.SIGKILL)
 	<-exited
@@ -261,42 +261,42 @@
 // crash kills the present process and starts the next one.
 func (d *dispatcher) crash(ctx context.Context) {
 	d.mu.Lock()
-	l, exited, ready := d.life, d.exited, d.ready
+	l, exited, ready := d.process, d.exited, d.ready
 	d.mu.Unlock()
-	if !ready || l.told > 0 {
+	if !ready || l.terminatedAt > 0 {
 		return
 	}
 	d.kill(l, exited)
-	if system.Sleep(ctx, awayTime) {
+	if system.Sleep(ctx, restartDelay) {
 		d.start(ctx)
 	}
 }
 
 // stop has the process stand still for a while.
-func (d *dispatcher) stop(ctx context.Context, length time.Duration) {
-	if !d.up() {
+func (d *dispatcher) suspend(ctx context.Context, length time.Duration) {
+	if !d.acceptsConnections() {
 		return
 	}
 	d.mu.Lock()
-	l := d.life
+	l := d.process
 	d.mu.Unlock()
 	from := d.run.record.now()
 	d.signal(syscall.SIGSTOP)
 	system.Sleep(context.WithoutCancel(ctx), length)
 	// Whoever has waited for the process may be judged the moment it goes on.
-	d.run.record.with(func() { l.stops = append(l.stops, span{from, d.run.record.now()}) })
+	d.run.record.with(func() { l.stopped = append(l.stopped, span{from, d.run.record.now()}) })
 	d.signal(syscall.SIGCONT)
 }
 
 // reload moves discovery and tells the process.
 func (d *dispatcher) reload(ctx context.Context, f Fault) {
-	if !d.up() {
+	if !d.acceptsConnections() {
 		return
 	}
 	moves := map[Kind]int{ReloadTwice: 2, ReloadBurst: burstSize}[f.Kind]
 	for range max(moves, 1) {
 		d.mu.Lock()
-		l := d.life
+		l := d.process
 		d.mu.Unlock()
 		d.moveDiscovery(ctx, l, f)
 		system.Sleep(ctx, f.Length)
@@ -304,7 +304,7 @@
 }
 
 // moveDiscovery has discovery listen elsewhere, and a process be told of that.
-func (d *dispatcher) moveDiscovery(ctx context.Context, l *life, f Fault) {
+func (d *dispatcher) moveDiscovery(ctx context.Context, l *process, f Fault) {
 	to := d.run.discovery.agents[d.number].move()
 	from := d.run.record.now()
 	if f.Kind == ReloadTorn {
--- a/internal/soak/cause.go
+++ b/internal/soak/inject.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	restartTime  = 7 * time.Second // in which most backends are replaced
-	restartShare = 0.6
-	drainShare   = 0.25
-	muteShare    = 0.8
+	massRestartTime  = 7 * time.Second // in which most backends are replaced
+	massRestartShare = 0.6
+	massDrainShare   = 0.25
+	roleMuteShare    = 0.8
 )
 
 // cause has a fault happen.
-func (r *run) cause(ctx context.Context, f Fault) {
+func (r *run) inject(ctx context.Context, f Fault) {
 	d := r.dispatchers[f.Target%len(r.dispatchers)]
-	b := r.farm.backends[f.Target%len(r.farm.backends)]
+	b := r.cluster.backends[f.Target%len(r.cluster.backends)]
 	agent := r.discovery.agents[d.number]
 	until := r.record.now() + f.Length
 	switch f.Kind {
@@ -35,21 +35,21 @@
 	case KillProcess:
 		d.crash(ctx)
 	case Stop:
-		d.stop(ctx, f.Length)
+		d.suspend(ctx, f.Length)
 	case Reload, ReloadTorn, ReloadTwice, ReloadBurst:
 		d.reload(ctx, f)
 	case WallStep:
-		d.order(Order{WallStep: wallSteps[f.Draw%uint64(len(wallSteps))]})
+		d.sendOrder(Order{WallStep: wallSteps[f.Draw%uint64(len(wallSteps))]})
 	case AcceptFails:
-		d.order(Order{Accept: acceptErrors[f.Draw%uint64(len(acceptErrors))], For: f.Length})
+		d.sendOrder(Order{Accept: acceptErrors[f.Draw%uint64(len(acceptErrors))], For: f.Length})
 	case DialFails:
 		d.mu.Lock()
-		l := d.life
+		l := d.process
 		d.mu.Unlock()
-		r.record.with(func() { l.cutOff = append(l.cutOff, span{r.record.now(), until}) })
-		d.order(Order{Dial: dialErrors[f.Draw%uint64(len(dialErrors))], For: f.Length})
+		r.record.with(func() { l.dialOutages = append(l.dialOutages, span{r.record.now(), until}) })
+		d.sendOrder(Order{Dial: dialErrors[f.Draw%uint64(len(dialErrors))], For: f.Length})
 	case ShortReads:
-		d.order(Order{ShortReads: true, For: f.Length})
+		d.sendOrder(Order{ShortReads: true, For: f.Length})
 	case BackendRestarts:
 		b.restart()
 		r.discovery.change(b, "in_service")
@@ -59,29 +59,29 @@
 			r.discovery.change(b, "in_service")
 		}
 	case MassRestart:
-		r.restartMost(ctx, f)
+		r.restartMany(ctx, f)
 	case MassDrain:
 		r.drainMany(ctx, f)
 	case RoleMute:
 		r.muteRole(f, until)
 	case BackendSilent:
-		b.cutOff(ctx, f.Length, f.Draw)
+		b.isolate(ctx, f.Length, f.Draw)
 	case DiscoverySilent:
-		agent.silence(until)
+		agent.silenceUntil(until)
 	case DiscoverySlow:
-		agent.slowDown(until)
+		agent.slowDownUntil(until)
 	case DiscoveryResets:
 		agent.reset()
 	default:
-		b.goesWrong(f.Kind, until, f.Draw)
+		b.injectFault(f.Kind, until, f.Draw)
 	}
 }
 
 // drawn are so large a share of the backends, as a fault's draw has it.
-func (r *run) drawn(f Fault, share float64) []*backend {
+func (r *run) drawBackends(f Fault, share float64) []*backend {
 	rng := rand.New(rand.NewPCG(f.Draw, 0))
 	var chosen []*backend
-	for _, b := range r.farm.backends {
+	for _, b := range r.cluster.backends {
 		if rng.Float64() < share {
 			chosen = append(chosen, b)
 		}
@@ -90,10 +90,10 @@
 }
 
 // restartMost has most backends be replaced one by one.
-func (r *run) restartMost(ctx context.Context, f Fault) {
-	chosen := r.drawn(f, restartShare)
+func (r *run) restartMany(ctx context.Context, f Fault) {
+	chosen := r.drawBackends(f, massRestartShare)
 	for _, b := range chosen {
-		if !system.Sleep(ctx, restartTime/time.Duration(len(chosen))) {
+		if !system.Sleep(ctx, massRestartTime/time.Duration(len(chosen))) {
 			return
 		}
 		b.restart()
@@ -103,7 +103,7 @@
 
 // drainMany has many backends drain at once, and come back.
 func (r *run) drainMany(ctx context.Context, f Fault) {
-	chosen := r.drawn(f, drainShare)
+	chosen := r.drawBackends(f, massDrainShare)
 	for _, b := range chosen {
 		r.discovery.change(b, "terminating")
 	}
@@ -119,14 +119,14 @@
 func (r *run) muteRole(f Fault, until time.Duration) {
 	prefill := f.Target%2 == 0
 	var role []*backend
-	for _, b := range r.farm.backends {
+	for _, b := range r.cluster.backends {
 		if b.prefill == prefill {
 			role = append(role, b)
 		}
 	}
-	mute := min(int(muteShare*float64(len(role))+0.5), len(role)-1)
+	mute := min(int(roleMuteShare*float64(len(role))+0.5), len(role)-1)
 	first := int(f.Draw % uint64(len(role)))
 	for i := range mute {
-		role[(first+i)%len(role)].goesWrong(BackendMute, until, 0)
+		role[(first+i)%len(role)].injectFault(BackendMute, until, 0)
 	}
 }
--- a/internal/soak/lateness.go
+++ b/internal/soak/lateness.go
@@ -11,7 +11,7 @@
 const (
 	latenessStep = 5 * time.Millisecond
 	// latenessMost is by how much a soak may itself be late. What it saw then is not judged: it can't tell whose the delay is.
-	latenessMost = 100 * time.Millisecond
+	maxLateness = 100 * time.Millisecond
 )
 
 // lateness measures by how much the soak's own process runs late.
@@ -24,12 +24,12 @@
 		if !system.Sleep(ctx, latenessStep) {
 			return
 		}
-		l.saw(time.Since(began) - latenessStep)
+		l.observe(time.Since(began) - latenessStep)
 	}
 }
 
 // saw takes note of a delay.
-func (l *lateness) saw(late time.Duration) {
+func (l *lateness) observe(late time.Duration) {
 	for {
 		worst := l.worst.Load()
 		if int64(late) <= worst || l.worst.CompareAndSwap(worst, int64(late)) {
@@ -38,4 +38,4 @@
 	}
 }
 
-func (l *lateness) most() time.Duration { return time.Duration(l.worst.Load()) }
+func (l *lateness) max() time.Duration { return time.Duration(l.worst.Load()) }
--- a/internal/soak/openloop.go
+++ b/internal/soak/openloop.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	openMost   = 4000 // requests of open-loop clients that may be open
-	poolMost   = 256  // connections at rest that open-loop clients keep
-	crowdPause = 50 * time.Millisecond
+	maxOpenRequests    = 4000 // requests of open-loop clients that may be open
+	maxIdleConns       = 256  // connections at rest that open-loop clients keep
+	idleReconnectDelay = 50 * time.Millisecond
 )
 
 // pool keeps connections between the requests of open-loop clients, which use them for as long as they stay open.
-type pool struct {
+type connPool struct {
 	mu    sync.Mutex
 	conns []*clientConn
 }
 
-func (p *pool) take() *clientConn {
+func (p *connPool) take() *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.conns) == 0 {
@@ -34,13 +34,13 @@
 	return c
 }
 
-func (p *pool) put(c *clientConn) {
+func (p *connPool) put(c *clientConn) {
 	if c == nil {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.conns) >= poolMost {
+	if len(p.conns) >= maxIdleConns {
 		c.close()
 		return
 	}
@@ -50,15 +50,15 @@
 // openLoop sends requests at a rate, whatever becomes of the earlier ones: clients that wait for their answers ask a slow dispatcher less.
 func (c *clients) openLoop(ctx context.Context, rng *rand.Rand, rate float64) {
 	var open sync.WaitGroup
-	rests := &pool{}
-	places := make(chan struct{}, openMost)
+	rests := &connPool{}
+	places := make(chan struct{}, maxOpenRequests)
 	next := time.Now()
 	for {
 		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		if !system.Sleep(ctx, time.Until(next)) {
 			break
 		}
-		c.run.late.saw(time.Since(next))
+		c.run.lateness.observe(time.Since(next))
 		select {
 		case places <- struct{}{}:
 		default:
@@ -67,7 +67,7 @@
 		one := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
 		open.Go(func() {
 			defer func() { <-places }()
-			rests.put(c.ask(ctx, one, rests.take(), plain))
+			rests.put(c.sendRequest(ctx, one, rests.take(), plain))
 		})
 	}
 	open.Wait()
@@ -78,7 +78,7 @@
 
 // idle is a client that opens a connection, says nothing, and opens the next one when that is closed.
 func (c *clients) idle(ctx context.Context, d *dispatcher) {
-	for system.Sleep(ctx, crowdPause) {
+	for system.Sleep(ctx, idleReconnectDelay) {
 		conn, err := net.DialTimeout("tcp", d.listen, time.Second)
 		if err != nil {
 			continue
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -13,29 +13,29 @@
 const ms = time.Millisecond
 
 // story is a record made by hand: one request to dispatcher 0, which is up from the start.
-type story struct {
+type recordBuilder struct {
 	*record
-	q *request
+	request *request
 }
 
-func tell(once bool) *story {
-	s := &story{record: newRecord(variant{hold: 500 * ms})}
+func newRecordBuilder(once bool) *recordBuilder {
+	s := &recordBuilder{record: newRecord(variant{cacheTimeout: 500 * ms})}
 	s.began = time.Now().Add(-time.Minute) // a minute has passed
-	s.q = &request{id: "q", class: class{name: "c", once: once, deadline: 2 * time.Second}, left: 2 * time.Second, tries: []time.Duration{1000 * ms}, sends: []time.Duration{1000 * ms}, to: []int{0}}
-	s.requests, s.byID["q"] = []*request{s.q}, s.q
-	s.lives = []*life{{dispatcher: 0, began: ms, ready: 100 * ms}}
+	s.request = &request{id: "q", class: class{name: "c", nonIdempotent: once, deadline: 2 * time.Second}, timeout: 2 * time.Second, sendStarts: []time.Duration{1000 * ms}, sentAt: []time.Duration{1000 * ms}, dispatchers: []int{0}}
+	s.requests, s.byID["q"] = []*request{s.request}, s.request
+	s.processes = []*process{{dispatcher: 0, started: ms, ready: 100 * ms}}
 	return s
 }
 
 // answered has the request answered.
-func (s *story) answered(status int, at time.Duration) *story {
-	s.q.status, s.q.ended, s.q.whole = status, at, true
+func (s *recordBuilder) answered(status int, at time.Duration) *recordBuilder {
+	s.request.status, s.request.answerEnd, s.request.complete = status, at, true
 	return s
 }
 
 // attempt adds an attempt that came and ended so.
-func (s *story) attempt(backend string, first, end time.Duration, change func(a *attempt)) *story {
-	a := &attempt{id: "q", backend: backend, first: first, arrived: first + ms, answered: end, told: 500 * ms}
+func (s *recordBuilder) attempt(backend string, first, end time.Duration, change func(a *attempt)) *recordBuilder {
+	a := &attempt{id: "q", backend: backend, firstByte: first, arrived: first + ms, answered: end, statedDeadline: 500 * ms}
 	if change != nil {
 		change(a)
 	}
@@ -44,133 +44,149 @@
 }
 
 // again has the request sent once more, to that dispatcher.
-func (s *story) again(dispatcher int) {
-	s.q.tries, s.q.sends, s.q.to = append(s.q.tries, 1100*ms), append(s.q.sends, 1101*ms), append(s.q.to, dispatcher)
+func (s *recordBuilder) resent(dispatcher int) {
+	s.request.sendStarts, s.request.sentAt, s.request.dispatchers = append(s.request.sendStarts, 1100*ms), append(s.request.sentAt, 1101*ms), append(s.request.dispatchers, dispatcher)
 }
 
-func (s *story) drained(at, written time.Duration) *story {
-	s.listings = append(s.listings, listing{"w1", 0, false, at, written})
+func (s *recordBuilder) drained(at, written time.Duration) *recordBuilder {
+	s.stateChanges = append(s.stateChanges, stateChange{"w1", 0, false, at, written})
 	return s
 }
 
-func (s *story) held(at time.Duration, held bool) *story {
-	s.holds = append(s.holds, holdEvent{"q", at, held})
+func (s *recordBuilder) cacheEvent(at time.Duration, held bool) *recordBuilder {
+	s.cacheEvents = append(s.cacheEvents, cacheEvent{"q", at, held})
 	return s
 }
 
 // Each rule's check fires where the rule is broken, and not right beside that.
-func TestEachRuleOfTheOracleFires(t *testing.T) {
+func TestOracleReportsEachBrokenRule(t *testing.T) {
 	neverRan := func(a *attempt) { a.neverRan = true }
 	for name, c := range map[string]struct {
 		rule string // empty: none is broken
-		of   *story
+		of   *recordBuilder
 	}{
-		"all is well":                     {"", tell(true).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1100*ms)},
-		"no answer":                       {ruleLost, func() *story { s := tell(false); s.q.gone = 7000 * ms; return s }()},
-		"a late answer":                   {ruleLost, tell(false).answered(502, 3600*ms)},
-		"an answer just in time":          {"", tell(false).answered(502, 3500*ms)},
-		"closed without an answer, twice": {ruleLost, func() *story { s := tell(false); s.q.refused = 1100 * ms; return s }()},
-		"its process was killed": {"", func() *story {
-			s := tell(false)
-			s.q.refused = 1100 * ms
-			s.lives[0].killed, s.lives[0].ended = true, 1050*ms
+		"all is well":                     {"", newRecordBuilder(true).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1100*ms)},
+		"no answer":                       {ruleLost, func() *recordBuilder { s := newRecordBuilder(false); s.request.clientClosed = 7000 * ms; return s }()},
+		"a late answer":                   {ruleLost, newRecordBuilder(false).answered(502, 3600*ms)},
+		"an answer just in time":          {"", newRecordBuilder(false).answered(502, 3500*ms)},
+		"closed without an answer, twice": {ruleLost, func() *recordBuilder { s := newRecordBuilder(false); s.request.gaveUp = 1100 * ms; return s }()},
+		"its process was killed": {"", func() *recordBuilder {
+			s := newRecordBuilder(false)
+			s.request.gaveUp = 1100 * ms
+			s.processes[0].killed, s.processes[0].ended = true, 1050*ms
 			return s
 		}()},
-		"a finished stream that was cut": {ruleLost, func() *story {
-			s := tell(false).attempt("w1", 1010*ms, 1100*ms, func(a *attempt) { a.finished = true }).answered(200, 1100*ms)
-			s.q.whole = false
+		"a finished stream that was cut": {ruleLost, func() *recordBuilder {
+			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, func(a *attempt) { a.finished = true }).answered(200, 1100*ms)
+			s.request.complete = false
 			return s
 		}()},
-		"read, and closed unanswered": {ruleLost, func() *story {
-			s := tell(false).attempt("w1", 1010*ms, 1020*ms, nil).answered(200, 1300*ms)
-			s.again(1)
+		"read, and closed unanswered": {ruleLost, func() *recordBuilder {
+			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1020*ms, nil).answered(200, 1300*ms)
+			s.resent(1)
 			return s
 		}()},
-		"left unread, and sent elsewhere": {"", func() *story {
-			s := tell(false).attempt("w1", 1110*ms, 1120*ms, nil).answered(200, 1300*ms)
-			s.again(0)
+		"left unread, and sent elsewhere": {"", func() *recordBuilder {
+			s := newRecordBuilder(false).attempt("w1", 1110*ms, 1120*ms, nil).answered(200, 1300*ms)
+			s.resent(0)
 			return s
 		}()},
-		"two attempts out":                  {ruleDuplicate, tell(false).attempt("w1", 1010*ms, 1200*ms, nil).attempt("w2", 1100*ms, 1300*ms, nil).answered(200, 1300*ms)},
-		"one after the other":               {"", tell(false).attempt("w1", 1010*ms, 1100*ms, nil).attempt("w2", 1100*ms, 1300*ms, nil).answered(200, 1300*ms)},
-		"a second run":                      {ruleDuplicate, tell(true).attempt("w1", 1010*ms, 1100*ms, nil).attempt("w2", 1100*ms, 1300*ms, nil).answered(200, 1300*ms)},
-		"a second one, the first never ran": {"", tell(true).attempt("w1", 1010*ms, 1100*ms, neverRan).attempt("w2", 1100*ms, 1300*ms, nil).answered(200, 1300*ms)},
-		"a second one, the first's process was killed": {"", func() *story {
-			s := tell(true).attempt("w1", 1010*ms, 0, nil).attempt("w2", 1200*ms, 1300*ms, func(a *attempt) { a.dispatcher = 1 }).answered(200, 1300*ms)
-			s.lives[0].killed, s.lives[0].ended = true, 1100*ms
-			s.lives = append(s.lives, &life{dispatcher: 1, began: ms, ready: 2 * ms})
-			s.again(1)
+		"two attempts out":                  {ruleDuplicate, newRecordBuilder(false).attempt("w1", 1010*ms, 1200*ms, nil).attempt("w2", 1100*ms, 1300*ms, nil).answered(200, 1300*ms)},
+		"one after the other":               {"", newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).attempt("w2", 1100*ms, 1300*ms, nil).answered(200, 1300*ms)},
+		"a second run":                      {ruleDuplicate, newRecordBuilder(true).attempt("w1", 1010*ms, 1100*ms, nil).attempt("w2", 1100*ms, 1300*ms, nil).answered(200, 1300*ms)},
+		"a second one, the first never ran": {"", newRecordBuilder(true).attempt("w1", 1010*ms, 1100*ms, neverRan).attempt("w2", 1100*ms, 1300*ms, nil).answered(200, 1300*ms)},
+		"a second one, the first's process was killed": {"", func() *recordBuilder {
+			s := newRecordBuilder(true).attempt("w1", 1010*ms, 0, nil).attempt("w2", 1200*ms, 1300*ms, func(a *attempt) { a.dispatcher = 1 }).answered(200, 1300*ms)
+			s.processes[0].killed, s.processes[0].ended = true, 1100*ms
+			s.processes = append(s.processes, &process{dispatcher: 1, started: ms, ready: 2 * ms})
+			s.resent(1)
 			return s
 		}()},
-		"rejected after one that may have":    {ruleDuplicate, tell(true).attempt("w1", 1010*ms, 1100*ms, nil).answered(503, 1200*ms)},
-		"rejected after one that never ran":   {"", tell(true).attempt("w1", 1010*ms, 1100*ms, neverRan).answered(503, 1200*ms)},
-		"to one that drains":                  {ruleDrain, tell(false).drained(500*ms, 501*ms).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1200*ms)},
-		"to one that drains, within grace":    {"", tell(false).drained(800*ms, 801*ms).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1200*ms)},
-		"to one whose drain was not told":     {"", tell(false).drained(500*ms, 0).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1200*ms)},
-		"a state that waits":                  {ruleHeld, tell(false).held(1100*ms, true).held(2000*ms, false).answered(503, 1200*ms)},
-		"a state that is released in time":    {"", tell(false).held(1100*ms, true).held(1900*ms, false).answered(503, 1200*ms)},
-		"a state that is never released":      {ruleHeld, tell(false).held(1100*ms, true).answered(503, 1200*ms)},
-		"a state that waits while one is out": {"", tell(false).held(1100*ms, true).attempt("w1", 1110*ms, 2500*ms, nil).held(2500*ms, false).answered(200, 2500*ms)},
-		"a state whose attempt never came":    {ruleHeld, tell(false).held(1100*ms, true).attempt("w1", 1110*ms, 2500*ms, func(a *attempt) { a.arrived = 0 }).held(2500*ms, false).answered(502, 2500*ms)},
-		"too much time told":                  {ruleDeadline, tell(false).attempt("w1", 2000*ms, 2100*ms, func(a *attempt) { a.told = 1300 * ms }).answered(200, 2200*ms)},
-		"as much time told as is left":        {"", tell(false).attempt("w1", 2000*ms, 2100*ms, func(a *attempt) { a.told = 1100 * ms }).answered(200, 2200*ms)},
-		"an attempt for a client that left":   {ruleGone, func() *story { s := tell(false).attempt("w1", 1300*ms, 1400*ms, nil); s.q.gone = 1100 * ms; return s }()},
-		"an attempt as its client leaves":     {"", func() *story { s := tell(false).attempt("w1", 1150*ms, 1400*ms, nil); s.q.gone = 1100 * ms; return s }()},
-		"the same, its process stood still": {"", func() *story {
-			s := tell(false).attempt("w1", 1900*ms, 2000*ms, nil)
-			s.q.gone = 1100 * ms
-			s.lives[0].stops = []span{{1000 * ms, 1850 * ms}}
+		"rejected after one that may have":    {ruleDuplicate, newRecordBuilder(true).attempt("w1", 1010*ms, 1100*ms, nil).answered(503, 1200*ms)},
+		"rejected after one that never ran":   {"", newRecordBuilder(true).attempt("w1", 1010*ms, 1100*ms, neverRan).answered(503, 1200*ms)},
+		"to one that drains":                  {ruleDrain, newRecordBuilder(false).drained(500*ms, 501*ms).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1200*ms)},
+		"to one that drains, within grace":    {"", newRecordBuilder(false).drained(800*ms, 801*ms).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1200*ms)},
+		"to one whose drain was not told":     {"", newRecordBuilder(false).drained(500*ms, 0).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1200*ms)},
+		"a state that waits":                  {ruleHeld, newRecordBuilder(false).cacheEvent(1100*ms, true).cacheEvent(2000*ms, false).answered(503, 1200*ms)},
+		"a state that is released in time":    {"", newRecordBuilder(false).cacheEvent(1100*ms, true).cacheEvent(1900*ms, false).answered(503, 1200*ms)},
+		"a state that is never released":      {ruleHeld, newRecordBuilder(false).cacheEvent(1100*ms, true).answered(503, 1200*ms)},
+		"a state that waits while one is out": {"", newRecordBuilder(false).cacheEvent(1100*ms, true).attempt("w1", 1110*ms, 2500*ms, nil).cacheEvent(2500*ms, false).answered(200, 2500*ms)},
+		"a state whose attempt never came":    {ruleHeld, newRecordBuilder(false).cacheEvent(1100*ms, true).attempt("w1", 1110*ms, 2500*ms, func(a *attempt) { a.arrived = 0 }).cacheEvent(2500*ms, false).answered(502, 2500*ms)},
+		"too much time told":                  {ruleDeadline, newRecordBuilder(false).attempt("w1", 2000*ms, 2100*ms, func(a *attempt) { a.statedDeadline = 1300 * ms }).answered(200, 2200*ms)},
+		"as much time told as is left":        {"", newRecordBuilder(false).attempt("w1", 2000*ms, 2100*ms, func(a *attempt) { a.statedDeadline = 1100 * ms }).answered(200, 2200*ms)},
+		"an attempt for a client that left": {ruleGone, func() *recordBuilder {
+			s := newRecordBuilder(false).attempt("w1", 1300*ms, 1400*ms, nil)
+			s.request.clientClosed = 1100 * ms
 			return s
 		}()},
-		"a run outside of the window for repeats": {ruleDuplicate, func() *story {
-			s := tell(false).attempt("w1", 1010*ms, 1100*ms, nil).attempt("w2", 1900*ms, 2000*ms, nil).answered(200, 2000*ms)
-			s.q.class.window = 800 * ms
+		"an attempt as its client leaves": {"", func() *recordBuilder {
+			s := newRecordBuilder(false).attempt("w1", 1150*ms, 1400*ms, nil)
+			s.request.clientClosed = 1100 * ms
 			return s
 		}()},
-		"a run within it": {"", func() *story {
-			s := tell(false).attempt("w1", 1010*ms, 1100*ms, nil).attempt("w2", 1800*ms, 2000*ms, nil).answered(200, 2000*ms)
-			s.q.class.window = 800 * ms
+		"the same, its process stood still": {"", func() *recordBuilder {
+			s := newRecordBuilder(false).attempt("w1", 1900*ms, 2000*ms, nil)
+			s.request.clientClosed = 1100 * ms
+			s.processes[0].stopped = []span{{1000 * ms, 1850 * ms}}
 			return s
 		}()},
-		"an event that is held back": {ruleEvents, func() *story {
-			s := tell(false).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1500*ms)
-			s.q.events, s.q.late = 3, 400*ms
+		"a run outside of the window for repeats": {ruleDuplicate, func() *recordBuilder {
+			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).attempt("w2", 1900*ms, 2000*ms, nil).answered(200, 2000*ms)
+			s.request.class.dedupWindow = 800 * ms
 			return s
 		}()},
-		"events as they come": {"", func() *story {
-			s := tell(false).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1500*ms)
-			s.q.events, s.q.late = 3, 300*ms
+		"a run within it": {"", func() *recordBuilder {
+			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).attempt("w2", 1800*ms, 2000*ms, nil).answered(200, 2000*ms)
+			s.request.class.dedupWindow = 800 * ms
 			return s
 		}()},
-		"a state that no call could be made for": {"", func() *story {
-			s := tell(false).attempt("r1", 1010*ms, 1100*ms, nil).held(1100*ms, true).held(2000*ms, false).answered(503, 1200*ms)
-			s.lives[0].cutOff = []span{{1200 * ms, 1400 * ms}}
+		"an event that is held back": {ruleEvents, func() *recordBuilder {
+			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1500*ms)
+			s.request.eventCount, s.request.eventDelay = 3, 400*ms
 			return s
 		}()},
-		"left unread as the run ended": {"", func() *story { s := tell(false); s.q.refused, s.q.cutOff = 1100*ms, true; return s }()},
-		"read, and closed as the run ended": {ruleLost, func() *story {
-			s := tell(false).attempt("w1", 1010*ms, 1100*ms, nil)
-			s.q.refused, s.q.cutOff = 1100*ms, true
+		"events as they come": {"", func() *recordBuilder {
+			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1500*ms)
+			s.request.eventCount, s.request.eventDelay = 3, 300*ms
 			return s
 		}()},
-		"shut out unread by a crowd": {"", func() *story { s := tell(false); s.q.refused, s.crowd = 1100*ms, true; return s }()},
-		"read in a crowd, and closed unanswered": {ruleLost, func() *story {
-			s := tell(false).attempt("w1", 1010*ms, 1100*ms, nil)
-			s.q.refused, s.crowd = 1100*ms, true
+		"a state that no call could be made for": {"", func() *recordBuilder {
+			s := newRecordBuilder(false).attempt("r1", 1010*ms, 1100*ms, nil).cacheEvent(1100*ms, true).cacheEvent(2000*ms, false).answered(503, 1200*ms)
+			s.processes[0].dialOutages = []span{{1200 * ms, 1400 * ms}}
 			return s
 		}()},
-		"a process that ends by itself": {ruleCrash, func() *story {
-			s := tell(false).answered(200, 1200*ms)
-			s.lives[0].crashed, s.lives[0].ended = "exit 1", 5000*ms
+		"left unread as the run ended": {"", func() *recordBuilder {
+			s := newRecordBuilder(false)
+			s.request.gaveUp, s.request.runEnded = 1100*ms, true
 			return s
 		}()},
-		"a process that is not ready": {ruleReady, func() *story {
-			s := tell(false).answered(200, 1200*ms)
-			s.lives = append(s.lives, &life{dispatcher: 1, began: ms})
+		"read, and closed as the run ended": {ruleLost, func() *recordBuilder {
+			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil)
+			s.request.gaveUp, s.request.runEnded = 1100*ms, true
+			return s
+		}()},
+		"shut out unread by a crowd": {"", func() *recordBuilder {
+			s := newRecordBuilder(false)
+			s.request.gaveUp, s.crowded = 1100*ms, true
+			return s
+		}()},
+		"read in a crowd, and closed unanswered": {ruleLost, func() *recordBuilder {
+			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil)
+			s.request.gaveUp, s.crowded = 1100*ms, true
+			return s
+		}()},
+		"a process that ends by itself": {ruleCrash, func() *recordBuilder {
+			s := newRecordBuilder(false).answered(200, 1200*ms)
+			s.processes[0].crashed, s.processes[0].ended = "exit 1", 5000*ms
+			return s
+		}()},
+		"a process that is not ready": {ruleReady, func() *recordBuilder {
+			s := newRecordBuilder(false).answered(200, 1200*ms)
+			s.processes = append(s.processes, &process{dispatcher: 1, started: ms})
 			return s
 		}()},
 	} {
-		got := judge(c.of.record, func(int) []span { return nil })
+		got := checkRecord(c.of.record, func(int) []span { return nil })
 		broken := map[string]bool{}
 		for _, v := range got.Violations {
 			broken[v.Rule] = true
@@ -182,34 +198,34 @@
 }
 
 // A chance to break the rule on drains is each attempt that is made while some backend drains.
-func TestDrainsCountTheirChances(t *testing.T) {
-	s := tell(false).drained(1500*ms, 1501*ms).attempt("w2", 1010*ms, 1100*ms, nil).attempt("w2", 1600*ms, 1700*ms, nil).answered(200, 1700*ms)
-	s.listings = append(s.listings, listing{"w1", 0, true, 3000 * ms, 3001 * ms})
+func TestDrainChancesCountAttemptsDuringDrains(t *testing.T) {
+	s := newRecordBuilder(false).drained(1500*ms, 1501*ms).attempt("w2", 1010*ms, 1100*ms, nil).attempt("w2", 1600*ms, 1700*ms, nil).answered(200, 1700*ms)
+	s.stateChanges = append(s.stateChanges, stateChange{"w1", 0, true, 3000 * ms, 3001 * ms})
 	s.attempt("w2", 3100*ms, 3200*ms, nil)
-	if got := judge(s.record, func(int) []span { return nil }).Chances[ruleDrain]; got != 1 {
+	if got := checkRecord(s.record, func(int) []span { return nil }).Chances[ruleDrain]; got != 1 {
 		t.Errorf("%d chances", got)
 	}
 }
 
 // An event tells when it was written, however its stream is cut into reads.
-func TestAnEventTellsByHowMuchItIsLate(t *testing.T) {
+func TestEventReaderMeasuresDelayAcrossReads(t *testing.T) {
 	raw := hosts.EncodeChunk(hosts.TextEvent(eventText(0, 1000*ms))) + hosts.EncodeChunk(hosts.TextEvent(eventText(1, 1400*ms)))
 	for step := 1; step < len(raw); step++ {
-		e := &eventReader{from: iotest.OneByteReader(strings.NewReader(raw)), now: func() time.Duration { return 1500 * ms }}
+		e := &eventReader{source: iotest.OneByteReader(strings.NewReader(raw)), now: func() time.Duration { return 1500 * ms }}
 		for buffer := make([]byte, step); ; {
 			if _, err := io.ReadFull(e, buffer); err != nil {
 				break
 			}
 		}
-		if e.seen != 2 || e.late != 500*ms {
-			t.Fatalf("in steps of %d: %d events, late by %v", step, e.seen, e.late)
+		if e.events != 2 || e.delay != 500*ms {
+			t.Fatalf("in steps of %d: %d events, late by %v", step, e.events, e.delay)
 		}
 	}
 }
 
 // The same seed has the same schedule, faults overlap, and every kind comes up.
-func TestASeedHasOneSchedule(t *testing.T) {
-	o := Options{Seed: 7, Length: 10 * time.Minute, Every: 400 * ms}
+func TestScheduleIsDeterministicAndCoversAllKinds(t *testing.T) {
+	o := Options{Seed: 7, Length: 10 * time.Minute, FaultInterval: 400 * ms}
 	one, two := Schedule(o), Schedule(o)
 	if len(one) < 1000 || len(one) != len(two) {
 		t.Fatalf("%d and %d faults", len(one), len(two))
@@ -230,8 +246,8 @@
 }
 
 // What is not needed for a failure is dropped.
-func TestShrinkKeepsWhatIsNeeded(t *testing.T) {
-	faults := Schedule(Options{Seed: 3, Length: time.Minute, Every: 400 * ms})
+func TestShrinkKeepsNeededFaults(t *testing.T) {
+	faults := Schedule(Options{Seed: 3, Length: time.Minute, FaultInterval: 400 * ms})
 	needs := []Fault{faults[5], faults[40]}
 	fails := func(some []Fault) bool {
 		found := 0
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -18,8 +18,8 @@
 	Statuses map[int]int
 	Resent   int
 	usage    usage
-	Late     time.Duration // by which the soak itself was late
-	Unjudged bool          // it was too late to tell whose a delay is
+	Lateness     time.Duration // by which the soak itself was late
+	Inconclusive bool          // it was too late to tell whose a delay is
 }
 
 // Table prints what came of a run.
@@ -34,10 +34,10 @@
 	for _, k := range slices.Sorted(maps.Keys(kinds)) {
 		fmt.Fprintf(w, " %s %d", k, kinds[k])
 	}
-	fmt.Fprintf(w, "\npairs that overlapped: %d kinds; the soak itself was late by up to %v\n", len(Overlaps(res.Faults)), res.Late.Round(time.Millisecond))
+	fmt.Fprintf(w, "\npairs that overlapped: %d kinds; the soak itself was late by up to %v\n", len(Overlaps(res.Faults)), res.Lateness.Round(time.Millisecond))
 	fmt.Fprintf(w, "a dispatcher needed %v\n", res.usage)
-	if res.Unjudged {
-		fmt.Fprintf(w, "NOT JUDGED: the soak lagged by over %v; what follows may be its own\n", latenessMost)
+	if res.Inconclusive {
+		fmt.Fprintf(w, "NOT JUDGED: the soak lagged by over %v; what follows may be its own\n", maxLateness)
 	}
 	broken := map[string]int{}
 	for _, v := range res.Violations {
@@ -63,20 +63,20 @@
 	res := Result{Seed: r.options.Seed, Faults: faults, Statuses: map[int]int{}}
 	res.usage = usageOf(r.pids())
 	r.record.mu.Lock()
-	res.Verdict = judge(r.record, func(dispatcher int) []span { return r.discovery.agents[dispatcher].quiet })
+	res.Verdict = checkRecord(r.record, func(dispatcher int) []span { return r.discovery.agents[dispatcher].outages })
 	res.Requests, res.Attempts = len(r.record.requests), len(r.record.attempts)
 	for _, q := range r.record.requests {
 		res.Statuses[q.status]++
-		if len(q.sends) > 1 {
+		if len(q.sentAt) > 1 {
 			res.Resent++
 		}
 	}
 	r.record.mu.Unlock()
 	r.mu.Lock()
-	res.Late = r.late.most()
-	res.Unjudged = res.Late > latenessMost
-	res.Violations = append(res.Violations, r.bad...)
-	res.Chances[ruleBad] = r.saw
+	res.Lateness = r.lateness.max()
+	res.Inconclusive = res.Lateness > maxLateness
+	res.Violations = append(res.Violations, r.badClientViolations...)
+	res.Chances[ruleBad] = r.badClientsSeen
 	r.mu.Unlock()
 	return res
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -84,7 +84,7 @@
 		total += w.weight
 	}
 	var faults []Fault
-	for at := 500 * time.Millisecond; at < o.Length-settleTime; at += time.Duration((0.5 + rng.Float64()) * float64(o.Every)) {
+	for at := 500 * time.Millisecond; at < o.Length-settleTime; at += time.Duration((0.5 + rng.Float64()) * float64(o.FaultInterval)) {
 		draw := rng.IntN(total)
 		i := 0
 		for draw >= weights[i].weight {
@@ -103,7 +103,7 @@
 	pairs := map[string]int{}
 	for i, a := range faults {
 		for _, b := range faults[i+1:] {
-			if b.At > a.At+a.Length+aftermath {
+			if b.At > a.At+a.Length+faultAftermath {
 				continue
 			}
 			names := []string{string(a.Kind), string(b.Kind)}
--- a/internal/soak/shims.go
+++ b/internal/soak/shims.go
@@ -39,7 +39,7 @@
 	until time.Time
 }
 
-func (f failure) now() bool { return time.Now().Before(f.until) }
+func (f failure) lasts() bool { return time.Now().Before(f.until) }
 
 // Shims is a system that does what a soak orders over a connection.
 func Shims(control string) (system.System, error) {
@@ -61,7 +61,7 @@
 			return &shimListener{l, s}, nil
 		},
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
-			if errno, fails := s.failing(&s.dial); fails {
+			if errno, fails := s.active(&s.dial); fails {
 				return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", errno)}
 			}
 			c, err := real.Dial(ctx, network, address)
@@ -96,22 +96,22 @@
 	}
 }
 
-func (s *shims) failing(f *failure) (syscall.Errno, bool) {
+func (s *shims) active(f *failure) (syscall.Errno, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return f.errno, f.now()
+	return f.errno, f.lasts()
 }
 
 // cut is how much of a read or write is let through.
-func (s *shims) cut(into []byte) []byte {
-	if _, short := s.failing(&s.short); short {
-		return into[:min(len(into), shortMost)]
+func (s *shims) limitLength(into []byte) []byte {
+	if _, short := s.active(&s.short); short {
+		return into[:min(len(into), maxShortIO)]
 	}
 	return into
 }
 
 // shortMost is how many bytes a short read or write takes.
-const shortMost = 7
+const maxShortIO = 7
 
 type shimListener struct {
 	system.Listener
@@ -119,7 +119,7 @@
 }
 
 func (l *shimListener) Accept() (system.Conn, error) {
-	if errno, fails := l.shims.failing(&l.shims.accept); fails {
+	if errno, fails := l.shims.active(&l.shims.accept); fails {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 	}
 	c, err := l.Listener.Accept()
@@ -135,10 +135,10 @@
 	shims *shims
 }
 
-func (c *shortAccepted) Read(into []byte) (int, error) { return c.Conn.Read(c.shims.cut(into)) }
+func (c *shortAccepted) Read(into []byte) (int, error) { return c.Conn.Read(c.shims.limitLength(into)) }
 
 func (c *shortAccepted) TryRead(fd uintptr, into []byte) (int, error) {
-	return c.Conn.TryRead(fd, c.shims.cut(into))
+	return c.Conn.TryRead(fd, c.shims.limitLength(into))
 }
 
 func (c *shortAccepted) Write(from []byte) (int, error) { return inPieces(c.Conn, c.shims, from) }
@@ -149,7 +149,9 @@
 	shims *shims
 }
 
-func (c *shortDialed) Read(into []byte) (int, error) { return c.TCPConn.Read(c.shims.cut(into)) }
+func (c *shortDialed) Read(into []byte) (int, error) {
+	return c.TCPConn.Read(c.shims.limitLength(into))
+}
 
 func (c *shortDialed) Write(from []byte) (int, error) { return inPieces(c.TCPConn, c.shims, from) }
 
@@ -157,7 +159,7 @@
 func inPieces(c net.Conn, s *shims, from []byte) (n int, err error) {
 	for n < len(from) && err == nil {
 		wrote := 0
-		wrote, err = c.Write(s.cut(from[n:]))
+		wrote, err = c.Write(s.limitLength(from[n:]))
 		n += wrote
 	}
 	return n, err
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -31,7 +31,7 @@
 	Seed      uint64
 	Processes int
 	Length    time.Duration
-	Every     time.Duration // between two faults, on the mean
+	FaultInterval     time.Duration // between two faults, on the mean
 	Clients   int           // usual ones for each process
 	Backends  int           // 0: as few as show all rules
 	Rate      float64       // requests a second for each process beside those of the usual clients, which wait for their answers
@@ -42,30 +42,30 @@
 }
 
 const (
-	settleTime  = 4 * time.Second // at a run's end, without a new fault
-	aftermath   = time.Second     // for which a fault that has ended still acts
-	fewBackends = 5
-	prefillPart = 0.45 // of the backends
-	badClients  = 2
-	startMost   = 30 * time.Second
-	clientsMost = 8 * time.Second // for clients to end
+	settleTime      = 4 * time.Second // at a run's end, without a new fault
+	faultAftermath  = time.Second     // for which a fault that has ended still acts
+	defaultBackends = 5
+	prefillShare    = 0.45 // of the backends
+	badClients      = 2
+	startLimit      = 30 * time.Second
+	clientsEndLimit = 8 * time.Second // for clients to end
 )
 
 // run is one that is being played.
 type run struct {
 	options     Options
 	variant     variant
-	late        lateness // of the soak itself
+	lateness    lateness // of the soak itself
 	record      *record
-	farm        *farm
+	cluster     *cluster
 	discovery   *discovery
 	dispatchers []*dispatcher
 	dir         string
 	group       errgroup.Group
 
-	mu  sync.Mutex
-	bad []Violation // of bad clients
-	saw int         // bad clients that had their end
+	mu                  sync.Mutex
+	badClientViolations []Violation // of bad clients
+	badClientsSeen      int         // bad clients that had their end
 }
 
 // Run plays one seed and judges it.
@@ -83,7 +83,7 @@
 		defer os.RemoveAll(dir)
 		r.dir = dir
 	}
-	if err := r.keepSchedule(o.Faults); err != nil {
+	if err := r.writeSchedule(o.Faults); err != nil {
 		return Result{}, err
 	}
 	if err := r.open(); err != nil {
@@ -101,7 +101,7 @@
 }
 
 // keepSchedule writes the schedule beside the record.
-func (r *run) keepSchedule(faults []Fault) error {
+func (r *run) writeSchedule(faults []Fault) error {
 	raw, err := json.MarshalIndent(faults, "", "  ")
 	if err != nil {
 		return err
@@ -111,25 +111,25 @@
 
 // open opens backends, discovery and the places of the dispatchers.
 func (r *run) open() error {
-	r.farm = &farm{record: r.record, held: map[string]bool{}}
-	r.discovery = &discovery{record: r.record, farm: r.farm, rev: 1}
-	backends := cmp.Or(r.options.Backends, fewBackends)
-	prefills := int(prefillPart * float64(backends))
+	r.cluster = &cluster{record: r.record, cached: map[string]bool{}}
+	r.discovery = &discovery{record: r.record, cluster: r.cluster, revision: 1}
+	backends := cmp.Or(r.options.Backends, defaultBackends)
+	prefills := int(prefillShare * float64(backends))
 	for i := range backends {
 		name := fmt.Sprintf("r%d", i)
 		if i >= prefills {
 			name = fmt.Sprintf("w%d", i-prefills)
 		}
-		if err := r.farm.addBackend(name, i < prefills, r.options.Processes); err != nil {
+		if err := r.cluster.addBackend(name, i < prefills, r.options.Processes); err != nil {
 			return err
 		}
 	}
-	ports := &addresses{map[int]bool{}}
+	ports := &portAllocator{map[int]bool{}}
 	for i := range r.options.Processes {
 		if err := r.discovery.addAgent(i); err != nil {
 			return err
 		}
-		d := &dispatcher{run: r, number: i, file: filepath.Join(r.dir, fmt.Sprintf("n%d.json", i))}
+		d := &dispatcher{run: r, number: i, configFile: filepath.Join(r.dir, fmt.Sprintf("n%d.json", i))}
 		var err error
 		if d.listen, err = ports.free(); err != nil {
 			return err
@@ -137,7 +137,7 @@
 		if d.peer, err = ports.free(); err != nil {
 			return err
 		}
-		if d.control, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
+		if d.shimListener, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 			return err
 		}
 		r.dispatchers = append(r.dispatchers, d)
@@ -164,23 +164,23 @@
 	asking := &clients{run: r, record: r.record}
 	var running sync.WaitGroup
 	for i := range r.options.Processes * r.options.Clients {
-		running.Go(func() { asking.usual(ctx, rand.New(rand.NewPCG(r.options.Seed, uint64(i)))) })
+		running.Go(func() { asking.runWellBehaved(ctx, rand.New(rand.NewPCG(r.options.Seed, uint64(i)))) })
 	}
-	running.Go(func() { r.late.watch(ctx) })
+	running.Go(func() { r.lateness.watch(ctx) })
 	if rate := r.options.Rate * float64(r.options.Processes); rate > 0 {
 		running.Go(func() { asking.openLoop(ctx, rand.New(rand.NewPCG(r.options.Seed, 2<<32)), rate) })
 	}
 	for _, d := range r.dispatchers {
-		for range r.variant.crowd {
+		for range r.variant.idleClients {
 			running.Go(func() { asking.idle(ctx, d) })
 		}
 	}
 	for i := range badClients {
-		running.Go(func() { asking.bad(ctx, rand.New(rand.NewPCG(r.options.Seed, 1<<32+uint64(i)))) })
+		running.Go(func() { asking.runMalformed(ctx, rand.New(rand.NewPCG(r.options.Seed, 1<<32+uint64(i)))) })
 	}
 	running.Go(func() {
-		for system.Sleep(ctx, beatTime) {
-			r.discovery.beat()
+		for system.Sleep(ctx, heartbeatInterval) {
+			r.discovery.heartbeat()
 		}
 	})
 	began := time.Now()
@@ -188,17 +188,17 @@
 		if !system.Sleep(ctx, f.At-time.Since(began)) {
 			break
 		}
-		running.Go(func() { r.cause(ctx, f) })
+		running.Go(func() { r.inject(ctx, f) })
 	}
 	<-ctx.Done()
 	running.Wait()
 }
 
 // front deals out a dispatcher that takes new connections.
-func (r *run) front(rng *rand.Rand) *dispatcher {
+func (r *run) pickDispatcher(rng *rand.Rand) *dispatcher {
 	var up []*dispatcher
 	for _, d := range r.dispatchers {
-		if d.up() {
+		if d.acceptsConnections() {
 			up = append(up, d)
 		}
 	}
@@ -209,17 +209,17 @@
 }
 
 // badDone takes note of a bad client's end.
-func (r *run) badDone(dispatcher int, began, took time.Duration, err error) {
+func (r *run) recordBadClient(dispatcher int, began, took time.Duration, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.saw++
-	if took > badLimit+slack+r.heldUp(dispatcher, began, began+took) {
-		r.bad = append(r.bad, Violation{ruleBad, began + took, fmt.Sprintf("a client that stopped in a request to n%d had its end after %v: %v", dispatcher, took, err)})
+	r.badClientsSeen++
+	if took > badClientLimit+observationSlack+r.stoppedFor(dispatcher, began, began+took) {
+		r.badClientViolations = append(r.badClientViolations, Violation{ruleBad, began + took, fmt.Sprintf("a client that stopped in a request to n%d had its end after %v: %v", dispatcher, took, err)})
 	}
 }
 
-func (r *run) heldUp(dispatcher int, from, to time.Duration) (held time.Duration) {
-	r.record.with(func() { held = r.record.heldUp(dispatcher, from, to) })
+func (r *run) stoppedFor(dispatcher int, from, to time.Duration) (held time.Duration) {
+	r.record.with(func() { held = r.record.stoppedFor(dispatcher, from, to) })
 	return held
 }
 
@@ -227,19 +227,19 @@
 func (r *run) close() {
 	for _, d := range r.dispatchers {
 		r.record.with(func() {
-			if d.life != nil {
-				d.life.killed = true
+			if d.process != nil {
+				d.process.killed = true
 			}
 		})
 		d.signal(syscall.SIGKILL)
-		d.control.Close()
+		d.shimListener.Close()
 	}
 	r.group.Wait()
 	r.discovery.close()
-	for _, b := range r.farm.backends {
+	for _, b := range r.cluster.backends {
 		b.close()
 	}
-	r.farm.done.Wait()
+	r.cluster.connections.Wait()
 }
 
 // Shrink drops faults from a schedule as long as fails says that the rest still fails, and returns the shortest that was found.
--- a/internal/soak/variant.go
+++ b/internal/soak/variant.go
@@ -7,13 +7,13 @@
 
 // variant is the deployment that a run plays: what the settings say, and whether idle clients crowd the dispatchers.
 type variant struct {
-	classes []class
-	hold    time.Duration // for which a state may wait with no attempt out
-	crowd   int           // idle clients for each dispatcher
+	classes      []class
+	cacheTimeout time.Duration // for which a state may wait with no attempt out
+	idleClients  int           // idle clients for each dispatcher
 }
 
 // crowdSize is how many idle clients a crowd has: more than a dispatcher has descriptors for.
-const crowdSize = 300
+const idleClientCount = 300
 
 // drawVariant draws the deployment of a run from its seed. The classes are those of hosts.Settings; their deadlines, and how long a
 // state may wait, decide how soon after SIGTERM the SIGKILL comes, and what a send that does not arrive has to be followed by.
@@ -23,13 +23,13 @@
 		{3 * time.Second, 2 * time.Second}, {1200 * time.Millisecond, time.Second}, {2 * time.Second, 1500 * time.Millisecond},
 		{6 * time.Second, 4 * time.Second},
 	}[rng.IntN(4)]
-	v := variant{hold: []time.Duration{500 * time.Millisecond, 300 * time.Millisecond}[rng.IntN(2)]}
-	v.classes = []class{{name: "trail-info", deadline: deadlines[0]}, {name: "hut-booking", once: true, deadline: deadlines[1]}}
+	v := variant{cacheTimeout: []time.Duration{500 * time.Millisecond, 300 * time.Millisecond}[rng.IntN(2)]}
+	v.classes = []class{{name: "trail-info", deadline: deadlines[0]}, {name: "hut-booking", nonIdempotent: true, deadline: deadlines[1]}}
 	if rng.IntN(3) == 0 {
-		v.classes[0].window = 800 * time.Millisecond
+		v.classes[0].dedupWindow = 800 * time.Millisecond
 	}
 	if rng.IntN(4) == 0 {
-		v.crowd = crowdSize
+		v.idleClients = idleClientCount
 	}
 	return v
 }
@@ -37,9 +37,9 @@
 // effect is how the settings state what running a request of the class again does.
 func (c class) effect() string {
 	switch {
-	case c.once:
+	case c.nonIdempotent:
 		return "once"
-	case c.window > 0:
+	case c.dedupWindow > 0:
 		return "by_key"
 	}
 	return "repeatable"
@@ -51,10 +51,10 @@
 	for _, c := range v.classes {
 		longest = max(longest, c.deadline)
 	}
-	return min(longest, killDeadlineMost) + killSlack
+	return min(longest, maxKillDeadline) + killSlack
 }
 
 const (
-	killDeadlineMost = 3 * time.Second
-	killSlack        = 700 * time.Millisecond
+	maxKillDeadline = 3 * time.Second
+	killSlack       = 700 * time.Millisecond
 )
