--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -18,38 +18,39 @@
 	"sloetrestle/internal/system"
 )
 
-// backend is an emulated engine: it does either phase of a request by the platform's protocol, and goes wrong as the schedule has it.
+// backend is an emulated engine: it does one phase of a request by the platform's protocol and misbehaves as the
+// schedule says.
 type backend struct {
 	uid       string
 	prefill   bool
 	cluster   *cluster
-	endpoints []string // where each dispatcher reaches it
+	endpoints []string // the address for each dispatcher
 	rack      int
-	isolateMu sync.Mutex // held while it is cut off
+	isolateMu sync.Mutex // held while the backend is isolated
 
 	mu        sync.Mutex
 	listeners []net.Listener
 	closed    bool
 	faults    map[Kind]activeFault
-	state     string // as discovery has it
+	state     string // as discovery lists it
 	bootedAt  time.Duration
 	bootMs    int64
-	accepted  atomic.Uint64 // connections that were taken
+	accepted  atomic.Uint64 // number of accepted connections
 }
 
-// activeFault is a fault while it lasts.
+// activeFault is a fault with the time at which it ends.
 type activeFault struct {
 	until time.Duration
 	draw  uint64
 }
 
-// farm is all backends, and what they hold.
+// cluster is the set of all backends and the KV caches that they hold.
 type cluster struct {
 	record   *record
 	backends []*backend
 
 	mu          sync.Mutex
-	cached      map[string]bool // requests whose state waits somewhere
+	cached      map[string]bool // requests whose KV cache is held by some backend
 	connections sync.WaitGroup
 }
 
@@ -60,40 +61,46 @@
 	minTokens     = 3
 	maxTokens     = 20
 	slowFactor    = 12
-	releaseDelay  = 2 * time.Millisecond // for what came before a release to be noticed, a close above all
+	releaseDelay  = 2 * time.Millisecond // lets earlier events, closes above all, be recorded before a release
 	rackSize      = 3
-	backendSubnet = 64 // the second byte of backends' addresses, which nothing else uses
+	backendSubnet = 64 // second byte of the backends' addresses; nothing else uses it
 )
 
-// address is the loopback address of a backend: each has one of its own, as thousands of listeners would else take the ports that
-// connections need.
-func (f *cluster) address() string {
-	number := len(f.backends) + 1
+// address returns the loopback address of the next backend. Each backend has its own address, because thousands of
+// listeners on one address would use up the ports that outgoing connections need.
+func (c *cluster) address() string {
+	number := len(c.backends) + 1
 	return fmt.Sprintf("127.%d.%d.%d:0", backendSubnet+number>>16, number>>8&0xff, number&0xff)
 }
 
-// addBackend opens a backend with an address for each dispatcher.
-func (f *cluster) addBackend(uid string, prefill bool, dispatchers int) error {
-	b := &backend{uid: uid, prefill: prefill, rack: len(f.backends) / rackSize, cluster: f, faults: map[Kind]activeFault{}, state: "in_service"}
-	for d := range dispatchers {
-		l, err := net.Listen("tcp", f.address())
+// addBackend starts a backend with one listener for each dispatcher.
+func (c *cluster) addBackend(uid string, prefill bool, dispatchers int) error {
+	b := &backend{
+		uid: uid, prefill: prefill, rack: len(c.backends) / rackSize, cluster: c,
+		faults: map[Kind]activeFault{}, state: "in_service",
+	}
+	for dispatcher := range dispatchers {
+		listener, err := net.Listen("tcp", c.address())
 		if err != nil {
 			return err
 		}
-		b.endpoints, b.listeners = append(b.endpoints, l.Addr().String()), append(b.listeners, l)
-		b.accept(l, d)
+		b.endpoints, b.listeners = append(b.endpoints, listener.Addr().String()), append(b.listeners, listener)
+		b.accept(listener, dispatcher)
 	}
-	f.backends = append(f.backends, b)
+	c.backends = append(c.backends, b)
 	return nil
 }
 
-// accept has a listener's connections served.
-func (b *backend) accept(l net.Listener, dispatcher int) {
-	done := &b.cluster.connections
-	done.Go(func() { acceptAll(l, done, func(c net.Conn) { b.serve(c.(*net.TCPConn), dispatcher) }) })
+// accept serves the connections of a listener in the background.
+func (b *backend) accept(listener net.Listener, dispatcher int) {
+	connections := &b.cluster.connections
+	connections.Go(func() {
+		acceptAll(listener, connections, func(c net.Conn) { b.serve(c.(*net.TCPConn), dispatcher) })
+	})
 }
 
-// cutOff has the backend be cut off for a while: connections that stand fall silent, and new ones neither come up nor are refused.
+// isolate cuts the backend off for a while: established connections fall silent, and new ones are neither accepted
+// nor refused.
 func (b *backend) isolate(ctx context.Context, length time.Duration, draw uint64) {
 	b.isolateMu.Lock()
 	defer b.isolateMu.Unlock()
@@ -102,27 +109,28 @@
 	for range b.listeners {
 		stuck = append(stuck, nil)
 	}
-	for d := range b.listeners {
+	for dispatcher := range b.listeners {
 		filling.Go(func() {
-			if l := b.reopen(d); l != nil {
-				stuck[d], _ = standin.FillBacklog(l)
+			if listener := b.reopen(dispatcher); listener != nil {
+				stuck[dispatcher], _ = standin.FillBacklog(listener)
 			}
 		})
 	}
 	filling.Wait()
 	b.injectFault(BackendSilent, b.cluster.record.now()+length, draw)
 	system.Sleep(ctx, length)
-	for d := range b.listeners {
-		for _, c := range stuck[d] {
+	for dispatcher := range b.listeners {
+		for _, c := range stuck[dispatcher] {
 			c.Close()
 		}
-		if l := b.reopen(d); l != nil {
-			b.accept(l, d)
+		if listener := b.reopen(dispatcher); listener != nil {
+			b.accept(listener, dispatcher)
 		}
 	}
 }
 
-// reopen listens anew at a dispatcher's address, and serves nothing yet; nil: the run is over.
+// reopen replaces the listener for a dispatcher by a new one on the same address, without serving it. It returns nil
+// if the run is over.
 func (b *backend) reopen(dispatcher int) net.Listener {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -131,80 +139,83 @@
 	}
 	b.listeners[dispatcher].Close()
 	for range 50 {
-		if l, err := net.Listen("tcp", b.endpoints[dispatcher]); err == nil {
-			b.listeners[dispatcher] = l
-			return l
+		if listener, err := net.Listen("tcp", b.endpoints[dispatcher]); err == nil {
+			b.listeners[dispatcher] = listener
+			return listener
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	return nil
 }
 
-// close ends listening for good.
+// close closes all listeners for good.
 func (b *backend) close() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.closed = true
-	for _, l := range b.listeners {
-		l.Close()
+	for _, listener := range b.listeners {
+		listener.Close()
 	}
 }
 
 // acceptAll serves connections until the listener closes.
-func acceptAll(l net.Listener, done *sync.WaitGroup, serve func(net.Conn)) {
+func acceptAll(listener net.Listener, connections *sync.WaitGroup, serve func(net.Conn)) {
 	for {
-		c, err := l.Accept()
+		c, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		done.Go(func() {
+		connections.Go(func() {
 			defer c.Close()
 			serve(c)
 		})
 	}
 }
 
-// goesWrong has a kind of fault last until a time.
+// injectFault activates a kind of fault until the given time.
 func (b *backend) injectFault(kind Kind, until time.Duration, draw uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.faults[kind] = activeFault{until, draw}
 }
 
-// wrongNow tells whether a kind of fault lasts, and its draw.
+// faultActive reports whether a kind of fault is active, with its random draw.
 func (b *backend) faultActive(kind Kind) (uint64, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	w, ok := b.faults[kind]
-	return w.draw, ok && b.cluster.record.now() < w.until
+	fault, ok := b.faults[kind]
+	return fault.draw, ok && b.cluster.record.now() < fault.until
 }
 
-// restart has the backend be a new process in slow start.
+// restart makes the backend appear as a new process in slow start.
 func (b *backend) restart() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.bootedAt, b.bootMs = b.cluster.record.now(), time.Now().UnixMilli()
 }
 
-// exchange is one connection of a dispatcher.
+// exchange is one connection of a dispatcher, which carries one request.
 type exchange struct {
 	*backend
 	conn       *net.TCPConn
 	attempt    *attempt
-	silenced   atomic.Bool   // the connection has fallen silent, both ways and for good
-	closed     chan struct{} // closed when the dispatcher has closed
+	silenced   atomic.Bool   // the connection has fallen silent for good, in both directions
+	closed     chan struct{} // closed when the dispatcher has closed the connection
 	received   *io.PipeReader
-	connNumber uint64 // of the connection
+	connNumber uint64 // position among the accepted connections of the backend
 }
 
-// serve takes the one request of a connection.
+// serve handles the one request of a connection.
 func (b *backend) serve(conn *net.TCPConn, dispatcher int) {
-	e := &exchange{backend: b, conn: conn, closed: make(chan struct{}), connNumber: b.accepted.Add(1), attempt: &attempt{dispatcher: dispatcher, backend: b.uid, prefill: b.prefill}}
-	in, out := io.Pipe()
-	e.received = in
-	b.cluster.connections.Go(func() { e.receive(out) })
-	defer func() { conn.Close(); in.Close(); <-e.closed }()
-	r, err := http.ReadRequest(bufio.NewReader(in))
+	e := &exchange{
+		backend: b, conn: conn, closed: make(chan struct{}), connNumber: b.accepted.Add(1),
+		attempt: &attempt{dispatcher: dispatcher, backend: b.uid, prefill: b.prefill},
+	}
+	received, forwarded := io.Pipe()
+	e.received = received
+	b.cluster.connections.Go(func() { e.receive(forwarded) })
+	defer func() { conn.Close(); received.Close(); <-e.closed }()
+	r, err := http.ReadRequest(bufio.NewReader(received))
 	if err != nil {
 		e.wait(0)
 		return
@@ -217,19 +228,20 @@
 		e.releaseKVCache(strings.TrimPrefix(r.URL.Path, "/v1/holds/"))
 		return
 	}
-	ms, _ := strconv.Atoi(r.Header.Get("X-Timeout-Ms"))
+	timeoutMs, _ := strconv.Atoi(r.Header.Get("X-Timeout-Ms"))
 	b.cluster.record.with(func() {
 		e.attempt.id, e.attempt.arrived = r.Header.Get("X-Request-Id"), b.cluster.record.now()
-		e.attempt.statedDeadline = time.Duration(ms) * time.Millisecond
+		e.attempt.statedDeadline = time.Duration(timeoutMs) * time.Millisecond
 	})
 	e.answer()
 	e.wait(0)
 }
 
-// receive hands on what the dispatcher sends, until the connection falls silent: what comes then arrives nowhere, but is still seen.
-func (e *exchange) receive(out *io.PipeWriter) {
+// receive forwards what the dispatcher sends until the connection falls silent. Later bytes are dropped, but still
+// recorded.
+func (e *exchange) receive(forwarded *io.PipeWriter) {
 	defer close(e.closed)
-	defer out.Close()
+	defer forwarded.Close()
 	record, buffer := e.cluster.record, make([]byte, 16<<10)
 	for {
 		n, err := e.conn.Read(buffer)
@@ -243,10 +255,10 @@
 			})
 		}
 		if draw, resets := e.faultActive(BackendResets); n > 0 && resets && draw%3 == 0 {
-			e.reset() // before the request's last byte
+			e.reset() // before the last byte of the request
 		}
 		if n > 0 && !e.isSilent() {
-			out.Write(buffer[:n])
+			forwarded.Write(buffer[:n])
 		}
 		if err != nil {
 			record.with(func() { e.attempt.closed = now })
@@ -255,29 +267,30 @@
 	}
 }
 
-// silent tells whether the connection has fallen silent.
+// isSilent reports whether the connection has fallen silent.
 func (e *exchange) isSilent() bool {
-	_, wrong := e.faultActive(BackendSilent)
+	_, silent := e.faultActive(BackendSilent)
 	draw, mute := e.faultActive(BackendMute)
-	if wrong || mute && (draw%2 == 0 || e.connNumber%2 == 0) {
+	if silent || mute && (draw%2 == 0 || e.connNumber%2 == 0) {
 		e.silenced.Store(true)
 	}
 	return e.silenced.Load()
 }
 
-// reset resets the connection.
+// reset closes the connection with a TCP reset.
 func (e *exchange) reset() {
 	e.conn.SetLinger(0)
 	e.conn.Close()
 }
 
-// await waits for so long, 0: for ever; false: the dispatcher has closed before.
-func (e *exchange) wait(wait time.Duration) bool {
-	if wait == 0 {
+// wait waits for the given time, or without limit if it is 0. It returns false if the dispatcher closes the
+// connection first.
+func (e *exchange) wait(length time.Duration) bool {
+	if length == 0 {
 		<-e.closed
 		return false
 	}
-	timer := time.NewTimer(wait)
+	timer := time.NewTimer(length)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -287,7 +300,7 @@
 	}
 }
 
-// release lets go of what is held for a request, at whatever backend.
+// releaseKVCache drops the KV cache of a request, whichever backend holds it.
 func (e *exchange) releaseKVCache(id string) {
 	if _, hangs := e.faultActive(BackendHangs); hangs {
 		e.wait(0)
@@ -299,39 +312,47 @@
 	e.wait(0)
 }
 
-// abandoned tells whether the dispatcher has closed the attempt's connection: its state is not kept then.
-func (e *exchange) closedByDispatcher() (gone bool) {
-	e.cluster.record.with(func() { gone = e.attempt.closed > 0 })
-	return gone
+// closedByDispatcher reports whether the dispatcher has closed the connection of the attempt. No KV cache is stored
+// then.
+func (e *exchange) closedByDispatcher() (closed bool) {
+	e.cluster.record.with(func() { closed = e.attempt.closed > 0 })
+	return closed
 }
 
-// hold and drop take note of what waits for a request.
-func (f *cluster) storeKVCache(id string) {
-	f.mu.Lock()
-	f.cached[id] = true
-	f.mu.Unlock()
-	f.record.with(func() { f.record.cacheEvents = append(f.record.cacheEvents, cacheEvent{id, f.record.now(), true}) })
+// storeKVCache records that a KV cache is held for a request.
+func (c *cluster) storeKVCache(id string) {
+	c.mu.Lock()
+	c.cached[id] = true
+	c.mu.Unlock()
+	c.record.with(func() {
+		c.record.cacheEvents = append(c.record.cacheEvents, cacheEvent{id, c.record.now(), true})
+	})
 }
 
-func (f *cluster) dropKVCache(id string) (was bool) {
-	f.mu.Lock()
-	was = f.cached[id]
-	delete(f.cached, id)
-	f.mu.Unlock()
-	f.record.with(func() { f.record.cacheEvents = append(f.record.cacheEvents, cacheEvent{id, f.record.now(), false}) })
-	return was
+// dropKVCache records that the KV cache of a request was taken or released, and reports whether there was one.
+func (c *cluster) dropKVCache(id string) (existed bool) {
+	c.mu.Lock()
+	existed = c.cached[id]
+	delete(c.cached, id)
+	c.mu.Unlock()
+	c.record.with(func() {
+		c.record.cacheEvents = append(c.record.cacheEvents, cacheEvent{id, c.record.now(), false})
+	})
+	return existed
 }
 
-func (f *cluster) hasKVCache(id string) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.cached[id]
+// hasKVCache reports whether a KV cache is held for a request.
+func (c *cluster) hasKVCache(id string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.cached[id]
 }
 
-// say writes an answer as it is; last: the attempt is over with it.
+// write writes raw bytes of an answer. last marks the end of the attempt. On a silent connection the bytes are
+// dropped.
 func (e *exchange) write(raw string, last bool) bool {
 	if e.isSilent() {
-		return true // it goes nowhere
+		return true
 	}
 	if last {
 		e.cluster.record.with(func() { e.attempt.answered = e.cluster.record.now() })
@@ -340,7 +361,7 @@
 	return err == nil
 }
 
-// answer does the work that was asked for, or goes wrong.
+// answer does the requested work, or misbehaves as the active faults say.
 func (e *exchange) answer() {
 	if _, full := e.faultActive(BackendFull); full {
 		e.cluster.record.with(func() { e.attempt.neverRan = true })
@@ -353,11 +374,11 @@
 	}
 	draw, hangs := e.faultActive(BackendHangs)
 	if hangs && draw%3 == 0 {
-		e.wait(0) // before its work
+		e.wait(0) // before the work
 		return
 	}
 	if draw, resets := e.faultActive(BackendResets); resets && draw%3 == 1 {
-		e.reset() // right behind the request
+		e.reset() // right after the request
 		return
 	}
 	work := prefillWork
@@ -376,10 +397,11 @@
 		}
 		e.cluster.storeKVCache(e.attempt.id)
 		if hangs {
-			e.wait(0) // behind its work
+			e.wait(0) // after the work
 			return
 		}
-		e.write("HTTP/1.1 202 Accepted\r\nX-Server-Load: util=0.5,queue=2,x0=0.25\r\nContent-Length: 21\r\n\r\n{\"cached_tokens\":100}", true)
+		e.write("HTTP/1.1 202 Accepted\r\nX-Server-Load: util=0.5,queue=2,x0=0.25\r\n"+
+			"Content-Length: 21\r\n\r\n{\"cached_tokens\":100}", true)
 		return
 	}
 	if !e.cluster.hasKVCache(e.attempt.id) {
@@ -390,10 +412,11 @@
 	e.stream(hangs)
 }
 
-// eventText is the text of an event, with the time at which it is written: its client tells by that whether it was held back.
+// eventText returns the text of an event with the time at which it is written, so that the client can measure its
+// delay.
 func eventText(number int, now time.Duration) string { return fmt.Sprintf("t%d@%d;", number, now) }
 
-// stream writes an answer, event by event.
+// stream writes an answer event by event.
 func (e *exchange) stream(hangs bool) {
 	e.cluster.dropKVCache(e.attempt.id)
 	draw, spoils := e.faultActive(BackendSpoils)
@@ -406,7 +429,8 @@
 	}
 	tokens := minTokens + len(e.attempt.id)*7%(maxTokens-minTokens)
 	for i := range tokens {
-		if !e.write(hosts.EncodeChunk(hosts.TextEvent(eventText(i, e.cluster.record.now()))), false) || !e.wait(tokenTime) {
+		if !e.write(hosts.EncodeChunk(hosts.TextEvent(eventText(i, e.cluster.record.now()))), false) ||
+			!e.wait(tokenTime) {
 			return
 		}
 		if hangs && i == 1 {
@@ -424,7 +448,7 @@
 	}
 	end := hosts.EncodeChunk(hosts.UsageEvent+hosts.DoneEvent) + hosts.LastChunk
 	if spoils {
-		end += hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("again")) // a second answer right behind
+		end += hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("again")) // a second answer
 	}
 	wrote := e.write(end, true)
 	e.cluster.record.with(func() { e.attempt.finished = wrote && !e.silenced.Load() })
--- a/internal/soak/client.go
+++ b/internal/soak/client.go
@@ -17,50 +17,50 @@
 	"sloetrestle/internal/system"
 )
 
-// manner is how a client goes about a request.
+// behavior is how a client handles a request.
 type behavior int
 
 const (
 	plain         behavior = iota
-	closesEarly            // it closes before the answer is whole
-	sendsInPieces          // it sends in pieces
-	tightDeadline          // it gives very little time
-	readsSlowly            // it reads slowly
-	idlesFirst             // it rests on its connection before it sends, longer than connections may rest
-	behaviorCount          //
+	closesEarly            // closes the connection before the answer is complete
+	sendsInPieces          // sends the request in pieces
+	tightDeadline          // gives very little time
+	readsSlowly            // reads the answer slowly
+	idlesFirst             // idles on the connection before it sends, possibly beyond the idle timeout
+	behaviorCount          // number of behaviors
 )
 
 const (
 	maxThinkTime      = 250 * time.Millisecond // between two requests of a client
 	tightDeadlineTime = 60 * time.Millisecond
-	answerTimeout     = 6 * time.Second // for an answer, after which a client that waits calls it lost
-	badClientLimit    = 3 * time.Second // in which a bad client is owed an error or a close
+	answerTimeout     = 6 * time.Second // after which a waiting client counts its request as lost
+	badClientLimit    = 3 * time.Second // within which a bad client must get an error or a close
 )
 
-// clients ask the dispatchers.
+// clients send requests to the dispatchers.
 type clients struct {
 	run       *run
 	record    *record
-	issuedIDs atomic.Int64 // ids
+	issuedIDs atomic.Int64 // number of request ids issued
 }
 
-// newID is the id of a further request; it tells the run.
+// newID returns the id of a new request. It contains the seed of the run.
 func (c *clients) newID() string {
 	return fmt.Sprintf("%x-%06x", c.run.options.Seed, c.issuedIDs.Add(1))
 }
 
-// usual is a client that keeps to the protocol, request after request.
+// runWellBehaved runs a client that follows the protocol and sends one request after another.
 func (c *clients) runWellBehaved(ctx context.Context, rng *rand.Rand) {
 	var conn *clientConn
 	for ctx.Err() == nil {
 		if !system.Sleep(ctx, time.Duration(rng.Float64()*float64(maxThinkTime))) {
 			break
 		}
-		how := plain
+		mode := plain
 		if rng.IntN(3) == 0 {
-			how = behavior(rng.IntN(int(behaviorCount)))
+			mode = behavior(rng.IntN(int(behaviorCount)))
 		}
-		conn = c.sendRequest(ctx, rng, conn, how)
+		conn = c.sendRequest(ctx, rng, conn, mode)
 	}
 	conn.close()
 }
@@ -78,7 +78,7 @@
 	}
 }
 
-// connect connects to a dispatcher that the front deals out; nil: there is none.
+// connect connects to a dispatcher that accepts new connections. It returns nil if the context ends first.
 func (c *clients) connect(ctx context.Context, rng *rand.Rand) *clientConn {
 	for ctx.Err() == nil {
 		d := c.run.pickDispatcher(rng)
@@ -95,54 +95,59 @@
 	return nil
 }
 
-// ask has one request served, and returns the connection if it can be used again. A connection that ends without a byte of an answer has
-// the request sent once more on a new one.
-func (c *clients) sendRequest(ctx context.Context, rng *rand.Rand, conn *clientConn, how behavior) *clientConn {
+// sendRequest sends one request and returns the connection if it can be reused. If a connection ends without a byte
+// of an answer, the request is sent once more on a new one.
+func (c *clients) sendRequest(ctx context.Context, rng *rand.Rand, conn *clientConn, mode behavior) *clientConn {
 	classes := c.run.variant.classes
-	q := &request{id: c.newID(), class: classes[rng.IntN(len(classes))]}
-	q.timeout = q.class.deadline
-	if how == tightDeadline {
-		q.timeout = tightDeadlineTime
+	req := &request{id: c.newID(), class: classes[rng.IntN(len(classes))]}
+	req.timeout = req.class.deadline
+	if mode == tightDeadline {
+		req.timeout = tightDeadlineTime
 	}
 	c.record.with(func() {
-		c.record.requests = append(c.record.requests, q)
-		c.record.byID[q.id] = q
+		c.record.requests = append(c.record.requests, req)
+		c.record.byID[req.id] = req
 	})
 	for try := 0; try < 2; try++ {
 		if conn == nil {
 			if conn = c.connect(ctx, rng); conn == nil {
-				c.record.with(func() { q.runEnded = true })
+				c.record.with(func() { req.runEnded = true })
 				break
 			}
 		}
-		if how == idlesFirst && try == 0 {
+		if mode == idlesFirst && try == 0 {
 			system.Sleep(ctx, time.Duration(rng.Float64()*float64(2500*time.Millisecond)))
 		}
-		again, next := c.exchange(ctx, rng, conn, q, how)
+		again, next := c.exchange(ctx, rng, conn, req, mode)
 		if conn = next; !again {
 			return conn
 		}
 	}
-	c.record.with(func() { q.gaveUp = c.record.now() })
+	c.record.with(func() { req.gaveUp = c.record.now() })
 	return conn
 }
 
-// exchange sends a request and reads its answer. again: the connection ended without a byte of it.
-func (c *clients) exchange(ctx context.Context, rng *rand.Rand, conn *clientConn, q *request, how behavior) (again bool, next *clientConn) {
-	raw := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\nX-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Tenant-Id: web-app\r\n"+
-		"X-Route-Key: s%d\r\nX-Timeout-Ms: %d\r\nX-Attrs: prefix=p%d,prompt_len=400,prefix_len=100,max_out=50\r\nContent-Length: 12\r\n\r\n{\"model\":\"\"}",
-		q.id, q.class.name, rng.IntN(200), q.timeout.Milliseconds(), rng.IntN(20))
+// exchange sends a request and reads its answer. again is true if the connection ended without a byte of the answer.
+func (c *clients) exchange(
+	ctx context.Context, rng *rand.Rand, conn *clientConn, req *request, mode behavior,
+) (again bool, next *clientConn) {
+	raw := fmt.Sprintf("POST /v1/chat/completions HTTP/1.1\r\nHost: backend.local\r\n"+
+		"X-Request-ID: %s\r\nX-Priority-Class: %s\r\nX-Tenant-Id: web-app\r\n"+
+		"X-Route-Key: s%d\r\nX-Timeout-Ms: %d\r\nX-Attrs: prefix=p%d,prompt_len=400,prefix_len=100,max_out=50\r\n"+
+		"Content-Length: 12\r\n\r\n{\"model\":\"\"}",
+		req.id, req.class.name, rng.IntN(200), req.timeout.Milliseconds(), rng.IntN(20))
 	began := c.record.now()
-	if err := send(conn, raw, how == sendsInPieces); err != nil {
+	if err := send(conn, raw, mode == sendsInPieces); err != nil {
 		conn.close()
 		return true, nil
 	}
 	c.record.with(func() {
-		q.sendStarts, q.sentAt, q.dispatchers = append(q.sendStarts, began), append(q.sentAt, c.record.now()), append(q.dispatchers, conn.dispatcher)
+		req.sendStarts, req.sentAt, req.dispatchers =
+			append(req.sendStarts, began), append(req.sentAt, c.record.now()), append(req.dispatchers, conn.dispatcher)
 	})
-	if how == closesEarly {
+	if mode == closesEarly {
 		system.Sleep(ctx, time.Duration(rng.Float64()*float64(60*time.Millisecond)))
-		c.record.with(func() { q.clientClosed = c.record.now() })
+		c.record.with(func() { req.clientClosed = c.record.now() })
 		conn.close()
 		return false, nil
 	}
@@ -152,21 +157,21 @@
 		conn.close()
 		var timeout net.Error
 		if errors.As(err, &timeout) && timeout.Timeout() {
-			c.record.with(func() { q.clientClosed = c.record.now() })
+			c.record.with(func() { req.clientClosed = c.record.now() })
 			return false, nil
 		}
 		return true, nil
 	}
 	var body io.Reader = resp.Body
-	if how == readsSlowly {
+	if mode == readsSlowly {
 		body = slowReader{body}
 	}
 	events := &eventReader{source: body, now: c.record.now}
 	_, err = io.Copy(io.Discard, events)
 	c.record.with(func() {
-		q.status, q.answerEnd, q.complete = resp.StatusCode, c.record.now(), err == nil
-		if q.eventCount = events.events; how != readsSlowly {
-			q.eventDelay = events.delay
+		req.status, req.answerEnd, req.complete = resp.StatusCode, c.record.now(), err == nil
+		if req.eventCount = events.events; mode != readsSlowly {
+			req.eventDelay = events.delay
 		}
 	})
 	if err != nil || resp.Close {
@@ -176,24 +181,24 @@
 	return false, conn
 }
 
-// send writes a request, whole or in pieces.
+// send writes a request in one or in several pieces.
 func send(conn net.Conn, raw string, pieces bool) error {
 	step := len(raw)
 	if pieces {
 		step = max(len(raw)/5, 1)
 	}
-	for at := 0; at < len(raw); at += step {
-		if at > 0 {
+	for offset := 0; offset < len(raw); offset += step {
+		if offset > 0 {
 			time.Sleep(5 * time.Millisecond)
 		}
-		if _, err := io.WriteString(conn, raw[at:min(at+step, len(raw))]); err != nil {
+		if _, err := io.WriteString(conn, raw[offset:min(offset+step, len(raw))]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// eventReader reads a stream, and measures by how much its latest event was held back: each states when it was written.
+// eventReader reads a stream and measures the largest delay of an event. Each event states when it was written.
 type eventReader struct {
 	source io.Reader
 	now    func() time.Duration
@@ -202,7 +207,7 @@
 	delay  time.Duration
 }
 
-// eventMark is what eventText puts into an event.
+// eventMark matches the time that eventText puts into an event.
 var eventMark = regexp.MustCompile(`@(\d+);`)
 
 func (e *eventReader) Read(into []byte) (int, error) {
@@ -210,20 +215,20 @@
 	now := e.now()
 	e.tail = append(e.tail, into[:n]...)
 	end := 0
-	for _, at := range eventMark.FindAllSubmatchIndex(e.tail, -1) {
-		written, _ := strconv.ParseInt(string(e.tail[at[2]:at[3]]), 10, 64)
+	for _, match := range eventMark.FindAllSubmatchIndex(e.tail, -1) {
+		written, _ := strconv.ParseInt(string(e.tail[match[2]:match[3]]), 10, 64)
 		e.delay = max(e.delay, now-time.Duration(written))
 		e.events++
-		end = at[1]
+		end = match[1]
 	}
 	e.tail = e.tail[max(end, len(e.tail)-maxEventMark):]
 	return n, err
 }
 
-// eventMarkMost is the longest part of a mark that may stand at the end of what was read.
+// maxEventMark is the largest part of a mark, in bytes, that can be at the end of a read.
 const maxEventMark = 24
 
-// slowReader reads a little at a time.
+// slowReader reads at most 200 bytes at a time, with a pause before each read.
 type slowReader struct{ source io.Reader }
 
 func (s slowReader) Read(into []byte) (int, error) {
@@ -231,14 +236,16 @@
 	return s.source.Read(into[:min(len(into), 200)])
 }
 
-// bad is a client that stops in the middle of a request and stays, or sends what is none. It is owed an error or a close.
+// runMalformed runs a client that stops in the middle of a request and keeps the connection open, or sends a
+// malformed request. It must get an error or a close within badClientLimit.
 func (c *clients) runMalformed(ctx context.Context, rng *rand.Rand) {
 	for ctx.Err() == nil {
 		conn := c.connect(ctx, rng)
 		if conn == nil {
 			return
 		}
-		raw := "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 12\r\nX-Request-ID: b\r\n\r\n{\"model\":\"\"}"
+		raw := "POST /v1/chat/completions HTTP/1.1\r\nHost: a\r\nContent-Length: 12\r\n" +
+			"X-Request-ID: b\r\n\r\n{\"model\":\"\"}"
 		cut := rng.IntN(len(raw) - 1)
 		began := c.record.now()
 		io.WriteString(conn, raw[:cut])
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -13,7 +13,8 @@
 	"sloetrestle/internal/hosts"
 )
 
-// discovery tells each dispatcher of the backends, through an agent of its own.
+// discovery emulates service discovery: each dispatcher has an agent of its own that lists the backends and pushes
+// changes.
 type discovery struct {
 	record  *record
 	cluster *cluster
@@ -24,17 +25,17 @@
 	agents   []*agent
 }
 
-// agent is one dispatcher's discovery, at either of two addresses.
+// agent is the discovery endpoint of one dispatcher. It has two addresses, of which one is current.
 type agent struct {
 	*discovery
 	dispatcher int
 	listeners  [2]net.Listener
 
-	// The discovery's lock guards these.
-	current     int // the address that is followed
+	// Guarded by discovery.mu.
+	current     int // index of the current address
 	silentUntil time.Duration
 	slowUntil   time.Duration
-	outages     []span // while it could not be reached, or answered late
+	outages     []span // times in which the agent was unreachable or slow
 	watches     map[net.Conn]int
 	conns       map[net.Conn]int
 }
@@ -42,38 +43,38 @@
 const (
 	heartbeatInterval = 2 * time.Second
 	slowAnswerDelay   = 2 * time.Second
-	oldAddressGrace   = 1500 * time.Millisecond // after a move, connections to the old address
+	oldAddressGrace   = 1500 * time.Millisecond // after a move, for connections to the old address
 )
 
-// addAgent opens a dispatcher's discovery.
+// addAgent starts the discovery agent of a dispatcher.
 func (d *discovery) addAgent(dispatcher int) error {
 	a := &agent{discovery: d, dispatcher: dispatcher, watches: map[net.Conn]int{}, conns: map[net.Conn]int{}}
 	for i := range a.listeners {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		a.listeners[i] = l
-		d.done.Go(func() { acceptAll(l, &d.done, func(c net.Conn) { a.serve(c, i) }) })
+		a.listeners[i] = listener
+		d.done.Go(func() { acceptAll(listener, &d.done, func(c net.Conn) { a.serve(c, i) }) })
 	}
 	d.agents = append(d.agents, a)
 	return nil
 }
 
-// address is where the agent is followed now.
+// address returns the current address of the agent.
 func (a *agent) address() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.listeners[a.current].Addr().String()
 }
 
-// wholeMost is up to how many backends a change is told by the whole list.
+// maxFullList is the number of backends up to which a change is pushed as the full list.
 const maxFullList = 50
 
-// list is all that discovery has; the lock is held.
+// fullList returns the list of all backends. discovery.mu must be held.
 func (a *agent) fullList() []byte { return a.entries(a.cluster.backends, true) }
 
-// entries is what discovery has of some backends; the lock is held.
+// entries returns the list for some backends; all marks it as the full list. discovery.mu must be held.
 func (a *agent) entries(backends []*backend, all bool) []byte {
 	targets := []hosts.Target{}
 	for _, b := range backends {
@@ -83,18 +84,19 @@
 			kind = hosts.PrefillKind
 		}
 		targets = append(targets, hosts.Target{
-			UID: b.uid, Endpoint: b.endpoints[a.dispatcher], Zone: "hall-1", Kind: kind, Rack: b.rack, State: b.state, Units: 1, Boot: b.bootMs,
+			UID: b.uid, Endpoint: b.endpoints[a.dispatcher], Zone: "hall-1", Kind: kind, Rack: b.rack, State: b.state, Units: 1,
+			Boot: b.bootMs,
 		})
 		b.mu.Unlock()
 	}
 	raw, err := json.Marshal(map[string]any{"rev": a.revision, "all": all, "targets": targets})
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // cannot fail: only strings, numbers and booleans
 	}
 	return raw
 }
 
-// serve answers what a dispatcher asks.
+// serve answers the requests on a connection of a dispatcher.
 func (a *agent) serve(c net.Conn, address int) {
 	a.mu.Lock()
 	a.conns[c] = address
@@ -105,8 +107,8 @@
 		delete(a.watches, c)
 		a.mu.Unlock()
 	}()
-	for from := bufio.NewReader(c); ; {
-		r, err := http.ReadRequest(from)
+	for reader := bufio.NewReader(c); ; {
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
@@ -125,8 +127,8 @@
 	return a.record.now() < a.slowUntil
 }
 
-// answer answers with the list, whole or as a watch's first push. While it is silent it answers nothing, and never will on this
-// connection.
+// answer sends the full list, as a plain answer or as the first push of a watch. It returns false to close the
+// connection. A request that comes while the agent is silent is never answered.
 func (a *agent) answer(c net.Conn, address int, watch bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -146,7 +148,7 @@
 	return true
 }
 
-// beat has watches hear that nothing changed.
+// heartbeat sends an empty line to all watches.
 func (d *discovery) heartbeat() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,20 +157,20 @@
 	}
 }
 
-// push writes to the watches, and tells whether there was one to hear it; the lock is held.
-func (a *agent) push(raw string) (heard bool) {
+// push writes to the watches and reports whether a write succeeded. discovery.mu must be held.
+func (a *agent) push(raw string) (written bool) {
 	if a.record.now() < a.silentUntil {
 		return false
 	}
 	for c := range a.watches {
 		if _, err := io.WriteString(c, raw); err == nil {
-			heard = true
+			written = true
 		}
 	}
-	return heard
+	return written
 }
 
-// change changes what discovery says of a backend, and tells the watches.
+// change sets the listed state of a backend and pushes it to the watches.
 func (d *discovery) change(b *backend, state string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -176,22 +178,23 @@
 	b.state = state
 	b.mu.Unlock()
 	d.revision++
-	told, whole := d.cluster.backends, true
-	if len(told) > maxFullList {
-		told, whole = []*backend{b}, false
+	changed, all := d.cluster.backends, true
+	if len(changed) > maxFullList {
+		changed, all = []*backend{b}, false
 	}
 	for _, a := range d.agents {
 		now, written := d.record.now(), time.Duration(0)
-		if a.push(hosts.EncodeChunk(string(a.entries(told, whole)) + "\n")) {
+		if a.push(hosts.EncodeChunk(string(a.entries(changed, all)) + "\n")) {
 			written = now
 		}
 		d.record.with(func() {
-			d.record.stateChanges = append(d.record.stateChanges, stateChange{b.uid, a.dispatcher, state == "in_service", now, written})
+			d.record.stateChanges = append(d.record.stateChanges,
+				stateChange{b.uid, a.dispatcher, state == "in_service", now, written})
 		})
 	}
 }
 
-// silence has the agent say nothing until a time; its watches are dead from then on.
+// silenceUntil makes the agent send nothing until the given time. Its present watches stay dead after that.
 func (a *agent) silenceUntil(until time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -200,7 +203,7 @@
 	a.outages = append(a.outages, span{a.record.now(), until})
 }
 
-// slowDown has the agent answer late until a time.
+// slowDownUntil makes the agent answer late until the given time.
 func (a *agent) slowDownUntil(until time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -208,7 +211,7 @@
 	a.outages = append(a.outages, span{a.record.now(), until})
 }
 
-// reset cuts the agent's connections.
+// reset closes all connections of the agent.
 func (a *agent) reset() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -217,7 +220,8 @@
 	}
 }
 
-// move has the other address be the one; the old one closes its connections after a while.
+// move makes the other address the current one and returns it. Connections to the old address are closed after
+// oldAddressGrace.
 func (a *agent) move() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -235,11 +239,11 @@
 	return a.listeners[a.current].Addr().String()
 }
 
-// close ends it.
+// close closes all listeners and connections and waits for their goroutines.
 func (d *discovery) close() {
 	for _, a := range d.agents {
-		for _, l := range a.listeners {
-			l.Close()
+		for _, listener := range a.listeners {
+			listener.Close()
 		}
 		a.reset()
 	}
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -18,7 +18,7 @@
 	"sloetrestle/internal/system"
 )
 
-// dispatcher is one dispatcher, process after process.
+// dispatcher is one dispatcher under test. Its processes run one after another at the same addresses.
 type dispatcher struct {
 	run          *run
 	number       int
@@ -31,48 +31,48 @@
 	mu      sync.Mutex
 	cmd     *exec.Cmd
 	process *process
-	shims   net.Conn // of the present process
+	shims   net.Conn // connection to the shims of the current process
 	ready   bool
-	starts  int
+	starts  int // number of processes started so far
 	exited  chan struct{}
 }
 
 const (
 	readyLimit   = 10 * time.Second
-	routingLag   = 300 * time.Millisecond // for which the front still opens connections to one that stops
-	restartDelay = 200 * time.Millisecond // between two processes
+	routingLag   = 300 * time.Millisecond // for which new connections still go to a process that is stopping
+	restartDelay = 200 * time.Millisecond // between the end of a process and the start of the next
 	burstSize    = 6                      // reloads in a burst
 )
 
-// Ports of dispatchers are below those that the system gives to outgoing connections: one of these may else take a dispatcher's while
-// it restarts.
+// Dispatchers listen on ports below the ephemeral range. An outgoing connection could otherwise take the port of a
+// dispatcher while it restarts.
 const (
 	minPort   = 20_000
 	maxPort   = 32_000
 	portTries = 200
 )
 
-// addresses hands out addresses that nobody listens at, each once.
+// portAllocator returns loopback addresses with a free port, each once.
 type portAllocator struct{ used map[int]bool }
 
-func (a *portAllocator) free() (at string, err error) {
+func (a *portAllocator) free() (address string, err error) {
 	for range portTries {
 		port := minPort + rand.IntN(maxPort-minPort)
 		if a.used[port] {
 			continue
 		}
-		at = fmt.Sprintf("127.0.0.1:%d", port)
-		l, listening := net.Listen("tcp", at)
-		if err = listening; err == nil {
-			l.Close()
+		address = fmt.Sprintf("127.0.0.1:%d", port)
+		listener, listenErr := net.Listen("tcp", address)
+		if err = listenErr; err == nil {
+			listener.Close()
 			a.used[port] = true
-			return at, nil
+			return address, nil
 		}
 	}
 	return "", err
 }
 
-// configure writes the configuration, whole or only the first half of it.
+// configure writes the configuration file, or only its first half.
 func (d *dispatcher) configure(discovery string, half bool) error {
 	var settings map[string]any
 	if err := json.Unmarshal([]byte(hosts.Settings), &settings); err != nil {
@@ -81,24 +81,26 @@
 	settings["siblings"], settings["slotNo"] = float64(d.run.options.Processes), float64(d.number)
 	settings["policyLimits"].(map[string]any)["peers"] = true
 	for i, c := range d.run.variant.classes {
-		stated := settings["requestClasses"].([]any)[i].(map[string]any)
-		stated["giveUpUs"], stated["effect"] = float64(c.deadline.Microseconds()), c.effect()
+		entry := settings["requestClasses"].([]any)[i].(map[string]any)
+		entry["giveUpUs"], entry["effect"] = float64(c.deadline.Microseconds()), c.effect()
 		if c.dedupWindow > 0 {
-			stated["windowUs"], stated["group"] = float64(c.dedupWindow.Microseconds()), "all"
+			entry["windowUs"], entry["group"] = float64(c.dedupWindow.Microseconds()), "all"
 		}
 	}
 	settings["familyInfo"].(map[string]any)["pinLimitUs"] = float64(d.run.variant.cacheTimeout.Microseconds())
 	var peers []string
-	for _, o := range d.run.dispatchers {
-		peers = append(peers, o.peer)
+	for _, other := range d.run.dispatchers {
+		peers = append(peers, other.peer)
 	}
 	agent := d.run.discovery.agents[d.number]
 	agent.mu.Lock()
 	known := json.RawMessage(agent.fullList())
 	agent.mu.Unlock()
 	raw, err := json.Marshal(map[string]any{
-		"name": fmt.Sprintf("n%d", d.number), "listen": d.listen, "discovery": discovery, "seed": fmt.Sprintf("%x", d.run.options.Seed+uint64(d.number)),
-		"limits": map[string]any{"cores": 1, "memory_mb": 96, "sockets": 512}, "peer_listen": d.peer, "peers": peers, "known": known, "settings": settings,
+		"name": fmt.Sprintf("n%d", d.number), "listen": d.listen, "discovery": discovery,
+		"seed":        fmt.Sprintf("%x", d.run.options.Seed+uint64(d.number)),
+		"limits":      map[string]any{"cores": 1, "memory_mb": 96, "sockets": 512},
+		"peer_listen": d.peer, "peers": peers, "known": known, "settings": settings,
 	})
 	if err != nil {
 		return err
@@ -111,28 +113,29 @@
 	return os.WriteFile(d.configFile, raw, 0o600)
 }
 
-// start starts a process and waits until it is ready.
+// start starts a process and waits until it is ready, has exited, or the wait times out.
 func (d *dispatcher) start(ctx context.Context) error {
-	o, record := d.run.options, d.run.record
+	options, record := d.run.options, d.run.record
 	log, err := os.Create(filepath.Join(d.run.dir, fmt.Sprintf("n%d-%d.log", d.number, d.starts)))
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(o.Command[0], o.Command[1:]...)
-	cmd.Env = append(append(os.Environ(), o.Env...), "BALANCER_CONFIG="+d.configFile, ControlVariable+"="+d.shimListener.Addr().String())
+	cmd := exec.Command(options.Command[0], options.Command[1:]...)
+	cmd.Env = append(append(os.Environ(), options.Env...),
+		"BALANCER_CONFIG="+d.configFile, ControlVariable+"="+d.shimListener.Addr().String())
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	l := &process{dispatcher: d.number, started: record.now()}
+	started := &process{dispatcher: d.number, started: record.now()}
 	if err := cmd.Start(); err != nil {
 		log.Close()
 		return err
 	}
 	exited := make(chan struct{})
 	d.mu.Lock()
-	d.cmd, d.process, d.exited, d.ready = cmd, l, exited, false
+	d.cmd, d.process, d.exited, d.ready = cmd, started, exited, false
 	d.starts++
 	d.mu.Unlock()
-	record.with(func() { record.processes = append(record.processes, l) })
+	record.with(func() { record.processes = append(record.processes, started) })
 	d.run.group.Go(func() error {
 		defer log.Close()
 		defer close(exited)
@@ -141,21 +144,21 @@
 		d.ready = false
 		d.mu.Unlock()
 		record.with(func() {
-			l.ended = record.now()
-			if err != nil && !l.killed || l.terminatedAt == 0 && !l.killed {
-				l.crashed = fmt.Sprintf("it ended by itself: %v", err)
+			started.ended = record.now()
+			if err != nil && !started.killed || started.terminatedAt == 0 && !started.killed {
+				started.crashed = fmt.Sprintf("it ended by itself: %v", err)
 			}
 		})
 		return nil
 	})
 	d.run.group.Go(func() error { d.acceptShims(); return nil })
-	return d.awaitReady(ctx, l, exited)
+	return d.awaitReady(ctx, started, exited)
 }
 
-// takeShims takes the connection of the process's shims.
+// acceptShims accepts the connection of the shims of a new process.
 func (d *dispatcher) acceptShims() {
 	d.shimListener.(*net.TCPListener).SetDeadline(time.Now().Add(readyLimit))
-	c, err := d.shimListener.Accept()
+	conn, err := d.shimListener.Accept()
 	if err != nil {
 		return
 	}
@@ -163,11 +166,11 @@
 	if d.shims != nil {
 		d.shims.Close()
 	}
-	d.shims = c
+	d.shims = conn
 	d.mu.Unlock()
 }
 
-// order tells the shims of the present process.
+// sendOrder sends an order to the shims of the current process.
 func (d *dispatcher) sendOrder(o Order) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -176,7 +179,8 @@
 	}
 }
 
-func (d *dispatcher) awaitReady(ctx context.Context, l *process, exited <-chan struct{}) error {
+// awaitReady polls the readiness endpoint until the process is ready or has exited, for at most twice readyLimit.
+func (d *dispatcher) awaitReady(ctx context.Context, target *process, exited <-chan struct{}) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(2 * readyLimit); time.Now().Before(end); {
 		select {
@@ -187,9 +191,9 @@
 		if resp, err := client.Get("http://" + d.listen + "/ready"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				d.run.record.with(func() { l.ready = d.run.record.now() })
+				d.run.record.with(func() { target.ready = d.run.record.now() })
 				d.mu.Lock()
-				d.ready = d.process == l
+				d.ready = d.process == target
 				d.mu.Unlock()
 				return nil
 			}
@@ -201,33 +205,34 @@
 	return nil
 }
 
-// signal sends a signal to the present process.
-func (d *dispatcher) signal(s syscall.Signal) {
+// signal sends a signal to the current process.
+func (d *dispatcher) signal(sig syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.cmd != nil {
-		d.cmd.Process.Signal(s)
+		d.cmd.Process.Signal(sig)
 	}
 }
 
-// terminate has a process end as the platform does at a planned restart, and starts the next one.
-func (d *dispatcher) terminate(ctx context.Context, f Fault) {
+// terminate stops a process as the platform does at a planned restart (SIGTERM, then SIGKILL) and starts the next
+// one.
+func (d *dispatcher) terminate(ctx context.Context, fault Fault) {
 	d.mu.Lock()
-	l, exited := d.process, d.exited
+	target, exited := d.process, d.exited
 	d.mu.Unlock()
-	if l.terminatedAt > 0 || !d.acceptsConnections() {
-		return // it ends already
+	if target.terminatedAt > 0 || !d.acceptsConnections() {
+		return // it is stopping already
 	}
-	d.run.record.with(func() { l.terminatedAt = d.run.record.now() })
+	d.run.record.with(func() { target.terminatedAt = d.run.record.now() })
 	d.signal(syscall.SIGTERM)
 	began := time.Now()
-	switch f.Kind {
+	switch fault.Kind {
 	case TerminateTwice:
 		system.Sleep(ctx, 100*time.Millisecond)
 		d.signal(syscall.SIGTERM)
 	case TerminateReload:
-		system.Sleep(ctx, f.Length)
-		d.moveDiscovery(ctx, l, f)
+		system.Sleep(ctx, fault.Length)
+		d.moveDiscovery(ctx, target, fault)
 		d.signal(syscall.SIGTERM)
 	}
 	system.Sleep(context.WithoutCancel(ctx), routingLag-time.Since(began))
@@ -237,84 +242,85 @@
 	select {
 	case <-exited:
 	case <-time.After(d.run.variant.killAfter() - time.Since(began)):
-		d.kill(l, exited)
+		d.kill(target, exited)
 	}
 	if system.Sleep(ctx, restartDelay) {
 		d.start(ctx)
 	}
 }
 
-// up tells whether the front deals connections to it.
+// acceptsConnections reports whether clients may open connections to the dispatcher.
 func (d *dispatcher) acceptsConnections() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ready
 }
 
-// kill ends a process outright.
-func (d *dispatcher) kill(l *process, exited <-chan struct{}) {
-	d.run.record.with(func() { l.killed = true })
+// kill sends SIGKILL to a process and waits for its exit.
+func (d *dispatcher) kill(target *process, exited <-chan struct{}) {
+	d.run.record.with(func() { target.killed = true })
 	d.signal(syscall.SIGKILL)
 	<-exited
 }
 
-// crash kills the present process and starts the next one.
+// crash kills the current process and starts the next one.
 func (d *dispatcher) crash(ctx context.Context) {
 	d.mu.Lock()
-	l, exited, ready := d.process, d.exited, d.ready
+	target, exited, ready := d.process, d.exited, d.ready
 	d.mu.Unlock()
-	if !ready || l.terminatedAt > 0 {
+	if !ready || target.terminatedAt > 0 {
 		return
 	}
-	d.kill(l, exited)
+	d.kill(target, exited)
 	if system.Sleep(ctx, restartDelay) {
 		d.start(ctx)
 	}
 }
 
-// stop has the process stand still for a while.
+// suspend stops the process by SIGSTOP and resumes it by SIGCONT after the given time.
 func (d *dispatcher) suspend(ctx context.Context, length time.Duration) {
 	if !d.acceptsConnections() {
 		return
 	}
 	d.mu.Lock()
-	l := d.process
+	target := d.process
 	d.mu.Unlock()
 	from := d.run.record.now()
 	d.signal(syscall.SIGSTOP)
 	system.Sleep(context.WithoutCancel(ctx), length)
-	// Whoever has waited for the process may be judged the moment it goes on.
-	d.run.record.with(func() { l.stopped = append(l.stopped, span{from, d.run.record.now()}) })
+	// Record the span before SIGCONT: what the process delayed may be checked as soon as it resumes.
+	d.run.record.with(func() { target.stopped = append(target.stopped, span{from, d.run.record.now()}) })
 	d.signal(syscall.SIGCONT)
 }
 
-// reload moves discovery and tells the process.
-func (d *dispatcher) reload(ctx context.Context, f Fault) {
+// reload moves discovery to its other address and reloads the configuration, several times for some kinds.
+func (d *dispatcher) reload(ctx context.Context, fault Fault) {
 	if !d.acceptsConnections() {
 		return
 	}
-	moves := map[Kind]int{ReloadTwice: 2, ReloadBurst: burstSize}[f.Kind]
+	moves := map[Kind]int{ReloadTwice: 2, ReloadBurst: burstSize}[fault.Kind]
 	for range max(moves, 1) {
 		d.mu.Lock()
-		l := d.process
+		target := d.process
 		d.mu.Unlock()
-		d.moveDiscovery(ctx, l, f)
-		system.Sleep(ctx, f.Length)
+		d.moveDiscovery(ctx, target, fault)
+		system.Sleep(ctx, fault.Length)
 	}
 }
 
-// moveDiscovery has discovery listen elsewhere, and a process be told of that.
-func (d *dispatcher) moveDiscovery(ctx context.Context, l *process, f Fault) {
+// moveDiscovery moves discovery to its other address, writes that to the configuration file and sends SIGHUP. With
+// ReloadTorn the signal comes while only half of the file is written.
+func (d *dispatcher) moveDiscovery(ctx context.Context, target *process, fault Fault) {
 	to := d.run.discovery.agents[d.number].move()
 	from := d.run.record.now()
-	if f.Kind == ReloadTorn {
+	if fault.Kind == ReloadTorn {
 		d.configure(to, true)
 		d.signal(syscall.SIGHUP)
-		system.Sleep(ctx, f.Length)
+		system.Sleep(ctx, fault.Length)
 	}
 	d.configure(to, false)
-	if f.Kind != ReloadTorn {
+	if fault.Kind != ReloadTorn {
 		d.signal(syscall.SIGHUP)
 	}
-	d.run.record.with(func() { l.moves = append(l.moves, span{from, d.run.record.now()}) })
+	d.run.record.with(func() { target.moves = append(target.moves, span{from, d.run.record.now()}) })
 }
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -9,63 +9,67 @@
 	"sloetrestle/internal/system"
 )
 
-// Errors that the shims have calls fail with.
+// Errors and clock steps that the shims inject.
 var (
-	acceptErrors = []syscall.Errno{syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, syscall.ENETUNREACH, syscall.EINTR}
-	dialErrors   = []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.EHOSTUNREACH}
-	wallSteps    = []time.Duration{-time.Hour, -7 * time.Second, 7 * time.Second, time.Hour}
+	acceptErrors = []syscall.Errno{
+		syscall.ECONNABORTED, syscall.ENFILE, syscall.ENOBUFS, syscall.EPROTO, syscall.ENETUNREACH, syscall.EINTR,
+	}
+	dialErrors = []syscall.Errno{
+		syscall.ENFILE, syscall.ENOBUFS, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
+	}
+	wallSteps = []time.Duration{-time.Hour, -7 * time.Second, 7 * time.Second, time.Hour}
 )
 
 const (
-	massRestartTime  = 7 * time.Second // in which most backends are replaced
-	massRestartShare = 0.6
-	massDrainShare   = 0.25
-	roleMuteShare    = 0.8
+	massRestartTime  = 7 * time.Second // over which the restarts of a mass restart are spread
+	massRestartShare = 0.6             // of all backends
+	massDrainShare   = 0.25            // of all backends
+	roleMuteShare    = 0.8             // of the backends of one role
 )
 
-// cause has a fault happen.
-func (r *run) inject(ctx context.Context, f Fault) {
-	d := r.dispatchers[f.Target%len(r.dispatchers)]
-	b := r.cluster.backends[f.Target%len(r.cluster.backends)]
+// inject makes a fault happen.
+func (r *run) inject(ctx context.Context, fault Fault) {
+	d := r.dispatchers[fault.Target%len(r.dispatchers)]
+	b := r.cluster.backends[fault.Target%len(r.cluster.backends)]
 	agent := r.discovery.agents[d.number]
-	until := r.record.now() + f.Length
-	switch f.Kind {
+	until := r.record.now() + fault.Length
+	switch fault.Kind {
 	case Terminate, TerminateTwice, TerminateReload:
-		d.terminate(ctx, f)
+		d.terminate(ctx, fault)
 	case KillProcess:
 		d.crash(ctx)
 	case Stop:
-		d.suspend(ctx, f.Length)
+		d.suspend(ctx, fault.Length)
 	case Reload, ReloadTorn, ReloadTwice, ReloadBurst:
-		d.reload(ctx, f)
+		d.reload(ctx, fault)
 	case WallStep:
-		d.sendOrder(Order{WallStep: wallSteps[f.Draw%uint64(len(wallSteps))]})
+		d.sendOrder(Order{WallStep: wallSteps[fault.Draw%uint64(len(wallSteps))]})
 	case AcceptFails:
-		d.sendOrder(Order{Accept: acceptErrors[f.Draw%uint64(len(acceptErrors))], For: f.Length})
+		d.sendOrder(Order{Accept: acceptErrors[fault.Draw%uint64(len(acceptErrors))], For: fault.Length})
 	case DialFails:
 		d.mu.Lock()
-		l := d.process
+		current := d.process
 		d.mu.Unlock()
-		r.record.with(func() { l.dialOutages = append(l.dialOutages, span{r.record.now(), until}) })
-		d.sendOrder(Order{Dial: dialErrors[f.Draw%uint64(len(dialErrors))], For: f.Length})
+		r.record.with(func() { current.dialOutages = append(current.dialOutages, span{r.record.now(), until}) })
+		d.sendOrder(Order{Dial: dialErrors[fault.Draw%uint64(len(dialErrors))], For: fault.Length})
 	case ShortReads:
-		d.sendOrder(Order{ShortReads: true, For: f.Length})
+		d.sendOrder(Order{ShortReads: true, For: fault.Length})
 	case BackendRestarts:
 		b.restart()
 		r.discovery.change(b, "in_service")
 	case Drain:
 		r.discovery.change(b, "terminating")
-		if system.Sleep(ctx, f.Length) {
+		if system.Sleep(ctx, fault.Length) {
 			r.discovery.change(b, "in_service")
 		}
 	case MassRestart:
-		r.restartMany(ctx, f)
+		r.restartMany(ctx, fault)
 	case MassDrain:
-		r.drainMany(ctx, f)
+		r.drainMany(ctx, fault)
 	case RoleMute:
-		r.muteRole(f, until)
+		r.muteRole(fault, until)
 	case BackendSilent:
-		b.isolate(ctx, f.Length, f.Draw)
+		b.isolate(ctx, fault.Length, fault.Draw)
 	case DiscoverySilent:
 		agent.silenceUntil(until)
 	case DiscoverySlow:
@@ -73,27 +77,27 @@
 	case DiscoveryResets:
 		agent.reset()
 	default:
-		b.injectFault(f.Kind, until, f.Draw)
+		b.injectFault(fault.Kind, until, fault.Draw)
 	}
 }
 
-// drawn are so large a share of the backends, as a fault's draw has it.
-func (r *run) drawBackends(f Fault, share float64) []*backend {
-	rng := rand.New(rand.NewPCG(f.Draw, 0))
-	var chosen []*backend
+// drawBackends selects about the given share of the backends, determined by the fault's draw.
+func (r *run) drawBackends(fault Fault, share float64) []*backend {
+	rng := rand.New(rand.NewPCG(fault.Draw, 0))
+	var selected []*backend
 	for _, b := range r.cluster.backends {
 		if rng.Float64() < share {
-			chosen = append(chosen, b)
+			selected = append(selected, b)
 		}
 	}
-	return chosen
+	return selected
 }
 
-// restartMost has most backends be replaced one by one.
-func (r *run) restartMany(ctx context.Context, f Fault) {
-	chosen := r.drawBackends(f, massRestartShare)
-	for _, b := range chosen {
-		if !system.Sleep(ctx, massRestartTime/time.Duration(len(chosen))) {
+// restartMany replaces six in ten backends one by one.
+func (r *run) restartMany(ctx context.Context, fault Fault) {
+	selected := r.drawBackends(fault, massRestartShare)
+	for _, b := range selected {
+		if !system.Sleep(ctx, massRestartTime/time.Duration(len(selected))) {
 			return
 		}
 		b.restart()
@@ -101,23 +105,23 @@
 	}
 }
 
-// drainMany has many backends drain at once, and come back.
-func (r *run) drainMany(ctx context.Context, f Fault) {
-	chosen := r.drawBackends(f, massDrainShare)
-	for _, b := range chosen {
+// drainMany drains a quarter of the backends at once and returns them to service when the fault ends.
+func (r *run) drainMany(ctx context.Context, fault Fault) {
+	selected := r.drawBackends(fault, massDrainShare)
+	for _, b := range selected {
 		r.discovery.change(b, "terminating")
 	}
-	if !system.Sleep(ctx, f.Length) {
+	if !system.Sleep(ctx, fault.Length) {
 		return
 	}
-	for _, b := range chosen {
+	for _, b := range selected {
 		r.discovery.change(b, "in_service")
 	}
 }
 
-// muteRole has four in five backends of one role fall silent together, but never all.
-func (r *run) muteRole(f Fault, until time.Duration) {
-	prefill := f.Target%2 == 0
+// muteRole makes four in five backends of one role fall silent together, but never all of them.
+func (r *run) muteRole(fault Fault, until time.Duration) {
+	prefill := fault.Target%2 == 0
 	var role []*backend
 	for _, b := range r.cluster.backends {
 		if b.prefill == prefill {
@@ -125,7 +129,7 @@
 		}
 	}
 	mute := min(int(roleMuteShare*float64(len(role))+0.5), len(role)-1)
-	first := int(f.Draw % uint64(len(role)))
+	first := int(fault.Draw % uint64(len(role)))
 	for i := range mute {
 		role[(first+i)%len(role)].injectFault(BackendMute, until, 0)
 	}
--- a/internal/soak/lateness.go
+++ b/internal/soak/lateness.go
@@ -10,11 +10,12 @@
 
 const (
 	latenessStep = 5 * time.Millisecond
-	// latenessMost is by how much a soak may itself be late. What it saw then is not judged: it can't tell whose the delay is.
+	// maxLateness is by how much the soak itself may run late. Beyond it a run is inconclusive, because a delay
+	// can't be attributed to the dispatchers.
 	maxLateness = 100 * time.Millisecond
 )
 
-// lateness measures by how much the soak's own process runs late.
+// lateness measures the scheduling delay of the soak's own process.
 type lateness struct{ worst atomic.Int64 }
 
 // watch measures until the context ends.
@@ -28,7 +29,7 @@
 	}
 }
 
-// saw takes note of a delay.
+// observe records a delay.
 func (l *lateness) observe(late time.Duration) {
 	for {
 		worst := l.worst.Load()
@@ -38,4 +39,5 @@
 	}
 }
 
+// max returns the largest delay observed.
 func (l *lateness) max() time.Duration { return time.Duration(l.worst.Load()) }
--- a/internal/soak/openloop.go
+++ b/internal/soak/openloop.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	maxOpenRequests    = 4000 // requests of open-loop clients that may be open
-	maxIdleConns       = 256  // connections at rest that open-loop clients keep
+	maxOpenRequests    = 4000 // concurrent requests of open-loop clients; more are skipped
+	maxIdleConns       = 256  // idle connections that open-loop clients keep
 	idleReconnectDelay = 50 * time.Millisecond
 )
 
-// pool keeps connections between the requests of open-loop clients, which use them for as long as they stay open.
+// connPool keeps idle connections of open-loop clients, which reuse them for as long as they stay open.
 type connPool struct {
 	mu    sync.Mutex
 	conns []*clientConn
@@ -47,11 +47,12 @@
 	p.conns = append(p.conns, c)
 }
 
-// openLoop sends requests at a rate, whatever becomes of the earlier ones: clients that wait for their answers ask a slow dispatcher less.
+// openLoop sends requests at a given rate (per second), independently of earlier answers. Clients that wait for
+// their answers would send less to a slow dispatcher.
 func (c *clients) openLoop(ctx context.Context, rng *rand.Rand, rate float64) {
 	var open sync.WaitGroup
-	rests := &connPool{}
-	places := make(chan struct{}, maxOpenRequests)
+	idle := &connPool{}
+	slots := make(chan struct{}, maxOpenRequests)
 	next := time.Now()
 	for {
 		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
@@ -60,23 +61,23 @@
 		}
 		c.run.lateness.observe(time.Since(next))
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			continue
 		}
-		one := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
+		requestRand := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
 		open.Go(func() {
-			defer func() { <-places }()
-			rests.put(c.sendRequest(ctx, one, rests.take(), plain))
+			defer func() { <-slots }()
+			idle.put(c.sendRequest(ctx, requestRand, idle.take(), plain))
 		})
 	}
 	open.Wait()
-	for conn := rests.take(); conn != nil; conn = rests.take() {
+	for conn := idle.take(); conn != nil; conn = idle.take() {
 		conn.close()
 	}
 }
 
-// idle is a client that opens a connection, says nothing, and opens the next one when that is closed.
+// idle runs a client that opens a connection, sends nothing, and opens the next one when that is closed.
 func (c *clients) idle(ctx context.Context, d *dispatcher) {
 	for system.Sleep(ctx, idleReconnectDelay) {
 		conn, err := net.DialTimeout("tcp", d.listen, time.Second)
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Violation is a rule or term that was broken.
+// Violation is one violation of a rule.
 type Violation struct {
 	Rule string
-	At   time.Duration
+	At   time.Duration // since the start of the run
 	Text string
 }
 
-// Rules and terms, as the table names them.
+// Rules as the table names them.
 const (
 	ruleLost      = "lost"
 	ruleDuplicate = "duplicate"
@@ -28,35 +28,39 @@
 	ruleReady     = "ready"
 )
 
-// Rules lists them in the order of the table.
-var Rules = []string{ruleLost, ruleDuplicate, ruleDrain, ruleHeld, ruleDeadline, ruleGone, ruleEvents, ruleBad, ruleCrash, ruleReady}
+// Rules lists the rules in the order of the table.
+var Rules = []string{
+	ruleLost, ruleDuplicate, ruleDrain, ruleHeld, ruleDeadline, ruleGone, ruleEvents, ruleBad, ruleCrash, ruleReady,
+}
 
-// The terms, and what the observation itself may be off by.
+// Limits of the rules, and tolerances for the inaccuracy of the observation itself.
 const (
-	observationSlack    = 60 * time.Millisecond // of the observation, on a busy machine
+	observationSlack    = 60 * time.Millisecond // tolerance of every observation, on a busy machine
 	answerGrace         = 500 * time.Millisecond
 	clientCloseLimit    = 100 * time.Millisecond
 	drainLimit          = 250 * time.Millisecond
-	discoveryLag        = 6 * time.Second        // from when discovery had it and could be reached
-	reloadLag           = 4 * time.Second        // from SIGHUP
-	cacheSlack          = 300 * time.Millisecond // beyond what the settings say
-	eventDelayLimit     = 300 * time.Millisecond // for which an event may be held back
-	maxLateStreamShare  = 0.1                    // share of the streams of which one may be
+	discoveryLag        = 6 * time.Second        // after a change is listed and discovery can be reached
+	reloadLag           = 4 * time.Second        // after SIGHUP
+	cacheSlack          = 300 * time.Millisecond // beyond the limit in the settings
+	eventDelayLimit     = 300 * time.Millisecond // for which an event may be delayed
+	maxLateStreamShare  = 0.1                    // share of the streams that may have an event delayed for longer
 	deadlineSlack       = 150 * time.Millisecond
-	termLimit           = 700 * time.Millisecond // after SIGTERM, for what SIGKILL may find unanswered
-	exitObservationLag  = 300 * time.Millisecond // for which the end of a process may be seen late
-	closeObservationLag = 25 * time.Millisecond  // for which a close may be seen late
+	termLimit           = 700 * time.Millisecond // after SIGTERM; requests sent later may be unanswered at SIGKILL
+	exitObservationLag  = 300 * time.Millisecond // by which the exit of a process may be observed late
+	closeObservationLag = 25 * time.Millisecond  // by which a close may be observed late
 )
 
 // Verdict is what the oracle finds in a record.
 type Verdict struct {
 	Violations []Violation
-	Chances    map[string]int // how often each rule could have been broken
+	Chances    map[string]int // how often each rule was checked
 }
 
-// judge holds a record to the rules.
-func checkRecord(r *record, quiet func(dispatcher int) []span) Verdict {
-	v := &oracle{record: r, outages: quiet, Verdict: Verdict{Chances: map[string]int{}}, attempts: map[string][]*attempt{}}
+// checkRecord checks a record against the rules.
+func checkRecord(r *record, outages func(dispatcher int) []span) Verdict {
+	v := &oracle{
+		record: r, outages: outages, Verdict: Verdict{Chances: map[string]int{}}, attempts: map[string][]*attempt{},
+	}
 	for _, a := range r.attempts {
 		if a.id != "" {
 			v.attempts[a.id] = append(v.attempts[a.id], a)
@@ -64,14 +68,14 @@
 	}
 	v.stateChanges = map[backendView][]*stateChange{}
 	for i := range r.stateChanges {
-		n := &r.stateChanges[i]
-		at := backendView{n.dispatcher, n.backend}
-		v.stateChanges[at] = append(v.stateChanges[at], n)
+		change := &r.stateChanges[i]
+		view := backendView{change.dispatcher, change.backend}
+		v.stateChanges[view] = append(v.stateChanges[view], change)
 	}
 	v.countDrains()
-	for _, q := range r.requests {
-		v.checkAnswer(q)
-		v.checkEffects(q)
+	for _, req := range r.requests {
+		v.checkAnswer(req)
+		v.checkEffects(req)
 	}
 	for _, a := range r.attempts {
 		v.checkDrain(a)
@@ -84,16 +88,17 @@
 	return v.Verdict
 }
 
+// oracle checks one record.
 type oracle struct {
 	Verdict
 	record       *record
-	outages      func(dispatcher int) []span
-	attempts     map[string][]*attempt
+	outages      func(dispatcher int) []span // of the dispatcher's discovery
+	attempts     map[string][]*attempt       // by request id
 	stateChanges map[backendView][]*stateChange
 	drainCounts  map[int][]drainCount // by dispatcher
 }
 
-// place is a backend as a dispatcher knows it.
+// backendView is a backend as one dispatcher sees it.
 type backendView struct {
 	dispatcher int
 	backend    string
@@ -103,11 +108,13 @@
 	v.Violations = append(v.Violations, Violation{rule, at, fmt.Sprintf(format, args...)})
 }
 
-// excused tells whether a dispatcher that had a request was killed, or stood still, while it had it.
-func (v *oracle) excused(q *request, until time.Duration) bool {
-	for i, d := range q.dispatchers {
-		for _, l := range v.record.processes {
-			if l.dispatcher == d && l.killed && l.ended >= q.sentAt[i] && l.ended <= until+exitObservationLag && (l.terminatedAt == 0 || q.sentAt[i] <= l.terminatedAt+termLimit) {
+// excused reports whether a dispatcher was killed while it had the request. That excuses no request sent later than
+// termLimit after SIGTERM.
+func (v *oracle) excused(req *request, until time.Duration) bool {
+	for i, dispatcher := range req.dispatchers {
+		for _, p := range v.record.processes {
+			if p.dispatcher == dispatcher && p.killed && p.ended >= req.sentAt[i] && p.ended <= until+exitObservationLag &&
+				(p.terminatedAt == 0 || req.sentAt[i] <= p.terminatedAt+termLimit) {
 				return true
 			}
 		}
@@ -115,44 +122,51 @@
 	return false
 }
 
-// answer holds a request to its final answer.
-func (v *oracle) checkAnswer(q *request) {
-	if len(q.sentAt) == 0 || q.clientClosed > 0 && q.clientClosed < q.sentAt[0]+q.timeout+answerGrace {
+// checkAnswer checks that a request got its final answer in time, and that no send of it was read and closed
+// unanswered.
+func (v *oracle) checkAnswer(req *request) {
+	if len(req.sentAt) == 0 || req.clientClosed > 0 && req.clientClosed < req.sentAt[0]+req.timeout+answerGrace {
 		return
 	}
 	v.Chances[ruleLost]++
-	last := len(q.sentAt) - 1
-	due := q.sentAt[last] + q.timeout + answerGrace + observationSlack + v.record.stoppedFor(q.dispatchers[last], q.sentAt[last], q.sentAt[last]+q.timeout)
+	last := len(req.sentAt) - 1
+	due := req.sentAt[last] + req.timeout + answerGrace + observationSlack +
+		v.record.stoppedFor(req.dispatchers[last], req.sentAt[last], req.sentAt[last]+req.timeout)
 	switch {
-	case v.excused(q, due):
-	case q.status == 0 && q.clientClosed > 0:
-		v.addViolation(ruleLost, due, "request %s to n%v has no answer", q.id, q.dispatchers)
-	case q.status == 0 && q.gaveUp > 0 && v.record.crowded && len(v.attempts[q.id]) == 0:
-		// It was shut out unread, which idle clients that fill the descriptors may have come to.
-	case q.runEnded && len(v.attempts[q.id]) == 0:
-		// It was left unread, and would have been sent again.
-	case q.status == 0 && q.gaveUp > 0:
-		v.addViolation(ruleLost, q.gaveUp, "request %s to n%v was closed without an answer", q.id, q.dispatchers)
-	case q.status != 200 && q.answerEnd > due:
-		v.addViolation(ruleLost, q.answerEnd, "request %s to n%v was answered %d after %v", q.id, q.dispatchers, q.status, q.answerEnd-q.sentAt[last])
-	case q.status == 200 && !q.complete && v.finished(q):
-		v.addViolation(ruleLost, q.answerEnd, "request %s to n%v: its backend had finished, and its stream was cut", q.id, q.dispatchers)
-	}
-	for i, d := range q.dispatchers[:last] {
-		if a := v.attemptBetween(q, d, q.sendStarts[i], q.sendStarts[i+1]); a != nil && !v.excused(q, q.sentAt[i+1]) {
-			v.addViolation(ruleLost, a.firstByte, "request %s was read by n%d and closed without an answer", q.id, d)
+	case v.excused(req, due):
+	case req.status == 0 && req.clientClosed > 0:
+		v.addViolation(ruleLost, due, "request %s to n%v has no answer", req.id, req.dispatchers)
+	case req.status == 0 && req.gaveUp > 0 && v.record.crowded && len(v.attempts[req.id]) == 0:
+		// The connection was closed unread, which idle clients that use up the descriptors can cause.
+	case req.runEnded && len(v.attempts[req.id]) == 0:
+		// The request was left unread, and would have been sent again.
+	case req.status == 0 && req.gaveUp > 0:
+		v.addViolation(ruleLost, req.gaveUp, "request %s to n%v was closed without an answer", req.id, req.dispatchers)
+	case req.status != 200 && req.answerEnd > due:
+		v.addViolation(ruleLost, req.answerEnd, "request %s to n%v was answered %d after %v",
+			req.id, req.dispatchers, req.status, req.answerEnd-req.sentAt[last])
+	case req.status == 200 && !req.complete && v.finished(req):
+		v.addViolation(ruleLost, req.answerEnd, "request %s to n%v: its backend had finished, and its stream was cut",
+			req.id, req.dispatchers)
+	}
+	for i, dispatcher := range req.dispatchers[:last] {
+		if a := v.attemptBetween(req, dispatcher, req.sendStarts[i], req.sendStarts[i+1]); a != nil &&
+			!v.excused(req, req.sentAt[i+1]) {
+			v.addViolation(ruleLost, a.firstByte, "request %s was read by n%d and closed without an answer", req.id, dispatcher)
 		}
 	}
 }
 
-// finished tells whether a backend wrote all of an answer on a connection that was not cut.
-func (v *oracle) finished(q *request) bool {
-	return slices.ContainsFunc(v.attempts[q.id], func(a *attempt) bool { return a.finished && (a.closed == 0 || a.closed > a.answered+observationSlack) })
+// finished reports whether a backend wrote all of an answer on a connection that was not closed before.
+func (v *oracle) finished(req *request) bool {
+	return slices.ContainsFunc(v.attempts[req.id], func(a *attempt) bool {
+		return a.finished && (a.closed == 0 || a.closed > a.answered+observationSlack)
+	})
 }
 
-// forwarded is an attempt of a request by a dispatcher between two times.
-func (v *oracle) attemptBetween(q *request, dispatcher int, from, to time.Duration) *attempt {
-	for _, a := range v.attempts[q.id] {
+// attemptBetween returns an attempt of a request by a dispatcher that began in a period, or nil.
+func (v *oracle) attemptBetween(req *request, dispatcher int, from, to time.Duration) *attempt {
+	for _, a := range v.attempts[req.id] {
 		if a.dispatcher == dispatcher && a.firstByte >= from && a.firstByte < to {
 			return a
 		}
@@ -160,248 +174,262 @@
 	return nil
 }
 
-// effects holds a request's attempts to one effect, and to one at a time.
-func (v *oracle) checkEffects(q *request) {
-	attempts := v.attempts[q.id]
+// checkEffects checks that a request has at most one attempt in flight, does not run twice if that is not allowed,
+// and has no attempt that begins after its client has closed.
+func (v *oracle) checkEffects(req *request) {
+	attempts := v.attempts[req.id]
 	var ran *attempt
 	for i, a := range attempts {
-		if q.clientClosed > 0 {
+		if req.clientClosed > 0 {
 			v.Chances[ruleGone]++
-			held := v.record.stoppedFor(a.dispatcher, q.clientClosed, a.firstByte)
-			if late := a.firstByte - q.clientClosed; late > clientCloseLimit+observationSlack+held {
-				v.addViolation(ruleGone, a.firstByte, "an attempt for %s at %s began %v after its client had closed", q.id, a.backend, late)
+			stopped := v.record.stoppedFor(a.dispatcher, req.clientClosed, a.firstByte)
+			if late := a.firstByte - req.clientClosed; late > clientCloseLimit+observationSlack+stopped {
+				v.addViolation(ruleGone, a.firstByte, "an attempt for %s at %s began %v after its client had closed",
+					req.id, a.backend, late)
 			}
 		}
 		if a.arrived == 0 {
 			continue
 		}
-		for _, b := range attempts[:i] {
+		for _, earlier := range attempts[:i] {
 			v.Chances[ruleDuplicate]++
-			if end := b.end(); b.arrived > 0 && (end == 0 || end > a.arrived+closeObservationLag) && !v.processEndedBy(b, a.arrived) {
-				v.addViolation(ruleDuplicate, a.arrived, "two attempts for %s are out, at %s and %s", q.id, b.backend, a.backend)
+			if end := earlier.end(); earlier.arrived > 0 && (end == 0 || end > a.arrived+closeObservationLag) &&
+				!v.processEndedBy(earlier, a.arrived) {
+				v.addViolation(ruleDuplicate, a.arrived, "two attempts for %s are out, at %s and %s",
+					req.id, earlier.backend, a.backend)
 			}
 		}
 		if a.prefill || a.neverRan {
 			continue
 		}
-		if ran != nil && q.class.nonIdempotent && !v.processKilledBy(ran, a.arrived) {
-			v.addViolation(ruleDuplicate, a.arrived, "request %s may run a second time, at %s after %s", q.id, a.backend, ran.backend)
+		if ran != nil && req.class.nonIdempotent && !v.processKilledBy(ran, a.arrived) {
+			v.addViolation(ruleDuplicate, a.arrived, "request %s may run a second time, at %s after %s",
+				req.id, a.backend, ran.backend)
 		}
-		if ran != nil && q.class.dedupWindow > 0 && a.arrived-ran.firstByte > q.class.dedupWindow+observationSlack && !v.processKilledBy(ran, a.arrived) {
-			v.addViolation(ruleDuplicate, a.arrived, "request %s may run a second time, at %s %v after %s", q.id, a.backend, a.arrived-ran.firstByte, ran.backend)
+		if ran != nil && req.class.dedupWindow > 0 && a.arrived-ran.firstByte > req.class.dedupWindow+observationSlack &&
+			!v.processKilledBy(ran, a.arrived) {
+			v.addViolation(ruleDuplicate, a.arrived, "request %s may run a second time, at %s %v after %s",
+				req.id, a.backend, a.arrived-ran.firstByte, ran.backend)
 		}
 		ran = a
 	}
-	if q.class.nonIdempotent && (q.status == 503 || q.status == 429) {
+	if req.class.nonIdempotent && (req.status == 503 || req.status == 429) {
 		v.Chances[ruleDuplicate]++
-		if ran != nil && ran.arrived < q.answerEnd && !v.processKilledBy(ran, q.answerEnd) {
-			v.addViolation(ruleDuplicate, q.answerEnd, "request %s was rejected with %d after an attempt at %s that may have run", q.id, q.status, ran.backend)
+		if ran != nil && ran.arrived < req.answerEnd && !v.processKilledBy(ran, req.answerEnd) {
+			v.addViolation(ruleDuplicate, req.answerEnd, "request %s was rejected with %d after an attempt at %s that may have run",
+				req.id, req.status, ran.backend)
 		}
 	}
 }
 
-// killedWith tells whether the process of an attempt was killed before a time. Its client, which saw the connection break, is free to
-// send the request again, and answers for that itself.
+// processKilledBy reports whether the process that made an attempt was killed before a time. The client, which saw
+// the connection break, may then send the request again and is itself responsible for the repeat.
 func (v *oracle) processKilledBy(a *attempt, at time.Duration) bool {
-	l := v.record.processAt(a.dispatcher, a.firstByte)
-	return l != nil && l.killed && l.ended > 0 && l.ended <= at+exitObservationLag
+	p := v.record.processAt(a.dispatcher, a.firstByte)
+	return p != nil && p.killed && p.ended > 0 && p.ended <= at+exitObservationLag
 }
 
-// killedBefore tells whether the process of an attempt was gone at a time: what it left is no attempt that is out.
+// processEndedBy reports whether the process that made an attempt had ended at a time. The attempt is then no longer
+// in flight.
 func (v *oracle) processEndedBy(a *attempt, at time.Duration) bool {
-	l := v.record.processAt(a.dispatcher, a.firstByte)
-	return l == nil || l.ended > 0 && l.ended <= at
+	p := v.record.processAt(a.dispatcher, a.firstByte)
+	return p == nil || p.ended > 0 && p.ended <= at
 }
 
-// drains holds an attempt to what its dispatcher had been told of the backend.
+// checkDrain checks that an attempt was not sent to a backend after its dispatcher was notified that it drains.
 func (v *oracle) checkDrain(a *attempt) {
-	l := v.record.processAt(a.dispatcher, a.firstByte)
-	if l == nil {
+	p := v.record.processAt(a.dispatcher, a.firstByte)
+	if p == nil {
 		return
 	}
 	var last *stateChange
-	for _, n := range v.stateChanges[backendView{a.dispatcher, a.backend}] {
-		if n.at <= a.firstByte {
-			last = n
+	for _, change := range v.stateChanges[backendView{a.dispatcher, a.backend}] {
+		if change.at <= a.firstByte {
+			last = change
 		}
 	}
 	if v.anyDraining(a.dispatcher, a.firstByte) {
-		v.Chances[ruleDrain]++ // it might have gone there
+		v.Chances[ruleDrain]++ // the attempt could have been sent to a draining backend
 	}
 	if last == nil || last.ready {
 		return
 	}
-	told := v.notifiedAt(l, last)
-	held := v.record.stoppedFor(a.dispatcher, told, a.firstByte)
-	if late := a.firstByte - told; late > drainLimit+observationSlack+held {
-		v.addViolation(ruleDrain, a.firstByte, "an attempt for %s by n%d to %s began %v after it was told that that one drains", a.id, a.dispatcher, a.backend, late)
+	notified := v.notifiedAt(p, last)
+	stopped := v.record.stoppedFor(a.dispatcher, notified, a.firstByte)
+	if late := a.firstByte - notified; late > drainLimit+observationSlack+stopped {
+		v.addViolation(ruleDrain, a.firstByte, "an attempt for %s by n%d to %s began %v after it was told that that one drains",
+			a.id, a.dispatcher, a.backend, late)
 	}
 }
 
-// draining tells whether some backend drained, as discovery had it for a dispatcher, at a time.
+// anyDraining reports whether the discovery list of a dispatcher had a draining backend at a time.
 func (v *oracle) anyDraining(dispatcher int, at time.Duration) bool {
 	changes := v.drainCounts[dispatcher]
 	i, _ := slices.BinarySearchFunc(changes, at, func(c drainCount, at time.Duration) int { return cmp.Compare(c.at, at) })
 	return i > 0 && changes[i-1].backends > 0
 }
 
-// drainCount is how many backends drain, from a time on.
+// drainCount is the number of draining backends from a time on.
 type drainCount struct {
 	at       time.Duration
 	backends int
 }
 
-// countDrains counts the backends that drain over time, for each dispatcher.
+// countDrains computes the number of draining backends over time for each dispatcher.
 func (v *oracle) countDrains() {
 	v.drainCounts = map[int][]drainCount{}
-	drains := map[backendView]bool{}
+	draining := map[backendView]bool{}
 	count := map[int]int{}
-	for _, n := range v.record.stateChanges {
-		at := backendView{n.dispatcher, n.backend}
-		if drains[at] == n.ready {
-			drains[at] = !n.ready
-			if n.ready {
-				count[n.dispatcher]--
+	for _, change := range v.record.stateChanges {
+		view := backendView{change.dispatcher, change.backend}
+		if draining[view] == change.ready {
+			draining[view] = !change.ready
+			if change.ready {
+				count[change.dispatcher]--
 			} else {
-				count[n.dispatcher]++
+				count[change.dispatcher]++
 			}
 		}
-		v.drainCounts[n.dispatcher] = append(v.drainCounts[n.dispatcher], drainCount{n.at, count[n.dispatcher]})
+		v.drainCounts[change.dispatcher] = append(v.drainCounts[change.dispatcher],
+			drainCount{change.at, count[change.dispatcher]})
 	}
 }
 
-// toldAt is when a change counts as told to a process: when it was written to it, or some seconds after discovery had it and could be
-// reached at its address.
-func (v *oracle) notifiedAt(l *process, n *stateChange) time.Duration {
-	if n.written > 0 && n.written >= l.started {
-		return n.written
-	}
-	reachable := max(n.at, l.started)
-	for _, s := range v.outages(l.dispatcher) {
-		if s.overlaps(reachable, reachable) {
-			reachable = s.to
+// notifiedAt returns when a process counts as notified of a change: when the change was written to it, or
+// discoveryLag after it was listed and discovery could be reached at its address.
+func (v *oracle) notifiedAt(p *process, change *stateChange) time.Duration {
+	if change.written > 0 && change.written >= p.started {
+		return change.written
+	}
+	reachable := max(change.at, p.started)
+	for _, outage := range v.outages(p.dispatcher) {
+		if outage.overlaps(reachable, reachable) {
+			reachable = outage.to
 		}
 	}
-	told := reachable + discoveryLag
-	for _, m := range l.moves {
-		if m.overlaps(n.at-reloadLag, told) {
-			told = max(told, m.to+discoveryLag)
+	notified := reachable + discoveryLag
+	for _, move := range p.moves {
+		if move.overlaps(change.at-reloadLag, notified) {
+			notified = max(notified, move.to+discoveryLag)
 		}
 	}
-	return told
+	return notified
 }
 
-// deadline holds the deadline that an attempt states to what its client had left.
+// checkDeadline checks that an attempt states no more time than its client has left.
 func (v *oracle) checkDeadline(a *attempt) {
-	q := v.record.byID[a.id]
-	if q == nil || a.arrived == 0 || len(q.sentAt) == 0 {
+	req := v.record.byID[a.id]
+	if req == nil || a.arrived == 0 || len(req.sentAt) == 0 {
 		return
 	}
 	v.Chances[ruleDeadline]++
-	sent := q.sentAt[0]
-	for i, d := range q.dispatchers {
-		if d == a.dispatcher {
-			sent = q.sentAt[i]
+	sent := req.sentAt[0]
+	for i, dispatcher := range req.dispatchers {
+		if dispatcher == a.dispatcher {
+			sent = req.sentAt[i]
 		}
 	}
-	left := sent + q.timeout - a.firstByte
-	held := v.record.stoppedFor(a.dispatcher, sent, a.arrived)
-	if a.statedDeadline > left+deadlineSlack+observationSlack+held {
-		v.addViolation(ruleDeadline, a.firstByte, "an attempt for %s by n%d is told %v, its client has %v left", a.id, a.dispatcher, a.statedDeadline, left)
+	remaining := sent + req.timeout - a.firstByte
+	stopped := v.record.stoppedFor(a.dispatcher, sent, a.arrived)
+	if a.statedDeadline > remaining+deadlineSlack+observationSlack+stopped {
+		v.addViolation(ruleDeadline, a.firstByte, "an attempt for %s by n%d is told %v, its client has %v left",
+			a.id, a.dispatcher, a.statedDeadline, remaining)
 	}
 }
 
-// holds holds what waits for requests to its time: while none of a request's attempts is out.
+// checkCacheReleases checks for how long KV caches are held while their request has no attempt in flight.
 func (v *oracle) checkCacheReleases() {
 	type change struct {
-		at   time.Duration
-		out  int
-		hold int // 1: held, -1: taken or released
-		of   *attempt
+		at       time.Duration
+		inFlight int // change of the number of attempts in flight
+		cache    int // 1: stored, -1: taken or released
+		attempt  *attempt
 	}
 	changes := map[string][]change{}
-	for _, h := range v.record.cacheEvents {
-		hold := -1
-		if h.stored {
-			hold = 1
+	for _, event := range v.record.cacheEvents {
+		cache := -1
+		if event.stored {
+			cache = 1
 		}
-		changes[h.id] = append(changes[h.id], change{at: h.at, hold: hold})
+		changes[event.id] = append(changes[event.id], change{at: event.at, cache: cache})
 	}
 	for id, all := range changes {
 		for _, a := range v.attempts[id] {
 			if a.arrived > 0 {
-				all = append(all, change{at: a.arrived, out: 1, of: a})
+				all = append(all, change{at: a.arrived, inFlight: 1, attempt: a})
 				if end := a.end(); end > 0 {
-					all = append(all, change{at: end, out: -1, of: a})
+					all = append(all, change{at: end, inFlight: -1, attempt: a})
 				}
 			}
 		}
 		slices.SortStableFunc(all, func(a, b change) int { return int(a.at - b.at) })
-		out, held, since := 0, false, time.Duration(0)
+		inFlight, held, since := 0, false, time.Duration(0)
 		for _, c := range all {
-			if held && out == 0 {
+			if held && inFlight == 0 {
 				v.checkCacheTime(id, since, c.at)
 			}
-			out += c.out
-			if c.hold != 0 {
-				held = c.hold > 0
+			inFlight += c.inFlight
+			if c.cache != 0 {
+				held = c.cache > 0
 			}
-			if c.hold > 0 || c.out != 0 {
+			if c.cache > 0 || c.inFlight != 0 {
 				since = c.at
 			}
 		}
-		if held && out == 0 {
+		if held && inFlight == 0 {
 			v.checkCacheTime(id, since, v.record.now())
 		}
 	}
 }
 
-// waited looks whether a state waited too long.
+// checkCacheTime checks a period in which a KV cache was held without an attempt in flight.
 func (v *oracle) checkCacheTime(id string, from, to time.Duration) {
 	v.Chances[ruleHeld]++
-	var held time.Duration
+	var delay time.Duration
 	for _, a := range v.attempts[id] {
-		if l := v.record.processAt(a.dispatcher, a.firstByte); l == nil || l.killed && l.ended < to {
-			return // its process was killed
+		if p := v.record.processAt(a.dispatcher, a.firstByte); p == nil || p.killed && p.ended < to {
+			return // the process that would have released it was killed
 		}
-		held = max(held, v.record.stoppedFor(a.dispatcher, from, to)+v.record.dialOutage(a.dispatcher, from, to))
+		delay = max(delay, v.record.stoppedFor(a.dispatcher, from, to)+v.record.dialOutage(a.dispatcher, from, to))
 	}
-	if to-from > v.record.cacheTimeout+cacheSlack+observationSlack+held {
+	if to-from > v.record.cacheTimeout+cacheSlack+observationSlack+delay {
 		v.addViolation(ruleHeld, to, "a state for %s waited for %v", id, to-from)
 	}
 }
 
-// events holds streams to passing events on as they come. On a busy machine a few may be late; most must not be.
+// checkEvents checks that streams pass events on without delay. On a busy machine a few streams may be late, but not
+// more than maxLateStreamShare.
 func (v *oracle) checkEvents() {
 	late, worst := 0, time.Duration(0)
 	var last *request
-	for _, q := range v.record.requests {
-		if q.eventCount == 0 || len(q.sentAt) == 0 {
+	for _, req := range v.record.requests {
+		if req.eventCount == 0 || len(req.sentAt) == 0 {
 			continue
 		}
 		v.Chances[ruleEvents]++
-		held := v.record.stoppedFor(q.dispatchers[len(q.dispatchers)-1], q.sentAt[len(q.sentAt)-1], q.answerEnd)
-		if q.eventDelay > eventDelayLimit+observationSlack+held {
+		stopped := v.record.stoppedFor(req.dispatchers[len(req.dispatchers)-1], req.sentAt[len(req.sentAt)-1], req.answerEnd)
+		if req.eventDelay > eventDelayLimit+observationSlack+stopped {
 			late++
-			last, worst = q, max(worst, q.eventDelay)
+			last, worst = req, max(worst, req.eventDelay)
 		}
 	}
 	if last != nil && float64(late) > maxLateStreamShare*float64(v.Chances[ruleEvents]) {
-		v.addViolation(ruleEvents, last.answerEnd, "%d streams had an event held back, for up to %v, the last for %s by n%v", late, worst, last.id, last.dispatchers)
+		v.addViolation(ruleEvents, last.answerEnd,
+			"%d streams had an event held back, for up to %v, the last for %s by n%v", late, worst, last.id, last.dispatchers)
 	}
 }
 
-// processes holds processes to staying up, and to being ready in time.
+// checkProcesses checks that processes do not exit by themselves and become ready within readyLimit.
 func (v *oracle) checkProcesses() {
-	for _, l := range v.record.processes {
+	for _, p := range v.record.processes {
 		v.Chances[ruleCrash]++
-		if l.crashed != "" {
-			v.addViolation(ruleCrash, l.ended, "n%d: %s", l.dispatcher, l.crashed)
+		if p.crashed != "" {
+			v.addViolation(ruleCrash, p.ended, "n%d: %s", p.dispatcher, p.crashed)
 		}
 		v.Chances[ruleReady]++
-		late := l.ready == 0 && l.ended == 0 && v.record.now()-l.started > readyLimit
-		if late || l.ready > 0 && l.ready-l.started > readyLimit {
-			v.addViolation(ruleReady, l.started+readyLimit, "n%d is not ready in time", l.dispatcher)
+		late := p.ready == 0 && p.ended == 0 && v.record.now()-p.started > readyLimit
+		if late || p.ready > 0 && p.ready-p.started > readyLimit {
+			v.addViolation(ruleReady, p.started+readyLimit, "n%d is not ready in time", p.dispatcher)
 		}
 	}
 }
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Result is what came of a run.
+// Result is the outcome of a run.
 type Result struct {
 	Verdict
-	Seed     uint64
-	Faults   []Fault
-	Requests int
-	Attempts int
-	Statuses map[int]int
-	Resent   int
-	usage    usage
-	Lateness     time.Duration // by which the soak itself was late
-	Inconclusive bool          // it was too late to tell whose a delay is
+	Seed         uint64
+	Faults       []Fault
+	Requests     int
+	Attempts     int
+	Statuses     map[int]int
+	Resent       int // requests that were sent a second time
+	usage        usage
+	Lateness     time.Duration // largest scheduling delay of the soak itself
+	Inconclusive bool          // the soak ran too late to attribute delays to the dispatchers
 }
 
-// Table prints what came of a run.
+// Table prints the outcome of a run.
 func (res Result) Table(w io.Writer) {
 	fmt.Fprintf(w, "seed %d: %d requests, %d attempts, %d faults, %d sent again on a new connection, answers %v\n",
 		res.Seed, res.Requests, res.Attempts, len(res.Faults), res.Resent, res.Statuses)
@@ -34,7 +34,8 @@
 	for _, k := range slices.Sorted(maps.Keys(kinds)) {
 		fmt.Fprintf(w, " %s %d", k, kinds[k])
 	}
-	fmt.Fprintf(w, "\npairs that overlapped: %d kinds; the soak itself was late by up to %v\n", len(Overlaps(res.Faults)), res.Lateness.Round(time.Millisecond))
+	fmt.Fprintf(w, "\npairs that overlapped: %d kinds; the soak itself was late by up to %v\n",
+		len(Overlaps(res.Faults)), res.Lateness.Round(time.Millisecond))
 	fmt.Fprintf(w, "a dispatcher needed %v\n", res.usage)
 	if res.Inconclusive {
 		fmt.Fprintf(w, "NOT JUDGED: the soak lagged by over %v; what follows may be its own\n", maxLateness)
@@ -55,19 +56,19 @@
 	}
 }
 
-// fewChances is below how many chances a rule's line says that they were few.
+// fewChances is the number of chances below which the line of a rule is marked.
 const fewChances = 20
 
-// result judges what was recorded, with the processes still up.
+// result checks the record while the processes are still up.
 func (r *run) result(faults []Fault) Result {
 	res := Result{Seed: r.options.Seed, Faults: faults, Statuses: map[int]int{}}
 	res.usage = usageOf(r.pids())
 	r.record.mu.Lock()
 	res.Verdict = checkRecord(r.record, func(dispatcher int) []span { return r.discovery.agents[dispatcher].outages })
 	res.Requests, res.Attempts = len(r.record.requests), len(r.record.attempts)
-	for _, q := range r.record.requests {
-		res.Statuses[q.status]++
-		if len(q.sentAt) > 1 {
+	for _, req := range r.record.requests {
+		res.Statuses[req.status]++
+		if len(req.sentAt) > 1 {
 			res.Resent++
 		}
 	}
@@ -81,7 +82,7 @@
 	return res
 }
 
-// pids are those of the processes that are up.
+// pids returns the ids of the processes that are ready.
 func (r *run) pids() (pids []int) {
 	for _, d := range r.dispatchers {
 		d.mu.Lock()
--- a/internal/soak/shims.go
+++ b/internal/soak/shims.go
@@ -14,18 +14,19 @@
 	"sloetrestle/internal/system"
 )
 
-// Order is what a soak tells the shims of a dispatcher's process: the system that fails is the program's own, but for these.
+// Order is a message from a soak to the shims of a dispatcher process. Apart from these faults the process uses the
+// real operating system.
 type Order struct {
-	WallStep   time.Duration `json:"wall_step,omitempty"` // the wall clock steps by so much
-	Accept     syscall.Errno `json:"accept,omitempty"`    // accept fails so
-	Dial       syscall.Errno `json:"dial,omitempty"`      // socket or connect fails so
+	WallStep   time.Duration `json:"wall_step,omitempty"` // step of the wall clock
+	Accept     syscall.Errno `json:"accept,omitempty"`    // error of accept
+	Dial       syscall.Errno `json:"dial,omitempty"`      // error of socket or connect
 	ShortReads bool          `json:"short_reads,omitempty"`
-	For        time.Duration `json:"for,omitempty"`
+	For        time.Duration `json:"for,omitempty"` // how long the errors or short reads last
 }
 
-// shims are what stands between a dispatcher and the operating system.
+// shims hold the faults that are injected between a dispatcher and the operating system.
 type shims struct {
-	wall atomic.Int64 // by how much the wall clock is off
+	wall atomic.Int64 // offset of the wall clock in nanoseconds
 
 	mu     sync.Mutex
 	accept failure
@@ -33,7 +34,7 @@
 	short  failure
 }
 
-// failure lasts for a while.
+// failure is an injected error with the time at which it ends.
 type failure struct {
 	errno syscall.Errno
 	until time.Time
@@ -41,7 +42,7 @@
 
 func (f failure) lasts() bool { return time.Now().Before(f.until) }
 
-// Shims is a system that does what a soak orders over a connection.
+// Shims returns a system that injects the faults ordered over a connection to the control address.
 func Shims(control string) (system.System, error) {
 	conn, err := net.Dial("tcp", control)
 	if err != nil {
@@ -73,36 +74,37 @@
 	}, nil
 }
 
-// follow carries out orders until the soak has gone.
+// follow executes orders until the connection ends.
 func (s *shims) follow(conn net.Conn) {
 	for lines := bufio.NewScanner(conn); lines.Scan(); {
-		var o Order
-		if json.Unmarshal(lines.Bytes(), &o) != nil {
+		var order Order
+		if json.Unmarshal(lines.Bytes(), &order) != nil {
 			continue
 		}
-		s.wall.Add(int64(o.WallStep))
-		until := time.Now().Add(o.For)
+		s.wall.Add(int64(order.WallStep))
+		until := time.Now().Add(order.For)
 		s.mu.Lock()
-		if o.Accept != 0 {
-			s.accept = failure{o.Accept, until}
+		if order.Accept != 0 {
+			s.accept = failure{order.Accept, until}
 		}
-		if o.Dial != 0 {
-			s.dial = failure{o.Dial, until}
+		if order.Dial != 0 {
+			s.dial = failure{order.Dial, until}
 		}
-		if o.ShortReads {
+		if order.ShortReads {
 			s.short = failure{0, until}
 		}
 		s.mu.Unlock()
 	}
 }
 
+// active returns the error of a failure and whether it lasts.
 func (s *shims) active(f *failure) (syscall.Errno, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return f.errno, f.lasts()
 }
 
-// cut is how much of a read or write is let through.
+// limitLength returns the part of a buffer that a read or write may use now.
 func (s *shims) limitLength(into []byte) []byte {
 	if _, short := s.active(&s.short); short {
 		return into[:min(len(into), maxShortIO)]
@@ -110,9 +112,10 @@
 	return into
 }
 
-// shortMost is how many bytes a short read or write takes.
+// maxShortIO is the number of bytes of a short read or write.
 const maxShortIO = 7
 
+// shimListener is a listener whose Accept fails on order and whose connections can have short reads.
 type shimListener struct {
 	system.Listener
 	shims *shims
@@ -143,7 +146,7 @@
 
 func (c *shortAccepted) Write(from []byte) (int, error) { return inPieces(c.Conn, c.shims, from) }
 
-// shortDialed is the same for one that the dispatcher made.
+// shortDialed is the same for a connection that the dispatcher dialed.
 type shortDialed struct {
 	*net.TCPConn
 	shims *shims
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,7 +1,7 @@
-// Package soak plays real dispatcher processes through faults that a seed draws and that overlap: signals, reloads, shims of the
-// system calls and the wall clock, backends, links and discovery that misbehave, clients that do. An oracle holds the far ends' record,
-// never the dispatchers' word, to the rules and terms. The same seed has the same schedule; Shrink drops what a failing one does not
-// need. Begin with Run.
+// Package soak runs real dispatcher processes under overlapping random faults: signals, reloads, failing system
+// calls, clock steps, and backends, links, discovery and clients that misbehave. An oracle checks what clients,
+// backends and discovery recorded against the rules; it never uses what the dispatchers report about themselves. The
+// same seed gives the same schedule of faults, but not the same timing of the processes. Begin with Run.
 package soak
 
 import (
@@ -23,39 +23,40 @@
 	"sloetrestle/internal/system"
 )
 
-// ControlVariable names the environment variable that has a process of a soak find whoever drives its shims.
+// ControlVariable is the environment variable with the address from which a dispatcher process gets the orders for
+// its shims.
 const ControlVariable = "SLOETRESTLE_SOAK_CONTROL"
 
-// Options say what is played.
+// Options configure a run.
 type Options struct {
-	Seed      uint64
-	Processes int
-	Length    time.Duration
-	FaultInterval     time.Duration // between two faults, on the mean
-	Clients   int           // usual ones for each process
-	Backends  int           // 0: as few as show all rules
-	Rate      float64       // requests a second for each process beside those of the usual clients, which wait for their answers
-	Command   []string      // that runs a dispatcher with Shims
-	Env       []string
-	Dir       string  // for the record; empty: none is kept
-	Faults    []Fault // in place of the schedule that the seed draws
+	Seed          uint64
+	Processes     int
+	Length        time.Duration
+	FaultInterval time.Duration // mean time between two faults
+	Clients       int           // well-behaved clients per process
+	Backends      int           // 0: the smallest number that exercises all rules
+	Rate          float64       // open-loop requests per second and process, in addition to those of Clients
+	Command       []string      // command line of a dispatcher with Shims
+	Env           []string      // added to the environment of Command
+	Dir           string        // for logs, configurations and the schedule; empty: they are not kept
+	Faults        []Fault       // used instead of the schedule drawn from Seed
 }
 
 const (
-	settleTime      = 4 * time.Second // at a run's end, without a new fault
-	faultAftermath  = time.Second     // for which a fault that has ended still acts
+	settleTime      = 4 * time.Second // at the end of a run, in which no fault begins
+	faultAftermath  = time.Second     // for which a fault still has effects after its end
 	defaultBackends = 5
-	prefillShare    = 0.45 // of the backends
+	prefillShare    = 0.45 // of all backends
 	badClients      = 2
 	startLimit      = 30 * time.Second
-	clientsEndLimit = 8 * time.Second // for clients to end
+	clientsEndLimit = 8 * time.Second // for clients to finish
 )
 
-// run is one that is being played.
+// run is one run in progress.
 type run struct {
 	options     Options
 	variant     variant
-	lateness    lateness // of the soak itself
+	lateness    lateness // of the soak's own process
 	record      *record
 	cluster     *cluster
 	discovery   *discovery
@@ -64,16 +65,16 @@
 	group       errgroup.Group
 
 	mu                  sync.Mutex
-	badClientViolations []Violation // of bad clients
-	badClientsSeen      int         // bad clients that had their end
+	badClientViolations []Violation
+	badClientsSeen      int // bad clients that were closed or timed out
 }
 
-// Run plays one seed and judges it.
-func Run(ctx context.Context, o Options) (Result, error) {
-	v := drawVariant(o.Seed)
-	r := &run{options: o, variant: v, record: newRecord(v), dir: o.Dir}
-	if o.Faults == nil {
-		o.Faults = Schedule(o)
+// Run runs one seed, checks the record and returns the result.
+func Run(ctx context.Context, options Options) (Result, error) {
+	drawn := drawVariant(options.Seed)
+	r := &run{options: options, variant: drawn, record: newRecord(drawn), dir: options.Dir}
+	if options.Faults == nil {
+		options.Faults = Schedule(options)
 	}
 	if r.dir == "" {
 		dir, err := os.MkdirTemp("", "sloetrestle-soak-")
@@ -83,7 +84,7 @@
 		defer os.RemoveAll(dir)
 		r.dir = dir
 	}
-	if err := r.writeSchedule(o.Faults); err != nil {
+	if err := r.writeSchedule(options.Faults); err != nil {
 		return Result{}, err
 	}
 	if err := r.open(); err != nil {
@@ -93,14 +94,14 @@
 	if err := r.startAll(ctx); err != nil {
 		return Result{}, err
 	}
-	r.play(ctx, o.Faults)
+	r.play(ctx, options.Faults)
 	if err := ctx.Err(); err != nil {
-		return Result{}, fmt.Errorf("seed %d was interrupted: %w", o.Seed, err)
+		return Result{}, fmt.Errorf("seed %d was interrupted: %w", options.Seed, err)
 	}
-	return r.result(o.Faults), nil
+	return r.result(options.Faults), nil
 }
 
-// keepSchedule writes the schedule beside the record.
+// writeSchedule writes the schedule into the folder of the run.
 func (r *run) writeSchedule(faults []Fault) error {
 	raw, err := json.MarshalIndent(faults, "", "  ")
 	if err != nil {
@@ -109,7 +110,7 @@
 	return os.WriteFile(filepath.Join(r.dir, "schedule.json"), raw, 0o644)
 }
 
-// open opens backends, discovery and the places of the dispatchers.
+// open starts the backends and discovery and allocates the addresses of the dispatchers.
 func (r *run) open() error {
 	r.cluster = &cluster{record: r.record, cached: map[string]bool{}}
 	r.discovery = &discovery{record: r.record, cluster: r.cluster, revision: 1}
@@ -157,26 +158,26 @@
 	return starting.Wait()
 }
 
-// play has clients ask and faults happen.
+// play runs the clients and injects the faults until the run's length has passed.
 func (r *run) play(ctx context.Context, faults []Fault) {
 	ctx, end := context.WithTimeout(ctx, r.options.Length)
 	defer end()
-	asking := &clients{run: r, record: r.record}
+	load := &clients{run: r, record: r.record}
 	var running sync.WaitGroup
 	for i := range r.options.Processes * r.options.Clients {
-		running.Go(func() { asking.runWellBehaved(ctx, rand.New(rand.NewPCG(r.options.Seed, uint64(i)))) })
+		running.Go(func() { load.runWellBehaved(ctx, rand.New(rand.NewPCG(r.options.Seed, uint64(i)))) })
 	}
 	running.Go(func() { r.lateness.watch(ctx) })
 	if rate := r.options.Rate * float64(r.options.Processes); rate > 0 {
-		running.Go(func() { asking.openLoop(ctx, rand.New(rand.NewPCG(r.options.Seed, 2<<32)), rate) })
+		running.Go(func() { load.openLoop(ctx, rand.New(rand.NewPCG(r.options.Seed, 2<<32)), rate) })
 	}
 	for _, d := range r.dispatchers {
 		for range r.variant.idleClients {
-			running.Go(func() { asking.idle(ctx, d) })
+			running.Go(func() { load.idle(ctx, d) })
 		}
 	}
 	for i := range badClients {
-		running.Go(func() { asking.runMalformed(ctx, rand.New(rand.NewPCG(r.options.Seed, 1<<32+uint64(i)))) })
+		running.Go(func() { load.runMalformed(ctx, rand.New(rand.NewPCG(r.options.Seed, 1<<32+uint64(i)))) })
 	}
 	running.Go(func() {
 		for system.Sleep(ctx, heartbeatInterval) {
@@ -194,36 +195,38 @@
 	running.Wait()
 }
 
-// front deals out a dispatcher that takes new connections.
+// pickDispatcher returns a random dispatcher that accepts new connections, or nil if there is none.
 func (r *run) pickDispatcher(rng *rand.Rand) *dispatcher {
-	var up []*dispatcher
+	var available []*dispatcher
 	for _, d := range r.dispatchers {
 		if d.acceptsConnections() {
-			up = append(up, d)
+			available = append(available, d)
 		}
 	}
-	if len(up) == 0 {
+	if len(available) == 0 {
 		return nil
 	}
-	return up[rng.IntN(len(up))]
+	return available[rng.IntN(len(available))]
 }
 
-// badDone takes note of a bad client's end.
+// recordBadClient records how long a dispatcher took to close a bad client, and a violation if it was too long.
 func (r *run) recordBadClient(dispatcher int, began, took time.Duration, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.badClientsSeen++
 	if took > badClientLimit+observationSlack+r.stoppedFor(dispatcher, began, began+took) {
-		r.badClientViolations = append(r.badClientViolations, Violation{ruleBad, began + took, fmt.Sprintf("a client that stopped in a request to n%d had its end after %v: %v", dispatcher, took, err)})
+		r.badClientViolations = append(r.badClientViolations, Violation{ruleBad, began + took,
+			fmt.Sprintf("a client that stopped in a request to n%d had its end after %v: %v", dispatcher, took, err)})
 	}
 }
 
-func (r *run) stoppedFor(dispatcher int, from, to time.Duration) (held time.Duration) {
-	r.record.with(func() { held = r.record.stoppedFor(dispatcher, from, to) })
-	return held
+// stoppedFor is record.stoppedFor with the record locked.
+func (r *run) stoppedFor(dispatcher int, from, to time.Duration) (stopped time.Duration) {
+	r.record.with(func() { stopped = r.record.stoppedFor(dispatcher, from, to) })
+	return stopped
 }
 
-// close ends all of it.
+// close kills the dispatchers and closes discovery and the backends.
 func (r *run) close() {
 	for _, d := range r.dispatchers {
 		r.record.with(func() {
@@ -242,15 +245,16 @@
 	r.cluster.connections.Wait()
 }
 
-// Shrink drops faults from a schedule as long as fails says that the rest still fails, and returns the shortest that was found.
+// Shrink drops faults from a schedule as long as fails reports that the rest still fails, and returns the shortest
+// schedule found.
 func Shrink(faults []Fault, fails func([]Fault) bool) []Fault {
 	for size := max(len(faults)/2, 1); size >= 1; size /= 2 {
-		for at := 0; at < len(faults); {
-			rest := slices.Concat(faults[:at], faults[min(at+size, len(faults)):])
+		for start := 0; start < len(faults); {
+			rest := slices.Concat(faults[:start], faults[min(start+size, len(faults)):])
 			if len(rest) < len(faults) && fails(rest) {
 				faults = rest
 			} else {
-				at += size
+				start += size
 			}
 		}
 	}
--- a/internal/soak/usage.go
+++ b/internal/soak/usage.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// usage is what the processes of the dispatchers needed, on the mean over those that were up at the end.
+// usage is the mean resource use of the dispatcher processes that were up at the end of a run.
 type usage struct {
 	processes int
 	cpu       time.Duration
@@ -17,12 +17,12 @@
 }
 
 const (
-	clockTicks = 100 // of processor time in a second, as /proc states it
-	userTime   = 11  // fields of /proc/PID/stat behind the name
+	clockTicks = 100 // per second of processor time in /proc
+	userTime   = 11  // field of /proc/PID/stat, counted after the process name; so is systemTime
 	systemTime = 12
 )
 
-// usageOf reads what processes needed since their start.
+// usageOf returns the mean resource use of the given processes since their start.
 func usageOf(pids []int) (sum usage) {
 	for _, pid := range pids {
 		cpu, err := processorTime(pid)
@@ -40,14 +40,14 @@
 	return sum
 }
 
-// processorTime is that of a process so far.
+// processorTime returns the processor time that a process has used, user and system.
 func processorTime(pid int) (time.Duration, error) {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
 	}
-	_, behind, _ := bytes.Cut(raw, []byte(") ")) // the name may hold spaces
-	fields := strings.Fields(string(behind))
+	_, afterName, _ := bytes.Cut(raw, []byte(") ")) // the name may contain spaces
+	fields := strings.Fields(string(afterName))
 	if len(fields) <= systemTime {
 		return 0, fmt.Errorf("/proc/%d/stat has %d fields", pid, len(fields))
 	}
@@ -62,7 +62,7 @@
 	return time.Duration(ticks) * time.Second / clockTicks, nil
 }
 
-// peakMemory is the most that a process held, in KB; 0: it is not told.
+// peakMemory returns the peak resident memory of a process in KB, or 0 if it is unknown.
 func peakMemory(pid int) int64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -78,5 +78,6 @@
 }
 
 func (u usage) String() string {
-	return fmt.Sprintf("%v of processor time and %d KB at the peak, on the mean over %d processes", u.cpu, u.peakKB, u.processes)
+	return fmt.Sprintf("%v of processor time and %d KB at the peak, on the mean over %d processes",
+		u.cpu, u.peakKB, u.processes)
 }
--- a/internal/soak/variant.go
+++ b/internal/soak/variant.go
@@ -5,26 +5,32 @@
 	"time"
 )
 
-// variant is the deployment that a run plays: what the settings say, and whether idle clients crowd the dispatchers.
+// variant is the deployment of a run: the drawn settings and the number of idle clients.
 type variant struct {
 	classes      []class
-	cacheTimeout time.Duration // for which a state may wait with no attempt out
-	idleClients  int           // idle clients for each dispatcher
+	cacheTimeout time.Duration // for which a KV cache may be held without an attempt in flight
+	idleClients  int           // per dispatcher
 }
 
-// crowdSize is how many idle clients a crowd has: more than a dispatcher has descriptors for.
+// idleClientCount is the number of idle clients per dispatcher, more than it has descriptors for.
 const idleClientCount = 300
 
-// drawVariant draws the deployment of a run from its seed. The classes are those of hosts.Settings; their deadlines, and how long a
-// state may wait, decide how soon after SIGTERM the SIGKILL comes, and what a send that does not arrive has to be followed by.
+// drawVariant draws the deployment of a run from its seed. The classes are those of the test settings. Their
+// deadlines and the time for which a KV cache may be held determine how soon SIGKILL follows SIGTERM, and what must
+// follow a send that does not arrive.
 func drawVariant(seed uint64) variant {
 	rng := rand.New(rand.NewPCG(seed, 0x7e95))
 	deadlines := [][2]time.Duration{
-		{3 * time.Second, 2 * time.Second}, {1200 * time.Millisecond, time.Second}, {2 * time.Second, 1500 * time.Millisecond},
+		{3 * time.Second, 2 * time.Second},
+		{1200 * time.Millisecond, time.Second},
+		{2 * time.Second, 1500 * time.Millisecond},
 		{6 * time.Second, 4 * time.Second},
 	}[rng.IntN(4)]
 	v := variant{cacheTimeout: []time.Duration{500 * time.Millisecond, 300 * time.Millisecond}[rng.IntN(2)]}
-	v.classes = []class{{name: "trail-info", deadline: deadlines[0]}, {name: "hut-booking", nonIdempotent: true, deadline: deadlines[1]}}
+	v.classes = []class{
+		{name: "trail-info", deadline: deadlines[0]},
+		{name: "hut-booking", nonIdempotent: true, deadline: deadlines[1]},
+	}
 	if rng.IntN(3) == 0 {
 		v.classes[0].dedupWindow = 800 * time.Millisecond
 	}
@@ -34,7 +40,7 @@
 	return v
 }
 
-// effect is how the settings state what running a request of the class again does.
+// effect returns the settings' name for what a repeated run of a request of the class does.
 func (c class) effect() string {
 	switch {
 	case c.nonIdempotent:
@@ -45,7 +51,7 @@
 	return "repeatable"
 }
 
-// killAfter is how soon after SIGTERM the SIGKILL may come: the longest deadline, counted as 3 s at most, and 0.7 s.
+// killAfter returns the time from SIGTERM to SIGKILL: the longest deadline, at most maxKillDeadline, plus killSlack.
 func (v variant) killAfter() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range v.classes {
