--- a/internal/soak/lateness.go
+++ b/internal/soak/lateness.go
@@ -39,5 +39,5 @@
 	}
 }
 
-// max returns the largest delay observed.
-func (l *lateness) max() time.Duration { return time.Duration(l.worst.Load()) }
+// largest returns the largest delay observed.
+func (l *lateness) largest() time.Duration { return time.Duration(l.worst.Load()) }
--- a/internal/soak/oracle.go
+++ b/internal/soak/oracle.go
@@ -216,8 +216,8 @@
 	if req.class.nonIdempotent && (req.status == 503 || req.status == 429) {
 		v.Chances[ruleDuplicate]++
 		if ran != nil && ran.arrived < req.answerEnd && !v.processKilledBy(ran, req.answerEnd) {
-			v.addViolation(ruleDuplicate, req.answerEnd, "request %s was rejected with %d after an attempt at %s that may have run",
-				req.id, req.status, ran.backend)
+			v.addViolation(ruleDuplicate, req.answerEnd,
+				"request %s was rejected with %d after an attempt at %s that may have run", req.id, req.status, ran.backend)
 		}
 	}
 }
@@ -257,7 +257,8 @@
 	notified := v.notifiedAt(p, last)
 	stopped := v.record.stoppedFor(a.dispatcher, notified, a.firstByte)
 	if late := a.firstByte - notified; late > drainLimit+observationSlack+stopped {
-		v.addViolation(ruleDrain, a.firstByte, "an attempt for %s by n%d to %s began %v after it was told that that one drains",
+		v.addViolation(ruleDrain, a.firstByte,
+			"an attempt for %s by n%d to %s began %v after it was told that that one drains",
 			a.id, a.dispatcher, a.backend, late)
 	}
 }
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -12,255 +12,318 @@
 
 const ms = time.Millisecond
 
-// story is a record made by hand: one request to dispatcher 0, which is up from the start.
+// recordBuilder builds a record with one request to dispatcher 0, which is up from the start.
 type recordBuilder struct {
 	*record
 	request *request
 }
 
-func newRecordBuilder(once bool) *recordBuilder {
-	s := &recordBuilder{record: newRecord(variant{cacheTimeout: 500 * ms})}
-	s.began = time.Now().Add(-time.Minute) // a minute has passed
-	s.request = &request{id: "q", class: class{name: "c", nonIdempotent: once, deadline: 2 * time.Second}, timeout: 2 * time.Second, sendStarts: []time.Duration{1000 * ms}, sentAt: []time.Duration{1000 * ms}, dispatchers: []int{0}}
-	s.requests, s.byID["q"] = []*request{s.request}, s.request
-	s.processes = []*process{{dispatcher: 0, started: ms, ready: 100 * ms}}
-	return s
+func newRecordBuilder(nonIdempotent bool) *recordBuilder {
+	b := &recordBuilder{record: newRecord(variant{cacheTimeout: 500 * ms})}
+	b.began = time.Now().Add(-time.Minute) // the run has lasted a minute
+	b.request = &request{
+		id: "q", class: class{name: "c", nonIdempotent: nonIdempotent, deadline: 2 * time.Second}, timeout: 2 * time.Second,
+		sendStarts: []time.Duration{1000 * ms}, sentAt: []time.Duration{1000 * ms}, dispatchers: []int{0},
+	}
+	b.requests, b.byID["q"] = []*request{b.request}, b.request
+	b.processes = []*process{{dispatcher: 0, started: ms, ready: 100 * ms}}
+	return b
 }
 
-// answered has the request answered.
-func (s *recordBuilder) answered(status int, at time.Duration) *recordBuilder {
-	s.request.status, s.request.answerEnd, s.request.complete = status, at, true
-	return s
+// answered records a complete answer.
+func (b *recordBuilder) answered(status int, at time.Duration) *recordBuilder {
+	b.request.status, b.request.answerEnd, b.request.complete = status, at, true
+	return b
 }
 
-// attempt adds an attempt that came and ended so.
-func (s *recordBuilder) attempt(backend string, first, end time.Duration, change func(a *attempt)) *recordBuilder {
-	a := &attempt{id: "q", backend: backend, firstByte: first, arrived: first + ms, answered: end, statedDeadline: 500 * ms}
+// attempt adds an answered attempt; change may modify it.
+func (b *recordBuilder) attempt(backend string, first, end time.Duration, change func(a *attempt)) *recordBuilder {
+	a := &attempt{
+		id: "q", backend: backend, firstByte: first, arrived: first + ms, answered: end, statedDeadline: 500 * ms,
+	}
 	if change != nil {
 		change(a)
 	}
-	s.attempts = append(s.attempts, a)
-	return s
+	b.attempts = append(b.attempts, a)
+	return b
 }
 
-// again has the request sent once more, to that dispatcher.
-func (s *recordBuilder) resent(dispatcher int) {
-	s.request.sendStarts, s.request.sentAt, s.request.dispatchers = append(s.request.sendStarts, 1100*ms), append(s.request.sentAt, 1101*ms), append(s.request.dispatchers, dispatcher)
+// resent records a second send of the request, to the given dispatcher.
+func (b *recordBuilder) resent(dispatcher int) {
+	b.request.sendStarts, b.request.sentAt, b.request.dispatchers =
+		append(b.request.sendStarts, 1100*ms), append(b.request.sentAt, 1101*ms), append(b.request.dispatchers, dispatcher)
 }
 
-func (s *recordBuilder) drained(at, written time.Duration) *recordBuilder {
-	s.stateChanges = append(s.stateChanges, stateChange{"w1", 0, false, at, written})
-	return s
+// drained lists backend w1 as draining.
+func (b *recordBuilder) drained(at, written time.Duration) *recordBuilder {
+	b.stateChanges = append(b.stateChanges, stateChange{"w1", 0, false, at, written})
+	return b
 }
 
-func (s *recordBuilder) cacheEvent(at time.Duration, held bool) *recordBuilder {
-	s.cacheEvents = append(s.cacheEvents, cacheEvent{"q", at, held})
-	return s
+func (b *recordBuilder) cacheEvent(at time.Duration, stored bool) *recordBuilder {
+	b.cacheEvents = append(b.cacheEvents, cacheEvent{"q", at, stored})
+	return b
 }
 
-// Each rule's check fires where the rule is broken, and not right beside that.
+// Each rule's check reports a record that breaks the rule, and accepts a record just inside its bound.
 func TestOracleReportsEachBrokenRule(t *testing.T) {
 	neverRan := func(a *attempt) { a.neverRan = true }
 	for name, c := range map[string]struct {
-		rule string // empty: none is broken
-		of   *recordBuilder
+		rule   string // the only broken rule; empty: none
+		record *recordBuilder
 	}{
-		"all is well":                     {"", newRecordBuilder(true).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1100*ms)},
-		"no answer":                       {ruleLost, func() *recordBuilder { s := newRecordBuilder(false); s.request.clientClosed = 7000 * ms; return s }()},
-		"a late answer":                   {ruleLost, newRecordBuilder(false).answered(502, 3600*ms)},
-		"an answer just in time":          {"", newRecordBuilder(false).answered(502, 3500*ms)},
-		"closed without an answer, twice": {ruleLost, func() *recordBuilder { s := newRecordBuilder(false); s.request.gaveUp = 1100 * ms; return s }()},
-		"its process was killed": {"", func() *recordBuilder {
-			s := newRecordBuilder(false)
-			s.request.gaveUp = 1100 * ms
-			s.processes[0].killed, s.processes[0].ended = true, 1050*ms
-			return s
+		"no rule broken": {"", newRecordBuilder(true).attempt("w1", 1010*ms, 1100*ms, nil).
+			answered(200, 1100*ms)},
+		"no answer": {ruleLost, func() *recordBuilder {
+			b := newRecordBuilder(false)
+			b.request.clientClosed = 7000 * ms
+			return b
+		}()},
+		"answer after the deadline":    {ruleLost, newRecordBuilder(false).answered(502, 3600*ms)},
+		"answer within the grace time": {"", newRecordBuilder(false).answered(502, 3500*ms)},
+		"closed without an answer twice": {ruleLost, func() *recordBuilder {
+			b := newRecordBuilder(false)
+			b.request.gaveUp = 1100 * ms
+			return b
 		}()},
-		"a finished stream that was cut": {ruleLost, func() *recordBuilder {
-			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, func(a *attempt) { a.finished = true }).answered(200, 1100*ms)
-			s.request.complete = false
-			return s
+		"closed without an answer as the process was killed": {"", func() *recordBuilder {
+			b := newRecordBuilder(false)
+			b.request.gaveUp = 1100 * ms
+			b.processes[0].killed, b.processes[0].ended = true, 1050*ms
+			return b
 		}()},
-		"read, and closed unanswered": {ruleLost, func() *recordBuilder {
-			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1020*ms, nil).answered(200, 1300*ms)
-			s.resent(1)
-			return s
+		"finished stream truncated": {ruleLost, func() *recordBuilder {
+			b := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, func(a *attempt) { a.finished = true }).
+				answered(200, 1100*ms)
+			b.request.complete = false
+			return b
 		}()},
-		"left unread, and sent elsewhere": {"", func() *recordBuilder {
-			s := newRecordBuilder(false).attempt("w1", 1110*ms, 1120*ms, nil).answered(200, 1300*ms)
-			s.resent(0)
-			return s
+		"read and closed unanswered": {ruleLost, func() *recordBuilder {
+			b := newRecordBuilder(false).attempt("w1", 1010*ms, 1020*ms, nil).answered(200, 1300*ms)
+			b.resent(1)
+			return b
 		}()},
-		"two attempts out":                  {ruleDuplicate, newRecordBuilder(false).attempt("w1", 1010*ms, 1200*ms, nil).attempt("w2", 1100*ms, 1300*ms, nil).answered(200, 1300*ms)},
-		"one after the other":               {"", newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).attempt("w2", 1100*ms, 1300*ms, nil).answered(200, 1300*ms)},
-		"a second run":                      {ruleDuplicate, newRecordBuilder(true).attempt("w1", 1010*ms, 1100*ms, nil).attempt("w2", 1100*ms, 1300*ms, nil).answered(200, 1300*ms)},
-		"a second one, the first never ran": {"", newRecordBuilder(true).attempt("w1", 1010*ms, 1100*ms, neverRan).attempt("w2", 1100*ms, 1300*ms, nil).answered(200, 1300*ms)},
-		"a second one, the first's process was killed": {"", func() *recordBuilder {
-			s := newRecordBuilder(true).attempt("w1", 1010*ms, 0, nil).attempt("w2", 1200*ms, 1300*ms, func(a *attempt) { a.dispatcher = 1 }).answered(200, 1300*ms)
-			s.processes[0].killed, s.processes[0].ended = true, 1100*ms
-			s.processes = append(s.processes, &process{dispatcher: 1, started: ms, ready: 2 * ms})
-			s.resent(1)
-			return s
+		"left unread and sent again": {"", func() *recordBuilder {
+			b := newRecordBuilder(false).attempt("w1", 1110*ms, 1120*ms, nil).answered(200, 1300*ms)
+			b.resent(0)
+			return b
 		}()},
-		"rejected after one that may have":    {ruleDuplicate, newRecordBuilder(true).attempt("w1", 1010*ms, 1100*ms, nil).answered(503, 1200*ms)},
-		"rejected after one that never ran":   {"", newRecordBuilder(true).attempt("w1", 1010*ms, 1100*ms, neverRan).answered(503, 1200*ms)},
-		"to one that drains":                  {ruleDrain, newRecordBuilder(false).drained(500*ms, 501*ms).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1200*ms)},
-		"to one that drains, within grace":    {"", newRecordBuilder(false).drained(800*ms, 801*ms).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1200*ms)},
-		"to one whose drain was not told":     {"", newRecordBuilder(false).drained(500*ms, 0).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1200*ms)},
-		"a state that waits":                  {ruleHeld, newRecordBuilder(false).cacheEvent(1100*ms, true).cacheEvent(2000*ms, false).answered(503, 1200*ms)},
-		"a state that is released in time":    {"", newRecordBuilder(false).cacheEvent(1100*ms, true).cacheEvent(1900*ms, false).answered(503, 1200*ms)},
-		"a state that is never released":      {ruleHeld, newRecordBuilder(false).cacheEvent(1100*ms, true).answered(503, 1200*ms)},
-		"a state that waits while one is out": {"", newRecordBuilder(false).cacheEvent(1100*ms, true).attempt("w1", 1110*ms, 2500*ms, nil).cacheEvent(2500*ms, false).answered(200, 2500*ms)},
-		"a state whose attempt never came":    {ruleHeld, newRecordBuilder(false).cacheEvent(1100*ms, true).attempt("w1", 1110*ms, 2500*ms, func(a *attempt) { a.arrived = 0 }).cacheEvent(2500*ms, false).answered(502, 2500*ms)},
-		"too much time told":                  {ruleDeadline, newRecordBuilder(false).attempt("w1", 2000*ms, 2100*ms, func(a *attempt) { a.statedDeadline = 1300 * ms }).answered(200, 2200*ms)},
-		"as much time told as is left":        {"", newRecordBuilder(false).attempt("w1", 2000*ms, 2100*ms, func(a *attempt) { a.statedDeadline = 1100 * ms }).answered(200, 2200*ms)},
-		"an attempt for a client that left": {ruleGone, func() *recordBuilder {
-			s := newRecordBuilder(false).attempt("w1", 1300*ms, 1400*ms, nil)
-			s.request.clientClosed = 1100 * ms
-			return s
+		"two attempts in flight": {ruleDuplicate, newRecordBuilder(false).attempt("w1", 1010*ms, 1200*ms, nil).
+			attempt("w2", 1100*ms, 1300*ms, nil).
+			answered(200, 1300*ms)},
+		"two attempts in sequence": {"", newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).
+			attempt("w2", 1100*ms, 1300*ms, nil).
+			answered(200, 1300*ms)},
+		"non-idempotent request run twice": {ruleDuplicate, newRecordBuilder(true).attempt("w1", 1010*ms, 1100*ms, nil).
+			attempt("w2", 1100*ms, 1300*ms, nil).
+			answered(200, 1300*ms)},
+		"second attempt after one that never ran": {"", newRecordBuilder(true).attempt("w1", 1010*ms, 1100*ms, neverRan).
+			attempt("w2", 1100*ms, 1300*ms, nil).
+			answered(200, 1300*ms)},
+		"second attempt after the process was killed": {"", func() *recordBuilder {
+			b := newRecordBuilder(true).attempt("w1", 1010*ms, 0, nil).
+				attempt("w2", 1200*ms, 1300*ms, func(a *attempt) { a.dispatcher = 1 }).
+				answered(200, 1300*ms)
+			b.processes[0].killed, b.processes[0].ended = true, 1100*ms
+			b.processes = append(b.processes, &process{dispatcher: 1, started: ms, ready: 2 * ms})
+			b.resent(1)
+			return b
 		}()},
-		"an attempt as its client leaves": {"", func() *recordBuilder {
-			s := newRecordBuilder(false).attempt("w1", 1150*ms, 1400*ms, nil)
-			s.request.clientClosed = 1100 * ms
-			return s
+		"rejected after an attempt that may have run": {ruleDuplicate, newRecordBuilder(true).
+			attempt("w1", 1010*ms, 1100*ms, nil).
+			answered(503, 1200*ms)},
+		"rejected after an attempt that never ran": {"", newRecordBuilder(true).attempt("w1", 1010*ms, 1100*ms, neverRan).
+			answered(503, 1200*ms)},
+		"attempt to a draining backend": {ruleDrain, newRecordBuilder(false).drained(500*ms, 501*ms).
+			attempt("w1", 1010*ms, 1100*ms, nil).
+			answered(200, 1200*ms)},
+		"attempt to a draining backend within the grace time": {"", newRecordBuilder(false).drained(800*ms, 801*ms).
+			attempt("w1", 1010*ms, 1100*ms, nil).
+			answered(200, 1200*ms)},
+		"attempt to a draining backend before notification": {"", newRecordBuilder(false).drained(500*ms, 0).
+			attempt("w1", 1010*ms, 1100*ms, nil).
+			answered(200, 1200*ms)},
+		"KV cache held too long": {ruleHeld, newRecordBuilder(false).cacheEvent(1100*ms, true).
+			cacheEvent(2000*ms, false).
+			answered(503, 1200*ms)},
+		"KV cache released in time": {"", newRecordBuilder(false).cacheEvent(1100*ms, true).
+			cacheEvent(1900*ms, false).
+			answered(503, 1200*ms)},
+		"KV cache never released": {ruleHeld, newRecordBuilder(false).cacheEvent(1100*ms, true).
+			answered(503, 1200*ms)},
+		"KV cache held while an attempt is in flight": {"", newRecordBuilder(false).cacheEvent(1100*ms, true).
+			attempt("w1", 1110*ms, 2500*ms, nil).
+			cacheEvent(2500*ms, false).
+			answered(200, 2500*ms)},
+		"KV cache whose attempt never arrived": {ruleHeld, newRecordBuilder(false).cacheEvent(1100*ms, true).
+			attempt("w1", 1110*ms, 2500*ms, func(a *attempt) { a.arrived = 0 }).
+			cacheEvent(2500*ms, false).
+			answered(502, 2500*ms)},
+		"stated deadline beyond the time left": {ruleDeadline, newRecordBuilder(false).
+			attempt("w1", 2000*ms, 2100*ms, func(a *attempt) { a.statedDeadline = 1300 * ms }).
+			answered(200, 2200*ms)},
+		"stated deadline within the slack": {"", newRecordBuilder(false).
+			attempt("w1", 2000*ms, 2100*ms, func(a *attempt) { a.statedDeadline = 1100 * ms }).
+			answered(200, 2200*ms)},
+		"attempt after the client closed": {ruleGone, func() *recordBuilder {
+			b := newRecordBuilder(false).attempt("w1", 1300*ms, 1400*ms, nil)
+			b.request.clientClosed = 1100 * ms
+			return b
 		}()},
-		"the same, its process stood still": {"", func() *recordBuilder {
-			s := newRecordBuilder(false).attempt("w1", 1900*ms, 2000*ms, nil)
-			s.request.clientClosed = 1100 * ms
-			s.processes[0].stopped = []span{{1000 * ms, 1850 * ms}}
-			return s
+		"attempt while the client closes": {"", func() *recordBuilder {
+			b := newRecordBuilder(false).attempt("w1", 1150*ms, 1400*ms, nil)
+			b.request.clientClosed = 1100 * ms
+			return b
 		}()},
-		"a run outside of the window for repeats": {ruleDuplicate, func() *recordBuilder {
-			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).attempt("w2", 1900*ms, 2000*ms, nil).answered(200, 2000*ms)
-			s.request.class.dedupWindow = 800 * ms
-			return s
+		"attempt after the client closed, process stopped": {"", func() *recordBuilder {
+			b := newRecordBuilder(false).attempt("w1", 1900*ms, 2000*ms, nil)
+			b.request.clientClosed = 1100 * ms
+			b.processes[0].stopped = []span{{1000 * ms, 1850 * ms}}
+			return b
 		}()},
-		"a run within it": {"", func() *recordBuilder {
-			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).attempt("w2", 1800*ms, 2000*ms, nil).answered(200, 2000*ms)
-			s.request.class.dedupWindow = 800 * ms
-			return s
+		"repeat outside the deduplication window": {ruleDuplicate, func() *recordBuilder {
+			b := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).
+				attempt("w2", 1900*ms, 2000*ms, nil).
+				answered(200, 2000*ms)
+			b.request.class.dedupWindow = 800 * ms
+			return b
 		}()},
-		"an event that is held back": {ruleEvents, func() *recordBuilder {
-			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1500*ms)
-			s.request.eventCount, s.request.eventDelay = 3, 400*ms
-			return s
+		"repeat within the deduplication window": {"", func() *recordBuilder {
+			b := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).
+				attempt("w2", 1800*ms, 2000*ms, nil).
+				answered(200, 2000*ms)
+			b.request.class.dedupWindow = 800 * ms
+			return b
 		}()},
-		"events as they come": {"", func() *recordBuilder {
-			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1500*ms)
-			s.request.eventCount, s.request.eventDelay = 3, 300*ms
-			return s
+		"delayed event": {ruleEvents, func() *recordBuilder {
+			b := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1500*ms)
+			b.request.eventCount, b.request.eventDelay = 3, 400*ms
+			return b
 		}()},
-		"a state that no call could be made for": {"", func() *recordBuilder {
-			s := newRecordBuilder(false).attempt("r1", 1010*ms, 1100*ms, nil).cacheEvent(1100*ms, true).cacheEvent(2000*ms, false).answered(503, 1200*ms)
-			s.processes[0].dialOutages = []span{{1200 * ms, 1400 * ms}}
-			return s
+		"events within the delay limit": {"", func() *recordBuilder {
+			b := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil).answered(200, 1500*ms)
+			b.request.eventCount, b.request.eventDelay = 3, 300*ms
+			return b
 		}()},
-		"left unread as the run ended": {"", func() *recordBuilder {
-			s := newRecordBuilder(false)
-			s.request.gaveUp, s.request.runEnded = 1100*ms, true
-			return s
+		"KV cache held while dialing fails": {"", func() *recordBuilder {
+			b := newRecordBuilder(false).attempt("r1", 1010*ms, 1100*ms, nil).
+				cacheEvent(1100*ms, true).
+				cacheEvent(2000*ms, false).
+				answered(503, 1200*ms)
+			b.processes[0].dialOutages = []span{{1200 * ms, 1400 * ms}}
+			return b
 		}()},
-		"read, and closed as the run ended": {ruleLost, func() *recordBuilder {
-			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil)
-			s.request.gaveUp, s.request.runEnded = 1100*ms, true
-			return s
+		"left unread at the end of the run": {"", func() *recordBuilder {
+			b := newRecordBuilder(false)
+			b.request.gaveUp, b.request.runEnded = 1100*ms, true
+			return b
 		}()},
-		"shut out unread by a crowd": {"", func() *recordBuilder {
-			s := newRecordBuilder(false)
-			s.request.gaveUp, s.crowded = 1100*ms, true
-			return s
+		"read and closed at the end of the run": {ruleLost, func() *recordBuilder {
+			b := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil)
+			b.request.gaveUp, b.request.runEnded = 1100*ms, true
+			return b
 		}()},
-		"read in a crowd, and closed unanswered": {ruleLost, func() *recordBuilder {
-			s := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil)
-			s.request.gaveUp, s.crowded = 1100*ms, true
-			return s
+		"closed unread with idle clients": {"", func() *recordBuilder {
+			b := newRecordBuilder(false)
+			b.request.gaveUp, b.crowded = 1100*ms, true
+			return b
 		}()},
-		"a process that ends by itself": {ruleCrash, func() *recordBuilder {
-			s := newRecordBuilder(false).answered(200, 1200*ms)
-			s.processes[0].crashed, s.processes[0].ended = "exit 1", 5000*ms
-			return s
+		"read and closed unanswered with idle clients": {ruleLost, func() *recordBuilder {
+			b := newRecordBuilder(false).attempt("w1", 1010*ms, 1100*ms, nil)
+			b.request.gaveUp, b.crowded = 1100*ms, true
+			return b
 		}()},
-		"a process that is not ready": {ruleReady, func() *recordBuilder {
-			s := newRecordBuilder(false).answered(200, 1200*ms)
-			s.processes = append(s.processes, &process{dispatcher: 1, started: ms})
-			return s
+		"process exits by itself": {ruleCrash, func() *recordBuilder {
+			b := newRecordBuilder(false).answered(200, 1200*ms)
+			b.processes[0].crashed, b.processes[0].ended = "exit 1", 5000*ms
+			return b
+		}()},
+		"process not ready in time": {ruleReady, func() *recordBuilder {
+			b := newRecordBuilder(false).answered(200, 1200*ms)
+			b.processes = append(b.processes, &process{dispatcher: 1, started: ms})
+			return b
 		}()},
 	} {
-		got := checkRecord(c.of.record, func(int) []span { return nil })
+		got := checkRecord(c.record.record, func(int) []span { return nil })
 		broken := map[string]bool{}
 		for _, v := range got.Violations {
 			broken[v.Rule] = true
 		}
 		if c.rule == "" && len(broken) > 0 || c.rule != "" && (!broken[c.rule] || len(broken) > 1) {
-			t.Errorf("%s: wanted %q, got %v", name, c.rule, got.Violations)
+			t.Errorf("%s: broken rule %q wanted, got %v", name, c.rule, got.Violations)
 		}
 	}
 }
 
-// A chance to break the rule on drains is each attempt that is made while some backend drains.
+// Each attempt made while some backend drains counts as a chance to break the drain rule.
 func TestDrainChancesCountAttemptsDuringDrains(t *testing.T) {
-	s := newRecordBuilder(false).drained(1500*ms, 1501*ms).attempt("w2", 1010*ms, 1100*ms, nil).attempt("w2", 1600*ms, 1700*ms, nil).answered(200, 1700*ms)
-	s.stateChanges = append(s.stateChanges, stateChange{"w1", 0, true, 3000 * ms, 3001 * ms})
-	s.attempt("w2", 3100*ms, 3200*ms, nil)
-	if got := checkRecord(s.record, func(int) []span { return nil }).Chances[ruleDrain]; got != 1 {
-		t.Errorf("%d chances", got)
+	b := newRecordBuilder(false).drained(1500*ms, 1501*ms).
+		attempt("w2", 1010*ms, 1100*ms, nil).attempt("w2", 1600*ms, 1700*ms, nil).answered(200, 1700*ms)
+	b.stateChanges = append(b.stateChanges, stateChange{"w1", 0, true, 3000 * ms, 3001 * ms})
+	b.attempt("w2", 3100*ms, 3200*ms, nil)
+	if got := checkRecord(b.record, func(int) []span { return nil }).Chances[ruleDrain]; got != 1 {
+		t.Errorf("%d chances counted, want 1", got)
 	}
 }
 
-// An event tells when it was written, however its stream is cut into reads.
+// The delay of an event is measured however the stream is split into reads.
 func TestEventReaderMeasuresDelayAcrossReads(t *testing.T) {
-	raw := hosts.EncodeChunk(hosts.TextEvent(eventText(0, 1000*ms))) + hosts.EncodeChunk(hosts.TextEvent(eventText(1, 1400*ms)))
+	raw := hosts.EncodeChunk(hosts.TextEvent(eventText(0, 1000*ms))) +
+		hosts.EncodeChunk(hosts.TextEvent(eventText(1, 1400*ms)))
 	for step := 1; step < len(raw); step++ {
-		e := &eventReader{source: iotest.OneByteReader(strings.NewReader(raw)), now: func() time.Duration { return 1500 * ms }}
+		e := &eventReader{
+			source: iotest.OneByteReader(strings.NewReader(raw)), now: func() time.Duration { return 1500 * ms },
+		}
 		for buffer := make([]byte, step); ; {
 			if _, err := io.ReadFull(e, buffer); err != nil {
 				break
 			}
 		}
 		if e.events != 2 || e.delay != 500*ms {
-			t.Fatalf("in steps of %d: %d events, late by %v", step, e.events, e.delay)
+			t.Fatalf("reads of %d bytes: %d events, largest delay %v, want 2 events and 500ms", step, e.events, e.delay)
 		}
 	}
 }
 
-// The same seed has the same schedule, faults overlap, and every kind comes up.
+// The same seed gives the same schedule, faults overlap, and every kind is drawn.
 func TestScheduleIsDeterministicAndCoversAllKinds(t *testing.T) {
-	o := Options{Seed: 7, Length: 10 * time.Minute, FaultInterval: 400 * ms}
-	one, two := Schedule(o), Schedule(o)
-	if len(one) < 1000 || len(one) != len(two) {
-		t.Fatalf("%d and %d faults", len(one), len(two))
+	options := Options{Seed: 7, Length: 10 * time.Minute, FaultInterval: 400 * ms}
+	first, second := Schedule(options), Schedule(options)
+	if len(first) < 1000 || len(first) != len(second) {
+		t.Fatalf("two schedules of one seed have %d and %d faults, want equal numbers of at least 1000",
+			len(first), len(second))
 	}
 	kinds := map[Kind]bool{}
-	for i := range one {
-		if one[i] != two[i] {
-			t.Fatalf("%v and %v", one[i], two[i])
+	for i := range first {
+		if first[i] != second[i] {
+			t.Fatalf("two schedules of one seed differ: %v and %v", first[i], second[i])
 		}
-		kinds[one[i].Kind] = true
+		kinds[first[i].Kind] = true
 	}
 	if len(kinds) != len(weights) {
-		t.Errorf("%d of %d kinds come up", len(kinds), len(weights))
+		t.Errorf("%d of %d kinds of faults are drawn", len(kinds), len(weights))
 	}
-	if pairs := Overlaps(one); len(pairs) < len(weights)*len(weights)/3 {
-		t.Errorf("%d kinds of pairs overlap", len(pairs))
+	if pairs := Overlaps(first); len(pairs) < len(weights)*len(weights)/3 {
+		t.Errorf("%d pairs of kinds overlap, want at least %d", len(pairs), len(weights)*len(weights)/3)
 	}
 }
 
-// What is not needed for a failure is dropped.
+// Faults that a failure does not need are dropped.
 func TestShrinkKeepsNeededFaults(t *testing.T) {
 	faults := Schedule(Options{Seed: 3, Length: time.Minute, FaultInterval: 400 * ms})
-	needs := []Fault{faults[5], faults[40]}
-	fails := func(some []Fault) bool {
+	needed := []Fault{faults[5], faults[40]}
+	fails := func(candidates []Fault) bool {
 		found := 0
-		for _, f := range some {
-			for _, n := range needs {
+		for _, f := range candidates {
+			for _, n := range needed {
 				if f == n {
 					found++
 				}
 			}
 		}
-		return found == len(needs)
+		return found == len(needed)
 	}
-	if got := Shrink(faults, fails); len(got) != 2 || got[0] != needs[0] || got[1] != needs[1] {
-		t.Errorf("%v", got)
+	if got := Shrink(faults, fails); len(got) != 2 || got[0] != needed[0] || got[1] != needed[1] {
+		t.Errorf("shrunk to %v, want %v", got, needed)
 	}
 }
--- a/internal/soak/result.go
+++ b/internal/soak/result.go
@@ -74,7 +74,7 @@
 	}
 	r.record.mu.Unlock()
 	r.mu.Lock()
-	res.Lateness = r.lateness.max()
+	res.Lateness = r.lateness.largest()
 	res.Inconclusive = res.Lateness > maxLateness
 	res.Violations = append(res.Violations, r.badClientViolations...)
 	res.Chances[ruleBad] = r.badClientsSeen
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -13,7 +13,7 @@
 
 // Kinds of faults.
 const (
-	Terminate       Kind = "terminate"        // SIGTERM to a dispatcher, then SIGKILL as the platform does, then a new process
+	Terminate       Kind = "terminate"        // SIGTERM to a dispatcher, later SIGKILL as on the platform, a new process
 	TerminateTwice  Kind = "terminate_twice"  // the same with a second SIGTERM soon after the first
 	TerminateReload Kind = "terminate_reload" // SIGTERM, a reload while the process stops, SIGTERM
 	KillProcess     Kind = "kill"             // SIGKILL, then a new process
@@ -29,7 +29,7 @@
 	BackendHangs    Kind = "backend_hangs"    // a backend accepts requests and does not answer
 	BackendFails    Kind = "backend_fails"    // a backend answers 500
 	BackendFull     Kind = "backend_full"     // a backend rejects requests and states that they did not run
-	BackendResets   Kind = "backend_resets"   // connections are reset during a request, right after it, or during the answer
+	BackendResets   Kind = "backend_resets"   // connections are reset during a request, after it, or during the answer
 	BackendSpoils   Kind = "backend_spoils"   // malformed answers, or two answers to one request
 	BackendSilent   Kind = "backend_silent"   // a backend's connections fall silent without an error
 	BackendMute     Kind = "backend_mute"     // a backend still accepts connections, but all or every other one are silent
@@ -91,7 +91,8 @@
 }
 
 func (f Fault) String() string {
-	return fmt.Sprintf("%.2f s %s %d for %v (%d)", f.At.Seconds(), f.Kind, f.Target, f.Length.Round(time.Millisecond), f.Draw%1000)
+	return fmt.Sprintf("%.2f s %s %d for %v (%d)", f.At.Seconds(), f.Kind, f.Target,
+		f.Length.Round(time.Millisecond), f.Draw%1000)
 }
 
 // Schedule draws the faults of a run from its seed. Two or three of them overlap at any time. The last ones begin
