--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -309,7 +309,7 @@
 }
 
 // moveDiscovery moves discovery to its other address, writes that to the configuration file and sends SIGHUP. With
-// ReloadTorn the signal comes while only half of the file is written.
+// ReloadTorn the signal comes while only half of the file is written, and none follows when it is whole.
 func (d *dispatcher) moveDiscovery(ctx context.Context, target *process, fault Fault) {
 	to := d.run.discovery.agents[d.number].move()
 	from := d.run.record.now()
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -66,7 +66,7 @@
 
 	mu                  sync.Mutex
 	badClientViolations []Violation
-	badClientsSeen      int // bad clients that were closed or timed out
+	badClientsSeen      int // bad clients whose connection ended
 }
 
 // Run runs one seed, checks the record and returns the result.
@@ -209,7 +209,7 @@
 	return available[rng.IntN(len(available))]
 }
 
-// recordBadClient records how long a dispatcher took to close a bad client, and a violation if it was too long.
+// recordBadClient counts a bad client whose connection ended, and records a violation if that took too long.
 func (r *run) recordBadClient(dispatcher int, began, took time.Duration, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
