--- a/cmd/sloetrestle/day.go
+++ b/cmd/sloetrestle/day.go
@@ -26,14 +26,14 @@
 	"sloetrestle/internal/setup"
 )
 
-func dayCommand() *cobra.Command {
+func scenarioCommand() *cobra.Command {
 	c := &cobra.Command{Use: "day", Short: "Play and judge scripted days"}
-	c.AddCommand(play(), judgeCommand(), kinds(), importDay())
+	c.AddCommand(playCommand(), judgeCommand(), faultKindsCommand(), importCommand())
 	return c
 }
 
 // show prints a verdict and tells by its error whether a rule was broken.
-func show(out io.Writer, v judge.Verdict, asJSON bool) error {
+func printVerdict(out io.Writer, v judge.Verdict, asJSON bool) error {
 	if asJSON {
 		raw, err := json.MarshalIndent(v, "", "  ")
 		if err != nil {
@@ -43,29 +43,29 @@
 	} else {
 		fmt.Fprint(out, v.Text())
 	}
-	if !v.Kept() {
-		return errBroken
+	if !v.Passed() {
+		return errViolation
 	}
 	return nil
 }
 
-func perform(cmd *cobra.Command, d day.Day, record string, asJSON, quiet bool) error {
+func playScenario(cmd *cobra.Command, d day.Scenario, record string, asJSON, quiet bool) error {
 	self, err := os.Executable()
 	if err != nil {
 		return err
 	}
-	stage := day.Stage{Serve: []string{self, "serve", "--level", "warn", "--config"}, Record: record}
+	stage := day.RunOptions{ServeCommand: []string{self, "serve", "--level", "warn", "--config"}, RecordDir: record}
 	if !quiet {
 		stage.Progress = cmd.ErrOrStderr()
 	}
-	v, err := day.Play(cmd.Context(), d, stage)
+	v, err := day.Run(cmd.Context(), d, stage)
 	if err != nil {
 		return err
 	}
-	return show(cmd.OutOrStdout(), v, asJSON)
+	return printVerdict(cmd.OutOrStdout(), v, asJSON)
 }
 
-func play() *cobra.Command {
+func playCommand() *cobra.Command {
 	var to string
 	var asJSON, quiet bool
 	c := &cobra.Command{
@@ -73,12 +73,12 @@
 		Long: `Play starts the day's dispatchers as processes of their own, with stand-ins for boxes, list and clients on
 loopback; plays the script; prints progress while it runs, then a table and each rule, kept or broken.`,
 		Example: "  sloetrestle day play examples/slow.toml --record /tmp/slow",
-		RunE: works(func(cmd *cobra.Command, args []string) error {
+		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
 			d, err := day.Load(args[0])
 			if err != nil {
 				return err
 			}
-			return perform(cmd, d, to, asJSON, quiet)
+			return playScenario(cmd, d, to, asJSON, quiet)
 		}),
 	}
 	c.Flags().StringVar(&to, "record", "", "folder to keep the record and the dispatchers' files in")
@@ -87,17 +87,17 @@
 	return c
 }
 
-func demo() *cobra.Command {
+func demoCommand() *cobra.Command {
 	var asJSON, quiet bool
 	c := &cobra.Command{
 		Use: "demo", Short: "Play a built-in bad day of about 20 s", Args: cobra.NoArgs,
 		Long: "Demo plays examples/demo.toml, which is built in: nothing has to be set up. Its boxes are stand-ins.",
-		RunE: works(func(cmd *cobra.Command, _ []string) error {
+		RunE: markErrors(func(cmd *cobra.Command, _ []string) error {
 			d, err := day.Parse("demo.toml", examples.Demo)
 			if err != nil {
 				return err
 			}
-			return perform(cmd, d, "", asJSON, quiet)
+			return playScenario(cmd, d, "", asJSON, quiet)
 		}),
 	}
 	c.Flags().BoolVar(&asJSON, "json", false, "print the verdict as JSON")
@@ -109,40 +109,40 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use: "judge DIR", Short: "Judge a kept record again", Args: cobra.ExactArgs(1),
-		RunE: works(func(cmd *cobra.Command, args []string) error {
+		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
 			head, lines, err := record.Read(args[0])
 			if err != nil {
 				return err
 			}
-			v := judge.Judge(head, lines)
-			if err := day.Audit(&v, args[0], lines); err != nil {
+			v := judge.Check(head, lines)
+			if err := day.CheckLedgers(&v, args[0], lines); err != nil {
 				return err
 			}
-			return show(cmd.OutOrStdout(), v, asJSON)
+			return printVerdict(cmd.OutOrStdout(), v, asJSON)
 		}),
 	}
 	c.Flags().BoolVar(&asJSON, "json", false, "print the verdict as JSON")
 	return c
 }
 
-func kinds() *cobra.Command {
+func faultKindsCommand() *cobra.Command {
 	return &cobra.Command{Use: "kinds", Short: "List the kinds of trouble", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
-		for _, k := range day.Kinds {
-			fmt.Fprintf(cmd.OutOrStdout(), "%-17s %s", k.Name, k.What)
-			if len(k.Needs) > 0 {
-				fmt.Fprintf(cmd.OutOrStdout(), " (needs %v)", k.Needs)
+		for _, k := range day.FaultKinds {
+			fmt.Fprintf(cmd.OutOrStdout(), "%-17s %s", k.Name, k.Description)
+			if len(k.RequiredKeys) > 0 {
+				fmt.Fprintf(cmd.OutOrStdout(), " (needs %v)", k.RequiredKeys)
 			}
 			fmt.Fprintln(cmd.OutOrStdout())
 		}
 	}}
 }
 
-func importDay() *cobra.Command {
+func importCommand() *cobra.Command {
 	var to string
 	var scale day.Scale
 	c := &cobra.Command{
 		Use: "import DAY.json -o FILE.toml", Short: "Turn a day drawn by the bench into a script", Args: cobra.ExactArgs(1),
-		RunE: works(func(cmd *cobra.Command, args []string) error {
+		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
 			raw, err := os.ReadFile(args[0])
 			if err != nil {
 				return err
@@ -166,16 +166,16 @@
 		}),
 	}
 	c.Flags().StringVarP(&to, "output", "o", "", "file to write; without it the script is printed")
-	c.Flags().Float64Var(&scale.Time, "time", 1, "scale of the day's length and of its troubles' times")
+	c.Flags().Float64Var(&scale.Duration, "time", 1, "scale of the day's length and of its troubles' times")
 	c.Flags().Float64Var(&scale.Rate, "rate", 1, "scale of the questions a second")
 	return c
 }
 
 // check looks at files of dispatchers and of days, told apart by their tables.
-func check() *cobra.Command {
+func checkCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "check FILE...", Short: "Check files of dispatchers and of days", Args: cobra.MinimumNArgs(1),
-		RunE: works(func(cmd *cobra.Command, args []string) error {
+		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
 			bad := 0
 			for _, file := range args {
 				if err := checkFile(file); err != nil {
@@ -186,7 +186,7 @@
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: fine\n", file)
 			}
 			if bad > 0 {
-				return errBroken
+				return errViolation
 			}
 			return nil
 		}),
@@ -210,8 +210,8 @@
 }
 
 // ask gets what a running dispatcher tells operators.
-func ask(address string, into any) error {
-	client, err := to(address)
+func fetchState(address string, into any) error {
+	client, err := newClient(address)
 	if err != nil {
 		return err
 	}
@@ -228,7 +228,7 @@
 }
 
 // to is a client for one dispatcher's address, such as 127.0.0.1:8100 or unix:/run/d0.sock.
-func to(address string) (*http.Client, error) {
+func newClient(address string) (*http.Client, error) {
 	spec, err := reach.ParseListen(address)
 	if err != nil {
 		return nil, err
@@ -238,13 +238,13 @@
 	}}}, nil
 }
 
-func state() *cobra.Command {
+func stateCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "state ADDRESS", Short: "Print what a running dispatcher holds and has seen", Args: cobra.ExactArgs(1),
 		Example: "  sloetrestle state 127.0.0.1:8100\n  sloetrestle state unix:/run/d0.sock",
-		RunE: works(func(cmd *cobra.Command, args []string) error {
+		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
 			var seen json.RawMessage
-			if err := ask(args[0], &seen); err != nil {
+			if err := fetchState(args[0], &seen); err != nil {
 				return err
 			}
 			var out bytes.Buffer
@@ -255,10 +255,10 @@
 	}
 }
 
-func boxes() *cobra.Command {
+func backendsCommand() *cobra.Command {
 	return &cobra.Command{
 		Use: "boxes ADDRESS", Short: "Show the boxes of a running dispatcher, each address with how it stands and why", Args: cobra.ExactArgs(1),
-		RunE: works(func(cmd *cobra.Command, args []string) error {
+		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
 			var seen struct {
 				Boxes []struct {
 					Name, Standing, Role string
@@ -266,7 +266,7 @@
 				}
 				Addresses []dispatch.PoolState
 			}
-			if err := ask(args[0], &seen); err != nil {
+			if err := fetchState(args[0], &seen); err != nil {
 				return err
 			}
 			out := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
--- a/cmd/sloetrestle/experiment.go
+++ b/cmd/sloetrestle/experiment.go
@@ -18,7 +18,7 @@
 	c := &cobra.Command{Use: "experiment", Short: "Run days many times, one thing varied at a time, and keep the figures"}
 	c.PersistentFlags().StringVar(&file, "store", "experiments.db", "the file that keeps them")
 	with := func(do func(cmd *cobra.Command, s *experiment.Store, args []string) error) func(*cobra.Command, []string) error {
-		return works(func(cmd *cobra.Command, args []string) error {
+		return markErrors(func(cmd *cobra.Command, args []string) error {
 			s, err := experiment.OpenStore(file)
 			if err != nil {
 				return err
@@ -46,8 +46,8 @@
 			if err != nil {
 				return err
 			}
-			stage := day.Stage{Serve: []string{self, "serve", "--level", "warn", "--config"}}
-			return experiment.Do(cmd.Context(), s, p, dispatch.Version, stage, func(f string, a ...any) { fmt.Fprintf(cmd.ErrOrStderr(), f+"\n", a...) })
+			stage := day.RunOptions{ServeCommand: []string{self, "serve", "--level", "warn", "--config"}}
+			return experiment.Execute(cmd.Context(), s, p, dispatch.Version, stage, func(f string, a ...any) { fmt.Fprintf(cmd.ErrOrStderr(), f+"\n", a...) })
 		})}
 	list := &cobra.Command{Use: "list", Short: "List the experiments", Args: cobra.NoArgs, RunE: with(func(cmd *cobra.Command, s *experiment.Store, _ []string) error {
 		names, n, err := s.Names()
@@ -72,7 +72,7 @@
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintf(w, "alike\t%s\tagainst\t%s\t\tdifference\tbeyond the noise\n", by, figure)
 			for _, d := range diffs {
-				fmt.Fprintf(w, "%s\t%s\t%s\t%.3f\t%.3f\t%+.3f\t%v\n", d.Setting, d.This, d.Than, d.Medians[1], d.Medians[0], d.Medians[1]-d.Medians[0], d.Beyond)
+				fmt.Fprintf(w, "%s\t%s\t%s\t%.3f\t%.3f\t%+.3f\t%v\n", d.Setting, d.Value, d.Reference, d.Medians[1], d.Medians[0], d.Medians[1]-d.Medians[0], d.Significant)
 			}
 			return w.Flush()
 		})}
@@ -96,7 +96,7 @@
 				all = some
 			}
 			if x == "second" {
-				return experiment.Over(all, figure, lines, out, title)
+				return experiment.TimeChart(all, figure, lines, out, title)
 			}
 			return experiment.Chart(all, x, figure, lines, out, title)
 		})}
--- a/cmd/sloetrestle/load.go
+++ b/cmd/sloetrestle/load.go
@@ -29,14 +29,14 @@
 tokens, shared, shared_tokens, session, max_tokens, channel). Arrivals never wait for answers, and times count from when a
 question was due. Bursts, leaving and slow clients of the day's troubles are played; those of boxes are not.`,
 		Example: "  sloetrestle box examples/quiet.toml --list 127.0.0.1:8000 &\n  sloetrestle serve --config d.toml &\n  sloetrestle load examples/quiet.toml --to 127.0.0.1:8100",
-		RunE: works(func(cmd *cobra.Command, args []string) error {
+		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
 			d, err := day.Load(args[0])
 			if err != nil {
 				return err
 			}
-			d.Head.PerS *= times
+			d.Header.RequestsPerSecond *= times
 			if seconds > 0 {
-				d.Head.Length = setup.Duration(time.Duration(seconds * float64(time.Second)))
+				d.Header.Duration = setup.Duration(time.Duration(seconds * float64(time.Second)))
 			}
 			wishes := d.Plan()
 			if trace != "" {
@@ -68,17 +68,17 @@
 }
 
 // box serves a day's emulated boxes and their list until it is stopped, for dispatchers that are tried by hand.
-func box() *cobra.Command {
+func emulateCommand() *cobra.Command {
 	var list string
 	var port int
 	c := &cobra.Command{
 		Use: "box DAY.toml", Short: "Serve a day's emulated boxes and their list, until stopped", Args: cobra.ExactArgs(1),
-		RunE: works(func(cmd *cobra.Command, args []string) error {
+		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
 			d, err := day.Load(args[0])
 			if err != nil {
 				return err
 			}
-			return serveBoxes(cmd.Context(), d, list, port, func(format string, a ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", a...) })
+			return serveBackends(cmd.Context(), d, list, port, func(format string, a ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", a...) })
 		}),
 	}
 	c.Flags().StringVar(&list, "list", "127.0.0.1:8000", "where the box list listens")
@@ -86,27 +86,27 @@
 	return c
 }
 
-func serveBoxes(ctx context.Context, d day.Day, at string, port int, say func(string, ...any)) error {
-	book, err := record.Open("", record.Head{})
+func serveBackends(ctx context.Context, d day.Scenario, at string, port int, say func(string, ...any)) error {
+	book, err := record.Open("", record.Header{})
 	if err != nil {
 		return err
 	}
-	book.Forgets = true // it may run for days
+	book.DiscardEvents = true // it may run for days
 	talk := map[string]standin.ClassProfile{}
 	for _, t := range d.Traffic {
-		talk[t.Grade] = d.TalkOf(t.Grade)
+		talk[t.Class] = d.RequestShape(t.Class)
 	}
-	fleet := standin.NewFleet(d.Deployment, book, standin.Links{SameRack: d.Links.Near, CrossRack: d.Links.Far, ZoneFactor: d.Links.Zone}, talk)
+	fleet := standin.NewFleet(d.Deployment, book, standin.Links{SameRack: d.Links.NearTokensPerSecond, CrossRack: d.Links.FarTokensPerSecond, ZoneFactor: d.Links.CrossZoneFactor}, talk)
 	defer fleet.Close()
 	list := fleet.NewDiscovery(at)
 	if err := list.Start(); err != nil {
 		return err
 	}
 	defer list.Stop()
-	for _, m := range d.Makes() {
+	for _, m := range d.BackendSpecs() {
 		addr := addresses.Spec{Network: addresses.TCP4, Addr: fmt.Sprintf("127.0.0.1:%d", port)}
 		port++
-		b := fleet.NewBackend(standin.Config{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Seed: d.Head.Seed, Engine: m.Engine,
+		b := fleet.NewBackend(standin.Config{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Seed: d.Header.Seed, Engine: m.Engine,
 			Addresses: []addresses.Spec{addr}})
 		if err := b.Boot(false); err != nil {
 			return err
--- a/cmd/sloetrestle/main.go
+++ b/cmd/sloetrestle/main.go
@@ -19,13 +19,13 @@
 
 // Exit codes.
 const (
-	fine   = 0
-	broken = 1 // a rule was broken, or a check failed
-	misuse = 2
+	exitOK     = 0
+	exitFailed = 1 // a rule was broken, or a check failed
+	exitUsage  = 2
 )
 
 // errBroken ends the program with the code for a broken rule; what it was is told already.
-var errBroken = errors.New("broken")
+var errViolation = errors.New("broken")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -35,43 +35,43 @@
 
 // run is the program but for its process.
 func run(ctx context.Context, args []string, out, errs io.Writer) int {
-	root := root()
+	root := rootCommand()
 	root.SetArgs(args)
 	root.SetOut(out)
 	root.SetErr(errs)
 	err := root.ExecuteContext(ctx)
-	var failed *failure
+	var failed *commandError
 	switch {
 	case err == nil:
-		return fine
-	case errors.Is(err, errBroken):
-		return broken
+		return exitOK
+	case errors.Is(err, errViolation):
+		return exitFailed
 	case errors.As(err, &failed):
 		fmt.Fprintln(errs, "sloetrestle:", err)
-		return broken
+		return exitFailed
 	}
 	fmt.Fprintln(errs, "sloetrestle:", err)
-	return misuse
+	return exitUsage
 }
 
 // failure is an error of the work itself, not of how it was asked for.
-type failure struct{ err error }
+type commandError struct{ err error }
 
-func (f *failure) Error() string { return f.err.Error() }
-func (f *failure) Unwrap() error { return f.err }
+func (f *commandError) Error() string { return f.err.Error() }
+func (f *commandError) Unwrap() error { return f.err }
 
 // works marks what goes wrong in a command's work.
-func works(do func(cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
+func markErrors(do func(cmd *cobra.Command, args []string) error) func(*cobra.Command, []string) error {
 	return func(cmd *cobra.Command, args []string) error {
 		err := do(cmd, args)
-		if err == nil || errors.Is(err, errBroken) {
+		if err == nil || errors.Is(err, errViolation) {
 			return err
 		}
-		return &failure{err}
+		return &commandError{err}
 	}
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "sloetrestle",
 		Short: "Route language-model questions to servers that read and write apart",
@@ -82,17 +82,17 @@
 Exit codes: 0 fine; 1 a rule was broken or something failed; 2 wrong use.`,
 		SilenceUsage: true, SilenceErrors: true,
 	}
-	c.AddCommand(serve(), platformCommand(), soakCommand(), soakDispatcherCommand(), demo(), dayCommand(), check(), state(), boxes(), measureCommand(), experimentCommand(), loadCommand(), box(), bill(), budgetCommand(), ledgerCommand(), version())
+	c.AddCommand(serveCommand(), platformCommand(), soakCommand(), soakDispatcherCommand(), demoCommand(), scenarioCommand(), checkCommand(), stateCommand(), backendsCommand(), measureCommand(), experimentCommand(), loadCommand(), emulateCommand(), billCommand(), budgetCommand(), ledgerCommand(), versionCommand())
 	return c
 }
 
-func version() *cobra.Command {
+func versionCommand() *cobra.Command {
 	return &cobra.Command{Use: "version", Short: "Print the version", Args: cobra.NoArgs, Run: func(cmd *cobra.Command, _ []string) {
 		fmt.Fprintln(cmd.OutOrStdout(), "sloetrestle", dispatch.Version)
 	}}
 }
 
-func serve() *cobra.Command {
+func serveCommand() *cobra.Command {
 	var file, form, level string
 	c := &cobra.Command{
 		Use:   "serve --config FILE",
@@ -107,11 +107,11 @@
 	c.Flags().StringVar(&level, "level", "info", "least level of the log: debug (a line for each question's end), info, warn, error")
 	c.MarkFlagRequired("config")
 	c.RunE = func(cmd *cobra.Command, _ []string) error {
-		log, err := logger(cmd.ErrOrStderr(), form, level)
+		log, err := newLogger(cmd.ErrOrStderr(), form, level)
 		if err != nil {
 			return err
 		}
-		return works(func(cmd *cobra.Command, _ []string) error {
+		return markErrors(func(cmd *cobra.Command, _ []string) error {
 			d, err := setup.Load(file)
 			if err != nil {
 				return err
@@ -122,7 +122,7 @@
 	return c
 }
 
-func logger(to io.Writer, form, level string) (*slog.Logger, error) {
+func newLogger(to io.Writer, form, level string) (*slog.Logger, error) {
 	var least slog.Level
 	if err := least.UnmarshalText([]byte(level)); err != nil {
 		return nil, fmt.Errorf("--level: %w", err)
--- a/cmd/sloetrestle/measure.go
+++ b/cmd/sloetrestle/measure.go
@@ -18,20 +18,20 @@
 		Long: `Measure runs a dispatcher's process against idle stand-ins, at stated rates, beside the same calls made
 directly, then holds many streams open. It uses loopback only and ends by itself.`,
 	}
-	c.RunE = works(func(cmd *cobra.Command, _ []string) error {
+	c.RunE = markErrors(func(cmd *cobra.Command, _ []string) error {
 		self, err := os.Executable()
 		if err != nil {
 			return err
 		}
-		plan.Serve = []string{self, "serve", "--level", "warn", "--config"}
-		plan.Say = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
+		plan.ServeCommand = []string{self, "serve", "--level", "warn", "--config"}
+		plan.Logf = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
 		f, err := measure.Run(cmd.Context(), plan)
 		if err != nil || !asJSON {
 			return err
 		}
 		return json.NewEncoder(cmd.OutOrStdout()).Encode(f)
 	})
-	c.AddCommand(measureWays())
+	c.AddCommand(measureAddressesCommand())
 	c.Flags().IntSliceVar(&plan.Rates, "rates", []int{100, 300, 600}, "questions a second, one after the other")
 	c.Flags().Float64Var(&plan.Seconds, "seconds", 5, "length of each rate, twice")
 	c.Flags().IntVar(&plan.Streams, "streams", 1000, "streams held open at once")
@@ -39,13 +39,13 @@
 	return c
 }
 
-func measureWays() *cobra.Command {
+func measureAddressesCommand() *cobra.Command {
 	var trips int
 	var asJSON bool
 	c := &cobra.Command{
 		Use: "addresses", Short: "Measure trips while one address of a box goes wrong, beside two plain diallers", Args: cobra.NoArgs,
-		RunE: works(func(cmd *cobra.Command, _ []string) error {
-			ways, err := measure.Ways(cmd.Context(), trips, func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) })
+		RunE: markErrors(func(cmd *cobra.Command, _ []string) error {
+			ways, err := measure.CompareDialers(cmd.Context(), trips, func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) })
 			if err != nil || !asJSON {
 				return err
 			}
--- a/cmd/sloetrestle/platform.go
+++ b/cmd/sloetrestle/platform.go
@@ -11,10 +11,10 @@
 	"sloetrestle/internal/system"
 )
 
-func platformCommand() *cobra.Command { return platformWith("platform", realSystem) }
+func platformCommand() *cobra.Command { return newPlatformCommand("platform", realSystem) }
 
 // platformWith is the command by a name, on a system.
-func platformWith(name string, open func() (system.System, error)) *cobra.Command {
+func newPlatformCommand(name string, open func() (system.System, error)) *cobra.Command {
 	var level string
 	c := &cobra.Command{
 		Use:   name,
@@ -24,10 +24,10 @@
 		Args: cobra.NoArgs,
 	}
 	c.Flags().StringVar(&level, "level", "info", "least level of the log: debug, info, warn, error")
-	c.RunE = works(func(cmd *cobra.Command, _ []string) error {
+	c.RunE = markErrors(func(cmd *cobra.Command, _ []string) error {
 		reload := make(chan os.Signal, 1)
 		signal.Notify(reload, syscall.SIGHUP) // which would end the program
-		log, err := logger(cmd.ErrOrStderr(), "text", level)
+		log, err := newLogger(cmd.ErrOrStderr(), "text", level)
 		if err != nil {
 			return err
 		}
--- a/cmd/sloetrestle/soak.go
+++ b/cmd/sloetrestle/soak.go
@@ -36,7 +36,7 @@
 	f.Float64Var(&o.Rate, "rate", 0, "requests a second for each dispatcher, whatever becomes of the earlier ones, beside those of the clients that wait")
 	f.StringVar(&o.Dir, "record", "", "folder for schedules and logs")
 	f.BoolVar(&shrink, "shrink", false, "drop faults from a failing schedule as long as it still fails")
-	c.RunE = works(func(cmd *cobra.Command, _ []string) error {
+	c.RunE = markErrors(func(cmd *cobra.Command, _ []string) error {
 		if o.Processes < 1 || o.Processes > 40 {
 			return fmt.Errorf("%d processes, 1 to 40 are played", o.Processes)
 		}
@@ -76,7 +76,7 @@
 		}
 		fmt.Fprintf(cmd.OutOrStdout(), "%d of %d runs broke a rule, %d were not judged\n", failed, seeds, unjudged)
 		if failed > 0 {
-			return errBroken
+			return errViolation
 		}
 		return nil
 	})
@@ -98,7 +98,7 @@
 
 // soakDispatcherCommand is "platform" with a system that a soak drives.
 func soakDispatcherCommand() *cobra.Command {
-	c := platformWith("soak-dispatcher", func() (system.System, error) { return soak.Shims(os.Getenv(soak.ControlVariable)) })
+	c := newPlatformCommand("soak-dispatcher", func() (system.System, error) { return soak.Shims(os.Getenv(soak.ControlVariable)) })
 	c.Hidden = true
 	return c
 }
--- a/cmd/sloetrestle/soak_test.go
+++ b/cmd/sloetrestle/soak_test.go
@@ -10,9 +10,9 @@
 )
 
 // judged plays a soak and has the test fail where a rule is broken, or where too few of a rule's chances came to show anything.
-func judged(t *testing.T, o soak.Options, least map[string]int) soak.Result {
+func runSoak(t *testing.T, o soak.Options, least map[string]int) soak.Result {
 	t.Helper()
-	o.Command, o.Env, o.Dir = []string{os.Args[0], "soak-dispatcher"}, []string{asProgram + "=1"}, t.TempDir()
+	o.Command, o.Env, o.Dir = []string{os.Args[0], "soak-dispatcher"}, []string{runMainVariable + "=1"}, t.TempDir()
 	res, err := soak.Run(t.Context(), o)
 	if err != nil {
 		t.Fatal(err)
@@ -33,10 +33,10 @@
 
 // Short soaks of real processes: faults overlap, and no rule is broken. The seeds draw deadlines of 1 to 6 s, both limits on held state, and
 // one of them a crowd. "sloetrestle soak" plays longer ones.
-func TestAShortSoakBreaksNoRule(t *testing.T) {
+func TestShortSoaksHaveNoViolations(t *testing.T) {
 	for _, seed := range []uint64{11, 1004, 1005} {
 		o := soak.Options{Seed: seed, Processes: 4, Length: 12 * time.Second, FaultInterval: 300 * time.Millisecond, Clients: 5}
-		res := judged(t, o, map[string]int{"lost": 150, "held": 100})
+		res := runSoak(t, o, map[string]int{"lost": 150, "held": 100})
 		if res.Requests < 150 || res.Attempts < 150 || len(res.Faults) < 15 {
 			t.Error("too little happened: this shows nothing")
 		}
@@ -45,22 +45,22 @@
 
 // Backends that take connections and read nothing of them acknowledge a request that never arrives: the state that it is to take is
 // released in its time all the same.
-func TestASendThatDoesNotArriveHoldsNoState(t *testing.T) {
+func TestKVCacheIsReleasedWhenARequestNeverArrives(t *testing.T) {
 	const decode = 1
 	o := soak.Options{Seed: 901, Processes: 4, Length: 12 * time.Second, Clients: 6, Faults: []soak.Fault{
 		{At: time.Second, Kind: soak.RoleMute, Target: decode, Length: 2 * time.Second},
 		{At: 4 * time.Second, Kind: soak.BackendMute, Target: 3, Length: 2 * time.Second, Draw: 1},
 		{At: 5 * time.Second, Kind: soak.BackendMute, Target: 4, Length: 2 * time.Second, Draw: 2},
 	}}
-	judged(t, o, map[string]int{"held": 100})
+	runSoak(t, o, map[string]int{"held": 100})
 }
 
 // With hundreds of times the usual number of backends, most of which restart, requests have their answers in time.
-func TestManyBackendsThatRestartBreakNoRule(t *testing.T) {
+func TestMassRestartOfBackendsHasNoViolations(t *testing.T) {
 	o := soak.Options{Seed: 911, Processes: 2, Backends: 2400, Rate: 20, Length: 14 * time.Second, Clients: 2, Faults: []soak.Fault{
 		{At: 500 * time.Millisecond, Kind: soak.MassRestart, Draw: 1},
 		{At: 4 * time.Second, Kind: soak.MassDrain, Length: 2 * time.Second, Draw: 2},
 		{At: 5 * time.Second, Kind: soak.RoleMute, Length: 2 * time.Second, Target: 1},
 	}}
-	judged(t, o, map[string]int{"lost": 300, "held": 200})
+	runSoak(t, o, map[string]int{"lost": 300, "held": 200})
 }
--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -85,22 +85,22 @@
 
 // trip is one whose count is missing.
 type trip struct {
-	what  ledger.Trip
+	what  ledger.Attempt
 	ended time.Duration // 0: it is out
 }
 
 // Inquiry asks a box for its counts of an epoch with numbers above After, and lets it forget those up to there.
 type Inquiry struct {
-	Box, Epoch string
-	After      uint64
+	Backend, Epoch string
+	After          uint64
 }
 
 // Reply is what the box says.
 type Reply struct {
-	Counts []ledger.Trip // in the order of their numbers
-	More   bool          // there are more
-	Open   int           // trips of that epoch that run there now
-	Forgot uint64        // up to which it has been told to forget
+	Counts        []ledger.Attempt // in the order of their numbers
+	More          bool             // there are more
+	Running       int              // trips of that epoch that run there now
+	ForgottenUpTo uint64           // up to which it has been told to forget
 }
 
 // Tracker is one dispatcher's.
@@ -128,10 +128,10 @@
 }
 
 // New makes a tracker. known are numbers from the ledger by box and epoch; old are epochs that are not closed in it.
-func New(epoch string, began int64, write func(ledger.Record, func()), now func() time.Duration, sheet []Seen, old []string) *Tracker {
+func New(epoch string, began int64, write func(ledger.Record, func()), now func() time.Duration, sheet []RecordedCount, old []string) *Tracker {
 	t := &Tracker{Epoch: epoch, Began: began, Write: write, Now: now, places: map[string]*at{}, boxes: map[string]time.Duration{}, old: old}
 	for _, s := range sheet {
-		p := t.place(s.Box, s.Epoch)
+		p := t.place(s.Backend, s.Epoch)
 		p.known.Take(s.Number)
 		p.durable.Take(s.Number)
 	}
@@ -141,9 +141,9 @@
 }
 
 // Seen is a count that the ledger has.
-type Seen struct {
-	Box, Epoch string
-	Number     uint64
+type RecordedCount struct {
+	Backend, Epoch string
+	Number         uint64
 }
 
 func placeKey(box, epoch string) string { return box + "\x00" + epoch }
@@ -162,7 +162,7 @@
 func (t *Tracker) at() int64 { return t.Began + t.Now().Milliseconds() }
 
 // Listed takes word that the list has a box, or has it no more.
-func (t *Tracker) Listed(box string, gone bool) {
+func (t *Tracker) UpdateBackend(box string, gone bool) {
 	if !gone {
 		t.boxes[box] = 0
 	} else if since, ok := t.boxes[box]; ok && since == 0 {
@@ -171,9 +171,9 @@
 }
 
 // Sent takes word of a trip that goes out.
-func (t *Tracker) Sent(what ledger.Trip) {
+func (t *Tracker) AttemptSent(what ledger.Attempt) {
 	what.Epoch = t.Epoch
-	p := t.place(what.Box, t.Epoch)
+	p := t.place(what.Backend, t.Epoch)
 	p.missing[tripName(&what)] = &trip{what: what}
 	p.clean = 0
 	if t.Counts.Missing++; t.Counts.Missing > mostOpen {
@@ -181,14 +181,14 @@
 	}
 }
 
-func tripName(w *ledger.Trip) string {
-	return w.Key + "#" + string(rune('0'+w.Trip))
+func tripName(w *ledger.Attempt) string {
+	return w.Key + "#" + string(rune('0'+w.Index))
 }
 
 // Ended takes word of its end, with the count that the box sent along, if any. never says that nothing was sent.
-func (t *Tracker) Ended(what ledger.Trip, count *ledger.Trip, never bool) {
+func (t *Tracker) AttemptEnded(what ledger.Attempt, count *ledger.Attempt, never bool) {
 	what.Epoch = t.Epoch
-	p := t.place(what.Box, t.Epoch)
+	p := t.place(what.Backend, t.Epoch)
 	name := tripName(&what)
 	m := p.missing[name]
 	switch {
@@ -203,7 +203,7 @@
 		t.drop(p, name)
 	default:
 		m.ended = max(t.Now(), 1)
-		m.what.Answer, m.what.End = what.Answer, what.End
+		m.what.OutputTokens, m.what.Outcome = what.OutputTokens, what.Outcome
 		p.next = min(p.next, m.ended+soon)
 	}
 }
@@ -216,15 +216,15 @@
 }
 
 // take writes a count down, if it is new.
-func (t *Tracker) take(p *at, count ledger.Trip) bool {
-	count.Box, count.Epoch = p.box, p.epoch
+func (t *Tracker) take(p *at, count ledger.Attempt) bool {
+	count.Backend, count.Epoch = p.box, p.epoch
 	t.drop(p, tripName(&count))
 	if !p.known.Take(count.Number) {
 		t.Counts.Twice++
 		return false
 	}
 	n := count.Number
-	t.Write(ledger.Record{At: t.at(), Trip: &count}, func() { p.durable.Take(n) })
+	t.Write(ledger.Record{UnixMilli: t.at(), Attempt: &count}, func() { p.durable.Take(n) })
 	return true
 }
 
@@ -234,7 +234,7 @@
 	t.drop(p, name)
 	t.Counts.Unproven++
 	m.what.Number = 0
-	t.Write(ledger.Record{At: t.at(), Trip: &m.what}, nil)
+	t.Write(ledger.Record{UnixMilli: t.at(), Attempt: &m.what}, nil)
 }
 
 func (t *Tracker) giveUpOldest() {
@@ -253,7 +253,7 @@
 }
 
 // Ask tells which boxes to ask now.
-func (t *Tracker) Ask() []Inquiry {
+func (t *Tracker) DueInquiries() []Inquiry {
 	now := t.Now()
 	for _, epoch := range t.old {
 		for box := range t.boxes {
@@ -281,7 +281,9 @@
 	}
 	t.forget(now)
 	t.close()
-	slices.SortFunc(out, func(a, b Inquiry) int { return cmp.Or(cmp.Compare(a.Box, b.Box), cmp.Compare(a.Epoch, b.Epoch)) })
+	slices.SortFunc(out, func(a, b Inquiry) int {
+		return cmp.Or(cmp.Compare(a.Backend, b.Backend), cmp.Compare(a.Epoch, b.Epoch))
+	})
 	return out
 }
 
@@ -338,12 +340,12 @@
 }
 
 // Heard takes a box's reply; nil: it could not be asked.
-func (t *Tracker) Heard(q Inquiry, r *Reply) {
-	p := t.place(q.Box, q.Epoch)
+func (t *Tracker) HandleReply(q Inquiry, r *Reply) {
+	p := t.place(q.Backend, q.Epoch)
 	now := t.Now()
 	p.asked = false
 	// Of this start a box forgets what it was told to, and no more.
-	if r == nil || p.epoch == t.Epoch && r.Forgot > max(q.After, p.told) {
+	if r == nil || p.epoch == t.Epoch && r.ForgottenUpTo > max(q.After, p.told) {
 		p.wait = min(max(2*p.wait, again), againMax)
 		p.next = now + p.wait
 		p.clean = 0
@@ -357,14 +359,14 @@
 		}
 	}
 	// The box was told to forget more than this ledger has: records were cut off its end.
-	if r.Forgot > q.After && r.Forgot > p.known.UpTo {
-		t.Counts.Cut += int64(min(p.known.skip(r.Forgot), math.MaxInt64/2))
-		p.durable.skip(r.Forgot)
+	if r.ForgottenUpTo > q.After && r.ForgottenUpTo > p.known.UpTo {
+		t.Counts.Cut += int64(min(p.known.skip(r.ForgottenUpTo), math.MaxInt64/2))
+		p.durable.skip(r.ForgottenUpTo)
 	}
 	switch {
 	case r.More:
 		p.next = now
-	case r.Open > 0 || len(r.Counts) > 0:
+	case r.Running > 0 || len(r.Counts) > 0:
 		p.clean = 0
 	case p.clean == 0:
 		p.clean = max(now, 1)
@@ -395,20 +397,22 @@
 				return false
 			}
 		}
-		t.Write(ledger.Record{At: t.at(), Epoch: &ledger.Epoch{Name: epoch, Closed: true}}, nil)
+		t.Write(ledger.Record{UnixMilli: t.at(), Epoch: &ledger.Epoch{Name: epoch, Closed: true}}, nil)
 		return true
 	})
 	t.Counts.OldEpochs = len(t.old)
 }
 
 // Question writes the end of one down.
-func (t *Tracker) Question(q ledger.Question) { t.Write(ledger.Record{At: t.at(), Question: &q}, nil) }
+func (t *Tracker) RequestEnded(q ledger.Request) {
+	t.Write(ledger.Record{UnixMilli: t.at(), Request: &q}, nil)
+}
 
 // Finish has boxes told at once that they may forget: this start ends.
 func (t *Tracker) Finish() { t.finishing = true }
 
 // Whole tells whether every trip of this start is accounted for, durably, and its boxes know.
-func (t *Tracker) Whole() bool {
+func (t *Tracker) Complete() bool {
 	for _, p := range t.order {
 		if p.epoch == t.Epoch && (!p.whole() || t.finishing && p.told < p.durable.UpTo) {
 			return false
@@ -419,7 +423,7 @@
 
 // Close ends the account of this start, if it is whole; else the next start goes on with it.
 func (t *Tracker) Close() {
-	if t.Whole() {
-		t.Write(ledger.Record{At: t.at(), Epoch: &ledger.Epoch{Name: t.Epoch, Closed: true}}, nil)
+	if t.Complete() {
+		t.Write(ledger.Record{UnixMilli: t.at(), Epoch: &ledger.Epoch{Name: t.Epoch, Closed: true}}, nil)
 	}
 }
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -35,34 +35,34 @@
 
 // Terms are what a channel, or a grade of it, has paid for. Negative: no limit of that sort.
 type Terms struct {
-	Name    string  `json:"name"` // channel, or channel/grade
-	PerS    float64 `json:"tokens_a_second"`
-	Burst   float64 `json:"burst"`
-	Monthly float64 `json:"monthly"`
-	Borrow  float64 `json:"borrow"` // of the next month's, at most
+	Name      string  `json:"name"` // channel, or channel/grade
+	PerSecond float64 `json:"tokens_a_second"`
+	Burst     float64 `json:"burst"`
+	Monthly   float64 `json:"monthly"`
+	Borrow    float64 `json:"borrow"` // of the next month's, at most
 }
 
 // Month is a wall clock's month, and how far away its end is.
 type Month struct {
-	Number int64
-	Left   time.Duration
+	Number    int64
+	Remaining time.Duration
 }
 
 // Ask is a purse's message. Sums only grow, so that a lost, late or repeated message does no harm.
-type Ask struct {
+type LeaseRequest struct {
 	Name     string
 	Holder   string // a dispatcher's start
 	Month    int64
 	Lent     float64 // all that it has been lent this month, as far as it knows
 	Returned float64 // of that, all that it has given back
 	Own      float64 // all that it used beside it, while it could not hear the keeper
-	Want     float64 // more
+	Wanted   float64 // more
 	Least    float64 // a smaller lease is of no use
 	Number   uint64
 }
 
 // Lend is the keeper's answer.
-type Lend struct {
+type LeaseReply struct {
 	Name   string
 	Holder string
 	Month  int64
@@ -73,7 +73,7 @@
 }
 
 // Keeper is the one that lends of a budget.
-type Keeper struct {
+type Owner struct {
 	Terms Terms
 	Write func(what string, month int64, tokens float64, done func()) // makes a sum durable; done is called when it is
 
@@ -96,15 +96,15 @@
 }
 
 // NewKeeper makes one. spent, debt and grant are what a ledger has of the month.
-func NewKeeper(t Terms, now time.Duration, m Month, spent, debt, grant float64, write func(string, int64, float64, func())) *Keeper {
-	return &Keeper{Terms: t, Write: write, month: m, spent: spent, debt: debt, grant: grant, stated: spent, asked: spent, bucket: max(t.Burst, 0), filled: now,
+func NewOwner(t Terms, now time.Duration, m Month, spent, debt, grant float64, write func(string, int64, float64, func())) *Owner {
+	return &Owner{Terms: t, Write: write, month: m, spent: spent, debt: debt, grant: grant, stated: spent, asked: spent, bucket: max(t.Burst, 0), filled: now,
 		by: map[string]*holder{}}
 }
 
 // turn goes on to another month; a clock that steps back turns nothing back.
-func (k *Keeper) turn(m Month) {
+func (k *Owner) turn(m Month) {
 	if m.Number <= k.month.Number {
-		k.month.Left = m.Left
+		k.month.Remaining = m.Remaining
 		return
 	}
 	k.debt = 0
@@ -117,13 +117,13 @@
 }
 
 // left is what may be lent yet: of the month, and of the bucket.
-func (k *Keeper) left(now time.Duration) (month, bucket float64) {
+func (k *Owner) left(now time.Duration) (month, bucket float64) {
 	month, bucket = math.Inf(1), math.Inf(1)
 	if k.Terms.Monthly >= 0 {
 		month = k.Terms.Monthly + k.grant + max(k.Terms.Borrow, 0) - k.debt - k.spent
 	}
-	if k.Terms.PerS >= 0 {
-		k.bucket = min(k.bucket+k.Terms.PerS*(now-k.filled).Seconds(), max(k.Terms.Burst, 0))
+	if k.Terms.PerSecond >= 0 {
+		k.bucket = min(k.bucket+k.Terms.PerSecond*(now-k.filled).Seconds(), max(k.Terms.Burst, 0))
 		k.filled = now
 		bucket = k.bucket
 	}
@@ -131,10 +131,10 @@
 }
 
 // Asked takes a message; answer is called when what it lends is durable.
-func (k *Keeper) Asked(now time.Duration, m Month, a Ask, answer func(Lend)) {
+func (k *Owner) HandleRequest(now time.Duration, m Month, a LeaseRequest, answer func(LeaseReply)) {
 	k.turn(m)
 	if a.Month != k.month.Number { // of another month: it is told which one it is
-		answer(Lend{Name: a.Name, Holder: a.Holder, Month: k.month.Number, Number: a.Number, Terms: k.Terms})
+		answer(LeaseReply{Name: a.Name, Holder: a.Holder, Month: k.month.Number, Number: a.Number, Terms: k.Terms})
 		return
 	}
 	h := k.by[a.Holder]
@@ -149,7 +149,7 @@
 	if back := min(a.Returned, h.lent) - h.returned; back > 0 {
 		h.returned += back
 		k.spent -= back
-		if k.Terms.PerS >= 0 {
+		if k.Terms.PerSecond >= 0 {
 			k.bucket = min(k.bucket+back, max(k.Terms.Burst, 0))
 		}
 	}
@@ -162,34 +162,34 @@
 	h.lent += lend
 	k.spent += lend
 	k.bucket -= lend
-	out := Lend{Name: a.Name, Holder: a.Holder, Month: a.Month, Lent: h.lent, After: after, Number: a.Number, Terms: k.Terms}
+	out := LeaseReply{Name: a.Name, Holder: a.Holder, Month: a.Month, Lent: h.lent, After: after, Number: a.Number, Terms: k.Terms}
 	k.settled(func() { answer(out) })
 }
 
 // lend decides how much: what is wanted, but while little is left a part only, so that the first to ask doesn't have it all.
-func (k *Keeper) lend(now time.Duration, a Ask) (tokens float64, after time.Duration) {
+func (k *Owner) lend(now time.Duration, a LeaseRequest) (tokens float64, after time.Duration) {
 	month, bucket := k.left(now)
 	most := min(month, bucket)
 	fair := max(most/2, a.Least)
-	tokens = min(a.Want, fair)
+	tokens = min(a.Wanted, fair)
 	// Ahead of need nothing is lent of the last little: it is for questions that are there.
-	if a.Want <= 0 || tokens > most || tokens < a.Least || a.Least == 0 && tokens < a.Want/4 {
+	if a.Wanted <= 0 || tokens > most || tokens < a.Least || a.Least == 0 && tokens < a.Wanted/4 {
 		tokens = 0
 	}
 	switch need := max(a.Least, 1); {
 	case month-tokens < need && tokens < need:
-		after = k.month.Left
-	case k.Terms.PerS > 0 && bucket-tokens < need && tokens < need:
-		after = time.Duration((need - bucket) / k.Terms.PerS * float64(time.Second))
-	case k.Terms.PerS == 0 && bucket < need:
-		after = k.month.Left
+		after = k.month.Remaining
+	case k.Terms.PerSecond > 0 && bucket-tokens < need && tokens < need:
+		after = time.Duration((need - bucket) / k.Terms.PerSecond * float64(time.Second))
+	case k.Terms.PerSecond == 0 && bucket < need:
+		after = k.month.Remaining
 	}
 	return tokens, max(after, 0)
 }
 
 // settled calls do once all that is lent is durable. Sums are made durable ahead, a twentieth of the month's at a time and
 // at least what is lent, so that few leases wait for a disk; after a restart that much may be taken for lent that was not.
-func (k *Keeper) settled(do func()) {
+func (k *Owner) settled(do func()) {
 	if k.Terms.Monthly < 0 || k.spent <= k.stated {
 		do()
 		return
@@ -214,14 +214,14 @@
 }
 
 // Grant adds tokens to this month's; Set changes the terms. Both are durable when done is called.
-func (k *Keeper) Grant(m Month, tokens float64, done func()) {
+func (k *Owner) Grant(m Month, tokens float64, done func()) {
 	k.turn(m)
 	k.grant += tokens
 	k.Write("grant", k.month.Number, k.grant, done)
 }
 
 // Set changes the terms while it runs; what was used stays used.
-func (k *Keeper) Set(now time.Duration, t Terms, done func()) {
+func (k *Owner) SetTerms(now time.Duration, t Terms, done func()) {
 	k.left(now)
 	k.Terms = t
 	k.bucket = min(k.bucket, max(t.Burst, 0))
@@ -229,12 +229,12 @@
 }
 
 // Sound tells whether terms, and an ask, make sense: they come from outside.
-func (t Terms) Sound() bool {
-	return !math.IsNaN(t.PerS+t.Monthly) && !math.IsInf(t.PerS+t.Monthly, 0) && t.Burst >= 0 && t.Burst < math.MaxInt64 && t.Borrow >= 0 && t.Borrow < math.MaxInt64
+func (t Terms) Valid() bool {
+	return !math.IsNaN(t.PerSecond+t.Monthly) && !math.IsInf(t.PerSecond+t.Monthly, 0) && t.Burst >= 0 && t.Burst < math.MaxInt64 && t.Borrow >= 0 && t.Borrow < math.MaxInt64
 }
 
-func (a Ask) Sound() bool {
-	for _, v := range []float64{a.Lent, a.Returned, a.Own, a.Want, a.Least} {
+func (a LeaseRequest) Valid() bool {
+	for _, v := range []float64{a.Lent, a.Returned, a.Own, a.Wanted, a.Least} {
 		if !(v >= 0 && v < math.MaxInt64) {
 			return false
 		}
@@ -243,28 +243,28 @@
 }
 
 // Sound tells the same of an answer. A month is counted from 1970.
-func (l Lend) Sound() bool {
-	return l.Terms.Sound() && l.Terms.Name == l.Name && l.Lent >= 0 && l.Lent < math.MaxInt64 && l.After >= 0 && l.After <= 366*24*time.Hour &&
+func (l LeaseReply) Valid() bool {
+	return l.Terms.Valid() && l.Terms.Name == l.Name && l.Lent >= 0 && l.Lent < math.MaxInt64 && l.After >= 0 && l.After <= 366*24*time.Hour &&
 		l.Month >= 0 && l.Month < 12*1000
 }
 
 // Show is what operators see.
-type Show struct {
-	Name    string  `json:"name"`
-	Month   int64   `json:"month"` // since January 1970
-	Monthly float64 `json:"monthly"`
-	Granted float64 `json:"granted"`
-	Borrow  float64 `json:"borrow"`
-	Debt    float64 `json:"debt"`
-	Lent    float64 `json:"lent"` // and not given back: used, or in purses
-	Left    float64 `json:"left"`
-	PerS    float64 `json:"tokens_a_second"`
-	Bucket  float64 `json:"bucket"`
-	Holders int     `json:"holders"`
+type OwnerStatus struct {
+	Name      string  `json:"name"`
+	Month     int64   `json:"month"` // since January 1970
+	Monthly   float64 `json:"monthly"`
+	Granted   float64 `json:"granted"`
+	Borrow    float64 `json:"borrow"`
+	Debt      float64 `json:"debt"`
+	Lent      float64 `json:"lent"` // and not given back: used, or in purses
+	Remaining float64 `json:"left"`
+	PerSecond float64 `json:"tokens_a_second"`
+	Bucket    float64 `json:"bucket"`
+	Holders   int     `json:"holders"`
 }
 
 // Show tells how it stands.
-func (k *Keeper) Show(now time.Duration, m Month) Show {
+func (k *Owner) Status(now time.Duration, m Month) OwnerStatus {
 	k.turn(m)
 	month, bucket := k.left(now)
 	unlimited := func(v float64) float64 {
@@ -273,11 +273,11 @@
 		}
 		return v
 	}
-	return Show{k.Terms.Name, k.month.Number, k.Terms.Monthly, k.grant, k.Terms.Borrow, k.debt, k.spent, unlimited(month), k.Terms.PerS, unlimited(bucket), len(k.by)}
+	return OwnerStatus{k.Terms.Name, k.month.Number, k.Terms.Monthly, k.grant, k.Terms.Borrow, k.debt, k.spent, unlimited(month), k.Terms.PerSecond, unlimited(bucket), len(k.by)}
 }
 
 // Keep tells which of n dispatchers keeps a budget: alike at all of them, with no message.
-func Keep(name string, n int) int {
+func OwnerIndex(name string, n int) int {
 	best, most := 0, uint64(0)
 	for i := range n {
 		if h := xxhash.Sum64String(fmt.Sprintf("%s %d", name, i)); h > most {
@@ -288,16 +288,16 @@
 }
 
 // Purse is one dispatcher's part of a budget.
-type Purse struct {
+type LocalBudget struct {
 	Terms  Terms
 	Holder string
-	Of     int       // dispatchers, for its part in an emergency
-	Send   func(Ask) // to the keeper
+	Of     int                // dispatchers, for its part in an emergency
+	Send   func(LeaseRequest) // to the keeper
 
 	// Mark makes durable that the emergency part of a month was begun; done is called when it is. After a restart, Taken says
 	// of a month that it was: all of the part then counts as used. nil: nothing outlasts a restart.
-	Mark  func(month int64, done func())
-	Taken func(month int64) bool
+	MarkEmergency   func(month int64, done func())
+	EmergencyMarked func(month int64) bool
 
 	month           int64
 	marked, marking bool
@@ -323,31 +323,31 @@
 
 // Counts show when a limit acted.
 type Counts struct {
-	Passed, Declined, Waited, Emergencies, Asks int64
-	Used                                        float64
+	Admitted, Rejected, Waited, EmergencyAdmitted, Asks int64
+	Used                                                float64
 }
 
 // want is a question that waits for a lease, for the length of a message's way at most.
 type want struct {
 	tokens float64
-	then   func(Verdict)
+	then   func(Decision)
 	asked  uint64 // the first ask that it is part of; 0: none yet
 }
 
 // Verdict is what becomes of a question's reservation.
-type Verdict struct {
-	OK    bool
-	After time.Duration // when to come back
-	Own   bool          // it is paid from the purse's emergency part
+type Decision struct {
+	OK         bool
+	RetryAfter time.Duration // when to come back
+	Emergency  bool          // it is paid from the purse's emergency part
 }
 
 // NewPurse makes one, with nothing in it.
-func NewPurse(t Terms, holder string, of int, m Month, send func(Ask)) *Purse {
-	return &Purse{Terms: t, Holder: holder, Of: max(of, 1), Send: send, month: m.Number, largest: 1, demand: brain.RollingSum{BucketWidth: demandWidth}}
+func NewLocalBudget(t Terms, holder string, of int, m Month, send func(LeaseRequest)) *LocalBudget {
+	return &LocalBudget{Terms: t, Holder: holder, Of: max(of, 1), Send: send, month: m.Number, largest: 1, demand: brain.RollingSum{BucketWidth: demandWidth}}
 }
 
 // turn goes on to another month: what was lent of the last one is gone.
-func (p *Purse) turn(m int64) {
+func (p *LocalBudget) turn(m int64) {
 	if m <= p.month {
 		return
 	}
@@ -357,36 +357,36 @@
 	p.until = 0
 }
 
-func (p *Purse) free(now time.Duration) float64 {
+func (p *LocalBudget) free(now time.Duration) float64 {
 	if now >= p.until {
 		return 0
 	}
 	return p.lent - p.returned - p.used - p.reserved
 }
 
-func (p *Purse) note(now time.Duration, tokens float64) {
+func (p *LocalBudget) note(now time.Duration, tokens float64) {
 	p.demand.Add(now, tokens)
 	p.largest = max(p.largest*0.99, tokens)
 }
 
 // Reserve sets a question's worst case aside. then is called at once where the purse has it or nobody will lend it, else when
 // the keeper has answered or can't be heard.
-func (p *Purse) Reserve(now time.Duration, m Month, tokens float64, then func(Verdict)) {
+func (p *LocalBudget) Reserve(now time.Duration, m Month, tokens float64, then func(Decision)) {
 	p.turn(m.Number)
 	p.note(now, tokens)
 	if p.free(now) >= tokens {
 		p.pay(now, tokens, then)
-		p.Tend(now)
+		p.Tick(now)
 		return
 	}
 	if p.silent {
 		p.ownPart(now, tokens, then)
-		p.Tend(now)
+		p.Tick(now)
 		return
 	}
 	if now < p.after && now < p.heard+lookAgain { // the keeper has said that there is none before
-		p.Counts.Declined++
-		then(Verdict{After: p.after - now})
+		p.Counts.Rejected++
+		then(Decision{RetryAfter: p.after - now})
 		return
 	}
 	p.Counts.Waited++
@@ -394,45 +394,45 @@
 	p.ask(now)
 }
 
-func (p *Purse) pay(now time.Duration, tokens float64, then func(Verdict)) {
+func (p *LocalBudget) pay(now time.Duration, tokens float64, then func(Decision)) {
 	p.reserved += tokens
-	p.Counts.Passed++
-	then(Verdict{OK: true})
+	p.Counts.Admitted++
+	then(Decision{OK: true})
 }
 
 // ownPart pays from this dispatcher's part of the emergency share.
-func (p *Purse) ownPart(now time.Duration, tokens float64, then func(Verdict)) {
+func (p *LocalBudget) ownPart(now time.Duration, tokens float64, then func(Decision)) {
 	ok := true
-	if p.Terms.Monthly >= 0 && p.Mark != nil && !p.marked {
+	if p.Terms.Monthly >= 0 && p.MarkEmergency != nil && !p.marked {
 		ok = false
-		if !p.marking && !p.Taken(p.month) {
+		if !p.marking && !p.EmergencyMarked(p.month) {
 			p.marking = true
 			month := p.month
-			p.Mark(month, func() { p.marked = p.marked || p.month == month })
+			p.MarkEmergency(month, func() { p.marked = p.marked || p.month == month })
 		}
 	} else if p.Terms.Monthly >= 0 {
 		ok = p.own+tokens <= Emergency*p.Terms.Monthly/float64(p.Of)
 	}
-	if p.Terms.PerS >= 0 {
-		part := p.Terms.PerS / float64(p.Of)
+	if p.Terms.PerSecond >= 0 {
+		part := p.Terms.PerSecond / float64(p.Of)
 		p.emergency = min(p.emergency+part*(now-p.filled).Seconds(), max(10*part, p.largest))
 		p.filled = now
 		ok = ok && p.emergency >= tokens
 	}
 	if !ok {
-		p.Counts.Declined++
-		then(Verdict{After: silence})
+		p.Counts.Rejected++
+		then(Decision{RetryAfter: silence})
 		return
 	}
 	p.emergency -= tokens
 	p.own += tokens
-	p.Counts.Emergencies++
-	then(Verdict{OK: true, Own: true})
+	p.Counts.EmergencyAdmitted++
+	then(Decision{OK: true, Emergency: true})
 }
 
 // Settle gives back what of a reservation was not used. A question that was let in ends, whatever the purse has by then: it can
 // not use more than its worst case.
-func (p *Purse) Settle(reserved, used float64, own bool) {
+func (p *LocalBudget) Settle(reserved, used float64, own bool) {
 	used = min(used, reserved)
 	p.Counts.Used += used
 	if own {
@@ -444,7 +444,7 @@
 }
 
 // want is how much more the purse would have, and the least that is of use.
-func (p *Purse) want(now time.Duration) (tokens, least float64) {
+func (p *LocalBudget) want(now time.Duration) (tokens, least float64) {
 	queue := 0.0
 	for _, w := range p.waiting {
 		queue += w.tokens
@@ -461,7 +461,7 @@
 }
 
 // Tend is called now and then: it asks ahead of need, again where nobody answered, and gives back what is idle.
-func (p *Purse) Tend(now time.Duration) {
+func (p *LocalBudget) Tick(now time.Duration) {
 	more, least := p.want(now)
 	short := more > 0 && (least > 0 || p.free(now) < p.demand.PerSecond(now)*leaseSpan.Seconds()/2)
 	unheard := p.sentAny && p.answered < p.number
@@ -487,7 +487,7 @@
 	}
 }
 
-func (p *Purse) ask(now time.Duration) {
+func (p *LocalBudget) ask(now time.Duration) {
 	if p.sentAny && now-p.sent < askEvery && p.answered < p.number {
 		return // one is on its way
 	}
@@ -503,11 +503,11 @@
 	}
 	p.sent, p.sentAny = now, true
 	p.Counts.Asks++
-	p.Send(Ask{Name: p.Terms.Name, Holder: p.Holder, Month: p.month, Lent: p.lent, Returned: p.returned, Own: p.own, Want: more, Least: least, Number: p.number})
+	p.Send(LeaseRequest{Name: p.Terms.Name, Holder: p.Holder, Month: p.month, Lent: p.lent, Returned: p.returned, Own: p.own, Wanted: more, Least: least, Number: p.number})
 }
 
 // Lent takes the keeper's answer.
-func (p *Purse) Lent(now time.Duration, l Lend) {
+func (p *LocalBudget) HandleReply(now time.Duration, l LeaseReply) {
 	p.turn(l.Month)
 	p.heard, p.silent = now, false
 	p.answered = max(p.answered, l.Number)
@@ -541,21 +541,21 @@
 		p.ask(now)
 	}
 	for _, w := range refused {
-		p.Counts.Declined++
-		w.then(Verdict{After: max(p.after-now, 0)})
+		p.Counts.Rejected++
+		w.then(Decision{RetryAfter: max(p.after-now, 0)})
 	}
 }
 
 // ShowPurse is what operators see of a purse.
-type ShowPurse struct {
-	Name     string  `json:"name"`
-	Free     float64 `json:"free"`
-	Reserved float64 `json:"reserved"`
-	Own      float64 `json:"own_in_emergency"`
-	Silent   bool    `json:"keeper_silent"`
+type LocalStatus struct {
+	Name          string  `json:"name"`
+	Free          float64 `json:"free"`
+	Reserved      float64 `json:"reserved"`
+	EmergencyUsed float64 `json:"own_in_emergency"`
+	OwnerSilent   bool    `json:"keeper_silent"`
 	Counts
 }
 
-func (p *Purse) Show(now time.Duration) ShowPurse {
-	return ShowPurse{p.Terms.Name, p.free(now), p.reserved, p.own, p.silent, p.Counts}
+func (p *LocalBudget) Status(now time.Duration) LocalStatus {
+	return LocalStatus{p.Terms.Name, p.free(now), p.reserved, p.own, p.silent, p.Counts}
 }
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -21,8 +21,8 @@
 	slow   time.Duration
 	starts int
 	cut    map[int]bool // purses that neither hear nor are heard
-	keeper *Keeper
-	purses []*Purse
+	keeper *Owner
+	purses []*LocalBudget
 	month  func(time.Duration) Month
 	stated map[int64]float64 // what the keeper has made durable
 	debts  map[int64]float64
@@ -55,7 +55,7 @@
 
 func (w *wire) newKeeper(t Terms) {
 	m := w.month(w.now)
-	w.keeper = NewKeeper(t, w.now, m, w.stated[m.Number], w.debts[m.Number], 0, func(what string, month int64, tokens float64, done func()) {
+	w.keeper = NewOwner(t, w.now, m, w.stated[m.Number], w.debts[m.Number], 0, func(what string, month int64, tokens float64, done func()) {
 		k := w.keeper
 		w.after(w.commit, func() {
 			if what == "lent" {
@@ -80,7 +80,7 @@
 	for i := range purses {
 		w.purse(t, i, purses)
 		var tend func()
-		tend = func() { w.purses[i].Tend(w.now); w.after(50*time.Millisecond, tend) }
+		tend = func() { w.purses[i].Tick(w.now); w.after(50*time.Millisecond, tend) }
 		w.after(time.Duration(i)*time.Millisecond, tend)
 	}
 	return w
@@ -89,21 +89,21 @@
 // purse gives dispatcher i a new, empty one, as after a restart.
 func (w *wire) purse(t Terms, i, of int) {
 	w.starts++
-	var p *Purse
-	p = NewPurse(t, fmt.Sprintf("d%d.%d", i, w.starts), of, w.month(w.now), func(a Ask) {
+	var p *LocalBudget
+	p = NewLocalBudget(t, fmt.Sprintf("d%d.%d", i, w.starts), of, w.month(w.now), func(a LeaseRequest) {
 		w.carry(i, func() {
-			w.keeper.Asked(w.now, w.month(w.now), a, func(l Lend) {
+			w.keeper.HandleRequest(w.now, w.month(w.now), a, func(l LeaseReply) {
 				w.carry(i, func() {
 					if w.purses[i] == p {
-						p.Lent(w.now, l)
+						p.HandleReply(w.now, l)
 					}
 				})
 			})
 		})
 	})
 	name := func(month int64) string { return fmt.Sprint(i, " ", month) }
-	p.Taken = func(month int64) bool { return w.marks[name(month)] }
-	p.Mark = func(month int64, done func()) {
+	p.EmergencyMarked = func(month int64) bool { return w.marks[name(month)] }
+	p.MarkEmergency = func(month int64, done func()) {
 		w.after(w.commit, func() { w.marks[name(month)] = true; done() })
 	}
 	if i < len(w.purses) {
@@ -117,14 +117,14 @@
 func (w *wire) spend(i int, tokens float64, used map[int64]float64, verdicts *[2]int) {
 	m := w.month(w.now)
 	p := w.purses[i]
-	p.Reserve(w.now, m, tokens, func(v Verdict) {
+	p.Reserve(w.now, m, tokens, func(v Decision) {
 		if !v.OK {
 			verdicts[1]++
 			return
 		}
 		verdicts[0]++
 		used[p.month] += tokens
-		w.after(time.Duration(w.rng.Float64()*float64(3*time.Second)), func() { p.Settle(tokens, tokens, v.Own) })
+		w.after(time.Duration(w.rng.Float64()*float64(3*time.Second)), func() { p.Settle(tokens, tokens, v.Emergency) })
 	})
 }
 
@@ -133,7 +133,7 @@
 func TestNoInterleavingOfLeasesOvershootsTheStatedBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		purses := rapid.IntRange(1, 12).Draw(t, "purses")
-		terms := Terms{Name: "c", PerS: -1, Monthly: float64(rapid.IntRange(0, 60000).Draw(t, "monthly"))}
+		terms := Terms{Name: "c", PerSecond: -1, Monthly: float64(rapid.IntRange(0, 60000).Draw(t, "monthly"))}
 		w := newWire(terms, purses, rapid.Uint64().Draw(t, "seed"))
 		w.loss = rapid.SampledFrom([]float64{0, 0.05, 0.5}).Draw(t, "loss")
 		used, verdicts := map[int64]float64{}, [2]int{}
@@ -164,7 +164,7 @@
 
 func TestAllOfAnAllowanceCanBeUsedByWhoeverNeedsIt(t *testing.T) {
 	for _, purses := range []int{3, 33, 160} {
-		w := newWire(Terms{Name: "c", PerS: -1, Monthly: 100_000}, purses, 1)
+		w := newWire(Terms{Name: "c", PerSecond: -1, Monthly: 100_000}, purses, 1)
 		used, verdicts := map[int64]float64{}, [2]int{}
 		for w.now < 60*time.Second { // one dispatcher has half of the questions
 			w.run(w.now + 40*time.Millisecond)
@@ -182,7 +182,7 @@
 }
 
 func TestARateHoldsOverAllDispatchers(t *testing.T) {
-	w := newWire(Terms{Name: "c", PerS: 1000, Burst: 2000, Monthly: -1}, 20, 1)
+	w := newWire(Terms{Name: "c", PerSecond: 1000, Burst: 2000, Monthly: -1}, 20, 1)
 	used, verdicts := map[int64]float64{}, [2]int{}
 	for w.now < 61*time.Second {
 		w.run(w.now + 20*time.Millisecond)
@@ -194,18 +194,18 @@
 }
 
 func TestWhatIsUsedUpIsDeclinedWithTheTimeOfItsRenewal(t *testing.T) {
-	w := newWire(Terms{Name: "c", PerS: -1, Monthly: 1000}, 2, 1)
+	w := newWire(Terms{Name: "c", PerSecond: -1, Monthly: 1000}, 2, 1)
 	used, verdicts := map[int64]float64{}, [2]int{}
 	for range 30 {
 		w.run(w.now + 200*time.Millisecond)
 		w.spend(0, 100, used, &verdicts)
 	}
 	w.run(w.now + time.Second)
-	var last Verdict
-	w.purses[0].Reserve(w.now, w.month(w.now), 100, func(v Verdict) { last = v })
+	var last Decision
+	w.purses[0].Reserve(w.now, w.month(w.now), 100, func(v Decision) { last = v })
 	w.run(w.now + time.Second)
-	if left := w.month(w.now).Left; used[0] != 1000 || last.OK || math.Abs((last.After-left).Seconds()) > 3 {
-		t.Errorf("%.0f used; come back in %v, the month has %v", used[0], last.After, left)
+	if left := w.month(w.now).Remaining; used[0] != 1000 || last.OK || math.Abs((last.RetryAfter-left).Seconds()) > 3 {
+		t.Errorf("%.0f used; come back in %v, the month has %v", used[0], last.RetryAfter, left)
 	}
 	w.run(101 * time.Second)
 	w.spend(0, 100, used, &verdicts)
@@ -216,7 +216,7 @@
 }
 
 func TestAZeroBudgetLetsNothingThroughAndAGrantDoes(t *testing.T) {
-	w := newWire(Terms{Name: "c", PerS: -1, Monthly: 0}, 1, 1)
+	w := newWire(Terms{Name: "c", PerSecond: -1, Monthly: 0}, 1, 1)
 	used, verdicts := map[int64]float64{}, [2]int{}
 	w.spend(0, 10, used, &verdicts)
 	w.run(2 * time.Second)
@@ -237,7 +237,7 @@
 }
 
 func TestABorrowedBudgetIsMissingInTheNextMonth(t *testing.T) {
-	w := newWire(Terms{Name: "c", PerS: -1, Monthly: 1000, Borrow: 400}, 1, 1)
+	w := newWire(Terms{Name: "c", PerSecond: -1, Monthly: 1000, Borrow: 400}, 1, 1)
 	used, verdicts := map[int64]float64{}, [2]int{}
 	for m := range int64(2) {
 		for range 40 {
@@ -252,10 +252,10 @@
 }
 
 func TestAQuestionIsNotHeldForAKeeperThatIsSilent(t *testing.T) {
-	w := newWire(Terms{Name: "c", PerS: -1, Monthly: 100_000}, 4, 1)
+	w := newWire(Terms{Name: "c", PerSecond: -1, Monthly: 100_000}, 4, 1)
 	w.cut[1] = true
 	asked, at := w.now, time.Duration(0)
-	w.purses[1].Reserve(w.now, w.month(w.now), 100, func(v Verdict) { at = w.now })
+	w.purses[1].Reserve(w.now, w.month(w.now), 100, func(v Decision) { at = w.now })
 	w.run(w.now + 2*time.Second)
 	if at == 0 || at-asked > silence+100*time.Millisecond {
 		t.Errorf("answered after %v", at-asked)
@@ -263,7 +263,7 @@
 	w.run(w.now + time.Second) // its part is marked as begun
 	passed := 0
 	for range 100 {
-		w.purses[1].Reserve(w.now, w.month(w.now), 100, func(v Verdict) {
+		w.purses[1].Reserve(w.now, w.month(w.now), 100, func(v Decision) {
 			if v.OK {
 				passed++
 			}
@@ -277,7 +277,7 @@
 
 // Without this, a dispatcher that restarts again and again while its keeper is away has a new part each time.
 func TestARestartGivesNoNewEmergencyPart(t *testing.T) {
-	terms := Terms{Name: "c", PerS: -1, Monthly: 100_000}
+	terms := Terms{Name: "c", PerSecond: -1, Monthly: 100_000}
 	w := newWire(terms, 4, 1)
 	w.cut[1] = true
 	used, verdicts := map[int64]float64{}, [2]int{}
@@ -295,7 +295,7 @@
 }
 
 func TestARateGoesOnWithoutItsKeeperInEqualParts(t *testing.T) {
-	w := newWire(Terms{Name: "c", PerS: 4000, Burst: 4000, Monthly: -1}, 4, 1)
+	w := newWire(Terms{Name: "c", PerSecond: 4000, Burst: 4000, Monthly: -1}, 4, 1)
 	for i := range 4 {
 		w.cut[i] = true
 	}
@@ -312,23 +312,23 @@
 // What a sibling says comes over a network: an answer that renames a budget would let its channel ask for nothing, one without
 // a bound lend it everything.
 func TestAnAnswerThatMakesNoSenseIsNone(t *testing.T) {
-	sound := Lend{Name: "b", Holder: "h", Month: 3, Lent: 10, Terms: Terms{Name: "b", PerS: -1, Monthly: 100}}
-	if !sound.Sound() {
+	sound := LeaseReply{Name: "b", Holder: "h", Month: 3, Lent: 10, Terms: Terms{Name: "b", PerSecond: -1, Monthly: 100}}
+	if !sound.Valid() {
 		t.Error("a sound one is refused")
 	}
-	for name, bad := range map[string]func(l *Lend){
-		"another name":    func(l *Lend) { l.Terms.Name = "" },
-		"endless":         func(l *Lend) { l.Lent = math.Inf(1) },
-		"no number":       func(l *Lend) { l.Lent = math.NaN() },
-		"negative":        func(l *Lend) { l.Lent = -1 },
-		"terms":           func(l *Lend) { l.Terms.Monthly = math.NaN() },
-		"a wait":          func(l *Lend) { l.After = -time.Second },
-		"a wait of years": func(l *Lend) { l.After = math.MaxInt64 },
-		"a far month":     func(l *Lend) { l.Month = 1 << 40 },
+	for name, bad := range map[string]func(l *LeaseReply){
+		"another name":    func(l *LeaseReply) { l.Terms.Name = "" },
+		"endless":         func(l *LeaseReply) { l.Lent = math.Inf(1) },
+		"no number":       func(l *LeaseReply) { l.Lent = math.NaN() },
+		"negative":        func(l *LeaseReply) { l.Lent = -1 },
+		"terms":           func(l *LeaseReply) { l.Terms.Monthly = math.NaN() },
+		"a wait":          func(l *LeaseReply) { l.After = -time.Second },
+		"a wait of years": func(l *LeaseReply) { l.After = math.MaxInt64 },
+		"a far month":     func(l *LeaseReply) { l.Month = 1 << 40 },
 	} {
 		l := sound
 		bad(&l)
-		if l.Sound() {
+		if l.Valid() {
 			t.Errorf("%s: %+v is taken", name, l)
 		}
 	}
@@ -336,16 +336,16 @@
 
 // Anybody who reaches the port can say to be a holder: a keeper's memory has a bound, and the holders that it knows go on.
 func TestAKeeperKnowsSoManyHolders(t *testing.T) {
-	k := NewKeeper(Terms{Name: "b", PerS: -1, Monthly: 1e9}, 0, Month{Number: 1, Left: time.Hour}, 0, 0, 0, func(_ string, _ int64, _ float64, done func()) {
+	k := NewOwner(Terms{Name: "b", PerSecond: -1, Monthly: 1e9}, 0, Month{Number: 1, Remaining: time.Hour}, 0, 0, 0, func(_ string, _ int64, _ float64, done func()) {
 		if done != nil {
 			done()
 		}
 	})
 	answers := 0
 	for i := range mostHolders + 100 {
-		k.Asked(0, Month{Number: 1, Left: time.Hour}, Ask{Name: "b", Holder: fmt.Sprint(i), Month: 1}, func(Lend) { answers++ })
+		k.HandleRequest(0, Month{Number: 1, Remaining: time.Hour}, LeaseRequest{Name: "b", Holder: fmt.Sprint(i), Month: 1}, func(LeaseReply) { answers++ })
 	}
-	k.Asked(0, Month{Number: 1, Left: time.Hour}, Ask{Name: "b", Holder: "0", Month: 1, Want: 5}, func(l Lend) { answers += int(l.Lent) })
+	k.HandleRequest(0, Month{Number: 1, Remaining: time.Hour}, LeaseRequest{Name: "b", Holder: "0", Month: 1, Wanted: 5}, func(l LeaseReply) { answers += int(l.Lent) })
 	if len(k.by) != mostHolders || answers != mostHolders+5 {
 		t.Errorf("%d holders, %d answers", len(k.by), answers)
 	}
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -18,116 +18,116 @@
 )
 
 // Day is a script.
-type Day struct {
-	Head     Head      `toml:"day"`
-	Links    Links     `toml:"links"`
-	List     List      `toml:"list"`
-	Clients  Clients   `toml:"clients"`
-	Boxes    []Boxes   `toml:"box"`
-	Traffic  []Traffic `toml:"traffic"`
-	Troubles []Trouble `toml:"trouble,omitempty"`
+type Scenario struct {
+	Header    Header         `toml:"day"`
+	Links     Links          `toml:"links"`
+	Discovery Discovery      `toml:"list"`
+	Clients   Clients        `toml:"clients"`
+	Backends  []BackendGroup `toml:"box"`
+	Traffic   []Traffic      `toml:"traffic"`
+	Faults    []Fault        `toml:"trouble,omitempty"`
 	setup.Deployment
 }
 
 // Head says how long and how much.
-type Head struct {
-	Name         string         `toml:"name"`
-	Length       setup.Duration `toml:"length"`
-	Seed         uint64         `toml:"seed"`
-	Dispatchers  int            `toml:"dispatchers"`
-	PerS         float64        `toml:"questions_a_second"`
-	Margin       setup.Duration `toml:"margin"`                  // of the dispatchers, off a client's time
-	Ledger       bool           `toml:"ledger"`                  // dispatchers keep ledgers, and these have to have what the boxes counted
-	SplitBudgets bool           `toml:"split_budgets,omitempty"` // in virtual time only, to compare with: each dispatcher has an equal part
-	FrontNotice  setup.Duration `toml:"front_notice"`            // how long the front goes on sending to a killed dispatcher
+type Header struct {
+	Name               string         `toml:"name"`
+	Duration           setup.Duration `toml:"length"`
+	Seed               uint64         `toml:"seed"`
+	Dispatchers        int            `toml:"dispatchers"`
+	RequestsPerSecond  float64        `toml:"questions_a_second"`
+	DeadlineMargin     setup.Duration `toml:"margin"`                  // of the dispatchers, off a client's time
+	Ledger             bool           `toml:"ledger"`                  // dispatchers keep ledgers, and these have to have what the boxes counted
+	SplitBudgets       bool           `toml:"split_budgets,omitempty"` // in virtual time only, to compare with: each dispatcher has an equal part
+	LoadBalancerNotice setup.Duration `toml:"front_notice"`            // how long the front goes on sending to a killed dispatcher
 }
 
 // Links carry read states.
 type Links struct {
-	Near float64 `toml:"near_tokens_a_second"`
-	Far  float64 `toml:"far_tokens_a_second"`
-	Zone float64 `toml:"other_zone_times"`
+	NearTokensPerSecond float64 `toml:"near_tokens_a_second"`
+	FarTokensPerSecond  float64 `toml:"far_tokens_a_second"`
+	CrossZoneFactor     float64 `toml:"other_zone_times"`
 }
 
 // List is how late the box list is.
-type List struct {
-	Notice setup.Duration `toml:"notice"`      // of starts and drains
-	Silent setup.Duration `toml:"gone_notice"` // of processes that died
+type Discovery struct {
+	NoticeDelay        setup.Duration `toml:"notice"`      // of starts and drains
+	FailureNoticeDelay setup.Duration `toml:"gone_notice"` // of processes that died
 }
 
 // Clients are how they behave.
 type Clients struct {
-	Retries     int            `toml:"retries"`
-	Wait        setup.Duration `toml:"wait"`
-	Doubles     bool           `toml:"wait_doubles"`
-	Honour      float64        `toml:"honour"` // share that follows the advice
-	PatienceMin float64        `toml:"patience_min"`
-	PatienceMax float64        `toml:"patience_max"` // of the expiry, after which a try is given up
+	Retries           int            `toml:"retries"`
+	RetryWait         setup.Duration `toml:"wait"`
+	WaitDoubles       bool           `toml:"wait_doubles"`
+	FollowAdviceShare float64        `toml:"honour"` // share that follows the advice
+	PatienceMin       float64        `toml:"patience_min"`
+	PatienceMax       float64        `toml:"patience_max"` // of the expiry, after which a try is given up
 }
 
 // Boxes are some alike.
-type Boxes struct {
-	Kind      string         `toml:"kind"`
-	Count     int            `toml:"count"`
-	Racks     []string       `toml:"racks"` // in turn
-	Zones     []string       `toml:"zones,omitempty"`
-	Slots     int            `toml:"slots"`
-	Queue     int            `toml:"queue"`
-	ReadPerS  float64        `toml:"read_tokens_a_second"`
-	TokenTime setup.Duration `toml:"token_time"`
-	Units     float64        `toml:"units"`
-	Addresses []string       `toml:"addresses,omitempty"` // of each box, in their order: tcp4, tcp6, unix; one tcp4 where left out
-	Engine    Engine         `toml:"engine,omitempty"`
+type BackendGroup struct {
+	Kind                   string         `toml:"kind"`
+	Count                  int            `toml:"count"`
+	Racks                  []string       `toml:"racks"` // in turn
+	Zones                  []string       `toml:"zones,omitempty"`
+	Slots                  int            `toml:"slots"`
+	Queue                  int            `toml:"queue"`
+	PrefillTokensPerSecond float64        `toml:"read_tokens_a_second"`
+	TokenTime              setup.Duration `toml:"token_time"`
+	Units                  float64        `toml:"units"`
+	Addresses              []string       `toml:"addresses,omitempty"` // of each box, in their order: tcp4, tcp6, unix; one tcp4 where left out
+	Engine                 Engine         `toml:"engine,omitempty"`
 }
 
 // Engine is how boxes work inside, where a day plays engines; what is left out has the preset's value.
 type Engine struct {
-	BlockTokens int            `toml:"block_tokens,omitempty"`     // tokens to a block of memory; 32
-	Chunk       int            `toml:"chunk_tokens,omitempty"`     // prompt tokens read in one step at most; 2048
-	Step        setup.Duration `toml:"step,omitempty"`             // one that does nothing else; token_time
-	PerAnswer   setup.Duration `toml:"step_per_answer,omitempty"`  // for each running answer; 0.15 ms
-	PerContextK setup.Duration `toml:"step_per_1000,omitempty"`    // for each 1,000 tokens of context; 0.04 ms
-	PairsPerM   setup.Duration `toml:"step_per_m_pairs,omitempty"` // for each million pairs of tokens read; 0.8 ms
-	Load        setup.Duration `toml:"model_load,omitempty"`       // before a cold start's first step; 0
+	BlockTokens         int            `toml:"block_tokens,omitempty"`     // tokens to a block of memory; 32
+	ChunkTokens         int            `toml:"chunk_tokens,omitempty"`     // prompt tokens read in one step at most; 2048
+	StepTime            setup.Duration `toml:"step,omitempty"`             // one that does nothing else; token_time
+	StepPerAnswer       setup.Duration `toml:"step_per_answer,omitempty"`  // for each running answer; 0.15 ms
+	StepPer1000Context  setup.Duration `toml:"step_per_1000,omitempty"`    // for each 1,000 tokens of context; 0.04 ms
+	StepPerMillionPairs setup.Duration `toml:"step_per_m_pairs,omitempty"` // for each million pairs of tokens read; 0.8 ms
+	ModelLoadTime       setup.Duration `toml:"model_load,omitempty"`       // before a cold start's first step; 0
 }
 
 // Traffic is what is asked of one grade.
 type Traffic struct {
-	Grade      string  `toml:"grade"`
-	Share      float64 `toml:"share"`
-	New        float64 `toml:"new_tokens"`
-	Answer     float64 `toml:"answer_tokens"`
-	Turns      float64 `toml:"turns"`
-	Shared     float64 `toml:"shared"`        // share of sessions that begin with a shared text
-	Beginnings int     `toml:"beginnings"`    // how many there are
-	Prefix     int     `toml:"shared_tokens"` // of each
+	Class              string  `toml:"grade"`
+	Share              float64 `toml:"share"`
+	NewTokens          float64 `toml:"new_tokens"`
+	AnswerTokens       float64 `toml:"answer_tokens"`
+	Turns              float64 `toml:"turns"`
+	SharedPrefixShare  float64 `toml:"shared"`        // share of sessions that begin with a shared text
+	SharedPrefixes     int     `toml:"beginnings"`    // how many there are
+	SharedPrefixTokens int     `toml:"shared_tokens"` // of each
 }
 
 // Trouble is something that goes wrong for a while.
-type Trouble struct {
+type Fault struct {
 	Kind        string         `toml:"kind"`
-	At          setup.Duration `toml:"at"`
-	Length      setup.Duration `toml:"length,omitempty"`
-	Boxes       []string       `toml:"boxes,omitempty"` // names, or kinds for all of them
+	Start       setup.Duration `toml:"at"`
+	Duration    setup.Duration `toml:"length,omitempty"`
+	Backends    []string       `toml:"boxes,omitempty"` // names, or kinds for all of them
 	Dispatchers []int          `toml:"dispatchers,omitempty"`
-	Size        float64        `toml:"size,omitempty"`
+	Factor      float64        `toml:"size,omitempty"`
 	Share       float64        `toml:"share,omitempty"`
-	Grade       string         `toml:"grade,omitempty"`
-	Channel     string         `toml:"channel,omitempty"`
-	By          setup.Duration `toml:"by,omitempty"`
+	Class       string         `toml:"grade,omitempty"`
+	Tenant      string         `toml:"channel,omitempty"`
+	Delay       setup.Duration `toml:"by,omitempty"`
 	Tokens      int            `toml:"tokens,omitempty"`
 	Addresses   []int          `toml:"addresses,omitempty"` // of each box hit, by number from 0
 	Bytes       int            `toml:"bytes,omitempty"`
 }
 
 // kind says what a trouble is and which of its keys it needs.
-type kind struct {
-	Name, What string
-	Needs      []string
+type faultKind struct {
+	Name, Description string
+	RequiredKeys      []string
 }
 
 // Kinds lists the troubles.
-var Kinds = []kind{
+var FaultKinds = []faultKind{
 	{"slow", "boxes work size times slower", []string{"boxes", "size"}},
 	{"failing", "boxes answer a share of trips with an error at once, some after the effect", []string{"boxes", "share"}},
 	{"grade_failing", "boxes fail a share of one grade's trips", []string{"boxes", "share", "grade"}},
@@ -169,28 +169,28 @@
 }
 
 // Default is what a day starts from.
-func Default() Day {
-	return Day{
+func Default() Scenario {
+	return Scenario{
 		Deployment: setup.DefaultDeployment(),
-		Head: Head{Name: "day", Length: setup.Duration(20 * time.Second), Seed: 1, Dispatchers: 2, PerS: 20,
-			Margin: setup.Duration(40 * time.Millisecond), FrontNotice: setup.Duration(time.Second)},
-		Links:   Links{Near: 250_000, Far: 400_000, Zone: 2},
-		List:    List{Notice: setup.Duration(500 * time.Millisecond), Silent: setup.Duration(2 * time.Second)},
-		Clients: Clients{Retries: 1, Wait: setup.Duration(100 * time.Millisecond), Honour: 0.7, PatienceMin: 0.5, PatienceMax: 1},
+		Header: Header{Name: "day", Duration: setup.Duration(20 * time.Second), Seed: 1, Dispatchers: 2, RequestsPerSecond: 20,
+			DeadlineMargin: setup.Duration(40 * time.Millisecond), LoadBalancerNotice: setup.Duration(time.Second)},
+		Links:     Links{NearTokensPerSecond: 250_000, FarTokensPerSecond: 400_000, CrossZoneFactor: 2},
+		Discovery: Discovery{NoticeDelay: setup.Duration(500 * time.Millisecond), FailureNoticeDelay: setup.Duration(2 * time.Second)},
+		Clients:   Clients{Retries: 1, RetryWait: setup.Duration(100 * time.Millisecond), FollowAdviceShare: 0.7, PatienceMin: 0.5, PatienceMax: 1},
 	}
 }
 
 // Load reads a script.
-func Load(file string) (Day, error) {
+func Load(file string) (Scenario, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return Day{}, err
+		return Scenario{}, err
 	}
 	return Parse(file, raw)
 }
 
 // Parse reads a script's text.
-func Parse(file string, raw []byte) (Day, error) {
+func Parse(file string, raw []byte) (Scenario, error) {
 	d := Default()
 	return d, setup.Decode(file, raw, &d, d.check)
 }
@@ -208,18 +208,18 @@
 // above tells whether a figure is above nought and one that can be meant.
 func above(v float64) bool { return v > 0 && v <= setup.MaxNumber }
 
-func (d *Day) check() error {
-	h := d.Head
+func (d *Scenario) check() error {
+	h := d.Header
 	switch {
-	case h.Length <= 0 || h.Length.Std() > mostLength:
+	case h.Duration <= 0 || h.Duration.Std() > mostLength:
 		return setup.Invalidf("day.length", "must be above 0 and at most %v", mostLength)
 	case h.Dispatchers < 1 || h.Dispatchers > mostDispatchers:
 		return setup.Invalidf("day.dispatchers", "must be from 1 to %d", mostDispatchers)
-	case !(h.PerS > 0 && h.PerS*h.Length.Std().Seconds() <= mostQuestions):
+	case !(h.RequestsPerSecond > 0 && h.RequestsPerSecond*h.Duration.Std().Seconds() <= mostQuestions):
 		return setup.Invalidf("day.questions_a_second", "must be above 0 and come to at most %d questions", mostQuestions)
-	case !(above(d.Links.Near) && above(d.Links.Far)):
+	case !(above(d.Links.NearTokensPerSecond) && above(d.Links.FarTokensPerSecond)):
 		return setup.Invalidf("links", "must be above 0 and at most %g", float64(setup.MaxNumber))
-	case d.List.Notice.Std() > mostLength || d.List.Silent.Std() > mostLength:
+	case d.Discovery.NoticeDelay.Std() > mostLength || d.Discovery.FailureNoticeDelay.Std() > mostLength:
 		return setup.Invalidf("list", "must be at most %v", mostLength)
 	case !(d.Clients.PatienceMin > 0 && d.Clients.PatienceMin <= d.Clients.PatienceMax):
 		return setup.Invalidf("clients.patience_min", "must be above 0 and not beyond patience_max")
@@ -231,7 +231,7 @@
 		return setup.Invalidf("traffic", "nothing is asked")
 	}
 	if err := setup.FirstError(
-		setup.CheckNumber("links.other_zone_times", d.Links.Zone, setup.MaxNumber), setup.CheckNumber("clients.honour", d.Clients.Honour, 1), d.Deployment.Check(),
+		setup.CheckNumber("links.other_zone_times", d.Links.CrossZoneFactor, setup.MaxNumber), setup.CheckNumber("clients.honour", d.Clients.FollowAdviceShare, 1), d.Deployment.Check(),
 	); err != nil {
 		return err
 	}
@@ -241,7 +241,7 @@
 		}
 	}
 	n := 0
-	for i, b := range d.Boxes {
+	for i, b := range d.Backends {
 		at := fmt.Sprintf("box.%d.", i)
 		switch {
 		case d.KindIndex(b.Kind) < 0:
@@ -252,7 +252,7 @@
 			return setup.Invalidf(at+"racks", "names no rack")
 		case b.Slots < 1 || b.Queue < 0 || max(b.Slots, b.Queue) > mostSlots:
 			return setup.Invalidf(at+"slots", "slots must be at least 1, queue not negative, and both at most %d", mostSlots)
-		case !above(b.ReadPerS):
+		case !above(b.PrefillTokensPerSecond):
 			return setup.Invalidf(at+"read_tokens_a_second", "must be above 0 and at most %g", float64(setup.MaxNumber))
 		case b.TokenTime <= 0:
 			return setup.Invalidf(at+"token_time", "must be above 0")
@@ -278,47 +278,47 @@
 	for i, t := range d.Traffic {
 		at := fmt.Sprintf("traffic.%d.", i)
 		switch {
-		case d.ClassIndex(t.Grade) < 0:
-			return setup.Invalidf(at+"grade", "%q is not among the grades", t.Grade)
-		case !(t.New > 0 && t.New <= kserve.MaxTokens):
+		case d.ClassIndex(t.Class) < 0:
+			return setup.Invalidf(at+"grade", "%q is not among the grades", t.Class)
+		case !(t.NewTokens > 0 && t.NewTokens <= kserve.MaxTokens):
 			return setup.Invalidf(at+"new_tokens", "must be above 0 and at most %d", kserve.MaxTokens)
-		case !(t.Answer > 0 && t.Answer <= kserve.MaxTokens):
+		case !(t.AnswerTokens > 0 && t.AnswerTokens <= kserve.MaxTokens):
 			return setup.Invalidf(at+"answer_tokens", "must be above 0 and at most %d", kserve.MaxTokens)
 		case !(t.Turns >= 1 && t.Turns <= 1000):
 			return setup.Invalidf(at+"turns", "must be from 1 to 1000")
-		case t.Shared > 0 && (t.Beginnings < 1 || t.Prefix < 1), t.Beginnings > mostQuestions || t.Prefix > kserve.MaxTokens:
+		case t.SharedPrefixShare > 0 && (t.SharedPrefixes < 1 || t.SharedPrefixTokens < 1), t.SharedPrefixes > mostQuestions || t.SharedPrefixTokens > kserve.MaxTokens:
 			return setup.Invalidf(at+"beginnings", "shared texts need beginnings and shared_tokens of at least 1, and no more than can be asked")
 		}
-		if err := setup.FirstError(setup.CheckNumber(at+"share", t.Share, setup.MaxNumber), setup.CheckNumber(at+"shared", t.Shared, 1)); err != nil {
+		if err := setup.FirstError(setup.CheckNumber(at+"share", t.Share, setup.MaxNumber), setup.CheckNumber(at+"shared", t.SharedPrefixShare, 1)); err != nil {
 			return err
 		}
 	}
 	names := d.names()
-	for i, t := range d.Troubles {
+	for i, t := range d.Faults {
 		at := fmt.Sprintf("trouble.%d.", i)
-		k := slices.IndexFunc(Kinds, func(k kind) bool { return k.Name == t.Kind })
+		k := slices.IndexFunc(FaultKinds, func(k faultKind) bool { return k.Name == t.Kind })
 		if k < 0 {
 			return setup.Invalidf(at+"kind", "%q is unknown; see day kinds", t.Kind)
 		}
-		for _, need := range Kinds[k].Needs {
-			lacks := map[string]bool{"boxes": len(t.Boxes) == 0, "size": !(t.Size > 0 && t.Size <= mostSize), "share": !(t.Share > 0 && t.Share <= 1), "grade": d.ClassIndex(t.Grade) < 0,
-				"by": t.By <= 0, "dispatchers": len(t.Dispatchers) == 0, "tokens": t.Tokens <= 0,
+		for _, need := range FaultKinds[k].RequiredKeys {
+			lacks := map[string]bool{"boxes": len(t.Backends) == 0, "size": !(t.Factor > 0 && t.Factor <= mostSize), "share": !(t.Share > 0 && t.Share <= 1), "grade": d.ClassIndex(t.Class) < 0,
+				"by": t.Delay <= 0, "dispatchers": len(t.Dispatchers) == 0, "tokens": t.Tokens <= 0,
 				"addresses": len(t.Addresses) == 0, "bytes": t.Bytes <= 0}
 			if lacks[need] {
-				return setup.Invalidf(at+need, "%s needs it: %s", t.Kind, Kinds[k].What)
+				return setup.Invalidf(at+need, "%s needs it: %s", t.Kind, FaultKinds[k].Description)
 			}
 		}
-		if t.Channel != "" && d.TenantIndex(t.Channel) < 0 {
-			return setup.Invalidf(at+"channel", "%q is not among the channels", t.Channel)
+		if t.Tenant != "" && d.TenantIndex(t.Tenant) < 0 {
+			return setup.Invalidf(at+"channel", "%q is not among the channels", t.Tenant)
 		}
-		for _, b := range t.Boxes {
+		for _, b := range t.Backends {
 			if !slices.ContainsFunc(names, func(n string) bool { return n == b || isOf(n, b) }) {
 				return setup.Invalidf(at+"boxes", "%q is no box and no kind of this day", b)
 			}
 		}
 		for _, n := range t.Addresses {
-			for _, b := range d.Boxes {
-				if n < 0 || n >= max(len(b.Addresses), 1) && slices.ContainsFunc(t.Boxes, func(name string) bool { return name == b.Kind || isOf(name, b.Kind) }) {
+			for _, b := range d.Backends {
+				if n < 0 || n >= max(len(b.Addresses), 1) && slices.ContainsFunc(t.Backends, func(name string) bool { return name == b.Kind || isOf(name, b.Kind) }) {
 					return setup.Invalidf(at+"addresses", "a %s has no address %d", b.Kind, n)
 				}
 			}
@@ -339,10 +339,10 @@
 }
 
 // names lists the boxes: each kind's are numbered from 1.
-func (d *Day) names() []string {
+func (d *Scenario) names() []string {
 	var names []string
 	next := map[string]int{}
-	for _, b := range d.Boxes {
+	for _, b := range d.Backends {
 		for range b.Count {
 			next[b.Kind]++
 			names = append(names, fmt.Sprintf("%s-%d", b.Kind, next[b.Kind]))
@@ -351,9 +351,9 @@
 	return names
 }
 
-func (d *Day) rng(what uint64) *rand.Rand { return rand.New(rand.NewPCG(d.Head.Seed, what)) }
+func (d *Scenario) rng(what uint64) *rand.Rand { return rand.New(rand.NewPCG(d.Header.Seed, what)) }
 
 // NamesOf lists the names of a kind's boxes.
-func (d *Day) NamesOf(kind string) []string {
+func (d *Scenario) BackendNames(kind string) []string {
 	return slices.DeleteFunc(d.names(), func(name string) bool { return !isOf(name, kind) })
 }
--- a/internal/day/import.go
+++ b/internal/day/import.go
@@ -10,7 +10,7 @@
 )
 
 // Scale shrinks an imported day.
-type Scale struct{ Time, Rate float64 }
+type Scale struct{ Duration, Rate float64 }
 
 // drawn is what is read of a day that the bench drew; times are in microseconds.
 type drawn struct {
@@ -108,27 +108,27 @@
 }
 
 // Import turns a day drawn by the bench into a script, and says what it can't carry over.
-func Import(file string, raw []byte, scale Scale) (Day, []string, error) {
+func Import(file string, raw []byte, scale Scale) (Scenario, []string, error) {
 	var in drawn
 	if err := json.Unmarshal(raw, &in); err != nil {
-		return Day{}, nil, fmt.Errorf("%s: %w", file, err)
+		return Scenario{}, nil, fmt.Errorf("%s: %w", file, err)
 	}
 	if in.Family != "twostage" || len(in.Tiers) == 0 || len(in.Servers) == 0 || len(in.Fam.Engines) == 0 {
-		return Day{}, nil, fmt.Errorf("%s: no drawn day of a two-stage deployment", file)
+		return Scenario{}, nil, fmt.Errorf("%s: no drawn day of a two-stage deployment", file)
 	}
-	if scale.Time <= 0 || scale.Rate <= 0 {
-		return Day{}, nil, fmt.Errorf("scales must be above 0")
+	if scale.Duration <= 0 || scale.Rate <= 0 {
+		return Scenario{}, nil, fmt.Errorf("scales must be above 0")
 	}
 	var lost []string
 	miss := func(format string, args ...any) { lost = append(lost, fmt.Sprintf(format, args...)) }
 	us := func(v int64) setup.Duration { return setup.Duration(time.Duration(v) * time.Microsecond) }
-	short := func(v int64) setup.Duration { return setup.Duration(float64(v) * scale.Time * 1000) }
+	short := func(v int64) setup.Duration { return setup.Duration(float64(v) * scale.Duration * 1000) }
 	d := Default()
-	d.Head.Name, d.Head.Seed, d.Head.Length = in.Site, in.Noise, short(in.Length)
-	d.Head.Dispatchers = len(in.Balancers)
+	d.Header.Name, d.Header.Seed, d.Header.Duration = in.Site, in.Noise, short(in.Length)
+	d.Header.Dispatchers = len(in.Balancers)
 	d.Zones = in.Zones
 	d.Links = Links{in.Fam.Near, in.Fam.Far, max(in.Fam.Zone_slower, 1)}
-	d.List = List{us(in.Discovery.Notice), us(in.Discovery.Silent_notice)}
+	d.Discovery = Discovery{us(in.Discovery.Notice), us(in.Discovery.Silent_notice)}
 	d.Clients = Clients{in.Clients.Retries, setup.Duration(in.Clients.Backoff_us * 1000), in.Clients.Backoff == "exp", in.Clients.Honour, in.Clients.Try_share, 1}
 	d.Clients.PatienceMin = min(max(in.Clients.Try_share, 0.05), 1)
 	tier := in.Tiers[0]
@@ -149,8 +149,8 @@
 		if i < len(in.Fam.Talks) {
 			t := in.Fam.Talks[i]
 			g.TargetPer1000Tokens, g.InterTokenTarget, g.DefaultMaxTokens = setup.Duration(t.Aim_ms_per_k*1e6), setup.Duration(t.Token_ms*1e6), max(t.Max_out, 1)
-			d.Traffic = append(d.Traffic, Traffic{Grade: c.Name, Share: c.Share, New: t.New_tokens, Answer: t.Out_tokens, Turns: max(t.Turns, 1),
-				Shared: t.Prefix_share, Beginnings: max(t.Prefixes, 1), Prefix: max(int(t.Prefix_tokens), 1)})
+			d.Traffic = append(d.Traffic, Traffic{Class: c.Name, Share: c.Share, NewTokens: t.New_tokens, AnswerTokens: t.Out_tokens, Turns: max(t.Turns, 1),
+				SharedPrefixShare: t.Prefix_share, SharedPrefixes: max(t.Prefixes, 1), SharedPrefixTokens: max(int(t.Prefix_tokens), 1)})
 			answer, fresh, shares = answer+c.Share*t.Out_tokens, fresh+c.Share*t.New_tokens, shares+c.Share
 		}
 		d.Classes = append(d.Classes, g)
@@ -166,14 +166,14 @@
 		d.BackendKinds = append(d.BackendKinds, setup.BackendKind{Name: k.Name, Role: r, MemoryTokens: e.Memory})
 		token := time.Duration((e.Step_ms + e.Per_seq_ms*float64(e.Slots)/2) * float64(time.Millisecond))
 		if k.Cancel != "all" {
-			d.Troubles = append(d.Troubles, Trouble{Kind: "no_cancel", Length: d.Head.Length, Boxes: []string{k.Name}})
+			d.Faults = append(d.Faults, Fault{Kind: "no_cancel", Duration: d.Header.Duration, Backends: []string{k.Name}})
 		}
 		for _, s := range in.Servers {
 			if s.Kind != i {
 				continue
 			}
-			d.Boxes = append(d.Boxes, Boxes{Kind: k.Name, Count: 1, Racks: []string{fmt.Sprintf("rack-%d", s.Cell)}, Zones: []string{in.Zones[s.Zone]},
-				Slots: max(e.Slots, 1), Queue: e.Queue, ReadPerS: e.Read_per_s * s.Speed, TokenTime: setup.Duration(float64(token) / s.Speed), Units: s.Weight})
+			d.Backends = append(d.Backends, BackendGroup{Kind: k.Name, Count: 1, Racks: []string{fmt.Sprintf("rack-%d", s.Cell)}, Zones: []string{in.Zones[s.Zone]},
+				Slots: max(e.Slots, 1), Queue: e.Queue, PrefillTokensPerSecond: e.Read_per_s * s.Speed, TokenTime: setup.Duration(float64(token) / s.Speed), Units: s.Weight})
 			if r == "reader" {
 				reads += e.Read_per_s * s.Speed / max(fresh/max(shares, 1e-9)*1.5, 1)
 			} else {
@@ -182,9 +182,9 @@
 		}
 	}
 	d.fixNames()
-	d.Head.PerS = math.Round(100*in.Traffic.Load*min(orMost(reads), orMost(writes))*scale.Rate) / 100
+	d.Header.RequestsPerSecond = math.Round(100*in.Traffic.Load*min(orMost(reads), orMost(writes))*scale.Rate) / 100
 	for _, t := range in.Tenants {
-		d.Tenants = append(d.Tenants, setup.Tenant{Name: t.Name, Share: t.Share, RequestsPerSecond: t.Quota * d.Head.PerS})
+		d.Tenants = append(d.Tenants, setup.Tenant{Name: t.Name, Share: t.Share, RequestsPerSecond: t.Quota * d.Header.RequestsPerSecond})
 	}
 	names := d.serverNames(in.serverKinds())
 	for _, t := range in.Troubles {
@@ -193,48 +193,48 @@
 			miss("the trouble %s", t.Kind)
 			continue
 		}
-		out := Trouble{Kind: kind, At: short(t.At), Length: short(t.Len), Size: max(t.Size, 1)}
+		out := Fault{Kind: kind, Start: short(t.At), Duration: short(t.Len), Factor: max(t.Size, 1)}
 		for _, on := range t.On {
 			if kind == "kill_dispatcher" {
-				if on < d.Head.Dispatchers {
+				if on < d.Header.Dispatchers {
 					out.Dispatchers = append(out.Dispatchers, on)
 				}
 			} else if on < len(names) {
-				out.Boxes = append(out.Boxes, names[on])
+				out.Backends = append(out.Backends, names[on])
 			}
 		}
 		switch kind {
 		case "failing", "grade_failing":
 			out.Share = min(max(t.Size, 0.01), 1)
 			if kind == "grade_failing" && t.Which < len(d.Classes) {
-				out.Grade = d.Classes[t.Which].Name
+				out.Class = d.Classes[t.Which].Name
 			}
 		case "shared_text":
 			out.Share, out.Tokens = min(max(t.Size, 0.01), 1), 4000
 		case "long_prompts":
 			out.Share = min(max(t.Extra, 0.005), 1)
 		case "list_stale":
-			out.By = setup.Duration(t.Size * 1e9)
+			out.Delay = setup.Duration(t.Size * 1e9)
 		case "leave":
 			out.Share = min(max(t.Extra, 0.05), 1)
 			miss("give_up: how long each client waits; here a share leaves at a drawn time")
 		case "kill_dispatcher":
 			if len(out.Dispatchers) == 0 {
-				for i := range d.Head.Dispatchers {
+				for i := range d.Header.Dispatchers {
 					out.Dispatchers = append(out.Dispatchers, i)
 				}
 			}
-			out.Length = setup.Duration(max(t.Extra, 0.2) * 1e9)
+			out.Duration = setup.Duration(max(t.Extra, 0.2) * 1e9)
 			miss("balancer_roll: one batch after the other; here all named dispatchers restart together")
 		}
 		if t.Kind == "ageing" || t.Kind == "neighbour" {
 			miss("%s: its course; it is carried as slow, at its full size", t.Kind)
 		}
-		if needsBoxes(kind) && len(out.Boxes) == 0 {
+		if needsBoxes(kind) && len(out.Backends) == 0 {
 			miss("the trouble %s, which names no boxes", t.Kind)
 			continue
 		}
-		d.Troubles = append(d.Troubles, out)
+		d.Faults = append(d.Faults, out)
 	}
 	if len(in.Traffic.Shape) > 1 {
 		miss("the shape of the load over the day; it is steady")
@@ -243,7 +243,7 @@
 		miss("the burstiness of arrivals; they are Poisson")
 	}
 	miss("the network's delays, prices, the cost of connections, noise of load reports, and engines' steps: these boxes are simpler")
-	miss("the load: %.2f of a capacity estimated for these boxes gives %.2f questions a second", in.Traffic.Load, d.Head.PerS)
+	miss("the load: %.2f of a capacity estimated for these boxes gives %.2f questions a second", in.Traffic.Load, d.Header.RequestsPerSecond)
 	if err := d.check(); err != nil {
 		return d, lost, fmt.Errorf("%s: what came of it is no day: %w", file, err)
 	}
@@ -258,9 +258,9 @@
 }
 
 func needsBoxes(k string) bool {
-	for _, kind := range Kinds {
+	for _, kind := range FaultKinds {
 		if kind.Name == k {
-			for _, n := range kind.Needs {
+			for _, n := range kind.RequiredKeys {
 				if n == "boxes" {
 					return true
 				}
@@ -279,7 +279,7 @@
 }
 
 // serverNames gives the names under which the bench's servers stand here.
-func (d *Day) serverNames(kinds []int) []string {
+func (d *Scenario) serverNames(kinds []int) []string {
 	names := make([]string, len(kinds))
 	next := map[int]int{}
 	for i, k := range kinds {
@@ -290,7 +290,7 @@
 }
 
 // fixNames keeps two kinds of one name apart.
-func (d *Day) fixNames() {
+func (d *Scenario) fixNames() {
 	seen := map[string]bool{}
 	for i, k := range d.BackendKinds {
 		if seen[k.Name] {
--- a/internal/day/plan.go
+++ b/internal/day/plan.go
@@ -22,12 +22,12 @@
 const think = 2 * time.Second
 
 // on tells whether a trouble of a kind is on at a time.
-func (t Trouble) on(kind string, at time.Duration) bool {
-	return t.Kind == kind && at >= t.At.Std() && at < (t.At+t.Length).Std()
+func (t Fault) on(kind string, at time.Duration) bool {
+	return t.Kind == kind && at >= t.Start.Std() && at < (t.Start+t.Duration).Std()
 }
 
 // Plan draws all that clients will ask; arrivals don't wait for answers. The same script has the same plan.
-func (d *Day) Plan() []standin.Request {
+func (d *Scenario) Plan() []standin.Request {
 	rng := d.rng(1)
 	var wishes []standin.Request
 	open := map[string][]*session{}
@@ -35,15 +35,15 @@
 	for _, t := range d.Traffic {
 		sum += t.Share
 	}
-	length := d.Head.Length.Std()
+	length := d.Header.Duration.Std()
 	for at := time.Duration(0); ; {
-		rate, begins, burst := d.Head.PerS, "", ""
+		rate, begins, burst := d.Header.RequestsPerSecond, "", ""
 		beginTokens := 0
-		for i, t := range d.Troubles {
+		for i, t := range d.Faults {
 			if t.on("burst", at) {
-				rate *= t.Size
-				if t.Channel != "" && rng.Float64() < 1-1/t.Size {
-					burst = t.Channel
+				rate *= t.Factor
+				if t.Tenant != "" && rng.Float64() < 1-1/t.Factor {
+					burst = t.Tenant
 				}
 			}
 			if t.on("shared_text", at) && rng.Float64() < t.Share {
@@ -64,10 +64,10 @@
 			}
 		}
 		var s *session
-		waiting := open[tr.Grade]
+		waiting := open[tr.Class]
 		for i, o := range waiting {
 			if begins == "" && burst == "" && o.ready <= at {
-				s, open[tr.Grade] = o, append(waiting[:i:i], waiting[i+1:]...)
+				s, open[tr.Class] = o, append(waiting[:i:i], waiting[i+1:]...)
 				break
 			}
 		}
@@ -85,31 +85,31 @@
 			switch {
 			case begins != "":
 				s.shared, s.prefix = begins, beginTokens
-			case rng.Float64() < tr.Shared:
+			case rng.Float64() < tr.SharedPrefixShare:
 				// Few beginnings are common and many rare.
-				n := int(math.Pow(float64(tr.Beginnings), rng.Float64()))
-				s.shared, s.prefix = fmt.Sprintf("%s-text-%d", tr.Grade, n), tr.Prefix
+				n := int(math.Pow(float64(tr.SharedPrefixes), rng.Float64()))
+				s.shared, s.prefix = fmt.Sprintf("%s-text-%d", tr.Class, n), tr.SharedPrefixTokens
 			}
 			s.tokens = s.prefix
 		}
 		long := 1.0
-		w := standin.Request{SubmitAt: at, Name: fmt.Sprintf("q%d", len(wishes)), Class: tr.Grade, Tenant: s.channel, Session: s.name, PrefixID: s.shared,
-			PrefixTokens: s.prefix, Retries: d.Clients.Retries, RetryWait: d.Clients.Wait.Std(), ExponentialBackoff: d.Clients.Doubles, HonoursRetryAfter: rng.Float64() < d.Clients.Honour}
-		g := d.Classes[d.ClassIndex(tr.Grade)]
+		w := standin.Request{SubmitAt: at, Name: fmt.Sprintf("q%d", len(wishes)), Class: tr.Class, Tenant: s.channel, Session: s.name, PrefixID: s.shared,
+			PrefixTokens: s.prefix, Retries: d.Clients.Retries, RetryWait: d.Clients.RetryWait.Std(), ExponentialBackoff: d.Clients.WaitDoubles, HonoursRetryAfter: rng.Float64() < d.Clients.FollowAdviceShare}
+		g := d.Classes[d.ClassIndex(tr.Class)]
 		quit, givesUp, slowly := false, 0.0, time.Duration(0)
-		for _, t := range d.Troubles {
+		for _, t := range d.Faults {
 			switch {
-			case t.on("long_prompts", at) && rng.Float64() < t.Share && (t.Grade == "" || t.Grade == tr.Grade):
-				long = t.Size
+			case t.on("long_prompts", at) && rng.Float64() < t.Share && (t.Class == "" || t.Class == tr.Class):
+				long = t.Factor
 			case t.on("leave", at) && rng.Float64() < t.Share:
 				quit = true
 			case t.on("give_up", at) && rng.Float64() < t.Share:
-				givesUp = t.Size
+				givesUp = t.Factor
 			case t.on("slow_clients", at) && rng.Float64() < t.Share:
-				slowly = t.By.Std()
+				slowly = t.Delay.Std()
 			}
 		}
-		s.tokens += max(int(tr.New*long*math.Exp(0.6*rng.NormFloat64()-0.18)), 8)
+		s.tokens += max(int(tr.NewTokens*long*math.Exp(0.6*rng.NormFloat64()-0.18)), 8)
 		w.PromptTokens = s.tokens
 		w.MaxTokens = max(g.DefaultMaxTokens, 1)
 		k := float64(w.PromptTokens) / 1000
@@ -127,13 +127,13 @@
 		wishes = append(wishes, w)
 		if s.turns--; s.turns > 0 {
 			s.ready = at + think
-			open[tr.Grade] = append(open[tr.Grade], s)
+			open[tr.Class] = append(open[tr.Class], s)
 		}
 	}
 }
 
 // drawChannel picks a channel by its share.
-func (d *Day) drawChannel(x float64) string {
+func (d *Scenario) drawChannel(x float64) string {
 	sum := 0.0
 	for _, c := range d.Tenants {
 		sum += c.Share
--- a/internal/day/play.go
+++ b/internal/day/play.go
@@ -29,18 +29,18 @@
 )
 
 // Stage is what a day is played with.
-type Stage struct {
-	Serve    []string  // the command that serves one dispatcher; its file's name is added
-	Env      []string  // added to its environment
-	Record   string    // folder for the record; empty: it is not kept
-	Progress io.Writer // lines while the day runs; nil: none
+type RunOptions struct {
+	ServeCommand []string  // the command that serves one dispatcher; its file's name is added
+	Env          []string  // added to its environment
+	RecordDir    string    // folder for the record; empty: it is not kept
+	Progress     io.Writer // lines while the day runs; nil: none
 }
 
 // run is a day being played.
 type run struct {
-	day         Day
-	stage       Stage
-	book        *record.Book
+	day         Scenario
+	stage       RunOptions
+	book        *record.Recorder
 	fleet       *standin.Fleet
 	list        *standin.Discovery
 	boxes       map[string]*standin.Backend
@@ -69,16 +69,16 @@
 }
 
 // Play plays a day and judges it.
-func Play(ctx context.Context, d Day, stage Stage) (judge.Verdict, error) {
+func Run(ctx context.Context, d Scenario, stage RunOptions) (judge.Verdict, error) {
 	r := &run{day: d, stage: stage, boxes: map[string]*standin.Backend{}}
-	head := record.Head{Day: d.Head.Name, Seed: d.Head.Seed, Terms: d.Deployment, Boxes: r.places()}
+	head := record.Header{Scenario: d.Header.Name, Seed: d.Header.Seed, Terms: d.Deployment, Backends: r.places()}
 	var err error
-	if r.book, err = record.Open(stage.Record, head); err != nil {
+	if r.book, err = record.Open(stage.RecordDir, head); err != nil {
 		return judge.Verdict{}, err
 	}
 	defer r.book.Close()
-	r.book.Watch = r.count
-	if r.dir = stage.Record; r.dir == "" {
+	r.book.OnEvent = r.count
+	if r.dir = stage.RecordDir; r.dir == "" {
 		if r.dir, err = os.MkdirTemp("", "sloetrestle-day-"); err != nil {
 			return judge.Verdict{}, err
 		}
@@ -87,9 +87,9 @@
 	if err := r.play(ctx); err != nil {
 		return judge.Verdict{}, err
 	}
-	v := judge.Judge(head, r.book.Lines())
-	if d.Head.Ledger {
-		if err := Audit(&v, r.dir, r.book.Lines()); err != nil {
+	v := judge.Check(head, r.book.Events())
+	if d.Header.Ledger {
+		if err := CheckLedgers(&v, r.dir, r.book.Events()); err != nil {
 			return v, err
 		}
 	}
@@ -97,7 +97,7 @@
 }
 
 // Audit reads a day's ledgers and adds to its verdict whether they have what its boxes counted.
-func Audit(v *judge.Verdict, dir string, lines []record.Line) error {
+func CheckLedgers(v *judge.Verdict, dir string, lines []record.Event) error {
 	folders, err := filepath.Glob(filepath.Join(dir, "ledger-*"))
 	if err != nil || len(folders) == 0 {
 		return err
@@ -106,7 +106,7 @@
 	if err != nil {
 		return err
 	}
-	sheet := ledger.NewSheet()
+	sheet := ledger.NewCollector()
 	for _, folder := range folders {
 		damage, err := ledger.Read(folder, key, sheet.Add)
 		if err != nil {
@@ -118,25 +118,25 @@
 			}
 		}
 	}
-	ledgers := map[string]judge.Cost{}
-	for box, l := range sheet.Counts() {
-		ledgers[box] = judge.Cost{Trips: l.Trips, Read: l.Read, Kept: l.Kept, Answer: l.Answer}
+	ledgers := map[string]judge.Usage{}
+	for box, l := range sheet.BackendTotals() {
+		ledgers[box] = judge.Usage{Attempts: l.Attempts, PrefillTokens: l.PrefillTokens, CachedTokens: l.CachedTokens, AnswerTokens: l.OutputTokens}
 	}
-	rule, cost := judge.Accounts(lines, ledgers)
-	v.Rules, v.Cost = append(v.Rules, rule), &cost
+	rule, cost := judge.CheckUsage(lines, ledgers)
+	v.Rules, v.Usage = append(v.Rules, rule), &cost
 	return nil
 }
 
 // play sets the day up, plays it and takes it down again.
 func (r *run) play(ctx context.Context) error {
-	h := r.day.Head
+	h := r.day.Header
 	sockets, err := os.MkdirTemp("", "slt")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(sockets)
 	n := 0
-	for _, b := range r.day.Boxes {
+	for _, b := range r.day.Backends {
 		n += b.Count * max(len(b.Addresses), 1)
 	}
 	ports, err := freePorts(1 + n + 2*h.Dispatchers)
@@ -146,9 +146,9 @@
 	next := func() string { p := ports[0]; ports = ports[1:]; return fmt.Sprintf("127.0.0.1:%d", p) }
 	talk := map[string]standin.ClassProfile{}
 	for _, t := range r.day.Traffic {
-		talk[t.Grade] = standin.ClassProfile{NewTokens: t.New, AnswerTokens: t.Answer, PrefixTokens: t.Prefix}
+		talk[t.Class] = standin.ClassProfile{NewTokens: t.NewTokens, AnswerTokens: t.AnswerTokens, PrefixTokens: t.SharedPrefixTokens}
 	}
-	r.fleet = standin.NewFleet(r.day.Deployment, r.book, standin.Links{SameRack: r.day.Links.Near, CrossRack: r.day.Links.Far, ZoneFactor: r.day.Links.Zone}, talk)
+	r.fleet = standin.NewFleet(r.day.Deployment, r.book, standin.Links{SameRack: r.day.Links.NearTokensPerSecond, CrossRack: r.day.Links.FarTokensPerSecond, ZoneFactor: r.day.Links.CrossZoneFactor}, talk)
 	defer r.fleet.Close()
 	r.list = r.fleet.NewDiscovery(next())
 	if err := r.list.Start(); err != nil {
@@ -184,7 +184,7 @@
 		}
 	}
 	wishes := r.day.Plan()
-	r.say("%s: %d boxes, %d dispatchers, %d questions in %v (stand-ins, not engines)", h.Name, len(r.boxes), len(r.dispatchers), len(wishes), h.Length.Std())
+	r.say("%s: %d boxes, %d dispatchers, %d questions in %v (stand-ins, not engines)", h.Name, len(r.boxes), len(r.dispatchers), len(wishes), h.Duration.Std())
 	clients := standin.NewClients(r.book, r.day.Model, r.front)
 	defer clients.Close()
 	began := time.Now()
@@ -198,10 +198,10 @@
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	r.group = group
-	for _, t := range r.day.Troubles {
+	for _, t := range r.day.Faults {
 		group.Go(func() error {
-			if wait(ctx, t.At.Std()) {
-				return r.trouble(ctx, t, func(after time.Duration) bool { return wait(ctx, t.At.Std()+after) })
+			if wait(ctx, t.Start.Std()) {
+				return r.trouble(ctx, t, func(after time.Duration) bool { return wait(ctx, t.Start.Std()+after) })
 			}
 			return nil
 		})
@@ -244,20 +244,20 @@
 	}
 }
 
-func (r *run) count(l record.Line) {
+func (r *run) count(l record.Event) {
 	c := &r.counts
 	c.Lock()
 	defer c.Unlock()
 	switch {
-	case l.What == record.Asked:
+	case l.Kind == record.RequestSent:
 		c.asked++
-	case l.What == record.Final && l.Word == "satisfied":
+	case l.Kind == record.FinalAnswer && l.Detail == "satisfied":
 		c.satisfied++
-	case l.What == record.Final && l.Word == "declined":
+	case l.Kind == record.FinalAnswer && l.Detail == "declined":
 		c.declined++
-	case l.What == record.Final && l.Word == "forfeited":
+	case l.Kind == record.FinalAnswer && l.Detail == "forfeited":
 		c.forfeited++
-	case l.What == record.Quit || l.What == record.Cut || l.What == record.Final:
+	case l.Kind == record.ClientLeft || l.Kind == record.ConnectionLost || l.Kind == record.FinalAnswer:
 		c.other++
 	}
 }
@@ -271,33 +271,33 @@
 }
 
 // places lists where the boxes stand.
-func (r *run) places() []record.Place {
-	var out []record.Place
+func (r *run) places() []record.Backend {
+	var out []record.Backend
 	for _, m := range r.makes() {
-		out = append(out, record.Place{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack})
+		out = append(out, record.Backend{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack})
 	}
 	return out
 }
 
 func (r *run) makes() []standin.Config {
 	var out []standin.Config
-	for _, m := range r.day.Makes() {
+	for _, m := range r.day.BackendSpecs() {
 		var at []addresses.Spec
-		for _, network := range m.Boxes.Addresses {
+		for _, network := range m.Group.Addresses {
 			at = append(at, addresses.Spec{Network: network})
 		}
 		if len(at) == 0 {
 			at = append(at, addresses.Spec{Network: addresses.TCP4})
 		}
 		out = append(out, standin.Config{Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Addresses: at,
-			Seed: r.day.Head.Seed, Engine: m.Engine})
+			Seed: r.day.Header.Seed, Engine: m.Engine})
 	}
 	return out
 }
 
 // hire writes the files of the dispatchers.
 func (r *run) hire(next func() string) error {
-	h := r.day.Head
+	h := r.day.Header
 	var peers []string
 	for i := range h.Dispatchers {
 		r.dispatchers = append(r.dispatchers, &process{number: i, name: fmt.Sprintf("d%d", i), addr: next()})
@@ -313,7 +313,7 @@
 		d.Instance.Name, d.Instance.Index, d.Instance.FleetSize = p.name, i, h.Dispatchers
 		d.Instance.Zone = r.day.Zones[i%len(r.day.Zones)]
 		d.Instance.Listen, d.Instance.DiscoveryAddr, d.Instance.EndpointCacheFolder = []string{p.addr}, r.list.Address, r.dir
-		d.Instance.PeerListen, d.Instance.PeerAddrs, d.Instance.ResponseMargin = peers[i], peers, h.Margin
+		d.Instance.PeerListen, d.Instance.PeerAddrs, d.Instance.ResponseMargin = peers[i], peers, h.DeadlineMargin
 		d.Instance.TicketKeyFile = key
 		if h.Ledger {
 			d.Ledger.Folder, d.Ledger.KeyFile = filepath.Join(r.dir, "ledger-"+p.name), key
@@ -340,8 +340,8 @@
 	if err != nil {
 		return err
 	}
-	args := append(append([]string(nil), r.stage.Serve[1:]...), p.file)
-	cmd := exec.Command(r.stage.Serve[0], args...)
+	args := append(append([]string(nil), r.stage.ServeCommand[1:]...), p.file)
+	cmd := exec.Command(r.stage.ServeCommand[0], args...)
 	cmd.Stderr, cmd.Stdout, cmd.Env = log, log, append(os.Environ(), r.stage.Env...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the day
 	if err := cmd.Start(); err != nil {
@@ -358,7 +358,7 @@
 		p.mu.Lock()
 		if p.wanted {
 			p.lasting, p.front, p.wanted = fmt.Errorf("%s ended by itself: %v; its log ends: %s", p.name, err, tail(log.Name())), false, false
-			r.book.Put(record.Line{What: record.Down, Dispatcher: p.name, Word: "died"})
+			r.book.Record(record.Event{Kind: record.ProcessEnded, Dispatcher: p.name, Detail: "died"})
 		}
 		p.mu.Unlock()
 		close(done)
@@ -372,7 +372,7 @@
 		default:
 		}
 		if ready(p.addr) {
-			r.book.Put(record.Line{What: record.Up, Dispatcher: p.name})
+			r.book.Record(record.Event{Kind: record.ProcessStarted, Dispatcher: p.name})
 			p.mu.Lock()
 			p.front = true
 			p.mu.Unlock()
@@ -407,10 +407,10 @@
 	cmd, done := p.cmd, p.done
 	p.wanted = false
 	p.mu.Unlock()
-	r.book.Put(record.Line{What: record.Down, Dispatcher: p.name, Word: "killed"})
+	r.book.Record(record.Event{Kind: record.ProcessEnded, Dispatcher: p.name, Detail: "killed"})
 	cmd.Process.Kill()
 	<-done
-	time.AfterFunc(r.day.Head.FrontNotice.Std(), func() {
+	time.AfterFunc(r.day.Header.LoadBalancerNotice.Std(), func() {
 		p.mu.Lock()
 		p.front = p.front && p.wanted
 		p.mu.Unlock()
@@ -423,10 +423,10 @@
 	p.front, p.wanted = false, false
 	cmd, done := p.cmd, p.done
 	p.mu.Unlock()
-	r.book.Put(record.Line{What: record.Note, Dispatcher: p.name, Word: "told to stop"})
+	r.book.Record(record.Event{Kind: record.Note, Dispatcher: p.name, Detail: "told to stop"})
 	cmd.Process.Signal(syscall.SIGTERM)
 	<-done
-	r.book.Put(record.Line{What: record.Note, Dispatcher: p.name, Word: "stopped"})
+	r.book.Record(record.Event{Kind: record.Note, Dispatcher: p.name, Detail: "stopped"})
 }
 
 // dismiss stops all dispatchers at the end of the day.
--- a/internal/day/play_test.go
+++ b/internal/day/play_test.go
@@ -46,12 +46,12 @@
 	}
 }
 
-func stage(t *testing.T, which string) Stage {
-	return Stage{Serve: []string{os.Args[0]}, Env: []string{asProgram + "=" + which}, Record: t.TempDir()}
+func stage(t *testing.T, which string) RunOptions {
+	return RunOptions{ServeCommand: []string{os.Args[0]}, Env: []string{asProgram + "=" + which}, RecordDir: t.TempDir()}
 }
 
 // example is a day of the examples with fewer seconds.
-func example(t *testing.T, name string) Day {
+func example(t *testing.T, name string) Scenario {
 	t.Helper()
 	raw, err := os.ReadFile("../../examples/" + name + ".toml")
 	if err != nil {
@@ -70,18 +70,18 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := example(t, name)
-			d.Head.PerS /= 2 // what is looked at is rules, not speed
+			d.Header.RequestsPerSecond /= 2 // what is looked at is rules, not speed
 			s := stage(t, "right")
-			v, err := Play(context.Background(), d, s)
+			v, err := Run(context.Background(), d, s)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if !v.Kept() || v.Tries < 50 || v.Effects == 0 {
+			if !v.Passed() || v.Tries < 50 || v.Effects == 0 {
 				t.Errorf("tries %d, effects %d\n%s", v.Tries, v.Effects, v.Text())
 			}
-			head, lines, err := record.Read(s.Record)
-			if err != nil || len(lines) == 0 || head.Day != d.Head.Name {
-				t.Errorf("the kept record: %d lines of %q, %v", len(lines), head.Day, err)
+			head, lines, err := record.Read(s.RecordDir)
+			if err != nil || len(lines) == 0 || head.Scenario != d.Header.Name {
+				t.Errorf("the kept record: %d lines of %q, %v", len(lines), head.Scenario, err)
 			}
 		})
 	}
@@ -94,17 +94,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Head.Length, d.Head.Dispatchers, d.Head.PerS = setup.Duration(6*time.Second), 1, 15
-	d.Troubles = []Trouble{
-		{Kind: "drain", At: setup.Duration(time.Second), Length: setup.Duration(2 * time.Second), Boxes: []string{"writer-3"}},
-		{Kind: "restart", At: setup.Duration(1500 * time.Millisecond), Boxes: []string{"writer-1"}},
+	d.Header.Duration, d.Header.Dispatchers, d.Header.RequestsPerSecond = setup.Duration(6*time.Second), 1, 15
+	d.Faults = []Fault{
+		{Kind: "drain", Start: setup.Duration(time.Second), Duration: setup.Duration(2 * time.Second), Backends: []string{"writer-3"}},
+		{Kind: "restart", Start: setup.Duration(1500 * time.Millisecond), Backends: []string{"writer-1"}},
 	}
-	v, err := Play(context.Background(), d, stage(t, "wrong"))
+	v, err := Run(context.Background(), d, stage(t, "wrong"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, r := range v.Rules {
-		if r.Kept {
+		if r.Passed {
 			t.Errorf("rule %d passes for kept", i+1)
 		}
 	}
@@ -200,7 +200,7 @@
 		t.Fatal(err)
 	}
 	a, b := d.Plan(), d.Plan()
-	d.Head.Seed++
+	d.Header.Seed++
 	c := d.Plan()
 	same := len(a) == len(b)
 	for i := range min(len(a), len(b)) {
@@ -266,20 +266,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, lost, err := Import("day.json", text, Scale{Time: 0.2, Rate: 0.5})
+	d, lost, err := Import("day.json", text, Scale{Duration: 0.2, Rate: 0.5})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.Head.Length.Std() != 10*time.Second || d.Head.Dispatchers != 2 || d.Classes[0].Effect != "unrepeatable" || d.Head.PerS <= 0 {
-		t.Errorf("%+v %+v", d.Head, d.Classes)
+	if d.Header.Duration.Std() != 10*time.Second || d.Header.Dispatchers != 2 || d.Classes[0].Effect != "unrepeatable" || d.Header.RequestsPerSecond <= 0 {
+		t.Errorf("%+v %+v", d.Header, d.Classes)
 	}
 	found := false
-	for _, tr := range d.Troubles {
+	for _, tr := range d.Faults {
 		if tr.Kind == "slow" {
-			found = tr.At.Std() == 2*time.Second && tr.Length.Std() == 4*time.Second && tr.Boxes[0] == "out-1"
+			found = tr.Start.Std() == 2*time.Second && tr.Duration.Std() == 4*time.Second && tr.Backends[0] == "out-1"
 		}
 	}
 	if said := strings.Join(lost, "; "); !found || !strings.Contains(said, "from_the_moon") {
-		t.Errorf("troubles %+v; lost %s", d.Troubles, said)
+		t.Errorf("troubles %+v; lost %s", d.Faults, said)
 	}
 }
--- a/internal/day/troubles.go
+++ b/internal/day/troubles.go
@@ -14,10 +14,10 @@
 )
 
 // hit lists the boxes that a trouble names, in the order of their names.
-func (r *run) hit(t Trouble) []*standin.Backend {
+func (r *run) hit(t Fault) []*standin.Backend {
 	var hit []*standin.Backend
 	for _, name := range r.day.names() {
-		if slices.ContainsFunc(t.Boxes, func(b string) bool { return b == name || isOf(name, b) }) {
+		if slices.ContainsFunc(t.Backends, func(b string) bool { return b == name || isOf(name, b) }) {
 			hit = append(hit, r.boxes[name])
 		}
 	}
@@ -25,10 +25,10 @@
 }
 
 // trouble begins a trouble, waits for its length, and ends it. Those of the questions themselves are in the plan.
-func (r *run) trouble(ctx context.Context, t Trouble, wait func(time.Duration) bool) error {
-	r.book.Put(record.Line{What: record.Note, Word: t.Kind + " begins"})
+func (r *run) trouble(ctx context.Context, t Fault, wait func(time.Duration) bool) error {
+	r.book.Record(record.Event{Kind: record.Note, Detail: t.Kind + " begins"})
 	r.say("        %s begins", t.Kind)
-	hit, length := r.hit(t), t.Length.Std()
+	hit, length := r.hit(t), t.Duration.Std()
 	faults := func(change func(*standin.Faults)) {
 		for _, b := range hit {
 			b.UpdateFaults(change)
@@ -37,11 +37,11 @@
 	var err error
 	switch t.Kind {
 	case "slow":
-		faults(func(f *standin.Faults) { f.SlowFactor = t.Size })
+		faults(func(f *standin.Faults) { f.SlowFactor = t.Factor })
 		wait(length)
 		faults(func(f *standin.Faults) { f.SlowFactor = 0 })
 	case "failing", "grade_failing":
-		faults(func(f *standin.Faults) { f.ErrorShare, f.ErrorClass = t.Share, t.Grade })
+		faults(func(f *standin.Faults) { f.ErrorShare, f.ErrorClass = t.Share, t.Class })
 		wait(length)
 		faults(func(f *standin.Faults) { f.ErrorShare = 0 })
 	case "hang":
@@ -97,17 +97,17 @@
 		err = r.back(hit)
 	case "drain":
 		for _, b := range hit {
-			r.list.Publish(b, boxlist.Draining, r.day.List.Notice.Std())
+			r.list.Publish(b, boxlist.Draining, r.day.Discovery.NoticeDelay.Std())
 		}
 		wait(length)
 		for _, b := range hit {
 			b.Kill("drained")
-			r.list.Publish(b, boxlist.Removed, r.day.List.Notice.Std())
+			r.list.Publish(b, boxlist.Removed, r.day.Discovery.NoticeDelay.Std())
 		}
 		wait(length + time.Second)
 		err = r.back(hit)
 	case "list_stale":
-		r.list.SetDelay(t.By.Std())
+		r.list.SetDelay(t.Delay.Std())
 		wait(length)
 		r.list.SetDelay(0)
 	case "list_gap":
@@ -117,7 +117,7 @@
 		wait(length)
 		err = r.list.Start()
 	case "link_slow":
-		r.fleet.SetLinkSlowdown(t.Size)
+		r.fleet.SetLinkSlowdown(t.Factor)
 		wait(length)
 		r.fleet.SetLinkSlowdown(1)
 	case "kill_dispatcher", "stop_dispatcher":
@@ -129,7 +129,7 @@
 			wait(length)
 		}
 	}
-	r.book.Put(record.Line{What: record.Note, Word: t.Kind + " ends"})
+	r.book.Record(record.Event{Kind: record.Note, Detail: t.Kind + " ends"})
 	r.say("        %s ends", t.Kind)
 	if ctx.Err() != nil {
 		return nil
@@ -140,7 +140,7 @@
 // lose kills a box; the list notices after a while, unless it is back before.
 func (r *run) lose(b *standin.Backend, why string, away time.Duration) {
 	b.Kill(why)
-	if silent := r.day.List.Silent.Std(); away > silent {
+	if silent := r.day.Discovery.FailureNoticeDelay.Std(); away > silent {
 		r.list.Publish(b, boxlist.Removed, silent)
 	}
 }
@@ -154,7 +154,7 @@
 		if err := b.Boot(true); err != nil {
 			return err
 		}
-		r.list.Publish(b, boxlist.Ready, r.day.List.Notice.Std())
+		r.list.Publish(b, boxlist.Ready, r.day.Discovery.NoticeDelay.Std())
 	}
 	return nil
 }
@@ -191,7 +191,7 @@
 }
 
 // restart ends dispatchers and starts them anew, all at once.
-func (r *run) restart(ctx context.Context, t Trouble, wait func(time.Duration) bool) error {
+func (r *run) restart(ctx context.Context, t Fault, wait func(time.Duration) bool) error {
 	var all sync.WaitGroup
 	for _, n := range t.Dispatchers {
 		p := r.dispatchers[n]
@@ -206,7 +206,7 @@
 		}()
 	}
 	all.Wait()
-	if !wait(t.Length.Std()) {
+	if !wait(t.Duration.Std()) {
 		return nil
 	}
 	for _, n := range t.Dispatchers {
@@ -218,7 +218,7 @@
 }
 
 // addressTrouble lets single addresses of boxes go wrong.
-func (r *run) addressTrouble(t Trouble, mode string, hit []*standin.Backend, wait func()) error {
+func (r *run) addressTrouble(t Fault, mode string, hit []*standin.Backend, wait func()) error {
 	each := func(do func(b *standin.Backend, i int) error) error {
 		var errs []error
 		for _, b := range hit {
@@ -245,16 +245,16 @@
 	case "drop":
 		for _, b := range hit {
 			r.list.OmitAddresses(b, t.Addresses)
-			r.list.Publish(b, boxlist.Ready, r.day.List.Notice.Std())
+			r.list.Publish(b, boxlist.Ready, r.day.Discovery.NoticeDelay.Std())
 		}
 		wait()
 		for _, b := range hit {
 			r.list.OmitAddresses(b, nil)
-			r.list.Publish(b, boxlist.Ready, r.day.List.Notice.Std())
+			r.list.Publish(b, boxlist.Ready, r.day.Discovery.NoticeDelay.Std())
 		}
 		return nil
 	}
-	err := each(func(b *standin.Backend, i int) error { return b.Endpoint(i).SetMode(mode, t.By.Std(), t.Bytes) })
+	err := each(func(b *standin.Backend, i int) error { return b.Endpoint(i).SetMode(mode, t.Delay.Std(), t.Bytes) })
 	wait()
 	return errors.Join(err, each(func(b *standin.Backend, i int) error { return b.Endpoint(i).SetMode(standin.EndpointServes, 0, 0) }))
 }
--- a/internal/dispatch/accounting.go
+++ b/internal/dispatch/accounting.go
@@ -13,8 +13,8 @@
 // Accounting is a loop's accounting: token budgets, in which a request must find free capacity before the scheduler
 // sees it, and the account of what its attempts cost. Either may be missing.
 type Accounting struct {
-	Budgets      []*budget.Purse           // this dispatcher's part of every budget
-	OwnedBudgets map[string]*budget.Keeper // by name, the budgets that this dispatcher owns
+	Budgets      []*budget.LocalBudget    // this dispatcher's part of every budget
+	OwnedBudgets map[string]*budget.Owner // by name, the budgets that this dispatcher owns
 	Month        func(now time.Duration) budget.Month
 
 	Account *account.Tracker
@@ -28,7 +28,7 @@
 
 // reservation is a request's worst case, set aside in one budget.
 type reservation struct {
-	budget    *budget.Purse
+	budget    *budget.LocalBudget
 	tokens    float64
 	emergency bool // out of the emergency share
 }
@@ -39,16 +39,16 @@
 	var tick func()
 	tick = func() {
 		for _, local := range accounting.Budgets {
-			local.Tend(l.now)
+			local.Tick(l.now)
 		}
 		if accounting.Account != nil {
-			for _, inquiry := range accounting.Account.Ask() {
-				if backend := l.backends[inquiry.Box]; backend != nil {
+			for _, inquiry := range accounting.Account.DueInquiries() {
+				if backend := l.backends[inquiry.Backend]; backend != nil {
 					accounting.FetchUsage(backend, inquiry, func(reply *account.Reply) {
-						accounting.Account.Heard(inquiry, reply)
+						accounting.Account.HandleReply(inquiry, reply)
 					})
 				} else {
-					accounting.Account.Heard(inquiry, nil)
+					accounting.Account.HandleReply(inquiry, nil)
 				}
 			}
 		}
@@ -76,9 +76,9 @@
 			return
 		}
 		local := l.accounting.Budgets[i]
-		local.Reserve(l.now, month, tokens, func(verdict budget.Verdict) {
+		local.Reserve(l.now, month, tokens, func(verdict budget.Decision) {
 			if verdict.OK {
-				request.reservations = append(request.reservations, reservation{local, tokens, verdict.Own})
+				request.reservations = append(request.reservations, reservation{local, tokens, verdict.Emergency})
 			}
 			switch {
 			case request.answered || request.disconnected: // while the reservation waited for a lease
@@ -88,7 +88,7 @@
 				request.Scheduled.Finished, request.overBudget = true, true
 				l.answer(request, kserve.FinalResponse{
 					Outcome: kserve.Rejected, Error: "the budget of " + local.Terms.Name + " is used up",
-					SafeToRetry: true, RetryAfterMs: verdict.After.Milliseconds(),
+					SafeToRetry: true, RetryAfterMs: verdict.RetryAfter.Milliseconds(),
 				})
 				l.forgetIfOver(request)
 			default:
@@ -130,27 +130,27 @@
 }
 
 // usageRecord returns the attempt's record for the account, before its backend's count is known.
-func (a *Attempt) usageRecord() ledger.Trip {
-	return ledger.Trip{
-		Box: a.Backend.Name, Key: a.RequestKey, Trip: a.Scheduled.Number, Mark: a.Request.Params.ID,
-		Channel: a.Request.Tenant, Grade: a.Request.Class, Stage: a.Stage(),
-		Answer: int(a.StreamedTokens.Load()), End: "unknown",
+func (a *Attempt) usageRecord() ledger.Attempt {
+	return ledger.Attempt{
+		Backend: a.Backend.Name, Key: a.RequestKey, Index: a.Scheduled.Number, RequestID: a.Request.Params.ID,
+		Tenant: a.Request.Tenant, Class: a.Request.Class, Phase: a.Stage(),
+		OutputTokens: int(a.StreamedTokens.Load()), Outcome: "unknown",
 	}
 }
 
 // countedRecord converts a backend's usage count to a record for the account.
-func countedRecord(count kserve.UsageRecord) ledger.Trip {
-	return ledger.Trip{
-		Number: count.Number, Key: count.RequestKey, Trip: count.Attempt, Mark: count.DedupKey, Stage: count.Phase,
-		Channel: count.Tenant, Grade: count.Class, Read: count.PrefillTokens, Kept: count.CachedTokens,
-		Answer: count.OutputTokens, End: count.EndReason,
+func countedRecord(count kserve.UsageRecord) ledger.Attempt {
+	return ledger.Attempt{
+		Number: count.Number, Key: count.RequestKey, Index: count.Attempt, RequestID: count.DedupKey, Phase: count.Phase,
+		Tenant: count.Tenant, Class: count.Class, PrefillTokens: count.PrefillTokens, CachedTokens: count.CachedTokens,
+		OutputTokens: count.OutputTokens, Outcome: count.EndReason,
 	}
 }
 
 // accountSent tells the account that an attempt is sent.
 func (l *Loop) accountSent(attempt *Attempt) {
 	if l.accounting != nil && l.accounting.Account != nil {
-		l.accounting.Account.Sent(attempt.usageRecord())
+		l.accounting.Account.AttemptSent(attempt.usageRecord())
 	}
 }
 
@@ -159,12 +159,12 @@
 	if l.accounting == nil || l.accounting.Account == nil {
 		return
 	}
-	var count *ledger.Trip
+	var count *ledger.Attempt
 	if attempt.Usage != nil {
 		counted := countedRecord(*attempt.Usage)
 		count = &counted
 	}
-	l.accounting.Account.Ended(attempt.usageRecord(), count, result.Outcome == brain.Unreachable)
+	l.accounting.Account.AttemptEnded(attempt.usageRecord(), count, result.Outcome == brain.Unreachable)
 }
 
 // accountRequest records a request's end.
@@ -172,16 +172,16 @@
 	if l.accounting == nil || l.accounting.Account == nil {
 		return
 	}
-	l.accounting.Account.Question(ledger.Question{
-		Key: l.RequestKey(request), Mark: request.Params.ID, Channel: request.Tenant, Grade: request.Class,
-		Final: final, Prompt: request.Params.PromptTokens, Answer: int(request.streamedTokens()),
-		Trips: len(request.Scheduled.Attempts), Why: reason,
+	l.accounting.Account.RequestEnded(ledger.Request{
+		Key: l.RequestKey(request), RequestID: request.Params.ID, Tenant: request.Tenant, Class: request.Class,
+		Outcome: final, PromptTokens: request.Params.PromptTokens, OutputTokens: int(request.streamedTokens()),
+		Attempts: len(request.Scheduled.Attempts), Reason: reason,
 	})
 }
 
 // accountListed tells the account whether service discovery lists a backend or has removed it.
 func (l *Loop) accountListed(backend *Backend, removed bool) {
 	if l.accounting != nil && l.accounting.Account != nil {
-		l.accounting.Account.Listed(backend.Name, removed)
+		l.accounting.Account.UpdateBackend(backend.Name, removed)
 	}
 }
--- a/internal/dispatch/accounting_setup.go
+++ b/internal/dispatch/accounting_setup.go
@@ -20,10 +20,10 @@
 
 // ledgerHistory is what earlier starts left in the ledger: accounting and budgets continue from it.
 type ledgerHistory struct {
-	recorded   map[string][]account.Seen        // numbers of recorded usage counts, by epoch that is not closed
-	openEpochs map[string]bool                  // epochs that are not closed
-	totals     map[string]map[int64]monthTotals // by budget and month
-	terms      map[string]budget.Terms          // by budget, where an operator changed them at run time
+	recorded   map[string][]account.RecordedCount // numbers of recorded usage counts, by epoch that is not closed
+	openEpochs map[string]bool                    // epochs that are not closed
+	totals     map[string]map[int64]monthTotals   // by budget and month
+	terms      map[string]budget.Terms            // by budget, where an operator changed them at run time
 }
 
 // monthTotals are the totals of one budget in one month, in tokens.
@@ -36,7 +36,7 @@
 func monthOf(t time.Time) budget.Month {
 	t = t.UTC()
 	next := time.Date(t.Year(), t.Month()+1, 1, 0, 0, 0, 0, time.UTC)
-	return budget.Month{Number: int64(t.Year()-1970)*12 + int64(t.Month()) - 1, Left: next.Sub(t)}
+	return budget.Month{Number: int64(t.Year()-1970)*12 + int64(t.Month()) - 1, Remaining: next.Sub(t)}
 }
 
 // ReadLedgerKey reads the ledger's key from a file, or returns a fixed key if no file is named.
@@ -55,10 +55,10 @@
 // once that record is durable: no attempt may be sent under an epoch that the ledger does not know.
 func openLedger(
 	config setup.DispatcherConfig, epoch string, startedAt time.Time, log *slog.Logger,
-) (*ledger.Book, *ledgerHistory, error) {
+) (*ledger.Recorder, *ledgerHistory, error) {
 	history := &ledgerHistory{
 		openEpochs: map[string]bool{}, totals: map[string]map[int64]monthTotals{},
-		terms: map[string]budget.Terms{}, recorded: map[string][]account.Seen{},
+		terms: map[string]budget.Terms{}, recorded: map[string][]account.RecordedCount{},
 	}
 	if config.Ledger.Folder == "" {
 		return nil, history, nil
@@ -75,9 +75,9 @@
 			delete(history.recorded, record.Epoch.Name)
 		case record.Epoch != nil:
 			history.openEpochs[record.Epoch.Name] = true
-		case record.Trip != nil && record.Trip.Proven() && !closed[record.Trip.Epoch]:
-			history.recorded[record.Trip.Epoch] = append(history.recorded[record.Trip.Epoch],
-				account.Seen{Box: record.Trip.Box, Epoch: record.Trip.Epoch, Number: record.Trip.Number})
+		case record.Attempt != nil && record.Attempt.Confirmed() && !closed[record.Attempt.Epoch]:
+			history.recorded[record.Attempt.Epoch] = append(history.recorded[record.Attempt.Epoch],
+				account.RecordedCount{Backend: record.Attempt.Backend, Epoch: record.Attempt.Epoch, Number: record.Attempt.Number})
 		case record.Budget != nil:
 			history.addBudget(record.Budget)
 		}
@@ -91,20 +91,20 @@
 	}
 	go journal.Run()
 	durable := make(chan struct{})
-	journal.Write(ledger.Record{At: startedAt.UnixMilli(), Epoch: &ledger.Epoch{Name: epoch}},
+	journal.Write(ledger.Record{UnixMilli: startedAt.UnixMilli(), Epoch: &ledger.Epoch{Name: epoch}},
 		func() { close(durable) })
 	select {
 	case <-durable:
 	case <-time.After(5 * time.Second):
 		return nil, nil, fmt.Errorf("ledger.folder: %s: recording this start took longer than 5 s: %s",
-			config.Ledger.Folder, journal.State().Failing)
+			config.Ledger.Folder, journal.State().DiskError)
 	}
 	return journal, history, nil
 }
 
 // addBudget applies one budget record.
 func (h *ledgerHistory) addBudget(record *ledger.Budget) {
-	if record.What == "set" {
+	if record.Kind == "set" {
 		var terms budget.Terms
 		if json.Unmarshal([]byte(record.Terms), &terms) == nil {
 			h.terms[record.Name] = terms
@@ -114,8 +114,8 @@
 	if h.totals[record.Name] == nil {
 		h.totals[record.Name] = map[int64]monthTotals{}
 	}
-	totals := h.totals[record.Name][record.Period]
-	switch record.What {
+	totals := h.totals[record.Name][record.Month]
+	switch record.Kind {
 	case "lent":
 		totals.leased = max(totals.leased, record.Tokens)
 	case "debt":
@@ -125,13 +125,13 @@
 	case "grant":
 		totals.granted = max(totals.granted, record.Tokens)
 	}
-	h.totals[record.Name][record.Period] = totals
+	h.totals[record.Name][record.Month] = totals
 }
 
 // newAccounting creates a loop's accounting from the ledger's history, or returns nil if there is neither a ledger nor
 // a budget. A budget is owned by one dispatcher, which leases tokens to all; the others reach it by peer messages.
 func newAccounting(
-	config setup.DispatcherConfig, l *Loop, transport *HTTPTransport, journal *ledger.Book, history *ledgerHistory,
+	config setup.DispatcherConfig, l *Loop, transport *HTTPTransport, journal *ledger.Recorder, history *ledgerHistory,
 	epoch string, startedAt time.Time,
 ) *Accounting {
 	if journal == nil && len(config.Budgets) == 0 {
@@ -139,7 +139,7 @@
 	}
 	accounting := &Accounting{
 		Month:        func(now time.Duration) budget.Month { return monthOf(startedAt.Add(now)) },
-		OwnedBudgets: map[string]*budget.Keeper{},
+		OwnedBudgets: map[string]*budget.Owner{},
 	}
 	write := func(r ledger.Record, done func()) {
 		if done == nil {
@@ -157,13 +157,13 @@
 	}
 	now := l.clock()
 	month := accounting.Month(now)
-	sendRequest := map[string]func(budget.Ask){}
+	sendRequest := map[string]func(budget.LeaseRequest){}
 	for _, configured := range config.Budgets {
 		terms := configured.TokenLimits()
 		if changed, ok := history.terms[terms.Name]; ok {
 			terms = changed
 		}
-		ownerNumber := budget.Keep(terms.Name, config.Instance.FleetSize)
+		ownerNumber := budget.OwnerIndex(terms.Name, config.Instance.FleetSize)
 		if ownerNumber == config.Instance.Index {
 			record := func(what string, month int64, tokens float64, done func()) {
 				if journal == nil {
@@ -173,8 +173,8 @@
 					return
 				}
 				write(ledger.Record{
-					At:     startedAt.UnixMilli() + l.now.Milliseconds(),
-					Budget: &ledger.Budget{Name: terms.Name, What: what, Period: month, Tokens: tokens},
+					UnixMilli: startedAt.UnixMilli() + l.now.Milliseconds(),
+					Budget:    &ledger.Budget{Name: terms.Name, Kind: what, Month: month, Tokens: tokens},
 				}, done)
 			}
 			totals := history.totals[terms.Name][month.Number]
@@ -183,7 +183,7 @@
 				// The month began while this dispatcher was down: what was borrowed in the last one is its debt.
 				totals.debt = min(max(before.leased-terms.Monthly-before.granted, 0), max(terms.Borrow, 0))
 			}
-			owner := budget.NewKeeper(terms, now, month, totals.leased, totals.debt, totals.granted, record)
+			owner := budget.NewOwner(terms, now, month, totals.leased, totals.debt, totals.granted, record)
 			owner.WriteTerms = func(terms budget.Terms, done func()) {
 				raw, err := json.Marshal(terms)
 				if err != nil {
@@ -194,29 +194,29 @@
 					return
 				}
 				write(ledger.Record{
-					At:     startedAt.UnixMilli() + l.now.Milliseconds(),
-					Budget: &ledger.Budget{Name: terms.Name, What: "set", Terms: string(raw)},
+					UnixMilli: startedAt.UnixMilli() + l.now.Milliseconds(),
+					Budget:    &ledger.Budget{Name: terms.Name, Kind: "set", Terms: string(raw)},
 				}, done)
 			}
 			accounting.OwnedBudgets[terms.Name] = owner
 		}
-		local := budget.NewPurse(terms, epoch, config.Instance.FleetSize, month,
-			func(request budget.Ask) { sendRequest[request.Name](request) })
+		local := budget.NewLocalBudget(terms, epoch, config.Instance.FleetSize, month,
+			func(request budget.LeaseRequest) { sendRequest[request.Name](request) })
 		if journal != nil {
-			local.Taken = func(month int64) bool { return history.totals[terms.Name][month].emergency }
-			local.Mark = func(month int64, done func()) {
+			local.EmergencyMarked = func(month int64) bool { return history.totals[terms.Name][month].emergency }
+			local.MarkEmergency = func(month int64, done func()) {
 				write(ledger.Record{
-					At:     startedAt.UnixMilli() + l.now.Milliseconds(),
-					Budget: &ledger.Budget{Name: terms.Name, What: "own", Period: month},
+					UnixMilli: startedAt.UnixMilli() + l.now.Milliseconds(),
+					Budget:    &ledger.Budget{Name: terms.Name, Kind: "own", Month: month},
 				}, done)
 			}
 		}
-		sendRequest[terms.Name] = func(request budget.Ask) {
+		sendRequest[terms.Name] = func(request budget.LeaseRequest) {
 			if ownerNumber == config.Instance.Index {
 				// By a timer, as the local budget is in the middle of a step and must not be called again.
 				l.Schedule(0, func() {
-					accounting.OwnedBudgets[request.Name].Asked(l.now, accounting.Month(l.now), request,
-						func(lease budget.Lend) { local.Lent(l.now, lease) })
+					accounting.OwnedBudgets[request.Name].HandleRequest(l.now, accounting.Month(l.now), request,
+						func(lease budget.LeaseReply) { local.HandleReply(l.now, lease) })
 				})
 				return
 			}
@@ -228,14 +228,14 @@
 		transport.Peers.OnBudget = func(from int, message budgetMessage) {
 			switch {
 			case message.Request != nil && accounting.OwnedBudgets[message.Request.Name] != nil &&
-				message.Request.Sound():
-				accounting.OwnedBudgets[message.Request.Name].Asked(l.now, accounting.Month(l.now), *message.Request,
-					func(lease budget.Lend) { transport.Peers.SendBudget(from, budgetMessage{Lease: &lease}) })
-			case message.Lease != nil && message.Lease.Holder == epoch && message.Lease.Sound():
-				if i := slices.IndexFunc(accounting.Budgets, func(local *budget.Purse) bool {
+				message.Request.Valid():
+				accounting.OwnedBudgets[message.Request.Name].HandleRequest(l.now, accounting.Month(l.now), *message.Request,
+					func(lease budget.LeaseReply) { transport.Peers.SendBudget(from, budgetMessage{Lease: &lease}) })
+			case message.Lease != nil && message.Lease.Holder == epoch && message.Lease.Valid():
+				if i := slices.IndexFunc(accounting.Budgets, func(local *budget.LocalBudget) bool {
 					return local.Terms.Name == message.Lease.Name
 				}); i >= 0 {
-					accounting.Budgets[i].Lent(l.now, *message.Lease)
+					accounting.Budgets[i].HandleReply(l.now, *message.Lease)
 					return
 				}
 				transport.Peers.Dropped.Add(1)
@@ -256,7 +256,7 @@
 	l.Call(ctx, l.accounting.Account.Finish)
 	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
 		complete := false
-		if !l.Call(ctx, func() { complete = l.accounting.Account.Whole() }) || complete {
+		if !l.Call(ctx, func() { complete = l.accounting.Account.Complete() }) || complete {
 			break
 		}
 	}
@@ -265,8 +265,8 @@
 
 // BudgetState is what GET /budget reports to operators.
 type BudgetState struct {
-	Owned   []budget.Show      `json:"kept"` // budgets that this dispatcher owns
-	Budgets []budget.ShowPurse `json:"purses"`
+	Owned   []budget.OwnerStatus `json:"kept"` // budgets that this dispatcher owns
+	Budgets []budget.LocalStatus `json:"purses"`
 }
 
 // maxGrantTokens bounds one grant.
@@ -320,9 +320,9 @@
 		return out
 	}
 	for _, local := range l.accounting.Budgets {
-		out.Budgets = append(out.Budgets, local.Show(l.now))
+		out.Budgets = append(out.Budgets, local.Status(l.now))
 		if owner := l.accounting.OwnedBudgets[local.Terms.Name]; owner != nil {
-			out.Owned = append(out.Owned, owner.Show(l.now, l.accounting.Month(l.now)))
+			out.Owned = append(out.Owned, owner.Status(l.now, l.accounting.Month(l.now)))
 		}
 	}
 	return out
@@ -348,11 +348,11 @@
 	case change.Set != nil:
 		terms := *change.Set
 		terms.Name = change.Name
-		if !terms.Sound() {
+		if !terms.Valid() {
 			reject("set", "has a figure that makes no sense")
 			return
 		}
-		owner.Set(l.now, terms, func() { done(nil) })
+		owner.SetTerms(l.now, terms, func() { done(nil) })
 	case change.Grant > 0 && change.Grant <= maxGrantTokens:
 		owner.Grant(l.accounting.Month(l.now), change.Grant, func() { done(nil) })
 	default:
--- a/internal/dispatch/accounting_setup_test.go
+++ b/internal/dispatch/accounting_setup_test.go
@@ -10,15 +10,15 @@
 // A mistyped grant must not make a budget infinite: its figures could then neither be shown nor be recorded.
 func TestBudgetGrantIsBounded(t *testing.T) {
 	l, _ := newTestLoop(t, "idempotent")
-	month := budget.Month{Number: 1, Left: time.Hour}
+	month := budget.Month{Number: 1, Remaining: time.Hour}
 	written := 0.0
-	owner := budget.NewKeeper(budget.Terms{Name: "b", PerS: -1, Monthly: 100}, 0, month, 0, 0, 0,
+	owner := budget.NewOwner(budget.Terms{Name: "b", PerSecond: -1, Monthly: 100}, 0, month, 0, 0, 0,
 		func(_ string, _ int64, tokens float64, done func()) {
 			written = tokens
 			done()
 		})
 	l.accounting = &Accounting{
-		OwnedBudgets: map[string]*budget.Keeper{"b": owner},
+		OwnedBudgets: map[string]*budget.Owner{"b": owner},
 		Month:        func(time.Duration) budget.Month { return month },
 	}
 	for grant, valid := range map[float64]bool{5: true, 1e300: false, -1: false} {
--- a/internal/dispatch/http_transport.go
+++ b/internal/dispatch/http_transport.go
@@ -365,7 +365,7 @@
 	if err != nil {
 		return nil
 	}
-	reply := &account.Reply{More: counts.More, Open: counts.InFlight, Forgot: counts.ForgottenThrough}
+	reply := &account.Reply{More: counts.More, Running: counts.InFlight, ForgottenUpTo: counts.ForgottenThrough}
 	for _, count := range counts.Records {
 		reply.Counts = append(reply.Counts, countedRecord(count))
 	}
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -24,8 +24,8 @@
 
 // budgetMessage is a message about a budget. Exactly one field is set.
 type budgetMessage struct {
-	Request *budget.Ask  `cbor:"1,keyasint,omitempty"`
-	Lease   *budget.Lend `cbor:"2,keyasint,omitempty"`
+	Request *budget.LeaseRequest `cbor:"1,keyasint,omitempty"`
+	Lease   *budget.LeaseReply   `cbor:"2,keyasint,omitempty"`
 }
 
 // updateBytes is the length of a message with a peer update: type, sender, update.
--- a/internal/dispatch/peers_test.go
+++ b/internal/dispatch/peers_test.go
@@ -16,7 +16,7 @@
 	header := func(messageType byte, from uint16) []byte {
 		return binary.BigEndian.AppendUint16([]byte{messageType}, from)
 	}
-	request, err := cbor.Marshal(budgetMessage{Request: &budget.Ask{Name: "b", Holder: "h", Want: 3}})
+	request, err := cbor.Marshal(budgetMessage{Request: &budget.LeaseRequest{Name: "b", Holder: "h", Wanted: 3}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -31,7 +31,7 @@
 type testService struct {
 	t         *testing.T
 	config    setup.DispatcherConfig
-	events    *record.Book // what the test backends recorded
+	events    *record.Recorder // what the test backends recorded
 	fleet     *standin.Fleet
 	discovery *standin.Discovery
 	prefill   *standin.Backend
@@ -69,7 +69,7 @@
 		change(&s.config)
 	}
 	var err error
-	if s.events, err = record.Open("", record.Head{}); err != nil {
+	if s.events, err = record.Open("", record.Header{}); err != nil {
 		t.Fatal(err)
 	}
 	talk := standin.ClassProfile{NewTokens: 200, AnswerTokens: 20, PrefixTokens: 100}
@@ -132,9 +132,9 @@
 	backend := s.fleet.NewBackend(standin.Config{
 		Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1,
 		Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: freeAddress(s.t)}},
-		Engine: engine.Make{
-			Reads: kind == "reader", Writes: kind == "writer", Slots: 64, Queue: 300, Blocks: 6000, BlockTokens: 32,
-			Chunk: 4096, Step: 5 * time.Millisecond, ReadPerS: 50000, StateLife: 8 * time.Second,
+		Engine: engine.Config{
+			Prefills: kind == "reader", Decodes: kind == "writer", Slots: 64, MaxQueued: 300, Blocks: 6000, BlockTokens: 32,
+			ChunkTokens: 4096, StepTime: 5 * time.Millisecond, PrefillTokensPerSecond: 50000, KVCacheTTL: 8 * time.Second,
 		},
 	})
 	if err := backend.Boot(false); err != nil {
@@ -237,8 +237,8 @@
 	if took := time.Since(start); took > 3*time.Second || status != 408 {
 		t.Errorf("a body that never ends: %d %s after %v", status, body, took)
 	}
-	for _, event := range s.events.Lines() {
-		if event.What == record.Trip {
+	for _, event := range s.events.Events() {
+		if event.Kind == record.AttemptReceived {
 			t.Errorf("an invalid request was sent to a backend: %+v", event)
 		}
 	}
@@ -273,8 +273,8 @@
 		t.Errorf("%d %s", status, body)
 	}
 	ran := 0
-	for _, event := range s.events.Lines() {
-		if event.What == record.Ran {
+	for _, event := range s.events.Events() {
+		if event.Kind == record.EffectStarted {
 			ran++
 		}
 	}
@@ -354,8 +354,8 @@
 	s.stop()
 	clients.Wait()
 	sent := map[string]bool{}
-	for _, event := range s.events.Lines() {
-		if event.What == record.Trip {
+	for _, event := range s.events.Events() {
+		if event.Kind == record.AttemptReceived {
 			sent[event.Try] = true
 		}
 	}
--- a/internal/engine/engine.go
+++ b/internal/engine/engine.go
@@ -19,35 +19,35 @@
 
 // Make is how an engine is built. The presets' orders of magnitude are of published 70B-class deployments; each value
 // stands in a day's file with its unit.
-type Make struct {
-	Reads, Writes bool // roles: a reader has the one, a writer the other, a mixed server both
+type Config struct {
+	Prefills, Decodes bool // roles: a reader has the one, a writer the other, a mixed server both
 
 	Slots       int // answers that run at once, prompts being read among them
-	Queue       int // more that may wait
+	MaxQueued   int // more that may wait
 	Blocks      int // of memory
 	BlockTokens int // tokens to a block
-	Chunk       int // prompt tokens read in one step at most
+	ChunkTokens int // prompt tokens read in one step at most
 
-	Step        time.Duration // a step that does nothing else
-	PerAnswer   time.Duration // for each running answer, in each step
-	PerContextK time.Duration // for each 1,000 tokens of their contexts
-	ReadPerS    float64       // prompt tokens a second, alone
-	PairsPerM   time.Duration // for each million pairs of a token read and one before it: long prompts cost more
+	StepTime                 time.Duration // a step that does nothing else
+	TimePerSequence          time.Duration // for each running answer, in each step
+	TimePer1000ContextTokens time.Duration // for each 1,000 tokens of their contexts
+	PrefillTokensPerSecond   float64       // prompt tokens a second, alone
+	TimePerMillionPairs      time.Duration // for each million pairs of a token read and one before it: long prompts cost more
 
-	StateLife time.Duration // how long a read state waits at most
-	ColdShare float64       // of its pace, right after a start
-	ColdRamp  time.Duration // until it has all of it
-	Load      time.Duration // of the model, before the first step
+	KVCacheTTL     time.Duration // how long a read state waits at most
+	SlowStartShare float64       // of its pace, right after a start
+	SlowStartRamp  time.Duration // until it has all of it
+	ModelLoadTime  time.Duration // of the model, before the first step
 }
 
 // Check names what makes no sense.
-func (m Make) Check() error {
+func (m Config) Validate() error {
 	switch {
-	case m.Slots < 1 || m.Queue < 0 || m.Blocks < 1 || m.BlockTokens < 1 || m.Chunk < 1:
+	case m.Slots < 1 || m.MaxQueued < 0 || m.Blocks < 1 || m.BlockTokens < 1 || m.ChunkTokens < 1:
 		return fmt.Errorf("slots, blocks, block_tokens and chunk must be at least 1, and queue not negative")
-	case m.Step <= 0 || m.ReadPerS <= 0:
+	case m.StepTime <= 0 || m.PrefillTokensPerSecond <= 0:
 		return fmt.Errorf("step and read_tokens_a_second must be above 0")
-	case !m.Reads && !m.Writes:
+	case !m.Prefills && !m.Decodes:
 		return fmt.Errorf("an engine reads, writes, or both")
 	}
 	return nil
@@ -57,40 +57,40 @@
 type Stage int
 
 const (
-	Read  Stage = iota // read the prompt and keep the state
-	Write              // take a state that is fetched, and answer
-	Whole              // read and answer
+	StagePrefill Stage = iota // read the prompt and keep the state
+	StageDecode               // take a state that is fetched, and answer
+	StageWhole                // read and answer
 )
 
 // End is how a job ended.
-type End int
+type Outcome int
 
 const (
-	Done    End = iota // read or answered
-	Full               // refused: slots and queue
-	NoState            // the state could not be had
-	TooBig             // it can never have the memory it needs
-	Dropped            // it was cancelled
-	Lost               // the engine stopped
+	Done      Outcome = iota // read or answered
+	Full                     // refused: slots and queue
+	NoKVCache                // the state could not be had
+	TooBig                   // it can never have the memory it needs
+	Cancelled                // it was cancelled
+	Lost                     // the engine stopped
 )
 
-func (e End) String() string {
+func (e Outcome) String() string {
 	return [...]string{"done", "full", "no_state", "too_big", "dropped", "lost"}[e]
 }
 
 // Job is one trip at the engine. The functions are called by the engine while it is being driven; any may be nil.
 type Job struct {
-	Key     string // of the question
-	Stage   Stage
-	Session uint64
-	Shared  uint64
-	Prompt  int
-	Prefix  int // of it, the shared beginning
-	Answer  int // tokens it will have, which nobody is told
-
-	Fetch func(arrived func(ok bool)) // starts the move of a state; arrived is to be called, later, with how it went
-	Token func(n int)                 // one more token is out; 1 is the first
-	Ended func(e End, kept int)
+	Key          string // of the question
+	Stage        Stage
+	Session      uint64
+	SharedPrefix uint64
+	PromptTokens int
+	PrefixTokens int // of it, the shared beginning
+	OutputTokens int // tokens it will have, which nobody is told
+
+	FetchKVCache func(arrived func(ok bool)) // starts the move of a state; arrived is to be called, later, with how it went
+	OnToken      func(n int)                 // one more token is out; 1 is the first
+	OnEnd        func(e Outcome, kept int)
 
 	engine  *Engine
 	blocks  []*block
@@ -107,11 +107,11 @@
 
 // Spent is what the job has cost its engine so far: tokens read (anew too, after it was put back) and found kept, and answer
 // tokens made.
-func (j *Job) Spent() (read, kept, answer int) {
-	if j.Stage != Write {
+func (j *Job) Usage() (read, kept, answer int) {
+	if j.Stage != StageDecode {
 		kept = j.kept
 	}
-	if j.Stage != Read {
+	if j.Stage != StagePrefill {
 		answer = j.out
 	}
 	return j.cost, kept, answer
@@ -150,9 +150,9 @@
 
 // Engine is one server.
 type Engine struct {
-	Make
-	Cache func(CacheEvent)
-	Gone  func(key string) // a state that nobody let go of waits no more: it expired, or the engine stopped
+	Config
+	OnCacheEvent     func(CacheEvent)
+	OnKVCacheDropped func(key string) // a state that nobody let go of waits no more: it expired, or the engine stopped
 
 	queue   []*Job // by when they came; those put back first
 	active  []*Job // that have a slot, by when they came
@@ -170,11 +170,11 @@
 	inStep  bool
 
 	// What may be wrong with it.
-	Slow       float64 // times; 0 and 1: nothing
-	Neighbour  float64 // share of the machine that another program takes
-	AgeBy      float64 // share by which its pace falls each second
-	agedFrom   time.Duration
-	EvictFresh bool // memory pressure takes a state that has just been fetched
+	Slowdown       float64 // times; 0 and 1: nothing
+	NeighbourShare float64 // share of the machine that another program takes
+	AgingRate      float64 // share by which its pace falls each second
+	agedFrom       time.Duration
+	EvictFresh     bool // memory pressure takes a state that has just been fetched
 
 	Counts Counts
 }
@@ -196,8 +196,8 @@
 }
 
 // New starts an engine at a time; a cold one ramps up.
-func New(m Make, now time.Duration, cold bool) *Engine {
-	return &Engine{Make: m, states: map[string]*held{}, tree: map[uint64]*block{}, free: m.Blocks, started: now, cold: cold, agedFrom: now}
+func New(m Config, now time.Duration, cold bool) *Engine {
+	return &Engine{Config: m, states: map[string]*held{}, tree: map[uint64]*block{}, free: m.Blocks, started: now, cold: cold, agedFrom: now}
 }
 
 // Submit takes a job, or ends it at once.
@@ -206,12 +206,12 @@
 	e.jobs++
 	j.came = e.jobs
 	switch {
-	case j.Stage == Read && !e.Reads, j.Stage != Read && !e.Writes:
-		e.end(j, NoState)
-	case e.blocksFor(j.Prompt+j.Answer) > e.Blocks:
+	case j.Stage == StagePrefill && !e.Prefills, j.Stage != StagePrefill && !e.Decodes:
+		e.end(j, NoKVCache)
+	case e.blocksFor(j.PromptTokens+j.OutputTokens) > e.Blocks:
 		// It could never be answered here: taking it would only put others back again and again.
 		e.end(j, TooBig)
-	case len(e.active) >= e.Slots && len(e.queue) >= e.Queue:
+	case len(e.active) >= e.Slots && len(e.queue) >= e.MaxQueued:
 		e.Counts.Refused++
 		e.end(j, Full)
 	default:
@@ -227,10 +227,10 @@
 	return func(yield func(int, uint64) bool) {
 		var raw [24]byte
 		before := uint64(0)
-		for i := 0; (i+1)*e.BlockTokens <= j.Prompt; i++ {
+		for i := 0; (i+1)*e.BlockTokens <= j.PromptTokens; i++ {
 			of := j.Session
-			if j.Shared != 0 && (i+1)*e.BlockTokens <= j.Prefix {
-				of = j.Shared
+			if j.SharedPrefix != 0 && (i+1)*e.BlockTokens <= j.PrefixTokens {
+				of = j.SharedPrefix
 			}
 			if of == 0 {
 				return // nothing by which it could be known again
@@ -284,8 +284,8 @@
 
 func (e *Engine) say(kind string, hash uint64) {
 	e.events++
-	if e.Cache != nil {
-		e.Cache(CacheEvent{e.events, kind, hash})
+	if e.OnCacheEvent != nil {
+		e.OnCacheEvent(CacheEvent{e.events, kind, hash})
 	}
 }
 
@@ -303,7 +303,7 @@
 func (e *Engine) adopt(j *Job) {
 	for _, h := range e.hashes(j) {
 		b := e.tree[h]
-		if b == nil || (len(j.blocks)+1)*e.BlockTokens >= j.Prompt {
+		if b == nil || (len(j.blocks)+1)*e.BlockTokens >= j.PromptTokens {
 			break
 		}
 		if b.ref == 0 {
@@ -348,7 +348,7 @@
 }
 
 // end ends a job wherever it is.
-func (e *Engine) end(j *Job, how End) {
+func (e *Engine) end(j *Job, how Outcome) {
 	if j.state == over {
 		return
 	}
@@ -357,13 +357,13 @@
 	e.active = slices.DeleteFunc(e.active, func(o *Job) bool { return o == j })
 	e.queue = slices.DeleteFunc(e.queue, func(o *Job) bool { return o == j })
 	e.Counts.Ends[how]++
-	if j.Ended != nil {
-		j.Ended(how, j.kept)
+	if j.OnEnd != nil {
+		j.OnEnd(how, j.kept)
 	}
 }
 
 // Cancel drops a job.
-func (e *Engine) Cancel(j *Job) { e.end(j, Dropped) }
+func (e *Engine) Cancel(j *Job) { e.end(j, Cancelled) }
 
 // Stop loses all that the engine holds.
 func (e *Engine) Stop() {
@@ -376,11 +376,11 @@
 	for _, key := range slices.Clone(e.order) {
 		e.drop(key)
 	}
-	e.Forget()
+	e.DropCache()
 }
 
 // Forget drops all kept blocks that are in no use.
-func (e *Engine) Forget() {
+func (e *Engine) DropCache() {
 	for h, b := range e.tree {
 		if b.ref > 0 {
 			b.hash = 0
@@ -397,22 +397,22 @@
 func (e *Engine) admit(now time.Duration) {
 	for len(e.queue) > 0 && len(e.active) < e.Slots {
 		j := e.queue[0]
-		if j.Stage == Write && !j.fetched {
-			if !e.room(j, j.Prompt) {
+		if j.Stage == StageDecode && !j.fetched {
+			if !e.room(j, j.PromptTokens) {
 				e.letGo(j)
 				return
 			}
 			e.queue = e.queue[1:]
 			e.active = append(e.active, j)
 			j.state = fetching
-			if j.Fetch == nil {
+			if j.FetchKVCache == nil {
 				e.arrived(j, false)
 			} else {
-				j.Fetch(func(ok bool) { e.arrived(j, ok) })
+				j.FetchKVCache(func(ok bool) { e.arrived(j, ok) })
 			}
 			continue
 		}
-		j.target = j.Prompt + j.out
+		j.target = j.PromptTokens + j.out
 		e.adopt(j)
 		kept := j.read
 		if !e.room(j, j.target) {
@@ -435,7 +435,7 @@
 		return
 	}
 	if !ok {
-		e.end(j, NoState)
+		e.end(j, NoKVCache)
 		return
 	}
 	j.fetched = true
@@ -445,7 +445,7 @@
 		e.putBack(j)
 		return
 	}
-	j.read, j.target = j.Prompt, j.Prompt
+	j.read, j.target = j.PromptTokens, j.PromptTokens
 	j.state = running
 	e.keep(j)
 }
@@ -461,11 +461,11 @@
 
 // Begin plans the next step and returns how long it takes; false: there is nothing to do until something is submitted
 // or arrives.
-func (e *Engine) Begin(now time.Duration) (time.Duration, bool) {
+func (e *Engine) BeginStep(now time.Duration) (time.Duration, bool) {
 	e.expire(now)
 	e.admit(now)
 	e.planned, e.chunks = e.planned[:0], e.chunks[:0]
-	budget := e.Chunk
+	budget := e.ChunkTokens
 	answers, context, pairs, tokens := 0, 0.0, 0.0, 0
 	for _, j := range e.active {
 		switch j.state {
@@ -486,40 +486,40 @@
 		return 0, false
 	}
 	e.inStep = true
-	took := e.Step.Seconds() + float64(answers)*e.PerAnswer.Seconds() + context/1000*e.PerContextK.Seconds() +
-		float64(tokens)/e.ReadPerS + pairs/1e6*e.PairsPerM.Seconds()
+	took := e.StepTime.Seconds() + float64(answers)*e.TimePerSequence.Seconds() + context/1000*e.TimePer1000ContextTokens.Seconds() +
+		float64(tokens)/e.PrefillTokensPerSecond + pairs/1e6*e.TimePerMillionPairs.Seconds()
 	return time.Duration(took / e.Speed(now) * float64(time.Second)), true
 }
 
 // Speed is which part of its full speed the engine has now.
 func (e *Engine) Speed(now time.Duration) float64 {
 	p := 1.0
-	if up := now - e.started - e.Load; e.cold && up < e.ColdRamp {
-		p = e.ColdShare + (1-e.ColdShare)*max(float64(up)/float64(e.ColdRamp), 0)
+	if up := now - e.started - e.ModelLoadTime; e.cold && up < e.SlowStartRamp {
+		p = e.SlowStartShare + (1-e.SlowStartShare)*max(float64(up)/float64(e.SlowStartRamp), 0)
 	}
-	if e.Slow > 1 {
-		p /= e.Slow
+	if e.Slowdown > 1 {
+		p /= e.Slowdown
 	}
-	p *= 1 - min(max(e.Neighbour, 0), 0.95)
-	if e.AgeBy > 0 {
-		p *= math.Pow(1-min(e.AgeBy, 0.5), (now - e.agedFrom).Seconds())
+	p *= 1 - min(max(e.NeighbourShare, 0), 0.95)
+	if e.AgingRate > 0 {
+		p *= math.Pow(1-min(e.AgingRate, 0.5), (now - e.agedFrom).Seconds())
 	}
 	return max(p, 0.001)
 }
 
 // Loading tells how long it still loads its model.
-func (e *Engine) Loading(now time.Duration) time.Duration {
+func (e *Engine) LoadTimeLeft(now time.Duration) time.Duration {
 	if !e.cold {
 		return 0
 	}
-	return max(e.started+e.Load-now, 0)
+	return max(e.started+e.ModelLoadTime-now, 0)
 }
 
 // Age begins to slow it down, by a share each second; 0 ends that.
-func (e *Engine) Age(now time.Duration, by float64) { e.AgeBy, e.agedFrom = by, now }
+func (e *Engine) SetAgingRate(now time.Duration, by float64) { e.AgingRate, e.agedFrom = by, now }
 
 // Finish applies the step that Begin planned.
-func (e *Engine) Finish(now time.Duration) {
+func (e *Engine) FinishStep(now time.Duration) {
 	e.inStep = false
 	e.Counts.Steps++
 	planned, chunks := slices.Clone(e.planned), slices.Clone(e.chunks)
@@ -532,7 +532,7 @@
 				continue
 			}
 			e.keep(j)
-			if j.Stage == Read {
+			if j.Stage == StagePrefill {
 				e.wait(now, j)
 				continue
 			}
@@ -546,7 +546,7 @@
 
 // answer adds one token to a running answer.
 func (e *Engine) answer(j *Job) {
-	for j.state == running && !e.room(j, j.Prompt+j.out+1) {
+	for j.state == running && !e.room(j, j.PromptTokens+j.out+1) {
 		// Memory is out: the newest answer goes back, so that the oldest always comes to its end.
 		var newest *Job
 		for _, o := range e.active {
@@ -561,12 +561,12 @@
 		return
 	}
 	j.out++
-	j.read = j.Prompt + j.out
+	j.read = j.PromptTokens + j.out
 	e.Counts.Tokens++
-	if j.Token != nil {
-		j.Token(j.out)
+	if j.OnToken != nil {
+		j.OnToken(j.out)
 	}
-	if j.state == running && j.out >= j.Answer {
+	if j.state == running && j.out >= j.OutputTokens {
 		e.end(j, Done)
 	}
 }
@@ -576,13 +576,13 @@
 	e.active = slices.DeleteFunc(e.active, func(o *Job) bool { return o == j })
 	j.state = over
 	if old := e.states[j.Key]; old != nil {
-		e.Release(j.Key)
+		e.ReleaseKVCache(j.Key)
 	}
 	e.states[j.Key] = &held{job: j, since: now}
 	e.order = append(e.order, j.Key)
 	e.Counts.Ends[Done]++
-	if j.Ended != nil {
-		j.Ended(Done, j.kept)
+	if j.OnEnd != nil {
+		j.OnEnd(Done, j.kept)
 	}
 }
 
@@ -590,7 +590,7 @@
 func (e *Engine) expire(now time.Duration) {
 	for len(e.order) > 0 {
 		h := e.states[e.order[0]]
-		if e.StateLife <= 0 || now-h.since < e.StateLife {
+		if e.KVCacheTTL <= 0 || now-h.since < e.KVCacheTTL {
 			return
 		}
 		e.Counts.StatesExpired++
@@ -599,29 +599,29 @@
 }
 
 // Waits returns the tokens of a state that waits; false: there is none, or it is on its way already.
-func (e *Engine) Waits(key string) (tokens int, ok bool) {
+func (e *Engine) HeldKVCache(key string) (tokens int, ok bool) {
 	h := e.states[key]
 	if h == nil || h.taken {
 		return 0, false
 	}
-	return h.job.Prompt, true
+	return h.job.PromptTokens, true
 }
 
 // Moves tells whether a state is on its way.
-func (e *Engine) Moves(key string) bool {
+func (e *Engine) KVCacheMoving(key string) bool {
 	h := e.states[key]
 	return h != nil && h.taken
 }
 
 // Moving marks a state as on its way, or, if the move failed, as waiting again.
-func (e *Engine) Moving(key string, on bool) {
+func (e *Engine) SetKVCacheMoving(key string, on bool) {
 	if h := e.states[key]; h != nil {
 		h.taken = on
 	}
 }
 
 // Release lets go of a state.
-func (e *Engine) Release(key string) bool {
+func (e *Engine) ReleaseKVCache(key string) bool {
 	h := e.states[key]
 	if h == nil {
 		return false
@@ -634,13 +634,13 @@
 
 // drop lets go of a state by the engine's own doing.
 func (e *Engine) drop(key string) {
-	if e.Release(key) && e.Gone != nil {
-		e.Gone(key)
+	if e.ReleaseKVCache(key) && e.OnKVCacheDropped != nil {
+		e.OnKVCacheDropped(key)
 	}
 }
 
 // Report is what a load report may hold.
-func (e *Engine) Report() map[string]float64 {
+func (e *Engine) LoadReport() map[string]float64 {
 	waiting := 0
 	for _, j := range e.active {
 		if j.state == reading {
@@ -648,7 +648,7 @@
 		}
 	}
 	for _, j := range e.queue {
-		waiting += j.Prompt
+		waiting += j.PromptTokens
 	}
 	return map[string]float64{
 		"util": float64(len(e.active)) / float64(e.Slots), "queue": float64(len(e.queue)), "inflight": float64(len(e.active) + len(e.queue) + len(e.states)),
--- a/internal/engine/engine_test.go
+++ b/internal/engine/engine_test.go
@@ -8,20 +8,20 @@
 	"pgregory.net/rapid"
 )
 
-func writer() Make {
-	return Make{Reads: true, Writes: true, Slots: 4, Queue: 4, Blocks: 100, BlockTokens: 16, Chunk: 256, Step: 10 * time.Millisecond,
-		PerAnswer: time.Millisecond, ReadPerS: 10000, StateLife: 5 * time.Second}
+func writer() Config {
+	return Config{Prefills: true, Decodes: true, Slots: 4, MaxQueued: 4, Blocks: 100, BlockTokens: 16, ChunkTokens: 256, StepTime: 10 * time.Millisecond,
+		TimePerSequence: time.Millisecond, PrefillTokensPerSecond: 10000, KVCacheTTL: 5 * time.Second}
 }
 
 // drive runs an engine until it has nothing to do, or for so many steps.
 func drive(e *Engine, now time.Duration, steps int) time.Duration {
 	for range steps {
-		took, ok := e.Begin(now)
+		took, ok := e.BeginStep(now)
 		if !ok {
 			break
 		}
 		now += took
-		e.Finish(now)
+		e.FinishStep(now)
 	}
 	return now
 }
@@ -30,20 +30,20 @@
 type asked struct {
 	Job
 	tokens, ends int
-	how          End
+	how          Outcome
 	keptThen     int
 }
 
 func job(stage Stage, session, shared uint64, prompt, prefix, answer int) *asked {
-	a := &asked{Job: Job{Key: fmt.Sprint(session, stage, prompt), Stage: stage, Session: session, Shared: shared, Prompt: prompt, Prefix: prefix, Answer: answer}}
-	a.Token = func(n int) { a.tokens = n }
-	a.Ended = func(e End, kept int) { a.ends++; a.how, a.keptThen = e, kept }
+	a := &asked{Job: Job{Key: fmt.Sprint(session, stage, prompt), Stage: stage, Session: session, SharedPrefix: shared, PromptTokens: prompt, PrefixTokens: prefix, OutputTokens: answer}}
+	a.OnToken = func(n int) { a.tokens = n }
+	a.OnEnd = func(e Outcome, kept int) { a.ends++; a.how, a.keptThen = e, kept }
 	return a
 }
 
 func TestAnAnswerHasItsTokensAndLeavesItsPromptKept(t *testing.T) {
 	e := New(writer(), 0, false)
-	a := job(Whole, 1, 9, 320, 160, 10)
+	a := job(StageWhole, 1, 9, 320, 160, 10)
 	e.Submit(0, &a.Job)
 	now := drive(e, 0, 100)
 	if a.ends != 1 || a.how != Done || a.tokens != 10 || a.keptThen != 0 {
@@ -53,8 +53,8 @@
 	if want := 11*10*time.Millisecond + 32*time.Millisecond + 9*time.Millisecond; now != want {
 		t.Errorf("took %v, not %v", now, want)
 	}
-	b := job(Whole, 2, 9, 320, 160, 1) // another session with the same beginning
-	c := job(Whole, 1, 9, 400, 160, 1) // the same one goes on
+	b := job(StageWhole, 2, 9, 320, 160, 1) // another session with the same beginning
+	c := job(StageWhole, 1, 9, 400, 160, 1) // the same one goes on
 	e.Submit(now, &b.Job)
 	now = drive(e, now, 100)
 	e.Submit(now, &c.Job)
@@ -66,16 +66,16 @@
 
 func TestStepsGrowWithWhatIsDone(t *testing.T) {
 	m := writer()
-	m.PerContextK, m.PairsPerM = time.Millisecond, time.Millisecond
+	m.TimePer1000ContextTokens, m.TimePerMillionPairs = time.Millisecond, time.Millisecond
 	time1 := func(jobs int, slow float64) time.Duration {
 		e := New(m, 0, false)
-		e.Slow = slow
+		e.Slowdown = slow
 		for i := range jobs {
-			a := job(Whole, uint64(i+1), 0, 200, 0, 50)
+			a := job(StageWhole, uint64(i+1), 0, 200, 0, 50)
 			e.Submit(0, &a.Job)
 		}
 		now := drive(e, 0, 8)
-		took, _ := e.Begin(now)
+		took, _ := e.BeginStep(now)
 		return took
 	}
 	if one, four, slow := time1(1, 1), time1(4, 1), time1(4, 3); one >= four || slow < 2*four {
@@ -87,17 +87,17 @@
 	e := New(writer(), 0, false)
 	full := 0
 	for i := range 12 {
-		a := job(Whole, uint64(i+1), 0, 32, 0, 5)
+		a := job(StageWhole, uint64(i+1), 0, 32, 0, 5)
 		e.Submit(0, &a.Job)
 		if a.how == Full && a.ends == 1 {
 			full++
 		}
-		e.Begin(0)
+		e.BeginStep(0)
 	}
 	if full != 4 {
 		t.Errorf("%d of 12 were refused, with room for 4 and 4 more", full)
 	}
-	big := job(Whole, 99, 0, 1601, 0, 1)
+	big := job(StageWhole, 99, 0, 1601, 0, 1)
 	e.Submit(0, &big.Job)
 	if big.how != TooBig || big.ends != 1 {
 		t.Errorf("a prompt larger than the memory: %v", big.how)
@@ -111,7 +111,7 @@
 	e := New(m, 0, false)
 	var all []*asked
 	for i := range 4 {
-		a := job(Whole, uint64(i+1), 0, 100, 0, 200)
+		a := job(StageWhole, uint64(i+1), 0, 100, 0, 200)
 		all = append(all, a)
 		e.Submit(0, &a.Job)
 	}
@@ -131,24 +131,24 @@
 
 func TestStatesWaitMoveExpireAndAreLetGo(t *testing.T) {
 	e := New(writer(), 0, false)
-	a := job(Read, 1, 0, 320, 0, 1)
+	a := job(StagePrefill, 1, 0, 320, 0, 1)
 	e.Submit(0, &a.Job)
 	now := drive(e, 0, 50)
-	if n, ok := e.Waits(a.Key); !ok || n != 320 || a.how != Done {
+	if n, ok := e.HeldKVCache(a.Key); !ok || n != 320 || a.how != Done {
 		t.Fatalf("%d tokens wait (%v), ended %v", n, ok, a.how)
 	}
-	e.Moving(a.Key, true)
-	if _, ok := e.Waits(a.Key); ok {
+	e.SetKVCacheMoving(a.Key, true)
+	if _, ok := e.HeldKVCache(a.Key); ok {
 		t.Error("a state that moves is given twice")
 	}
-	e.Moving(a.Key, false)
+	e.SetKVCacheMoving(a.Key, false)
 	_, _, before := e.Memory()
-	e.Begin(now + 4*time.Second)
-	if _, ok := e.Waits(a.Key); !ok {
+	e.BeginStep(now + 4*time.Second)
+	if _, ok := e.HeldKVCache(a.Key); !ok {
 		t.Error("it expired early")
 	}
-	e.Begin(now + 6*time.Second)
-	_, ok := e.Waits(a.Key)
+	e.BeginStep(now + 6*time.Second)
+	_, ok := e.HeldKVCache(a.Key)
 	if _, _, after := e.Memory(); ok || before != 20 || after != 0 || e.Counts.StatesExpired != 1 {
 		t.Errorf("waits %v, %d blocks used and then %d, expired %d", ok, before, after, e.Counts.StatesExpired)
 	}
@@ -158,14 +158,14 @@
 	m := writer()
 	e := New(m, 0, false)
 	e.EvictFresh = true
-	hog := job(Whole, 1, 0, 1450, 0, 60)
+	hog := job(StageWhole, 1, 0, 1450, 0, 60)
 	e.Submit(0, &hog.Job)
 	now := drive(e, 0, 10)
-	a := job(Write, 2, 0, 64, 0, 3)
+	a := job(StageDecode, 2, 0, 64, 0, 3)
 	var arrived func(bool)
-	a.Fetch = func(f func(bool)) { arrived = f }
+	a.FetchKVCache = func(f func(bool)) { arrived = f }
 	e.Submit(now, &a.Job)
-	e.Begin(now)
+	e.BeginStep(now)
 	if arrived == nil {
 		t.Fatal("nothing was fetched")
 	}
@@ -174,32 +174,32 @@
 	if e.Counts.FreshEvicted != 1 || a.how != Done || a.tokens != 3 {
 		t.Errorf("evicted %d, ended %v with %d tokens", e.Counts.FreshEvicted, a.how, a.tokens)
 	}
-	b := job(Write, 3, 0, 64, 0, 3)
-	b.Fetch = func(f func(bool)) { f(false) }
+	b := job(StageDecode, 3, 0, 64, 0, 3)
+	b.FetchKVCache = func(f func(bool)) { f(false) }
 	e.Submit(now, &b.Job)
-	e.Begin(now)
-	if b.how != NoState {
+	e.BeginStep(now)
+	if b.how != NoKVCache {
 		t.Errorf("a state that could not be had: %v", b.how)
 	}
 }
 
 func TestAColdAnAgeingAndASharedEngineAreSlower(t *testing.T) {
 	m := writer()
-	m.ColdShare, m.ColdRamp, m.Load = 0.25, 10*time.Second, 2*time.Second
+	m.SlowStartShare, m.SlowStartRamp, m.ModelLoadTime = 0.25, 10*time.Second, 2*time.Second
 	step := func(cold bool, at time.Duration, change func(*Engine)) time.Duration {
 		e := New(m, 0, cold)
 		if change != nil {
 			change(e)
 		}
-		a := job(Whole, 1, 0, 16, 0, 5)
+		a := job(StageWhole, 1, 0, 16, 0, 5)
 		e.Submit(at, &a.Job)
-		took, _ := e.Begin(at)
+		took, _ := e.BeginStep(at)
 		return took
 	}
 	warm := step(false, 0, nil)
 	for what, took := range map[string]time.Duration{
-		"at a quarter": step(true, 2*time.Second, nil), "beside another program": step(false, 0, func(e *Engine) { e.Neighbour = 0.75 }),
-		"aged": step(false, 28*time.Second, func(e *Engine) { e.Age(0, 0.05) }),
+		"at a quarter": step(true, 2*time.Second, nil), "beside another program": step(false, 0, func(e *Engine) { e.NeighbourShare = 0.75 }),
+		"aged": step(false, 28*time.Second, func(e *Engine) { e.SetAgingRate(0, 0.05) }),
 	} {
 		if took < 3*warm || took > 6*warm {
 			t.Errorf("%s a step takes %v, warm %v", what, took, warm)
@@ -208,7 +208,7 @@
 	if took := step(true, 12*time.Second, nil); took != warm {
 		t.Errorf("after its ramp a step takes %v, not %v", took, warm)
 	}
-	if New(m, 0, true).Loading(500*time.Millisecond) != 1500*time.Millisecond {
+	if New(m, 0, true).LoadTimeLeft(500*time.Millisecond) != 1500*time.Millisecond {
 		t.Error("the model loads in no time")
 	}
 }
@@ -222,7 +222,7 @@
 		e := New(m, 0, false)
 		stored := map[uint64]bool{}
 		number := uint64(0)
-		e.Cache = func(c CacheEvent) {
+		e.OnCacheEvent = func(c CacheEvent) {
 			if number++; c.Number != number {
 				t.Fatalf("cache event %d follows %d", c.Number, number-1)
 			}
@@ -267,7 +267,7 @@
 				a := job(Stage(rapid.IntRange(0, 2).Draw(t, "stage")), uint64(rapid.IntRange(0, 4).Draw(t, "session")), uint64(rapid.IntRange(0, 2).Draw(t, "shared")),
 					prompt, rapid.IntRange(0, prompt).Draw(t, "prefix"), rapid.IntRange(1, 120).Draw(t, "answer"))
 				a.Key = fmt.Sprint(i)
-				a.Fetch = func(f func(bool)) { arrivals = append(arrivals, f) }
+				a.FetchKVCache = func(f func(bool)) { arrivals = append(arrivals, f) }
 				all = append(all, a)
 				e.Submit(now, &a.Job)
 			case 3:
@@ -277,7 +277,7 @@
 					}
 				}
 			case 4:
-				e.Release(fmt.Sprint(rapid.IntRange(0, 80).Draw(t, "key")))
+				e.ReleaseKVCache(fmt.Sprint(rapid.IntRange(0, 80).Draw(t, "key")))
 			case 5:
 				if len(arrivals) > 0 {
 					arrivals[0](rapid.Bool().Draw(t, "ok"))
@@ -285,7 +285,7 @@
 				}
 			case 6:
 				if rapid.IntRange(0, 9).Draw(t, "rare") == 0 {
-					e.Forget()
+					e.DropCache()
 				}
 			default:
 				now = drive(e, now, rapid.IntRange(1, 30).Draw(t, "drive"))
@@ -293,7 +293,7 @@
 			check()
 		}
 		for range 200 {
-			now = drive(e, now, 500) + m.StateLife
+			now = drive(e, now, 500) + m.KVCacheTTL
 			for _, f := range arrivals {
 				f(true)
 			}
@@ -302,7 +302,7 @@
 		}
 		for _, a := range all {
 			if a.ends != 1 {
-				t.Fatalf("%s (stage %d, prompt %d, answer %d) never ended", a.Key, a.Stage, a.Prompt, a.Answer)
+				t.Fatalf("%s (stage %d, prompt %d, answer %d) never ended", a.Key, a.Stage, a.PromptTokens, a.OutputTokens)
 			}
 		}
 		e.Stop()
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -57,7 +57,7 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	lines := 0
-	err = Do(ctx, s, p, "v", day.Stage{}, func(string, ...any) {
+	err = Execute(ctx, s, p, "v", day.RunOptions{}, func(string, ...any) {
 		if lines++; lines == 4 {
 			cancel()
 		}
@@ -75,7 +75,7 @@
 		t.Fatalf("%d runs are kept, %v", len(before), err)
 	}
 	again := 0
-	if err := Do(context.Background(), s, p, "v", day.Stage{}, func(string, ...any) { again++ }); err != nil {
+	if err := Execute(context.Background(), s, p, "v", day.RunOptions{}, func(string, ...any) { again++ }); err != nil {
 		t.Fatal(err)
 	}
 	after, _ := s.Runs("t")
@@ -135,7 +135,7 @@
 		t.Fatalf("%v %v", diffs, err)
 	}
 	for _, d := range diffs {
-		if d.Than != "module" || d.Beyond != (d.This == "worse") {
+		if d.Reference != "module" || d.Significant != (d.Value == "worse") {
 			t.Errorf("%+v", d)
 		}
 	}
--- a/internal/experiment/plan.go
+++ b/internal/experiment/plan.go
@@ -146,27 +146,27 @@
 }
 
 // Day makes the day of a setting. A repeat changes nothing but the seed.
-func (p *Plan) Day(s Setting) (day.Day, error) {
+func (p *Plan) Day(s Setting) (day.Scenario, error) {
 	tree := clone(p.base).(map[string]any)
 	for _, a := range p.Vary {
 		for _, v := range a.Values {
 			if fmt.Sprint(v) == s[a.Key] {
 				if err := set(tree, strings.Split(a.Key, "."), v); err != nil {
-					return day.Day{}, fmt.Errorf("vary %s: %w", a.Key, err)
+					return day.Scenario{}, fmt.Errorf("vary %s: %w", a.Key, err)
 				}
 			}
 		}
 	}
 	raw, err := toml.Marshal(tree)
 	if err != nil {
-		return day.Day{}, err
+		return day.Scenario{}, err
 	}
 	d, err := day.Parse(p.Experiment.Base, raw)
 	if err != nil {
 		return d, err
 	}
 	repeat, err := strconv.Atoi(s["repeat"])
-	d.Head.Seed += uint64(repeat) * 1000003
+	d.Header.Seed += uint64(repeat) * 1000003
 	return d, err
 }
 
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -123,7 +123,7 @@
 
 // Do runs what a plan lacks, and stops between runs when the context ends. Virtual runs go side by side, those on sockets
 // one after the other: they would take each other's processors.
-func Do(ctx context.Context, s *Store, p *Plan, version string, stage day.Stage, say func(string, ...any)) error {
+func Execute(ctx context.Context, s *Store, p *Plan, version string, stage day.RunOptions, say func(string, ...any)) error {
 	if err := s.Begin(p); err != nil {
 		return err
 	}
@@ -176,7 +176,7 @@
 	return fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
 }
 
-func once(ctx context.Context, p *Plan, set Setting, stage day.Stage) (Run, error) {
+func once(ctx context.Context, p *Plan, set Setting, stage day.RunOptions) (Run, error) {
 	d, err := p.Day(set)
 	if err != nil {
 		return Run{}, err
@@ -197,11 +197,11 @@
 			r.Figures["budget_declined_"+name] = float64(b.Declined) / max(float64(b.Declined+b.Passed), 1)
 		}
 		r.Share, r.Tries = out.Share, out.Again
-		for _, t := range d.Troubles {
+		for _, t := range d.Faults {
 			if t.Kind == "crash" { // not back within the run counts as the whole of it
-				s, ok := judge.Recovered(out.Share, out.Asked, t.At.Std(), (t.At + t.Length).Std())
+				s, ok := judge.RecoverySeconds(out.Share, out.Asked, t.Start.Std(), (t.Start + t.Duration).Std())
 				if !ok {
-					s = (d.Head.Length - t.At - t.Length).Std().Seconds()
+					s = (d.Header.Duration - t.Start - t.Duration).Std().Seconds()
 				}
 				r.Figures["recovered_s"], r.Figures["recovered"] = s, map[bool]float64{true: 1}[ok]
 			}
@@ -213,14 +213,14 @@
 			r.Figures["read_tokens"] += float64(c.ReadTokens)
 		}
 	} else {
-		if v, err = day.Play(ctx, d, stage); err != nil {
+		if v, err = day.Run(ctx, d, stage); err != nil {
 			return r, err
 		}
 		r.Figures = figures(v)
 	}
-	r.Kept = v.Kept()
+	r.Kept = v.Passed()
 	for _, rule := range v.Rules {
-		if !rule.Kept {
+		if !rule.Passed {
 			r.Broken = append(r.Broken, rule.Name)
 		}
 	}
@@ -230,16 +230,16 @@
 
 // figures are those that tables and charts may show.
 func figures(v judge.Verdict) map[string]float64 {
-	f := map[string]float64{"service": v.Service, "first_p50_ms": v.FirstP50, "first_p99_ms": v.FirstP99, "trips": v.Trips, "cold_worst": v.ColdWorst, "pinned_ms": v.PinWorst}
+	f := map[string]float64{"service": v.ValueShare, "first_p50_ms": v.FirstTokenP50Ms, "first_p99_ms": v.FirstTokenP99Ms, "trips": v.AttemptsPerRequest, "cold_worst": v.PeakSlowStartLoad, "pinned_ms": v.MaxIdleKVCacheMs}
 	var asked, inTime, late, declined, forfeited, other float64
-	for _, r := range v.Rows {
-		asked += float64(r.Asked)
+	for _, r := range v.Classes {
+		asked += float64(r.Requests)
 		inTime += float64(r.InTime)
 		late += float64(r.Late)
-		declined += float64(r.Declined)
-		forfeited += float64(r.Forfeited)
-		other += float64(r.Quit + r.Cut)
-		f["service_"+r.Grade] = r.Service
+		declined += float64(r.Rejected)
+		forfeited += float64(r.Failed)
+		other += float64(r.ClientLeft + r.ConnectionLost)
+		f["service_"+r.Class] = r.ValueShare
 	}
 	asked = max(asked, 1)
 	f["asked"], f["in_time"], f["late"], f["declined"], f["forfeited"], f["left_or_cut"] = asked, inTime/asked, late/asked, declined/asked, forfeited/asked, other/asked
--- a/internal/experiment/tables.go
+++ b/internal/experiment/tables.go
@@ -169,10 +169,10 @@
 
 // Difference is how one value of a key does against another, all else alike.
 type Difference struct {
-	Setting    Setting // what is alike
-	Than, This string
-	Medians    [2]float64
-	Beyond     bool // the noise of the repeats
+	Setting          Setting // what is alike
+	Reference, Value string
+	Medians          [2]float64
+	Significant      bool // the noise of the repeats
 }
 
 // Compare sets each value of a key beside the first one. A difference is beyond the noise if it is more than twice the
@@ -286,7 +286,7 @@
 }
 
 // Over draws a figure over the seconds of a run: share, or tries; a line for each value of a key, the mean of its runs.
-func Over(runs []Run, of, lines, file, title string) error {
+func TimeChart(runs []Run, of, lines, file, title string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "second of the day", of
 	sums, counts := map[string][]float64{}, map[string]float64{}
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -62,20 +62,20 @@
 	to     *backend
 	start  uint64
 	job    *engine.Job
-	line   record.Line
+	line   record.Event
 	off    error
 	told   bool // the dispatcher knows how it ended
 	ended  bool // the backend is done with it
 	came   bool
 }
 
-func (t *attempt) id() string { return fmt.Sprintf("%s/%d", t.line.Key, t.line.Trip) }
+func (t *attempt) id() string { return fmt.Sprintf("%s/%d", t.line.RequestKey, t.line.Attempt) }
 
 func (c *transport) Start(f *dispatch.Attempt) {
 	d := (*dispatcher)(c)
 	w := d.w
 	t := &attempt{w: w, from: d, loop: d.loop, flight: f, to: w.boxes[f.Backend.Name]}
-	t.line = record.Line{Box: t.to.make.Name, Try: f.Request.Params.ID, Grade: f.Request.Class, Key: f.RequestKey, Stage: f.Stage(), Trip: f.Scheduled.Number}
+	t.line = record.Event{Backend: t.to.make.Name, Try: f.Request.Params.ID, Class: f.Request.Class, RequestKey: f.RequestKey, Phase: f.Stage(), Attempt: f.Scheduled.Number}
 	f.Cancel = func(why error) {
 		if t.off != nil || t.told {
 			return
@@ -138,7 +138,7 @@
 	t.ended = true
 	delete(t.to.trips, t)
 	l := t.line
-	l.What, l.Word = record.End, word
+	l.Kind, l.Detail = record.AttemptEnded, word
 	t.w.put(l)
 }
 
@@ -155,10 +155,10 @@
 		return
 	}
 	l := t.line
-	l.What = record.Closed
+	l.Kind = record.AttemptClosed
 	t.w.put(l)
 	b := t.to
-	if b.up && b.start == t.start && t.job != nil && !b.make.Ignores {
+	if b.up && b.start == t.start && t.job != nil && !b.make.IgnoresCancel {
 		b.engine.Cancel(t.job)
 		b.kick()
 	}
@@ -177,21 +177,21 @@
 	}
 	t.came, t.start = true, b.start
 	b.trips[t] = true
-	work := b.work(t.line.Grade, t.line.Stage)
+	work := b.work(t.line.Class, t.line.Phase)
 	l := t.line
-	l.What, l.Work = record.Trip, work
+	l.Kind, l.Work = record.AttemptReceived, work
 	w.put(l)
 	if b.weigh(work) {
 		b.fell = true
-		w.put(record.Line{What: record.Fell, Box: b.make.Name, Start: b.start})
+		w.put(record.Event{Kind: record.Overloaded, Backend: b.make.Name, StartID: b.start})
 		b.kill("pushed over")
 		return
 	}
 	if b.hang {
 		return
 	}
-	if b.fail > 0 && (b.failOf == "" || b.failOf == t.line.Grade) && w.rng.Float64() < b.fail {
-		if t.line.Stage != kserve.PhasePrefill {
+	if b.fail > 0 && (b.failOf == "" || b.failOf == t.line.Class) && w.rng.Float64() < b.fail {
+		if t.line.Phase != kserve.PhasePrefill {
 			t.ran()
 		}
 		t.end("failed")
@@ -199,23 +199,23 @@
 		return
 	}
 	q := t.flight.Scheduled.Request
-	j := &engine.Job{Key: t.line.Key, Session: q.SessionKey, Shared: q.PrefixKey, Prompt: int(q.PromptTokens), Prefix: int(q.PrefixTokens)}
+	j := &engine.Job{Key: t.line.RequestKey, Session: q.SessionKey, SharedPrefix: q.PrefixKey, PromptTokens: int(q.PromptTokens), PrefixTokens: int(q.PrefixTokens)}
 	t.job = j
-	switch t.line.Stage {
+	switch t.line.Phase {
 	case kserve.PhasePrefill:
-		j.Stage = engine.Read
+		j.Stage = engine.StagePrefill
 	case kserve.PhaseDecode:
-		j.Stage = engine.Write
+		j.Stage = engine.StageDecode
 		state := w.boxes[t.flight.PrefillBackend.Name]
-		j.Fetch = func(arrived func(bool)) { w.fetch(state, b, t, arrived) }
+		j.FetchKVCache = func(arrived func(bool)) { w.fetch(state, b, t, arrived) }
 	default:
-		j.Stage = engine.Whole
+		j.Stage = engine.StageWhole
 	}
-	j.Answer = standin.AnswerTokens(w.day.TalkOf(t.line.Grade).AnswerTokens, t.line.Try, int(q.MaxOutputTokens))
-	if j.Stage == engine.Read {
-		j.Answer = 1
+	j.OutputTokens = standin.AnswerTokens(w.day.RequestShape(t.line.Class).AnswerTokens, t.line.Try, int(q.MaxOutputTokens))
+	if j.Stage == engine.StagePrefill {
+		j.OutputTokens = 1
 	}
-	j.Token = func(n int) {
+	j.OnToken = func(n int) {
 		t.flight.StreamedTokens.Store(int64(n))
 		if n > 1 {
 			if n == 2 && b.resets > 0 && w.rng.Float64() < b.resets {
@@ -232,19 +232,19 @@
 		}
 		w.after(hop, t.began)
 	}
-	j.Ended = func(e engine.End, kept int) { t.done(e, kept) }
+	j.OnEnd = func(e engine.Outcome, kept int) { t.done(e, kept) }
 	b.engine.Submit(w.now, j)
 	b.kick()
 }
 
 func (t *attempt) ran() {
 	l, w := t.line, t.w
-	l.What = record.Ran
-	if i := w.day.ClassIndex(l.Grade); i >= 0 && w.day.Classes[i].Effect == "deduplicated" {
+	l.Kind = record.EffectStarted
+	if i := w.day.ClassIndex(l.Class); i >= 0 && w.day.Classes[i].Effect == "deduplicated" {
 		g := w.day.Classes[i]
 		key := map[string]string{"zone": t.to.make.Zone, "rack": t.to.make.Rack}[g.DedupScope] + " " + l.Try
 		if at, known := w.seen[key]; known && w.now-at < g.DedupWindow.Std() {
-			l.What = record.Repeat
+			l.Kind = record.DuplicateDropped
 		} else {
 			w.seen[key] = w.now
 		}
@@ -265,37 +265,37 @@
 		t.w.after(hop, func() {
 			if !c.over && !c.first {
 				c.first = true
-				c.put(record.First, "", nil)
+				c.put(record.FirstToken, "", nil)
 			}
 		})
 	}
 }
 
 // done is the engine's end of a job.
-func (t *attempt) done(e engine.End, kept int) {
+func (t *attempt) done(e engine.Outcome, kept int) {
 	b, w := t.to, t.w
 	if t.ended {
 		return
 	}
 	switch e {
 	case engine.Done:
-		if t.line.Stage != kserve.PhaseDecode {
-			left := float64(t.job.Prompt - kept)
-			b.work(t.line.Grade, t.line.Stage) // its mean has begun
-			w.reads[t.line.Grade][0] += left
-			w.reads[t.line.Grade][1]++
+		if t.line.Phase != kserve.PhaseDecode {
+			left := float64(t.job.PromptTokens - kept)
+			b.work(t.line.Class, t.line.Phase) // its mean has begun
+			w.reads[t.line.Class][0] += left
+			w.reads[t.line.Class][1]++
 		}
-		if t.line.Stage != kserve.PhasePrefill {
+		if t.line.Phase != kserve.PhasePrefill {
 			t.end(kserve.OutcomeCompleted)
 			t.back(brain.Result{Outcome: brain.Served, Detail: kept})
 			return
 		}
-		if upTo, ok := b.released[t.line.Key]; ok && t.line.Trip <= upTo {
-			b.engine.Release(t.line.Key)
+		if upTo, ok := b.released[t.line.RequestKey]; ok && t.line.Attempt <= upTo {
+			b.engine.ReleaseKVCache(t.line.RequestKey)
 			t.end("dropped")
 			return
 		}
-		w.put(record.Line{What: record.Held, Box: b.make.Name, Key: t.line.Key, Try: t.line.Try, Grade: t.line.Grade})
+		w.put(record.Event{Kind: record.KVCacheHeld, Backend: b.make.Name, RequestKey: t.line.RequestKey, Try: t.line.Try, Class: t.line.Class})
 		t.end(kserve.OutcomePrefilled)
 		t.back(brain.Result{Outcome: brain.Prefilled, Detail: kept})
 		if b.crashes > 0 && w.rng.Float64() < b.crashes {
@@ -309,7 +309,7 @@
 	case engine.Full, engine.TooBig:
 		t.end(kserve.OutcomeFull)
 		t.back(brain.Result{Outcome: brain.Rejected})
-	case engine.NoState:
+	case engine.NoKVCache:
 		t.end(kserve.OutcomeNoKVCache)
 		t.back(brain.Result{Outcome: brain.Rejected, Detail: 1})
 	}
@@ -317,24 +317,24 @@
 
 // fetch moves a state from its reader to a writer, over the reader's own port within a rack, else over the rack's link.
 func (w *world) fetch(from, to *backend, t *attempt, arrived func(bool)) {
-	key := t.line.Key
+	key := t.line.RequestKey
 	w.after(hop, func() {
 		tokens, ok := 0, false
 		if from.up {
-			tokens, ok = from.engine.Waits(key)
+			tokens, ok = from.engine.HeldKVCache(key)
 		}
 		if !ok {
 			w.after(hop, func() { arrived(false); to.kick() })
 			return
 		}
-		from.engine.Moving(key, true)
-		start, took := from.start, time.Duration(float64(tokens)/w.day.Links.Near*float64(time.Second))
+		from.engine.SetKVCacheMoving(key, true)
+		start, took := from.start, time.Duration(float64(tokens)/w.day.Links.NearTokensPerSecond*float64(time.Second))
 		if from.make.Rack != to.make.Rack {
 			times := w.slowLink
 			if from.make.Zone != to.make.Zone {
-				times *= max(w.day.Links.Zone, 1)
+				times *= max(w.day.Links.CrossZoneFactor, 1)
 			}
-			free := max(w.racks[from.make.Rack], w.now) + time.Duration(float64(tokens)/w.day.Links.Far*times*float64(time.Second))
+			free := max(w.racks[from.make.Rack], w.now) + time.Duration(float64(tokens)/w.day.Links.FarTokensPerSecond*times*float64(time.Second))
 			w.racks[from.make.Rack] = free
 			took = free - w.now
 		}
@@ -345,8 +345,8 @@
 				return
 			}
 			if t.ended || !to.up || to.start != t.start { // nobody fetches any more: it waits on
-				from.engine.Moving(key, false)
-				if upTo, ok := from.released[key]; ok && upTo >= t.line.Trip {
+				from.engine.SetKVCacheMoving(key, false)
+				if upTo, ok := from.released[key]; ok && upTo >= t.line.Attempt {
 					from.release(key, "released")
 				}
 				return
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -16,7 +16,7 @@
 // backend is one engine and its process.
 type backend struct {
 	w        *world
-	make     day.Made
+	make     day.BackendSpec
 	engine   *engine.Engine
 	start    uint64
 	started  time.Duration
@@ -46,12 +46,12 @@
 	if b.busy || !b.up {
 		return
 	}
-	if load := b.engine.Loading(b.w.now); load > 0 {
+	if load := b.engine.LoadTimeLeft(b.w.now); load > 0 {
 		b.busy = true
 		b.w.after(load, func() { b.busy = false; b.kick() })
 		return
 	}
-	took, ok := b.engine.Begin(b.w.now)
+	took, ok := b.engine.BeginStep(b.w.now)
 	if !ok {
 		return
 	}
@@ -63,7 +63,7 @@
 			b.kick()
 			return
 		}
-		e.Finish(b.w.now)
+		e.FinishStep(b.w.now)
 		b.kick()
 	})
 }
@@ -72,15 +72,15 @@
 	b.w.starts++
 	b.start, b.started, b.cold, b.up, b.busy, b.fell, b.sent = b.w.starts, b.w.now, cold, true, false, false, nil
 	b.engine = engine.New(b.make.Engine, b.w.now, cold)
-	b.engine.Gone = func(key string) {
+	b.engine.OnKVCacheDropped = func(key string) {
 		word := "expired"
 		if !b.up {
 			word = "lost"
 		}
-		b.w.put(record.Line{What: record.Let, Box: b.make.Name, Key: key, Word: word})
+		b.w.put(record.Event{Kind: record.KVCacheReleased, Backend: b.make.Name, RequestKey: key, Detail: word})
 	}
 	b.trips, b.released = map[*attempt]bool{}, map[string]int{}
-	b.w.put(record.Line{What: record.Up, Box: b.make.Name, Start: b.start, Cold: cold})
+	b.w.put(record.Event{Kind: record.ProcessStarted, Backend: b.make.Name, StartID: b.start, SlowStart: cold})
 }
 
 func (b *backend) kill(why string) {
@@ -88,7 +88,7 @@
 		return
 	}
 	b.up = false
-	b.w.put(record.Line{What: record.Down, Box: b.make.Name, Start: b.start, Word: why})
+	b.w.put(record.Event{Kind: record.ProcessEnded, Backend: b.make.Name, StartID: b.start, Detail: why})
 	trips := make([]*attempt, 0, len(b.trips))
 	for t := range b.trips {
 		trips = append(trips, t)
@@ -101,7 +101,7 @@
 }
 
 // add starts a new backend.
-func (w *world) add(m day.Made, cold bool) *backend {
+func (w *world) add(m day.BackendSpec, cold bool) *backend {
 	b := &backend{w: w, make: m}
 	w.boxes[m.Name] = b
 	w.byID[dispatch.BackendID(m.Name)] = b
@@ -111,14 +111,14 @@
 }
 
 func (b *backend) release(key, why string) {
-	if b.engine.Release(key) {
-		b.w.put(record.Line{What: record.Let, Box: b.make.Name, Key: key, Word: why})
+	if b.engine.ReleaseKVCache(key) {
+		b.w.put(record.Event{Kind: record.KVCacheReleased, Backend: b.make.Name, RequestKey: key, Detail: why})
 		b.kick()
 	}
 }
 
 func (b *backend) load() []float64 {
-	values := b.engine.Report()
+	values := b.engine.LoadReport()
 	var out []float64
 	for _, name := range b.w.day.ReportFields {
 		out = append(out, values[name])
@@ -128,14 +128,14 @@
 
 // work is what an attempt asks of a backend, in seconds of its full capacity.
 func (b *backend) work(grade, stage string) float64 {
-	m, talk := b.make.Engine, b.w.day.TalkOf(grade)
+	m, talk := b.make.Engine, b.w.day.RequestShape(grade)
 	sum := b.w.reads[grade]
 	if sum == nil {
 		sum = &[2]float64{talk.NewTokens + float64(talk.PrefixTokens)/4, 1}
 		b.w.reads[grade] = sum
 	}
-	read := sum[0] / sum[1] / m.ReadPerS
-	step := m.Step.Seconds() + float64(m.Slots)*m.PerAnswer.Seconds() + float64(m.Slots)*m.PerContextK.Seconds()
+	read := sum[0] / sum[1] / m.PrefillTokensPerSecond
+	step := m.StepTime.Seconds() + float64(m.Slots)*m.TimePerSequence.Seconds() + float64(m.Slots)*m.TimePer1000ContextTokens.Seconds()
 	write := talk.AnswerTokens * step / float64(m.Slots)
 	switch stage {
 	case kserve.PhasePrefill:
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -15,24 +15,24 @@
 	if len(w.day.Budgets) == 0 {
 		return
 	}
-	b := &dispatch.Accounting{Month: month, OwnedBudgets: map[string]*budget.Keeper{}}
+	b := &dispatch.Accounting{Month: month, OwnedBudgets: map[string]*budget.Owner{}}
 	of := len(w.dispatchers)
-	if n := w.day.Head.Dispatchers; n > of {
+	if n := w.day.Header.Dispatchers; n > of {
 		of = n
 	}
 	loop := d.loop
 	for _, s := range w.day.Budgets {
 		t, at := s.TokenLimits(), 0
-		if w.day.Head.SplitBudgets { // the plain way, to compare with: an equal part for each
+		if w.day.Header.SplitBudgets { // the plain way, to compare with: an equal part for each
 			part := float64(of)
-			t.PerS, t.Burst, t.Monthly, t.Borrow = t.PerS/part, t.Burst/part, t.Monthly/part, t.Borrow/part
+			t.PerSecond, t.Burst, t.Monthly, t.Borrow = t.PerSecond/part, t.Burst/part, t.Monthly/part, t.Borrow/part
 			at = d.number
 		} else {
-			at = budget.Keep(t.Name, of)
+			at = budget.OwnerIndex(t.Name, of)
 		}
 		if at == d.number {
 			key := fmt.Sprintf("%s %d", t.Name, at)
-			b.OwnedBudgets[t.Name] = budget.NewKeeper(t, w.now, month(w.now), w.lent[key], 0, 0, func(what string, _ int64, tokens float64, done func()) {
+			b.OwnedBudgets[t.Name] = budget.NewOwner(t, w.now, month(w.now), w.lent[key], 0, 0, func(what string, _ int64, tokens float64, done func()) {
 				w.after(commitTime, func() {
 					if what == "lent" {
 						w.lent[key] = max(w.lent[key], tokens)
@@ -43,18 +43,18 @@
 				})
 			})
 		}
-		var p *budget.Purse
-		p = budget.NewPurse(t, loop.Epoch, of, month(w.now), func(a budget.Ask) {
+		var p *budget.LocalBudget
+		p = budget.NewLocalBudget(t, loop.Epoch, of, month(w.now), func(a budget.LeaseRequest) {
 			w.after(hop, func() {
 				k := w.dispatchers[at]
 				if !k.up || k.books == nil {
 					return
 				}
 				k.do(func() {
-					k.books.OwnedBudgets[a.Name].Asked(w.now, month(w.now), a, func(l budget.Lend) {
+					k.books.OwnedBudgets[a.Name].HandleRequest(w.now, month(w.now), a, func(l budget.LeaseReply) {
 						w.after(hop, func() {
 							if d.loop == loop && d.up {
-								d.do(func() { p.Lent(w.now, l) })
+								d.do(func() { p.HandleReply(w.now, l) })
 							}
 						})
 					})
@@ -71,7 +71,9 @@
 const commitTime = 22 * time.Millisecond // half a group's wait, and a disk's sync
 
 // month is one that outlasts every day.
-func month(now time.Duration) budget.Month { return budget.Month{Number: 1, Left: 24*time.Hour - now} }
+func month(now time.Duration) budget.Month {
+	return budget.Month{Number: 1, Remaining: 24*time.Hour - now}
+}
 
 // BudgetUse is what came of a budget.
 type BudgetUse struct {
@@ -86,8 +88,8 @@
 	for _, p := range w.purses {
 		u := out[p.Terms.Name]
 		u.Used += p.Counts.Used
-		u.Declined += p.Counts.Declined
-		u.Passed += p.Counts.Passed + p.Counts.Emergencies
+		u.Declined += p.Counts.Rejected
+		u.Passed += p.Counts.Admitted + p.Counts.EmergencyAdmitted
 		out[p.Terms.Name] = u
 	}
 	for _, s := range w.day.Budgets {
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -23,8 +23,8 @@
 	first bool
 }
 
-func (c *client) put(what, word string, more func(*record.Line)) {
-	l := record.Line{What: what, Word: word, Try: c.id, Question: c.wish.Name, Grade: c.wish.Class, Dispatcher: c.d.name}
+func (c *client) put(what, word string, more func(*record.Event)) {
+	l := record.Event{Kind: what, Detail: word, Try: c.id, Request: c.wish.Name, Class: c.wish.Class, Dispatcher: c.d.name}
 	if more != nil {
 		more(&l)
 	}
@@ -49,8 +49,8 @@
 	if wish.HonoursRetryAfter {
 		follows = "follows"
 	}
-	c.put(record.Asked, follows, func(l *record.Line) {
-		l.ExpiryUs, l.PromiseUs, l.Tokens = left.Microseconds(), wish.LatencyTarget.Microseconds(), wish.PromptTokens
+	c.put(record.RequestSent, follows, func(l *record.Event) {
+		l.DeadlineUs, l.LatencyTargetUs, l.Tokens = left.Microseconds(), wish.LatencyTarget.Microseconds(), wish.PromptTokens
 	})
 	if !d.up {
 		c.cut("unreached: the dispatcher is down")
@@ -60,7 +60,7 @@
 		w.after(wish.LeaveAfter, func() {
 			if !c.over {
 				c.over = true
-				c.put(record.Quit, "", nil)
+				c.put(record.ClientLeft, "", nil)
 				if d.up && d.open[c] {
 					delete(d.open, c)
 					delete(d.of, c.asked)
@@ -90,7 +90,7 @@
 	c.over = true
 	delete(c.d.open, c)
 	delete(c.d.of, c.asked)
-	c.put(record.Final, f.Outcome, func(l *record.Line) { l.AfterMs, l.Trips = f.RetryAfterMs, f.Attempts })
+	c.put(record.FinalAnswer, f.Outcome, func(l *record.Event) { l.RetryAfterMs, l.Attempts = f.RetryAfterMs, f.Attempts })
 	if f.Outcome != kserve.Served && (f.Outcome == kserve.Rejected || c.wish.Idempotent) {
 		ticket := f.RetryTicket
 		if !c.wish.HonoursRetryAfter {
@@ -106,7 +106,7 @@
 	}
 	c.over = true
 	delete(c.d.open, c)
-	c.put(record.Cut, why, nil)
+	c.put(record.ConnectionLost, why, nil)
 	if strings.HasPrefix(why, "unreached") || c.wish.Idempotent {
 		c.again(0, "")
 	}
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -23,7 +23,7 @@
 		}
 		lost := w.skipList
 		if w.skipList = false; lost {
-			w.put(record.Line{What: record.Note, Word: "a push of the list is lost"})
+			w.put(record.Event{Kind: record.Note, Detail: "a push of the list is lost"})
 		}
 		for _, d := range w.dispatchers {
 			if lost { // the gap is noticed by the next beat, and the whole list asked for
@@ -48,7 +48,7 @@
 	known := maps.Clone(d.known)
 	known[missed.Name] = missed
 	lines := slices.DeleteFunc(byName(known), func(l boxlist.Endpoint) bool { return l.State == boxlist.Removed })
-	d.w.put(record.Line{What: record.Told, Dispatcher: d.name, Box: missed.Name, Word: missed.State, Start: missed.Incarnation})
+	d.w.put(record.Event{Kind: record.EndpointNotified, Dispatcher: d.name, Backend: missed.Name, Detail: missed.State, StartID: missed.Incarnation})
 	d.hear(lines, true)
 }
 
@@ -59,7 +59,7 @@
 	for _, l := range lines {
 		d.known[l.Name] = l
 		if !whole {
-			d.w.put(record.Line{What: record.Told, Dispatcher: d.name, Box: l.Name, Word: l.State, Start: l.Incarnation})
+			d.w.put(record.Event{Kind: record.EndpointNotified, Dispatcher: d.name, Backend: l.Name, Detail: l.State, StartID: l.Incarnation})
 		}
 	}
 	d.do(func() { d.loop.UpdateBackends(lines, whole) })
--- a/internal/fleet/dispatcher.go
+++ b/internal/fleet/dispatcher.go
@@ -38,10 +38,10 @@
 	file := setup.DefaultDispatcherConfig()
 	file.Deployment = w.day.Deployment
 	file.Instance.Name, file.Instance.Index, file.Instance.FleetSize = d.name, d.number, len(w.dispatchers)
-	file.Instance.FleetSize = max(w.day.Head.Dispatchers, 1)
+	file.Instance.FleetSize = max(w.day.Header.Dispatchers, 1)
 	file.Instance.Zone = w.day.Zones[d.number%len(w.day.Zones)]
 	d.starts++
-	seed := w.day.Head.Seed*1000 + uint64(d.number) + 1 + uint64(d.starts-1)*7919
+	seed := w.day.Header.Seed*1000 + uint64(d.number) + 1 + uint64(d.starts-1)*7919
 	facts := file.SchedulerParameters()
 	loop, err := dispatch.NewLoop(facts, seed, dispatch.Resolver{ZoneNumber: file.ZoneIndex, KindNumber: file.KindIndex}, (*transport)(d), func() time.Duration { return w.now },
 		fmt.Sprintf("%s.%d", d.name, d.starts), slog.New(slog.NewTextHandler(io.Discard, nil)))
@@ -64,7 +64,7 @@
 	d.budgets()
 	d.open, d.of = map[*client]bool{}, map[*dispatch.ClientRequest]*client{}
 	d.known = map[string]boxlist.Endpoint{}
-	w.put(record.Line{What: record.Up, Dispatcher: d.name})
+	w.put(record.Event{Kind: record.ProcessStarted, Dispatcher: d.name})
 	if kept != nil {
 		d.hear(byName(kept), true)
 	}
@@ -102,7 +102,7 @@
 // kill ends a dispatcher outright; its clients notice at once, the front after a while.
 func (d *dispatcher) kill() {
 	w := d.w
-	w.put(record.Line{What: record.Down, Dispatcher: d.name, Word: "killed"})
+	w.put(record.Event{Kind: record.ProcessEnded, Dispatcher: d.name, Detail: "killed"})
 	d.up = false
 	open := make([]*client, 0, len(d.open))
 	for c := range d.open {
@@ -124,5 +124,5 @@
 			t.closed()
 		}
 	}
-	w.after(w.day.Head.FrontNotice.Std(), func() { d.front = d.front && d.up })
+	w.after(w.day.Header.LoadBalancerNotice.Std(), func() { d.front = d.front && d.up })
 }
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -10,10 +10,10 @@
 	"sloetrestle/internal/record"
 )
 
-func (w *world) hit(t day.Trouble) []*backend {
+func (w *world) hit(t day.Fault) []*backend {
 	var hit []*backend
 	for _, b := range w.order {
-		if slices.ContainsFunc(t.Boxes, func(n string) bool { return n == b.make.Name || n == b.make.Kind }) {
+		if slices.ContainsFunc(t.Backends, func(n string) bool { return n == b.make.Name || n == b.make.Kind }) {
 			hit = append(hit, b)
 		}
 	}
@@ -22,9 +22,9 @@
 
 // inject begins a fault and sets its end. Those of the requests themselves are in the plan; those of single addresses
 // have no meaning without sockets.
-func (w *world) inject(t day.Trouble) {
-	w.put(record.Line{What: record.Note, Word: t.Kind + " begins"})
-	hit, length, notice := w.hit(t), t.Length.Std(), w.day.List.Notice.Std()
+func (w *world) inject(t day.Fault) {
+	w.put(record.Event{Kind: record.Note, Detail: t.Kind + " begins"})
+	hit, length, notice := w.hit(t), t.Duration.Std(), w.day.Discovery.NoticeDelay.Std()
 	each := func(do func(*backend)) {
 		for _, b := range hit {
 			do(b)
@@ -42,22 +42,25 @@
 	later := func(do func()) { w.after(length, do) }
 	switch t.Kind {
 	case "slow":
-		each(func(b *backend) { b.engine.Slow = t.Size })
-		later(func() { each(func(b *backend) { b.engine.Slow = 0 }) })
+		each(func(b *backend) { b.engine.Slowdown = t.Factor })
+		later(func() { each(func(b *backend) { b.engine.Slowdown = 0 }) })
 	case "neighbour":
-		each(func(b *backend) { b.engine.Neighbour = t.Share })
-		later(func() { each(func(b *backend) { b.engine.Neighbour = 0 }) })
+		each(func(b *backend) { b.engine.NeighbourShare = t.Share })
+		later(func() { each(func(b *backend) { b.engine.NeighbourShare = 0 }) })
 	case "ageing":
-		each(func(b *backend) { b.engine.Age(w.now, t.Share) })
+		each(func(b *backend) { b.engine.SetAgingRate(w.now, t.Share) })
 		later(func() {
-			each(func(b *backend) { b.kill("aged"); w.publish(b, boxlist.Removed, w.day.List.Silent.Std()) })
+			each(func(b *backend) {
+				b.kill("aged")
+				w.publish(b, boxlist.Removed, w.day.Discovery.FailureNoticeDelay.Std())
+			})
 			w.after(2*time.Second, back)
 		})
 	case "evict_fresh":
 		each(func(b *backend) { b.engine.EvictFresh = true })
 		later(func() { each(func(b *backend) { b.engine.EvictFresh = false }) })
 	case "failing", "grade_failing":
-		each(func(b *backend) { b.fail, b.failOf = t.Share, t.Grade })
+		each(func(b *backend) { b.fail, b.failOf = t.Share, t.Class })
 		later(func() { each(func(b *backend) { b.fail = 0 }) })
 	case "hang":
 		each(func(b *backend) { b.hang = true })
@@ -78,7 +81,7 @@
 		})
 		later(func() { each(func(b *backend) { b.kill("replaced"); w.publish(b, boxlist.Removed, notice) }) })
 	case "connect_late":
-		w.lateShare, w.lateBy = t.Share, t.By.Std()
+		w.lateShare, w.lateBy = t.Share, t.Delay.Std()
 		later(func() { w.lateShare = 0 })
 	case "list_down":
 		w.downList = w.now + length
@@ -86,11 +89,11 @@
 		w.skipList = true
 	case "no_cancel", "leave", "give_up", "burst", "shared_text", "long_prompts": // of the boxes' make, or of the questions' plan
 	case "forget":
-		each(func(b *backend) { b.engine.Forget() })
+		each(func(b *backend) { b.engine.DropCache() })
 	case "crash":
 		each(func(b *backend) {
 			b.kill("crashed")
-			if silent := w.day.List.Silent.Std(); length > silent {
+			if silent := w.day.Discovery.FailureNoticeDelay.Std(); length > silent {
 				w.publish(b, boxlist.Removed, silent)
 			}
 		})
@@ -105,10 +108,10 @@
 			w.after(time.Second, back)
 		})
 	case "list_stale":
-		w.lateList = t.By.Std()
+		w.lateList = t.Delay.Std()
 		later(func() { w.lateList = 0 })
 	case "link_slow":
-		w.slowLink = t.Size
+		w.slowLink = t.Factor
 		later(func() { w.slowLink = 1 })
 	case "kill_dispatcher":
 		for _, n := range t.Dispatchers {
@@ -121,10 +124,10 @@
 			}
 		})
 	default: // of sockets and processes
-		w.put(record.Line{What: record.Note, Word: t.Kind + " is not played here"})
+		w.put(record.Event{Kind: record.Note, Detail: t.Kind + " is not played here"})
 	}
 	if !strings.HasPrefix(t.Kind, "address_") {
-		later(func() { w.put(record.Line{What: record.Note, Word: t.Kind + " ends"}) })
+		later(func() { w.put(record.Event{Kind: record.Note, Detail: t.Kind + " ends"}) })
 	}
 }
 
