--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -42,12 +42,12 @@
 }
 
 // Play plays a day with a policy: "module", or one of the baselines.
-func Play(d day.Day, policy string) (Outcome, error) {
-	return PlayLines(d, policy, nil)
+func Play(d day.Scenario, policy string) (Outcome, error) {
+	return PlayWithRecords(d, policy, nil)
 }
 
 // PlayLines does the same and hands on each line of the record.
-func PlayLines(d day.Day, policy string, each func(record.Line)) (Outcome, error) {
+func PlayWithRecords(d day.Scenario, policy string, each func(record.Event)) (Outcome, error) {
 	w, err := newWorld(d, policy, each)
 	if err != nil {
 		return Outcome{}, err
@@ -56,9 +56,9 @@
 }
 
 // newWorld makes backends, discovery and dispatchers, and clients that will ask.
-func newWorld(d day.Day, policy string, each func(record.Line)) (*world, error) {
+func newWorld(d day.Scenario, policy string, each func(record.Event)) (*world, error) {
 	w := &world{
-		day: d, policy: policy, rng: rand.New(rand.NewPCG(d.Head.Seed, 77)), boxes: map[string]*backend{}, byID: map[uint32]*backend{}, each: each,
+		day: d, policy: policy, rng: rand.New(rand.NewPCG(d.Header.Seed, 77)), boxes: map[string]*backend{}, byID: map[uint32]*backend{}, each: each,
 		slowLink: 1, lent: map[string]float64{}, racks: map[string]time.Duration{}, sum: xxhash.New(), seen: map[string]time.Duration{},
 		reads: map[string]*[2]float64{}, wishes: d.Plan(),
 	}
@@ -71,8 +71,8 @@
 	for i := range w.wishes {
 		w.at(w.wishes[i].SubmitAt, func() { w.ask(&w.wishes[i], 0, "") })
 	}
-	for _, t := range d.Troubles {
-		w.at(t.At.Std(), func() { w.inject(t) })
+	for _, t := range d.Faults {
+		w.at(t.Start.Std(), func() { w.inject(t) })
 	}
 	return w, nil
 }
@@ -80,10 +80,10 @@
 // play runs the day to its end.
 func (w *world) play() Outcome {
 	d := w.day
-	w.run(d.Head.Length.Std() + tail)
-	head := record.Head{Day: d.Head.Name, Seed: d.Head.Seed, Terms: d.Deployment}
+	w.run(d.Header.Duration.Std() + tail)
+	head := record.Header{Scenario: d.Header.Name, Seed: d.Header.Seed, Terms: d.Deployment}
 	out := Outcome{
-		Verdict: judge.Judge(head, w.lines), Digest: fmt.Sprintf("%x", w.sum.Sum64()), Questions: len(w.wishes), Engines: map[string]engine.Counts{},
+		Verdict: judge.Check(head, w.lines), Digest: fmt.Sprintf("%x", w.sum.Sum64()), Questions: len(w.wishes), Engines: map[string]engine.Counts{},
 	}
 	out.Share, out.Asked, out.Again = judge.Timeline(head, w.lines)
 	out.Budgets = w.used()
@@ -99,14 +99,14 @@
 const tail = 40 * time.Second
 
 type world struct {
-	day    day.Day
+	day    day.Scenario
 	policy string
 	now    time.Duration
 	events agenda.Queue
 	rng    *rand.Rand
 	wishes []standin.Request
-	lines  []record.Line
-	each   func(record.Line)
+	lines  []record.Event
+	each   func(record.Event)
 	sum    hash.Hash64
 
 	boxes       map[string]*backend // by name
@@ -124,7 +124,7 @@
 	reads       map[string]*[2]float64   // tokens left to read by grade: sum and number
 	starts      uint64
 	lent        map[string]float64 // what keepers have made durable
-	purses      []*budget.Purse
+	purses      []*budget.LocalBudget
 }
 
 func (w *world) at(at time.Duration, do func()) {
@@ -137,10 +137,10 @@
 	w.events.RunUntil(until, func(at time.Duration) { w.now = at })
 }
 
-func (w *world) put(l record.Line) {
-	l.At = w.now.Microseconds()
+func (w *world) put(l record.Event) {
+	l.TimeUs = w.now.Microseconds()
 	w.lines = append(w.lines, l)
-	fmt.Fprintf(w.sum, "%d %s %s %s %s %s %d %s\n", l.At, l.What, l.Box, l.Try, l.Word, l.Key, l.Trip, l.Dispatcher)
+	fmt.Fprintf(w.sum, "%d %s %s %s %s %s %d %s\n", l.TimeUs, l.Kind, l.Backend, l.Try, l.Detail, l.RequestKey, l.Attempt, l.Dispatcher)
 	if w.each != nil {
 		w.each(l)
 	}
@@ -148,13 +148,13 @@
 
 // build makes backends, list and dispatchers.
 func (w *world) build() error {
-	for _, m := range w.day.Makes() {
-		if err := m.Engine.Check(); err != nil {
+	for _, m := range w.day.BackendSpecs() {
+		if err := m.Engine.Validate(); err != nil {
 			return fmt.Errorf("box %s: %w", m.Name, err)
 		}
 		w.publish(w.add(m, false), boxlist.Ready, 0)
 	}
-	for i := range w.day.Head.Dispatchers {
+	for i := range w.day.Header.Dispatchers {
 		d := &dispatcher{w: w, number: i, name: fmt.Sprintf("d%d", i)}
 		w.dispatchers = append(w.dispatchers, d)
 		if err := d.boot(nil); err != nil {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,7 +10,7 @@
 	"sloetrestle/internal/setup"
 )
 
-func load(t testing.TB, name string) day.Day {
+func load(t testing.TB, name string) day.Scenario {
 	t.Helper()
 	raw, err := os.ReadFile("../../examples/" + name + ".toml")
 	if err != nil {
@@ -32,7 +32,7 @@
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
-		if !out.Kept() || out.Tries < 100 || out.Effects < 100 {
+		if !out.Passed() || out.Tries < 100 || out.Effects < 100 {
 			t.Errorf("%s: %d tries, %d effects\n%s", name, out.Tries, out.Effects, out.Text())
 		}
 	}
@@ -50,7 +50,7 @@
 		}
 		digests = append(digests, out.Digest)
 	}
-	d.Head.Seed++
+	d.Header.Seed++
 	other, err := Play(d, "module")
 	if err != nil {
 		t.Fatal(err)
@@ -67,7 +67,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !out.Kept() || out.Service < 0.5 {
+		if !out.Passed() || out.ValueShare < 0.5 {
 			t.Errorf("%s\n%s", name, out.Text())
 		}
 	}
@@ -79,17 +79,17 @@
 // Load that comes to 2.5 times what the engines can do must end: once it has passed, questions are satisfied again.
 func TestTheFleetComesBackAfterAnOverload(t *testing.T) {
 	d := load(t, "quiet")
-	d.Head.Length, d.Head.PerS = setup.Duration(40e9), 60
-	d.Troubles = []day.Trouble{{Kind: "burst", At: setup.Duration(5e9), Length: setup.Duration(10e9), Size: 6}}
+	d.Header.Duration, d.Header.RequestsPerSecond = setup.Duration(40e9), 60
+	d.Faults = []day.Fault{{Kind: "burst", Start: setup.Duration(5e9), Duration: setup.Duration(10e9), Factor: 6}}
 	out, err := Play(d, "module")
 	if err != nil {
 		t.Fatal(err)
 	}
 	lost := 0
-	for _, r := range out.Rows {
-		lost += r.Declined + r.Forfeited + r.Late
+	for _, r := range out.Classes {
+		lost += r.Rejected + r.Failed + r.Late
 	}
-	if !out.Kept() || lost == 0 || out.Service < 0.4 {
+	if !out.Passed() || lost == 0 || out.ValueShare < 0.4 {
 		t.Errorf("%d were not satisfied in time\n%s", lost, out.Text())
 	}
 }
@@ -101,9 +101,9 @@
 func benchmark(b *testing.B, times float64, dispatchers int) {
 	d := load(b, "quiet")
 	for i, n := range []float64{13, 15, 3} {
-		d.Boxes[i].Count = int(n * times)
+		d.Backends[i].Count = int(n * times)
 	}
-	d.Head.PerS, d.Head.Dispatchers = 100*times, dispatchers
+	d.Header.RequestsPerSecond, d.Header.Dispatchers = 100*times, dispatchers
 	b.ReportAllocs()
 	questions := 0
 	for b.Loop() {
--- a/internal/fleet/release_test.go
+++ b/internal/fleet/release_test.go
@@ -14,7 +14,7 @@
 
 // release is a day on which six in ten backends are replaced within 7 s by ones in slow start, played by so many dispatchers.
 // What a backend was asked goes on there when its client has gone.
-func release(t testing.TB, dispatchers int, seed uint64) day.Day {
+func release(t testing.TB, dispatchers int, seed uint64) day.Scenario {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/release.toml")
 	if err != nil {
@@ -24,17 +24,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Head.Dispatchers, d.Head.Seed = dispatchers, seed
-	whole := d.Head.Length
-	d.Troubles = []day.Trouble{
-		{Kind: "no_cancel", At: 0, Length: whole, Boxes: []string{"prefill"}},
-		{Kind: "burst", At: 0, Length: setup.Duration(7 * time.Second), Size: 0.5}, // half the load, while caches fill
-		{Kind: "give_up", At: setup.Duration(9 * time.Second), Length: setup.Duration(16 * time.Second), Share: 0.4, Size: 0.5},
-		{Kind: "connect_late", At: 0, Length: whole, Share: 0.02, By: setup.Duration(time.Second)},
+	d.Header.Dispatchers, d.Header.Seed = dispatchers, seed
+	whole := d.Header.Duration
+	d.Faults = []day.Fault{
+		{Kind: "no_cancel", Start: 0, Duration: whole, Backends: []string{"prefill"}},
+		{Kind: "burst", Start: 0, Duration: setup.Duration(7 * time.Second), Factor: 0.5}, // half the load, while caches fill
+		{Kind: "give_up", Start: setup.Duration(9 * time.Second), Duration: setup.Duration(16 * time.Second), Share: 0.4, Factor: 0.5},
+		{Kind: "connect_late", Start: 0, Duration: whole, Share: 0.02, Delay: setup.Duration(time.Second)},
 	}
 	var batches [2][]string
-	for _, kind := range d.Boxes {
-		for i, name := range d.NamesOf(kind.Kind) {
+	for _, kind := range d.Backends {
+		for i, name := range d.BackendNames(kind.Kind) {
 			if place := i % 10; place < 6 {
 				batches[place%2] = append(batches[place%2], name)
 			}
@@ -42,7 +42,7 @@
 	}
 	for i, names := range batches {
 		at := 9*time.Second + time.Duration(i)*3500*time.Millisecond
-		d.Troubles = append(d.Troubles, day.Trouble{Kind: "replace", At: setup.Duration(at), Length: setup.Duration(6 * time.Second), Boxes: names})
+		d.Faults = append(d.Faults, day.Fault{Kind: "replace", Start: setup.Duration(at), Duration: setup.Duration(6 * time.Second), Backends: names})
 	}
 	return d
 }
@@ -63,7 +63,7 @@
 // slowStart is what a backend was sent since it started.
 type slowStart struct {
 	began int64
-	calls []record.Line
+	calls []record.Event
 }
 
 // offence looks for a window of the rule in which the backend got more calls than it may, from the whole fleet: as many of mean
@@ -76,13 +76,13 @@
 	}
 	first := 0
 	for i, c := range s.calls {
-		if c.At-s.began > ramp {
+		if c.TimeUs-s.began > ramp {
 			break
 		}
-		for s.calls[first].At <= c.At-window.Microseconds() {
+		for s.calls[first].TimeUs <= c.TimeUs-window.Microseconds() {
 			first++
 		}
-		warm := rules.SlowStartShare + (1-rules.SlowStartShare)*float64(s.calls[first].At-s.began)/float64(ramp)
+		warm := rules.SlowStartShare + (1-rules.SlowStartShare)*float64(s.calls[first].TimeUs-s.began)/float64(ramp)
 		n := rules.SlowStartMultiple * warm * window.Seconds() / work
 		if calls, most = float64(i-first+1), n+2*math.Sqrt(n)+2; n < 30 {
 			most = n + 3*math.Sqrt(n) + 3
@@ -95,7 +95,7 @@
 }
 
 // checkSlowStarts holds every backend in slow start to its calls.
-func (got dayValue) checkSlowStarts(t *testing.T, d day.Day) {
+func (got dayValue) checkSlowStarts(t *testing.T, d day.Scenario) {
 	t.Helper()
 	looked := 0
 	for name, s := range got.starts {
@@ -117,7 +117,7 @@
 	for calls, offends := range map[int]bool{16: false, 17: true} {
 		s := &slowStart{began: 1e6}
 		for i := range calls {
-			s.calls = append(s.calls, record.Line{At: 1e6 + int64(i)*1e5, Work: 0.4})
+			s.calls = append(s.calls, record.Event{TimeUs: 1e6 + int64(i)*1e5, Work: 0.4})
 		}
 		if _, _, found := s.offence(rules); found != offends {
 			t.Errorf("%d calls: found %v", calls, found)
@@ -127,40 +127,40 @@
 
 // measure plays a day and weighs what its clients got: a request's value is its class's for each token, all of it for a first
 // token by the latency target, counted from the first time that the client asked.
-func measure(t *testing.T, d day.Day, policy string) (dayValue, Outcome) {
+func measure(t *testing.T, d day.Scenario, policy string) (dayValue, Outcome) {
 	t.Helper()
 	got := dayValue{classes: map[string]*value{}}
 	for _, g := range d.Classes {
 		got.classes[g.Name] = &value{}
 	}
-	count := func(l record.Line, add func(*value, float64)) {
-		third := min(int(3*time.Duration(l.At)*time.Microsecond/d.Head.Length.Std()), 2)
-		for _, v := range []*value{&got.all, &got.thirds[third], got.classes[l.Grade]} {
-			add(v, d.Classes[d.ClassIndex(l.Grade)].Value*float64(l.Tokens))
+	count := func(l record.Event, add func(*value, float64)) {
+		third := min(int(3*time.Duration(l.TimeUs)*time.Microsecond/d.Header.Duration.Std()), 2)
+		for _, v := range []*value{&got.all, &got.thirds[third], got.classes[l.Class]} {
+			add(v, d.Classes[d.ClassIndex(l.Class)].Value*float64(l.Tokens))
 		}
 	}
-	asked, served, of := map[string]record.Line{}, map[string]bool{}, map[string]string{}
+	asked, served, of := map[string]record.Event{}, map[string]bool{}, map[string]string{}
 	got.starts = map[string]*slowStart{}
-	out, err := PlayLines(d, policy, func(l record.Line) {
-		switch l.What {
-		case record.Up:
-			if l.Cold {
-				got.starts[l.Box] = &slowStart{began: l.At}
+	out, err := PlayWithRecords(d, policy, func(l record.Event) {
+		switch l.Kind {
+		case record.ProcessStarted:
+			if l.SlowStart {
+				got.starts[l.Backend] = &slowStart{began: l.TimeUs}
 			}
-		case record.Trip:
-			if s := got.starts[l.Box]; s != nil {
+		case record.AttemptReceived:
+			if s := got.starts[l.Backend]; s != nil {
 				s.calls = append(s.calls, l)
 			}
-		case record.Asked:
-			of[l.Try] = l.Question
-			if _, known := asked[l.Question]; !known {
-				asked[l.Question] = l
+		case record.RequestSent:
+			of[l.Try] = l.Request
+			if _, known := asked[l.Request]; !known {
+				asked[l.Request] = l
 				count(l, func(v *value, worth float64) { v.asked += worth })
 			}
-		case record.First:
+		case record.FirstToken:
 			first := asked[of[l.Try]]
-			if !served[first.Question] && l.At-first.At <= first.PromiseUs {
-				served[first.Question] = true
+			if !served[first.Request] && l.TimeUs-first.TimeUs <= first.LatencyTargetUs {
+				served[first.Request] = true
 				count(first, func(v *value, worth float64) { v.served += worth })
 			}
 		}
@@ -169,8 +169,8 @@
 		t.Fatal(err)
 	}
 	t.Logf("%d dispatchers, seed %d, %s: %.3f, thirds %.3f %.3f %.3f, %.2f attempts a request, backends in slow start at %.0f%% of what they bear",
-		d.Head.Dispatchers, d.Head.Seed, policy, got.all.share(), got.thirds[0].share(), got.thirds[1].share(), got.thirds[2].share(),
-		out.Trips, 100*out.ColdWorst)
+		d.Header.Dispatchers, d.Header.Seed, policy, got.all.share(), got.thirds[0].share(), got.thirds[1].share(), got.thirds[2].share(),
+		out.AttemptsPerRequest, 100*out.PeakSlowStartLoad)
 	return got, out
 }
 
@@ -194,13 +194,13 @@
 }
 
 // checkModule plays a day with the module and checks all of it: what is served beside the reference, slow starts, the five rules.
-func checkModule(t *testing.T, d day.Day, reference dayValue) dayValue {
+func checkModule(t *testing.T, d day.Scenario, reference dayValue) dayValue {
 	t.Helper()
 	got, out := measure(t, d, "module")
 	got.enough(t, reference)
 	got.checkSlowStarts(t, d)
-	if !out.Kept() {
-		t.Errorf("%d dispatchers\n%s", d.Head.Dispatchers, out.Text())
+	if !out.Passed() {
+		t.Errorf("%d dispatchers\n%s", d.Header.Dispatchers, out.Text())
 	}
 	return got
 }
--- a/internal/fleet/trouble_test.go
+++ b/internal/fleet/trouble_test.go
@@ -12,22 +12,24 @@
 // A trouble that does nothing makes a day that keeps the rules show nothing: each kind that has a meaning without sockets must
 // leave its mark in the record.
 func TestTroublesStrikeInVirtualTime(t *testing.T) {
-	for kind, struck := range map[string]func(l record.Line) bool{
-		"crash_after_read": func(l record.Line) bool { return l.What == record.Down && l.Word == "crashed after reading" },
-		"reset_running":    func(l record.Line) bool { return l.What == record.End && l.Stage != "read" && l.Word == "broke" },
-		"list_down":        func(l record.Line) bool { return l.What == record.Note && l.Word == "list_down ends" },
-		"list_gap":         func(l record.Line) bool { return l.What == record.Note && l.Word == "a push of the list is lost" },
-		"stop_dispatcher": func(l record.Line) bool {
-			return l.What == record.Note && l.Word == "stop_dispatcher is not played here"
+	for kind, struck := range map[string]func(l record.Event) bool{
+		"crash_after_read": func(l record.Event) bool { return l.Kind == record.ProcessEnded && l.Detail == "crashed after reading" },
+		"reset_running": func(l record.Event) bool {
+			return l.Kind == record.AttemptEnded && l.Phase != "read" && l.Detail == "broke"
+		},
+		"list_down": func(l record.Event) bool { return l.Kind == record.Note && l.Detail == "list_down ends" },
+		"list_gap":  func(l record.Event) bool { return l.Kind == record.Note && l.Detail == "a push of the list is lost" },
+		"stop_dispatcher": func(l record.Event) bool {
+			return l.Kind == record.Note && l.Detail == "stop_dispatcher is not played here"
 		},
 	} {
 		d := load(t, "quiet")
-		d.Troubles = []day.Trouble{
-			{Kind: kind, At: setup.Duration(2 * time.Second), Length: setup.Duration(3 * time.Second), Boxes: []string{"reader", "writer"}, Share: 0.3, Dispatchers: []int{0}},
-			{Kind: "drain", At: setup.Duration(2500 * time.Millisecond), Length: setup.Duration(time.Second), Boxes: []string{"writer-2"}},
+		d.Faults = []day.Fault{
+			{Kind: kind, Start: setup.Duration(2 * time.Second), Duration: setup.Duration(3 * time.Second), Backends: []string{"reader", "writer"}, Share: 0.3, Dispatchers: []int{0}},
+			{Kind: "drain", Start: setup.Duration(2500 * time.Millisecond), Duration: setup.Duration(time.Second), Backends: []string{"writer-2"}},
 		}
 		n := 0
-		out, err := PlayLines(d, "module", func(l record.Line) {
+		out, err := PlayWithRecords(d, "module", func(l record.Event) {
 			if struck(l) {
 				n++
 			}
@@ -35,7 +37,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if n == 0 || !out.Kept() {
+		if n == 0 || !out.Passed() {
 			t.Errorf("%s struck %d times\n%s", kind, n, out.Text())
 		}
 	}
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -21,9 +21,9 @@
 
 // trueLoad is the backend's true state now.
 func (b *backend) trueLoad(now time.Duration) baseline.Load {
-	report, speed := b.engine.Report(), b.engine.Speed(now)
+	report, speed := b.engine.LoadReport(), b.engine.Speed(now)
 	return baseline.Load{
-		Up: b.up && !b.hang, Rate: b.make.Engine.ReadPerS * speed, Backlog: report["x1"] * 1000, Streams: report["util"] / speed,
+		Up: b.up && !b.hang, Rate: b.make.Engine.PrefillTokensPerSecond * speed, Backlog: report["x1"] * 1000, Streams: report["util"] / speed,
 	}
 }
 
@@ -34,7 +34,7 @@
 	b := v.w.byID[h.ID]
 	load := b.seen
 	if h.Role == brain.RolePrefill {
-		load.Cached = float64(b.engine.KeptFor(&engine.Job{Session: q.SessionKey, Shared: q.PrefixKey, Prompt: int(q.PromptTokens), Prefix: int(q.PrefixTokens)}))
+		load.Cached = float64(b.engine.KeptFor(&engine.Job{Session: q.SessionKey, SharedPrefix: q.PrefixKey, PromptTokens: int(q.PromptTokens), PrefixTokens: int(q.PrefixTokens)}))
 	}
 	return load
 }
--- a/internal/judge/account.go
+++ b/internal/judge/account.go
@@ -8,43 +8,43 @@
 )
 
 // Cost is what trips cost a box.
-type Cost struct {
-	Trips  int `json:"trips"`
-	Read   int `json:"read_tokens"`
-	Kept   int `json:"kept_tokens"`
-	Answer int `json:"answer_tokens"`
+type Usage struct {
+	Attempts      int `json:"trips"`
+	PrefillTokens int `json:"read_tokens"`
+	CachedTokens  int `json:"kept_tokens"`
+	AnswerTokens  int `json:"answer_tokens"`
 }
 
-func (c *Cost) add(o Cost) {
-	c.Trips, c.Read, c.Kept, c.Answer = c.Trips+o.Trips, c.Read+o.Read, c.Kept+o.Kept, c.Answer+o.Answer
+func (c *Usage) add(o Usage) {
+	c.Attempts, c.PrefillTokens, c.CachedTokens, c.AnswerTokens = c.Attempts+o.Attempts, c.PrefillTokens+o.PrefillTokens, c.CachedTokens+o.CachedTokens, c.AnswerTokens+o.AnswerTokens
 }
 
 // Counted sums what the boxes counted, by box.
-func Counted(lines []record.Line) map[string]Cost {
-	out := map[string]Cost{}
+func UsageByBackend(lines []record.Event) map[string]Usage {
+	out := map[string]Usage{}
 	for _, l := range lines {
-		if l.What == record.Counted {
-			c := out[l.Box]
-			c.add(Cost{1, l.Tokens, l.Kept, l.Answer})
-			out[l.Box] = c
+		if l.Kind == record.UsageCounted {
+			c := out[l.Backend]
+			c.add(Usage{1, l.Tokens, l.CachedTokens, l.AnswerTokens})
+			out[l.Backend] = c
 		}
 	}
 	return out
 }
 
 // Accounts judges that ledgers say of each box just what it counted itself.
-func Accounts(lines []record.Line, ledgers map[string]Cost) (r Rule, sum Cost) {
+func CheckUsage(lines []record.Event, ledgers map[string]Usage) (r Rule, sum Usage) {
 	r.Name = "the ledgers' totals are the boxes' counts"
-	boxes := Counted(lines)
+	boxes := UsageByBackend(lines)
 	names := maps.Clone(ledgers)
 	maps.Copy(names, boxes)
 	for _, box := range slices.Sorted(maps.Keys(names)) {
 		sum.add(boxes[box])
-		r.Checked += boxes[box].Trips
+		r.Checked += boxes[box].Attempts
 		if boxes[box] != ledgers[box] {
 			r.offence("%s counted %+v, the ledgers have %+v", box, boxes[box], ledgers[box])
 		}
 	}
-	r.Kept = r.Broken == 0
+	r.Passed = r.ViolationCount == 0
 	return r, sum
 }
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -30,86 +30,86 @@
 
 // Rule is one rule's verdict.
 type Rule struct {
-	Name     string   `json:"name"`
-	Kept     bool     `json:"kept"`
-	Checked  int      `json:"checked"`
-	Broken   int      `json:"broken"`
-	Offences []string `json:"offences,omitempty"`
+	Name           string   `json:"name"`
+	Passed         bool     `json:"kept"`
+	Checked        int      `json:"checked"`
+	ViolationCount int      `json:"broken"`
+	Violations     []string `json:"offences,omitempty"`
 }
 
 func (r *Rule) offence(format string, args ...any) {
-	r.Broken++
-	if len(r.Offences) < mostFound {
-		r.Offences = append(r.Offences, fmt.Sprintf(format, args...))
+	r.ViolationCount++
+	if len(r.Violations) < mostFound {
+		r.Violations = append(r.Violations, fmt.Sprintf(format, args...))
 	}
 }
 
 // Row counts the questions of a grade; a client's tries belong to its first.
-type Row struct {
-	Grade     string  `json:"grade"`
-	Asked     int     `json:"asked"`
-	InTime    int     `json:"in_time"`
-	Late      int     `json:"late"`
-	Declined  int     `json:"declined"`
-	Forfeited int     `json:"forfeited"`
-	Quit      int     `json:"quit"`
-	Cut       int     `json:"cut"`
-	Service   float64 `json:"service"`
-	benefit   float64
-	earned    float64
+type ClassRow struct {
+	Class          string  `json:"grade"`
+	Requests       int     `json:"asked"`
+	InTime         int     `json:"in_time"`
+	Late           int     `json:"late"`
+	Rejected       int     `json:"declined"`
+	Failed         int     `json:"forfeited"`
+	ClientLeft     int     `json:"quit"`
+	ConnectionLost int     `json:"cut"`
+	ValueShare     float64 `json:"service"`
+	benefit        float64
+	earned         float64
 }
 
 // Verdict is what a run comes to.
 type Verdict struct {
-	Day       string             `json:"day"`
-	Rules     []Rule             `json:"rules"`
-	Rows      []Row              `json:"grades"`
-	Service   float64            `json:"service"`
-	Trips     float64            `json:"trips_a_question"`
-	FirstP50  float64            `json:"first_token_p50_ms"`
-	FirstP99  float64            `json:"first_token_p99_ms"`
-	Tries     int                `json:"tries"`
-	Notes     []string           `json:"notes,omitempty"`
-	Effects   int                `json:"effects"`
-	ByGrade   map[string]float64 `json:"followers_by_grade"`
-	Followers float64            `json:"followers"` // share satisfied in the end, of clients that follow the advice; -1: there are none
-	Others    float64            `json:"others"`
-	ColdWorst float64            `json:"cold_worst"` // of what a cold box bears, the most that one was sent
-	PinWorst  float64            `json:"pinned_worst_ms"`
-	Cost      *Cost              `json:"cost,omitempty"` // of all trips, as boxes counted it, where the day has ledgers
+	Scenario           string             `json:"day"`
+	Rules              []Rule             `json:"rules"`
+	Classes            []ClassRow         `json:"grades"`
+	ValueShare         float64            `json:"service"`
+	AttemptsPerRequest float64            `json:"trips_a_question"`
+	FirstTokenP50Ms    float64            `json:"first_token_p50_ms"`
+	FirstTokenP99Ms    float64            `json:"first_token_p99_ms"`
+	Tries              int                `json:"tries"`
+	Notes              []string           `json:"notes,omitempty"`
+	Effects            int                `json:"effects"`
+	FollowersByClass   map[string]float64 `json:"followers_by_grade"`
+	Followers          float64            `json:"followers"` // share satisfied in the end, of clients that follow the advice; -1: there are none
+	Others             float64            `json:"others"`
+	PeakSlowStartLoad  float64            `json:"cold_worst"` // of what a cold box bears, the most that one was sent
+	MaxIdleKVCacheMs   float64            `json:"pinned_worst_ms"`
+	Usage              *Usage             `json:"cost,omitempty"` // of all trips, as boxes counted it, where the day has ledgers
 }
 
 // Kept tells whether every rule was kept.
-func (v Verdict) Kept() bool {
-	return !slices.ContainsFunc(v.Rules, func(r Rule) bool { return !r.Kept })
+func (v Verdict) Passed() bool {
+	return !slices.ContainsFunc(v.Rules, func(r Rule) bool { return !r.Passed })
 }
 
 // try is what one try's lines say.
 type try struct {
-	asked          record.Line
-	first, final   *record.Line
+	asked          record.Event
+	first, final   *record.Event
 	finals, extras int
-	quit, cut      *record.Line
+	quit, cut      *record.Event
 	trips          []*trip
-	ran, repeats   []record.Line
+	ran, repeats   []record.Event
 }
 
 type trip struct {
-	record.Line
+	record.Event
 	until int64
 }
 
 // place is the box that a trip reached, and by which address.
 func (t *trip) place() string {
 	if t.Address == "" {
-		return t.Box
+		return t.Backend
 	}
-	return t.Box + " at " + t.Address
+	return t.Backend + " at " + t.Address
 }
 
 type reading struct {
-	head   record.Head
-	lines  []record.Line
+	head   record.Header
+	lines  []record.Event
 	tries  map[string]*try
 	order  []string
 	trips  map[string][]*trip // by key
@@ -120,20 +120,20 @@
 }
 
 // Judge judges a record.
-func Judge(head record.Head, lines []record.Line) Verdict {
+func Check(head record.Header, lines []record.Event) Verdict {
 	rd := read(head, lines)
-	v := Verdict{Day: head.Day, Rules: []Rule{rd.answers(), rd.effects(), rd.drains(), {}, {}}, Tries: len(rd.tries)}
-	v.Rules[3], v.ColdWorst = rd.cold(&v.Notes)
-	v.Rules[4], v.PinWorst = rd.pinned()
+	v := Verdict{Scenario: head.Scenario, Rules: []Rule{rd.answers(), rd.effects(), rd.drains(), {}, {}}, Tries: len(rd.tries)}
+	v.Rules[3], v.PeakSlowStartLoad = rd.cold(&v.Notes)
+	v.Rules[4], v.MaxIdleKVCacheMs = rd.pinned()
 	for i := range v.Rules {
-		v.Rules[i].Kept = v.Rules[i].Broken == 0
+		v.Rules[i].Passed = v.Rules[i].ViolationCount == 0
 	}
 	rd.table(&v)
-	v.Followers, v.Others, v.ByGrade = Followers(lines)
+	v.Followers, v.Others, v.FollowersByClass = ServedByRetryAdvice(lines)
 	return v
 }
 
-func read(head record.Head, lines []record.Line) *reading {
+func read(head record.Header, lines []record.Event) *reading {
 	rd := &reading{
 		head: head, lines: lines, tries: map[string]*try{}, trips: map[string][]*trip{}, downs: map[string][]int64{},
 		ups: map[string][]int64{}, grades: map[string]setup.Class{},
@@ -143,68 +143,68 @@
 	}
 	open := map[string]*trip{}
 	for i, l := range lines {
-		rd.end = max(rd.end, l.At)
-		if l.What == record.Asked {
+		rd.end = max(rd.end, l.TimeUs)
+		if l.Kind == record.RequestSent {
 			rd.tries[l.Try] = &try{asked: l}
 			rd.order = append(rd.order, l.Try)
 		}
 		t := rd.tries[l.Try]
-		at := fmt.Sprintf("%s/%s/%d/%s", l.Box, l.Key, l.Trip, l.Stage)
-		switch l.What {
-		case record.Up:
+		at := fmt.Sprintf("%s/%s/%d/%s", l.Backend, l.RequestKey, l.Attempt, l.Phase)
+		switch l.Kind {
+		case record.ProcessStarted:
 			if l.Dispatcher != "" {
-				rd.ups[l.Dispatcher] = append(rd.ups[l.Dispatcher], l.At)
+				rd.ups[l.Dispatcher] = append(rd.ups[l.Dispatcher], l.TimeUs)
 			}
-		case record.Down:
+		case record.ProcessEnded:
 			if l.Dispatcher != "" {
-				rd.downs[l.Dispatcher] = append(rd.downs[l.Dispatcher], l.At)
+				rd.downs[l.Dispatcher] = append(rd.downs[l.Dispatcher], l.TimeUs)
 			}
-		case record.Trip:
-			tr := &trip{Line: l, until: -1}
+		case record.AttemptReceived:
+			tr := &trip{Event: l, until: -1}
 			// A trip counts from when its bytes had reached the box's machine: what the dispatcher did lies before.
-			if l.Arrived > 0 {
-				tr.At = l.Arrived
+			if l.ArrivedUs > 0 {
+				tr.TimeUs = l.ArrivedUs
 			}
-			if l.Gone > 0 {
-				tr.until = max(l.Gone, tr.At)
+			if l.ClosedUs > 0 {
+				tr.until = max(l.ClosedUs, tr.TimeUs)
 			}
 			open[at] = tr
-			rd.trips[l.Key] = append(rd.trips[l.Key], tr)
+			rd.trips[l.RequestKey] = append(rd.trips[l.RequestKey], tr)
 			if t != nil {
 				t.trips = append(t.trips, tr)
 			}
-		case record.End, record.Closed:
+		case record.AttemptEnded, record.AttemptClosed:
 			if tr := open[at]; tr != nil && tr.until < 0 {
-				tr.until = l.At
+				tr.until = l.TimeUs
 			}
 		}
 		if t == nil {
 			continue
 		}
-		switch l.What {
-		case record.First:
+		switch l.Kind {
+		case record.FirstToken:
 			if t.first == nil {
 				t.first = &lines[i]
 			}
-		case record.Final:
+		case record.FinalAnswer:
 			if t.final == nil {
 				t.final = &lines[i]
 			}
 			t.finals++
-		case record.Extra:
+		case record.AfterFinal:
 			t.extras++
-		case record.Quit:
+		case record.ClientLeft:
 			t.quit = &lines[i]
-		case record.Cut:
+		case record.ConnectionLost:
 			t.cut = &lines[i]
-		case record.Ran:
+		case record.EffectStarted:
 			t.ran = append(t.ran, l)
-		case record.Repeat:
+		case record.DuplicateDropped:
 			t.repeats = append(t.repeats, l)
 		}
 	}
 	for _, trips := range rd.trips {
-		slices.SortStableFunc(trips, func(a, b *trip) int { return cmp.Compare(a.At, b.At) })
+		slices.SortStableFunc(trips, func(a, b *trip) int { return cmp.Compare(a.TimeUs, b.TimeUs) })
 		for _, tr := range trips {
 			if tr.until < 0 {
 				tr.until = rd.end
@@ -228,35 +228,35 @@
 	for _, id := range rd.order {
 		t := rd.tries[id]
 		r.Checked++
-		due := t.asked.At + t.asked.ExpiryUs + slack
+		due := t.asked.TimeUs + t.asked.DeadlineUs + slack
 		if t.finals > 1 || t.extras > 0 {
 			r.offence("try %s: %d final answers, and %d things after one", id, t.finals, t.extras)
 		}
 		switch {
 		case t.final != nil:
-			if t.first != nil && t.first.At > due || t.first == nil && t.final.At > due {
+			if t.first != nil && t.first.TimeUs > due || t.first == nil && t.final.TimeUs > due {
 				seen := t.final
 				if t.first != nil {
 					seen = t.first
 				}
-				r.offence("try %s: answered (%s) %.1f ms after its time of %.0f ms", id, t.final.Word, ms(seen.At-due+slack), ms(t.asked.ExpiryUs))
+				r.offence("try %s: answered (%s) %.1f ms after its time of %.0f ms", id, t.final.Detail, ms(seen.TimeUs-due+slack), ms(t.asked.DeadlineUs))
 			}
 		case t.quit != nil:
 		case t.cut != nil:
-			unreached := strings.HasPrefix(t.cut.Word, "unreached") || strings.HasPrefix(t.cut.Word, "no dispatcher")
-			if !unreached && !rd.fell(t.asked.Dispatcher, t.asked.At, t.cut.At+int64(time.Second/time.Microsecond)) {
-				r.offence("try %s: no final answer of %s, which was up: %s", id, t.asked.Dispatcher, t.cut.Word)
+			unreached := strings.HasPrefix(t.cut.Detail, "unreached") || strings.HasPrefix(t.cut.Detail, "no dispatcher")
+			if !unreached && !rd.fell(t.asked.Dispatcher, t.asked.TimeUs, t.cut.TimeUs+int64(time.Second/time.Microsecond)) {
+				r.offence("try %s: no final answer of %s, which was up: %s", id, t.asked.Dispatcher, t.cut.Detail)
 			}
-		case t.first != nil && rd.end-t.first.At < rd.head.Terms.Limits.StallTimeout.Std().Microseconds(): // still streaming when the record ends
+		case t.first != nil && rd.end-t.first.TimeUs < rd.head.Terms.Limits.StallTimeout.Std().Microseconds(): // still streaming when the record ends
 		default:
-			if !rd.fell(t.asked.Dispatcher, t.asked.At, rd.end) && rd.end > due {
+			if !rd.fell(t.asked.Dispatcher, t.asked.TimeUs, rd.end) && rd.end > due {
 				r.offence("try %s: nothing came of it", id)
 			}
 		}
 		if t.final != nil {
 			for _, tr := range t.trips {
-				if tr.At > t.final.At+afterRoom.Microseconds() {
-					r.offence("try %s: trip %d reached %s %.1f ms after the final answer (%s)", id, tr.Trip, tr.Box, ms(tr.At-t.final.At), t.final.Word)
+				if tr.TimeUs > t.final.TimeUs+afterRoom.Microseconds() {
+					r.offence("try %s: trip %d reached %s %.1f ms after the final answer (%s)", id, tr.Attempt, tr.Backend, ms(tr.TimeUs-t.final.TimeUs), t.final.Detail)
 				}
 			}
 		}
@@ -267,23 +267,23 @@
 // effects judges rule 2: no effect twice, no decline that may lie, never two trips out.
 func (rd *reading) effects() Rule {
 	r := Rule{Name: "2 no effect happens twice"}
-	ran := map[string][]record.Line{}
+	ran := map[string][]record.Event{}
 	for _, id := range rd.order {
 		t := rd.tries[id]
 		r.Checked++
-		g := rd.grades[t.asked.Grade]
-		ran[t.asked.Question] = append(ran[t.asked.Question], t.ran...)
+		g := rd.grades[t.asked.Class]
+		ran[t.asked.Request] = append(ran[t.asked.Request], t.ran...)
 		if g.Effect != "idempotent" && len(t.ran) > 1 {
-			r.offence("try %s (%s): ran %d times, at %s and %s", id, g.Effect, len(t.ran), t.ran[0].Box, t.ran[1].Box)
+			r.offence("try %s (%s): ran %d times, at %s and %s", id, g.Effect, len(t.ran), t.ran[0].Backend, t.ran[1].Backend)
 		}
 		may := g.Effect == "unrepeatable" || g.Effect == "deduplicated" && g.DedupScope != "" && g.DedupScope != "all"
-		if may && t.final != nil && t.final.Word == "declined" && len(t.ran) > 0 {
-			r.offence("try %s (%s): declined, but it ran at %s", id, g.Effect, t.ran[0].Box)
+		if may && t.final != nil && t.final.Detail == "declined" && len(t.ran) > 0 {
+			r.offence("try %s (%s): declined, but it ran at %s", id, g.Effect, t.ran[0].Backend)
 		}
 	}
 	for _, id := range rd.order {
 		t := rd.tries[id]
-		if q := t.asked.Question; rd.grades[t.asked.Grade].Effect == "unrepeatable" && len(ran[q]) > 1 && ran[q][0].Try != ran[q][1].Try {
+		if q := t.asked.Request; rd.grades[t.asked.Class].Effect == "unrepeatable" && len(ran[q]) > 1 && ran[q][0].Try != ran[q][1].Try {
 			r.offence("question %s (unrepeatable): ran for tries %s and %s", q, ran[q][0].Try, ran[q][1].Try)
 			ran[q] = nil
 		}
@@ -292,12 +292,12 @@
 		trips := rd.trips[key]
 		for i, a := range trips {
 			for _, b := range trips[i+1:] {
-				if b.At < a.until-tripsRoom.Microseconds() {
-					r.offence("question %s (try %s): trips %d at %s and %d at %s were out together for %.1f ms", key, a.Try, a.Trip, a.Box,
-						b.Trip, b.Box, ms(min(a.until, b.until)-b.At))
+				if b.TimeUs < a.until-tripsRoom.Microseconds() {
+					r.offence("question %s (try %s): trips %d at %s and %d at %s were out together for %.1f ms", key, a.Try, a.Attempt, a.Backend,
+						b.Attempt, b.Backend, ms(min(a.until, b.until)-b.TimeUs))
 				}
-				if b.Trip == a.Trip {
-					r.offence("question %s (try %s): trip %d reached %s and %s", key, a.Try, a.Trip, a.place(), b.place())
+				if b.Attempt == a.Attempt {
+					r.offence("question %s (try %s): trip %d reached %s and %s", key, a.Try, a.Attempt, a.place(), b.place())
 				}
 			}
 		}
@@ -330,15 +330,15 @@
 	type pair struct{ dispatcher, box string }
 	told := map[pair]int64{}
 	for _, l := range rd.lines {
-		switch l.What {
-		case record.Told:
-			at := pair{l.Dispatcher, l.Box}
-			if l.Word == "ready" {
+		switch l.Kind {
+		case record.EndpointNotified:
+			at := pair{l.Dispatcher, l.Backend}
+			if l.Detail == "ready" {
 				delete(told, at)
 			} else if _, known := told[at]; !known {
-				told[at] = l.At
+				told[at] = l.TimeUs
 			}
-		case record.Up:
+		case record.ProcessStarted:
 			if l.Dispatcher != "" { // a new process was told nothing yet
 				for at := range told {
 					if at.dispatcher == l.Dispatcher {
@@ -346,14 +346,14 @@
 					}
 				}
 			}
-		case record.Trip:
+		case record.AttemptReceived:
 			r.Checked++
-			d := dispatcherOf(l.Key)
-			if l.Arrived > 0 {
-				l.At = l.Arrived
+			d := dispatcherOf(l.RequestKey)
+			if l.ArrivedUs > 0 {
+				l.TimeUs = l.ArrivedUs
 			}
-			if at, known := told[pair{d, l.Box}]; known && l.At > at+grace {
-				r.offence("try %s: %s sent trip %d to %s %.0f ms after it was told that the box drains or is gone", l.Try, d, l.Trip, l.Box, ms(l.At-at))
+			if at, known := told[pair{d, l.Backend}]; known && l.TimeUs > at+grace {
+				r.offence("try %s: %s sent trip %d to %s %.0f ms after it was told that the box drains or is gone", l.Try, d, l.Attempt, l.Backend, ms(l.TimeUs-at))
 			}
 		}
 	}
@@ -369,38 +369,38 @@
 	type start struct {
 		at   int64
 		told map[string]bool
-		sent []record.Line
+		sent []record.Event
 		over bool
 	}
 	now, starts := map[string]*start{}, map[uint64]*start{}
 	for _, l := range rd.lines {
 		switch {
-		case l.What == record.Up && l.Box != "":
-			now[l.Box] = nil
-			if l.Cold {
-				s := &start{at: l.At, told: map[string]bool{}}
-				now[l.Box], starts[l.Start] = s, s
+		case l.Kind == record.ProcessStarted && l.Backend != "":
+			now[l.Backend] = nil
+			if l.SlowStart {
+				s := &start{at: l.TimeUs, told: map[string]bool{}}
+				now[l.Backend], starts[l.StartID] = s, s
 			}
-		case l.What == record.Told && starts[l.Start] != nil:
-			starts[l.Start].told[l.Dispatcher] = true
-		case l.What == record.Trip && now[l.Box] != nil:
-			s := now[l.Box]
-			if l.At-s.at > ramp {
+		case l.Kind == record.EndpointNotified && starts[l.StartID] != nil:
+			starts[l.StartID].told[l.Dispatcher] = true
+		case l.Kind == record.AttemptReceived && now[l.Backend] != nil:
+			s := now[l.Backend]
+			if l.TimeUs-s.at > ramp {
 				continue
 			}
 			r.Checked++
 			s.sent = append(s.sent, l)
-			for s.sent[0].At < l.At-window {
+			for s.sent[0].TimeUs < l.TimeUs-window {
 				s.sent = s.sent[1:]
 			}
 			all, known := 0.0, 0.0
 			for _, x := range s.sent {
 				all += x.Work
-				if s.told[dispatcherOf(x.Key)] {
+				if s.told[dispatcherOf(x.RequestKey)] {
 					known += x.Work
 				}
 			}
-			share := rules.SlowStartShare + (1-rules.SlowStartShare)*float64(l.At-s.at)/float64(ramp)
+			share := rules.SlowStartShare + (1-rules.SlowStartShare)*float64(l.TimeUs-s.at)/float64(ramp)
 			part := all / (rules.SlowStartMultiple * share * rules.SlowStartWindow.Std().Seconds())
 			if known >= toldShare*all {
 				worst = max(worst, part)
@@ -410,10 +410,10 @@
 			}
 			s.over = true
 			if known >= toldShare*all {
-				r.offence("%s, up cold for %.1f s, was sent %.2f s of work in %v, of at most %.2f s", l.Box, ms(l.At-s.at)/1000, all,
+				r.offence("%s, up cold for %.1f s, was sent %.2f s of work in %v, of at most %.2f s", l.Backend, ms(l.TimeUs-s.at)/1000, all,
 					rules.SlowStartWindow.Std(), all/part)
 			} else {
-				*notes = append(*notes, fmt.Sprintf("%s was sent %.2f times what it bears while cold, by dispatchers that were not told of its start", l.Box, part))
+				*notes = append(*notes, fmt.Sprintf("%s was sent %.2f times what it bears while cold, by dispatchers that were not told of its start", l.Backend, part))
 			}
 		}
 	}
@@ -424,33 +424,33 @@
 func (rd *reading) pinned() (r Rule, worst float64) {
 	r.Name = "5 nothing is left pinned"
 	limit := (rd.head.Terms.Rules.KVCacheHoldLimit.Std() + pinRoom).Microseconds()
-	held := map[string]record.Line{}
-	check := func(from record.Line, to int64, how string) {
+	held := map[string]record.Event{}
+	check := func(from record.Event, to int64, how string) {
 		r.Checked++
-		idle, at := int64(0), from.At
-		for _, tr := range rd.trips[from.Key] { // in order of time
-			if tr.At > at {
-				idle = max(idle, min(tr.At, to)-at)
+		idle, at := int64(0), from.TimeUs
+		for _, tr := range rd.trips[from.RequestKey] { // in order of time
+			if tr.TimeUs > at {
+				idle = max(idle, min(tr.TimeUs, to)-at)
 			}
 			at = max(at, min(tr.until, to))
 		}
 		idle = max(idle, to-at)
-		if rd.fell(dispatcherOf(from.Key), from.At-int64(10*time.Second/time.Microsecond), to) {
+		if rd.fell(dispatcherOf(from.RequestKey), from.TimeUs-int64(10*time.Second/time.Microsecond), to) {
 			return // what a killed dispatcher left is freed by the box itself
 		}
 		worst = max(worst, ms(idle))
 		if idle > limit {
-			r.offence("question %s (try %s): its state waited %.0f ms at %s with no trip out, until %s", from.Key, from.Try, ms(idle), from.Box, how)
+			r.offence("question %s (try %s): its state waited %.0f ms at %s with no trip out, until %s", from.RequestKey, from.Try, ms(idle), from.Backend, how)
 		}
 	}
 	for _, l := range rd.lines {
-		at := l.Box + " " + l.Key
-		switch l.What {
-		case record.Held:
+		at := l.Backend + " " + l.RequestKey
+		switch l.Kind {
+		case record.KVCacheHeld:
 			held[at] = l
-		case record.Let:
+		case record.KVCacheReleased:
 			if from, ok := held[at]; ok {
-				check(from, l.At, l.Word)
+				check(from, l.TimeUs, l.Detail)
 				delete(held, at)
 			}
 		}
@@ -463,16 +463,16 @@
 
 // table counts questions and benefit.
 func (rd *reading) table(v *Verdict) {
-	rows := map[string]*Row{}
+	rows := map[string]*ClassRow{}
 	for _, g := range rd.head.Terms.Classes {
-		rows[g.Name] = &Row{Grade: g.Name}
+		rows[g.Name] = &ClassRow{Class: g.Name}
 	}
 	var questions []string
 	tries := map[string][]*try{}
 	trips := 0
 	for _, id := range rd.order {
 		t := rd.tries[id]
-		q := t.asked.Question
+		q := t.asked.Request
 		if tries[q] == nil {
 			questions = append(questions, q)
 		}
@@ -484,7 +484,7 @@
 	for _, q := range questions {
 		all := tries[q]
 		begin, last := all[0], all[len(all)-1]
-		row, g := rows[begin.asked.Grade], rd.grades[begin.asked.Grade]
+		row, g := rows[begin.asked.Class], rd.grades[begin.asked.Class]
 		if row == nil {
 			continue
 		}
@@ -492,44 +492,44 @@
 		if rd.head.Terms.Limits.ValueByWork {
 			worth *= float64(begin.asked.Tokens)
 		}
-		row.Asked++
+		row.Requests++
 		row.benefit += worth
 		switch {
-		case last.final != nil && last.final.Word == "satisfied":
-			came := last.final.At
+		case last.final != nil && last.final.Detail == "satisfied":
+			came := last.final.TimeUs
 			if last.first != nil {
-				came = last.first.At
+				came = last.first.TimeUs
 			}
-			firsts = append(firsts, ms(came-begin.asked.At))
-			if came-begin.asked.At <= begin.asked.PromiseUs {
+			firsts = append(firsts, ms(came-begin.asked.TimeUs))
+			if came-begin.asked.TimeUs <= begin.asked.LatencyTargetUs {
 				row.InTime++
 				row.earned += worth
 			} else {
 				row.Late++
 				row.earned += worth * g.LateValue
 			}
-		case last.final != nil && last.final.Word == "declined":
-			row.Declined++
+		case last.final != nil && last.final.Detail == "declined":
+			row.Rejected++
 		case last.final != nil:
-			row.Forfeited++
+			row.Failed++
 		case last.quit != nil:
-			row.Quit++
+			row.ClientLeft++
 		default:
-			row.Cut++
+			row.ConnectionLost++
 		}
 	}
 	benefit, earned := 0.0, 0.0
 	for _, g := range rd.head.Terms.Classes {
 		row := rows[g.Name]
 		benefit, earned = benefit+row.benefit, earned+row.earned
-		row.Service = row.earned / max(row.benefit, 1e-9)
-		v.Rows = append(v.Rows, *row)
+		row.ValueShare = row.earned / max(row.benefit, 1e-9)
+		v.Classes = append(v.Classes, *row)
 	}
-	v.Service = earned / max(benefit, 1e-9)
-	v.Trips = float64(trips) / float64(max(len(questions), 1))
+	v.ValueShare = earned / max(benefit, 1e-9)
+	v.AttemptsPerRequest = float64(trips) / float64(max(len(questions), 1))
 	slices.SortFunc(firsts, cmp.Compare)
 	if n := len(firsts); n > 0 {
-		v.FirstP50, v.FirstP99 = firsts[n/2], firsts[min(n*99/100, n-1)]
+		v.FirstTokenP50Ms, v.FirstTokenP99Ms = firsts[n/2], firsts[min(n*99/100, n-1)]
 	}
 }
 
@@ -537,29 +537,29 @@
 func (v Verdict) Text() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-14s %6s %8s %6s %9s %10s %6s %5s %8s\n", "grade", "asked", "in time", "late", "declined", "forfeited", "quit", "cut", "service")
-	for _, r := range v.Rows {
-		fmt.Fprintf(&b, "%-14s %6d %8d %6d %9d %10d %6d %5d %8.3f\n", r.Grade, r.Asked, r.InTime, r.Late, r.Declined, r.Forfeited, r.Quit, r.Cut, r.Service)
+	for _, r := range v.Classes {
+		fmt.Fprintf(&b, "%-14s %6d %8d %6d %9d %10d %6d %5d %8.3f\n", r.Class, r.Requests, r.InTime, r.Late, r.Rejected, r.Failed, r.ClientLeft, r.ConnectionLost, r.ValueShare)
 	}
 	fmt.Fprintf(&b, "service %.3f (benefit answered in time over benefit asked for); %.2f trips a question; first token p50 %.0f ms, p99 %.0f ms\n",
-		v.Service, v.Trips, v.FirstP50, v.FirstP99)
+		v.ValueShare, v.AttemptsPerRequest, v.FirstTokenP50Ms, v.FirstTokenP99Ms)
 	if v.Followers >= 0 && v.Others >= 0 {
 		fmt.Fprintf(&b, "satisfied in the end: %.3f of those that follow the advice when to come back, %.3f of the others\n", v.Followers, v.Others)
-		for _, grade := range slices.Sorted(maps.Keys(v.ByGrade)) {
-			fmt.Fprintf(&b, "  of %s %.3f\n", grade, v.ByGrade[grade])
+		for _, grade := range slices.Sorted(maps.Keys(v.FollowersByClass)) {
+			fmt.Fprintf(&b, "  of %s %.3f\n", grade, v.FollowersByClass[grade])
 		}
 	}
-	if c := v.Cost; c != nil {
-		fmt.Fprintf(&b, "boxes counted %d trips, %d tokens read, %d found kept, %d answered\n", c.Trips, c.Read, c.Kept, c.Answer)
+	if c := v.Usage; c != nil {
+		fmt.Fprintf(&b, "boxes counted %d trips, %d tokens read, %d found kept, %d answered\n", c.Attempts, c.PrefillTokens, c.CachedTokens, c.AnswerTokens)
 	}
-	fmt.Fprintf(&b, "cold boxes were sent %.0f%% of what they bear at most; states waited %.0f ms at most with no trip out\n", 100*v.ColdWorst, v.PinWorst)
+	fmt.Fprintf(&b, "cold boxes were sent %.0f%% of what they bear at most; states waited %.0f ms at most with no trip out\n", 100*v.PeakSlowStartLoad, v.MaxIdleKVCacheMs)
 	for _, r := range v.Rules {
 		word := "kept"
-		if !r.Kept {
-			word = fmt.Sprintf("BROKEN %d times", r.Broken)
+		if !r.Passed {
+			word = fmt.Sprintf("BROKEN %d times", r.ViolationCount)
 		}
 		fmt.Fprintf(&b, "rule %-32s %s (%d looked at)\n", r.Name, word, r.Checked)
-		if len(r.Offences) > 0 {
-			fmt.Fprintf(&b, "  first: %s\n", r.Offences[0])
+		if len(r.Violations) > 0 {
+			fmt.Fprintf(&b, "  first: %s\n", r.Violations[0])
 		}
 	}
 	for _, n := range v.Notes {
--- a/internal/judge/timeline.go
+++ b/internal/judge/timeline.go
@@ -8,7 +8,7 @@
 
 // Timeline is, for each second of a run, the share of the questions first asked in it that were answered in their
 // promised time, counted from the first try; and how many were asked, and how many tries came.
-func Timeline(head record.Head, lines []record.Line) (share, asked, tries []float64) {
+func Timeline(head record.Header, lines []record.Event) (share, asked, tries []float64) {
 	type question struct {
 		at, promise int64
 		seen        bool
@@ -23,18 +23,18 @@
 		return int(at / second)
 	}
 	for _, l := range lines {
-		switch l.What {
-		case record.Asked:
-			of[l.Try] = l.Question
-			tries[grow(l.At)]++
-			if first[l.Question] == nil {
-				first[l.Question] = &question{at: l.At, promise: l.PromiseUs}
-				asked[l.At/second]++
+		switch l.Kind {
+		case record.RequestSent:
+			of[l.Try] = l.Request
+			tries[grow(l.TimeUs)]++
+			if first[l.Request] == nil {
+				first[l.Request] = &question{at: l.TimeUs, promise: l.LatencyTargetUs}
+				asked[l.TimeUs/second]++
 			}
-		case record.First:
+		case record.FirstToken:
 			if q := first[of[l.Try]]; q != nil && !q.seen {
 				q.seen = true
-				if l.At-q.at <= q.promise {
+				if l.TimeUs-q.at <= q.promise {
 					share[q.at/second]++
 				}
 			}
@@ -50,7 +50,7 @@
 
 // Recovered tells after how many seconds from back on questions are answered as they were before the outage: in every
 // three seconds from there, at least 95% of that. False: not within the run.
-func Recovered(share, asked []float64, outage, back time.Duration) (float64, bool) {
+func RecoverySeconds(share, asked []float64, outage, back time.Duration) (float64, bool) {
 	from, to := int(outage/time.Second), int(back/time.Second)
 	before, n := 0.0, 0.0
 	for i := 2; i < from && i < len(share); i++ {
@@ -81,7 +81,7 @@
 
 // Followers is the share of questions satisfied in the end, of clients that follow the advice and of the others; of an
 // empty group -1. byGrade has that of the followers.
-func Followers(lines []record.Line) (followers, others float64, byGrade map[string]float64) {
+func ServedByRetryAdvice(lines []record.Event) (followers, others float64, byGrade map[string]float64) {
 	type question struct {
 		follows, done bool
 		grade         string
@@ -89,14 +89,14 @@
 	questions, of := map[string]*question{}, map[string]*question{}
 	for _, l := range lines {
 		switch {
-		case l.What == record.Asked:
-			q := questions[l.Question]
+		case l.Kind == record.RequestSent:
+			q := questions[l.Request]
 			if q == nil {
-				q = &question{grade: l.Grade}
-				questions[l.Question] = q
+				q = &question{grade: l.Class}
+				questions[l.Request] = q
 			}
-			q.follows, of[l.Try] = l.Word == "follows", q
-		case l.What == record.Final && l.Word == "satisfied" && of[l.Try] != nil:
+			q.follows, of[l.Try] = l.Detail == "follows", q
+		case l.Kind == record.FinalAnswer && l.Detail == "satisfied" && of[l.Try] != nil:
 			of[l.Try].done = true
 		}
 	}
--- a/internal/ledger/bill_test.go
+++ b/internal/ledger/bill_test.go
@@ -8,12 +8,12 @@
 )
 
 func trip(key string, n int, box, stage, end string, number uint64, read, kept, answer int) Record {
-	return Record{At: 1000 + int64(n), Trip: &Trip{Box: box, Epoch: "d.1", Number: number, Key: key, Trip: n, Mark: "mark-" + key, Stage: stage, Channel: "web", Grade: "g",
-		Read: read, Kept: kept, Answer: answer, End: end}}
+	return Record{UnixMilli: 1000 + int64(n), Attempt: &Attempt{Backend: box, Epoch: "d.1", Number: number, Key: key, Index: n, RequestID: "mark-" + key, Phase: stage, Tenant: "web", Class: "g",
+		PrefillTokens: read, CachedTokens: kept, OutputTokens: answer, Outcome: end}}
 }
 
 func over(key, final string) Record {
-	return Record{At: 1100, Question: &Question{Key: key, Mark: "mark-" + key, Channel: "web", Grade: "g", Final: final}}
+	return Record{UnixMilli: 1100, Request: &Request{Key: key, RequestID: "mark-" + key, Tenant: "web", Class: "g", Outcome: final}}
 }
 
 // One question whose read broke, was read anew, and written; one that left mid-stream; one that never was answered, at three
@@ -35,7 +35,7 @@
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		s := NewSheet()
+		s := NewCollector()
 		all := append(records(), records()...)
 		rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 		for _, r := range all {
@@ -51,19 +51,19 @@
 }
 
 func TestADisputeShowsEveryTripWithItsProof(t *testing.T) {
-	s := NewSheet()
+	s := NewCollector()
 	for _, r := range records() {
 		s.Add(r)
 	}
 	for _, id := range []string{"c", "mark-c"} {
 		q, proofs := s.Dispute(id)
-		if len(q) != 1 || len(proofs) != 3 || !proofs[0].Proven() || proofs[1].Proven() || proofs[1].Answer != 3 {
+		if len(q) != 1 || len(proofs) != 3 || !proofs[0].Confirmed() || proofs[1].Confirmed() || proofs[1].OutputTokens != 3 {
 			t.Errorf("%+v, %+v", q, proofs)
 		}
 	}
 	// The box came back, and states the trip: what the dispatcher saw counts no more.
 	s.Add(trip("c", 1, "w2", "whole", "broke", 9, 40, 0, 4))
-	if _, proofs := s.Dispute("c"); len(proofs) != 3 || !proofs[1].Proven() || proofs[1].Answer != 4 {
+	if _, proofs := s.Dispute("c"); len(proofs) != 3 || !proofs[1].Confirmed() || proofs[1].OutputTokens != 4 {
 		t.Errorf("%+v", proofs)
 	}
 }
--- a/internal/ledger/book.go
+++ b/internal/ledger/book.go
@@ -22,7 +22,7 @@
 var ErrTaken = errors.New("another dispatcher writes this ledger")
 
 // Book is the running dispatcher's side: it commits records in groups, in the order in which they were written down.
-type Book struct {
+type Recorder struct {
 	Folder string
 	Log    *slog.Logger
 
@@ -45,19 +45,19 @@
 
 // State is what operators see.
 type State struct {
-	Written  int64  `json:"written"`
-	Waiting  int    `json:"waiting"`
-	Lost     int64  `json:"lost"`    // records that found no room while the disk failed; trips among them are asked for again
-	Commits  int64  `json:"commits"` // groups
-	Failing  string `json:"failing,omitempty"`
-	Damage   int    `json:"damaged_places"`
-	Torn     int    `json:"torn_ends"`
-	Segment  uint64 `json:"segment"`
-	Backward int64  `json:"clock_back_ms,omitempty"` // how far the clock was behind the last record at a start
+	Written   int64  `json:"written"`
+	Waiting   int    `json:"waiting"`
+	Lost      int64  `json:"lost"`    // records that found no room while the disk failed; trips among them are asked for again
+	Commits   int64  `json:"commits"` // groups
+	DiskError string `json:"failing,omitempty"`
+	Damage    int    `json:"damaged_places"`
+	Torn      int    `json:"torn_ends"`
+	Segment   uint64 `json:"segment"`
+	Backward  int64  `json:"clock_back_ms,omitempty"` // how far the clock was behind the last record at a start
 }
 
 // Open locks a folder, reads what it says and gets ready to write. each gets every record.
-func Open(folder string, key Key, log *slog.Logger, each func(Record) error) (*Book, error) {
+func Open(folder string, key Key, log *slog.Logger, each func(Record) error) (*Recorder, error) {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return nil, err
 	}
@@ -69,11 +69,11 @@
 		lock.Close()
 		return nil, fmt.Errorf("%s: %w", folder, ErrTaken)
 	}
-	b := &Book{Folder: folder, Log: log, key: key, lock: lock, bell: make(chan struct{}, 1), ended: make(chan struct{})}
-	upTo, _, err := stored(folder, func(r Record) error { b.last = max(b.last, r.At); return each(r) })
+	b := &Recorder{Folder: folder, Log: log, key: key, lock: lock, bell: make(chan struct{}, 1), ended: make(chan struct{})}
+	upTo, _, err := stored(folder, func(r Record) error { b.last = max(b.last, r.UnixMilli); return each(r) })
 	if err == nil {
 		b.journal, err = OpenJournal(Folder(folder), key, func(r Record, p Place) error {
-			b.last = max(b.last, r.At)
+			b.last = max(b.last, r.UnixMilli)
 			if n, _ := number(p.Segment); n <= upTo {
 				return nil // it is in the store, and was to be removed
 			}
@@ -99,7 +99,7 @@
 }
 
 // Run commits until Close is called, and folds closed segments into the store now and then.
-func (b *Book) Run() error {
+func (b *Recorder) Run() error {
 	defer close(b.ended)
 	for {
 		<-b.bell
@@ -107,7 +107,7 @@
 		for b.commit() {
 		}
 		b.mu.Lock()
-		over := b.closing && len(b.waiting) == 0 || b.closing && b.state.Failing != ""
+		over := b.closing && len(b.waiting) == 0 || b.closing && b.state.DiskError != ""
 		b.mu.Unlock()
 		if over {
 			b.journal.Close()
@@ -117,7 +117,7 @@
 }
 
 // commit writes one group; true: there is more to write now.
-func (b *Book) commit() bool {
+func (b *Recorder) commit() bool {
 	b.mu.Lock()
 	group := b.waiting[:min(len(b.waiting), mostGroup)]
 	b.mu.Unlock()
@@ -132,17 +132,17 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err != nil {
-		if b.state.Failing == "" {
+		if b.state.DiskError == "" {
 			b.Log.Error("ledger: the disk fails; questions go on, the account waits", "error", err)
 		}
-		b.state.Failing = err.Error()
+		b.state.DiskError = err.Error()
 		time.AfterFunc(diskAgain, b.ring)
 		return false
 	}
-	if b.state.Failing != "" {
+	if b.state.DiskError != "" {
 		b.Log.Info("ledger: the disk takes records again", "waiting", len(b.waiting))
 	}
-	b.state.Failing = ""
+	b.state.DiskError = ""
 	b.state.Written += int64(len(group))
 	b.state.Commits++
 	b.waiting = append([]entry(nil), b.waiting[len(group):]...)
@@ -162,7 +162,7 @@
 	return len(b.waiting) > 0
 }
 
-func (b *Book) ring() {
+func (b *Recorder) ring() {
 	select {
 	case b.bell <- struct{}{}:
 	default:
@@ -170,21 +170,21 @@
 }
 
 // Write takes a record; done is called, from another goroutine, when it is durable.
-func (b *Book) Write(r Record, done func()) {
+func (b *Recorder) Write(r Record, done func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.waiting) >= mostWaiting || b.closing {
 		b.state.Lost++
 		return
 	}
-	b.last = max(b.last, r.At)
-	r.At = b.last
+	b.last = max(b.last, r.UnixMilli)
+	r.UnixMilli = b.last
 	b.waiting = append(b.waiting, entry{r, done})
 	b.ring()
 }
 
 // State is a copy.
-func (b *Book) State() State {
+func (b *Recorder) State() State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.state
@@ -193,7 +193,7 @@
 }
 
 // Close writes what waits and ends.
-func (b *Book) Close() {
+func (b *Recorder) Close() {
 	b.mu.Lock()
 	b.closing = true
 	b.mu.Unlock()
--- a/internal/ledger/journal.go
+++ b/internal/ledger/journal.go
@@ -349,7 +349,7 @@
 func (j *Journal) Close() error { return j.file.Close() }
 
 // Last is the number of the segment that is written to.
-func Last(folder string) (uint64, error) {
+func LastSegment(folder string) (uint64, error) {
 	numbers, err := segments(Folder(folder))
 	if err != nil || len(numbers) == 0 {
 		return 0, err
--- a/internal/ledger/journal_test.go
+++ b/internal/ledger/journal_test.go
@@ -128,12 +128,12 @@
 }
 
 func line(n int) Record {
-	return Record{At: int64(n), Trip: &Trip{Box: "b", Epoch: "d.1", Number: uint64(n), Key: fmt.Sprintf("d.1/%d", n), Stage: "whole", Grade: "g", Read: n, End: "answered"}}
+	return Record{UnixMilli: int64(n), Attempt: &Attempt{Backend: "b", Epoch: "d.1", Number: uint64(n), Key: fmt.Sprintf("d.1/%d", n), Phase: "whole", Class: "g", PrefillTokens: n, Outcome: "answered"}}
 }
 
 func numbers(t *testing.T, disk Disk) (got []int, j *Journal) {
 	t.Helper()
-	j, err := OpenJournal(disk, key, func(r Record, _ Place) error { got = append(got, int(r.Trip.Number)); return nil })
+	j, err := OpenJournal(disk, key, func(r Record, _ Place) error { got = append(got, int(r.Attempt.Number)); return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -297,12 +297,12 @@
 			t.Fatalf("step %d was not reached: %v", stop, err)
 		}
 		for range 2 {
-			s := NewSheet()
+			s := NewCollector()
 			damage, err := Read(dir, key, s.Add)
 			if err != nil || len(damage) > 0 {
 				t.Fatalf("stopped at %d: %v, %v", stop, damage, err)
 			}
-			if c := s.Counts()["b"]; c.Trips != 8 || c.Read != 36 {
+			if c := s.BackendTotals()["b"]; c.Attempts != 8 || c.PrefillTokens != 36 {
 				t.Fatalf("stopped at %d: %+v", stop, c)
 			}
 			if _, _, err := Compact(dir, key, j.Number(), nil); err != nil {
@@ -329,9 +329,9 @@
 	if _, _, err := Compact(dir, key, j.Number(), nil); err != nil {
 		t.Fatal(err)
 	}
-	s := NewSheet()
-	if _, err := Read(dir, key, s.Add); err != nil || s.Counts()["b"].Read != 5 {
-		t.Errorf("%+v, %v", s.Counts(), err)
+	s := NewCollector()
+	if _, err := Read(dir, key, s.Add); err != nil || s.BackendTotals()["b"].PrefillTokens != 5 {
+		t.Errorf("%+v, %v", s.BackendTotals(), err)
 	}
 	if _, err := os.Stat(file + ".damaged"); err != nil {
 		t.Error(err)
@@ -350,12 +350,12 @@
 	}
 	far := time.Now().Add(time.Hour).UnixMilli()
 	done := make(chan struct{})
-	b.Write(Record{At: far, Epoch: &Epoch{Name: "a"}}, nil)
-	b.Write(Record{At: 5, Epoch: &Epoch{Name: "b"}}, func() { close(done) })
+	b.Write(Record{UnixMilli: far, Epoch: &Epoch{Name: "a"}}, nil)
+	b.Write(Record{UnixMilli: 5, Epoch: &Epoch{Name: "b"}}, func() { close(done) })
 	<-done
 	b.Close()
 	var at []int64
-	b, err = Open(dir, key, log, func(r Record) error { at = append(at, r.At); return nil })
+	b, err = Open(dir, key, log, func(r Record) error { at = append(at, r.UnixMilli); return nil })
 	if err != nil || !slices.Equal(at, []int64{far, far}) || b.State().Backward < 3_000_000 {
 		t.Errorf("%v, %v, %+v", err, at, b.State())
 	}
@@ -364,7 +364,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	for _, r := range []Record{line(7), {Question: &Question{Key: "k", Grade: "g", Final: "left"}}, {Epoch: &Epoch{Name: "e"}}, {Budget: &Budget{Name: "n", What: "lent", Tokens: 3}}} {
+	for _, r := range []Record{line(7), {Request: &Request{Key: "k", Class: "g", Outcome: "left"}}, {Epoch: &Epoch{Name: "e"}}, {Budget: &Budget{Name: "n", Kind: "lent", Tokens: 3}}} {
 		raw, err := encode(r)
 		if err != nil {
 			f.Fatal(err)
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -13,11 +13,11 @@
 
 // Record is one line of the account; one of its parts is set. Later versions add numbers and never reuse them.
 type Record struct {
-	At       int64     `cbor:"1,keyasint"` // milliseconds since 1970 by its dispatcher's clock, never before the record ahead of it
-	Epoch    *Epoch    `cbor:"2,keyasint,omitempty" json:",omitempty"`
-	Question *Question `cbor:"3,keyasint,omitempty" json:",omitempty"`
-	Trip     *Trip     `cbor:"4,keyasint,omitempty" json:",omitempty"`
-	Budget   *Budget   `cbor:"5,keyasint,omitempty" json:",omitempty"`
+	UnixMilli int64    `cbor:"1,keyasint"` // milliseconds since 1970 by its dispatcher's clock, never before the record ahead of it
+	Epoch     *Epoch   `cbor:"2,keyasint,omitempty" json:",omitempty"`
+	Request   *Request `cbor:"3,keyasint,omitempty" json:",omitempty"`
+	Attempt   *Attempt `cbor:"4,keyasint,omitempty" json:",omitempty"`
+	Budget    *Budget  `cbor:"5,keyasint,omitempty" json:",omitempty"`
 }
 
 // Epoch is a start of a dispatcher, durable before its first trip; or its end, when all of its trips are accounted for.
@@ -27,43 +27,43 @@
 }
 
 // Question is the end of one, as its dispatcher gave it.
-type Question struct {
-	Key     string `cbor:"1,keyasint"` // epoch/number, alike in all its trips
-	Mark    string `cbor:"2,keyasint,omitempty" json:",omitempty"`
-	Channel string `cbor:"3,keyasint,omitempty"`
-	Grade   string `cbor:"4,keyasint"`
-	Final   string `cbor:"5,keyasint"` // satisfied, declined, forfeited, or left
-	Prompt  int    `cbor:"6,keyasint"`
-	Answer  int    `cbor:"7,keyasint,omitempty"` // tokens that went to the client
-	Trips   int    `cbor:"8,keyasint,omitempty"`
-	Why     string `cbor:"9,keyasint,omitempty"`
+type Request struct {
+	Key          string `cbor:"1,keyasint"` // epoch/number, alike in all its trips
+	RequestID    string `cbor:"2,keyasint,omitempty" json:",omitempty"`
+	Tenant       string `cbor:"3,keyasint,omitempty"`
+	Class        string `cbor:"4,keyasint"`
+	Outcome      string `cbor:"5,keyasint"` // satisfied, declined, forfeited, or left
+	PromptTokens int    `cbor:"6,keyasint"`
+	OutputTokens int    `cbor:"7,keyasint,omitempty"` // tokens that went to the client
+	Attempts     int    `cbor:"8,keyasint,omitempty"`
+	Reason       string `cbor:"9,keyasint,omitempty"`
 }
 
 // Trip is what a box counted for one; with Number 0 it is what the dispatcher saw of a trip whose box can't be asked any more.
-type Trip struct {
-	Box     string `cbor:"1,keyasint"`
-	Epoch   string `cbor:"2,keyasint"` // of the dispatcher
-	Number  uint64 `cbor:"3,keyasint,omitempty"`
-	Key     string `cbor:"4,keyasint"`
-	Trip    int    `cbor:"5,keyasint,omitempty"`
-	Mark    string `cbor:"6,keyasint,omitempty"`
-	Stage   string `cbor:"7,keyasint"`
-	Channel string `cbor:"8,keyasint,omitempty"`
-	Grade   string `cbor:"9,keyasint"`
-	Read    int    `cbor:"10,keyasint,omitempty"` // prompt tokens read
-	Kept    int    `cbor:"11,keyasint,omitempty"` // prompt tokens found kept
-	Answer  int    `cbor:"12,keyasint,omitempty"` // answer tokens made
-	End     string `cbor:"13,keyasint"`
+type Attempt struct {
+	Backend       string `cbor:"1,keyasint"`
+	Epoch         string `cbor:"2,keyasint"` // of the dispatcher
+	Number        uint64 `cbor:"3,keyasint,omitempty"`
+	Key           string `cbor:"4,keyasint"`
+	Index         int    `cbor:"5,keyasint,omitempty"`
+	RequestID     string `cbor:"6,keyasint,omitempty"`
+	Phase         string `cbor:"7,keyasint"`
+	Tenant        string `cbor:"8,keyasint,omitempty"`
+	Class         string `cbor:"9,keyasint"`
+	PrefillTokens int    `cbor:"10,keyasint,omitempty"` // prompt tokens read
+	CachedTokens  int    `cbor:"11,keyasint,omitempty"` // prompt tokens found kept
+	OutputTokens  int    `cbor:"12,keyasint,omitempty"` // answer tokens made
+	Outcome       string `cbor:"13,keyasint"`
 }
 
 // Proven tells whether a box stated it.
-func (t *Trip) Proven() bool { return t.Number > 0 }
+func (t *Attempt) Confirmed() bool { return t.Number > 0 }
 
 // Budget is a change of a budget's state: see internal/budget for what its words mean.
 type Budget struct {
 	Name   string  `cbor:"1,keyasint"`
-	What   string  `cbor:"2,keyasint"`
-	Period int64   `cbor:"3,keyasint,omitempty"`
+	Kind   string  `cbor:"2,keyasint"`
+	Month  int64   `cbor:"3,keyasint,omitempty"`
 	Tokens float64 `cbor:"4,keyasint,omitempty"`
 	Terms  string  `cbor:"5,keyasint,omitempty"`
 }
@@ -101,7 +101,7 @@
 		return Record{}, fmt.Errorf("%d bytes follow the record", len(raw)-dec.NumBytesRead())
 	}
 	parts := 0
-	for _, set := range []bool{r.Epoch != nil, r.Question != nil, r.Trip != nil, r.Budget != nil} {
+	for _, set := range []bool{r.Epoch != nil, r.Request != nil, r.Attempt != nil, r.Budget != nil} {
 		if set {
 			parts++
 		}
@@ -109,7 +109,7 @@
 	if parts != 1 {
 		return Record{}, fmt.Errorf("the record has %d parts instead of one", parts)
 	}
-	if t := r.Trip; t != nil && (t.Read < 0 || t.Kept < 0 || t.Answer < 0) {
+	if t := r.Attempt; t != nil && (t.PrefillTokens < 0 || t.CachedTokens < 0 || t.OutputTokens < 0) {
 		return Record{}, fmt.Errorf("a trip's tokens are negative")
 	}
 	return r, nil
--- a/internal/ledger/store.go
+++ b/internal/ledger/store.go
@@ -31,19 +31,19 @@
 const lockTime = 10 * time.Second
 
 // tripKey orders trips by box and epoch.
-func tripKey(t *Trip) []byte {
-	k := append([]byte(t.Box), 0)
+func tripKey(t *Attempt) []byte {
+	k := append([]byte(t.Backend), 0)
 	k = append(append(k, t.Epoch...), 0)
 	k = binary.BigEndian.AppendUint64(k, t.Number)
-	if !t.Proven() { // several may have no number
-		k = fmt.Appendf(k, "%s/%d", t.Key, t.Trip)
+	if !t.Confirmed() { // several may have no number
+		k = fmt.Appendf(k, "%s/%d", t.Key, t.Index)
 	}
 	return k
 }
 
 // budgetKey has one value for each state that counts: the last one written.
 func budgetKey(b *Budget) []byte {
-	return fmt.Appendf(nil, "%s\x00%s\x00%d", b.Name, b.What, b.Period)
+	return fmt.Appendf(nil, "%s\x00%s\x00%d", b.Name, b.Kind, b.Month)
 }
 
 // put folds one record into an open store.
@@ -53,16 +53,16 @@
 		return err
 	}
 	switch {
-	case r.Trip != nil:
+	case r.Attempt != nil:
 		b := tx.Bucket(inTrips)
-		if key := tripKey(r.Trip); b.Get(key) == nil {
+		if key := tripKey(r.Attempt); b.Get(key) == nil {
 			return b.Put(key, raw)
 		}
 		return nil
-	case r.Question != nil:
+	case r.Request != nil:
 		b := tx.Bucket(inQuestions)
-		if b.Get([]byte(r.Question.Key)) == nil {
-			return b.Put([]byte(r.Question.Key), raw)
+		if b.Get([]byte(r.Request.Key)) == nil {
+			return b.Put([]byte(r.Request.Key), raw)
 		}
 		return nil
 	case r.Epoch != nil:
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -26,20 +26,20 @@
 
 // Arrival is one line of a trace.
 type Arrival struct {
-	AtMs    float64 `json:"at_ms"`
-	Grade   string  `json:"grade"`
-	Tokens  int     `json:"tokens"`
-	Shared  string  `json:"shared"`
-	Prefix  int     `json:"shared_tokens"`
-	Session string  `json:"session"`
-	Most    int     `json:"max_tokens"`
-	Channel string  `json:"channel"`
+	AtMs         float64 `json:"at_ms"`
+	Class        string  `json:"grade"`
+	Tokens       int     `json:"tokens"`
+	PrefixID     string  `json:"shared"`
+	PrefixTokens int     `json:"shared_tokens"`
+	Session      string  `json:"session"`
+	MaxTokens    int     `json:"max_tokens"`
+	Tenant       string  `json:"channel"`
 }
 
 // mostLine bounds a line of a trace, and mostArrivals a trace.
 const (
-	mostLine     = 64 << 10
-	mostArrivals = 2_000_000
+	maxTraceLineBytes = 64 << 10
+	maxArrivals       = 2_000_000
 )
 
 // ReadTrace reads arrivals from CSV with a header, or from JSON lines; the file's ending says which. Times need not be in
@@ -54,24 +54,24 @@
 	if strings.HasSuffix(file, ".csv") {
 		all, err = readCSV(f)
 	} else {
-		all, err = readLines(f)
+		all, err = readJSONLines(f)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", file, err)
 	}
 	wishes := make([]standin.Request, len(all))
 	for i, a := range all {
-		n := max(terms.ClassIndex(a.Grade), 0)
-		if a.Grade != "" && terms.ClassIndex(a.Grade) < 0 {
-			return nil, fmt.Errorf("%s: arrival %d: grade %q is unknown", file, i+1, a.Grade)
+		n := max(terms.ClassIndex(a.Class), 0)
+		if a.Class != "" && terms.ClassIndex(a.Class) < 0 {
+			return nil, fmt.Errorf("%s: arrival %d: grade %q is unknown", file, i+1, a.Class)
 		}
-		if a.AtMs < 0 || a.Tokens < 1 || a.Prefix < 0 || a.Prefix > a.Tokens || a.Most < 0 {
+		if a.AtMs < 0 || a.Tokens < 1 || a.PrefixTokens < 0 || a.PrefixTokens > a.Tokens || a.MaxTokens < 0 {
 			return nil, fmt.Errorf("%s: arrival %d: senseless: %+v", file, i+1, a)
 		}
 		g := terms.Classes[n]
 		k := float64(a.Tokens) / 1000
-		w := standin.Request{SubmitAt: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Class: g.Name, Tenant: a.Channel, Session: a.Session,
-			PrefixID: a.Shared, PrefixTokens: a.Prefix, PromptTokens: a.Tokens, MaxTokens: a.Most, LatencyTarget: g.LatencyTarget.Std() + time.Duration(k*float64(g.TargetPer1000Tokens)),
+		w := standin.Request{SubmitAt: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Class: g.Name, Tenant: a.Tenant, Session: a.Session,
+			PrefixID: a.PrefixID, PrefixTokens: a.PrefixTokens, PromptTokens: a.Tokens, MaxTokens: a.MaxTokens, LatencyTarget: g.LatencyTarget.Std() + time.Duration(k*float64(g.TargetPer1000Tokens)),
 			Deadline: g.Deadline.Std() + 2*time.Duration(k*float64(g.TargetPer1000Tokens)), PatienceShare: 1, Idempotent: g.Effect == "idempotent"}
 		if w.MaxTokens == 0 {
 			w.MaxTokens = g.DefaultMaxTokens
@@ -101,8 +101,8 @@
 		if err == io.EOF {
 			return all, nil
 		}
-		if err != nil || len(all) >= mostArrivals {
-			return nil, fmt.Errorf("%d: %v (at most %d arrivals)", line, err, mostArrivals)
+		if err != nil || len(all) >= maxArrivals {
+			return nil, fmt.Errorf("%d: %v (at most %d arrivals)", line, err, maxArrivals)
 		}
 		var a Arrival
 		for i, n := range names {
@@ -113,17 +113,17 @@
 			case "tokens":
 				a.Tokens, bad = strconv.Atoi(row[i])
 			case "shared_tokens":
-				a.Prefix, bad = strconv.Atoi(row[i])
+				a.PrefixTokens, bad = strconv.Atoi(row[i])
 			case "max_tokens":
-				a.Most, bad = strconv.Atoi(row[i])
+				a.MaxTokens, bad = strconv.Atoi(row[i])
 			case "grade":
-				a.Grade = strings.Clone(row[i])
+				a.Class = strings.Clone(row[i])
 			case "shared":
-				a.Shared = strings.Clone(row[i])
+				a.PrefixID = strings.Clone(row[i])
 			case "session":
 				a.Session = strings.Clone(row[i])
 			case "channel":
-				a.Channel = strings.Clone(row[i])
+				a.Tenant = strings.Clone(row[i])
 			}
 			if bad != nil {
 				return nil, fmt.Errorf("%d: %s: %q is no number", line, n, row[i])
@@ -133,10 +133,10 @@
 	}
 }
 
-func readLines(r io.Reader) ([]Arrival, error) {
+func readJSONLines(r io.Reader) ([]Arrival, error) {
 	var all []Arrival
 	in := bufio.NewScanner(r)
-	in.Buffer(nil, mostLine)
+	in.Buffer(nil, maxTraceLineBytes)
 	for line := 1; in.Scan(); line++ {
 		if len(strings.TrimSpace(in.Text())) == 0 {
 			continue
@@ -147,8 +147,8 @@
 		if err := d.Decode(&a); err != nil {
 			return nil, fmt.Errorf("%d: %w", line, err)
 		}
-		if all = append(all, a); len(all) > mostArrivals {
-			return nil, fmt.Errorf("%d: more than %d arrivals", line, mostArrivals)
+		if all = append(all, a); len(all) > maxArrivals {
+			return nil, fmt.Errorf("%d: more than %d arrivals", line, maxArrivals)
 		}
 	}
 	return all, in.Err()
@@ -167,7 +167,7 @@
 	if len(to) == 0 || len(wishes) == 0 {
 		return nil, fmt.Errorf("there is nobody to ask, or nothing to ask for")
 	}
-	book, err := record.Open("", record.Head{})
+	book, err := record.Open("", record.Header{})
 	if err != nil {
 		return nil, err
 	}
@@ -187,28 +187,28 @@
 	of("all")
 	began := time.Now()
 	open := 0
-	book.Watch = func(l record.Line) {
+	book.OnEvent = func(l record.Event) {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, f := range []*Figures{of(l.Grade), of("all")} {
+		for _, f := range []*Figures{of(l.Class), of("all")} {
 			switch {
-			case l.What == record.Asked && strings.HasSuffix(l.Try, ".0"):
+			case l.Kind == record.RequestSent && strings.HasSuffix(l.Try, ".0"):
 				f.Asked++
-			case l.What == record.First:
-				took := time.Since(began) - due[l.Question]
+			case l.Kind == record.FirstToken:
+				took := time.Since(began) - due[l.Request]
 				f.first.RecordValue(max(took.Microseconds(), 1))
-				if took <= promise[l.Question] {
+				if took <= promise[l.Request] {
 					f.InTime++
 				}
-			case l.What == record.Final && l.Word == "satisfied":
+			case l.Kind == record.FinalAnswer && l.Detail == "satisfied":
 				f.Satisfied++
-			case l.What == record.Final && l.Word == "declined":
+			case l.Kind == record.FinalAnswer && l.Detail == "declined":
 				f.Declined++
-			case l.What == record.Final:
+			case l.Kind == record.FinalAnswer:
 				f.Forfeited++
-			case l.What == record.Cut:
+			case l.Kind == record.ConnectionLost:
 				f.Cut++
-			case l.What == record.Quit:
+			case l.Kind == record.ClientLeft:
 				f.Quit++
 			}
 		}
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -10,7 +10,7 @@
 	"sloetrestle/internal/setup"
 )
 
-func TestTracesAreReadInBothFormsAndFaultsNamed(t *testing.T) {
+func TestReadTraceParsesCSVAndJSONLinesAndLocatesErrors(t *testing.T) {
 	terms := setup.DefaultDeployment()
 	terms.Classes = []setup.Class{{Name: "quick", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second), DefaultMaxTokens: 70},
 		{Name: "booking", Effect: "unrepeatable", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second), DefaultMaxTokens: 50}}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -34,96 +34,96 @@
 
 // Plan is what to measure.
 type Plan struct {
-	Rates   []int // questions a second, one after the other
-	Seconds float64
-	Streams int // held open at once
-	Serve   []string
-	Say     func(format string, args ...any)
+	Rates        []int // questions a second, one after the other
+	Seconds      float64
+	Streams      int // held open at once
+	ServeCommand []string
+	Logf         func(format string, args ...any)
 }
 
 // Row is one rate's figures; times are to the first token.
 type Row struct {
-	Rate      int     `json:"questions_a_second"`
-	Held      float64 `json:"held_a_second"` // answered, of those asked
-	Failed    int64   `json:"failed"`
-	DirectP50 float64 `json:"direct_p50_ms"`
-	DirectP99 float64 `json:"direct_p99_ms"`
-	P50       float64 `json:"through_p50_ms"`
-	P99       float64 `json:"through_p99_ms"`
-	CPU       float64 `json:"cores"` // of the dispatcher's process
-	PerCPU    float64 `json:"cpu_us_a_question"`
+	Rate                int     `json:"questions_a_second"`
+	AnsweredPerSecond   float64 `json:"held_a_second"` // answered, of those asked
+	Failed              int64   `json:"failed"`
+	DirectP50           float64 `json:"direct_p50_ms"`
+	DirectP99           float64 `json:"direct_p99_ms"`
+	ThroughP50          float64 `json:"through_p50_ms"`
+	ThroughP99          float64 `json:"through_p99_ms"`
+	Cores               float64 `json:"cores"` // of the dispatcher's process
+	CPUMicrosPerRequest float64 `json:"cpu_us_a_question"`
 }
 
 // Figures are what came of it.
-type Figures struct {
-	Rows      []Row   `json:"rates"`
-	Streams   int     `json:"streams"`
-	IdleMB    float64 `json:"idle_mib"`
-	StreamsMB float64 `json:"with_streams_mib"`
+type Report struct {
+	Rows       []Row   `json:"rates"`
+	Streams    int     `json:"streams"`
+	IdleMiB    float64 `json:"idle_mib"`
+	StreamsMiB float64 `json:"with_streams_mib"`
 }
 
-type rig struct {
-	plan   Plan
-	fleet  *standin.Fleet
-	book   *record.Book
-	model  string
-	reader string
-	writer string
-	addr   string
-	cmd    *exec.Cmd
-	http   *http.Client
-	asked  atomic.Uint64
+type testbed struct {
+	plan           Plan
+	fleet          *standin.Fleet
+	recorder       *record.Recorder
+	model          string
+	prefillAddr    string
+	decodeAddr     string
+	dispatcherAddr string
+	cmd            *exec.Cmd
+	http           *http.Client
+	lastRequest    atomic.Uint64
 }
 
 // Run measures.
-func Run(ctx context.Context, plan Plan) (f Figures, err error) {
+func Run(ctx context.Context, plan Plan) (f Report, err error) {
 	dir, err := os.MkdirTemp("", "sloetrestle-measure-")
 	if err != nil {
 		return f, err
 	}
 	defer os.RemoveAll(dir)
-	r := &rig{plan: plan, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}}
-	stop, err := r.open(ctx, dir)
+	r := &testbed{plan: plan, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4096}}}
+	stop, err := r.start(ctx, dir)
 	if err != nil {
 		return f, err
 	}
 	defer stop()
-	r.rate(ctx, 50, 2, r.through) // connections and code are warm
-	f.IdleMB = r.memory()
+	r.runAtRate(ctx, 50, 2, r.viaDispatcher) // connections and code are warm
+	f.IdleMiB = r.residentMiB()
 	for _, rate := range plan.Rates {
-		direct, _, _ := r.rate(ctx, rate, plan.Seconds, r.direct)
-		cpu := r.cpu()
+		direct, _, _ := r.runAtRate(ctx, rate, plan.Seconds, r.direct)
+		cpu := r.cpuSeconds()
 		began := time.Now()
-		through, done, failed := r.rate(ctx, rate, plan.Seconds, r.through)
+		through, done, failed := r.runAtRate(ctx, rate, plan.Seconds, r.viaDispatcher)
 		took := time.Since(began).Seconds()
-		cpu = r.cpu() - cpu
+		cpu = r.cpuSeconds() - cpu
 		ms := func(h *hdrhistogram.Histogram, q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-		row := Row{Rate: rate, Held: float64(done) / plan.Seconds, Failed: failed, DirectP50: ms(direct, 50), DirectP99: ms(direct, 99),
-			P50: ms(through, 50), P99: ms(through, 99), CPU: cpu / took, PerCPU: cpu * 1e6 / float64(max(done, 1))}
+		row := Row{Rate: rate, AnsweredPerSecond: float64(done) / plan.Seconds, Failed: failed, DirectP50: ms(direct, 50), DirectP99: ms(direct, 99),
+			ThroughP50: ms(through, 50), ThroughP99: ms(through, 99), Cores: cpu / took, CPUMicrosPerRequest: cpu * 1e6 / float64(max(done, 1))}
 		f.Rows = append(f.Rows, row)
-		plan.Say("%5d a second: answered %.0f, failed %d; first token direct p50 %.2f p99 %.2f ms, through the dispatcher p50 %.2f p99 %.2f ms; %.2f cores, %.0f us a question",
-			rate, row.Held, failed, row.DirectP50, row.DirectP99, row.P50, row.P99, row.CPU, row.PerCPU)
+		plan.Logf("%5d a second: answered %.0f, failed %d; first token direct p50 %.2f p99 %.2f ms, through the dispatcher p50 %.2f p99 %.2f ms; %.2f cores, %.0f us a question",
+			rate, row.AnsweredPerSecond, failed, row.DirectP50, row.DirectP99, row.ThroughP50, row.ThroughP99, row.Cores, row.CPUMicrosPerRequest)
 		if ctx.Err() != nil {
 			return f, ctx.Err()
 		}
 	}
 	f.Streams = plan.Streams
-	f.StreamsMB = r.streams(ctx, plan.Streams)
-	plan.Say("resident memory %.0f MiB idle, %.0f MiB with %d open streams", f.IdleMB, f.StreamsMB, f.Streams)
+	f.StreamsMiB = r.memoryWithStreams(ctx, plan.Streams)
+	plan.Logf("resident memory %.0f MiB idle, %.0f MiB with %d open streams", f.IdleMiB, f.StreamsMiB, f.Streams)
 	return f, nil
 }
 
 // open starts two idle boxes, the list and a dispatcher's process.
-func (r *rig) open(ctx context.Context, dir string) (stop func(), err error) {
+func (r *testbed) start(ctx context.Context, dir string) (stop func(), err error) {
 	d := setup.DefaultDispatcherConfig()
 	d.Classes = []setup.Class{{Name: "measured", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(10 * time.Second), Value: 1, DefaultMaxTokens: 8}}
 	d.BackendKinds = []setup.BackendKind{{Name: "reader", Role: "reader", MemoryTokens: 1 << 30}, {Name: "writer", Role: "writer", MemoryTokens: 1 << 30}}
 	d.Limits.DecodeCanPrefill, d.Limits.MaxConnsPerBackend = false, 4096
 	r.model = d.Model
-	if r.book, err = record.Open("", record.Head{}); err != nil {
+	if r.recorder, err = record.Open("", record.Header{}); err != nil {
 		return nil, err
 	}
-	r.fleet = standin.NewFleet(d.Deployment, r.book, standin.Links{SameRack: 1e12, CrossRack: 1e12, ZoneFactor: 1}, map[string]standin.ClassProfile{"measured": {NewTokens: 1, AnswerTokens: 8}})
+	r.fleet = standin.NewFleet(d.Deployment, r.recorder, standin.Links{SameRack: 1e12, CrossRack: 1e12, ZoneFactor: 1}, map[string]standin.ClassProfile{"measured": {NewTokens: 1, AnswerTokens: 8}})
 	var addrs []string
 	for range 4 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -147,8 +147,8 @@
 		list.Publish(b, boxlist.Ready, 0)
 		boxes = append(boxes, b)
 	}
-	r.reader, r.writer, r.addr = addrs[1], addrs[2], addrs[3]
-	d.Instance.Listen, d.Instance.DiscoveryAddr = []string{r.addr}, addrs[0]
+	r.prefillAddr, r.decodeAddr, r.dispatcherAddr = addrs[1], addrs[2], addrs[3]
+	d.Instance.Listen, d.Instance.DiscoveryAddr = []string{r.dispatcherAddr}, addrs[0]
 	raw, err := toml.Marshal(d)
 	if err != nil {
 		return nil, err
@@ -157,7 +157,7 @@
 	if err := os.WriteFile(file, raw, 0o644); err != nil {
 		return nil, err
 	}
-	r.cmd = exec.Command(r.plan.Serve[0], append(append([]string(nil), r.plan.Serve[1:]...), file)...)
+	r.cmd = exec.Command(r.plan.ServeCommand[0], append(append([]string(nil), r.plan.ServeCommand[1:]...), file)...)
 	r.cmd.Stderr = os.Stderr
 	r.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := r.cmd.Start(); err != nil {
@@ -174,7 +174,7 @@
 		r.http.CloseIdleConnections()
 	}
 	for range 500 {
-		resp, err := r.http.Get("http://" + r.addr + "/v2/health/ready")
+		resp, err := r.http.Get("http://" + r.dispatcherAddr + "/v2/health/ready")
 		if err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
@@ -188,7 +188,7 @@
 }
 
 // rate asks at a steady rate, whatever comes back; a time counts from when the question was due.
-func (r *rig) rate(ctx context.Context, perS int, seconds float64, ask func(context.Context) (time.Time, error)) (h *hdrhistogram.Histogram, done, failed int64) {
+func (r *testbed) runAtRate(ctx context.Context, perS int, seconds float64, ask func(context.Context) (time.Time, error)) (h *hdrhistogram.Histogram, done, failed int64) {
 	h = hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var all sync.WaitGroup
@@ -222,7 +222,7 @@
 }
 
 // first reads a stream to its end and tells when its first token came; one without an end has failed.
-func first(resp *http.Response, err error) (at time.Time, _ error) {
+func readFirstToken(resp *http.Response, err error) (at time.Time, _ error) {
 	if err != nil {
 		return at, err
 	}
@@ -245,8 +245,8 @@
 	}
 }
 
-func (r *rig) body(most int) []byte {
-	id := r.asked.Add(1)
+func (r *testbed) requestBody(most int) []byte {
+	id := r.lastRequest.Add(1)
 	raw, err := json.Marshal(kserve.GenerateRequest{ID: fmt.Sprint("m", id), Parameters: kserve.Params{"prompt_tokens": 800, "max_tokens": most, "session": fmt.Sprint("s", id%997)}})
 	if err != nil {
 		panic(err)
@@ -255,19 +255,19 @@
 }
 
 // through asks the dispatcher.
-func (r *rig) through(ctx context.Context) (time.Time, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.addr+"/v2/models/"+r.model+"/generate_stream", bytes.NewReader(r.body(8)))
+func (r *testbed) viaDispatcher(ctx context.Context) (time.Time, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.dispatcherAddr+"/v2/models/"+r.model+"/generate_stream", bytes.NewReader(r.requestBody(8)))
 	if err != nil {
 		return time.Time{}, err
 	}
-	return first(r.http.Do(req))
+	return readFirstToken(r.http.Do(req))
 }
 
 // direct reads and writes at the boxes without a dispatcher.
-func (r *rig) direct(ctx context.Context) (time.Time, error) {
-	id := r.asked.Add(1)
+func (r *testbed) direct(ctx context.Context) (time.Time, error) {
+	id := r.lastRequest.Add(1)
 	e := kserve.AttemptParams{Phase: kserve.PhasePrefill, DispatcherEpoch: "direct.1", RequestNumber: id, DedupKey: fmt.Sprint("m", id), Class: "measured", PromptTokens: 800, MaxTokens: 8}
-	req, err := kserve.NewAttemptRequest(ctx, "http://"+r.reader, r.model, "", e)
+	req, err := kserve.NewAttemptRequest(ctx, "http://"+r.prefillAddr, r.model, "", e)
 	if err != nil {
 		return time.Time{}, err
 	}
@@ -277,15 +277,15 @@
 	}
 	io.Copy(io.Discard, resp.Body)
 	resp.Body.Close()
-	e.Phase, e.Attempt, e.PrefillBackend, e.KVCacheAddresses = kserve.PhaseDecode, 1, "reader-1", []string{"tcp4:" + r.reader}
-	if req, err = kserve.NewAttemptRequest(ctx, "http://"+r.writer, r.model, "", e); err != nil {
+	e.Phase, e.Attempt, e.PrefillBackend, e.KVCacheAddresses = kserve.PhaseDecode, 1, "reader-1", []string{"tcp4:" + r.prefillAddr}
+	if req, err = kserve.NewAttemptRequest(ctx, "http://"+r.decodeAddr, r.model, "", e); err != nil {
 		return time.Time{}, err
 	}
-	return first(r.http.Do(req))
+	return readFirstToken(r.http.Do(req))
 }
 
 // streams holds many answers open and returns the process's memory meanwhile.
-func (r *rig) streams(ctx context.Context, n int) float64 {
+func (r *testbed) memoryWithStreams(ctx context.Context, n int) float64 {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var all sync.WaitGroup
@@ -295,7 +295,7 @@
 		time.Sleep(2 * time.Millisecond)
 		go func() {
 			defer all.Done()
-			req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.addr+"/v2/models/"+r.model+"/generate_stream", bytes.NewReader(r.body(8)))
+			req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.dispatcherAddr+"/v2/models/"+r.model+"/generate_stream", bytes.NewReader(r.requestBody(8)))
 			if err != nil {
 				return
 			}
@@ -319,8 +319,8 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	r.plan.Say("%d of %d streams are open", open.Load(), n)
-	mb := r.memory()
+	r.plan.Logf("%d of %d streams are open", open.Load(), n)
+	mb := r.residentMiB()
 	cancel()
 	r.fleet.HoldAnswers(false)
 	all.Wait()
@@ -328,7 +328,7 @@
 }
 
 // cpu is the time that the dispatcher's process has used, in seconds.
-func (r *rig) cpu() float64 {
+func (r *testbed) cpuSeconds() float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", r.cmd.Process.Pid))
 	if err != nil {
 		return 0
@@ -340,7 +340,7 @@
 }
 
 // memory is its resident memory, in MiB.
-func (r *rig) memory() float64 {
+func (r *testbed) residentMiB() float64 {
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", r.cmd.Process.Pid))
 	if err != nil {
 		return 0
--- a/internal/measure/ways.go
+++ b/internal/measure/ways.go
@@ -24,40 +24,40 @@
 )
 
 // Way is how one diallers' trips went under one fault.
-type Way struct {
+type DialerResult struct {
 	Fault     string  `json:"fault"`
 	Addresses int     `json:"addresses"`
-	Dialler   string  `json:"dialler"`
+	Dialer    string  `json:"dialler"`
 	P50       float64 `json:"p50_ms"`
 	P99       float64 `json:"p99_ms"`
-	Unreached int     `json:"unreached"` // proven not sent
+	NotSent   int     `json:"unreached"` // proven not sent
 	Lost      int     `json:"lost"`      // sent, and nothing came: may have run
-	Trips     int     `json:"trips"`
+	Attempts  int     `json:"trips"`
 }
 
 // tripTime is how long a trip may take here, and dialTime a connection.
 const (
-	tripTime = time.Second
-	dialTime = 250 * time.Millisecond
+	attemptTimeout = time.Second
+	dialTimeout    = 250 * time.Millisecond
 )
 
 // dialler sends one trip; sent tells whether it may have run.
-type dialler func(ctx context.Context, r func() (*http.Request, error)) (sent bool, err error)
+type sendFunc func(ctx context.Context, r func() (*http.Request, error)) (sent bool, err error)
 
 // Ways measures times to the first token while the first address of a box goes wrong, with one address and with three: by
 // internal/reach, by trying one address after the other, and by Go's own transport to the first address. Half of the trips
 // come while the fault is on.
-func Ways(ctx context.Context, trips int, say func(string, ...any)) ([]Way, error) {
-	var out []Way
+func CompareDialers(ctx context.Context, trips int, say func(string, ...any)) ([]DialerResult, error) {
+	var out []DialerResult
 	for _, fault := range []string{standin.EndpointServes, standin.EndpointRefuses, standin.EndpointBlackhole, standin.EndpointStalls, standin.EndpointStallsAfterResponse, standin.EndpointSlow, standin.EndpointResets, standin.EndpointFlaps} {
 		for _, n := range []int{1, 3} {
 			for _, who := range []string{"raced", "sequential", "plain"} {
-				w, err := way(ctx, fault, n, who, trips)
+				w, err := measureDialer(ctx, fault, n, who, trips)
 				if err != nil {
 					return out, err
 				}
 				out = append(out, w)
-				say("%-11s %d addresses  %-10s  p50 %7.2f ms  p99 %7.2f ms  unreached %3d  lost %3d  of %d", orNone(fault), n, who, w.P50, w.P99, w.Unreached, w.Lost, w.Trips)
+				say("%-11s %d addresses  %-10s  p50 %7.2f ms  p99 %7.2f ms  unreached %3d  lost %3d  of %d", faultName(fault), n, who, w.P50, w.P99, w.NotSent, w.Lost, w.Attempts)
 				if ctx.Err() != nil {
 					return out, ctx.Err()
 				}
@@ -67,16 +67,16 @@
 	return out, nil
 }
 
-func orNone(fault string) string {
+func faultName(fault string) string {
 	if fault == "" {
 		return "none"
 	}
 	return fault
 }
 
-func way(ctx context.Context, fault string, n int, who string, trips int) (w Way, err error) {
-	w = Way{Fault: orNone(fault), Addresses: n, Dialler: who, Trips: trips}
-	book, err := record.Open("", record.Head{})
+func measureDialer(ctx context.Context, fault string, n int, who string, trips int) (w DialerResult, err error) {
+	w = DialerResult{Fault: faultName(fault), Addresses: n, Dialer: who, Attempts: trips}
+	book, err := record.Open("", record.Header{})
 	if err != nil {
 		return w, err
 	}
@@ -112,17 +112,17 @@
 	group := &errgroup.Group{}
 	defer group.Wait()
 	defer end()
-	var send dialler
+	var send sendFunc
 	switch who {
 	case "raced":
-		boxes := &reach.Manager{DialTimeout: dialTime, MaxConnsPerBackend: 64, Now: book.Since, Context: life, Group: group}
+		boxes := &reach.Manager{DialTimeout: dialTimeout, MaxConnsPerBackend: 64, Now: book.Elapsed, Context: life, Group: group}
 		group.Go(boxes.Run)
-		send = raced(boxes.SetAddresses("w1", at, 1))
+		send = sendByPool(boxes.SetAddresses("w1", at, 1))
 	case "sequential":
-		send = over(&http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+		send = sendByTransport(&http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			var errs []error
 			for _, s := range at {
-				d := net.Dialer{Timeout: dialTime}
+				d := net.Dialer{Timeout: dialTimeout}
 				c, err := d.DialContext(ctx, s.Network, s.Addr)
 				if err == nil {
 					return c, nil
@@ -132,7 +132,7 @@
 			return nil, errors.Join(errs...)
 		}})
 	default:
-		send = over(&http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
+		send = sendByTransport(&http.Transport{DialContext: func(ctx context.Context, _, _ string) (net.Conn, error) {
 			return new(net.Dialer).DialContext(ctx, at[0].Network, at[0].Addr)
 		}})
 	}
@@ -150,7 +150,7 @@
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
-		tctx, cancel := context.WithTimeout(ctx, tripTime)
+		tctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 		e := kserve.AttemptParams{Phase: kserve.PhaseCombined, DispatcherEpoch: "d.1", RequestNumber: question.Add(1), Class: "g", PromptTokens: 10, MaxTokens: 1}
 		began := time.Now()
 		sent, err := send(tctx, func() (*http.Request, error) {
@@ -164,14 +164,14 @@
 		case sent:
 			w.Lost++
 		default:
-			w.Unreached++
+			w.NotSent++
 		}
 	}
 	w.P50, w.P99 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000
 	return w, nil
 }
 
-func raced(host *reach.Pool) dialler {
+func sendByPool(host *reach.Pool) sendFunc {
 	return func(ctx context.Context, r func() (*http.Request, error)) (bool, error) {
 		conn, resp, err := host.Send(ctx, r)
 		if conn == nil {
@@ -190,7 +190,7 @@
 	}
 }
 
-func over(t *http.Transport) dialler {
+func sendByTransport(t *http.Transport) sendFunc {
 	client := &http.Client{Transport: t}
 	return func(ctx context.Context, r func() (*http.Request, error)) (bool, error) {
 		req, err := r()
--- a/internal/reach/pool_test.go
+++ b/internal/reach/pool_test.go
@@ -29,7 +29,7 @@
 // fixture holds test backends that have addresses of all three networks, and the connection pools for them.
 type fixture struct {
 	t           *testing.T
-	book        *record.Book
+	book        *record.Recorder
 	fleet       *standin.Fleet
 	pools       *reach.Manager
 	lastRequest atomic.Int64
@@ -38,7 +38,7 @@
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	book, err := record.Open("", record.Head{})
+	book, err := record.Open("", record.Header{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -50,7 +50,7 @@
 	life, end := context.WithCancel(context.Background())
 	group := &errgroup.Group{}
 	s.pools = &reach.Manager{
-		DialTimeout: 250 * time.Millisecond, MaxConnsPerBackend: 64, Now: book.Since, Context: life, Group: group,
+		DialTimeout: 250 * time.Millisecond, MaxConnsPerBackend: 64, Now: book.Elapsed, Context: life, Group: group,
 	}
 	group.Go(s.pools.Run)
 	t.Cleanup(func() {
@@ -121,10 +121,10 @@
 // received counts how often test backends received each attempt, and how many attempts each address received.
 func (s *fixture) received() (byAttempt map[string]int, byAddress map[string]int) {
 	byAttempt, byAddress = map[string]int{}, map[string]int{}
-	for _, l := range s.book.Lines() {
-		if l.What == record.Trip {
-			byAttempt[l.Key]++
-			byAddress[l.Box+" "+strings.SplitN(l.Address, ":", 2)[0]]++
+	for _, l := range s.book.Events() {
+		if l.Kind == record.AttemptReceived {
+			byAttempt[l.RequestKey]++
+			byAddress[l.Backend+" "+strings.SplitN(l.Address, ":", 2)[0]]++
 		}
 	}
 	return byAttempt, byAddress
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -17,66 +17,66 @@
 
 // What a line tells of.
 const (
-	Asked   = "asked"   // a client sent a try
-	First   = "first"   // it has its first token
-	Final   = "final"   // it has a final answer, Word says which
-	Extra   = "extra"   // it got something after that
-	Quit    = "quit"    // it left before any answer
-	Cut     = "cut"     // its connection broke, or none was to be had, without a final answer
-	Trip    = "trip"    // a box got a trip
-	Ran     = "ran"     // the trip began to have its effect there
-	Repeat  = "repeat"  // it was known for a repeat and had none
-	End     = "end"     // the box was done with it, Word says how
-	Closed  = "closed"  // the dispatcher closed the trip's connection
-	Held    = "held"    // a read state waits at the box
-	Let     = "let"     // it waits no more, Word says why: taken, released, expired, lost
-	Up      = "up"      // a box or dispatcher started
-	Down    = "down"    // it was killed or stopped, Word says how
-	Fell    = "fell"    // a cold box was pushed over
-	Told    = "told"    // the list told a dispatcher of a box, Word is its standing
-	Counted = "counted" // a box counted what a trip cost it
-	Note    = "note"    // a trouble began or ended
+	RequestSent      = "asked"   // a client sent a try
+	FirstToken       = "first"   // it has its first token
+	FinalAnswer      = "final"   // it has a final answer, Word says which
+	AfterFinal       = "extra"   // it got something after that
+	ClientLeft       = "quit"    // it left before any answer
+	ConnectionLost   = "cut"     // its connection broke, or none was to be had, without a final answer
+	AttemptReceived  = "trip"    // a box got a trip
+	EffectStarted    = "ran"     // the trip began to have its effect there
+	DuplicateDropped = "repeat"  // it was known for a repeat and had none
+	AttemptEnded     = "end"     // the box was done with it, Word says how
+	AttemptClosed    = "closed"  // the dispatcher closed the trip's connection
+	KVCacheHeld      = "held"    // a read state waits at the box
+	KVCacheReleased  = "let"     // it waits no more, Word says why: taken, released, expired, lost
+	ProcessStarted   = "up"      // a box or dispatcher started
+	ProcessEnded     = "down"    // it was killed or stopped, Word says how
+	Overloaded       = "fell"    // a cold box was pushed over
+	EndpointNotified = "told"    // the list told a dispatcher of a box, Word is its standing
+	UsageCounted     = "counted" // a box counted what a trip cost it
+	Note             = "note"    // a trouble began or ended
 )
 
 // Line is one thing seen.
-type Line struct {
-	At         int64   `json:"at"` // microseconds since the day began
-	What       string  `json:"what"`
-	Box        string  `json:"box,omitempty"`
-	Address    string  `json:"address,omitempty"` // of the box, by which a trip came
-	Dispatcher string  `json:"dispatcher,omitempty"`
-	Try        string  `json:"try,omitempty"` // the client's id for one try, which is the question's mark
-	Question   string  `json:"question,omitempty"`
-	Grade      string  `json:"grade,omitempty"`
-	Word       string  `json:"word,omitempty"`
-	Stage      string  `json:"stage,omitempty"`
-	Trip       int     `json:"trip,omitempty"`
-	Key        string  `json:"key,omitempty"` // the question at a box: dispatcher, its start, the question's number
-	Start      uint64  `json:"start,omitempty"`
-	Work       float64 `json:"work,omitempty"`      // seconds of the box's full capacity
-	ExpiryUs   int64   `json:"expiry_us,omitempty"` // after Asked, by when the client wants an answer
-	PromiseUs  int64   `json:"promise_us,omitempty"`
-	Tokens     int     `json:"tokens,omitempty"`
-	Kept       int     `json:"kept,omitempty"`   // of Counted, whose Tokens are those read
-	Answer     int     `json:"answer,omitempty"` // of Counted
-	Trips      int     `json:"trips,omitempty"`
-	AfterMs    int64   `json:"after_ms,omitempty"`
-	Took       int64   `json:"took_us,omitempty"`
-	Cold       bool    `json:"cold,omitempty"`
-	Arrived    int64   `json:"arrived,omitempty"` // when a trip's bytes reached the box's machine, if its process read them later
-	Gone       int64   `json:"gone,omitempty"`    // when the dispatcher had closed the trip's connection by then already
+type Event struct {
+	TimeUs          int64   `json:"at"` // microseconds since the day began
+	Kind            string  `json:"what"`
+	Backend         string  `json:"box,omitempty"`
+	Address         string  `json:"address,omitempty"` // of the box, by which a trip came
+	Dispatcher      string  `json:"dispatcher,omitempty"`
+	Try             string  `json:"try,omitempty"` // the client's id for one try, which is the question's mark
+	Request         string  `json:"question,omitempty"`
+	Class           string  `json:"grade,omitempty"`
+	Detail          string  `json:"word,omitempty"`
+	Phase           string  `json:"stage,omitempty"`
+	Attempt         int     `json:"trip,omitempty"`
+	RequestKey      string  `json:"key,omitempty"` // the question at a box: dispatcher, its start, the question's number
+	StartID         uint64  `json:"start,omitempty"`
+	Work            float64 `json:"work,omitempty"`      // seconds of the box's full capacity
+	DeadlineUs      int64   `json:"expiry_us,omitempty"` // after Asked, by when the client wants an answer
+	LatencyTargetUs int64   `json:"promise_us,omitempty"`
+	Tokens          int     `json:"tokens,omitempty"`
+	CachedTokens    int     `json:"kept,omitempty"`   // of Counted, whose Tokens are those read
+	AnswerTokens    int     `json:"answer,omitempty"` // of Counted
+	Attempts        int     `json:"trips,omitempty"`
+	RetryAfterMs    int64   `json:"after_ms,omitempty"`
+	ElapsedUs       int64   `json:"took_us,omitempty"`
+	SlowStart       bool    `json:"cold,omitempty"`
+	ArrivedUs       int64   `json:"arrived,omitempty"` // when a trip's bytes reached the box's machine, if its process read them later
+	ClosedUs        int64   `json:"gone,omitempty"`    // when the dispatcher had closed the trip's connection by then already
 }
 
 // Head is what a judge needs beside the lines.
-type Head struct {
-	Day   string           `json:"day"`
-	Seed  uint64           `json:"seed"`
-	Terms setup.Deployment `json:"terms"`
-	Boxes []Place          `json:"boxes"`
+type Header struct {
+	Scenario string           `json:"day"`
+	Seed     uint64           `json:"seed"`
+	Terms    setup.Deployment `json:"terms"`
+	Backends []Backend        `json:"boxes"`
 }
 
 // Place is where a box stands.
-type Place struct {
+type Backend struct {
 	Name string `json:"name"`
 	Kind string `json:"kind"`
 	Role string `json:"role"`
@@ -85,16 +85,16 @@
 }
 
 // Book takes lines down. The zero Book keeps them in memory only.
-type Book struct {
-	began time.Time
-	mu    sync.Mutex
-	lines []Line
-	file  *os.File
-	out   *bufio.Writer
-	err   error
-	Watch func(Line) // called with each line, under no promise of speed
-
-	Forgets bool // lines are handed to Watch and the file only
+type Recorder struct {
+	began   time.Time
+	mu      sync.Mutex
+	lines   []Event
+	file    *os.File
+	out     *bufio.Writer
+	err     error
+	OnEvent func(Event) // called with each line, under no promise of speed
+
+	DiscardEvents bool // lines are handed to Watch and the file only
 }
 
 const (
@@ -103,8 +103,8 @@
 )
 
 // Open starts a book in a folder; no folder keeps it in memory.
-func Open(dir string, head Head) (*Book, error) {
-	b := &Book{began: time.Now()}
+func Open(dir string, head Header) (*Recorder, error) {
+	b := &Recorder{began: time.Now()}
 	if dir == "" {
 		return b, nil
 	}
@@ -126,17 +126,17 @@
 }
 
 // Stamp is a time on the book's clock, in microseconds.
-func (b *Book) Stamp(t time.Time) int64 { return t.Sub(b.began).Microseconds() }
+func (b *Recorder) TimestampUs(t time.Time) int64 { return t.Sub(b.began).Microseconds() }
 
 // Since is the book's clock.
-func (b *Book) Since() time.Duration { return time.Since(b.began) }
+func (b *Recorder) Elapsed() time.Duration { return time.Since(b.began) }
 
 // Put takes a line down at the present time.
-func (b *Book) Put(l Line) {
+func (b *Recorder) Record(l Event) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l.At = b.Since().Microseconds()
-	if !b.Forgets {
+	l.TimeUs = b.Elapsed().Microseconds()
+	if !b.DiscardEvents {
 		b.lines = append(b.lines, l)
 	}
 	if b.out != nil && b.err == nil {
@@ -146,20 +146,20 @@
 		}
 		b.err = err
 	}
-	if b.Watch != nil {
-		b.Watch(l)
+	if b.OnEvent != nil {
+		b.OnEvent(l)
 	}
 }
 
 // Lines returns what was taken down so far.
-func (b *Book) Lines() []Line {
+func (b *Recorder) Events() []Event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]Line(nil), b.lines...)
+	return append([]Event(nil), b.lines...)
 }
 
 // Close ends the file.
-func (b *Book) Close() error {
+func (b *Recorder) Close() error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.file == nil {
@@ -177,8 +177,8 @@
 }
 
 // Read loads a kept record.
-func Read(dir string) (Head, []Line, error) {
-	var head Head
+func Read(dir string) (Header, []Event, error) {
+	var head Header
 	raw, err := os.ReadFile(filepath.Join(dir, headFile))
 	if err != nil {
 		return head, nil, err
@@ -191,11 +191,11 @@
 		return head, nil, err
 	}
 	defer f.Close()
-	var lines []Line
+	var lines []Event
 	scan := bufio.NewScanner(f)
 	scan.Buffer(nil, 1<<20)
 	for scan.Scan() {
-		var l Line
+		var l Event
 		if err := json.Unmarshal(scan.Bytes(), &l); err != nil {
 			return head, lines, fmt.Errorf("%s:%d: %w", filepath.Join(dir, linesFile), len(lines)+1, err)
 		}
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -99,12 +99,12 @@
 
 // TokenLimits returns the budget in the form of the budget package.
 func (b Budget) TokenLimits() budget.Terms {
-	limits := budget.Terms{Name: b.Tenant, PerS: -1, Monthly: -1, Burst: b.Burst, Borrow: b.Borrow}
+	limits := budget.Terms{Name: b.Tenant, PerSecond: -1, Monthly: -1, Burst: b.Burst, Borrow: b.Borrow}
 	if b.Class != "" {
 		limits.Name += "/" + b.Class
 	}
 	if b.TokensPerSecond != nil {
-		limits.PerS = *b.TokensPerSecond
+		limits.PerSecond = *b.TokensPerSecond
 		if b.Burst == 0 {
 			limits.Burst = 10 * *b.TokensPerSecond
 		}
@@ -521,7 +521,7 @@
 			return Invalidf(prefix+"channel",
 				"sets neither tokens_a_second nor monthly; a channel without a budget is not limited")
 		case b.TokensPerSecond != nil && !(*b.TokensPerSecond >= 0), b.Monthly != nil && !(*b.Monthly >= 0),
-			!(b.Burst >= 0), !(b.Borrow >= 0), !b.TokenLimits().Sound():
+			!(b.Burst >= 0), !(b.Borrow >= 0), !b.TokenLimits().Valid():
 			return Invalidf(prefix+"channel", "has a value that is negative or out of range")
 		case seen[b.TokenLimits().Name]:
 			return Invalidf(prefix+"channel", "%s has a budget already", b.TokenLimits().Name)
--- a/internal/stages/open_test.go
+++ b/internal/stages/open_test.go
@@ -30,11 +30,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !out.Kept() {
+	if !out.Passed() {
 		t.Fatal(out.Text())
 	}
-	if out.Service < 0.5 {
-		err = fmt.Errorf("service %.3f while all boxes are cold, sent %.0f%% of what they bear at most; 0.65 without the gate, at 87%%", out.Service, 100*out.ColdWorst)
+	if out.ValueShare < 0.5 {
+		err = fmt.Errorf("service %.3f while all boxes are cold, sent %.0f%% of what they bear at most; 0.65 without the gate, at 87%%", out.ValueShare, 100*out.PeakSlowStartLoad)
 	}
 	stillOpen(t, 30, err)
 }
@@ -67,12 +67,12 @@
 				t.Fatal(err)
 			}
 			days["a reset while boxes hang"](&d)
-			d.Head.Seed, d.Limits.ThrottleRetries = seed+1, guarded
+			d.Header.Seed, d.Limits.ThrottleRetries = seed+1, guarded
 			out, err := fleet.Play(d, "module")
-			if err != nil || !out.Kept() {
+			if err != nil || !out.Passed() {
 				t.Fatal(err, out.Text())
 			}
-			service[guarded] += out.Service / 3
+			service[guarded] += out.ValueShare / 3
 		}
 	}
 	t.Logf("service %.3f with the guard, %.3f without", service[true], service[false])
--- a/internal/stages/site_test.go
+++ b/internal/stages/site_test.go
@@ -32,7 +32,7 @@
 type site struct {
 	t       *testing.T
 	d       setup.DispatcherConfig
-	book    *record.Book
+	book    *record.Recorder
 	clients *standin.Clients
 	base    string
 	stop    func()
@@ -74,13 +74,13 @@
 }
 
 func (c *call) put(what, word string) {
-	c.b.s.book.Put(record.Line{What: what, Word: word, Box: c.b.name, Try: c.e.DedupKey, Grade: c.e.Class, Key: c.e.RequestKey(), Stage: c.e.Phase, Trip: c.e.Attempt})
+	c.b.s.book.Record(record.Event{Kind: what, Detail: word, Backend: c.b.name, Try: c.e.DedupKey, Class: c.e.Class, RequestKey: c.e.RequestKey(), Phase: c.e.Phase, Attempt: c.e.Attempt})
 }
 
 func (c *call) end(word string) {
 	if !c.ended {
 		c.ended = true
-		c.put(record.End, word)
+		c.put(record.AttemptEnded, word)
 	}
 }
 
@@ -116,7 +116,7 @@
 	c.b.s.mu.Lock()
 	c.b.s.waits[c.e.RequestKey()] = c.b
 	c.b.s.mu.Unlock()
-	c.put(record.Held, "")
+	c.put(record.KVCacheHeld, "")
 }
 
 // take fetches the state; false: there is none.
@@ -128,7 +128,7 @@
 	delete(s.waits, key)
 	s.mu.Unlock()
 	if b != nil {
-		s.book.Put(record.Line{What: record.Let, Word: why, Box: b.name, Key: key})
+		s.book.Record(record.Event{Kind: record.KVCacheReleased, Detail: why, Backend: b.name, RequestKey: key})
 	}
 	return b != nil
 }
@@ -149,10 +149,10 @@
 	s.ran[c.e.DedupKey] = true
 	s.mu.Unlock()
 	if again && c.e.Class == "deduplicated" {
-		c.put(record.Repeat, "")
+		c.put(record.DuplicateDropped, "")
 		return
 	}
-	c.put(record.Ran, "")
+	c.put(record.EffectStarted, "")
 }
 
 // begin opens a stream with its first token, by which the effect has happened.
@@ -202,8 +202,8 @@
 			return
 		}
 		c.e, c.n = e, b.trips.Add(1)
-		c.put(record.Trip, "")
-		gone := context.AfterFunc(r.Context(), func() { c.put(record.Closed, "") })
+		c.put(record.AttemptReceived, "")
+		gone := context.AfterFunc(r.Context(), func() { c.put(record.AttemptClosed, "") })
 		defer gone()
 		defer c.end("broke")
 		if b.script != nil {
@@ -240,7 +240,7 @@
 	s.d.Instance.ResponseMargin = setup.Duration(150 * time.Millisecond) // a machine that does much else must not decide the verdict
 	s.d.Limits.DecodeCanPrefill, s.d.Limits.StallTimeout, s.d.Rules.KVCacheHoldLimit = false, setup.Duration(300*time.Millisecond), setup.Duration(300*time.Millisecond)
 	var err error
-	if s.book, err = record.Open("", record.Head{}); err != nil {
+	if s.book, err = record.Open("", record.Header{}); err != nil {
 		t.Fatal(err)
 	}
 	for _, kind := range []string{"reader", "writer", "writer"} {
@@ -415,9 +415,9 @@
 // finals counts the answers that clients had, by word.
 func (s *site) finals() map[string]int {
 	n := map[string]int{}
-	for _, l := range s.book.Lines() {
-		if l.What == record.Final {
-			n[l.Word]++
+	for _, l := range s.book.Events() {
+		if l.Kind == record.FinalAnswer {
+			n[l.Detail]++
 		}
 	}
 	return n
@@ -442,8 +442,8 @@
 func (s *site) rules() judge.Verdict {
 	s.t.Helper()
 	s.stop()
-	v := judge.Judge(record.Head{Day: s.t.Name(), Terms: s.d.Deployment}, s.book.Lines())
-	if !v.Kept() || v.Tries == 0 {
+	v := judge.Check(record.Header{Scenario: s.t.Name(), Terms: s.d.Deployment}, s.book.Events())
+	if !v.Passed() || v.Tries == 0 {
 		s.t.Errorf("%d tries\n%s", v.Tries, v.Text())
 	}
 	if s.struck.Load() == 0 {
--- a/internal/stages/trips_test.go
+++ b/internal/stages/trips_test.go
@@ -76,17 +76,17 @@
 			all.Wait()
 			s.stop()
 			sent, of, ran := map[string]int{}, map[string]map[int]bool{}, map[string]int{}
-			for _, l := range s.book.Lines() {
-				switch l.What {
-				case record.Trip:
-					sent[fmt.Sprintf("%s trip %d", l.Key, l.Trip)]++
-					if of[l.Key] == nil {
-						of[l.Key] = map[int]bool{}
+			for _, l := range s.book.Events() {
+				switch l.Kind {
+				case record.AttemptReceived:
+					sent[fmt.Sprintf("%s trip %d", l.RequestKey, l.Attempt)]++
+					if of[l.RequestKey] == nil {
+						of[l.RequestKey] = map[int]bool{}
 					}
-					of[l.Key][l.Trip] = true
-				case record.Ran:
-					if l.Grade == "unrepeatable" {
-						ran[l.Key]++
+					of[l.RequestKey][l.Attempt] = true
+				case record.EffectStarted:
+					if l.Class == "unrepeatable" {
+						ran[l.RequestKey]++
 					}
 				}
 			}
--- a/internal/stages/window_test.go
+++ b/internal/stages/window_test.go
@@ -38,14 +38,14 @@
 	w.Deadline, w.LatencyTarget = 2*time.Second, time.Second
 	s.clients.Submit(context.Background(), w)
 	first := map[string]int64{}
-	for _, l := range s.book.Lines() {
-		if l.What != record.Trip || l.Grade != "deduplicated" || l.Stage == kserve.PhasePrefill {
+	for _, l := range s.book.Events() {
+		if l.Kind != record.AttemptReceived || l.Class != "deduplicated" || l.Phase == kserve.PhasePrefill {
 			continue
 		}
-		if at, ok := first[l.Key]; !ok {
-			first[l.Key] = l.At
-		} else if after := time.Duration(l.At-at) * time.Microsecond; after > window {
-			t.Errorf("trip %d reached %s %v after the first that may have run, its window is %v", l.Trip, l.Box, after, window)
+		if at, ok := first[l.RequestKey]; !ok {
+			first[l.RequestKey] = l.TimeUs
+		} else if after := time.Duration(l.TimeUs-at) * time.Microsecond; after > window {
+			t.Errorf("trip %d reached %s %v after the first that may have run, its window is %v", l.Attempt, l.Backend, after, window)
 		}
 	}
 	s.rules()
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -28,13 +28,13 @@
 	Units                        float64
 	Addresses                    []addresses.Spec
 	Seed                         uint64
-	Engine                       engine.Make
+	Engine                       engine.Config
 }
 
 // InstantEngine is an engine that takes next to no time, for tests that are not about engines.
-var InstantEngine = engine.Make{
-	Reads: true, Writes: true, Slots: 1 << 20, Queue: 1 << 20, Blocks: 1 << 40, BlockTokens: 1 << 20,
-	Chunk: 1 << 30, Step: time.Microsecond, ReadPerS: 1e12, StateLife: 8 * time.Second,
+var InstantEngine = engine.Config{
+	Prefills: true, Decodes: true, Slots: 1 << 20, MaxQueued: 1 << 20, Blocks: 1 << 40, BlockTokens: 1 << 20,
+	ChunkTokens: 1 << 30, StepTime: time.Microsecond, PrefillTokensPerSecond: 1e12, KVCacheTTL: 8 * time.Second,
 }
 
 // Faults are the current faults of a backend.
@@ -115,7 +115,7 @@
 	ctx, b.cancel = context.WithCancel(context.Background())
 	b.ctx = ctx
 	b.StartNumber, b.startedAt, b.slowStart, b.running, b.overloaded =
-		b.fleet.nextStartNumber(), b.fleet.Record.Since(), slowStart, true, false
+		b.fleet.nextStartNumber(), b.fleet.Record.Elapsed(), slowStart, true, false
 	b.releases, b.heldTries, b.releaseAfterFetch, b.recentWork =
 		map[string]releaseRecord{}, map[string]string{}, map[string]bool{}, nil
 	b.engine, b.wake = engine.New(b.Engine, b.startedAt, slowStart), make(chan struct{}, 1)
@@ -142,7 +142,7 @@
 	server := b.server
 	b.handlers.Add(1)
 	go func() { defer b.handlers.Done(); server.Serve(listener) }()
-	b.fleet.Record.Put(record.Line{What: record.Up, Box: b.Name, Start: b.StartNumber, Cold: slowStart})
+	b.fleet.Record.Record(record.Event{Kind: record.ProcessStarted, Backend: b.Name, StartID: b.StartNumber, SlowStart: slowStart})
 	return nil
 }
 
@@ -171,9 +171,9 @@
 		return
 	}
 	b.running = false
-	b.fleet.Record.Put(record.Line{What: record.Down, Box: b.Name, Start: b.StartNumber, Word: reason})
+	b.fleet.Record.Record(record.Event{Kind: record.ProcessEnded, Backend: b.Name, StartID: b.StartNumber, Detail: reason})
 	for key, try := range b.heldTries {
-		b.fleet.Record.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: "lost"})
+		b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: "lost"})
 	}
 	clear(b.heldTries)
 	b.engine.Stop()
@@ -199,7 +199,7 @@
 func (b *Backend) Uptime() (time.Duration, bool, uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.fleet.Record.Since() - b.startedAt, b.slowStart, b.StartNumber
+	return b.fleet.Record.Elapsed() - b.startedAt, b.slowStart, b.StartNumber
 }
 
 // UpdateFaults changes the faults.
@@ -215,11 +215,11 @@
 	if b.engine == nil {
 		return
 	}
-	now := b.fleet.Record.Since()
-	b.engine.Slow, b.engine.Neighbour, b.engine.EvictFresh =
+	now := b.fleet.Record.Elapsed()
+	b.engine.Slowdown, b.engine.NeighbourShare, b.engine.EvictFresh =
 		b.faults.SlowFactor, b.faults.NeighbourShare, b.faults.EvictFetched
-	if b.engine.AgeBy != b.faults.AgingRate {
-		b.engine.Age(now, b.faults.AgingRate)
+	if b.engine.AgingRate != b.faults.AgingRate {
+		b.engine.SetAgingRate(now, b.faults.AgingRate)
 	}
 }
 
@@ -228,14 +228,14 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.running {
-		b.engine.Forget()
+		b.engine.DropCache()
 	}
 }
 
 // slowStartShare returns the share of its full capacity that the backend has now. b.mu must be held.
 func (b *Backend) slowStartShare() float64 {
 	rules := b.fleet.Terms.Rules
-	uptime := b.fleet.Record.Since() - b.startedAt
+	uptime := b.fleet.Record.Elapsed() - b.startedAt
 	if !b.slowStart || uptime >= rules.SlowStartRamp.Std() {
 		return 1
 	}
@@ -248,10 +248,10 @@
 	var due time.Duration // planned end of the current step; planning from it keeps timer lateness from adding up
 	for {
 		b.mu.Lock()
-		now := b.fleet.Record.Since()
-		wait, ok := eng.Loading(now), false
+		now := b.fleet.Record.Elapsed()
+		wait, ok := eng.LoadTimeLeft(now), false
 		if wait == 0 {
-			wait, ok = eng.Begin(max(due, now-maxStepLag))
+			wait, ok = eng.BeginStep(max(due, now-maxStepLag))
 		}
 		b.recordExpired()
 		b.mu.Unlock()
@@ -261,12 +261,12 @@
 				due = now
 			}
 			due += wait
-			if sleep(ctx, due-b.fleet.Record.Since()) != nil {
+			if sleep(ctx, due-b.fleet.Record.Elapsed()) != nil {
 				return
 			}
 			b.mu.Lock()
 			if ctx.Err() == nil {
-				eng.Finish(due)
+				eng.FinishStep(due)
 			}
 			b.mu.Unlock()
 		case wait > 0:
@@ -280,7 +280,7 @@
 			case <-ctx.Done():
 				return
 			}
-			due = b.fleet.Record.Since()
+			due = b.fleet.Record.Elapsed()
 		}
 	}
 }
@@ -300,9 +300,9 @@
 // recordExpired records the held KV caches that the engine has dropped by itself. b.mu must be held.
 func (b *Backend) recordExpired() {
 	for key, try := range b.heldTries {
-		if _, held := b.engine.Waits(key); !held && !b.engine.Moves(key) {
+		if _, held := b.engine.HeldKVCache(key); !held && !b.engine.KVCacheMoving(key) {
 			delete(b.heldTries, key)
-			b.fleet.Record.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: "expired"})
+			b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: "expired"})
 		}
 	}
 }
@@ -310,9 +310,9 @@
 // meanWork returns the mean work of an attempt of this class and stage, in seconds of the backend's full capacity.
 func (b *Backend) meanWork(attempt kserve.AttemptParams) float64 {
 	config := b.Engine
-	prefill := b.fleet.meanUncached(attempt.Class) / config.ReadPerS
-	step := config.Step.Seconds() + float64(config.Slots)*config.PerAnswer.Seconds() +
-		float64(config.Slots)*config.PerContextK.Seconds()
+	prefill := b.fleet.meanUncached(attempt.Class) / config.PrefillTokensPerSecond
+	step := config.StepTime.Seconds() + float64(config.Slots)*config.TimePerSequence.Seconds() +
+		float64(config.Slots)*config.TimePer1000ContextTokens.Seconds()
 	decode := b.fleet.Profiles[attempt.Class].AnswerTokens * step / float64(config.Slots)
 	switch attempt.Phase {
 	case kserve.PhasePrefill:
@@ -328,7 +328,7 @@
 func (b *Backend) overloads(work float64) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	rules, now := b.fleet.Terms.Rules, b.fleet.Record.Since()
+	rules, now := b.fleet.Terms.Rules, b.fleet.Record.Elapsed()
 	if !b.slowStart || now-b.startedAt > rules.SlowStartRamp.Std() {
 		return false
 	}
@@ -352,7 +352,7 @@
 func (b *Backend) loadReport() []float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	values := b.engine.Report()
+	values := b.engine.LoadReport()
 	var report []float64
 	for _, name := range b.fleet.Terms.ReportFields {
 		report = append(report, values[name])
@@ -385,33 +385,33 @@
 		kserve.WriteError(w, err)
 		return
 	}
-	line := record.Line{
-		Box: b.Name, Try: attempt.DedupKey, Grade: attempt.Class, Key: attempt.RequestKey(),
-		Stage: attempt.Phase, Trip: attempt.Attempt,
+	line := record.Event{
+		Backend: b.Name, Try: attempt.DedupKey, Class: attempt.Class, RequestKey: attempt.RequestKey(),
+		Phase: attempt.Phase, Attempt: attempt.Attempt,
 	}
 	put := func(what, outcome string) {
 		entry := line
-		entry.What, entry.Word = what, outcome
-		b.fleet.Record.Put(entry)
+		entry.Kind, entry.Detail = what, outcome
+		b.fleet.Record.Record(entry)
 	}
 	work := b.meanWork(attempt)
 	received := line
-	received.What, received.Work = record.Trip, work
+	received.Kind, received.Work = record.AttemptReceived, work
 	if conn := connFromContext(r.Context()); conn != nil {
 		received.Address = conn.endpoint.Spec.String()
 		arrived, closed := conn.timestamps()
-		received.Arrived = b.fleet.Record.Stamp(arrived)
+		received.ArrivedUs = b.fleet.Record.TimestampUs(arrived)
 		if !closed.IsZero() {
 			// The dispatcher has already closed the connection: such an attempt is not started.
-			received.Gone = b.fleet.Record.Stamp(closed)
-			b.fleet.Record.Put(received)
-			put(record.End, "dropped")
+			received.ClosedUs = b.fleet.Record.TimestampUs(closed)
+			b.fleet.Record.Record(received)
+			put(record.AttemptEnded, "dropped")
 			return
 		}
 	}
-	b.fleet.Record.Put(received)
+	b.fleet.Record.Record(received)
 	// The dispatcher may close the connection while the backend works on; that gets an entry of its own.
-	unwatch := context.AfterFunc(r.Context(), func() { put(record.Closed, "") })
+	unwatch := context.AfterFunc(r.Context(), func() { put(record.AttemptClosed, "") })
 	defer unwatch()
 	outcome := "broke"
 	var usage func() (prefilled, cached, generated int)
@@ -423,7 +423,7 @@
 		prefilled, cached, generated := usage()
 		return count(end, prefilled, cached, generated)
 	}
-	defer func() { countOnce(outcome); put(record.End, outcome) }()
+	defer func() { countOnce(outcome); put(record.AttemptEnded, outcome) }()
 
 	b.mu.Lock()
 	startNumber, faults, backendCtx := b.StartNumber, b.faults, b.ctx
@@ -432,15 +432,15 @@
 	crash := b.rng.Float64() < faults.CrashAfterPrefillShare
 	b.mu.Unlock()
 	if b.overloads(work) {
-		b.fleet.Record.Put(record.Line{What: record.Fell, Box: b.Name, Start: startNumber})
+		b.fleet.Record.Record(record.Event{Kind: record.Overloaded, Backend: b.Name, StartID: startNumber})
 		go b.Kill("pushed over")
 		panic(http.ErrAbortHandler)
 	}
 	recordEffect := func() {
 		if b.fleet.isNewEffect(b, attempt.Class, cmp.Or(attempt.DedupKey, attempt.RequestKey())) {
-			put(record.Ran, "")
+			put(record.EffectStarted, "")
 		} else {
-			put(record.Repeat, "")
+			put(record.DuplicateDropped, "")
 		}
 	}
 	respond := func(status int, result kserve.AttemptResult) {
@@ -466,22 +466,22 @@
 	}
 	run := &engineJob{changed: make(chan struct{}, 1)}
 	run.job = engine.Job{
-		Key: attempt.RequestKey(), Session: attempt.Session, Shared: attempt.SharedPrefix,
-		Prompt: attempt.PromptTokens, Prefix: attempt.PrefixTokens, Answer: 1,
+		Key: attempt.RequestKey(), Session: attempt.Session, SharedPrefix: attempt.SharedPrefix,
+		PromptTokens: attempt.PromptTokens, PrefixTokens: attempt.PrefixTokens, OutputTokens: 1,
 	}
 	switch attempt.Phase {
 	case kserve.PhasePrefill:
-		run.job.Stage = engine.Read
+		run.job.Stage = engine.StagePrefill
 	case kserve.PhaseDecode:
-		run.job.Stage = engine.Write
+		run.job.Stage = engine.StageDecode
 	default:
-		run.job.Stage = engine.Whole
+		run.job.Stage = engine.StageWhole
 	}
 	if attempt.Phase != kserve.PhasePrefill {
-		run.job.Answer = b.fleet.answerTokens(attempt.Class, attempt.DedupKey, attempt.MaxTokens)
+		run.job.OutputTokens = b.fleet.answerTokens(attempt.Class, attempt.DedupKey, attempt.MaxTokens)
 	}
-	run.job.Token = func(ready int) { run.tokens.Store(int64(ready)); run.notify() }
-	run.job.Ended = func(end engine.End, cached int) {
+	run.job.OnToken = func(ready int) { run.tokens.Store(int64(ready)); run.notify() }
+	run.job.OnEnd = func(end engine.Outcome, cached int) {
 		run.cachedTokens.Store(int64(cached))
 		run.end.Store(1 + int64(end))
 		run.notify()
@@ -492,7 +492,7 @@
 		return
 	}
 	eng := b.engine
-	run.job.Fetch = func(arrived func(bool)) {
+	run.job.FetchKVCache = func(arrived func(bool)) {
 		b.handlers.Add(1)
 		go func() {
 			defer b.handlers.Done()
@@ -506,16 +506,16 @@
 		}()
 	}
 	if attempt.Phase == kserve.PhasePrefill {
-		ended := run.job.Ended
-		run.job.Ended = func(end engine.End, cached int) { // b.mu is held
+		ended := run.job.OnEnd
+		run.job.OnEnd = func(end engine.Outcome, cached int) { // b.mu is held
 			if end == engine.Done {
 				if entry, ok := b.releases[attempt.RequestKey()]; ok && attempt.Attempt <= entry.attempt {
-					eng.Release(attempt.RequestKey()) // it was released before the prefill ended
-					end = engine.Dropped
+					eng.ReleaseKVCache(attempt.RequestKey()) // it was released before the prefill ended
+					end = engine.Cancelled
 				} else {
 					b.heldTries[attempt.RequestKey()] = attempt.DedupKey
-					b.fleet.Record.Put(record.Line{
-						What: record.Held, Box: b.Name, Key: attempt.RequestKey(), Try: attempt.DedupKey, Grade: attempt.Class,
+					b.fleet.Record.Record(record.Event{
+						Kind: record.KVCacheHeld, Backend: b.Name, RequestKey: attempt.RequestKey(), Try: attempt.DedupKey, Class: attempt.Class,
 					})
 				}
 			}
@@ -525,9 +525,9 @@
 	usage = func() (int, int, int) {
 		b.mu.Lock()
 		defer b.mu.Unlock()
-		return run.job.Spent()
+		return run.job.Usage()
 	}
-	eng.Submit(b.fleet.Record.Since(), &run.job)
+	eng.Submit(b.fleet.Record.Elapsed(), &run.job)
 	b.wakeEngine()
 	b.mu.Unlock()
 	defer func() {
@@ -545,7 +545,7 @@
 		case <-ctx.Done():
 			return
 		}
-		end := engine.End(run.end.Load() - 1)
+		end := engine.Outcome(run.end.Load() - 1)
 		for ready := int(run.tokens.Load()); written < ready; written++ {
 			if written == 0 {
 				recordEffect()
@@ -554,7 +554,7 @@
 				}
 				w.Header().Set("Content-Type", "text/event-stream")
 			}
-			if reset && written == (run.job.Answer+1)/2 {
+			if reset && written == (run.job.OutputTokens+1)/2 {
 				panic(http.ErrAbortHandler)
 			}
 			if kserve.WriteEvent(w, "", kserve.Token{Model: b.fleet.Terms.Model, Text: " word"}) != nil {
@@ -594,7 +594,7 @@
 			}
 		case end == engine.Full || end == engine.TooBig:
 			respond(http.StatusServiceUnavailable, kserve.AttemptResult{Outcome: kserve.OutcomeFull, Error: end.String()})
-		case end == engine.NoState:
+		case end == engine.NoKVCache:
 			respond(http.StatusServiceUnavailable,
 				kserve.AttemptResult{Outcome: kserve.OutcomeNoKVCache, Error: "no state could be fetched"})
 		default: // the process died or the work was dropped: abort the connection
@@ -616,15 +616,15 @@
 	if !held {
 		return false
 	}
-	if b.engine.Moves(key) && reason != "taken" {
+	if b.engine.KVCacheMoving(key) && reason != "taken" {
 		b.releaseAfterFetch[key] = true
 		return true
 	}
 	delete(b.heldTries, key)
 	delete(b.releaseAfterFetch, key)
-	b.engine.Release(key)
+	b.engine.ReleaseKVCache(key)
 	b.wakeEngine()
-	b.fleet.Record.Put(record.Line{What: record.Let, Box: b.Name, Key: key, Try: try, Word: reason})
+	b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: reason})
 	return true
 }
 
@@ -639,10 +639,10 @@
 	released := 0
 	for _, entry := range entries {
 		b.mu.Lock()
-		b.releases[entry.RequestKey] = releaseRecord{entry.LastAttempt, b.fleet.Record.Since()}
+		b.releases[entry.RequestKey] = releaseRecord{entry.LastAttempt, b.fleet.Record.Elapsed()}
 		if len(b.releases) > maxReleases {
 			for key, release := range b.releases {
-				if b.fleet.Record.Since()-release.releasedAt > releaseRetention {
+				if b.fleet.Record.Elapsed()-release.releasedAt > releaseRetention {
 					delete(b.releases, key)
 				}
 			}
@@ -679,20 +679,20 @@
 	startNumber := b.StartNumber
 	tokens, held := 0, false
 	if b.running {
-		tokens, held = b.engine.Waits(key)
+		tokens, held = b.engine.HeldKVCache(key)
 	}
 	if !held {
 		b.mu.Unlock()
 		kserve.WriteJSON(w, http.StatusNotFound, map[string]string{"error": "no such state waits"})
 		return
 	}
-	b.engine.Moving(key, true)
+	b.engine.SetKVCacheMoving(key, true)
 	b.mu.Unlock()
 	if b.fleet.transfer(r.Context(), b, r.Header.Get("Rack"), r.Header.Get("Zone"), float64(tokens)) != nil {
 		b.mu.Lock()
 		releaseNow := b.releaseAfterFetch[key]
 		if b.StartNumber == startNumber && b.running {
-			b.engine.Moving(key, false)
+			b.engine.SetKVCacheMoving(key, false)
 		}
 		b.mu.Unlock()
 		if releaseNow {
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -46,7 +46,7 @@
 
 // Clients submits requests to dispatchers and records the outcome of each try.
 type Clients struct {
-	Record         *record.Book
+	Record         *record.Recorder
 	Model          string
 	PickDispatcher PickDispatcher
 	http           *http.Client
@@ -54,7 +54,7 @@
 }
 
 // NewClients returns clients that share their connections, as the clients behind an HTTP frontend do.
-func NewClients(rec *record.Book, model string, pick PickDispatcher) *Clients {
+func NewClients(rec *record.Recorder, model string, pick PickDispatcher) *Clients {
 	transport := &http.Transport{MaxIdleConnsPerHost: 256, DialContext: (&net.Dialer{Timeout: time.Second}).DialContext}
 	return &Clients{rec, model, pick, &http.Client{Transport: transport}, transport}
 }
@@ -113,26 +113,26 @@
 ) (outcome string, retryAfter time.Duration, sent bool, nextTicket string) {
 	tryID := fmt.Sprintf("%s.%d", request.Name, try)
 	dispatcher, addr := c.PickDispatcher(uint64(request.SubmitAt) + uint64(try)*7919)
-	line := record.Line{Try: tryID, Question: request.Name, Grade: request.Class, Dispatcher: dispatcher}
-	put := func(what, outcome string, fill func(*record.Line)) {
+	line := record.Event{Try: tryID, Request: request.Name, Class: request.Class, Dispatcher: dispatcher}
+	put := func(what, outcome string, fill func(*record.Event)) {
 		entry := line
-		entry.What, entry.Word = what, outcome
+		entry.Kind, entry.Detail = what, outcome
 		if fill != nil {
 			fill(&entry)
 		}
-		c.Record.Put(entry)
+		c.Record.Record(entry)
 	}
 	timeout := time.Duration(float64(request.Deadline) * request.PatienceShare)
 	honours := ""
 	if request.HonoursRetryAfter {
 		honours = "follows"
 	}
-	put(record.Asked, honours, func(entry *record.Line) {
-		entry.ExpiryUs, entry.PromiseUs, entry.Tokens =
+	put(record.RequestSent, honours, func(entry *record.Event) {
+		entry.DeadlineUs, entry.LatencyTargetUs, entry.Tokens =
 			timeout.Microseconds(), request.LatencyTarget.Microseconds(), request.PromptTokens
 	})
 	if addr == "" {
-		put(record.Cut, "no dispatcher is known", nil)
+		put(record.ConnectionLost, "no dispatcher is known", nil)
 		return "cut", 0, false, ""
 	}
 	params := kserve.Params{
@@ -158,7 +158,7 @@
 	startedAt := time.Now()
 	fail := func(err error) (string, time.Duration, bool, string) {
 		if errors.Is(context.Cause(ctx), errClientLeft) {
-			put(record.Quit, "", nil)
+			put(record.ClientLeft, "", nil)
 			return "left", 0, true, ""
 		}
 		cause := context.Cause(ctx)
@@ -167,9 +167,9 @@
 		}
 		sent := !kserve.IsDialError(err)
 		if !sent {
-			put(record.Cut, "unreached: "+cause.Error(), nil)
+			put(record.ConnectionLost, "unreached: "+cause.Error(), nil)
 		} else {
-			put(record.Cut, cause.Error(), nil)
+			put(record.ConnectionLost, cause.Error(), nil)
 		}
 		return "cut", 0, sent, ""
 	}
@@ -184,8 +184,8 @@
 	}
 	defer resp.Body.Close()
 	finish := func(finalEvent kserve.FinalResponse) (string, time.Duration, bool, string) {
-		put(record.Final, finalEvent.Outcome, func(entry *record.Line) {
-			entry.AfterMs, entry.Trips, entry.Took =
+		put(record.FinalAnswer, finalEvent.Outcome, func(entry *record.Event) {
+			entry.RetryAfterMs, entry.Attempts, entry.ElapsedUs =
 				finalEvent.RetryAfterMs, finalEvent.Attempts, time.Since(startedAt).Microseconds()
 		})
 		return finalEvent.Outcome, time.Duration(finalEvent.RetryAfterMs) * time.Millisecond, true, finalEvent.RetryTicket
@@ -197,7 +197,7 @@
 			return fail(err)
 		}
 		if json.Unmarshal(raw, &finalEvent) != nil || finalEvent.Outcome == "" {
-			put(record.Final, fmt.Sprintf("fault %d: %.200s", resp.StatusCode, raw), nil)
+			put(record.FinalAnswer, fmt.Sprintf("fault %d: %.200s", resp.StatusCode, raw), nil)
 			return "fault", 0, true, ""
 		}
 		return finish(finalEvent)
@@ -213,7 +213,7 @@
 			if !first {
 				first = true
 				patience.Stop()
-				put(record.First, "", func(entry *record.Line) { entry.Took = time.Since(startedAt).Microseconds() })
+				put(record.FirstToken, "", func(entry *record.Event) { entry.ElapsedUs = time.Since(startedAt).Microseconds() })
 			}
 			if request.ReadDelay > 0 {
 				sleep(ctx, request.ReadDelay)
@@ -222,13 +222,13 @@
 		}
 		var finalEvent kserve.FinalResponse
 		if json.Unmarshal(event.Data, &finalEvent) != nil || finalEvent.Outcome == "" {
-			put(record.Extra, "an event that is no final answer: "+event.Name, nil)
+			put(record.AfterFinal, "an event that is no final answer: "+event.Name, nil)
 			continue
 		}
 		outcome, retryAfter, sent, nextTicket = finish(finalEvent)
 		time.AfterFunc(extraEventWait, func() { cancel(errNoAnswer) })
 		if event, err := events.Next(); err == nil {
-			put(record.Extra, event.Name, nil)
+			put(record.AfterFinal, event.Name, nil)
 		}
 		return outcome, retryAfter, sent, nextTicket
 	}
--- a/internal/standin/counts.go
+++ b/internal/standin/counts.go
@@ -58,9 +58,9 @@
 			Tenant: attempt.Tenant, Class: attempt.Class, PrefillTokens: prefilled, CachedTokens: cached, OutputTokens: generated, EndReason: outcome,
 		}
 		usage.unacknowledged = append(usage.unacknowledged, *counted)
-		b.fleet.Record.Put(record.Line{
-			What: record.Counted, Box: b.Name, Key: attempt.RequestKey(), Trip: attempt.Attempt, Try: attempt.DedupKey,
-			Stage: attempt.Phase, Grade: attempt.Class, Word: outcome, Tokens: prefilled, Kept: cached, Answer: generated,
+		b.fleet.Record.Record(record.Event{
+			Kind: record.UsageCounted, Backend: b.Name, RequestKey: attempt.RequestKey(), Attempt: attempt.Attempt, Try: attempt.DedupKey,
+			Phase: attempt.Phase, Class: attempt.Class, Detail: outcome, Tokens: prefilled, CachedTokens: cached, AnswerTokens: generated,
 		})
 		return counted
 	}
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -103,7 +103,7 @@
 	uptime, slowStart, startNumber := b.Uptime()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now := d.fleet.Record.Since()
+	now := d.fleet.Record.Elapsed()
 	visible := now + delay + d.extraDelay
 	if n := len(d.changes); n > 0 {
 		visible = max(visible, d.changes[n-1].visibleAt)
@@ -159,7 +159,7 @@
 func (d *Discovery) nextPush(version int, full bool) *boxlist.Update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now := d.fleet.Record.Since()
+	now := d.fleet.Record.Elapsed()
 	n := d.countVisible(now)
 	if !full && version >= n {
 		return nil
@@ -232,15 +232,15 @@
 		}
 		for name := range known {
 			if !listed[name] {
-				d.fleet.Record.Put(record.Line{What: record.Told, Dispatcher: dispatcher, Box: name, Word: boxlist.Removed})
+				d.fleet.Record.Record(record.Event{Kind: record.EndpointNotified, Dispatcher: dispatcher, Backend: name, Detail: boxlist.Removed})
 			}
 		}
 		known = map[string]bool{}
 	}
 	for _, b := range push.Endpoints {
 		known[b.Name] = true
-		d.fleet.Record.Put(record.Line{
-			What: record.Told, Dispatcher: dispatcher, Box: b.Name, Word: b.State, Start: b.Incarnation,
+		d.fleet.Record.Record(record.Event{
+			Kind: record.EndpointNotified, Dispatcher: dispatcher, Backend: b.Name, Detail: b.State, StartID: b.Incarnation,
 		})
 	}
 	return known
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -30,7 +30,7 @@
 // that backends of the same group have already carried out.
 type Fleet struct {
 	Terms    setup.Deployment
-	Record   *record.Book
+	Record   *record.Recorder
 	Links    Links
 	Profiles map[string]ClassProfile // by class
 
@@ -57,14 +57,14 @@
 type effectKey struct{ group, try string }
 
 // NewFleet returns a fleet without backends and starts the upkeep of its connection pools; Close ends it.
-func NewFleet(terms setup.Deployment, rec *record.Book, links Links, profiles map[string]ClassProfile) *Fleet {
+func NewFleet(terms setup.Deployment, rec *record.Recorder, links Links, profiles map[string]ClassProfile) *Fleet {
 	fleet := &Fleet{
 		Terms: terms, Record: rec, Links: links, Profiles: profiles, linkSlowdown: 1,
 		uncached: map[string]*runningMean{}, effects: map[effectKey]time.Duration{}, rackLinks: map[string]*sharedLink{},
 	}
 	fleet.ctx, fleet.cancel = context.WithCancel(context.Background())
 	fleet.pools = &reach.Manager{
-		DialTimeout: 500 * time.Millisecond, MaxConnsPerBackend: 1024, Now: rec.Since, Context: fleet.ctx, Group: &errgroup.Group{},
+		DialTimeout: 500 * time.Millisecond, MaxConnsPerBackend: 1024, Now: rec.Elapsed, Context: fleet.ctx, Group: &errgroup.Group{},
 	}
 	fleet.pools.Group.Go(fleet.pools.Run)
 	return fleet
@@ -162,7 +162,7 @@
 	group := map[string]string{"zone": b.Zone, "rack": b.Rack}[class.DedupScope]
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	now := f.Record.Since()
+	now := f.Record.Elapsed()
 	seenAt, known := f.effects[effectKey{group, try}]
 	if known && now-seenAt < class.DedupWindow.Std() {
 		return false
