--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -13,67 +13,68 @@
 	"sloetrestle/internal/hosts"
 )
 
-// discovery tells each dispatcher of the backends, through an agent of its own.
+// discovery emulates service discovery: each dispatcher has an agent of its own that lists the backends and pushes
+// changes.
 type discovery struct {
-	record *record
-	farm   *farm
-	done   sync.WaitGroup
+	record  *record
+	cluster *cluster
+	done    sync.WaitGroup
 
-	mu     sync.Mutex
-	rev    int64
-	agents []*agent
+	mu       sync.Mutex
+	revision int64
+	agents   []*agent
 }
 
-// agent is one dispatcher's discovery, at either of two addresses.
+// agent is the discovery endpoint of one dispatcher. It has two addresses, of which one is current.
 type agent struct {
 	*discovery
 	dispatcher int
-	listens    [2]net.Listener
+	listeners  [2]net.Listener
 
-	// The discovery's lock guards these.
-	current int // the address that is followed
-	silent  time.Duration
-	slow    time.Duration
-	quiet   []span // while it could not be reached, or answered late
-	watches map[net.Conn]int
-	conns   map[net.Conn]int
+	// Guarded by discovery.mu.
+	current     int // index of the current address
+	silentUntil time.Duration
+	slowUntil   time.Duration
+	outages     []span // times in which the agent was unreachable or slow
+	watches     map[net.Conn]int
+	conns       map[net.Conn]int
 }
 
 const (
-	beatTime  = 2 * time.Second
-	slowTime  = 2 * time.Second
-	oldCloses = 1500 * time.Millisecond // after a move, connections to the old address
+	heartbeatInterval = 2 * time.Second
+	slowAnswerDelay   = 2 * time.Second
+	oldAddressGrace   = 1500 * time.Millisecond // after a move, for connections to the old address
 )
 
-// addAgent opens a dispatcher's discovery.
+// addAgent starts the discovery agent of a dispatcher.
 func (d *discovery) addAgent(dispatcher int) error {
 	a := &agent{discovery: d, dispatcher: dispatcher, watches: map[net.Conn]int{}, conns: map[net.Conn]int{}}
-	for i := range a.listens {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+	for i := range a.listeners {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		a.listens[i] = l
-		d.done.Go(func() { acceptAll(l, &d.done, func(c net.Conn) { a.serve(c, i) }) })
+		a.listeners[i] = listener
+		d.done.Go(func() { acceptAll(listener, &d.done, func(c net.Conn) { a.serve(c, i) }) })
 	}
 	d.agents = append(d.agents, a)
 	return nil
 }
 
-// address is where the agent is followed now.
+// address returns the current address of the agent.
 func (a *agent) address() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.listens[a.current].Addr().String()
+	return a.listeners[a.current].Addr().String()
 }
 
-// wholeMost is up to how many backends a change is told by the whole list.
-const wholeMost = 50
+// maxFullList is the number of backends up to which a change is pushed as the full list.
+const maxFullList = 50
 
-// list is all that discovery has; the lock is held.
-func (a *agent) list() []byte { return a.entries(a.farm.backends, true) }
+// fullList returns the list of all backends. discovery.mu must be held.
+func (a *agent) fullList() []byte { return a.entries(a.cluster.backends, true) }
 
-// entries is what discovery has of some backends; the lock is held.
+// entries returns the list for some backends; all marks it as the full list. discovery.mu must be held.
 func (a *agent) entries(backends []*backend, all bool) []byte {
 	targets := []hosts.Target{}
 	for _, b := range backends {
@@ -83,18 +84,19 @@
 			kind = hosts.PrefillKind
 		}
 		targets = append(targets, hosts.Target{
-			UID: b.uid, Endpoint: b.at[a.dispatcher], Zone: "hall-1", Kind: kind, Rack: b.rack, State: b.state, Units: 1, Boot: b.bootMs,
+			UID: b.uid, Endpoint: b.endpoints[a.dispatcher], Zone: "hall-1", Kind: kind, Rack: b.rack, State: b.state, Units: 1,
+			Boot: b.bootMs,
 		})
 		b.mu.Unlock()
 	}
-	raw, err := json.Marshal(map[string]any{"rev": a.rev, "all": all, "targets": targets})
+	raw, err := json.Marshal(map[string]any{"rev": a.revision, "all": all, "targets": targets})
 	if err != nil {
-		panic(err) // plain fields
+		panic(err) // cannot fail: only strings, numbers and booleans
 	}
 	return raw
 }
 
-// serve answers what a dispatcher asks.
+// serve answers the requests on a connection of a dispatcher.
 func (a *agent) serve(c net.Conn, address int) {
 	a.mu.Lock()
 	a.conns[c] = address
@@ -105,13 +107,13 @@
 		delete(a.watches, c)
 		a.mu.Unlock()
 	}()
-	for from := bufio.NewReader(c); ; {
-		r, err := http.ReadRequest(from)
+	for reader := bufio.NewReader(c); ; {
+		r, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		if a.slowNow() {
-			time.Sleep(slowTime)
+		if a.isSlow() {
+			time.Sleep(slowAnswerDelay)
 		}
 		if !a.answer(c, address, r.URL.Query().Get("stream") != "") {
 			return
@@ -119,24 +121,24 @@
 	}
 }
 
-func (a *agent) slowNow() bool {
+func (a *agent) isSlow() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.record.now() < a.slow
+	return a.record.now() < a.slowUntil
 }
 
-// answer answers with the list, whole or as a watch's first push. While it is silent it answers nothing, and never will on this
-// connection.
+// answer sends the full list, as a plain answer or as the first push of a watch. It returns false to close the
+// connection. A request that comes while the agent is silent is never answered.
 func (a *agent) answer(c net.Conn, address int, watch bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if address != a.current {
 		return false
 	}
-	if a.record.now() < a.silent {
+	if a.record.now() < a.silentUntil {
 		return true
 	}
-	raw := string(a.list())
+	raw := string(a.fullList())
 	if !watch {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(raw), raw)
 		return true
@@ -146,8 +148,8 @@
 	return true
 }
 
-// beat has watches hear that nothing changed.
-func (d *discovery) beat() {
+// heartbeat sends an empty line to all watches.
+func (d *discovery) heartbeat() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, a := range d.agents {
@@ -155,60 +157,61 @@
 	}
 }
 
-// push writes to the watches, and tells whether there was one to hear it; the lock is held.
-func (a *agent) push(raw string) (heard bool) {
-	if a.record.now() < a.silent {
+// push writes to the watches and reports whether a write succeeded. discovery.mu must be held.
+func (a *agent) push(raw string) (written bool) {
+	if a.record.now() < a.silentUntil {
 		return false
 	}
 	for c := range a.watches {
 		if _, err := io.WriteString(c, raw); err == nil {
-			heard = true
+			written = true
 		}
 	}
-	return heard
+	return written
 }
 
-// change changes what discovery says of a backend, and tells the watches.
+// change sets the listed state of a backend and pushes it to the watches.
 func (d *discovery) change(b *backend, state string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	b.mu.Lock()
 	b.state = state
 	b.mu.Unlock()
-	d.rev++
-	told, whole := d.farm.backends, true
-	if len(told) > wholeMost {
-		told, whole = []*backend{b}, false
+	d.revision++
+	changed, all := d.cluster.backends, true
+	if len(changed) > maxFullList {
+		changed, all = []*backend{b}, false
 	}
 	for _, a := range d.agents {
 		now, written := d.record.now(), time.Duration(0)
-		if a.push(hosts.EncodeChunk(string(a.entries(told, whole)) + "\n")) {
+		if a.push(hosts.EncodeChunk(string(a.entries(changed, all)) + "\n")) {
 			written = now
 		}
 		d.record.with(func() {
-			d.record.listings = append(d.record.listings, listing{b.uid, a.dispatcher, state == "in_service", now, written})
+			d.record.stateChanges = append(d.record.stateChanges,
+				stateChange{b.uid, a.dispatcher, state == "in_service", now, written})
 		})
 	}
 }
 
-// silence has the agent say nothing until a time; its watches are dead from then on.
-func (a *agent) silence(until time.Duration) {
+// silenceUntil makes the agent send nothing until the given time. Its present watches stay dead after that.
+func (a *agent) silenceUntil(until time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.silent = max(a.silent, until)
+	a.silentUntil = max(a.silentUntil, until)
 	clear(a.watches)
-	a.quiet = append(a.quiet, span{a.record.now(), until})
+	a.outages = append(a.outages, span{a.record.now(), until})
 }
 
-// slowDown has the agent answer late until a time.
-func (a *agent) slowDown(until time.Duration) {
+// slowDownUntil makes the agent answer late until the given time.
+func (a *agent) slowDownUntil(until time.Duration) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.slow = max(a.slow, until)
-	a.quiet = append(a.quiet, span{a.record.now(), until})
+	a.slowUntil = max(a.slowUntil, until)
+	a.outages = append(a.outages, span{a.record.now(), until})
 }
 
-// reset cuts the agent's connections.
+// reset closes all connections of the agent.
 func (a *agent) reset() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -217,13 +220,14 @@
 	}
 }
 
-// move has the other address be the one; the old one closes its connections after a while.
+// move makes the other address the current one and returns it. Connections to the old address are closed after
+// oldAddressGrace.
 func (a *agent) move() string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	old := a.current
 	a.current = 1 - old
-	time.AfterFunc(oldCloses, func() {
+	time.AfterFunc(oldAddressGrace, func() {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		for c, address := range a.conns {
@@ -232,14 +236,14 @@
 			}
 		}
 	})
-	return a.listens[a.current].Addr().String()
+	return a.listeners[a.current].Addr().String()
 }
 
-// close ends it.
+// close closes all listeners and connections and waits for their goroutines.
 func (d *discovery) close() {
 	for _, a := range d.agents {
-		for _, l := range a.listens {
-			l.Close()
+		for _, listener := range a.listeners {
+			listener.Close()
 		}
 		a.reset()
 	}
--- a/internal/soak/lateness.go
+++ b/internal/soak/lateness.go
@@ -10,11 +10,12 @@
 
 const (
 	latenessStep = 5 * time.Millisecond
-	// latenessMost is by how much a soak may itself be late. What it saw then is not judged: it can't tell whose the delay is.
-	latenessMost = 100 * time.Millisecond
+	// maxLateness is by how much the soak itself may run late. Beyond it a run is inconclusive, because a delay
+	// can't be attributed to the dispatchers.
+	maxLateness = 100 * time.Millisecond
 )
 
-// lateness measures by how much the soak's own process runs late.
+// lateness measures the scheduling delay of the soak's own process.
 type lateness struct{ worst atomic.Int64 }
 
 // watch measures until the context ends.
@@ -24,12 +25,12 @@
 		if !system.Sleep(ctx, latenessStep) {
 			return
 		}
-		l.saw(time.Since(began) - latenessStep)
+		l.observe(time.Since(began) - latenessStep)
 	}
 }
 
-// saw takes note of a delay.
-func (l *lateness) saw(late time.Duration) {
+// observe records a delay.
+func (l *lateness) observe(late time.Duration) {
 	for {
 		worst := l.worst.Load()
 		if int64(late) <= worst || l.worst.CompareAndSwap(worst, int64(late)) {
@@ -38,4 +39,5 @@
 	}
 }
 
-func (l *lateness) most() time.Duration { return time.Duration(l.worst.Load()) }
+// largest returns the largest delay observed.
+func (l *lateness) largest() time.Duration { return time.Duration(l.worst.Load()) }
--- a/internal/soak/shims.go
+++ b/internal/soak/shims.go
@@ -14,18 +14,19 @@
 	"sloetrestle/internal/system"
 )
 
-// Order is what a soak tells the shims of a dispatcher's process: the system that fails is the program's own, but for these.
+// Order is a message from a soak to the shims of a dispatcher process. Apart from these faults the process uses the
+// real operating system.
 type Order struct {
-	WallStep   time.Duration `json:"wall_step,omitempty"` // the wall clock steps by so much
-	Accept     syscall.Errno `json:"accept,omitempty"`    // accept fails so
-	Dial       syscall.Errno `json:"dial,omitempty"`      // socket or connect fails so
+	WallStep   time.Duration `json:"wall_step,omitempty"` // step of the wall clock
+	Accept     syscall.Errno `json:"accept,omitempty"`    // error of accept
+	Dial       syscall.Errno `json:"dial,omitempty"`      // error of socket or connect
 	ShortReads bool          `json:"short_reads,omitempty"`
-	For        time.Duration `json:"for,omitempty"`
+	For        time.Duration `json:"for,omitempty"` // how long the errors or short reads last
 }
 
-// shims are what stands between a dispatcher and the operating system.
+// shims hold the faults that are injected between a dispatcher and the operating system.
 type shims struct {
-	wall atomic.Int64 // by how much the wall clock is off
+	wall atomic.Int64 // offset of the wall clock in nanoseconds
 
 	mu     sync.Mutex
 	accept failure
@@ -33,15 +34,15 @@
 	short  failure
 }
 
-// failure lasts for a while.
+// failure is an injected error with the time at which it ends.
 type failure struct {
 	errno syscall.Errno
 	until time.Time
 }
 
-func (f failure) now() bool { return time.Now().Before(f.until) }
+func (f failure) lasts() bool { return time.Now().Before(f.until) }
 
-// Shims is a system that does what a soak orders over a connection.
+// Shims returns a system that injects the faults ordered over a connection to the control address.
 func Shims(control string) (system.System, error) {
 	conn, err := net.Dial("tcp", control)
 	if err != nil {
@@ -61,7 +62,7 @@
 			return &shimListener{l, s}, nil
 		},
 		Dial: func(ctx context.Context, network, address string) (net.Conn, error) {
-			if errno, fails := s.failing(&s.dial); fails {
+			if errno, fails := s.active(&s.dial); fails {
 				return nil, &net.OpError{Op: "dial", Net: network, Err: os.NewSyscallError("connect", errno)}
 			}
 			c, err := real.Dial(ctx, network, address)
@@ -73,53 +74,55 @@
 	}, nil
 }
 
-// follow carries out orders until the soak has gone.
+// follow executes orders until the connection ends.
 func (s *shims) follow(conn net.Conn) {
 	for lines := bufio.NewScanner(conn); lines.Scan(); {
-		var o Order
-		if json.Unmarshal(lines.Bytes(), &o) != nil {
+		var order Order
+		if json.Unmarshal(lines.Bytes(), &order) != nil {
 			continue
 		}
-		s.wall.Add(int64(o.WallStep))
-		until := time.Now().Add(o.For)
+		s.wall.Add(int64(order.WallStep))
+		until := time.Now().Add(order.For)
 		s.mu.Lock()
-		if o.Accept != 0 {
-			s.accept = failure{o.Accept, until}
+		if order.Accept != 0 {
+			s.accept = failure{order.Accept, until}
 		}
-		if o.Dial != 0 {
-			s.dial = failure{o.Dial, until}
+		if order.Dial != 0 {
+			s.dial = failure{order.Dial, until}
 		}
-		if o.ShortReads {
+		if order.ShortReads {
 			s.short = failure{0, until}
 		}
 		s.mu.Unlock()
 	}
 }
 
-func (s *shims) failing(f *failure) (syscall.Errno, bool) {
+// active returns the error of a failure and whether it lasts.
+func (s *shims) active(f *failure) (syscall.Errno, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return f.errno, f.now()
+	return f.errno, f.lasts()
 }
 
-// cut is how much of a read or write is let through.
-func (s *shims) cut(into []byte) []byte {
-	if _, short := s.failing(&s.short); short {
-		return into[:min(len(into), shortMost)]
+// limitLength returns the part of a buffer that a read or write may use now.
+func (s *shims) limitLength(into []byte) []byte {
+	if _, short := s.active(&s.short); short {
+		return into[:min(len(into), maxShortIO)]
 	}
 	return into
 }
 
-// shortMost is how many bytes a short read or write takes.
-const shortMost = 7
+// maxShortIO is the number of bytes of a short read or write.
+const maxShortIO = 7
 
+// shimListener is a listener whose Accept fails on order and whose connections can have short reads.
 type shimListener struct {
 	system.Listener
 	shims *shims
 }
 
 func (l *shimListener) Accept() (system.Conn, error) {
-	if errno, fails := l.shims.failing(&l.shims.accept); fails {
+	if errno, fails := l.shims.active(&l.shims.accept); fails {
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Err: os.NewSyscallError("accept4", errno)}
 	}
 	c, err := l.Listener.Accept()
@@ -135,21 +138,23 @@
 	shims *shims
 }
 
-func (c *shortAccepted) Read(into []byte) (int, error) { return c.Conn.Read(c.shims.cut(into)) }
+func (c *shortAccepted) Read(into []byte) (int, error) { return c.Conn.Read(c.shims.limitLength(into)) }
 
 func (c *shortAccepted) TryRead(fd uintptr, into []byte) (int, error) {
-	return c.Conn.TryRead(fd, c.shims.cut(into))
+	return c.Conn.TryRead(fd, c.shims.limitLength(into))
 }
 
 func (c *shortAccepted) Write(from []byte) (int, error) { return inPieces(c.Conn, c.shims, from) }
 
-// shortDialed is the same for one that the dispatcher made.
+// shortDialed is the same for a connection that the dispatcher dialed.
 type shortDialed struct {
 	*net.TCPConn
 	shims *shims
 }
 
-func (c *shortDialed) Read(into []byte) (int, error) { return c.TCPConn.Read(c.shims.cut(into)) }
+func (c *shortDialed) Read(into []byte) (int, error) {
+	return c.TCPConn.Read(c.shims.limitLength(into))
+}
 
 func (c *shortDialed) Write(from []byte) (int, error) { return inPieces(c.TCPConn, c.shims, from) }
 
@@ -157,7 +162,7 @@
 func inPieces(c net.Conn, s *shims, from []byte) (n int, err error) {
 	for n < len(from) && err == nil {
 		wrote := 0
-		wrote, err = c.Write(s.cut(from[n:]))
+		wrote, err = c.Write(s.limitLength(from[n:]))
 		n += wrote
 	}
 	return n, err
