--- a/brain/outcomes.go
+++ b/brain/outcomes.go
@@ -7,6 +7,17 @@
 
 // Outcomes: what attempts, own ones and those of peers, show about backends.
 
+const (
+	// fixedCostTokens is the number of tokens that stand for the fixed part of an attempt's duration.
+	fixedCostTokens = 300
+	// slowFactor is the multiple of its role's mean time per token above which an attempt is slow.
+	slowFactor = 4
+	// tokenTimeWeight is the weight of a new value in the running mean of the time per token.
+	tokenTimeWeight = 0.05
+	// tokenLimitDecrease is the factor by which one late attempt lowers a backend's token limit.
+	tokenLimitDecrease = 0.8
+)
+
 // FirstToken handles the first token of an attempt. duration is the time since its send.
 func (d *Dispatcher) FirstToken(attempt *Attempt, duration time.Duration) {
 	if attempt.Ended || attempt.FirstTokenAt > 0 {
@@ -20,18 +31,20 @@
 	d.dispatch()
 }
 
-// recordOutcome counts an attempt for or against its backend, tells peers, and raises or lowers the backend's
-// token limit.
+// recordOutcome judges an attempt as good, slow, bad or unreachable, or gives no verdict. It counts the verdict for
+// its backend, sends it to some peers, and raises or lowers the backend's token limit. duration is the time from
+// the attempt's send to its first token or, if called at its end, to that. hasLoad tells whether the attempt's
+// result brought a load report, which then goes to the peers too. At a first token attempt.Outcome is not set yet.
 func (d *Dispatcher) recordOutcome(attempt *Attempt, duration time.Duration, succeeded, hasLoad bool) {
 	backend, now := attempt.Backend, d.runtime.Now()
-	// 300 tokens stand for the fixed part of an attempt's duration.
-	secondsPerToken := duration.Seconds() / (attempt.PrefillTokens + 300)
-	slow := secondsPerToken > 4*d.secondsPerToken[backend.Role].ValueOr(secondsPerToken)
+	secondsPerToken := duration.Seconds() / (attempt.PrefillTokens + fixedCostTokens)
+	slow := secondsPerToken > slowFactor*d.secondsPerToken[backend.Role].ValueOr(secondsPerToken)
 	if succeeded {
-		d.secondsPerToken[backend.Role].Add(secondsPerToken, 0.05)
+		d.secondsPerToken[backend.Role].Add(secondsPerToken, tokenTimeWeight)
 	}
 	update := PeerUpdate{Backend: backend, ClassIndex: attempt.Request.Class.Index, HasLoad: hasLoad, Util: backend.Util,
 		QueueLength: backend.QueueLength}
+	// The latency target of the request, as a duration.
 	targetTime := attempt.Request.TargetAt - attempt.Request.ReceivedAt
 	switch {
 	case attempt.Outcome == Unreachable:
@@ -40,20 +53,30 @@
 		update.Verdict = VerdictGood
 	case succeeded:
 		update.Verdict = VerdictSlow
-	case slow || attempt.Outcome != TimedOut || duration > targetTime: // one cut short by its client shows nothing
+	// A failure is bad, but an attempt that timed out within the latency target and is not slow gets no verdict:
+	// its client cut it short, which shows nothing about the backend.
+	case slow || attempt.Outcome != TimedOut || duration > targetTime:
 		update.Verdict = VerdictBad
 	}
+	// Counts the own attempt as it would a peer's. TargetShare is set only afterwards, as for own attempts
+	// clearOutstanding adjusts the concurrency window.
 	d.PeerUpdated(update)
+	// Peers learn which share of the latency target the request has used once it has a first token, or if it timed
+	// out without one.
 	if succeeded && attempt.FirstTokenAt > 0 || attempt.FirstTokenAt == 0 && attempt.Outcome == TimedOut {
 		update.TargetShare = d.targetShare(attempt.Request)
 	}
 	d.sendPeerUpdates(update)
 	tokens := attempt.Request.KVTokens
-	// Only latency shows that a backend is full; errors and resets count in the success posterior alone.
+	// Only latency shows that a backend is full, so errors and connection resets do not change its token limit; they
+	// count in its success posterior. An attempt is late if it took over a third of the latency target, or if 7/10
+	// of the target have passed since its request was received.
 	late := duration > targetTime/3 || now-attempt.Request.ReceivedAt > targetTime*7/10
+	// An attempt sent before the last reduction does not lower the limit again.
 	if (late && succeeded || attempt.Outcome == TimedOut) && now-backend.LimitReducedAt > duration {
-		backend.TokenLimit, backend.LimitReducedAt = max(tokens, backend.TokenLimit*0.8), now
+		backend.TokenLimit, backend.LimitReducedAt = max(tokens, backend.TokenLimit*tokenLimitDecrease), now
 	} else if !late && succeeded && (len(d.queue) > 0 || !hasCapacity(backend, attempt.Request)) {
+		// Additive increase: as many such requests as fill the limit together raise it by about one request's tokens.
 		backend.TokenLimit += tokens * tokens / backend.TokenLimit
 	}
 }
@@ -154,7 +177,9 @@
 	return failures == 0 || d.rng.Beta(successes, failures) > trustThreshold
 }
 
-// PeerUpdated handles a peer's update. It counts like an own attempt.
+// PeerUpdated applies a peer's update, or that of an own attempt. It stores the backend's load and adjusts the
+// concurrency window by the share of the latency target, each if reported, counts the verdict for the backend, and
+// notes when the backend was unreachable.
 func (d *Dispatcher) PeerUpdated(update PeerUpdate) {
 	if update.HasLoad {
 		update.Backend.Util, update.Backend.QueueLength = update.Util, update.QueueLength
--- a/internal/addresses/addresses.go
+++ b/internal/addresses/addresses.go
@@ -138,11 +138,11 @@
 	failuresInARow      float64
 	verifyTime          brain.RunningMean // seconds from the start of an attempt until the connection was verified
 	LastAttempt         time.Duration
-	attempted           bool
+	attempted           bool // a connection attempt was started at least once
 	LastResult          Result
 	LastResultTime      time.Duration
 	hasResult           bool
-	attemptsInFlight    int
+	attemptsInFlight    int  // started, with no result recorded yet
 	Removed             bool // the endpoint list no longer has it
 }
 
@@ -369,8 +369,11 @@
 	started    bool
 }
 
-// Next picks a suspected address of any backend to recheck, the one not tried for the longest time first, and spends a
-// token on it. It returns nil if none is due or the budget is spent. The caller passes the trackers in a stable order.
+// Next refills the budget and picks an address to recheck, with its tracker. An address is due if it was tried before,
+// is suspected, has no attempt in flight, and began its last attempt at least minRecheckInterval ago. Of these, over
+// all trackers, Next picks the one whose last attempt is oldest. It spends a token, sets LastAttempt to now and counts
+// an attempt in flight, until the caller passes the result to RecordRecheck. It returns nil, nil if no address is due
+// or less than one token is there. Of equally old ones the first wins, so trackers must come in a stable order.
 func (b *RecheckBudget) Next(now time.Duration, trackers []*Tracker) (*Tracker, *Address) {
 	if !b.started {
 		b.tokens, b.started = recheckBurst, true
@@ -400,7 +403,7 @@
 	return owner, pick
 }
 
-// RecordRecheck adds the result of a recheck.
+// RecordRecheck adds the result of a recheck that Next began, which is then no longer in flight.
 func (t *Tracker) RecordRecheck(now time.Duration, a *Address, result Result, took time.Duration) {
 	a.attemptsInFlight--
 	if result != LocalError {
--- a/internal/chat/request.go
+++ b/internal/chat/request.go
@@ -147,30 +147,34 @@
 	return nil
 }
 
-// perAttemptHeaders are the headers of a request to a backend that are not copied from the client's: those that
-// belong to a single connection, and those that are set anew for each attempt.
-var perAttemptHeaders = map[string]bool{
+// uncopiedHeaders are the headers that AttemptHead does not copy from the client's request: those that belong to a
+// single connection (hop-by-hop), and those that are set anew for each attempt.
+var uncopiedHeaders = map[string]bool{
 	"Connection": true, "Keep-Alive": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Proxy-Connection": true,
 	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true, "Expect": true, "Host": true,
 	"Content-Length": true, "X-Request-Id": true, "X-Timeout-Ms": true,
 }
 
-// AttemptHead returns the head of an attempt's request to a backend. The client's method, target, id and all other
-// headers go on unchanged, as a client may set headers that this program does not know, such as the key by which a
-// backend recognises a repeat. bodyBytes is the length of the body, which may have come in chunks; timeout is how
-// long the attempt may take.
-func AttemptHead(r *http.Request, service string, req Request, bodyBytes int, timeout time.Duration) []byte {
+// AttemptHead returns the head, with the empty line that ends it, of the HTTP/1.1 request that one attempt sends to a
+// backend. The method is POST, the only one that ParseRequest accepts; the request URI and the ID are the client's, and
+// service becomes the Host header. bodyBytes is the length of the body, which may have come in chunks. timeout is how
+// long the attempt may take, and is sent as at least 1 ms. All other headers of the client are copied, except those
+// that belong to its connection: it may set headers that this program does not know, such as the key by which a backend
+// recognises that a request is sent a second time.
+func AttemptHead(
+	clientRequest *http.Request, service string, req Request, bodyBytes int, timeout time.Duration,
+) []byte {
 	head := make([]byte, 0, 512)
 	head = fmt.Appendf(head,
 		"POST %s HTTP/1.1\r\nHost: %s\r\nX-Request-ID: %s\r\nX-Timeout-Ms: %d\r\nContent-Length: %d\r\n",
-		r.RequestURI, service, req.ID, max(timeout.Milliseconds(), 1), bodyBytes)
-	hopByHop := connectionHeaders(r.Header)
-	for _, name := range slices.Sorted(maps.Keys(r.Header)) {
-		if perAttemptHeaders[name] || hopByHop[name] {
+		clientRequest.RequestURI, service, req.ID, max(timeout.Milliseconds(), 1), bodyBytes)
+	listedInConnection := connectionHeaders(clientRequest.Header)
+	for _, name := range slices.Sorted(maps.Keys(clientRequest.Header)) {
+		if uncopiedHeaders[name] || listedInConnection[name] {
 			continue
 		}
-		for _, value := range r.Header[name] {
+		for _, value := range clientRequest.Header[name] {
 			head = fmt.Appendf(head, "%s: %s\r\n", name, value)
 		}
 	}
--- a/internal/ledger/bill.go
+++ b/internal/ledger/bill.go
@@ -17,15 +17,15 @@
 	PayerOperator Payer = "house"
 )
 
-// Line is one row of a bill.
+// Line is one row of a bill, or the sums for one backend, which leave Tenant, Class, Payer and Requests empty.
 type Line struct {
 	Tenant        string `json:"channel"`
 	Class         string `json:"grade"`
 	Payer         Payer  `json:"cause"`
 	Requests      int    `json:"questions"`
 	Attempts      int    `json:"trips"`
-	PrefillTokens int    `json:"read_tokens"`
-	CachedTokens  int    `json:"kept_tokens"`
+	PrefillTokens int    `json:"read_tokens"` // prompt tokens computed, without cached ones
+	CachedTokens  int    `json:"kept_tokens"` // prompt tokens found in the cache
 	OutputTokens  int    `json:"answer_tokens"`
 	Unconfirmed   int    `json:"unproven_trips"` // attempts with the tokens that the dispatcher saw
 }
@@ -216,17 +216,19 @@
 	return requests, attempts
 }
 
-// BackendTotals returns the sums over all confirmed attempts of each backend, which must equal the backend's own
-// totals.
+// BackendTotals returns, by backend name, how many attempts are confirmed, that is, reported by the backend itself, and
+// the sums of their tokens. Only Attempts, PrefillTokens, CachedTokens and OutputTokens of a Line are set. The sums
+// must equal the totals that the backend itself has counted.
 func (c *Collector) BackendTotals() map[string]Line {
-	out := map[string]Line{}
+	totals := map[string]Line{}
 	for _, r := range c.attempts {
 		if a := r.Attempt; a.Confirmed() {
-			line := out[a.Backend]
-			line.Attempts, line.PrefillTokens, line.CachedTokens, line.OutputTokens = line.Attempts+1,
-				line.PrefillTokens+a.PrefillTokens, line.CachedTokens+a.CachedTokens, line.OutputTokens+a.OutputTokens
-			out[a.Backend] = line
+			sum := totals[a.Backend]
+			sum.Attempts, sum.PrefillTokens, sum.CachedTokens, sum.OutputTokens =
+				sum.Attempts+1, sum.PrefillTokens+a.PrefillTokens, sum.CachedTokens+a.CachedTokens,
+				sum.OutputTokens+a.OutputTokens
+			totals[a.Backend] = sum
 		}
 	}
-	return out
+	return totals
 }
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -204,8 +204,10 @@
 	return nil, fmt.Errorf("the dispatcher at %s was not ready within 5 s", bed.dispatcherAddr)
 }
 
-// runAtRate calls send at a steady rate, without waiting for earlier calls, and returns the latencies to the first
-// token in µs, counted from the time each request was due.
+// runAtRate calls send at a steady rate for the given seconds, without waiting for earlier calls, and then waits for
+// all of them. send returns the time of the first token. Of the calls without an error (done), latencies holds the
+// time from when each was due to its first token, in µs; one above the histogram's range is counted as done but not
+// recorded. The end of the context stops further calls.
 func (bed *testbed) runAtRate(
 	ctx context.Context, perSecond int, seconds float64, send func(context.Context) (time.Time, error),
 ) (latencies *hdrhistogram.Histogram, done, failed int64) {
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -9,15 +9,16 @@
 	"sloetrestle/brain"
 )
 
-// Encode encodes a peer update: four bytes of the backend's ID, one of the class, one of the verdict with a bit that
-// tells whether a load report follows, and two of the load report. Without a load report those two bytes hold the
-// share of the latency target that the first token took; older dispatchers, which do not know the share, ignore them.
+// Encode encodes a peer update in eight bytes: four of the backend's ID, one of the class, one of the verdict, whose
+// lowest bit tells whether a load report follows, and two of the load report, utilisation and queue length. Without a
+// load report these two hold the share of the latency target that the first token took, followed by shareMarker, or
+// two zeros if no share is reported. Older dispatchers, which do not know the share, ignore both.
 func Encode(update brain.PeerUpdate) []byte {
 	raw := binary.BigEndian.AppendUint32(nil, update.Backend.ID)
 	raw = append(raw, byte(update.ClassIndex), byte(update.Verdict)<<1)
 	switch {
 	case update.HasLoad:
-		raw[5] |= 1
+		raw[verdictByte] |= loadBit
 		return append(raw, clampToByte(update.Util*fractionSteps), clampToByte(update.QueueLength))
 	case update.TargetShare > 0:
 		return append(raw, max(clampToByte(update.TargetShare*fractionSteps), 1), shareMarker)
@@ -26,26 +27,37 @@
 }
 
 const (
-	fractionSteps = 200 // steps in which the byte of a fraction counts up to 1
-	shareMarker   = 255 // last byte without a load report: the byte before it is a share of the latency target
+	fractionSteps = 200 // value of a byte that stands for the fraction 1
+	shareMarker   = 255 // as the last byte, without a load report: the byte before it is a share of the latency target
+
+	encodedBytes = 8 // length of an encoded update; the indices of its bytes after the backend's ID follow
+	classByte    = 4
+	verdictByte  = 5 // the verdict, shifted left by one, and loadBit
+	fractionByte = 6 // utilisation, or the share of the latency target
+	lastByte     = 7 // queue length, or shareMarker
+
+	loadBit = 1 // of verdictByte: the update has a load report
 )
 
 func clampToByte(value float64) byte { return byte(min(max(value, 0), 255)) }
 
-// Decode decodes a peer update and looks up its backend. The backend is nil if this dispatcher does not know it. An
-// error means that the bytes are not a peer update.
+// Decode decodes a peer update, in the layout that Encode describes, and looks up its backend by ID. Backend is nil if
+// this dispatcher does not know it. An error means that raw is not eight bytes long or holds a verdict above
+// VerdictUnreachable, the highest one. A share of the latency target above 1 counts as 1; utilisation is not limited.
 func Decode(raw []byte, backends map[uint32]*brain.Backend) (brain.PeerUpdate, error) {
-	if len(raw) != 8 || raw[5]>>1 > byte(brain.VerdictUnreachable) {
+	if len(raw) != encodedBytes || raw[verdictByte]>>1 > byte(brain.VerdictUnreachable) {
 		return brain.PeerUpdate{}, fmt.Errorf("%d bytes are not a peer update: %x", len(raw), raw[:min(len(raw), 16)])
 	}
 	update := brain.PeerUpdate{
-		Backend: backends[binary.BigEndian.Uint32(raw)], ClassIndex: int(raw[4]), Verdict: brain.Verdict(raw[5] >> 1),
+		Backend: backends[binary.BigEndian.Uint32(raw)], ClassIndex: int(raw[classByte]),
+		Verdict: brain.Verdict(raw[verdictByte] >> 1),
 	}
 	switch {
-	case raw[5]&1 == 1:
-		update.HasLoad, update.Util, update.QueueLength = true, float64(raw[6])/fractionSteps, float64(raw[7])
-	case raw[7] == shareMarker:
-		update.TargetShare = min(float64(raw[6])/fractionSteps, 1)
+	case raw[verdictByte]&loadBit == loadBit:
+		update.HasLoad, update.Util, update.QueueLength = true, float64(raw[fractionByte])/fractionSteps,
+			float64(raw[lastByte])
+	case raw[lastByte] == shareMarker:
+		update.TargetShare = min(float64(raw[fractionByte])/fractionSteps, 1)
 	}
 	return update, nil
 }
--- a/internal/platform/conn.go
+++ b/internal/platform/conn.go
@@ -127,12 +127,19 @@
 	}
 }
 
-// readPending returns buffered bytes of the current request. Zero bytes and no error mean that the socket must be read.
+// readPending copies buffered bytes of the current request to p, and returns how many. It removes them from pending,
+// moves the framer on, and updates the state once the request is complete. 0 and nil mean that no bytes can be returned
+// now, and the caller must read the socket unless p is empty. This is also the result after the head, until the framing
+// of the body is set, and after the end of the request, even if bytes that follow are buffered. The error is readErr,
+// or io.EOF if the connection is closing. It takes the lock.
 func (c *clientConn) readPending(p []byte) (int, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.framer.position == afterHead && len(p) > 1 {
-		c.framer.position = unframed // net/http watches for a closed client byte by byte; this read is for something else
+		// To notice a closed client, net/http reads one byte at a time. A longer read is for a body, or for a further
+		// request, although the body's framing was not set. The end of this request is then not tracked any more, and
+		// the connection is closed after it.
+		c.framer.position = unframed
 	}
 	switch {
 	case c.framer.position == afterHead || c.framer.position == afterBody:
--- a/internal/reach/pool.go
+++ b/internal/reach/pool.go
@@ -32,7 +32,7 @@
 	DialTimeout        time.Duration        // for getting a connection, all addresses together
 	MaxConnsPerBackend int                  // open connections to one backend
 	Now                func() time.Duration // the time on a monotonic clock
-	Context            context.Context      // its end closes idle connections and stops background attempts
+	Context            context.Context      // its end (shutdown) closes idle connections and stops background attempts
 	Group              *errgroup.Group      // runs the connection attempts
 
 	// Dial opens a connection; nil means the operating system's.
@@ -57,7 +57,7 @@
 	mu       sync.Mutex
 	tracker  *addresses.Tracker
 	idle     []*Conn
-	open     int // connections, with the idle ones and one for each race that is under way
+	open     int // connections, in use or idle, and one for each race under way, which its winner takes over
 	dialing  int // races and background attempts under way
 	lastUsed time.Duration
 	changed  chan struct{} // closed when a connection, or capacity for one, becomes free
@@ -370,8 +370,10 @@
 	}
 }
 
-// putIdle puts a verified connection among the idle ones, or closes it if there is no use for it. A new connection is
-// one that is not counted as open yet. The pool must be locked.
+// putIdle puts a verified connection among the idle ones, or closes it if its address or its backend was removed, the
+// manager's context has ended, or the connection is new and the backend already has MaxConnsPerBackend. A new
+// connection is one that p.open does not count yet; putIdle counts it if it keeps it, and gives back the count of any
+// other that it closes. Either way it wakes those who wait for a connection. The pool must be locked.
 func (p *Pool) putIdle(c *Conn, isNew bool) {
 	if c.Address.Removed || p.removed || p.manager.Context.Err() != nil ||
 		isNew && p.open >= p.manager.MaxConnsPerBackend {
@@ -390,8 +392,12 @@
 	p.notify()
 }
 
-// connect opens a connection and verifies it: the far side must read a request and respond with the backend's name.
-// The error is that of dialing.
+// connect opens a connection to an address and verifies it, unless SkipVerify is set: the server must answer a request
+// with the backend's name. It returns the connection, the reader to use for it, which may have buffered bytes, and
+// Verified. Otherwise connection and reader are nil, and the result says what counts for the address. The error is not
+// nil only if dialing failed; after a failed verification connection and error are both nil. If the context ends
+// during verification, the connection is closed and the result is TimedOut, or WrongBackend if the response already
+// showed that.
 func (p *Pool) connect(
 	ctx context.Context, spec addresses.Spec,
 ) (net.Conn, *responseReader, addresses.Result, error) {
@@ -409,6 +415,7 @@
 	if !p.manager.SkipVerify {
 		result = verify(conn, reader, p.Name)
 	}
+	// stop returns false if the context has ended, which closes the connection.
 	if !stop() && result != addresses.WrongBackend {
 		result = addresses.TimedOut
 	}
--- a/internal/storm/storm.go
+++ b/internal/storm/storm.go
@@ -62,9 +62,14 @@
 	reattemptBurstSeconds = 10.0
 	minReattemptsPerSec   = 1.0
 
-	// Capacity is the rate lately served; while nothing is rejected it may be more than that.
-	rateGrowth = 1.1 // factor for each second without a rejection
+	// Capacity is the rate lately served; while few requests are rejected or failed it may be more than that.
+	rateGrowth = 1.1 // factor for each second with at most maxUnservedShare
 	minRate    = 0.5 // requests per second that are assumed to be possible
+
+	maxUnservedShare    = 0.05 // rejected and failed requests, relative to served ones, up to which the rate grows
+	rateApproachSeconds = 3.0  // time after which an update sets the rate to the served one; an earlier update, in part
+	maxGrowthSeconds    = 5.0  // that one update lets the rate grow for, however long ago the last one was
+	maxRateFactor       = 3.0  // the rate grows to at most this multiple of the served rate
 )
 
 // RetryThrottle admits or rejects the retries that arrive at one dispatcher.
@@ -285,8 +290,10 @@
 	}
 }
 
-// ServiceRate estimates how many requests per second this dispatcher can have served. While some are rejected or failed
-// it follows the served rate; else it grows from there.
+// ServiceRate updates and returns the estimate of how many requests per second this dispatcher and its backends could
+// serve. While rejected or failed requests are more than maxUnservedShare of the served ones, the estimate approaches
+// the served rate; otherwise it grows by rateGrowth per second, up to maxRateFactor times the served rate. It is at
+// least minRate. The first call starts from the served rate, and takes the time since 0 as that since the last update.
 func (t *RetryThrottle) ServiceRate(now time.Duration) float64 {
 	served := max(t.served.PerSecond(now), minRate)
 	if t.rateUpdatedAt == 0 {
@@ -294,12 +301,12 @@
 	}
 	elapsed := (now - t.rateUpdatedAt).Seconds()
 	t.rateUpdatedAt = now
-	if t.unserved.PerSecond(now) > 0.05*served {
+	if t.unserved.PerSecond(now) > maxUnservedShare*served {
 		// Approach the served rate over some seconds.
-		t.rate += (served - t.rate) * min(elapsed/3, 1)
+		t.rate += (served - t.rate) * min(elapsed/rateApproachSeconds, 1)
 	} else {
-		t.rate = max(t.rate, served) * math.Pow(rateGrowth, min(elapsed, 5))
-		t.rate = min(t.rate, 3*served)
+		t.rate = max(t.rate, served) * math.Pow(rateGrowth, min(elapsed, maxGrowthSeconds))
+		t.rate = min(t.rate, maxRateFactor*served)
 	}
 	return max(t.rate, minRate)
 }
