--- a/internal/ledger/bill.go
+++ b/internal/ledger/bill.go
@@ -17,7 +17,7 @@
 	PayerOperator Payer = "house"
 )
 
-// Line is one row of a bill, or the sums for one backend, which leave Tenant, Class, Payer and Requests empty.
+// Line is one row of a bill, or the sums for one backend (see BackendTotals), in which some fields are not set.
 type Line struct {
 	Tenant        string `json:"channel"`
 	Class         string `json:"grade"`
--- a/internal/reach/pool.go
+++ b/internal/reach/pool.go
@@ -372,8 +372,8 @@
 
 // putIdle puts a verified connection among the idle ones, or closes it if its address or its backend was removed, the
 // manager's context has ended, or the connection is new and the backend already has MaxConnsPerBackend. A new
-// connection is one that p.open does not count yet; putIdle counts it if it keeps it, and gives back the count of any
-// other that it closes. Either way it wakes those who wait for a connection. The pool must be locked.
+// connection is one that p.open does not count yet: putIdle adds it to p.open if it keeps it. Another one is taken off
+// p.open if it is closed. In all cases putIdle wakes those who wait for a connection. The pool must be locked.
 func (p *Pool) putIdle(c *Conn, isNew bool) {
 	if c.Address.Removed || p.removed || p.manager.Context.Err() != nil ||
 		isNew && p.open >= p.manager.MaxConnsPerBackend {
