--- a/brain/admission_test.go
+++ b/brain/admission_test.go
@@ -72,19 +72,19 @@
 
 // After congestion a nearly closed window opens by first tokens alone, without a step at one.
 func TestNarrowWindowRecovers(t *testing.T) {
-	d, runtime := newDispatcherOf(t, 300)
-	d.window = 1.0 / 300
-	for round := 0; d.window < 1; round++ {
+	dispatcher, runtime := newDispatcherOf(t, 300)
+	dispatcher.window = 1.0 / 300
+	for round := 0; dispatcher.window < 1; round++ {
 		if round > 20 {
-			t.Fatalf("after 20 quick first tokens the window is %g", d.window)
+			t.Fatalf("after 20 quick first tokens the window is %g", dispatcher.window)
 		}
-		req := newRequest(d)
-		addAttempt(req, d.backends[0], Served, runtime.now).FirstTokenAt = runtime.now
-		req.Outstanding, req.DispatchedAt, d.outstanding = true, runtime.now, 1
-		before := d.window
-		d.clearOutstanding(req)
-		if d.window <= before || d.window > 2.1*before {
-			t.Fatalf("window %g -> %g", before, d.window)
+		req := newRequest(dispatcher)
+		addAttempt(req, dispatcher.backends[0], Served, runtime.now).FirstTokenAt = runtime.now
+		req.Outstanding, req.DispatchedAt, dispatcher.outstanding = true, runtime.now, 1
+		before := dispatcher.window
+		dispatcher.clearOutstanding(req)
+		if dispatcher.window <= before || dispatcher.window > 2.1*before {
+			t.Fatalf("window %g -> %g", before, dispatcher.window)
 		}
 	}
 }
@@ -111,40 +111,40 @@
 // Peer updates move the window like own requests; all peers that report together have the weight of one
 // request.
 func TestPeerUpdatesMoveTheWindow(t *testing.T) {
-	d, _ := newDispatcherOf(t, 300)
-	d.window, d.peerFanout = 0.8, 7
-	before := d.window
-	d.PeerUpdated(PeerUpdate{Backend: d.backends[0], Verdict: VerdictBad, TargetShare: 1})
-	if d.window >= before || d.window < 0.9*before {
-		t.Errorf("a late first token: window %g -> %g", before, d.window)
-	}
-	before = d.window
-	d.PeerUpdated(PeerUpdate{Backend: d.backends[0], Verdict: VerdictGood, TargetShare: 0.1})
-	if d.window <= before || d.window > 1.3*before {
-		t.Errorf("a quick first token: window %g -> %g", before, d.window)
-	}
-	before = d.window
-	d.PeerUpdated(PeerUpdate{Backend: d.backends[0], Verdict: VerdictBad})
-	d.PeerUpdated(PeerUpdate{Backend: d.backends[0], ClassIndex: 200, TargetShare: 1})
-	if d.window != before {
-		t.Errorf("updates without a share or of no known class: window %g -> %g", before, d.window)
+	dispatcher, _ := newDispatcherOf(t, 300)
+	dispatcher.window, dispatcher.peerFanout = 0.8, 7
+	before := dispatcher.window
+	dispatcher.PeerUpdated(PeerUpdate{Backend: dispatcher.backends[0], Verdict: VerdictBad, TargetShare: 1})
+	if dispatcher.window >= before || dispatcher.window < 0.9*before {
+		t.Errorf("a late first token: window %g -> %g", before, dispatcher.window)
+	}
+	before = dispatcher.window
+	dispatcher.PeerUpdated(PeerUpdate{Backend: dispatcher.backends[0], Verdict: VerdictGood, TargetShare: 0.1})
+	if dispatcher.window <= before || dispatcher.window > 1.3*before {
+		t.Errorf("a quick first token: window %g -> %g", before, dispatcher.window)
+	}
+	before = dispatcher.window
+	dispatcher.PeerUpdated(PeerUpdate{Backend: dispatcher.backends[0], Verdict: VerdictBad})
+	dispatcher.PeerUpdated(PeerUpdate{Backend: dispatcher.backends[0], ClassIndex: 200, TargetShare: 1})
+	if dispatcher.window != before {
+		t.Errorf("updates without a share or of no known class: window %g -> %g", before, dispatcher.window)
 	}
 }
 
 // An outstanding request raises the expected time to first token before it has ended.
 func TestOutstandingRequestRaisesExpectedTimeToFirstToken(t *testing.T) {
-	d, runtime := newDispatcher(t)
-	d.timeToFirstToken.Add(0.1, 1)
-	req := newRequest(d)
-	if !d.send(req, d.backends[0], StagePrefill, d.afterAttempt(req)) {
+	dispatcher, runtime := newDispatcher(t)
+	dispatcher.timeToFirstToken.Add(0.1, 1)
+	req := newRequest(dispatcher)
+	if !dispatcher.send(req, dispatcher.backends[0], StagePrefill, dispatcher.afterAttempt(req)) {
 		t.Fatal("not sent")
 	}
 	runtime.now += 2 * time.Second
-	if got := d.expectedTimeToFirstToken(); got != 2 {
+	if got := dispatcher.expectedTimeToFirstToken(); got != 2 {
 		t.Errorf("after 2 s a first token is expected in %g s", got)
 	}
-	d.AttemptDone(req.Attempts[0], Result{Outcome: Unreachable, Finished: true})
-	if got := d.expectedTimeToFirstToken(); got != 0.1 {
+	dispatcher.AttemptDone(req.Attempts[0], Result{Outcome: Unreachable, Finished: true})
+	if got := dispatcher.expectedTimeToFirstToken(); got != 0.1 {
 		t.Errorf("once it has ended it is expected in %g s", got)
 	}
 }
@@ -169,38 +169,38 @@
 // Whatever a dispatcher has gone through, it sends a request half an hour later.
 func TestDispatcherAlwaysResumesSending(t *testing.T) {
 	for name, disturb := range map[string]func(*Dispatcher, *fakeRuntime){
-		"no backends for a while": func(d *Dispatcher, _ *fakeRuntime) {
-			backends := d.backends
-			d.backends = nil
-			d.adjustWindow(0.1, 0, true)
-			d.backends = backends
+		"no backends for a while": func(dispatcher *Dispatcher, _ *fakeRuntime) {
+			backends := dispatcher.backends
+			dispatcher.backends = nil
+			dispatcher.adjustWindow(0.1, 0, true)
+			dispatcher.backends = backends
 		},
-		"a clock that steps back": func(d *Dispatcher, runtime *fakeRuntime) {
-			d.mayDispatch()
+		"a clock that steps back": func(dispatcher *Dispatcher, runtime *fakeRuntime) {
+			dispatcher.mayDispatch()
 			runtime.now -= time.Hour
-			d.mayDispatch()
+			dispatcher.mayDispatch()
 		},
-		"a target of zero": func(d *Dispatcher, runtime *fakeRuntime) {
-			req := newRequest(d)
+		"a target of zero": func(dispatcher *Dispatcher, runtime *fakeRuntime) {
+			req := newRequest(dispatcher)
 			req.TargetAt = req.ReceivedAt
-			addAttempt(req, d.backends[0], Served, runtime.now).FirstTokenAt = runtime.now
-			req.Outstanding, req.DispatchedAt, d.outstanding = true, runtime.now, 1
-			d.clearOutstanding(req)
+			addAttempt(req, dispatcher.backends[0], Served, runtime.now).FirstTokenAt = runtime.now
+			req.Outstanding, req.DispatchedAt, dispatcher.outstanding = true, runtime.now, 1
+			dispatcher.clearOutstanding(req)
 		},
-		"absurd load reports": func(d *Dispatcher, _ *fakeRuntime) {
-			for _, backend := range d.backends {
-				d.PeerUpdated(PeerUpdate{Backend: backend, HasLoad: true, Util: 1e9, QueueLength: 1e12, TargetShare: 1,
+		"absurd load reports": func(dispatcher *Dispatcher, _ *fakeRuntime) {
+			for _, backend := range dispatcher.backends {
+				dispatcher.PeerUpdated(PeerUpdate{Backend: backend, HasLoad: true, Util: 1e9, QueueLength: 1e12, TargetShare: 1,
 					Verdict: VerdictGood})
 			}
 		},
 	} {
-		d, runtime := newDispatcherOf(t, 300)
-		disturb(d, runtime)
-		if math.IsNaN(d.window) || d.window <= 0 || math.IsNaN(d.sendCredit) {
-			t.Errorf("%s: window %g, credit %g", name, d.window, d.sendCredit)
+		dispatcher, runtime := newDispatcherOf(t, 300)
+		disturb(dispatcher, runtime)
+		if math.IsNaN(dispatcher.window) || dispatcher.window <= 0 || math.IsNaN(dispatcher.sendCredit) {
+			t.Errorf("%s: window %g, credit %g", name, dispatcher.window, dispatcher.sendCredit)
 		}
 		runtime.now += 30 * time.Minute
-		d.Submit(&Request{ID: 1, PromptTokens: 2000, MaxOutputTokens: 400, Timeout: 4 * time.Second}, 0, 0)
+		dispatcher.Submit(&Request{ID: 1, PromptTokens: 2000, MaxOutputTokens: 400, Timeout: 4 * time.Second}, 0, 0)
 		if len(runtime.sent) != 1 {
 			t.Errorf("%s: half an hour later nothing is sent", name)
 		}
@@ -218,22 +218,22 @@
 	settings["requestClasses.0.worth"], settings["requestClasses.1.worth"] = 2.0, 1.0
 	for admittedOfTheLast, want := range map[int][]uint64{100: {2, 1, 4, 3}, 20: {4, 3, 2, 1}} {
 		runtime := &fakeRuntime{now: 100 * time.Second}
-		d, err := New(settings, 1, runtime)
+		dispatcher, err := New(settings, 1, runtime)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i, admitted := range []int{100, admittedOfTheLast} {
-			d.classes[i].Offered.Add(runtime.now, 100)
-			d.classes[i].Admitted.Add(runtime.now, float64(admitted))
+			dispatcher.classes[i].Offered.Add(runtime.now, 100)
+			dispatcher.classes[i].Admitted.Add(runtime.now, float64(admitted))
 		}
 		for id := uint64(1); id <= 4; id++ {
-			req := newRequest(d)
-			req.ID, req.Class, req.ReceivedAt = id, d.classes[(id-1)/2], req.ReceivedAt+time.Duration(id)
-			d.enqueue(req)
+			req := newRequest(dispatcher)
+			req.ID, req.Class, req.ReceivedAt = id, dispatcher.classes[(id-1)/2], req.ReceivedAt+time.Duration(id)
+			dispatcher.enqueue(req)
 		}
-		d.reweightQueue()
+		dispatcher.reweightQueue()
 		var order []uint64
-		for _, req := range d.queue {
+		for _, req := range dispatcher.queue {
 			order = append(order, req.ID)
 		}
 		if !slices.Equal(order, want) {
--- a/brain/brain.go
+++ b/brain/brain.go
@@ -254,7 +254,7 @@
 	return timeLeft * 3 / 4
 }
 
-// Left ends a request whose client has disconnected. An attempt without a first token is cancelled if
+// ClientDisconnected ends a request whose client has disconnected. An attempt without a first token is cancelled if
 // cancelling is supported.
 func (d *Dispatcher) ClientDisconnected(req *Request) {
 	if req.Finished {
--- a/brain/brain_test.go
+++ b/brain/brain_test.go
@@ -12,7 +12,7 @@
 func TestDisallowedFollowsTheRules(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
-		prepare    func(d *Dispatcher, req *Request, backend *Backend)
+		prepare    func(dispatcher *Dispatcher, req *Request, backend *Backend)
 		disallowed bool
 		scope      DedupScope
 	}{
@@ -21,8 +21,8 @@
 		{name: "an attempt is in flight", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			addAttempt(req, backend, Rejected, 0).Ended = false
 		}},
-		{name: "deadline passed", disallowed: true, prepare: func(d *Dispatcher, r *Request, _ *Backend) {
-			r.Deadline = d.runtime.Now()
+		{name: "deadline passed", disallowed: true, prepare: func(dispatcher *Dispatcher, r *Request, _ *Backend) {
+			r.Deadline = dispatcher.runtime.Now()
 		}},
 		{name: "attempts used up", disallowed: true, prepare: func(_ *Dispatcher, req *Request, backend *Backend) {
 			for range 4 {
@@ -40,52 +40,53 @@
 			req.Class.Effect = NonIdempotent
 			addAttempt(req, backend, Rejected, 0)
 		}},
-		{name: "non-idempotent, lost at a prefill backend", prepare: func(d *Dispatcher, req *Request, _ *Backend) {
+		{name: "non-idempotent, lost at a prefill backend", prepare: func(dispatcher *Dispatcher, req *Request, _ *Backend) {
 			req.Class.Effect = NonIdempotent
-			addAttempt(req, d.backends[0], ConnectionLost, 0)
+			addAttempt(req, dispatcher.backends[0], ConnectionLost, 0)
 		}},
 		{name: "deduplicated, after its window", disallowed: true,
-			prepare: func(d *Dispatcher, req *Request, backend *Backend) {
+			prepare: func(dispatcher *Dispatcher, req *Request, backend *Backend) {
 				req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
-				addAttempt(req, backend, TimedOut, d.runtime.Now()-time.Second)
+				addAttempt(req, backend, TimedOut, dispatcher.runtime.Now()-time.Second)
 			}},
-		{name: "deduplicated, in its window", prepare: func(d *Dispatcher, req *Request, backend *Backend) {
+		{name: "deduplicated, in its window", prepare: func(dispatcher *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
-			addAttempt(req, backend, TimedOut, d.runtime.Now()-time.Second/2)
+			addAttempt(req, backend, TimedOut, dispatcher.runtime.Now()-time.Second/2)
 		}},
 		{name: "deduplicated, other rack", disallowed: true, scope: SameRack,
-			prepare: func(d *Dispatcher, req *Request, _ *Backend) {
+			prepare: func(dispatcher *Dispatcher, req *Request, _ *Backend) {
 				req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Minute
-				addAttempt(req, d.backends[3], TimedOut, d.runtime.Now())
+				addAttempt(req, dispatcher.backends[3], TimedOut, dispatcher.runtime.Now())
 			}},
 		{name: "deduplicated, other zone", disallowed: true, scope: SameZone,
-			prepare: func(d *Dispatcher, req *Request, _ *Backend) {
+			prepare: func(dispatcher *Dispatcher, req *Request, _ *Backend) {
 				req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Minute
-				d.backends[3].Zone = 1
-				addAttempt(req, d.backends[3], TimedOut, d.runtime.Now())
+				dispatcher.backends[3].Zone = 1
+				addAttempt(req, dispatcher.backends[3], TimedOut, dispatcher.runtime.Now())
 			}},
-		{name: "in slow start, budget used up", disallowed: true, prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
-			backend.StartReported, backend.StartedAt = true, d.runtime.Now()-time.Second
-			d.backends[3].CompletedWork.Add(d.runtime.Now(), 50000)
-			backend.SentWork.Add(d.runtime.Now(), 12000)
-		}},
-		{name: "in slow start, budget left", prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
-			backend.StartReported, backend.StartedAt = true, d.runtime.Now()-time.Second
-			d.backends[3].CompletedWork.Add(d.runtime.Now(), 50000)
-			backend.SentWork.Add(d.runtime.Now(), 100)
+		{name: "in slow start, budget used up", disallowed: true,
+			prepare: func(dispatcher *Dispatcher, _ *Request, backend *Backend) {
+				backend.StartReported, backend.StartedAt = true, dispatcher.runtime.Now()-time.Second
+				dispatcher.backends[3].CompletedWork.Add(dispatcher.runtime.Now(), 50000)
+				backend.SentWork.Add(dispatcher.runtime.Now(), 12000)
+			}},
+		{name: "in slow start, budget left", prepare: func(dispatcher *Dispatcher, _ *Request, backend *Backend) {
+			backend.StartReported, backend.StartedAt = true, dispatcher.runtime.Now()-time.Second
+			dispatcher.backends[3].CompletedWork.Add(dispatcher.runtime.Now(), 50000)
+			backend.SentWork.Add(dispatcher.runtime.Now(), 100)
 		}},
 		{name: "in slow start while warm backends are heavily loaded", disallowed: true,
-			prepare: func(d *Dispatcher, _ *Request, backend *Backend) {
-				backend.StartReported, backend.StartedAt = true, d.runtime.Now()-time.Second
-				d.backends[3].SentWork.Add(d.runtime.Now(), 50000)
-				backend.SentWork.Add(d.runtime.Now(), 100)
+			prepare: func(dispatcher *Dispatcher, _ *Request, backend *Backend) {
+				backend.StartReported, backend.StartedAt = true, dispatcher.runtime.Now()-time.Second
+				dispatcher.backends[3].SentWork.Add(dispatcher.runtime.Now(), 50000)
+				backend.SentWork.Add(dispatcher.runtime.Now(), 100)
 			}},
 	} {
-		d, _ := newDispatcher(t)
-		req := newRequest(d)
+		dispatcher, _ := newDispatcher(t)
+		req := newRequest(dispatcher)
 		req.Class.DedupScope = tc.scope
-		tc.prepare(d, req, d.backends[2])
-		if got := d.disallowed(req, d.backends[2]); got != tc.disallowed {
+		tc.prepare(dispatcher, req, dispatcher.backends[2])
+		if got := dispatcher.disallowed(req, dispatcher.backends[2]); got != tc.disallowed {
 			t.Errorf("%s: disallowed is %v", tc.name, got)
 		}
 	}
@@ -168,26 +169,26 @@
 // A request that no backend may take any more, as its group drains or its deduplication window has closed, is
 // given up at once: otherwise it would block the queue until its deadline.
 func TestDispatchGivesUpRequestsThatNoBackendMayTake(t *testing.T) {
-	d, runtime := newDispatcher(t)
-	first, behind := newRequest(d), newRequest(d)
+	dispatcher, runtime := newDispatcher(t)
+	first, behind := newRequest(dispatcher), newRequest(dispatcher)
 	behind.ID = 2
 	first.Class = &Class{Effect: Deduplicated, DedupScope: SameRack, DedupWindow: time.Minute, Value: 9,
 		Target: time.Second}
-	addAttempt(first, d.backends[2], TimedOut, runtime.now)
-	d.enqueue(first)
-	for _, backend := range d.backends {
-		if backend.Rack == d.backends[2].Rack {
+	addAttempt(first, dispatcher.backends[2], TimedOut, runtime.now)
+	dispatcher.enqueue(first)
+	for _, backend := range dispatcher.backends {
+		if backend.Rack == dispatcher.backends[2].Rack {
 			backend.State = Draining
 		}
 	}
-	d.enqueue(behind)
-	if d.queue[0] != first {
+	dispatcher.enqueue(behind)
+	if dispatcher.queue[0] != first {
 		t.Fatal("the other request is first in the queue")
 	}
-	d.dispatch()
+	dispatcher.dispatch()
 	if len(runtime.sent) != 1 || runtime.sent[0].Request != behind || len(runtime.failed) != 1 ||
-		runtime.failed[0] != first || len(d.queue) != 0 {
-		t.Errorf("%d sent, %d failed, %d queued", len(runtime.sent), len(runtime.failed), len(d.queue))
+		runtime.failed[0] != first || len(dispatcher.queue) != 0 {
+		t.Errorf("%d sent, %d failed, %d queued", len(runtime.sent), len(runtime.failed), len(dispatcher.queue))
 	}
 }
 
@@ -253,18 +254,20 @@
 }
 
 func TestPrefillPrefersRackWithLessLoadedDecodeBackends(t *testing.T) {
-	d, _ := newDispatcher(t)
-	for i, backend := range d.backends[2:] {
+	dispatcher, _ := newDispatcher(t)
+	for i, backend := range dispatcher.backends[2:] {
 		backend.RelativeCapacity = 100
 		backend.Streams = 90 * (i % 2) // the decode backend and the mixed backend of the second rack are full
 	}
-	if backend := d.pickPrefill(newRequest(d), d.backends[2:]); backend == nil || backend.Rack != 0 {
+	if backend := dispatcher.pickPrefill(newRequest(dispatcher), dispatcher.backends[2:]); backend == nil ||
+		backend.Rack != 0 {
 		t.Errorf("got %+v", backend)
 	}
-	for _, backend := range d.backends[2:] {
+	for _, backend := range dispatcher.backends[2:] {
 		backend.Streams = 90 - backend.Streams
 	}
-	if backend := d.pickPrefill(newRequest(d), d.backends[2:]); backend == nil || backend.Rack != 1 {
+	if backend := dispatcher.pickPrefill(newRequest(dispatcher), dispatcher.backends[2:]); backend == nil ||
+		backend.Rack != 1 {
 		t.Errorf("got %+v", backend)
 	}
 }
@@ -305,23 +308,24 @@
 // What a fleet lets through per window equals the sum of all shares, not only on average, and every dispatcher
 // gets its turns.
 func TestSlowStartSharesBelowOneRequestAddUp(t *testing.T) {
-	d, runtime := newDispatcher(t)
-	backend := d.backends[2]
-	for _, other := range d.backends {
+	dispatcher, runtime := newDispatcher(t)
+	backend := dispatcher.backends[2]
+	for _, other := range dispatcher.backends {
 		if other.Role == RoleDecode && other != backend {
 			other.CompletedWork.Add(runtime.now, 1000) // a share of about a tenth of the request's work
 		}
 	}
 	const fleet = 300
-	d.parameters.dispatchers = fleet
+	dispatcher.parameters.dispatchers = fleet
 	backend.StartReported, backend.StartedAt = true, runtime.now
-	want := fleet * d.slowStartBudget(backend) / d.requestWork(newRequest(d), backend, StageWhole)
+	want := fleet * dispatcher.slowStartBudget(backend) / dispatcher.requestWork(newRequest(dispatcher), backend,
+		StageWhole)
 	turns := map[int]int{}
 	for window := range 4 {
 		allowed := 0
 		for slot := range fleet {
-			d.parameters.index = float64(slot)
-			if !d.disallowed(newRequest(d), backend) {
+			dispatcher.parameters.index = float64(slot)
+			if !dispatcher.disallowed(newRequest(dispatcher), backend) {
 				allowed++
 				turns[slot]++
 			}
@@ -357,21 +361,22 @@
 }
 
 func TestOutcomesAreCountedPerClass(t *testing.T) {
-	d, _ := newDispatcher(t)
-	d.classes = append(d.classes, &Class{Index: 1})
-	backend, granted := d.backends[2], [2]int{}
+	dispatcher, _ := newDispatcher(t)
+	dispatcher.classes = append(dispatcher.classes, &Class{Index: 1})
+	backend, granted := dispatcher.backends[2], [2]int{}
 	backend.Outcomes = make([]OutcomeStats, 3)
 	for i := range backend.Outcomes {
 		backend.Outcomes[i].Successes.BucketWidth, backend.Outcomes[i].Failures.BucketWidth = time.Second, time.Second
 	}
 	for i := range 40 {
-		d.PeerUpdated(PeerUpdate{Backend: backend, ClassIndex: i % 2, Verdict: []Verdict{VerdictGood, VerdictBad}[i%2]})
+		dispatcher.PeerUpdated(PeerUpdate{Backend: backend, ClassIndex: i % 2,
+			Verdict: []Verdict{VerdictGood, VerdictBad}[i%2]})
 	}
 	for i := range 200 {
-		req := newRequest(d)
-		req.Class = d.classes[i%2]
-		d.PeerUpdated(PeerUpdate{Backend: backend, ClassIndex: 0, Verdict: VerdictGood})
-		if d.drawTrust(d.successPosterior(backend, req)) {
+		req := newRequest(dispatcher)
+		req.Class = dispatcher.classes[i%2]
+		dispatcher.PeerUpdated(PeerUpdate{Backend: backend, ClassIndex: 0, Verdict: VerdictGood})
+		if dispatcher.drawTrust(dispatcher.successPosterior(backend, req)) {
 			granted[i%2]++
 		}
 	}
@@ -412,25 +417,27 @@
 // backend that can't be reached, nor clear its failures.
 func TestRepeatedEndpointListChangesNothing(t *testing.T) {
 	for _, restart := range []bool{true, false} {
-		d, runtime := newDispatcher(t)
-		backend := d.backends[2]
+		dispatcher, runtime := newDispatcher(t)
+		backend := dispatcher.backends[2]
 		endpoint := Endpoint{Backend: backend, State: Ready, CapacityUnits: 4, StartedAt: -time.Hour, StartReported: restart}
-		d.UpdateEndpoints([]Endpoint{endpoint}, false)
+		dispatcher.UpdateEndpoints([]Endpoint{endpoint}, false)
 		backend.CachedPrefixes[7] = CachedPrefix{100, runtime.now, 0}
-		d.PeerUpdated(PeerUpdate{Backend: backend, Verdict: VerdictUnreachable})
+		dispatcher.PeerUpdated(PeerUpdate{Backend: backend, Verdict: VerdictUnreachable})
 		runtime.now += time.Second
-		d.UpdateEndpoints([]Endpoint{endpoint}, false)
-		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 1 || len(backend.CachedPrefixes) != 1 {
-			t.Errorf("restart %v: slow start %v, %g failures, %d prefixes", restart, d.inSlowStart(backend),
+		dispatcher.UpdateEndpoints([]Endpoint{endpoint}, false)
+		if !dispatcher.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 1 ||
+			len(backend.CachedPrefixes) != 1 {
+			t.Errorf("restart %v: slow start %v, %g failures, %d prefixes", restart, dispatcher.inSlowStart(backend),
 				backend.Outcomes[0].ConsecutiveFailures, len(backend.CachedPrefixes))
 		}
 		endpoint.StartedAt, endpoint.StartReported = runtime.now, true
-		d.UpdateEndpoints([]Endpoint{endpoint}, false)
-		if !d.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 0 || len(backend.CachedPrefixes) != 0 {
+		dispatcher.UpdateEndpoints([]Endpoint{endpoint}, false)
+		if !dispatcher.inSlowStart(backend) || backend.Outcomes[0].ConsecutiveFailures != 0 ||
+			len(backend.CachedPrefixes) != 0 {
 			t.Error("a new start was ignored")
 		}
 		runtime.now += 11 * time.Second
-		if d.inSlowStart(backend) {
+		if dispatcher.inSlowStart(backend) {
 			t.Error("it stays in slow start")
 		}
 	}
@@ -476,26 +483,27 @@
 		{"a client that disconnected late", 900 * time.Millisecond, false, Cancelled, -1},
 		{"rejected as full", time.Millisecond, false, Rejected, -1},
 	} {
-		d, runtime := newDispatcher(t)
-		d.window = 10
-		req := newRequest(d)
-		attempt := addAttempt(req, d.backends[2], tc.outcome, runtime.now)
-		req.Outstanding, req.DispatchedAt, d.outstanding, d.queue = true, runtime.now, 10, []*Request{newRequest(d)}
+		dispatcher, runtime := newDispatcher(t)
+		dispatcher.window = 10
+		req := newRequest(dispatcher)
+		attempt := addAttempt(req, dispatcher.backends[2], tc.outcome, runtime.now)
+		req.Outstanding, req.DispatchedAt, dispatcher.outstanding, dispatcher.queue = true, runtime.now, 10,
+			[]*Request{newRequest(dispatcher)}
 		runtime.now += tc.elapsed
 		if tc.gotFirstToken {
 			attempt.FirstTokenAt = runtime.now
 		}
-		before := d.window
-		d.clearOutstanding(req)
-		if cmp.Compare(d.window, before) != tc.direction {
-			t.Errorf("%s: window %g -> %g", tc.name, before, d.window)
+		before := dispatcher.window
+		dispatcher.clearOutstanding(req)
+		if cmp.Compare(dispatcher.window, before) != tc.direction {
+			t.Errorf("%s: window %g -> %g", tc.name, before, dispatcher.window)
 		}
-		d.outstanding -= 9
-		if d.queue = nil; d.outstanding != 0 {
+		dispatcher.outstanding -= 9
+		if dispatcher.queue = nil; dispatcher.outstanding != 0 {
 			runtime.timers[len(runtime.timers)-1]()
 		}
-		if d.outstanding != 0 {
-			t.Errorf("%s: %d without a first token", tc.name, d.outstanding)
+		if dispatcher.outstanding != 0 {
+			t.Errorf("%s: %d without a first token", tc.name, dispatcher.outstanding)
 		}
 	}
 }
@@ -515,22 +523,23 @@
 		{Unreachable, 200 * time.Millisecond, 0.5, 0},
 		{Rejected, 0, 0.5, 0}, {TimedOut, 3 * time.Second, 0.1, 0}, // an unresponsive backend holds up no others
 	} {
-		d, runtime := newDispatcher(t)
-		d.window = 1
-		d.timeToFirstToken.Add(tc.expected, 1)
-		req := newRequest(d)
-		addAttempt(req, d.backends[0], tc.outcome, runtime.now)
-		req.Outstanding, req.DispatchedAt, d.outstanding = true, runtime.now, 1
+		dispatcher, runtime := newDispatcher(t)
+		dispatcher.window = 1
+		dispatcher.timeToFirstToken.Add(tc.expected, 1)
+		req := newRequest(dispatcher)
+		addAttempt(req, dispatcher.backends[0], tc.outcome, runtime.now)
+		req.Outstanding, req.DispatchedAt, dispatcher.outstanding = true, runtime.now, 1
 		runtime.now += tc.took
 		runtime.timers, runtime.timerDelays = nil, nil
-		d.clearOutstanding(req)
+		dispatcher.clearOutstanding(req)
 		switch {
-		case tc.keepsPlace == 0 && d.outstanding == 0 && len(runtime.timers) == 0:
-		case tc.keepsPlace == 0 || d.outstanding != 1 || len(runtime.timers) != 1 || runtime.timerDelays[0] != tc.keepsPlace:
-			t.Errorf("%+v: %d without a first token, timers after %v", tc, d.outstanding, runtime.timerDelays)
+		case tc.keepsPlace == 0 && dispatcher.outstanding == 0 && len(runtime.timers) == 0:
+		case tc.keepsPlace == 0 || dispatcher.outstanding != 1 || len(runtime.timers) != 1 ||
+			runtime.timerDelays[0] != tc.keepsPlace:
+			t.Errorf("%+v: %d without a first token, timers after %v", tc, dispatcher.outstanding, runtime.timerDelays)
 		default:
-			next := newRequest(d)
-			d.enqueue(next)
+			next := newRequest(dispatcher)
+			dispatcher.enqueue(next)
 			runtime.timers[0]()
 			if len(runtime.sent) != 1 || runtime.sent[0].Request != next {
 				t.Errorf("%+v: the free place is not used", tc)
@@ -542,61 +551,64 @@
 // Backends that have just started get prefill work while the others are congested. Otherwise each dispatcher
 // waits for a request whose prefix hashes to them.
 func TestAffinityCandidatesIncludeBackendsInSlowStart(t *testing.T) {
-	d, runtime := newDispatcher(t)
+	dispatcher, runtime := newDispatcher(t)
 	for i := range 20 {
-		d.UpdateEndpoints([]Endpoint{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}}, false)
+		dispatcher.UpdateEndpoints([]Endpoint{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}},
+			false)
 	}
-	req, prefillBackends := newRequest(d), Filter(d.backends, (*Backend).PrefillOnly)
-	candidates := d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends))
+	req, prefillBackends := newRequest(dispatcher), Filter(dispatcher.backends, (*Backend).PrefillOnly)
+	candidates := dispatcher.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends))
 	started := prefillBackends[slices.IndexFunc(prefillBackends,
 		func(b *Backend) bool { return !slices.Contains(candidates, b) })]
 	started.StartReported, started.StartedAt = true, runtime.now-time.Second
-	if got := d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends)); !slices.Equal(got,
+	if got := dispatcher.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends)); !slices.Equal(got,
 		append(candidates, started)) {
 		t.Errorf("%d affinity candidates", len(got))
 	}
-	if share := d.capacityShare(started); share < 0.3 || share > 0.4 || d.capacityShare(candidates[0]) != 1 ||
-		d.loadScore(started, 0) < 2*d.loadScore(candidates[0], 0) {
-		t.Errorf("capacity share %g, a load score of %g against %g", share, d.loadScore(started, 0),
-			d.loadScore(candidates[0], 0))
+	if share := dispatcher.capacityShare(started); share < 0.3 || share > 0.4 ||
+		dispatcher.capacityShare(candidates[0]) != 1 ||
+		dispatcher.loadScore(started, 0) < 2*dispatcher.loadScore(candidates[0], 0) {
+		t.Errorf("capacity share %g, a load score of %g against %g", share, dispatcher.loadScore(started, 0),
+			dispatcher.loadScore(candidates[0], 0))
 	}
 }
 
 // The budget in slow start does not shrink from window to window when all backends are in slow start and would
 // be measured by each other.
 func TestSlowStartBudgetIsKeptWhileAllAreInSlowStart(t *testing.T) {
-	d, runtime := newDispatcher(t)
-	for _, backend := range d.backends[:2] {
+	dispatcher, runtime := newDispatcher(t)
+	for _, backend := range dispatcher.backends[:2] {
 		backend.CompletedWork.Add(runtime.now, 20000)
 	}
-	warm := d.slowStartBudget(d.backends[0])
-	for _, backend := range d.backends[:2] {
+	warm := dispatcher.slowStartBudget(dispatcher.backends[0])
+	for _, backend := range dispatcher.backends[:2] {
 		backend.StartReported, backend.StartedAt = true, runtime.now
 	}
 	runtime.now += 30 * time.Second // completed work has expired
-	for _, backend := range d.backends[:2] {
+	for _, backend := range dispatcher.backends[:2] {
 		backend.StartedAt = runtime.now
 	}
-	if allStarting := d.slowStartBudget(d.backends[0]); warm == 0 || allStarting != warm {
+	if allStarting := dispatcher.slowStartBudget(dispatcher.backends[0]); warm == 0 || allStarting != warm {
 		t.Errorf("a budget of %g is %g when all are in slow start", warm, allStarting)
 	}
 }
 
 func TestAffinityCandidatesAreStableAndGrowWithShare(t *testing.T) {
-	d, runtime := newDispatcher(t)
+	dispatcher, runtime := newDispatcher(t)
 	for i := range 20 {
-		d.UpdateEndpoints([]Endpoint{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}}, false)
+		dispatcher.UpdateEndpoints([]Endpoint{{Backend: &Backend{ID: uint32(100 + i)}, State: Ready, CapacityUnits: 1}},
+			false)
 	}
-	req, prefillBackends := newRequest(d), Filter(d.backends, (*Backend).PrefillOnly)
-	candidates := slices.Clone(d.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends)))
+	req, prefillBackends := newRequest(dispatcher), Filter(dispatcher.backends, (*Backend).PrefillOnly)
+	candidates := slices.Clone(dispatcher.affinityCandidates(req, RolePrefill, slices.Clone(prefillBackends)))
 	without := slices.DeleteFunc(slices.Clone(prefillBackends), func(b *Backend) bool { return b == candidates[0] })
-	if remaining := d.affinityCandidates(req, RolePrefill, without); len(candidates) != 2 ||
+	if remaining := dispatcher.affinityCandidates(req, RolePrefill, without); len(candidates) != 2 ||
 		!slices.Equal(remaining, candidates[1:]) {
 		t.Errorf("affinity candidates %v, with one suspected %v", candidates, remaining)
 	}
-	d.prefillRequests.Add(runtime.now, 100)
-	d.prefixTable.Add(req.PrefixKey, runtime.now, 50)
-	if got := len(d.affinityCandidates(req, RolePrefill, prefillBackends)); got < 12 || got > 21 {
+	dispatcher.prefillRequests.Add(runtime.now, 100)
+	dispatcher.prefixTable.Add(req.PrefixKey, runtime.now, 50)
+	if got := len(dispatcher.affinityCandidates(req, RolePrefill, prefillBackends)); got < 12 || got > 21 {
 		t.Errorf("a prefix of half the requests has %d affinity candidates of 22", got)
 	}
 }
@@ -656,26 +668,26 @@
 // Half a fleet failing under a few dispatchers ends dozens of attempts late at the same time, by one
 // congestion event. If each narrowed the window, it would close almost entirely and not recover for minutes.
 func TestOneCongestionEventHalvesTheWindowAtMost(t *testing.T) {
-	d, runtime := newDispatcher(t)
-	d.window = 20
+	dispatcher, runtime := newDispatcher(t)
+	dispatcher.window = 20
 	for range 60 {
-		req := newRequest(d)
+		req := newRequest(dispatcher)
 		req.Outstanding, req.DispatchedAt = true, runtime.now-2*time.Second
-		addAttempt(req, d.backends[0], TimedOut, runtime.now)
-		d.outstanding++
+		addAttempt(req, dispatcher.backends[0], TimedOut, runtime.now)
+		dispatcher.outstanding++
 		req.TargetAt = runtime.now + time.Second
-		d.clearOutstanding(req)
+		dispatcher.clearOutstanding(req)
 	}
 	runtime.now += 3 * time.Second
-	if d.window != 10 {
-		t.Errorf("the window is %g", d.window)
+	if dispatcher.window != 10 {
+		t.Errorf("the window is %g", dispatcher.window)
 	}
-	req := newRequest(d) // a request sent after the congestion reports another one
-	req.Outstanding, req.DispatchedAt, d.outstanding = true, runtime.now-2*time.Second, d.outstanding+1
-	addAttempt(req, d.backends[0], Rejected, runtime.now)
-	d.clearOutstanding(req)
-	if d.window >= 10 || d.window < 5 {
-		t.Errorf("after the next one it is %g", d.window)
+	req := newRequest(dispatcher) // a request sent after the congestion reports another one
+	req.Outstanding, req.DispatchedAt, dispatcher.outstanding = true, runtime.now-2*time.Second, dispatcher.outstanding+1
+	addAttempt(req, dispatcher.backends[0], Rejected, runtime.now)
+	dispatcher.clearOutstanding(req)
+	if dispatcher.window >= 10 || dispatcher.window < 5 {
+		t.Errorf("after the next one it is %g", dispatcher.window)
 	}
 }
 
@@ -683,18 +695,18 @@
 // overloaded by it.
 func TestDecodeAtMixedBackendCountsLessThanWholeRequests(t *testing.T) {
 	budget := func(stage Stage) float64 {
-		d, runtime := newDispatcher(t)
-		d.classes[0].PrefillTokens.Add(3000, 1)
-		d.classes[0].DecodeSeconds.Add(1, 1)
-		warm, slowStarting := d.backends[4], d.backends[5]
+		dispatcher, runtime := newDispatcher(t)
+		dispatcher.classes[0].PrefillTokens.Add(3000, 1)
+		dispatcher.classes[0].DecodeSeconds.Add(1, 1)
+		warm, slowStarting := dispatcher.backends[4], dispatcher.backends[5]
 		slowStarting.StartedAt, slowStarting.StartReported = runtime.now, true
 		for range 20 {
-			req := newRequest(d)
+			req := newRequest(dispatcher)
 			req.Attempts = []*Attempt{{Request: req, Backend: warm, Stage: stage, FirstTokenAt: runtime.now,
 				OnResult: func(Result) {}}}
-			d.AttemptDone(req.Attempts[0], Result{Outcome: Served, Finished: true})
+			dispatcher.AttemptDone(req.Attempts[0], Result{Outcome: Served, Finished: true})
 		}
-		return d.slowStartBudget(slowStarting)
+		return dispatcher.slowStartBudget(slowStarting)
 	}
 	if decode, whole := budget(StageDecode), budget(StageWhole); decode <= 0 || decode > whole/10 {
 		t.Errorf("the budget of a mixed backend is %.0f after 20 decodes at a warm one, %.0f after 20 whole requests",
@@ -705,49 +717,49 @@
 // Backends come and go while a dispatcher runs: removed ones without attempts in flight are dropped, so that
 // no decision visits them.
 func TestListedDropsRemovedBackends(t *testing.T) {
-	d, _ := newDispatcher(t)
-	req := newRequest(d)
-	busy := d.backends[2]
-	if !d.send(req, busy, StageWhole, func(Result) {}) {
+	dispatcher, _ := newDispatcher(t)
+	req := newRequest(dispatcher)
+	busy := dispatcher.backends[2]
+	if !dispatcher.send(req, busy, StageWhole, func(Result) {}) {
 		t.Fatal("not sent")
 	}
 	for i := range 300 {
 		backend := &Backend{ID: uint32(100 + i), Kind: 1}
-		d.UpdateEndpoints([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 4}}, false)
-		d.UpdateEndpoints([]Endpoint{{Backend: backend, State: Removed}}, false)
+		dispatcher.UpdateEndpoints([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 4}}, false)
+		dispatcher.UpdateEndpoints([]Endpoint{{Backend: backend, State: Removed}}, false)
 	}
-	d.UpdateEndpoints([]Endpoint{{Backend: d.backends[0], State: Ready, CapacityUnits: 4}}, true)
-	if len(d.backends) != 2 || !slices.Contains(d.backends, busy) {
-		t.Errorf("%d backends, wanted 1 that is listed and 1 with an attempt in flight", len(d.backends))
+	dispatcher.UpdateEndpoints([]Endpoint{{Backend: dispatcher.backends[0], State: Ready, CapacityUnits: 4}}, true)
+	if len(dispatcher.backends) != 2 || !slices.Contains(dispatcher.backends, busy) {
+		t.Errorf("%d backends, wanted 1 that is listed and 1 with an attempt in flight", len(dispatcher.backends))
 	}
-	d.AttemptDone(req.Attempts[0], Result{Outcome: Served, Finished: true})
-	d.UpdateEndpoints([]Endpoint{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
-	d.UpdateEndpoints([]Endpoint{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
-	if len(d.backends) != 2 {
-		t.Errorf("%d backends after one came back", len(d.backends))
+	dispatcher.AttemptDone(req.Attempts[0], Result{Outcome: Served, Finished: true})
+	dispatcher.UpdateEndpoints([]Endpoint{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
+	dispatcher.UpdateEndpoints([]Endpoint{{Backend: busy, State: Ready, CapacityUnits: 4}}, false)
+	if len(dispatcher.backends) != 2 {
+		t.Errorf("%d backends after one came back", len(dispatcher.backends))
 	}
 }
 
 // Cached prefixes are forgotten by age, not by count: with more keys in use than the limit, a count would have
 // every attempt look through all of them and drop none.
 func TestRefreshForgetsCachedPrefixesByAge(t *testing.T) {
-	d, runtime := newDispatcher(t)
+	dispatcher, runtime := newDispatcher(t)
 	for i := range 5000 {
-		req := newRequest(d)
+		req := newRequest(dispatcher)
 		req.SessionKey, req.PrefixKey = uint64(1000+i), 0
-		d.recordCachedPrefix(&Attempt{Request: req, Backend: d.backends[2]}, 0)
+		dispatcher.recordCachedPrefix(&Attempt{Request: req, Backend: dispatcher.backends[2]}, 0)
 	}
 	runtime.now += prefixTTL + time.Second
-	req := newRequest(d)
-	d.recordCachedPrefix(&Attempt{Request: req, Backend: d.backends[2]}, 0)
-	d.refresh()
-	if entries := len(d.backends[2].CachedPrefixes); entries != 2 {
+	req := newRequest(dispatcher)
+	dispatcher.recordCachedPrefix(&Attempt{Request: req, Backend: dispatcher.backends[2]}, 0)
+	dispatcher.refresh()
+	if entries := len(dispatcher.backends[2].CachedPrefixes); entries != 2 {
 		t.Errorf("%d prefixes in the table, 2 are recent", entries)
 	}
-	rarelyUsed := d.backends[3]
+	rarelyUsed := dispatcher.backends[3]
 	rarelyUsed.CachedPrefixes[5] = CachedPrefix{10, runtime.now, 0}
 	runtime.now += prefixTTL + time.Second
-	d.refresh()
+	dispatcher.refresh()
 	if len(rarelyUsed.CachedPrefixes) != 0 {
 		t.Error("a prefix that is never used again stays in the table")
 	}
--- a/brain/candidates_test.go
+++ b/brain/candidates_test.go
@@ -73,23 +73,26 @@
 
 // Backends that a request has a reason to go to are among its candidates, however few are sampled.
 func TestCandidatesIncludePrefixHoldersAndTheKVHoldersRack(t *testing.T) {
-	d, runtime := newLargeFleet(t, 1)
-	holder := Filter(d.backends, (*Backend).Decodes)[700]
-	d.recordCachedPrefix(&Attempt{Request: newRequest(d), Backend: holder}, 0)
-	prefillBackend := Filter(d.backends, (*Backend).PrefillOnly)[300]
+	dispatcher, runtime := newLargeFleet(t, 1)
+	holder := Filter(dispatcher.backends, (*Backend).Decodes)[700]
+	dispatcher.recordCachedPrefix(&Attempt{Request: newRequest(dispatcher), Backend: holder}, 0)
+	prefillBackend := Filter(dispatcher.backends, (*Backend).PrefillOnly)[300]
 	for range 50 {
 		runtime.now += time.Millisecond
-		req := newRequest(d)
-		if !slices.Contains(d.candidates(req), holder) {
+		req := newRequest(dispatcher)
+		if !slices.Contains(dispatcher.candidates(req), holder) {
 			t.Fatal("the backend that has the session cached is not a candidate")
 		}
 		req.KVHolder = prefillBackend
 		runtime.now += time.Millisecond
-		inRack := Filter(d.candidates(req), func(b *Backend) bool { return b.Rack == prefillBackend.Rack && b.Decodes() })
+		inRack := Filter(dispatcher.candidates(req), func(b *Backend) bool {
+			return b.Rack == prefillBackend.Rack &&
+				b.Decodes()
+		})
 		if len(inRack) != 3 {
 			t.Fatalf("%d backends of the KV holder's rack are candidates", len(inRack))
 		}
-		if count := len(d.candidates(req)); count > 400 || count < sampleSize {
+		if count := len(dispatcher.candidates(req)); count > 400 || count < sampleSize {
 			t.Fatalf("%d candidates", count)
 		}
 	}
@@ -97,19 +100,19 @@
 
 // Over many requests most backends of a large fleet are used, and none too often.
 func TestMostBackendsOfALargeFleetAreUsed(t *testing.T) {
-	d, runtime := newLargeFleet(t, 1)
+	dispatcher, runtime := newLargeFleet(t, 1)
 	used := map[*Backend]int{}
 	const requests = 3000
 	for number := range requests {
 		runtime.now += 10 * time.Millisecond
-		req := newRequest(d)
+		req := newRequest(dispatcher)
 		req.SessionKey, req.PrefixKey = 0, uint64(number+1)
-		req.KVHolder = Filter(d.backends, (*Backend).PrefillOnly)[number%1000]
-		d.pickDecode(req)
+		req.KVHolder = Filter(dispatcher.backends, (*Backend).PrefillOnly)[number%1000]
+		dispatcher.pickDecode(req)
 		attempt := runtime.sent[len(runtime.sent)-1]
 		used[attempt.Backend]++
-		d.FirstToken(attempt, time.Millisecond)
-		d.AttemptDone(attempt, Result{Outcome: Served, Finished: true})
+		dispatcher.FirstToken(attempt, time.Millisecond)
+		dispatcher.AttemptDone(attempt, Result{Outcome: Served, Finished: true})
 	}
 	maxUses := 0
 	for _, uses := range used {
@@ -122,25 +125,27 @@
 
 // A fleet that shrinks and grows across fullScanLimit keeps its order and all of its backends.
 func TestFleetShrinksAndGrowsAcrossFullScanLimit(t *testing.T) {
-	d, _ := newLargeFleet(t, 1)
+	dispatcher, _ := newLargeFleet(t, 1)
 	var endpoints []Endpoint
-	for _, backend := range d.backends[100:] {
+	for _, backend := range dispatcher.backends[100:] {
 		endpoints = append(endpoints, Endpoint{Backend: backend, State: Removed})
 	}
-	d.UpdateEndpoints(endpoints, false)
-	if len(d.backends) != 100 || d.isLarge() || len(d.byRole[RolePrefill])+len(d.byRole[RoleDecode]) != 100 {
-		t.Fatalf("%d backends remain, %d and %d by role", len(d.backends), len(d.byRole[RolePrefill]),
-			len(d.byRole[RoleDecode]))
+	dispatcher.UpdateEndpoints(endpoints, false)
+	if len(dispatcher.backends) != 100 || dispatcher.isLarge() ||
+		len(dispatcher.byRole[RolePrefill])+len(dispatcher.byRole[RoleDecode]) != 100 {
+		t.Fatalf("%d backends remain, %d and %d by role", len(dispatcher.backends), len(dispatcher.byRole[RolePrefill]),
+			len(dispatcher.byRole[RoleDecode]))
 	}
 	for i := range 100 {
-		d.UpdateEndpoints([]Endpoint{{Backend: &Backend{ID: uint32(5000 + i), Kind: i % 2, Rack: 1000 + i/6}, State: Ready,
+		dispatcher.UpdateEndpoints([]Endpoint{{Backend: &Backend{ID: uint32(5000 + i), Kind: i % 2, Rack: 1000 + i/6},
+			State:         Ready,
 			CapacityUnits: 1}}, false)
 	}
-	if !d.isLarge() || !slices.IsSortedFunc(d.backends,
+	if !dispatcher.isLarge() || !slices.IsSortedFunc(dispatcher.backends,
 		func(a, b *Backend) int { return int(a.order>>1) - int(b.order>>1) }) {
-		t.Errorf("%d backends, in order %v", len(d.backends), d.sorted)
+		t.Errorf("%d backends, in order %v", len(dispatcher.backends), dispatcher.sorted)
 	}
-	if got := len(d.byRole[RolePrefill]) + len(d.byRole[RoleDecode]); got != 200 {
+	if got := len(dispatcher.byRole[RolePrefill]) + len(dispatcher.byRole[RoleDecode]); got != 200 {
 		t.Errorf("%d backends by role", got)
 	}
 }
--- a/brain/cost_test.go
+++ b/brain/cost_test.go
@@ -27,7 +27,7 @@
 	settings := testSettings()
 	settings["siblings"] = 300.0
 	runtime := &fakeRuntime{now: 100 * time.Second}
-	d, err := New(settings, 1, runtime)
+	dispatcher, err := New(settings, 1, runtime)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,43 +40,44 @@
 		}
 		endpoints = append(endpoints, endpoint)
 	}
-	d.UpdateEndpoints(endpoints, true)
+	dispatcher.UpdateEndpoints(endpoints, true)
 	if state == thirdRemoved {
 		for i := range endpoints {
 			if i%3 == 0 {
 				endpoints[i].State = Removed
-				d.UpdateEndpoints(endpoints[i:i+1], false)
+				dispatcher.UpdateEndpoints(endpoints[i:i+1], false)
 			}
 		}
 	}
-	for i, backend := range d.backends {
+	for i, backend := range dispatcher.backends {
 		if i%8 == 0 {
 			backend.CompletedWork.Add(runtime.now, 50000)
 		}
 	}
-	d.window, d.sendCredit = 0, 0
+	dispatcher.window, dispatcher.sendCredit = 0, 0
 	for i := range waiting {
-		d.Submit(&Request{ID: uint64(1e6 + i), SessionKey: uint64(i%50 + 1), PromptTokens: 2000, MaxOutputTokens: 400,
-			Timeout: time.Hour}, 0, 0)
+		dispatcher.Submit(&Request{ID: uint64(1e6 + i), SessionKey: uint64(i%50 + 1), PromptTokens: 2000,
+			MaxOutputTokens: 400,
+			Timeout:         time.Hour}, 0, 0)
 	}
-	return d, runtime
+	return dispatcher, runtime
 }
 
 // serveOne submits one request and runs one to its end: prefill, decode, first token, end.
-func serveOne(d *Dispatcher, runtime *fakeRuntime, number int) {
+func serveOne(dispatcher *Dispatcher, runtime *fakeRuntime, number int) {
 	runtime.now += 10 * time.Millisecond
-	d.window, d.sendCredit = 2, 0
-	d.Submit(&Request{ID: uint64(number), SessionKey: uint64(number%200 + 1), PrefixKey: uint64(number%20 + 1),
+	dispatcher.window, dispatcher.sendCredit = 2, 0
+	dispatcher.Submit(&Request{ID: uint64(number), SessionKey: uint64(number%200 + 1), PrefixKey: uint64(number%20 + 1),
 		PromptTokens: 2000, PrefixTokens: 1500, MaxOutputTokens: 400, Timeout: time.Hour}, 0, 0)
 	for served := false; !served && len(runtime.sent) > 0; {
 		attempt := runtime.sent[0]
 		runtime.sent = runtime.sent[1:]
 		if attempt.Stage == StagePrefill {
-			d.AttemptDone(attempt, Result{Outcome: Prefilled, Duration: 20 * time.Millisecond, Detail: 100})
+			dispatcher.AttemptDone(attempt, Result{Outcome: Prefilled, Duration: 20 * time.Millisecond, Detail: 100})
 			continue
 		}
-		d.FirstToken(attempt, 5*time.Millisecond)
-		d.AttemptDone(attempt, Result{Outcome: Served, Duration: 50 * time.Millisecond, Finished: true})
+		dispatcher.FirstToken(attempt, 5*time.Millisecond)
+		dispatcher.AttemptDone(attempt, Result{Outcome: Served, Duration: 50 * time.Millisecond, Finished: true})
 		served = true
 	}
 	runtime.timers, runtime.timerDelays, runtime.timeouts =
--- a/brain/lifecycle_test.go
+++ b/brain/lifecycle_test.go
@@ -177,18 +177,18 @@
 			settings[key+"aimUs"], settings[key+"effect"], settings[key+"windowUs"], settings[key+"worth"] =
 				5e5, effect, 1e6, float64(i+1)
 		}
-		d, err := New(settings, seed, sim)
+		dispatcher, err := New(settings, seed, sim)
 		if err != nil {
 			t.Fatal(err)
 		}
-		sim.dispatcher = d
+		sim.dispatcher = dispatcher
 		var backends []*Backend
 		for i := range 9 {
 			backends = append(backends, &Backend{ID: uint32(i + 1), Kind: i / 3, Rack: i % 2})
 		}
 		list := func(backend *Backend, s BackendState) {
 			sim.notReady[backend] = s != Ready
-			d.UpdateEndpoints([]Endpoint{{Backend: backend, State: s, CapacityUnits: 1, StartedAt: sim.now,
+			dispatcher.UpdateEndpoints([]Endpoint{{Backend: backend, State: s, CapacityUnits: 1, StartedAt: sim.now,
 				StartReported: s == Ready && sim.rng.IntN(3) == 0}}, false)
 		}
 		for _, backend := range backends {
@@ -203,13 +203,13 @@
 					MaxOutputTokens: float64(sim.rng.IntN(200)), ClientRetry: sim.rng.IntN(5) == 0,
 					Timeout: time.Duration(100+sim.rng.IntN(1500)) * time.Millisecond}
 				requests = append(requests, req)
-				d.Submit(req, sim.rng.IntN(3), 0)
+				dispatcher.Submit(req, sim.rng.IntN(3), 0)
 			}
 			if sim.rng.IntN(40) == 0 {
 				list(backends[sim.rng.IntN(len(backends))], BackendState(sim.rng.IntN(3)))
 			}
 			if sim.rng.IntN(40) == 0 {
-				d.PeerUpdated(PeerUpdate{Backend: backends[sim.rng.IntN(len(backends))], ClassIndex: sim.rng.IntN(3),
+				dispatcher.PeerUpdated(PeerUpdate{Backend: backends[sim.rng.IntN(len(backends))], ClassIndex: sim.rng.IntN(3),
 					Verdict: Verdict(sim.rng.IntN(5))})
 			}
 			for _, req := range requests {
@@ -230,7 +230,7 @@
 					sim.endAttempt(attempt, []Outcome{Prefilled, Prefilled, Prefilled, Prefilled, Failed, Rejected, TimedOut,
 						Unreachable, ConnectionLost}[sim.rng.IntN(9)])
 				case sim.rng.IntN(3) > 0:
-					d.FirstToken(attempt, sim.now-attempt.SentAt)
+					dispatcher.FirstToken(attempt, sim.now-attempt.SentAt)
 					if attempt.Stage == StageDecode {
 						delete(sim.kvHolders, req)
 					}
@@ -239,7 +239,7 @@
 				}
 				if sim.finalAnswers[req] == 0 && sim.rng.IntN(400) == 0 {
 					sim.finalAnswers[req]++ // its client disconnects
-					d.ClientDisconnected(req)
+					dispatcher.ClientDisconnected(req)
 				}
 			}
 		}
@@ -259,8 +259,9 @@
 					sim.kvHolders[req] != nil)
 			}
 		}
-		if d.outstanding != 0 || len(d.queue) != 0 || d.streams != 0 {
-			t.Errorf("seed %d: %d without a first token, %d queued, %g streams", seed, d.outstanding, len(d.queue), d.streams)
+		if dispatcher.outstanding != 0 || len(dispatcher.queue) != 0 || dispatcher.streams != 0 {
+			t.Errorf("seed %d: %d without a first token, %d queued, %g streams", seed, dispatcher.outstanding,
+				len(dispatcher.queue), dispatcher.streams)
 		}
 		for _, backend := range backends {
 			if backend.Streams != 0 || backend.KVTokens > 1e-6 || backend.PrefillBacklog > 1e-6 || backend.KVTokens < -1e-6 {
@@ -277,24 +278,24 @@
 // Timed-out attempts raise the expected time to first token: under congestion only the quick ones get a first
 // token.
 func TestTimeoutsRaiseExpectedTimeToFirstToken(t *testing.T) {
-	d, runtime := newDispatcher(t)
-	d.timeToFirstToken.Add(0.1, 0.1)
+	dispatcher, runtime := newDispatcher(t)
+	dispatcher.timeToFirstToken.Add(0.1, 0.1)
 	for range 20 {
-		req := newRequest(d)
-		d.enqueue(req)
-		d.dispatch()
+		req := newRequest(dispatcher)
+		dispatcher.enqueue(req)
+		dispatcher.dispatch()
 		attempt := runtime.sent[len(runtime.sent)-1]
 		runtime.now += 700 * time.Millisecond
 		req.NoMoreAttempts = true
-		d.AttemptDone(attempt, Result{Outcome: TimedOut, Duration: 700 * time.Millisecond})
+		dispatcher.AttemptDone(attempt, Result{Outcome: TimedOut, Duration: 700 * time.Millisecond})
 		runtime.now += time.Second
 	}
-	if expected := d.timeToFirstToken.ValueOr(0); expected < 0.5 || expected > 0.7 {
+	if expected := dispatcher.timeToFirstToken.ValueOr(0); expected < 0.5 || expected > 0.7 {
 		t.Errorf("a first token is expected after %.2f s, but none comes within 0.7 s", expected)
 	}
-	attempt := &Attempt{Request: &Request{Class: d.classes[0], Deadline: runtime.now + 2*time.Second},
+	attempt := &Attempt{Request: &Request{Class: dispatcher.classes[0], Deadline: runtime.now + 2*time.Second},
 		SentAt: runtime.now, Stage: StagePrefill}
-	if got := d.attemptTimeout(attempt); got != 2*time.Second {
+	if got := dispatcher.attemptTimeout(attempt); got != 2*time.Second {
 		t.Errorf("an attempt under congestion leaves time for another: %v", got)
 	}
 }
--- a/brain/policy_test.go
+++ b/brain/policy_test.go
@@ -10,7 +10,7 @@
 // the check before the first byte agree wherever both look.
 func TestEachReasonHasItsPermission(t *testing.T) {
 	for name, tc := range map[string]struct {
-		prepare            func(d *Dispatcher, req *Request, backend *Backend)
+		prepare            func(dispatcher *Dispatcher, req *Request, backend *Backend)
 		choice, beforeSend Permission
 	}{
 		"allowed": {func(*Dispatcher, *Request, *Backend) {}, Allowed, Allowed},
@@ -18,35 +18,38 @@
 			RequestFinished, RequestFinished},
 		"no further attempt is allowed": {func(_ *Dispatcher, r *Request, _ *Backend) { r.NoMoreAttempts = true },
 			NoFurtherAttempt, Allowed},
-		"the deadline has passed": {func(d *Dispatcher, r *Request, _ *Backend) { r.Deadline = d.runtime.Now() },
+		"the deadline has passed": {func(dispatcher *Dispatcher, r *Request,
+			_ *Backend) {
+			r.Deadline = dispatcher.runtime.Now()
+		},
 			DeadlinePassed, DeadlinePassed},
 		"the backend is draining": {func(_ *Dispatcher, _ *Request, b *Backend) { b.State = Draining },
 			BackendNotReady, BackendNotReady},
-		"it may have run, and must not run twice": {func(d *Dispatcher, req *Request, backend *Backend) {
+		"it may have run, and must not run twice": {func(dispatcher *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect = NonIdempotent
-			addAttempt(req, backend, ConnectionLost, d.runtime.Now())
+			addAttempt(req, backend, ConnectionLost, dispatcher.runtime.Now())
 		}, MayHaveRun, MayHaveRun},
-		"it may have run, too long ago": {func(d *Dispatcher, req *Request, backend *Backend) {
+		"it may have run, too long ago": {func(dispatcher *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.DedupWindow = Deduplicated, time.Second
-			addAttempt(req, backend, ConnectionLost, d.runtime.Now()-time.Second)
+			addAttempt(req, backend, ConnectionLost, dispatcher.runtime.Now()-time.Second)
 		}, RepeatWindowClosed, RepeatWindowClosed},
-		"it may have run in another group": {func(d *Dispatcher, req *Request, backend *Backend) {
+		"it may have run in another group": {func(dispatcher *Dispatcher, req *Request, backend *Backend) {
 			req.Class.Effect, req.Class.DedupWindow, req.Class.DedupScope = Deduplicated, time.Minute, SameRack
-			addAttempt(req, &Backend{Role: RoleDecode, Rack: backend.Rack + 1}, ConnectionLost, d.runtime.Now())
+			addAttempt(req, &Backend{Role: RoleDecode, Rack: backend.Rack + 1}, ConnectionLost, dispatcher.runtime.Now())
 		}, OtherGroup, OtherGroup},
-		"the backend restarted meanwhile": {func(d *Dispatcher, _ *Request, backend *Backend) {
-			backend.StartReported, backend.StartedAt = true, d.runtime.Now()
-			backend.SentWork.Add(d.runtime.Now(), 1e9)
+		"the backend restarted meanwhile": {func(dispatcher *Dispatcher, _ *Request, backend *Backend) {
+			backend.StartReported, backend.StartedAt = true, dispatcher.runtime.Now()
+			backend.SentWork.Add(dispatcher.runtime.Now(), 1e9)
 		}, SlowStartSpent, SlowStartSpent},
 	} {
-		d, _ := newDispatcher(t)
-		backend, req := d.backends[2], newRequest(d)
-		tc.prepare(d, req, backend)
-		if got := d.mayChoose(req, backend); got != tc.choice {
+		dispatcher, _ := newDispatcher(t)
+		backend, req := dispatcher.backends[2], newRequest(dispatcher)
+		tc.prepare(dispatcher, req, backend)
+		if got := dispatcher.mayChoose(req, backend); got != tc.choice {
 			t.Errorf("%s: the choice is %v, wanted %v", name, got, tc.choice)
 		}
-		attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), SentAt: d.runtime.Now()}
-		if got := d.MaySend(attempt); got != tc.beforeSend {
+		attempt := &Attempt{Request: req, Backend: backend, Number: len(req.Attempts), SentAt: dispatcher.runtime.Now()}
+		if got := dispatcher.MaySend(attempt); got != tc.beforeSend {
 			t.Errorf("%s: before the first byte it is %v, wanted %v", name, got, tc.beforeSend)
 		}
 	}
--- a/brain/release_test.go
+++ b/brain/release_test.go
@@ -9,19 +9,20 @@
 
 // newWaitingKV returns a dispatcher with a hold limit, and a request whose prefill has just ended and whose
 // decode attempt is in flight. due lets the time pass until the KV cache is due.
-func newWaitingKV(t *testing.T) (d *Dispatcher, runtime *fakeRuntime, req *Request, decode *Attempt, due func()) {
+func newWaitingKV(t *testing.T) (dispatcher *Dispatcher, runtime *fakeRuntime, req *Request, decode *Attempt,
+	due func()) {
 	t.Helper()
-	d, runtime = newDispatcher(t)
-	d.parameters.holdLimit = holdLimit
-	req = newRequest(d)
-	prefill := addAttempt(req, d.backends[0], 0, runtime.now)
-	prefill.Ended, prefill.OnResult = false, d.afterAttempt(req)
-	d.AttemptDone(prefill, Result{Outcome: Prefilled})
+	dispatcher, runtime = newDispatcher(t)
+	dispatcher.parameters.holdLimit = holdLimit
+	req = newRequest(dispatcher)
+	prefill := addAttempt(req, dispatcher.backends[0], 0, runtime.now)
+	prefill.Ended, prefill.OnResult = false, dispatcher.afterAttempt(req)
+	dispatcher.AttemptDone(prefill, Result{Outcome: Prefilled})
 	if len(runtime.sent) != 1 || runtime.sent[0].Stage != StageDecode {
 		t.Fatalf("sent %v", runtime.sent)
 	}
 	wake := len(runtime.timers) - 1
-	return d, runtime, req, runtime.sent[0], func() {
+	return dispatcher, runtime, req, runtime.sent[0], func() {
 		if runtime.timerDelays[wake] != holdLimit {
 			t.Fatalf("the KV cache is due after %v", runtime.timerDelays[wake])
 		}
--- a/brain/settings_test.go
+++ b/brain/settings_test.go
@@ -71,7 +71,7 @@
 		{"requestClasses.0.worth", -1.0, true},
 		{"requestClasses.0.lateWorth", 0.0, false}, {"tenants", 0.0, false}, {"dcs", nil, false},
 	} {
-		d, err := New(settingsWith(tc.name, tc.value), 1, &fakeRuntime{})
+		dispatcher, err := New(settingsWith(tc.name, tc.value), 1, &fakeRuntime{})
 		if (err != nil) != tc.fails {
 			t.Errorf("%s = %v: %v", tc.name, tc.value, err)
 			continue
@@ -83,11 +83,11 @@
 			continue
 		}
 		backend := &Backend{ID: 1}
-		d.UpdateEndpoints([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 1, StartReported: true}}, true)
+		dispatcher.UpdateEndpoints([]Endpoint{{Backend: backend, State: Ready, CapacityUnits: 1, StartReported: true}}, true)
 		req := &Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4e9}
-		d.Submit(req, 0, 0)
-		if math.IsNaN(d.window) || math.IsNaN(backend.TokenLimit) {
-			t.Errorf("%s = %v: window %g, token limit %g", tc.name, tc.value, d.window, backend.TokenLimit)
+		dispatcher.Submit(req, 0, 0)
+		if math.IsNaN(dispatcher.window) || math.IsNaN(backend.TokenLimit) {
+			t.Errorf("%s = %v: window %g, token limit %g", tc.name, tc.value, dispatcher.window, backend.TokenLimit)
 		}
 	}
 }
@@ -95,34 +95,34 @@
 // A repeat whose connection is made after the deduplication window has closed is not sent; before that it is.
 func TestRepeatIsNotSentAfterDedupWindow(t *testing.T) {
 	runtime := &fakeRuntime{now: time.Second}
-	d, err := New(settingsWith("siblings", 1.0), 1, runtime)
+	dispatcher, err := New(settingsWith("siblings", 1.0), 1, runtime)
 	if err != nil {
 		t.Fatal(err)
 	}
 	endpoints := []Endpoint{{Backend: &Backend{ID: 1}, State: Ready, CapacityUnits: 1},
 		{Backend: &Backend{ID: 2}, State: Ready, CapacityUnits: 1}}
-	d.UpdateEndpoints(endpoints, true)
+	dispatcher.UpdateEndpoints(endpoints, true)
 	req := &Request{ID: 1, PromptTokens: 100, MaxOutputTokens: 10, Timeout: 4 * time.Second}
-	d.Submit(req, 0, 0)
-	d.AttemptDone(runtime.sent[0], Result{Outcome: ConnectionLost})
+	dispatcher.Submit(req, 0, 0)
+	dispatcher.AttemptDone(runtime.sent[0], Result{Outcome: ConnectionLost})
 	if len(runtime.sent) != 2 {
 		t.Fatalf("%d attempts", len(runtime.sent))
 	}
 	repeat := runtime.sent[1]
-	if d.MaySend(repeat) != Allowed {
+	if dispatcher.MaySend(repeat) != Allowed {
 		t.Error("a repeat within the window may not be sent")
 	}
 	runtime.now = runtime.sent[0].SentAt + req.Class.DedupWindow
-	if d.MaySend(repeat) == Allowed {
+	if dispatcher.MaySend(repeat) == Allowed {
 		t.Error("a repeat after the window may be sent")
 	}
 	runtime.now = runtime.sent[0].SentAt + req.Class.DedupWindow/2
 	repeat.Backend.State = Draining
-	if d.MaySend(repeat) == Allowed {
+	if dispatcher.MaySend(repeat) == Allowed {
 		t.Error("an attempt at a draining backend may be sent")
 	}
 	repeat.Backend.State, req.Finished = Ready, true
-	if d.MaySend(repeat) == Allowed {
+	if dispatcher.MaySend(repeat) == Allowed {
 		t.Error("an attempt of a finished request may be sent")
 	}
 }
--- a/cmd/benchlink/instance.go
+++ b/cmd/benchlink/instance.go
@@ -77,53 +77,54 @@
 func micros(us uint32) time.Duration { return time.Duration(us) * time.Microsecond }
 
 // handle passes one event to the scheduler. Events about unknown requests, attempts and timers are ignored.
-func (in *instance) handle(e wire.Event, clockUs uint64) {
+func (in *instance) handle(event wire.Event, clockUs uint64) {
 	in.clockUs = clockUs
-	switch e.Code() {
+	switch event.Code() {
 	case wire.EventEndpoints:
-		if e.U8(11) == 3 {
+		if event.U8(11) == 3 {
 			in.scheduler.DiscoveryFailed()
 			return
 		}
-		in.scheduler.UpdateEndpoints(in.listings(e.Entries()), e.U8(11) != 0)
+		in.scheduler.UpdateEndpoints(in.listings(event.Entries()), event.U8(11) != 0)
 	case wire.EventRequest:
 		request := &brain.Request{
-			ID: e.U64(3), SessionKey: e.U64(11), PrefixKey: e.U64(24),
-			PromptTokens: nonNegative(e.F32(32)), PrefixTokens: nonNegative(e.F32(45)), MaxOutputTokens: nonNegative(e.F32(20)),
-			ClientRetry: e.U8(19)&2 != 0, Timeout: micros(e.U32(41)),
+			ID: event.U64(3), SessionKey: event.U64(11), PrefixKey: event.U64(24),
+			PromptTokens: nonNegative(event.F32(32)), PrefixTokens: nonNegative(event.F32(45)),
+			MaxOutputTokens: nonNegative(event.F32(20)),
+			ClientRetry:     event.U8(19)&2 != 0, Timeout: micros(event.U32(41)),
 		}
 		in.requests[request.ID] = request
-		in.scheduler.Submit(request, int(e.U8(36)), int(e.U16(49)))
+		in.scheduler.Submit(request, int(event.U8(36)), int(event.U16(49)))
 	case wire.EventFirstByte:
-		if attempt := in.attempt(e); attempt != nil {
-			in.scheduler.FirstToken(attempt, micros(e.U32(16)))
+		if attempt := in.attempt(event); attempt != nil {
+			in.scheduler.FirstToken(attempt, micros(event.U32(16)))
 		}
 	case wire.EventOutcome:
-		if attempt := in.attempt(e); attempt != nil && !attempt.Ended {
-			load := e.Load(27)
+		if attempt := in.attempt(event); attempt != nil && !attempt.Ended {
+			load := event.Load(27)
 			for i, v := range load {
 				load[i] = nonNegative(v)
 			}
 			in.scheduler.AttemptDone(attempt, brain.Result{
-				Outcome: outcomeOf(e.U16(16)), Duration: micros(e.U32(18)), Finished: e.U8(22) != 0,
-				Detail: int(e.U32(23)), LoadReport: load,
+				Outcome: outcomeOf(event.U16(16)), Duration: micros(event.U32(18)), Finished: event.U8(22) != 0,
+				Detail: int(event.U32(23)), LoadReport: load,
 			})
 			in.forgetEnded(attempt.Request)
 		}
 	case wire.EventClientGone:
-		if request := in.requests[e.U64(3)]; request != nil {
+		if request := in.requests[event.U64(3)]; request != nil {
 			in.scheduler.ClientDisconnected(request)
 			in.forgetEnded(request)
 		}
 	case wire.EventPeerMessage:
-		if update, err := news.Decode(e.Span(7), in.backends); err != nil {
-			in.LogInfo(fmt.Sprintf("message of %d dropped: %v", e.U32(3), err))
+		if update, err := news.Decode(event.Span(7), in.backends); err != nil {
+			in.LogInfo(fmt.Sprintf("message of %d dropped: %v", event.U32(3), err))
 		} else if update.Backend != nil {
 			in.scheduler.PeerUpdated(update)
 		}
 	case wire.EventTimer:
-		if callback := in.timers[e.U32(3)]; callback != nil {
-			delete(in.timers, e.U32(3))
+		if callback := in.timers[event.U32(3)]; callback != nil {
+			delete(in.timers, event.U32(3))
 			callback()
 		}
 	}
@@ -155,8 +156,9 @@
 			in.backends[e.Backend] = backend
 		}
 		listings[i] = brain.Endpoint{
-			Backend: backend, State: brain.BackendState(e.State), CapacityUnits: nonNegative(e.Units), StartReported: e.BootUs != 0,
-			StartedAt: time.Duration(int64(e.BootUs)-int64(in.startedUs)) * time.Microsecond,
+			Backend: backend, State: brain.BackendState(e.State), CapacityUnits: nonNegative(e.Units),
+			StartReported: e.BootUs != 0,
+			StartedAt:     time.Duration(int64(e.BootUs)-int64(in.startedUs)) * time.Microsecond,
 		}
 	}
 	return listings
@@ -192,20 +194,20 @@
 	in.forgetEnded(request)
 }
 
-// Wake calls a function after a time.
+// Schedule calls a function after a time.
 func (in *instance) Schedule(after time.Duration, callback func()) {
 	in.lastTimer++
 	in.timers[in.lastTimer] = callback
 	in.reply.SetTimer(in.number, uint32(after.Microseconds()), in.lastTimer)
 }
 
-// Watch subscribes to pushed endpoint lists or ends the subscription.
+// WatchEndpoints subscribes to pushed endpoint lists or ends the subscription.
 func (in *instance) WatchEndpoints(on bool) { in.reply.Watch(in.number, on) }
 
-// Tell sends an update to a peer.
+// SendPeerUpdate sends an update to a peer.
 func (in *instance) SendPeerUpdate(peer int, update brain.PeerUpdate) {
 	in.reply.SendPeer(in.number, uint32(peer), news.Encode(update))
 }
 
-// Note writes a line to the simulator's log.
+// LogInfo writes a line to the simulator's log.
 func (in *instance) LogInfo(text string) { in.reply.Log(in.number, text) }
--- a/cmd/benchlink/parity_test.go
+++ b/cmd/benchlink/parity_test.go
@@ -239,7 +239,8 @@
 			class, tokens := rng.IntN(3), 200+rng.IntN(4000)
 			session, prefix := fmt.Sprint("s", rng.IntN(200)), fmt.Sprint("b", rng.IntN(9))
 			request := &dispatch.ClientRequest{
-				Params: kserve.Request{PromptTokens: tokens, PrefixTokens: 100, MaxTokens: 60, Session: session, SharedPrefix: prefix},
+				Params: kserve.Request{PromptTokens: tokens, PrefixTokens: 100, MaxTokens: 60, Session: session,
+					SharedPrefix: prefix},
 			}
 			submitted[id] = request
 			var r eventRecord
@@ -343,8 +344,9 @@
 func FuzzFramesLeaveNoNaNOrNegativeState(f *testing.F) {
 	config := setup.DefaultDispatcherConfig()
 	config.Classes = []setup.Class{{
-		Name: "g", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second),
-		Value: 1, DefaultMaxTokens: 60,
+		Name: "g", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second),
+		Deadline: setup.Duration(4 * time.Second),
+		Value:    1, DefaultMaxTokens: 60,
 	}}
 	config.BackendKinds = []setup.BackendKind{
 		{Name: "reader", Role: "reader", MemoryTokens: 2e5},
@@ -404,10 +406,12 @@
 			in.handle(event(t, result, nil), uint64(i)*1000+500)
 		}
 		for _, h := range in.backends {
-			for _, v := range []float64{h.CapacityUnits, h.RelativeCapacity, h.Util, h.QueueLength, h.KVTokens, h.PrefillBacklog, h.TokenLimit, h.CacheInsertedTokens} {
+			for _, v := range []float64{h.CapacityUnits, h.RelativeCapacity, h.Util, h.QueueLength, h.KVTokens,
+				h.PrefillBacklog, h.TokenLimit, h.CacheInsertedTokens} {
 				if math.IsNaN(v) || v < 0 {
 					t.Fatalf("state of backend %d: %v", h.ID,
-						[]float64{h.CapacityUnits, h.RelativeCapacity, h.Util, h.QueueLength, h.KVTokens, h.PrefillBacklog, h.TokenLimit, h.CacheInsertedTokens})
+						[]float64{h.CapacityUnits, h.RelativeCapacity, h.Util, h.QueueLength, h.KVTokens, h.PrefillBacklog,
+							h.TokenLimit, h.CacheInsertedTokens})
 				}
 			}
 		}
--- a/cmd/sloetrestle/bill.go
+++ b/cmd/sloetrestle/bill.go
@@ -98,7 +98,7 @@
 	var ledgers ledgerFlags
 	var tenant, from, to string
 	var asCSV, asJSON bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "bill --ledger DIR --channel C --from TIME --to TIME", Args: cobra.NoArgs,
 		Short: "Sum what a tenant's requests cost",
 		Long: `Bill sums the records of any number of ledgers; the same records give the same bill, in whatever order. A
@@ -121,15 +121,15 @@
 			return printBill(cmd.OutOrStdout(), sheet.Bill(tenant, begin, end), asCSV, asJSON)
 		}),
 	}
-	ledgers.register(c)
-	c.Flags().StringVar(&tenant, "channel", "", "tenant; all tenants if not given")
-	c.Flags().StringVar(&from, "from", "", "start of the period, such as 2026-12-01")
-	c.Flags().StringVar(&to, "to", "", "end of the period (exclusive)")
-	c.Flags().BoolVar(&asCSV, "csv", false, "print CSV")
-	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	c.MarkFlagsMutuallyExclusive("csv", "json")
-	c.AddCommand(disputeCommand())
-	return c
+	ledgers.register(command)
+	command.Flags().StringVar(&tenant, "channel", "", "tenant; all tenants if not given")
+	command.Flags().StringVar(&from, "from", "", "start of the period, such as 2026-12-01")
+	command.Flags().StringVar(&to, "to", "", "end of the period (exclusive)")
+	command.Flags().BoolVar(&asCSV, "csv", false, "print CSV")
+	command.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+	command.MarkFlagsMutuallyExclusive("csv", "json")
+	command.AddCommand(disputeCommand())
+	return command
 }
 
 func printBill(out io.Writer, lines []ledger.Line, asCSV, asJSON bool) error {
@@ -138,7 +138,8 @@
 	}
 	row := func(l ledger.Line) []string {
 		return []string{
-			l.Tenant, l.Class, string(l.Payer), strconv.Itoa(l.Requests), strconv.Itoa(l.Attempts), strconv.Itoa(l.PrefillTokens),
+			l.Tenant, l.Class, string(l.Payer), strconv.Itoa(l.Requests), strconv.Itoa(l.Attempts),
+			strconv.Itoa(l.PrefillTokens),
 			strconv.Itoa(l.CachedTokens), strconv.Itoa(l.OutputTokens), strconv.Itoa(l.Unconfirmed),
 		}
 	}
@@ -177,7 +178,7 @@
 func disputeCommand() *cobra.Command {
 	var ledgers ledgerFlags
 	var asJSON bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "dispute ID --ledger DIR", Args: cobra.ExactArgs(1),
 		Short: "Show every attempt of one request, given by its id or key, with the proof of its cost",
 		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
@@ -211,18 +212,19 @@
 					proof = "none: the box could not be asked; as the dispatcher saw it"
 				}
 				fmt.Fprintf(table, "%s\t%d\t%s\t%s\t%s\t%s\t%d\t%d\t%d\t%s\n",
-					a.Key, a.Attempt.Index, a.Backend, a.Phase, a.Outcome, a.Payer, a.PrefillTokens, a.CachedTokens, a.OutputTokens, proof)
+					a.Key, a.Attempt.Index, a.Backend, a.Phase, a.Outcome, a.Payer, a.PrefillTokens, a.CachedTokens, a.OutputTokens,
+					proof)
 			}
 			return table.Flush()
 		}),
 	}
-	ledgers.register(c)
-	c.Flags().BoolVar(&asJSON, "json", false, "print JSON")
-	return c
+	ledgers.register(command)
+	command.Flags().BoolVar(&asJSON, "json", false, "print JSON")
+	return command
 }
 
 func ledgerCommand() *cobra.Command {
-	c := &cobra.Command{Use: "ledger", Short: "Verify, compact or dump ledgers"}
+	command := &cobra.Command{Use: "ledger", Short: "Verify, compact or dump ledgers"}
 	var verifyFlags, dumpFlags, compactFlags ledgerFlags
 	verify := &cobra.Command{
 		Use: "verify --ledger DIR", Short: "Check every record's seal and position", Args: cobra.NoArgs,
@@ -298,8 +300,8 @@
 		}),
 	}
 	dumpFlags.register(dump)
-	c.AddCommand(verify, compact, dump)
-	return c
+	command.AddCommand(verify, compact, dump)
+	return command
 }
 
 // postChange sends a change as JSON to path at a dispatcher's operator address.
@@ -331,7 +333,7 @@
 }
 
 func budgetCommand() *cobra.Command {
-	c := &cobra.Command{Use: "budget", Short: "Show or change token budgets, at an operator address of a dispatcher"}
+	command := &cobra.Command{Use: "budget", Short: "Show or change token budgets, at an operator address of a dispatcher"}
 	show := &cobra.Command{
 		Use: "show ADDRESS", Args: cobra.ExactArgs(1),
 		Short: "Show the token budgets that a dispatcher owns, and its leases of budgets",
@@ -382,6 +384,6 @@
 	set.Flags().Float64Var(&terms.Burst, "burst", 0, "tokens")
 	set.Flags().Float64Var(&terms.Monthly, "monthly", -1, "tokens per month; -1: no limit")
 	set.Flags().Float64Var(&terms.Borrow, "borrow", 0, "most tokens that may be borrowed from the next month")
-	c.AddCommand(show, grant, set)
-	return c
+	command.AddCommand(show, grant, set)
+	return command
 }
--- a/cmd/sloetrestle/experiment.go
+++ b/cmd/sloetrestle/experiment.go
@@ -15,10 +15,10 @@
 
 func experimentCommand() *cobra.Command {
 	var file string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "experiment", Short: "Run scenarios repeatedly with one setting varied at a time, and store the results",
 	}
-	c.PersistentFlags().StringVar(&file, "store", "experiments.db", "file that stores the results")
+	command.PersistentFlags().StringVar(&file, "store", "experiments.db", "file that stores the results")
 	withStore := func(
 		do func(cmd *cobra.Command, store *experiment.Store, args []string) error,
 	) func(*cobra.Command, []string) error {
@@ -136,6 +136,6 @@
 			return experiment.CSV(cmd.OutOrStdout(), runs)
 		}),
 	}
-	c.AddCommand(run, list, show, compare, chart, export)
-	return c
+	command.AddCommand(run, list, show, compare, chart, export)
+	return command
 }
--- a/cmd/sloetrestle/load.go
+++ b/cmd/sloetrestle/load.go
@@ -23,7 +23,7 @@
 	var trace string
 	var seconds, rateFactor float64
 	var asJSON bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "load DAY.toml --to ADDRESS[,ADDRESS]",
 		Short: "Send the traffic of a scenario or a trace to running dispatchers, open loop", Args: cobra.ExactArgs(1),
 		Long: `Load sends the scenario's traffic, or a trace's arrivals (CSV with a header, or JSON lines: at_ms, grade,
@@ -67,12 +67,12 @@
 			return table.Flush()
 		}),
 	}
-	c.Flags().StringSliceVar(&addrs, "to", []string{"127.0.0.1:8100"}, "dispatchers to send to, in turn")
-	c.Flags().StringVar(&trace, "trace", "", "file of arrivals to send in place of the scenario's traffic")
-	c.Flags().Float64Var(&seconds, "seconds", 0, "length in place of the scenario's")
-	c.Flags().Float64Var(&rateFactor, "times", 1, "factor on the scenario's requests per second")
-	c.Flags().BoolVar(&asJSON, "json", false, "print the results as JSON")
-	return c
+	command.Flags().StringSliceVar(&addrs, "to", []string{"127.0.0.1:8100"}, "dispatchers to send to, in turn")
+	command.Flags().StringVar(&trace, "trace", "", "file of arrivals to send in place of the scenario's traffic")
+	command.Flags().Float64Var(&seconds, "seconds", 0, "length in place of the scenario's")
+	command.Flags().Float64Var(&rateFactor, "times", 1, "factor on the scenario's requests per second")
+	command.Flags().BoolVar(&asJSON, "json", false, "print the results as JSON")
+	return command
 }
 
 // emulateCommand serves the emulated backends of a scenario and their service discovery until it is stopped, for
@@ -80,7 +80,7 @@
 func emulateCommand() *cobra.Command {
 	var discoveryAddr string
 	var port int
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "box DAY.toml",
 		Short: "Serve a scenario's emulated backends and their service discovery until stopped", Args: cobra.ExactArgs(1),
 		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
@@ -93,9 +93,9 @@
 			})
 		}),
 	}
-	c.Flags().StringVar(&discoveryAddr, "list", "127.0.0.1:8000", "listen address of service discovery")
-	c.Flags().IntVar(&port, "port", 8200, "port of the first backend; the others follow")
-	return c
+	command.Flags().StringVar(&discoveryAddr, "list", "127.0.0.1:8000", "listen address of service discovery")
+	command.Flags().IntVar(&port, "port", 8200, "port of the first backend; the others follow")
+	return command
 }
 
 func serveBackends(
@@ -111,26 +111,28 @@
 		talk[t.Class] = scenario.RequestShape(t.Class)
 	}
 	fleet := standin.NewFleet(scenario.Deployment, recorder,
-		standin.Links{SameRack: scenario.Links.NearTokensPerSecond, CrossRack: scenario.Links.FarTokensPerSecond, ZoneFactor: scenario.Links.CrossZoneFactor}, talk)
+		standin.Links{SameRack: scenario.Links.NearTokensPerSecond, CrossRack: scenario.Links.FarTokensPerSecond,
+			ZoneFactor: scenario.Links.CrossZoneFactor}, talk)
 	defer fleet.Close()
 	discovery := fleet.NewDiscovery(discoveryAddr)
 	if err := discovery.Start(); err != nil {
 		return err
 	}
 	defer discovery.Stop()
-	for _, m := range scenario.BackendSpecs() {
+	for _, spec := range scenario.BackendSpecs() {
 		addr := addresses.Spec{Network: addresses.TCP4, Addr: fmt.Sprintf("127.0.0.1:%d", port)}
 		port++
 		backend := fleet.NewBackend(standin.Config{
-			Name: m.Name, Kind: m.Kind, Role: m.Role, Zone: m.Zone, Rack: m.Rack, Units: m.Units, Seed: scenario.Header.Seed,
-			Engine: m.Engine, Addresses: []addresses.Spec{addr},
+			Name: spec.Name, Kind: spec.Kind, Role: spec.Role, Zone: spec.Zone, Rack: spec.Rack, Units: spec.Units,
+			Seed:   scenario.Header.Seed,
+			Engine: spec.Engine, Addresses: []addresses.Spec{addr},
 		})
 		if err := backend.Boot(false); err != nil {
 			return err
 		}
 		defer backend.Kill("stopped")
 		discovery.Publish(backend, boxlist.Ready, 0)
-		logf("%-12s %-7s %s", m.Name, m.Role, addr)
+		logf("%-12s %-7s %s", spec.Name, spec.Role, addr)
 	}
 	logf("service discovery listens at %s; these backends are emulated", discoveryAddr)
 	<-ctx.Done()
--- a/cmd/sloetrestle/main.go
+++ b/cmd/sloetrestle/main.go
@@ -75,7 +75,7 @@
 }
 
 func rootCommand() *cobra.Command {
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "sloetrestle",
 		Short: "Route LLM requests to backends that run prefill and decode separately",
 		Long: `Sloetrestle routes LLM requests to backends that run prefill and decode on separate engines. Clients and
@@ -85,10 +85,10 @@
 Exit codes: 0 success; 1 a rule was violated or something failed; 2 wrong usage.`,
 		SilenceUsage: true, SilenceErrors: true,
 	}
-	c.AddCommand(serveCommand(), platformCommand(), soakCommand(), soakDispatcherCommand(), demoCommand(),
+	command.AddCommand(serveCommand(), platformCommand(), soakCommand(), soakDispatcherCommand(), demoCommand(),
 		scenarioCommand(), checkCommand(), stateCommand(), backendsCommand(), measureCommand(), experimentCommand(),
 		loadCommand(), emulateCommand(), billCommand(), budgetCommand(), ledgerCommand(), versionCommand())
-	return c
+	return command
 }
 
 func versionCommand() *cobra.Command {
@@ -102,7 +102,7 @@
 
 func serveCommand() *cobra.Command {
 	var file, format, level string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "serve --config FILE",
 		Short: "Run one dispatcher until it is stopped",
 		Long: `Serve runs one dispatcher. On SIGTERM or SIGINT it rejects new requests, lets those in progress finish
@@ -110,12 +110,12 @@
 		Example: "  sloetrestle serve --config dispatcher.toml --log json",
 		Args:    cobra.NoArgs,
 	}
-	c.Flags().StringVarP(&file, "config", "c", "", "the dispatcher's TOML file")
-	c.Flags().StringVar(&format, "log", "text", "format of the log: text or json")
-	c.Flags().StringVar(&level, "level", "info",
+	command.Flags().StringVarP(&file, "config", "c", "", "the dispatcher's TOML file")
+	command.Flags().StringVar(&format, "log", "text", "format of the log: text or json")
+	command.Flags().StringVar(&level, "level", "info",
 		"lowest level to log: debug (a line for the end of each request), info, warn, error")
-	c.MarkFlagRequired("config")
-	c.RunE = func(cmd *cobra.Command, _ []string) error {
+	command.MarkFlagRequired("config")
+	command.RunE = func(cmd *cobra.Command, _ []string) error {
 		log, err := newLogger(cmd.ErrOrStderr(), format, level)
 		if err != nil {
 			return err
@@ -128,7 +128,7 @@
 			return dispatch.Serve(cmd.Context(), config, log, nil)
 		})(cmd, nil)
 	}
-	return c
+	return command
 }
 
 // newLogger returns a logger to out; format is text or json. Its errors name the flag that is wrong.
--- a/cmd/sloetrestle/measure.go
+++ b/cmd/sloetrestle/measure.go
@@ -13,12 +13,12 @@
 func measureCommand() *cobra.Command {
 	var asJSON bool
 	plan := measure.Plan{}
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "measure", Short: "Measure what one dispatcher adds to latency and costs, on this machine", Args: cobra.NoArgs,
 		Long: `Measure runs a dispatcher process against idle test backends at fixed rates, sends the same calls to the
 backends directly, then holds many streams open. It uses loopback only and ends by itself.`,
 	}
-	c.RunE = markErrors(func(cmd *cobra.Command, _ []string) error {
+	command.RunE = markErrors(func(cmd *cobra.Command, _ []string) error {
 		self, err := os.Executable()
 		if err != nil {
 			return err
@@ -31,19 +31,20 @@
 		}
 		return json.NewEncoder(cmd.OutOrStdout()).Encode(report)
 	})
-	c.AddCommand(measureAddressesCommand())
-	c.Flags().IntSliceVar(&plan.Rates, "rates", []int{100, 300, 600}, "requests per second, one rate after the other")
-	c.Flags().Float64Var(&plan.Seconds, "seconds", 5,
+	command.AddCommand(measureAddressesCommand())
+	command.Flags().IntSliceVar(&plan.Rates, "rates", []int{100, 300, 600},
+		"requests per second, one rate after the other")
+	command.Flags().Float64Var(&plan.Seconds, "seconds", 5,
 		"length of each rate; each runs twice, directly and through the dispatcher")
-	c.Flags().IntVar(&plan.Streams, "streams", 1000, "streams held open at once")
-	c.Flags().BoolVar(&asJSON, "json", false, "print the results as JSON")
-	return c
+	command.Flags().IntVar(&plan.Streams, "streams", 1000, "streams held open at once")
+	command.Flags().BoolVar(&asJSON, "json", false, "print the results as JSON")
+	return command
 }
 
 func measureAddressesCommand() *cobra.Command {
 	var attempts int
 	var asJSON bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "addresses", Args: cobra.NoArgs,
 		Short: "Measure attempts while one address of a backend is faulty, and compare with two simpler dialers",
 		RunE: markErrors(func(cmd *cobra.Command, _ []string) error {
@@ -56,7 +57,7 @@
 			return json.NewEncoder(cmd.OutOrStdout()).Encode(results)
 		}),
 	}
-	c.Flags().IntVar(&attempts, "trips", 200, "attempts for each fault and dialer, one after the other")
-	c.Flags().BoolVar(&asJSON, "json", false, "print the results as JSON")
-	return c
+	command.Flags().IntVar(&attempts, "trips", 200, "attempts for each fault and dialer, one after the other")
+	command.Flags().BoolVar(&asJSON, "json", false, "print the results as JSON")
+	return command
 }
--- a/cmd/sloetrestle/platform.go
+++ b/cmd/sloetrestle/platform.go
@@ -17,7 +17,7 @@
 // makes.
 func newPlatformCommand(name string, openSystem func() (system.System, error)) *cobra.Command {
 	var level string
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   name,
 		Short: "Run one dispatcher as the users' platform starts it",
 		Long: `Platform runs one dispatcher behind the platform's frontend, configured by the file that
@@ -25,8 +25,8 @@
 with 0. The log goes to standard error.`,
 		Args: cobra.NoArgs,
 	}
-	c.Flags().StringVar(&level, "level", "info", "lowest level to log: debug, info, warn, error")
-	c.RunE = markErrors(func(cmd *cobra.Command, _ []string) error {
+	command.Flags().StringVar(&level, "level", "info", "lowest level to log: debug, info, warn, error")
+	command.RunE = markErrors(func(cmd *cobra.Command, _ []string) error {
 		reload := make(chan os.Signal, 1)
 		signal.Notify(reload, syscall.SIGHUP) // first of all: an unhandled SIGHUP ends the process
 		log, err := newLogger(cmd.ErrOrStderr(), "text", level)
@@ -44,5 +44,5 @@
 		}
 		return platform.Run(cmd.Context(), config, sys, reload, loadConfig, log)
 	})
-	return c
+	return command
 }
--- a/cmd/sloetrestle/platform_test.go
+++ b/cmd/sloetrestle/platform_test.go
@@ -44,29 +44,29 @@
 // startDispatcher starts a dispatcher without waiting until it is ready.
 func startDispatcher(t *testing.T) *dispatcherProcess {
 	t.Helper()
-	p := &dispatcherProcess{t: t, site: hosts.New(), exited: make(chan error, 1)}
-	t.Cleanup(p.site.Close)
-	p.site.AddBackend("r1", hosts.PrefillKind)
-	p.site.AddBackend("w1", hosts.DecodeKind)
-	p.agent, p.secondAgent = p.site.AddAgent(), p.site.AddAgent()
+	process := &dispatcherProcess{t: t, site: hosts.New(), exited: make(chan error, 1)}
+	t.Cleanup(process.site.Close)
+	process.site.AddBackend("r1", hosts.PrefillKind)
+	process.site.AddBackend("w1", hosts.DecodeKind)
+	process.agent, process.secondAgent = process.site.AddAgent(), process.site.AddAgent()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.addr = listener.Addr().String()
+	process.addr = listener.Addr().String()
 	listener.Close()
-	p.configFile = filepath.Join(t.TempDir(), "config.json")
-	p.configure(p.agent.Address)
-	p.cmd = exec.Command(os.Args[0], "platform")
-	p.cmd.Env = append(os.Environ(), runMainVariable+"=1", "BALANCER_NAME=n1", "BALANCER_LISTEN="+p.addr,
-		"BALANCER_CONFIG="+p.configFile)
-	p.cmd.Stderr = &p.log
-	if err := p.cmd.Start(); err != nil {
+	process.configFile = filepath.Join(t.TempDir(), "config.json")
+	process.configure(process.agent.Address)
+	process.cmd = exec.Command(os.Args[0], "platform")
+	process.cmd.Env = append(os.Environ(), runMainVariable+"=1", "BALANCER_NAME=n1", "BALANCER_LISTEN="+process.addr,
+		"BALANCER_CONFIG="+process.configFile)
+	process.cmd.Stderr = &process.log
+	if err := process.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go func() { p.exited <- p.cmd.Wait() }()
-	t.Cleanup(func() { p.cmd.Process.Kill() })
-	return p
+	go func() { process.exited <- process.cmd.Wait() }()
+	t.Cleanup(func() { process.cmd.Process.Kill() })
+	return process
 }
 
 // configure writes a configuration that names the given address of discovery.
@@ -148,26 +148,27 @@
 // another discovery after SIGHUP, and exits with 0 after SIGTERM with every request answered and nothing left at the
 // backends.
 func TestPlatformProcessServesReloadsAndShutsDown(t *testing.T) {
-	p := startDispatcher(t)
-	p.waitUntil("the dispatcher is ready", p.ready)
-	if got := p.request("a"); got != http.StatusOK {
+	process := startDispatcher(t)
+	process.waitUntil("the dispatcher is ready", process.ready)
+	if got := process.request("a"); got != http.StatusOK {
 		t.Errorf("request to a ready dispatcher: status %d, want 200", got)
 	}
-	p.configure(p.secondAgent.Address)
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.waitUntil("the second discovery is watched", func() bool { return p.secondAgent.WatchCount() == 1 })
-	if got := p.request("b"); got != http.StatusOK {
+	process.configure(process.secondAgent.Address)
+	process.cmd.Process.Signal(syscall.SIGHUP)
+	process.waitUntil("the second discovery is watched", func() bool { return process.secondAgent.WatchCount() == 1 })
+	if got := process.request("b"); got != http.StatusOK {
 		t.Errorf("request after SIGHUP: status %d, want 200", got)
 	}
-	p.cmd.Process.Signal(syscall.SIGTERM)
-	if got := p.request("c"); got != http.StatusOK {
+	process.cmd.Process.Signal(syscall.SIGTERM)
+	if got := process.request("c"); got != http.StatusOK {
 		t.Errorf("request right after SIGTERM: status %d, want 200", got)
 	}
-	if err := p.waitForExit(); err != nil {
-		t.Errorf("exit: %v\n%s", err, p.log.String())
+	if err := process.waitForExit(); err != nil {
+		t.Errorf("exit: %v\n%s", err, process.log.String())
 	}
-	if p.site.HeldCount() != 0 || p.site.InFlight() != 0 {
-		t.Errorf("%d KV caches are held and %d attempts are in flight after the exit", p.site.HeldCount(), p.site.InFlight())
+	if process.site.HeldCount() != 0 || process.site.InFlight() != 0 {
+		t.Errorf("%d KV caches are held and %d attempts are in flight after the exit", process.site.HeldCount(),
+			process.site.InFlight())
 	}
 }
 
--- a/cmd/sloetrestle/scenario.go
+++ b/cmd/sloetrestle/scenario.go
@@ -70,7 +70,7 @@
 func playCommand() *cobra.Command {
 	var recordDir string
 	var asJSON, quiet bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "play FILE", Short: "Play a scenario against real dispatchers, and check it", Args: cobra.ExactArgs(1),
 		Long: `Play starts the scenario's dispatchers as processes, with test backends, service discovery and clients on
 loopback; plays the script; prints progress while it runs, then a table and each rule, kept or broken.`,
@@ -83,15 +83,15 @@
 			return playScenario(cmd, scenario, recordDir, asJSON, quiet)
 		}),
 	}
-	c.Flags().StringVar(&recordDir, "record", "", "folder to keep the record and the dispatchers' files in")
-	c.Flags().BoolVar(&asJSON, "json", false, "print the verdict as JSON")
-	c.Flags().BoolVar(&quiet, "quiet", false, "print no progress")
-	return c
+	command.Flags().StringVar(&recordDir, "record", "", "folder to keep the record and the dispatchers' files in")
+	command.Flags().BoolVar(&asJSON, "json", false, "print the verdict as JSON")
+	command.Flags().BoolVar(&quiet, "quiet", false, "print no progress")
+	return command
 }
 
 func demoCommand() *cobra.Command {
 	var asJSON, quiet bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "demo", Short: "Play a built-in scenario with faults, of about 20 s", Args: cobra.NoArgs,
 		Long: "Demo plays examples/demo.toml, which is built in: nothing has to be set up. It uses test backends.",
 		RunE: markErrors(func(cmd *cobra.Command, _ []string) error {
@@ -102,14 +102,14 @@
 			return playScenario(cmd, scenario, "", asJSON, quiet)
 		}),
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "print the verdict as JSON")
-	c.Flags().BoolVar(&quiet, "quiet", false, "print no progress")
-	return c
+	command.Flags().BoolVar(&asJSON, "json", false, "print the verdict as JSON")
+	command.Flags().BoolVar(&quiet, "quiet", false, "print no progress")
+	return command
 }
 
 func judgeCommand() *cobra.Command {
 	var asJSON bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "judge DIR", Short: "Check a kept record again", Args: cobra.ExactArgs(1),
 		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
 			head, lines, err := record.Read(args[0])
@@ -123,8 +123,8 @@
 			return printVerdict(cmd.OutOrStdout(), verdict, asJSON)
 		}),
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "print the verdict as JSON")
-	return c
+	command.Flags().BoolVar(&asJSON, "json", false, "print the verdict as JSON")
+	return command
 }
 
 func faultKindsCommand() *cobra.Command {
@@ -145,7 +145,7 @@
 func importCommand() *cobra.Command {
 	var output string
 	var scale day.Scale
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use: "import DAY.json -o FILE.toml", Args: cobra.ExactArgs(1),
 		Short: "Turn a scenario drawn by the bench into a script",
 		RunE: markErrors(func(cmd *cobra.Command, args []string) error {
@@ -171,10 +171,11 @@
 			return os.WriteFile(output, script.Bytes(), 0o644)
 		}),
 	}
-	c.Flags().StringVarP(&output, "output", "o", "", "file to write; without it the script is printed")
-	c.Flags().Float64Var(&scale.Duration, "time", 1, "factor on the scenario's length and on the times of its faults")
-	c.Flags().Float64Var(&scale.Rate, "rate", 1, "factor on the requests per second")
-	return c
+	command.Flags().StringVarP(&output, "output", "o", "", "file to write; without it the script is printed")
+	command.Flags().Float64Var(&scale.Duration, "time", 1,
+		"factor on the scenario's length and on the times of its faults")
+	command.Flags().Float64Var(&scale.Rate, "rate", 1, "factor on the requests per second")
+	return command
 }
 
 // checkCommand checks dispatcher configurations and scenarios, which it tells apart by their tables.
--- a/cmd/sloetrestle/soak.go
+++ b/cmd/sloetrestle/soak.go
@@ -17,7 +17,7 @@
 	var options soak.Options
 	var seeds int
 	var shrink bool
-	c := &cobra.Command{
+	command := &cobra.Command{
 		Use:   "soak",
 		Short: "Run real dispatcher processes through random faults, and check what clients and backends saw",
 		Long: `Soak starts dispatchers of the users' platform as processes on loopback, with backends, discovery and
@@ -26,7 +26,7 @@
 recorded. Exit code 1: a rule or term was violated.`,
 		Args: cobra.NoArgs,
 	}
-	flags := c.Flags()
+	flags := command.Flags()
 	flags.Uint64Var(&options.Seed, "seed", 1, "seed of the first run")
 	flags.IntVar(&seeds, "seeds", 1, "number of runs, each with the next seed")
 	flags.IntVar(&options.Processes, "processes", 10, "dispatchers, 1 to 40")
@@ -38,7 +38,7 @@
 		"open-loop requests per second for each dispatcher, in addition to those of the clients that wait for answers")
 	flags.StringVar(&options.Dir, "record", "", "folder for schedules and logs")
 	flags.BoolVar(&shrink, "shrink", false, "drop faults from a failing schedule as long as it still fails")
-	c.RunE = markErrors(func(cmd *cobra.Command, _ []string) error {
+	command.RunE = markErrors(func(cmd *cobra.Command, _ []string) error {
 		if options.Processes < 1 || options.Processes > 40 {
 			return fmt.Errorf("--processes is %d, must be 1 to 40", options.Processes)
 		}
@@ -85,7 +85,7 @@
 		}
 		return nil
 	})
-	return c
+	return command
 }
 
 // printShortest prints the faults of the shortest schedule that still fails.
--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -198,23 +198,23 @@
 // nothing was sent to the backend.
 func (t *Tracker) AttemptEnded(attempt ledger.Attempt, count *ledger.Attempt, neverSent bool) {
 	attempt.Epoch = t.Epoch
-	e := t.entry(attempt.Backend, t.Epoch)
+	epoch := t.entry(attempt.Backend, t.Epoch)
 	id := attemptID(&attempt)
-	m := e.missing[id]
+	missing := epoch.missing[id]
 	switch {
-	case m == nil: // an inquiry returned its count before
+	case missing == nil: // an inquiry returned its count before
 		return
 	case count != nil:
-		if t.recordCount(e, *count) {
+		if t.recordCount(epoch, *count) {
 			t.Counts.Inline++
 		}
 	case neverSent:
 		t.Counts.Costless++
-		t.removeMissing(e, id)
+		t.removeMissing(epoch, id)
 	default:
-		m.endedAt = max(t.Now(), 1)
-		m.attempt.OutputTokens, m.attempt.Outcome = attempt.OutputTokens, attempt.Outcome
-		e.nextInquiry = min(e.nextInquiry, m.endedAt+inquiryDelay)
+		missing.endedAt = max(t.Now(), 1)
+		missing.attempt.OutputTokens, missing.attempt.Outcome = attempt.OutputTokens, attempt.Outcome
+		epoch.nextInquiry = min(epoch.nextInquiry, missing.endedAt+inquiryDelay)
 	}
 }
 
@@ -316,19 +316,19 @@
 }
 
 // needsInquiry reports whether a backend has counts to report or to be acknowledged.
-func (t *Tracker) needsInquiry(e *backendEpoch, now time.Duration) bool {
-	if e.epoch != t.Epoch {
+func (t *Tracker) needsInquiry(epoch *backendEpoch, now time.Duration) bool {
+	if epoch.epoch != t.Epoch {
 		return true
 	}
-	for _, m := range e.missing {
+	for _, m := range epoch.missing {
 		if m.endedAt > 0 && now-m.endedAt >= inquiryDelay {
 			return true
 		}
 	}
 	// Numbers that are missing in between, or that are to be acknowledged.
-	unacknowledged := e.durable.UpTo - min(e.acked, e.durable.UpTo)
-	return len(e.recorded.Beyond) > 0 || unacknowledged > 0 &&
-		(t.finishing || unacknowledged >= maxUnacknowledged || now-e.ackedAt >= ackInterval)
+	unacknowledged := epoch.durable.UpTo - min(epoch.acked, epoch.durable.UpTo)
+	return len(epoch.recorded.Beyond) > 0 || unacknowledged > 0 &&
+		(t.finishing || unacknowledged >= maxUnacknowledged || now-epoch.ackedAt >= ackInterval)
 }
 
 // giveUp records the missing attempts of a backend that cannot be queried any more.
@@ -353,47 +353,47 @@
 
 // HandleReply processes the reply to an inquiry; nil means that the inquiry failed.
 func (t *Tracker) HandleReply(inquiry Inquiry, reply *Reply) {
-	e := t.entry(inquiry.Backend, inquiry.Epoch)
+	epoch := t.entry(inquiry.Backend, inquiry.Epoch)
 	now := t.Now()
-	e.inFlight = false
+	epoch.inFlight = false
 	// Of the present epoch a backend forgets what was acknowledged to it and no more: any other reply is invalid.
-	if reply == nil || e.epoch == t.Epoch && reply.ForgottenUpTo > max(inquiry.After, e.acked) {
-		e.backoff = min(max(2*e.backoff, retryBackoff), maxRetryBackoff)
-		e.nextInquiry = now + e.backoff
-		e.emptySince = 0
+	if reply == nil || epoch.epoch == t.Epoch && reply.ForgottenUpTo > max(inquiry.After, epoch.acked) {
+		epoch.backoff = min(max(2*epoch.backoff, retryBackoff), maxRetryBackoff)
+		epoch.nextInquiry = now + epoch.backoff
+		epoch.emptySince = 0
 		return
 	}
-	e.backoff, e.nextInquiry = 0, now+inquiryInterval
-	e.acked, e.ackedAt = max(e.acked, inquiry.After), now
+	epoch.backoff, epoch.nextInquiry = 0, now+inquiryInterval
+	epoch.acked, epoch.ackedAt = max(epoch.acked, inquiry.After), now
 	for _, count := range reply.Counts {
-		if t.recordCount(e, count) {
+		if t.recordCount(epoch, count) {
 			t.Counts.Found++
 		}
 	}
 	// More was acknowledged to the backend than this ledger holds: the end of the ledger was cut off.
-	if reply.ForgottenUpTo > inquiry.After && reply.ForgottenUpTo > e.recorded.UpTo {
-		t.Counts.Truncated += int64(min(e.recorded.addUpTo(reply.ForgottenUpTo), math.MaxInt64/2))
-		e.durable.addUpTo(reply.ForgottenUpTo)
+	if reply.ForgottenUpTo > inquiry.After && reply.ForgottenUpTo > epoch.recorded.UpTo {
+		t.Counts.Truncated += int64(min(epoch.recorded.addUpTo(reply.ForgottenUpTo), math.MaxInt64/2))
+		epoch.durable.addUpTo(reply.ForgottenUpTo)
 	}
 	switch {
 	case reply.More:
-		e.nextInquiry = now
+		epoch.nextInquiry = now
 	case reply.Running > 0 || len(reply.Counts) > 0:
-		e.emptySince = 0
-	case e.emptySince == 0:
-		e.emptySince = max(now, 1)
-	case now-e.emptySince >= confirmEmptyAfter:
+		epoch.emptySince = 0
+	case epoch.emptySince == 0:
+		epoch.emptySince = max(now, 1)
+	case now-epoch.emptySince >= confirmEmptyAfter:
 		// The backend has nothing left: a missing attempt that ended before its first such reply never reached it.
-		for _, id := range sortedIDs(e.missing) {
-			if m := e.missing[id]; m.endedAt > 0 && m.endedAt < e.emptySince {
+		for _, id := range sortedIDs(epoch.missing) {
+			if m := epoch.missing[id]; m.endedAt > 0 && m.endedAt < epoch.emptySince {
 				t.Counts.Costless++
-				t.removeMissing(e, id)
+				t.removeMissing(epoch, id)
 			}
 		}
-		if e.epoch != t.Epoch {
-			e.done = true
+		if epoch.epoch != t.Epoch {
+			epoch.done = true
 		} else {
-			e.emptySince = 0
+			epoch.emptySince = 0
 		}
 	}
 }
--- a/internal/addresses/addresses.go
+++ b/internal/addresses/addresses.go
@@ -182,25 +182,26 @@
 // removed and returned. A duplicate of an address is ignored.
 func (t *Tracker) Set(specs []Spec) (removed []*Address) {
 	var next []*Address
-	for _, s := range specs {
-		same := func(a *Address) bool { return a.Network == s.Network && a.Addr == s.Addr }
+	for _, spec := range specs {
+		same := func(addr *Address) bool { return addr.Network == spec.Network && addr.Addr == spec.Addr }
 		if slices.ContainsFunc(next, same) {
 			continue
 		}
 		i := slices.IndexFunc(t.addresses, same)
 		if i < 0 {
 			next = append(next, &Address{
-				Spec: s, successes: brain.RollingSum{BucketWidth: evidenceBucket}, failures: brain.RollingSum{BucketWidth: evidenceBucket},
+				Spec: spec, successes: brain.RollingSum{BucketWidth: evidenceBucket},
+				failures: brain.RollingSum{BucketWidth: evidenceBucket},
 			})
 			continue
 		}
-		t.addresses[i].Preference = s.Preference
+		t.addresses[i].Preference = spec.Preference
 		next = append(next, t.addresses[i])
 	}
-	for _, a := range t.addresses {
-		if !slices.Contains(next, a) {
-			a.Removed = true
-			removed = append(removed, a)
+	for _, addr := range t.addresses {
+		if !slices.Contains(next, addr) {
+			addr.Removed = true
+			removed = append(removed, addr)
 		}
 	}
 	t.addresses = next
@@ -211,17 +212,17 @@
 func (t *Tracker) Addresses() []*Address { return t.addresses }
 
 // Record adds a result to the history of an address; took is the time until a connection was verified.
-func (t *Tracker) Record(now time.Duration, a *Address, result Result, took time.Duration) {
-	a.LastResult, a.LastResultTime, a.hasResult = result, now, true
+func (t *Tracker) Record(now time.Duration, addr *Address, result Result, took time.Duration) {
+	addr.LastResult, addr.LastResultTime, addr.hasResult = result, now, true
 	if result.success() {
-		a.successes.Add(now, 1)
-		a.failuresInARow = 0
+		addr.successes.Add(now, 1)
+		addr.failuresInARow = 0
 	} else {
-		a.failures.Add(now, 1)
-		a.failuresInARow++
+		addr.failures.Add(now, 1)
+		addr.failuresInARow++
 	}
 	if result == Verified {
-		a.verifyTime.Add(took.Seconds(), verifyTimeDecay)
+		addr.verifyTime.Add(took.Seconds(), verifyTimeDecay)
 		t.verifyTime.Add(took.Seconds(), verifyTimeDecay)
 	}
 }
@@ -295,18 +296,18 @@
 // Next returns the address to try now, if there is one, and otherwise how long to wait before the next call. Over
 // means that the race is won, out of time, or has nothing left to wait for.
 func (r *Race) Next(now time.Duration) (start *Address, wait time.Duration, over bool) {
-	r.pending = slices.DeleteFunc(r.pending, func(a *Address) bool { return a.Removed })
+	r.pending = slices.DeleteFunc(r.pending, func(addr *Address) bool { return addr.Removed })
 	switch {
 	case r.winner != nil || now >= r.deadline:
 		return nil, 0, true
 	case len(r.pending) > 0 && now >= r.nextStart:
-		a := r.pending[0]
+		addr := r.pending[0]
 		r.pending = r.pending[1:]
-		r.inFlight = append(r.inFlight, a)
+		r.inFlight = append(r.inFlight, addr)
 		r.nextStart = now + r.tracker.Stagger()
-		a.LastAttempt, a.attempted = now, true
-		a.attemptsInFlight++
-		return a, 0, false
+		addr.LastAttempt, addr.attempted = now, true
+		addr.attemptsInFlight++
+		return addr, 0, false
 	case len(r.pending) == 0 && len(r.inFlight) == 0:
 		return nil, 0, true
 	case len(r.pending) > 0:
@@ -316,25 +317,25 @@
 }
 
 // Record adds the result of an attempt of this race. It returns true if this connection wins; at most one does.
-func (r *Race) Record(now time.Duration, a *Address, result Result, took time.Duration) bool {
-	i := slices.Index(r.inFlight, a)
+func (r *Race) Record(now time.Duration, addr *Address, result Result, took time.Duration) bool {
+	i := slices.Index(r.inFlight, addr)
 	if i < 0 {
 		return false
 	}
 	r.inFlight = slices.Delete(r.inFlight, i, i+1)
-	a.attemptsInFlight--
+	addr.attemptsInFlight--
 	if result == LocalError {
 		return false
 	}
-	r.tracker.Record(now, a, result, took)
-	if result != Verified || a.Removed {
+	r.tracker.Record(now, addr, result, took)
+	if result != Verified || addr.Removed {
 		r.nextStart = now // no need to wait for an attempt that has failed
 		return false
 	}
 	if r.winner != nil || now >= r.deadline {
 		return false
 	}
-	r.winner = a
+	r.winner = addr
 	return true
 }
 
@@ -384,11 +385,11 @@
 	var owner *Tracker
 	var pick *Address
 	for _, t := range trackers {
-		for _, a := range t.addresses {
-			due := a.attempted && a.Suspected(now) && a.attemptsInFlight == 0 &&
-				now-a.LastAttempt >= minRecheckInterval
-			if due && (pick == nil || a.LastAttempt < pick.LastAttempt) {
-				owner, pick = t, a
+		for _, addr := range t.addresses {
+			due := addr.attempted && addr.Suspected(now) && addr.attemptsInFlight == 0 &&
+				now-addr.LastAttempt >= minRecheckInterval
+			if due && (pick == nil || addr.LastAttempt < pick.LastAttempt) {
+				owner, pick = t, addr
 			}
 		}
 	}
--- a/internal/addresses/addresses_test.go
+++ b/internal/addresses/addresses_test.go
@@ -77,7 +77,7 @@
 
 // run simulates a race in virtual time: outcome gives, for each address, how long its attempt takes and its result.
 func run(
-	tracker *Tracker, start, limit time.Duration, outcome func(a *Address) (time.Duration, Result),
+	tracker *Tracker, start, limit time.Duration, outcome func(addr *Address) (time.Duration, Result),
 ) (winner *Address, took time.Duration, started []*Address) {
 	type attempt struct {
 		address *Address
@@ -88,11 +88,11 @@
 	now := start
 	race := tracker.Race(now, now+limit)
 	for steps := 0; steps < 1000; steps++ {
-		a, wait, over := race.Next(now)
-		if a != nil {
-			started = append(started, a)
-			d, result := outcome(a)
-			inFlight = append(inFlight, attempt{a, now + d, result})
+		addr, wait, over := race.Next(now)
+		if addr != nil {
+			started = append(started, addr)
+			d, result := outcome(addr)
+			inFlight = append(inFlight, attempt{addr, now + d, result})
 			continue
 		}
 		if over {
@@ -118,7 +118,7 @@
 
 func TestFailoverTimeIsBounded(t *testing.T) {
 	const never = time.Hour
-	fast := func(a *Address) (time.Duration, Result) { return time.Millisecond, Verified }
+	fast := func(addr *Address) (time.Duration, Result) { return time.Millisecond, Verified }
 	for _, c := range []struct {
 		name     string
 		outcome  func(*Address) (time.Duration, Result)
@@ -127,35 +127,35 @@
 		attempts int
 	}{
 		{"all addresses work", fast, socket.Addr, time.Millisecond, 1},
-		{"the first refuses", func(a *Address) (time.Duration, Result) {
-			if a.Network == Unix {
+		{"the first refuses", func(addr *Address) (time.Duration, Result) {
+			if addr.Network == Unix {
 				return time.Millisecond, Refused
 			}
-			return fast(a)
+			return fast(addr)
 		}, loopback.Addr, 3 * time.Millisecond, 2},
-		{"the first stalls", func(a *Address) (time.Duration, Result) {
-			if a.Network == Unix {
+		{"the first stalls", func(addr *Address) (time.Duration, Result) {
+			if addr.Network == Unix {
 				return never, TimedOut
 			}
-			return fast(a)
+			return fast(addr)
 		}, loopback.Addr, maxStagger + time.Millisecond, 2},
-		{"two stall", func(a *Address) (time.Duration, Result) {
-			if a.Network != TCP4 {
+		{"two stall", func(addr *Address) (time.Duration, Result) {
+			if addr.Network != TCP4 {
 				return never, TimedOut
 			}
-			return fast(a)
+			return fast(addr)
 		}, ipv4.Addr, 2*maxStagger + time.Millisecond, 3},
-		{"all refuse", func(a *Address) (time.Duration, Result) {
+		{"all refuse", func(addr *Address) (time.Duration, Result) {
 			return time.Millisecond, Refused
 		}, "", 4 * time.Millisecond, 3},
-		{"all stall", func(a *Address) (time.Duration, Result) {
+		{"all stall", func(addr *Address) (time.Duration, Result) {
 			return never, TimedOut
 		}, "", 250 * time.Millisecond, 3},
-		{"another backend responds at the first", func(a *Address) (time.Duration, Result) {
-			if a.Network == Unix {
+		{"another backend responds at the first", func(addr *Address) (time.Duration, Result) {
+			if addr.Network == Unix {
 				return time.Millisecond, WrongBackend
 			}
-			return fast(a)
+			return fast(addr)
 		}, loopback.Addr, 3 * time.Millisecond, 2},
 	} {
 		winner, took, started := run(newTracker(socket, loopback, ipv4), time.Second, 250*time.Millisecond, c.outcome)
@@ -210,20 +210,20 @@
 			durations := map[*Address]time.Duration{}
 			results := map[*Address]Result{}
 			working := false
-			for _, a := range tracker.addresses {
-				durations[a] = time.Duration(rapid.IntRange(0, 400).Draw(t, "ends")) * time.Millisecond
-				results[a] = Result(rapid.IntRange(int(Verified), int(WrongBackend)).Draw(t, "how"))
-				working = working || results[a] == Verified && durations[a] < time.Millisecond
+			for _, addr := range tracker.addresses {
+				durations[addr] = time.Duration(rapid.IntRange(0, 400).Draw(t, "ends")) * time.Millisecond
+				results[addr] = Result(rapid.IntRange(int(Verified), int(WrongBackend)).Draw(t, "how"))
+				working = working || results[addr] == Verified && durations[addr] < time.Millisecond
 			}
-			winner, took, started := run(tracker, now, limit, func(a *Address) (time.Duration, Result) {
-				return durations[a], results[a]
+			winner, took, started := run(tracker, now, limit, func(addr *Address) (time.Duration, Result) {
+				return durations[addr], results[addr]
 			})
 			if took > limit || len(started) > count {
 				t.Fatalf("took %v with %d attempts at %d addresses", took, len(started), count)
 			}
-			for i, a := range started {
-				if slices.Contains(started[:i], a) {
-					t.Fatalf("%v was tried twice in one race", a)
+			for i, addr := range started {
+				if slices.Contains(started[:i], addr) {
+					t.Fatalf("%v was tried twice in one race", addr)
 				}
 			}
 			if winner != nil && results[winner] != Verified {
@@ -233,9 +233,9 @@
 			if working && winner == nil && time.Duration(count-1)*maxStagger < limit {
 				t.Fatalf("a working address was not found")
 			}
-			for _, a := range tracker.addresses {
-				if a.attemptsInFlight != 0 {
-					t.Fatalf("%v has an attempt in flight after the race", a)
+			for _, addr := range tracker.addresses {
+				if addr.attemptsInFlight != 0 {
+					t.Fatalf("%v has an attempt in flight after the race", addr)
 				}
 			}
 			now += took + time.Duration(rapid.IntRange(0, 5000).Draw(t, "rest"))*time.Millisecond
@@ -252,10 +252,10 @@
 			{Network: TCP4, Addr: fmt.Sprintf("10.0.%d.2:1", i)},
 			{Network: Unix, Addr: fmt.Sprintf("/%d", i)},
 		})
-		for _, a := range tracker.addresses {
+		for _, addr := range tracker.addresses {
 			for range 5 {
-				a.attempted = true
-				tracker.Record(0, a, Refused, 0)
+				addr.attempted = true
+				tracker.Record(0, addr, Refused, 0)
 			}
 		}
 		trackers = append(trackers, tracker)
@@ -265,10 +265,10 @@
 	total := 0
 	const span = 300 * time.Second
 	for now := time.Second; now < span; now += 50 * time.Millisecond {
-		if tracker, a := budget.Next(now, trackers); a != nil {
-			rechecks[a]++
+		if tracker, addr := budget.Next(now, trackers); addr != nil {
+			rechecks[addr]++
 			total++
-			tracker.RecordRecheck(now, a, Refused, 0)
+			tracker.RecordRecheck(now, addr, Refused, 0)
 		}
 	}
 	if limit := int(recheckBurst + rechecksPerSecond*span.Seconds()); total > limit || total < limit/2 {
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -140,33 +140,34 @@
 			Terms: o.Terms})
 		return
 	}
-	h := o.holders[request.Holder]
-	if h == nil && len(o.holders) >= maxHolders {
+	entry := o.holders[request.Holder]
+	if entry == nil && len(o.holders) >= maxHolders {
 		return // the holder gets no reply and uses its part of the emergency share
 	}
-	if h == nil {
+	if entry == nil {
 		// The holder is new, or this owner has restarted: what it was leased is in the durable sum.
-		h = &holder{lent: request.Lent, returned: request.Returned}
-		o.holders[request.Holder] = h
+		entry = &holder{lent: request.Lent, returned: request.Returned}
+		o.holders[request.Holder] = entry
 	}
-	if returned := min(request.Returned, h.lent) - h.returned; returned > 0 {
-		h.returned += returned
+	if returned := min(request.Returned, entry.lent) - entry.returned; returned > 0 {
+		entry.returned += returned
 		o.spent -= returned
 		if o.Terms.PerSecond >= 0 {
 			o.bucket = min(o.bucket+returned, max(o.Terms.Burst, 0))
 		}
 	}
-	if used := request.EmergencyUsed - h.emergencyUsed; used > 0 {
-		h.emergencyUsed += used
+	if used := request.EmergencyUsed - entry.emergencyUsed; used > 0 {
+		entry.emergencyUsed += used
 		o.spent += used
 		o.bucket -= used
 	}
 	tokens, after := o.lease(now, request)
-	h.lent += tokens
+	entry.lent += tokens
 	o.spent += tokens
 	o.bucket -= tokens
-	reply := LeaseReply{Name: request.Name, Holder: request.Holder, Month: request.Month, Lent: h.lent, RetryAfter: after,
-		Number: request.Number, Terms: o.Terms}
+	reply := LeaseReply{Name: request.Name, Holder: request.Holder, Month: request.Month, Lent: entry.lent,
+		RetryAfter: after,
+		Number:     request.Number, Terms: o.Terms}
 	o.whenDurable(func() { answer(reply) })
 }
 
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -37,7 +37,7 @@
 	Dispatchers       int            `toml:"dispatchers"`
 	RequestsPerSecond float64        `toml:"questions_a_second"`
 	DeadlineMargin    setup.Duration `toml:"margin"` // by how much dispatchers answer before a client's deadline
-	Ledger            bool           `toml:"ledger"` // dispatchers keep ledgers, which must equal what the backends counted
+	Ledger            bool           `toml:"ledger"` // dispatchers keep ledgers, checked against backend counts
 
 	// SplitBudgets gives each dispatcher an equal part of each budget, for comparison. In virtual time only.
 	SplitBudgets bool `toml:"split_budgets,omitempty"`
@@ -80,7 +80,7 @@
 	PrefillTokensPerSecond float64        `toml:"read_tokens_a_second"`
 	TokenTime              setup.Duration `toml:"token_time"`
 	Units                  float64        `toml:"units"`
-	Addresses              []string       `toml:"addresses,omitempty"` // networks in order: tcp4, tcp6, unix; default one tcp4
+	Addresses              []string       `toml:"addresses,omitempty"` // tcp4, tcp6, unix, in order; default one tcp4
 	Engine                 Engine         `toml:"engine,omitempty"`
 }
 
@@ -91,8 +91,8 @@
 	StepTime            setup.Duration `toml:"step,omitempty"`             // of a step without load; default token_time
 	StepPerAnswer       setup.Duration `toml:"step_per_answer,omitempty"`  // for each running answer; default 0.15 ms
 	StepPer1000Context  setup.Duration `toml:"step_per_1000,omitempty"`    // for 1,000 tokens of context; default 0.04 ms
-	StepPerMillionPairs setup.Duration `toml:"step_per_m_pairs,omitempty"` // for 1e6 pairs of prefill tokens; default 0.8 ms
-	ModelLoadTime       setup.Duration `toml:"model_load,omitempty"`       // before the first step of a cold start; default 0
+	StepPerMillionPairs setup.Duration `toml:"step_per_m_pairs,omitempty"` // per 1e6 prefill token pairs; default 0.8 ms
+	ModelLoadTime       setup.Duration `toml:"model_load,omitempty"`       // before the first step; default 0
 }
 
 // Traffic describes the requests of one class.
@@ -185,8 +185,9 @@
 func Default() Scenario {
 	return Scenario{
 		Deployment: setup.DefaultDeployment(),
-		Header: Header{Name: "day", Duration: setup.Duration(20 * time.Second), Seed: 1, Dispatchers: 2, RequestsPerSecond: 20,
-			DeadlineMargin: setup.Duration(40 * time.Millisecond), LoadBalancerNotice: setup.Duration(time.Second)},
+		Header: Header{Name: "day", Duration: setup.Duration(20 * time.Second), Seed: 1, Dispatchers: 2,
+			RequestsPerSecond: 20,
+			DeadlineMargin:    setup.Duration(40 * time.Millisecond), LoadBalancerNotice: setup.Duration(time.Second)},
 		Links: Links{NearTokensPerSecond: 250_000, FarTokensPerSecond: 400_000, CrossZoneFactor: 2},
 		Discovery: Discovery{NoticeDelay: setup.Duration(500 * time.Millisecond),
 			FailureNoticeDelay: setup.Duration(2 * time.Second)},
@@ -224,13 +225,13 @@
 func inRange(v float64) bool { return v > 0 && v <= setup.MaxNumber }
 
 func (d *Scenario) check() error {
-	h := d.Header
+	header := d.Header
 	switch {
-	case h.Duration <= 0 || h.Duration.Std() > maxDuration:
+	case header.Duration <= 0 || header.Duration.Std() > maxDuration:
 		return setup.Invalidf("day.length", "must be above 0 and at most %v", maxDuration)
-	case h.Dispatchers < 1 || h.Dispatchers > maxDispatchers:
+	case header.Dispatchers < 1 || header.Dispatchers > maxDispatchers:
 		return setup.Invalidf("day.dispatchers", "must be from 1 to %d", maxDispatchers)
-	case !(h.RequestsPerSecond > 0 && h.RequestsPerSecond*h.Duration.Std().Seconds() <= maxRequests):
+	case !(header.RequestsPerSecond > 0 && header.RequestsPerSecond*header.Duration.Std().Seconds() <= maxRequests):
 		return setup.Invalidf("day.questions_a_second", "must be above 0 and come to at most %d requests", maxRequests)
 	case !(inRange(d.Links.NearTokensPerSecond) && inRange(d.Links.FarTokensPerSecond)):
 		return setup.Invalidf("links", "must be above 0 and at most %g", float64(setup.MaxNumber))
@@ -252,7 +253,7 @@
 		return err
 	}
 	for i, b := range d.Budgets {
-		if b.Monthly != nil && !h.Ledger && !h.SplitBudgets {
+		if b.Monthly != nil && !header.Ledger && !header.SplitBudgets {
 			return setup.Invalidf(fmt.Sprintf("budget.%d.monthly", i), "needs day.ledger")
 		}
 	}
@@ -304,7 +305,8 @@
 			return setup.Invalidf(key+"turns", "must be from 1 to 1000")
 		case t.SharedPrefixShare > 0 && (t.SharedPrefixes < 1 || t.SharedPrefixTokens < 1),
 			t.SharedPrefixes > maxRequests || t.SharedPrefixTokens > kserve.MaxTokens:
-			return setup.Invalidf(key+"beginnings", "shared prefixes need beginnings from 1 to %d and shared_tokens from 1 to %d",
+			return setup.Invalidf(key+"beginnings",
+				"shared prefixes need beginnings from 1 to %d and shared_tokens from 1 to %d",
 				maxRequests, kserve.MaxTokens)
 		}
 		if err := setup.FirstError(setup.CheckNumber(key+"share", t.Share, setup.MaxNumber),
@@ -313,41 +315,42 @@
 		}
 	}
 	names := d.names()
-	for i, f := range d.Faults {
+	for i, fault := range d.Faults {
 		key := fmt.Sprintf("trouble.%d.", i)
-		k := slices.IndexFunc(FaultKinds, func(k faultKind) bool { return k.Name == f.Kind })
+		k := slices.IndexFunc(FaultKinds, func(k faultKind) bool { return k.Name == fault.Kind })
 		if k < 0 {
-			return setup.Invalidf(key+"kind", "%q is unknown; see day kinds", f.Kind)
+			return setup.Invalidf(key+"kind", "%q is unknown; see day kinds", fault.Kind)
 		}
 		for _, required := range FaultKinds[k].RequiredKeys {
-			missing := map[string]bool{"boxes": len(f.Backends) == 0, "size": !(f.Factor > 0 && f.Factor <= maxFactor),
-				"share": !(f.Share > 0 && f.Share <= 1), "grade": d.ClassIndex(f.Class) < 0,
-				"by": f.Delay <= 0, "dispatchers": len(f.Dispatchers) == 0, "tokens": f.Tokens <= 0,
-				"addresses": len(f.Addresses) == 0, "bytes": f.Bytes <= 0}
+			missing := map[string]bool{"boxes": len(fault.Backends) == 0,
+				"size":  !(fault.Factor > 0 && fault.Factor <= maxFactor),
+				"share": !(fault.Share > 0 && fault.Share <= 1), "grade": d.ClassIndex(fault.Class) < 0,
+				"by": fault.Delay <= 0, "dispatchers": len(fault.Dispatchers) == 0, "tokens": fault.Tokens <= 0,
+				"addresses": len(fault.Addresses) == 0, "bytes": fault.Bytes <= 0}
 			if missing[required] {
-				return setup.Invalidf(key+required, "missing or out of range, but %s requires it: %s", f.Kind,
+				return setup.Invalidf(key+required, "missing or out of range, but %s requires it: %s", fault.Kind,
 					FaultKinds[k].Description)
 			}
 		}
-		if f.Tenant != "" && d.TenantIndex(f.Tenant) < 0 {
-			return setup.Invalidf(key+"channel", "%q is not among the tenants", f.Tenant)
+		if fault.Tenant != "" && d.TenantIndex(fault.Tenant) < 0 {
+			return setup.Invalidf(key+"channel", "%q is not among the tenants", fault.Tenant)
 		}
-		for _, b := range f.Backends {
+		for _, b := range fault.Backends {
 			if !slices.ContainsFunc(names, func(n string) bool { return n == b || isOfKind(n, b) }) {
 				return setup.Invalidf(key+"boxes", "%q is no backend and no kind of this scenario", b)
 			}
 		}
-		for _, n := range f.Addresses {
+		for _, n := range fault.Addresses {
 			for _, b := range d.Backends {
 				if n < 0 || n >= max(len(b.Addresses), 1) &&
-					slices.ContainsFunc(f.Backends, func(name string) bool { return name == b.Kind || isOfKind(name, b.Kind) }) {
+					slices.ContainsFunc(fault.Backends, func(name string) bool { return name == b.Kind || isOfKind(name, b.Kind) }) {
 					return setup.Invalidf(key+"addresses", "a backend of kind %s has no address %d", b.Kind, n)
 				}
 			}
 		}
-		for _, n := range f.Dispatchers {
-			if n < 0 || n >= h.Dispatchers {
-				return setup.Invalidf(key+"dispatchers", "there is no dispatcher %d; there are %d", n, h.Dispatchers)
+		for _, n := range fault.Dispatchers {
+			if n < 0 || n >= header.Dispatchers {
+				return setup.Invalidf(key+"dispatchers", "there is no dispatcher %d; there are %d", n, header.Dispatchers)
 			}
 		}
 	}
--- a/internal/day/faults.go
+++ b/internal/day/faults.go
@@ -192,14 +192,14 @@
 }
 
 // restartDispatchers ends dispatchers, all at once, and restarts them after the fault's duration.
-func (r *runner) restartDispatchers(ctx context.Context, f Fault, wait func(time.Duration) bool) error {
+func (r *runner) restartDispatchers(ctx context.Context, fault Fault, wait func(time.Duration) bool) error {
 	var pending sync.WaitGroup
-	for _, n := range f.Dispatchers {
+	for _, n := range fault.Dispatchers {
 		p := r.dispatchers[n]
 		pending.Add(1)
 		go func() {
 			defer pending.Done()
-			if f.Kind == "kill_dispatcher" {
+			if fault.Kind == "kill_dispatcher" {
 				r.kill(p)
 			} else {
 				r.stop(p)
@@ -207,10 +207,10 @@
 		}()
 	}
 	pending.Wait()
-	if !wait(f.Duration.Std()) {
+	if !wait(fault.Duration.Std()) {
 		return nil
 	}
-	for _, n := range f.Dispatchers {
+	for _, n := range fault.Dispatchers {
 		if err := r.start(ctx, r.dispatchers[n]); err != nil {
 			return err
 		}
--- a/internal/day/import.go
+++ b/internal/day/import.go
@@ -137,44 +137,48 @@
 	omit := func(format string, args ...any) { omitted = append(omitted, fmt.Sprintf(format, args...)) }
 	microseconds := func(v int64) setup.Duration { return setup.Duration(time.Duration(v) * time.Microsecond) }
 	scaled := func(v int64) setup.Duration { return setup.Duration(float64(v) * scale.Duration * 1000) }
-	d := Default()
-	d.Header.Name, d.Header.Seed, d.Header.Duration = in.Site, in.Noise, scaled(in.Duration)
-	d.Header.Dispatchers = len(in.Balancers)
-	d.Zones = in.Zones
-	d.Links = Links{in.TwoStage.Near, in.TwoStage.Far, max(in.TwoStage.ZoneSlower, 1)}
-	d.Discovery = Discovery{microseconds(in.Discovery.Notice), microseconds(in.Discovery.SilentNotice)}
-	d.Clients = Clients{in.Clients.Retries, setup.Duration(in.Clients.BackoffUs * 1000), in.Clients.Backoff == "exp",
+	scenario := Default()
+	scenario.Header.Name, scenario.Header.Seed, scenario.Header.Duration = in.Site, in.Noise, scaled(in.Duration)
+	scenario.Header.Dispatchers = len(in.Balancers)
+	scenario.Zones = in.Zones
+	scenario.Links = Links{in.TwoStage.Near, in.TwoStage.Far, max(in.TwoStage.ZoneSlower, 1)}
+	scenario.Discovery = Discovery{microseconds(in.Discovery.Notice), microseconds(in.Discovery.SilentNotice)}
+	scenario.Clients = Clients{in.Clients.Retries, setup.Duration(in.Clients.BackoffUs * 1000),
+		in.Clients.Backoff == "exp",
 		in.Clients.Honour, in.Clients.TryShare, 1}
-	d.Clients.PatienceMin = min(max(in.Clients.TryShare, 0.05), 1)
+	scenario.Clients.PatienceMin = min(max(in.Clients.TryShare, 0.05), 1)
 	tier := in.Tiers[0]
-	d.ReportFields = tier.ReportFields
-	d.Rules.DrainGrace, d.Rules.SlowStartMultiple, d.Rules.SlowStartWindow =
+	scenario.ReportFields = tier.ReportFields
+	scenario.Rules.DrainGrace, scenario.Rules.SlowStartMultiple, scenario.Rules.SlowStartWindow =
 		microseconds(in.DrainGrace), in.OverloadMultiple, microseconds(in.OverloadWindow)
-	d.Rules.SlowStartShare, d.Rules.SlowStartRamp, d.Rules.KVCacheHoldLimit =
+	scenario.Rules.SlowStartShare, scenario.Rules.SlowStartRamp, scenario.Rules.KVCacheHoldLimit =
 		tier.SlowStartShare, microseconds(tier.SlowStartDuration), microseconds(in.TwoStage.Release)
-	d.Limits.MaxAttempts, d.Limits.Cancel, d.Limits.PeerUpdates = max(in.Allow.MaxAttempts, 1), in.Allow.Cancel, in.Allow.Peers
-	d.Limits.DecodeCanPrefill = in.TwoStage.DecodeBackendsPrefill
+	scenario.Limits.MaxAttempts, scenario.Limits.Cancel, scenario.Limits.PeerUpdates = max(in.Allow.MaxAttempts, 1),
+		in.Allow.Cancel,
+		in.Allow.Peers
+	scenario.Limits.DecodeCanPrefill = in.TwoStage.DecodeBackendsPrefill
 	if !in.Allow.RetryAfter {
-		d.Limits.MaxRetryAfter = 0
+		scenario.Limits.MaxRetryAfter = 0
 	}
 	effects := map[string]string{"safe": "idempotent", "keyed": "deduplicated", "unsafe": "unrepeatable"}
 	reaches := map[string]string{"all": "all", "zone": "zone", "cell": "rack"}
 	var answerTokens, newTokens, shares float64 // tokens are weighted by the classes' shares
 	for i, c := range in.Classes {
 		class := setup.Class{Name: c.Name, Effect: effects[c.Effect], DedupScope: reaches[c.Group],
-			DedupWindow: microseconds(c.Window), LatencyTarget: microseconds(c.LatencyTarget), Deadline: microseconds(c.Deadline),
-			Value: c.Value, LateValue: c.LateValue, DefaultMaxTokens: 400}
+			DedupWindow: microseconds(c.Window), LatencyTarget: microseconds(c.LatencyTarget),
+			Deadline: microseconds(c.Deadline),
+			Value:    c.Value, LateValue: c.LateValue, DefaultMaxTokens: 400}
 		if i < len(in.TwoStage.TokenClasses) {
 			t := in.TwoStage.TokenClasses[i]
 			class.TargetPer1000Tokens, class.InterTokenTarget, class.DefaultMaxTokens =
 				setup.Duration(t.LatencyTargetMsPer1000*1e6), setup.Duration(t.TokenMs*1e6), max(t.MaxAnswerTokens, 1)
-			d.Traffic = append(d.Traffic, Traffic{Class: c.Name, Share: c.Share, NewTokens: t.NewTokens,
+			scenario.Traffic = append(scenario.Traffic, Traffic{Class: c.Name, Share: c.Share, NewTokens: t.NewTokens,
 				AnswerTokens: t.AnswerTokens, Turns: max(t.Turns, 1), SharedPrefixShare: t.PrefixShare,
 				SharedPrefixes: max(t.Prefixes, 1), SharedPrefixTokens: max(int(t.PrefixTokens), 1)})
 			answerTokens, newTokens, shares =
 				answerTokens+c.Share*t.AnswerTokens, newTokens+c.Share*t.NewTokens, shares+c.Share
 		}
-		d.Classes = append(d.Classes, class)
+		scenario.Classes = append(scenario.Classes, class)
 	}
 	roles := map[string]string{"read": "reader", "write": "writer", "both": "mixed"}
 	prefillCapacity, decodeCapacity := 0.0, 0.0 // in requests a second
@@ -184,16 +188,18 @@
 		if i < len(in.TwoStage.Roles) {
 			role = roles[in.TwoStage.Roles[i]]
 		}
-		d.BackendKinds = append(d.BackendKinds, setup.BackendKind{Name: k.Name, Role: role, MemoryTokens: e.Memory})
+		scenario.BackendKinds = append(scenario.BackendKinds, setup.BackendKind{Name: k.Name, Role: role,
+			MemoryTokens: e.Memory})
 		tokenTime := time.Duration((e.StepMs + e.StepPerSequenceMs*float64(e.Slots)/2) * float64(time.Millisecond))
 		if k.Cancel != "all" {
-			d.Faults = append(d.Faults, Fault{Kind: "no_cancel", Duration: d.Header.Duration, Backends: []string{k.Name}})
+			scenario.Faults = append(scenario.Faults, Fault{Kind: "no_cancel", Duration: scenario.Header.Duration,
+				Backends: []string{k.Name}})
 		}
 		for _, s := range in.Servers {
 			if s.Kind != i {
 				continue
 			}
-			d.Backends = append(d.Backends, BackendGroup{Kind: k.Name, Count: 1,
+			scenario.Backends = append(scenario.Backends, BackendGroup{Kind: k.Name, Count: 1,
 				Racks: []string{fmt.Sprintf("rack-%d", s.Cell)}, Zones: []string{in.Zones[s.Zone]}, Slots: max(e.Slots, 1),
 				Queue: e.Queue, PrefillTokensPerSecond: e.PrefillTokensPerSecond * s.Speed,
 				TokenTime: setup.Duration(float64(tokenTime) / s.Speed), Units: s.Weight})
@@ -205,14 +211,14 @@
 			}
 		}
 	}
-	d.makeKindNamesUnique()
-	d.Header.RequestsPerSecond = math.Round(100*in.Traffic.Load*
+	scenario.makeKindNamesUnique()
+	scenario.Header.RequestsPerSecond = math.Round(100*in.Traffic.Load*
 		min(infiniteIfZero(prefillCapacity), infiniteIfZero(decodeCapacity))*scale.Rate) / 100
 	for _, t := range in.Tenants {
-		d.Tenants = append(d.Tenants, setup.Tenant{Name: t.Name, Share: t.Share,
-			RequestsPerSecond: t.Quota * d.Header.RequestsPerSecond})
+		scenario.Tenants = append(scenario.Tenants, setup.Tenant{Name: t.Name, Share: t.Share,
+			RequestsPerSecond: t.Quota * scenario.Header.RequestsPerSecond})
 	}
-	names := d.serverNames(in.serverKinds())
+	names := scenario.serverNames(in.serverKinds())
 	for _, f := range in.Faults {
 		kind, known := importedKinds[f.Kind]
 		if !known {
@@ -222,7 +228,7 @@
 		fault := Fault{Kind: kind, Start: scaled(f.Start), Duration: scaled(f.Duration), Factor: max(f.Size, 1)}
 		for _, target := range f.Targets {
 			if kind == "kill_dispatcher" {
-				if target < d.Header.Dispatchers {
+				if target < scenario.Header.Dispatchers {
 					fault.Dispatchers = append(fault.Dispatchers, target)
 				}
 			} else if target < len(names) {
@@ -232,8 +238,8 @@
 		switch kind {
 		case "failing", "grade_failing":
 			fault.Share = min(max(f.Size, 0.01), 1)
-			if kind == "grade_failing" && f.Class < len(d.Classes) {
-				fault.Class = d.Classes[f.Class].Name
+			if kind == "grade_failing" && f.Class < len(scenario.Classes) {
+				fault.Class = scenario.Classes[f.Class].Name
 			}
 		case "shared_text":
 			fault.Share, fault.Tokens = min(max(f.Size, 0.01), 1), 4000
@@ -246,7 +252,7 @@
 			omit("give_up: how long each client waits; here a share leaves at a random time")
 		case "kill_dispatcher":
 			if len(fault.Dispatchers) == 0 {
-				for i := range d.Header.Dispatchers {
+				for i := range scenario.Header.Dispatchers {
 					fault.Dispatchers = append(fault.Dispatchers, i)
 				}
 			}
@@ -260,7 +266,7 @@
 			omit("the fault %s, which names no backends", f.Kind)
 			continue
 		}
-		d.Faults = append(d.Faults, fault)
+		scenario.Faults = append(scenario.Faults, fault)
 	}
 	if len(in.Traffic.Shape) > 1 {
 		omit("the shape of the load over time; it is steady")
@@ -271,11 +277,11 @@
 	omit("network delays, prices, the cost of connections, noise of load reports, and engine steps: " +
 		"these backends are simpler")
 	omit("the load: %.2f of a capacity estimated for these backends gives %.2f requests a second", in.Traffic.Load,
-		d.Header.RequestsPerSecond)
-	if err := d.check(); err != nil {
-		return d, omitted, fmt.Errorf("%s: the imported scenario is invalid: %w", file, err)
+		scenario.Header.RequestsPerSecond)
+	if err := scenario.check(); err != nil {
+		return scenario, omitted, fmt.Errorf("%s: the imported scenario is invalid: %w", file, err)
 	}
-	return d, omitted, nil
+	return scenario, omitted, nil
 }
 
 // infiniteIfZero keeps a pool without backends from limiting the capacity.
--- a/internal/day/plan.go
+++ b/internal/day/plan.go
@@ -40,15 +40,15 @@
 	for arrival := time.Duration(0); ; {
 		rate, unseenPrefix, burstTenant := d.Header.RequestsPerSecond, "", ""
 		unseenPrefixTokens := 0
-		for i, f := range d.Faults {
-			if f.active("burst", arrival) {
-				rate *= f.Factor
-				if f.Tenant != "" && rng.Float64() < 1-1/f.Factor {
-					burstTenant = f.Tenant
+		for i, fault := range d.Faults {
+			if fault.active("burst", arrival) {
+				rate *= fault.Factor
+				if fault.Tenant != "" && rng.Float64() < 1-1/fault.Factor {
+					burstTenant = fault.Tenant
 				}
 			}
-			if f.active("shared_text", arrival) && rng.Float64() < f.Share {
-				unseenPrefix, unseenPrefixTokens = fmt.Sprintf("unseen-%d", i), f.Tokens
+			if fault.active("shared_text", arrival) && rng.Float64() < fault.Share {
+				unseenPrefix, unseenPrefixTokens = fmt.Sprintf("unseen-%d", i), fault.Tokens
 			}
 		}
 		arrival += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
@@ -95,22 +95,23 @@
 		}
 		promptFactor := 1.0
 		request := standin.Request{SubmitAt: arrival, Name: fmt.Sprintf("q%d", len(requests)), Class: traffic.Class,
-			Tenant: s.tenant, Session: s.name, PrefixID: s.sharedPrefix, PrefixTokens: s.prefixTokens, Retries: d.Clients.Retries,
+			Tenant: s.tenant, Session: s.name, PrefixID: s.sharedPrefix, PrefixTokens: s.prefixTokens,
+			Retries:   d.Clients.Retries,
 			RetryWait: d.Clients.RetryWait.Std(), ExponentialBackoff: d.Clients.WaitDoubles,
 			HonoursRetryAfter: rng.Float64() < d.Clients.FollowAdviceShare}
 		class := d.Classes[d.ClassIndex(traffic.Class)]
 		leaves, givesUpAfter, readDelay := false, 0.0, time.Duration(0) // givesUpAfter: in latency targets
-		for _, f := range d.Faults {
+		for _, fault := range d.Faults {
 			switch {
-			case f.active("long_prompts", arrival) && rng.Float64() < f.Share &&
-				(f.Class == "" || f.Class == traffic.Class):
-				promptFactor = f.Factor
-			case f.active("leave", arrival) && rng.Float64() < f.Share:
+			case fault.active("long_prompts", arrival) && rng.Float64() < fault.Share &&
+				(fault.Class == "" || fault.Class == traffic.Class):
+				promptFactor = fault.Factor
+			case fault.active("leave", arrival) && rng.Float64() < fault.Share:
 				leaves = true
-			case f.active("give_up", arrival) && rng.Float64() < f.Share:
-				givesUpAfter = f.Factor
-			case f.active("slow_clients", arrival) && rng.Float64() < f.Share:
-				readDelay = f.Delay.Std()
+			case fault.active("give_up", arrival) && rng.Float64() < fault.Share:
+				givesUpAfter = fault.Factor
+			case fault.active("slow_clients", arrival) && rng.Float64() < fault.Share:
+				readDelay = fault.Delay.Std()
 			}
 		}
 		// New tokens are log-normal with a mean of NewTokens: 0.18 is half the square of 0.6.
@@ -122,7 +123,8 @@
 		request.Deadline = class.Deadline.Std() + 2*time.Duration(kilotokens*float64(class.TargetPer1000Tokens))
 		request.PatienceShare = d.Clients.PatienceMin + rng.Float64()*(d.Clients.PatienceMax-d.Clients.PatienceMin)
 		if givesUpAfter > 0 {
-			request.PatienceShare = min(request.PatienceShare, givesUpAfter*float64(request.LatencyTarget)/float64(request.Deadline))
+			request.PatienceShare = min(request.PatienceShare,
+				givesUpAfter*float64(request.LatencyTarget)/float64(request.Deadline))
 		}
 		request.ReadDelay = readDelay
 		request.Idempotent = class.Effect == "idempotent" ||
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -71,7 +71,8 @@
 // Run runs a scenario and checks its record against the rules.
 func Run(ctx context.Context, d Scenario, options RunOptions) (judge.Verdict, error) {
 	r := &runner{scenario: d, options: options, backends: map[string]*standin.Backend{}}
-	header := record.Header{Scenario: d.Header.Name, Seed: d.Header.Seed, Terms: d.Deployment, Backends: r.recordBackends()}
+	header := record.Header{Scenario: d.Header.Name, Seed: d.Header.Seed, Terms: d.Deployment,
+		Backends: r.recordBackends()}
 	var err error
 	if r.recorder, err = record.Open(options.RecordDir, header); err != nil {
 		return judge.Verdict{}, err
@@ -98,7 +99,7 @@
 
 // CheckLedgers reads the ledgers in a run's folder, if there are any, and adds a rule to the verdict: their totals
 // equal what the backends counted.
-func CheckLedgers(v *judge.Verdict, dir string, events []record.Event) error {
+func CheckLedgers(verdict *judge.Verdict, dir string, events []record.Event) error {
 	folders, err := filepath.Glob(filepath.Join(dir, "ledger-*"))
 	if err != nil || len(folders) == 0 {
 		return err
@@ -115,22 +116,23 @@
 		}
 		for _, damage := range damages {
 			if !damage.Torn {
-				v.Notes = append(v.Notes, "ledger damaged: "+damage.String())
+				verdict.Notes = append(verdict.Notes, "ledger damaged: "+damage.String())
 			}
 		}
 	}
 	usage := map[string]judge.Usage{} // by backend
 	for backend, c := range sheet.BackendTotals() {
-		usage[backend] = judge.Usage{Attempts: c.Attempts, PrefillTokens: c.PrefillTokens, CachedTokens: c.CachedTokens, AnswerTokens: c.OutputTokens}
+		usage[backend] = judge.Usage{Attempts: c.Attempts, PrefillTokens: c.PrefillTokens, CachedTokens: c.CachedTokens,
+			AnswerTokens: c.OutputTokens}
 	}
 	rule, total := judge.CheckUsage(events, usage)
-	v.Rules, v.Usage = append(v.Rules, rule), &total
+	verdict.Rules, verdict.Usage = append(verdict.Rules, rule), &total
 	return nil
 }
 
 // run starts the backends and the dispatchers, plays traffic and faults, and stops everything.
 func (r *runner) run(ctx context.Context) error {
-	h := r.scenario.Header
+	header := r.scenario.Header
 	socketDir, err := os.MkdirTemp("", "slt")
 	if err != nil {
 		return err
@@ -140,14 +142,15 @@
 	for _, b := range r.scenario.Backends {
 		backendAddresses += b.Count * max(len(b.Addresses), 1)
 	}
-	ports, err := freePorts(1 + backendAddresses + 2*h.Dispatchers)
+	ports, err := freePorts(1 + backendAddresses + 2*header.Dispatchers)
 	if err != nil {
 		return err
 	}
 	nextAddr := func() string { p := ports[0]; ports = ports[1:]; return fmt.Sprintf("127.0.0.1:%d", p) }
 	shapes := map[string]standin.ClassProfile{} // by class
 	for _, t := range r.scenario.Traffic {
-		shapes[t.Class] = standin.ClassProfile{NewTokens: t.NewTokens, AnswerTokens: t.AnswerTokens, PrefixTokens: t.SharedPrefixTokens}
+		shapes[t.Class] = standin.ClassProfile{NewTokens: t.NewTokens, AnswerTokens: t.AnswerTokens,
+			PrefixTokens: t.SharedPrefixTokens}
 	}
 	r.fleet = standin.NewFleet(r.scenario.Deployment, r.recorder, standin.Links{
 		SameRack: r.scenario.Links.NearTokensPerSecond, CrossRack: r.scenario.Links.FarTokensPerSecond,
@@ -188,8 +191,9 @@
 		}
 	}
 	requests := r.scenario.Plan()
-	r.printf("%s: %d backends, %d dispatchers, %d requests in %v (test backends, not engines)", h.Name, len(r.backends),
-		len(r.dispatchers), len(requests), h.Duration.Std())
+	r.printf("%s: %d backends, %d dispatchers, %d requests in %v (test backends, not engines)", header.Name,
+		len(r.backends),
+		len(r.dispatchers), len(requests), header.Duration.Std())
 	clients := standin.NewClients(r.recorder, r.scenario.Model, r.pickDispatcher)
 	defer clients.Close()
 	startTime := time.Now()
@@ -250,20 +254,20 @@
 }
 
 func (r *runner) count(event record.Event) {
-	c := &r.counts
-	c.Lock()
-	defer c.Unlock()
+	counts := &r.counts
+	counts.Lock()
+	defer counts.Unlock()
 	switch {
 	case event.Kind == record.RequestSent:
-		c.sent++
+		counts.sent++
 	case event.Kind == record.FinalAnswer && event.Detail == "satisfied":
-		c.served++
+		counts.served++
 	case event.Kind == record.FinalAnswer && event.Detail == "declined":
-		c.rejected++
+		counts.rejected++
 	case event.Kind == record.FinalAnswer && event.Detail == "forfeited":
-		c.failed++
+		counts.failed++
 	case event.Kind == record.ClientLeft || event.Kind == record.ConnectionLost || event.Kind == record.FinalAnswer:
-		c.other++
+		counts.other++
 	}
 }
 
@@ -305,9 +309,9 @@
 
 // configureDispatchers writes the dispatchers' configuration files.
 func (r *runner) configureDispatchers(nextAddr func() string) error {
-	h := r.scenario.Header
+	header := r.scenario.Header
 	var peers []string
-	for i := range h.Dispatchers {
+	for i := range header.Dispatchers {
 		r.dispatchers = append(r.dispatchers, &process{number: i, name: fmt.Sprintf("d%d", i), addr: nextAddr()})
 		peers = append(peers, nextAddr())
 	}
@@ -315,24 +319,27 @@
 	if err := os.WriteFile(key, []byte(fmt.Sprintf("%064x\n", r.scenario.rng(9).Uint64())), 0o600); err != nil {
 		return err
 	}
-	for i, p := range r.dispatchers {
-		d := setup.DefaultDispatcherConfig()
-		d.Deployment = r.scenario.Deployment
-		d.Instance.Name, d.Instance.Index, d.Instance.FleetSize = p.name, i, h.Dispatchers
-		d.Instance.Zone = r.scenario.Zones[i%len(r.scenario.Zones)]
-		d.Instance.Listen, d.Instance.DiscoveryAddr, d.Instance.EndpointCacheFolder = []string{p.addr}, r.discovery.Address, r.dir
-		d.Instance.PeerListen, d.Instance.PeerAddrs, d.Instance.ResponseMargin = peers[i], peers, h.DeadlineMargin
-		d.Instance.TicketKeyFile = key
-		if h.Ledger {
-			d.Ledger.Folder, d.Ledger.KeyFile = filepath.Join(r.dir, "ledger-"+p.name), key
+	for i, proc := range r.dispatchers {
+		config := setup.DefaultDispatcherConfig()
+		config.Deployment = r.scenario.Deployment
+		config.Instance.Name, config.Instance.Index, config.Instance.FleetSize = proc.name, i, header.Dispatchers
+		config.Instance.Zone = r.scenario.Zones[i%len(r.scenario.Zones)]
+		config.Instance.Listen, config.Instance.DiscoveryAddr, config.Instance.EndpointCacheFolder = []string{proc.addr},
+			r.discovery.Address,
+			r.dir
+		config.Instance.PeerListen, config.Instance.PeerAddrs, config.Instance.ResponseMargin = peers[i], peers,
+			header.DeadlineMargin
+		config.Instance.TicketKeyFile = key
+		if header.Ledger {
+			config.Ledger.Folder, config.Ledger.KeyFile = filepath.Join(r.dir, "ledger-"+proc.name), key
 		}
-		d.Instance.Seed = h.Seed*1000 + uint64(i) + 1
-		raw, err := toml.Marshal(d)
+		config.Instance.Seed = header.Seed*1000 + uint64(i) + 1
+		raw, err := toml.Marshal(config)
 		if err != nil {
 			return err
 		}
-		p.configFile = filepath.Join(r.dir, p.name+".toml")
-		if err := os.WriteFile(p.configFile, raw, 0o644); err != nil {
+		proc.configFile = filepath.Join(r.dir, proc.name+".toml")
+		if err := os.WriteFile(proc.configFile, raw, 0o644); err != nil {
 			return err
 		}
 	}
@@ -343,52 +350,54 @@
 const startTimeout = 15 * time.Second
 
 // start starts a dispatcher's process and waits until it is ready.
-func (r *runner) start(ctx context.Context, p *process) error {
-	log, err := os.OpenFile(filepath.Join(r.dir, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+func (r *runner) start(ctx context.Context, proc *process) error {
+	log, err := os.OpenFile(filepath.Join(r.dir, proc.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return err
 	}
-	args := append(append([]string(nil), r.options.ServeCommand[1:]...), p.configFile)
+	args := append(append([]string(nil), r.options.ServeCommand[1:]...), proc.configFile)
 	cmd := exec.Command(r.options.ServeCommand[0], args...)
 	cmd.Stderr, cmd.Stdout, cmd.Env = log, log, append(os.Environ(), r.options.Env...)
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // it must not outlive the runner
 	if err := cmd.Start(); err != nil {
 		log.Close()
-		return fmt.Errorf("%s: %w", p.name, err)
+		return fmt.Errorf("%s: %w", proc.name, err)
 	}
 	done := make(chan struct{})
-	p.mu.Lock()
-	p.cmd, p.done, p.running = cmd, done, true
-	p.mu.Unlock()
+	proc.mu.Lock()
+	proc.cmd, proc.done, proc.running = cmd, done, true
+	proc.mu.Unlock()
 	go func() {
 		err := cmd.Wait()
 		log.Close()
-		p.mu.Lock()
-		if p.running {
-			p.unexpectedEnd, p.balanced, p.running = fmt.Errorf("dispatcher %s ended unexpectedly: %v; its log ends with: %s",
-				p.name, err, tail(log.Name())), false, false
-			r.recorder.Record(record.Event{Kind: record.ProcessEnded, Dispatcher: p.name, Detail: "died"})
+		proc.mu.Lock()
+		if proc.running {
+			proc.unexpectedEnd, proc.balanced, proc.running = fmt.Errorf(
+				"dispatcher %s ended unexpectedly: %v; its log ends with: %s",
+				proc.name, err, tail(log.Name())), false, false
+			r.recorder.Record(record.Event{Kind: record.ProcessEnded, Dispatcher: proc.name, Detail: "died"})
 		}
-		p.mu.Unlock()
+		proc.mu.Unlock()
 		close(done)
 	}()
 	for end := time.Now().Add(startTimeout); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		select {
 		case <-done:
-			return p.unexpectedEnd
+			return proc.unexpectedEnd
 		case <-ctx.Done():
 			return ctx.Err()
 		default:
 		}
-		if ready(p.addr) {
-			r.recorder.Record(record.Event{Kind: record.ProcessStarted, Dispatcher: p.name})
-			p.mu.Lock()
-			p.balanced = true
-			p.mu.Unlock()
+		if ready(proc.addr) {
+			r.recorder.Record(record.Event{Kind: record.ProcessStarted, Dispatcher: proc.name})
+			proc.mu.Lock()
+			proc.balanced = true
+			proc.mu.Unlock()
 			return nil
 		}
 	}
-	return fmt.Errorf("dispatcher %s at %s was not ready within %v; its log ends with: %s", p.name, p.addr, startTimeout,
+	return fmt.Errorf("dispatcher %s at %s was not ready within %v; its log ends with: %s", proc.name, proc.addr,
+		startTimeout,
 		tail(log.Name()))
 }
 
@@ -412,18 +421,18 @@
 }
 
 // kill kills a dispatcher. The load balancer goes on sending there for a while.
-func (r *runner) kill(p *process) {
-	p.mu.Lock()
-	cmd, done := p.cmd, p.done
-	p.running = false
-	p.mu.Unlock()
-	r.recorder.Record(record.Event{Kind: record.ProcessEnded, Dispatcher: p.name, Detail: "killed"})
+func (r *runner) kill(proc *process) {
+	proc.mu.Lock()
+	cmd, done := proc.cmd, proc.done
+	proc.running = false
+	proc.mu.Unlock()
+	r.recorder.Record(record.Event{Kind: record.ProcessEnded, Dispatcher: proc.name, Detail: "killed"})
 	cmd.Process.Kill()
 	<-done
 	time.AfterFunc(r.scenario.Header.LoadBalancerNotice.Std(), func() {
-		p.mu.Lock()
-		p.balanced = p.balanced && p.running
-		p.mu.Unlock()
+		proc.mu.Lock()
+		proc.balanced = proc.balanced && proc.running
+		proc.mu.Unlock()
 	})
 }
 
@@ -469,18 +478,18 @@
 // a name and an address, empty if there is none.
 func (r *runner) pickDispatcher(seed uint64) (string, string) {
 	var candidates []*process
-	for _, p := range r.dispatchers {
-		p.mu.Lock()
-		if p.balanced {
-			candidates = append(candidates, p)
+	for _, proc := range r.dispatchers {
+		proc.mu.Lock()
+		if proc.balanced {
+			candidates = append(candidates, proc)
 		}
-		p.mu.Unlock()
+		proc.mu.Unlock()
 	}
 	if len(candidates) == 0 {
 		return "", ""
 	}
-	p := candidates[(seed*0x9e3779b97f4a7c15>>33)%uint64(len(candidates))]
-	return p.name, p.addr
+	proc := candidates[(seed*0x9e3779b97f4a7c15>>33)%uint64(len(candidates))]
+	return proc.name, proc.addr
 }
 
 // portSearch is where the search for free ports continues, so that concurrent runs have different ones.
--- a/internal/day/run_test.go
+++ b/internal/day/run_test.go
@@ -72,10 +72,10 @@
 		"list-gap", "drain", "ledger"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			d := exampleScenario(t, name)
-			d.Header.RequestsPerSecond /= 2 // the test checks rules, not speed
+			scenario := exampleScenario(t, name)
+			scenario.Header.RequestsPerSecond /= 2 // the test checks rules, not speed
 			options := runOptions(t, "right")
-			v, err := Run(context.Background(), d, options)
+			v, err := Run(context.Background(), scenario, options)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -83,7 +83,7 @@
 				t.Errorf("tries %d, effects %d\n%s", v.Tries, v.Effects, v.Text())
 			}
 			header, events, err := record.Read(options.RecordDir)
-			if err != nil || len(events) == 0 || header.Scenario != d.Header.Name {
+			if err != nil || len(events) == 0 || header.Scenario != scenario.Header.Name {
 				t.Errorf("the stored record: %d events of %q, %v", len(events), header.Scenario, err)
 			}
 		})
@@ -116,10 +116,10 @@
 
 // serveAgainstRules runs a dispatcher that breaks all five rules: it prefills and never takes or releases the KV cache,
 // sends each request to a freshly started and to a draining decode backend at once, and answers twice.
-func serveAgainstRules(ctx context.Context, d setup.DispatcherConfig) error {
+func serveAgainstRules(ctx context.Context, config setup.DispatcherConfig) error {
 	var mu sync.Mutex
 	backends := map[string]boxlist.Endpoint{}
-	discovery := boxlist.Follower{Address: d.Instance.DiscoveryAddr, Name: d.Instance.Name,
+	discovery := boxlist.Follower{Address: config.Instance.DiscoveryAddr, Name: config.Instance.Name,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), HTTPClient: http.DefaultClient,
 		OnUpdate: func(listed []boxlist.Endpoint, _ bool) {
 			mu.Lock()
@@ -133,7 +133,7 @@
 		mu.Lock()
 		addr := backends[name].Addresses[0].Addr
 		mu.Unlock()
-		r, err := kserve.NewAttemptRequest(ctx, "http://"+addr, d.Model, "", e)
+		r, err := kserve.NewAttemptRequest(ctx, "http://"+addr, config.Model, "", e)
 		if err != nil {
 			return nil
 		}
@@ -160,8 +160,9 @@
 		}
 		mu.Lock()
 		requestNumber++
-		attempt := kserve.AttemptParams{Phase: kserve.PhasePrefill, DispatcherEpoch: d.Instance.Name + ".wrong", RequestNumber: requestNumber,
-			DedupKey: prompt.ID, Class: prompt.Class, PromptTokens: 3000, MaxTokens: 60}
+		attempt := kserve.AttemptParams{Phase: kserve.PhasePrefill, DispatcherEpoch: config.Instance.Name + ".wrong",
+			RequestNumber: requestNumber,
+			DedupKey:      prompt.ID, Class: prompt.Class, PromptTokens: 3000, MaxTokens: 60}
 		mu.Unlock()
 		if body := send("reader-1", attempt); body != nil {
 			body.Close()
@@ -190,7 +191,7 @@
 		http.NewResponseController(w).Flush()
 		both.Wait()
 	})
-	listener, err := net.Listen("tcp", d.Instance.Listen[0])
+	listener, err := net.Listen("tcp", config.Instance.Listen[0])
 	if err != nil {
 		return err
 	}
@@ -218,7 +219,8 @@
 	}
 	laterTurns := 0
 	for _, request := range first {
-		if request.PromptTokens < 1 || request.PrefixTokens > request.PromptTokens || request.Deadline <= request.LatencyTarget {
+		if request.PromptTokens < 1 || request.PrefixTokens > request.PromptTokens ||
+			request.Deadline <= request.LatencyTarget {
 			t.Fatalf("inconsistent request: %+v", request)
 		}
 		if request.Session != "s"+strings.TrimPrefix(request.Name, "q") {
@@ -280,21 +282,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, omitted, err := Import("day.json", text, Scale{Duration: 0.2, Rate: 0.5})
+	scenario, omitted, err := Import("day.json", text, Scale{Duration: 0.2, Rate: 0.5})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if d.Header.Duration.Std() != 10*time.Second || d.Header.Dispatchers != 2 || d.Classes[0].Effect != "unrepeatable" ||
-		d.Header.RequestsPerSecond <= 0 {
-		t.Errorf("%+v %+v", d.Header, d.Classes)
+	if scenario.Header.Duration.Std() != 10*time.Second || scenario.Header.Dispatchers != 2 ||
+		scenario.Classes[0].Effect != "unrepeatable" ||
+		scenario.Header.RequestsPerSecond <= 0 {
+		t.Errorf("%+v %+v", scenario.Header, scenario.Classes)
 	}
 	found := false
-	for _, f := range d.Faults {
+	for _, f := range scenario.Faults {
 		if f.Kind == "slow" {
 			found = f.Start.Std() == 2*time.Second && f.Duration.Std() == 4*time.Second && f.Backends[0] == "out-1"
 		}
 	}
 	if all := strings.Join(omitted, "; "); !found || !strings.Contains(all, "from_the_moon") {
-		t.Errorf("faults %+v; omitted %s", d.Faults, all)
+		t.Errorf("faults %+v; omitted %s", scenario.Faults, all)
 	}
 }
--- a/internal/dispatch/accounting_setup.go
+++ b/internal/dispatch/accounting_setup.go
@@ -131,7 +131,7 @@
 // newAccounting creates a loop's accounting from the ledger's history, or returns nil if there is neither a ledger nor
 // a budget. A budget is owned by one dispatcher, which leases tokens to all; the others reach it by peer messages.
 func newAccounting(
-	config setup.DispatcherConfig, l *Loop, transport *HTTPTransport, journal *ledger.Recorder, history *ledgerHistory,
+	config setup.DispatcherConfig, loop *Loop, transport *HTTPTransport, journal *ledger.Recorder, history *ledgerHistory,
 	epoch string, startedAt time.Time,
 ) *Accounting {
 	if journal == nil && len(config.Budgets) == 0 {
@@ -146,16 +146,16 @@
 			journal.Write(r, nil)
 			return
 		}
-		journal.Write(r, func() { l.Post(done) })
+		journal.Write(r, func() { loop.Post(done) })
 	}
 	if journal != nil {
 		oldEpochs := slices.Collect(maps.Keys(history.openEpochs))
 		recorded := slices.Concat(slices.Collect(maps.Values(history.recorded))...)
 		accounting.Account = account.New(epoch, startedAt.UnixMilli(), write,
-			func() time.Duration { return l.now }, recorded, oldEpochs)
+			func() time.Duration { return loop.now }, recorded, oldEpochs)
 		accounting.FetchUsage = transport.FetchUsage
 	}
-	now := l.clock()
+	now := loop.clock()
 	month := accounting.Month(now)
 	sendRequest := map[string]func(budget.LeaseRequest){}
 	for _, configured := range config.Budgets {
@@ -168,12 +168,12 @@
 			record := func(what string, month int64, tokens float64, done func()) {
 				if journal == nil {
 					if done != nil {
-						l.Schedule(0, done)
+						loop.Schedule(0, done)
 					}
 					return
 				}
 				write(ledger.Record{
-					UnixMilli: startedAt.UnixMilli() + l.now.Milliseconds(),
+					UnixMilli: startedAt.UnixMilli() + loop.now.Milliseconds(),
 					Budget:    &ledger.Budget{Name: terms.Name, Kind: what, Month: month, Tokens: tokens},
 				}, done)
 			}
@@ -190,11 +190,11 @@
 					panic(err) // the fields are strings and checked numbers
 				}
 				if journal == nil {
-					l.Schedule(0, done)
+					loop.Schedule(0, done)
 					return
 				}
 				write(ledger.Record{
-					UnixMilli: startedAt.UnixMilli() + l.now.Milliseconds(),
+					UnixMilli: startedAt.UnixMilli() + loop.now.Milliseconds(),
 					Budget:    &ledger.Budget{Name: terms.Name, Kind: "set", Terms: string(raw)},
 				}, done)
 			}
@@ -206,7 +206,7 @@
 			local.EmergencyMarked = func(month int64) bool { return history.totals[terms.Name][month].emergency }
 			local.MarkEmergency = func(month int64, done func()) {
 				write(ledger.Record{
-					UnixMilli: startedAt.UnixMilli() + l.now.Milliseconds(),
+					UnixMilli: startedAt.UnixMilli() + loop.now.Milliseconds(),
 					Budget:    &ledger.Budget{Name: terms.Name, Kind: "own", Month: month},
 				}, done)
 			}
@@ -214,9 +214,9 @@
 		sendRequest[terms.Name] = func(request budget.LeaseRequest) {
 			if ownerNumber == config.Instance.Index {
 				// By a timer, as the local budget is in the middle of a step and must not be called again.
-				l.Schedule(0, func() {
-					accounting.OwnedBudgets[request.Name].HandleRequest(l.now, accounting.Month(l.now), request,
-						func(lease budget.LeaseReply) { local.HandleReply(l.now, lease) })
+				loop.Schedule(0, func() {
+					accounting.OwnedBudgets[request.Name].HandleRequest(loop.now, accounting.Month(loop.now), request,
+						func(lease budget.LeaseReply) { local.HandleReply(loop.now, lease) })
 				})
 				return
 			}
@@ -229,13 +229,13 @@
 			switch {
 			case message.Request != nil && accounting.OwnedBudgets[message.Request.Name] != nil &&
 				message.Request.Valid():
-				accounting.OwnedBudgets[message.Request.Name].HandleRequest(l.now, accounting.Month(l.now), *message.Request,
+				accounting.OwnedBudgets[message.Request.Name].HandleRequest(loop.now, accounting.Month(loop.now), *message.Request,
 					func(lease budget.LeaseReply) { transport.Peers.SendBudget(from, budgetMessage{Lease: &lease}) })
 			case message.Lease != nil && message.Lease.Holder == epoch && message.Lease.Valid():
 				if i := slices.IndexFunc(accounting.Budgets, func(local *budget.LocalBudget) bool {
 					return local.Terms.Name == message.Lease.Name
 				}); i >= 0 {
-					accounting.Budgets[i].HandleReply(l.now, *message.Lease)
+					accounting.Budgets[i].HandleReply(loop.now, *message.Lease)
 					return
 				}
 				transport.Peers.Dropped.Add(1)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -33,7 +33,8 @@
 // Stage returns the attempt's stage by its name in messages to backends.
 func (a *Attempt) Stage() string {
 	return [...]string{
-		brain.StagePrefill: kserve.PhasePrefill, brain.StageDecode: kserve.PhaseDecode, brain.StageWhole: kserve.PhaseCombined,
+		brain.StagePrefill: kserve.PhasePrefill, brain.StageDecode: kserve.PhaseDecode,
+		brain.StageWhole: kserve.PhaseCombined,
 	}[a.Scheduled.Stage]
 }
 
@@ -90,7 +91,8 @@
 	if attempt.RequestInvalid {
 		l.answer(request, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no box can use it"})
 	}
-	result.Finished = request.answered || request.disconnected || result.Outcome == brain.Served || scheduled.FirstTokenAt > 0
+	result.Finished = request.answered || request.disconnected || result.Outcome == brain.Served ||
+		scheduled.FirstTokenAt > 0
 	if result.Outcome == brain.Served {
 		l.answer(request, kserve.FinalResponse{Outcome: kserve.Served})
 	} else if scheduled.FirstTokenAt > 0 && !request.disconnected {
--- a/internal/dispatch/http_transport.go
+++ b/internal/dispatch/http_transport.go
@@ -113,10 +113,12 @@
 		DispatcherEpoch: c.loop.Epoch, RequestNumber: scheduled.ID, Attempt: attempt.Scheduled.Number,
 		DedupKey: cmp.Or(request.Params.ID, attempt.RequestKey), Class: request.Class, Tenant: request.Tenant,
 		Session: scheduled.SessionKey, SharedPrefix: scheduled.PrefixKey, PromptTokens: int(scheduled.PromptTokens),
-		PrefixTokens: int(scheduled.PrefixTokens), MaxTokens: int(scheduled.MaxOutputTokens), TimeoutUs: attempt.Timeout.Microseconds(),
+		PrefixTokens: int(scheduled.PrefixTokens), MaxTokens: int(scheduled.MaxOutputTokens),
+		TimeoutUs: attempt.Timeout.Microseconds(),
 	}
 	if attempt.PrefillBackend != nil {
-		metadata.PrefillBackend, metadata.KVCacheAddresses = attempt.PrefillBackend.Name, attempt.PrefillBackend.pool.Addresses()
+		metadata.PrefillBackend, metadata.KVCacheAddresses = attempt.PrefillBackend.Name,
+			attempt.PrefillBackend.pool.Addresses()
 	}
 	// Read what the goroutine needs here, as backends and requests belong to the loop.
 	pool, text := attempt.Backend.pool, request.Params.Text
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -254,8 +254,9 @@
 	params := request.Params
 	request.Scheduled = &brain.Request{
 		ID: l.lastID, SessionKey: HashName(params.Session), PrefixKey: HashName(params.SharedPrefix),
-		PromptTokens: float64(params.PromptTokens), PrefixTokens: float64(params.PrefixTokens), MaxOutputTokens: float64(params.MaxTokens),
-		ClientRetry: params.IsRetry, Timeout: timeLeft,
+		PromptTokens: float64(params.PromptTokens), PrefixTokens: float64(params.PrefixTokens),
+		MaxOutputTokens: float64(params.MaxTokens),
+		ClientRetry:     params.IsRetry, Timeout: timeLeft,
 	}
 	l.Counters.Accepted++
 	request.tenantNumber = tenant
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -64,20 +64,20 @@
 	t.Helper()
 	transport := &fakeTransport{now: time.Second}
 	config := testConfig(effect)
-	l, err := NewLoop(config.SchedulerParameters(), 1, Resolver{
+	loop, err := NewLoop(config.SchedulerParameters(), 1, Resolver{
 		ZoneNumber: config.ZoneIndex, KindNumber: config.KindIndex,
 		AddressAllowed: func(spec addresses.Spec) bool { return spec.Addr != "10.9.9.9:1" },
 	}, transport, func() time.Duration { return transport.now }, "d0.x", slog.New(slog.NewTextHandler(io.Discard, nil)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.RunTurn(func() {
-		l.UpdateBackends([]boxlist.Endpoint{
+	loop.RunTurn(func() {
+		loop.UpdateBackends([]boxlist.Endpoint{
 			listEntry("r1", "reader", "ready"), listEntry("r2", "reader", "ready"),
 			listEntry("w1", "writer", "ready"), listEntry("w2", "writer", "ready"),
 		}, true)
 	})
-	return l, transport
+	return loop, transport
 }
 
 // submit submits a request with that much time for its answer.
@@ -157,18 +157,18 @@
 }
 
 func TestClientDisconnectMidStreamCancelsAttempt(t *testing.T) {
-	l, transport := newTestLoop(t, "unrepeatable")
-	request := submit(l, 4*time.Second)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
+	loop, transport := newTestLoop(t, "unrepeatable")
+	request := submit(loop, 4*time.Second)
+	loop.RunTurn(func() { loop.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
 	attempt := transport.last()
-	l.RunTurn(func() { l.AttemptBegan(attempt) })
-	l.RunTurn(func() { l.ClientDisconnected(request) })
+	loop.RunTurn(func() { loop.AttemptBegan(attempt) })
+	loop.RunTurn(func() { loop.ClientDisconnected(request) })
 	if context.Cause(attempt.ctx) != ErrNotNeeded {
 		t.Error("the stream continues without a client")
 	}
-	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.Cancelled}) })
-	if len(request.final) != 0 || len(l.requests) != 0 {
-		t.Errorf("%d answers to a client that has disconnected, %d requests kept", len(request.final), len(l.requests))
+	loop.RunTurn(func() { loop.AttemptEnded(attempt, brain.Result{Outcome: brain.Cancelled}) })
+	if len(request.final) != 0 || len(loop.requests) != 0 {
+		t.Errorf("%d answers to a client that has disconnected, %d requests kept", len(request.final), len(loop.requests))
 	}
 }
 
@@ -218,38 +218,38 @@
 // The list repeats a backend's start with another age each time. If that were taken for a new start, the scheduler
 // would forget what it knows of the backend.
 func TestRelistedBackendStartKeepsItsTime(t *testing.T) {
-	l, transport := newTestLoop(t, "idempotent")
+	loop, transport := newTestLoop(t, "idempotent")
 	entry := listEntry("w1", "writer", "ready")
 	entry.Incarnation, entry.UptimeMs = 7, 1000
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
-	known := l.backends["w1"].SchedulerState
+	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	known := loop.backends["w1"].SchedulerState
 	booted := known.StartedAt
 	transport.now += 3 * time.Second
 	entry.UptimeMs = 4007
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 	if known.StartedAt != booted || !known.StartReported {
 		t.Errorf("started at %v, then at %v", booted, known.StartedAt)
 	}
 	entry.Incarnation, entry.UptimeMs = 8, 10
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 	if known.StartedAt == booted {
 		t.Error("a new start was not noticed")
 	}
 }
 
 func TestBackendMissingFromCompleteListIsRemoved(t *testing.T) {
-	l, _ := newTestLoop(t, "idempotent")
-	removed := l.backends["w2"]
-	l.RunTurn(func() {
-		l.UpdateBackends([]boxlist.Endpoint{
+	loop, _ := newTestLoop(t, "idempotent")
+	removed := loop.backends["w2"]
+	loop.RunTurn(func() {
+		loop.UpdateBackends([]boxlist.Endpoint{
 			listEntry("r1", "reader", "ready"), listEntry("w1", "writer", "draining"),
 			listEntry("x", "nonesuch", "ready"),
 		}, true)
 	})
-	if removed.SchedulerState.State != brain.Removed || l.backends["w1"].SchedulerState.State != brain.Draining ||
-		l.backends["x"] != nil {
+	if removed.SchedulerState.State != brain.Removed || loop.backends["w1"].SchedulerState.State != brain.Draining ||
+		loop.backends["x"] != nil {
 		t.Errorf("w2 %d, w1 %d, x %v",
-			removed.SchedulerState.State, l.backends["w1"].SchedulerState.State, l.backends["x"])
+			removed.SchedulerState.State, loop.backends["w1"].SchedulerState.State, loop.backends["x"])
 	}
 	select {
 	case <-removed.Removed:
@@ -259,19 +259,19 @@
 }
 
 func TestAddressesThatAreNotAllowedAreIgnored(t *testing.T) {
-	l, transport := newTestLoop(t, "idempotent")
+	loop, transport := newTestLoop(t, "idempotent")
 	entry := listEntry("w1", "writer", "ready")
 	entry.Addresses = []addresses.Spec{
 		{Network: "tcp4", Addr: "10.9.9.9:1"}, {Network: "tcp4", Addr: "no address"}, {Network: "unix", Addr: "/w1"},
 	}
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 	if got := transport.reached[len(transport.reached)-1]; got != "w1[unix:/w1]" {
 		t.Errorf("the addresses are %s", got)
 	}
 	before := len(transport.reached)
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 	entry.State = "gone"
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{entry}, false) })
 	if len(transport.reached) != before+1 || transport.reached[before] != "w1[]" {
 		t.Errorf("then the addresses were set to %v", transport.reached[before:])
 	}
@@ -280,33 +280,33 @@
 // Every deployment replaces backends under new names. Those that are removed and have no attempt in flight must be
 // forgotten: otherwise the tables, which every list is compared with, grow without bound.
 func TestRemovedBackendsAreForgotten(t *testing.T) {
-	l, transport := newTestLoop(t, "idempotent")
-	request := submit(l, 4*time.Second)
+	loop, transport := newTestLoop(t, "idempotent")
+	request := submit(loop, 4*time.Second)
 	busy := transport.last()
 	for i := range 300 {
-		l.RunTurn(func() {
+		loop.RunTurn(func() {
 			entry := listEntry(fmt.Sprint("pod-", i), "writer", "ready")
 			entry.Incarnation, entry.UptimeMs = uint64(i), 5
-			l.UpdateBackends([]boxlist.Endpoint{entry}, false)
+			loop.UpdateBackends([]boxlist.Endpoint{entry}, false)
 			entry.State = "gone"
-			l.UpdateBackends([]boxlist.Endpoint{entry}, false)
+			loop.UpdateBackends([]boxlist.Endpoint{entry}, false)
 		})
 	}
 	transport.now += 2 * removedRetention
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{listEntry("w1", "writer", "ready")}, true) })
+	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{listEntry("w1", "writer", "ready")}, true) })
 	transport.now += 2 * removedRetention
-	l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{listEntry("w1", "writer", "ready")}, true) })
-	if len(l.backends) != 2 || len(l.schedulerBackends) != 2 || len(l.byState) != 2 ||
-		l.backends[busy.Backend.Name] == nil {
+	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{listEntry("w1", "writer", "ready")}, true) })
+	if len(loop.backends) != 2 || len(loop.schedulerBackends) != 2 || len(loop.byState) != 2 ||
+		loop.backends[busy.Backend.Name] == nil {
 		t.Fatalf("%d, %d and %d backends by name, number and record are kept, with 1 listed and 1 that has an attempt",
-			len(l.backends), len(l.schedulerBackends), len(l.byState))
+			len(loop.backends), len(loop.schedulerBackends), len(loop.byState))
 	}
-	l.RunTurn(func() { l.AttemptEnded(busy, brain.Result{Outcome: brain.Prefilled}) })
-	l.RunTurn(func() { l.UpdateBackends(nil, false) })
+	loop.RunTurn(func() { loop.AttemptEnded(busy, brain.Result{Outcome: brain.Prefilled}) })
+	loop.RunTurn(func() { loop.UpdateBackends(nil, false) })
 	transport.now += 2 * removedRetention
-	l.RunTurn(func() { l.UpdateBackends(nil, false) })
-	if len(l.backends) != 1 || len(transport.released)+len(transport.attempts) < 2 || request.Scheduled == nil {
-		t.Errorf("%d backends are kept after the last attempt, released at %v", len(l.backends), transport.released)
+	loop.RunTurn(func() { loop.UpdateBackends(nil, false) })
+	if len(loop.backends) != 1 || len(transport.released)+len(transport.attempts) < 2 || request.Scheduled == nil {
+		t.Errorf("%d backends are kept after the last attempt, released at %v", len(loop.backends), transport.released)
 	}
 }
 
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -76,19 +76,19 @@
 func ListenPeers(
 	own int, listen string, others []string, open func(address string) (*net.UDPConn, error),
 ) (*Peers, error) {
-	p := &Peers{Number: own}
+	peers := &Peers{Number: own}
 	for i, other := range others {
 		addr, err := net.ResolveUDPAddr("udp", other)
 		if err != nil {
 			return nil, fmt.Errorf("peers.%d: %w", i, err)
 		}
-		p.Addresses = append(p.Addresses, addr)
+		peers.Addresses = append(peers.Addresses, addr)
 	}
 	var err error
-	if p.Conn, err = system.OpenWithRetry(func() (*net.UDPConn, error) { return open(listen) }); err != nil {
+	if peers.Conn, err = system.OpenWithRetry(func() (*net.UDPConn, error) { return open(listen) }); err != nil {
 		return nil, fmt.Errorf("news: %w", err)
 	}
-	return p, nil
+	return peers, nil
 }
 
 // SendUpdate sends an update to a peer. A message that cannot be sent counts as lost.
@@ -125,7 +125,7 @@
 }
 
 // Listen receives messages until the context ends.
-func (p *Peers) Listen(ctx context.Context, l *Loop) error {
+func (p *Peers) Listen(ctx context.Context, loop *Loop) error {
 	stop := context.AfterFunc(ctx, func() { p.Conn.Close() })
 	defer stop()
 	buf := make([]byte, 2048)
@@ -146,7 +146,7 @@
 				p.Dropped.Add(1)
 				continue
 			}
-			l.Post(func() { p.OnBudget(from, message) })
+			loop.Post(func() { p.OnBudget(from, message) })
 			continue
 		}
 		raw := buf[:n]
@@ -160,8 +160,8 @@
 			continue
 		}
 		raw = append([]byte(nil), raw...)
-		l.Post(func() {
-			if l.ReceivePeerUpdate(raw) != nil {
+		loop.Post(func() {
+			if loop.ReceivePeerUpdate(raw) != nil {
 				p.Dropped.Add(1)
 			}
 		})
--- a/internal/dispatch/peers_test.go
+++ b/internal/dispatch/peers_test.go
@@ -12,7 +12,7 @@
 
 // Any datagram is either decoded or dropped: no panic, and no peer number or length out of bounds.
 func FuzzPeerDatagrams(f *testing.F) {
-	p := &Peers{Number: 0, Addresses: make([]*net.UDPAddr, 3)}
+	peers := &Peers{Number: 0, Addresses: make([]*net.UDPAddr, 3)}
 	header := func(messageType byte, from uint16) []byte {
 		return binary.BigEndian.AppendUint16([]byte{messageType}, from)
 	}
@@ -32,11 +32,11 @@
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		raw = raw[:min(len(raw), 2048)]
-		if from, message, err := p.decodeBudget(raw); err == nil &&
-			(from == p.Number || from >= len(p.Addresses) || (message.Request == nil) == (message.Lease == nil)) {
+		if from, message, err := peers.decodeBudget(raw); err == nil &&
+			(from == peers.Number || from >= len(peers.Addresses) || (message.Request == nil) == (message.Lease == nil)) {
 			t.Errorf("%x: from %d, %+v", raw, from, message)
 		}
-		if update, err := p.unwrapUpdate(raw); err == nil && len(update) != 8 {
+		if update, err := peers.unwrapUpdate(raw); err == nil && len(update) != 8 {
 			t.Errorf("%x: an update of %d bytes", raw, len(update))
 		}
 	})
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -53,7 +53,7 @@
 		return attempt, final, true
 	case final = <-c.final:
 	}
-	// With a short answer both channels may be ready, and select may have taken the end before the beginning.
+	// With a short answer both channels may be ready, and select may have taken the end before the start.
 	select {
 	case attempt = <-c.started:
 		c.final <- final
--- a/internal/dispatch/runtime.go
+++ b/internal/dispatch/runtime.go
@@ -77,18 +77,18 @@
 	l.answer(l.requests[scheduled], kserve.FinalResponse{Outcome: kserve.Failed, Error: "given up on; it may have run"})
 }
 
-// Wake calls a function in the loop after some time, at the earliest after the present turn.
+// Schedule calls a function in the loop after some time, at the earliest after the present turn.
 func (l *Loop) Schedule(after time.Duration, callback func()) {
 	l.timers.Schedule(l.now+max(after, 0), callback)
 }
 
-// Watch does nothing: the service discovery list is pushed to the loop without being asked for.
+// WatchEndpoints does nothing: service discovery pushes its list to the loop.
 func (l *Loop) WatchEndpoints(bool) {}
 
-// Tell sends an update to a peer.
+// SendPeerUpdate sends an update to a peer.
 func (l *Loop) SendPeerUpdate(peer int, update brain.PeerUpdate) {
 	l.transport.SendPeerUpdate(peer, update)
 }
 
-// Note logs a text of the scheduler's.
+// LogInfo logs a text of the scheduler.
 func (l *Loop) LogInfo(text string) { l.Log.Info(text) }
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -54,13 +54,15 @@
 	lifetime, end := context.WithCancel(context.WithoutCancel(ctx))
 	defer end()
 	var attempts, group errgroup.Group
-	transport := NewHTTPTransport(lifetime, &attempts, config.Limits.MaxConnsPerBackend, config.Limits.DialTimeout.Std(), clock)
+	transport := NewHTTPTransport(lifetime, &attempts, config.Limits.MaxConnsPerBackend, config.Limits.DialTimeout.Std(),
+		clock)
 	transport.Model, transport.StallTimeout = config.Model, config.Limits.StallTimeout.Std()
 	allowed, err := reach.NewAllowList(config.Instance.AllowedBackends)
 	if err != nil {
 		return err
 	}
-	loop, err := NewLoop(config.SchedulerParameters(), seed, Resolver{config.ZoneIndex, config.KindIndex, allowed.Contains},
+	loop, err := NewLoop(config.SchedulerParameters(), seed,
+		Resolver{config.ZoneIndex, config.KindIndex, allowed.Contains},
 		transport, clock, epoch, log)
 	if err != nil {
 		return err
@@ -82,7 +84,8 @@
 	}
 	var listeners []net.Listener
 	limiter, limiterMu := &storm.ConnLimiter{
-		ConnsPerSecond: config.Instance.ConnsPerSecond, Burst: max(config.Instance.ConnsPerSecond, 1), MaxOpen: config.Instance.MaxConns,
+		ConnsPerSecond: config.Instance.ConnsPerSecond, Burst: max(config.Instance.ConnsPerSecond, 1),
+		MaxOpen: config.Instance.MaxConns,
 	}, &sync.Mutex{}
 	for i, address := range append(slices.Clone(config.Instance.Listen), config.Instance.AdminListen...) {
 		spec, err := reach.ParseListen(address)
@@ -120,7 +123,8 @@
 		loop.SetAccounting(accounting)
 	}
 	discovery := &boxlist.Follower{
-		Address: config.Instance.DiscoveryAddr, Name: config.Instance.Name, CacheDir: config.Instance.EndpointCacheFolder, Log: log,
+		Address: config.Instance.DiscoveryAddr, Name: config.Instance.Name, CacheDir: config.Instance.EndpointCacheFolder,
+		Log:        log,
 		HTTPClient: &http.Client{Transport: &http.Transport{}},
 		OnUpdate: func(entries []boxlist.Endpoint, complete bool) {
 			loop.Post(func() { loop.UpdateBackends(entries, complete) })
@@ -283,35 +287,36 @@
 
 // statusReport returns what GET /state reports to operators.
 func statusReport(
-	ctx context.Context, l *Loop, discovery *boxlist.Follower, transport *HTTPTransport, server *Server,
+	ctx context.Context, loop *Loop, discovery *boxlist.Follower, transport *HTTPTransport, server *Server,
 	uptime time.Duration,
 ) map[string]any {
 	age, heard := discovery.Staleness()
 	out := map[string]any{
-		"dispatcher": l.Epoch, "up_s": uptime.Seconds(), "open": server.openRequests.Load(),
+		"dispatcher": loop.Epoch, "up_s": uptime.Seconds(), "open": server.openRequests.Load(),
 		"stopping": server.stopping.Load(), "list_heard": heard, "list_age_s": age.Seconds(),
 		"list_gaps": discovery.Gaps(), "releases_refused": transport.DroppedReleases.Load(),
 	}
 	if transport.Peers != nil {
 		out["messages_dropped"] = transport.Peers.Dropped.Load()
 	}
-	l.Call(ctx, func() {
-		counters := l.Counters
+	loop.Call(ctx, func() {
+		counters := loop.Counters
 		out["taken"], out["satisfied"], out["declined"], out["forfeited"] =
 			counters.Accepted, counters.Served, counters.Rejected, counters.Failed
 		out["left"], out["overdue"], out["trips"], out["held_timers"] =
-			counters.Disconnected, counters.Overdue, counters.Attempts, l.timers.Len()
+			counters.Disconnected, counters.Overdue, counters.Attempts, loop.timers.Len()
 		out["damped"] = counters.Throttled
-		if accounting := l.accounting; accounting != nil {
-			out["budgets"] = l.budgetState()
+		if accounting := loop.accounting; accounting != nil {
+			out["budgets"] = loop.budgetState()
 			if accounting.Account != nil {
 				out["account"] = accounting.Account.Counts
 			}
 		}
-		if guard := l.RetryThrottle; guard != nil {
+		if guard := loop.RetryThrottle; guard != nil {
 			out["storm"] = map[string]any{
-				"on": guard.Active(l.now), "again_share": guard.RetryShare(l.now), "promised_returns": guard.BookedRetries(l.now),
-				"rate": guard.ServiceRate(l.now), "counts": guard.Counters,
+				"on": guard.Active(loop.now), "again_share": guard.RetryShare(loop.now),
+				"promised_returns": guard.BookedRetries(loop.now),
+				"rate":             guard.ServiceRate(loop.now), "counts": guard.Counters,
 			}
 		}
 		outcomes := map[string]int64{}
@@ -320,7 +325,7 @@
 		}
 		out["outcomes"] = outcomes
 		var backends []map[string]any
-		for _, backend := range l.backends {
+		for _, backend := range loop.backends {
 			known := backend.SchedulerState
 			backends = append(backends, map[string]any{
 				"name": backend.Name, "at": backend.Addresses,
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -46,8 +46,8 @@
 func startService(t *testing.T, change func(*setup.DispatcherConfig)) *testService {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	s := &testService{t: t, config: setup.DefaultDispatcherConfig(), ended: make(chan error, 1)}
-	s.config.Classes = []setup.Class{
+	service := &testService{t: t, config: setup.DefaultDispatcherConfig(), ended: make(chan error, 1)}
+	service.config.Classes = []setup.Class{
 		{
 			Name: "trail-info", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second),
 			Deadline: setup.Duration(2 * time.Second), Value: 1, DefaultMaxTokens: 40,
@@ -57,56 +57,57 @@
 			Deadline: setup.Duration(2 * time.Second), Value: 5, DefaultMaxTokens: 40,
 		},
 	}
-	s.config.BackendKinds = []setup.BackendKind{
+	service.config.BackendKinds = []setup.BackendKind{
 		{Name: "reader", Role: "reader", MemoryTokens: 2e5}, {Name: "writer", Role: "writer", MemoryTokens: 2e5},
 	}
-	s.config.Instance.Listen, s.config.Instance.DiscoveryAddr, s.config.Instance.ShutdownTimeout =
+	service.config.Instance.Listen, service.config.Instance.DiscoveryAddr, service.config.Instance.ShutdownTimeout =
 		[]string{"127.0.0.1:0"}, freeAddress(t), setup.Duration(5*time.Second)
-	s.config.Instance.BodyTimeout, s.config.Instance.WriteTimeout, s.config.Instance.Seed =
+	service.config.Instance.BodyTimeout, service.config.Instance.WriteTimeout, service.config.Instance.Seed =
 		setup.Duration(300*time.Millisecond), setup.Duration(500*time.Millisecond), 5
-	s.config.Limits.DecodeCanPrefill = false
+	service.config.Limits.DecodeCanPrefill = false
 	if change != nil {
-		change(&s.config)
+		change(&service.config)
 	}
 	var err error
-	if s.events, err = record.Open("", record.Header{}); err != nil {
+	if service.events, err = record.Open("", record.Header{}); err != nil {
 		t.Fatal(err)
 	}
 	talk := standin.ClassProfile{NewTokens: 200, AnswerTokens: 20, PrefixTokens: 100}
-	s.fleet = standin.NewFleet(s.config.Deployment, s.events, standin.Links{SameRack: 1e6, CrossRack: 1e6, ZoneFactor: 1},
+	service.fleet = standin.NewFleet(service.config.Deployment, service.events,
+		standin.Links{SameRack: 1e6, CrossRack: 1e6, ZoneFactor: 1},
 		map[string]standin.ClassProfile{"trail-info": talk, "hut-booking": talk})
-	s.discovery = s.fleet.NewDiscovery(s.config.Instance.DiscoveryAddr)
-	if err := s.discovery.Start(); err != nil {
+	service.discovery = service.fleet.NewDiscovery(service.config.Instance.DiscoveryAddr)
+	if err := service.discovery.Start(); err != nil {
 		t.Fatal(err)
 	}
-	s.prefill, s.decode = s.startBackend("reader"), s.startBackend("writer")
+	service.prefill, service.decode = service.startBackend("reader"), service.startBackend("writer")
 	ctx, cancel := context.WithCancel(context.Background())
 	listening := make(chan net.Addr, 1)
 	go func() {
-		s.ended <- dispatch.Serve(ctx, s.config, slog.New(slog.NewTextHandler(io.Discard, nil)),
+		service.ended <- dispatch.Serve(ctx, service.config, slog.New(slog.NewTextHandler(io.Discard, nil)),
 			func(addr net.Addr) { listening <- addr })
 	}()
-	s.baseURL = "http://" + (<-listening).String()
-	s.stop = sync.OnceFunc(func() {
+	service.baseURL = "http://" + (<-listening).String()
+	service.stop = sync.OnceFunc(func() {
 		cancel()
-		if err := <-s.ended; err != nil {
+		if err := <-service.ended; err != nil {
 			t.Error(err)
 		}
 	})
 	t.Cleanup(func() {
-		s.stop()
-		s.prefill.Kill("end")
-		s.decode.Kill("end")
-		s.discovery.Stop()
-		s.fleet.Close()
+		service.stop()
+		service.prefill.Kill("end")
+		service.decode.Kill("end")
+		service.discovery.Stop()
+		service.fleet.Close()
 		http.DefaultClient.CloseIdleConnections()
 		goleak.VerifyNone(t, before)
 	})
 	for range 200 {
-		if resp, err := http.Get(s.baseURL + "/v2/health/ready"); err == nil {
+		if resp, err := http.Get(service.baseURL + "/v2/health/ready"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				return s
+				return service
 			}
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -160,19 +161,19 @@
 const modelPath = "/v2/models/lodge/"
 
 func TestEachRequestFormIsServedEndToEnd(t *testing.T) {
-	s := startService(t, nil)
-	status, body, _ := s.post(modelPath+"generate", strings.NewReader(
+	service := startService(t, nil)
+	status, body, _ := service.post(modelPath+"generate", strings.NewReader(
 		`{"id":"a","text_input":"is the hut free","parameters":{"grade":"hut-booking","session":"s"}}`))
 	if status != 200 || !strings.Contains(body, `"text_output":" word`) ||
 		!strings.Contains(body, `"final":"satisfied"`) {
 		t.Errorf("generate: %d %s", status, body)
 	}
-	status, body, _ = s.post(modelPath+"versions/1/infer", strings.NewReader(
+	status, body, _ = service.post(modelPath+"versions/1/infer", strings.NewReader(
 		`{"id":"b","inputs":[{"name":"text_input","shape":[1],"datatype":"BYTES","data":["is the hut free"]}]}`))
 	if status != 200 || !strings.Contains(body, `"datatype":"BYTES"`) || !strings.Contains(body, `"satisfied"`) {
 		t.Errorf("infer: %d %s", status, body)
 	}
-	status, body, header := s.post(modelPath+"generate_stream", strings.NewReader(
+	status, body, header := service.post(modelPath+"generate_stream", strings.NewReader(
 		`{"id":"c","text_input":"x","parameters":{"prompt_tokens":900}}`))
 	if status != 200 || header.Get("Content-Type") != "text/event-stream" || strings.Count(body, "data: ") < 5 ||
 		!strings.HasSuffix(body, "\n\n") || strings.Count(body, "event: end") != 1 {
@@ -182,7 +183,7 @@
 		"/v2": 200, "/v2/health/live": 200, modelPath + "ready": 200, "/v2/models/lodge": 200, "/v2/models/other": 404,
 		"/v2/models/lodge/versions/7": 404, "/state": 200,
 	} {
-		resp, err := http.Get(s.baseURL + path)
+		resp, err := http.Get(service.baseURL + path)
 		if err != nil || resp.StatusCode != want {
 			t.Errorf("%s: %v %v, want status %d", path, resp, err, want)
 			continue
@@ -203,7 +204,7 @@
 }
 
 func TestInvalidRequestsAreRejectedWithFieldName(t *testing.T) {
-	s := startService(t, func(config *setup.DispatcherConfig) { config.Instance.MaxBodyBytes = 64 << 10 })
+	service := startService(t, func(config *setup.DispatcherConfig) { config.Instance.MaxBodyBytes = 64 << 10 })
 	for _, c := range []struct {
 		method, body string
 		status       int
@@ -223,21 +224,21 @@
 		{"infer", `{"inputs":[{"name":"a","shape":[1],"datatype":"FP32","data":[1]}]}`, 400, "inputs.0.datatype"},
 		{"infer", `{"inputs":[]}`, 400, "inputs"},
 	} {
-		status, body, _ := s.post(modelPath+c.method, strings.NewReader(c.body))
+		status, body, _ := service.post(modelPath+c.method, strings.NewReader(c.body))
 		if status != c.status || !strings.Contains(body, c.text) {
 			t.Errorf("%.60s: %d %s, want %d with %q", c.body, status, body, c.status, c.text)
 		}
 	}
-	if status, body, _ := s.post("/v2/models/other/generate", strings.NewReader(`{}`)); status != 404 ||
+	if status, body, _ := service.post("/v2/models/other/generate", strings.NewReader(`{}`)); status != 404 ||
 		!strings.Contains(body, "other") {
 		t.Errorf("another model: %d %s", status, body)
 	}
 	start := time.Now()
-	status, body, _ := s.post(modelPath+"generate", endlessBody{" ", 20 * time.Millisecond})
+	status, body, _ := service.post(modelPath+"generate", endlessBody{" ", 20 * time.Millisecond})
 	if took := time.Since(start); took > 3*time.Second || status != 408 {
 		t.Errorf("a body that never ends: %d %s after %v", status, body, took)
 	}
-	for _, event := range s.events.Events() {
+	for _, event := range service.events.Events() {
 		if event.Kind == record.AttemptReceived {
 			t.Errorf("an invalid request was sent to a backend: %+v", event)
 		}
@@ -302,13 +303,13 @@
 // A client that reads nothing must slow down its backend instead of filling the dispatcher's memory, and must be
 // disconnected in the end.
 func TestSlowClientAppliesBackpressureAndIsDisconnected(t *testing.T) {
-	s := startService(t, nil)
+	service := startService(t, nil)
 	var conns []net.Conn
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for i := range 20 {
-		conn, err := net.Dial("tcp", strings.TrimPrefix(s.baseURL, "http://"))
+		conn, err := net.Dial("tcp", strings.TrimPrefix(service.baseURL, "http://"))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -326,12 +327,12 @@
 	for _, conn := range conns {
 		conn.Close()
 	}
-	s.stop()
+	service.stop()
 }
 
 // A graceful shutdown in the middle of a burst loses no request: those in flight are served, later ones are rejected.
 func TestGracefulShutdownMidBurstLosesNoRequest(t *testing.T) {
-	s := startService(t, nil)
+	service := startService(t, nil)
 	const n = 120
 	finals := make([]string, n)
 	var clients sync.WaitGroup
@@ -340,7 +341,7 @@
 		go func() {
 			defer clients.Done()
 			time.Sleep(time.Duration(i) * 4 * time.Millisecond)
-			_, body, _ := s.post(modelPath+"generate", strings.NewReader(
+			_, body, _ := service.post(modelPath+"generate", strings.NewReader(
 				fmt.Sprintf(`{"id":"q%d","text_input":"x","parameters":{"max_tokens":30}}`, i)))
 			var final kserve.FinalResponse
 			json.Unmarshal([]byte(body), &final)
@@ -351,10 +352,10 @@
 		}()
 	}
 	time.Sleep(200 * time.Millisecond)
-	s.stop()
+	service.stop()
 	clients.Wait()
 	sent := map[string]bool{}
-	for _, event := range s.events.Events() {
+	for _, event := range service.events.Events() {
 		if event.Kind == record.AttemptReceived {
 			sent[event.Try] = true
 		}
@@ -378,18 +379,18 @@
 // A graceful shutdown does not wait for a stuck answer longer than configured, and the request still gets its final
 // answer.
 func TestGracefulShutdownTimeoutFailsOpenRequests(t *testing.T) {
-	s := startService(t, func(config *setup.DispatcherConfig) {
+	service := startService(t, func(config *setup.DispatcherConfig) {
 		config.Instance.ShutdownTimeout = setup.Duration(400 * time.Millisecond)
 	})
-	s.decode.UpdateFaults(func(faults *standin.Faults) { faults.SlowFactor = 50 })
+	service.decode.UpdateFaults(func(faults *standin.Faults) { faults.SlowFactor = 50 })
 	answer := make(chan string, 1)
 	go func() {
-		_, body, _ := s.post(modelPath+"generate_stream", strings.NewReader(`{"text_input":"x"}`))
+		_, body, _ := service.post(modelPath+"generate_stream", strings.NewReader(`{"text_input":"x"}`))
 		answer <- body
 	}()
 	time.Sleep(200 * time.Millisecond)
 	start := time.Now()
-	s.stop()
+	service.stop()
 	if took := time.Since(start); took > 3*time.Second {
 		t.Errorf("the shutdown took %v", took)
 	}
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -142,7 +142,8 @@
 		params.MaxTokens = class.DefaultMaxTokens
 	}
 	if params.Timeout == 0 {
-		params.Timeout = class.Deadline.Std() + 2*time.Duration(float64(params.PromptTokens)/1000*float64(class.TargetPer1000Tokens))
+		params.Timeout = class.Deadline.Std() +
+			2*time.Duration(float64(params.PromptTokens)/1000*float64(class.TargetPer1000Tokens))
 	}
 	if s.stopping.Load() {
 		kserve.WriteFinalResponse(w, kserve.FinalResponse{
@@ -251,7 +252,9 @@
 }
 
 // bufferAnswer waits for the whole answer and returns its text. ok is false if the client has disconnected.
-func (s *Server) bufferAnswer(r *http.Request, request *ClientRequest) (text []byte, final kserve.FinalResponse, ok bool) {
+func (s *Server) bufferAnswer(
+	r *http.Request, request *ClientRequest,
+) (text []byte, final kserve.FinalResponse, ok bool) {
 	attempt, final, ok := request.WaitStart(r.Context())
 	if !ok {
 		s.disconnected(request)
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -139,30 +139,30 @@
 }
 
 func newIndex(header record.Header, events []record.Event) *index {
-	x := &index{
+	idx := &index{
 		header: header, events: events, tries: map[string]*clientTry{}, attempts: map[string][]*attempt{},
 		ended: map[string][]int64{}, started: map[string][]int64{}, classes: map[string]setup.Class{},
 	}
 	for _, class := range header.Terms.Classes {
-		x.classes[class.Name] = class
+		idx.classes[class.Name] = class
 	}
 	open := map[string]*attempt{}
 	for i, event := range events {
-		x.endUs = max(x.endUs, event.TimeUs)
+		idx.endUs = max(idx.endUs, event.TimeUs)
 		if event.Kind == record.RequestSent {
-			x.tries[event.Try] = &clientTry{sent: event}
-			x.order = append(x.order, event.Try)
+			idx.tries[event.Try] = &clientTry{sent: event}
+			idx.order = append(idx.order, event.Try)
 		}
-		try := x.tries[event.Try]
+		try := idx.tries[event.Try]
 		attemptKey := fmt.Sprintf("%s/%s/%d/%s", event.Backend, event.RequestKey, event.Attempt, event.Phase)
 		switch event.Kind {
 		case record.ProcessStarted:
 			if event.Dispatcher != "" {
-				x.started[event.Dispatcher] = append(x.started[event.Dispatcher], event.TimeUs)
+				idx.started[event.Dispatcher] = append(idx.started[event.Dispatcher], event.TimeUs)
 			}
 		case record.ProcessEnded:
 			if event.Dispatcher != "" {
-				x.ended[event.Dispatcher] = append(x.ended[event.Dispatcher], event.TimeUs)
+				idx.ended[event.Dispatcher] = append(idx.ended[event.Dispatcher], event.TimeUs)
 			}
 		case record.AttemptReceived:
 			received := &attempt{Event: event, endUs: -1}
@@ -175,7 +175,7 @@
 				received.endUs = max(event.ClosedUs, received.TimeUs)
 			}
 			open[attemptKey] = received
-			x.attempts[event.RequestKey] = append(x.attempts[event.RequestKey], received)
+			idx.attempts[event.RequestKey] = append(idx.attempts[event.RequestKey], received)
 			if try != nil {
 				try.attempts = append(try.attempts, received)
 			}
@@ -209,15 +209,15 @@
 			try.duplicates = append(try.duplicates, event)
 		}
 	}
-	for _, attempts := range x.attempts {
+	for _, attempts := range idx.attempts {
 		slices.SortStableFunc(attempts, func(a, b *attempt) int { return cmp.Compare(a.TimeUs, b.TimeUs) })
 		for _, a := range attempts {
 			if a.endUs < 0 {
-				a.endUs = x.endUs
+				a.endUs = idx.endUs
 			}
 		}
 	}
-	return x
+	return idx
 }
 
 func milliseconds(us int64) float64 { return float64(us) / 1000 }
@@ -401,40 +401,41 @@
 		case event.Kind == record.ProcessStarted && event.Backend != "":
 			current[event.Backend] = nil
 			if event.SlowStart {
-				s := &start{timeUs: event.TimeUs, notified: map[string]bool{}}
-				current[event.Backend], starts[event.StartID] = s, s
+				newStart := &start{timeUs: event.TimeUs, notified: map[string]bool{}}
+				current[event.Backend], starts[event.StartID] = newStart, newStart
 			}
 		case event.Kind == record.EndpointNotified && starts[event.StartID] != nil:
 			starts[event.StartID].notified[event.Dispatcher] = true
 		case event.Kind == record.AttemptReceived && current[event.Backend] != nil:
-			s := current[event.Backend]
-			if event.TimeUs-s.timeUs > rampUs {
+			newStart := current[event.Backend]
+			if event.TimeUs-newStart.timeUs > rampUs {
 				continue
 			}
 			r.Checked++
-			s.inWindow = append(s.inWindow, event)
-			for s.inWindow[0].TimeUs < event.TimeUs-windowUs {
-				s.inWindow = s.inWindow[1:]
+			newStart.inWindow = append(newStart.inWindow, event)
+			for newStart.inWindow[0].TimeUs < event.TimeUs-windowUs {
+				newStart.inWindow = newStart.inWindow[1:]
 			}
 			work, notifiedWork := 0.0, 0.0
-			for _, a := range s.inWindow {
+			for _, a := range newStart.inWindow {
 				work += a.Work
-				if s.notified[dispatcherOf(a.RequestKey)] {
+				if newStart.notified[dispatcherOf(a.RequestKey)] {
 					notifiedWork += a.Work
 				}
 			}
-			capacityShare := rules.SlowStartShare + (1-rules.SlowStartShare)*float64(event.TimeUs-s.timeUs)/float64(rampUs)
+			capacityShare := rules.SlowStartShare +
+				(1-rules.SlowStartShare)*float64(event.TimeUs-newStart.timeUs)/float64(rampUs)
 			load := work / (rules.SlowStartMultiple * capacityShare * rules.SlowStartWindow.Std().Seconds())
 			if notifiedWork >= minNotifiedWorkShare*work {
 				peakLoad = max(peakLoad, load)
 			}
-			if load <= slowStartTolerance || s.overloaded {
+			if load <= slowStartTolerance || newStart.overloaded {
 				continue
 			}
-			s.overloaded = true
+			newStart.overloaded = true
 			if notifiedWork >= minNotifiedWorkShare*work {
 				r.addViolation("%s, up cold for %.1f s, was sent %.2f s of work in %v, of at most %.2f s", event.Backend,
-					milliseconds(event.TimeUs-s.timeUs)/1000, work, rules.SlowStartWindow.Std(), work/load)
+					milliseconds(event.TimeUs-newStart.timeUs)/1000, work, rules.SlowStartWindow.Std(), work/load)
 			} else {
 				*notes = append(*notes, fmt.Sprintf("%s was sent %.2f times what it bears while cold, "+
 					"by dispatchers that were not told of its start", event.Backend, load))
@@ -487,7 +488,7 @@
 }
 
 // summarize counts the outcomes and the value of requests.
-func (x *index) summarize(v *Verdict) {
+func (x *index) summarize(verdict *Verdict) {
 	rows := map[string]*ClassRow{}
 	for _, class := range x.header.Terms.Classes {
 		rows[class.Name] = &ClassRow{Class: class.Name}
@@ -503,7 +504,7 @@
 		}
 		tries[request] = append(tries[request], try)
 		attempts += len(try.attempts)
-		v.Effects += len(try.effects)
+		verdict.Effects += len(try.effects)
 	}
 	var firstTokenMs []float64
 	for _, request := range requests {
@@ -548,13 +549,13 @@
 		row := rows[class.Name]
 		requestedValue, servedValue = requestedValue+row.requestedValue, servedValue+row.servedValue
 		row.ValueShare = row.servedValue / max(row.requestedValue, 1e-9)
-		v.Classes = append(v.Classes, *row)
+		verdict.Classes = append(verdict.Classes, *row)
 	}
-	v.ValueShare = servedValue / max(requestedValue, 1e-9)
-	v.AttemptsPerRequest = float64(attempts) / float64(max(len(requests), 1))
+	verdict.ValueShare = servedValue / max(requestedValue, 1e-9)
+	verdict.AttemptsPerRequest = float64(attempts) / float64(max(len(requests), 1))
 	slices.SortFunc(firstTokenMs, cmp.Compare)
 	if n := len(firstTokenMs); n > 0 {
-		v.FirstTokenP50Ms, v.FirstTokenP99Ms = firstTokenMs[n/2], firstTokenMs[min(n*99/100, n-1)]
+		verdict.FirstTokenP50Ms, verdict.FirstTokenP99Ms = firstTokenMs[n/2], firstTokenMs[min(n*99/100, n-1)]
 	}
 }
 
--- a/internal/judge/judge_test.go
+++ b/internal/judge/judge_test.go
@@ -12,7 +12,8 @@
 
 func testHeader() record.Header {
 	t := setup.DefaultDeployment()
-	t.Rules.KVCacheHoldLimit, t.Rules.DrainGrace = setup.Duration(300*time.Millisecond), setup.Duration(250*time.Millisecond)
+	t.Rules.KVCacheHoldLimit, t.Rules.DrainGrace = setup.Duration(300*time.Millisecond),
+		setup.Duration(250*time.Millisecond)
 	t.Rules.SlowStartMultiple, t.Rules.SlowStartShare, t.Rules.SlowStartRamp = 2, 0.25, setup.Duration(10*time.Second)
 	for _, effect := range []string{"idempotent", "deduplicated", "unrepeatable"} {
 		t.Classes = append(t.Classes, setup.Class{Name: effect, Effect: effect, DedupScope: "zone", Value: 1})
@@ -46,7 +47,7 @@
 
 func TestCheckReportsEachViolationAndNoOther(t *testing.T) {
 	key := "d0.aa/1"
-	at := func(ms int64, e record.Event) record.Event { e.TimeUs = ms * 1000; return e }
+	at := func(ms int64, event record.Event) record.Event { event.TimeUs = ms * 1000; return event }
 	for _, c := range []struct {
 		name  string
 		rule  int // 0: none is broken
@@ -109,9 +110,9 @@
 			at(900, record.Event{Kind: record.Note})}},
 	} {
 		var events []record.Event
-		for _, e := range servedRequest("q1.0", key, "unrepeatable", 0) {
-			if e.Kind != c.drop {
-				events = append(events, e)
+		for _, event := range servedRequest("q1.0", key, "unrepeatable", 0) {
+			if event.Kind != c.drop {
+				events = append(events, event)
 			}
 		}
 		events = sortByTime(append(events, c.added...))
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -60,20 +60,21 @@
 		return nil, fmt.Errorf("%s:%w", file, err)
 	}
 	requests := make([]standin.Request, len(arrivals))
-	for i, a := range arrivals {
-		n := max(terms.ClassIndex(a.Class), 0)
-		if a.Class != "" && terms.ClassIndex(a.Class) < 0 {
-			return nil, fmt.Errorf("%s: arrival %d: class %q is not configured", file, i+1, a.Class)
+	for i, arrival := range arrivals {
+		n := max(terms.ClassIndex(arrival.Class), 0)
+		if arrival.Class != "" && terms.ClassIndex(arrival.Class) < 0 {
+			return nil, fmt.Errorf("%s: arrival %d: class %q is not configured", file, i+1, arrival.Class)
 		}
-		if a.AtMs < 0 || a.Tokens < 1 || a.PrefixTokens < 0 || a.PrefixTokens > a.Tokens || a.MaxTokens < 0 {
-			return nil, fmt.Errorf("%s: arrival %d: time or token counts out of range: %+v", file, i+1, a)
+		if arrival.AtMs < 0 || arrival.Tokens < 1 || arrival.PrefixTokens < 0 || arrival.PrefixTokens > arrival.Tokens ||
+			arrival.MaxTokens < 0 {
+			return nil, fmt.Errorf("%s: arrival %d: time or token counts out of range: %+v", file, i+1, arrival)
 		}
 		class := terms.Classes[n]
-		kiloTokens := float64(a.Tokens) / 1000
+		kiloTokens := float64(arrival.Tokens) / 1000
 		request := standin.Request{
-			SubmitAt: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Class: class.Name,
-			Tenant: a.Tenant, Session: a.Session, PrefixID: a.PrefixID, PrefixTokens: a.PrefixTokens,
-			PromptTokens: a.Tokens, MaxTokens: a.MaxTokens,
+			SubmitAt: time.Duration(arrival.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Class: class.Name,
+			Tenant: arrival.Tenant, Session: arrival.Session, PrefixID: arrival.PrefixID, PrefixTokens: arrival.PrefixTokens,
+			PromptTokens: arrival.Tokens, MaxTokens: arrival.MaxTokens,
 			LatencyTarget: class.LatencyTarget.Std() + time.Duration(kiloTokens*float64(class.TargetPer1000Tokens)),
 			Deadline:      class.Deadline.Std() + 2*time.Duration(kiloTokens*float64(class.TargetPer1000Tokens)),
 			PatienceShare: 1, Idempotent: class.Effect == "idempotent",
@@ -83,7 +84,7 @@
 		}
 		requests[i] = request
 	}
-	slices.SortStableFunc(requests, func(a, b standin.Request) int { return int(a.SubmitAt - b.SubmitAt) })
+	slices.SortStableFunc(requests, func(arrival, b standin.Request) int { return int(arrival.SubmitAt - b.SubmitAt) })
 	return requests, nil
 }
 
@@ -112,32 +113,32 @@
 		if err != nil || len(arrivals) >= maxArrivals {
 			return nil, fmt.Errorf("%d: %v (at most %d arrivals)", line, err, maxArrivals)
 		}
-		var a Arrival
+		var arrival Arrival
 		for i, column := range columns {
 			var parseErr error
 			switch column {
 			case "at_ms":
-				a.AtMs, parseErr = strconv.ParseFloat(row[i], 64)
+				arrival.AtMs, parseErr = strconv.ParseFloat(row[i], 64)
 			case "tokens":
-				a.Tokens, parseErr = strconv.Atoi(row[i])
+				arrival.Tokens, parseErr = strconv.Atoi(row[i])
 			case "shared_tokens":
-				a.PrefixTokens, parseErr = strconv.Atoi(row[i])
+				arrival.PrefixTokens, parseErr = strconv.Atoi(row[i])
 			case "max_tokens":
-				a.MaxTokens, parseErr = strconv.Atoi(row[i])
+				arrival.MaxTokens, parseErr = strconv.Atoi(row[i])
 			case "grade":
-				a.Class = strings.Clone(row[i])
+				arrival.Class = strings.Clone(row[i])
 			case "shared":
-				a.PrefixID = strings.Clone(row[i])
+				arrival.PrefixID = strings.Clone(row[i])
 			case "session":
-				a.Session = strings.Clone(row[i])
+				arrival.Session = strings.Clone(row[i])
 			case "channel":
-				a.Tenant = strings.Clone(row[i])
+				arrival.Tenant = strings.Clone(row[i])
 			}
 			if parseErr != nil {
 				return nil, fmt.Errorf("%d: %s: %q is not a number", line, column, row[i])
 			}
 		}
-		arrivals = append(arrivals, a)
+		arrivals = append(arrivals, arrival)
 	}
 }
 
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -14,11 +14,13 @@
 	terms := setup.DefaultDeployment()
 	terms.Classes = []setup.Class{
 		{
-			Name: "quick", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second),
+			Name: "quick", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second),
+			Deadline:         setup.Duration(4 * time.Second),
 			DefaultMaxTokens: 70,
 		},
 		{
-			Name: "booking", Effect: "unrepeatable", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(4 * time.Second),
+			Name: "booking", Effect: "unrepeatable", LatencyTarget: setup.Duration(time.Second),
+			Deadline:         setup.Duration(4 * time.Second),
 			DefaultMaxTokens: 50,
 		},
 	}
--- a/internal/measure/dialers.go
+++ b/internal/measure/dialers.go
@@ -51,7 +51,8 @@
 func CompareDialers(ctx context.Context, attempts int, logf func(string, ...any)) ([]DialerResult, error) {
 	var results []DialerResult
 	for _, fault := range []string{
-		standin.EndpointServes, standin.EndpointRefuses, standin.EndpointBlackhole, standin.EndpointStalls, standin.EndpointStallsAfterResponse,
+		standin.EndpointServes, standin.EndpointRefuses, standin.EndpointBlackhole, standin.EndpointStalls,
+		standin.EndpointStallsAfterResponse,
 		standin.EndpointSlow, standin.EndpointResets, standin.EndpointFlaps,
 	} {
 		for _, addressCount := range []int{1, 3} {
@@ -115,7 +116,8 @@
 		spec.Preference = len(specs) // every dialer tries the faulty address first
 		specs = append(specs, spec)
 	}
-	backend := fleet.NewBackend(standin.Config{Name: "w1", Kind: "writer", Addresses: specs, Engine: standin.InstantEngine})
+	backend := fleet.NewBackend(standin.Config{Name: "w1", Kind: "writer", Addresses: specs,
+		Engine: standin.InstantEngine})
 	if err := backend.Boot(false); err != nil {
 		return result, err
 	}
@@ -166,7 +168,8 @@
 		time.Sleep(10 * time.Millisecond)
 		attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
 		attempt := kserve.AttemptParams{
-			Phase: kserve.PhaseCombined, DispatcherEpoch: "d.1", RequestNumber: lastRequest.Add(1), Class: "g", PromptTokens: 10, MaxTokens: 1,
+			Phase: kserve.PhaseCombined, DispatcherEpoch: "d.1", RequestNumber: lastRequest.Add(1), Class: "g",
+			PromptTokens: 10, MaxTokens: 1,
 		}
 		start := time.Now()
 		sent, err := send(attemptCtx, func() (*http.Request, error) {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -124,8 +124,9 @@
 func (bed *testbed) start(ctx context.Context, dir string) (stop func(), err error) {
 	config := setup.DefaultDispatcherConfig()
 	config.Classes = []setup.Class{{
-		Name: "measured", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(10 * time.Second),
-		Value: 1, DefaultMaxTokens: 8,
+		Name: "measured", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second),
+		Deadline: setup.Duration(10 * time.Second),
+		Value:    1, DefaultMaxTokens: 8,
 	}}
 	config.BackendKinds = []setup.BackendKind{
 		{Name: "reader", Role: "reader", MemoryTokens: 1 << 30},
@@ -136,7 +137,8 @@
 	if bed.recorder, err = record.Open("", record.Header{}); err != nil {
 		return nil, err
 	}
-	bed.fleet = standin.NewFleet(config.Deployment, bed.recorder, standin.Links{SameRack: 1e12, CrossRack: 1e12, ZoneFactor: 1},
+	bed.fleet = standin.NewFleet(config.Deployment, bed.recorder,
+		standin.Links{SameRack: 1e12, CrossRack: 1e12, ZoneFactor: 1},
 		map[string]standin.ClassProfile{"measured": {NewTokens: 1, AnswerTokens: 8}})
 	var addrs []string // of service discovery, the prefill backend, the decode backend and the dispatcher
 	for range 4 {
@@ -293,7 +295,8 @@
 func (bed *testbed) direct(ctx context.Context) (time.Time, error) {
 	id := bed.lastRequest.Add(1)
 	attempt := kserve.AttemptParams{
-		Phase: kserve.PhasePrefill, DispatcherEpoch: "direct.1", RequestNumber: id, DedupKey: fmt.Sprint("m", id), Class: "measured",
+		Phase: kserve.PhasePrefill, DispatcherEpoch: "direct.1", RequestNumber: id, DedupKey: fmt.Sprint("m", id),
+		Class:        "measured",
 		PromptTokens: 800, MaxTokens: 8,
 	}
 	req, err := kserve.NewAttemptRequest(ctx, "http://"+bed.prefillAddr, bed.model, "", attempt)
