--- a/internal/members/members.go
+++ b/internal/members/members.go
@@ -197,22 +197,28 @@
 
 // Tick advances the view to now. It must be called at least ten times a second.
 func (v *View) Tick(now time.Duration) {
-	for _, m := range v.filter(func(m *Member) bool { return m.State == Suspect && now >= m.suspicionDeadline }) {
+	for _, member := range v.filter(func(member *Member) bool {
+		return member.State == Suspect &&
+			now >= member.suspicionDeadline
+	}) {
 		v.Counts.Removed++
-		v.set(now, m, Update{m.Name, m.Address, m.Zone, m.Incarnation, Dead, ""})
+		v.set(now, member, Update{member.Name, member.Address, member.Zone, member.Incarnation, Dead, ""})
 	}
-	for _, m := range v.filter(func(m *Member) bool { return m.State >= Dead && now-m.Since > deadRetention }) {
-		delete(v.known, m.Name)
-		v.sorted = slices.Delete(v.sorted, v.index(m.Name), v.index(m.Name)+1)
+	for _, member := range v.filter(func(member *Member) bool {
+		return member.State >= Dead &&
+			now-member.Since > deadRetention
+	}) {
+		delete(v.known, member.Name)
+		v.sorted = slices.Delete(v.sorted, v.index(member.Name), v.index(member.Name)+1)
 	}
 	v.join(now)
 	v.syncState(now)
-	if p := v.current; p != nil && !p.answered && !p.indirect && now >= p.sentAt+directTimeout {
-		p.indirect = true
-		v.probeIndirectly(p)
+	if ping := v.current; ping != nil && !ping.answered && !ping.indirect && now >= ping.sentAt+directTimeout {
+		ping.indirect = true
+		v.probeIndirectly(ping)
 	}
-	for number, p := range v.outstanding {
-		if now-p.sentAt > 4*probeInterval {
+	for number, ping := range v.outstanding {
+		if now-ping.sentAt > 4*probeInterval {
 			delete(v.outstanding, number)
 		}
 	}
@@ -224,17 +230,17 @@
 		return
 	}
 	v.nextProbe = max(v.nextProbe+probeInterval, now)
-	if p := v.current; p != nil && !p.answered {
-		if m := v.known[p.target]; m != nil && m.State <= Suspect {
-			if m.State == Alive {
+	if ping := v.current; ping != nil && !ping.answered {
+		if member := v.known[ping.target]; member != nil && member.State <= Suspect {
+			if member.State == Alive {
 				v.Counts.Suspected++
 			}
-			v.applyUpdate(now, Update{m.Name, m.Address, m.Zone, m.Incarnation, Suspect, v.Self.Name})
+			v.applyUpdate(now, Update{member.Name, member.Address, member.Zone, member.Incarnation, Suspect, v.Self.Name})
 		}
 	}
 	v.current = nil
-	if m := v.nextTarget(); m != nil {
-		v.current = v.ping(now, m, Update{}, 0)
+	if member := v.nextTarget(); member != nil {
+		v.current = v.ping(now, member, Update{}, 0)
 	}
 }
 
@@ -329,31 +335,31 @@
 }
 
 // HandleMessage processes a message from another member.
-func (v *View) HandleMessage(now time.Duration, m Message) {
-	if m.From.Name == "" || m.From.Address == "" ||
-		m.From.Name == v.Self.Name && m.From.Incarnation <= v.Self.Incarnation {
+func (v *View) HandleMessage(now time.Duration, message Message) {
+	if message.From.Name == "" || message.From.Address == "" ||
+		message.From.Name == v.Self.Name && message.From.Incarnation <= v.Self.Incarnation {
 		v.Counts.Refused++
 		return
 	}
-	if m.Kind != Ack || m.From.Name != v.Self.Name {
-		v.applyUpdate(now, m.From)
+	if message.Kind != Ack || message.From.Name != v.Self.Name {
+		v.applyUpdate(now, message.From)
 	}
-	for _, u := range m.Updates {
+	for _, u := range message.Updates {
 		v.applyUpdate(now, u)
 	}
-	switch m.Kind {
+	switch message.Kind {
 	case Ping:
-		v.sendToMember(m.From.Name, m.From.Address, Message{Kind: Ack, Number: m.Number})
+		v.sendToMember(message.From.Name, message.From.Address, Message{Kind: Ack, Number: message.Number})
 	case PingReq:
-		if target := v.known[m.Target]; target != nil && target.State <= Suspect {
-			v.ping(now, target, m.From, m.Number)
+		if target := v.known[message.Target]; target != nil && target.State <= Suspect {
+			v.ping(now, target, message.From, message.Number)
 		}
 	case Ack:
-		if p := v.outstanding[m.Number]; p != nil {
+		if p := v.outstanding[message.Number]; p != nil {
 			p.answered = true
 			if p.requester.Name != "" {
 				v.send(p.requester.Address, Message{Kind: Ack, Number: p.number, Target: p.target})
-				delete(v.outstanding, m.Number)
+				delete(v.outstanding, message.Number)
 			}
 		}
 	case Join:
@@ -364,7 +370,7 @@
 		all = append(all, v.Self)
 		for len(all) > 0 { // a datagram holds about 20 updates
 			n := min(len(all), 20)
-			v.send(m.From.Address, Message{Kind: FullState, Updates: all[:n]})
+			v.send(message.From.Address, Message{Kind: FullState, Updates: all[:n]})
 			all = all[n:]
 		}
 	case FullState:
@@ -379,36 +385,37 @@
 }
 
 // applyUpdate applies an update about a member, from itself or from others.
-func (v *View) applyUpdate(now time.Duration, u Update) {
-	if u.Name == v.Self.Name {
+func (v *View) applyUpdate(now time.Duration, update Update) {
+	if update.Name == v.Self.Name {
 		// A wrong state of this member, or of an earlier start under its name, is refuted by a higher incarnation. A
 		// process that started later under the same name keeps the name; this one must not compete with it.
-		if u.State != Alive && u.Incarnation >= v.Self.Incarnation && u.Incarnation < v.Self.Incarnation+1000 &&
+		if update.State != Alive && update.Incarnation >= v.Self.Incarnation &&
+			update.Incarnation < v.Self.Incarnation+1000 &&
 			!v.leaving {
-			v.Self.Incarnation = u.Incarnation + 1
+			v.Self.Incarnation = update.Incarnation + 1
 			v.Counts.Refuted++
 		}
 		return
 	}
-	m := v.known[u.Name]
-	if m == nil {
-		if u.State >= Dead || len(v.known) >= maxMembers || u.Address == "" {
+	member := v.known[update.Name]
+	if member == nil {
+		if update.State >= Dead || len(v.known) >= maxMembers || update.Address == "" {
 			return
 		}
-		m = &Member{}
-		m.Name = u.Name
-		v.sorted = slices.Insert(v.sorted, v.index(u.Name), m)
-		v.known[u.Name] = m
+		member = &Member{}
+		member.Name = update.Name
+		v.sorted = slices.Insert(v.sorted, v.index(update.Name), member)
+		v.known[update.Name] = member
 		v.Counts.Joined++
-		v.set(now, m, u)
+		v.set(now, member, update)
 		return
 	}
-	if u.State == Suspect && m.State == Suspect && u.Incarnation == m.Incarnation {
-		v.confirm(now, m, u.SuspectedBy)
+	if update.State == Suspect && member.State == Suspect && update.Incarnation == member.Incarnation {
+		v.confirm(now, member, update.SuspectedBy)
 		return
 	}
-	if supersedes(u, m) {
-		v.set(now, m, u)
+	if supersedes(update, member) {
+		v.set(now, member, update)
 	}
 }
 
@@ -428,21 +435,21 @@
 }
 
 // confirm shortens a suspicion when another member shares it.
-func (v *View) confirm(now time.Duration, m *Member, by string) {
-	if m.confirmedBy[by] || len(m.confirmedBy) > maxConfirmations {
+func (v *View) confirm(now time.Duration, member *Member, by string) {
+	if member.confirmedBy[by] || len(member.confirmedBy) > maxConfirmations {
 		return
 	}
-	m.confirmedBy[by] = true
-	if len(m.confirmedBy) > 1 {
-		m.Update.SuspectedBy = by // the confirmation is sent on as a new update
-		m.transmitsLeft = max(m.transmitsLeft, v.transmitLimit()/2)
+	member.confirmedBy[by] = true
+	if len(member.confirmedBy) > 1 {
+		member.Update.SuspectedBy = by // the confirmation is sent on as a new update
+		member.transmitsLeft = max(member.transmitsLeft, v.transmitLimit()/2)
 	}
-	share := min(math.Log(float64(len(m.confirmedBy)))/math.Log(maxConfirmations+1), 1)
+	share := min(math.Log(float64(len(member.confirmedBy)))/math.Log(maxConfirmations+1), 1)
 	longest := maxSuspicion
 	if len(v.Members())-1 < maxConfirmations {
 		longest = smallFleetSuspicion
 	}
-	m.suspicionDeadline = m.Since + longest - time.Duration(share*float64(longest-minSuspicion))
+	member.suspicionDeadline = member.Since + longest - time.Duration(share*float64(longest-minSuspicion))
 }
 
 // Leave announces to the other members that this one leaves.
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -41,29 +41,29 @@
 	network.starts++
 	self := Update{Name: fmt.Sprintf("d%d", i), Address: fmt.Sprint(i),
 		Incarnation: uint64(1e12) + uint64(network.now.Milliseconds()) + uint64(network.starts)}
-	v := New(self, []string{"0", "1", "2"}, uint64(network.starts)*7919+uint64(i), nil)
-	v.Send = func(to string, m Message) {
+	view := New(self, []string{"0", "1", "2"}, uint64(network.starts)*7919+uint64(i), nil)
+	view.Send = func(to string, message Message) {
 		var j int
 		fmt.Sscan(to, &j)
-		raw, err := cbor.Marshal(m)
+		raw, err := cbor.Marshal(message)
 		if err != nil {
 			panic(err)
 		}
 		network.bytes[i] += len(raw) + 28 // headers of UDP and IP
-		if !network.up[i] || network.views[i] != v || network.blocked != nil && network.blocked(i, j) ||
+		if !network.up[i] || network.views[i] != view || network.blocked != nil && network.blocked(i, j) ||
 			network.rng.Float64() < network.loss {
 			return
 		}
-		network.after(time.Duration(1+network.rng.ExpFloat64()*2)*time.Millisecond, func() { network.deliver(j, m) })
+		network.after(time.Duration(1+network.rng.ExpFloat64()*2)*time.Millisecond, func() { network.deliver(j, message) })
 	}
-	network.views[i], network.up[i] = v, true
+	network.views[i], network.up[i] = view, true
 	var tick func()
 	tick = func() {
-		if network.views[i] != v || !network.up[i] {
+		if network.views[i] != view || !network.up[i] {
 			return
 		}
 		if !network.paused[i] {
-			v.Tick(network.now)
+			view.Tick(network.now)
 		}
 		network.after(50*time.Millisecond, tick)
 	}
--- a/internal/monitor/monitor_test.go
+++ b/internal/monitor/monitor_test.go
@@ -51,154 +51,154 @@
 		do     func() *testMonitor
 	}{
 		"an attempt long after its client has gone": {Lost, true, func() *testMonitor {
-			m := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
-			m.ClientGone("q1")
-			m.now += 101 * ms
-			m.AttemptBegins("q1", "w1", 1, true, time.Second)
-			return m
+			monitored := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
+			monitored.ClientGone("q1")
+			monitored.now += 101 * ms
+			monitored.AttemptBegins("q1", "w1", 1, true, time.Second)
+			return monitored
 		}},
 		"an attempt just after its client has gone": {Lost, false, func() *testMonitor {
-			m := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
-			m.ClientGone("q1")
-			m.now += 99 * ms
-			m.AttemptBegins("q1", "w1", 1, true, time.Second)
-			return m
+			monitored := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
+			monitored.ClientGone("q1")
+			monitored.now += 99 * ms
+			monitored.AttemptBegins("q1", "w1", 1, true, time.Second)
+			return monitored
 		}},
 		"an attempt after the response": {Lost, true, func() *testMonitor {
-			m := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
-			m.Answered("q1", 502, false, nil)
-			m.AttemptBegins("q1", "w1", 1, true, time.Second)
-			return m
+			monitored := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
+			monitored.Answered("q1", 502, false, nil)
+			monitored.AttemptBegins("q1", "w1", 1, true, time.Second)
+			return monitored
 		}},
 		"two responses": {Lost, true, func() *testMonitor {
-			m := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
-			m.Answered("q1", 502, false, nil)
-			m.Answered("q1", 502, false, nil)
-			return m
+			monitored := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
+			monitored.Answered("q1", 502, false, nil)
+			monitored.Answered("q1", 502, false, nil)
+			return monitored
 		}},
 		"no response": {Lost, true, func() *testMonitor {
-			m := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
-			m.RequestClosed("q1", "returned")
-			return m
+			monitored := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
+			monitored.RequestClosed("q1", "returned")
+			return monitored
 		}},
 		"no response, but the client has gone": {Lost, false, func() *testMonitor {
-			m := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
-			m.ClientGone("q1")
-			m.RequestClosed("q1", "returned")
-			return m
+			monitored := newAttemptInFlight(Idempotent).endAttempt(NeverRan)
+			monitored.ClientGone("q1")
+			monitored.RequestClosed("q1", "returned")
+			return monitored
 		}},
 		"two attempts in flight": {Duplicate, true, func() *testMonitor {
-			m := newAttemptInFlight(Idempotent)
-			m.AttemptBegins("q1", "w2", 1, true, time.Second)
-			return m
+			monitored := newAttemptInFlight(Idempotent)
+			monitored.AttemptBegins("q1", "w2", 1, true, time.Second)
+			return monitored
 		}},
 		"a second run": {Duplicate, true, func() *testMonitor {
-			m := newAttemptInFlight(NonIdempotent).endAttempt(MayHaveRun)
-			m.AttemptBegins("q1", "w2", 1, true, time.Second)
-			return m
+			monitored := newAttemptInFlight(NonIdempotent).endAttempt(MayHaveRun)
+			monitored.AttemptBegins("q1", "w2", 1, true, time.Second)
+			return monitored
 		}},
 		"a second run of an idempotent request": {Duplicate, false, func() *testMonitor {
-			m := newAttemptInFlight(Idempotent).endAttempt(MayHaveRun)
-			m.AttemptBegins("q1", "w2", 1, true, time.Second)
-			return m
+			monitored := newAttemptInFlight(Idempotent).endAttempt(MayHaveRun)
+			monitored.AttemptBegins("q1", "w2", 1, true, time.Second)
+			return monitored
 		}},
 		"a rejection after an attempt that may have run": {Duplicate, true, func() *testMonitor {
-			m := newAttemptInFlight(NonIdempotent).endAttempt(MayHaveRun)
-			m.Answered("q1", 503, true, nil)
-			return m
+			monitored := newAttemptInFlight(NonIdempotent).endAttempt(MayHaveRun)
+			monitored.Answered("q1", 503, true, nil)
+			return monitored
 		}},
 		"a rejection with an attempt in flight": {Duplicate, true, func() *testMonitor {
-			m := newAttemptInFlight(NonIdempotent)
-			m.Answered("q1", 503, true, nil)
-			return m
+			monitored := newAttemptInFlight(NonIdempotent)
+			monitored.Answered("q1", 503, true, nil)
+			return monitored
 		}},
 		"a rejection after an attempt that never ran": {Duplicate, false, func() *testMonitor {
-			m := newAttemptInFlight(NonIdempotent).endAttempt(NeverRan)
-			m.Answered("q1", 503, true, nil)
-			return m
+			monitored := newAttemptInFlight(NonIdempotent).endAttempt(NeverRan)
+			monitored.Answered("q1", 503, true, nil)
+			return monitored
 		}},
 		"an attempt at a draining backend": {Drain, true, func() *testMonitor {
-			m := newTestMonitor()
-			m.BackendChanged("w1", false)
-			m.now += 251 * ms
-			m.AttemptBegins("q1", "w1", 0, true, time.Second)
-			return m
+			monitored := newTestMonitor()
+			monitored.BackendChanged("w1", false)
+			monitored.now += 251 * ms
+			monitored.AttemptBegins("q1", "w1", 0, true, time.Second)
+			return monitored
 		}},
 		"an attempt at a backend that is ready again": {Drain, false, func() *testMonitor {
-			m := newTestMonitor()
-			m.BackendChanged("w1", false)
-			m.now += time.Second
-			m.BackendChanged("w1", true)
-			m.AttemptBegins("q1", "w1", 0, true, time.Second)
-			return m
+			monitored := newTestMonitor()
+			monitored.BackendChanged("w1", false)
+			monitored.now += time.Second
+			monitored.BackendChanged("w1", true)
+			monitored.AttemptBegins("q1", "w1", 0, true, time.Second)
+			return monitored
 		}},
 		"a KV cache that waits too long": {CacheWait, true, func() *testMonitor {
-			m := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
-			m.now += 801 * ms
-			m.CacheReleased("q1", "released")
-			return m
+			monitored := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
+			monitored.now += 801 * ms
+			monitored.CacheReleased("q1", "released")
+			return monitored
 		}},
 		"a KV cache that waits too long for an attempt": {CacheWait, true, func() *testMonitor {
-			m := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
-			m.now += 801 * ms
-			m.AttemptBegins("q1", "w2", 1, true, time.Second)
-			m.AttemptSent("q1", 1, true)
-			m.AttemptArrived("q1", 1)
-			return m
+			monitored := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
+			monitored.now += 801 * ms
+			monitored.AttemptBegins("q1", "w2", 1, true, time.Second)
+			monitored.AttemptSent("q1", 1, true)
+			monitored.AttemptArrived("q1", 1)
+			return monitored
 		}},
 		"an attempt that does not arrive": {CacheWait, true, func() *testMonitor {
-			m := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
-			m.AttemptBegins("q1", "w2", 1, true, time.Second)
-			m.AttemptSent("q1", 1, true)
-			m.now += 801 * ms
-			m.CacheReleased("q1", "released")
-			return m
+			monitored := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
+			monitored.AttemptBegins("q1", "w2", 1, true, time.Second)
+			monitored.AttemptSent("q1", 1, true)
+			monitored.now += 801 * ms
+			monitored.CacheReleased("q1", "released")
+			return monitored
 		}},
 		"an attempt that does not arrive, and a release in time": {CacheWait, false, func() *testMonitor {
-			m := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
-			m.AttemptBegins("q1", "w2", 1, true, time.Second)
-			m.AttemptSent("q1", 1, true)
-			m.now += 799 * ms
-			m.CacheReleased("q1", "released")
-			m.now += time.Minute
-			m.CacheReleased("q1", "released")
-			return m
+			monitored := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
+			monitored.AttemptBegins("q1", "w2", 1, true, time.Second)
+			monitored.AttemptSent("q1", 1, true)
+			monitored.now += 799 * ms
+			monitored.CacheReleased("q1", "released")
+			monitored.now += time.Minute
+			monitored.CacheReleased("q1", "released")
+			return monitored
 		}},
 		"a KV cache that is taken in time": {CacheWait, false, func() *testMonitor {
-			m := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
-			m.now += 799 * ms
-			m.AttemptBegins("q1", "w2", 1, true, time.Second)
-			m.AttemptSent("q1", 1, true)
-			m.AttemptArrived("q1", 1)
-			m.now += time.Minute
-			m.CacheReleased("q1", "taken")
-			return m
+			monitored := newAttemptInFlight(Idempotent).endAttempt(CacheHeld)
+			monitored.now += 799 * ms
+			monitored.AttemptBegins("q1", "w2", 1, true, time.Second)
+			monitored.AttemptSent("q1", 1, true)
+			monitored.AttemptArrived("q1", 1)
+			monitored.now += time.Minute
+			monitored.CacheReleased("q1", "taken")
+			return monitored
 		}},
 		"a timeout beyond the deadline": {Deadline, true, func() *testMonitor {
-			m := newTestMonitor()
-			m.RequestAccepted("q1", Idempotent, time.Second)
-			m.now += 500 * ms
-			m.AttemptBegins("q1", "w1", 0, true, 651*ms)
-			return m
+			monitored := newTestMonitor()
+			monitored.RequestAccepted("q1", Idempotent, time.Second)
+			monitored.now += 500 * ms
+			monitored.AttemptBegins("q1", "w1", 0, true, 651*ms)
+			return monitored
 		}},
 		"a timeout within the deadline": {Deadline, false, func() *testMonitor {
-			m := newTestMonitor()
-			m.RequestAccepted("q1", Idempotent, time.Second)
-			m.now += 500 * ms
-			m.AttemptBegins("q1", "w1", 0, true, 649*ms)
-			return m
+			monitored := newTestMonitor()
+			monitored.RequestAccepted("q1", Idempotent, time.Second)
+			monitored.now += 500 * ms
+			monitored.AttemptBegins("q1", "w1", 0, true, 649*ms)
+			return monitored
 		}},
 	} {
-		m := test.do()
-		if broken := m.Count(test.rule) > 0; broken != test.breaks {
+		monitored := test.do()
+		if broken := monitored.Count(test.rule) > 0; broken != test.breaks {
 			t.Errorf("%s: a violation of %v is counted: %t", name, test.rule, broken)
 		}
-		if test.breaks && (!strings.Contains(m.log.String(), "rule="+test.rule.String()) ||
-			!strings.Contains(m.log.String(), "begins at")) {
-			t.Errorf("%s: the log lacks the request's events: %s", name, m.log.String())
+		if test.breaks && (!strings.Contains(monitored.log.String(), "rule="+test.rule.String()) ||
+			!strings.Contains(monitored.log.String(), "begins at")) {
+			t.Errorf("%s: the log lacks the request's events: %s", name, monitored.log.String())
 		}
-		if !test.breaks && m.Counts() != "" {
-			t.Errorf("%s: %s", name, m.Counts())
+		if !test.breaks && monitored.Counts() != "" {
+			t.Errorf("%s: %s", name, monitored.Counts())
 		}
 	}
 }
--- a/internal/news/news_test.go
+++ b/internal/news/news_test.go
@@ -9,7 +9,8 @@
 func TestDecodeReadsEncodedUpdatesAndRejectsOtherBytes(t *testing.T) {
 	backend := &brain.Backend{ID: 77}
 	backends := map[uint32]*brain.Backend{77: backend}
-	sent := brain.PeerUpdate{Backend: backend, ClassIndex: 2, Verdict: brain.VerdictBad, HasLoad: true, Util: 0.5, QueueLength: 3}
+	sent := brain.PeerUpdate{Backend: backend, ClassIndex: 2, Verdict: brain.VerdictBad, HasLoad: true, Util: 0.5,
+		QueueLength: 3}
 	raw := Encode(sent)
 	if got, err := Decode(raw, backends); err != nil || got != sent {
 		t.Errorf("decoded %+v, %v", got, err)
@@ -38,7 +39,8 @@
 			t.Errorf("share %g: an older dispatcher takes %x for a load report", share, raw)
 		}
 	}
-	if got, err := Decode([]byte{0, 0, 0, 77, 2, 2, 100, 30}, backends); err != nil || got.TargetShare != 0 || got.HasLoad {
+	if got, err := Decode([]byte{0, 0, 0, 77, 2, 2, 100, 30}, backends); err != nil || got.TargetShare != 0 ||
+		got.HasLoad {
 		t.Errorf("from an older dispatcher: %+v, %v", got, err)
 	}
 	if got, _ := Decode([]byte{0, 0, 0, 77, 2, 2, 255, 255}, backends); got.TargetShare != 1 {
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -393,8 +393,8 @@
 	t.Run("no descriptor", func(t *testing.T) {
 		cluster := startCluster(t, nil)
 		done, returned := make(chan struct{}), make(chan struct{})
-		cluster.prefill.Handler = func(e *hosts.Exchange) bool {
-			if e.Method == "POST" { // during the prefill all descriptors are taken, the last one as soon as it is free
+		cluster.prefill.Handler = func(exchange *hosts.Exchange) bool {
+			if exchange.Method == "POST" { // during the prefill all descriptors are taken, the last one as soon as it is free
 				go func() {
 					defer close(returned)
 					for taken := 0; ; taken++ {
@@ -410,7 +410,7 @@
 				}()
 				time.Sleep(20 * time.Millisecond)
 			}
-			return e.Serve()
+			return exchange.Serve()
 		}
 		if got := cluster.send(cluster.request("hut-booking")); got.status != 503 {
 			t.Errorf("%+v", got)
--- a/internal/platform/conn_test.go
+++ b/internal/platform/conn_test.go
@@ -263,7 +263,7 @@
 // Clients that send nothing use up the descriptors while discovery is down. The dispatcher must stay ready, follow
 // discovery as soon as it is back, and serve.
 func TestDiscoverySurvivesExhaustedDescriptors(t *testing.T) {
-	env := startCluster(t, func(env *testCluster, place *Config) { place.Limits.Sockets = 64 })
+	env := startCluster(t, func(env *testCluster, config *Config) { config.Limits.Sockets = 64 })
 	env.agent.SetSilent(true)
 	env.agent.CloseConns()
 	for range 150 {
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -66,19 +66,21 @@
 	loop *dispatch.Loop, facts brain.Settings, maxBodyBytes int64, observer *monitor.Monitor, stalls *stallDetector,
 	log *slog.Logger,
 ) *frontend {
-	f := &frontend{
+	handler := &frontend{
 		loop: loop, classIndexes: map[string]int{}, tenantIndexes: map[string]int{},
-		ids: newIDRegistry(longestDeadline(facts) + idRetentionSlack), refusals: map[string]int64{}, moveStreams: make(chan struct{}),
-		retryAfter: facts.Duration("policyLimits.maxRetryAfterUs"), maxOpen: int64(facts.Number("policyLimits.maxOpen", 1e4)),
+		ids: newIDRegistry(longestDeadline(facts) + idRetentionSlack), refusals: map[string]int64{},
+		moveStreams:  make(chan struct{}),
+		retryAfter:   facts.Duration("policyLimits.maxRetryAfterUs"),
+		maxOpen:      int64(facts.Number("policyLimits.maxOpen", 1e4)),
 		maxBodyBytes: maxBodyBytes, monitor: observer, stalls: stalls, classes: monitorClasses(facts), log: log,
 	}
 	for i, name := range facts.Names("requestClasses") {
-		f.classIndexes[name] = i
+		handler.classIndexes[name] = i
 	}
 	for i, name := range facts.Names("tenants") {
-		f.tenantIndexes[name] = i
+		handler.tenantIndexes[name] = i
 	}
-	return f
+	return handler
 }
 
 // ServeHTTP serves readiness checks and chat completion requests.
@@ -117,7 +119,9 @@
 		return
 	}
 	defer f.openRequests.Add(-1)
-	if reason := mayAccept(f.rejectAll.Load(), f.openRequests.Add(1), f.maxOpen, f.loop.QueueDelay()); reason != notRejected {
+	if reason := mayAccept(
+		f.rejectAll.Load(), f.openRequests.Add(1), f.maxOpen, f.loop.QueueDelay(),
+	); reason != notRejected {
 		f.reject(w, r, reason)
 		return
 	}
@@ -250,9 +254,11 @@
 		f.LateAnswers.Add(1)
 		f.log.Error("no answer from the event loop by the request's deadline", "id", clientRequest.Params.ID,
 			"behind", f.loop.QueueDelay())
-		f.writeFinal(w, clientRequest.Params.ID, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no answer came in time"})
+		f.writeFinal(w, clientRequest.Params.ID,
+			kserve.FinalResponse{Outcome: kserve.Failed, Error: "no answer came in time"})
 	default:
-		f.writeFinal(w, clientRequest.Params.ID, kserve.FinalResponse{Outcome: kserve.Failed, Error: string(rejectedAtShutdown)})
+		f.writeFinal(w, clientRequest.Params.ID,
+			kserve.FinalResponse{Outcome: kserve.Failed, Error: string(rejectedAtShutdown)})
 	}
 }
 
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -51,7 +51,8 @@
 		t: t, site: hosts.New(), reloads: make(chan os.Signal, 1), exited: make(chan error, 1), system: system.Real(),
 	}
 	cluster.prefill = cluster.site.AddBackend("r1", hosts.PrefillKind)
-	cluster.decoders = []*hosts.Backend{cluster.site.AddBackend("w1", hosts.DecodeKind), cluster.site.AddBackend("w2", hosts.DecodeKind)}
+	cluster.decoders = []*hosts.Backend{cluster.site.AddBackend("w1", hosts.DecodeKind),
+		cluster.site.AddBackend("w2", hosts.DecodeKind)}
 	cluster.agent = cluster.site.AddAgent()
 	config := Config{Name: "n1", Listen: "127.0.0.1:0", Discovery: cluster.agent.Address, Seed: "8c1f30d27a5be964"}
 	if err := json.Unmarshal([]byte(hosts.Settings), &config.Settings); err != nil {
@@ -150,7 +151,8 @@
 func (c *testCluster) awaitIdle() {
 	c.t.Helper()
 	c.await("nothing of the requests remains", func() bool {
-		remaining := c.site.InFlight() + c.site.HeldCount() + int(c.node.frontend.openRequests.Load()) + int(c.node.frontend.bodyBytes.Load()) +
+		remaining := c.site.InFlight() + c.site.HeldCount() + int(c.node.frontend.openRequests.Load()) +
+			int(c.node.frontend.bodyBytes.Load()) +
 			int(c.node.transport.pending.Load())
 		c.node.loop.Call(context.Background(), func() {
 			for _, b := range []*hosts.Backend{c.prefill, c.decoders[0], c.decoders[1]} {
@@ -227,7 +229,8 @@
 func TestRequestAndResponsePassThroughByteForByte(t *testing.T) {
 	cluster := startCluster(t, nil)
 	got := cluster.send(cluster.request("hut-booking"))
-	if got.status != 200 || got.body != hosts.TextEvent("a")+hosts.TextEvent("b")+hosts.UsageEvent+hosts.DoneEvent || !got.complete {
+	if got.status != 200 || got.body != hosts.TextEvent("a")+hosts.TextEvent("b")+hosts.UsageEvent+hosts.DoneEvent ||
+		!got.complete {
 		t.Errorf("%+v", got)
 	}
 	for _, e := range cluster.site.Requests("", "POST") {
@@ -281,15 +284,15 @@
 // Every way in which a decode attempt can end, and what the client of a non-idempotent and of an idempotent request
 // gets then. If the attempt provably did not run, both may be retried.
 func TestAttemptEndsAreRetriedOnlyIfProvenNotRun(t *testing.T) {
-	malformed := func(raw string) func(e *hosts.Exchange) bool {
-		return func(e *hosts.Exchange) bool { e.WriteRaw(raw); <-e.ClientClosed; return false }
+	malformed := func(raw string) func(exchange *hosts.Exchange) bool {
+		return func(exchange *hosts.Exchange) bool { exchange.WriteRaw(raw); <-exchange.ClientClosed; return false }
 	}
-	responds := func(raw string) func(e *hosts.Exchange) bool {
-		return func(e *hosts.Exchange) bool { return e.WriteRaw(raw) }
+	responds := func(raw string) func(exchange *hosts.Exchange) bool {
+		return func(exchange *hosts.Exchange) bool { return exchange.WriteRaw(raw) }
 	}
 	for _, test := range []struct {
 		name       string
-		do         func(e *hosts.Exchange) bool
+		do         func(exchange *hosts.Exchange) bool
 		wantStatus int // for the client of a non-idempotent request
 	}{
 		{"rejected by the backend", responds(hosts.Rejection(503, true)), 200},
@@ -304,9 +307,12 @@
 		{"malformed chunk", malformed(hosts.StreamHead + "zz\r\n"), 502},
 		{"chunk of 3 GB", malformed(hosts.StreamHead + "c0000000\r\n" + hosts.TextEvent("a")), 502},
 		{"length instead of chunks", malformed("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" + hosts.TextEvent("a")), 502},
-		{"1xx first", func(e *hosts.Exchange) bool { e.WriteRaw("HTTP/1.1 103 Early Hints\r\n\r\n"); return e.Serve() }, 200},
-		{"second response behind the first", func(e *hosts.Exchange) bool {
-			return e.Serve() && e.WriteRaw(hosts.StreamHead+hosts.EncodeChunk(hosts.TextEvent("z")))
+		{"1xx first", func(exchange *hosts.Exchange) bool {
+			exchange.WriteRaw("HTTP/1.1 103 Early Hints\r\n\r\n")
+			return exchange.Serve()
+		}, 200},
+		{"second response behind the first", func(exchange *hosts.Exchange) bool {
+			return exchange.Serve() && exchange.WriteRaw(hosts.StreamHead+hosts.EncodeChunk(hosts.TextEvent("z")))
 		}, 200},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -584,7 +590,8 @@
 		t.Errorf("%+v", got)
 	}
 	cluster.node.loop.Call(context.Background(), func() {
-		if b := cluster.node.loop.Estimates(); b.InSlowStart != 0 || cluster.node.loop.Counters.Outcomes[brain.Unreachable] != 0 {
+		if b := cluster.node.loop.Estimates(); b.InSlowStart != 0 ||
+			cluster.node.loop.Counters.Outcomes[brain.Unreachable] != 0 {
 			t.Errorf("%+v, outcomes %v", b, cluster.node.loop.Counters.Outcomes)
 		}
 	})
@@ -596,7 +603,8 @@
 func TestRequestThatABackendFindsInvalidIsNotRetried(t *testing.T) {
 	cluster := startCluster(t, nil)
 	cluster.prefill.Handler = func(e *hosts.Exchange) bool { return e.WriteRaw(hosts.Rejection(400, false)) }
-	if got := cluster.send(cluster.request("trail-info")); got.status != 502 || len(cluster.site.Requests("", "POST")) != 1 {
+	if got := cluster.send(cluster.request("trail-info")); got.status != 502 ||
+		len(cluster.site.Requests("", "POST")) != 1 {
 		t.Errorf("%+v after %d attempts", got, len(cluster.site.Requests("", "POST")))
 	}
 	cluster.node.loop.Call(context.Background(), func() {
--- a/internal/platform/observe.go
+++ b/internal/platform/observe.go
@@ -58,7 +58,8 @@
 // monitorTerms returns the bounds of the monitored rules under the given settings.
 func monitorTerms(settings brain.Settings) monitor.Bounds {
 	terms := monitor.Bounds{
-		ClientGoneGrace: clientGoneSlack, TimeoutSlack: statedTimeoutSlack, DrainGrace: settings.Duration("rules.drainGraceUs"),
+		ClientGoneGrace: clientGoneSlack, TimeoutSlack: statedTimeoutSlack,
+		DrainGrace: settings.Duration("rules.drainGraceUs"),
 	}
 	if terms.DrainGrace == 0 {
 		terms.DrainGrace = defaultDrainGrace
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -76,7 +76,8 @@
 	dispatcher.pulse = newStallDetector(time.Now())
 	dispatcher.monitor = monitor.New(monitorTerms(settings), since, log)
 	pools := &reach.Manager{
-		DialTimeout: max(settings.Duration("policyLimits.dialTimeoutUs"), 10*time.Millisecond), MaxConnsPerBackend: shares.attempts, Now: since,
+		DialTimeout:        max(settings.Duration("policyLimits.dialTimeoutUs"), 10*time.Millisecond),
+		MaxConnsPerBackend: shares.attempts, Now: since,
 		Context: dispatcher.lifetime, Group: &dispatcher.transportTasks, Dial: sys.Dial, SkipVerify: true,
 	}
 	dispatcher.transport = &transport{
@@ -86,7 +87,7 @@
 		poolOf: map[*dispatch.Backend]*reach.Pool{}, releaser: releaser{callSlots: make(chan struct{}, shares.releases)},
 		clock: since, attemptSlots: make(chan struct{}, shares.attempts),
 	}
-	places := dispatch.Resolver{
+	resolver := dispatch.Resolver{
 		ZoneNumber: func(name string) int { return zoneNumber(settings, name) },
 		KindNumber: func(name string) int { return settings.Index("kinds", name) },
 	}
@@ -105,7 +106,7 @@
 	}
 	dispatcher.transport.sendToPeer = dispatcher.peers.SendUpdate
 	if dispatcher.loop, err = dispatch.NewLoop(
-		settings, config.randomSeed(), places, dispatcher.transport, since, config.Name, log,
+		settings, config.randomSeed(), resolver, dispatcher.transport, since, config.Name, log,
 	); err != nil {
 		listener.Close()
 		if dispatcher.peers.Conn != nil {
@@ -162,8 +163,10 @@
 		n.tasks.Go(func() error { return n.peers.Listen(n.lifetime, n.loop) })
 	}
 	server := &http.Server{
-		Handler: n.frontend, ReadHeaderTimeout: headTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: chat.MaxHeadBytes,
-		ConnState: n.limiter.connStateChanged, ConnContext: withConn, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
+		Handler: n.frontend, ReadHeaderTimeout: headTimeout, IdleTimeout: clientIdleTimeout,
+		MaxHeaderBytes: chat.MaxHeadBytes,
+		ConnState:      n.limiter.connStateChanged, ConnContext: withConn,
+		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
 	failed := make(chan error, 1)
 	n.tasks.Go(func() error {
@@ -201,17 +204,21 @@
 	n.loop.Call(n.lifetime, func() {
 		tally := n.loop.Counters
 		turn, wait, timer := n.loop.Lag.TakePeriod()
-		n.log.Info("state", "taken", tally.Accepted, "again", frontend.Resubmitted.Load(), "rest", frontend.Continuations.Load(),
+		n.log.Info("state", "taken", tally.Accepted, "again", frontend.Resubmitted.Load(),
+			"rest", frontend.Continuations.Load(),
 			"moved", frontend.MovedStreams.Load(), "satisfied", tally.Served, "declined", tally.Rejected,
 			"forfeited", tally.Failed, "left", tally.Disconnected, "overdue", tally.Overdue, "trips", tally.Attempts,
 			"outcomes", fmt.Sprint(tally.Outcomes), "prefills", fmt.Sprint(tally.Prefills), "began", tally.FirstTokens,
 			"in_time", tally.OnTime, "held_ms", tally.QueueTime.Milliseconds(), "first_ms", tally.FirstTokenTime.Milliseconds(),
-			"believes", fmt.Sprintf("%+v", n.loop.Estimates()), "open", frontend.openRequests.Load(), "bodies", frontend.bodyBytes.Load(),
+			"believes", fmt.Sprintf("%+v", n.loop.Estimates()), "open", frontend.openRequests.Load(),
+			"bodies", frontend.bodyBytes.Load(),
 			"clients", limiter.count(), "pushed", limiter.Evicted.Load(), "waited", limiter.CapacityWaits.Load(),
-			"accept_failed", limiter.AcceptErrors.Load(), "shut", limiter.ClosedUnread.Load(), "refused", frontend.refusalCounts(),
+			"accept_failed", limiter.AcceptErrors.Load(), "shut", limiter.ClosedUnread.Load(),
+			"refused", frontend.refusalCounts(),
 			"released", transport.Delivered.Load(), "unheard", transport.Undelivered.Load(), "stale", transport.Stale.Load(),
 			"local", transport.LocalFailures.Load(), "unarrived", transport.Unacknowledged.Load(),
-			"spoilt", transport.Malformed.Load(), "strange", transport.BadRequest.Load(), "watch_lost", n.follower.WatchFailures(),
+			"spoilt", transport.Malformed.Load(), "strange", transport.BadRequest.Load(),
+			"watch_lost", n.follower.WatchFailures(),
 			"strangers", n.peers.Dropped.Load(), "broken", n.monitor.Counts(), "due", transport.Due.Load(),
 			"too_late", frontend.LateAnswers.Load(),
 			"turn_ms", turn.Milliseconds(), "queued_ms", wait.Milliseconds(), "timer_ms", timer.Milliseconds(),
@@ -232,7 +239,8 @@
 		} else if backend != nil {
 			n.log.Debug("backend", "name", name, "role", backend.Role, "standing", backend.State, "streams", backend.Streams,
 				"writes", traffic.decodes, "unread", backend.PrefillBacklog, "reads", traffic.prefills, "tokens", backend.KVTokens,
-				"room", backend.TokenLimit, "util", backend.Util, "queue", backend.QueueLength, "said", traffic.load, "sent", traffic.sent)
+				"room", backend.TokenLimit, "util", backend.Util, "queue", backend.QueueLength, "said", traffic.load,
+				"sent", traffic.sent)
 		}
 	}
 }
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -65,7 +65,7 @@
 	BadRequest     atomic.Int64 // 400 and 404 responses, which point at a fault of this program
 }
 
-// Reach sets the addresses of a backend. None means that it was removed.
+// SetAddresses sets the addresses of a backend. None means that it was removed.
 func (c *transport) SetAddresses(backend *dispatch.Backend, specs []addresses.Spec) {
 	pool := c.pools.SetAddresses(backend.Name, specs, uint64(backend.SchedulerState.ID))
 	if len(specs) == 0 {
@@ -77,7 +77,7 @@
 	c.activity.add(pool, failureDomain{backend.SchedulerState.Role, backend.SchedulerState.Zone})
 }
 
-// Tell sends an update to a peer.
+// SendPeerUpdate sends an update to a peer.
 func (c *transport) SendPeerUpdate(peer int, update brain.PeerUpdate) { c.sendToPeer(peer, update) }
 
 // backendTraffic counts the requests sent to one backend.
@@ -217,7 +217,8 @@
 			if load = stream.LoadReport; load == "" {
 				load = resp.Header.Get("X-Server-Load")
 			}
-			return brain.Result{Outcome: brain.Served, Detail: stream.CachedTokens, LoadReport: chat.ParseLoad(load, c.loadFields)}
+			return brain.Result{Outcome: brain.Served, Detail: stream.CachedTokens,
+				LoadReport: chat.ParseLoad(load, c.loadFields)}
 		}
 		if err != nil {
 			if errors.Is(err, chat.ErrMalformed) {
--- a/internal/reach/allowlist.go
+++ b/internal/reach/allowlist.go
@@ -20,14 +20,14 @@
 // NewAllowList parses IP ranges (10.0.0.0/8, 10.0.0.1-10.0.0.9, a single address) and directories of sockets
 // (unix:/run/backends/). An empty list allows every address.
 func NewAllowList(ranges []string) (*AllowList, error) {
-	a := &AllowList{all: len(ranges) == 0}
+	list := &AllowList{all: len(ranges) == 0}
 	var set netipx.IPSetBuilder
 	for _, r := range ranges {
 		if dir, ok := strings.CutPrefix(r, "unix:"); ok {
 			if !strings.HasPrefix(dir, "/") || !strings.HasSuffix(dir, "/") {
 				return nil, fmt.Errorf("%q is not a directory such as unix:/run/backends/", r)
 			}
-			a.socketDirs = append(a.socketDirs, dir)
+			list.socketDirs = append(list.socketDirs, dir)
 			continue
 		}
 		if prefix, err := netip.ParsePrefix(r); err == nil {
@@ -41,23 +41,23 @@
 		}
 	}
 	var err error
-	a.set, err = set.IPSet()
-	return a, err
+	list.set, err = set.IPSet()
+	return list, err
 }
 
 // Contains tells whether a backend may have an address.
-func (a *AllowList) Contains(s addresses.Spec) bool {
+func (a *AllowList) Contains(spec addresses.Spec) bool {
 	if a.all {
 		return true
 	}
-	if s.Network == addresses.Unix {
+	if spec.Network == addresses.Unix {
 		for _, dir := range a.socketDirs {
-			if strings.HasPrefix(s.Addr, dir) && !strings.Contains(s.Addr, "/../") {
+			if strings.HasPrefix(spec.Addr, dir) && !strings.Contains(spec.Addr, "/../") {
 				return true
 			}
 		}
 		return false
 	}
-	addrPort, err := netip.ParseAddrPort(s.Addr)
+	addrPort, err := netip.ParseAddrPort(spec.Addr)
 	return err == nil && a.set.Contains(addrPort.Addr().Unmap())
 }
--- a/internal/reach/listen.go
+++ b/internal/reach/listen.go
@@ -33,29 +33,29 @@
 
 // Listen listens for clients on an address. It replaces a stale socket file, on which no process listens. It returns an
 // error, and leaves the file as it is, if a process listens on the socket or if the file is not a socket.
-func Listen(s addresses.Spec) (net.Listener, error) {
-	if s.Network != addresses.Unix {
-		return net.Listen(s.Network, s.Addr)
+func Listen(spec addresses.Spec) (net.Listener, error) {
+	if spec.Network != addresses.Unix {
+		return net.Listen(spec.Network, spec.Addr)
 	}
-	l, err := net.Listen("unix", s.Addr)
+	l, err := net.Listen("unix", spec.Addr)
 	if err == nil || !errors.Is(err, syscall.EADDRINUSE) {
 		return l, err
 	}
-	info, statErr := os.Lstat(s.Addr)
+	info, statErr := os.Lstat(spec.Addr)
 	if statErr != nil {
 		return nil, err
 	}
 	if info.Mode()&os.ModeSocket == 0 {
-		return nil, fmt.Errorf("%s exists and is not a socket", s.Addr)
+		return nil, fmt.Errorf("%s exists and is not a socket", spec.Addr)
 	}
-	if conn, dialErr := net.DialTimeout("unix", s.Addr, time.Second); dialErr == nil {
+	if conn, dialErr := net.DialTimeout("unix", spec.Addr, time.Second); dialErr == nil {
 		conn.Close()
-		return nil, fmt.Errorf("%s: another process listens on this socket", s.Addr)
+		return nil, fmt.Errorf("%s: another process listens on this socket", spec.Addr)
 	} else if !errors.Is(dialErr, syscall.ECONNREFUSED) {
-		return nil, fmt.Errorf("%s may be in use: %w", s.Addr, dialErr)
+		return nil, fmt.Errorf("%s may be in use: %w", spec.Addr, dialErr)
 	}
-	if err := os.Remove(s.Addr); err != nil {
+	if err := os.Remove(spec.Addr); err != nil {
 		return nil, err
 	}
-	return net.Listen("unix", s.Addr)
+	return net.Listen("unix", spec.Addr)
 }
--- a/internal/reach/pool.go
+++ b/internal/reach/pool.go
@@ -125,20 +125,20 @@
 	if m.pools == nil {
 		m.pools = map[string]*Pool{}
 	}
-	p := m.pools[name]
-	if p == nil {
-		p = &Pool{Name: name, manager: m, tracker: addresses.NewTracker(seed), changed: make(chan struct{})}
-		m.pools[name] = p
-		m.ordered = append(m.ordered, p)
+	pool := m.pools[name]
+	if pool == nil {
+		pool = &Pool{Name: name, manager: m, tracker: addresses.NewTracker(seed), changed: make(chan struct{})}
+		m.pools[name] = pool
+		m.ordered = append(m.ordered, pool)
 	}
 	m.hasRemoved = m.hasRemoved || len(specs) == 0
-	p.mu.Lock() // before m is unlocked, so that a removed pool that is in use again is not pruned in between
-	defer p.mu.Unlock()
+	pool.mu.Lock() // before m is unlocked, so that a removed pool that is in use again is not pruned in between
+	defer pool.mu.Unlock()
 	m.mu.Unlock()
-	p.tracker.Set(specs)
-	p.removed = len(specs) == 0
-	p.closeIdle(func(c *Conn) bool { return c.Address.Removed })
-	return p
+	pool.tracker.Set(specs)
+	pool.removed = len(specs) == 0
+	pool.closeIdle(func(c *Conn) bool { return c.Address.Removed })
+	return pool
 }
 
 // Addresses returns the backend's addresses as text, in the order in which they would be tried now.
@@ -248,10 +248,10 @@
 // returns nil if there is none. The pool must be locked.
 func (p *Pool) takeIdle() *Conn {
 	now := p.manager.Now()
-	for _, a := range p.tracker.Order(now) {
+	for _, addr := range p.tracker.Order(now) {
 		for i := len(p.idle) - 1; i >= 0; i-- {
 			c := p.idle[i]
-			if c.Address != a {
+			if c.Address != addr {
 				continue
 			}
 			p.idle = slices.Delete(p.idle, i, i+1)
@@ -262,7 +262,7 @@
 			c.Conn.Close()
 			p.open--
 		}
-		if a.Suspected(now) {
+		if addr.Suspected(now) {
 			break // a race is preferred to idle connections at the addresses after a suspected one
 		}
 	}
@@ -320,13 +320,13 @@
 	}
 	for {
 		p.mu.Lock()
-		a, wait, over := race.Next(p.manager.Now())
+		addr, wait, over := race.Next(p.manager.Now())
 		var spec addresses.Spec
-		if a != nil {
-			spec = a.Spec
+		if addr != nil {
+			spec = addr.Spec
 		}
 		p.mu.Unlock()
-		if a != nil {
+		if addr != nil {
 			p.manager.Group.Go(func() error {
 				startedAt := p.manager.Now()
 				conn, reader, result, err := p.connect(ctx, spec)
@@ -337,12 +337,12 @@
 					localErr = err
 				}
 				now := p.manager.Now()
-				won := race.Record(now, a, result, now-startedAt)
+				won := race.Record(now, addr, result, now-startedAt)
 				switch {
 				case won:
-					winner <- &Conn{Conn: conn, Address: a, pool: p, reader: reader}
+					winner <- &Conn{Conn: conn, Address: addr, pool: p, reader: reader}
 				case result == addresses.Verified:
-					p.putIdle(&Conn{Conn: conn, Address: a, pool: p, reader: reader}, true)
+					p.putIdle(&Conn{Conn: conn, Address: addr, pool: p, reader: reader}, true)
 				}
 				select {
 				case ended <- struct{}{}:
@@ -372,10 +372,10 @@
 
 // putIdle puts a verified connection among the idle ones, or closes it if there is no use for it. A new connection is
 // one that is not counted as open yet. The pool must be locked.
-func (p *Pool) putIdle(c *Conn, isNew bool) {
-	if c.Address.Removed || p.removed || p.manager.Context.Err() != nil ||
+func (p *Pool) putIdle(conn *Conn, isNew bool) {
+	if conn.Address.Removed || p.removed || p.manager.Context.Err() != nil ||
 		isNew && p.open >= p.manager.MaxConnsPerBackend {
-		c.Conn.Close()
+		conn.Conn.Close()
 		if !isNew {
 			p.open--
 		}
@@ -385,8 +385,8 @@
 	if isNew {
 		p.open++
 	}
-	c.idleSince = p.manager.Now()
-	p.idle = append(p.idle, c)
+	conn.idleSince = p.manager.Now()
+	p.idle = append(p.idle, conn)
 	p.notify()
 }
 
@@ -641,10 +641,10 @@
 	for {
 		select {
 		case <-m.Context.Done():
-			for _, p := range m.snapshot() {
-				p.mu.Lock()
-				p.closeIdle(func(*Conn) bool { return true })
-				p.mu.Unlock()
+			for _, pool := range m.snapshot() {
+				pool.mu.Lock()
+				pool.closeIdle(func(*Conn) bool { return true })
+				pool.mu.Unlock()
 			}
 			return nil
 		case <-ticker.C:
@@ -653,8 +653,8 @@
 		if !m.SkipVerify {
 			m.recheck()
 		}
-		for _, p := range m.snapshot() {
-			p.maintainIdle()
+		for _, pool := range m.snapshot() {
+			pool.maintainIdle()
 		}
 	}
 }
@@ -683,19 +683,19 @@
 func (m *Manager) recheck() {
 	pools := m.snapshot()
 	var trackers []*addresses.Tracker
-	for _, p := range pools {
-		p.mu.Lock()
-		trackers = append(trackers, p.tracker)
+	for _, pool := range pools {
+		pool.mu.Lock()
+		trackers = append(trackers, pool.tracker)
 	}
 	tracker, a := m.recheckBudget.Next(m.Now(), trackers)
-	for _, p := range pools {
-		p.mu.Unlock()
+	for _, pool := range pools {
+		pool.mu.Unlock()
 	}
 	if a == nil {
 		return
 	}
-	p := pools[slices.Index(trackers, tracker)]
-	m.dialInBackground(p, a, func(now time.Duration, result addresses.Result, took time.Duration) {
+	pool := pools[slices.Index(trackers, tracker)]
+	m.dialInBackground(pool, a, func(now time.Duration, result addresses.Result, took time.Duration) {
 		tracker.RecordRecheck(now, a, result, took)
 	})
 }
@@ -725,11 +725,11 @@
 
 // dialInBackground opens one connection, passes its result to record and puts the connection among the idle ones.
 func (m *Manager) dialInBackground(
-	p *Pool, a *addresses.Address, record func(time.Duration, addresses.Result, time.Duration),
+	p *Pool, addr *addresses.Address, record func(time.Duration, addresses.Result, time.Duration),
 ) {
 	p.mu.Lock()
 	p.dialing++
-	spec := a.Spec
+	spec := addr.Spec
 	p.mu.Unlock()
 	m.Group.Go(func() error {
 		ctx, cancel := context.WithTimeout(m.Context, m.DialTimeout)
@@ -741,7 +741,7 @@
 		p.dialing--
 		record(m.Now(), result, m.Now()-startedAt)
 		if result == addresses.Verified {
-			p.putIdle(&Conn{Conn: conn, Address: a, pool: p, reader: reader}, true)
+			p.putIdle(&Conn{Conn: conn, Address: addr, pool: p, reader: reader}, true)
 		}
 		p.notify()
 		return nil
--- a/internal/reach/pool_test.go
+++ b/internal/reach/pool_test.go
@@ -44,22 +44,23 @@
 	}
 	terms := setup.DefaultDeployment()
 	terms.Classes = []setup.Class{{Name: "g", Effect: "unrepeatable"}}
-	s := &fixture{t: t, book: book, fleet: standin.NewFleet(
-		terms, book, standin.Links{SameRack: 1e9, CrossRack: 1e9}, map[string]standin.ClassProfile{"g": {NewTokens: 1, AnswerTokens: 1}},
+	fix := &fixture{t: t, book: book, fleet: standin.NewFleet(
+		terms, book, standin.Links{SameRack: 1e9, CrossRack: 1e9},
+		map[string]standin.ClassProfile{"g": {NewTokens: 1, AnswerTokens: 1}},
 	)}
 	life, end := context.WithCancel(context.Background())
 	group := &errgroup.Group{}
-	s.pools = &reach.Manager{
+	fix.pools = &reach.Manager{
 		DialTimeout: 250 * time.Millisecond, MaxConnsPerBackend: 64, Now: book.Elapsed, Context: life, Group: group,
 	}
-	group.Go(s.pools.Run)
+	group.Go(fix.pools.Run)
 	t.Cleanup(func() {
 		end()
 		group.Wait()
-		s.fleet.Close()
+		fix.fleet.Close()
 		goleak.VerifyNone(t, before)
 	})
-	return s
+	return fix
 }
 
 // freePort returns an address at which nothing listens.
@@ -98,7 +99,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	e := kserve.AttemptParams{
-		Phase: kserve.PhaseCombined, DispatcherEpoch: "d.1", RequestNumber: uint64(s.lastRequest.Add(1)), Class: "g", PromptTokens: 10, MaxTokens: 1,
+		Phase: kserve.PhaseCombined, DispatcherEpoch: "d.1", RequestNumber: uint64(s.lastRequest.Add(1)), Class: "g",
+		PromptTokens: 10, MaxTokens: 1,
 	}
 	conn, resp, err := pool.Send(ctx, func() (*http.Request, error) {
 		return kserve.NewAttemptRequest(ctx, reach.URL(pool.Name), "lodge", "", e)
@@ -137,19 +139,19 @@
 		standin.EndpointBlackhole: 250 * time.Millisecond,
 	} {
 		t.Run(mode, func(t *testing.T) {
-			s := newFixture(t)
-			backend, pool := s.backend("w1")
+			fix := newFixture(t)
+			backend, pool := fix.backend("w1")
 			for _, i := range []int{0, 1} {
 				if err := backend.Endpoint(i).SetMode(mode, 0, 0); err != nil {
 					t.Fatal(err)
 				}
 			}
 			startedAt := time.Now()
-			_, err := s.attempt(pool, time.Second)
+			_, err := fix.attempt(pool, time.Second)
 			if took := time.Since(startedAt); err != nil || took > limit {
 				t.Errorf("%v after %v, at most %v are allowed", err, took, limit)
 			}
-			if _, byAddress := s.received(); byAddress["w1 tcp4"] != 1 || len(byAddress) != 1 {
+			if _, byAddress := fix.received(); byAddress["w1 tcp4"] != 1 || len(byAddress) != 1 {
 				t.Errorf("attempts received: %v", byAddress)
 			}
 		})
@@ -157,8 +159,8 @@
 }
 
 func TestFailureOfAllAddressesIsReportedPromptly(t *testing.T) {
-	s := newFixture(t)
-	backend, pool := s.backend("w1")
+	fix := newFixture(t)
+	backend, pool := fix.backend("w1")
 	for mode, limit := range map[string]time.Duration{
 		standin.EndpointRefuses: 100 * time.Millisecond,
 		standin.EndpointStalls:  400 * time.Millisecond,
@@ -167,7 +169,7 @@
 			backend.Endpoint(i).SetMode(mode, 0, 0)
 		}
 		startedAt := time.Now()
-		sent, err := s.attempt(pool, 2*time.Second)
+		sent, err := fix.attempt(pool, 2*time.Second)
 		if took := time.Since(startedAt); !errors.Is(err, reach.ErrUnreachable) || sent || took > limit {
 			t.Errorf("%s: sent %v, %v after %v", mode, sent, err, took)
 		}
@@ -175,7 +177,7 @@
 	// One address works again: a request or a background recheck finds it, although it is suspected.
 	backend.Endpoint(2).SetMode(standin.EndpointServes, 0, 0)
 	for end := time.Now().Add(8 * time.Second); ; {
-		if _, err := s.attempt(pool, time.Second); err == nil {
+		if _, err := fix.attempt(pool, time.Second); err == nil {
 			break
 		}
 		if time.Now().After(end) {
@@ -186,18 +188,18 @@
 
 // An idle connection must not be given a request if its address has begun to stall since it was verified.
 func TestIdleConnectionIsVerifiedAgain(t *testing.T) {
-	s := newFixture(t)
-	backend, pool := s.backend("w1")
+	fix := newFixture(t)
+	backend, pool := fix.backend("w1")
 	for range 3 {
-		s.attempt(pool, time.Second)
+		fix.attempt(pool, time.Second)
 	}
 	time.Sleep(2 * addresses.VerificationTTL)
 	backend.Endpoint(0).SetMode(standin.EndpointStalls, 0, 0)
 	startedAt := time.Now()
-	if _, err := s.attempt(pool, time.Second); err != nil || time.Since(startedAt) > 250*time.Millisecond {
+	if _, err := fix.attempt(pool, time.Second); err != nil || time.Since(startedAt) > 250*time.Millisecond {
 		t.Errorf("%v after %v", err, time.Since(startedAt))
 	}
-	if _, byAddress := s.received(); byAddress["w1 unix"] != 3 || byAddress["w1 tcp6"] != 1 {
+	if _, byAddress := fix.received(); byAddress["w1 unix"] != 3 || byAddress["w1 tcp6"] != 1 {
 		t.Errorf("attempts received: %v", byAddress)
 	}
 }
@@ -223,19 +225,19 @@
 
 // An address may pass to another backend's process. The name in the verification shows it, and nothing is sent there.
 func TestNoRequestIsSentToAnotherBackend(t *testing.T) {
-	s := newFixture(t)
-	first, firstPool := s.backend("w1")
-	second, secondPool := s.backend("w2")
+	fix := newFixture(t)
+	first, firstPool := fix.backend("w1")
+	second, secondPool := fix.backend("w2")
 	for range 3 {
-		s.attempt(firstPool, time.Second)
-		s.attempt(secondPool, time.Second)
+		fix.attempt(firstPool, time.Second)
+		fix.attempt(secondPool, time.Second)
 	}
 	for i := range 3 {
 		first.Endpoint(i).Swap(second.Endpoint(i))
 	}
-	before, _ := s.received()
-	sent, err := s.attempt(firstPool, time.Second)
-	after, _ := s.received()
+	before, _ := fix.received()
+	sent, err := fix.attempt(firstPool, time.Second)
+	after, _ := fix.received()
 	if !errors.Is(err, reach.ErrUnreachable) || sent || len(after) != len(before) {
 		t.Errorf("sent %v, %v; %d attempts received before and %d after", sent, err, len(before), len(after))
 	}
@@ -244,15 +246,15 @@
 // A backend that resets each connection right after its verification takes no byte of a request. Retrying must end at
 // the dial timeout, however long the request may take: the backend may be draining by then.
 func TestRetriesOfUnsentRequestsEndAtTheDialTimeout(t *testing.T) {
-	s := newFixture(t)
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	fix := newFixture(t)
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer listener.Close()
 	go func() {
 		for {
-			conn, err := l.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -262,7 +264,7 @@
 			conn.Close()
 		}
 	}()
-	pool := s.pools.SetAddresses("b", []addresses.Spec{{Network: addresses.TCP4, Addr: l.Addr().String()}}, 3)
+	pool := fix.pools.SetAddresses("b", []addresses.Spec{{Network: addresses.TCP4, Addr: listener.Addr().String()}}, 3)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	tries := 0
@@ -298,18 +300,18 @@
 }
 
 func TestConnectionsToARemovedAddressAreNotReused(t *testing.T) {
-	s := newFixture(t)
-	backend, pool := s.backend("w1")
-	s.attempt(pool, time.Second)
-	s.pools.SetAddresses("w1", backend.Addresses[2:], 3)
-	if _, err := s.attempt(pool, time.Second); err != nil {
+	fix := newFixture(t)
+	backend, pool := fix.backend("w1")
+	fix.attempt(pool, time.Second)
+	fix.pools.SetAddresses("w1", backend.Addresses[2:], 3)
+	if _, err := fix.attempt(pool, time.Second); err != nil {
 		t.Error(err)
 	}
-	if _, byAddress := s.received(); byAddress["w1 unix"] != 1 || byAddress["w1 tcp4"] != 1 {
+	if _, byAddress := fix.received(); byAddress["w1 unix"] != 1 || byAddress["w1 tcp4"] != 1 {
 		t.Errorf("attempts received: %v", byAddress)
 	}
-	s.pools.SetAddresses("w1", nil, 3)
-	if _, err := s.attempt(pool, time.Second); !errors.Is(err, reach.ErrUnreachable) {
+	fix.pools.SetAddresses("w1", nil, 3)
+	if _, err := fix.attempt(pool, time.Second); !errors.Is(err, reach.ErrUnreachable) {
 		t.Errorf("a removed backend: %v", err)
 	}
 }
@@ -320,11 +322,13 @@
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 1))
-	s := newFixture(t)
-	backend, pool := s.backend("w1")
+	fix := newFixture(t)
+	backend, pool := fix.backend("w1")
 	modes := []string{
-		standin.EndpointServes, standin.EndpointServes, standin.EndpointServes, standin.EndpointRefuses, standin.EndpointBlackhole,
-		standin.EndpointStalls, standin.EndpointStallsAfterResponse, standin.EndpointSlow, standin.EndpointResets, standin.EndpointFlaps,
+		standin.EndpointServes, standin.EndpointServes, standin.EndpointServes, standin.EndpointRefuses,
+		standin.EndpointBlackhole,
+		standin.EndpointStalls, standin.EndpointStallsAfterResponse, standin.EndpointSlow, standin.EndpointResets,
+		standin.EndpointFlaps,
 	}
 	const minAttempts, minChanges = 10000, 30 // a fast machine would end the attempts before any address has failed
 	var attempts, changes atomic.Int64
@@ -352,7 +356,7 @@
 			for attempts.Load() < minAttempts || changes.Load() < minChanges {
 				attempts.Add(1)
 				// The number of an attempt is not known here, so the attempts that were not sent are counted.
-				sent, err := s.attempt(pool, 60*time.Millisecond)
+				sent, err := fix.attempt(pool, 60*time.Millisecond)
 				if err != nil {
 					failed.Add(1)
 				}
@@ -370,7 +374,7 @@
 		backend.Endpoint(i).SetMode(standin.EndpointServes, 0, 0)
 	}
 	time.Sleep(200 * time.Millisecond) // what a fault has delayed arrives late, or never
-	byAttempt, byAddress := s.received()
+	byAttempt, byAddress := fix.received()
 	for key, n := range byAttempt {
 		if n > 1 {
 			t.Fatalf("%s was received %d times", key, n)
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -142,7 +142,8 @@
 	server := b.server
 	b.handlers.Add(1)
 	go func() { defer b.handlers.Done(); server.Serve(listener) }()
-	b.fleet.Record.Record(record.Event{Kind: record.ProcessStarted, Backend: b.Name, StartID: b.StartNumber, SlowStart: slowStart})
+	b.fleet.Record.Record(record.Event{Kind: record.ProcessStarted, Backend: b.Name, StartID: b.StartNumber,
+		SlowStart: slowStart})
 	return nil
 }
 
@@ -173,7 +174,8 @@
 	b.running = false
 	b.fleet.Record.Record(record.Event{Kind: record.ProcessEnded, Backend: b.Name, StartID: b.StartNumber, Detail: reason})
 	for key, try := range b.heldTries {
-		b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: "lost"})
+		b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try,
+			Detail: "lost"})
 	}
 	clear(b.heldTries)
 	b.engine.Stop()
@@ -302,7 +304,8 @@
 	for key, try := range b.heldTries {
 		if _, held := b.engine.Waits(key); !held && !b.engine.Moves(key) {
 			delete(b.heldTries, key)
-			b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: "expired"})
+			b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try,
+				Detail: "expired"})
 		}
 	}
 }
@@ -515,7 +518,8 @@
 				} else {
 					b.heldTries[attempt.RequestKey()] = attempt.DedupKey
 					b.fleet.Record.Record(record.Event{
-						Kind: record.KVCacheHeld, Backend: b.Name, RequestKey: attempt.RequestKey(), Try: attempt.DedupKey, Class: attempt.Class,
+						Kind: record.KVCacheHeld, Backend: b.Name, RequestKey: attempt.RequestKey(), Try: attempt.DedupKey,
+						Class: attempt.Class,
 					})
 				}
 			}
@@ -624,7 +628,8 @@
 	delete(b.releaseAfterFetch, key)
 	b.engine.Release(key)
 	b.wakeEngine()
-	b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try, Detail: reason})
+	b.fleet.Record.Record(record.Event{Kind: record.KVCacheReleased, Backend: b.Name, RequestKey: key, Try: try,
+		Detail: reason})
 	return true
 }
 
@@ -715,7 +720,8 @@
 	if err != nil {
 		return err
 	}
-	request, err := kserve.NewKVFetchRequest(ctx, reach.URL(attempt.PrefillBackend), b.fleet.Terms.Model, attempt.RequestKey())
+	request, err := kserve.NewKVFetchRequest(ctx, reach.URL(attempt.PrefillBackend), b.fleet.Terms.Model,
+		attempt.RequestKey())
 	if err != nil {
 		return err
 	}
--- a/internal/standin/counts.go
+++ b/internal/standin/counts.go
@@ -54,13 +54,17 @@
 		usage.open--
 		usage.lastNumber++
 		counted = &kserve.UsageRecord{
-			Number: usage.lastNumber, RequestKey: attempt.RequestKey(), Attempt: attempt.Attempt, DedupKey: attempt.DedupKey, Phase: attempt.Phase,
-			Tenant: attempt.Tenant, Class: attempt.Class, PrefillTokens: prefilled, CachedTokens: cached, OutputTokens: generated, EndReason: outcome,
+			Number: usage.lastNumber, RequestKey: attempt.RequestKey(), Attempt: attempt.Attempt, DedupKey: attempt.DedupKey,
+			Phase:  attempt.Phase,
+			Tenant: attempt.Tenant, Class: attempt.Class, PrefillTokens: prefilled, CachedTokens: cached,
+			OutputTokens: generated, EndReason: outcome,
 		}
 		usage.unacknowledged = append(usage.unacknowledged, *counted)
 		b.fleet.Record.Record(record.Event{
-			Kind: record.UsageCounted, Backend: b.Name, RequestKey: attempt.RequestKey(), Attempt: attempt.Attempt, Try: attempt.DedupKey,
-			Phase: attempt.Phase, Class: attempt.Class, Detail: outcome, Tokens: prefilled, CachedTokens: cached, AnswerTokens: generated,
+			Kind: record.UsageCounted, Backend: b.Name, RequestKey: attempt.RequestKey(), Attempt: attempt.Attempt,
+			Try:   attempt.DedupKey,
+			Phase: attempt.Phase, Class: attempt.Class, Detail: outcome, Tokens: prefilled, CachedTokens: cached,
+			AnswerTokens: generated,
 		})
 		return counted
 	}
@@ -83,7 +87,8 @@
 	}
 	response := kserve.UsageReport{
 		InFlight: usage.open, ForgottenThrough: usage.lastDropped,
-		Records: append([]kserve.UsageRecord{}, usage.unacknowledged[:min(len(usage.unacknowledged), kserve.MaxUsageRecords)]...),
+		Records: append([]kserve.UsageRecord{}, usage.unacknowledged[:min(len(usage.unacknowledged),
+			kserve.MaxUsageRecords)]...),
 	}
 	response.More = len(response.Records) < len(usage.unacknowledged)
 	counts.mu.Unlock()
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -232,7 +232,8 @@
 		}
 		for name := range known {
 			if !listed[name] {
-				d.fleet.Record.Record(record.Event{Kind: record.EndpointNotified, Dispatcher: dispatcher, Backend: name, Detail: boxlist.Removed})
+				d.fleet.Record.Record(record.Event{Kind: record.EndpointNotified, Dispatcher: dispatcher, Backend: name,
+					Detail: boxlist.Removed})
 			}
 		}
 		known = map[string]bool{}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -64,7 +64,8 @@
 	}
 	fleet.ctx, fleet.cancel = context.WithCancel(context.Background())
 	fleet.pools = &reach.Manager{
-		DialTimeout: 500 * time.Millisecond, MaxConnsPerBackend: 1024, Now: rec.Elapsed, Context: fleet.ctx, Group: &errgroup.Group{},
+		DialTimeout: 500 * time.Millisecond, MaxConnsPerBackend: 1024, Now: rec.Elapsed, Context: fleet.ctx,
+		Group: &errgroup.Group{},
 	}
 	fleet.pools.Group.Go(fleet.pools.Run)
 	return fleet
