--- a/brain/slowstart.go
+++ b/brain/slowstart.go
@@ -108,9 +108,9 @@
 }
 
 // mayUseSlowStart returns whether a backend may have totalWork in a window, that of the request at hand included
-// (rule 4). With many dispatchers the share of each is less than one
-// request; it is then a probability, drawn per window. All dispatchers use the same draw shifted by their
-// index, so that the shares add up exactly and not only on average.
+// (rule 4). With many dispatchers the share of each is less than one request; it is then a probability, drawn
+// per window. All dispatchers use the same draw shifted by their index, so that the shares add up exactly and
+// not only on average.
 func (d *Dispatcher) mayUseSlowStart(backend *Backend, workPerRequest, totalWork float64) Permission {
 	if !d.inSlowStart(backend) {
 		return Allowed
--- a/internal/begins/table.go
+++ b/internal/begins/table.go
@@ -17,7 +17,7 @@
 	maxBlocks = 64
 	// generationBlocks bounds each of the two generations; a full table takes a few MiB.
 	generationBlocks = 1 << 16
-	// generationTime is how long a generation is the current one. It is kept for one generation more, then dropped.
+	// generationTime is how long a generation is the current one. It stays for one generation more, then is dropped.
 	generationTime = 60 * time.Second
 	// bytesPerToken is a rule of thumb for English text.
 	bytesPerToken = 4
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -92,7 +92,7 @@
 	StepPerAnswer       setup.Duration `toml:"step_per_answer,omitempty"`  // for each running answer; default 0.15 ms
 	StepPer1000Context  setup.Duration `toml:"step_per_1000,omitempty"`    // for 1,000 tokens of context; default 0.04 ms
 	StepPerMillionPairs setup.Duration `toml:"step_per_m_pairs,omitempty"` // per 1e6 prefill token pairs; default 0.8 ms
-	ModelLoadTime       setup.Duration `toml:"model_load,omitempty"`       // before the first step; default 0
+	ModelLoadTime       setup.Duration `toml:"model_load,omitempty"`       // delay of a cold start; default 0
 }
 
 // Traffic describes the requests of one class.
--- a/internal/day/import.go
+++ b/internal/day/import.go
@@ -122,11 +122,11 @@
 
 // Import turns a scenario drawn by the bench into a script, and lists what it can't represent.
 func Import(file string, raw []byte, scale Scale) (Scenario, []string, error) {
-	var in benchScenario
-	if err := json.Unmarshal(raw, &in); err != nil {
+	var bench benchScenario
+	if err := json.Unmarshal(raw, &bench); err != nil {
 		return Scenario{}, nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if in.Family != "twostage" || len(in.Tiers) == 0 || len(in.Servers) == 0 || len(in.TwoStage.Engines) == 0 {
+	if bench.Family != "twostage" || len(bench.Tiers) == 0 || len(bench.Servers) == 0 || len(bench.TwoStage.Engines) == 0 {
 		return Scenario{}, nil, fmt.Errorf("%s: not a scenario of a two-stage deployment drawn by the bench", file)
 	}
 	if scale.Duration <= 0 || scale.Rate <= 0 {
@@ -138,38 +138,38 @@
 	microseconds := func(v int64) setup.Duration { return setup.Duration(time.Duration(v) * time.Microsecond) }
 	scaled := func(v int64) setup.Duration { return setup.Duration(float64(v) * scale.Duration * 1000) }
 	scenario := Default()
-	scenario.Header.Name, scenario.Header.Seed, scenario.Header.Duration = in.Site, in.Noise, scaled(in.Duration)
-	scenario.Header.Dispatchers = len(in.Balancers)
-	scenario.Zones = in.Zones
-	scenario.Links = Links{in.TwoStage.Near, in.TwoStage.Far, max(in.TwoStage.ZoneSlower, 1)}
-	scenario.Discovery = Discovery{microseconds(in.Discovery.Notice), microseconds(in.Discovery.SilentNotice)}
-	scenario.Clients = Clients{in.Clients.Retries, setup.Duration(in.Clients.BackoffUs * 1000),
-		in.Clients.Backoff == "exp",
-		in.Clients.Honour, in.Clients.TryShare, 1}
-	scenario.Clients.PatienceMin = min(max(in.Clients.TryShare, 0.05), 1)
-	tier := in.Tiers[0]
+	scenario.Header.Name, scenario.Header.Seed, scenario.Header.Duration = bench.Site, bench.Noise, scaled(bench.Duration)
+	scenario.Header.Dispatchers = len(bench.Balancers)
+	scenario.Zones = bench.Zones
+	scenario.Links = Links{bench.TwoStage.Near, bench.TwoStage.Far, max(bench.TwoStage.ZoneSlower, 1)}
+	scenario.Discovery = Discovery{microseconds(bench.Discovery.Notice), microseconds(bench.Discovery.SilentNotice)}
+	scenario.Clients = Clients{bench.Clients.Retries, setup.Duration(bench.Clients.BackoffUs * 1000),
+		bench.Clients.Backoff == "exp",
+		bench.Clients.Honour, bench.Clients.TryShare, 1}
+	scenario.Clients.PatienceMin = min(max(bench.Clients.TryShare, 0.05), 1)
+	tier := bench.Tiers[0]
 	scenario.ReportFields = tier.ReportFields
 	scenario.Rules.DrainGrace, scenario.Rules.SlowStartMultiple, scenario.Rules.SlowStartWindow =
-		microseconds(in.DrainGrace), in.OverloadMultiple, microseconds(in.OverloadWindow)
+		microseconds(bench.DrainGrace), bench.OverloadMultiple, microseconds(bench.OverloadWindow)
 	scenario.Rules.SlowStartShare, scenario.Rules.SlowStartRamp, scenario.Rules.KVCacheHoldLimit =
-		tier.SlowStartShare, microseconds(tier.SlowStartDuration), microseconds(in.TwoStage.Release)
-	scenario.Limits.MaxAttempts, scenario.Limits.Cancel, scenario.Limits.PeerUpdates = max(in.Allow.MaxAttempts, 1),
-		in.Allow.Cancel,
-		in.Allow.Peers
-	scenario.Limits.DecodeCanPrefill = in.TwoStage.DecodeBackendsPrefill
-	if !in.Allow.RetryAfter {
+		tier.SlowStartShare, microseconds(tier.SlowStartDuration), microseconds(bench.TwoStage.Release)
+	scenario.Limits.MaxAttempts, scenario.Limits.Cancel, scenario.Limits.PeerUpdates = max(bench.Allow.MaxAttempts, 1),
+		bench.Allow.Cancel,
+		bench.Allow.Peers
+	scenario.Limits.DecodeCanPrefill = bench.TwoStage.DecodeBackendsPrefill
+	if !bench.Allow.RetryAfter {
 		scenario.Limits.MaxRetryAfter = 0
 	}
 	effects := map[string]string{"safe": "idempotent", "keyed": "deduplicated", "unsafe": "unrepeatable"}
 	reaches := map[string]string{"all": "all", "zone": "zone", "cell": "rack"}
 	var answerTokens, newTokens, shares float64 // tokens are weighted by the classes' shares
-	for i, c := range in.Classes {
+	for i, c := range bench.Classes {
 		class := setup.Class{Name: c.Name, Effect: effects[c.Effect], DedupScope: reaches[c.Group],
 			DedupWindow: microseconds(c.Window), LatencyTarget: microseconds(c.LatencyTarget),
 			Deadline: microseconds(c.Deadline),
 			Value:    c.Value, LateValue: c.LateValue, DefaultMaxTokens: 400}
-		if i < len(in.TwoStage.TokenClasses) {
-			t := in.TwoStage.TokenClasses[i]
+		if i < len(bench.TwoStage.TokenClasses) {
+			t := bench.TwoStage.TokenClasses[i]
 			class.TargetPer1000Tokens, class.InterTokenTarget, class.DefaultMaxTokens =
 				setup.Duration(t.LatencyTargetMsPer1000*1e6), setup.Duration(t.TokenMs*1e6), max(t.MaxAnswerTokens, 1)
 			scenario.Traffic = append(scenario.Traffic, Traffic{Class: c.Name, Share: c.Share, NewTokens: t.NewTokens,
@@ -183,10 +183,10 @@
 	roles := map[string]string{"read": "reader", "write": "writer", "both": "mixed"}
 	prefillCapacity, decodeCapacity := 0.0, 0.0 // in requests a second
 	for i, k := range tier.Kinds {
-		e := in.TwoStage.Engines[min(i, len(in.TwoStage.Engines)-1)]
+		e := bench.TwoStage.Engines[min(i, len(bench.TwoStage.Engines)-1)]
 		role := roles["both"]
-		if i < len(in.TwoStage.Roles) {
-			role = roles[in.TwoStage.Roles[i]]
+		if i < len(bench.TwoStage.Roles) {
+			role = roles[bench.TwoStage.Roles[i]]
 		}
 		scenario.BackendKinds = append(scenario.BackendKinds, setup.BackendKind{Name: k.Name, Role: role,
 			MemoryTokens: e.Memory})
@@ -195,12 +195,12 @@
 			scenario.Faults = append(scenario.Faults, Fault{Kind: "no_cancel", Duration: scenario.Header.Duration,
 				Backends: []string{k.Name}})
 		}
-		for _, s := range in.Servers {
+		for _, s := range bench.Servers {
 			if s.Kind != i {
 				continue
 			}
 			scenario.Backends = append(scenario.Backends, BackendGroup{Kind: k.Name, Count: 1,
-				Racks: []string{fmt.Sprintf("rack-%d", s.Cell)}, Zones: []string{in.Zones[s.Zone]}, Slots: max(e.Slots, 1),
+				Racks: []string{fmt.Sprintf("rack-%d", s.Cell)}, Zones: []string{bench.Zones[s.Zone]}, Slots: max(e.Slots, 1),
 				Queue: e.Queue, PrefillTokensPerSecond: e.PrefillTokensPerSecond * s.Speed,
 				TokenTime: setup.Duration(float64(tokenTime) / s.Speed), Units: s.Weight})
 			if role == "reader" {
@@ -212,14 +212,14 @@
 		}
 	}
 	scenario.makeKindNamesUnique()
-	scenario.Header.RequestsPerSecond = math.Round(100*in.Traffic.Load*
+	scenario.Header.RequestsPerSecond = math.Round(100*bench.Traffic.Load*
 		min(infiniteIfZero(prefillCapacity), infiniteIfZero(decodeCapacity))*scale.Rate) / 100
-	for _, t := range in.Tenants {
+	for _, t := range bench.Tenants {
 		scenario.Tenants = append(scenario.Tenants, setup.Tenant{Name: t.Name, Share: t.Share,
 			RequestsPerSecond: t.Quota * scenario.Header.RequestsPerSecond})
 	}
-	names := scenario.serverNames(in.serverKinds())
-	for _, f := range in.Faults {
+	names := scenario.serverNames(bench.serverKinds())
+	for _, f := range bench.Faults {
 		kind, known := importedKinds[f.Kind]
 		if !known {
 			omit("the fault %s", f.Kind)
@@ -268,15 +268,15 @@
 		}
 		scenario.Faults = append(scenario.Faults, fault)
 	}
-	if len(in.Traffic.Shape) > 1 {
+	if len(bench.Traffic.Shape) > 1 {
 		omit("the shape of the load over time; it is steady")
 	}
-	if in.Traffic.BurstCV > 0 {
+	if bench.Traffic.BurstCV > 0 {
 		omit("the burstiness of arrivals; they are Poisson")
 	}
 	omit("network delays, prices, the cost of connections, noise of load reports, and engine steps: " +
 		"these backends are simpler")
-	omit("the load: %.2f of a capacity estimated for these backends gives %.2f requests a second", in.Traffic.Load,
+	omit("the load: %.2f of a capacity estimated for these backends gives %.2f requests a second", bench.Traffic.Load,
 		scenario.Header.RequestsPerSecond)
 	if err := scenario.check(); err != nil {
 		return scenario, omitted, fmt.Errorf("%s: the imported scenario is invalid: %w", file, err)
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -147,15 +147,15 @@
 		return err
 	}
 	nextAddr := func() string { p := ports[0]; ports = ports[1:]; return fmt.Sprintf("127.0.0.1:%d", p) }
-	shapes := map[string]standin.ClassProfile{} // by class
+	profiles := map[string]standin.ClassProfile{} // by class
 	for _, t := range r.scenario.Traffic {
-		shapes[t.Class] = standin.ClassProfile{NewTokens: t.NewTokens, AnswerTokens: t.AnswerTokens,
+		profiles[t.Class] = standin.ClassProfile{NewTokens: t.NewTokens, AnswerTokens: t.AnswerTokens,
 			PrefixTokens: t.SharedPrefixTokens}
 	}
 	r.fleet = standin.NewFleet(r.scenario.Deployment, r.recorder, standin.Links{
 		SameRack: r.scenario.Links.NearTokensPerSecond, CrossRack: r.scenario.Links.FarTokensPerSecond,
 		ZoneFactor: r.scenario.Links.CrossZoneFactor,
-	}, shapes)
+	}, profiles)
 	defer r.fleet.Close()
 	r.discovery = r.fleet.NewDiscovery(nextAddr())
 	if err := r.discovery.Start(); err != nil {
--- a/internal/dispatch/accounting.go
+++ b/internal/dispatch/accounting.go
@@ -18,9 +18,9 @@
 	Month        func(now time.Duration) budget.Month
 
 	Account *account.Tracker
-	// FetchUsage fetches usage counts from a backend. It must not block; heard is posted to the loop, with nil if the
+	// FetchUsage fetches usage counts from a backend. It must not block; received is posted to the loop, with nil if the
 	// backend could not be reached.
-	FetchUsage func(backend *Backend, inquiry account.Inquiry, heard func(*account.Reply))
+	FetchUsage func(backend *Backend, inquiry account.Inquiry, received func(*account.Reply))
 }
 
 // accountingInterval is the time between two runs of the periodic work on budgets and the account.
--- a/internal/dispatch/http_transport.go
+++ b/internal/dispatch/http_transport.go
@@ -337,11 +337,11 @@
 const usageTimeout = 500 * time.Millisecond
 
 // FetchUsage fetches usage counts from a backend and posts them to the loop; the reply is nil if the request failed.
-func (c *HTTPTransport) FetchUsage(backend *Backend, inquiry account.Inquiry, heard func(*account.Reply)) {
+func (c *HTTPTransport) FetchUsage(backend *Backend, inquiry account.Inquiry, received func(*account.Reply)) {
 	pool := backend.pool
 	c.group.Go(func() error {
 		reply := c.fetchUsage(pool, inquiry)
-		c.loop.Post(func() { heard(reply) })
+		c.loop.Post(func() { received(reply) })
 		return nil
 	})
 }
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -1,4 +1,4 @@
-// Package dispatch hosts the scheduler. One event loop owns it, hands it what happens and carries out what it decides;
+// Package dispatch runs the scheduler. One event loop owns it, hands it what happens and carries out what it decides;
 // attempts, clients and peers are goroutines that post closures to the loop. The package makes no scheduling decisions,
 // and reports of an attempt only what its connection proved. Start with Loop, then Serve.
 package dispatch
@@ -94,7 +94,8 @@
 
 // NewLoop returns a loop with a scheduler of its own. clock returns the time since the start.
 func NewLoop(
-	facts brain.Settings, seed uint64, resolver Resolver, transport Transport, clock func() time.Duration, epoch string,
+	parameters brain.Settings, seed uint64, resolver Resolver, transport Transport, clock func() time.Duration,
+	epoch string,
 	log *slog.Logger,
 ) (*Loop, error) {
 	if resolver.AddressAllowed == nil {
@@ -106,12 +107,12 @@
 		requests: map[*brain.Request]*ClientRequest{}, backends: map[string]*Backend{},
 		byState: map[*brain.Backend]*Backend{}, schedulerBackends: map[uint32]*brain.Backend{}, now: clock(),
 	}
-	scheduler, err := brain.New(facts, seed, l)
+	scheduler, err := brain.New(parameters, seed, l)
 	l.scheduler = scheduler
 	return l, err
 }
 
-// Scheduler is the scheduler that a loop hosts: the one of this project, or a baseline to compare it with.
+// Scheduler is the scheduler that a loop runs: the one of this project, or a baseline to compare it with.
 type Scheduler interface {
 	UpdateEndpoints(listings []brain.Endpoint, complete bool)
 	Submit(request *brain.Request, class, tenant int)
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -290,10 +290,10 @@
 	ctx context.Context, loop *Loop, discovery *boxlist.Follower, transport *HTTPTransport, server *Server,
 	uptime time.Duration,
 ) map[string]any {
-	age, heard := discovery.Staleness()
+	age, received := discovery.Staleness()
 	out := map[string]any{
 		"dispatcher": loop.Epoch, "up_s": uptime.Seconds(), "open": server.openRequests.Load(),
-		"stopping": server.stopping.Load(), "list_heard": heard, "list_age_s": age.Seconds(),
+		"stopping": server.stopping.Load(), "list_heard": received, "list_age_s": age.Seconds(),
 		"list_gaps": discovery.Gaps(), "releases_refused": transport.DroppedReleases.Load(),
 	}
 	if transport.Peers != nil {
--- a/internal/judge/judge.go
+++ b/internal/judge/judge.go
@@ -125,15 +125,16 @@
 
 // Check checks a record against the rules.
 func Check(header record.Header, events []record.Event) Verdict {
-	x := newIndex(header, events)
-	v := Verdict{Scenario: header.Scenario, Rules: []Rule{x.checkAnswers(), x.checkEffects(), x.checkDrains(), {}, {}},
-		Tries: len(x.tries)}
-	v.Rules[3], v.PeakSlowStartLoad = x.checkSlowStart(&v.Notes)
-	v.Rules[4], v.MaxIdleKVCacheMs = x.checkKVCacheRelease()
+	idx := newIndex(header, events)
+	v := Verdict{Scenario: header.Scenario, Rules: []Rule{idx.checkAnswers(), idx.checkEffects(), idx.checkDrains(), {},
+		{}},
+		Tries: len(idx.tries)}
+	v.Rules[3], v.PeakSlowStartLoad = idx.checkSlowStart(&v.Notes)
+	v.Rules[4], v.MaxIdleKVCacheMs = idx.checkKVCacheRelease()
 	for i := range v.Rules {
 		v.Rules[i].Passed = v.Rules[i].ViolationCount == 0
 	}
-	x.summarize(&v)
+	idx.summarize(&v)
 	v.Followers, v.Others, v.FollowersByClass = ServedByRetryAdvice(events)
 	return v
 }
@@ -449,7 +450,7 @@
 func (x *index) checkKVCacheRelease() (r Rule, maxIdleMs float64) {
 	r.Name = "5 nothing is left pinned"
 	limitUs := (x.header.Terms.Rules.KVCacheHoldLimit.Std() + idleKVCacheTolerance).Microseconds()
-	held := map[string]record.Event{}
+	holds := map[string]record.Event{}
 	check := func(from record.Event, toUs int64, reason string) {
 		r.Checked++
 		idleUs, busyUntilUs := int64(0), from.TimeUs
@@ -473,16 +474,16 @@
 		key := event.Backend + " " + event.RequestKey
 		switch event.Kind {
 		case record.KVCacheHeld:
-			held[key] = event
+			holds[key] = event
 		case record.KVCacheReleased:
-			if from, ok := held[key]; ok {
+			if from, ok := holds[key]; ok {
 				check(from, event.TimeUs, event.Detail)
-				delete(held, key)
+				delete(holds, key)
 			}
 		}
 	}
-	for _, key := range sortedKeys(held) {
-		check(held[key], x.endUs, "the end")
+	for _, key := range sortedKeys(holds) {
+		check(holds[key], x.endUs, "the end")
 	}
 	return r, maxIdleMs
 }
--- a/internal/judge/judge_test.go
+++ b/internal/judge/judge_test.go
@@ -23,25 +23,25 @@
 
 // servedRequest has the events of a request that dispatcher d0 prefills and decodes without breaking a rule.
 func servedRequest(try, key, class string, startMs int64) []record.Event {
-	at := func(ms int64, kind string, e record.Event) record.Event {
-		e.TimeUs, e.Kind, e.Try, e.Class = (startMs+ms)*1000, kind, try, class
-		if e.Backend != "" {
-			e.RequestKey = key
+	event := func(ms int64, kind string, template record.Event) record.Event {
+		template.TimeUs, template.Kind, template.Try, template.Class = (startMs+ms)*1000, kind, try, class
+		if template.Backend != "" {
+			template.RequestKey = key
 		}
-		return e
+		return template
 	}
 	return []record.Event{
-		at(0, record.RequestSent, record.Event{Request: strings.Split(try, ".")[0], Dispatcher: "d0", DeadlineUs: 4e6,
+		event(0, record.RequestSent, record.Event{Request: strings.Split(try, ".")[0], Dispatcher: "d0", DeadlineUs: 4e6,
 			LatencyTargetUs: 1e6, Tokens: 10}),
-		at(2, record.AttemptReceived, record.Event{Backend: "r1", Phase: "read", Work: 0.1}),
-		at(50, record.KVCacheHeld, record.Event{Backend: "r1"}),
-		at(50, record.AttemptEnded, record.Event{Backend: "r1", Phase: "read", Detail: "read"}),
-		at(52, record.AttemptReceived, record.Event{Backend: "w1", Phase: "write", Attempt: 1, Work: 0.1}),
-		at(60, record.KVCacheReleased, record.Event{Backend: "r1", Detail: "taken"}),
-		at(61, record.EffectStarted, record.Event{Backend: "w1", Phase: "write", Attempt: 1}),
-		at(62, record.FirstToken, record.Event{}),
-		at(300, record.AttemptEnded, record.Event{Backend: "w1", Phase: "write", Attempt: 1, Detail: "answered"}),
-		at(301, record.FinalAnswer, record.Event{Detail: "satisfied"}),
+		event(2, record.AttemptReceived, record.Event{Backend: "r1", Phase: "read", Work: 0.1}),
+		event(50, record.KVCacheHeld, record.Event{Backend: "r1"}),
+		event(50, record.AttemptEnded, record.Event{Backend: "r1", Phase: "read", Detail: "read"}),
+		event(52, record.AttemptReceived, record.Event{Backend: "w1", Phase: "write", Attempt: 1, Work: 0.1}),
+		event(60, record.KVCacheReleased, record.Event{Backend: "r1", Detail: "taken"}),
+		event(61, record.EffectStarted, record.Event{Backend: "w1", Phase: "write", Attempt: 1}),
+		event(62, record.FirstToken, record.Event{}),
+		event(300, record.AttemptEnded, record.Event{Backend: "w1", Phase: "write", Attempt: 1, Detail: "answered"}),
+		event(301, record.FinalAnswer, record.Event{Detail: "satisfied"}),
 	}
 }
 
--- a/internal/ledger/journal.go
+++ b/internal/ledger/journal.go
@@ -134,10 +134,10 @@
 	return fmt.Sprintf("%s at byte %d: %d bytes: %s", d.Segment, d.Offset, d.Bytes, d.Text)
 }
 
-// scanSegment passes each valid record of a segment to each. last is the seal that its header must hold, nil where
+// scanSegment passes each valid record of a segment to visit. last is the seal that its header must hold, nil where
 // that is unknown; final marks the last segment, whose end may be torn. It returns the end of the valid records and
 // the last seal.
-func (k *Key) scanSegment(n uint64, raw []byte, last *seal, final bool, each func(Record, Position) error) (
+func (k *Key) scanSegment(n uint64, raw []byte, last *seal, final bool, visit func(Record, Position) error) (
 	end int64, after seal, damage []Damage, err error) {
 	file := segmentName(n)
 	addDamage := func(from, to int64, torn bool, format string, args ...any) {
@@ -165,7 +165,7 @@
 	for offset < size {
 		r, next, cause := k.readRecord(raw, offset)
 		if cause == nil {
-			if err := each(r, Position{file, offset}); err != nil {
+			if err := visit(r, Position{file, offset}); err != nil {
 				return offset, after, damage, err
 			}
 			offset = next
@@ -227,10 +227,11 @@
 	Damage []Damage
 }
 
-// scanSegments passes each valid record of the segments to each, in order. last is the seal that the first segment must
-// follow, nil where that is unknown. It returns the end of the valid records in the last segment, and the last seal.
+// scanSegments passes each valid record of the segments to visit, in order. last is the seal that the first segment
+// must follow, nil where that is unknown. It returns the end of the valid records in the last segment, and the last
+// seal.
 func (k *Key) scanSegments(numbers []uint64, read func(n uint64) ([]byte, error), last *seal,
-	each func(Record, Position) error) (end int64, after *seal, damage []Damage, err error) {
+	visit func(Record, Position) error) (end int64, after *seal, damage []Damage, err error) {
 	for i, n := range numbers {
 		if i > 0 && n != numbers[i-1]+1 {
 			damage = append(damage, Damage{Position{segmentName(n), 0}, 0, false,
@@ -240,7 +241,7 @@
 		if err != nil {
 			return end, last, damage, err
 		}
-		to, seal, damaged, err := k.scanSegment(n, raw, last, i == len(numbers)-1, each)
+		to, seal, damaged, err := k.scanSegment(n, raw, last, i == len(numbers)-1, visit)
 		if err != nil {
 			return end, last, damage, err
 		}
@@ -252,9 +253,9 @@
 	return end, last, damage, nil
 }
 
-// OpenJournal passes the records of all segments to each, cuts off a torn end and prepares to append behind it. Other
+// OpenJournal passes the records of all segments to visit, cuts off a torn end and prepares to append behind it. Other
 // damage is reported in Damage and left as it is, so that the records around it stay readable.
-func OpenJournal(disk Disk, key Key, each func(Record, Position) error) (*Journal, error) {
+func OpenJournal(disk Disk, key Key, visit func(Record, Position) error) (*Journal, error) {
 	j := &Journal{disk: disk, key: key}
 	numbers, err := listSegments(disk)
 	if err != nil {
@@ -265,7 +266,7 @@
 	}
 	end, last, damage, err := key.scanSegments(numbers, func(n uint64) ([]byte, error) {
 		return disk.Read(segmentName(n))
-	}, nil, each)
+	}, nil, visit)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/ledger/journal_test.go
+++ b/internal/ledger/journal_test.go
@@ -499,7 +499,7 @@
 }
 
 // verifySegments reads all segments of a folder and returns the number of valid records and the damage.
-func verifySegments(disk Disk, key Key, each func(Record, Position) error) (records int, damage []Damage, err error) {
+func verifySegments(disk Disk, key Key, visit func(Record, Position) error) (records int, damage []Damage, err error) {
 	numbers, err := listSegments(disk)
 	if err != nil {
 		return 0, nil, err
@@ -508,8 +508,8 @@
 		return disk.Read(segmentName(n))
 	}, nil, func(r Record, p Position) error {
 		records++
-		if each != nil {
-			return each(r, p)
+		if visit != nil {
+			return visit(r, p)
 		}
 		return nil
 	})
--- a/internal/ledger/recorder.go
+++ b/internal/ledger/recorder.go
@@ -57,8 +57,8 @@
 	ClockBackMs   int64  `json:"clock_back_ms,omitempty"` // how far the clock was behind the last record at the start
 }
 
-// Open locks a folder, passes every record in it to each and prepares to append.
-func Open(folder string, key Key, log *slog.Logger, each func(Record) error) (*Recorder, error) {
+// Open locks a folder, passes every record in it to visit and prepares to append.
+func Open(folder string, key Key, log *slog.Logger, visit func(Record) error) (*Recorder, error) {
 	if err := os.MkdirAll(folder, 0o750); err != nil {
 		return nil, err
 	}
@@ -73,7 +73,7 @@
 	r := &Recorder{Dir: folder, Log: log, key: key, lock: lock, wake: make(chan struct{}, 1), stopped: make(chan struct{})}
 	upTo, _, err := readStore(folder, func(record Record) error {
 		r.lastMilli = max(r.lastMilli, record.UnixMilli)
-		return each(record)
+		return visit(record)
 	})
 	if err == nil {
 		r.journal, err = OpenJournal(Folder(folder), key, func(record Record, p Position) error {
@@ -81,7 +81,7 @@
 			if n, _ := parseSegmentName(p.Segment); n <= upTo {
 				return nil // already in the store; a crash prevented the segment's removal
 			}
-			return each(record)
+			return visit(record)
 		})
 	}
 	if err != nil {
--- a/internal/ledger/store.go
+++ b/internal/ledger/store.go
@@ -170,8 +170,8 @@
 	return upTo, last, err
 }
 
-// readStore passes all records of the store to each. A folder without a store has none.
-func readStore(folder string, each func(Record) error) (upTo uint64, last *seal, err error) {
+// readStore passes all records of the store to visit. A folder without a store has none.
+func readStore(folder string, visit func(Record) error) (upTo uint64, last *seal, err error) {
 	file := filepath.Join(folder, storeFile)
 	if _, err := os.Stat(file); errors.Is(err, os.ErrNotExist) {
 		return 0, nil, nil
@@ -195,7 +195,7 @@
 				if err != nil {
 					return fmt.Errorf("%s: %s: %w", file, name, err)
 				}
-				return each(r)
+				return visit(r)
 			})
 			if err != nil {
 				return err
@@ -205,14 +205,14 @@
 	})
 }
 
-// Read passes all records of a folder to each: those of the store, then those of the segments that are not in it. An
+// Read passes all records of a folder to visit: those of the store, then those of the segments that are not in it. An
 // attempt or request may come twice where an append was repeated; a Collector counts it once. Read changes nothing,
 // and may run while a dispatcher writes.
-func Read(folder string, key Key, each func(Record) error) (damage []Damage, err error) {
+func Read(folder string, key Key, visit func(Record) error) (damage []Damage, err error) {
 	// A compaction may move a segment into the store meanwhile. Segments are therefore read before the store: one
 	// that is missing by then is in the store, and all is read again.
 	for try := 0; ; try++ {
-		damage, err = readFolder(folder, key, each)
+		damage, err = readFolder(folder, key, visit)
 		if !errors.Is(err, errCompacted) || try == 5 {
 			return damage, err
 		}
@@ -221,7 +221,7 @@
 
 var errCompacted = errors.New("segments were compacted while the ledger was read")
 
-func readFolder(folder string, key Key, each func(Record) error) (damage []Damage, err error) {
+func readFolder(folder string, key Key, visit func(Record) error) (damage []Damage, err error) {
 	disk := Folder(folder)
 	numbers, err := listSegments(disk)
 	if err != nil {
@@ -235,7 +235,7 @@
 			return nil, err
 		}
 	}
-	upTo, last, err := readStore(folder, each)
+	upTo, last, err := readStore(folder, visit)
 	if err != nil {
 		return nil, err
 	}
@@ -245,6 +245,6 @@
 			fmt.Sprintf("segment %d is missing before it", numbers[0]-1)})
 	}
 	_, _, damaged, err := key.scanSegments(numbers, func(n uint64) ([]byte, error) { return raws[n], nil }, last,
-		func(r Record, _ Position) error { return each(r) })
+		func(r Record, _ Position) error { return visit(r) })
 	return append(damage, damaged...), err
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -195,7 +195,7 @@
 		return nil, err
 	}
 	var mu sync.Mutex
-	due, latencyTarget := map[string]time.Duration{}, map[string]time.Duration{}
+	dueAt, latencyTarget := map[string]time.Duration{}, map[string]time.Duration{}
 	byClass := map[string]*Stats{}
 	statsOf := func(class string) *Stats {
 		if byClass[class] == nil {
@@ -218,7 +218,7 @@
 			case line.Kind == record.RequestSent && strings.HasSuffix(line.Try, ".0"):
 				stats.Sent++
 			case line.Kind == record.FirstToken:
-				latency := time.Since(start) - due[line.Request]
+				latency := time.Since(start) - dueAt[line.Request]
 				stats.firstTokenLatency.RecordValue(max(latency.Microseconds(), 1))
 				if latency <= latencyTarget[line.Request] {
 					stats.InTime++
@@ -275,7 +275,7 @@
 			break
 		}
 		mu.Lock()
-		due[request.Name] = request.SubmitAt
+		dueAt[request.Name] = request.SubmitAt
 		open++
 		mu.Unlock()
 		inFlight.Add(1)
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -217,8 +217,8 @@
 	n := int(float64(perSecond) * seconds)
 	start := time.Now()
 	for i := range n {
-		due := start.Add(time.Duration(float64(i) / float64(perSecond) * float64(time.Second)))
-		if wait := time.Until(due); wait > 0 {
+		dueAt := start.Add(time.Duration(float64(i) / float64(perSecond) * float64(time.Second)))
+		if wait := time.Until(dueAt); wait > 0 {
 			time.Sleep(wait)
 		}
 		if ctx.Err() != nil {
@@ -228,7 +228,7 @@
 		go func() {
 			defer inFlight.Done()
 			firstToken, err := send(ctx)
-			latency := firstToken.Sub(due)
+			latency := firstToken.Sub(dueAt)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
--- a/internal/members/members_test.go
+++ b/internal/members/members_test.go
@@ -107,7 +107,7 @@
 }
 
 // detectionTimes kills a member and returns how long each of the others took to remove it.
-func (network *testNetwork) detectionTimes(i int) (all []time.Duration) {
+func (network *testNetwork) detectionTimes(i int) (times []time.Duration) {
 	network.up[i] = false
 	killedAt, name := network.now, network.views[i].Self.Name
 	seen := map[int]bool{}
@@ -116,12 +116,12 @@
 		for j, v := range network.views {
 			if m := v.known[name]; network.up[j] && !seen[j] && (m == nil || m.State >= Dead) {
 				seen[j] = true
-				all = append(all, network.now-killedAt)
+				times = append(times, network.now-killedAt)
 			}
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(times)
+	return times
 }
 
 func TestFailureIsDetectedWithinThreeSeconds(t *testing.T) {
--- a/internal/monitor/monitor.go
+++ b/internal/monitor/monitor.go
@@ -1,6 +1,6 @@
 // Package monitor checks the dispatcher's rules at run time. It is notified of each event on the wire, counts
 // violations by rule and logs each one with the last events of its request. It changes nothing and relies on nothing
-// that the scheduler believes. Begin with Monitor.
+// that the scheduler estimates. Begin with Monitor.
 package monitor
 
 import (
@@ -74,7 +74,7 @@
 	inFlight        int           // attempts in flight
 	mayHaveRun      bool          // an attempt with an effect may have run
 	answered        bool
-	clientGoneAt    time.Duration // when its client went; 0: it is still there
+	clientGoneAt    time.Duration // when its client disconnected; 0: it is still there
 	cacheHeld       bool          // a backend holds its KV cache
 	cacheWaitsSince time.Duration // since when the KV cache waits for an arrival or release; 0: it does not
 	endedAt         time.Duration // when it ended; 0: it has not
--- a/internal/news/news.go
+++ b/internal/news/news.go
@@ -1,5 +1,5 @@
 // Package news encodes and decodes the peer protocol: eight bytes in which a dispatcher tells its peers how an attempt
-// went, the same between processes and in the simulator. It does not send or receive. Start with Encode.
+// ended, the same between processes and in the simulator. It does not send or receive. Start with Encode.
 package news
 
 import (
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -63,21 +63,21 @@
 
 // newFrontend returns a frontend that submits requests to an event loop.
 func newFrontend(
-	loop *dispatch.Loop, facts brain.Settings, maxBodyBytes int64, observer *monitor.Monitor, stalls *stallDetector,
+	loop *dispatch.Loop, settings brain.Settings, maxBodyBytes int64, observer *monitor.Monitor, stalls *stallDetector,
 	log *slog.Logger,
 ) *frontend {
 	handler := &frontend{
 		loop: loop, classIndexes: map[string]int{}, tenantIndexes: map[string]int{},
-		ids: newIDRegistry(longestDeadline(facts) + idRetentionSlack), refusals: map[string]int64{},
+		ids: newIDRegistry(longestDeadline(settings) + idRetentionSlack), refusals: map[string]int64{},
 		moveStreams:  make(chan struct{}),
-		retryAfter:   facts.Duration("policyLimits.maxRetryAfterUs"),
-		maxOpen:      int64(facts.Number("policyLimits.maxOpen", 1e4)),
-		maxBodyBytes: maxBodyBytes, monitor: observer, stalls: stalls, classes: monitorClasses(facts), log: log,
+		retryAfter:   settings.Duration("policyLimits.maxRetryAfterUs"),
+		maxOpen:      int64(settings.Number("policyLimits.maxOpen", 1e4)),
+		maxBodyBytes: maxBodyBytes, monitor: observer, stalls: stalls, classes: monitorClasses(settings), log: log,
 	}
-	for i, name := range facts.Names("requestClasses") {
+	for i, name := range settings.Names("requestClasses") {
 		handler.classIndexes[name] = i
 	}
-	for i, name := range facts.Names("tenants") {
+	for i, name := range settings.Names("tenants") {
 		handler.tenantIndexes[name] = i
 	}
 	return handler
--- a/internal/platform/observe.go
+++ b/internal/platform/observe.go
@@ -55,19 +55,19 @@
 	n.log.Info(text, args...)
 }
 
-// monitorTerms returns the bounds of the monitored rules under the given settings.
-func monitorTerms(settings brain.Settings) monitor.Bounds {
-	terms := monitor.Bounds{
+// monitorBounds returns the bounds of the monitored rules under the given settings.
+func monitorBounds(settings brain.Settings) monitor.Bounds {
+	bounds := monitor.Bounds{
 		ClientGoneGrace: clientGoneSlack, TimeoutSlack: statedTimeoutSlack,
 		DrainGrace: settings.Duration("rules.drainGraceUs"),
 	}
-	if terms.DrainGrace == 0 {
-		terms.DrainGrace = defaultDrainGrace
+	if bounds.DrainGrace == 0 {
+		bounds.DrainGrace = defaultDrainGrace
 	}
 	if limit := settings.Duration("familyInfo.pinLimitUs"); limit > 0 {
-		terms.MaxCacheWait = limit + kvHoldSlack
+		bounds.MaxCacheWait = limit + kvHoldSlack
 	}
-	return terms
+	return bounds
 }
 
 // monitorClasses returns the monitor's classes of requests by class number: whether and how a request may run again.
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -74,7 +74,7 @@
 	dispatcher := &node{config: config, settings: settings, log: log, acceptingDone: make(chan struct{})}
 	dispatcher.lifetime, dispatcher.cancel = context.WithCancel(ctx)
 	dispatcher.pulse = newStallDetector(time.Now())
-	dispatcher.monitor = monitor.New(monitorTerms(settings), since, log)
+	dispatcher.monitor = monitor.New(monitorBounds(settings), since, log)
 	pools := &reach.Manager{
 		DialTimeout:        max(settings.Duration("policyLimits.dialTimeoutUs"), 10*time.Millisecond),
 		MaxConnsPerBackend: shares.attempts, Now: since,
--- a/internal/platform/stall_test.go
+++ b/internal/platform/stall_test.go
@@ -9,24 +9,24 @@
 // is read has just arrived.
 func TestStallDetector(t *testing.T) {
 	const ms = time.Millisecond
-	at := func(span time.Duration) time.Time { return time.Unix(1000, 0).Add(span) }
-	detector := newStallDetector(at(0))
+	after := func(span time.Duration) time.Time { return time.Unix(1000, 0).Add(span) }
+	detector := newStallDetector(after(0))
 	for now := stallCheckInterval; now <= 500*ms; now += stallCheckInterval {
-		detector.tick(at(now))
+		detector.tick(after(now))
 	}
-	if got := detector.earliestArrival(at(530 * ms)); got != at(530*ms) {
+	if got := detector.earliestArrival(after(530 * ms)); got != after(530*ms) {
 		t.Errorf("without a stall: %v", got)
 	}
-	if detector.stalledSince(at(0), at(540*ms)) {
+	if detector.stalledSince(after(0), after(540*ms)) {
 		t.Error("a stall is reported where there was none")
 	}
-	if got := detector.earliestArrival(at(1540 * ms)); got != at(540*ms) { // one second without a tick
+	if got := detector.earliestArrival(after(1540 * ms)); got != after(540*ms) { // one second without a tick
 		t.Errorf("right after a stall: %v", got)
 	}
-	if !detector.stalledSince(at(500*ms), at(1541*ms)) || detector.stalledSince(at(1541*ms), at(1542*ms)) {
+	if !detector.stalledSince(after(500*ms), after(1541*ms)) || detector.stalledSince(after(1541*ms), after(1542*ms)) {
 		t.Error("a stall is not reported, or is reported for a time after it")
 	}
-	if got := detector.earliestArrival(at(1540*ms + stallSettleTime)); got != at(1540*ms+stallSettleTime) {
+	if got := detector.earliestArrival(after(1540*ms + stallSettleTime)); got != after(1540*ms+stallSettleTime) {
 		t.Errorf("some time after a stall: %v", got)
 	}
 }
--- a/internal/reach/pool_test.go
+++ b/internal/reach/pool_test.go
@@ -29,7 +29,7 @@
 // fixture holds test backends that have addresses of all three networks, and the connection pools for them.
 type fixture struct {
 	t           *testing.T
-	book        *record.Recorder
+	recorder    *record.Recorder
 	fleet       *standin.Fleet
 	pools       *reach.Manager
 	lastRequest atomic.Int64
@@ -38,29 +38,29 @@
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	before := goleak.IgnoreCurrent()
-	book, err := record.Open("", record.Header{})
+	recorder, err := record.Open("", record.Header{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	terms := setup.DefaultDeployment()
 	terms.Classes = []setup.Class{{Name: "g", Effect: "unrepeatable"}}
-	fix := &fixture{t: t, book: book, fleet: standin.NewFleet(
-		terms, book, standin.Links{SameRack: 1e9, CrossRack: 1e9},
+	env := &fixture{t: t, recorder: recorder, fleet: standin.NewFleet(
+		terms, recorder, standin.Links{SameRack: 1e9, CrossRack: 1e9},
 		map[string]standin.ClassProfile{"g": {NewTokens: 1, AnswerTokens: 1}},
 	)}
 	life, end := context.WithCancel(context.Background())
 	group := &errgroup.Group{}
-	fix.pools = &reach.Manager{
-		DialTimeout: 250 * time.Millisecond, MaxConnsPerBackend: 64, Now: book.Elapsed, Context: life, Group: group,
+	env.pools = &reach.Manager{
+		DialTimeout: 250 * time.Millisecond, MaxConnsPerBackend: 64, Now: recorder.Elapsed, Context: life, Group: group,
 	}
-	group.Go(fix.pools.Run)
+	group.Go(env.pools.Run)
 	t.Cleanup(func() {
 		end()
 		group.Wait()
-		fix.fleet.Close()
+		env.fleet.Close()
 		goleak.VerifyNone(t, before)
 	})
-	return fix
+	return env
 }
 
 // freePort returns an address at which nothing listens.
@@ -123,7 +123,7 @@
 // received counts how often test backends received each attempt, and how many attempts each address received.
 func (s *fixture) received() (byAttempt map[string]int, byAddress map[string]int) {
 	byAttempt, byAddress = map[string]int{}, map[string]int{}
-	for _, l := range s.book.Events() {
+	for _, l := range s.recorder.Events() {
 		if l.Kind == record.AttemptReceived {
 			byAttempt[l.RequestKey]++
 			byAddress[l.Backend+" "+strings.SplitN(l.Address, ":", 2)[0]]++
@@ -139,19 +139,19 @@
 		standin.EndpointBlackhole: 250 * time.Millisecond,
 	} {
 		t.Run(mode, func(t *testing.T) {
-			fix := newFixture(t)
-			backend, pool := fix.backend("w1")
+			env := newFixture(t)
+			backend, pool := env.backend("w1")
 			for _, i := range []int{0, 1} {
 				if err := backend.Endpoint(i).SetMode(mode, 0, 0); err != nil {
 					t.Fatal(err)
 				}
 			}
 			startedAt := time.Now()
-			_, err := fix.attempt(pool, time.Second)
+			_, err := env.attempt(pool, time.Second)
 			if took := time.Since(startedAt); err != nil || took > limit {
 				t.Errorf("%v after %v, at most %v are allowed", err, took, limit)
 			}
-			if _, byAddress := fix.received(); byAddress["w1 tcp4"] != 1 || len(byAddress) != 1 {
+			if _, byAddress := env.received(); byAddress["w1 tcp4"] != 1 || len(byAddress) != 1 {
 				t.Errorf("attempts received: %v", byAddress)
 			}
 		})
@@ -159,8 +159,8 @@
 }
 
 func TestFailureOfAllAddressesIsReportedPromptly(t *testing.T) {
-	fix := newFixture(t)
-	backend, pool := fix.backend("w1")
+	env := newFixture(t)
+	backend, pool := env.backend("w1")
 	for mode, limit := range map[string]time.Duration{
 		standin.EndpointRefuses: 100 * time.Millisecond,
 		standin.EndpointStalls:  400 * time.Millisecond,
@@ -169,7 +169,7 @@
 			backend.Endpoint(i).SetMode(mode, 0, 0)
 		}
 		startedAt := time.Now()
-		sent, err := fix.attempt(pool, 2*time.Second)
+		sent, err := env.attempt(pool, 2*time.Second)
 		if took := time.Since(startedAt); !errors.Is(err, reach.ErrUnreachable) || sent || took > limit {
 			t.Errorf("%s: sent %v, %v after %v", mode, sent, err, took)
 		}
@@ -177,7 +177,7 @@
 	// One address works again: a request or a background recheck finds it, although it is suspected.
 	backend.Endpoint(2).SetMode(standin.EndpointServes, 0, 0)
 	for end := time.Now().Add(8 * time.Second); ; {
-		if _, err := fix.attempt(pool, time.Second); err == nil {
+		if _, err := env.attempt(pool, time.Second); err == nil {
 			break
 		}
 		if time.Now().After(end) {
@@ -188,18 +188,18 @@
 
 // An idle connection must not be given a request if its address has begun to stall since it was verified.
 func TestIdleConnectionIsVerifiedAgain(t *testing.T) {
-	fix := newFixture(t)
-	backend, pool := fix.backend("w1")
+	env := newFixture(t)
+	backend, pool := env.backend("w1")
 	for range 3 {
-		fix.attempt(pool, time.Second)
+		env.attempt(pool, time.Second)
 	}
 	time.Sleep(2 * addresses.VerificationTTL)
 	backend.Endpoint(0).SetMode(standin.EndpointStalls, 0, 0)
 	startedAt := time.Now()
-	if _, err := fix.attempt(pool, time.Second); err != nil || time.Since(startedAt) > 250*time.Millisecond {
+	if _, err := env.attempt(pool, time.Second); err != nil || time.Since(startedAt) > 250*time.Millisecond {
 		t.Errorf("%v after %v", err, time.Since(startedAt))
 	}
-	if _, byAddress := fix.received(); byAddress["w1 unix"] != 3 || byAddress["w1 tcp6"] != 1 {
+	if _, byAddress := env.received(); byAddress["w1 unix"] != 3 || byAddress["w1 tcp6"] != 1 {
 		t.Errorf("attempts received: %v", byAddress)
 	}
 }
@@ -225,19 +225,19 @@
 
 // An address may pass to another backend's process. The name in the verification shows it, and nothing is sent there.
 func TestNoRequestIsSentToAnotherBackend(t *testing.T) {
-	fix := newFixture(t)
-	first, firstPool := fix.backend("w1")
-	second, secondPool := fix.backend("w2")
+	env := newFixture(t)
+	first, firstPool := env.backend("w1")
+	second, secondPool := env.backend("w2")
 	for range 3 {
-		fix.attempt(firstPool, time.Second)
-		fix.attempt(secondPool, time.Second)
+		env.attempt(firstPool, time.Second)
+		env.attempt(secondPool, time.Second)
 	}
 	for i := range 3 {
 		first.Endpoint(i).Swap(second.Endpoint(i))
 	}
-	before, _ := fix.received()
-	sent, err := fix.attempt(firstPool, time.Second)
-	after, _ := fix.received()
+	before, _ := env.received()
+	sent, err := env.attempt(firstPool, time.Second)
+	after, _ := env.received()
 	if !errors.Is(err, reach.ErrUnreachable) || sent || len(after) != len(before) {
 		t.Errorf("sent %v, %v; %d attempts received before and %d after", sent, err, len(before), len(after))
 	}
@@ -246,7 +246,7 @@
 // A backend that resets each connection right after its verification takes no byte of a request. Retrying must end at
 // the dial timeout, however long the request may take: the backend may be draining by then.
 func TestRetriesOfUnsentRequestsEndAtTheDialTimeout(t *testing.T) {
-	fix := newFixture(t)
+	env := newFixture(t)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -264,7 +264,7 @@
 			conn.Close()
 		}
 	}()
-	pool := fix.pools.SetAddresses("b", []addresses.Spec{{Network: addresses.TCP4, Addr: listener.Addr().String()}}, 3)
+	pool := env.pools.SetAddresses("b", []addresses.Spec{{Network: addresses.TCP4, Addr: listener.Addr().String()}}, 3)
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	tries := 0
@@ -300,18 +300,18 @@
 }
 
 func TestConnectionsToARemovedAddressAreNotReused(t *testing.T) {
-	fix := newFixture(t)
-	backend, pool := fix.backend("w1")
-	fix.attempt(pool, time.Second)
-	fix.pools.SetAddresses("w1", backend.Addresses[2:], 3)
-	if _, err := fix.attempt(pool, time.Second); err != nil {
+	env := newFixture(t)
+	backend, pool := env.backend("w1")
+	env.attempt(pool, time.Second)
+	env.pools.SetAddresses("w1", backend.Addresses[2:], 3)
+	if _, err := env.attempt(pool, time.Second); err != nil {
 		t.Error(err)
 	}
-	if _, byAddress := fix.received(); byAddress["w1 unix"] != 1 || byAddress["w1 tcp4"] != 1 {
+	if _, byAddress := env.received(); byAddress["w1 unix"] != 1 || byAddress["w1 tcp4"] != 1 {
 		t.Errorf("attempts received: %v", byAddress)
 	}
-	fix.pools.SetAddresses("w1", nil, 3)
-	if _, err := fix.attempt(pool, time.Second); !errors.Is(err, reach.ErrUnreachable) {
+	env.pools.SetAddresses("w1", nil, 3)
+	if _, err := env.attempt(pool, time.Second); !errors.Is(err, reach.ErrUnreachable) {
 		t.Errorf("a removed backend: %v", err)
 	}
 }
@@ -322,8 +322,8 @@
 	seed := uint64(time.Now().UnixNano())
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 1))
-	fix := newFixture(t)
-	backend, pool := fix.backend("w1")
+	env := newFixture(t)
+	backend, pool := env.backend("w1")
 	modes := []string{
 		standin.EndpointServes, standin.EndpointServes, standin.EndpointServes, standin.EndpointRefuses,
 		standin.EndpointBlackhole,
@@ -356,7 +356,7 @@
 			for attempts.Load() < minAttempts || changes.Load() < minChanges {
 				attempts.Add(1)
 				// The number of an attempt is not known here, so the attempts that were not sent are counted.
-				sent, err := fix.attempt(pool, 60*time.Millisecond)
+				sent, err := env.attempt(pool, 60*time.Millisecond)
 				if err != nil {
 					failed.Add(1)
 				}
@@ -374,7 +374,7 @@
 		backend.Endpoint(i).SetMode(standin.EndpointServes, 0, 0)
 	}
 	time.Sleep(200 * time.Millisecond) // what a fault has delayed arrives late, or never
-	byAttempt, byAddress := fix.received()
+	byAttempt, byAddress := env.received()
 	for key, n := range byAttempt {
 		if n > 1 {
 			t.Fatalf("%s was received %d times", key, n)
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -135,7 +135,7 @@
 	return listed
 }
 
-// entry returns the change as it is pushed now. UpMs is -1 for a backend that isn't warming up.
+// entry returns the change as it is pushed now. UptimeMs is -1 for a backend that isn't warming up.
 func (c listChange) entry(now time.Duration) boxlist.Endpoint {
 	b := c.backend
 	b.UptimeMs = -1
--- a/internal/wire/read.go
+++ b/internal/wire/read.go
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// checkLoad checks the number of values of a load report, whose place in the record has room for four.
+// checkLoad checks the number of values of a load report; the record has space for four.
 func (e Event) checkLoad(offset int) error {
 	if n := e.U8(offset); n > 4 {
 		return fmt.Errorf("event %d: load report of %d values, 4 at most", e.Code(), n)
