--- a/internal/account/account.go
+++ b/internal/account/account.go
@@ -198,23 +198,23 @@
 // nothing was sent to the backend.
 func (t *Tracker) AttemptEnded(attempt ledger.Attempt, count *ledger.Attempt, neverSent bool) {
 	attempt.Epoch = t.Epoch
-	epoch := t.entry(attempt.Backend, t.Epoch)
+	entry := t.entry(attempt.Backend, t.Epoch)
 	id := attemptID(&attempt)
-	missing := epoch.missing[id]
+	missing := entry.missing[id]
 	switch {
 	case missing == nil: // an inquiry returned its count before
 		return
 	case count != nil:
-		if t.recordCount(epoch, *count) {
+		if t.recordCount(entry, *count) {
 			t.Counts.Inline++
 		}
 	case neverSent:
 		t.Counts.Costless++
-		t.removeMissing(epoch, id)
+		t.removeMissing(entry, id)
 	default:
 		missing.endedAt = max(t.Now(), 1)
 		missing.attempt.OutputTokens, missing.attempt.Outcome = attempt.OutputTokens, attempt.Outcome
-		epoch.nextInquiry = min(epoch.nextInquiry, missing.endedAt+inquiryDelay)
+		entry.nextInquiry = min(entry.nextInquiry, missing.endedAt+inquiryDelay)
 	}
 }
 
@@ -271,22 +271,22 @@
 		}
 	}
 	var out []Inquiry
-	for _, e := range t.order {
-		removedAt := t.backends[e.backend]
-		if _, listed := t.backends[e.backend]; !listed {
+	for _, entry := range t.order {
+		removedAt := t.backends[entry.backend]
+		if _, listed := t.backends[entry.backend]; !listed {
 			removedAt = 1 // the ledger has it, but service discovery never listed it
 		}
-		if e.inFlight || now < e.nextInquiry || e.done {
+		if entry.inFlight || now < entry.nextInquiry || entry.done {
 			continue
 		}
 		if removedAt > 0 && now-removedAt > removedGrace {
-			t.giveUp(e)
+			t.giveUp(entry)
 			continue
 		}
-		if t.needsInquiry(e, now) {
-			e.inFlight = true
+		if t.needsInquiry(entry, now) {
+			entry.inFlight = true
 			t.Counts.Inquiries++
-			out = append(out, Inquiry{e.backend, e.epoch, e.durable.UpTo})
+			out = append(out, Inquiry{entry.backend, entry.epoch, entry.durable.UpTo})
 		}
 	}
 	t.dropRemoved(now)
@@ -316,19 +316,19 @@
 }
 
 // needsInquiry reports whether a backend has counts to report or to be acknowledged.
-func (t *Tracker) needsInquiry(epoch *backendEpoch, now time.Duration) bool {
-	if epoch.epoch != t.Epoch {
+func (t *Tracker) needsInquiry(entry *backendEpoch, now time.Duration) bool {
+	if entry.epoch != t.Epoch {
 		return true
 	}
-	for _, m := range epoch.missing {
+	for _, m := range entry.missing {
 		if m.endedAt > 0 && now-m.endedAt >= inquiryDelay {
 			return true
 		}
 	}
 	// Numbers that are missing in between, or that are to be acknowledged.
-	unacknowledged := epoch.durable.UpTo - min(epoch.acked, epoch.durable.UpTo)
-	return len(epoch.recorded.Beyond) > 0 || unacknowledged > 0 &&
-		(t.finishing || unacknowledged >= maxUnacknowledged || now-epoch.ackedAt >= ackInterval)
+	unacknowledged := entry.durable.UpTo - min(entry.acked, entry.durable.UpTo)
+	return len(entry.recorded.Beyond) > 0 || unacknowledged > 0 &&
+		(t.finishing || unacknowledged >= maxUnacknowledged || now-entry.ackedAt >= ackInterval)
 }
 
 // giveUp records the missing attempts of a backend that cannot be queried any more.
@@ -353,47 +353,47 @@
 
 // HandleReply processes the reply to an inquiry; nil means that the inquiry failed.
 func (t *Tracker) HandleReply(inquiry Inquiry, reply *Reply) {
-	epoch := t.entry(inquiry.Backend, inquiry.Epoch)
+	entry := t.entry(inquiry.Backend, inquiry.Epoch)
 	now := t.Now()
-	epoch.inFlight = false
+	entry.inFlight = false
 	// Of the present epoch a backend forgets what was acknowledged to it and no more: any other reply is invalid.
-	if reply == nil || epoch.epoch == t.Epoch && reply.ForgottenUpTo > max(inquiry.After, epoch.acked) {
-		epoch.backoff = min(max(2*epoch.backoff, retryBackoff), maxRetryBackoff)
-		epoch.nextInquiry = now + epoch.backoff
-		epoch.emptySince = 0
+	if reply == nil || entry.epoch == t.Epoch && reply.ForgottenUpTo > max(inquiry.After, entry.acked) {
+		entry.backoff = min(max(2*entry.backoff, retryBackoff), maxRetryBackoff)
+		entry.nextInquiry = now + entry.backoff
+		entry.emptySince = 0
 		return
 	}
-	epoch.backoff, epoch.nextInquiry = 0, now+inquiryInterval
-	epoch.acked, epoch.ackedAt = max(epoch.acked, inquiry.After), now
+	entry.backoff, entry.nextInquiry = 0, now+inquiryInterval
+	entry.acked, entry.ackedAt = max(entry.acked, inquiry.After), now
 	for _, count := range reply.Counts {
-		if t.recordCount(epoch, count) {
+		if t.recordCount(entry, count) {
 			t.Counts.Found++
 		}
 	}
 	// More was acknowledged to the backend than this ledger holds: the end of the ledger was cut off.
-	if reply.ForgottenUpTo > inquiry.After && reply.ForgottenUpTo > epoch.recorded.UpTo {
-		t.Counts.Truncated += int64(min(epoch.recorded.addUpTo(reply.ForgottenUpTo), math.MaxInt64/2))
-		epoch.durable.addUpTo(reply.ForgottenUpTo)
+	if reply.ForgottenUpTo > inquiry.After && reply.ForgottenUpTo > entry.recorded.UpTo {
+		t.Counts.Truncated += int64(min(entry.recorded.addUpTo(reply.ForgottenUpTo), math.MaxInt64/2))
+		entry.durable.addUpTo(reply.ForgottenUpTo)
 	}
 	switch {
 	case reply.More:
-		epoch.nextInquiry = now
+		entry.nextInquiry = now
 	case reply.Running > 0 || len(reply.Counts) > 0:
-		epoch.emptySince = 0
-	case epoch.emptySince == 0:
-		epoch.emptySince = max(now, 1)
-	case now-epoch.emptySince >= confirmEmptyAfter:
+		entry.emptySince = 0
+	case entry.emptySince == 0:
+		entry.emptySince = max(now, 1)
+	case now-entry.emptySince >= confirmEmptyAfter:
 		// The backend has nothing left: a missing attempt that ended before its first such reply never reached it.
-		for _, id := range sortedIDs(epoch.missing) {
-			if m := epoch.missing[id]; m.endedAt > 0 && m.endedAt < epoch.emptySince {
+		for _, id := range sortedIDs(entry.missing) {
+			if m := entry.missing[id]; m.endedAt > 0 && m.endedAt < entry.emptySince {
 				t.Counts.Costless++
-				t.removeMissing(epoch, id)
+				t.removeMissing(entry, id)
 			}
 		}
-		if epoch.epoch != t.Epoch {
-			epoch.done = true
+		if entry.epoch != t.Epoch {
+			entry.done = true
 		} else {
-			epoch.emptySince = 0
+			entry.emptySince = 0
 		}
 	}
 }
--- a/internal/day/backends.go
+++ b/internal/day/backends.go
@@ -27,18 +27,19 @@
 	next := map[string]int{} // by kind
 	for _, group := range d.Backends {
 		kind := d.BackendKinds[d.KindIndex(group.Kind)]
-		e := group.Engine
+		engineConfig := group.Engine
 		// The defaults have the published orders of magnitude for 70B-class models on one server of eight accelerators:
 		// a decode step of 10 to 25 ms, blocks of 16 to 64 tokens, chunks of 512 to 8,192 tokens.
 		engineSpec := engine.Make{
 			Reads: kind.Role != "writer", Writes: kind.Role != "reader", Slots: group.Slots, Queue: group.Queue,
-			BlockTokens: cmp.Or(e.BlockTokens, 32), Chunk: cmp.Or(e.ChunkTokens, 2048),
-			Step:        cmp.Or(e.StepTime.Std(), group.TokenTime.Std()),
-			PerAnswer:   cmp.Or(e.StepPerAnswer.Std(), 150*time.Microsecond),
-			PerContextK: cmp.Or(e.StepPer1000Context.Std(), 40*time.Microsecond),
-			PairsPerM:   cmp.Or(e.StepPerMillionPairs.Std(), 800*time.Microsecond), ReadPerS: group.PrefillTokensPerSecond,
-			StateLife: kvCacheLifetime, ColdShare: d.Rules.SlowStartShare, ColdRamp: d.Rules.SlowStartRamp.Std(),
-			Load: e.ModelLoadTime.Std(),
+			BlockTokens: cmp.Or(engineConfig.BlockTokens, 32), Chunk: cmp.Or(engineConfig.ChunkTokens, 2048),
+			Step:        cmp.Or(engineConfig.StepTime.Std(), group.TokenTime.Std()),
+			PerAnswer:   cmp.Or(engineConfig.StepPerAnswer.Std(), 150*time.Microsecond),
+			PerContextK: cmp.Or(engineConfig.StepPer1000Context.Std(), 40*time.Microsecond),
+			PairsPerM:   cmp.Or(engineConfig.StepPerMillionPairs.Std(), 800*time.Microsecond),
+			ReadPerS:    group.PrefillTokensPerSecond,
+			StateLife:   kvCacheLifetime, ColdShare: d.Rules.SlowStartShare, ColdRamp: d.Rules.SlowStartRamp.Std(),
+			Load: engineConfig.ModelLoadTime.Std(),
 		}
 		engineSpec.Blocks = max(kind.MemoryTokens/engineSpec.BlockTokens, 1)
 		for range group.Count {
--- a/internal/day/import.go
+++ b/internal/day/import.go
@@ -163,50 +163,53 @@
 	effects := map[string]string{"safe": "idempotent", "keyed": "deduplicated", "unsafe": "unrepeatable"}
 	reaches := map[string]string{"all": "all", "zone": "zone", "cell": "rack"}
 	var answerTokens, newTokens, shares float64 // tokens are weighted by the classes' shares
-	for i, c := range bench.Classes {
-		class := setup.Class{Name: c.Name, Effect: effects[c.Effect], DedupScope: reaches[c.Group],
-			DedupWindow: microseconds(c.Window), LatencyTarget: microseconds(c.LatencyTarget),
-			Deadline: microseconds(c.Deadline),
-			Value:    c.Value, LateValue: c.LateValue, DefaultMaxTokens: 400}
+	for i, benchClass := range bench.Classes {
+		class := setup.Class{Name: benchClass.Name, Effect: effects[benchClass.Effect], DedupScope: reaches[benchClass.Group],
+			DedupWindow: microseconds(benchClass.Window), LatencyTarget: microseconds(benchClass.LatencyTarget),
+			Deadline: microseconds(benchClass.Deadline),
+			Value:    benchClass.Value, LateValue: benchClass.LateValue, DefaultMaxTokens: 400}
 		if i < len(bench.TwoStage.TokenClasses) {
 			t := bench.TwoStage.TokenClasses[i]
 			class.TargetPer1000Tokens, class.InterTokenTarget, class.DefaultMaxTokens =
 				setup.Duration(t.LatencyTargetMsPer1000*1e6), setup.Duration(t.TokenMs*1e6), max(t.MaxAnswerTokens, 1)
-			scenario.Traffic = append(scenario.Traffic, Traffic{Class: c.Name, Share: c.Share, NewTokens: t.NewTokens,
+			scenario.Traffic = append(scenario.Traffic, Traffic{Class: benchClass.Name, Share: benchClass.Share,
+				NewTokens:    t.NewTokens,
 				AnswerTokens: t.AnswerTokens, Turns: max(t.Turns, 1), SharedPrefixShare: t.PrefixShare,
 				SharedPrefixes: max(t.Prefixes, 1), SharedPrefixTokens: max(int(t.PrefixTokens), 1)})
 			answerTokens, newTokens, shares =
-				answerTokens+c.Share*t.AnswerTokens, newTokens+c.Share*t.NewTokens, shares+c.Share
+				answerTokens+benchClass.Share*t.AnswerTokens, newTokens+benchClass.Share*t.NewTokens, shares+benchClass.Share
 		}
 		scenario.Classes = append(scenario.Classes, class)
 	}
 	roles := map[string]string{"read": "reader", "write": "writer", "both": "mixed"}
 	prefillCapacity, decodeCapacity := 0.0, 0.0 // in requests a second
 	for i, k := range tier.Kinds {
-		e := bench.TwoStage.Engines[min(i, len(bench.TwoStage.Engines)-1)]
+		benchEngine := bench.TwoStage.Engines[min(i, len(bench.TwoStage.Engines)-1)]
 		role := roles["both"]
 		if i < len(bench.TwoStage.Roles) {
 			role = roles[bench.TwoStage.Roles[i]]
 		}
 		scenario.BackendKinds = append(scenario.BackendKinds, setup.BackendKind{Name: k.Name, Role: role,
-			MemoryTokens: e.Memory})
-		tokenTime := time.Duration((e.StepMs + e.StepPerSequenceMs*float64(e.Slots)/2) * float64(time.Millisecond))
+			MemoryTokens: benchEngine.Memory})
+		tokenTime := time.Duration((benchEngine.StepMs + benchEngine.StepPerSequenceMs*float64(benchEngine.Slots)/2) *
+			float64(time.Millisecond))
 		if k.Cancel != "all" {
 			scenario.Faults = append(scenario.Faults, Fault{Kind: "no_cancel", Duration: scenario.Header.Duration,
 				Backends: []string{k.Name}})
 		}
-		for _, s := range bench.Servers {
-			if s.Kind != i {
+		for _, benchServer := range bench.Servers {
+			if benchServer.Kind != i {
 				continue
 			}
 			scenario.Backends = append(scenario.Backends, BackendGroup{Kind: k.Name, Count: 1,
-				Racks: []string{fmt.Sprintf("rack-%d", s.Cell)}, Zones: []string{bench.Zones[s.Zone]}, Slots: max(e.Slots, 1),
-				Queue: e.Queue, PrefillTokensPerSecond: e.PrefillTokensPerSecond * s.Speed,
-				TokenTime: setup.Duration(float64(tokenTime) / s.Speed), Units: s.Weight})
+				Racks: []string{fmt.Sprintf("rack-%d", benchServer.Cell)}, Zones: []string{bench.Zones[benchServer.Zone]},
+				Slots: max(benchEngine.Slots, 1),
+				Queue: benchEngine.Queue, PrefillTokensPerSecond: benchEngine.PrefillTokensPerSecond * benchServer.Speed,
+				TokenTime: setup.Duration(float64(tokenTime) / benchServer.Speed), Units: benchServer.Weight})
 			if role == "reader" {
-				prefillCapacity += e.PrefillTokensPerSecond * s.Speed / max(newTokens/max(shares, 1e-9)*1.5, 1)
+				prefillCapacity += benchEngine.PrefillTokensPerSecond * benchServer.Speed / max(newTokens/max(shares, 1e-9)*1.5, 1)
 			} else {
-				decodeCapacity += float64(e.Slots) * s.Speed / tokenTime.Seconds() /
+				decodeCapacity += float64(benchEngine.Slots) * benchServer.Speed / tokenTime.Seconds() /
 					max(answerTokens/max(shares, 1e-9), 1)
 			}
 		}
@@ -219,14 +222,15 @@
 			RequestsPerSecond: t.Quota * scenario.Header.RequestsPerSecond})
 	}
 	names := scenario.serverNames(bench.serverKinds())
-	for _, f := range bench.Faults {
-		kind, known := importedKinds[f.Kind]
+	for _, benchFault := range bench.Faults {
+		kind, known := importedKinds[benchFault.Kind]
 		if !known {
-			omit("the fault %s", f.Kind)
+			omit("the fault %s", benchFault.Kind)
 			continue
 		}
-		fault := Fault{Kind: kind, Start: scaled(f.Start), Duration: scaled(f.Duration), Factor: max(f.Size, 1)}
-		for _, target := range f.Targets {
+		fault := Fault{Kind: kind, Start: scaled(benchFault.Start), Duration: scaled(benchFault.Duration),
+			Factor: max(benchFault.Size, 1)}
+		for _, target := range benchFault.Targets {
 			if kind == "kill_dispatcher" {
 				if target < scenario.Header.Dispatchers {
 					fault.Dispatchers = append(fault.Dispatchers, target)
@@ -237,18 +241,18 @@
 		}
 		switch kind {
 		case "failing", "grade_failing":
-			fault.Share = min(max(f.Size, 0.01), 1)
-			if kind == "grade_failing" && f.Class < len(scenario.Classes) {
-				fault.Class = scenario.Classes[f.Class].Name
+			fault.Share = min(max(benchFault.Size, 0.01), 1)
+			if kind == "grade_failing" && benchFault.Class < len(scenario.Classes) {
+				fault.Class = scenario.Classes[benchFault.Class].Name
 			}
 		case "shared_text":
-			fault.Share, fault.Tokens = min(max(f.Size, 0.01), 1), 4000
+			fault.Share, fault.Tokens = min(max(benchFault.Size, 0.01), 1), 4000
 		case "long_prompts":
-			fault.Share = min(max(f.Extra, 0.005), 1)
+			fault.Share = min(max(benchFault.Extra, 0.005), 1)
 		case "list_stale":
-			fault.Delay = setup.Duration(f.Size * 1e9)
+			fault.Delay = setup.Duration(benchFault.Size * 1e9)
 		case "leave":
-			fault.Share = min(max(f.Extra, 0.05), 1)
+			fault.Share = min(max(benchFault.Extra, 0.05), 1)
 			omit("give_up: how long each client waits; here a share leaves at a random time")
 		case "kill_dispatcher":
 			if len(fault.Dispatchers) == 0 {
@@ -256,14 +260,14 @@
 					fault.Dispatchers = append(fault.Dispatchers, i)
 				}
 			}
-			fault.Duration = setup.Duration(max(f.Extra, 0.2) * 1e9)
+			fault.Duration = setup.Duration(max(benchFault.Extra, 0.2) * 1e9)
 			omit("balancer_roll: one batch after the other; here all named dispatchers restart together")
 		}
-		if f.Kind == "ageing" || f.Kind == "neighbour" {
-			omit("%s: its course over time; it becomes slow, at its full size", f.Kind)
+		if benchFault.Kind == "ageing" || benchFault.Kind == "neighbour" {
+			omit("%s: its course over time; it becomes slow, at its full size", benchFault.Kind)
 		}
 		if requiresBackends(kind) && len(fault.Backends) == 0 {
-			omit("the fault %s, which names no backends", f.Kind)
+			omit("the fault %s, which names no backends", benchFault.Kind)
 			continue
 		}
 		scenario.Faults = append(scenario.Faults, fault)
--- a/internal/storm/storm_test.go
+++ b/internal/storm/storm_test.go
@@ -65,7 +65,7 @@
 	throttle := New(10*time.Second, 1, 1, ownSigner)
 	now := simulate(throttle, time.Second, 20*time.Second, 50, 0, 0.3) // 35 of 50 requests a second are served
 	throttle.bookingShare = 1
-	perSecond, places := map[time.Duration]int{}, 0
+	perSecond, tickets := map[time.Duration]int{}, 0
 	var last time.Duration
 	for range 60 {
 		after, ticket := throttle.BookRetry(now)
@@ -73,7 +73,7 @@
 			t.Fatalf("a client is told to come back after %v", after)
 		}
 		if ticket != "" {
-			places++
+			tickets++
 		}
 		perSecond[(now+after)/time.Second]++
 		last = max(last, after)
@@ -83,8 +83,8 @@
 			t.Errorf("%d clients are told to come back in second %d", n, second)
 		}
 	}
-	if places < 30 || places > 38 {
-		t.Errorf("%d clients have a place, want about 34", places)
+	if tickets < 30 || tickets > 38 {
+		t.Errorf("%d clients have a place, want about 34", tickets)
 	}
 	if last < 8*time.Second {
 		t.Errorf("60 retries into a tenth of 35 a second are spread over %v only", last)
