--- a/brain/ring.go
+++ b/brain/ring.go
@@ -57,10 +57,10 @@
 	samples float64
 }
 
-// Add adds a sample with weight pace, or 1/n for the n-th sample if that is larger.
-func (m *RunningMean) Add(sample, pace float64) {
+// Add adds a sample with the given weight, or 1/n for the n-th sample if that is larger.
+func (m *RunningMean) Add(sample, weight float64) {
 	m.samples++
-	m.Value += (sample - m.Value) * max(pace, 1/m.samples)
+	m.Value += (sample - m.Value) * max(weight, 1/m.samples)
 }
 
 // ValueOr returns the mean, or fallback without samples.
--- a/cmd/sloetrestle/load.go
+++ b/cmd/sloetrestle/load.go
@@ -106,13 +106,13 @@
 		return err
 	}
 	recorder.DiscardEvents = true // bounds memory: the command may run for days
-	talk := map[string]standin.ClassProfile{}
+	profiles := map[string]standin.ClassProfile{}
 	for _, t := range scenario.Traffic {
-		talk[t.Class] = scenario.RequestShape(t.Class)
+		profiles[t.Class] = scenario.RequestShape(t.Class)
 	}
 	fleet := standin.NewFleet(scenario.Deployment, recorder,
 		standin.Links{SameRack: scenario.Links.NearTokensPerSecond, CrossRack: scenario.Links.FarTokensPerSecond,
-			ZoneFactor: scenario.Links.CrossZoneFactor}, talk)
+			ZoneFactor: scenario.Links.CrossZoneFactor}, profiles)
 	defer fleet.Close()
 	discovery := fleet.NewDiscovery(discoveryAddr)
 	if err := discovery.Start(); err != nil {
--- a/cmd/sloetrestle/scenario.go
+++ b/cmd/sloetrestle/scenario.go
@@ -56,11 +56,11 @@
 	if err != nil {
 		return err
 	}
-	stage := day.RunOptions{ServeCommand: []string{self, "serve", "--level", "warn", "--config"}, RecordDir: recordDir}
+	options := day.RunOptions{ServeCommand: []string{self, "serve", "--level", "warn", "--config"}, RecordDir: recordDir}
 	if !quiet {
-		stage.Progress = cmd.ErrOrStderr()
+		options.Progress = cmd.ErrOrStderr()
 	}
-	verdict, err := day.Run(cmd.Context(), scenario, stage)
+	verdict, err := day.Run(cmd.Context(), scenario, options)
 	if err != nil {
 		return err
 	}
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -52,9 +52,9 @@
 }
 
 // listEntry returns an entry of the service discovery list.
-func listEntry(name, kind, standing string) boxlist.Endpoint {
+func listEntry(name, kind, state string) boxlist.Endpoint {
 	return boxlist.Endpoint{
-		Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}}, Kind: kind, State: standing,
+		Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}}, Kind: kind, State: state,
 		Units: 1, UptimeMs: -1,
 	}
 }
@@ -326,7 +326,7 @@
 		after := l.backends["w1"].SchedulerState
 		if after == before || before.State != brain.Removed || after.State != brain.Ready ||
 			l.schedulerBackends[after.ID] != after || l.byState[before] != nil {
-			t.Errorf("another %s: not a new backend, the old one's standing is %d", name, before.State)
+			t.Errorf("another %s: not a new backend, the old one's state is %d", name, before.State)
 		}
 	}
 }
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -72,10 +72,10 @@
 	if service.events, err = record.Open("", record.Header{}); err != nil {
 		t.Fatal(err)
 	}
-	talk := standin.ClassProfile{NewTokens: 200, AnswerTokens: 20, PrefixTokens: 100}
+	profile := standin.ClassProfile{NewTokens: 200, AnswerTokens: 20, PrefixTokens: 100}
 	service.fleet = standin.NewFleet(service.config.Deployment, service.events,
 		standin.Links{SameRack: 1e6, CrossRack: 1e6, ZoneFactor: 1},
-		map[string]standin.ClassProfile{"trail-info": talk, "hut-booking": talk})
+		map[string]standin.ClassProfile{"trail-info": profile, "hut-booking": profile})
 	service.discovery = service.fleet.NewDiscovery(service.config.Instance.DiscoveryAddr)
 	if err := service.discovery.Start(); err != nil {
 		t.Fatal(err)
--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -119,7 +119,7 @@
 		if !c.loop.Call(ctx, func() { permission = c.loop.MaySend(attempt) }) {
 			return brain.RequestFinished
 		}
-		if permission != brain.Allowed || !c.pulse.stalledSince(start, time.Now()) {
+		if permission != brain.Allowed || !c.stalls.stalledSince(start, time.Now()) {
 			return permission
 		}
 		system.Sleep(ctx, dialRetryDelay)
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -48,7 +48,7 @@
 	peers          *dispatch.Peers // does not listen if the configuration has no address for it
 	follower       *endpoints.Follower
 	monitor        *monitor.Monitor
-	pulse          *stallDetector
+	stalls         *stallDetector
 }
 
 // Run serves until the context ends, then answers all admitted requests and returns. On every signal from reloads it
@@ -73,7 +73,7 @@
 	since := func() time.Duration { return time.Since(began) }
 	dispatcher := &node{config: config, settings: settings, log: log, acceptingDone: make(chan struct{})}
 	dispatcher.lifetime, dispatcher.cancel = context.WithCancel(ctx)
-	dispatcher.pulse = newStallDetector(time.Now())
+	dispatcher.stalls = newStallDetector(time.Now())
 	dispatcher.monitor = monitor.New(monitorBounds(settings), since, log)
 	pools := &reach.Manager{
 		DialTimeout:        max(settings.Duration("policyLimits.dialTimeoutUs"), 10*time.Millisecond),
@@ -83,7 +83,7 @@
 	dispatcher.transport = &transport{
 		loadFields: settings.Names("report.fields"), pools: pools, lifetime: dispatcher.lifetime,
 		tasks: &dispatcher.transportTasks, log: log, notable: &notableLog{log: log}, monitor: dispatcher.monitor,
-		pulse: dispatcher.pulse, traffic: map[string]*backendTraffic{},
+		stalls: dispatcher.stalls, traffic: map[string]*backendTraffic{},
 		poolOf: map[*dispatch.Backend]*reach.Pool{}, releaser: releaser{callSlots: make(chan struct{}, shares.releases)},
 		clock: since, attemptSlots: make(chan struct{}, shares.attempts),
 	}
@@ -130,7 +130,7 @@
 	}
 	dispatcher.follower.SetAddress(config.Discovery)
 	dispatcher.limiter = newLimiter(listener, int(float64(shares.clients)/(1+closingShare)), log)
-	dispatcher.frontend = newFrontend(dispatcher.loop, settings, shares.bodies, dispatcher.monitor, dispatcher.pulse, log)
+	dispatcher.frontend = newFrontend(dispatcher.loop, settings, shares.bodies, dispatcher.monitor, dispatcher.stalls, log)
 	dispatcher.frontend.nearConnLimit = dispatcher.limiter.NearLimit
 	dispatcher.frontend.hasBackends = func() bool {
 		if !dispatcher.follower.Synced() && since() < discoveryWait {
@@ -157,7 +157,7 @@
 	n.transportTasks.Go(n.transport.pools.Run)
 	n.tasks.Go(func() error { return n.loop.Run(n.lifetime) })
 	n.tasks.Go(func() error { return n.follower.Run(n.lifetime) })
-	n.tasks.Go(func() error { n.pulse.run(n.lifetime); return nil })
+	n.tasks.Go(func() error { n.stalls.run(n.lifetime); return nil })
 	n.tasks.Go(func() error { n.watchReloads(n.lifetime, reloads, load); return nil })
 	if n.peers.Conn != nil {
 		n.tasks.Go(func() error { return n.peers.Listen(n.lifetime, n.loop) })
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -51,7 +51,7 @@
 	log        *slog.Logger
 	notable    *notableLog
 	monitor    *monitor.Monitor
-	pulse      *stallDetector
+	stalls     *stallDetector
 	mu         sync.Mutex
 	traffic    map[string]*backendTraffic // by backend name
 
