--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -114,7 +114,7 @@
 		return Record{}, fmt.Errorf("the record has %d parts instead of one", parts)
 	}
 	if a := r.Attempt; a != nil && (a.PrefillTokens < 0 || a.CachedTokens < 0 || a.OutputTokens < 0) {
-		return Record{}, fmt.Errorf("a trip's tokens are negative")
+		return Record{}, fmt.Errorf("an attempt's tokens are negative")
 	}
 	return r, nil
 }
