--- a/internal/day/backends.go
+++ b/internal/day/backends.go
@@ -27,18 +27,19 @@
 	next := map[string]int{} // by kind
 	for _, group := range d.Backends {
 		kind := d.BackendKinds[d.KindIndex(group.Kind)]
-		e := group.Engine
+		engineConfig := group.Engine
 		// The defaults have the published orders of magnitude for 70B-class models on one server of eight accelerators:
 		// a decode step of 10 to 25 ms, blocks of 16 to 64 tokens, chunks of 512 to 8,192 tokens.
 		engineSpec := engine.Config{
 			Prefills: kind.Role != "writer", Decodes: kind.Role != "reader", Slots: group.Slots, MaxQueued: group.Queue,
-			BlockTokens: cmp.Or(e.BlockTokens, 32), ChunkTokens: cmp.Or(e.ChunkTokens, 2048),
-			StepTime:                 cmp.Or(e.StepTime.Std(), group.TokenTime.Std()),
-			TimePerSequence:          cmp.Or(e.StepPerAnswer.Std(), 150*time.Microsecond),
-			TimePer1000ContextTokens: cmp.Or(e.StepPer1000Context.Std(), 40*time.Microsecond),
-			TimePerMillionPairs:      cmp.Or(e.StepPerMillionPairs.Std(), 800*time.Microsecond), PrefillTokensPerSecond: group.PrefillTokensPerSecond,
-			KVCacheTTL: kvCacheLifetime, SlowStartShare: d.Rules.SlowStartShare, SlowStartRamp: d.Rules.SlowStartRamp.Std(),
-			ModelLoadTime: e.ModelLoadTime.Std(),
+			BlockTokens: cmp.Or(engineConfig.BlockTokens, 32), ChunkTokens: cmp.Or(engineConfig.ChunkTokens, 2048),
+			StepTime:                 cmp.Or(engineConfig.StepTime.Std(), group.TokenTime.Std()),
+			TimePerSequence:          cmp.Or(engineConfig.StepPerAnswer.Std(), 150*time.Microsecond),
+			TimePer1000ContextTokens: cmp.Or(engineConfig.StepPer1000Context.Std(), 40*time.Microsecond),
+			TimePerMillionPairs:      cmp.Or(engineConfig.StepPerMillionPairs.Std(), 800*time.Microsecond),
+			PrefillTokensPerSecond:   group.PrefillTokensPerSecond,
+			KVCacheTTL:               kvCacheLifetime, SlowStartShare: d.Rules.SlowStartShare, SlowStartRamp: d.Rules.SlowStartRamp.Std(),
+			ModelLoadTime: engineConfig.ModelLoadTime.Std(),
 		}
 		engineSpec.Blocks = max(kind.MemoryTokens/engineSpec.BlockTokens, 1)
 		for range group.Count {
--- a/internal/day/import.go
+++ b/internal/day/import.go
@@ -122,11 +122,11 @@
 
 // Import turns a scenario drawn by the bench into a script, and lists what it can't represent.
 func Import(file string, raw []byte, scale Scale) (Scenario, []string, error) {
-	var in benchScenario
-	if err := json.Unmarshal(raw, &in); err != nil {
+	var bench benchScenario
+	if err := json.Unmarshal(raw, &bench); err != nil {
 		return Scenario{}, nil, fmt.Errorf("%s: %w", file, err)
 	}
-	if in.Family != "twostage" || len(in.Tiers) == 0 || len(in.Servers) == 0 || len(in.TwoStage.Engines) == 0 {
+	if bench.Family != "twostage" || len(bench.Tiers) == 0 || len(bench.Servers) == 0 || len(bench.TwoStage.Engines) == 0 {
 		return Scenario{}, nil, fmt.Errorf("%s: not a scenario of a two-stage deployment drawn by the bench", file)
 	}
 	if scale.Duration <= 0 || scale.Rate <= 0 {
@@ -137,92 +137,102 @@
 	omit := func(format string, args ...any) { omitted = append(omitted, fmt.Sprintf(format, args...)) }
 	microseconds := func(v int64) setup.Duration { return setup.Duration(time.Duration(v) * time.Microsecond) }
 	scaled := func(v int64) setup.Duration { return setup.Duration(float64(v) * scale.Duration * 1000) }
-	d := Default()
-	d.Header.Name, d.Header.Seed, d.Header.Duration = in.Site, in.Noise, scaled(in.Duration)
-	d.Header.Dispatchers = len(in.Balancers)
-	d.Zones = in.Zones
-	d.Links = Links{in.TwoStage.Near, in.TwoStage.Far, max(in.TwoStage.ZoneSlower, 1)}
-	d.Discovery = Discovery{microseconds(in.Discovery.Notice), microseconds(in.Discovery.SilentNotice)}
-	d.Clients = Clients{in.Clients.Retries, setup.Duration(in.Clients.BackoffUs * 1000), in.Clients.Backoff == "exp",
-		in.Clients.Honour, in.Clients.TryShare, 1}
-	d.Clients.PatienceMin = min(max(in.Clients.TryShare, 0.05), 1)
-	tier := in.Tiers[0]
-	d.ReportFields = tier.ReportFields
-	d.Rules.DrainGrace, d.Rules.SlowStartMultiple, d.Rules.SlowStartWindow =
-		microseconds(in.DrainGrace), in.OverloadMultiple, microseconds(in.OverloadWindow)
-	d.Rules.SlowStartShare, d.Rules.SlowStartRamp, d.Rules.KVCacheHoldLimit =
-		tier.SlowStartShare, microseconds(tier.SlowStartDuration), microseconds(in.TwoStage.Release)
-	d.Limits.MaxAttempts, d.Limits.Cancel, d.Limits.PeerUpdates = max(in.Allow.MaxAttempts, 1), in.Allow.Cancel, in.Allow.Peers
-	d.Limits.DecodeCanPrefill = in.TwoStage.DecodeBackendsPrefill
-	if !in.Allow.RetryAfter {
-		d.Limits.MaxRetryAfter = 0
+	scenario := Default()
+	scenario.Header.Name, scenario.Header.Seed, scenario.Header.Duration = bench.Site, bench.Noise, scaled(bench.Duration)
+	scenario.Header.Dispatchers = len(bench.Balancers)
+	scenario.Zones = bench.Zones
+	scenario.Links = Links{bench.TwoStage.Near, bench.TwoStage.Far, max(bench.TwoStage.ZoneSlower, 1)}
+	scenario.Discovery = Discovery{microseconds(bench.Discovery.Notice), microseconds(bench.Discovery.SilentNotice)}
+	scenario.Clients = Clients{bench.Clients.Retries, setup.Duration(bench.Clients.BackoffUs * 1000),
+		bench.Clients.Backoff == "exp",
+		bench.Clients.Honour, bench.Clients.TryShare, 1}
+	scenario.Clients.PatienceMin = min(max(bench.Clients.TryShare, 0.05), 1)
+	tier := bench.Tiers[0]
+	scenario.ReportFields = tier.ReportFields
+	scenario.Rules.DrainGrace, scenario.Rules.SlowStartMultiple, scenario.Rules.SlowStartWindow =
+		microseconds(bench.DrainGrace), bench.OverloadMultiple, microseconds(bench.OverloadWindow)
+	scenario.Rules.SlowStartShare, scenario.Rules.SlowStartRamp, scenario.Rules.KVCacheHoldLimit =
+		tier.SlowStartShare, microseconds(tier.SlowStartDuration), microseconds(bench.TwoStage.Release)
+	scenario.Limits.MaxAttempts, scenario.Limits.Cancel, scenario.Limits.PeerUpdates = max(bench.Allow.MaxAttempts, 1),
+		bench.Allow.Cancel,
+		bench.Allow.Peers
+	scenario.Limits.DecodeCanPrefill = bench.TwoStage.DecodeBackendsPrefill
+	if !bench.Allow.RetryAfter {
+		scenario.Limits.MaxRetryAfter = 0
 	}
 	effects := map[string]string{"safe": "idempotent", "keyed": "deduplicated", "unsafe": "unrepeatable"}
 	reaches := map[string]string{"all": "all", "zone": "zone", "cell": "rack"}
 	var answerTokens, newTokens, shares float64 // tokens are weighted by the classes' shares
-	for i, c := range in.Classes {
-		class := setup.Class{Name: c.Name, Effect: effects[c.Effect], DedupScope: reaches[c.Group],
-			DedupWindow: microseconds(c.Window), LatencyTarget: microseconds(c.LatencyTarget), Deadline: microseconds(c.Deadline),
-			Value: c.Value, LateValue: c.LateValue, DefaultMaxTokens: 400}
-		if i < len(in.TwoStage.TokenClasses) {
-			t := in.TwoStage.TokenClasses[i]
+	for i, benchClass := range bench.Classes {
+		class := setup.Class{Name: benchClass.Name, Effect: effects[benchClass.Effect], DedupScope: reaches[benchClass.Group],
+			DedupWindow: microseconds(benchClass.Window), LatencyTarget: microseconds(benchClass.LatencyTarget),
+			Deadline: microseconds(benchClass.Deadline),
+			Value:    benchClass.Value, LateValue: benchClass.LateValue, DefaultMaxTokens: 400}
+		if i < len(bench.TwoStage.TokenClasses) {
+			t := bench.TwoStage.TokenClasses[i]
 			class.TargetPer1000Tokens, class.InterTokenTarget, class.DefaultMaxTokens =
 				setup.Duration(t.LatencyTargetMsPer1000*1e6), setup.Duration(t.TokenMs*1e6), max(t.MaxAnswerTokens, 1)
-			d.Traffic = append(d.Traffic, Traffic{Class: c.Name, Share: c.Share, NewTokens: t.NewTokens,
+			scenario.Traffic = append(scenario.Traffic, Traffic{Class: benchClass.Name, Share: benchClass.Share,
+				NewTokens:    t.NewTokens,
 				AnswerTokens: t.AnswerTokens, Turns: max(t.Turns, 1), SharedPrefixShare: t.PrefixShare,
 				SharedPrefixes: max(t.Prefixes, 1), SharedPrefixTokens: max(int(t.PrefixTokens), 1)})
 			answerTokens, newTokens, shares =
-				answerTokens+c.Share*t.AnswerTokens, newTokens+c.Share*t.NewTokens, shares+c.Share
+				answerTokens+benchClass.Share*t.AnswerTokens, newTokens+benchClass.Share*t.NewTokens, shares+benchClass.Share
 		}
-		d.Classes = append(d.Classes, class)
+		scenario.Classes = append(scenario.Classes, class)
 	}
 	roles := map[string]string{"read": "reader", "write": "writer", "both": "mixed"}
 	prefillCapacity, decodeCapacity := 0.0, 0.0 // in requests a second
 	for i, k := range tier.Kinds {
-		e := in.TwoStage.Engines[min(i, len(in.TwoStage.Engines)-1)]
+		benchEngine := bench.TwoStage.Engines[min(i, len(bench.TwoStage.Engines)-1)]
 		role := roles["both"]
-		if i < len(in.TwoStage.Roles) {
-			role = roles[in.TwoStage.Roles[i]]
+		if i < len(bench.TwoStage.Roles) {
+			role = roles[bench.TwoStage.Roles[i]]
 		}
-		d.BackendKinds = append(d.BackendKinds, setup.BackendKind{Name: k.Name, Role: role, MemoryTokens: e.Memory})
-		tokenTime := time.Duration((e.StepMs + e.StepPerSequenceMs*float64(e.Slots)/2) * float64(time.Millisecond))
+		scenario.BackendKinds = append(scenario.BackendKinds, setup.BackendKind{Name: k.Name, Role: role,
+			MemoryTokens: benchEngine.Memory})
+		tokenTime := time.Duration((benchEngine.StepMs + benchEngine.StepPerSequenceMs*float64(benchEngine.Slots)/2) *
+			float64(time.Millisecond))
 		if k.Cancel != "all" {
-			d.Faults = append(d.Faults, Fault{Kind: "no_cancel", Duration: d.Header.Duration, Backends: []string{k.Name}})
+			scenario.Faults = append(scenario.Faults, Fault{Kind: "no_cancel", Duration: scenario.Header.Duration,
+				Backends: []string{k.Name}})
 		}
-		for _, s := range in.Servers {
-			if s.Kind != i {
+		for _, benchServer := range bench.Servers {
+			if benchServer.Kind != i {
 				continue
 			}
-			d.Backends = append(d.Backends, BackendGroup{Kind: k.Name, Count: 1,
-				Racks: []string{fmt.Sprintf("rack-%d", s.Cell)}, Zones: []string{in.Zones[s.Zone]}, Slots: max(e.Slots, 1),
-				Queue: e.Queue, PrefillTokensPerSecond: e.PrefillTokensPerSecond * s.Speed,
-				TokenTime: setup.Duration(float64(tokenTime) / s.Speed), Units: s.Weight})
+			scenario.Backends = append(scenario.Backends, BackendGroup{Kind: k.Name, Count: 1,
+				Racks: []string{fmt.Sprintf("rack-%d", benchServer.Cell)}, Zones: []string{bench.Zones[benchServer.Zone]},
+				Slots: max(benchEngine.Slots, 1),
+				Queue: benchEngine.Queue, PrefillTokensPerSecond: benchEngine.PrefillTokensPerSecond * benchServer.Speed,
+				TokenTime: setup.Duration(float64(tokenTime) / benchServer.Speed), Units: benchServer.Weight})
 			if role == "reader" {
-				prefillCapacity += e.PrefillTokensPerSecond * s.Speed / max(newTokens/max(shares, 1e-9)*1.5, 1)
+				prefillCapacity += benchEngine.PrefillTokensPerSecond * benchServer.Speed / max(newTokens/max(shares, 1e-9)*1.5, 1)
 			} else {
-				decodeCapacity += float64(e.Slots) * s.Speed / tokenTime.Seconds() /
+				decodeCapacity += float64(benchEngine.Slots) * benchServer.Speed / tokenTime.Seconds() /
 					max(answerTokens/max(shares, 1e-9), 1)
 			}
 		}
 	}
-	d.makeKindNamesUnique()
-	d.Header.RequestsPerSecond = math.Round(100*in.Traffic.Load*
+	scenario.makeKindNamesUnique()
+	scenario.Header.RequestsPerSecond = math.Round(100*bench.Traffic.Load*
 		min(infiniteIfZero(prefillCapacity), infiniteIfZero(decodeCapacity))*scale.Rate) / 100
-	for _, t := range in.Tenants {
-		d.Tenants = append(d.Tenants, setup.Tenant{Name: t.Name, Share: t.Share,
-			RequestsPerSecond: t.Quota * d.Header.RequestsPerSecond})
+	for _, t := range bench.Tenants {
+		scenario.Tenants = append(scenario.Tenants, setup.Tenant{Name: t.Name, Share: t.Share,
+			RequestsPerSecond: t.Quota * scenario.Header.RequestsPerSecond})
 	}
-	names := d.serverNames(in.serverKinds())
-	for _, f := range in.Faults {
-		kind, known := importedKinds[f.Kind]
+	names := scenario.serverNames(bench.serverKinds())
+	for _, benchFault := range bench.Faults {
+		kind, known := importedKinds[benchFault.Kind]
 		if !known {
-			omit("the fault %s", f.Kind)
+			omit("the fault %s", benchFault.Kind)
 			continue
 		}
-		fault := Fault{Kind: kind, Start: scaled(f.Start), Duration: scaled(f.Duration), Factor: max(f.Size, 1)}
-		for _, target := range f.Targets {
+		fault := Fault{Kind: kind, Start: scaled(benchFault.Start), Duration: scaled(benchFault.Duration),
+			Factor: max(benchFault.Size, 1)}
+		for _, target := range benchFault.Targets {
 			if kind == "kill_dispatcher" {
-				if target < d.Header.Dispatchers {
+				if target < scenario.Header.Dispatchers {
 					fault.Dispatchers = append(fault.Dispatchers, target)
 				}
 			} else if target < len(names) {
@@ -231,51 +241,51 @@
 		}
 		switch kind {
 		case "failing", "grade_failing":
-			fault.Share = min(max(f.Size, 0.01), 1)
-			if kind == "grade_failing" && f.Class < len(d.Classes) {
-				fault.Class = d.Classes[f.Class].Name
+			fault.Share = min(max(benchFault.Size, 0.01), 1)
+			if kind == "grade_failing" && benchFault.Class < len(scenario.Classes) {
+				fault.Class = scenario.Classes[benchFault.Class].Name
 			}
 		case "shared_text":
-			fault.Share, fault.Tokens = min(max(f.Size, 0.01), 1), 4000
+			fault.Share, fault.Tokens = min(max(benchFault.Size, 0.01), 1), 4000
 		case "long_prompts":
-			fault.Share = min(max(f.Extra, 0.005), 1)
+			fault.Share = min(max(benchFault.Extra, 0.005), 1)
 		case "list_stale":
-			fault.Delay = setup.Duration(f.Size * 1e9)
+			fault.Delay = setup.Duration(benchFault.Size * 1e9)
 		case "leave":
-			fault.Share = min(max(f.Extra, 0.05), 1)
+			fault.Share = min(max(benchFault.Extra, 0.05), 1)
 			omit("give_up: how long each client waits; here a share leaves at a random time")
 		case "kill_dispatcher":
 			if len(fault.Dispatchers) == 0 {
-				for i := range d.Header.Dispatchers {
+				for i := range scenario.Header.Dispatchers {
 					fault.Dispatchers = append(fault.Dispatchers, i)
 				}
 			}
-			fault.Duration = setup.Duration(max(f.Extra, 0.2) * 1e9)
+			fault.Duration = setup.Duration(max(benchFault.Extra, 0.2) * 1e9)
 			omit("balancer_roll: one batch after the other; here all named dispatchers restart together")
 		}
-		if f.Kind == "ageing" || f.Kind == "neighbour" {
-			omit("%s: its course over time; it becomes slow, at its full size", f.Kind)
+		if benchFault.Kind == "ageing" || benchFault.Kind == "neighbour" {
+			omit("%s: its course over time; it becomes slow, at its full size", benchFault.Kind)
 		}
 		if requiresBackends(kind) && len(fault.Backends) == 0 {
-			omit("the fault %s, which names no backends", f.Kind)
+			omit("the fault %s, which names no backends", benchFault.Kind)
 			continue
 		}
-		d.Faults = append(d.Faults, fault)
+		scenario.Faults = append(scenario.Faults, fault)
 	}
-	if len(in.Traffic.Shape) > 1 {
+	if len(bench.Traffic.Shape) > 1 {
 		omit("the shape of the load over time; it is steady")
 	}
-	if in.Traffic.BurstCV > 0 {
+	if bench.Traffic.BurstCV > 0 {
 		omit("the burstiness of arrivals; they are Poisson")
 	}
 	omit("network delays, prices, the cost of connections, noise of load reports, and engine steps: " +
 		"these backends are simpler")
-	omit("the load: %.2f of a capacity estimated for these backends gives %.2f requests a second", in.Traffic.Load,
-		d.Header.RequestsPerSecond)
-	if err := d.check(); err != nil {
-		return d, omitted, fmt.Errorf("%s: the imported scenario is invalid: %w", file, err)
+	omit("the load: %.2f of a capacity estimated for these backends gives %.2f requests a second", bench.Traffic.Load,
+		scenario.Header.RequestsPerSecond)
+	if err := scenario.check(); err != nil {
+		return scenario, omitted, fmt.Errorf("%s: the imported scenario is invalid: %w", file, err)
 	}
-	return d, omitted, nil
+	return scenario, omitted, nil
 }
 
 // infiniteIfZero keeps a pool without backends from limiting the capacity.
--- a/internal/dispatch/http_transport.go
+++ b/internal/dispatch/http_transport.go
@@ -113,10 +113,12 @@
 		DispatcherEpoch: c.loop.Epoch, RequestNumber: scheduled.ID, Attempt: attempt.Scheduled.Number,
 		DedupKey: cmp.Or(request.Params.ID, attempt.RequestKey), Class: request.Class, Tenant: request.Tenant,
 		Session: scheduled.SessionKey, SharedPrefix: scheduled.PrefixKey, PromptTokens: int(scheduled.PromptTokens),
-		PrefixTokens: int(scheduled.PrefixTokens), MaxTokens: int(scheduled.MaxOutputTokens), TimeoutUs: attempt.Timeout.Microseconds(),
+		PrefixTokens: int(scheduled.PrefixTokens), MaxTokens: int(scheduled.MaxOutputTokens),
+		TimeoutUs: attempt.Timeout.Microseconds(),
 	}
 	if attempt.PrefillBackend != nil {
-		metadata.PrefillBackend, metadata.KVCacheAddresses = attempt.PrefillBackend.Name, attempt.PrefillBackend.pool.Addresses()
+		metadata.PrefillBackend, metadata.KVCacheAddresses = attempt.PrefillBackend.Name,
+			attempt.PrefillBackend.pool.Addresses()
 	}
 	// Read what the goroutine needs here, as backends and requests belong to the loop.
 	pool, text := attempt.Backend.pool, request.Params.Text
@@ -335,11 +337,11 @@
 const usageTimeout = 500 * time.Millisecond
 
 // FetchUsage fetches usage counts from a backend and posts them to the loop; the reply is nil if the request failed.
-func (c *HTTPTransport) FetchUsage(backend *Backend, inquiry account.Inquiry, heard func(*account.Reply)) {
+func (c *HTTPTransport) FetchUsage(backend *Backend, inquiry account.Inquiry, received func(*account.Reply)) {
 	pool := backend.pool
 	c.group.Go(func() error {
 		reply := c.fetchUsage(pool, inquiry)
-		c.loop.Post(func() { heard(reply) })
+		c.loop.Post(func() { received(reply) })
 		return nil
 	})
 }
