--- a/cmd/benchlink/parity_test.go
+++ b/cmd/benchlink/parity_test.go
@@ -13,13 +13,13 @@
 	"testing"
 	"time"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
 	"sloetrestle/internal/dispatch"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/setup"
 	"sloetrestle/internal/wire"
+	"sloetrestle/scheduler"
 )
 
 // eventRecord is one record of a batch, whose fields are set by offset.
@@ -128,7 +128,7 @@
 		attempt.Scheduled.Request.ID, attempt.Scheduled.Backend.ID, attempt.Timeout.Microseconds())
 }
 func (r *recorder) Release(*dispatch.Backend, *dispatch.ClientRequest) {}
-func (r *recorder) SendPeerUpdate(int, brain.PeerUpdate)               {}
+func (r *recorder) SendPeerUpdate(int, scheduler.PeerUpdate)           {}
 func (r *recorder) SetAddresses(*dispatch.Backend, []addresses.Spec)   {}
 
 // The simulator tests the scheduler of the running dispatcher only as long as this adapter and the dispatcher's event
@@ -170,11 +170,11 @@
 
 	kinds := []string{"reader", "reader", "reader", "writer", "writer", "writer", "mixed"}
 	list := func(stateOf func(i int) int) {
-		var lines []boxlist.Endpoint
+		var lines []endpointlist.Endpoint
 		var tail []byte
 		for i, kind := range kinds {
 			name, rack, state := fmt.Sprintf("%s-%d", kind, i), fmt.Sprintf("rack-%d", i%2), stateOf(i)
-			line := boxlist.Endpoint{
+			line := endpointlist.Endpoint{
 				Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}},
 				Kind: kind, Zone: "here", Rack: rack, State: [...]string{"draining", "ready", "gone"}[state],
 				Units: 2, UptimeMs: -1,
@@ -205,13 +205,13 @@
 	}
 	rng := rand.New(rand.NewPCG(seed, 1))
 	submitted := map[uint64]*dispatch.ClientRequest{}
-	codes := map[brain.Outcome]uint16{
-		brain.Served: 200, brain.Prefilled: 210, brain.Failed: 500, brain.Rejected: 503, brain.TimedOut: 504,
-		brain.Unreachable: 502, brain.ConnectionLost: 598,
+	codes := map[scheduler.Outcome]uint16{
+		scheduler.Served: 200, scheduler.Prefilled: 210, scheduler.Failed: 500, scheduler.Rejected: 503, scheduler.TimedOut: 504,
+		scheduler.Unreachable: 502, scheduler.ConnectionLost: 598,
 	}
-	end := func(id uint64, attempt *dispatch.Attempt, outcome brain.Outcome, note int) {
+	end := func(id uint64, attempt *dispatch.Attempt, outcome scheduler.Outcome, note int) {
 		took := (recorded.now - attempt.Scheduled.SentAt).Microseconds()
-		over := outcome == brain.Served || attempt.Scheduled.FirstTokenAt > 0
+		over := outcome == scheduler.Served || attempt.Scheduled.FirstTokenAt > 0
 		load := []float64{0.5, 3}
 		var r eventRecord
 		r[0], r[11] = wire.EventOutcome, byte(attempt.Scheduled.Number)
@@ -228,7 +228,7 @@
 		r.f32(32, load[1])
 		sim.handle(r, nil)
 		delete(recorded.inFlight, id)
-		loop.RunTurn(func() { loop.AttemptEnded(attempt, brain.Result{Outcome: outcome, Detail: note, LoadReport: load}) })
+		loop.RunTurn(func() { loop.AttemptEnded(attempt, scheduler.Result{Outcome: outcome, Detail: note, LoadReport: load}) })
 	}
 	tick()
 	list(func(int) int { return 1 })
@@ -268,20 +268,20 @@
 			age := recorded.now - attempt.Scheduled.SentAt
 			switch draw := rng.Float64(); {
 			case age >= attempt.Timeout && attempt.Scheduled.FirstTokenAt == 0:
-				end(id, attempt, brain.TimedOut, 0)
+				end(id, attempt, scheduler.TimedOut, 0)
 			case draw < 0.001:
-				end(id, attempt, brain.Failed, 0)
+				end(id, attempt, scheduler.Failed, 0)
 			case draw < 0.002:
-				end(id, attempt, brain.ConnectionLost, 0)
+				end(id, attempt, scheduler.ConnectionLost, 0)
 			case attempt.Scheduled.FirstTokenAt > 0 && draw < 0.05:
-				end(id, attempt, brain.Served, 40)
+				end(id, attempt, scheduler.Served, 40)
 			case attempt.Scheduled.FirstTokenAt > 0:
 			case draw < 0.0021:
-				end(id, attempt, brain.Unreachable, 0)
+				end(id, attempt, scheduler.Unreachable, 0)
 			case draw < 0.003:
-				end(id, attempt, brain.Rejected, 0)
-			case draw < 0.12 && attempt.Scheduled.Stage == brain.StagePrefill:
-				end(id, attempt, brain.Prefilled, 100)
+				end(id, attempt, scheduler.Rejected, 0)
+			case draw < 0.12 && attempt.Scheduled.Stage == scheduler.StagePrefill:
+				end(id, attempt, scheduler.Prefilled, 100)
 			case draw < 0.12:
 				var r eventRecord
 				r[0], r[11] = wire.EventFirstByte, byte(attempt.Scheduled.Number)
@@ -332,10 +332,10 @@
 
 // A status code that the protocol does not define proves nothing, least of all that the request was served.
 func TestUnknownStatusCountsAsFailure(t *testing.T) {
-	if got := outcomeOf(777); got != brain.Failed {
+	if got := outcomeOf(777); got != scheduler.Failed {
 		t.Errorf("status 777 gives outcome %d", got)
 	}
-	if got := outcomeOf(200); got != brain.Served {
+	if got := outcomeOf(200); got != scheduler.Served {
 		t.Errorf("status 200 gives outcome %d", got)
 	}
 }
--- a/cmd/sloetrestle/load.go
+++ b/cmd/sloetrestle/load.go
@@ -10,12 +10,12 @@
 	"github.com/spf13/cobra"
 
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
 	"sloetrestle/internal/day"
+	"sloetrestle/internal/endpointlist"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/load"
 	"sloetrestle/internal/record"
 	"sloetrestle/internal/setup"
-	"sloetrestle/internal/standin"
 )
 
 func loadCommand() *cobra.Command {
@@ -106,12 +106,12 @@
 		return err
 	}
 	recorder.DiscardEvents = true // bounds memory: the command may run for days
-	profiles := map[string]standin.ClassProfile{}
+	profiles := map[string]fakes.ClassProfile{}
 	for _, t := range scenario.Traffic {
 		profiles[t.Class] = scenario.RequestShape(t.Class)
 	}
-	fleet := standin.NewFleet(scenario.Deployment, recorder,
-		standin.Links{SameRack: scenario.Links.NearTokensPerSecond, CrossRack: scenario.Links.FarTokensPerSecond,
+	fleet := fakes.NewFleet(scenario.Deployment, recorder,
+		fakes.Links{SameRack: scenario.Links.NearTokensPerSecond, CrossRack: scenario.Links.FarTokensPerSecond,
 			ZoneFactor: scenario.Links.CrossZoneFactor}, profiles)
 	defer fleet.Close()
 	discovery := fleet.NewDiscovery(discoveryAddr)
@@ -122,7 +122,7 @@
 	for _, spec := range scenario.BackendSpecs() {
 		addr := addresses.Spec{Network: addresses.TCP4, Addr: fmt.Sprintf("127.0.0.1:%d", port)}
 		port++
-		backend := fleet.NewBackend(standin.Config{
+		backend := fleet.NewBackend(fakes.Config{
 			Name: spec.Name, Kind: spec.Kind, Role: spec.Role, Zone: spec.Zone, Rack: spec.Rack, Units: spec.Units,
 			Seed:   scenario.Header.Seed,
 			Engine: spec.Engine, Addresses: []addresses.Spec{addr},
@@ -131,7 +131,7 @@
 			return err
 		}
 		defer backend.Kill("stopped")
-		discovery.Publish(backend, boxlist.Ready, 0)
+		discovery.Publish(backend, endpointlist.Ready, 0)
 		logf("%-12s %-7s %s", spec.Name, spec.Role, addr)
 	}
 	logf("service discovery listens at %s; these backends are emulated", discoveryAddr)
--- a/cmd/sloetrestle/platform_test.go
+++ b/cmd/sloetrestle/platform_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"sloetrestle/internal/hosts"
+	"sloetrestle/internal/testbackends"
 )
 
 // runMainVariable is the environment variable that has the test binary run main in place of the tests.
@@ -31,9 +31,9 @@
 // dispatcherProcess is a dispatcher as the platform starts it, with its backends and discovery.
 type dispatcherProcess struct {
 	t           *testing.T
-	site        *hosts.Platform
-	agent       *hosts.Agent // discovery that the first configuration names
-	secondAgent *hosts.Agent // discovery at another address, for a reload
+	site        *testbackends.Platform
+	agent       *testbackends.Agent // discovery that the first configuration names
+	secondAgent *testbackends.Agent // discovery at another address, for a reload
 	addr        string
 	configFile  string
 	cmd         *exec.Cmd
@@ -44,10 +44,10 @@
 // startDispatcher starts a dispatcher without waiting until it is ready.
 func startDispatcher(t *testing.T) *dispatcherProcess {
 	t.Helper()
-	process := &dispatcherProcess{t: t, site: hosts.New(), exited: make(chan error, 1)}
+	process := &dispatcherProcess{t: t, site: testbackends.New(), exited: make(chan error, 1)}
 	t.Cleanup(process.site.Close)
-	process.site.AddBackend("r1", hosts.PrefillKind)
-	process.site.AddBackend("w1", hosts.DecodeKind)
+	process.site.AddBackend("r1", testbackends.PrefillKind)
+	process.site.AddBackend("w1", testbackends.DecodeKind)
 	process.agent, process.secondAgent = process.site.AddAgent(), process.site.AddAgent()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,7 +74,7 @@
 	p.t.Helper()
 	raw := fmt.Sprintf(`{"name":"n1","discovery":%q,"seed":"8c1f",`+
 		`"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`,
-		discovery, p.site.DiscoveryList(), hosts.Settings)
+		discovery, p.site.DiscoveryList(), testbackends.Settings)
 	if !json.Valid([]byte(raw)) {
 		p.t.Fatalf("the configuration is not valid JSON: %s", raw)
 	}
--- a/cmd/sloetrestle/scenario.go
+++ b/cmd/sloetrestle/scenario.go
@@ -18,10 +18,10 @@
 	"github.com/spf13/cobra"
 
 	"sloetrestle/examples"
+	"sloetrestle/internal/checker"
+	"sloetrestle/internal/connpool"
 	"sloetrestle/internal/day"
 	"sloetrestle/internal/dispatch"
-	"sloetrestle/internal/judge"
-	"sloetrestle/internal/reach"
 	"sloetrestle/internal/record"
 	"sloetrestle/internal/setup"
 )
@@ -33,7 +33,7 @@
 }
 
 // printVerdict prints a verdict and returns errViolation where a rule was violated.
-func printVerdict(out io.Writer, verdict judge.Verdict, asJSON bool) error {
+func printVerdict(out io.Writer, verdict checker.Verdict, asJSON bool) error {
 	if asJSON {
 		raw, err := json.MarshalIndent(verdict, "", "  ")
 		if err != nil {
@@ -116,7 +116,7 @@
 			if err != nil {
 				return err
 			}
-			verdict := judge.Check(head, lines)
+			verdict := checker.Check(head, lines)
 			if err := day.CheckLedgers(&verdict, args[0], lines); err != nil {
 				return err
 			}
@@ -238,7 +238,7 @@
 // newClient returns an HTTP client that connects to one dispatcher's address, such as 127.0.0.1:8100 or
 // unix:/run/d0.sock, whatever the host in the URL.
 func newClient(address string) (*http.Client, error) {
-	spec, err := reach.ParseListen(address)
+	spec, err := connpool.ParseListen(address)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/addresses/addresses.go
+++ b/internal/addresses/addresses.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 const (
@@ -134,9 +134,9 @@
 // Address is one address of a backend with its recent history.
 type Address struct {
 	Spec
-	successes, failures brain.RollingSum
+	successes, failures scheduler.RollingSum
 	failuresInARow      float64
-	verifyTime          brain.RunningMean // seconds from the start of an attempt until the connection was verified
+	verifyTime          scheduler.RunningMean // seconds from the start of an attempt until the connection was verified
 	LastAttempt         time.Duration
 	attempted           bool // a connection attempt was started at least once
 	LastResult          Result
@@ -171,12 +171,12 @@
 // Tracker holds the addresses of one backend with their history, and orders them.
 type Tracker struct {
 	addresses  []*Address // in the order of the endpoint list
-	rng        *brain.PCG
-	verifyTime brain.RunningMean // seconds, over all addresses
+	rng        *scheduler.PCG
+	verifyTime scheduler.RunningMean // seconds, over all addresses
 }
 
 // NewTracker returns a Tracker without addresses; the seed is that of the random draws in Order.
-func NewTracker(seed uint64) *Tracker { return &Tracker{rng: brain.NewPCG(seed)} }
+func NewTracker(seed uint64) *Tracker { return &Tracker{rng: scheduler.NewPCG(seed)} }
 
 // Set replaces the addresses. Addresses that stay keep their history; those that are no longer named are marked as
 // removed and returned. A duplicate of an address is ignored.
@@ -190,8 +190,8 @@
 		i := slices.IndexFunc(t.addresses, same)
 		if i < 0 {
 			next = append(next, &Address{
-				Spec: spec, successes: brain.RollingSum{BucketWidth: evidenceBucket},
-				failures: brain.RollingSum{BucketWidth: evidenceBucket},
+				Spec: spec, successes: scheduler.RollingSum{BucketWidth: evidenceBucket},
+				failures: scheduler.RollingSum{BucketWidth: evidenceBucket},
 			})
 			continue
 		}
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 // Names lists the names of the policies.
@@ -17,16 +17,16 @@
 type Policy struct {
 	View        View // required by Informed
 	name        string
-	runtime     brain.Runtime
-	rng         *brain.PCG
-	settings    brain.Settings
-	backends    []*brain.Backend
+	runtime     scheduler.Runtime
+	rng         *scheduler.PCG
+	settings    scheduler.Settings
+	backends    []*scheduler.Backend
 	nextBackend int
-	classes     []*brain.Class
+	classes     []*scheduler.Class
 }
 
 // New returns the policy of the given name.
-func New(name string, settings brain.Settings, seed uint64, runtime brain.Runtime) (*Policy, error) {
+func New(name string, settings scheduler.Settings, seed uint64, runtime scheduler.Runtime) (*Policy, error) {
 	known := false
 	for _, n := range Names {
 		known = known || n == name
@@ -35,14 +35,14 @@
 		return nil, fmt.Errorf("unknown policy %q: must be one of %v", name, Names)
 	}
 	classes, err := settings.Classes()
-	return &Policy{name: name, runtime: runtime, rng: brain.NewPCG(seed), settings: settings, classes: classes}, err
+	return &Policy{name: name, runtime: runtime, rng: scheduler.NewPCG(seed), settings: settings, classes: classes}, err
 }
 
 // UpdateEndpoints applies endpoint updates, or with full the complete list.
-func (p *Policy) UpdateEndpoints(endpoints []brain.Endpoint, full bool) {
+func (p *Policy) UpdateEndpoints(endpoints []scheduler.Endpoint, full bool) {
 	if full {
 		for _, backend := range p.backends {
-			backend.State = brain.Removed
+			backend.State = scheduler.Removed
 		}
 	}
 	for _, endpoint := range endpoints {
@@ -59,7 +59,7 @@
 }
 
 // Submit schedules a new request.
-func (p *Policy) Submit(request *brain.Request, class, _ int) {
+func (p *Policy) Submit(request *scheduler.Request, class, _ int) {
 	request.Class = p.classes[min(class, len(p.classes)-1)]
 	request.ReceivedAt, request.Deadline = p.runtime.Now(), p.runtime.Now()+request.Timeout
 	request.KVTokens = request.PromptTokens + request.MaxOutputTokens
@@ -67,60 +67,60 @@
 }
 
 // MaySend tells whether a scheduled attempt may still be sent.
-func (p *Policy) MaySend(attempt *brain.Attempt) brain.Permission {
+func (p *Policy) MaySend(attempt *scheduler.Attempt) scheduler.Permission {
 	switch {
 	case attempt.Ended:
-		return brain.AttemptEnded
+		return scheduler.AttemptEnded
 	case attempt.Request.Finished:
-		return brain.RequestFinished
+		return scheduler.RequestFinished
 	case p.runtime.Now() >= attempt.Request.Deadline:
-		return brain.DeadlinePassed
-	case attempt.Backend.State != brain.Ready:
-		return brain.BackendNotReady
+		return scheduler.DeadlinePassed
+	case attempt.Backend.State != scheduler.Ready:
+		return scheduler.BackendNotReady
 	}
-	return brain.Allowed
+	return scheduler.Allowed
 }
 
 // dispatch sends a request's first attempt according to the policy: separate prefill and decode, a decode backend
 // that does both, or a mixed backend.
-func (p *Policy) dispatch(request *brain.Request) {
+func (p *Policy) dispatch(request *scheduler.Request) {
 	if p.name == Informed {
 		p.dispatchInformed(request)
 		return
 	}
-	mixed, decoders, prefillers := p.eligible(request, brain.RoleMixed), p.eligible(request, brain.RoleDecode),
-		p.eligible(request, brain.RolePrefill)
-	wholeBackends := append(append([]*brain.Backend(nil), mixed...), decoders...)
+	mixed, decoders, prefillers := p.eligible(request, scheduler.RoleMixed), p.eligible(request, scheduler.RoleDecode),
+		p.eligible(request, scheduler.RolePrefill)
+	wholeBackends := append(append([]*scheduler.Backend(nil), mixed...), decoders...)
 	switch {
 	case p.name == "always_in_place" && len(wholeBackends) > 0 && p.settings.Bool("familyInfo.localRead"):
-		p.send(request, p.pick(wholeBackends), brain.StageWhole)
+		p.send(request, p.pick(wholeBackends), scheduler.StageWhole)
 	case p.name == "always_apart" && len(prefillers) > 0, len(mixed) == 0 && len(prefillers) > 0:
-		p.send(request, p.pick(prefillers), brain.StagePrefill)
+		p.send(request, p.pick(prefillers), scheduler.StagePrefill)
 	case len(mixed) > 0 && (len(prefillers) == 0 || p.rng.Float() < float64(len(mixed))/float64(len(mixed)+len(decoders))):
-		p.send(request, p.pick(mixed), brain.StageWhole)
+		p.send(request, p.pick(mixed), scheduler.StageWhole)
 	case len(prefillers) > 0:
-		p.send(request, p.pick(prefillers), brain.StagePrefill)
+		p.send(request, p.pick(prefillers), scheduler.StagePrefill)
 	default:
 		p.rejectOrFail(request)
 	}
 }
 
 // eligible lists the backends of a role that may be sent the request now.
-func (p *Policy) eligible(request *brain.Request, role brain.Role) []*brain.Backend {
+func (p *Policy) eligible(request *scheduler.Request, role scheduler.Role) []*scheduler.Backend {
 	if p.runtime.Now() >= request.Deadline ||
 		len(request.Attempts) >= int(p.settings.Number("policyLimits.maxAttempts", 1)) {
 		return nil
 	}
-	if attempt := request.MayHaveRun(); attempt != nil && role != brain.RolePrefill &&
-		request.Class.Effect != brain.Idempotent {
+	if attempt := request.MayHaveRun(); attempt != nil && role != scheduler.RolePrefill &&
+		request.Class.Effect != scheduler.Idempotent {
 		return nil
 	}
-	return brain.Filter(p.backends, func(backend *brain.Backend) bool {
-		return backend.Role == role && backend.State == brain.Ready && !request.FailedAt(backend)
+	return scheduler.Filter(p.backends, func(backend *scheduler.Backend) bool {
+		return backend.Role == role && backend.State == scheduler.Ready && !request.FailedAt(backend)
 	})
 }
 
-func (p *Policy) pick(backends []*brain.Backend) *brain.Backend {
+func (p *Policy) pick(backends []*scheduler.Backend) *scheduler.Backend {
 	switch p.name {
 	case "round_robin":
 		p.nextBackend++
@@ -139,10 +139,10 @@
 	return backends[int(p.rng.Float()*float64(len(backends)))]
 }
 
-func (p *Policy) send(request *brain.Request, backend *brain.Backend, stage brain.Stage) {
-	attempt := &brain.Attempt{Request: request, Backend: backend, Number: len(request.Attempts), SentAt: p.runtime.Now(),
+func (p *Policy) send(request *scheduler.Request, backend *scheduler.Backend, stage scheduler.Stage) {
+	attempt := &scheduler.Attempt{Request: request, Backend: backend, Number: len(request.Attempts), SentAt: p.runtime.Now(),
 		Stage: stage}
-	if stage != brain.StageDecode {
+	if stage != scheduler.StageDecode {
 		attempt.PrefillTokens = request.PromptTokens
 	}
 	attempt.ApplyLoad(1)
@@ -151,21 +151,21 @@
 }
 
 // FirstToken notes that an attempt has streamed its first token; its KV cache then needs no release any more.
-func (p *Policy) FirstToken(attempt *brain.Attempt, _ time.Duration) {
+func (p *Policy) FirstToken(attempt *scheduler.Attempt, _ time.Duration) {
 	attempt.FirstTokenAt = p.runtime.Now()
 	attempt.Request.KVHolder = nil
 }
 
 // AttemptDone takes an attempt's result and schedules the request's next attempt, if it needs one.
-func (p *Policy) AttemptDone(attempt *brain.Attempt, result brain.Result) {
+func (p *Policy) AttemptDone(attempt *scheduler.Attempt, result scheduler.Result) {
 	request := attempt.Request
 	attempt.Ended, attempt.Outcome = true, result.Outcome
 	attempt.ApplyLoad(-1)
 	request.Finished = request.Finished || result.Finished
 	switch {
-	case result.Outcome == brain.Prefilled:
+	case result.Outcome == scheduler.Prefilled:
 		request.KVHolder = attempt.Backend
-	case result.Outcome == brain.Rejected && result.Detail == 1:
+	case result.Outcome == scheduler.Rejected && result.Detail == 1:
 		request.KVHolder = nil
 	}
 	if request.Finished {
@@ -173,9 +173,9 @@
 		return
 	}
 	if request.KVHolder != nil {
-		if eligible := append(p.eligible(request, brain.RoleDecode),
-			p.eligible(request, brain.RoleMixed)...); len(eligible) > 0 {
-			p.send(request, p.pickDecode(request, eligible), brain.StageDecode)
+		if eligible := append(p.eligible(request, scheduler.RoleDecode),
+			p.eligible(request, scheduler.RoleMixed)...); len(eligible) > 0 {
+			p.send(request, p.pickDecode(request, eligible), scheduler.StageDecode)
 			return
 		}
 	}
@@ -183,16 +183,16 @@
 	p.dispatch(request)
 }
 
-func (p *Policy) releaseKVCache(request *brain.Request) {
+func (p *Policy) releaseKVCache(request *scheduler.Request) {
 	if request.KVHolder != nil && request.InFlight() == nil {
 		request.KVHolder = nil
 		p.runtime.Release(request)
 	}
 }
 
-func (p *Policy) rejectOrFail(request *brain.Request) {
+func (p *Policy) rejectOrFail(request *scheduler.Request) {
 	request.Finished = true
-	if request.Class.Effect != brain.Idempotent && request.MayHaveRun() != nil {
+	if request.Class.Effect != scheduler.Idempotent && request.MayHaveRun() != nil {
 		p.runtime.Fail(request)
 		return
 	}
@@ -200,7 +200,7 @@
 }
 
 // ClientDisconnected ends the request of a client that has disconnected.
-func (p *Policy) ClientDisconnected(request *brain.Request) {
+func (p *Policy) ClientDisconnected(request *scheduler.Request) {
 	if request.Finished {
 		return
 	}
@@ -212,4 +212,4 @@
 }
 
 // PeerUpdated does nothing: the policies take no account of peer updates.
-func (p *Policy) PeerUpdated(brain.PeerUpdate) {}
+func (p *Policy) PeerUpdated(scheduler.PeerUpdate) {}
--- a/internal/baseline/informed.go
+++ b/internal/baseline/informed.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 // Informed names the reference policy with information that no real dispatcher has: each sees the true state of
@@ -22,25 +22,25 @@
 
 // View gives the Informed policy the states of the backends.
 type View interface {
-	Load(backend *brain.Backend, request *brain.Request) Load
-	AttemptSent(attempt *brain.Attempt, tokens float64) // reports an attempt and its uncached prompt tokens
+	Load(backend *scheduler.Backend, request *scheduler.Request) Load
+	AttemptSent(attempt *scheduler.Attempt, tokens float64) // reports an attempt and its uncached prompt tokens
 }
 
 // prefillTime returns how long the backend takes until the request's prompt is prefilled.
-func (l Load) prefillTime(request *brain.Request) time.Duration {
+func (l Load) prefillTime(request *scheduler.Request) time.Duration {
 	return time.Duration((l.BacklogTokens + request.PromptTokens - l.CachedTokens) / l.PrefillTokensPerSecond *
 		float64(time.Second))
 }
 
 // observedUp lists the backends that were up when last observed.
-func (p *Policy) observedUp(request *brain.Request, backends []*brain.Backend) []*brain.Backend {
-	return brain.Filter(backends, func(backend *brain.Backend) bool { return p.View.Load(backend, request).Up })
+func (p *Policy) observedUp(request *scheduler.Request, backends []*scheduler.Backend) []*scheduler.Backend {
+	return scheduler.Filter(backends, func(backend *scheduler.Backend) bool { return p.View.Load(backend, request).Up })
 }
 
 // dispatchInformed sends a request to the backend expected to finish its prefill first, or rejects it.
-func (p *Policy) dispatchInformed(request *brain.Request) {
-	best := brain.MinBy(p.observedUp(request, p.eligible(request, brain.RolePrefill)),
-		func(backend *brain.Backend) float64 {
+func (p *Policy) dispatchInformed(request *scheduler.Request) {
+	best := scheduler.MinBy(p.observedUp(request, p.eligible(request, scheduler.RolePrefill)),
+		func(backend *scheduler.Backend) float64 {
 			return p.View.Load(backend, request).prefillTime(request).Seconds()
 		})
 	target := request.ReceivedAt + request.Class.Target +
@@ -49,17 +49,17 @@
 		p.rejectOrFail(request)
 		return
 	}
-	p.send(request, best, brain.StagePrefill)
+	p.send(request, best, scheduler.StagePrefill)
 	p.View.AttemptSent(request.InFlight(), request.PromptTokens-p.View.Load(best, request).CachedTokens)
 }
 
 // pickDecode picks the decode backend: for Informed, the one with the least stream load.
-func (p *Policy) pickDecode(request *brain.Request, eligible []*brain.Backend) *brain.Backend {
+func (p *Policy) pickDecode(request *scheduler.Request, eligible []*scheduler.Backend) *scheduler.Backend {
 	if p.name != Informed {
 		return p.pick(eligible)
 	}
-	best := brain.MinBy(p.observedUp(request, eligible),
-		func(backend *brain.Backend) float64 { return p.View.Load(backend, request).StreamLoad })
+	best := scheduler.MinBy(p.observedUp(request, eligible),
+		func(backend *scheduler.Backend) float64 { return p.View.Load(backend, request).StreamLoad })
 	if best == nil {
 		return eligible[0]
 	}
--- a/internal/budget/budget.go
+++ b/internal/budget/budget.go
@@ -11,7 +11,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 const (
@@ -328,7 +328,7 @@
 	waiting         []*waiter
 	emergencyBucket float64 // of a rate limit, while the owner is unreachable
 	refilledAt      time.Duration
-	demand          brain.RollingSum // tokens
+	demand          scheduler.RollingSum // tokens
 	largestRequest  float64
 	retryAt         time.Duration // when there may be more, by the owner's last reply
 	Counts          Counts
@@ -361,7 +361,7 @@
 // NewLocalBudget returns an empty local budget.
 func NewLocalBudget(terms Terms, holder string, dispatchers int, month Month, send func(LeaseRequest)) *LocalBudget {
 	return &LocalBudget{Terms: terms, Holder: holder, Dispatchers: max(dispatchers, 1), Send: send, month: month.Number,
-		largestRequest: 1, demand: brain.RollingSum{BucketWidth: demandWidth}}
+		largestRequest: 1, demand: scheduler.RollingSum{BucketWidth: demandWidth}}
 }
 
 // advanceMonth changes to a later month. Leases of the previous one end.
--- a/internal/budget/budget_test.go
+++ b/internal/budget/budget_test.go
@@ -9,14 +9,14 @@
 
 	"pgregory.net/rapid"
 
-	"sloetrestle/internal/agenda"
+	"sloetrestle/internal/timerqueue"
 )
 
 // testFleet delivers the messages between local budgets and their owner in virtual time, and loses, repeats and
 // delays them.
 type testFleet struct {
 	now         time.Duration
-	queue       agenda.Queue
+	queue       timerqueue.Queue
 	rng         *rand.Rand
 	loss        float64
 	maxDelay    time.Duration
--- a/internal/chat/response.go
+++ b/internal/chat/response.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 // Bounds of what is accepted from backends.
@@ -30,23 +30,23 @@
 // processed only if the backend itself states so by a header: without the header, an error may come from an
 // intermediary. note is the number of cached tokens after a prefill; after a rejection it is 1 if the KV cache is
 // gone from its backend, as the scheduler expects.
-func ClassifyResponse(stage brain.Stage, resp *http.Response, body []byte) (outcome brain.Outcome, note int) {
+func ClassifyResponse(stage scheduler.Stage, resp *http.Response, body []byte) (outcome scheduler.Outcome, note int) {
 	notProcessed := resp.Header.Get("X-Not-Processed") == "1"
 	switch code := resp.StatusCode; {
-	case code == http.StatusAccepted && stage == brain.StagePrefill:
+	case code == http.StatusAccepted && stage == scheduler.StagePrefill:
 		var prefill struct {
 			CachedTokens float64 `json:"cached_tokens"`
 		}
 		if json.Unmarshal(body, &prefill) != nil {
-			return brain.Prefilled, 0
+			return scheduler.Prefilled, 0
 		}
-		return brain.Prefilled, tokenCount(prefill.CachedTokens)
+		return scheduler.Prefilled, tokenCount(prefill.CachedTokens)
 	case notProcessed && (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout):
-		return brain.Rejected, 0
+		return scheduler.Rejected, 0
 	case notProcessed && code == http.StatusGone:
-		return brain.Rejected, 1
+		return scheduler.Rejected, 1
 	}
-	return brain.Failed, 0
+	return scheduler.Failed, 0
 }
 
 // tokenCount converts a reported number of tokens; one out of bounds counts as 0.
--- a/internal/chat/response_test.go
+++ b/internal/chat/response_test.go
@@ -10,7 +10,7 @@
 	"strings"
 	"testing"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 const (
@@ -76,23 +76,23 @@
 
 func TestOnlyNotProcessedHeaderProvesRejection(t *testing.T) {
 	for _, tc := range []struct {
-		stage        brain.Stage
+		stage        scheduler.Stage
 		code         int
 		notProcessed string // header X-Not-Processed
 		body         string
-		want         brain.Outcome
+		want         scheduler.Outcome
 		note         int
 	}{
-		{brain.StagePrefill, 202, "", `{"cached_tokens":4096}`, brain.Prefilled, 4096},
-		{brain.StagePrefill, 202, "", `{"cached_tokens":-1}`, brain.Prefilled, 0},
-		{brain.StageWhole, 202, "", `{}`, brain.Failed, 0},
-		{brain.StageWhole, 500, "1", ``, brain.Failed, 0},
-		{brain.StageWhole, 503, "1", ``, brain.Rejected, 0},
-		{brain.StageWhole, 504, "1", ``, brain.Rejected, 0},
-		{brain.StageWhole, 503, "", ``, brain.Failed, 0},
-		{brain.StageDecode, 410, "1", ``, brain.Rejected, 1},
-		{brain.StageDecode, 410, "", ``, brain.Failed, 0},
-		{brain.StageDecode, 400, "", ``, brain.Failed, 0},
+		{scheduler.StagePrefill, 202, "", `{"cached_tokens":4096}`, scheduler.Prefilled, 4096},
+		{scheduler.StagePrefill, 202, "", `{"cached_tokens":-1}`, scheduler.Prefilled, 0},
+		{scheduler.StageWhole, 202, "", `{}`, scheduler.Failed, 0},
+		{scheduler.StageWhole, 500, "1", ``, scheduler.Failed, 0},
+		{scheduler.StageWhole, 503, "1", ``, scheduler.Rejected, 0},
+		{scheduler.StageWhole, 504, "1", ``, scheduler.Rejected, 0},
+		{scheduler.StageWhole, 503, "", ``, scheduler.Failed, 0},
+		{scheduler.StageDecode, 410, "1", ``, scheduler.Rejected, 1},
+		{scheduler.StageDecode, 410, "", ``, scheduler.Failed, 0},
+		{scheduler.StageDecode, 400, "", ``, scheduler.Failed, 0},
 	} {
 		resp := &http.Response{StatusCode: tc.code, Header: http.Header{}}
 		if tc.notProcessed != "" {
@@ -171,10 +171,10 @@
 	f.Add(503, "", []byte(`{}`))
 	f.Fuzz(func(t *testing.T, status int, notProcessed string, body []byte) {
 		resp := &http.Response{StatusCode: status, Header: http.Header{"X-Not-Processed": {notProcessed}}}
-		for _, stage := range []brain.Stage{brain.StagePrefill, brain.StageDecode, brain.StageWhole} {
+		for _, stage := range []scheduler.Stage{scheduler.StagePrefill, scheduler.StageDecode, scheduler.StageWhole} {
 			outcome, note := ClassifyResponse(stage, resp, body)
-			if outcome == brain.Served || outcome == brain.Rejected && notProcessed != "1" ||
-				outcome == brain.Prefilled && stage != brain.StagePrefill || note < 0 || note > maxTokens {
+			if outcome == scheduler.Served || outcome == scheduler.Rejected && notProcessed != "1" ||
+				outcome == scheduler.Prefilled && stage != scheduler.StagePrefill || note < 0 || note > maxTokens {
 				t.Errorf("status %d, not processed %q, stage %d: outcome %d, note %d",
 					status, notProcessed, stage, outcome, note)
 			}
--- a/internal/judge/judge.go
+++ b/internal/checker/checker.go
@@ -1,7 +1,7 @@
-// Package judge checks the record of a run against the five rules, by what clients, backends and service discovery
+// Package checker checks the record of a run against the five rules, by what clients, backends and service discovery
 // observed and never by what a dispatcher says about itself. It knows the record's events and the scenario's terms
 // only, and does no I/O. Begin with Check.
-package judge
+package checker
 
 import (
 	"cmp"
--- a/internal/judge/usage.go
+++ b/internal/checker/usage.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"fmt"
--- a/internal/reach/listen.go
+++ b/internal/connpool/listen.go
@@ -1,4 +1,4 @@
-package reach
+package connpool
 
 import (
 	"errors"
--- a/internal/reach/pool.go
+++ b/internal/connpool/pool.go
@@ -1,8 +1,8 @@
-// Package reach holds the connection pools of the backends. It races connection attempts in the order that package
+// Package connpool holds the connection pools of the backends. It races connection attempts in the order that package
 // addresses gives, verifies that the far side of a connection reads requests and is the backend that is meant, keeps
 // verified connections for reuse, and sends a request over exactly one of them. It decides nothing about order,
 // timeouts or trust, and never resends a request of which a byte was sent. Start with Manager and Pool.Get.
-package reach
+package connpool
 
 import (
 	"bufio"
--- a/internal/reach/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -1,4 +1,4 @@
-package reach_test
+package connpool_test
 
 import (
 	"context"
@@ -19,19 +19,19 @@
 	"golang.org/x/sync/errgroup"
 
 	"sloetrestle/internal/addresses"
+	"sloetrestle/internal/connpool"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/kserve"
-	"sloetrestle/internal/reach"
 	"sloetrestle/internal/record"
 	"sloetrestle/internal/setup"
-	"sloetrestle/internal/standin"
 )
 
 // fixture holds test backends that have addresses of all three networks, and the connection pools for them.
 type fixture struct {
 	t           *testing.T
 	recorder    *record.Recorder
-	fleet       *standin.Fleet
-	pools       *reach.Manager
+	fleet       *fakes.Fleet
+	pools       *connpool.Manager
 	lastRequest atomic.Int64
 }
 
@@ -44,13 +44,13 @@
 	}
 	terms := setup.DefaultDeployment()
 	terms.Classes = []setup.Class{{Name: "g", Effect: "unrepeatable"}}
-	env := &fixture{t: t, recorder: recorder, fleet: standin.NewFleet(
-		terms, recorder, standin.Links{SameRack: 1e9, CrossRack: 1e9},
-		map[string]standin.ClassProfile{"g": {NewTokens: 1, AnswerTokens: 1}},
+	env := &fixture{t: t, recorder: recorder, fleet: fakes.NewFleet(
+		terms, recorder, fakes.Links{SameRack: 1e9, CrossRack: 1e9},
+		map[string]fakes.ClassProfile{"g": {NewTokens: 1, AnswerTokens: 1}},
 	)}
 	life, end := context.WithCancel(context.Background())
 	group := &errgroup.Group{}
-	env.pools = &reach.Manager{
+	env.pools = &connpool.Manager{
 		DialTimeout: 250 * time.Millisecond, MaxConnsPerBackend: 64, Now: recorder.Elapsed, Context: life, Group: group,
 	}
 	group.Go(env.pools.Run)
@@ -75,7 +75,7 @@
 }
 
 // backend starts a test backend and returns its pool. Its addresses are, in order: a socket, IPv6, IPv4.
-func (s *fixture) backend(name string) (*standin.Backend, *reach.Pool) {
+func (s *fixture) backend(name string) (*fakes.Backend, *connpool.Pool) {
 	s.t.Helper()
 	dir, err := os.MkdirTemp("", "r") // a socket's path must be short
 	if err != nil {
@@ -86,7 +86,7 @@
 		{Network: addresses.TCP6, Addr: freePort(s.t, "tcp6", "[::1]:0")},
 		{Network: addresses.TCP4, Addr: freePort(s.t, "tcp4", "127.0.0.1:0")},
 	}
-	b := s.fleet.NewBackend(standin.Config{Name: name, Kind: "writer", Addresses: specs, Engine: standin.InstantEngine})
+	b := s.fleet.NewBackend(fakes.Config{Name: name, Kind: "writer", Addresses: specs, Engine: fakes.InstantEngine})
 	if err := b.Boot(false); err != nil {
 		s.t.Fatal(err)
 	}
@@ -95,7 +95,7 @@
 }
 
 // attempt sends one request. It returns whether a byte of it was sent, and the error.
-func (s *fixture) attempt(pool *reach.Pool, timeout time.Duration) (sent bool, err error) {
+func (s *fixture) attempt(pool *connpool.Pool, timeout time.Duration) (sent bool, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	e := kserve.AttemptParams{
@@ -103,7 +103,7 @@
 		PromptTokens: 10, MaxTokens: 1,
 	}
 	conn, resp, err := pool.Send(ctx, func() (*http.Request, error) {
-		return kserve.NewAttemptRequest(ctx, reach.URL(pool.Name), "lodge", "", e)
+		return kserve.NewAttemptRequest(ctx, connpool.URL(pool.Name), "lodge", "", e)
 	})
 	if conn == nil {
 		return false, err
@@ -134,9 +134,9 @@
 
 func TestFailoverOpensAnotherConnectionAndLosesNoRequest(t *testing.T) {
 	for mode, limit := range map[string]time.Duration{
-		standin.EndpointRefuses:   50 * time.Millisecond,
-		standin.EndpointStalls:    250 * time.Millisecond,
-		standin.EndpointBlackhole: 250 * time.Millisecond,
+		fakes.EndpointRefuses:   50 * time.Millisecond,
+		fakes.EndpointStalls:    250 * time.Millisecond,
+		fakes.EndpointBlackhole: 250 * time.Millisecond,
 	} {
 		t.Run(mode, func(t *testing.T) {
 			env := newFixture(t)
@@ -162,20 +162,20 @@
 	env := newFixture(t)
 	backend, pool := env.backend("w1")
 	for mode, limit := range map[string]time.Duration{
-		standin.EndpointRefuses: 100 * time.Millisecond,
-		standin.EndpointStalls:  400 * time.Millisecond,
+		fakes.EndpointRefuses: 100 * time.Millisecond,
+		fakes.EndpointStalls:  400 * time.Millisecond,
 	} {
 		for i := range 3 {
 			backend.Endpoint(i).SetMode(mode, 0, 0)
 		}
 		startedAt := time.Now()
 		sent, err := env.attempt(pool, 2*time.Second)
-		if took := time.Since(startedAt); !errors.Is(err, reach.ErrUnreachable) || sent || took > limit {
+		if took := time.Since(startedAt); !errors.Is(err, connpool.ErrUnreachable) || sent || took > limit {
 			t.Errorf("%s: sent %v, %v after %v", mode, sent, err, took)
 		}
 	}
 	// One address works again: a request or a background recheck finds it, although it is suspected.
-	backend.Endpoint(2).SetMode(standin.EndpointServes, 0, 0)
+	backend.Endpoint(2).SetMode(fakes.EndpointServes, 0, 0)
 	for end := time.Now().Add(8 * time.Second); ; {
 		if _, err := env.attempt(pool, time.Second); err == nil {
 			break
@@ -194,7 +194,7 @@
 		env.attempt(pool, time.Second)
 	}
 	time.Sleep(2 * addresses.VerificationTTL)
-	backend.Endpoint(0).SetMode(standin.EndpointStalls, 0, 0)
+	backend.Endpoint(0).SetMode(fakes.EndpointStalls, 0, 0)
 	startedAt := time.Now()
 	if _, err := env.attempt(pool, time.Second); err != nil || time.Since(startedAt) > 250*time.Millisecond {
 		t.Errorf("%v after %v", err, time.Since(startedAt))
@@ -208,12 +208,12 @@
 func TestRequestThatStallsAfterVerificationIsSentOnce(t *testing.T) {
 	s := newFixture(t)
 	backend, pool := s.backend("w1")
-	backend.Endpoint(0).SetMode(standin.EndpointStallsAfterResponse, 0, 0)
+	backend.Endpoint(0).SetMode(fakes.EndpointStallsAfterResponse, 0, 0)
 	sent, err := s.attempt(pool, 300*time.Millisecond)
 	if !sent || err == nil {
 		t.Errorf("sent %v, %v", sent, err)
 	}
-	backend.Endpoint(0).SetMode(standin.EndpointServes, 0, 0)
+	backend.Endpoint(0).SetMode(fakes.EndpointServes, 0, 0)
 	time.Sleep(100 * time.Millisecond)
 	byAttempt, _ := s.received()
 	for key, n := range byAttempt {
@@ -238,7 +238,7 @@
 	before, _ := env.received()
 	sent, err := env.attempt(firstPool, time.Second)
 	after, _ := env.received()
-	if !errors.Is(err, reach.ErrUnreachable) || sent || len(after) != len(before) {
+	if !errors.Is(err, connpool.ErrUnreachable) || sent || len(after) != len(before) {
 		t.Errorf("sent %v, %v; %d attempts received before and %d after", sent, err, len(before), len(after))
 	}
 }
@@ -273,7 +273,7 @@
 		time.Sleep(30 * time.Millisecond) // the reset has arrived
 		return http.NewRequestWithContext(ctx, http.MethodPost, "http://b/", strings.NewReader("x"))
 	})
-	if ctx.Err() != nil || !errors.Is(err, reach.ErrUnreachable) || tries == 0 {
+	if ctx.Err() != nil || !errors.Is(err, connpool.ErrUnreachable) || tries == 0 {
 		t.Errorf("%v after %d tries; the request's context: %v", err, tries, ctx.Err())
 	}
 }
@@ -311,7 +311,7 @@
 		t.Errorf("attempts received: %v", byAddress)
 	}
 	env.pools.SetAddresses("w1", nil, 3)
-	if _, err := env.attempt(pool, time.Second); !errors.Is(err, reach.ErrUnreachable) {
+	if _, err := env.attempt(pool, time.Second); !errors.Is(err, connpool.ErrUnreachable) {
 		t.Errorf("a removed backend: %v", err)
 	}
 }
@@ -325,10 +325,10 @@
 	env := newFixture(t)
 	backend, pool := env.backend("w1")
 	modes := []string{
-		standin.EndpointServes, standin.EndpointServes, standin.EndpointServes, standin.EndpointRefuses,
-		standin.EndpointBlackhole,
-		standin.EndpointStalls, standin.EndpointStallsAfterResponse, standin.EndpointSlow, standin.EndpointResets,
-		standin.EndpointFlaps,
+		fakes.EndpointServes, fakes.EndpointServes, fakes.EndpointServes, fakes.EndpointRefuses,
+		fakes.EndpointBlackhole,
+		fakes.EndpointStalls, fakes.EndpointStallsAfterResponse, fakes.EndpointSlow, fakes.EndpointResets,
+		fakes.EndpointFlaps,
 	}
 	const minAttempts, minChanges = 10000, 30 // a fast machine would end the attempts before any address has failed
 	var attempts, changes atomic.Int64
@@ -371,7 +371,7 @@
 	close(stop)
 	<-done
 	for i := range 3 {
-		backend.Endpoint(i).SetMode(standin.EndpointServes, 0, 0)
+		backend.Endpoint(i).SetMode(fakes.EndpointServes, 0, 0)
 	}
 	time.Sleep(200 * time.Millisecond) // what a fault has delayed arrives late, or never
 	byAttempt, byAddress := env.received()
@@ -401,20 +401,20 @@
 	}
 	defer os.RemoveAll(dir)
 	path := filepath.Join(dir, "s")
-	spec, err := reach.ParseListen("unix:" + path)
+	spec, err := connpool.ParseListen("unix:" + path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	first, err := reach.Listen(spec)
+	first, err := connpool.Listen(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := reach.Listen(spec); err == nil || !strings.Contains(err.Error(), "another process listens") {
+	if _, err := connpool.Listen(spec); err == nil || !strings.Contains(err.Error(), "another process listens") {
 		t.Errorf("a live socket: %v", err)
 	}
 	first.(*net.UnixListener).SetUnlinkOnClose(false)
 	first.Close()
-	second, err := reach.Listen(spec)
+	second, err := connpool.Listen(spec)
 	if err != nil {
 		t.Fatalf("a stale socket: %v", err)
 	}
@@ -422,7 +422,7 @@
 	if err := os.WriteFile(path, []byte("precious"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := reach.Listen(spec); err == nil || !strings.Contains(err.Error(), "not a socket") {
+	if _, err := connpool.Listen(spec); err == nil || !strings.Contains(err.Error(), "not a socket") {
 		t.Errorf("a file: %v", err)
 	}
 	if raw, _ := os.ReadFile(path); string(raw) != "precious" {
@@ -431,7 +431,7 @@
 }
 
 func TestAllowListMatchesRangesAndSocketDirectories(t *testing.T) {
-	allowed, err := reach.NewAllowList([]string{
+	allowed, err := connpool.NewAllowList([]string{
 		"10.0.0.0/8", "fd00::/8", "192.168.1.5", "172.16.0.1-172.16.0.9", "unix:/run/backends/",
 	})
 	if err != nil {
@@ -449,7 +449,7 @@
 		}
 	}
 	for _, bad := range []string{"10.0.0.0/99", "backend-7", "unix:run"} {
-		if _, err := reach.NewAllowList([]string{bad}); err == nil {
+		if _, err := connpool.NewAllowList([]string{bad}); err == nil {
 			t.Errorf("%s is accepted", bad)
 		}
 	}
--- a/internal/day/backends.go
+++ b/internal/day/backends.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sloetrestle/internal/engine"
-	"sloetrestle/internal/standin"
+	"sloetrestle/internal/fakes"
 )
 
 // BackendSpec is the configuration of one backend of a scenario.
@@ -64,11 +64,11 @@
 }
 
 // RequestShape returns the token counts of a class's requests.
-func (d *Scenario) RequestShape(class string) standin.ClassProfile {
+func (d *Scenario) RequestShape(class string) fakes.ClassProfile {
 	for _, t := range d.Traffic {
 		if t.Class == class {
-			return standin.ClassProfile{NewTokens: t.NewTokens, AnswerTokens: t.AnswerTokens, PrefixTokens: t.SharedPrefixTokens}
+			return fakes.ClassProfile{NewTokens: t.NewTokens, AnswerTokens: t.AnswerTokens, PrefixTokens: t.SharedPrefixTokens}
 		}
 	}
-	return standin.ClassProfile{NewTokens: 1, AnswerTokens: 1}
+	return fakes.ClassProfile{NewTokens: 1, AnswerTokens: 1}
 }
--- a/internal/day/day.go
+++ b/internal/day/day.go
@@ -1,6 +1,6 @@
 // Package day plays scripted scenarios: it parses the TOML form, draws the requests that clients will send, schedules
 // the faults, and runs the scenario against real dispatcher processes with test backends around them. It checks no
-// rules; the record of a run is for internal/judge. Begin with Scenario, then Run.
+// rules; the record of a run is for internal/checker. Begin with Scenario, then Run.
 package day
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/setup"
 )
@@ -274,7 +274,7 @@
 		case b.TokenTime <= 0:
 			return setup.Invalidf(key+"token_time", "must be above 0")
 		}
-		if err := setup.CheckNumber(key+"units", b.Units, boxlist.MaxUnits); err != nil {
+		if err := setup.CheckNumber(key+"units", b.Units, endpointlist.MaxUnits); err != nil {
 			return err
 		}
 		for _, network := range b.Addresses {
--- a/internal/day/faults.go
+++ b/internal/day/faults.go
@@ -8,14 +8,14 @@
 	"sync"
 	"time"
 
-	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/endpointlist"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/record"
-	"sloetrestle/internal/standin"
 )
 
 // hitBackends lists the backends that a fault names, in the order of the scenario.
-func (r *runner) hitBackends(f Fault) []*standin.Backend {
-	var hit []*standin.Backend
+func (r *runner) hitBackends(f Fault) []*fakes.Backend {
+	var hit []*fakes.Backend
 	for _, name := range r.scenario.names() {
 		if slices.ContainsFunc(f.Backends, func(b string) bool { return b == name || isOfKind(name, b) }) {
 			hit = append(hit, r.backends[name])
@@ -30,7 +30,7 @@
 	r.recorder.Record(record.Event{Kind: record.Note, Detail: fault.Kind + " begins"})
 	r.printf("        %s begins", fault.Kind)
 	hit, duration := r.hitBackends(fault), fault.Duration.Std()
-	setFaults := func(change func(*standin.Faults)) {
+	setFaults := func(change func(*fakes.Faults)) {
 		for _, b := range hit {
 			b.UpdateFaults(change)
 		}
@@ -38,41 +38,41 @@
 	var err error
 	switch fault.Kind {
 	case "slow":
-		setFaults(func(f *standin.Faults) { f.SlowFactor = fault.Factor })
+		setFaults(func(f *fakes.Faults) { f.SlowFactor = fault.Factor })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.SlowFactor = 0 })
+		setFaults(func(f *fakes.Faults) { f.SlowFactor = 0 })
 	case "failing", "grade_failing":
-		setFaults(func(f *standin.Faults) { f.ErrorShare, f.ErrorClass = fault.Share, fault.Class })
+		setFaults(func(f *fakes.Faults) { f.ErrorShare, f.ErrorClass = fault.Share, fault.Class })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.ErrorShare = 0 })
+		setFaults(func(f *fakes.Faults) { f.ErrorShare = 0 })
 	case "hang":
-		setFaults(func(f *standin.Faults) { f.Hang = true })
+		setFaults(func(f *fakes.Faults) { f.Hang = true })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.Hang = false })
+		setFaults(func(f *fakes.Faults) { f.Hang = false })
 	case "reset":
-		setFaults(func(f *standin.Faults) { f.ResetShare = fault.Share })
+		setFaults(func(f *fakes.Faults) { f.ResetShare = fault.Share })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.ResetShare = 0 })
+		setFaults(func(f *fakes.Faults) { f.ResetShare = 0 })
 	case "reset_running":
-		setFaults(func(f *standin.Faults) { f.EarlyResetShare = fault.Share })
+		setFaults(func(f *fakes.Faults) { f.EarlyResetShare = fault.Share })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.EarlyResetShare = 0 })
+		setFaults(func(f *fakes.Faults) { f.EarlyResetShare = 0 })
 	case "no_cancel":
-		setFaults(func(f *standin.Faults) { f.IgnoreCancel = true })
+		setFaults(func(f *fakes.Faults) { f.IgnoreCancel = true })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.IgnoreCancel = false })
+		setFaults(func(f *fakes.Faults) { f.IgnoreCancel = false })
 	case "neighbour":
-		setFaults(func(f *standin.Faults) { f.NeighbourShare = fault.Share })
+		setFaults(func(f *fakes.Faults) { f.NeighbourShare = fault.Share })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.NeighbourShare = 0 })
+		setFaults(func(f *fakes.Faults) { f.NeighbourShare = 0 })
 	case "evict_fresh":
-		setFaults(func(f *standin.Faults) { f.EvictFetched = true })
+		setFaults(func(f *fakes.Faults) { f.EvictFetched = true })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.EvictFetched = false })
+		setFaults(func(f *fakes.Faults) { f.EvictFetched = false })
 	case "ageing":
-		setFaults(func(f *standin.Faults) { f.AgingRate = fault.Share })
+		setFaults(func(f *fakes.Faults) { f.AgingRate = fault.Share })
 		wait(duration)
-		setFaults(func(f *standin.Faults) { f.AgingRate = 0 })
+		setFaults(func(f *fakes.Faults) { f.AgingRate = 0 })
 		for _, b := range hit {
 			r.crash(b, "aged", time.Hour)
 		}
@@ -89,7 +89,7 @@
 		wait(duration)
 		err = r.restartBackends(hit)
 	case "crash_after_read":
-		setFaults(func(f *standin.Faults) { f.CrashAfterPrefillShare = fault.Share })
+		setFaults(func(f *fakes.Faults) { f.CrashAfterPrefillShare = fault.Share })
 		err = r.restartCrashing(hit, duration, wait)
 	case "restart":
 		for _, b := range hit {
@@ -98,12 +98,12 @@
 		err = r.restartBackends(hit)
 	case "drain":
 		for _, b := range hit {
-			r.discovery.Publish(b, boxlist.Draining, r.scenario.Discovery.NoticeDelay.Std())
+			r.discovery.Publish(b, endpointlist.Draining, r.scenario.Discovery.NoticeDelay.Std())
 		}
 		wait(duration)
 		for _, b := range hit {
 			b.Kill("drained")
-			r.discovery.Publish(b, boxlist.Removed, r.scenario.Discovery.NoticeDelay.Std())
+			r.discovery.Publish(b, endpointlist.Removed, r.scenario.Discovery.NoticeDelay.Std())
 		}
 		wait(duration + time.Second)
 		err = r.restartBackends(hit)
@@ -139,15 +139,15 @@
 }
 
 // crash kills a backend. Service discovery notices after its delay, unless the backend is back before.
-func (r *runner) crash(b *standin.Backend, reason string, downtime time.Duration) {
+func (r *runner) crash(b *fakes.Backend, reason string, downtime time.Duration) {
 	b.Kill(reason)
 	if delay := r.scenario.Discovery.FailureNoticeDelay.Std(); downtime > delay {
-		r.discovery.Publish(b, boxlist.Removed, delay)
+		r.discovery.Publish(b, endpointlist.Removed, delay)
 	}
 }
 
 // restartBackends starts the backends that are down, cold. Service discovery reports them after its delay.
-func (r *runner) restartBackends(backends []*standin.Backend) error {
+func (r *runner) restartBackends(backends []*fakes.Backend) error {
 	for _, b := range backends {
 		if b.Up() {
 			continue
@@ -155,23 +155,23 @@
 		if err := b.Boot(true); err != nil {
 			return err
 		}
-		r.discovery.Publish(b, boxlist.Ready, r.scenario.Discovery.NoticeDelay.Std())
+		r.discovery.Publish(b, endpointlist.Ready, r.scenario.Discovery.NoticeDelay.Std())
 	}
 	return nil
 }
 
 // restartCrashing restarts backends that die one by one, each a fixed time after its death.
-func (r *runner) restartCrashing(hit []*standin.Backend, duration time.Duration, wait func(time.Duration) bool) error {
+func (r *runner) restartCrashing(hit []*fakes.Backend, duration time.Duration, wait func(time.Duration) bool) error {
 	const step = 50 * time.Millisecond
 	const downtime = time.Second
-	downSince := map[*standin.Backend]time.Duration{}
+	downSince := map[*fakes.Backend]time.Duration{}
 	for elapsed := time.Duration(0); elapsed < duration+downtime+step; elapsed += step {
 		if !wait(elapsed) {
 			return nil
 		}
 		if elapsed >= duration {
 			for _, b := range hit {
-				b.UpdateFaults(func(f *standin.Faults) { f.CrashAfterPrefillShare = 0 })
+				b.UpdateFaults(func(f *fakes.Faults) { f.CrashAfterPrefillShare = 0 })
 			}
 		}
 		for _, b := range hit {
@@ -182,7 +182,7 @@
 			case !known:
 				downSince[b] = elapsed
 			case elapsed-since >= downtime:
-				if err := r.restartBackends([]*standin.Backend{b}); err != nil {
+				if err := r.restartBackends([]*fakes.Backend{b}); err != nil {
 					return err
 				}
 			}
@@ -219,8 +219,8 @@
 }
 
 // injectAddressFault begins a fault of single addresses of backends, waits, and ends it.
-func (r *runner) injectAddressFault(fault Fault, mode string, hit []*standin.Backend, wait func()) error {
-	forEach := func(do func(b *standin.Backend, i int) error) error {
+func (r *runner) injectAddressFault(fault Fault, mode string, hit []*fakes.Backend, wait func()) error {
+	forEach := func(do func(b *fakes.Backend, i int) error) error {
 		var errs []error
 		for _, b := range hit {
 			for _, i := range fault.Addresses {
@@ -230,7 +230,7 @@
 		return errors.Join(errs...)
 	}
 	switch mode {
-	case standin.EndpointSwapped:
+	case fakes.EndpointSwapped:
 		if len(hit) < 2 {
 			return nil
 		}
@@ -246,19 +246,19 @@
 	case "drop":
 		for _, b := range hit {
 			r.discovery.OmitAddresses(b, fault.Addresses)
-			r.discovery.Publish(b, boxlist.Ready, r.scenario.Discovery.NoticeDelay.Std())
+			r.discovery.Publish(b, endpointlist.Ready, r.scenario.Discovery.NoticeDelay.Std())
 		}
 		wait()
 		for _, b := range hit {
 			r.discovery.OmitAddresses(b, nil)
-			r.discovery.Publish(b, boxlist.Ready, r.scenario.Discovery.NoticeDelay.Std())
+			r.discovery.Publish(b, endpointlist.Ready, r.scenario.Discovery.NoticeDelay.Std())
 		}
 		return nil
 	}
-	err := forEach(func(b *standin.Backend, i int) error {
+	err := forEach(func(b *fakes.Backend, i int) error {
 		return b.Endpoint(i).SetMode(mode, fault.Delay.Std(), fault.Bytes)
 	})
 	wait()
 	return errors.Join(err,
-		forEach(func(b *standin.Backend, i int) error { return b.Endpoint(i).SetMode(standin.EndpointServes, 0, 0) }))
+		forEach(func(b *fakes.Backend, i int) error { return b.Endpoint(i).SetMode(fakes.EndpointServes, 0, 0) }))
 }
--- a/internal/day/plan.go
+++ b/internal/day/plan.go
@@ -5,7 +5,7 @@
 	"math"
 	"time"
 
-	"sloetrestle/internal/standin"
+	"sloetrestle/internal/fakes"
 )
 
 // session is a conversation of one or more turns.
@@ -28,9 +28,9 @@
 
 // Plan draws all requests that clients will send. Arrivals don't wait for answers. The same script and seed always give
 // the same plan.
-func (d *Scenario) Plan() []standin.Request {
+func (d *Scenario) Plan() []fakes.Request {
 	rng := d.rng(1)
-	var requests []standin.Request
+	var requests []fakes.Request
 	openSessions := map[string][]*session{} // by class
 	shares := 0.0
 	for _, t := range d.Traffic {
@@ -94,7 +94,7 @@
 			s.tokens = s.prefixTokens
 		}
 		promptFactor := 1.0
-		request := standin.Request{SubmitAt: arrival, Name: fmt.Sprintf("q%d", len(requests)), Class: traffic.Class,
+		request := fakes.Request{SubmitAt: arrival, Name: fmt.Sprintf("q%d", len(requests)), Class: traffic.Class,
 			Tenant: s.tenant, Session: s.name, PrefixID: s.sharedPrefix, PrefixTokens: s.prefixTokens,
 			Retries:   d.Clients.Retries,
 			RetryWait: d.Clients.RetryWait.Std(), ExponentialBackoff: d.Clients.WaitDoubles,
--- a/internal/day/run.go
+++ b/internal/day/run.go
@@ -19,13 +19,13 @@
 	"golang.org/x/sync/errgroup"
 
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/checker"
 	"sloetrestle/internal/dispatch"
-	"sloetrestle/internal/judge"
+	"sloetrestle/internal/endpointlist"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/ledger"
 	"sloetrestle/internal/record"
 	"sloetrestle/internal/setup"
-	"sloetrestle/internal/standin"
 )
 
 // RunOptions says how a scenario is run.
@@ -41,9 +41,9 @@
 	scenario    Scenario
 	options     RunOptions
 	recorder    *record.Recorder
-	fleet       *standin.Fleet
-	discovery   *standin.Discovery
-	backends    map[string]*standin.Backend
+	fleet       *fakes.Fleet
+	discovery   *fakes.Discovery
+	backends    map[string]*fakes.Backend
 	dispatchers []*process
 	dir         string
 	group       *errgroup.Group
@@ -69,26 +69,26 @@
 }
 
 // Run runs a scenario and checks its record against the rules.
-func Run(ctx context.Context, d Scenario, options RunOptions) (judge.Verdict, error) {
-	r := &runner{scenario: d, options: options, backends: map[string]*standin.Backend{}}
+func Run(ctx context.Context, d Scenario, options RunOptions) (checker.Verdict, error) {
+	r := &runner{scenario: d, options: options, backends: map[string]*fakes.Backend{}}
 	header := record.Header{Scenario: d.Header.Name, Seed: d.Header.Seed, Terms: d.Deployment,
 		Backends: r.recordBackends()}
 	var err error
 	if r.recorder, err = record.Open(options.RecordDir, header); err != nil {
-		return judge.Verdict{}, err
+		return checker.Verdict{}, err
 	}
 	defer r.recorder.Close()
 	r.recorder.OnEvent = r.count
 	if r.dir = options.RecordDir; r.dir == "" {
 		if r.dir, err = os.MkdirTemp("", "sloetrestle-day-"); err != nil {
-			return judge.Verdict{}, err
+			return checker.Verdict{}, err
 		}
 		defer os.RemoveAll(r.dir)
 	}
 	if err := r.run(ctx); err != nil {
-		return judge.Verdict{}, err
+		return checker.Verdict{}, err
 	}
-	v := judge.Check(header, r.recorder.Events())
+	v := checker.Check(header, r.recorder.Events())
 	if d.Header.Ledger {
 		if err := CheckLedgers(&v, r.dir, r.recorder.Events()); err != nil {
 			return v, err
@@ -99,7 +99,7 @@
 
 // CheckLedgers reads the ledgers in a run's folder, if there are any, and adds a rule to the verdict: their totals
 // equal what the backends counted.
-func CheckLedgers(verdict *judge.Verdict, dir string, events []record.Event) error {
+func CheckLedgers(verdict *checker.Verdict, dir string, events []record.Event) error {
 	folders, err := filepath.Glob(filepath.Join(dir, "ledger-*"))
 	if err != nil || len(folders) == 0 {
 		return err
@@ -120,12 +120,12 @@
 			}
 		}
 	}
-	usage := map[string]judge.Usage{} // by backend
+	usage := map[string]checker.Usage{} // by backend
 	for backend, c := range sheet.BackendTotals() {
-		usage[backend] = judge.Usage{Attempts: c.Attempts, PrefillTokens: c.PrefillTokens, CachedTokens: c.CachedTokens,
+		usage[backend] = checker.Usage{Attempts: c.Attempts, PrefillTokens: c.PrefillTokens, CachedTokens: c.CachedTokens,
 			AnswerTokens: c.OutputTokens}
 	}
-	rule, total := judge.CheckUsage(events, usage)
+	rule, total := checker.CheckUsage(events, usage)
 	verdict.Rules, verdict.Usage = append(verdict.Rules, rule), &total
 	return nil
 }
@@ -147,12 +147,12 @@
 		return err
 	}
 	nextAddr := func() string { p := ports[0]; ports = ports[1:]; return fmt.Sprintf("127.0.0.1:%d", p) }
-	profiles := map[string]standin.ClassProfile{} // by class
+	profiles := map[string]fakes.ClassProfile{} // by class
 	for _, t := range r.scenario.Traffic {
-		profiles[t.Class] = standin.ClassProfile{NewTokens: t.NewTokens, AnswerTokens: t.AnswerTokens,
+		profiles[t.Class] = fakes.ClassProfile{NewTokens: t.NewTokens, AnswerTokens: t.AnswerTokens,
 			PrefixTokens: t.SharedPrefixTokens}
 	}
-	r.fleet = standin.NewFleet(r.scenario.Deployment, r.recorder, standin.Links{
+	r.fleet = fakes.NewFleet(r.scenario.Deployment, r.recorder, fakes.Links{
 		SameRack: r.scenario.Links.NearTokensPerSecond, CrossRack: r.scenario.Links.FarTokensPerSecond,
 		ZoneFactor: r.scenario.Links.CrossZoneFactor,
 	}, profiles)
@@ -179,7 +179,7 @@
 			return err
 		}
 		defer b.Kill("end of the day")
-		r.discovery.Publish(b, boxlist.Ready, 0)
+		r.discovery.Publish(b, endpointlist.Ready, 0)
 	}
 	if err := r.configureDispatchers(nextAddr); err != nil {
 		return err
@@ -194,7 +194,7 @@
 	r.printf("%s: %d backends, %d dispatchers, %d requests in %v (test backends, not engines)", header.Name,
 		len(r.backends),
 		len(r.dispatchers), len(requests), header.Duration.Std())
-	clients := standin.NewClients(r.recorder, r.scenario.Model, r.pickDispatcher)
+	clients := fakes.NewClients(r.recorder, r.scenario.Model, r.pickDispatcher)
 	defer clients.Close()
 	startTime := time.Now()
 	wait := func(ctx context.Context, offset time.Duration) bool {
@@ -291,8 +291,8 @@
 }
 
 // testBackendSpecs lists the configurations of the test backends, with addresses still to be assigned.
-func (r *runner) testBackendSpecs() []standin.Config {
-	var specs []standin.Config
+func (r *runner) testBackendSpecs() []fakes.Config {
+	var specs []fakes.Config
 	for _, b := range r.scenario.BackendSpecs() {
 		var unassigned []addresses.Spec
 		for _, network := range b.Group.Addresses {
@@ -301,7 +301,7 @@
 		if len(unassigned) == 0 {
 			unassigned = append(unassigned, addresses.Spec{Network: addresses.TCP4})
 		}
-		specs = append(specs, standin.Config{Name: b.Name, Kind: b.Kind, Role: b.Role, Zone: b.Zone, Rack: b.Rack,
+		specs = append(specs, fakes.Config{Name: b.Name, Kind: b.Kind, Role: b.Role, Zone: b.Zone, Rack: b.Rack,
 			Units: b.Units, Addresses: unassigned, Seed: r.scenario.Header.Seed, Engine: b.Engine})
 	}
 	return specs
--- a/internal/day/run_test.go
+++ b/internal/day/run_test.go
@@ -17,8 +17,8 @@
 	"time"
 
 	"sloetrestle/examples"
-	"sloetrestle/internal/boxlist"
 	"sloetrestle/internal/dispatch"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/record"
 	"sloetrestle/internal/setup"
@@ -118,10 +118,10 @@
 // sends each request to a freshly started and to a draining decode backend at once, and answers twice.
 func serveAgainstRules(ctx context.Context, config setup.DispatcherConfig) error {
 	var mu sync.Mutex
-	backends := map[string]boxlist.Endpoint{}
-	discovery := boxlist.Follower{Address: config.Instance.DiscoveryAddr, Name: config.Instance.Name,
+	backends := map[string]endpointlist.Endpoint{}
+	discovery := endpointlist.Follower{Address: config.Instance.DiscoveryAddr, Name: config.Instance.Name,
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), HTTPClient: http.DefaultClient,
-		OnUpdate: func(listed []boxlist.Endpoint, _ bool) {
+		OnUpdate: func(listed []endpointlist.Endpoint, _ bool) {
 			mu.Lock()
 			defer mu.Unlock()
 			for _, b := range listed {
--- a/internal/dispatch/accounting.go
+++ b/internal/dispatch/accounting.go
@@ -3,11 +3,11 @@
 import (
 	"time"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/account"
 	"sloetrestle/internal/budget"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/ledger"
+	"sloetrestle/scheduler"
 )
 
 // Accounting is a loop's accounting: token budgets, in which a request must find free capacity before the scheduler
@@ -155,7 +155,7 @@
 }
 
 // accountEnded tells the account that an attempt has ended, with the backend's count if it came with the answer.
-func (l *Loop) accountEnded(attempt *Attempt, result brain.Result) {
+func (l *Loop) accountEnded(attempt *Attempt, result scheduler.Result) {
 	if l.accounting == nil || l.accounting.Account == nil {
 		return
 	}
@@ -164,7 +164,7 @@
 		counted := countedRecord(*attempt.Usage)
 		count = &counted
 	}
-	l.accounting.Account.AttemptEnded(attempt.usageRecord(), count, result.Outcome == brain.Unreachable)
+	l.accounting.Account.AttemptEnded(attempt.usageRecord(), count, result.Outcome == scheduler.Unreachable)
 }
 
 // accountRequest records a request's end.
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -5,13 +5,13 @@
 	"sync/atomic"
 	"time"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/kserve"
+	"sloetrestle/scheduler"
 )
 
 // Attempt is one attempt that has been handed to the transport.
 type Attempt struct {
-	Scheduled      *brain.Attempt // the scheduler's record of it
+	Scheduled      *scheduler.Attempt // the scheduler's record of it
 	Request        *ClientRequest
 	Backend        *Backend
 	PrefillBackend *Backend        // for a decode attempt, the prefill backend that holds the request's KV cache
@@ -33,8 +33,8 @@
 // Stage returns the attempt's stage by its name in messages to backends.
 func (a *Attempt) Stage() string {
 	return [...]string{
-		brain.StagePrefill: kserve.PhasePrefill, brain.StageDecode: kserve.PhaseDecode,
-		brain.StageWhole: kserve.PhaseCombined,
+		scheduler.StagePrefill: kserve.PhasePrefill, scheduler.StageDecode: kserve.PhaseDecode,
+		scheduler.StageWhole: kserve.PhaseCombined,
 	}[a.Scheduled.Stage]
 }
 
@@ -57,7 +57,7 @@
 }
 
 // AttemptEnded handles the end of an attempt.
-func (l *Loop) AttemptEnded(attempt *Attempt, result brain.Result) {
+func (l *Loop) AttemptEnded(attempt *Attempt, result scheduler.Result) {
 	scheduled, request := attempt.Scheduled, attempt.Request
 	if scheduled.Ended {
 		return
@@ -67,8 +67,8 @@
 		l.backends[attempt.Backend.Name] != attempt.Backend {
 		defer delete(l.byState, scheduled.Backend)
 	}
-	if result.Outcome == brain.Served && scheduled.FirstTokenAt == 0 {
-		result.Outcome = brain.TimedOut // its first token came too late for the client, and the rest with it
+	if result.Outcome == scheduler.Served && scheduled.FirstTokenAt == 0 {
+		result.Outcome = scheduler.TimedOut // its first token came too late for the client, and the rest with it
 	}
 	l.accountEnded(attempt, result)
 	result.Duration = l.now - scheduled.SentAt
@@ -77,13 +77,13 @@
 		"number", scheduled.Number, "outcome", result.Outcome, "took", result.Duration, "wait", attempt.Timeout,
 		"prompt", scheduled.Request.PromptTokens, "left", scheduled.PrefillTokens, "kept", result.Detail)
 	switch {
-	case result.Outcome == brain.Prefilled:
+	case result.Outcome == scheduler.Prefilled:
 		request.kvHolders[attempt.Backend] = true
-	case scheduled.Stage == brain.StagePrefill && result.Outcome != brain.Unreachable &&
-		result.Outcome != brain.NotSent && result.Outcome != brain.Rejected:
+	case scheduled.Stage == scheduler.StagePrefill && result.Outcome != scheduler.Unreachable &&
+		result.Outcome != scheduler.NotSent && result.Outcome != scheduler.Rejected:
 		// The prefill may have finished at the backend just as it was given up here: its KV cache must not stay.
 		l.releaseAt(attempt.Backend, request)
-	case result.Outcome == brain.Rejected && result.Detail == 1 && attempt.PrefillBackend != nil:
+	case result.Outcome == scheduler.Rejected && result.Detail == 1 && attempt.PrefillBackend != nil:
 		// The prefill backend said that it has no KV cache to transfer; it may hold it all the same.
 		l.releaseAt(attempt.PrefillBackend, request)
 		delete(request.kvHolders, attempt.PrefillBackend)
@@ -91,9 +91,9 @@
 	if attempt.RequestInvalid {
 		l.answer(request, kserve.FinalResponse{Outcome: kserve.Failed, Error: "no box can use it"})
 	}
-	result.Finished = request.answered || request.disconnected || result.Outcome == brain.Served ||
+	result.Finished = request.answered || request.disconnected || result.Outcome == scheduler.Served ||
 		scheduled.FirstTokenAt > 0
-	if result.Outcome == brain.Served {
+	if result.Outcome == scheduler.Served {
 		l.answer(request, kserve.FinalResponse{Outcome: kserve.Served})
 	} else if scheduled.FirstTokenAt > 0 && !request.disconnected {
 		l.answer(request, kserve.FinalResponse{Outcome: kserve.Failed, Error: "the stream broke at its box"})
@@ -106,18 +106,18 @@
 }
 
 // wastesWork tells whether an attempt with that outcome may have cost its backend work for nothing.
-func wastesWork(outcome brain.Outcome) bool {
-	return outcome == brain.Failed || outcome == brain.TimedOut || outcome == brain.ConnectionLost
+func wastesWork(outcome scheduler.Outcome) bool {
+	return outcome == scheduler.Failed || outcome == scheduler.TimedOut || outcome == scheduler.ConnectionLost
 }
 
 // MaySend tells whether an attempt may still be sent when its connection is ready. While it waited for the connection,
 // its backend may have begun to drain, its request may have ended, or it may have become too late for a repeat.
-func (l *Loop) MaySend(attempt *Attempt) brain.Permission {
+func (l *Loop) MaySend(attempt *Attempt) scheduler.Permission {
 	switch {
 	case attempt.timedOut:
-		return brain.DeadlinePassed
+		return scheduler.DeadlinePassed
 	case attempt.Request.disconnected, attempt.Request.answered, attempt.Request.Over():
-		return brain.RequestFinished
+		return scheduler.RequestFinished
 	}
 	return l.scheduler.MaySend(attempt.Scheduled)
 }
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -6,20 +6,20 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
-	"sloetrestle/internal/reach"
+	"sloetrestle/internal/connpool"
+	"sloetrestle/internal/endpointlist"
+	"sloetrestle/scheduler"
 )
 
 // Backend is a model backend: the scheduler's record of it, and how to connect to it.
 type Backend struct {
 	Name           string
-	Addresses      []addresses.Spec // its listed addresses that the deployment allows
-	SchedulerState *brain.Backend   // the scheduler's record of it
-	StartID        uint64           // number of the backend's start, as listed
-	Removed        chan struct{}    // closed when the backend is removed
-	pool           *reach.Pool
+	Addresses      []addresses.Spec   // its listed addresses that the deployment allows
+	SchedulerState *scheduler.Backend // the scheduler's record of it
+	StartID        uint64             // number of the backend's start, as listed
+	Removed        chan struct{}      // closed when the backend is removed
+	pool           *connpool.Pool
 	location       [3]string     // kind, zone and rack, as listed
 	startedAt      time.Duration // time of the start StartID, as first listed
 	hasAge         bool          // the list gave the age of that start
@@ -32,21 +32,21 @@
 
 // UpdateBackends applies entries of the service discovery list. A complete list removes the backends that it leaves
 // out.
-func (l *Loop) UpdateBackends(entries []boxlist.Endpoint, complete bool) {
-	var listings []brain.Endpoint
+func (l *Loop) UpdateBackends(entries []endpointlist.Endpoint, complete bool) {
+	var listings []scheduler.Endpoint
 	named := map[string]bool{}
 	for _, entry := range entries {
 		named[entry.Name] = true
 		backend, location := l.backends[entry.Name], [3]string{entry.Kind, entry.Zone, entry.Rack}
-		if backend != nil && backend.location != location && entry.State != boxlist.Removed {
+		if backend != nil && backend.location != location && entry.State != endpointlist.Removed {
 			// Another machine has taken over the name: nothing known of the old one holds for it.
 			l.remove(backend)
-			listings = append(listings, brain.Endpoint{Backend: backend.SchedulerState, State: brain.Removed})
+			listings = append(listings, scheduler.Endpoint{Backend: backend.SchedulerState, State: scheduler.Removed})
 			l.forgetBackend(backend)
 			backend = nil
 		}
 		if backend == nil {
-			if entry.State == boxlist.Removed {
+			if entry.State == endpointlist.Removed {
 				continue
 			}
 			id := BackendID(entry.Name)
@@ -57,7 +57,7 @@
 				continue
 			}
 			backend = &Backend{Name: entry.Name, Removed: make(chan struct{}), location: location}
-			backend.SchedulerState = &brain.Backend{
+			backend.SchedulerState = &scheduler.Backend{
 				ID: id, Kind: kind, Zone: max(l.resolver.ZoneNumber(entry.Zone), 0), Rack: int(BackendID(entry.Rack)),
 			}
 			l.backends[entry.Name], l.byState[backend.SchedulerState], l.schedulerBackends[id] =
@@ -80,7 +80,7 @@
 func (l *Loop) forgetRemoved() {
 	l.removed = slices.DeleteFunc(l.removed, func(backend *Backend) bool {
 		switch {
-		case backend.SchedulerState.State != brain.Removed || l.backends[backend.Name] != backend:
+		case backend.SchedulerState.State != scheduler.Removed || l.backends[backend.Name] != backend:
 			return true
 		case backend.inFlight == 0 && l.now-backend.removedAt >= removedRetention:
 			l.forgetBackend(backend)
@@ -117,11 +117,11 @@
 }
 
 // listing applies one entry of the list to a backend and returns it in the scheduler's form.
-func (l *Loop) listing(backend *Backend, entry boxlist.Endpoint) brain.Endpoint {
-	state := map[string]brain.BackendState{
-		boxlist.Ready: brain.Ready, boxlist.Draining: brain.Draining, boxlist.Removed: brain.Removed,
+func (l *Loop) listing(backend *Backend, entry endpointlist.Endpoint) scheduler.Endpoint {
+	state := map[string]scheduler.BackendState{
+		endpointlist.Ready: scheduler.Ready, endpointlist.Draining: scheduler.Draining, endpointlist.Removed: scheduler.Removed,
 	}[entry.State]
-	if state == brain.Removed {
+	if state == scheduler.Removed {
 		l.remove(backend)
 	} else {
 		l.accountListed(backend, false)
@@ -141,7 +141,7 @@
 		backend.startedAt, backend.hasAge = l.now-time.Duration(entry.UptimeMs)*time.Millisecond, entry.UptimeMs >= 0
 	}
 	backend.StartID = entry.Incarnation
-	return brain.Endpoint{
+	return scheduler.Endpoint{
 		Backend: backend.SchedulerState, State: state, CapacityUnits: max(entry.Units, 0.01),
 		StartedAt: backend.startedAt, StartReported: entry.UptimeMs >= 0,
 	}
@@ -149,7 +149,7 @@
 
 // allowedAddresses returns the addresses of an entry and of the configuration for that backend. It leaves out, with a
 // warning, those that are invalid or that the deployment does not allow.
-func (l *Loop) allowedAddresses(entry boxlist.Endpoint) []addresses.Spec {
+func (l *Loop) allowedAddresses(entry endpointlist.Endpoint) []addresses.Spec {
 	var allowed []addresses.Spec
 	for _, spec := range append(slices.Clone(entry.Addresses), l.extraAddresses[entry.Name]...) {
 		if err := spec.Check(); err != nil {
--- a/internal/dispatch/backends_test.go
+++ b/internal/dispatch/backends_test.go
@@ -6,16 +6,16 @@
 	"time"
 
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/endpointlist"
 )
 
 // completeList returns a list of that many backends.
-func completeList(backends int) []boxlist.Endpoint {
-	var entries []boxlist.Endpoint
+func completeList(backends int) []endpointlist.Endpoint {
+	var entries []endpointlist.Endpoint
 	for i := range backends {
-		entries = append(entries, boxlist.Endpoint{
+		entries = append(entries, endpointlist.Endpoint{
 			Name: fmt.Sprintf("s-%d", i), Kind: []string{"reader", "writer"}[i%2],
-			Zone: "hall-1", Rack: fmt.Sprint(i / 5), State: boxlist.Ready, Units: 1, UptimeMs: -1,
+			Zone: "hall-1", Rack: fmt.Sprint(i / 5), State: endpointlist.Ready, Units: 1, UptimeMs: -1,
 			Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: fmt.Sprintf("127.0.%d.%d:8080", i>>8, i&255)}},
 		})
 	}
--- a/internal/dispatch/counters.go
+++ b/internal/dispatch/counters.go
@@ -4,16 +4,16 @@
 	"fmt"
 	"time"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 // Counters counts what a loop has handled since its start. Only the loop's goroutine reads it.
 type Counters struct {
 	Accepted, Served, Rejected, Failed, Disconnected, Overdue, Attempts, Throttled int64
 
-	Outcomes            [brain.NotSent + 1]int64
-	Prefills            [brain.StageWhole + 1]PrefillCounters // by stage
-	FirstTokens, OnTime int64                                 // first tokens, and those by the latency target
+	Outcomes            [scheduler.NotSent + 1]int64
+	Prefills            [scheduler.StageWhole + 1]PrefillCounters // by stage
+	FirstTokens, OnTime int64                                     // first tokens, and those by the latency target
 
 	// QueueTime and FirstTokenTime are sums over the requests with a first token: from acceptance until the last
 	// attempt was sent, and until the first token.
@@ -31,21 +31,21 @@
 }
 
 // ended counts the end of an attempt.
-func (c *Counters) ended(attempt *brain.Attempt, result brain.Result) {
+func (c *Counters) ended(attempt *scheduler.Attempt, result scheduler.Result) {
 	c.Outcomes[result.Outcome]++
-	if result.Outcome != brain.Prefilled && result.Outcome != brain.Served {
+	if result.Outcome != scheduler.Prefilled && result.Outcome != scheduler.Served {
 		return
 	}
 	prefills, prompt := &c.Prefills[attempt.Stage], attempt.Request.PromptTokens
 	prefills.Attempts, prefills.PromptTokens, prefills.CachedTokens =
 		prefills.Attempts+1, prefills.PromptTokens+int64(prompt), prefills.CachedTokens+int64(result.Detail)
-	if attempt.Stage != brain.StageDecode {
+	if attempt.Stage != scheduler.StageDecode {
 		prefills.ExpectedTokens += int64(prompt - attempt.PrefillTokens)
 	}
 }
 
 // began counts the first token of an attempt.
-func (c *Counters) began(attempt *brain.Attempt) {
+func (c *Counters) began(attempt *scheduler.Attempt) {
 	request := attempt.Request
 	c.FirstTokens++
 	if attempt.FirstTokenAt <= request.TargetAt {
--- a/internal/dispatch/http_transport.go
+++ b/internal/dispatch/http_transport.go
@@ -16,11 +16,11 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/account"
 	"sloetrestle/internal/addresses"
+	"sloetrestle/internal/connpool"
 	"sloetrestle/internal/kserve"
-	"sloetrestle/internal/reach"
+	"sloetrestle/scheduler"
 )
 
 var (
@@ -44,41 +44,41 @@
 // Outcome returns the outcome that the observation proves, with the number of cached tokens, or 1 where a rejection
 // says that the KV cache is missing. An attempt that may have run is never reported as one that did not: only without
 // a connection was nothing sent, and only a backend's own statement proves a rejection.
-func (s Observation) Outcome(stage brain.Stage) (outcome brain.Outcome, note int) {
+func (s Observation) Outcome(stage scheduler.Stage) (outcome scheduler.Outcome, note int) {
 	if report := s.Report; report != nil {
 		switch {
-		case report.Outcome == kserve.OutcomePrefilled && stage == brain.StagePrefill:
-			return brain.Prefilled, report.CachedTokens
-		case report.Outcome == kserve.OutcomeCompleted && stage != brain.StagePrefill:
-			return brain.Served, report.CachedTokens
+		case report.Outcome == kserve.OutcomePrefilled && stage == scheduler.StagePrefill:
+			return scheduler.Prefilled, report.CachedTokens
+		case report.Outcome == kserve.OutcomeCompleted && stage != scheduler.StagePrefill:
+			return scheduler.Served, report.CachedTokens
 		case report.Outcome == kserve.OutcomeFull:
-			return brain.Rejected, 0
+			return scheduler.Rejected, 0
 		case report.Outcome == kserve.OutcomeNoKVCache:
-			return brain.Rejected, 1
+			return scheduler.Rejected, 1
 		}
-		return brain.Failed, 0
+		return scheduler.Failed, 0
 	}
 	switch {
 	case !s.Sent && errors.Is(s.Cause, ErrNotNeeded):
-		return brain.Cancelled, 0
+		return scheduler.Cancelled, 0
 	case s.LocalFailure:
-		return brain.NotSent, 0
+		return scheduler.NotSent, 0
 	case !s.Sent:
-		return brain.Unreachable, 0
+		return scheduler.Unreachable, 0
 	case errors.Is(s.Cause, ErrAttemptTimeout):
-		return brain.TimedOut, 0
+		return scheduler.TimedOut, 0
 	case errors.Is(s.Cause, ErrNotNeeded):
-		return brain.Cancelled, 0
+		return scheduler.Cancelled, 0
 	}
-	return brain.ConnectionLost, 0
+	return scheduler.ConnectionLost, 0
 }
 
 // HTTPTransport is the Transport that sends attempts to backends over HTTP.
 type HTTPTransport struct {
 	Model        string
-	StallTimeout time.Duration  // longest time between two tokens of a stream
-	Peers        *Peers         // nil: no peer updates are sent
-	Pools        *reach.Manager // connection pools, by backend
+	StallTimeout time.Duration     // longest time between two tokens of a stream
+	Peers        *Peers            // nil: no peer updates are sent
+	Pools        *connpool.Manager // connection pools, by backend
 
 	loop     *Loop
 	group    *errgroup.Group
@@ -94,7 +94,7 @@
 func NewHTTPTransport(
 	lifetime context.Context, group *errgroup.Group, conns int, dial time.Duration, clock func() time.Duration,
 ) *HTTPTransport {
-	pools := &reach.Manager{DialTimeout: dial, MaxConnsPerBackend: conns, Now: clock, Context: lifetime, Group: group}
+	pools := &connpool.Manager{DialTimeout: dial, MaxConnsPerBackend: conns, Now: clock, Context: lifetime, Group: group}
 	group.Go(pools.Run)
 	return &HTTPTransport{lifetime: lifetime, group: group, Pools: pools, releases: map[*Backend]*releaseQueue{}}
 }
@@ -126,7 +126,7 @@
 		observed := c.runAttempt(attempt, pool, text, metadata)
 		attempt.Cancel(nil)
 		outcome, note := observed.Outcome(attempt.Scheduled.Stage)
-		result := brain.Result{Outcome: outcome, Detail: note}
+		result := scheduler.Result{Outcome: outcome, Detail: note}
 		if observed.Report != nil {
 			result.LoadReport = observed.Report.Load
 			attempt.Usage = observed.Report.Usage
@@ -139,9 +139,9 @@
 
 // runAttempt runs an attempt over one connection to one address, from dialing to its end.
 func (c *HTTPTransport) runAttempt(
-	attempt *Attempt, pool *reach.Pool, text string, metadata kserve.AttemptParams,
+	attempt *Attempt, pool *connpool.Pool, text string, metadata kserve.AttemptParams,
 ) (observed Observation) {
-	var conn *reach.Conn
+	var conn *connpool.Conn
 	defer func() {
 		observed.Cause = context.Cause(attempt.ctx)
 		if conn == nil {
@@ -159,9 +159,9 @@
 		return observed
 	}
 	conn, resp, err := pool.Send(attempt.ctx, func() (*http.Request, error) {
-		return kserve.NewAttemptRequest(attempt.ctx, reach.URL(pool.Name), c.Model, text, metadata)
+		return kserve.NewAttemptRequest(attempt.ctx, connpool.URL(pool.Name), c.Model, text, metadata)
 	})
-	observed.LocalFailure, observed.Sent = errors.Is(err, reach.ErrLocal), conn != nil && conn.Sent()
+	observed.LocalFailure, observed.Sent = errors.Is(err, connpool.ErrLocal), conn != nil && conn.Sent()
 	if err != nil {
 		return observed
 	}
@@ -233,7 +233,7 @@
 }
 
 // SendPeerUpdate sends an update to a peer.
-func (c *HTTPTransport) SendPeerUpdate(peer int, update brain.PeerUpdate) {
+func (c *HTTPTransport) SendPeerUpdate(peer int, update scheduler.PeerUpdate) {
 	if c.Peers != nil {
 		c.Peers.SendUpdate(peer, update)
 	}
@@ -278,7 +278,7 @@
 }
 
 // sendReleases sends a backend's releases until none is queued.
-func (c *HTTPTransport) sendReleases(backend *Backend, queue *releaseQueue, pool *reach.Pool, removed <-chan struct{}) {
+func (c *HTTPTransport) sendReleases(backend *Backend, queue *releaseQueue, pool *connpool.Pool, removed <-chan struct{}) {
 	wait := releaseRetryMin
 	for {
 		c.mu.Lock()
@@ -310,14 +310,14 @@
 	}
 }
 
-func (c *HTTPTransport) sendReleaseBatch(pool *reach.Pool, keys []kserve.Release) error {
+func (c *HTTPTransport) sendReleaseBatch(pool *connpool.Pool, keys []kserve.Release) error {
 	ctx, cancel := context.WithTimeout(c.lifetime, releaseTimeout)
 	defer cancel()
 	if pool == nil {
-		return reach.ErrUnreachable
+		return connpool.ErrUnreachable
 	}
 	conn, resp, err := pool.Send(ctx, func() (*http.Request, error) {
-		return kserve.NewReleaseRequest(ctx, reach.URL(pool.Name), c.Model, keys)
+		return kserve.NewReleaseRequest(ctx, connpool.URL(pool.Name), c.Model, keys)
 	})
 	if err != nil {
 		if conn != nil {
@@ -346,14 +346,14 @@
 	})
 }
 
-func (c *HTTPTransport) fetchUsage(pool *reach.Pool, inquiry account.Inquiry) *account.Reply {
+func (c *HTTPTransport) fetchUsage(pool *connpool.Pool, inquiry account.Inquiry) *account.Reply {
 	if pool == nil {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(c.lifetime, usageTimeout)
 	defer cancel()
 	_, resp, err := pool.Send(ctx, func() (*http.Request, error) {
-		return kserve.NewUsageRequest(ctx, reach.URL(pool.Name), c.Model,
+		return kserve.NewUsageRequest(ctx, connpool.URL(pool.Name), c.Model,
 			kserve.UsageQuery{DispatcherEpoch: inquiry.Epoch, After: inquiry.After})
 	})
 	if err != nil {
--- a/internal/dispatch/limited_listener.go
+++ b/internal/dispatch/limited_listener.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"sloetrestle/internal/storm"
+	"sloetrestle/internal/retrythrottle"
 )
 
 // limitedListener is a listener behind a connection limiter. A connection that the limiter refuses gets a rejection in
@@ -16,7 +16,7 @@
 type limitedListener struct {
 	net.Listener
 	mu      *sync.Mutex // guards limiter, which several listeners share
-	limiter *storm.ConnLimiter
+	limiter *retrythrottle.ConnLimiter
 	clock   func() time.Duration
 }
 
--- a/internal/dispatch/limited_listener_test.go
+++ b/internal/dispatch/limited_listener_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"sloetrestle/internal/storm"
+	"sloetrestle/internal/retrythrottle"
 )
 
 // Measures a connection that the limiter refuses, at both ends: dialed, answered, read and closed.
@@ -20,7 +20,7 @@
 	defer inner.Close()
 	start := time.Now()
 	limited := &limitedListener{
-		inner, &sync.Mutex{}, &storm.ConnLimiter{ConnsPerSecond: 1e-9, Burst: 0, MaxOpen: 1},
+		inner, &sync.Mutex{}, &retrythrottle.ConnLimiter{ConnsPerSecond: 1e-9, Burst: 0, MaxOpen: 1},
 		func() time.Duration { return time.Since(start) },
 	}
 	go limited.Accept()
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -12,12 +12,12 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/agenda"
 	"sloetrestle/internal/kserve"
-	"sloetrestle/internal/news"
-	"sloetrestle/internal/storm"
+	"sloetrestle/internal/peerproto"
+	"sloetrestle/internal/retrythrottle"
+	"sloetrestle/internal/timerqueue"
+	"sloetrestle/scheduler"
 )
 
 // Transport sends attempts and messages. Its methods are called by the loop and must not block.
@@ -29,7 +29,7 @@
 	// SetAddresses sets the addresses of a backend; none means that it is removed.
 	SetAddresses(backend *Backend, specs []addresses.Spec)
 	// SendPeerUpdate sends an update to a peer.
-	SendPeerUpdate(peer int, update brain.PeerUpdate)
+	SendPeerUpdate(peer int, update scheduler.PeerUpdate)
 }
 
 // Resolver translates names of the service discovery list to the scheduler's numbers, and says which addresses are
@@ -72,13 +72,13 @@
 	stopped chan struct{} // closed when Run has returned
 
 	// The fields below belong to the loop's goroutine.
-	now               time.Duration // time of the present turn
-	timers            agenda.Queue  // of the scheduler and of the loop
-	requests          map[*brain.Request]*ClientRequest
+	now               time.Duration    // time of the present turn
+	timers            timerqueue.Queue // of the scheduler and of the loop
+	requests          map[*scheduler.Request]*ClientRequest
 	lastID            uint64
 	backends          map[string]*Backend
-	byState           map[*brain.Backend]*Backend // also those that are forgotten but have attempts in flight
-	schedulerBackends map[uint32]*brain.Backend
+	byState           map[*scheduler.Backend]*Backend // also those that are forgotten but have attempts in flight
+	schedulerBackends map[uint32]*scheduler.Backend
 
 	extraAddresses map[string][]addresses.Spec // by backend, from the configuration
 	Counters       Counters
@@ -89,12 +89,12 @@
 
 	// RetryThrottle throttles retries before they reach the scheduler. With nil every request reaches the scheduler,
 	// and clients get the scheduler's own advice when to retry.
-	RetryThrottle *storm.RetryThrottle
+	RetryThrottle *retrythrottle.RetryThrottle
 }
 
 // NewLoop returns a loop with a scheduler of its own. clock returns the time since the start.
 func NewLoop(
-	parameters brain.Settings, seed uint64, resolver Resolver, transport Transport, clock func() time.Duration,
+	parameters scheduler.Settings, seed uint64, resolver Resolver, transport Transport, clock func() time.Duration,
 	epoch string,
 	log *slog.Logger,
 ) (*Loop, error) {
@@ -104,23 +104,23 @@
 	l := &Loop{
 		Epoch: epoch, Log: log, transport: transport, resolver: resolver, clock: clock,
 		notify: make(chan struct{}, 1), stopped: make(chan struct{}),
-		requests: map[*brain.Request]*ClientRequest{}, backends: map[string]*Backend{},
-		byState: map[*brain.Backend]*Backend{}, schedulerBackends: map[uint32]*brain.Backend{}, now: clock(),
+		requests: map[*scheduler.Request]*ClientRequest{}, backends: map[string]*Backend{},
+		byState: map[*scheduler.Backend]*Backend{}, schedulerBackends: map[uint32]*scheduler.Backend{}, now: clock(),
 	}
-	scheduler, err := brain.New(parameters, seed, l)
+	scheduler, err := scheduler.New(parameters, seed, l)
 	l.scheduler = scheduler
 	return l, err
 }
 
 // Scheduler is the scheduler that a loop runs: the one of this project, or a baseline to compare it with.
 type Scheduler interface {
-	UpdateEndpoints(listings []brain.Endpoint, complete bool)
-	Submit(request *brain.Request, class, tenant int)
-	FirstToken(attempt *brain.Attempt, took time.Duration)
-	AttemptDone(attempt *brain.Attempt, result brain.Result)
-	ClientDisconnected(request *brain.Request)
-	PeerUpdated(update brain.PeerUpdate)
-	MaySend(attempt *brain.Attempt) brain.Permission
+	UpdateEndpoints(listings []scheduler.Endpoint, complete bool)
+	Submit(request *scheduler.Request, class, tenant int)
+	FirstToken(attempt *scheduler.Attempt, took time.Duration)
+	AttemptDone(attempt *scheduler.Attempt, result scheduler.Result)
+	ClientDisconnected(request *scheduler.Request)
+	PeerUpdated(update scheduler.PeerUpdate)
+	MaySend(attempt *scheduler.Attempt) scheduler.Permission
 }
 
 // SetScheduler replaces the loop's scheduler. It must be called before the first event.
@@ -253,7 +253,7 @@
 		make(chan *Attempt, 1), make(chan kserve.FinalResponse, 1), map[*Backend]bool{}
 	request.submittedAt = l.now
 	params := request.Params
-	request.Scheduled = &brain.Request{
+	request.Scheduled = &scheduler.Request{
 		ID: l.lastID, SessionKey: HashName(params.Session), PrefixKey: HashName(params.SharedPrefix),
 		PromptTokens: float64(params.PromptTokens), PrefixTokens: float64(params.PrefixTokens),
 		MaxOutputTokens: float64(params.MaxTokens),
@@ -347,7 +347,7 @@
 
 // ReceivePeerUpdate decodes a peer's update and hands it to the scheduler. Updates about unknown backends are ignored.
 func (l *Loop) ReceivePeerUpdate(raw []byte) error {
-	update, err := news.Decode(raw, l.schedulerBackends)
+	update, err := peerproto.Decode(raw, l.schedulerBackends)
 	if err == nil && update.Backend != nil {
 		l.ApplyPeerUpdate(update)
 	}
@@ -371,7 +371,7 @@
 }
 
 // SchedulerBackend returns the scheduler's record of a backend, or nil if the list has not named it.
-func (l *Loop) SchedulerBackend(name string) *brain.Backend {
+func (l *Loop) SchedulerBackend(name string) *scheduler.Backend {
 	if backend := l.backends[name]; backend != nil {
 		return backend.SchedulerState
 	}
@@ -379,12 +379,12 @@
 }
 
 // Estimates returns the scheduler's estimates, or zero values if the scheduler does not report any.
-func (l *Loop) Estimates() (estimates brain.Summary) {
-	if reporter, ok := l.scheduler.(interface{ Estimates() brain.Summary }); ok {
+func (l *Loop) Estimates() (estimates scheduler.Summary) {
+	if reporter, ok := l.scheduler.(interface{ Estimates() scheduler.Summary }); ok {
 		estimates = reporter.Estimates()
 	}
 	return estimates
 }
 
 // ApplyPeerUpdate hands a peer's update to the scheduler.
-func (l *Loop) ApplyPeerUpdate(update brain.PeerUpdate) { l.scheduler.PeerUpdated(update) }
+func (l *Loop) ApplyPeerUpdate(update scheduler.PeerUpdate) { l.scheduler.PeerUpdated(update) }
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -8,11 +8,11 @@
 	"testing"
 	"time"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/setup"
+	"sloetrestle/scheduler"
 )
 
 // fakeTransport records attempts and releases instead of sending them. It also holds the test's clock.
@@ -32,7 +32,7 @@
 	f.released = append(f.released, backend.Name)
 }
 
-func (f *fakeTransport) SendPeerUpdate(int, brain.PeerUpdate) {}
+func (f *fakeTransport) SendPeerUpdate(int, scheduler.PeerUpdate) {}
 
 func (f *fakeTransport) SetAddresses(backend *Backend, specs []addresses.Spec) {
 	f.reached = append(f.reached, fmt.Sprint(backend.Name, specs))
@@ -52,8 +52,8 @@
 }
 
 // listEntry returns an entry of the service discovery list.
-func listEntry(name, kind, state string) boxlist.Endpoint {
-	return boxlist.Endpoint{
+func listEntry(name, kind, state string) endpointlist.Endpoint {
+	return endpointlist.Endpoint{
 		Name: name, Addresses: []addresses.Spec{{Network: "tcp4", Addr: "10.0.0.1:1"}}, Kind: kind, State: state,
 		Units: 1, UptimeMs: -1,
 	}
@@ -72,7 +72,7 @@
 		t.Fatal(err)
 	}
 	loop.RunTurn(func() {
-		loop.UpdateBackends([]boxlist.Endpoint{
+		loop.UpdateBackends([]endpointlist.Endpoint{
 			listEntry("r1", "reader", "ready"), listEntry("r2", "reader", "ready"),
 			listEntry("w1", "writer", "ready"), listEntry("w2", "writer", "ready"),
 		}, true)
@@ -111,8 +111,8 @@
 	if context.Cause(attempt.ctx) != ErrAttemptTimeout {
 		t.Fatalf("the attempt was cancelled with %v", context.Cause(attempt.ctx))
 	}
-	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.TimedOut}) })
-	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.Prefilled}) })
+	l.RunTurn(func() { l.AttemptEnded(attempt, scheduler.Result{Outcome: scheduler.TimedOut}) })
+	l.RunTurn(func() { l.AttemptEnded(attempt, scheduler.Result{Outcome: scheduler.Prefilled}) })
 	if len(transport.released) != 1 {
 		t.Errorf("releases %v: a cancelled prefill may have left its KV cache", transport.released)
 	}
@@ -126,9 +126,9 @@
 func TestFirstTokenAfterAttemptTimeoutIsIgnored(t *testing.T) {
 	l, transport := newTestLoop(t, "idempotent")
 	request := submit(l, 4*time.Second)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), scheduler.Result{Outcome: scheduler.Prefilled}) })
 	attempt := transport.last()
-	if attempt.Scheduled.Stage != brain.StageDecode || attempt.PrefillBackend == nil {
+	if attempt.Scheduled.Stage != scheduler.StageDecode || attempt.PrefillBackend == nil {
 		t.Fatalf("stage %d, prefill backend %v", attempt.Scheduled.Stage, attempt.PrefillBackend)
 	}
 	transport.now += attempt.Timeout
@@ -144,14 +144,14 @@
 func TestWholeAnswerAfterAttemptTimeoutIsNotServed(t *testing.T) {
 	l, transport := newTestLoop(t, "unrepeatable")
 	request := submit(l, 4*time.Second)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), scheduler.Result{Outcome: scheduler.Prefilled}) })
 	attempt := transport.last()
 	transport.now += attempt.Timeout
 	l.RunTimers()
 	l.RunTurn(func() { l.AttemptBegan(attempt) })
-	l.RunTurn(func() { l.AttemptEnded(attempt, brain.Result{Outcome: brain.Served}) })
+	l.RunTurn(func() { l.AttemptEnded(attempt, scheduler.Result{Outcome: scheduler.Served}) })
 	if got := finalAnswer(t, request); got.Outcome != kserve.Failed || len(request.started) != 0 ||
-		l.Counters.Outcomes[brain.TimedOut] != 1 {
+		l.Counters.Outcomes[scheduler.TimedOut] != 1 {
 		t.Errorf("%+v with %d streams, outcomes %v", got, len(request.started), l.Counters.Outcomes)
 	}
 }
@@ -159,14 +159,14 @@
 func TestClientDisconnectMidStreamCancelsAttempt(t *testing.T) {
 	loop, transport := newTestLoop(t, "unrepeatable")
 	request := submit(loop, 4*time.Second)
-	loop.RunTurn(func() { loop.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
+	loop.RunTurn(func() { loop.AttemptEnded(transport.last(), scheduler.Result{Outcome: scheduler.Prefilled}) })
 	attempt := transport.last()
 	loop.RunTurn(func() { loop.AttemptBegan(attempt) })
 	loop.RunTurn(func() { loop.ClientDisconnected(request) })
 	if context.Cause(attempt.ctx) != ErrNotNeeded {
 		t.Error("the stream continues without a client")
 	}
-	loop.RunTurn(func() { loop.AttemptEnded(attempt, brain.Result{Outcome: brain.Cancelled}) })
+	loop.RunTurn(func() { loop.AttemptEnded(attempt, scheduler.Result{Outcome: scheduler.Cancelled}) })
 	if len(request.final) != 0 || len(loop.requests) != 0 {
 		t.Errorf("%d answers to a client that has disconnected, %d requests kept", len(request.final), len(loop.requests))
 	}
@@ -175,9 +175,9 @@
 func TestNonIdempotentRequestThatMayHaveRunFails(t *testing.T) {
 	l, transport := newTestLoop(t, "unrepeatable")
 	request := submit(l, 4*time.Second)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), scheduler.Result{Outcome: scheduler.Prefilled}) })
 	before := len(transport.attempts)
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.ConnectionLost}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), scheduler.Result{Outcome: scheduler.ConnectionLost}) })
 	if final := finalAnswer(t, request); final.Outcome != kserve.Failed || final.SafeToRetry ||
 		len(transport.attempts) != before {
 		t.Errorf("%+v after a broken attempt, and %d more attempts", final, len(transport.attempts)-before)
@@ -193,8 +193,8 @@
 	l, transport := newTestLoop(t, "idempotent")
 	submit(l, 4*time.Second)
 	prefill := transport.last().Backend.Name
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Rejected, Detail: 1}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), scheduler.Result{Outcome: scheduler.Prefilled}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), scheduler.Result{Outcome: scheduler.Rejected, Detail: 1}) })
 	if len(transport.released) != 1 || transport.released[0] != prefill {
 		t.Errorf("released at %v, the KV cache was at %s", transport.released, prefill)
 	}
@@ -209,7 +209,7 @@
 	if final := finalAnswer(t, request); final.Outcome != kserve.Failed || l.Counters.Overdue != 1 {
 		t.Errorf("%+v, %d requests overdue", final, l.Counters.Overdue)
 	}
-	l.RunTurn(func() { l.AttemptEnded(transport.last(), brain.Result{Outcome: brain.Prefilled}) })
+	l.RunTurn(func() { l.AttemptEnded(transport.last(), scheduler.Result{Outcome: scheduler.Prefilled}) })
 	if len(transport.released) == 0 || len(transport.attempts) != 1 {
 		t.Errorf("released at %v, %d attempts", transport.released, len(transport.attempts))
 	}
@@ -221,17 +221,17 @@
 	loop, transport := newTestLoop(t, "idempotent")
 	entry := listEntry("w1", "writer", "ready")
 	entry.Incarnation, entry.UptimeMs = 7, 1000
-	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	loop.RunTurn(func() { loop.UpdateBackends([]endpointlist.Endpoint{entry}, false) })
 	known := loop.backends["w1"].SchedulerState
 	booted := known.StartedAt
 	transport.now += 3 * time.Second
 	entry.UptimeMs = 4007
-	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	loop.RunTurn(func() { loop.UpdateBackends([]endpointlist.Endpoint{entry}, false) })
 	if known.StartedAt != booted || !known.StartReported {
 		t.Errorf("started at %v, then at %v", booted, known.StartedAt)
 	}
 	entry.Incarnation, entry.UptimeMs = 8, 10
-	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	loop.RunTurn(func() { loop.UpdateBackends([]endpointlist.Endpoint{entry}, false) })
 	if known.StartedAt == booted {
 		t.Error("a new start was not noticed")
 	}
@@ -241,12 +241,12 @@
 	loop, _ := newTestLoop(t, "idempotent")
 	removed := loop.backends["w2"]
 	loop.RunTurn(func() {
-		loop.UpdateBackends([]boxlist.Endpoint{
+		loop.UpdateBackends([]endpointlist.Endpoint{
 			listEntry("r1", "reader", "ready"), listEntry("w1", "writer", "draining"),
 			listEntry("x", "nonesuch", "ready"),
 		}, true)
 	})
-	if removed.SchedulerState.State != brain.Removed || loop.backends["w1"].SchedulerState.State != brain.Draining ||
+	if removed.SchedulerState.State != scheduler.Removed || loop.backends["w1"].SchedulerState.State != scheduler.Draining ||
 		loop.backends["x"] != nil {
 		t.Errorf("w2 %d, w1 %d, x %v",
 			removed.SchedulerState.State, loop.backends["w1"].SchedulerState.State, loop.backends["x"])
@@ -264,14 +264,14 @@
 	entry.Addresses = []addresses.Spec{
 		{Network: "tcp4", Addr: "10.9.9.9:1"}, {Network: "tcp4", Addr: "no address"}, {Network: "unix", Addr: "/w1"},
 	}
-	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	loop.RunTurn(func() { loop.UpdateBackends([]endpointlist.Endpoint{entry}, false) })
 	if got := transport.reached[len(transport.reached)-1]; got != "w1[unix:/w1]" {
 		t.Errorf("the addresses are %s", got)
 	}
 	before := len(transport.reached)
-	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	loop.RunTurn(func() { loop.UpdateBackends([]endpointlist.Endpoint{entry}, false) })
 	entry.State = "gone"
-	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+	loop.RunTurn(func() { loop.UpdateBackends([]endpointlist.Endpoint{entry}, false) })
 	if len(transport.reached) != before+1 || transport.reached[before] != "w1[]" {
 		t.Errorf("then the addresses were set to %v", transport.reached[before:])
 	}
@@ -287,21 +287,21 @@
 		loop.RunTurn(func() {
 			entry := listEntry(fmt.Sprint("pod-", i), "writer", "ready")
 			entry.Incarnation, entry.UptimeMs = uint64(i), 5
-			loop.UpdateBackends([]boxlist.Endpoint{entry}, false)
+			loop.UpdateBackends([]endpointlist.Endpoint{entry}, false)
 			entry.State = "gone"
-			loop.UpdateBackends([]boxlist.Endpoint{entry}, false)
+			loop.UpdateBackends([]endpointlist.Endpoint{entry}, false)
 		})
 	}
 	transport.now += 2 * removedRetention
-	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{listEntry("w1", "writer", "ready")}, true) })
+	loop.RunTurn(func() { loop.UpdateBackends([]endpointlist.Endpoint{listEntry("w1", "writer", "ready")}, true) })
 	transport.now += 2 * removedRetention
-	loop.RunTurn(func() { loop.UpdateBackends([]boxlist.Endpoint{listEntry("w1", "writer", "ready")}, true) })
+	loop.RunTurn(func() { loop.UpdateBackends([]endpointlist.Endpoint{listEntry("w1", "writer", "ready")}, true) })
 	if len(loop.backends) != 2 || len(loop.schedulerBackends) != 2 || len(loop.byState) != 2 ||
 		loop.backends[busy.Backend.Name] == nil {
 		t.Fatalf("%d, %d and %d backends by name, number and record are kept, with 1 listed and 1 that has an attempt",
 			len(loop.backends), len(loop.schedulerBackends), len(loop.byState))
 	}
-	loop.RunTurn(func() { loop.AttemptEnded(busy, brain.Result{Outcome: brain.Prefilled}) })
+	loop.RunTurn(func() { loop.AttemptEnded(busy, scheduler.Result{Outcome: scheduler.Prefilled}) })
 	loop.RunTurn(func() { loop.UpdateBackends(nil, false) })
 	transport.now += 2 * removedRetention
 	loop.RunTurn(func() { loop.UpdateBackends(nil, false) })
@@ -313,18 +313,18 @@
 // Another machine under an old name is another backend: its role, its rack and its deduplication group are those of the
 // place where it is now.
 func TestBackendListedElsewhereIsANewBackend(t *testing.T) {
-	for name, change := range map[string]func(*boxlist.Endpoint){
-		"kind": func(entry *boxlist.Endpoint) { entry.Kind = "reader" },
-		"rack": func(entry *boxlist.Endpoint) { entry.Rack = "other" },
-		"zone": func(entry *boxlist.Endpoint) { entry.Zone = "there" },
+	for name, change := range map[string]func(*endpointlist.Endpoint){
+		"kind": func(entry *endpointlist.Endpoint) { entry.Kind = "reader" },
+		"rack": func(entry *endpointlist.Endpoint) { entry.Rack = "other" },
+		"zone": func(entry *endpointlist.Endpoint) { entry.Zone = "there" },
 	} {
 		l, _ := newTestLoop(t, "idempotent")
 		before := l.backends["w1"].SchedulerState
 		entry := listEntry("w1", "writer", "ready")
 		change(&entry)
-		l.RunTurn(func() { l.UpdateBackends([]boxlist.Endpoint{entry}, false) })
+		l.RunTurn(func() { l.UpdateBackends([]endpointlist.Endpoint{entry}, false) })
 		after := l.backends["w1"].SchedulerState
-		if after == before || before.State != brain.Removed || after.State != brain.Ready ||
+		if after == before || before.State != scheduler.Removed || after.State != scheduler.Ready ||
 			l.schedulerBackends[after.ID] != after || l.byState[before] != nil {
 			t.Errorf("another %s: not a new backend, the old one's state is %d", name, before.State)
 		}
--- a/internal/dispatch/peers.go
+++ b/internal/dispatch/peers.go
@@ -10,10 +10,10 @@
 
 	"github.com/fxamacker/cbor/v2"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/budget"
-	"sloetrestle/internal/news"
+	"sloetrestle/internal/peerproto"
 	"sloetrestle/internal/system"
+	"sloetrestle/scheduler"
 )
 
 // The first byte of a message between peers is its type; the number of the sender follows in two bytes.
@@ -92,11 +92,11 @@
 }
 
 // SendUpdate sends an update to a peer. A message that cannot be sent counts as lost.
-func (p *Peers) SendUpdate(peer int, update brain.PeerUpdate) {
+func (p *Peers) SendUpdate(peer int, update scheduler.PeerUpdate) {
 	if peer < 0 || peer >= len(p.Addresses) || peer == p.Number {
 		return
 	}
-	raw := news.Encode(update)
+	raw := peerproto.Encode(update)
 	if !p.Plain {
 		raw = append(binary.BigEndian.AppendUint16([]byte{updateType}, uint16(p.Number)), raw...)
 	}
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -5,14 +5,14 @@
 	"sync/atomic"
 	"time"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/kserve"
+	"sloetrestle/scheduler"
 )
 
 // ClientRequest is a request between its client and the scheduler. Its unexported fields belong to the loop, apart
 // from the channels and over.
 type ClientRequest struct {
-	Scheduled *brain.Request // the scheduler's record of it; nil before it is submitted
+	Scheduled *scheduler.Request // the scheduler's record of it; nil before it is submitted
 	Params    kserve.Request
 	Class     string                     // name of its class
 	Tenant    string                     // name of its tenant
--- a/internal/dispatch/runtime.go
+++ b/internal/dispatch/runtime.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/kserve"
+	"sloetrestle/scheduler"
 )
 
 // The methods in this file implement the scheduler's Runtime: how the scheduler acts. Only the scheduler and the loop
@@ -14,13 +14,13 @@
 func (l *Loop) Now() time.Duration { return l.now }
 
 // Send sends an attempt and times it out if it has no first token after the wait.
-func (l *Loop) Send(scheduled *brain.Attempt, wait time.Duration) {
+func (l *Loop) Send(scheduled *scheduler.Attempt, wait time.Duration) {
 	request := l.requests[scheduled.Request]
 	attempt := &Attempt{
 		Scheduled: scheduled, Request: request, Backend: l.byState[scheduled.Backend], Timeout: wait,
 		Deadline: l.now + wait, Tokens: make(chan []byte, tokenBuffer), RequestKey: l.RequestKey(request),
 	}
-	if scheduled.Stage == brain.StageDecode {
+	if scheduled.Stage == scheduler.StageDecode {
 		attempt.PrefillBackend = l.byState[scheduled.Request.KVHolder]
 	}
 	request.inFlight = attempt
@@ -44,7 +44,7 @@
 const tokenBuffer = 64
 
 // Cancel cancels an attempt if it is still in flight.
-func (l *Loop) Cancel(scheduled *brain.Attempt) {
+func (l *Loop) Cancel(scheduled *scheduler.Attempt) {
 	if attempt := l.requests[scheduled.Request].inFlight; attempt != nil && attempt.Scheduled == scheduled {
 		attempt.Cancel(ErrNotNeeded)
 	}
@@ -52,7 +52,7 @@
 
 // Release has every backend that may hold a request's KV cache release it. A backend may keep it for an attempt that
 // is in flight when the release arrives; the scheduler then asks for another release at that attempt's end.
-func (l *Loop) Release(scheduled *brain.Request) {
+func (l *Loop) Release(scheduled *scheduler.Request) {
 	request := l.requests[scheduled]
 	for backend := range request.kvHolders {
 		l.releaseAt(backend, request)
@@ -61,7 +61,7 @@
 
 // Reject rejects a request, with advice when to retry. Retry throttling replaces the scheduler's advice by a slot of
 // its own schedule, and issues a retry ticket for it.
-func (l *Loop) Reject(scheduled *brain.Request, after time.Duration) {
+func (l *Loop) Reject(scheduled *scheduler.Request, after time.Duration) {
 	ticket := ""
 	if l.RetryThrottle != nil && after > 0 {
 		after, ticket = l.RetryThrottle.BookRetry(l.now)
@@ -73,7 +73,7 @@
 }
 
 // Fail fails a request whose attempts may have run.
-func (l *Loop) Fail(scheduled *brain.Request) {
+func (l *Loop) Fail(scheduled *scheduler.Request) {
 	l.answer(l.requests[scheduled], kserve.FinalResponse{Outcome: kserve.Failed, Error: "given up on; it may have run"})
 }
 
@@ -86,7 +86,7 @@
 func (l *Loop) WatchEndpoints(bool) {}
 
 // SendPeerUpdate sends an update to a peer.
-func (l *Loop) SendPeerUpdate(peer int, update brain.PeerUpdate) {
+func (l *Loop) SendPeerUpdate(peer int, update scheduler.PeerUpdate) {
 	l.transport.SendPeerUpdate(peer, update)
 }
 
--- a/internal/dispatch/serve.go
+++ b/internal/dispatch/serve.go
@@ -16,14 +16,14 @@
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sync/errgroup"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/connpool"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/kserve"
-	"sloetrestle/internal/reach"
+	"sloetrestle/internal/retrythrottle"
 	"sloetrestle/internal/setup"
-	"sloetrestle/internal/storm"
 	"sloetrestle/internal/system"
+	"sloetrestle/scheduler"
 )
 
 // Version is the program's version.
@@ -57,7 +57,7 @@
 	transport := NewHTTPTransport(lifetime, &attempts, config.Limits.MaxConnsPerBackend, config.Limits.DialTimeout.Std(),
 		clock)
 	transport.Model, transport.StallTimeout = config.Model, config.Limits.StallTimeout.Std()
-	allowed, err := reach.NewAllowList(config.Instance.AllowedBackends)
+	allowed, err := connpool.NewAllowList(config.Instance.AllowedBackends)
 	if err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 	}
 	transport.loop = loop
 	if config.Limits.ThrottleRetries {
-		seal := storm.TicketSigner{
+		seal := retrythrottle.TicketSigner{
 			Key: random[:], StartedAt: time.Duration(startedAt.UnixNano()), Issuer: uint32(xxhash.Sum64String(epoch)),
 		}
 		if config.Instance.TicketKeyFile != "" {
@@ -77,22 +77,22 @@
 				return fmt.Errorf("dispatcher.ticket_key: %w", err)
 			}
 		}
-		loop.RetryThrottle = storm.New(config.Limits.MaxRetryAfter.Std(), len(config.Tenants), seed^0x5709, seal)
+		loop.RetryThrottle = retrythrottle.New(config.Limits.MaxRetryAfter.Std(), len(config.Tenants), seed^0x5709, seal)
 	}
 	for _, further := range config.ExtraAddresses {
 		loop.AddAddress(further.Backend, further.Spec)
 	}
 	var listeners []net.Listener
-	limiter, limiterMu := &storm.ConnLimiter{
+	limiter, limiterMu := &retrythrottle.ConnLimiter{
 		ConnsPerSecond: config.Instance.ConnsPerSecond, Burst: max(config.Instance.ConnsPerSecond, 1),
 		MaxOpen: config.Instance.MaxConns,
 	}, &sync.Mutex{}
 	for i, address := range append(slices.Clone(config.Instance.Listen), config.Instance.AdminListen...) {
-		spec, err := reach.ParseListen(address)
+		spec, err := connpool.ParseListen(address)
 		if err != nil {
 			return fmt.Errorf("dispatcher.listen: %w", err)
 		}
-		listener, err := reach.Listen(spec)
+		listener, err := connpool.Listen(spec)
 		if err != nil {
 			return fmt.Errorf("dispatcher.listen: %w", err)
 		}
@@ -122,11 +122,11 @@
 	if accounting := newAccounting(config, loop, transport, journal, history, epoch, startedAt); accounting != nil {
 		loop.SetAccounting(accounting)
 	}
-	discovery := &boxlist.Follower{
+	discovery := &endpointlist.Follower{
 		Address: config.Instance.DiscoveryAddr, Name: config.Instance.Name, CacheDir: config.Instance.EndpointCacheFolder,
 		Log:        log,
 		HTTPClient: &http.Client{Transport: &http.Transport{}},
-		OnUpdate: func(entries []boxlist.Endpoint, complete bool) {
+		OnUpdate: func(entries []endpointlist.Endpoint, complete bool) {
 			loop.Post(func() { loop.UpdateBackends(entries, complete) })
 		},
 	}
@@ -234,7 +234,7 @@
 // HasReadyBackend tells whether a backend that decodes is ready.
 func (l *Loop) HasReadyBackend() bool {
 	for _, backend := range l.backends {
-		if backend.SchedulerState.State == brain.Ready && backend.SchedulerState.CachedPrefixes != nil &&
+		if backend.SchedulerState.State == scheduler.Ready && backend.SchedulerState.CachedPrefixes != nil &&
 			backend.SchedulerState.Decodes() {
 			return true
 		}
@@ -258,7 +258,7 @@
 			attempt.timedOut = true
 			attempt.Cancel(ErrAttemptTimeout)
 		default:
-			if brain.MayReject(scheduled) == brain.Allowed {
+			if scheduler.MayReject(scheduled) == scheduler.Allowed {
 				l.answer(request, kserve.FinalResponse{
 					Outcome: kserve.Rejected, Error: "this dispatcher is stopping", SafeToRetry: true, RetryAfterMs: 1,
 				})
@@ -287,7 +287,7 @@
 
 // statusReport returns what GET /state reports to operators.
 func statusReport(
-	ctx context.Context, loop *Loop, discovery *boxlist.Follower, transport *HTTPTransport, server *Server,
+	ctx context.Context, loop *Loop, discovery *endpointlist.Follower, transport *HTTPTransport, server *Server,
 	uptime time.Duration,
 ) map[string]any {
 	age, received := discovery.Staleness()
@@ -372,7 +372,7 @@
 }
 
 // OutcomeName returns an outcome's name in logs and counters.
-func OutcomeName(outcome brain.Outcome) string { return outcomeNames[outcome] }
+func OutcomeName(outcome scheduler.Outcome) string { return outcomeNames[outcome] }
 
 var outcomeNames = [...]string{
 	"answered", "read", "failed", "full", "timed_out", "unreached", "broken", "cancelled", "moot",
--- a/internal/dispatch/serve_test.go
+++ b/internal/dispatch/serve_test.go
@@ -18,13 +18,13 @@
 	"go.uber.org/goleak"
 
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
 	"sloetrestle/internal/dispatch"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/engine"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/record"
 	"sloetrestle/internal/setup"
-	"sloetrestle/internal/standin"
 )
 
 // testService is a dispatcher in this process, with a prefill and a decode backend and service discovery.
@@ -32,10 +32,10 @@
 	t         *testing.T
 	config    setup.DispatcherConfig
 	events    *record.Recorder // what the test backends recorded
-	fleet     *standin.Fleet
-	discovery *standin.Discovery
-	prefill   *standin.Backend
-	decode    *standin.Backend
+	fleet     *fakes.Fleet
+	discovery *fakes.Discovery
+	prefill   *fakes.Backend
+	decode    *fakes.Backend
 	baseURL   string
 	stop      func()
 	ended     chan error
@@ -72,10 +72,10 @@
 	if service.events, err = record.Open("", record.Header{}); err != nil {
 		t.Fatal(err)
 	}
-	profile := standin.ClassProfile{NewTokens: 200, AnswerTokens: 20, PrefixTokens: 100}
-	service.fleet = standin.NewFleet(service.config.Deployment, service.events,
-		standin.Links{SameRack: 1e6, CrossRack: 1e6, ZoneFactor: 1},
-		map[string]standin.ClassProfile{"trail-info": profile, "hut-booking": profile})
+	profile := fakes.ClassProfile{NewTokens: 200, AnswerTokens: 20, PrefixTokens: 100}
+	service.fleet = fakes.NewFleet(service.config.Deployment, service.events,
+		fakes.Links{SameRack: 1e6, CrossRack: 1e6, ZoneFactor: 1},
+		map[string]fakes.ClassProfile{"trail-info": profile, "hut-booking": profile})
 	service.discovery = service.fleet.NewDiscovery(service.config.Instance.DiscoveryAddr)
 	if err := service.discovery.Start(); err != nil {
 		t.Fatal(err)
@@ -128,9 +128,9 @@
 }
 
 // startBackend starts a test backend of a kind and lists it as ready.
-func (s *testService) startBackend(kind string) *standin.Backend {
+func (s *testService) startBackend(kind string) *fakes.Backend {
 	s.t.Helper()
-	backend := s.fleet.NewBackend(standin.Config{
+	backend := s.fleet.NewBackend(fakes.Config{
 		Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1,
 		Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: freeAddress(s.t)}},
 		Engine: engine.Config{
@@ -141,7 +141,7 @@
 	if err := backend.Boot(false); err != nil {
 		s.t.Fatal(err)
 	}
-	s.discovery.Publish(backend, boxlist.Ready, 0)
+	s.discovery.Publish(backend, endpointlist.Ready, 0)
 	return backend
 }
 
@@ -256,7 +256,7 @@
 
 func TestBrokenStreamEndsWithErrorEvent(t *testing.T) {
 	s := startService(t, nil)
-	s.decode.UpdateFaults(func(faults *standin.Faults) { faults.ResetShare = 1 })
+	s.decode.UpdateFaults(func(faults *fakes.Faults) { faults.ResetShare = 1 })
 	status, body, _ := s.post(modelPath+"generate_stream", strings.NewReader(
 		`{"text_input":"x","parameters":{"max_tokens":40}}`))
 	if status != 200 || !strings.Contains(body, " word") || strings.Count(body, "event: error") != 1 ||
@@ -267,7 +267,7 @@
 
 func TestNonIdempotentRequestFailsAndRunsOnceAfterDecodeConnectionReset(t *testing.T) {
 	s := startService(t, nil)
-	s.decode.UpdateFaults(func(faults *standin.Faults) { faults.EarlyResetShare = 1 })
+	s.decode.UpdateFaults(func(faults *fakes.Faults) { faults.EarlyResetShare = 1 })
 	status, body, _ := s.post(modelPath+"generate", strings.NewReader(
 		`{"id":"once","text_input":"x","parameters":{"grade":"hut-booking"}}`))
 	if status != 502 || !strings.Contains(body, `"final":"forfeited"`) || strings.Contains(body, `"harmless":true`) {
@@ -288,8 +288,8 @@
 	s := startService(t, nil)
 	s.prefill.Kill("gone")
 	s.decode.Kill("gone")
-	s.discovery.Publish(s.prefill, boxlist.Removed, 0)
-	s.discovery.Publish(s.decode, boxlist.Removed, 0)
+	s.discovery.Publish(s.prefill, endpointlist.Removed, 0)
+	s.discovery.Publish(s.decode, endpointlist.Removed, 0)
 	time.Sleep(100 * time.Millisecond)
 	status, body, header := s.post(modelPath+"generate", strings.NewReader(
 		`{"text_input":"x","parameters":{"timeout":600000}}`))
@@ -382,7 +382,7 @@
 	service := startService(t, func(config *setup.DispatcherConfig) {
 		config.Instance.ShutdownTimeout = setup.Duration(400 * time.Millisecond)
 	})
-	service.decode.UpdateFaults(func(faults *standin.Faults) { faults.SlowFactor = 50 })
+	service.decode.UpdateFaults(func(faults *fakes.Faults) { faults.SlowFactor = 50 })
 	answer := make(chan string, 1)
 	go func() {
 		_, body, _ := service.post(modelPath+"generate_stream", strings.NewReader(`{"text_input":"x"}`))
@@ -401,7 +401,7 @@
 
 func TestRequestsBeyondOpenLimitAreRejected(t *testing.T) {
 	s := startService(t, func(config *setup.DispatcherConfig) { config.Limits.MaxOpenRequests = 2 })
-	s.decode.UpdateFaults(func(faults *standin.Faults) { faults.SlowFactor = 10 })
+	s.decode.UpdateFaults(func(faults *fakes.Faults) { faults.SlowFactor = 10 })
 	var clients sync.WaitGroup
 	var mu sync.Mutex
 	counts := map[int]int{}
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"sloetrestle/internal/begins"
 	"sloetrestle/internal/kserve"
+	"sloetrestle/internal/prefixtable"
 	"sloetrestle/internal/setup"
 )
 
@@ -27,7 +27,7 @@
 	Status   func() map[string]any // the report to operators
 
 	openRequests atomic.Int64
-	prefixes     begins.Table // belongs to the loop
+	prefixes     prefixtable.Table // belongs to the loop
 	stopping     atomic.Bool
 	Ready        func() bool // whether the dispatcher can serve requests
 }
@@ -135,7 +135,7 @@
 	}
 	class := s.Service.Classes[classNumber]
 	if params.PromptTokens == 0 {
-		params.PromptTokens = max(begins.EstimateTokens(params.Text), 1)
+		params.PromptTokens = max(prefixtable.EstimateTokens(params.Text), 1)
 	}
 	params.PrefixTokens = min(params.PrefixTokens, params.PromptTokens)
 	if params.MaxTokens == 0 {
--- a/internal/boxlist/boxlist_test.go
+++ b/internal/endpointlist/follower_test.go
@@ -1,4 +1,4 @@
-package boxlist
+package endpointlist
 
 import (
 	"context"
--- a/internal/boxlist/table.go
+++ b/internal/endpointlist/table.go
@@ -1,7 +1,7 @@
-// Package boxlist keeps a dispatcher's list of backend endpoints, as service discovery sends it: Table applies
+// Package endpointlist keeps a dispatcher's list of backend endpoints, as service discovery sends it: Table applies
 // updates without I/O and detects gaps; Follower keeps a connection open, fetches the full list after a gap and saves
 // the last list for the next start. It knows only what the list says and never contacts a backend. Begin with Table.
-package boxlist
+package endpointlist
 
 import (
 	"errors"
--- a/internal/endpoints/clock_test.go
+++ b/internal/endpoints/clock_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/endpointlist"
 )
 
 // steppedClock drives a follower with a wall clock that steps; lists are applied by hand.
@@ -28,7 +28,7 @@
 	clock.follower = &Follower{
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Monotonic: func() time.Duration { return clock.monotonic },
 		WallClock: func() time.Time { return clock.trueTime.Add(clock.step) },
-		OnUpdate: func(lines []boxlist.Endpoint, _ bool) {
+		OnUpdate: func(lines []endpointlist.Endpoint, _ bool) {
 			for _, line := range lines {
 				clock.uptimes[line.Name] = time.Duration(line.UptimeMs) * time.Millisecond
 			}
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -11,8 +11,8 @@
 
 	"go.uber.org/goleak"
 
-	"sloetrestle/internal/boxlist"
-	"sloetrestle/internal/hosts"
+	"sloetrestle/internal/endpointlist"
+	"sloetrestle/internal/testbackends"
 )
 
 func TestTargetsConvertToEndpoints(t *testing.T) {
@@ -27,11 +27,11 @@
 	if err != nil || !full || len(lines) != 2 || len(refused) != 3 || table.Revision != 41 {
 		t.Fatalf("%v, full %t, %+v, refused %q", err, full, lines, refused)
 	}
-	if a := lines[0]; a.UptimeMs != 1000 || a.Incarnation != 9000 || a.State != boxlist.Ready || a.Rack != "3" ||
+	if a := lines[0]; a.UptimeMs != 1000 || a.Incarnation != 9000 || a.State != endpointlist.Ready || a.Rack != "3" ||
 		a.Units != 1.5 || a.Addresses[0].Addr != "10.1.0.18:8081" {
 		t.Errorf("%+v", a)
 	}
-	if b := lines[1]; b.UptimeMs != -1 || b.State != boxlist.Removed {
+	if b := lines[1]; b.UptimeMs != -1 || b.State != endpointlist.Removed {
 		t.Errorf("%+v", b)
 	}
 }
@@ -110,7 +110,7 @@
 type testFollower struct {
 	*Follower
 	mu    sync.Mutex
-	lines []boxlist.Endpoint
+	lines []endpointlist.Endpoint
 }
 
 // startFollower runs a follower until the test ends, and checks that it leaves no goroutine behind.
@@ -121,7 +121,7 @@
 	follower.Follower = &Follower{
 		Log:       slog.New(slog.NewTextHandler(io.Discard, nil)),
 		Monotonic: func() time.Duration { return time.Since(start) }, WallClock: time.Now,
-		OnUpdate: func(lines []boxlist.Endpoint, full bool) {
+		OnUpdate: func(lines []endpointlist.Endpoint, full bool) {
 			follower.mu.Lock()
 			follower.lines = append(follower.lines, lines...)
 			follower.mu.Unlock()
@@ -140,13 +140,13 @@
 }
 
 // startSite returns a site with one backend, its discovery agent, and a follower that has received the backend.
-func startSite(t *testing.T) (*hosts.Platform, *hosts.Backend, *hosts.Agent, *testFollower) {
-	site := hosts.New()
+func startSite(t *testing.T) (*testbackends.Platform, *testbackends.Backend, *testbackends.Agent, *testFollower) {
+	site := testbackends.New()
 	t.Cleanup(site.Close)
-	backend := site.AddBackend("a", hosts.PrefillKind)
+	backend := site.AddBackend("a", testbackends.PrefillKind)
 	agent := site.AddAgent()
 	follower := startFollower(t, agent.Address)
-	follower.waitForState(t, "a", boxlist.Ready)
+	follower.waitForState(t, "a", endpointlist.Ready)
 	return site, backend, agent, follower
 }
 
@@ -174,11 +174,11 @@
 	for i, interrupt := range []func(){
 		agent.CloseConns,
 		func() { agent.WriteRaw("20\r\n{\"rev\":9"); agent.CloseConns() },
-		func() { agent.WriteRaw(hosts.EncodeChunk("{\"rev\":\n")) },
+		func() { agent.WriteRaw(testbackends.EncodeChunk("{\"rev\":\n")) },
 	} {
 		interrupt()
 		site.UpdateDiscovery(func() { backend.State = []string{"terminating", "in_service", "terminating"}[i] })
-		follower.waitForState(t, "a", []string{boxlist.Draining, boxlist.Ready, boxlist.Draining}[i])
+		follower.waitForState(t, "a", []string{endpointlist.Draining, endpointlist.Ready, endpointlist.Draining}[i])
 	}
 }
 
@@ -188,7 +188,7 @@
 	agent.SetSilent(true)
 	site.UpdateDiscovery(func() { backend.State = "terminating" })
 	agent.SetSilent(false)
-	follower.waitForState(t, "a", boxlist.Draining)
+	follower.waitForState(t, "a", endpointlist.Draining)
 	if follower.WatchFailures() == 0 {
 		t.Error("the silent watch was not closed")
 	}
@@ -196,25 +196,25 @@
 
 // A list may span several lines, share a chunk with another list, or come in pieces; none of these may end the watch.
 func TestWatchDecodesListsInAnyFraming(t *testing.T) {
-	site := hosts.New()
+	site := testbackends.New()
 	t.Cleanup(site.Close)
-	backend := site.AddBackend("a", hosts.PrefillKind)
+	backend := site.AddBackend("a", testbackends.PrefillKind)
 	agent := site.AddAgent()
 	agent.SetIndent(true)
 	follower := startFollower(t, agent.Address)
-	follower.waitForState(t, "a", boxlist.Ready)
+	follower.waitForState(t, "a", endpointlist.Ready)
 	site.UpdateDiscovery(func() { backend.State = "terminating" })
-	follower.waitForState(t, "a", boxlist.Draining)
+	follower.waitForState(t, "a", endpointlist.Draining)
 	message := func(revision int, state string) string {
 		return fmt.Sprintf(`{"rev":%d,"all":false,"targets":[{"uid":"a","endpoint":%q,"state":%q,"capacity_hint":1}]}`,
 			revision, backend.Address, state)
 	}
-	agent.WriteRaw(hosts.EncodeChunk("\n") + hosts.EncodeChunk(message(10, "terminating")+message(11, "in_service")+"\n"))
-	follower.waitForState(t, "a", boxlist.Ready)
-	for _, c := range []byte(hosts.EncodeChunk("\n  " + message(12, "terminating"))) {
+	agent.WriteRaw(testbackends.EncodeChunk("\n") + testbackends.EncodeChunk(message(10, "terminating")+message(11, "in_service")+"\n"))
+	follower.waitForState(t, "a", endpointlist.Ready)
+	for _, c := range []byte(testbackends.EncodeChunk("\n  " + message(12, "terminating"))) {
 		agent.WriteRaw(string(c))
 	}
-	follower.waitForState(t, "a", boxlist.Draining)
+	follower.waitForState(t, "a", endpointlist.Draining)
 	if n := follower.WatchFailures(); n != 0 {
 		t.Errorf("the watch ended %d times", n)
 	}
@@ -230,7 +230,7 @@
 	agent.SetTruncateAfter(90)
 	agent.SetSilent(false)
 	time.AfterFunc(silenceTimeout+attemptInterval/2, func() { agent.SetTruncateAfter(0) })
-	follower.waitForState(t, "a", boxlist.Draining)
+	follower.waitForState(t, "a", endpointlist.Draining)
 	if took := time.Since(start); took > 5900*time.Millisecond {
 		t.Errorf("the change was known after %v", took)
 	}
@@ -242,11 +242,11 @@
 	const silenceLimit, addressChangeLimit = 6 * time.Second, 4 * time.Second
 	for name, tc := range map[string]struct {
 		within time.Duration
-		fault  func(agents []*hosts.Agent, follower *testFollower, drain func())
+		fault  func(agents []*testbackends.Agent, follower *testFollower, drain func())
 	}{
 		"silent in the first seconds, and again when reopened": {
 			silenceLimit,
-			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
+			func(agents []*testbackends.Agent, follower *testFollower, drain func()) {
 				agent := agents[0]
 				agent.SetSilent(true)
 				drain()
@@ -257,7 +257,7 @@
 		},
 		"silent in the middle of the list": {
 			silenceLimit,
-			func(agents []*hosts.Agent, _ *testFollower, drain func()) {
+			func(agents []*testbackends.Agent, _ *testFollower, drain func()) {
 				agent := agents[0]
 				agent.SetSilent(true)
 				drain()
@@ -269,7 +269,7 @@
 		},
 		"slow from now on, and reset right before the change": {
 			silenceLimit,
-			func(agents []*hosts.Agent, _ *testFollower, drain func()) {
+			func(agents []*testbackends.Agent, _ *testFollower, drain func()) {
 				agents[0].SetDelay(2 * time.Second)
 				agents[0].CloseConns()
 				drain()
@@ -277,7 +277,7 @@
 		},
 		"address changed to a slow agent": {
 			addressChangeLimit,
-			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
+			func(agents []*testbackends.Agent, follower *testFollower, drain func()) {
 				agents[1].SetDelay(2 * time.Second)
 				follower.SetAddress(agents[1].Address)
 				drain()
@@ -285,7 +285,7 @@
 		},
 		"reset right before the change": {
 			time.Second,
-			func(agents []*hosts.Agent, _ *testFollower, drain func()) {
+			func(agents []*testbackends.Agent, _ *testFollower, drain func()) {
 				agent := agents[0]
 				agent.CloseConns()
 				drain()
@@ -293,7 +293,7 @@
 		},
 		"reset right after the first bytes of the change": {
 			time.Second,
-			func(agents []*hosts.Agent, _ *testFollower, drain func()) {
+			func(agents []*testbackends.Agent, _ *testFollower, drain func()) {
 				agent := agents[0]
 				agent.WriteRaw("80\r\n{\"rev\":")
 				agent.CloseConns()
@@ -302,7 +302,7 @@
 		},
 		"address changed during a request": {
 			addressChangeLimit,
-			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
+			func(agents []*testbackends.Agent, follower *testFollower, drain func()) {
 				agent := agents[0]
 				agent.SetSilent(true)
 				agent.CloseConns()
@@ -313,7 +313,7 @@
 		},
 		"address changed twice, first to a silent agent": {
 			addressChangeLimit,
-			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
+			func(agents []*testbackends.Agent, follower *testFollower, drain func()) {
 				agent := agents[0]
 				silent, last := agents[1], agents[2]
 				silent.SetSilent(true)
@@ -326,7 +326,7 @@
 		},
 		"change during an outage": {
 			2500 * time.Millisecond,
-			func(agents []*hosts.Agent, follower *testFollower, drain func()) {
+			func(agents []*testbackends.Agent, follower *testFollower, drain func()) {
 				agent := agents[0]
 				agent.SetSilent(true)
 				agent.CloseConns()
@@ -337,19 +337,19 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			site := hosts.New()
+			site := testbackends.New()
 			t.Cleanup(site.Close)
-			backend := site.AddBackend("a", hosts.PrefillKind)
-			agents := []*hosts.Agent{site.AddAgent(), site.AddAgent(), site.AddAgent()}
+			backend := site.AddBackend("a", testbackends.PrefillKind)
+			agents := []*testbackends.Agent{site.AddAgent(), site.AddAgent(), site.AddAgent()}
 			follower := startFollower(t, agents[0].Address)
-			follower.waitForState(t, "a", boxlist.Ready)
+			follower.waitForState(t, "a", endpointlist.Ready)
 			eventually(t, func() bool { return agents[0].WatchCount() == 1 })
 			start := time.Now()
 			tc.fault(agents, follower, func() {
 				start = time.Now()
 				site.UpdateDiscovery(func() { backend.State = "terminating" })
 			})
-			follower.waitForState(t, "a", boxlist.Draining)
+			follower.waitForState(t, "a", endpointlist.Draining)
 			if took := time.Since(start); took > tc.within {
 				t.Errorf("the change was known after %v, later than %v", took, tc.within)
 			}
@@ -374,23 +374,23 @@
 		if time.Now().After(end) {
 			t.Fatal("the watch was not closed")
 		}
-		agent.WriteRaw(hosts.EncodeChunk(" {"))
+		agent.WriteRaw(testbackends.EncodeChunk(" {"))
 	}
 }
 
 func TestFullListIsFetchedFromNewAddress(t *testing.T) {
-	site := hosts.New()
+	site := testbackends.New()
 	t.Cleanup(site.Close)
-	site.AddBackend("a", hosts.PrefillKind)
-	b := site.AddBackend("b", hosts.PrefillKind)
+	site.AddBackend("a", testbackends.PrefillKind)
+	b := site.AddBackend("b", testbackends.PrefillKind)
 	b.State = "terminated"
 	first, second := site.AddAgent(), site.AddAgent()
 	follower := startFollower(t, first.Address)
-	follower.waitForState(t, "a", boxlist.Ready)
+	follower.waitForState(t, "a", endpointlist.Ready)
 	first.SetSilent(true)
 	site.UpdateDiscovery(func() { b.State = "in_service" })
 	follower.SetAddress(second.Address)
-	follower.waitForState(t, "b", boxlist.Ready)
+	follower.waitForState(t, "b", endpointlist.Ready)
 	if requested := second.RequestURIs(); len(requested) == 0 || requested[0] != "/v1/endpoints" {
 		t.Errorf("requested %q from the new address", requested)
 	}
--- a/internal/endpoints/follower.go
+++ b/internal/endpoints/follower.go
@@ -17,7 +17,7 @@
 	"sync/atomic"
 	"time"
 
-	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/system"
 )
 
@@ -46,7 +46,7 @@
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
 	// OnUpdate receives the changed endpoints in the order of the messages; full tells whether they are the whole
 	// list.
-	OnUpdate func(lines []boxlist.Endpoint, full bool)
+	OnUpdate func(lines []endpointlist.Endpoint, full bool)
 
 	tableMu          sync.Mutex // held while a message is applied: two attempts may receive one at the same time
 	table            Table
@@ -84,7 +84,7 @@
 		f.Log.Warn("ignored part of the endpoint list", "why", strings.Join(refused, "; "))
 	}
 	if len(lines) > 0 || full {
-		boxlist.SortByName(lines)
+		endpointlist.SortByName(lines)
 		f.OnUpdate(lines, full)
 	}
 	return nil
--- a/internal/endpoints/table.go
+++ b/internal/endpoints/table.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/endpointlist"
 )
 
 const (
@@ -45,7 +45,7 @@
 
 // endpointStates maps the states of discovery to those of the endpoint list.
 var endpointStates = map[string]string{
-	"in_service": boxlist.Ready, "terminating": boxlist.Draining, "terminated": boxlist.Removed,
+	"in_service": endpointlist.Ready, "terminating": endpointlist.Draining, "terminated": endpointlist.Removed,
 }
 
 // Table tracks how far discovery's messages were applied. The zero value is ready to use.
@@ -65,7 +65,7 @@
 // is the monotonic time, unixMs the wall time in Unix milliseconds, against which backends report their start.
 // Invalid lines are left out and described in refused.
 func (t *Table) Apply(now time.Duration, unixMs int64, raw []byte) (
-	lines []boxlist.Endpoint, full bool, refused []string, err error,
+	lines []endpointlist.Endpoint, full bool, refused []string, err error,
 ) {
 	var message push
 	if err := json.Unmarshal(raw, &message); err != nil {
@@ -100,14 +100,14 @@
 		if err == nil && reported.BootMs > 0 {
 			endpoint.UptimeMs = t.clock.uptime(reported, now, unixMs).Milliseconds()
 		}
-		if endpoint.State == boxlist.Removed {
+		if endpoint.State == endpointlist.Removed {
 			t.clock.forget(reported.UID)
 		}
 		if err != nil {
 			refused = append(refused, err.Error())
 			continue
 		}
-		if !stale || endpoint.State != boxlist.Ready {
+		if !stale || endpoint.State != endpointlist.Ready {
 			lines = append(lines, endpoint)
 		}
 	}
@@ -119,15 +119,15 @@
 
 // endpoint converts a target to a line of the endpoint list, without its uptime. With an error, the state of the line
 // is still set.
-func (t target) endpoint() (endpoint boxlist.Endpoint, err error) {
-	endpoint = boxlist.Endpoint{
+func (t target) endpoint() (endpoint endpointlist.Endpoint, err error) {
+	endpoint = endpointlist.Endpoint{
 		Name: t.UID, Kind: t.Model, Zone: t.Zone, Rack: strconv.FormatInt(t.PodGroup, 10),
 		State: endpointStates[t.State], Units: t.CapacityHint, Incarnation: uint64(max(t.BootMs, 0)), UptimeMs: -1,
 	}
 	if strings.ContainsAny(endpoint.Name, " \r\n\t") {
 		return endpoint, fmt.Errorf("target %.40q: white space in its name", t.UID)
 	}
-	if endpoint.State != boxlist.Removed {
+	if endpoint.State != endpointlist.Removed {
 		address, err := netip.ParseAddrPort(t.Endpoint)
 		if err != nil {
 			return endpoint, fmt.Errorf("target %s: %w", t.UID, err)
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -11,9 +11,9 @@
 	"go.etcd.io/bbolt"
 	"golang.org/x/sync/errgroup"
 
+	"sloetrestle/internal/checker"
 	"sloetrestle/internal/day"
 	"sloetrestle/internal/fleet"
-	"sloetrestle/internal/judge"
 )
 
 // Run is one stored run.
@@ -186,7 +186,7 @@
 	}
 	startedAt := time.Now()
 	run := Run{Setting: setting, StartedAt: startedAt.UTC()}
-	var verdict judge.Verdict
+	var verdict checker.Verdict
 	if plan.Experiment.Form == "virtual" {
 		out, err := fleet.Play(scenario, setting["policy"])
 		if err != nil {
@@ -202,7 +202,7 @@
 		run.OnTimeShare, run.Tries = out.OnTimeShare, out.TriesPerSecond
 		for _, fault := range scenario.Faults {
 			if fault.Kind == "crash" { // no recovery within the run counts as the whole rest of it
-				seconds, ok := judge.RecoverySeconds(out.OnTimeShare, out.Submitted, fault.Start.Std(), (fault.Start + fault.Duration).Std())
+				seconds, ok := checker.RecoverySeconds(out.OnTimeShare, out.Submitted, fault.Start.Std(), (fault.Start + fault.Duration).Std())
 				if !ok {
 					seconds = (scenario.Header.Duration - fault.Start - fault.Duration).Std().Seconds()
 				}
@@ -232,7 +232,7 @@
 }
 
 // figures returns the figures of a verdict that tables and charts can show.
-func figures(verdict judge.Verdict) map[string]float64 {
+func figures(verdict checker.Verdict) map[string]float64 {
 	values := map[string]float64{"service": verdict.ValueShare, "first_p50_ms": verdict.FirstTokenP50Ms,
 		"first_p99_ms": verdict.FirstTokenP99Ms, "trips": verdict.AttemptsPerRequest, "cold_worst": verdict.PeakSlowStartLoad,
 		"pinned_ms": verdict.MaxIdleKVCacheMs}
--- a/internal/standin/backend.go
+++ b/internal/fakes/backend.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"cmp"
@@ -15,9 +15,9 @@
 	"time"
 
 	"sloetrestle/internal/addresses"
+	"sloetrestle/internal/connpool"
 	"sloetrestle/internal/engine"
 	"sloetrestle/internal/kserve"
-	"sloetrestle/internal/reach"
 	"sloetrestle/internal/record"
 )
 
@@ -720,7 +720,7 @@
 	if err != nil {
 		return err
 	}
-	request, err := kserve.NewKVFetchRequest(ctx, reach.URL(attempt.PrefillBackend), b.fleet.Terms.Model,
+	request, err := kserve.NewKVFetchRequest(ctx, connpool.URL(attempt.PrefillBackend), b.fleet.Terms.Model,
 		attempt.RequestKey())
 	if err != nil {
 		return err
--- a/internal/standin/discovery.go
+++ b/internal/fakes/discovery.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"time"
 
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/record"
 )
 
@@ -37,7 +37,7 @@
 // listChange is a published change: the new state of one backend.
 type listChange struct {
 	visibleAt time.Duration
-	backend   boxlist.Endpoint
+	backend   endpointlist.Endpoint
 	startedAt time.Duration // when the process of the backend started
 	slowStart bool
 }
@@ -108,7 +108,7 @@
 	if n := len(d.changes); n > 0 {
 		visible = max(visible, d.changes[n-1].visibleAt)
 	}
-	d.changes = append(d.changes, listChange{visible, boxlist.Endpoint{
+	d.changes = append(d.changes, listChange{visible, endpointlist.Endpoint{
 		Name: b.Name, Addresses: d.listedAddresses(b), Kind: b.Kind, Zone: b.Zone, Rack: b.Rack, State: state,
 		Units: b.Units, Incarnation: startNumber,
 	}, now - uptime, slowStart})
@@ -136,7 +136,7 @@
 }
 
 // entry returns the change as it is pushed now. UptimeMs is -1 for a backend that isn't warming up.
-func (c listChange) entry(now time.Duration) boxlist.Endpoint {
+func (c listChange) entry(now time.Duration) endpointlist.Endpoint {
 	b := c.backend
 	b.UptimeMs = -1
 	if c.slowStart {
@@ -156,7 +156,7 @@
 
 // nextPush returns the next push for a dispatcher: the full list, or the one change after its version. It returns
 // nil when there is nothing new.
-func (d *Discovery) nextPush(version int, full bool) *boxlist.Update {
+func (d *Discovery) nextPush(version int, full bool) *endpointlist.Update {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.fleet.Record.Elapsed()
@@ -165,17 +165,17 @@
 		return nil
 	}
 	if !full {
-		return &boxlist.Update{
-			Version: uint64(version + 1), Base: uint64(version), Endpoints: []boxlist.Endpoint{d.changes[version].entry(now)},
+		return &endpointlist.Update{
+			Version: uint64(version + 1), Base: uint64(version), Endpoints: []endpointlist.Endpoint{d.changes[version].entry(now)},
 		}
 	}
 	last := map[string]int{}
 	for i := range n {
 		last[d.changes[i].backend.Name] = i
 	}
-	push := &boxlist.Update{Version: uint64(n), Full: true}
+	push := &endpointlist.Update{Version: uint64(n), Full: true}
 	for i := range n {
-		if change := d.changes[i]; last[change.backend.Name] == i && change.backend.State != boxlist.Removed {
+		if change := d.changes[i]; last[change.backend.Name] == i && change.backend.State != endpointlist.Removed {
 			push.Endpoints = append(push.Endpoints, change.entry(now))
 		}
 	}
@@ -195,7 +195,7 @@
 	for {
 		push := d.nextPush(version, full)
 		if push == nil && time.Since(lastSent) >= heartbeatInterval {
-			push = &boxlist.Update{Version: uint64(version), Base: uint64(version)}
+			push = &endpointlist.Update{Version: uint64(version), Base: uint64(version)}
 		}
 		if push != nil {
 			d.mu.Lock()
@@ -221,7 +221,7 @@
 
 // recordNotified records of which changes a dispatcher has been notified. A backend that a full list omits counts
 // as removed.
-func (d *Discovery) recordNotified(dispatcher string, push *boxlist.Update, known map[string]bool) map[string]bool {
+func (d *Discovery) recordNotified(dispatcher string, push *endpointlist.Update, known map[string]bool) map[string]bool {
 	if known == nil {
 		known = map[string]bool{}
 	}
@@ -233,7 +233,7 @@
 		for name := range known {
 			if !listed[name] {
 				d.fleet.Record.Record(record.Event{Kind: record.EndpointNotified, Dispatcher: dispatcher, Backend: name,
-					Detail: boxlist.Removed})
+					Detail: endpointlist.Removed})
 			}
 		}
 		known = map[string]bool{}
--- a/internal/standin/endpoint.go
+++ b/internal/fakes/endpoint.go
@@ -1,4 +1,4 @@
-package standin
+package fakes
 
 import (
 	"context"
--- a/internal/standin/fleet.go
+++ b/internal/fakes/fleet.go
@@ -1,7 +1,7 @@
-// Package standin provides fake backends of the three roles, a fake service discovery and clients, on loopback
+// Package fakes provides fake backends of the three roles, a fake service discovery and clients, on loopback
 // sockets and with scripted faults. They are real-time models, not measurements of engines; what they observe goes
 // into the record of the run. They see of a dispatcher only its requests and its connections. Start with Fleet.
-package standin
+package fakes
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/reach"
+	"sloetrestle/internal/connpool"
 	"sloetrestle/internal/record"
 	"sloetrestle/internal/setup"
 )
@@ -39,7 +39,7 @@
 	uncached     map[string]*runningMean     // uncached prompt tokens, by class
 	effects      map[effectKey]time.Duration // when an effect was last carried out
 	rackLinks    map[string]*sharedLink
-	pools        *reach.Manager // from decode backends to prefill backends
+	pools        *connpool.Manager // from decode backends to prefill backends
 	ctx          context.Context
 	cancel       context.CancelFunc
 	starts       uint64
@@ -63,7 +63,7 @@
 		uncached: map[string]*runningMean{}, effects: map[effectKey]time.Duration{}, rackLinks: map[string]*sharedLink{},
 	}
 	fleet.ctx, fleet.cancel = context.WithCancel(context.Background())
-	fleet.pools = &reach.Manager{
+	fleet.pools = &connpool.Manager{
 		DialTimeout: 500 * time.Millisecond, MaxConnsPerBackend: 1024, Now: rec.Elapsed, Context: fleet.ctx,
 		Group: &errgroup.Group{},
 	}
@@ -78,10 +78,10 @@
 }
 
 // prefillPool returns the connection pool of a prefill backend at the addresses that an attempt names.
-func (f *Fleet) prefillPool(name string, addrs []string) *reach.Pool {
+func (f *Fleet) prefillPool(name string, addrs []string) *connpool.Pool {
 	var specs []addresses.Spec
 	for _, a := range addrs {
-		if s, err := reach.ParseListen(a); err == nil {
+		if s, err := connpool.ParseListen(a); err == nil {
 			specs = append(specs, s)
 		}
 	}
--- a/internal/stages/cluster_test.go
+++ b/internal/faultmatrix/cluster_test.go
@@ -1,7 +1,7 @@
-// Package stages tests every fault at every stage of a request, with a real dispatcher and misbehaving backends,
+// Package faultmatrix tests every fault at every stage of a request, with a real dispatcher and misbehaving backends,
 // and checks the five rules of the service on what clients and backends recorded. It contains tests only and
 // injects no fault into a dispatcher's own code. Begin with the table in table_test.go.
-package stages
+package faultmatrix
 
 import (
 	"bufio"
@@ -20,13 +20,13 @@
 	"time"
 
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/checker"
 	"sloetrestle/internal/dispatch"
-	"sloetrestle/internal/judge"
+	"sloetrestle/internal/endpointlist"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/record"
 	"sloetrestle/internal/setup"
-	"sloetrestle/internal/standin"
 )
 
 // testCluster is a real dispatcher on loopback with scripted backends, which answer in ways that no engine would.
@@ -34,7 +34,7 @@
 	t          *testing.T
 	config     setup.DispatcherConfig
 	recording  *record.Recorder
-	clients    *standin.Clients
+	clients    *fakes.Clients
 	addr       string // of the dispatcher
 	stop       func()
 	backends   map[string]*testBackend
@@ -285,7 +285,7 @@
 	case err := <-ended:
 		t.Fatal(err)
 	}
-	s.clients = standin.NewClients(s.recording, "lodge", func(uint64) (string, string) { return "d", s.addr })
+	s.clients = fakes.NewClients(s.recording, "lodge", func(uint64) (string, string) { return "d", s.addr })
 	s.stop = sync.OnceFunc(func() {
 		cancel()
 		if err := <-ended; err != nil {
@@ -354,8 +354,8 @@
 	}
 }
 
-func (b *testBackend) endpoint(state string) boxlist.Endpoint {
-	return boxlist.Endpoint{Name: b.name, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: b.addr}},
+func (b *testBackend) endpoint(state string) endpointlist.Endpoint {
+	return endpointlist.Endpoint{Name: b.name, Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: b.addr}},
 		Kind: b.kind, Zone: "here", Rack: "r", State: state, Units: 1, UptimeMs: -1}
 }
 
@@ -389,19 +389,19 @@
 }
 
 // buildFullUpdate makes lastUpdate a full list with every backend ready, except those in overrides.
-func (s *testCluster) buildFullUpdate(overrides ...boxlist.Endpoint) {
+func (s *testCluster) buildFullUpdate(overrides ...endpointlist.Endpoint) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	update := boxlist.Update{Version: s.version, Full: true}
+	update := endpointlist.Update{Version: s.version, Full: true}
 	for _, b := range s.backends {
-		if i := slices.IndexFunc(overrides, func(l boxlist.Endpoint) bool { return l.Name == b.name }); i >= 0 {
+		if i := slices.IndexFunc(overrides, func(l endpointlist.Endpoint) bool { return l.Name == b.name }); i >= 0 {
 			update.Endpoints = append(update.Endpoints, overrides[i])
 		} else {
-			update.Endpoints = append(update.Endpoints, b.endpoint(boxlist.Ready))
+			update.Endpoints = append(update.Endpoints, b.endpoint(endpointlist.Ready))
 		}
 	}
-	slices.SortFunc(update.Endpoints, func(a, b boxlist.Endpoint) int { return len(a.Name) - len(b.Name) })
+	slices.SortFunc(update.Endpoints, func(a, b endpointlist.Endpoint) int { return len(a.Name) - len(b.Name) })
 	raw, err := json.Marshal(update)
 	if err != nil {
 		panic(err)
@@ -410,13 +410,13 @@
 }
 
 // newRequest returns a request of a class.
-func newRequest(name, class string) standin.Request {
-	return standin.Request{Name: name, Class: class, Session: name, PromptTokens: 500, MaxTokens: 8,
+func newRequest(name, class string) fakes.Request {
+	return fakes.Request{Name: name, Class: class, Session: name, PromptTokens: 500, MaxTokens: 8,
 		LatencyTarget: 600 * time.Millisecond, Deadline: 1200 * time.Millisecond, PatienceShare: 1}
 }
 
 // submit sends perClass requests of each class concurrently and waits for all answers.
-func (s *testCluster) submit(perClass int, change func(*standin.Request)) {
+func (s *testCluster) submit(perClass int, change func(*fakes.Request)) {
 	var pending sync.WaitGroup
 	for i := range perClass {
 		for _, class := range s.config.Classes {
@@ -457,10 +457,10 @@
 }
 
 // checkRules stops the dispatcher and checks the recording against the five rules. The fault must have taken effect.
-func (s *testCluster) checkRules() judge.Verdict {
+func (s *testCluster) checkRules() checker.Verdict {
 	s.t.Helper()
 	s.stop()
-	verdict := judge.Check(record.Header{Scenario: s.t.Name(), Terms: s.config.Deployment}, s.recording.Events())
+	verdict := checker.Check(record.Header{Scenario: s.t.Name(), Terms: s.config.Deployment}, s.recording.Events())
 	if !verdict.Passed() || verdict.Tries == 0 {
 		s.t.Errorf("rules broken or nothing submitted: %d tries\n%s", verdict.Tries, verdict.Text())
 	}
--- a/internal/stages/endless_answer_test.go
+++ b/internal/faultmatrix/endless_answer_test.go
@@ -1,4 +1,4 @@
-package stages
+package faultmatrix
 
 import (
 	"io"
--- a/internal/stages/faults_test.go
+++ b/internal/faultmatrix/faults_test.go
@@ -1,4 +1,4 @@
-package stages
+package faultmatrix
 
 import (
 	"fmt"
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/setup"
-	"sloetrestle/internal/standin"
 )
 
 // Raw pieces of HTTP responses and JSON bodies, for answers that the HTTP library would not write.
@@ -265,11 +265,11 @@
 			connsBefore := s.discoveryConns.Load()
 			s.updates <- line(s)
 			s.faultCount.Add(1)
-			s.submit(1, func(w *standin.Request) { w.Name += "-meanwhile"; w.Session = w.Name })
+			s.submit(1, func(w *fakes.Request) { w.Name += "-meanwhile"; w.Session = w.Name })
 			s.waitFor("the dispatcher to follow service discovery again", func() bool {
 				return s.discoveryConns.Load() > connsBefore || s.readState()["list_age_s"].(float64) < 2
 			})
-			s.submit(1, func(w *standin.Request) { w.Name += "-after"; w.Session = w.Name })
+			s.submit(1, func(w *fakes.Request) { w.Name += "-after"; w.Session = w.Name })
 			s.expectServed(9)
 		}
 	}
--- a/internal/stages/sockets_test.go
+++ b/internal/faultmatrix/sockets_test.go
@@ -1,4 +1,4 @@
-package stages
+package faultmatrix
 
 import (
 	"bufio"
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/setup"
-	"sloetrestle/internal/standin"
 )
 
 // incompleteBodies has clients whose request bodies end or stall early, next to valid requests.
@@ -68,7 +68,7 @@
 	for _, b := range s.backends {
 		b.onProbe = func(c *call) { c.countFault(); <-c.r.Context().Done() }
 	}
-	return func() { s.submit(2, func(w *standin.Request) { w.LeaveAfter = 60 * time.Millisecond }) }
+	return func() { s.submit(2, func(w *fakes.Request) { w.LeaveAfter = 60 * time.Millisecond }) }
 }
 
 // deadlinePassesWhileConnecting has clients with short deadlines while no backend answers a probe.
@@ -76,7 +76,7 @@
 	for _, b := range s.backends {
 		b.onProbe = func(c *call) { c.countFault(); <-c.r.Context().Done() }
 	}
-	return func() { s.submit(2, func(w *standin.Request) { w.PatienceShare = 0.3 }) }
+	return func() { s.submit(2, func(w *fakes.Request) { w.PatienceShare = 0.3 }) }
 }
 
 // clientsLeaveDuringPrefill has clients disconnect during prefill, at a backend that holds the KV cache even so.
@@ -90,7 +90,7 @@
 		}
 	})
 	return func() {
-		s.submit(2, func(w *standin.Request) { w.LeaveAfter = 100 * time.Millisecond })
+		s.submit(2, func(w *fakes.Request) { w.LeaveAfter = 100 * time.Millisecond })
 		s.waitFor("all KV caches to be released", func() bool { return s.heldKVCaches() == 0 })
 	}
 }
@@ -101,7 +101,7 @@
 	return func() {
 		left := make(chan bool)
 		go func() {
-			s.submit(1, func(w *standin.Request) {
+			s.submit(1, func(w *fakes.Request) {
 				w.Name += "-leaves"
 				w.Session, w.LeaveAfter = w.Name, 150*time.Millisecond
 			})
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -4,13 +4,13 @@
 	"fmt"
 	"time"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/addresses"
 	"sloetrestle/internal/dispatch"
 	"sloetrestle/internal/engine"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/record"
-	"sloetrestle/internal/standin"
+	"sloetrestle/scheduler"
 )
 
 // transport is the dispatcher's connection to the backends: it delivers attempts, releases and peer updates.
@@ -18,7 +18,7 @@
 
 func (c *transport) SetAddresses(*dispatch.Backend, []addresses.Spec) {}
 
-func (c *transport) SendPeerUpdate(peer int, update brain.PeerUpdate) {
+func (c *transport) SendPeerUpdate(peer int, update scheduler.PeerUpdate) {
 	d := (*dispatcher)(c)
 	if peer < 0 || peer >= len(d.sim.dispatchers) {
 		return
@@ -87,11 +87,11 @@
 		}
 		t.cancelCause = cause
 		// The connection is closed: the dispatcher knows at once, the backend after the network delay.
-		outcome := brain.TimedOut
+		outcome := scheduler.TimedOut
 		if cause == dispatch.ErrNotNeeded {
-			outcome = brain.Cancelled
+			outcome = scheduler.Cancelled
 		}
-		sim.after(0, func() { t.reportResult(brain.Result{Outcome: outcome}) })
+		sim.after(0, func() { t.reportResult(scheduler.Result{Outcome: outcome}) })
 		sim.after(networkDelay, t.connectionClosed)
 	}
 	if !t.backend.running {
@@ -99,7 +99,7 @@
 		if t.backend.overloaded {
 			wait = dialTimeout // the machine hangs: the connection is not refused
 		}
-		sim.after(wait, func() { t.reportResult(brain.Result{Outcome: brain.Unreachable}) })
+		sim.after(wait, func() { t.reportResult(scheduler.Result{Outcome: scheduler.Unreachable}) })
 		return
 	}
 	wait, limit := sim.connectDelay(), dialTimeout
@@ -107,7 +107,7 @@
 		limit = min(limit, connectTimeout)
 	}
 	if wait > limit {
-		sim.after(limit, func() { t.reportResult(brain.Result{Outcome: brain.Unreachable}) })
+		sim.after(limit, func() { t.reportResult(scheduler.Result{Outcome: scheduler.Unreachable}) })
 		return
 	}
 	sim.after(networkDelay+wait, t.arrive)
@@ -123,7 +123,7 @@
 }
 
 // reportResult reports the attempt's end to the dispatcher, unless that has restarted since.
-func (t *attempt) reportResult(r brain.Result) {
+func (t *attempt) reportResult(r scheduler.Result) {
 	if t.reported || !t.dispatcher.running || t.dispatcher.loop != t.loop {
 		return
 	}
@@ -131,7 +131,7 @@
 	t.dispatcher.runInLoop(func() { t.loop.AttemptEnded(t.dispatched, r) })
 }
 
-func (t *attempt) respond(r brain.Result) {
+func (t *attempt) respond(r scheduler.Result) {
 	r.LoadReport = t.backend.loadReport()
 	t.sim.after(networkDelay, func() { t.reportResult(r) })
 }
@@ -151,7 +151,7 @@
 // loseConnection ends an attempt whose backend or connection failed.
 func (t *attempt) loseConnection() {
 	t.end("broke")
-	t.sim.after(networkDelay, func() { t.reportResult(brain.Result{Outcome: brain.ConnectionLost}) })
+	t.sim.after(networkDelay, func() { t.reportResult(scheduler.Result{Outcome: scheduler.ConnectionLost}) })
 }
 
 // connectionClosed handles at the backend that the dispatcher has closed the connection.
@@ -178,7 +178,7 @@
 		return
 	}
 	if !b.running {
-		t.sim.after(networkDelay, func() { t.reportResult(brain.Result{Outcome: brain.ConnectionLost}) })
+		t.sim.after(networkDelay, func() { t.reportResult(scheduler.Result{Outcome: scheduler.ConnectionLost}) })
 		return
 	}
 	t.arrived, t.incarnation = true, b.incarnation
@@ -201,7 +201,7 @@
 			t.recordRun()
 		}
 		t.end("failed")
-		t.respond(brain.Result{Outcome: brain.Failed})
+		t.respond(scheduler.Result{Outcome: scheduler.Failed})
 		return
 	}
 	request := t.dispatched.Scheduled.Request
@@ -218,7 +218,7 @@
 	default:
 		job.Stage = engine.StageWhole
 	}
-	job.OutputTokens = standin.AnswerTokens(sim.scenario.RequestShape(t.baseRecord.Class).AnswerTokens, t.baseRecord.Try,
+	job.OutputTokens = fakes.AnswerTokens(sim.scenario.RequestShape(t.baseRecord.Class).AnswerTokens, t.baseRecord.Try,
 		int(request.MaxOutputTokens))
 	if job.Stage == engine.StagePrefill {
 		job.OutputTokens = 1
@@ -295,7 +295,7 @@
 		}
 		if t.baseRecord.Phase != kserve.PhasePrefill {
 			t.end(kserve.OutcomeCompleted)
-			t.respond(brain.Result{Outcome: brain.Served, Detail: cachedTokens})
+			t.respond(scheduler.Result{Outcome: scheduler.Served, Detail: cachedTokens})
 			return
 		}
 		if upTo, ok := b.releasedUpTo[t.baseRecord.RequestKey]; ok && t.baseRecord.Attempt <= upTo {
@@ -306,7 +306,7 @@
 		sim.addRecord(record.Event{Kind: record.KVCacheHeld, Backend: b.spec.Name, RequestKey: t.baseRecord.RequestKey, Try: t.baseRecord.Try,
 			Class: t.baseRecord.Class})
 		t.end(kserve.OutcomePrefilled)
-		t.respond(brain.Result{Outcome: brain.Prefilled, Detail: cachedTokens})
+		t.respond(scheduler.Result{Outcome: scheduler.Prefilled, Detail: cachedTokens})
 		if b.crashShare > 0 && sim.rng.Float64() < b.crashShare {
 			incarnation := b.incarnation
 			sim.after(2*time.Millisecond, func() { // by then the dispatcher has the prefill result
@@ -317,10 +317,10 @@
 		}
 	case engine.Full, engine.TooBig:
 		t.end(kserve.OutcomeFull)
-		t.respond(brain.Result{Outcome: brain.Rejected})
+		t.respond(scheduler.Result{Outcome: scheduler.Rejected})
 	case engine.NoKVCache:
 		t.end(kserve.OutcomeNoKVCache)
-		t.respond(brain.Result{Outcome: brain.Rejected, Detail: 1})
+		t.respond(scheduler.Result{Outcome: scheduler.Rejected, Detail: 1})
 	}
 }
 
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -6,15 +6,15 @@
 	"time"
 
 	"sloetrestle/internal/dispatch"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/record"
-	"sloetrestle/internal/standin"
 )
 
 // client is one try of a request by its client.
 type client struct {
 	sim           *simulation
-	request       *standin.Request
+	request       *fakes.Request
 	try           int
 	id            string
 	dispatcher    *dispatcher
@@ -33,7 +33,7 @@
 }
 
 // submit makes one try of a request.
-func (sim *simulation) submit(request *standin.Request, try int, ticket string) {
+func (sim *simulation) submit(request *fakes.Request, try int, ticket string) {
 	var candidates []*dispatcher
 	for _, d := range sim.dispatchers {
 		if d.inRotation {
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -7,13 +7,13 @@
 	"time"
 
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/record"
 )
 
 // publish announces a backend's state to all dispatchers after the given delay.
 func (sim *simulation) publish(b *backend, state string, delay time.Duration) {
-	endpoint := boxlist.Endpoint{Name: b.spec.Name,
+	endpoint := endpointlist.Endpoint{Name: b.spec.Name,
 		Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: "127.0.0.1:1"}}, Kind: b.spec.Kind, Zone: b.spec.Zone,
 		Rack: b.spec.Rack, State: state, Units: b.spec.Units, Incarnation: b.incarnation, UptimeMs: -1}
 	startedAt, slowStart := b.startedAt, b.slowStart
@@ -31,14 +31,14 @@
 				sim.after(missedUpdateDelay, func() { d.sendFullList(update) })
 				continue
 			}
-			d.updateEndpoints([]boxlist.Endpoint{update}, false)
+			d.updateEndpoints([]endpointlist.Endpoint{update}, false)
 		}
 	})
 }
 
 // sortedByName returns the endpoints in the order of their names.
-func sortedByName(endpoints map[string]boxlist.Endpoint) []boxlist.Endpoint {
-	return slices.SortedFunc(maps.Values(endpoints), func(a, b boxlist.Endpoint) int {
+func sortedByName(endpoints map[string]endpointlist.Endpoint) []endpointlist.Endpoint {
+	return slices.SortedFunc(maps.Values(endpoints), func(a, b endpointlist.Endpoint) int {
 		return strings.Compare(a.Name, b.Name)
 	})
 }
@@ -47,17 +47,17 @@
 const missedUpdateDelay = time.Second
 
 // sendFullList gives a dispatcher the full endpoint list, with an update that it missed.
-func (d *dispatcher) sendFullList(missed boxlist.Endpoint) {
+func (d *dispatcher) sendFullList(missed endpointlist.Endpoint) {
 	byName := maps.Clone(d.lastKnown)
 	byName[missed.Name] = missed
 	endpoints := slices.DeleteFunc(sortedByName(byName),
-		func(endpoint boxlist.Endpoint) bool { return endpoint.State == boxlist.Removed })
+		func(endpoint endpointlist.Endpoint) bool { return endpoint.State == endpointlist.Removed })
 	d.sim.addRecord(record.Event{Kind: record.EndpointNotified, Dispatcher: d.name, Backend: missed.Name, Detail: missed.State,
 		StartID: missed.Incarnation})
 	d.updateEndpoints(endpoints, true)
 }
 
-func (d *dispatcher) updateEndpoints(endpoints []boxlist.Endpoint, full bool) {
+func (d *dispatcher) updateEndpoints(endpoints []endpointlist.Endpoint, full bool) {
 	if !d.running {
 		return
 	}
--- a/internal/fleet/dispatcher.go
+++ b/internal/fleet/dispatcher.go
@@ -9,11 +9,11 @@
 	"time"
 
 	"sloetrestle/internal/baseline"
-	"sloetrestle/internal/boxlist"
 	"sloetrestle/internal/dispatch"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/record"
+	"sloetrestle/internal/retrythrottle"
 	"sloetrestle/internal/setup"
-	"sloetrestle/internal/storm"
 )
 
 // dispatcher is one dispatcher: the production event loop and scheduler, in virtual time.
@@ -26,14 +26,14 @@
 	inRotation  bool
 	starts      int
 	accounting  *dispatch.Accounting
-	lastKnown   map[string]boxlist.Endpoint
+	lastKnown   map[string]endpointlist.Endpoint
 	timerDue    time.Duration
 	timerSet    bool
 	openClients map[*client]bool
 	clientOf    map[*dispatch.ClientRequest]*client
 }
 
-func (d *dispatcher) start(endpoints map[string]boxlist.Endpoint) error {
+func (d *dispatcher) start(endpoints map[string]endpointlist.Endpoint) error {
 	sim := d.sim
 	config := setup.DefaultDispatcherConfig()
 	config.Deployment = sim.scenario.Deployment
@@ -58,13 +58,13 @@
 		loop.SetScheduler(policy)
 	}
 	if config.Limits.ThrottleRetries {
-		loop.RetryThrottle = storm.New(config.Limits.MaxRetryAfter.Std(), len(config.Tenants), seed^0x5709,
-			storm.TicketSigner{Key: []byte("the fleet's"), Issuer: uint32(d.starts)<<16 | uint32(d.number)})
+		loop.RetryThrottle = retrythrottle.New(config.Limits.MaxRetryAfter.Std(), len(config.Tenants), seed^0x5709,
+			retrythrottle.TicketSigner{Key: []byte("the fleet's"), Issuer: uint32(d.starts)<<16 | uint32(d.number)})
 	}
 	d.loop, d.running, d.inRotation, d.timerSet, d.accounting = loop, true, true, false, nil
 	d.setUpBudgets()
 	d.openClients, d.clientOf = map[*client]bool{}, map[*dispatch.ClientRequest]*client{}
-	d.lastKnown = map[string]boxlist.Endpoint{}
+	d.lastKnown = map[string]endpointlist.Endpoint{}
 	sim.addRecord(record.Event{Kind: record.ProcessStarted, Dispatcher: d.name})
 	if endpoints != nil {
 		d.updateEndpoints(sortedByName(endpoints), true)
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -5,8 +5,8 @@
 	"strings"
 	"time"
 
-	"sloetrestle/internal/boxlist"
 	"sloetrestle/internal/day"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/record"
 )
 
@@ -34,7 +34,7 @@
 		each(func(b *backend) {
 			if !b.running {
 				b.start(true)
-				sim.publish(b, boxlist.Ready, noticeDelay)
+				sim.publish(b, endpointlist.Ready, noticeDelay)
 				b.runSteps()
 			}
 		})
@@ -52,7 +52,7 @@
 		later(func() {
 			each(func(b *backend) {
 				b.kill("aged")
-				sim.publish(b, boxlist.Removed, sim.scenario.Discovery.FailureNoticeDelay.Std())
+				sim.publish(b, endpointlist.Removed, sim.scenario.Discovery.FailureNoticeDelay.Std())
 			})
 			sim.after(2*time.Second, restart)
 		})
@@ -76,10 +76,12 @@
 		later(func() { each(func(b *backend) { b.crashShare = 0 }); restart() })
 	case "replace":
 		each(func(b *backend) {
-			sim.publish(b, boxlist.Draining, noticeDelay)
+			sim.publish(b, endpointlist.Draining, noticeDelay)
 			sim.startReplacement(b, noticeDelay)
 		})
-		later(func() { each(func(b *backend) { b.kill("replaced"); sim.publish(b, boxlist.Removed, noticeDelay) }) })
+		later(func() {
+			each(func(b *backend) { b.kill("replaced"); sim.publish(b, endpointlist.Removed, noticeDelay) })
+		})
 	case "connect_late":
 		sim.slowConnectShare, sim.slowConnectMax = fault.Share, fault.Delay.Std()
 		later(func() { sim.slowConnectShare = 0 })
@@ -95,7 +97,7 @@
 		each(func(b *backend) {
 			b.kill("crashed")
 			if silent := sim.scenario.Discovery.FailureNoticeDelay.Std(); length > silent {
-				sim.publish(b, boxlist.Removed, silent)
+				sim.publish(b, endpointlist.Removed, silent)
 			}
 		})
 		later(restart)
@@ -103,9 +105,9 @@
 		each(func(b *backend) { b.kill("restarted") })
 		restart()
 	case "drain":
-		each(func(b *backend) { sim.publish(b, boxlist.Draining, noticeDelay) })
+		each(func(b *backend) { sim.publish(b, endpointlist.Draining, noticeDelay) })
 		later(func() {
-			each(func(b *backend) { b.kill("drained"); sim.publish(b, boxlist.Removed, noticeDelay) })
+			each(func(b *backend) { b.kill("drained"); sim.publish(b, endpointlist.Removed, noticeDelay) })
 			sim.after(time.Second, restart)
 		})
 	case "list_stale":
@@ -137,5 +139,5 @@
 func (sim *simulation) startReplacement(old *backend, noticeDelay time.Duration) {
 	spec := old.spec
 	spec.Name += "-new"
-	sim.publish(sim.addBackend(spec, true), boxlist.Ready, noticeDelay)
+	sim.publish(sim.addBackend(spec, true), endpointlist.Ready, noticeDelay)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -12,15 +12,15 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sloetrestle/internal/agenda"
 	"sloetrestle/internal/baseline"
-	"sloetrestle/internal/boxlist"
 	"sloetrestle/internal/budget"
+	"sloetrestle/internal/checker"
 	"sloetrestle/internal/day"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/engine"
-	"sloetrestle/internal/judge"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/record"
-	"sloetrestle/internal/standin"
+	"sloetrestle/internal/timerqueue"
 )
 
 const (
@@ -32,7 +32,7 @@
 
 // Outcome is the result of a run: the checker's verdict, and figures of the run.
 type Outcome struct {
-	judge.Verdict
+	checker.Verdict
 	Digest         string                   `json:"digest"` // of all records
 	Requests       int                      `json:"questions"`
 	Engines        map[string]engine.Counts `json:"engines"`
@@ -86,10 +86,10 @@
 	sim.run(scenario.Header.Duration.Std() + drainTime)
 	head := record.Header{Scenario: scenario.Header.Name, Seed: scenario.Header.Seed, Terms: scenario.Deployment}
 	out := Outcome{
-		Verdict: judge.Check(head, sim.records), Digest: fmt.Sprintf("%x", sim.digest.Sum64()), Requests: len(sim.requests),
+		Verdict: checker.Check(head, sim.records), Digest: fmt.Sprintf("%x", sim.digest.Sum64()), Requests: len(sim.requests),
 		Engines: map[string]engine.Counts{},
 	}
-	out.OnTimeShare, out.Submitted, out.TriesPerSecond = judge.Timeline(head, sim.records)
+	out.OnTimeShare, out.Submitted, out.TriesPerSecond = checker.Timeline(head, sim.records)
 	out.Budgets = sim.budgetUse()
 	for _, b := range sim.backendOrder {
 		sum := out.Engines[b.spec.Kind]
@@ -106,9 +106,9 @@
 	scenario day.Scenario
 	policy   string
 	now      time.Duration
-	timers   agenda.Queue
+	timers   timerqueue.Queue
 	rng      *rand.Rand
-	requests []standin.Request
+	requests []fakes.Request
 	records  []record.Event
 	onRecord func(record.Event)
 	digest   hash.Hash64
@@ -156,7 +156,7 @@
 		if err := m.Engine.Validate(); err != nil {
 			return fmt.Errorf("backend %s: %w", m.Name, err)
 		}
-		sim.publish(sim.addBackend(m, false), boxlist.Ready, 0)
+		sim.publish(sim.addBackend(m, false), endpointlist.Ready, 0)
 	}
 	for i := range sim.scenario.Header.Dispatchers {
 		d := &dispatcher{sim: sim, number: i, name: fmt.Sprintf("d%d", i)}
--- a/internal/fleet/retry_throttling_test.go
+++ b/internal/fleet/retry_throttling_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
+	"sloetrestle/internal/checker"
 	"sloetrestle/internal/day"
-	"sloetrestle/internal/judge"
 	"sloetrestle/internal/record"
 	"sloetrestle/internal/setup"
 )
@@ -34,7 +34,7 @@
 	if !out.Passed() {
 		t.Errorf("%s\n%s", name, out.Text())
 	}
-	seconds, ok := judge.RecoverySeconds(out.OnTimeShare, out.Submitted, 10*time.Second, cleared)
+	seconds, ok := checker.RecoverySeconds(out.OnTimeShare, out.Submitted, 10*time.Second, cleared)
 	t.Logf("%s: recovered after %.0f s (%v), service %.3f, %d tries, followers %.3f, others %.3f", name, seconds, ok,
 		out.ValueShare, out.Tries, out.Followers, out.Others)
 	return seconds, ok
--- a/internal/fleet/view.go
+++ b/internal/fleet/view.go
@@ -3,9 +3,9 @@
 import (
 	"time"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/baseline"
 	"sloetrestle/internal/engine"
+	"sloetrestle/scheduler"
 )
 
 // observeEvery is the interval of the informed baseline policy's observations, and so their greatest age.
@@ -31,16 +31,16 @@
 // view gives the informed baseline policy the backends' states as last observed.
 type view struct{ sim *simulation }
 
-func (v view) Load(schedulerBackend *brain.Backend, request *brain.Request) baseline.Load {
+func (v view) Load(schedulerBackend *scheduler.Backend, request *scheduler.Request) baseline.Load {
 	b := v.sim.byID[schedulerBackend.ID]
 	load := b.observed
-	if schedulerBackend.Role == brain.RolePrefill {
+	if schedulerBackend.Role == scheduler.RolePrefill {
 		load.CachedTokens = float64(b.engine.CachedTokens(&engine.Job{Session: request.SessionKey,
 			SharedPrefix: request.PrefixKey, PromptTokens: int(request.PromptTokens), PrefixTokens: int(request.PrefixTokens)}))
 	}
 	return load
 }
 
-func (v view) AttemptSent(attempt *brain.Attempt, tokens float64) {
+func (v view) AttemptSent(attempt *scheduler.Attempt, tokens float64) {
 	v.sim.byID[attempt.Backend.ID].observed.BacklogTokens += tokens
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -19,9 +19,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/record"
 	"sloetrestle/internal/setup"
-	"sloetrestle/internal/standin"
 )
 
 // Arrival is one request of a trace: a row of a CSV file or a line of a JSON lines file.
@@ -44,7 +44,7 @@
 // ReadTrace reads arrivals from a CSV file with a header row (name ending in .csv) or from JSON lines (any other
 // name) and returns them in order of time; the file need not be sorted. Errors give the line or the arrival that is
 // malformed.
-func ReadTrace(file string, terms setup.Deployment) ([]standin.Request, error) {
+func ReadTrace(file string, terms setup.Deployment) ([]fakes.Request, error) {
 	input, err := os.Open(file)
 	if err != nil {
 		return nil, err
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", file, err)
 	}
-	requests := make([]standin.Request, len(arrivals))
+	requests := make([]fakes.Request, len(arrivals))
 	for i, arrival := range arrivals {
 		n := max(terms.ClassIndex(arrival.Class), 0)
 		if arrival.Class != "" && terms.ClassIndex(arrival.Class) < 0 {
@@ -71,7 +71,7 @@
 		}
 		class := terms.Classes[n]
 		kiloTokens := float64(arrival.Tokens) / 1000
-		request := standin.Request{
+		request := fakes.Request{
 			SubmitAt: time.Duration(arrival.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Class: class.Name,
 			Tenant: arrival.Tenant, Session: arrival.Session, PrefixID: arrival.PrefixID, PrefixTokens: arrival.PrefixTokens,
 			PromptTokens: arrival.Tokens, MaxTokens: arrival.MaxTokens,
@@ -84,7 +84,7 @@
 		}
 		requests[i] = request
 	}
-	slices.SortStableFunc(requests, func(arrival, b standin.Request) int { return int(arrival.SubmitAt - b.SubmitAt) })
+	slices.SortStableFunc(requests, func(arrival, b fakes.Request) int { return int(arrival.SubmitAt - b.SubmitAt) })
 	return requests, nil
 }
 
@@ -184,7 +184,7 @@
 // those of all classes under "all". It calls logf with the progress each second. Where ctx ends first it returns the
 // results so far and the error of ctx.
 func Run(
-	ctx context.Context, model string, addresses []string, requests []standin.Request, logf func(string, ...any),
+	ctx context.Context, model string, addresses []string, requests []fakes.Request, logf func(string, ...any),
 ) ([]Stats, error) {
 	if len(addresses) == 0 || len(requests) == 0 {
 		return nil, fmt.Errorf("load needs at least one dispatcher and one request, got %d addresses and %d requests",
@@ -236,7 +236,7 @@
 			}
 		}
 	}
-	clients := standin.NewClients(recorder, model, func(seed uint64) (string, string) {
+	clients := fakes.NewClients(recorder, model, func(seed uint64) (string, string) {
 		address := addresses[seed%uint64(len(addresses))]
 		return address, address
 	})
--- a/internal/measure/dialers.go
+++ b/internal/measure/dialers.go
@@ -16,11 +16,11 @@
 	"golang.org/x/sync/errgroup"
 
 	"sloetrestle/internal/addresses"
+	"sloetrestle/internal/connpool"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/kserve"
-	"sloetrestle/internal/reach"
 	"sloetrestle/internal/record"
 	"sloetrestle/internal/setup"
-	"sloetrestle/internal/standin"
 )
 
 // DialerResult holds the results of one dialer under one fault.
@@ -51,9 +51,9 @@
 func CompareDialers(ctx context.Context, attempts int, logf func(string, ...any)) ([]DialerResult, error) {
 	var results []DialerResult
 	for _, fault := range []string{
-		standin.EndpointServes, standin.EndpointRefuses, standin.EndpointBlackhole, standin.EndpointStalls,
-		standin.EndpointStallsAfterResponse,
-		standin.EndpointSlow, standin.EndpointResets, standin.EndpointFlaps,
+		fakes.EndpointServes, fakes.EndpointRefuses, fakes.EndpointBlackhole, fakes.EndpointStalls,
+		fakes.EndpointStallsAfterResponse,
+		fakes.EndpointSlow, fakes.EndpointResets, fakes.EndpointFlaps,
 	} {
 		for _, addressCount := range []int{1, 3} {
 			for _, dialer := range []string{"raced", "sequential", "plain"} {
@@ -92,8 +92,8 @@
 	}
 	terms := setup.DefaultDeployment()
 	terms.Classes = []setup.Class{{Name: "g", Effect: "idempotent"}}
-	fleet := standin.NewFleet(terms, recorder, standin.Links{SameRack: 1e9, CrossRack: 1e9, ZoneFactor: 1},
-		map[string]standin.ClassProfile{"g": {NewTokens: 1, AnswerTokens: 1}})
+	fleet := fakes.NewFleet(terms, recorder, fakes.Links{SameRack: 1e9, CrossRack: 1e9, ZoneFactor: 1},
+		map[string]fakes.ClassProfile{"g": {NewTokens: 1, AnswerTokens: 1}})
 	defer fleet.Close()
 	dir, err := os.MkdirTemp("", "slt")
 	if err != nil {
@@ -116,8 +116,8 @@
 		spec.Preference = len(specs) // every dialer tries the faulty address first
 		specs = append(specs, spec)
 	}
-	backend := fleet.NewBackend(standin.Config{Name: "w1", Kind: "writer", Addresses: specs,
-		Engine: standin.InstantEngine})
+	backend := fleet.NewBackend(fakes.Config{Name: "w1", Kind: "writer", Addresses: specs,
+		Engine: fakes.InstantEngine})
 	if err := backend.Boot(false); err != nil {
 		return result, err
 	}
@@ -129,7 +129,7 @@
 	var send sendFunc
 	switch dialer {
 	case "raced":
-		pools := &reach.Manager{
+		pools := &connpool.Manager{
 			DialTimeout: dialTimeout, MaxConnsPerBackend: 64, Now: recorder.Elapsed, Context: poolCtx, Group: group,
 		}
 		group.Go(pools.Run)
@@ -161,7 +161,7 @@
 				return result, err
 			}
 		case attempts * 3 / 4:
-			if err := backend.Endpoint(0).SetMode(standin.EndpointServes, 0, 0); err != nil {
+			if err := backend.Endpoint(0).SetMode(fakes.EndpointServes, 0, 0); err != nil {
 				return result, err
 			}
 		}
@@ -173,7 +173,7 @@
 		}
 		start := time.Now()
 		sent, err := send(attemptCtx, func() (*http.Request, error) {
-			return kserve.NewAttemptRequest(attemptCtx, reach.URL("w1"), terms.Model, "", attempt)
+			return kserve.NewAttemptRequest(attemptCtx, connpool.URL("w1"), terms.Model, "", attempt)
 		})
 		elapsed := time.Since(start)
 		cancel()
@@ -191,7 +191,7 @@
 }
 
 // sendByPool sends by the connection pool of a backend and reports each result to it.
-func sendByPool(pool *reach.Pool) sendFunc {
+func sendByPool(pool *connpool.Pool) sendFunc {
 	return func(ctx context.Context, newRequest func() (*http.Request, error)) (bool, error) {
 		conn, resp, err := pool.Send(ctx, newRequest)
 		if conn == nil {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -25,11 +25,11 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/endpointlist"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/record"
 	"sloetrestle/internal/setup"
-	"sloetrestle/internal/standin"
 )
 
 // Plan says what to measure.
@@ -65,7 +65,7 @@
 // testbed is a dispatcher process with one prefill and one decode backend.
 type testbed struct {
 	plan           Plan
-	fleet          *standin.Fleet
+	fleet          *fakes.Fleet
 	recorder       *record.Recorder
 	model          string
 	prefillAddr    string
@@ -137,9 +137,9 @@
 	if bed.recorder, err = record.Open("", record.Header{}); err != nil {
 		return nil, err
 	}
-	bed.fleet = standin.NewFleet(config.Deployment, bed.recorder,
-		standin.Links{SameRack: 1e12, CrossRack: 1e12, ZoneFactor: 1},
-		map[string]standin.ClassProfile{"measured": {NewTokens: 1, AnswerTokens: 8}})
+	bed.fleet = fakes.NewFleet(config.Deployment, bed.recorder,
+		fakes.Links{SameRack: 1e12, CrossRack: 1e12, ZoneFactor: 1},
+		map[string]fakes.ClassProfile{"measured": {NewTokens: 1, AnswerTokens: 8}})
 	var addrs []string // of service discovery, the prefill backend, the decode backend and the dispatcher
 	for range 4 {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -154,16 +154,16 @@
 	if err := discovery.Start(); err != nil {
 		return nil, err
 	}
-	var backends []*standin.Backend
+	var backends []*fakes.Backend
 	for i, kind := range []string{"reader", "writer"} {
-		backend := bed.fleet.NewBackend(standin.Config{
-			Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Engine: standin.InstantEngine,
+		backend := bed.fleet.NewBackend(fakes.Config{
+			Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Engine: fakes.InstantEngine,
 			Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: addrs[1+i]}},
 		})
 		if err := backend.Boot(false); err != nil {
 			return nil, err
 		}
-		discovery.Publish(backend, boxlist.Ready, 0)
+		discovery.Publish(backend, endpointlist.Ready, 0)
 		backends = append(backends, backend)
 	}
 	bed.prefillAddr, bed.decodeAddr, bed.dispatcherAddr = addrs[1], addrs[2], addrs[3]
--- a/internal/members/members.go
+++ b/internal/membership/membership.go
@@ -1,8 +1,8 @@
-// Package members tracks which dispatchers of a fleet are alive. It follows SWIM (Das, Gupta, Motivala, 2002):
+// Package membership tracks which dispatchers of a fleet are alive. It follows SWIM (Das, Gupta, Motivala, 2002):
 // members probe each other, suspect those that do not answer, and piggyback membership updates on their messages;
 // suspicions shorten as other members confirm them (Lifeguard, 2018). It does no I/O: messages are passed in and out
 // together with the time, and randomness comes from a seed. Begin with View.
-package members
+package membership
 
 import (
 	"cmp"
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 const (
@@ -97,7 +97,7 @@
 	Seeds []string // addresses
 	Send  func(to string, m Message)
 
-	rng          *brain.PCG
+	rng          *scheduler.PCG
 	known        map[string]*Member
 	sorted       []*Member // the known members by name
 	probeOrder   []string  // rest of the shuffled round
@@ -122,7 +122,7 @@
 // New returns a view that knows no other member.
 func New(self Update, seeds []string, seed uint64, send func(string, Message)) *View {
 	self.State = Alive
-	return &View{Self: self, Seeds: seeds, Send: send, rng: brain.NewPCG(seed), known: map[string]*Member{},
+	return &View{Self: self, Seeds: seeds, Send: send, rng: scheduler.NewPCG(seed), known: map[string]*Member{},
 		outstanding: map[uint64]*probe{}}
 }
 
--- a/internal/members/members_test.go
+++ b/internal/membership/membership_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
@@ -10,13 +10,13 @@
 	"github.com/fxamacker/cbor/v2"
 	"pgregory.net/rapid"
 
-	"sloetrestle/internal/agenda"
+	"sloetrestle/internal/timerqueue"
 )
 
 // testNetwork delivers the messages between views in virtual time.
 type testNetwork struct {
 	now     time.Duration
-	queue   agenda.Queue
+	queue   timerqueue.Queue
 	rng     *rand.Rand
 	loss    float64
 	blocked func(from, to int) bool // reports that no message passes between the two
--- a/internal/news/news.go
+++ b/internal/peerproto/update.go
@@ -1,19 +1,19 @@
-// Package news encodes and decodes the peer protocol: eight bytes in which a dispatcher tells its peers how an attempt
+// Package peerproto encodes and decodes the peer protocol: eight bytes in which a dispatcher tells its peers how an attempt
 // ended, the same between processes and in the simulator. It does not send or receive. Start with Encode.
-package news
+package peerproto
 
 import (
 	"encoding/binary"
 	"fmt"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 // Encode encodes a peer update in eight bytes: four of the backend's ID, one of the class, one of the verdict, whose
 // lowest bit tells whether a load report follows, and two of the load report, utilisation and queue length. Without a
 // load report these two hold the share of the latency target that the first token took, followed by shareMarker, or
 // two zeros if no share is reported. Older dispatchers, which do not know the share, ignore both.
-func Encode(update brain.PeerUpdate) []byte {
+func Encode(update scheduler.PeerUpdate) []byte {
 	raw := binary.BigEndian.AppendUint32(nil, update.Backend.ID)
 	raw = append(raw, byte(update.ClassIndex), byte(update.Verdict)<<1)
 	switch {
@@ -44,13 +44,13 @@
 // Decode decodes a peer update, in the layout that Encode describes, and looks up its backend by ID. Backend is nil if
 // this dispatcher does not know it. An error means that raw is not eight bytes long or holds a verdict above
 // VerdictUnreachable, the highest one. A share of the latency target above 1 counts as 1; utilisation is not limited.
-func Decode(raw []byte, backends map[uint32]*brain.Backend) (brain.PeerUpdate, error) {
-	if len(raw) != encodedBytes || raw[verdictByte]>>1 > byte(brain.VerdictUnreachable) {
-		return brain.PeerUpdate{}, fmt.Errorf("%d bytes are not a peer update: %x", len(raw), raw[:min(len(raw), 16)])
+func Decode(raw []byte, backends map[uint32]*scheduler.Backend) (scheduler.PeerUpdate, error) {
+	if len(raw) != encodedBytes || raw[verdictByte]>>1 > byte(scheduler.VerdictUnreachable) {
+		return scheduler.PeerUpdate{}, fmt.Errorf("%d bytes are not a peer update: %x", len(raw), raw[:min(len(raw), 16)])
 	}
-	update := brain.PeerUpdate{
+	update := scheduler.PeerUpdate{
 		Backend: backends[binary.BigEndian.Uint32(raw)], ClassIndex: int(raw[classByte]),
-		Verdict: brain.Verdict(raw[verdictByte] >> 1),
+		Verdict: scheduler.Verdict(raw[verdictByte] >> 1),
 	}
 	switch {
 	case raw[verdictByte]&loadBit == loadBit:
--- a/internal/news/news_test.go
+++ b/internal/peerproto/update_test.go
@@ -1,15 +1,15 @@
-package news
+package peerproto
 
 import (
 	"testing"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 func TestDecodeReadsEncodedUpdatesAndRejectsOtherBytes(t *testing.T) {
-	backend := &brain.Backend{ID: 77}
-	backends := map[uint32]*brain.Backend{77: backend}
-	sent := brain.PeerUpdate{Backend: backend, ClassIndex: 2, Verdict: brain.VerdictBad, HasLoad: true, Util: 0.5,
+	backend := &scheduler.Backend{ID: 77}
+	backends := map[uint32]*scheduler.Backend{77: backend}
+	sent := scheduler.PeerUpdate{Backend: backend, ClassIndex: 2, Verdict: scheduler.VerdictBad, HasLoad: true, Util: 0.5,
 		QueueLength: 3}
 	raw := Encode(sent)
 	if got, err := Decode(raw, backends); err != nil || got != sent {
@@ -28,10 +28,10 @@
 // Without a load report the last two bytes hold the share of the latency target, which older dispatchers must ignore.
 // Older dispatchers may send an outdated load report in those bytes, which must not be read as a share.
 func TestUpdatesWithoutALoadReportHoldTheShareOfTheTarget(t *testing.T) {
-	backend := &brain.Backend{ID: 77}
-	backends := map[uint32]*brain.Backend{77: backend}
+	backend := &scheduler.Backend{ID: 77}
+	backends := map[uint32]*scheduler.Backend{77: backend}
 	for _, share := range []float64{0.005, 0.5, 1} {
-		raw := Encode(brain.PeerUpdate{Backend: backend, Verdict: brain.VerdictGood, TargetShare: share})
+		raw := Encode(scheduler.PeerUpdate{Backend: backend, Verdict: scheduler.VerdictGood, TargetShare: share})
 		if got, err := Decode(raw, backends); err != nil || got.TargetShare != share || got.HasLoad {
 			t.Errorf("share %g: decoded %+v, %v", share, got, err)
 		}
--- a/internal/platform/activity.go
+++ b/internal/platform/activity.go
@@ -4,8 +4,8 @@
 	"container/list"
 	"sync"
 
-	"sloetrestle/brain"
-	"sloetrestle/internal/reach"
+	"sloetrestle/internal/connpool"
+	"sloetrestle/scheduler"
 )
 
 // maxActivityScan is how many backends byRecency looks at. In a fleet of thousands the most recent ones are enough.
@@ -13,13 +13,13 @@
 
 // failureDomain groups backends that may fail together: those of one role in one zone.
 type failureDomain struct {
-	role brain.Role
+	role scheduler.Role
 	zone int
 }
 
 // activityEntry is a backend and its failure domain.
 type activityEntry struct {
-	pool   *reach.Pool
+	pool   *connpool.Pool
 	domain failureDomain
 }
 
@@ -29,15 +29,15 @@
 type activityList struct {
 	mu       sync.Mutex
 	order    list.List // of activityEntry, the most recently active first
-	elements map[*reach.Pool]*list.Element
+	elements map[*connpool.Pool]*list.Element
 }
 
 // add appends a backend that has not sent anything yet.
-func (l *activityList) add(pool *reach.Pool, domain failureDomain) {
+func (l *activityList) add(pool *connpool.Pool, domain failureDomain) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.elements == nil {
-		l.elements = map[*reach.Pool]*list.Element{}
+		l.elements = map[*connpool.Pool]*list.Element{}
 	}
 	if l.elements[pool] == nil {
 		l.elements[pool] = l.order.PushBack(activityEntry{pool, domain})
@@ -45,7 +45,7 @@
 }
 
 // remove drops a backend that was removed from service discovery.
-func (l *activityList) remove(pool *reach.Pool) {
+func (l *activityList) remove(pool *connpool.Pool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if element := l.elements[pool]; element != nil {
@@ -55,7 +55,7 @@
 }
 
 // recordActivity moves a backend to the front, as it has just sent something.
-func (l *activityList) recordActivity(pool *reach.Pool) {
+func (l *activityList) recordActivity(pool *connpool.Pool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if element := l.elements[pool]; element != nil {
@@ -64,7 +64,7 @@
 }
 
 // recordSilence moves a backend to the back, as it was sent a request and sent nothing.
-func (l *activityList) recordSilence(pool *reach.Pool) {
+func (l *activityList) recordSilence(pool *connpool.Pool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if element := l.elements[pool]; element != nil {
@@ -75,11 +75,11 @@
 // byRecency returns backends in the order in which to try a call that any running backend can serve: the most
 // recently active one, then the most recently active one of each other failure domain, then the second of each, and
 // so on, as most backends of one domain may have failed since.
-func (l *activityList) byRecency() []*reach.Pool {
+func (l *activityList) byRecency() []*connpool.Pool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var domains []failureDomain
-	byDomain := map[failureDomain][]*reach.Pool{}
+	byDomain := map[failureDomain][]*connpool.Pool{}
 	for e, scanned := l.order.Front(), 0; e != nil && scanned < maxActivityScan; e, scanned = e.Next(), scanned+1 {
 		entry := e.Value.(activityEntry)
 		if byDomain[entry.domain] == nil {
@@ -87,7 +87,7 @@
 		}
 		byDomain[entry.domain] = append(byDomain[entry.domain], entry.pool)
 	}
-	var order []*reach.Pool
+	var order []*connpool.Pool
 	for round, more := 0, true; more; round++ {
 		more = false
 		for _, domain := range domains {
--- a/internal/platform/activity_test.go
+++ b/internal/platform/activity_test.go
@@ -4,17 +4,17 @@
 	"slices"
 	"testing"
 
-	"sloetrestle/brain"
-	"sloetrestle/internal/reach"
+	"sloetrestle/internal/connpool"
+	"sloetrestle/scheduler"
 )
 
 // namedPools returns a pool for each name, and a function that lists the names of pools in order.
-func namedPools(names ...string) (pools map[string]*reach.Pool, namesOf func([]*reach.Pool) []string) {
-	pools = map[string]*reach.Pool{}
+func namedPools(names ...string) (pools map[string]*connpool.Pool, namesOf func([]*connpool.Pool) []string) {
+	pools = map[string]*connpool.Pool{}
 	for _, name := range names {
-		pools[name] = &reach.Pool{Name: name}
+		pools[name] = &connpool.Pool{Name: name}
 	}
-	return pools, func(order []*reach.Pool) (names []string) {
+	return pools, func(order []*connpool.Pool) (names []string) {
 		for _, pool := range order {
 			names = append(names, pool.Name)
 		}
@@ -26,10 +26,10 @@
 	pools, namesOf := namedPools("r1", "r2", "r3", "w1", "w2")
 	var activity activityList
 	for _, name := range []string{"r1", "r2", "r3"} {
-		activity.add(pools[name], failureDomain{brain.RolePrefill, 0})
+		activity.add(pools[name], failureDomain{scheduler.RolePrefill, 0})
 	}
 	for _, name := range []string{"w1", "w2"} {
-		activity.add(pools[name], failureDomain{brain.RoleDecode, 0})
+		activity.add(pools[name], failureDomain{scheduler.RoleDecode, 0})
 	}
 	for _, test := range []struct {
 		name   string
@@ -59,9 +59,9 @@
 func TestReleaseOrderPutsTheHolderSecond(t *testing.T) {
 	pools, namesOf := namedPools("r1", "r2", "w1", "unknown")
 	transport := &transport{}
-	transport.activity.add(pools["r1"], failureDomain{brain.RolePrefill, 0})
-	transport.activity.add(pools["r2"], failureDomain{brain.RolePrefill, 0})
-	transport.activity.add(pools["w1"], failureDomain{brain.RoleDecode, 0})
+	transport.activity.add(pools["r1"], failureDomain{scheduler.RolePrefill, 0})
+	transport.activity.add(pools["r2"], failureDomain{scheduler.RolePrefill, 0})
+	transport.activity.add(pools["w1"], failureDomain{scheduler.RoleDecode, 0})
 	for holder, want := range map[string][]string{
 		"r1": {"r1", "w1", "r2"}, "r2": {"r1", "r2", "w1"}, "unknown": {"r1", "unknown", "w1", "r2"},
 	} {
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -12,12 +12,12 @@
 	"testing"
 	"time"
 
-	"sloetrestle/brain"
+	"sloetrestle/internal/connpool"
 	"sloetrestle/internal/dispatch"
-	"sloetrestle/internal/hosts"
 	"sloetrestle/internal/kserve"
-	"sloetrestle/internal/reach"
 	"sloetrestle/internal/system"
+	"sloetrestle/internal/testbackends"
+	"sloetrestle/scheduler"
 )
 
 // dialAndClose opens a connection and closes it again.
@@ -30,7 +30,7 @@
 }
 
 // backendState returns the state of a backend as the scheduler knows it.
-func (c *testCluster) backendState(name string) (state brain.BackendState) {
+func (c *testCluster) backendState(name string) (state scheduler.BackendState) {
 	c.node.loop.Call(context.Background(), func() {
 		if backend := c.node.loop.SchedulerBackend(name); backend != nil {
 			state = backend.State
@@ -64,18 +64,18 @@
 func TestDrainLearnedBeforeSendStopsTheAttempt(t *testing.T) {
 	cluster := startCluster(t, nil)
 	request := cluster.submit("q1", 0, func(*dispatch.ClientRequest) {
-		cluster.node.loop.SchedulerBackend("r1").State = brain.Draining
+		cluster.node.loop.SchedulerBackend("r1").State = scheduler.Draining
 	})
 	cluster.await("the request is finished", func() bool { return len(request.Final()) == 1 })
 	if n := len(cluster.site.Requests("r1", "POST")); n != 0 {
 		t.Errorf("%d attempts to a draining backend", n)
 	}
 	cluster.node.loop.Call(context.Background(), func() {
-		if b := cluster.node.loop.Estimates(); b.InSlowStart != 0 || cluster.node.loop.Counters.Outcomes[brain.NotSent] != 1 {
+		if b := cluster.node.loop.Estimates(); b.InSlowStart != 0 || cluster.node.loop.Counters.Outcomes[scheduler.NotSent] != 1 {
 			t.Errorf("an attempt that was not sent counts against its backend: %+v, outcomes %v",
 				b, cluster.node.loop.Counters.Outcomes)
 		}
-		cluster.node.loop.SchedulerBackend("r1").State = brain.Ready
+		cluster.node.loop.SchedulerBackend("r1").State = scheduler.Ready
 	})
 	cluster.awaitIdle()
 }
@@ -139,14 +139,14 @@
 // A request that is cancelled while it is being written counts as one that may have run; one of which no byte was
 // sent does not.
 func TestPartlyWrittenRequestMayHaveRun(t *testing.T) {
-	for sent, want := range map[int]brain.Outcome{0: brain.Unreachable, 10: brain.TimedOut} {
+	for sent, want := range map[int]scheduler.Outcome{0: scheduler.Unreachable, 10: scheduler.TimedOut} {
 		local, remote := net.Pipe()
 		ctx, cancel := context.WithCancelCause(context.Background())
 		go func() {
 			io.ReadFull(remote, make([]byte, sent))
 			cancel(dispatch.ErrAttemptTimeout)
 		}()
-		_, err := write(ctx, &reach.Conn{Conn: local}, []byte("POST / HTTP/1.1\r\n\r\n"), []byte("{}"))
+		_, err := write(ctx, &connpool.Conn{Conn: local}, []byte("POST / HTTP/1.1\r\n\r\n"), []byte("{}"))
 		if err == nil {
 			t.Fatal("a request that was broken off counts as sent")
 		}
@@ -162,7 +162,7 @@
 func TestEarlyAndEndlessResponses(t *testing.T) {
 	t.Run("endless 1xx", func(t *testing.T) {
 		cluster := startCluster(t, nil)
-		cluster.onFirstDecode(func(e *hosts.Exchange) bool {
+		cluster.onFirstDecode(func(e *testbackends.Exchange) bool {
 			for e.WriteRaw("HTTP/1.1 103 Early Hints\r\n\r\n") {
 				select {
 				case <-e.ClientClosed:
@@ -185,7 +185,7 @@
 				return true
 			}
 			io.ReadFull(conn, make([]byte, 50))
-			io.WriteString(conn, hosts.Rejection(503, true))
+			io.WriteString(conn, testbackends.Rejection(503, true))
 			return false
 		})
 		if got := cluster.send(cluster.request("hut-booking")); got.status != 200 {
@@ -203,7 +203,7 @@
 				config.Settings["policyLimits"].(map[string]any)["cancelling"] = cancelling
 			})
 			client := cluster.dial()
-			cluster.prefill.Handler = func(e *hosts.Exchange) bool {
+			cluster.prefill.Handler = func(e *testbackends.Exchange) bool {
 				if e.Method != "POST" {
 					return e.Serve()
 				}
@@ -230,7 +230,7 @@
 	cluster := startCluster(t, func(_ *testCluster, config *Config) { config.Limits.Sockets = 64 })
 	const requests = 8 // more than there are descriptors for concurrent release calls
 	received := make(chan bool, requests)
-	cluster.prefill.Handler = func(e *hosts.Exchange) bool {
+	cluster.prefill.Handler = func(e *testbackends.Exchange) bool {
 		e.HoldKVCache()
 		received <- true
 		<-e.ClientClosed
@@ -268,7 +268,7 @@
 func TestKnownRequestIDIsRefusedWithoutRetryAfter(t *testing.T) {
 	cluster := startCluster(t, nil)
 	received, hold := make(chan bool, 1), make(chan struct{})
-	cluster.onDecode(func(e *hosts.Exchange) bool {
+	cluster.onDecode(func(e *testbackends.Exchange) bool {
 		if e.Method != "POST" {
 			return e.Serve()
 		}
@@ -393,7 +393,7 @@
 	t.Run("no descriptor", func(t *testing.T) {
 		cluster := startCluster(t, nil)
 		done, returned := make(chan struct{}), make(chan struct{})
-		cluster.prefill.Handler = func(exchange *hosts.Exchange) bool {
+		cluster.prefill.Handler = func(exchange *testbackends.Exchange) bool {
 			if exchange.Method == "POST" { // during the prefill all descriptors are taken, the last one as soon as it is free
 				go func() {
 					defer close(returned)
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,5 +1,5 @@
 // Package platform runs one dispatcher in the users' platform: it reads the platform's configuration, accepts client
-// requests, sends attempts to backends and follows service discovery. Scheduling decisions are made by package brain
+// requests, sends attempts to backends and follows service discovery. Scheduling decisions are made by package scheduler
 // behind the event loop of package dispatch, and the wire protocols are those of packages chat and endpoints. Begin
 // with Run.
 package platform
@@ -14,7 +14,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 // Config is the configuration that the platform hands to a dispatcher.
@@ -79,7 +79,7 @@
 		return fmt.Errorf("configuration: limits must not be negative: memory_mb %d, sockets %d",
 			c.Limits.MemoryMB, c.Limits.Sockets)
 	}
-	return brain.FlattenSettings(c.Settings).Validate()
+	return scheduler.FlattenSettings(c.Settings).Validate()
 }
 
 // randomSeed returns the seed of the scheduler's random decisions.
--- a/internal/platform/config_test.go
+++ b/internal/platform/config_test.go
@@ -5,14 +5,14 @@
 	"path/filepath"
 	"testing"
 
-	"sloetrestle/brain"
-	"sloetrestle/internal/hosts"
+	"sloetrestle/internal/testbackends"
+	"sloetrestle/scheduler"
 )
 
 // A configuration is either rejected or leaves every use a share of its limits.
 func FuzzConfiguration(f *testing.F) {
 	f.Add([]byte(`{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2",` +
-		`"limits":{"memory_mb":64,"sockets":256},"settings":` + hosts.Settings + `}`))
+		`"limits":{"memory_mb":64,"sockets":256},"settings":` + testbackends.Settings + `}`))
 	f.Add([]byte(`{"listen":"a","discovery":"b","limits":{"memory_mb":1,"sockets":1},"settings":{"siblings":"x"}}`))
 	f.Add([]byte(`{"limits":{"sockets":-1}}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
@@ -47,7 +47,7 @@
 // A zone that the settings do not name has a number of its own: retries that are deduplicated within one zone must
 // not be sent to it.
 func TestUnnamedZoneHasItsOwnNumber(t *testing.T) {
-	settings := brain.FlattenSettings(map[string]any{"dcs": []any{"a", "b"}})
+	settings := scheduler.FlattenSettings(map[string]any{"dcs": []any{"a", "b"}})
 	seen := map[int]string{}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		number := zoneNumber(settings, name)
--- a/internal/platform/conn_test.go
+++ b/internal/platform/conn_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"sloetrestle/brain"
-	"sloetrestle/internal/hosts"
 	"sloetrestle/internal/system"
+	"sloetrestle/internal/testbackends"
+	"sloetrestle/scheduler"
 )
 
 // newConnPair returns a client's connection and the dispatcher's end of it. The channel is closed with the dispatcher's
@@ -148,7 +148,7 @@
 func TestPipelineOverrunClosesAfterResponse(t *testing.T) {
 	env := startCluster(t, nil)
 	hold := make(chan struct{})
-	env.prefill.Handler = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
+	env.prefill.Handler = func(e *testbackends.Exchange) bool { <-hold; return e.Serve() }
 	conn := env.dial()
 	io.WriteString(conn, env.request("trail-info"))
 	env.await("the attempt is in flight", func() bool { return len(env.site.Requests("r1", "POST")) == 1 })
@@ -171,14 +171,14 @@
 func TestCloseDoesNotResetConnection(t *testing.T) {
 	for name, change := range map[string]func(env *testCluster){
 		"a broken stream": func(env *testCluster) {
-			env.onDecode(func(e *hosts.Exchange) bool {
-				e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
+			env.onDecode(func(e *testbackends.Exchange) bool {
+				e.WriteRaw(testbackends.StreamHead + testbackends.EncodeChunk(testbackends.TextEvent("a")))
 				return false
 			})
 		},
 		"a response at shutdown": func(env *testCluster) { env.node.frontend.stopping.Store(true) },
 		"an error response": func(env *testCluster) {
-			env.prefill.Handler = func(e *hosts.Exchange) bool { return e.WriteRaw(hosts.Rejection(400, false)) }
+			env.prefill.Handler = func(e *testbackends.Exchange) bool { return e.WriteRaw(testbackends.Rejection(400, false)) }
 			env.node.frontend.stopping.Store(true)
 		},
 	} {
@@ -277,7 +277,7 @@
 	env.site.UpdateDiscovery(func() { env.decoders[0].State = "terminating" })
 	env.agent.SetSilent(false)
 	env.await("the drain is observed", func() bool {
-		return env.backendState("w1") == brain.Draining && env.agent.WatchCount() == 1
+		return env.backendState("w1") == scheduler.Draining && env.agent.WatchCount() == 1
 	})
 	conn := env.dial()
 	io.WriteString(conn, "GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -381,7 +381,7 @@
 func TestPipelinedRequestDeadlineIncludesQueueing(t *testing.T) {
 	env := startCluster(t, nil)
 	const delay = 600 * time.Millisecond
-	env.onDecode(func(exchange *hosts.Exchange) bool {
+	env.onDecode(func(exchange *testbackends.Exchange) bool {
 		if exchange.ID == "q1" {
 			time.Sleep(delay)
 		}
