--- a/internal/platform/connect.go
+++ b/internal/platform/connect.go
@@ -7,11 +7,11 @@
 	"io"
 	"time"
 
-	"sloetrestle/brain"
+	"sloetrestle/internal/connpool"
 	"sloetrestle/internal/dispatch"
 	"sloetrestle/internal/monitor"
-	"sloetrestle/internal/reach"
 	"sloetrestle/internal/system"
+	"sloetrestle/scheduler"
 )
 
 // This file takes an attempt from the choice of a backend to a fully written request: it gets a descriptor, opens a
@@ -27,8 +27,8 @@
 // connect opens a connection for an attempt and writes the whole request to it. A request that was not written whole
 // cannot have run.
 func (c *transport) connect(
-	ctx, dialCtx context.Context, attempt *dispatch.Attempt, backend *reach.Pool, request *outgoingRequest,
-) (*reach.Conn, func() bool, error) {
+	ctx, dialCtx context.Context, attempt *dispatch.Attempt, backend *connpool.Pool, request *outgoingRequest,
+) (*connpool.Conn, func() bool, error) {
 	limit := c.connectTimeout(attempt)
 	var local error // why this machine could not open the previous connection
 	for start, failures := time.Now(), 0; ; {
@@ -36,7 +36,7 @@
 		if err != nil && local != nil && dialCtx.Err() != nil {
 			return nil, nil, local
 		}
-		if local = nil; errors.Is(err, reach.ErrLocal) {
+		if local = nil; errors.Is(err, connpool.ErrLocal) {
 			// A momentary shortage of descriptors or ports on this machine says nothing about the backend. Counted as
 			// refused connections, such errors made the scheduler treat a whole fleet as restarting.
 			c.LocalFailures.Add(1)
@@ -83,10 +83,10 @@
 // may have begun to drain, the client may have gone or the window for repeats may have ended while the connection was
 // being opened.
 func (c *transport) send(
-	ctx context.Context, attempt *dispatch.Attempt, conn *reach.Conn, request *outgoingRequest,
+	ctx context.Context, attempt *dispatch.Attempt, conn *connpool.Conn, request *outgoingRequest,
 ) (stop func() bool, err error) {
 	permission := c.maySend(ctx, attempt)
-	if permission != brain.Allowed {
+	if permission != scheduler.Allowed {
 		c.Stale.Add(1)
 		c.log.Debug("attempt not sent", "id", request.id, "backend", attempt.Backend.Name,
 			"number", attempt.Scheduled.Number, "why", permission)
@@ -113,13 +113,13 @@
 
 // maySend asks the event loop for permission to send, again if the process stalled meanwhile: events that arrived
 // during the stall must be processed before the answer counts.
-func (c *transport) maySend(ctx context.Context, attempt *dispatch.Attempt) brain.Permission {
+func (c *transport) maySend(ctx context.Context, attempt *dispatch.Attempt) scheduler.Permission {
 	for {
-		start, permission := time.Now(), brain.RequestFinished
+		start, permission := time.Now(), scheduler.RequestFinished
 		if !c.loop.Call(ctx, func() { permission = c.loop.MaySend(attempt) }) {
-			return brain.RequestFinished
+			return scheduler.RequestFinished
 		}
-		if permission != brain.Allowed || !c.stalls.stalledSince(start, time.Now()) {
+		if permission != scheduler.Allowed || !c.stalls.stalledSince(start, time.Now()) {
 			return permission
 		}
 		system.Sleep(ctx, dialRetryDelay)
@@ -127,7 +127,7 @@
 }
 
 // write writes a request, and closes its connection when the context is cancelled.
-func write(ctx context.Context, conn *reach.Conn, head, body []byte) (stop func() bool, err error) {
+func write(ctx context.Context, conn *connpool.Conn, head, body []byte) (stop func() bool, err error) {
 	stop = context.AfterFunc(ctx, func() { conn.Conn.Close() })
 	complete, err := conn.WriteRequest(head, body)
 	if complete {
@@ -143,8 +143,8 @@
 // openConn opens a connection for an attempt within the limit on descriptors for attempts, and writes the request to
 // it.
 func (c *transport) openConn(
-	ctx context.Context, attempt *dispatch.Attempt, backend *reach.Pool, request *outgoingRequest,
-) (conn *reach.Conn, stop func() bool, err error) {
+	ctx context.Context, attempt *dispatch.Attempt, backend *connpool.Pool, request *outgoingRequest,
+) (conn *connpool.Conn, stop func() bool, err error) {
 	if backend == nil {
 		return nil, nil, errNotSent // its backend has been removed
 	}
@@ -170,16 +170,16 @@
 // notSentResult returns the result of an attempt whose request was not written to its last byte. If the dispatcher
 // itself cut the request off, the attempt is not reported as harmless: only the backend knows what it had received by
 // then.
-func notSentResult(ctx context.Context, err error) brain.Result {
+func notSentResult(ctx context.Context, err error) scheduler.Result {
 	switch {
 	case errors.Is(context.Cause(ctx), dispatch.ErrNotNeeded):
-		return brain.Result{Outcome: brain.Cancelled}
+		return scheduler.Result{Outcome: scheduler.Cancelled}
 	case errors.Is(err, errCutMidRequest):
-		return brain.Result{Outcome: brain.TimedOut}
-	case errors.Is(err, errNotSent), errors.Is(err, reach.ErrLocal):
-		return brain.Result{Outcome: brain.NotSent}
+		return scheduler.Result{Outcome: scheduler.TimedOut}
+	case errors.Is(err, errNotSent), errors.Is(err, connpool.ErrLocal):
+		return scheduler.Result{Outcome: scheduler.NotSent}
 	}
-	return brain.Result{Outcome: brain.Unreachable}
+	return scheduler.Result{Outcome: scheduler.Unreachable}
 }
 
 // errUnacknowledged ends an attempt whose request the backend's host has not acknowledged.
@@ -187,7 +187,7 @@
 
 // checkAcknowledged cancels an attempt whose request was written whole but has not been acknowledged: the KV cache that
 // it is to take keeps waiting. Only the backend knows whether the request may still run.
-func (c *transport) checkAcknowledged(attempt *dispatch.Attempt, conn *reach.Conn) {
+func (c *transport) checkAcknowledged(attempt *dispatch.Attempt, conn *connpool.Conn) {
 	if system.UnacknowledgedBytes(conn.Conn) > 0 {
 		c.Unacknowledged.Add(1)
 		attempt.Cancel(errUnacknowledged)
--- a/internal/platform/frontend.go
+++ b/internal/platform/frontend.go
@@ -12,11 +12,11 @@
 	"sync/atomic"
 	"time"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/chat"
 	"sloetrestle/internal/dispatch"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/monitor"
+	"sloetrestle/scheduler"
 )
 
 const (
@@ -63,7 +63,7 @@
 
 // newFrontend returns a frontend that submits requests to an event loop.
 func newFrontend(
-	loop *dispatch.Loop, settings brain.Settings, maxBodyBytes int64, observer *monitor.Monitor, stalls *stallDetector,
+	loop *dispatch.Loop, settings scheduler.Settings, maxBodyBytes int64, observer *monitor.Monitor, stalls *stallDetector,
 	log *slog.Logger,
 ) *frontend {
 	handler := &frontend{
--- a/internal/platform/loop_lag_test.go
+++ b/internal/platform/loop_lag_test.go
@@ -4,14 +4,14 @@
 	"testing"
 	"time"
 
-	"sloetrestle/internal/hosts"
+	"sloetrestle/internal/testbackends"
 )
 
 // A request is answered in time even if the event loop is far behind and gives no answer, and nothing is sent for it
 // afterwards.
 func TestRequestIsAnsweredInTimeWhenEventLoopLags(t *testing.T) {
 	env := startCluster(t, nil)
-	env.onDecode((*hosts.Exchange).Serve)
+	env.onDecode((*testbackends.Exchange).Serve)
 	const blocked, timeout, latest = 2 * time.Second, 400 * time.Millisecond, 900 * time.Millisecond
 	env.node.loop.Post(func() { time.Sleep(blocked) })
 	start := time.Now()
@@ -33,7 +33,7 @@
 // While the event loop is behind, new requests are rejected; once it has caught up, they are accepted.
 func TestRequestsAreRejectedWhileEventLoopLags(t *testing.T) {
 	env := startCluster(t, nil)
-	env.onDecode((*hosts.Exchange).Serve)
+	env.onDecode((*testbackends.Exchange).Serve)
 	done := make(chan struct{})
 	env.node.loop.Post(func() { <-done })
 	env.node.loop.Post(func() {})
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -17,9 +17,9 @@
 
 	"go.uber.org/goleak"
 
-	"sloetrestle/brain"
-	"sloetrestle/internal/hosts"
 	"sloetrestle/internal/system"
+	"sloetrestle/internal/testbackends"
+	"sloetrestle/scheduler"
 )
 
 // discardLog discards its lines.
@@ -28,10 +28,10 @@
 // testCluster is a dispatcher in this process with one prefill backend and two decode backends.
 type testCluster struct {
 	t        *testing.T
-	site     *hosts.Platform
-	agent    *hosts.Agent // of service discovery
-	prefill  *hosts.Backend
-	decoders []*hosts.Backend
+	site     *testbackends.Platform
+	agent    *testbackends.Agent // of service discovery
+	prefill  *testbackends.Backend
+	decoders []*testbackends.Backend
 	node     *node
 	address  string // of the dispatcher's listener
 	reloads  chan os.Signal
@@ -48,14 +48,14 @@
 	t.Helper()
 	before := goleak.IgnoreCurrent()
 	cluster := &testCluster{
-		t: t, site: hosts.New(), reloads: make(chan os.Signal, 1), exited: make(chan error, 1), system: system.Real(),
+		t: t, site: testbackends.New(), reloads: make(chan os.Signal, 1), exited: make(chan error, 1), system: system.Real(),
 	}
-	cluster.prefill = cluster.site.AddBackend("r1", hosts.PrefillKind)
-	cluster.decoders = []*hosts.Backend{cluster.site.AddBackend("w1", hosts.DecodeKind),
-		cluster.site.AddBackend("w2", hosts.DecodeKind)}
+	cluster.prefill = cluster.site.AddBackend("r1", testbackends.PrefillKind)
+	cluster.decoders = []*testbackends.Backend{cluster.site.AddBackend("w1", testbackends.DecodeKind),
+		cluster.site.AddBackend("w2", testbackends.DecodeKind)}
 	cluster.agent = cluster.site.AddAgent()
 	config := Config{Name: "n1", Listen: "127.0.0.1:0", Discovery: cluster.agent.Address, Seed: "8c1f30d27a5be964"}
-	if err := json.Unmarshal([]byte(hosts.Settings), &config.Settings); err != nil {
+	if err := json.Unmarshal([]byte(testbackends.Settings), &config.Settings); err != nil {
 		t.Fatal(err)
 	}
 	if change != nil {
@@ -114,15 +114,15 @@
 }
 
 // onDecode sets how both decode backends respond.
-func (c *testCluster) onDecode(do func(e *hosts.Exchange) bool) {
+func (c *testCluster) onDecode(do func(e *testbackends.Exchange) bool) {
 	for _, decoder := range c.decoders {
 		decoder.Handler = do
 	}
 }
 
 // onFirstDecode sets how the decode backends respond to the first attempt; further ones are served normally.
-func (c *testCluster) onFirstDecode(do func(e *hosts.Exchange) bool) {
-	c.onDecode(func(e *hosts.Exchange) bool {
+func (c *testCluster) onFirstDecode(do func(e *testbackends.Exchange) bool) {
+	c.onDecode(func(e *testbackends.Exchange) bool {
 		if e.Method == "POST" && len(c.site.Requests("w1", "POST"))+len(c.site.Requests("w2", "POST")) == 1 {
 			return do(e)
 		}
@@ -132,9 +132,9 @@
 
 // holdPrefills makes the prefill backend hold a KV cache for each request and respond to none. The requests are sent to
 // the channel.
-func (c *testCluster) holdPrefills() <-chan *hosts.Exchange {
-	received := make(chan *hosts.Exchange, 1)
-	c.prefill.Handler = func(e *hosts.Exchange) bool {
+func (c *testCluster) holdPrefills() <-chan *testbackends.Exchange {
+	received := make(chan *testbackends.Exchange, 1)
+	c.prefill.Handler = func(e *testbackends.Exchange) bool {
 		if e.Method != "POST" {
 			return e.Serve()
 		}
@@ -155,7 +155,7 @@
 			int(c.node.frontend.bodyBytes.Load()) +
 			int(c.node.transport.pending.Load())
 		c.node.loop.Call(context.Background(), func() {
-			for _, b := range []*hosts.Backend{c.prefill, c.decoders[0], c.decoders[1]} {
+			for _, b := range []*testbackends.Backend{c.prefill, c.decoders[0], c.decoders[1]} {
 				if known := c.node.loop.SchedulerBackend(b.UID); known != nil &&
 					(known.Streams != 0 || known.KVTokens != 0 || known.PrefillBacklog != 0) {
 					remaining++
@@ -229,7 +229,7 @@
 func TestRequestAndResponsePassThroughByteForByte(t *testing.T) {
 	cluster := startCluster(t, nil)
 	got := cluster.send(cluster.request("hut-booking"))
-	if got.status != 200 || got.body != hosts.TextEvent("a")+hosts.TextEvent("b")+hosts.UsageEvent+hosts.DoneEvent ||
+	if got.status != 200 || got.body != testbackends.TextEvent("a")+testbackends.TextEvent("b")+testbackends.UsageEvent+testbackends.DoneEvent ||
 		!got.complete {
 		t.Errorf("%+v", got)
 	}
@@ -284,35 +284,39 @@
 // Every way in which a decode attempt can end, and what the client of a non-idempotent and of an idempotent request
 // gets then. If the attempt provably did not run, both may be retried.
 func TestAttemptEndsAreRetriedOnlyIfProvenNotRun(t *testing.T) {
-	malformed := func(raw string) func(exchange *hosts.Exchange) bool {
-		return func(exchange *hosts.Exchange) bool { exchange.WriteRaw(raw); <-exchange.ClientClosed; return false }
+	malformed := func(raw string) func(exchange *testbackends.Exchange) bool {
+		return func(exchange *testbackends.Exchange) bool {
+			exchange.WriteRaw(raw)
+			<-exchange.ClientClosed
+			return false
+		}
 	}
-	responds := func(raw string) func(exchange *hosts.Exchange) bool {
-		return func(exchange *hosts.Exchange) bool { return exchange.WriteRaw(raw) }
+	responds := func(raw string) func(exchange *testbackends.Exchange) bool {
+		return func(exchange *testbackends.Exchange) bool { return exchange.WriteRaw(raw) }
 	}
 	for _, test := range []struct {
 		name       string
-		do         func(exchange *hosts.Exchange) bool
+		do         func(exchange *testbackends.Exchange) bool
 		wantStatus int // for the client of a non-idempotent request
 	}{
-		{"rejected by the backend", responds(hosts.Rejection(503, true)), 200},
-		{"deadline passed at the backend", responds(hosts.Rejection(504, true)), 200},
-		{"KV cache gone", responds(hosts.Rejection(410, true)), 200},
-		{"503 that proves nothing", responds(hosts.Rejection(503, false)), 502},
-		{"error", responds(hosts.Rejection(500, false)), 502},
-		{"reset", func(*hosts.Exchange) bool { return false }, 502},
+		{"rejected by the backend", responds(testbackends.Rejection(503, true)), 200},
+		{"deadline passed at the backend", responds(testbackends.Rejection(504, true)), 200},
+		{"KV cache gone", responds(testbackends.Rejection(410, true)), 200},
+		{"503 that proves nothing", responds(testbackends.Rejection(503, false)), 502},
+		{"error", responds(testbackends.Rejection(500, false)), 502},
+		{"reset", func(*testbackends.Exchange) bool { return false }, 502},
 		{"garbage", malformed("\x00\x01\x02\x03 noise\r\n\r\n"), 502},
 		{"endless head", malformed("HTTP/1.1 200 OK\r\n" + strings.Repeat("X-A: b\r\n", 9000)), 502},
 		{"incomplete head", malformed("HTTP/1.1 200 OK\r\nX-"), 502},
-		{"malformed chunk", malformed(hosts.StreamHead + "zz\r\n"), 502},
-		{"chunk of 3 GB", malformed(hosts.StreamHead + "c0000000\r\n" + hosts.TextEvent("a")), 502},
-		{"length instead of chunks", malformed("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" + hosts.TextEvent("a")), 502},
-		{"1xx first", func(exchange *hosts.Exchange) bool {
+		{"malformed chunk", malformed(testbackends.StreamHead + "zz\r\n"), 502},
+		{"chunk of 3 GB", malformed(testbackends.StreamHead + "c0000000\r\n" + testbackends.TextEvent("a")), 502},
+		{"length instead of chunks", malformed("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" + testbackends.TextEvent("a")), 502},
+		{"1xx first", func(exchange *testbackends.Exchange) bool {
 			exchange.WriteRaw("HTTP/1.1 103 Early Hints\r\n\r\n")
 			return exchange.Serve()
 		}, 200},
-		{"second response behind the first", func(exchange *hosts.Exchange) bool {
-			return exchange.Serve() && exchange.WriteRaw(hosts.StreamHead+hosts.EncodeChunk(hosts.TextEvent("z")))
+		{"second response behind the first", func(exchange *testbackends.Exchange) bool {
+			return exchange.Serve() && exchange.WriteRaw(testbackends.StreamHead+testbackends.EncodeChunk(testbackends.TextEvent("z")))
 		}, 200},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -335,7 +339,7 @@
 // An idempotent request is retried although its first attempt may have run, unlike a non-idempotent one.
 func TestIdempotentRequestSurvivesAMalformedResponse(t *testing.T) {
 	cluster := startCluster(t, nil)
-	cluster.onFirstDecode(func(e *hosts.Exchange) bool { return e.WriteRaw("HTTP/1.1 200 OK\r\n\x01\x02\r\n") && false })
+	cluster.onFirstDecode(func(e *testbackends.Exchange) bool { return e.WriteRaw("HTTP/1.1 200 OK\r\n\x01\x02\r\n") && false })
 	if got := cluster.send(cluster.request("trail-info")); got.status != 200 || !got.complete {
 		t.Errorf("%+v", got)
 	}
@@ -346,16 +350,16 @@
 // does not take the response for complete.
 func TestBrokenStreamIsNotEndedAsComplete(t *testing.T) {
 	for name, tail := range map[string]string{
-		"between chunks": "", "in a chunk": "20\r\ndata", "in a chunk's size": "zz\r\n", "early last chunk": hosts.LastChunk,
+		"between chunks": "", "in a chunk": "20\r\ndata", "in a chunk's size": "zz\r\n", "early last chunk": testbackends.LastChunk,
 	} {
 		t.Run(name, func(t *testing.T) {
 			cluster := startCluster(t, nil)
-			cluster.onDecode(func(e *hosts.Exchange) bool {
-				e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")) + tail)
+			cluster.onDecode(func(e *testbackends.Exchange) bool {
+				e.WriteRaw(testbackends.StreamHead + testbackends.EncodeChunk(testbackends.TextEvent("a")) + tail)
 				return false
 			})
 			if got := cluster.send(cluster.request("trail-info")); got.status != 200 ||
-				got.body != hosts.TextEvent("a") || got.complete {
+				got.body != testbackends.TextEvent("a") || got.complete {
 				t.Errorf("%+v", got)
 			}
 			cluster.awaitIdle()
@@ -368,9 +372,9 @@
 	cluster := startCluster(t, func(cluster *testCluster, config *Config) {
 		config.Settings["familyInfo"].(map[string]any)["pinLimitUs"] = 300_000.0
 		cluster.site.HoldLimit = 500 * time.Millisecond
-		cluster.site.AddBackend("r2", hosts.DecodeKind).State = "terminating" // it accepts no requests, but release calls
+		cluster.site.AddBackend("r2", testbackends.DecodeKind).State = "terminating" // it accepts no requests, but release calls
 	})
-	cluster.prefill.Handler = func(e *hosts.Exchange) bool {
+	cluster.prefill.Handler = func(e *testbackends.Exchange) bool {
 		if e.Method == "POST" {
 			for _, b := range append(cluster.decoders, cluster.prefill) {
 				b.Blackhole()
@@ -389,8 +393,8 @@
 // A stream whose backend sends nothing more is given up within 5 s.
 func TestStalledStreamIsGivenUp(t *testing.T) {
 	cluster := startCluster(t, nil)
-	cluster.onDecode(func(e *hosts.Exchange) bool {
-		e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
+	cluster.onDecode(func(e *testbackends.Exchange) bool {
+		e.WriteRaw(testbackends.StreamHead + testbackends.EncodeChunk(testbackends.TextEvent("a")))
 		<-e.ClientClosed
 		return false
 	})
@@ -465,7 +469,7 @@
 func TestIDOfAnOpenRequestIsRefused(t *testing.T) {
 	cluster := startCluster(t, nil)
 	hold := make(chan struct{})
-	cluster.prefill.Handler = func(e *hosts.Exchange) bool { <-hold; return e.Serve() }
+	cluster.prefill.Handler = func(e *testbackends.Exchange) bool { <-hold; return e.Serve() }
 	raw := cluster.request("hut-booking")
 	client := cluster.dial()
 	io.WriteString(client, raw)
@@ -485,8 +489,8 @@
 	for _, phase := range []string{"prefill", "decode", "streaming"} {
 		t.Run(phase, func(t *testing.T) {
 			cluster := startCluster(t, nil)
-			received := make(chan *hosts.Exchange, 1)
-			stay := func(exchange *hosts.Exchange) bool {
+			received := make(chan *testbackends.Exchange, 1)
+			stay := func(exchange *testbackends.Exchange) bool {
 				if exchange.Method != "POST" {
 					return exchange.Serve()
 				}
@@ -494,7 +498,7 @@
 				case "prefill":
 					exchange.HoldKVCache() // the prefill succeeds just as the attempt is cancelled
 				case "streaming":
-					exchange.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
+					exchange.WriteRaw(testbackends.StreamHead + testbackends.EncodeChunk(testbackends.TextEvent("a")))
 				}
 				received <- exchange
 				<-exchange.ClientClosed
@@ -548,7 +552,7 @@
 // A KV cache is released also if the backend that may hold it can't be reached: any backend accepts the call.
 func TestKVCacheIsReleasedThroughAnotherBackend(t *testing.T) {
 	cluster := startCluster(t, nil)
-	cluster.prefill.Handler = func(e *hosts.Exchange) bool {
+	cluster.prefill.Handler = func(e *testbackends.Exchange) bool {
 		if e.Method != "POST" {
 			return e.Serve()
 		}
@@ -591,7 +595,7 @@
 	}
 	cluster.node.loop.Call(context.Background(), func() {
 		if b := cluster.node.loop.Estimates(); b.InSlowStart != 0 ||
-			cluster.node.loop.Counters.Outcomes[brain.Unreachable] != 0 {
+			cluster.node.loop.Counters.Outcomes[scheduler.Unreachable] != 0 {
 			t.Errorf("%+v, outcomes %v", b, cluster.node.loop.Counters.Outcomes)
 		}
 	})
@@ -602,7 +606,7 @@
 // elsewhere.
 func TestRequestThatABackendFindsInvalidIsNotRetried(t *testing.T) {
 	cluster := startCluster(t, nil)
-	cluster.prefill.Handler = func(e *hosts.Exchange) bool { return e.WriteRaw(hosts.Rejection(400, false)) }
+	cluster.prefill.Handler = func(e *testbackends.Exchange) bool { return e.WriteRaw(testbackends.Rejection(400, false)) }
 	if got := cluster.send(cluster.request("trail-info")); got.status != 502 ||
 		len(cluster.site.Requests("", "POST")) != 1 {
 		t.Errorf("%+v after %d attempts", got, len(cluster.site.Requests("", "POST")))
@@ -720,9 +724,9 @@
 	})
 	cluster.site.UpdateDiscovery(func() { cluster.prefill.State = "terminating" })
 	cluster.await("the drain is known", func() bool {
-		state := brain.Ready
+		state := scheduler.Ready
 		cluster.node.loop.Call(context.Background(), func() { state = cluster.node.loop.SchedulerBackend("r1").State })
-		return state == brain.Draining
+		return state == scheduler.Draining
 	})
 }
 
@@ -730,7 +734,7 @@
 // their connections.
 func TestShutdownAnswersAdmittedRequests(t *testing.T) {
 	cluster := startCluster(t, nil)
-	cluster.onDecode(func(exchange *hosts.Exchange) bool {
+	cluster.onDecode(func(exchange *testbackends.Exchange) bool {
 		if exchange.Method != "POST" || exchange.ID != "q1" && exchange.ID != "q2" {
 			return exchange.Serve()
 		}
@@ -738,8 +742,8 @@
 			<-exchange.ClientClosed // its response never starts
 			return false
 		}
-		exchange.WriteRaw(hosts.StreamHead)
-		for exchange.WriteRaw(hosts.EncodeChunk(hosts.TextEvent("a"))) {
+		exchange.WriteRaw(testbackends.StreamHead)
+		for exchange.WriteRaw(testbackends.EncodeChunk(testbackends.TextEvent("a"))) {
 			select {
 			case <-exchange.ClientClosed:
 				return false
@@ -772,15 +776,15 @@
 // answer.
 func TestStreamIsNotCutBeforeItsFirstEvent(t *testing.T) {
 	cluster := startCluster(t, nil)
-	cluster.onDecode(func(e *hosts.Exchange) bool {
-		e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
+	cluster.onDecode(func(e *testbackends.Exchange) bool {
+		e.WriteRaw(testbackends.StreamHead + testbackends.EncodeChunk(testbackends.TextEvent("a")))
 		<-e.ClientClosed
 		return false
 	})
 	close(cluster.node.frontend.moveStreams)
 	for range 20 {
 		if got := cluster.send(cluster.request("trail-info")); got.status != 200 ||
-			got.body != hosts.TextEvent("a") || got.complete {
+			got.body != testbackends.TextEvent("a") || got.complete {
 			t.Fatalf("%+v", got)
 		}
 	}
@@ -792,9 +796,9 @@
 func TestChurnLeavesNothingBehind(t *testing.T) {
 	cluster := startCluster(t, nil)
 	for i := range 40 {
-		var added *hosts.Backend
+		var added *testbackends.Backend
 		cluster.site.UpdateDiscovery(func() {})
-		added = cluster.site.AddBackend(fmt.Sprintf("n%d", i), hosts.DecodeKind)
+		added = cluster.site.AddBackend(fmt.Sprintf("n%d", i), testbackends.DecodeKind)
 		cluster.site.UpdateDiscovery(func() {})
 		if got := cluster.send(cluster.request("trail-info")); got.status != 200 {
 			t.Fatalf("%+v", got)
--- a/internal/platform/observe.go
+++ b/internal/platform/observe.go
@@ -6,10 +6,10 @@
 	"sync/atomic"
 	"time"
 
-	"sloetrestle/brain"
-	"sloetrestle/internal/boxlist"
 	"sloetrestle/internal/dispatch"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/monitor"
+	"sloetrestle/scheduler"
 )
 
 // Bounds of the monitored rules that the settings do not state.
@@ -56,7 +56,7 @@
 }
 
 // monitorBounds returns the bounds of the monitored rules under the given settings.
-func monitorBounds(settings brain.Settings) monitor.Bounds {
+func monitorBounds(settings scheduler.Settings) monitor.Bounds {
 	bounds := monitor.Bounds{
 		ClientGoneGrace: clientGoneSlack, TimeoutSlack: statedTimeoutSlack,
 		DrainGrace: settings.Duration("rules.drainGraceUs"),
@@ -71,16 +71,16 @@
 }
 
 // monitorClasses returns the monitor's classes of requests by class number: whether and how a request may run again.
-func monitorClasses(settings brain.Settings) (monitored []monitor.Class) {
+func monitorClasses(settings scheduler.Settings) (monitored []monitor.Class) {
 	classes, err := settings.Classes()
 	if err != nil {
 		return nil // the event loop needs the classes too, and reports the error
 	}
 	for _, class := range classes {
-		monitored = append(monitored, map[brain.Effect]monitor.Class{
-			brain.Idempotent:    monitor.Idempotent,
-			brain.Deduplicated:  monitor.Deduplicated,
-			brain.NonIdempotent: monitor.NonIdempotent,
+		monitored = append(monitored, map[scheduler.Effect]monitor.Class{
+			scheduler.Idempotent:    monitor.Idempotent,
+			scheduler.Deduplicated:  monitor.Deduplicated,
+			scheduler.NonIdempotent: monitor.NonIdempotent,
 		}[class.Effect])
 	}
 	return monitored
@@ -88,12 +88,14 @@
 
 // hasEffect reports whether an attempt may have an effect that must not happen twice. A prefill has none, however it
 // ends.
-func hasEffect(attempt *dispatch.Attempt) bool { return attempt.Scheduled.Stage != brain.StagePrefill }
+func hasEffect(attempt *dispatch.Attempt) bool {
+	return attempt.Scheduled.Stage != scheduler.StagePrefill
+}
 
 // provenEnd returns what the outcome of an attempt proves about whether it ran.
-func provenEnd(outcome brain.Outcome) monitor.AttemptEnd {
+func provenEnd(outcome scheduler.Outcome) monitor.AttemptEnd {
 	switch {
-	case outcome == brain.Prefilled:
+	case outcome == scheduler.Prefilled:
 		return monitor.CacheHeld
 	case outcome.NeverRan():
 		return monitor.NeverRan
@@ -108,12 +110,12 @@
 	known   map[string]bool // backends by name
 }
 
-func (o *discoveryObserver) listed(endpoints []boxlist.Endpoint, full bool) {
+func (o *discoveryObserver) listed(endpoints []endpointlist.Endpoint, full bool) {
 	named := map[string]bool{}
 	for _, endpoint := range endpoints {
 		named[endpoint.Name] = true
 		o.known[endpoint.Name] = true
-		o.monitor.BackendChanged(endpoint.Name, endpoint.State == boxlist.Ready)
+		o.monitor.BackendChanged(endpoint.Name, endpoint.State == endpointlist.Ready)
 	}
 	if !full {
 		return
--- a/internal/platform/releases.go
+++ b/internal/platform/releases.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"sloetrestle/internal/chat"
+	"sloetrestle/internal/connpool"
 	"sloetrestle/internal/dispatch"
-	"sloetrestle/internal/reach"
 )
 
 const (
@@ -66,17 +66,17 @@
 // releaseOrder returns the order in which backends are called: by recency of activity, with the backend that may hold
 // the KV cache second at the latest. If many backends are partitioned, calls to those would otherwise take all
 // descriptors and the remaining time.
-func (c *transport) releaseOrder(holder *reach.Pool) []*reach.Pool {
+func (c *transport) releaseOrder(holder *connpool.Pool) []*connpool.Pool {
 	order := c.activity.byRecency()
 	if holder == nil || len(order) > 0 && order[0] == holder {
 		return order
 	}
-	order = slices.DeleteFunc(order, func(pool *reach.Pool) bool { return pool == holder })
+	order = slices.DeleteFunc(order, func(pool *connpool.Pool) bool { return pool == holder })
 	return slices.Insert(order, min(1, len(order)), holder)
 }
 
 // releaseAny calls backends until one answers, and reports whether one did.
-func (c *transport) releaseAny(targets []*reach.Pool, call []byte) bool {
+func (c *transport) releaseAny(targets []*connpool.Pool, call []byte) bool {
 	ctx, cancel := context.WithTimeout(c.lifetime, releaseTimeout)
 	defer cancel()
 	results := make(chan releaseResult)
@@ -122,7 +122,7 @@
 )
 
 // release calls one backend. The call's timeout starts once there is a descriptor for it.
-func (c *transport) release(ctx context.Context, pool *reach.Pool, call []byte) releaseResult {
+func (c *transport) release(ctx context.Context, pool *connpool.Pool, call []byte) releaseResult {
 	select {
 	case c.callSlots <- struct{}{}:
 	case <-ctx.Done():
@@ -139,11 +139,11 @@
 	return result
 }
 
-func (c *transport) callRelease(ctx context.Context, pool *reach.Pool, call []byte) releaseResult {
+func (c *transport) callRelease(ctx context.Context, pool *connpool.Pool, call []byte) releaseResult {
 	ctx, cancel := context.WithTimeout(ctx, releaseCallTimeout)
 	defer cancel()
 	conn, err := pool.Get(ctx)
-	if errors.Is(err, reach.ErrLocal) {
+	if errors.Is(err, connpool.ErrLocal) {
 		return releaseNotStarted
 	}
 	if err != nil {
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -13,14 +13,14 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"sloetrestle/brain"
-	"sloetrestle/internal/boxlist"
 	"sloetrestle/internal/chat"
+	"sloetrestle/internal/connpool"
 	"sloetrestle/internal/dispatch"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/endpoints"
 	"sloetrestle/internal/monitor"
-	"sloetrestle/internal/reach"
 	"sloetrestle/internal/system"
+	"sloetrestle/scheduler"
 )
 
 const (
@@ -34,7 +34,7 @@
 // node is one dispatcher with its listeners, its connections to backends and its background goroutines.
 type node struct {
 	config         Config
-	settings       brain.Settings
+	settings       scheduler.Settings
 	log            *slog.Logger
 	lifetime       context.Context // of attempts, which continue during a graceful shutdown
 	cancel         context.CancelFunc
@@ -68,14 +68,14 @@
 
 // newNode opens the listeners and sets up a dispatcher with the last-known endpoints of its configuration.
 func newNode(ctx context.Context, config Config, sys system.System, log *slog.Logger) (*node, error) {
-	shares, settings := config.resources(), brain.FlattenSettings(config.Settings)
+	shares, settings := config.resources(), scheduler.FlattenSettings(config.Settings)
 	began := time.Now()
 	since := func() time.Duration { return time.Since(began) }
 	dispatcher := &node{config: config, settings: settings, log: log, acceptingDone: make(chan struct{})}
 	dispatcher.lifetime, dispatcher.cancel = context.WithCancel(ctx)
 	dispatcher.stalls = newStallDetector(time.Now())
 	dispatcher.monitor = monitor.New(monitorBounds(settings), since, log)
-	pools := &reach.Manager{
+	pools := &connpool.Manager{
 		DialTimeout:        max(settings.Duration("policyLimits.dialTimeoutUs"), 10*time.Millisecond),
 		MaxConnsPerBackend: shares.attempts, Now: since,
 		Context: dispatcher.lifetime, Group: &dispatcher.transportTasks, Dial: sys.Dial, SkipVerify: true,
@@ -84,7 +84,7 @@
 		loadFields: settings.Names("report.fields"), pools: pools, lifetime: dispatcher.lifetime,
 		tasks: &dispatcher.transportTasks, log: log, notable: &notableLog{log: log}, monitor: dispatcher.monitor,
 		stalls: dispatcher.stalls, traffic: map[string]*backendTraffic{},
-		poolOf: map[*dispatch.Backend]*reach.Pool{}, releaser: releaser{callSlots: make(chan struct{}, shares.releases)},
+		poolOf: map[*dispatch.Backend]*connpool.Pool{}, releaser: releaser{callSlots: make(chan struct{}, shares.releases)},
 		clock: since, attemptSlots: make(chan struct{}, shares.attempts),
 	}
 	resolver := dispatch.Resolver{
@@ -118,7 +118,7 @@
 	observer := &discoveryObserver{dispatcher.monitor, map[string]bool{}}
 	dispatcher.follower = &endpoints.Follower{
 		Log: log, Monotonic: since, WallClock: sys.Wall, Dial: sys.Dial,
-		OnUpdate: func(listed []boxlist.Endpoint, full bool) {
+		OnUpdate: func(listed []endpointlist.Endpoint, full bool) {
 			observer.listed(listed, full)
 			dispatcher.loop.Post(func() { dispatcher.loop.UpdateBackends(listed, full) })
 		},
@@ -146,7 +146,7 @@
 // zoneNumber returns the number of a zone: its index in the settings or, for a zone that they do not name, a number
 // that none of the named zones has. Backends deduplicate requests per zone, so an unnamed zone must not be taken for
 // a named one.
-func zoneNumber(settings brain.Settings, name string) int {
+func zoneNumber(settings scheduler.Settings, name string) int {
 	if i := settings.Index("dcs", name); i >= 0 || name == "" {
 		return max(i, 0)
 	}
--- a/internal/platform/shutdown.go
+++ b/internal/platform/shutdown.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"time"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 // What the platform guarantees about a planned restart.
@@ -40,7 +40,7 @@
 
 // shutdownTimesFor derives the times of a graceful shutdown from the settings: SIGKILL comes no sooner than the
 // longest deadline, counted as 3 s where it is longer, plus 0.7 s.
-func shutdownTimesFor(settings brain.Settings) shutdownTimes {
+func shutdownTimesFor(settings scheduler.Settings) shutdownTimes {
 	longest := longestDeadline(settings)
 	if longest == 0 {
 		longest = maxDeadlineBeforeKill
@@ -55,7 +55,7 @@
 }
 
 // longestDeadline returns the longest deadline of all classes, or 0 if a class states none.
-func longestDeadline(settings brain.Settings) time.Duration {
+func longestDeadline(settings scheduler.Settings) time.Duration {
 	longest := time.Duration(0)
 	for i := range settings.Names("requestClasses") {
 		deadline := settings.Duration(fmt.Sprintf("requestClasses.%d.giveUpUs", i))
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"sloetrestle/brain"
-	"sloetrestle/internal/hosts"
+	"sloetrestle/internal/testbackends"
+	"sloetrestle/scheduler"
 )
 
 func TestShutdownTimesFollowFromTheDeadlines(t *testing.T) {
@@ -30,7 +30,7 @@
 		for _, deadline := range test.deadlinesUs {
 			classes = append(classes, map[string]any{"name": "a", "giveUpUs": deadline})
 		}
-		got := shutdownTimesFor(brain.FlattenSettings(map[string]any{"requestClasses": classes}))
+		got := shutdownTimesFor(scheduler.FlattenSettings(map[string]any{"requestClasses": classes}))
 		if got != test.want {
 			t.Errorf("%s: %+v, want %+v", name, got, test.want)
 		}
@@ -51,13 +51,13 @@
 // streams are cut.
 func TestShutdownEndsBeforeTheKillForShortDeadlines(t *testing.T) {
 	cluster := startCluster(t, func(_ *testCluster, config *Config) { setDeadlines(config, 1e6) })
-	cluster.onDecode(func(exchange *hosts.Exchange) bool {
+	cluster.onDecode(func(exchange *testbackends.Exchange) bool {
 		if exchange.Method != "POST" || exchange.ID == "q1" {
 			<-exchange.ClientClosed // its response never starts
 			return false
 		}
-		exchange.WriteRaw(hosts.StreamHead)
-		for exchange.WriteRaw(hosts.EncodeChunk(hosts.TextEvent("a"))) {
+		exchange.WriteRaw(testbackends.StreamHead)
+		for exchange.WriteRaw(testbackends.EncodeChunk(testbackends.TextEvent("a"))) {
 			select {
 			case <-exchange.ClientClosed:
 				return false
@@ -153,11 +153,11 @@
 func TestResponseBegunBeforeAShutdownEndsItsConnection(t *testing.T) {
 	cluster := startCluster(t, nil)
 	received, finish := make(chan bool), make(chan bool)
-	cluster.onDecode(func(e *hosts.Exchange) bool {
-		e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")))
+	cluster.onDecode(func(e *testbackends.Exchange) bool {
+		e.WriteRaw(testbackends.StreamHead + testbackends.EncodeChunk(testbackends.TextEvent("a")))
 		received <- true
 		<-finish
-		return e.WriteRaw(hosts.EncodeChunk(hosts.UsageEvent+hosts.DoneEvent) + hosts.LastChunk)
+		return e.WriteRaw(testbackends.EncodeChunk(testbackends.UsageEvent+testbackends.DoneEvent) + testbackends.LastChunk)
 	})
 	client := cluster.dial()
 	io.WriteString(client, cluster.request("trail-info"))
@@ -178,12 +178,12 @@
 func TestStreamIsNotCutAfterItsLastToken(t *testing.T) {
 	cluster := startCluster(t, nil)
 	sent, finish := make(chan bool), make(chan bool)
-	final := strings.Replace(hosts.TextEvent("z"), "null", `"stop"`, 1)
-	cluster.onDecode(func(e *hosts.Exchange) bool {
-		e.WriteRaw(hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("a")) + hosts.EncodeChunk(final))
+	final := strings.Replace(testbackends.TextEvent("z"), "null", `"stop"`, 1)
+	cluster.onDecode(func(e *testbackends.Exchange) bool {
+		e.WriteRaw(testbackends.StreamHead + testbackends.EncodeChunk(testbackends.TextEvent("a")) + testbackends.EncodeChunk(final))
 		sent <- true
 		<-finish
-		return e.WriteRaw(hosts.EncodeChunk(hosts.UsageEvent+hosts.DoneEvent) + hosts.LastChunk)
+		return e.WriteRaw(testbackends.EncodeChunk(testbackends.UsageEvent+testbackends.DoneEvent) + testbackends.LastChunk)
 	})
 	client := cluster.dial()
 	io.WriteString(client, cluster.request("trail-info"))
@@ -237,17 +237,17 @@
 		config.Settings["familyInfo"].(map[string]any)["resume"] = false
 	})
 	finish := make(chan struct{})
-	cluster.onDecode(func(exchange *hosts.Exchange) bool {
+	cluster.onDecode(func(exchange *testbackends.Exchange) bool {
 		if exchange.Method != "POST" {
 			return exchange.Serve()
 		}
-		exchange.WriteRaw(hosts.StreamHead)
+		exchange.WriteRaw(testbackends.StreamHead)
 		for {
 			select {
 			case <-finish:
-				return exchange.WriteRaw(hosts.EncodeChunk(hosts.UsageEvent+hosts.DoneEvent) + hosts.LastChunk)
+				return exchange.WriteRaw(testbackends.EncodeChunk(testbackends.UsageEvent+testbackends.DoneEvent) + testbackends.LastChunk)
 			case <-time.After(20 * time.Millisecond):
-				exchange.WriteRaw(hosts.EncodeChunk(hosts.TextEvent("a")))
+				exchange.WriteRaw(testbackends.EncodeChunk(testbackends.TextEvent("a")))
 			}
 		}
 	})
@@ -284,7 +284,7 @@
 			config.LastKnown = cluster.site.DiscoveryList()
 			cluster.site.UpdateDiscovery(func() { cluster.decoders[0].State = "terminating" })
 		})
-		if cluster.backendState("w1") != brain.Draining {
+		if cluster.backendState("w1") != scheduler.Draining {
 			t.Error("the dispatcher is ready before it has the endpoints of discovery")
 		}
 	})
--- a/internal/platform/transport.go
+++ b/internal/platform/transport.go
@@ -12,12 +12,12 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/addresses"
 	"sloetrestle/internal/chat"
+	"sloetrestle/internal/connpool"
 	"sloetrestle/internal/dispatch"
 	"sloetrestle/internal/monitor"
-	"sloetrestle/internal/reach"
+	"sloetrestle/scheduler"
 )
 
 const (
@@ -42,12 +42,12 @@
 // transport sends attempts and releases to backends.
 type transport struct {
 	loadFields []string // of load reports
-	pools      *reach.Manager
+	pools      *connpool.Manager
 	loop       *dispatch.Loop
 	lifetime   context.Context
 	tasks      *errgroup.Group
-	sendToPeer func(peer int, update brain.PeerUpdate)
-	poolOf     map[*dispatch.Backend]*reach.Pool // used by the event loop only
+	sendToPeer func(peer int, update scheduler.PeerUpdate)
+	poolOf     map[*dispatch.Backend]*connpool.Pool // used by the event loop only
 	log        *slog.Logger
 	notable    *notableLog
 	monitor    *monitor.Monitor
@@ -78,7 +78,7 @@
 }
 
 // SendPeerUpdate sends an update to a peer.
-func (c *transport) SendPeerUpdate(peer int, update brain.PeerUpdate) { c.sendToPeer(peer, update) }
+func (c *transport) SendPeerUpdate(peer int, update scheduler.PeerUpdate) { c.sendToPeer(peer, update) }
 
 // backendTraffic counts the requests sent to one backend.
 type backendTraffic struct {
@@ -96,7 +96,7 @@
 		traffic = &backendTraffic{}
 		c.traffic[attempt.Backend.Name] = traffic
 	}
-	if attempt.Scheduled.Stage == brain.StagePrefill {
+	if attempt.Scheduled.Stage == scheduler.StagePrefill {
 		traffic.prefills += delta
 	} else {
 		traffic.decodes += delta
@@ -125,10 +125,10 @@
 
 // reportEnd posts the end of an attempt to the event loop, with how long ago it was by the time that the loop handles
 // it.
-func (c *transport) reportEnd(attempt *dispatch.Attempt, id string, result brain.Result) {
+func (c *transport) reportEnd(attempt *dispatch.Attempt, id string, result scheduler.Result) {
 	ended := c.clock()
 	switch result.Outcome {
-	case brain.TimedOut, brain.ConnectionLost, brain.Unreachable:
+	case scheduler.TimedOut, scheduler.ConnectionLost, scheduler.Unreachable:
 		c.notable.Info("attempt failed", "id", id, "backend", attempt.Backend.Name, "stage", attempt.Stage(),
 			"number", attempt.Scheduled.Number, "outcome", dispatch.OutcomeName(result.Outcome),
 			"arrived", attempt.ResponseStarted.Load(), "wait", attempt.Timeout)
@@ -141,8 +141,8 @@
 
 // perform carries out one attempt. Its connection is closed before its end is reported.
 func (c *transport) perform(
-	ctx context.Context, attempt *dispatch.Attempt, pool *reach.Pool, outgoing *outgoingRequest,
-) (result brain.Result) {
+	ctx context.Context, attempt *dispatch.Attempt, pool *connpool.Pool, outgoing *outgoingRequest,
+) (result scheduler.Result) {
 	conn, stop, err := c.openConn(ctx, attempt, pool, outgoing)
 	if err != nil {
 		return notSentResult(ctx, err)
@@ -160,14 +160,14 @@
 		c.monitor.AttemptEnds(outgoing.id, attempt.Scheduled.Number, hasEffect(attempt),
 			provenEnd(result.Outcome), dispatch.OutcomeName(result.Outcome))
 	}()
-	interrupted := func() brain.Result {
+	interrupted := func() scheduler.Result {
 		switch cause := context.Cause(ctx); {
 		case errors.Is(cause, dispatch.ErrAttemptTimeout):
-			return brain.Result{Outcome: brain.TimedOut}
+			return scheduler.Result{Outcome: scheduler.TimedOut}
 		case errors.Is(cause, dispatch.ErrNotNeeded):
-			return brain.Result{Outcome: brain.Cancelled}
+			return scheduler.Result{Outcome: scheduler.Cancelled}
 		}
-		return brain.Result{Outcome: brain.ConnectionLost}
+		return scheduler.Result{Outcome: scheduler.ConnectionLost}
 	}
 	if _, err := conn.Reader().Peek(1); err != nil {
 		c.activity.recordSilence(pool)
@@ -188,7 +188,7 @@
 			break
 		}
 	}
-	if resp.StatusCode != http.StatusOK || attempt.Scheduled.Stage == brain.StagePrefill {
+	if resp.StatusCode != http.StatusOK || attempt.Scheduled.Stage == scheduler.StagePrefill {
 		body, err := io.ReadAll(io.LimitReader(resp.Body, maxShortBody+1))
 		if err != nil || len(body) > maxShortBody {
 			c.Malformed.Add(1)
@@ -199,7 +199,7 @@
 			// request either.
 			c.BadRequest.Add(1)
 			attempt.RequestInvalid = true
-			return brain.Result{Outcome: brain.Cancelled}
+			return scheduler.Result{Outcome: scheduler.Cancelled}
 		}
 		result.Outcome, result.Detail = chat.ClassifyResponse(attempt.Scheduled.Stage, resp, body)
 		load = resp.Header.Get("X-Server-Load")
@@ -217,7 +217,7 @@
 			if load = stream.LoadReport; load == "" {
 				load = resp.Header.Get("X-Server-Load")
 			}
-			return brain.Result{Outcome: brain.Served, Detail: stream.CachedTokens,
+			return scheduler.Result{Outcome: scheduler.Served, Detail: stream.CachedTokens,
 				LoadReport: chat.ParseLoad(load, c.loadFields)}
 		}
 		if err != nil {
--- a/internal/begins/table_test.go
+++ b/internal/prefixtable/table_test.go
@@ -1,4 +1,4 @@
-package begins
+package prefixtable
 
 import (
 	"strings"
--- a/internal/storm/storm.go
+++ b/internal/retrythrottle/throttle.go
@@ -1,14 +1,14 @@
-// Package storm throttles client retries for one dispatcher, in front of its scheduler. It detects when retries pile
+// Package retrythrottle throttles client retries for one dispatcher, in front of its scheduler. It detects when retries pile
 // up, limits how many are admitted, and gives each rejected request a time to come back. It does no I/O, with time and
 // randomness handed in; it shares no state with other dispatchers, never chooses a backend, and admits every first try.
 // Begin with RetryThrottle.
-package storm
+package retrythrottle
 
 import (
 	"math"
 	"time"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 const (
@@ -75,11 +75,11 @@
 // RetryThrottle admits or rejects the retries that arrive at one dispatcher.
 type RetryThrottle struct {
 	maxWait    time.Duration // the longest wait that clients follow
-	rng        *brain.PCG
-	firstTries brain.RollingSum // tries that are not retries
-	retries    brain.RollingSum
-	served     brain.RollingSum
-	unserved   brain.RollingSum // rejected or failed
+	rng        *scheduler.PCG
+	firstTries scheduler.RollingSum // tries that are not retries
+	retries    scheduler.RollingSum
+	served     scheduler.RollingSum
+	unserved   scheduler.RollingSum // rejected or failed
 	active     bool
 
 	rate          float64 // requests per second that can be served
@@ -92,9 +92,9 @@
 	used          map[usedTicket]bool
 	usedOrder     []usedTicket // the keys of used in the order of their use
 	sweptSlot     int64
-	peerTickets   bucket           // admits tickets of other dispatchers
-	reattempts    bucket           // admits reattempts
-	firstAttempts brain.RollingSum // first attempts of their requests
+	peerTickets   bucket               // admits tickets of other dispatchers
+	reattempts    bucket               // admits reattempts
+	firstAttempts scheduler.RollingSum // first attempts of their requests
 
 	Counters Counters
 }
@@ -118,7 +118,7 @@
 
 type tenant struct {
 	budget bucket
-	served brain.RollingSum
+	served scheduler.RollingSum
 }
 
 type usedTicket struct {
@@ -152,17 +152,17 @@
 // New returns a RetryThrottle for a number of tenants. maxWait is the longest wait that clients follow.
 func New(maxWait time.Duration, tenants int, seed uint64, signer TicketSigner) *RetryThrottle {
 	throttle := &RetryThrottle{
-		maxWait: maxWait, rng: brain.NewPCG(seed),
-		firstTries: brain.RollingSum{BucketWidth: bucketWidth}, retries: brain.RollingSum{BucketWidth: bucketWidth},
-		served: brain.RollingSum{BucketWidth: bucketWidth}, unserved: brain.RollingSum{BucketWidth: bucketWidth},
-		firstAttempts: brain.RollingSum{BucketWidth: bucketWidth},
+		maxWait: maxWait, rng: scheduler.NewPCG(seed),
+		firstTries: scheduler.RollingSum{BucketWidth: bucketWidth}, retries: scheduler.RollingSum{BucketWidth: bucketWidth},
+		served: scheduler.RollingSum{BucketWidth: bucketWidth}, unserved: scheduler.RollingSum{BucketWidth: bucketWidth},
+		firstAttempts: scheduler.RollingSum{BucketWidth: bucketWidth},
 		booked:        map[int64]float64{}, unbooked: map[int64]float64{}, signer: signer, used: map[usedTicket]bool{},
 		bookingShare: 1, reattempts: bucket{tokens: reattemptBurstSeconds * minReattemptsPerSec},
 	}
 	for range max(tenants, 1) {
 		// A random fill keeps the budgets of dispatchers that start together from filling in step.
 		throttle.tenants = append(throttle.tenants,
-			&tenant{served: brain.RollingSum{BucketWidth: bucketWidth}, budget: bucket{tokens: throttle.rng.Float()}})
+			&tenant{served: scheduler.RollingSum{BucketWidth: bucketWidth}, budget: bucket{tokens: throttle.rng.Float()}})
 	}
 	return throttle
 }
@@ -346,7 +346,7 @@
 	t.booked[pick]++
 	t.Counters.Booked++
 	// The serial mixes in a random number, so that a dispatcher that restarts under its old name repeats none.
-	return after, t.signer.Sign(now+after, brain.Mix(uint64(t.Counters.Booked), uint64(t.rng.Float()*(1<<52))))
+	return after, t.signer.Sign(now+after, scheduler.Mix(uint64(t.Counters.Booked), uint64(t.rng.Float()*(1<<52))))
 }
 
 // sweep forgets slots before the given one, and used tickets that are too old to be redeemed again.
--- a/internal/storm/ticket.go
+++ b/internal/retrythrottle/ticket.go
@@ -1,4 +1,4 @@
-package storm
+package retrythrottle
 
 import (
 	"crypto/hmac"
--- a/internal/setup/fuzz_test.go
+++ b/internal/setup/fuzz_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 // Any file is either rejected with file, line and key, or has parameters that the scheduler starts from.
@@ -25,7 +25,7 @@
 		if err := config.SchedulerParameters().Validate(); err != nil {
 			t.Fatalf("%q is accepted, but the scheduler's check fails: %v", raw, err)
 		}
-		if _, err := brain.Settings.Classes(config.SchedulerParameters()); err != nil {
+		if _, err := scheduler.Settings.Classes(config.SchedulerParameters()); err != nil {
 			t.Fatalf("%q is accepted, but the scheduler's classes fail: %v", raw, err)
 		}
 	})
--- a/internal/setup/parameters.go
+++ b/internal/setup/parameters.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 // These map the words of the configuration file to those of the scheduler's parameters.
@@ -17,9 +17,9 @@
 
 // SchedulerParameters returns the scheduler's parameters by name. It is the one table from the keys of the
 // configuration file to the scheduler's names.
-func (d *DispatcherConfig) SchedulerParameters() brain.Settings {
+func (d *DispatcherConfig) SchedulerParameters() scheduler.Settings {
 	us := func(s Duration) float64 { return float64(time.Duration(s).Microseconds()) }
-	parameters := brain.Settings{
+	parameters := scheduler.Settings{
 		"siblings": float64(d.Instance.FleetSize), "slotNo": float64(d.Instance.Index),
 		"zone": float64(d.ZoneIndex(d.Instance.Zone)), "discovery": "automatic",
 		"overShareWorth": d.Limits.OverShareValue,
--- a/internal/setup/setup.go
+++ b/internal/setup/setup.go
@@ -20,8 +20,8 @@
 
 	"sloetrestle/internal/addresses"
 	"sloetrestle/internal/budget"
+	"sloetrestle/internal/connpool"
 	"sloetrestle/internal/kserve"
-	"sloetrestle/internal/reach"
 )
 
 // Duration is a time.Duration that is written as a string such as "250ms" or "4s".
@@ -400,12 +400,12 @@
 		return Invalidf("dispatcher.listen", "names no address")
 	}
 	for _, address := range instance.Listen {
-		if _, err := reach.ParseListen(address); err != nil {
+		if _, err := connpool.ParseListen(address); err != nil {
 			return Invalidf("dispatcher.listen", "%v", err)
 		}
 	}
 	for _, address := range instance.AdminListen {
-		if _, err := reach.ParseListen(address); err != nil {
+		if _, err := connpool.ParseListen(address); err != nil {
 			return Invalidf("dispatcher.operators", "%v", err)
 		}
 	}
@@ -428,7 +428,7 @@
 	); err != nil {
 		return err
 	}
-	if _, err := reach.NewAllowList(instance.AllowedBackends); err != nil {
+	if _, err := connpool.NewAllowList(instance.AllowedBackends); err != nil {
 		return Invalidf("dispatcher.allow", "%v", err)
 	}
 	for i, address := range d.ExtraAddresses {
--- a/internal/setup/setup_test.go
+++ b/internal/setup/setup_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 const validFile = `model = "lodge"
@@ -85,12 +85,12 @@
 		t.Fatal(err)
 	}
 	booking := classes[1]
-	if booking.Effect != brain.NonIdempotent || booking.Target != time.Second || booking.Value != 5 ||
+	if booking.Effect != scheduler.NonIdempotent || booking.Target != time.Second || booking.Value != 5 ||
 		classes[0].TargetPer1000Tokens != 60*time.Millisecond {
 		t.Errorf("%+v", booking)
 	}
 	if parameters.Number("zone", -1) != 1 || parameters.Number("slotNo", -1) != 1 ||
-		parameters.RoleOf(0) != brain.RolePrefill || parameters.KVCapacityOf(0) != 200000 ||
+		parameters.RoleOf(0) != scheduler.RolePrefill || parameters.KVCapacityOf(0) != 200000 ||
 		parameters.Tenants()[0].Quota != 12.5 || !parameters.Bool("familyInfo.localRead") {
 		t.Errorf("%v", parameters)
 	}
--- a/internal/soak/backend.go
+++ b/internal/soak/backend.go
@@ -13,9 +13,9 @@
 	"sync/atomic"
 	"time"
 
-	"sloetrestle/internal/hosts"
-	"sloetrestle/internal/standin"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/system"
+	"sloetrestle/internal/testbackends"
 )
 
 // backend is an emulated engine: it does one phase of a request by the platform's protocol and misbehaves as the
@@ -112,7 +112,7 @@
 	for dispatcher := range b.listeners {
 		filling.Go(func() {
 			if listener := b.reopen(dispatcher); listener != nil {
-				stuck[dispatcher], _ = standin.FillBacklog(listener)
+				stuck[dispatcher], _ = fakes.FillBacklog(listener)
 			}
 		})
 	}
@@ -365,11 +365,11 @@
 func (e *exchange) answer() {
 	if _, full := e.faultActive(BackendFull); full {
 		e.cluster.record.with(func() { e.attempt.neverRan = true })
-		e.write(hosts.Rejection(503, true), true)
+		e.write(testbackends.Rejection(503, true), true)
 		return
 	}
 	if _, fails := e.faultActive(BackendFails); fails {
-		e.write(hosts.Rejection(500, false), true)
+		e.write(testbackends.Rejection(500, false), true)
 		return
 	}
 	draw, hangs := e.faultActive(BackendHangs)
@@ -406,7 +406,7 @@
 	}
 	if !e.cluster.hasKVCache(e.attempt.id) {
 		e.cluster.record.with(func() { e.attempt.neverRan = true })
-		e.write(hosts.Rejection(410, true), true)
+		e.write(testbackends.Rejection(410, true), true)
 		return
 	}
 	e.stream(hangs)
@@ -424,12 +424,12 @@
 		e.write("noise\x00\x01 and no head", true)
 		return
 	}
-	if !e.write(hosts.StreamHead, false) {
+	if !e.write(testbackends.StreamHead, false) {
 		return
 	}
 	tokens := minTokens + len(e.attempt.id)*7%(maxTokens-minTokens)
 	for i := range tokens {
-		if !e.write(hosts.EncodeChunk(hosts.TextEvent(eventText(i, e.cluster.record.now()))), false) ||
+		if !e.write(testbackends.EncodeChunk(testbackends.TextEvent(eventText(i, e.cluster.record.now()))), false) ||
 			!e.wait(tokenTime) {
 			return
 		}
@@ -446,9 +446,9 @@
 			return
 		}
 	}
-	end := hosts.EncodeChunk(hosts.UsageEvent+hosts.DoneEvent) + hosts.LastChunk
+	end := testbackends.EncodeChunk(testbackends.UsageEvent+testbackends.DoneEvent) + testbackends.LastChunk
 	if spoils {
-		end += hosts.StreamHead + hosts.EncodeChunk(hosts.TextEvent("again")) // a second answer
+		end += testbackends.StreamHead + testbackends.EncodeChunk(testbackends.TextEvent("again")) // a second answer
 	}
 	wrote := e.write(end, true)
 	e.cluster.record.with(func() { e.attempt.finished = wrote && !e.silenced.Load() })
--- a/internal/soak/discovery.go
+++ b/internal/soak/discovery.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"sloetrestle/internal/hosts"
+	"sloetrestle/internal/testbackends"
 )
 
 // discovery emulates service discovery: each dispatcher has an agent of its own that lists the backends and pushes
@@ -76,14 +76,14 @@
 
 // entries returns the list for some backends; all marks it as the full list. discovery.mu must be held.
 func (a *agent) entries(backends []*backend, all bool) []byte {
-	targets := []hosts.Target{}
+	targets := []testbackends.Target{}
 	for _, b := range backends {
 		b.mu.Lock()
-		kind := hosts.DecodeKind
+		kind := testbackends.DecodeKind
 		if b.prefill {
-			kind = hosts.PrefillKind
+			kind = testbackends.PrefillKind
 		}
-		targets = append(targets, hosts.Target{
+		targets = append(targets, testbackends.Target{
 			UID: b.uid, Endpoint: b.endpoints[a.dispatcher], Zone: "hall-1", Kind: kind, Rack: b.rack, State: b.state, Units: 1,
 			Boot: b.bootMs,
 		})
@@ -143,7 +143,7 @@
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(raw), raw)
 		return true
 	}
-	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+hosts.EncodeChunk(raw+"\n"))
+	io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+testbackends.EncodeChunk(raw+"\n"))
 	a.watches[c] = address
 	return true
 }
@@ -153,7 +153,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, a := range d.agents {
-		a.push(hosts.EncodeChunk("\n"))
+		a.push(testbackends.EncodeChunk("\n"))
 	}
 }
 
@@ -184,7 +184,7 @@
 	}
 	for _, a := range d.agents {
 		now, written := d.record.now(), time.Duration(0)
-		if a.push(hosts.EncodeChunk(string(a.entries(changed, all)) + "\n")) {
+		if a.push(testbackends.EncodeChunk(string(a.entries(changed, all)) + "\n")) {
 			written = now
 		}
 		d.record.with(func() {
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
-	"sloetrestle/internal/hosts"
 	"sloetrestle/internal/system"
+	"sloetrestle/internal/testbackends"
 )
 
 // dispatcher is one dispatcher under test. Its processes run one after another at the same addresses.
@@ -75,7 +75,7 @@
 // configure writes the configuration file, or only its first half.
 func (d *dispatcher) configure(discovery string, half bool) error {
 	var settings map[string]any
-	if err := json.Unmarshal([]byte(hosts.Settings), &settings); err != nil {
+	if err := json.Unmarshal([]byte(testbackends.Settings), &settings); err != nil {
 		return err
 	}
 	settings["siblings"], settings["slotNo"] = float64(d.run.options.Processes), float64(d.number)
--- a/internal/soak/oracle_test.go
+++ b/internal/soak/oracle_test.go
@@ -7,7 +7,7 @@
 	"testing/iotest"
 	"time"
 
-	"sloetrestle/internal/hosts"
+	"sloetrestle/internal/testbackends"
 )
 
 const ms = time.Millisecond
@@ -268,8 +268,8 @@
 
 // The delay of an event is measured however the stream is split into reads.
 func TestEventReaderMeasuresDelayAcrossReads(t *testing.T) {
-	raw := hosts.EncodeChunk(hosts.TextEvent(eventText(0, 1000*ms))) +
-		hosts.EncodeChunk(hosts.TextEvent(eventText(1, 1400*ms)))
+	raw := testbackends.EncodeChunk(testbackends.TextEvent(eventText(0, 1000*ms))) +
+		testbackends.EncodeChunk(testbackends.TextEvent(eventText(1, 1400*ms)))
 	for step := 1; step < len(raw); step++ {
 		e := &eventReader{
 			source: iotest.OneByteReader(strings.NewReader(raw)), now: func() time.Duration { return 1500 * ms },
--- a/internal/hosts/hosts.go
+++ b/internal/testbackends/backends.go
@@ -1,7 +1,7 @@
-// Package hosts provides test backends of the users' platform, written from the platform's own documentation:
+// Package testbackends provides test backends of the users' platform, written from the platform's own documentation:
 // backends that speak its protocol with scripted faults, and the agent of its service discovery. They record what
 // reached them and know nothing of the dispatcher. Start with Platform.
-package hosts
+package testbackends
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 	"sync"
 	"time"
 
-	"sloetrestle/internal/standin"
+	"sloetrestle/internal/fakes"
 )
 
 // Kinds of backends, as the settings name them.
@@ -303,7 +303,7 @@
 	if err != nil {
 		panic(err)
 	}
-	fillers, err := standin.FillBacklog(listener)
+	fillers, err := fakes.FillBacklog(listener)
 	if err != nil {
 		panic(err)
 	}
--- a/brain/brain.go
+++ b/scheduler/scheduler.go
@@ -1,9 +1,9 @@
-// Package brain is the scheduler of one dispatcher: it decides which backend prefills and decodes each
+// Package scheduler is the scheduler of one dispatcher: it decides which backend prefills and decodes each
 // request, and which requests wait or are rejected. It does no I/O and reads no clock of its own: it is called
 // with events (endpoint list, requests, attempts, peer updates) from one goroutine and acts only through
 // Runtime. Begin with New and the methods of Dispatcher; the usual path of a request is Submit, route,
 // pickPrefill, pickDecode.
-package brain
+package scheduler
 
 import (
 	"math"
--- a/brain/summary.go
+++ b/scheduler/summary.go
@@ -1,4 +1,4 @@
-package brain
+package scheduler
 
 import "fmt"
 
