--- a/internal/addresses/addresses.go
+++ b/internal/addresses/addresses.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 const (
@@ -134,15 +134,15 @@
 // Address is one address of a backend with its recent history.
 type Address struct {
 	Spec
-	successes, failures brain.RollingSum
+	successes, failures scheduler.RollingSum
 	failuresInARow      float64
-	verifyTime          brain.RunningMean // seconds from the start of an attempt until the connection was verified
+	verifyTime          scheduler.RunningMean // seconds from the start of an attempt until the connection was verified
 	LastAttempt         time.Duration
-	attempted           bool
+	attempted           bool // a connection attempt was started at least once
 	LastResult          Result
 	LastResultTime      time.Duration
 	hasResult           bool
-	attemptsInFlight    int
+	attemptsInFlight    int  // started, with no result recorded yet
 	Removed             bool // the endpoint list no longer has it
 }
 
@@ -171,36 +171,37 @@
 // Tracker holds the addresses of one backend with their history, and orders them.
 type Tracker struct {
 	addresses  []*Address // in the order of the endpoint list
-	rng        *brain.PCG
-	verifyTime brain.RunningMean // seconds, over all addresses
+	rng        *scheduler.PCG
+	verifyTime scheduler.RunningMean // seconds, over all addresses
 }
 
 // NewTracker returns a Tracker without addresses; the seed is that of the random draws in Order.
-func NewTracker(seed uint64) *Tracker { return &Tracker{rng: brain.NewPCG(seed)} }
+func NewTracker(seed uint64) *Tracker { return &Tracker{rng: scheduler.NewPCG(seed)} }
 
 // Set replaces the addresses. Addresses that stay keep their history; those that are no longer named are marked as
 // removed and returned. A duplicate of an address is ignored.
 func (t *Tracker) Set(specs []Spec) (removed []*Address) {
 	var next []*Address
-	for _, s := range specs {
-		same := func(a *Address) bool { return a.Network == s.Network && a.Addr == s.Addr }
+	for _, spec := range specs {
+		same := func(addr *Address) bool { return addr.Network == spec.Network && addr.Addr == spec.Addr }
 		if slices.ContainsFunc(next, same) {
 			continue
 		}
 		i := slices.IndexFunc(t.addresses, same)
 		if i < 0 {
 			next = append(next, &Address{
-				Spec: s, successes: brain.RollingSum{BucketWidth: evidenceBucket}, failures: brain.RollingSum{BucketWidth: evidenceBucket},
+				Spec: spec, successes: scheduler.RollingSum{BucketWidth: evidenceBucket},
+				failures: scheduler.RollingSum{BucketWidth: evidenceBucket},
 			})
 			continue
 		}
-		t.addresses[i].Preference = s.Preference
+		t.addresses[i].Preference = spec.Preference
 		next = append(next, t.addresses[i])
 	}
-	for _, a := range t.addresses {
-		if !slices.Contains(next, a) {
-			a.Removed = true
-			removed = append(removed, a)
+	for _, addr := range t.addresses {
+		if !slices.Contains(next, addr) {
+			addr.Removed = true
+			removed = append(removed, addr)
 		}
 	}
 	t.addresses = next
@@ -211,17 +212,17 @@
 func (t *Tracker) Addresses() []*Address { return t.addresses }
 
 // Record adds a result to the history of an address; took is the time until a connection was verified.
-func (t *Tracker) Record(now time.Duration, a *Address, result Result, took time.Duration) {
-	a.LastResult, a.LastResultTime, a.hasResult = result, now, true
+func (t *Tracker) Record(now time.Duration, addr *Address, result Result, took time.Duration) {
+	addr.LastResult, addr.LastResultTime, addr.hasResult = result, now, true
 	if result.success() {
-		a.successes.Add(now, 1)
-		a.failuresInARow = 0
+		addr.successes.Add(now, 1)
+		addr.failuresInARow = 0
 	} else {
-		a.failures.Add(now, 1)
-		a.failuresInARow++
+		addr.failures.Add(now, 1)
+		addr.failuresInARow++
 	}
 	if result == Verified {
-		a.verifyTime.Add(took.Seconds(), verifyTimeDecay)
+		addr.verifyTime.Add(took.Seconds(), verifyTimeDecay)
 		t.verifyTime.Add(took.Seconds(), verifyTimeDecay)
 	}
 }
@@ -295,18 +296,18 @@
 // Next returns the address to try now, if there is one, and otherwise how long to wait before the next call. Over
 // means that the race is won, out of time, or has nothing left to wait for.
 func (r *Race) Next(now time.Duration) (start *Address, wait time.Duration, over bool) {
-	r.pending = slices.DeleteFunc(r.pending, func(a *Address) bool { return a.Removed })
+	r.pending = slices.DeleteFunc(r.pending, func(addr *Address) bool { return addr.Removed })
 	switch {
 	case r.winner != nil || now >= r.deadline:
 		return nil, 0, true
 	case len(r.pending) > 0 && now >= r.nextStart:
-		a := r.pending[0]
+		addr := r.pending[0]
 		r.pending = r.pending[1:]
-		r.inFlight = append(r.inFlight, a)
+		r.inFlight = append(r.inFlight, addr)
 		r.nextStart = now + r.tracker.Stagger()
-		a.LastAttempt, a.attempted = now, true
-		a.attemptsInFlight++
-		return a, 0, false
+		addr.LastAttempt, addr.attempted = now, true
+		addr.attemptsInFlight++
+		return addr, 0, false
 	case len(r.pending) == 0 && len(r.inFlight) == 0:
 		return nil, 0, true
 	case len(r.pending) > 0:
@@ -316,25 +317,25 @@
 }
 
 // Record adds the result of an attempt of this race. It returns true if this connection wins; at most one does.
-func (r *Race) Record(now time.Duration, a *Address, result Result, took time.Duration) bool {
-	i := slices.Index(r.inFlight, a)
+func (r *Race) Record(now time.Duration, addr *Address, result Result, took time.Duration) bool {
+	i := slices.Index(r.inFlight, addr)
 	if i < 0 {
 		return false
 	}
 	r.inFlight = slices.Delete(r.inFlight, i, i+1)
-	a.attemptsInFlight--
+	addr.attemptsInFlight--
 	if result == LocalError {
 		return false
 	}
-	r.tracker.Record(now, a, result, took)
-	if result != Verified || a.Removed {
+	r.tracker.Record(now, addr, result, took)
+	if result != Verified || addr.Removed {
 		r.nextStart = now // no need to wait for an attempt that has failed
 		return false
 	}
 	if r.winner != nil || now >= r.deadline {
 		return false
 	}
-	r.winner = a
+	r.winner = addr
 	return true
 }
 
@@ -369,8 +370,11 @@
 	started    bool
 }
 
-// Next picks a suspected address of any backend to recheck, the one not tried for the longest time first, and spends a
-// token on it. It returns nil if none is due or the budget is spent. The caller passes the trackers in a stable order.
+// Next refills the budget and picks an address to recheck, with its tracker. An address is due if it was tried before,
+// is suspected, has no attempt in flight, and began its last attempt at least minRecheckInterval ago. Of these, over
+// all trackers, Next picks the one whose last attempt is oldest. It spends a token, sets LastAttempt to now and counts
+// an attempt in flight, until the caller passes the result to RecordRecheck. It returns nil, nil if no address is due
+// or less than one token is there. Of equally old ones the first wins, so trackers must come in a stable order.
 func (b *RecheckBudget) Next(now time.Duration, trackers []*Tracker) (*Tracker, *Address) {
 	if !b.started {
 		b.tokens, b.started = recheckBurst, true
@@ -384,11 +388,11 @@
 	var owner *Tracker
 	var pick *Address
 	for _, t := range trackers {
-		for _, a := range t.addresses {
-			due := a.attempted && a.Suspected(now) && a.attemptsInFlight == 0 &&
-				now-a.LastAttempt >= minRecheckInterval
-			if due && (pick == nil || a.LastAttempt < pick.LastAttempt) {
-				owner, pick = t, a
+		for _, addr := range t.addresses {
+			due := addr.attempted && addr.Suspected(now) && addr.attemptsInFlight == 0 &&
+				now-addr.LastAttempt >= minRecheckInterval
+			if due && (pick == nil || addr.LastAttempt < pick.LastAttempt) {
+				owner, pick = t, addr
 			}
 		}
 	}
@@ -400,7 +404,7 @@
 	return owner, pick
 }
 
-// RecordRecheck adds the result of a recheck.
+// RecordRecheck adds the result of a recheck that Next began, which is then no longer in flight.
 func (t *Tracker) RecordRecheck(now time.Duration, a *Address, result Result, took time.Duration) {
 	a.attemptsInFlight--
 	if result != LocalError {
--- a/internal/judge/judge_test.go
+++ b/internal/checker/checker_test.go
@@ -1,4 +1,4 @@
-package judge
+package checker
 
 import (
 	"fmt"
@@ -12,7 +12,8 @@
 
 func testHeader() record.Header {
 	t := setup.DefaultDeployment()
-	t.Rules.KVCacheHoldLimit, t.Rules.DrainGrace = setup.Duration(300*time.Millisecond), setup.Duration(250*time.Millisecond)
+	t.Rules.KVCacheHoldLimit, t.Rules.DrainGrace = setup.Duration(300*time.Millisecond),
+		setup.Duration(250*time.Millisecond)
 	t.Rules.SlowStartMultiple, t.Rules.SlowStartShare, t.Rules.SlowStartRamp = 2, 0.25, setup.Duration(10*time.Second)
 	for _, effect := range []string{"idempotent", "deduplicated", "unrepeatable"} {
 		t.Classes = append(t.Classes, setup.Class{Name: effect, Effect: effect, DedupScope: "zone", Value: 1})
@@ -22,31 +23,31 @@
 
 // servedRequest has the events of a request that dispatcher d0 prefills and decodes without breaking a rule.
 func servedRequest(try, key, class string, startMs int64) []record.Event {
-	at := func(ms int64, kind string, e record.Event) record.Event {
-		e.TimeUs, e.Kind, e.Try, e.Class = (startMs+ms)*1000, kind, try, class
-		if e.Backend != "" {
-			e.RequestKey = key
+	event := func(ms int64, kind string, template record.Event) record.Event {
+		template.TimeUs, template.Kind, template.Try, template.Class = (startMs+ms)*1000, kind, try, class
+		if template.Backend != "" {
+			template.RequestKey = key
 		}
-		return e
+		return template
 	}
 	return []record.Event{
-		at(0, record.RequestSent, record.Event{Request: strings.Split(try, ".")[0], Dispatcher: "d0", DeadlineUs: 4e6,
+		event(0, record.RequestSent, record.Event{Request: strings.Split(try, ".")[0], Dispatcher: "d0", DeadlineUs: 4e6,
 			LatencyTargetUs: 1e6, Tokens: 10}),
-		at(2, record.AttemptReceived, record.Event{Backend: "r1", Phase: "read", Work: 0.1}),
-		at(50, record.KVCacheHeld, record.Event{Backend: "r1"}),
-		at(50, record.AttemptEnded, record.Event{Backend: "r1", Phase: "read", Detail: "read"}),
-		at(52, record.AttemptReceived, record.Event{Backend: "w1", Phase: "write", Attempt: 1, Work: 0.1}),
-		at(60, record.KVCacheReleased, record.Event{Backend: "r1", Detail: "taken"}),
-		at(61, record.EffectStarted, record.Event{Backend: "w1", Phase: "write", Attempt: 1}),
-		at(62, record.FirstToken, record.Event{}),
-		at(300, record.AttemptEnded, record.Event{Backend: "w1", Phase: "write", Attempt: 1, Detail: "answered"}),
-		at(301, record.FinalAnswer, record.Event{Detail: "satisfied"}),
+		event(2, record.AttemptReceived, record.Event{Backend: "r1", Phase: "read", Work: 0.1}),
+		event(50, record.KVCacheHeld, record.Event{Backend: "r1"}),
+		event(50, record.AttemptEnded, record.Event{Backend: "r1", Phase: "read", Detail: "read"}),
+		event(52, record.AttemptReceived, record.Event{Backend: "w1", Phase: "write", Attempt: 1, Work: 0.1}),
+		event(60, record.KVCacheReleased, record.Event{Backend: "r1", Detail: "taken"}),
+		event(61, record.EffectStarted, record.Event{Backend: "w1", Phase: "write", Attempt: 1}),
+		event(62, record.FirstToken, record.Event{}),
+		event(300, record.AttemptEnded, record.Event{Backend: "w1", Phase: "write", Attempt: 1, Detail: "answered"}),
+		event(301, record.FinalAnswer, record.Event{Detail: "satisfied"}),
 	}
 }
 
 func TestCheckReportsEachViolationAndNoOther(t *testing.T) {
 	key := "d0.aa/1"
-	at := func(ms int64, e record.Event) record.Event { e.TimeUs = ms * 1000; return e }
+	at := func(ms int64, event record.Event) record.Event { event.TimeUs = ms * 1000; return event }
 	for _, c := range []struct {
 		name  string
 		rule  int // 0: none is broken
@@ -109,9 +110,9 @@
 			at(900, record.Event{Kind: record.Note})}},
 	} {
 		var events []record.Event
-		for _, e := range servedRequest("q1.0", key, "unrepeatable", 0) {
-			if e.Kind != c.drop {
-				events = append(events, e)
+		for _, event := range servedRequest("q1.0", key, "unrepeatable", 0) {
+			if event.Kind != c.drop {
+				events = append(events, event)
 			}
 		}
 		events = sortByTime(append(events, c.added...))
--- a/internal/day/backends.go
+++ b/internal/day/backends.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sloetrestle/internal/engine"
-	"sloetrestle/internal/standin"
+	"sloetrestle/internal/fakes"
 )
 
 // BackendSpec is the configuration of one backend of a scenario.
@@ -15,7 +15,7 @@
 	Units                        float64
 	IgnoresCancel                bool // a cancel does not stop its work
 	Group                        BackendGroup
-	Engine                       engine.Make
+	Engine                       engine.Config
 }
 
 // kvCacheLifetime is how long a KV cache is held for a dispatcher that may have been killed.
@@ -27,18 +27,19 @@
 	next := map[string]int{} // by kind
 	for _, group := range d.Backends {
 		kind := d.BackendKinds[d.KindIndex(group.Kind)]
-		e := group.Engine
+		engineConfig := group.Engine
 		// The defaults have the published orders of magnitude for 70B-class models on one server of eight accelerators:
 		// a decode step of 10 to 25 ms, blocks of 16 to 64 tokens, chunks of 512 to 8,192 tokens.
-		engineSpec := engine.Make{
-			Reads: kind.Role != "writer", Writes: kind.Role != "reader", Slots: group.Slots, Queue: group.Queue,
-			BlockTokens: cmp.Or(e.BlockTokens, 32), Chunk: cmp.Or(e.ChunkTokens, 2048),
-			Step:        cmp.Or(e.StepTime.Std(), group.TokenTime.Std()),
-			PerAnswer:   cmp.Or(e.StepPerAnswer.Std(), 150*time.Microsecond),
-			PerContextK: cmp.Or(e.StepPer1000Context.Std(), 40*time.Microsecond),
-			PairsPerM:   cmp.Or(e.StepPerMillionPairs.Std(), 800*time.Microsecond), ReadPerS: group.PrefillTokensPerSecond,
-			StateLife: kvCacheLifetime, ColdShare: d.Rules.SlowStartShare, ColdRamp: d.Rules.SlowStartRamp.Std(),
-			Load: e.ModelLoadTime.Std(),
+		engineSpec := engine.Config{
+			Prefills: kind.Role != "writer", Decodes: kind.Role != "reader", Slots: group.Slots, MaxQueued: group.Queue,
+			BlockTokens: cmp.Or(engineConfig.BlockTokens, 32), ChunkTokens: cmp.Or(engineConfig.ChunkTokens, 2048),
+			StepTime:                 cmp.Or(engineConfig.StepTime.Std(), group.TokenTime.Std()),
+			TimePerSequence:          cmp.Or(engineConfig.StepPerAnswer.Std(), 150*time.Microsecond),
+			TimePer1000ContextTokens: cmp.Or(engineConfig.StepPer1000Context.Std(), 40*time.Microsecond),
+			TimePerMillionPairs:      cmp.Or(engineConfig.StepPerMillionPairs.Std(), 800*time.Microsecond),
+			PrefillTokensPerSecond:   group.PrefillTokensPerSecond,
+			KVCacheTTL:               kvCacheLifetime, SlowStartShare: d.Rules.SlowStartShare, SlowStartRamp: d.Rules.SlowStartRamp.Std(),
+			ModelLoadTime: engineConfig.ModelLoadTime.Std(),
 		}
 		engineSpec.Blocks = max(kind.MemoryTokens/engineSpec.BlockTokens, 1)
 		for range group.Count {
@@ -63,11 +64,11 @@
 }
 
 // RequestShape returns the token counts of a class's requests.
-func (d *Scenario) RequestShape(class string) standin.ClassProfile {
+func (d *Scenario) RequestShape(class string) fakes.ClassProfile {
 	for _, t := range d.Traffic {
 		if t.Class == class {
-			return standin.ClassProfile{NewTokens: t.NewTokens, AnswerTokens: t.AnswerTokens, PrefixTokens: t.SharedPrefixTokens}
+			return fakes.ClassProfile{NewTokens: t.NewTokens, AnswerTokens: t.AnswerTokens, PrefixTokens: t.SharedPrefixTokens}
 		}
 	}
-	return standin.ClassProfile{NewTokens: 1, AnswerTokens: 1}
+	return fakes.ClassProfile{NewTokens: 1, AnswerTokens: 1}
 }
--- a/internal/dispatch/server.go
+++ b/internal/dispatch/server.go
@@ -13,8 +13,8 @@
 	"sync/atomic"
 	"time"
 
-	"sloetrestle/internal/begins"
 	"sloetrestle/internal/kserve"
+	"sloetrestle/internal/prefixtable"
 	"sloetrestle/internal/setup"
 )
 
@@ -27,7 +27,7 @@
 	Status   func() map[string]any // the report to operators
 
 	openRequests atomic.Int64
-	prefixes     begins.Table // belongs to the loop
+	prefixes     prefixtable.Table // belongs to the loop
 	stopping     atomic.Bool
 	Ready        func() bool // whether the dispatcher can serve requests
 }
@@ -135,14 +135,15 @@
 	}
 	class := s.Service.Classes[classNumber]
 	if params.PromptTokens == 0 {
-		params.PromptTokens = max(begins.EstimateTokens(params.Text), 1)
+		params.PromptTokens = max(prefixtable.EstimateTokens(params.Text), 1)
 	}
 	params.PrefixTokens = min(params.PrefixTokens, params.PromptTokens)
 	if params.MaxTokens == 0 {
 		params.MaxTokens = class.DefaultMaxTokens
 	}
 	if params.Timeout == 0 {
-		params.Timeout = class.Deadline.Std() + 2*time.Duration(float64(params.PromptTokens)/1000*float64(class.TargetPer1000Tokens))
+		params.Timeout = class.Deadline.Std() +
+			2*time.Duration(float64(params.PromptTokens)/1000*float64(class.TargetPer1000Tokens))
 	}
 	if s.stopping.Load() {
 		kserve.WriteFinalResponse(w, kserve.FinalResponse{
@@ -251,7 +252,9 @@
 }
 
 // bufferAnswer waits for the whole answer and returns its text. ok is false if the client has disconnected.
-func (s *Server) bufferAnswer(r *http.Request, request *ClientRequest) (text []byte, final kserve.FinalResponse, ok bool) {
+func (s *Server) bufferAnswer(
+	r *http.Request, request *ClientRequest,
+) (text []byte, final kserve.FinalResponse, ok bool) {
 	attempt, final, ok := request.WaitStart(r.Context())
 	if !ok {
 		s.disconnected(request)
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -11,44 +11,45 @@
 	"go.etcd.io/bbolt"
 	"golang.org/x/sync/errgroup"
 
+	"sloetrestle/internal/checker"
 	"sloetrestle/internal/day"
 	"sloetrestle/internal/fleet"
-	"sloetrestle/internal/judge"
 )
 
-// Run is one run as it is kept.
+// Run is one stored run.
 type Run struct {
-	Setting Setting            `json:"setting"`
-	Figures map[string]float64 `json:"figures"`
-	Kept    bool               `json:"rules_kept"`
-	Broken  []string           `json:"broken,omitempty"`
-	Digest  string             `json:"digest,omitempty"`
-	Version string             `json:"version"`
-	Machine string             `json:"machine"`
-	Form    string             `json:"form"`
-	At      time.Time          `json:"at"`
-	TookS   float64            `json:"took_s"`
-	Share   []float64          `json:"share,omitempty"` // answered in time of those asked in each second
-	Tries   []float64          `json:"tries,omitempty"`
+	Setting         Setting            `json:"setting"`
+	Figures         map[string]float64 `json:"figures"`
+	RulesKept       bool               `json:"rules_kept"`
+	BrokenRules     []string           `json:"broken,omitempty"`
+	Digest          string             `json:"digest,omitempty"`
+	Version         string             `json:"version"`
+	Machine         string             `json:"machine"`
+	Form            string             `json:"form"`
+	StartedAt       time.Time          `json:"at"`
+	DurationSeconds float64            `json:"took_s"`
+	OnTimeShare     []float64          `json:"share,omitempty"` // by second of first submission
+	Tries           []float64          `json:"tries,omitempty"`
 }
 
-// Store keeps experiments in one file.
+// Store is a database file of experiments.
 type Store struct{ db *bbolt.DB }
 
-// OpenStore opens or makes the file.
+// OpenStore opens the file, or creates it.
 func OpenStore(file string) (*Store, error) {
 	db, err := bbolt.Open(file, 0o644, &bbolt.Options{Timeout: 2 * time.Second})
 	if err != nil {
-		return nil, fmt.Errorf("%s: %w", file, err)
+		return nil, fmt.Errorf("open experiment store %s: %w", file, err)
 	}
 	return &Store{db}, nil
 }
 
+// Close closes the file.
 func (s *Store) Close() error { return s.db.Close() }
 
 const planKey = "\x00plan" // sorts before every setting
 
-// Begin enters an experiment. One that is there already goes on, if its plan is the same.
+// Begin registers an experiment. An existing one resumes if its plan is the same, and is an error otherwise.
 func (s *Store) Begin(p *Plan) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		b, err := tx.CreateBucketIfNotExists([]byte(p.Experiment.Name))
@@ -56,13 +57,13 @@
 			return err
 		}
 		if old := b.Get([]byte(planKey)); old != nil && string(old) != string(p.raw) {
-			return fmt.Errorf("experiment %s was begun with another plan; give this one another name", p.Experiment.Name)
+			return fmt.Errorf("experiment %s is stored with a different plan; use another name", p.Experiment.Name)
 		}
 		return b.Put([]byte(planKey), p.raw)
 	})
 }
 
-// Has tells whether a run is kept.
+// Has tells whether the run of a setting is stored.
 func (s *Store) Has(name string, setting Setting) bool {
 	found := false
 	s.db.View(func(tx *bbolt.Tx) error {
@@ -74,7 +75,7 @@
 	return found
 }
 
-// Put keeps a run; it is on disk when Put returns.
+// Put stores a run; it is on disk when Put returns.
 func (s *Store) Put(name string, r Run) error {
 	raw, err := json.Marshal(r)
 	if err != nil {
@@ -85,13 +86,13 @@
 	})
 }
 
-// Runs lists what is kept of an experiment, in one order.
+// Runs lists the stored runs of an experiment in the order of their settings.
 func (s *Store) Runs(name string) ([]Run, error) {
 	var runs []Run
 	err := s.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket([]byte(name))
 		if b == nil {
-			return fmt.Errorf("there is no experiment %q", name)
+			return fmt.Errorf("experiment %q is not in the store", name)
 		}
 		return b.ForEach(func(k, v []byte) error {
 			if string(k) == planKey {
@@ -99,7 +100,7 @@
 			}
 			var r Run
 			if err := json.Unmarshal(v, &r); err != nil {
-				return fmt.Errorf("run %s: %w", k, err)
+				return fmt.Errorf("decode run %s: %w", k, err)
 			}
 			runs = append(runs, r)
 			return nil
@@ -108,7 +109,7 @@
 	return runs, err
 }
 
-// Names lists the experiments with the number of runs kept.
+// Names lists the experiments and the number of runs stored of each.
 func (s *Store) Names() (names []string, runs map[string]int, err error) {
 	runs = map[string]int{}
 	err = s.db.View(func(tx *bbolt.Tx) error {
@@ -121,128 +122,133 @@
 	return names, runs, err
 }
 
-// Do runs what a plan lacks, and stops between runs when the context ends. Virtual runs go side by side, those on sockets
-// one after the other: they would take each other's processors.
-func Do(ctx context.Context, s *Store, p *Plan, version string, stage day.RunOptions, say func(string, ...any)) error {
-	if err := s.Begin(p); err != nil {
+// Execute runs the settings of a plan that have no stored run, and stops between runs when the context ends.
+// Virtual runs go in parallel. Runs on sockets go one at a time, since they would compete for the processors.
+func Execute(ctx context.Context, store *Store, plan *Plan, version string, stage day.RunOptions,
+	logf func(string, ...any)) error {
+	if err := store.Begin(plan); err != nil {
 		return err
 	}
-	var todo []Setting
-	all := p.Settings()
-	for _, set := range all {
-		if !s.Has(p.Experiment.Name, set) {
-			todo = append(todo, set)
+	var missing []Setting
+	all := plan.Settings()
+	for _, setting := range all {
+		if !store.Has(plan.Experiment.Name, setting) {
+			missing = append(missing, setting)
 		}
 	}
-	say("%s: %d runs, %d of them kept already", p.Experiment.Name, len(all), len(all)-len(todo))
+	logf("%s: %d runs, %d of them already stored", plan.Experiment.Name, len(all), len(all)-len(missing))
 	group, ctx := errgroup.WithContext(ctx)
 	group.SetLimit(1)
-	if p.Experiment.Form == "virtual" {
+	if plan.Experiment.Form == "virtual" {
 		group.SetLimit(runtime.NumCPU())
 	}
 	var mu sync.Mutex
 	done := 0
-	for _, set := range todo {
+	for _, setting := range missing {
 		group.Go(func() error {
 			if ctx.Err() != nil {
 				return ctx.Err()
 			}
-			r, err := once(ctx, p, set, stage)
+			run, err := runOnce(ctx, plan, setting, stage)
 			if err != nil {
-				return fmt.Errorf("%s: %w", set, err)
+				return fmt.Errorf("%s: %w", setting, err)
 			}
-			r.Version, r.Machine, r.Form = version, machine(), p.Experiment.Form
-			if err := s.Put(p.Experiment.Name, r); err != nil {
+			run.Version, run.Machine, run.Form = version, machineDescription(), plan.Experiment.Form
+			if err := store.Put(plan.Experiment.Name, run); err != nil {
 				return err
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			done++
-			say("%4d of %d  %s  service %.3f  p99 %.0f ms  %s", done, len(todo), set, r.Figures["service"], r.Figures["first_p99_ms"], rules(r))
+			logf("%4d of %d  %s  service %.3f  p99 %.0f ms  %s", done, len(missing), setting, run.Figures["service"],
+				run.Figures["first_p99_ms"], rulesText(run))
 			return nil
 		})
 	}
 	return group.Wait()
 }
 
-func rules(r Run) string {
-	if r.Kept {
+func rulesText(r Run) string {
+	if r.RulesKept {
 		return "rules kept"
 	}
-	return fmt.Sprint("BROKEN ", r.Broken)
+	return fmt.Sprint("BROKEN ", r.BrokenRules)
 }
 
-func machine() string {
+func machineDescription() string {
 	return fmt.Sprintf("%s/%s, %d cores, %s", runtime.GOOS, runtime.GOARCH, runtime.NumCPU(), runtime.Version())
 }
 
-func once(ctx context.Context, p *Plan, set Setting, stage day.RunOptions) (Run, error) {
-	d, err := p.Day(set)
+func runOnce(ctx context.Context, plan *Plan, setting Setting, stage day.RunOptions) (Run, error) {
+	scenario, err := plan.Scenario(setting)
 	if err != nil {
 		return Run{}, err
 	}
-	began := time.Now()
-	r := Run{Setting: set, At: began.UTC()}
-	var v judge.Verdict
-	if p.Experiment.Form == "virtual" {
-		out, err := fleet.Play(d, set["policy"])
+	startedAt := time.Now()
+	run := Run{Setting: setting, StartedAt: startedAt.UTC()}
+	var verdict checker.Verdict
+	if plan.Experiment.Form == "virtual" {
+		out, err := fleet.Play(scenario, setting["policy"])
 		if err != nil {
-			return r, err
+			return run, err
 		}
-		v, r.Digest = out.Verdict, out.Digest
-		r.Figures = figures(v)
-		r.Figures["followers"], r.Figures["others"] = out.Followers, out.Others
-		for name, b := range out.Budgets {
-			r.Figures["budget_"+name] = b.Share
-			r.Figures["budget_declined_"+name] = float64(b.Declined) / max(float64(b.Declined+b.Passed), 1)
+		verdict, run.Digest = out.Verdict, out.Digest
+		run.Figures = figures(verdict)
+		run.Figures["followers"], run.Figures["others"] = out.Followers, out.Others
+		for name, use := range out.Budgets {
+			run.Figures["budget_"+name] = use.MonthlyShare
+			run.Figures["budget_declined_"+name] = float64(use.Rejected) / max(float64(use.Rejected+use.Admitted), 1)
 		}
-		r.Share, r.Tries = out.Share, out.Again
-		for _, t := range d.Faults {
-			if t.Kind == "crash" { // not back within the run counts as the whole of it
-				s, ok := judge.RecoverySeconds(out.Share, out.Asked, t.Start.Std(), (t.Start + t.Duration).Std())
+		run.OnTimeShare, run.Tries = out.OnTimeShare, out.TriesPerSecond
+		for _, fault := range scenario.Faults {
+			if fault.Kind == "crash" { // no recovery within the run counts as the whole rest of it
+				seconds, ok := checker.RecoverySeconds(out.OnTimeShare, out.Submitted, fault.Start.Std(), (fault.Start + fault.Duration).Std())
 				if !ok {
-					s = (d.Header.Duration - t.Start - t.Duration).Std().Seconds()
+					seconds = (scenario.Header.Duration - fault.Start - fault.Duration).Std().Seconds()
 				}
-				r.Figures["recovered_s"], r.Figures["recovered"] = s, map[bool]float64{true: 1}[ok]
+				run.Figures["recovered_s"], run.Figures["recovered"] = seconds, map[bool]float64{true: 1}[ok]
 			}
 		}
-		for _, c := range out.Engines {
-			r.Figures["preempted"] += float64(c.Preempted)
-			r.Figures["engine_refused"] += float64(c.Refused)
-			r.Figures["kept_tokens"] += float64(c.KeptTokens)
-			r.Figures["read_tokens"] += float64(c.ReadTokens)
+		for _, counts := range out.Engines {
+			run.Figures["preempted"] += float64(counts.Preempted)
+			run.Figures["engine_refused"] += float64(counts.Refused)
+			run.Figures["kept_tokens"] += float64(counts.KeptTokens)
+			run.Figures["read_tokens"] += float64(counts.ReadTokens)
 		}
 	} else {
-		if v, err = day.Run(ctx, d, stage); err != nil {
-			return r, err
+		if verdict, err = day.Run(ctx, scenario, stage); err != nil {
+			return run, err
 		}
-		r.Figures = figures(v)
+		run.Figures = figures(verdict)
 	}
-	r.Kept = v.Passed()
-	for _, rule := range v.Rules {
+	run.RulesKept = verdict.Passed()
+	for _, rule := range verdict.Rules {
 		if !rule.Passed {
-			r.Broken = append(r.Broken, rule.Name)
+			run.BrokenRules = append(run.BrokenRules, rule.Name)
 		}
 	}
-	r.TookS = time.Since(began).Seconds()
-	return r, nil
+	run.DurationSeconds = time.Since(startedAt).Seconds()
+	return run, nil
 }
 
-// figures are those that tables and charts may show.
-func figures(v judge.Verdict) map[string]float64 {
-	f := map[string]float64{"service": v.ValueShare, "first_p50_ms": v.FirstTokenP50Ms, "first_p99_ms": v.FirstTokenP99Ms, "trips": v.AttemptsPerRequest, "cold_worst": v.PeakSlowStartLoad, "pinned_ms": v.MaxIdleKVCacheMs}
-	var asked, inTime, late, declined, forfeited, other float64
-	for _, r := range v.Classes {
-		asked += float64(r.Requests)
-		inTime += float64(r.InTime)
-		late += float64(r.Late)
-		declined += float64(r.Rejected)
-		forfeited += float64(r.Failed)
-		other += float64(r.ClientLeft + r.ConnectionLost)
-		f["service_"+r.Class] = r.ValueShare
+// figures returns the figures of a verdict that tables and charts can show.
+func figures(verdict checker.Verdict) map[string]float64 {
+	values := map[string]float64{"service": verdict.ValueShare, "first_p50_ms": verdict.FirstTokenP50Ms,
+		"first_p99_ms": verdict.FirstTokenP99Ms, "trips": verdict.AttemptsPerRequest, "cold_worst": verdict.PeakSlowStartLoad,
+		"pinned_ms": verdict.MaxIdleKVCacheMs}
+	var requests, inTime, late, rejected, failed, leftOrCut float64
+	for _, row := range verdict.Classes {
+		requests += float64(row.Requests)
+		inTime += float64(row.InTime)
+		late += float64(row.Late)
+		rejected += float64(row.Rejected)
+		failed += float64(row.Failed)
+		leftOrCut += float64(row.ClientLeft + row.ConnectionLost)
+		values["service_"+row.Class] = row.ValueShare
 	}
-	asked = max(asked, 1)
-	f["asked"], f["in_time"], f["late"], f["declined"], f["forfeited"], f["left_or_cut"] = asked, inTime/asked, late/asked, declined/asked, forfeited/asked, other/asked
-	f["tries"] = float64(v.Tries) / asked
-	return f
+	requests = max(requests, 1)
+	values["asked"], values["in_time"], values["late"], values["declined"], values["forfeited"], values["left_or_cut"] =
+		requests, inTime/requests, late/requests, rejected/requests, failed/requests, leftOrCut/requests
+	values["tries"] = float64(verdict.Tries) / requests
+	return values
 }
--- a/internal/experiment/tables.go
+++ b/internal/experiment/tables.go
@@ -18,34 +18,34 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Group is the runs that differ in nothing but the repeat.
+// Group is the runs whose settings differ in nothing but the repeat.
 type Group struct {
 	Setting Setting
 	Runs    []Run
 }
 
-// Groups gathers repeats.
+// Groups groups runs by their settings without the repeat.
 func Groups(runs []Run) []Group {
-	by := map[string]*Group{}
+	groups := map[string]*Group{}
 	var order []string
 	for _, r := range runs {
-		s := without(r.Setting, "repeat")
+		s := withoutKey(r.Setting, "repeat")
 		key := s.String()
-		if by[key] == nil {
-			by[key] = &Group{Setting: s}
+		if groups[key] == nil {
+			groups[key] = &Group{Setting: s}
 			order = append(order, key)
 		}
-		by[key].Runs = append(by[key].Runs, r)
+		groups[key].Runs = append(groups[key].Runs, r)
 	}
-	slices.SortFunc(order, natural)
+	slices.SortFunc(order, compareNatural)
 	out := make([]Group, len(order))
 	for i, k := range order {
-		out[i] = *by[k]
+		out[i] = *groups[k]
 	}
 	return out
 }
 
-func without(s Setting, key string) Setting {
+func withoutKey(s Setting, key string) Setting {
 	t := Setting{}
 	for k, v := range s {
 		if k != key {
@@ -55,15 +55,15 @@
 	return t
 }
 
-// natural orders settings with numbers in them as numbers.
-func natural(a, b string) int {
-	x, y := strings.Fields(a), strings.Fields(b)
-	for i := range min(len(x), len(y)) {
-		if x[i] == y[i] {
+// compareNatural orders settings by key and value, numeric values as numbers.
+func compareNatural(a, b string) int {
+	fieldsA, fieldsB := strings.Fields(a), strings.Fields(b)
+	for i := range min(len(fieldsA), len(fieldsB)) {
+		if fieldsA[i] == fieldsB[i] {
 			continue
 		}
-		ka, va, _ := strings.Cut(x[i], "=")
-		kb, vb, _ := strings.Cut(y[i], "=")
+		ka, va, _ := strings.Cut(fieldsA[i], "=")
+		kb, vb, _ := strings.Cut(fieldsB[i], "=")
 		na, ea := strconv.ParseFloat(va, 64)
 		nb, eb := strconv.ParseFloat(vb, 64)
 		if ka == kb && ea == nil && eb == nil && na != nb {
@@ -72,12 +72,12 @@
 			}
 			return 1
 		}
-		return strings.Compare(x[i], y[i])
+		return strings.Compare(fieldsA[i], fieldsB[i])
 	}
-	return len(x) - len(y)
+	return len(fieldsA) - len(fieldsB)
 }
 
-// Values lists a figure's values of a group, in order.
+// Values returns a figure's values in a group, in ascending order.
 func (g Group) Values(figure string) []float64 {
 	var v []float64
 	for _, r := range g.Runs {
@@ -97,39 +97,40 @@
 	return (sorted[(n-1)/2] + sorted[n/2]) / 2
 }
 
-// Table writes medians with their spread, from the least to the most.
+// Table writes each group's median of the named figures, with the least and the greatest value.
 func Table(out io.Writer, runs []Run, names []string) error {
-	w := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintf(w, "setting\truns\trules\t%s\n", strings.Join(names, "\t"))
-	for _, g := range Groups(runs) {
-		kept := "kept"
-		for _, r := range g.Runs {
-			if !r.Kept {
-				kept = "BROKEN"
+	writer := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
+	fmt.Fprintf(writer, "setting\truns\trules\t%s\n", strings.Join(names, "\t"))
+	for _, group := range Groups(runs) {
+		rules := "kept"
+		for _, r := range group.Runs {
+			if !r.RulesKept {
+				rules = "BROKEN"
 			}
 		}
-		fmt.Fprintf(w, "%s\t%d\t%s", g.Setting, len(g.Runs), kept)
-		for _, n := range names {
-			v := g.Values(n)
-			if len(v) == 0 {
-				fmt.Fprint(w, "\t-")
+		fmt.Fprintf(writer, "%s\t%d\t%s", group.Setting, len(group.Runs), rules)
+		for _, name := range names {
+			values := group.Values(name)
+			if len(values) == 0 {
+				fmt.Fprint(writer, "\t-")
 				continue
 			}
-			fmt.Fprintf(w, "\t%s (%s to %s)", short(median(v)), short(v[0]), short(v[len(v)-1]))
+			fmt.Fprintf(writer, "\t%s (%s to %s)", formatFigure(median(values)), formatFigure(values[0]),
+				formatFigure(values[len(values)-1]))
 		}
-		fmt.Fprintln(w)
+		fmt.Fprintln(writer)
 	}
-	return w.Flush()
+	return writer.Flush()
 }
 
-func short(x float64) string {
+func formatFigure(x float64) string {
 	if math.Abs(x) >= 100 {
 		return strconv.FormatFloat(x, 'f', 0, 64)
 	}
 	return strconv.FormatFloat(x, 'f', 3, 64)
 }
 
-// CSV writes all runs, one a line.
+// CSV writes all runs as CSV, one per line.
 func CSV(out io.Writer, runs []Run) error {
 	keys, names := map[string]bool{}, map[string]bool{}
 	for _, r := range runs {
@@ -140,22 +141,22 @@
 			names[n] = true
 		}
 	}
-	ks, ns := sortedKeys(keys), sortedKeys(names)
-	w := csv.NewWriter(out)
-	w.Write(append(append(slices.Clone(ks), "rules_kept", "version", "form"), ns...))
+	keyNames, figureNames := sortedKeys(keys), sortedKeys(names)
+	writer := csv.NewWriter(out)
+	writer.Write(append(append(slices.Clone(keyNames), "rules_kept", "version", "form"), figureNames...))
 	for _, r := range runs {
 		var row []string
-		for _, k := range ks {
+		for _, k := range keyNames {
 			row = append(row, r.Setting[k])
 		}
-		row = append(row, strconv.FormatBool(r.Kept), r.Version, r.Form)
-		for _, n := range ns {
+		row = append(row, strconv.FormatBool(r.RulesKept), r.Version, r.Form)
+		for _, n := range figureNames {
 			row = append(row, strconv.FormatFloat(r.Figures[n], 'g', -1, 64))
 		}
-		w.Write(row)
+		writer.Write(row)
 	}
-	w.Flush()
-	return w.Error()
+	writer.Flush()
+	return writer.Error()
 }
 
 func sortedKeys(m map[string]bool) []string {
@@ -167,33 +168,33 @@
 	return out
 }
 
-// Difference is how one value of a key does against another, all else alike.
+// Difference compares one value of a key with the reference value, all other settings equal.
 type Difference struct {
-	Setting    Setting // what is alike
-	Than, This string
-	Medians    [2]float64
-	Beyond     bool // the noise of the repeats
+	Setting          Setting // the settings that are equal
+	Reference, Value string
+	Medians          [2]float64
+	Significant      bool // beyond the noise of the repeats
 }
 
-// Compare sets each value of a key beside the first one. A difference is beyond the noise if it is more than twice the
-// standard error of the two groups' means, and each has three runs at least; of seeds that are paired, their
-// differences' error counts.
+// Compare compares each value of a key with a reference: "module" if it is among the values, otherwise the first.
+// Runs are paired by repeat, that is by seed. A difference is significant if its mean is more than twice its
+// standard error, over at least three pairs.
 func Compare(runs []Run, key, figure string) ([]Difference, error) {
-	by := map[string]map[string]Group{}
+	groups := map[string]map[string]Group{}
 	var values, order []string
 	for _, g := range Groups(runs) {
-		v, ok := g.Setting[key]
+		value, ok := g.Setting[key]
 		if !ok {
-			return nil, fmt.Errorf("the experiment does not vary %q", key)
+			return nil, fmt.Errorf("compare runs: the experiment does not vary %q", key)
 		}
-		rest := without(g.Setting, key).String()
-		if by[rest] == nil {
-			by[rest] = map[string]Group{}
+		rest := withoutKey(g.Setting, key).String()
+		if groups[rest] == nil {
+			groups[rest] = map[string]Group{}
 			order = append(order, rest)
 		}
-		by[rest][v] = g
-		if !slices.Contains(values, v) {
-			values = append(values, v)
+		groups[rest][value] = g
+		if !slices.Contains(values, value) {
+			values = append(values, value)
 		}
 	}
 	if i := slices.Index(values, "module"); i > 0 {
@@ -201,27 +202,28 @@
 	}
 	var out []Difference
 	for _, rest := range order {
-		a, ok := by[rest][values[0]]
+		reference, ok := groups[rest][values[0]]
 		if !ok {
 			continue
 		}
-		for _, v := range values[1:] {
-			b, ok := by[rest][v]
+		for _, value := range values[1:] {
+			other, ok := groups[rest][value]
 			if !ok {
 				continue
 			}
-			out = append(out, Difference{without(a.Setting, key), values[0], v, [2]float64{median(a.Values(figure)), median(b.Values(figure))}, beyond(a, b, figure)})
+			out = append(out, Difference{withoutKey(reference.Setting, key), values[0], value,
+				[2]float64{median(reference.Values(figure)), median(other.Values(figure))}, significant(reference, other, figure)})
 		}
 	}
 	return out, nil
 }
 
-func beyond(a, b Group, figure string) bool {
+func significant(a, b Group, figure string) bool {
 	var diffs []float64
-	for _, x := range a.Runs {
-		for _, y := range b.Runs {
-			if x.Setting["repeat"] == y.Setting["repeat"] {
-				diffs = append(diffs, y.Figures[figure]-x.Figures[figure])
+	for _, runA := range a.Runs {
+		for _, runB := range b.Runs {
+			if runA.Setting["repeat"] == runB.Setting["repeat"] {
+				diffs = append(diffs, runB.Figures[figure]-runA.Figures[figure])
 			}
 		}
 	}
@@ -232,38 +234,38 @@
 	return math.Abs(mean) > 2*sd/math.Sqrt(float64(len(diffs)))
 }
 
-// Chart draws medians with their spread over a key with numbers, a line for each value of another. The file's ending says
-// which form: png or svg.
+// Chart draws medians with their spread over a numeric key, with one line for each value of another key. The
+// extension of the file gives the format: png or svg.
 func Chart(runs []Run, x, figure, lines, file, title string) error {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, x, figure
-	p.Legend.Top = true
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, x, figure
+	chart.Legend.Top = true
 	byLine := map[string][]Group{}
 	var order []string
-	for _, g := range Groups(runs) {
-		name := g.Setting[lines]
+	for _, group := range Groups(runs) {
+		name := group.Setting[lines]
 		if _, ok := byLine[name]; !ok {
 			order = append(order, name)
 		}
-		byLine[name] = append(byLine[name], g)
+		byLine[name] = append(byLine[name], group)
 	}
 	for i, name := range order {
-		var pts plotter.XYs
-		var errs plotter.YErrors
-		for _, g := range byLine[name] {
-			at, err := strconv.ParseFloat(g.Setting[x], 64)
+		var medians plotter.XYs
+		var spreads plotter.YErrors
+		for _, group := range byLine[name] {
+			position, err := strconv.ParseFloat(group.Setting[x], 64)
 			if err != nil {
-				return fmt.Errorf("%s is %q, which is no number to draw over", x, g.Setting[x])
+				return fmt.Errorf("draw chart: %s is %q, not a number", x, group.Setting[x])
 			}
-			v := g.Values(figure)
-			if len(v) == 0 {
-				return fmt.Errorf("the runs have no figure %q", figure)
+			values := group.Values(figure)
+			if len(values) == 0 {
+				return fmt.Errorf("draw chart: the runs have no figure %q", figure)
 			}
-			m := median(v)
-			pts = append(pts, plotter.XY{X: at, Y: m})
-			errs = append(errs, struct{ Low, High float64 }{m - v[0], v[len(v)-1] - m})
+			middle := median(values)
+			medians = append(medians, plotter.XY{X: position, Y: middle})
+			spreads = append(spreads, struct{ Low, High float64 }{middle - values[0], values[len(values)-1] - middle})
 		}
-		line, points, err := plotter.NewLinePoints(pts)
+		line, points, err := plotter.NewLinePoints(medians)
 		if err != nil {
 			return err
 		}
@@ -271,56 +273,57 @@
 		bars, err := plotter.NewYErrorBars(struct {
 			plotter.XYer
 			plotter.YErrorer
-		}{pts, errs})
+		}{medians, spreads})
 		if err != nil {
 			return err
 		}
 		bars.Color = plotutil.Color(i)
-		p.Add(line, points, bars)
+		chart.Add(line, points, bars)
 		if name != "" {
-			p.Legend.Add(name, line, points)
+			chart.Legend.Add(name, line, points)
 		}
 	}
-	p.Add(plotter.NewGrid())
-	return p.Save(18*vg.Centimeter, 11*vg.Centimeter, file)
+	chart.Add(plotter.NewGrid())
+	return chart.Save(18*vg.Centimeter, 11*vg.Centimeter, file)
 }
 
-// Over draws a figure over the seconds of a run: share, or tries; a line for each value of a key, the mean of its runs.
-func Over(runs []Run, of, lines, file, title string) error {
-	p := plot.New()
-	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "second of the day", of
+// TimeChart draws a figure, share or tries, over the seconds of a run, with one line for each value of a key: the
+// mean of its runs.
+func TimeChart(runs []Run, figure, lines, file, title string) error {
+	chart := plot.New()
+	chart.Title.Text, chart.X.Label.Text, chart.Y.Label.Text = title, "second of the day", figure
 	sums, counts := map[string][]float64{}, map[string]float64{}
 	var order []string
-	for _, r := range runs {
-		name, v := r.Setting[lines], r.Share
-		if of == "tries" {
-			v = r.Tries
+	for _, run := range runs {
+		name, series := run.Setting[lines], run.OnTimeShare
+		if figure == "tries" {
+			series = run.Tries
 		}
 		if counts[name] == 0 {
 			order = append(order, name)
 		}
 		counts[name]++
-		for i, x := range v {
+		for i, x := range series {
 			if i >= len(sums[name]) {
 				sums[name] = append(sums[name], 0)
 			}
 			sums[name][i] += x
 		}
 	}
-	slices.SortFunc(order, natural)
+	slices.SortFunc(order, compareNatural)
 	for i, name := range order {
-		var pts plotter.XYs
-		for at, x := range sums[name] {
-			pts = append(pts, plotter.XY{X: float64(at), Y: x / counts[name]})
+		var points plotter.XYs
+		for second, x := range sums[name] {
+			points = append(points, plotter.XY{X: float64(second), Y: x / counts[name]})
 		}
-		line, err := plotter.NewLine(pts)
+		line, err := plotter.NewLine(points)
 		if err != nil {
 			return err
 		}
 		line.Color = plotutil.Color(i)
-		p.Add(line)
-		p.Legend.Add(name, line)
+		chart.Add(line)
+		chart.Legend.Add(name, line)
 	}
-	p.Add(plotter.NewGrid())
-	return p.Save(18*vg.Centimeter, 9*vg.Centimeter, file)
+	chart.Add(plotter.NewGrid())
+	return chart.Save(18*vg.Centimeter, 9*vg.Centimeter, file)
 }
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -4,356 +4,368 @@
 	"fmt"
 	"time"
 
-	"sloetrestle/brain"
 	"sloetrestle/internal/addresses"
 	"sloetrestle/internal/dispatch"
 	"sloetrestle/internal/engine"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/record"
-	"sloetrestle/internal/standin"
+	"sloetrestle/scheduler"
 )
 
-// transport takes a dispatcher's attempts to the engines.
+// transport is the dispatcher's connection to the backends: it delivers attempts, releases and peer updates.
 type transport dispatcher
 
 func (c *transport) SetAddresses(*dispatch.Backend, []addresses.Spec) {}
 
-func (c *transport) SendPeerUpdate(peer int, n brain.PeerUpdate) {
+func (c *transport) SendPeerUpdate(peer int, update scheduler.PeerUpdate) {
 	d := (*dispatcher)(c)
-	if peer < 0 || peer >= len(d.w.dispatchers) {
+	if peer < 0 || peer >= len(d.sim.dispatchers) {
 		return
 	}
-	to, name := d.w.dispatchers[peer], d.w.byID[n.Backend.ID].make.Name
-	d.w.after(2*time.Millisecond, func() {
-		if !to.up {
+	receiver, name := d.sim.dispatchers[peer], d.sim.byID[update.Backend.ID].spec.Name
+	d.sim.after(2*time.Millisecond, func() {
+		if !receiver.running {
 			return
 		}
-		to.do(func() {
-			if h := to.loop.SchedulerBackend(name); h != nil {
-				n := n
-				n.Backend = h // each dispatcher has its own
-				to.loop.ApplyPeerUpdate(n)
+		receiver.runInLoop(func() {
+			if schedulerBackend := receiver.loop.SchedulerBackend(name); schedulerBackend != nil {
+				update := update
+				update.Backend = schedulerBackend // each dispatcher has backend objects of its own
+				receiver.loop.ApplyPeerUpdate(update)
 			}
 		})
 	})
 }
 
-func (c *transport) Release(b *dispatch.Backend, a *dispatch.ClientRequest) {
-	if a.AttemptInFlight() {
-		return // attempts arrive here, and wait for the state
+func (c *transport) Release(b *dispatch.Backend, request *dispatch.ClientRequest) {
+	if request.AttemptInFlight() {
+		return // the KV cache is still needed: the attempt fetches it
 	}
-	w := c.w
-	r := kserve.Release{RequestKey: c.loop.RequestKey(a), LastAttempt: len(a.Scheduled.Attempts) - 1}
-	to := w.boxes[b.Name]
-	w.after(hop, func() {
-		if to.up {
-			to.released[r.RequestKey] = r.LastAttempt
-			to.release(r.RequestKey, "released")
+	sim := c.sim
+	release := kserve.Release{RequestKey: c.loop.RequestKey(request), LastAttempt: len(request.Scheduled.Attempts) - 1}
+	target := sim.backends[b.Name]
+	sim.after(networkDelay, func() {
+		if target.running {
+			target.releasedUpTo[release.RequestKey] = release.LastAttempt
+			target.releaseKVCache(release.RequestKey, "released")
 		}
 	})
 }
 
-// attempt is one attempt on its way, at both ends.
+// attempt is one attempt in flight, with the state of both of its ends.
 type attempt struct {
-	w      *world
-	from   *dispatcher
-	loop   *dispatch.Loop
-	flight *dispatch.Attempt
-	to     *backend
-	start  uint64
-	job    *engine.Job
-	line   record.Event
-	off    error
-	told   bool // the dispatcher knows how it ended
-	ended  bool // the backend is done with it
-	came   bool
+	sim         *simulation
+	dispatcher  *dispatcher
+	loop        *dispatch.Loop
+	dispatched  *dispatch.Attempt
+	backend     *backend
+	incarnation uint64
+	job         *engine.Job
+	baseRecord  record.Event
+	cancelCause error
+	reported    bool // the dispatcher has been given the result
+	ended       bool // the backend has ended it
+	arrived     bool
 }
 
-func (t *attempt) id() string { return fmt.Sprintf("%s/%d", t.line.RequestKey, t.line.Attempt) }
+func (t *attempt) id() string {
+	return fmt.Sprintf("%s/%d", t.baseRecord.RequestKey, t.baseRecord.Attempt)
+}
 
-func (c *transport) Start(f *dispatch.Attempt) {
+func (c *transport) Start(dispatched *dispatch.Attempt) {
 	d := (*dispatcher)(c)
-	w := d.w
-	t := &attempt{w: w, from: d, loop: d.loop, flight: f, to: w.boxes[f.Backend.Name]}
-	t.line = record.Event{Backend: t.to.make.Name, Try: f.Request.Params.ID, Class: f.Request.Class, RequestKey: f.RequestKey, Phase: f.Stage(), Attempt: f.Scheduled.Number}
-	f.Cancel = func(why error) {
-		if t.off != nil || t.told {
+	sim := d.sim
+	t := &attempt{sim: sim, dispatcher: d, loop: d.loop, dispatched: dispatched,
+		backend: sim.backends[dispatched.Backend.Name]}
+	t.baseRecord = record.Event{Backend: t.backend.spec.Name, Try: dispatched.Request.Params.ID,
+		Class: dispatched.Request.Class, RequestKey: dispatched.RequestKey, Phase: dispatched.Stage(),
+		Attempt: dispatched.Scheduled.Number}
+	dispatched.Cancel = func(cause error) {
+		if t.cancelCause != nil || t.reported {
 			return
 		}
-		t.off = why
-		// The connection is closed: this end knows at once, the other a hop later.
-		o := brain.TimedOut
-		if why == dispatch.ErrNotNeeded {
-			o = brain.Cancelled
+		t.cancelCause = cause
+		// The connection is closed: the dispatcher knows at once, the backend after the network delay.
+		outcome := scheduler.TimedOut
+		if cause == dispatch.ErrNotNeeded {
+			outcome = scheduler.Cancelled
 		}
-		w.after(0, func() { t.tell(brain.Result{Outcome: o}) })
-		w.after(hop, t.closed)
+		sim.after(0, func() { t.reportResult(scheduler.Result{Outcome: outcome}) })
+		sim.after(networkDelay, t.connectionClosed)
 	}
-	if !t.to.up {
-		wait := unreach
-		if t.to.fell {
-			wait = dialTime // its machine is stuck, nobody refuses
+	if !t.backend.running {
+		wait := refusedConnectionTime
+		if t.backend.overloaded {
+			wait = dialTimeout // the machine hangs: the connection is not refused
 		}
-		w.after(wait, func() { t.tell(brain.Result{Outcome: brain.Unreachable}) })
+		sim.after(wait, func() { t.reportResult(scheduler.Result{Outcome: scheduler.Unreachable}) })
 		return
 	}
-	wait, limit := w.connectTime(), dialTime
-	if least := f.Scheduled.ConnectTimeout; least > 0 {
-		limit = min(limit, least)
+	wait, limit := sim.connectDelay(), dialTimeout
+	if connectTimeout := dispatched.Scheduled.ConnectTimeout; connectTimeout > 0 {
+		limit = min(limit, connectTimeout)
 	}
 	if wait > limit {
-		w.after(limit, func() { t.tell(brain.Result{Outcome: brain.Unreachable}) })
+		sim.after(limit, func() { t.reportResult(scheduler.Result{Outcome: scheduler.Unreachable}) })
 		return
 	}
-	w.after(hop+wait, t.arrive)
+	sim.after(networkDelay+wait, t.arrive)
 }
 
-// connectTime is how long a connection takes beside the way there: nothing, but where connections come up late.
-func (w *world) connectTime() time.Duration {
-	if w.lateShare == 0 || w.rng.Float64() >= w.lateShare {
+// connectDelay returns the time that a connection takes in excess of the network delay: 0 unless slow connects are
+// injected.
+func (sim *simulation) connectDelay() time.Duration {
+	if sim.slowConnectShare == 0 || sim.rng.Float64() >= sim.slowConnectShare {
 		return 0
 	}
-	return time.Duration(w.rng.Float64() * float64(w.lateBy))
+	return time.Duration(sim.rng.Float64() * float64(sim.slowConnectMax))
 }
 
-// tell gives the dispatcher an attempt's end.
-func (t *attempt) tell(r brain.Result) {
-	if t.told || !t.from.up || t.from.loop != t.loop {
+// reportResult reports the attempt's end to the dispatcher, unless that has restarted since.
+func (t *attempt) reportResult(r scheduler.Result) {
+	if t.reported || !t.dispatcher.running || t.dispatcher.loop != t.loop {
 		return
 	}
-	t.told = true
-	t.from.do(func() { t.loop.AttemptEnded(t.flight, r) })
+	t.reported = true
+	t.dispatcher.runInLoop(func() { t.loop.AttemptEnded(t.dispatched, r) })
 }
 
-func (t *attempt) back(r brain.Result) {
-	r.LoadReport = t.to.load()
-	t.w.after(hop, func() { t.tell(r) })
+func (t *attempt) respond(r scheduler.Result) {
+	r.LoadReport = t.backend.loadReport()
+	t.sim.after(networkDelay, func() { t.reportResult(r) })
 }
 
-// end is the backend's end of an attempt.
+// end marks the attempt as ended at the backend and records how.
 func (t *attempt) end(word string) {
 	if t.ended {
 		return
 	}
 	t.ended = true
-	delete(t.to.trips, t)
-	l := t.line
+	delete(t.backend.attempts, t)
+	l := t.baseRecord
 	l.Kind, l.Detail = record.AttemptEnded, word
-	t.w.put(l)
+	t.sim.addRecord(l)
 }
 
-// broke is an attempt whose backend died.
-func (t *attempt) broke() {
+// loseConnection ends an attempt whose backend or connection failed.
+func (t *attempt) loseConnection() {
 	t.end("broke")
-	t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.ConnectionLost}) })
+	t.sim.after(networkDelay, func() { t.reportResult(scheduler.Result{Outcome: scheduler.ConnectionLost}) })
 }
 
-// closed is an attempt whose dispatcher has closed the connection.
-func (t *attempt) closed() {
-	if t.ended || !t.came {
-		t.ended = t.ended || !t.came
+// connectionClosed handles at the backend that the dispatcher has closed the connection.
+func (t *attempt) connectionClosed() {
+	if t.ended || !t.arrived {
+		t.ended = t.ended || !t.arrived
 		return
 	}
-	l := t.line
+	l := t.baseRecord
 	l.Kind = record.AttemptClosed
-	t.w.put(l)
-	b := t.to
-	if b.up && b.start == t.start && t.job != nil && !b.make.IgnoresCancel {
+	t.sim.addRecord(l)
+	b := t.backend
+	if b.running && b.incarnation == t.incarnation && t.job != nil && !b.spec.IgnoresCancel {
 		b.engine.Cancel(t.job)
-		b.kick()
+		b.runSteps()
 	}
 	t.end("closed")
 }
 
-// arrive is an attempt's bytes at its backend.
+// arrive delivers the attempt to its backend.
 func (t *attempt) arrive() {
-	b, w := t.to, t.w
+	b, sim := t.backend, t.sim
 	if t.ended {
 		return
 	}
-	if !b.up {
-		t.w.after(hop, func() { t.tell(brain.Result{Outcome: brain.ConnectionLost}) })
+	if !b.running {
+		t.sim.after(networkDelay, func() { t.reportResult(scheduler.Result{Outcome: scheduler.ConnectionLost}) })
 		return
 	}
-	t.came, t.start = true, b.start
-	b.trips[t] = true
-	work := b.work(t.line.Class, t.line.Phase)
-	l := t.line
-	l.Kind, l.Work = record.AttemptReceived, work
-	w.put(l)
-	if b.weigh(work) {
-		b.fell = true
-		w.put(record.Event{Kind: record.Overloaded, Backend: b.make.Name, StartID: b.start})
+	t.arrived, t.incarnation = true, b.incarnation
+	b.attempts[t] = true
+	work := b.attemptWork(t.baseRecord.Class, t.baseRecord.Phase)
+	arrival := t.baseRecord
+	arrival.Kind, arrival.Work = record.AttemptReceived, work
+	sim.addRecord(arrival)
+	if b.exceedsSlowStart(work) {
+		b.overloaded = true
+		sim.addRecord(record.Event{Kind: record.Overloaded, Backend: b.spec.Name, StartID: b.incarnation})
 		b.kill("pushed over")
 		return
 	}
-	if b.hang {
+	if b.hangs {
 		return
 	}
-	if b.fail > 0 && (b.failOf == "" || b.failOf == t.line.Class) && w.rng.Float64() < b.fail {
-		if t.line.Phase != kserve.PhasePrefill {
-			t.ran()
+	if b.failShare > 0 && (b.failClass == "" || b.failClass == t.baseRecord.Class) && sim.rng.Float64() < b.failShare {
+		if t.baseRecord.Phase != kserve.PhasePrefill {
+			t.recordRun()
 		}
 		t.end("failed")
-		t.back(brain.Result{Outcome: brain.Failed})
+		t.respond(scheduler.Result{Outcome: scheduler.Failed})
 		return
 	}
-	q := t.flight.Scheduled.Request
-	j := &engine.Job{Key: t.line.RequestKey, Session: q.SessionKey, Shared: q.PrefixKey, Prompt: int(q.PromptTokens), Prefix: int(q.PrefixTokens)}
-	t.job = j
-	switch t.line.Phase {
+	request := t.dispatched.Scheduled.Request
+	job := &engine.Job{Key: t.baseRecord.RequestKey, Session: request.SessionKey, SharedPrefix: request.PrefixKey,
+		PromptTokens: int(request.PromptTokens), PrefixTokens: int(request.PrefixTokens)}
+	t.job = job
+	switch t.baseRecord.Phase {
 	case kserve.PhasePrefill:
-		j.Stage = engine.Read
+		job.Stage = engine.StagePrefill
 	case kserve.PhaseDecode:
-		j.Stage = engine.Write
-		state := w.boxes[t.flight.PrefillBackend.Name]
-		j.Fetch = func(arrived func(bool)) { w.fetch(state, b, t, arrived) }
+		job.Stage = engine.StageDecode
+		prefillBackend := sim.backends[t.dispatched.PrefillBackend.Name]
+		job.FetchKVCache = func(arrived func(bool)) { sim.transferKVCache(prefillBackend, b, t, arrived) }
 	default:
-		j.Stage = engine.Whole
+		job.Stage = engine.StageWhole
 	}
-	j.Answer = standin.AnswerTokens(w.day.RequestShape(t.line.Class).AnswerTokens, t.line.Try, int(q.MaxOutputTokens))
-	if j.Stage == engine.Read {
-		j.Answer = 1
+	job.OutputTokens = fakes.AnswerTokens(sim.scenario.RequestShape(t.baseRecord.Class).AnswerTokens, t.baseRecord.Try,
+		int(request.MaxOutputTokens))
+	if job.Stage == engine.StagePrefill {
+		job.OutputTokens = 1
 	}
-	j.Token = func(n int) {
-		t.flight.StreamedTokens.Store(int64(n))
+	job.OnToken = func(n int) {
+		t.dispatched.StreamedTokens.Store(int64(n))
 		if n > 1 {
-			if n == 2 && b.resets > 0 && w.rng.Float64() < b.resets {
-				b.engine.Cancel(j)
-				t.broke()
+			if n == 2 && b.resetShare > 0 && sim.rng.Float64() < b.resetShare {
+				b.engine.Cancel(job)
+				t.loseConnection()
 			}
 			return
 		}
-		t.ran()
-		if b.cuts > 0 && w.rng.Float64() < b.cuts {
-			b.engine.Cancel(j)
-			t.broke()
+		t.recordRun()
+		if b.cutShare > 0 && sim.rng.Float64() < b.cutShare {
+			b.engine.Cancel(job)
+			t.loseConnection()
 			return
 		}
-		w.after(hop, t.began)
+		sim.after(networkDelay, t.firstToken)
 	}
-	j.Ended = func(e engine.End, kept int) { t.done(e, kept) }
-	b.engine.Submit(w.now, j)
-	b.kick()
+	job.OnEnd = func(outcome engine.Outcome, cachedTokens int) { t.jobEnded(outcome, cachedTokens) }
+	b.engine.Submit(sim.now, job)
+	b.runSteps()
 }
 
-func (t *attempt) ran() {
-	l, w := t.line, t.w
-	l.Kind = record.EffectStarted
-	if i := w.day.ClassIndex(l.Class); i >= 0 && w.day.Classes[i].Effect == "deduplicated" {
-		g := w.day.Classes[i]
-		key := map[string]string{"zone": t.to.make.Zone, "rack": t.to.make.Rack}[g.DedupScope] + " " + l.Try
-		if at, known := w.seen[key]; known && w.now-at < g.DedupWindow.Std() {
-			l.Kind = record.DuplicateDropped
+func (t *attempt) recordRun() {
+	run, sim := t.baseRecord, t.sim
+	run.Kind = record.EffectStarted
+	if i := sim.scenario.ClassIndex(run.Class); i >= 0 && sim.scenario.Classes[i].Effect == "deduplicated" {
+		class := sim.scenario.Classes[i]
+		key := map[string]string{"zone": t.backend.spec.Zone, "rack": t.backend.spec.Rack}[class.DedupScope] + " " + run.Try
+		if markedAt, known := sim.dedupMarks[key]; known && sim.now-markedAt < class.DedupWindow.Std() {
+			run.Kind = record.DuplicateDropped
 		} else {
-			w.seen[key] = w.now
+			sim.dedupMarks[key] = sim.now
 		}
 	}
-	w.put(l)
+	sim.addRecord(run)
 }
 
-// began is the first token at the dispatcher, and a hop later at the client.
-func (t *attempt) began() {
-	if t.told || !t.from.up || t.from.loop != t.loop {
+// firstToken delivers the first token to the dispatcher and, a network delay later, to the client.
+func (t *attempt) firstToken() {
+	if t.reported || !t.dispatcher.running || t.dispatcher.loop != t.loop {
 		return
 	}
-	t.from.do(func() { t.loop.AttemptBegan(t.flight) })
-	if t.off != nil || t.flight.Scheduled.FirstTokenAt == 0 {
+	t.dispatcher.runInLoop(func() { t.loop.AttemptBegan(t.dispatched) })
+	if t.cancelCause != nil || t.dispatched.Scheduled.FirstTokenAt == 0 {
 		return
 	}
-	if c := t.from.of[t.flight.Request]; c != nil {
-		t.w.after(hop, func() {
-			if !c.over && !c.first {
-				c.first = true
-				c.put(record.FirstToken, "", nil)
+	if c := t.dispatcher.clientOf[t.dispatched.Request]; c != nil {
+		t.sim.after(networkDelay, func() {
+			if !c.finished && !c.gotFirstToken {
+				c.gotFirstToken = true
+				c.addRecord(record.FirstToken, "", nil)
 			}
 		})
 	}
 }
 
-// done is the engine's end of a job.
-func (t *attempt) done(e engine.End, kept int) {
-	b, w := t.to, t.w
+// jobEnded handles the end of the engine's job.
+func (t *attempt) jobEnded(outcome engine.Outcome, cachedTokens int) {
+	b, sim := t.backend, t.sim
 	if t.ended {
 		return
 	}
-	switch e {
+	switch outcome {
 	case engine.Done:
-		if t.line.Phase != kserve.PhaseDecode {
-			left := float64(t.job.Prompt - kept)
-			b.work(t.line.Class, t.line.Phase) // its mean has begun
-			w.reads[t.line.Class][0] += left
-			w.reads[t.line.Class][1]++
+		if t.baseRecord.Phase != kserve.PhaseDecode {
+			uncachedTokens := float64(t.job.PromptTokens - cachedTokens)
+			b.attemptWork(t.baseRecord.Class, t.baseRecord.Phase) // seeds the mean on first use
+			sim.prefillTokens[t.baseRecord.Class][0] += uncachedTokens
+			sim.prefillTokens[t.baseRecord.Class][1]++
 		}
-		if t.line.Phase != kserve.PhasePrefill {
+		if t.baseRecord.Phase != kserve.PhasePrefill {
 			t.end(kserve.OutcomeCompleted)
-			t.back(brain.Result{Outcome: brain.Served, Detail: kept})
+			t.respond(scheduler.Result{Outcome: scheduler.Served, Detail: cachedTokens})
 			return
 		}
-		if upTo, ok := b.released[t.line.RequestKey]; ok && t.line.Attempt <= upTo {
-			b.engine.Release(t.line.RequestKey)
+		if upTo, ok := b.releasedUpTo[t.baseRecord.RequestKey]; ok && t.baseRecord.Attempt <= upTo {
+			b.engine.ReleaseKVCache(t.baseRecord.RequestKey)
 			t.end("dropped")
 			return
 		}
-		w.put(record.Event{Kind: record.KVCacheHeld, Backend: b.make.Name, RequestKey: t.line.RequestKey, Try: t.line.Try, Class: t.line.Class})
+		sim.addRecord(record.Event{Kind: record.KVCacheHeld, Backend: b.spec.Name, RequestKey: t.baseRecord.RequestKey, Try: t.baseRecord.Try,
+			Class: t.baseRecord.Class})
 		t.end(kserve.OutcomePrefilled)
-		t.back(brain.Result{Outcome: brain.Prefilled, Detail: kept})
-		if b.crashes > 0 && w.rng.Float64() < b.crashes {
-			start := b.start
-			w.after(2*time.Millisecond, func() { // the dispatcher knows of the read
-				if b.start == start {
+		t.respond(scheduler.Result{Outcome: scheduler.Prefilled, Detail: cachedTokens})
+		if b.crashShare > 0 && sim.rng.Float64() < b.crashShare {
+			incarnation := b.incarnation
+			sim.after(2*time.Millisecond, func() { // by then the dispatcher has the prefill result
+				if b.incarnation == incarnation {
 					b.kill("crashed after reading")
 				}
 			})
 		}
 	case engine.Full, engine.TooBig:
 		t.end(kserve.OutcomeFull)
-		t.back(brain.Result{Outcome: brain.Rejected})
-	case engine.NoState:
+		t.respond(scheduler.Result{Outcome: scheduler.Rejected})
+	case engine.NoKVCache:
 		t.end(kserve.OutcomeNoKVCache)
-		t.back(brain.Result{Outcome: brain.Rejected, Detail: 1})
+		t.respond(scheduler.Result{Outcome: scheduler.Rejected, Detail: 1})
 	}
 }
 
-// fetch moves a state from its reader to a writer, over the reader's own port within a rack, else over the rack's link.
-func (w *world) fetch(from, to *backend, t *attempt, arrived func(bool)) {
-	key := t.line.RequestKey
-	w.after(hop, func() {
+// transferKVCache moves a KV cache from its prefill backend to a decode backend: within a rack over the prefill
+// backend's own port, otherwise over the rack's shared link, where transfers queue.
+func (sim *simulation) transferKVCache(from, to *backend, t *attempt, arrived func(bool)) {
+	key := t.baseRecord.RequestKey
+	sim.after(networkDelay, func() {
 		tokens, ok := 0, false
-		if from.up {
-			tokens, ok = from.engine.Waits(key)
+		if from.running {
+			tokens, ok = from.engine.HeldKVCache(key)
 		}
 		if !ok {
-			w.after(hop, func() { arrived(false); to.kick() })
+			sim.after(networkDelay, func() { arrived(false); to.runSteps() })
 			return
 		}
-		from.engine.Moving(key, true)
-		start, took := from.start, time.Duration(float64(tokens)/w.day.Links.NearTokensPerSecond*float64(time.Second))
-		if from.make.Rack != to.make.Rack {
-			times := w.slowLink
-			if from.make.Zone != to.make.Zone {
-				times *= max(w.day.Links.CrossZoneFactor, 1)
+		from.engine.SetKVCacheMoving(key, true)
+		incarnation, transferTime := from.incarnation,
+			time.Duration(float64(tokens)/sim.scenario.Links.NearTokensPerSecond*float64(time.Second))
+		if from.spec.Rack != to.spec.Rack {
+			slowdown := sim.linkSlowdown
+			if from.spec.Zone != to.spec.Zone {
+				slowdown *= max(sim.scenario.Links.CrossZoneFactor, 1)
 			}
-			free := max(w.racks[from.make.Rack], w.now) + time.Duration(float64(tokens)/w.day.Links.FarTokensPerSecond*times*float64(time.Second))
-			w.racks[from.make.Rack] = free
-			took = free - w.now
+			linkFreeAt := max(sim.rackLinkFreeAt[from.spec.Rack], sim.now) +
+				time.Duration(float64(tokens)/sim.scenario.Links.FarTokensPerSecond*slowdown*float64(time.Second))
+			sim.rackLinkFreeAt[from.spec.Rack] = linkFreeAt
+			transferTime = linkFreeAt - sim.now
 		}
-		w.after(took, func() {
-			if !from.up || from.start != start {
+		sim.after(transferTime, func() {
+			if !from.running || from.incarnation != incarnation {
 				arrived(false)
-				to.kick()
+				to.runSteps()
 				return
 			}
-			if t.ended || !to.up || to.start != t.start { // nobody fetches any more: it waits on
-				from.engine.Moving(key, false)
-				if upTo, ok := from.released[key]; ok && upTo >= t.line.Attempt {
-					from.release(key, "released")
+			if t.ended || !to.running || to.incarnation != t.incarnation { // no longer needed there: keep it ready
+				from.engine.SetKVCacheMoving(key, false)
+				if upTo, ok := from.releasedUpTo[key]; ok && upTo >= t.baseRecord.Attempt {
+					from.releaseKVCache(key, "released")
 				}
 				return
 			}
-			from.release(key, "taken")
+			from.releaseKVCache(key, "taken")
 			arrived(true)
-			to.kick()
+			to.runSteps()
 		})
 	})
 }
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -8,95 +8,98 @@
 	"sloetrestle/internal/dispatch"
 )
 
-// budgets gives a dispatcher's loop its purses, and keepers of the budgets that it keeps. Messages take a hop; a keeper's sums
-// are durable after a disk's time, and outlast its restart.
-func (d *dispatcher) budgets() {
-	w := d.w
-	if len(w.day.Budgets) == 0 {
+// setUpBudgets gives the dispatcher's loop its token budgets, and keepers of the budgets that it owns. Messages
+// between them take the network delay. A keeper's sums are durable after commitTime and survive its restart.
+func (d *dispatcher) setUpBudgets() {
+	sim := d.sim
+	if len(sim.scenario.Budgets) == 0 {
 		return
 	}
-	b := &dispatch.Accounting{Month: month, OwnedBudgets: map[string]*budget.Owner{}}
-	of := len(w.dispatchers)
-	if n := w.day.Header.Dispatchers; n > of {
-		of = n
+	accounting := &dispatch.Accounting{Month: endlessMonth, OwnedBudgets: map[string]*budget.Owner{}}
+	dispatcherCount := len(sim.dispatchers)
+	if n := sim.scenario.Header.Dispatchers; n > dispatcherCount {
+		dispatcherCount = n
 	}
 	loop := d.loop
-	for _, s := range w.day.Budgets {
-		t, at := s.TokenLimits(), 0
-		if w.day.Header.SplitBudgets { // the plain way, to compare with: an equal part for each
-			part := float64(of)
-			t.PerSecond, t.Burst, t.Monthly, t.Borrow = t.PerSecond/part, t.Burst/part, t.Monthly/part, t.Borrow/part
-			at = d.number
+	for _, config := range sim.scenario.Budgets {
+		limits, owner := config.TokenLimits(), 0
+		if sim.scenario.Header.SplitBudgets { // static equal parts, as a reference for comparison
+			parts := float64(dispatcherCount)
+			limits.PerSecond, limits.Burst, limits.Monthly, limits.Borrow = limits.PerSecond/parts, limits.Burst/parts,
+				limits.Monthly/parts, limits.Borrow/parts
+			owner = d.number
 		} else {
-			at = budget.OwnerIndex(t.Name, of)
+			owner = budget.OwnerIndex(limits.Name, dispatcherCount)
 		}
-		if at == d.number {
-			key := fmt.Sprintf("%s %d", t.Name, at)
-			b.OwnedBudgets[t.Name] = budget.NewOwner(t, w.now, month(w.now), w.lent[key], 0, 0, func(what string, _ int64, tokens float64, done func()) {
-				w.after(commitTime, func() {
-					if what == "lent" {
-						w.lent[key] = max(w.lent[key], tokens)
-					}
-					if done != nil && d.loop == loop && d.up {
-						d.do(done)
-					}
+		if owner == d.number {
+			key := fmt.Sprintf("%s %d", limits.Name, owner)
+			accounting.OwnedBudgets[limits.Name] = budget.NewOwner(limits, sim.now, endlessMonth(sim.now),
+				sim.durableLoans[key], 0, 0, func(what string, _ int64, tokens float64, done func()) {
+					sim.after(commitTime, func() {
+						if what == "lent" {
+							sim.durableLoans[key] = max(sim.durableLoans[key], tokens)
+						}
+						if done != nil && d.loop == loop && d.running {
+							d.runInLoop(done)
+						}
+					})
 				})
-			})
 		}
-		var p *budget.LocalBudget
-		p = budget.NewLocalBudget(t, loop.Epoch, of, month(w.now), func(a budget.LeaseRequest) {
-			w.after(hop, func() {
-				k := w.dispatchers[at]
-				if !k.up || k.books == nil {
+		var tenantBudget *budget.LocalBudget
+		tenantBudget = budget.NewLocalBudget(limits, loop.Epoch, dispatcherCount, endlessMonth(sim.now), func(ask budget.LeaseRequest) {
+			sim.after(networkDelay, func() {
+				keeperDispatcher := sim.dispatchers[owner]
+				if !keeperDispatcher.running || keeperDispatcher.accounting == nil {
 					return
 				}
-				k.do(func() {
-					k.books.OwnedBudgets[a.Name].HandleRequest(w.now, month(w.now), a, func(l budget.LeaseReply) {
-						w.after(hop, func() {
-							if d.loop == loop && d.up {
-								d.do(func() { p.HandleReply(w.now, l) })
-							}
+				keeperDispatcher.runInLoop(func() {
+					keeperDispatcher.accounting.OwnedBudgets[ask.Name].HandleRequest(sim.now, endlessMonth(sim.now), ask,
+						func(loan budget.LeaseReply) {
+							sim.after(networkDelay, func() {
+								if d.loop == loop && d.running {
+									d.runInLoop(func() { tenantBudget.HandleReply(sim.now, loan) })
+								}
+							})
 						})
-					})
 				})
 			})
 		})
-		b.Budgets = append(b.Budgets, p)
-		w.purses = append(w.purses, p)
+		accounting.Budgets = append(accounting.Budgets, tenantBudget)
+		sim.budgets = append(sim.budgets, tenantBudget)
 	}
-	d.books = b
-	loop.SetAccounting(b)
+	d.accounting = accounting
+	loop.SetAccounting(accounting)
 }
 
-const commitTime = 22 * time.Millisecond // half a group's wait, and a disk's sync
+const commitTime = 22 * time.Millisecond // half the group-commit delay and one disk sync
 
-// month is one that outlasts every day.
-func month(now time.Duration) budget.Month {
+// testMonth returns a month that outlasts every scenario.
+func endlessMonth(now time.Duration) budget.Month {
 	return budget.Month{Number: 1, Remaining: 24*time.Hour - now}
 }
 
-// BudgetUse is what came of a budget.
+// BudgetUse is the use of one budget in a run.
 type BudgetUse struct {
-	Used     float64 `json:"used"` // tokens, over all dispatchers
-	Share    float64 `json:"share"`
-	Declined int64   `json:"declined"`
-	Passed   int64   `json:"passed"`
+	UsedTokens   float64 `json:"used"` // over all dispatchers
+	MonthlyShare float64 `json:"share"`
+	Rejected     int64   `json:"declined"`
+	Admitted     int64   `json:"passed"`
 }
 
-func (w *world) used() map[string]BudgetUse {
+func (sim *simulation) budgetUse() map[string]BudgetUse {
 	out := map[string]BudgetUse{}
-	for _, p := range w.purses {
-		u := out[p.Terms.Name]
-		u.Used += p.Counts.Used
-		u.Declined += p.Counts.Rejected
-		u.Passed += p.Counts.Admitted + p.Counts.EmergencyAdmitted
-		out[p.Terms.Name] = u
+	for _, tenantBudget := range sim.budgets {
+		use := out[tenantBudget.Terms.Name]
+		use.UsedTokens += tenantBudget.Counts.Used
+		use.Rejected += tenantBudget.Counts.Rejected
+		use.Admitted += tenantBudget.Counts.Admitted + tenantBudget.Counts.EmergencyAdmitted
+		out[tenantBudget.Terms.Name] = use
 	}
-	for _, s := range w.day.Budgets {
-		if t := s.TokenLimits(); t.Monthly > 0 {
-			u := out[t.Name]
-			u.Share = u.Used / t.Monthly
-			out[t.Name] = u
+	for _, config := range sim.scenario.Budgets {
+		if limits := config.TokenLimits(); limits.Monthly > 0 {
+			use := out[limits.Name]
+			use.MonthlyShare = use.UsedTokens / limits.Monthly
+			out[limits.Name] = use
 		}
 	}
 	return out
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -6,114 +6,118 @@
 	"time"
 
 	"sloetrestle/internal/dispatch"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/record"
-	"sloetrestle/internal/standin"
 )
 
-// client is one try.
+// client is one try of a request by its client.
 type client struct {
-	w     *world
-	wish  *standin.Request
-	try   int
-	id    string
-	d     *dispatcher
-	asked *dispatch.ClientRequest
-	over  bool
-	first bool
+	sim           *simulation
+	request       *fakes.Request
+	try           int
+	id            string
+	dispatcher    *dispatcher
+	submitted     *dispatch.ClientRequest
+	finished      bool
+	gotFirstToken bool
 }
 
-func (c *client) put(what, word string, more func(*record.Event)) {
-	l := record.Event{Kind: what, Detail: word, Try: c.id, Request: c.wish.Name, Class: c.wish.Class, Dispatcher: c.d.name}
-	if more != nil {
-		more(&l)
+func (c *client) addRecord(what, word string, fill func(*record.Event)) {
+	l := record.Event{Kind: what, Detail: word, Try: c.id, Request: c.request.Name, Class: c.request.Class,
+		Dispatcher: c.dispatcher.name}
+	if fill != nil {
+		fill(&l)
 	}
-	c.w.put(l)
+	c.sim.addRecord(l)
 }
 
-// ask makes one try of a request.
-func (w *world) ask(wish *standin.Request, try int, ticket string) {
-	var up []*dispatcher
-	for _, d := range w.dispatchers {
-		if d.front {
-			up = append(up, d)
+// submit makes one try of a request.
+func (sim *simulation) submit(request *fakes.Request, try int, ticket string) {
+	var candidates []*dispatcher
+	for _, d := range sim.dispatchers {
+		if d.inRotation {
+			candidates = append(candidates, d)
 		}
 	}
-	if len(up) == 0 {
-		up = w.dispatchers
+	if len(candidates) == 0 {
+		candidates = sim.dispatchers
 	}
-	d := up[(uint64(wish.SubmitAt)+uint64(try)*7919)*0x9e3779b97f4a7c15>>33%uint64(len(up))]
-	c := &client{w: w, wish: wish, try: try, id: fmt.Sprintf("%s.%d", wish.Name, try), d: d}
-	left := time.Duration(float64(wish.Deadline) * wish.PatienceShare)
-	follows := ""
-	if wish.HonoursRetryAfter {
-		follows = "follows"
+	d := candidates[(uint64(request.SubmitAt)+uint64(try)*7919)*0x9e3779b97f4a7c15>>33%uint64(len(candidates))]
+	c := &client{sim: sim, request: request, try: try, id: fmt.Sprintf("%s.%d", request.Name, try), dispatcher: d}
+	timeout := time.Duration(float64(request.Deadline) * request.PatienceShare)
+	retryAdvice := ""
+	if request.HonoursRetryAfter {
+		retryAdvice = "follows"
 	}
-	c.put(record.RequestSent, follows, func(l *record.Event) {
-		l.DeadlineUs, l.LatencyTargetUs, l.Tokens = left.Microseconds(), wish.LatencyTarget.Microseconds(), wish.PromptTokens
+	c.addRecord(record.RequestSent, retryAdvice, func(l *record.Event) {
+		l.DeadlineUs, l.LatencyTargetUs, l.Tokens = timeout.Microseconds(), request.LatencyTarget.Microseconds(), request.PromptTokens
 	})
-	if !d.up {
-		c.cut("unreached: the dispatcher is down")
+	if !d.running {
+		c.loseConnection("unreached: the dispatcher is down")
 		return
 	}
-	if wish.LeaveAfter > 0 {
-		w.after(wish.LeaveAfter, func() {
-			if !c.over {
-				c.over = true
-				c.put(record.ClientLeft, "", nil)
-				if d.up && d.open[c] {
-					delete(d.open, c)
-					delete(d.of, c.asked)
-					d.do(func() { d.loop.ClientDisconnected(c.asked) })
+	if request.LeaveAfter > 0 {
+		sim.after(request.LeaveAfter, func() {
+			if !c.finished {
+				c.finished = true
+				c.addRecord(record.ClientLeft, "", nil)
+				if d.running && d.openClients[c] {
+					delete(d.openClients, c)
+					delete(d.clientOf, c.submitted)
+					d.runInLoop(func() { d.loop.ClientDisconnected(c.submitted) })
 				}
 			}
 		})
 	}
-	d.open[c] = true
-	c.asked = &dispatch.ClientRequest{Params: kserve.Request{ID: c.id, Session: wish.Session, SharedPrefix: wish.PrefixID, PromptTokens: wish.PromptTokens, PrefixTokens: wish.PrefixTokens, MaxTokens: wish.MaxTokens,
-		IsRetry: try > 0, RetryTicket: ticket}, Class: wish.Class, Tenant: wish.Tenant}
-	d.of[c.asked] = c
-	c.asked.OnFinal = func(f kserve.FinalResponse) { w.after(hop, func() { c.final(f) }) }
-	grade, channel := w.day.ClassIndex(wish.Class), max(w.day.TenantIndex(wish.Tenant), 0)
-	w.after(hop, func() {
-		if c.over && wish.LeaveAfter == 0 || !d.open[c] {
+	d.openClients[c] = true
+	c.submitted = &dispatch.ClientRequest{Params: kserve.Request{ID: c.id, Session: request.Session,
+		SharedPrefix: request.PrefixID, PromptTokens: request.PromptTokens, PrefixTokens: request.PrefixTokens,
+		MaxTokens: request.MaxTokens, IsRetry: try > 0, RetryTicket: ticket}, Class: request.Class, Tenant: request.Tenant}
+	d.clientOf[c.submitted] = c
+	c.submitted.OnFinal = func(response kserve.FinalResponse) { sim.after(networkDelay, func() { c.final(response) }) }
+	class, tenant := sim.scenario.ClassIndex(request.Class), max(sim.scenario.TenantIndex(request.Tenant), 0)
+	sim.after(networkDelay, func() {
+		if c.finished && request.LeaveAfter == 0 || !d.openClients[c] {
 			return
 		}
-		d.do(func() { d.loop.Submit(c.asked, grade, channel, left-2*hop) })
+		d.runInLoop(func() { d.loop.Submit(c.submitted, class, tenant, timeout-2*networkDelay) })
 	})
 }
 
-func (c *client) final(f kserve.FinalResponse) {
-	if c.over {
+func (c *client) final(response kserve.FinalResponse) {
+	if c.finished {
 		return
 	}
-	c.over = true
-	delete(c.d.open, c)
-	delete(c.d.of, c.asked)
-	c.put(record.FinalAnswer, f.Outcome, func(l *record.Event) { l.RetryAfterMs, l.Attempts = f.RetryAfterMs, f.Attempts })
-	if f.Outcome != kserve.Served && (f.Outcome == kserve.Rejected || c.wish.Idempotent) {
-		ticket := f.RetryTicket
-		if !c.wish.HonoursRetryAfter {
+	c.finished = true
+	delete(c.dispatcher.openClients, c)
+	delete(c.dispatcher.clientOf, c.submitted)
+	c.addRecord(record.FinalAnswer, response.Outcome, func(l *record.Event) {
+		l.RetryAfterMs, l.Attempts = response.RetryAfterMs, response.Attempts
+	})
+	if response.Outcome != kserve.Served && (response.Outcome == kserve.Rejected || c.request.Idempotent) {
+		ticket := response.RetryTicket
+		if !c.request.HonoursRetryAfter {
 			ticket = ""
 		}
-		c.again(time.Duration(f.RetryAfterMs)*time.Millisecond, ticket)
+		c.retry(time.Duration(response.RetryAfterMs)*time.Millisecond, ticket)
 	}
 }
 
-func (c *client) cut(why string) {
-	if c.over {
+func (c *client) loseConnection(reason string) {
+	if c.finished {
 		return
 	}
-	c.over = true
-	delete(c.d.open, c)
-	c.put(record.ConnectionLost, why, nil)
-	if strings.HasPrefix(why, "unreached") || c.wish.Idempotent {
-		c.again(0, "")
+	c.finished = true
+	delete(c.dispatcher.openClients, c)
+	c.addRecord(record.ConnectionLost, reason, nil)
+	if strings.HasPrefix(reason, "unreached") || c.request.Idempotent {
+		c.retry(0, "")
 	}
 }
 
-func (c *client) again(told time.Duration, ticket string) {
-	if c.try < c.wish.Retries {
-		c.w.after(c.wish.RetryDelay(c.try, told), func() { c.w.ask(c.wish, c.try+1, ticket) })
+func (c *client) retry(retryAfter time.Duration, ticket string) {
+	if c.try < c.request.Retries {
+		c.sim.after(c.request.RetryDelay(c.try, retryAfter), func() { c.sim.submit(c.request, c.try+1, ticket) })
 	}
 }
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -5,135 +5,139 @@
 	"strings"
 	"time"
 
-	"sloetrestle/internal/boxlist"
 	"sloetrestle/internal/day"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/record"
 )
 
-func (w *world) hit(t day.Fault) []*backend {
-	var hit []*backend
-	for _, b := range w.order {
-		if slices.ContainsFunc(t.Backends, func(n string) bool { return n == b.make.Name || n == b.make.Kind }) {
-			hit = append(hit, b)
+func (sim *simulation) affectedBackends(fault day.Fault) []*backend {
+	var affected []*backend
+	for _, b := range sim.backendOrder {
+		if slices.ContainsFunc(fault.Backends, func(n string) bool { return n == b.spec.Name || n == b.spec.Kind }) {
+			affected = append(affected, b)
 		}
 	}
-	return hit
+	return affected
 }
 
-// inject begins a fault and sets its end. Those of the requests themselves are in the plan; those of single addresses
-// have no meaning without sockets.
-func (w *world) inject(t day.Fault) {
-	w.put(record.Event{Kind: record.Note, Detail: t.Kind + " begins"})
-	hit, length, notice := w.hit(t), t.Duration.Std(), w.day.Discovery.NoticeDelay.Std()
+// inject starts a fault and schedules its end. Faults of the requests themselves are part of the traffic plan.
+// Faults of single addresses have no meaning without sockets.
+func (sim *simulation) inject(fault day.Fault) {
+	sim.addRecord(record.Event{Kind: record.Note, Detail: fault.Kind + " begins"})
+	affected, length, noticeDelay := sim.affectedBackends(fault), fault.Duration.Std(), sim.scenario.Discovery.NoticeDelay.Std()
 	each := func(do func(*backend)) {
-		for _, b := range hit {
+		for _, b := range affected {
 			do(b)
 		}
 	}
-	back := func() {
+	restart := func() {
 		each(func(b *backend) {
-			if !b.up {
-				b.boot(true)
-				w.publish(b, boxlist.Ready, notice)
-				b.kick()
+			if !b.running {
+				b.start(true)
+				sim.publish(b, endpointlist.Ready, noticeDelay)
+				b.runSteps()
 			}
 		})
 	}
-	later := func(do func()) { w.after(length, do) }
-	switch t.Kind {
+	later := func(do func()) { sim.after(length, do) }
+	switch fault.Kind {
 	case "slow":
-		each(func(b *backend) { b.engine.Slow = t.Factor })
-		later(func() { each(func(b *backend) { b.engine.Slow = 0 }) })
+		each(func(b *backend) { b.engine.Slowdown = fault.Factor })
+		later(func() { each(func(b *backend) { b.engine.Slowdown = 0 }) })
 	case "neighbour":
-		each(func(b *backend) { b.engine.Neighbour = t.Share })
-		later(func() { each(func(b *backend) { b.engine.Neighbour = 0 }) })
+		each(func(b *backend) { b.engine.NeighbourShare = fault.Share })
+		later(func() { each(func(b *backend) { b.engine.NeighbourShare = 0 }) })
 	case "ageing":
-		each(func(b *backend) { b.engine.Age(w.now, t.Share) })
+		each(func(b *backend) { b.engine.SetAgingRate(sim.now, fault.Share) })
 		later(func() {
 			each(func(b *backend) {
 				b.kill("aged")
-				w.publish(b, boxlist.Removed, w.day.Discovery.FailureNoticeDelay.Std())
+				sim.publish(b, endpointlist.Removed, sim.scenario.Discovery.FailureNoticeDelay.Std())
 			})
-			w.after(2*time.Second, back)
+			sim.after(2*time.Second, restart)
 		})
 	case "evict_fresh":
 		each(func(b *backend) { b.engine.EvictFresh = true })
 		later(func() { each(func(b *backend) { b.engine.EvictFresh = false }) })
 	case "failing", "grade_failing":
-		each(func(b *backend) { b.fail, b.failOf = t.Share, t.Class })
-		later(func() { each(func(b *backend) { b.fail = 0 }) })
+		each(func(b *backend) { b.failShare, b.failClass = fault.Share, fault.Class })
+		later(func() { each(func(b *backend) { b.failShare = 0 }) })
 	case "hang":
-		each(func(b *backend) { b.hang = true })
-		later(func() { each(func(b *backend) { b.hang = false }) })
+		each(func(b *backend) { b.hangs = true })
+		later(func() { each(func(b *backend) { b.hangs = false }) })
 	case "reset":
-		each(func(b *backend) { b.resets = t.Share })
-		later(func() { each(func(b *backend) { b.resets = 0 }) })
+		each(func(b *backend) { b.resetShare = fault.Share })
+		later(func() { each(func(b *backend) { b.resetShare = 0 }) })
 	case "reset_running":
-		each(func(b *backend) { b.cuts = t.Share })
-		later(func() { each(func(b *backend) { b.cuts = 0 }) })
+		each(func(b *backend) { b.cutShare = fault.Share })
+		later(func() { each(func(b *backend) { b.cutShare = 0 }) })
 	case "crash_after_read":
-		each(func(b *backend) { b.crashes = t.Share })
-		later(func() { each(func(b *backend) { b.crashes = 0 }); back() })
+		each(func(b *backend) { b.crashShare = fault.Share })
+		later(func() { each(func(b *backend) { b.crashShare = 0 }); restart() })
 	case "replace":
 		each(func(b *backend) {
-			w.publish(b, boxlist.Draining, notice)
-			w.replace(b, notice)
+			sim.publish(b, endpointlist.Draining, noticeDelay)
+			sim.startReplacement(b, noticeDelay)
+		})
+		later(func() {
+			each(func(b *backend) { b.kill("replaced"); sim.publish(b, endpointlist.Removed, noticeDelay) })
 		})
-		later(func() { each(func(b *backend) { b.kill("replaced"); w.publish(b, boxlist.Removed, notice) }) })
 	case "connect_late":
-		w.lateShare, w.lateBy = t.Share, t.Delay.Std()
-		later(func() { w.lateShare = 0 })
+		sim.slowConnectShare, sim.slowConnectMax = fault.Share, fault.Delay.Std()
+		later(func() { sim.slowConnectShare = 0 })
 	case "list_down":
-		w.downList = w.now + length
+		sim.discoveryDownUntil = sim.now + length
 	case "list_gap":
-		w.skipList = true
-	case "no_cancel", "leave", "give_up", "burst", "shared_text", "long_prompts": // of the boxes' make, or of the questions' plan
+		sim.dropNextUpdate = true
+	case "no_cancel", "leave", "give_up", "burst", "shared_text", "long_prompts":
+		// part of the backends' specs or of the traffic plan
 	case "forget":
-		each(func(b *backend) { b.engine.Forget() })
+		each(func(b *backend) { b.engine.DropCache() })
 	case "crash":
 		each(func(b *backend) {
 			b.kill("crashed")
-			if silent := w.day.Discovery.FailureNoticeDelay.Std(); length > silent {
-				w.publish(b, boxlist.Removed, silent)
+			if silent := sim.scenario.Discovery.FailureNoticeDelay.Std(); length > silent {
+				sim.publish(b, endpointlist.Removed, silent)
 			}
 		})
-		later(back)
+		later(restart)
 	case "restart":
 		each(func(b *backend) { b.kill("restarted") })
-		back()
+		restart()
 	case "drain":
-		each(func(b *backend) { w.publish(b, boxlist.Draining, notice) })
+		each(func(b *backend) { sim.publish(b, endpointlist.Draining, noticeDelay) })
 		later(func() {
-			each(func(b *backend) { b.kill("drained"); w.publish(b, boxlist.Removed, notice) })
-			w.after(time.Second, back)
+			each(func(b *backend) { b.kill("drained"); sim.publish(b, endpointlist.Removed, noticeDelay) })
+			sim.after(time.Second, restart)
 		})
 	case "list_stale":
-		w.lateList = t.Delay.Std()
-		later(func() { w.lateList = 0 })
+		sim.discoveryDelay = fault.Delay.Std()
+		later(func() { sim.discoveryDelay = 0 })
 	case "link_slow":
-		w.slowLink = t.Factor
-		later(func() { w.slowLink = 1 })
+		sim.linkSlowdown = fault.Factor
+		later(func() { sim.linkSlowdown = 1 })
 	case "kill_dispatcher":
-		for _, n := range t.Dispatchers {
-			w.dispatchers[n].kill()
+		for _, n := range fault.Dispatchers {
+			sim.dispatchers[n].kill()
 		}
 		later(func() {
-			for _, n := range t.Dispatchers {
-				d := w.dispatchers[n]
-				d.boot(d.known)
+			for _, n := range fault.Dispatchers {
+				d := sim.dispatchers[n]
+				d.start(d.lastKnown)
 			}
 		})
-	default: // of sockets and processes
-		w.put(record.Event{Kind: record.Note, Detail: t.Kind + " is not played here"})
+	default: // faults of sockets and processes
+		sim.addRecord(record.Event{Kind: record.Note, Detail: fault.Kind + " is not played here"})
 	}
-	if !strings.HasPrefix(t.Kind, "address_") {
-		later(func() { w.put(record.Event{Kind: record.Note, Detail: t.Kind + " ends"}) })
+	if !strings.HasPrefix(fault.Kind, "address_") {
+		later(func() { sim.addRecord(record.Event{Kind: record.Note, Detail: fault.Kind + " ends"}) })
 	}
 }
 
-// replace starts a new backend in the place of one that drains: alike, with a name of its own, and cold.
-func (w *world) replace(old *backend, notice time.Duration) {
-	made := old.make
-	made.Name += "-new"
-	w.publish(w.add(made, true), boxlist.Ready, notice)
+// startReplacement starts a backend in slow start in place of one that drains, of the same spec but with a name of
+// its own.
+func (sim *simulation) startReplacement(old *backend, noticeDelay time.Duration) {
+	spec := old.spec
+	spec.Name += "-new"
+	sim.publish(sim.addBackend(spec, true), endpointlist.Ready, noticeDelay)
 }
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,6 +1,7 @@
-// Package fleet plays a scripted day in virtual time: many dispatchers, each the real loop with the real module, and many
-// engines in one process, with no sockets and no clock. The same script and seed give the same record to the last line.
-// It decides nothing; what it leaves is a record for internal/judge. Begin with Play.
+// Package fleet plays a scripted scenario in virtual time, in one process: many dispatchers, each with the
+// production event loop and scheduler, and many emulated engines, without sockets or clock. The same script and
+// seed give the same records to the last line. It does not check the rules itself: the records go to the checker.
+// Begin with Play.
 package fleet
 
 import (
@@ -11,153 +12,156 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"sloetrestle/internal/agenda"
 	"sloetrestle/internal/baseline"
-	"sloetrestle/internal/boxlist"
 	"sloetrestle/internal/budget"
+	"sloetrestle/internal/checker"
 	"sloetrestle/internal/day"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/engine"
-	"sloetrestle/internal/judge"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/record"
-	"sloetrestle/internal/standin"
+	"sloetrestle/internal/timerqueue"
 )
 
 const (
-	hop      = 200 * time.Microsecond // one way between any two, a hall's network
-	beat     = 2 * time.Millisecond   // how often a dispatcher's timers are looked at, as on the bench
-	unreach  = 1 * time.Millisecond   // for a refused connection
-	dialTime = 250 * time.Millisecond
+	networkDelay          = 200 * time.Microsecond // one way between any two processes in a data center
+	timerResolution       = 2 * time.Millisecond   // dispatchers' timers fire at multiples of it
+	refusedConnectionTime = 1 * time.Millisecond   // until a refused connection is reported
+	dialTimeout           = 250 * time.Millisecond
 )
 
-// Outcome is what a run comes to, beside its verdict.
+// Outcome is the result of a run: the checker's verdict, and figures of the run.
 type Outcome struct {
-	judge.Verdict
-	Digest    string                   `json:"digest"` // of the record
-	Questions int                      `json:"questions"`
-	Engines   map[string]engine.Counts `json:"engines"`
-	Share     []float64                `json:"share"` // answered in time of those first asked in each second
-	Asked     []float64                `json:"asked"`
-	Again     []float64                `json:"again"` // tries in each second
-	Budgets   map[string]BudgetUse     `json:"budgets,omitempty"`
+	checker.Verdict
+	Digest         string                   `json:"digest"` // of all records
+	Requests       int                      `json:"questions"`
+	Engines        map[string]engine.Counts `json:"engines"`
+	OnTimeShare    []float64                `json:"share"` // by second of first submission
+	Submitted      []float64                `json:"asked"`
+	TriesPerSecond []float64                `json:"again"`
+	Budgets        map[string]BudgetUse     `json:"budgets,omitempty"`
 }
 
-// Play plays a day with a policy: "module", or one of the baselines.
-func Play(d day.Scenario, policy string) (Outcome, error) {
-	return PlayLines(d, policy, nil)
+// Play plays a scenario with a policy: "module" for the scheduler, or the name of a baseline policy.
+func Play(scenario day.Scenario, policy string) (Outcome, error) {
+	return PlayWithRecords(scenario, policy, nil)
 }
 
-// PlayLines does the same and hands on each line of the record.
-func PlayLines(d day.Scenario, policy string, each func(record.Event)) (Outcome, error) {
-	w, err := newWorld(d, policy, each)
+// PlayWithRecords does the same and calls a function with each record.
+func PlayWithRecords(scenario day.Scenario, policy string, onRecord func(record.Event)) (Outcome, error) {
+	sim, err := newSimulation(scenario, policy, onRecord)
 	if err != nil {
 		return Outcome{}, err
 	}
-	return w.play(), nil
+	return sim.runToEnd(), nil
 }
 
-// newWorld makes backends, discovery and dispatchers, and clients that will ask.
-func newWorld(d day.Scenario, policy string, each func(record.Event)) (*world, error) {
-	w := &world{
-		day: d, policy: policy, rng: rand.New(rand.NewPCG(d.Header.Seed, 77)), boxes: map[string]*backend{}, byID: map[uint32]*backend{}, each: each,
-		slowLink: 1, lent: map[string]float64{}, racks: map[string]time.Duration{}, sum: xxhash.New(), seen: map[string]time.Duration{},
-		reads: map[string]*[2]float64{}, wishes: d.Plan(),
+// newSimulation builds backends, discovery and dispatchers, and schedules the clients' requests and the faults.
+func newSimulation(scenario day.Scenario, policy string, onRecord func(record.Event)) (*simulation, error) {
+	sim := &simulation{
+		scenario: scenario, policy: policy, rng: rand.New(rand.NewPCG(scenario.Header.Seed, 77)),
+		backends: map[string]*backend{}, byID: map[uint32]*backend{}, onRecord: onRecord,
+		linkSlowdown: 1, durableLoans: map[string]float64{}, rackLinkFreeAt: map[string]time.Duration{},
+		digest: xxhash.New(), dedupMarks: map[string]time.Duration{},
+		prefillTokens: map[string]*[2]float64{}, requests: scenario.Plan(),
 	}
-	if err := w.build(); err != nil {
+	if err := sim.build(); err != nil {
 		return nil, err
 	}
 	if policy == baseline.Informed {
-		w.observe()
+		sim.observeBackends()
 	}
-	for i := range w.wishes {
-		w.at(w.wishes[i].SubmitAt, func() { w.ask(&w.wishes[i], 0, "") })
+	for i := range sim.requests {
+		sim.schedule(sim.requests[i].SubmitAt, func() { sim.submit(&sim.requests[i], 0, "") })
 	}
-	for _, t := range d.Faults {
-		w.at(t.Start.Std(), func() { w.inject(t) })
+	for _, fault := range scenario.Faults {
+		sim.schedule(fault.Start.Std(), func() { sim.inject(fault) })
 	}
-	return w, nil
+	return sim, nil
 }
 
-// play runs the day to its end.
-func (w *world) play() Outcome {
-	d := w.day
-	w.run(d.Header.Duration.Std() + tail)
-	head := record.Header{Scenario: d.Header.Name, Seed: d.Header.Seed, Terms: d.Deployment}
+// runToEnd runs the scenario to its end.
+func (sim *simulation) runToEnd() Outcome {
+	scenario := sim.scenario
+	sim.run(scenario.Header.Duration.Std() + drainTime)
+	head := record.Header{Scenario: scenario.Header.Name, Seed: scenario.Header.Seed, Terms: scenario.Deployment}
 	out := Outcome{
-		Verdict: judge.Check(head, w.lines), Digest: fmt.Sprintf("%x", w.sum.Sum64()), Questions: len(w.wishes), Engines: map[string]engine.Counts{},
+		Verdict: checker.Check(head, sim.records), Digest: fmt.Sprintf("%x", sim.digest.Sum64()), Requests: len(sim.requests),
+		Engines: map[string]engine.Counts{},
 	}
-	out.Share, out.Asked, out.Again = judge.Timeline(head, w.lines)
-	out.Budgets = w.used()
-	for _, b := range w.order {
-		sum := out.Engines[b.make.Kind]
+	out.OnTimeShare, out.Submitted, out.TriesPerSecond = checker.Timeline(head, sim.records)
+	out.Budgets = sim.budgetUse()
+	for _, b := range sim.backendOrder {
+		sum := out.Engines[b.spec.Kind]
 		sum.Add(b.engine.Counts)
-		out.Engines[b.make.Kind] = sum
+		out.Engines[b.spec.Kind] = sum
 	}
 	return out
 }
 
-// tail is how long a day runs on after its last request.
-const tail = 40 * time.Second
-
-type world struct {
-	day    day.Scenario
-	policy string
-	now    time.Duration
-	events agenda.Queue
-	rng    *rand.Rand
-	wishes []standin.Request
-	lines  []record.Event
-	each   func(record.Event)
-	sum    hash.Hash64
-
-	boxes       map[string]*backend // by name
-	byID        map[uint32]*backend
-	order       []*backend
-	dispatchers []*dispatcher
-	lateList    time.Duration
-	downList    time.Duration // until then nothing is heard of it
-	skipList    bool          // its next change is lost
-	lateShare   float64       // of connections to backends that come up late
-	lateBy      time.Duration // at most
-	slowLink    float64
-	racks       map[string]time.Duration // when a rack's link is free
-	seen        map[string]time.Duration // marks, by group
-	reads       map[string]*[2]float64   // tokens left to read by grade: sum and number
-	starts      uint64
-	lent        map[string]float64 // what keepers have made durable
-	purses      []*budget.LocalBudget
+// drainTime is how long a scenario runs on after its last request.
+const drainTime = 40 * time.Second
+
+type simulation struct {
+	scenario day.Scenario
+	policy   string
+	now      time.Duration
+	timers   timerqueue.Queue
+	rng      *rand.Rand
+	requests []fakes.Request
+	records  []record.Event
+	onRecord func(record.Event)
+	digest   hash.Hash64
+
+	backends           map[string]*backend // by name
+	byID               map[uint32]*backend
+	backendOrder       []*backend
+	dispatchers        []*dispatcher
+	discoveryDelay     time.Duration
+	discoveryDownUntil time.Duration // no update is delivered before
+	dropNextUpdate     bool          // lose the next update
+	slowConnectShare   float64       // share of connections to backends that are slow to connect
+	slowConnectMax     time.Duration // upper bound of their extra delay
+	linkSlowdown       float64
+	rackLinkFreeAt     map[string]time.Duration // when a rack's link has no transfers left
+	dedupMarks         map[string]time.Duration // time of each deduplication key, by group
+	prefillTokens      map[string]*[2]float64   // uncached prompt tokens by class: sum and count
+	lastIncarnation    uint64
+	durableLoans       map[string]float64 // keepers' durable sums
+	budgets            []*budget.LocalBudget
 }
 
-func (w *world) at(at time.Duration, do func()) {
-	w.events.Schedule(max(at, w.now), do)
+func (sim *simulation) schedule(at time.Duration, do func()) {
+	sim.timers.Schedule(max(at, sim.now), do)
 }
 
-func (w *world) after(d time.Duration, do func()) { w.at(w.now+d, do) }
+func (sim *simulation) after(d time.Duration, do func()) { sim.schedule(sim.now+d, do) }
 
-func (w *world) run(until time.Duration) {
-	w.events.RunUntil(until, func(at time.Duration) { w.now = at })
+func (sim *simulation) run(until time.Duration) {
+	sim.timers.RunUntil(until, func(now time.Duration) { sim.now = now })
 }
 
-func (w *world) put(l record.Event) {
-	l.TimeUs = w.now.Microseconds()
-	w.lines = append(w.lines, l)
-	fmt.Fprintf(w.sum, "%d %s %s %s %s %s %d %s\n", l.TimeUs, l.Kind, l.Backend, l.Try, l.Detail, l.RequestKey, l.Attempt, l.Dispatcher)
-	if w.each != nil {
-		w.each(l)
+func (sim *simulation) addRecord(l record.Event) {
+	l.TimeUs = sim.now.Microseconds()
+	sim.records = append(sim.records, l)
+	fmt.Fprintf(sim.digest, "%d %s %s %s %s %s %d %s\n", l.TimeUs, l.Kind, l.Backend, l.Try, l.Detail, l.RequestKey, l.Attempt, l.Dispatcher)
+	if sim.onRecord != nil {
+		sim.onRecord(l)
 	}
 }
 
-// build makes backends, list and dispatchers.
-func (w *world) build() error {
-	for _, m := range w.day.BackendSpecs() {
-		if err := m.Engine.Check(); err != nil {
-			return fmt.Errorf("box %s: %w", m.Name, err)
+// build creates the backends, announces them, and starts the dispatchers.
+func (sim *simulation) build() error {
+	for _, m := range sim.scenario.BackendSpecs() {
+		if err := m.Engine.Validate(); err != nil {
+			return fmt.Errorf("backend %s: %w", m.Name, err)
 		}
-		w.publish(w.add(m, false), boxlist.Ready, 0)
+		sim.publish(sim.addBackend(m, false), endpointlist.Ready, 0)
 	}
-	for i := range w.day.Header.Dispatchers {
-		d := &dispatcher{w: w, number: i, name: fmt.Sprintf("d%d", i)}
-		w.dispatchers = append(w.dispatchers, d)
-		if err := d.boot(nil); err != nil {
+	for i := range sim.scenario.Header.Dispatchers {
+		d := &dispatcher{sim: sim, number: i, name: fmt.Sprintf("d%d", i)}
+		sim.dispatchers = append(sim.dispatchers, d)
+		if err := d.start(nil); err != nil {
 			return err
 		}
 	}
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -10,25 +10,28 @@
 	"sloetrestle/internal/setup"
 )
 
-func load(t testing.TB, name string) day.Scenario {
+func loadScenario(t testing.TB, name string) day.Scenario {
 	t.Helper()
 	raw, err := os.ReadFile("../../examples/" + name + ".toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d, err := day.Parse(name, raw)
+	scenario, err := day.Parse(name, raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return d
+	return scenario
 }
 
-// The days that processes play on sockets keep the rules in virtual time too, with engines in place of simple boxes.
-func TestDaysKeepTheRulesInVirtualTime(t *testing.T) {
-	for _, name := range []string{"quiet", "demo", "crash-after-read", "reset", "failing", "grade-failing", "hang", "drain", "restart", "list-stale", "kill-dispatcher",
-		"leave", "no-cancel", "link-slow", "forget", "burst", "long-prompts", "shared-text", "stale-cold", "overlap-kill-in-burst", "ageing", "neighbour", "evict-fresh"} {
-		d := load(t, name)
-		out, err := Play(d, "module")
+// The scenarios that processes play on sockets must keep the rules in virtual time too, with emulated engines as
+// backends.
+func TestScenariosKeepTheRulesInVirtualTime(t *testing.T) {
+	for _, name := range []string{"quiet", "demo", "crash-after-read", "reset", "failing", "grade-failing", "hang",
+		"drain", "restart", "list-stale", "kill-dispatcher",
+		"leave", "no-cancel", "link-slow", "forget", "burst", "long-prompts", "shared-text", "stale-cold",
+		"overlap-kill-in-burst", "ageing", "neighbour", "evict-fresh"} {
+		scenario := loadScenario(t, name)
+		out, err := Play(scenario, "module")
 		if err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -38,20 +41,20 @@
 	}
 }
 
-func TestTheSameSeedGivesTheSameRecord(t *testing.T) {
-	d := load(t, "demo")
+func TestSameSeedGivesSameRecords(t *testing.T) {
+	scenario := loadScenario(t, "demo")
 	var digests []string
 	for _, procs := range []int{1, 2, 4} {
-		old := runtime.GOMAXPROCS(procs)
-		out, err := Play(d, "module")
-		runtime.GOMAXPROCS(old)
+		previous := runtime.GOMAXPROCS(procs)
+		out, err := Play(scenario, "module")
+		runtime.GOMAXPROCS(previous)
 		if err != nil {
 			t.Fatal(err)
 		}
 		digests = append(digests, out.Digest)
 	}
-	d.Header.Seed++
-	other, err := Play(d, "module")
+	scenario.Header.Seed++
+	other, err := Play(scenario, "module")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,10 +63,10 @@
 	}
 }
 
-func TestBaselinesKeepTheRulesOnAQuietDay(t *testing.T) {
-	d := load(t, "quiet")
+func TestBaselinePoliciesKeepTheRules(t *testing.T) {
+	scenario := loadScenario(t, "quiet")
 	for _, name := range baseline.Names {
-		out, err := Play(d, name)
+		out, err := Play(scenario, name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -71,17 +74,17 @@
 			t.Errorf("%s\n%s", name, out.Text())
 		}
 	}
-	if _, err := Play(d, "astrology"); err == nil {
-		t.Error("a policy that is none plays")
+	if _, err := Play(scenario, "astrology"); err == nil {
+		t.Error("an unknown policy was accepted")
 	}
 }
 
-// Load that comes to 2.5 times what the engines can do must end: once it has passed, questions are satisfied again.
-func TestTheFleetComesBackAfterAnOverload(t *testing.T) {
-	d := load(t, "quiet")
-	d.Header.Duration, d.Header.RequestsPerSecond = setup.Duration(40e9), 60
-	d.Faults = []day.Fault{{Kind: "burst", Start: setup.Duration(5e9), Duration: setup.Duration(10e9), Factor: 6}}
-	out, err := Play(d, "module")
+// A load of 2.5 times the engines' capacity must not outlast its cause: once it has passed, requests are served again.
+func TestFleetRecoversAfterOverload(t *testing.T) {
+	scenario := loadScenario(t, "quiet")
+	scenario.Header.Duration, scenario.Header.RequestsPerSecond = setup.Duration(40e9), 60
+	scenario.Faults = []day.Fault{{Kind: "burst", Start: setup.Duration(5e9), Duration: setup.Duration(10e9), Factor: 6}}
+	out, err := Play(scenario, "module")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,28 +93,28 @@
 		lost += r.Rejected + r.Failed + r.Late
 	}
 	if !out.Passed() || lost == 0 || out.ValueShare < 0.4 {
-		t.Errorf("%d were not satisfied in time\n%s", lost, out.Text())
+		t.Errorf("%d requests were not served in time\n%s", lost, out.Text())
 	}
 }
 
-func BenchmarkFleet31(b *testing.B) { benchmark(b, 1, 33) }
-func BenchmarkFleet79(b *testing.B) { benchmark(b, 2.55, 160) }
+func BenchmarkFleet31(b *testing.B) { benchmarkScenario(b, 1, 33) }
+func BenchmarkFleet79(b *testing.B) { benchmarkScenario(b, 2.55, 160) }
 
-// benchmark plays a day of 31 boxes, so many times larger.
-func benchmark(b *testing.B, times float64, dispatchers int) {
-	d := load(b, "quiet")
+// benchmarkScenario plays a scenario of 31 backends, enlarged by the given factor.
+func benchmarkScenario(b *testing.B, factor float64, dispatchers int) {
+	scenario := loadScenario(b, "quiet")
 	for i, n := range []float64{13, 15, 3} {
-		d.Backends[i].Count = int(n * times)
+		scenario.Backends[i].Count = int(n * factor)
 	}
-	d.Header.RequestsPerSecond, d.Header.Dispatchers = 100*times, dispatchers
+	scenario.Header.RequestsPerSecond, scenario.Header.Dispatchers = 100*factor, dispatchers
 	b.ReportAllocs()
-	questions := 0
+	requests := 0
 	for b.Loop() {
-		out, err := Play(d, "module")
+		out, err := Play(scenario, "module")
 		if err != nil {
 			b.Fatal(err)
 		}
-		questions += out.Questions
+		requests += out.Requests
 	}
-	b.ReportMetric(float64(questions)/b.Elapsed().Seconds(), "questions/s")
+	b.ReportMetric(float64(requests)/b.Elapsed().Seconds(), "questions/s")
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -19,9 +19,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/record"
 	"sloetrestle/internal/setup"
-	"sloetrestle/internal/standin"
 )
 
 // Arrival is one request of a trace: a row of a CSV file or a line of a JSON lines file.
@@ -44,7 +44,7 @@
 // ReadTrace reads arrivals from a CSV file with a header row (name ending in .csv) or from JSON lines (any other
 // name) and returns them in order of time; the file need not be sorted. Errors give the line or the arrival that is
 // malformed.
-func ReadTrace(file string, terms setup.Deployment) ([]standin.Request, error) {
+func ReadTrace(file string, terms setup.Deployment) ([]fakes.Request, error) {
 	input, err := os.Open(file)
 	if err != nil {
 		return nil, err
@@ -59,21 +59,22 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s:%w", file, err)
 	}
-	requests := make([]standin.Request, len(arrivals))
-	for i, a := range arrivals {
-		n := max(terms.ClassIndex(a.Class), 0)
-		if a.Class != "" && terms.ClassIndex(a.Class) < 0 {
-			return nil, fmt.Errorf("%s: arrival %d: class %q is not configured", file, i+1, a.Class)
+	requests := make([]fakes.Request, len(arrivals))
+	for i, arrival := range arrivals {
+		n := max(terms.ClassIndex(arrival.Class), 0)
+		if arrival.Class != "" && terms.ClassIndex(arrival.Class) < 0 {
+			return nil, fmt.Errorf("%s: arrival %d: class %q is not configured", file, i+1, arrival.Class)
 		}
-		if a.AtMs < 0 || a.Tokens < 1 || a.PrefixTokens < 0 || a.PrefixTokens > a.Tokens || a.MaxTokens < 0 {
-			return nil, fmt.Errorf("%s: arrival %d: time or token counts out of range: %+v", file, i+1, a)
+		if arrival.AtMs < 0 || arrival.Tokens < 1 || arrival.PrefixTokens < 0 || arrival.PrefixTokens > arrival.Tokens ||
+			arrival.MaxTokens < 0 {
+			return nil, fmt.Errorf("%s: arrival %d: time or token counts out of range: %+v", file, i+1, arrival)
 		}
 		class := terms.Classes[n]
-		kiloTokens := float64(a.Tokens) / 1000
-		request := standin.Request{
-			SubmitAt: time.Duration(a.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Class: class.Name,
-			Tenant: a.Tenant, Session: a.Session, PrefixID: a.PrefixID, PrefixTokens: a.PrefixTokens,
-			PromptTokens: a.Tokens, MaxTokens: a.MaxTokens,
+		kiloTokens := float64(arrival.Tokens) / 1000
+		request := fakes.Request{
+			SubmitAt: time.Duration(arrival.AtMs * float64(time.Millisecond)), Name: fmt.Sprint("t", i), Class: class.Name,
+			Tenant: arrival.Tenant, Session: arrival.Session, PrefixID: arrival.PrefixID, PrefixTokens: arrival.PrefixTokens,
+			PromptTokens: arrival.Tokens, MaxTokens: arrival.MaxTokens,
 			LatencyTarget: class.LatencyTarget.Std() + time.Duration(kiloTokens*float64(class.TargetPer1000Tokens)),
 			Deadline:      class.Deadline.Std() + 2*time.Duration(kiloTokens*float64(class.TargetPer1000Tokens)),
 			PatienceShare: 1, Idempotent: class.Effect == "idempotent",
@@ -83,7 +84,7 @@
 		}
 		requests[i] = request
 	}
-	slices.SortStableFunc(requests, func(a, b standin.Request) int { return int(a.SubmitAt - b.SubmitAt) })
+	slices.SortStableFunc(requests, func(arrival, b fakes.Request) int { return int(arrival.SubmitAt - b.SubmitAt) })
 	return requests, nil
 }
 
@@ -112,32 +113,32 @@
 		if err != nil || len(arrivals) >= maxArrivals {
 			return nil, fmt.Errorf("%d: %v (at most %d arrivals)", line, err, maxArrivals)
 		}
-		var a Arrival
+		var arrival Arrival
 		for i, column := range columns {
 			var parseErr error
 			switch column {
 			case "at_ms":
-				a.AtMs, parseErr = strconv.ParseFloat(row[i], 64)
+				arrival.AtMs, parseErr = strconv.ParseFloat(row[i], 64)
 			case "tokens":
-				a.Tokens, parseErr = strconv.Atoi(row[i])
+				arrival.Tokens, parseErr = strconv.Atoi(row[i])
 			case "shared_tokens":
-				a.PrefixTokens, parseErr = strconv.Atoi(row[i])
+				arrival.PrefixTokens, parseErr = strconv.Atoi(row[i])
 			case "max_tokens":
-				a.MaxTokens, parseErr = strconv.Atoi(row[i])
+				arrival.MaxTokens, parseErr = strconv.Atoi(row[i])
 			case "grade":
-				a.Class = strings.Clone(row[i])
+				arrival.Class = strings.Clone(row[i])
 			case "shared":
-				a.PrefixID = strings.Clone(row[i])
+				arrival.PrefixID = strings.Clone(row[i])
 			case "session":
-				a.Session = strings.Clone(row[i])
+				arrival.Session = strings.Clone(row[i])
 			case "channel":
-				a.Tenant = strings.Clone(row[i])
+				arrival.Tenant = strings.Clone(row[i])
 			}
 			if parseErr != nil {
 				return nil, fmt.Errorf("%d: %s: %q is not a number", line, column, row[i])
 			}
 		}
-		arrivals = append(arrivals, a)
+		arrivals = append(arrivals, arrival)
 	}
 }
 
@@ -183,7 +184,7 @@
 // those of all classes under "all". It calls logf with the progress each second. Where ctx ends first it returns the
 // results so far and the error of ctx.
 func Run(
-	ctx context.Context, model string, addresses []string, requests []standin.Request, logf func(string, ...any),
+	ctx context.Context, model string, addresses []string, requests []fakes.Request, logf func(string, ...any),
 ) ([]Stats, error) {
 	if len(addresses) == 0 || len(requests) == 0 {
 		return nil, fmt.Errorf("load needs at least one dispatcher and one request, got %d addresses and %d requests",
@@ -194,7 +195,7 @@
 		return nil, err
 	}
 	var mu sync.Mutex
-	due, latencyTarget := map[string]time.Duration{}, map[string]time.Duration{}
+	dueAt, latencyTarget := map[string]time.Duration{}, map[string]time.Duration{}
 	byClass := map[string]*Stats{}
 	statsOf := func(class string) *Stats {
 		if byClass[class] == nil {
@@ -217,7 +218,7 @@
 			case line.Kind == record.RequestSent && strings.HasSuffix(line.Try, ".0"):
 				stats.Sent++
 			case line.Kind == record.FirstToken:
-				latency := time.Since(start) - due[line.Request]
+				latency := time.Since(start) - dueAt[line.Request]
 				stats.firstTokenLatency.RecordValue(max(latency.Microseconds(), 1))
 				if latency <= latencyTarget[line.Request] {
 					stats.InTime++
@@ -235,7 +236,7 @@
 			}
 		}
 	}
-	clients := standin.NewClients(recorder, model, func(seed uint64) (string, string) {
+	clients := fakes.NewClients(recorder, model, func(seed uint64) (string, string) {
 		address := addresses[seed%uint64(len(addresses))]
 		return address, address
 	})
@@ -274,7 +275,7 @@
 			break
 		}
 		mu.Lock()
-		due[request.Name] = request.SubmitAt
+		dueAt[request.Name] = request.SubmitAt
 		open++
 		mu.Unlock()
 		inFlight.Add(1)
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -25,11 +25,11 @@
 	"github.com/pelletier/go-toml/v2"
 
 	"sloetrestle/internal/addresses"
-	"sloetrestle/internal/boxlist"
+	"sloetrestle/internal/endpointlist"
+	"sloetrestle/internal/fakes"
 	"sloetrestle/internal/kserve"
 	"sloetrestle/internal/record"
 	"sloetrestle/internal/setup"
-	"sloetrestle/internal/standin"
 )
 
 // Plan says what to measure.
@@ -65,7 +65,7 @@
 // testbed is a dispatcher process with one prefill and one decode backend.
 type testbed struct {
 	plan           Plan
-	fleet          *standin.Fleet
+	fleet          *fakes.Fleet
 	recorder       *record.Recorder
 	model          string
 	prefillAddr    string
@@ -124,8 +124,9 @@
 func (bed *testbed) start(ctx context.Context, dir string) (stop func(), err error) {
 	config := setup.DefaultDispatcherConfig()
 	config.Classes = []setup.Class{{
-		Name: "measured", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second), Deadline: setup.Duration(10 * time.Second),
-		Value: 1, DefaultMaxTokens: 8,
+		Name: "measured", Effect: "idempotent", LatencyTarget: setup.Duration(time.Second),
+		Deadline: setup.Duration(10 * time.Second),
+		Value:    1, DefaultMaxTokens: 8,
 	}}
 	config.BackendKinds = []setup.BackendKind{
 		{Name: "reader", Role: "reader", MemoryTokens: 1 << 30},
@@ -136,8 +137,9 @@
 	if bed.recorder, err = record.Open("", record.Header{}); err != nil {
 		return nil, err
 	}
-	bed.fleet = standin.NewFleet(config.Deployment, bed.recorder, standin.Links{SameRack: 1e12, CrossRack: 1e12, ZoneFactor: 1},
-		map[string]standin.ClassProfile{"measured": {NewTokens: 1, AnswerTokens: 8}})
+	bed.fleet = fakes.NewFleet(config.Deployment, bed.recorder,
+		fakes.Links{SameRack: 1e12, CrossRack: 1e12, ZoneFactor: 1},
+		map[string]fakes.ClassProfile{"measured": {NewTokens: 1, AnswerTokens: 8}})
 	var addrs []string // of service discovery, the prefill backend, the decode backend and the dispatcher
 	for range 4 {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -152,16 +154,16 @@
 	if err := discovery.Start(); err != nil {
 		return nil, err
 	}
-	var backends []*standin.Backend
+	var backends []*fakes.Backend
 	for i, kind := range []string{"reader", "writer"} {
-		backend := bed.fleet.NewBackend(standin.Config{
-			Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Engine: standin.InstantEngine,
+		backend := bed.fleet.NewBackend(fakes.Config{
+			Name: kind + "-1", Kind: kind, Zone: "here", Rack: "r", Units: 1, Engine: fakes.InstantEngine,
 			Addresses: []addresses.Spec{{Network: addresses.TCP4, Addr: addrs[1+i]}},
 		})
 		if err := backend.Boot(false); err != nil {
 			return nil, err
 		}
-		discovery.Publish(backend, boxlist.Ready, 0)
+		discovery.Publish(backend, endpointlist.Ready, 0)
 		backends = append(backends, backend)
 	}
 	bed.prefillAddr, bed.decodeAddr, bed.dispatcherAddr = addrs[1], addrs[2], addrs[3]
@@ -204,8 +206,10 @@
 	return nil, fmt.Errorf("the dispatcher at %s was not ready within 5 s", bed.dispatcherAddr)
 }
 
-// runAtRate calls send at a steady rate, without waiting for earlier calls, and returns the latencies to the first
-// token in µs, counted from the time each request was due.
+// runAtRate calls send at a steady rate for the given seconds, without waiting for earlier calls, and then waits for
+// all of them. send returns the time of the first token. Of the calls without an error (done), latencies holds the
+// time from when each was due to its first token, in µs; one above the histogram's range is counted as done but not
+// recorded. The end of the context stops further calls.
 func (bed *testbed) runAtRate(
 	ctx context.Context, perSecond int, seconds float64, send func(context.Context) (time.Time, error),
 ) (latencies *hdrhistogram.Histogram, done, failed int64) {
@@ -215,8 +219,8 @@
 	n := int(float64(perSecond) * seconds)
 	start := time.Now()
 	for i := range n {
-		due := start.Add(time.Duration(float64(i) / float64(perSecond) * float64(time.Second)))
-		if wait := time.Until(due); wait > 0 {
+		dueAt := start.Add(time.Duration(float64(i) / float64(perSecond) * float64(time.Second)))
+		if wait := time.Until(dueAt); wait > 0 {
 			time.Sleep(wait)
 		}
 		if ctx.Err() != nil {
@@ -226,7 +230,7 @@
 		go func() {
 			defer inFlight.Done()
 			firstToken, err := send(ctx)
-			latency := firstToken.Sub(due)
+			latency := firstToken.Sub(dueAt)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -293,7 +297,8 @@
 func (bed *testbed) direct(ctx context.Context) (time.Time, error) {
 	id := bed.lastRequest.Add(1)
 	attempt := kserve.AttemptParams{
-		Phase: kserve.PhasePrefill, DispatcherEpoch: "direct.1", RequestNumber: id, DedupKey: fmt.Sprint("m", id), Class: "measured",
+		Phase: kserve.PhasePrefill, DispatcherEpoch: "direct.1", RequestNumber: id, DedupKey: fmt.Sprint("m", id),
+		Class:        "measured",
 		PromptTokens: 800, MaxTokens: 8,
 	}
 	req, err := kserve.NewAttemptRequest(ctx, "http://"+bed.prefillAddr, bed.model, "", attempt)
--- a/internal/members/members_test.go
+++ b/internal/membership/membership_test.go
@@ -1,4 +1,4 @@
-package members
+package membership
 
 import (
 	"fmt"
@@ -10,13 +10,13 @@
 	"github.com/fxamacker/cbor/v2"
 	"pgregory.net/rapid"
 
-	"sloetrestle/internal/agenda"
+	"sloetrestle/internal/timerqueue"
 )
 
 // testNetwork delivers the messages between views in virtual time.
 type testNetwork struct {
 	now     time.Duration
-	queue   agenda.Queue
+	queue   timerqueue.Queue
 	rng     *rand.Rand
 	loss    float64
 	blocked func(from, to int) bool // reports that no message passes between the two
@@ -41,29 +41,29 @@
 	network.starts++
 	self := Update{Name: fmt.Sprintf("d%d", i), Address: fmt.Sprint(i),
 		Incarnation: uint64(1e12) + uint64(network.now.Milliseconds()) + uint64(network.starts)}
-	v := New(self, []string{"0", "1", "2"}, uint64(network.starts)*7919+uint64(i), nil)
-	v.Send = func(to string, m Message) {
+	view := New(self, []string{"0", "1", "2"}, uint64(network.starts)*7919+uint64(i), nil)
+	view.Send = func(to string, message Message) {
 		var j int
 		fmt.Sscan(to, &j)
-		raw, err := cbor.Marshal(m)
+		raw, err := cbor.Marshal(message)
 		if err != nil {
 			panic(err)
 		}
 		network.bytes[i] += len(raw) + 28 // headers of UDP and IP
-		if !network.up[i] || network.views[i] != v || network.blocked != nil && network.blocked(i, j) ||
+		if !network.up[i] || network.views[i] != view || network.blocked != nil && network.blocked(i, j) ||
 			network.rng.Float64() < network.loss {
 			return
 		}
-		network.after(time.Duration(1+network.rng.ExpFloat64()*2)*time.Millisecond, func() { network.deliver(j, m) })
+		network.after(time.Duration(1+network.rng.ExpFloat64()*2)*time.Millisecond, func() { network.deliver(j, message) })
 	}
-	network.views[i], network.up[i] = v, true
+	network.views[i], network.up[i] = view, true
 	var tick func()
 	tick = func() {
-		if network.views[i] != v || !network.up[i] {
+		if network.views[i] != view || !network.up[i] {
 			return
 		}
 		if !network.paused[i] {
-			v.Tick(network.now)
+			view.Tick(network.now)
 		}
 		network.after(50*time.Millisecond, tick)
 	}
@@ -107,7 +107,7 @@
 }
 
 // detectionTimes kills a member and returns how long each of the others took to remove it.
-func (network *testNetwork) detectionTimes(i int) (all []time.Duration) {
+func (network *testNetwork) detectionTimes(i int) (times []time.Duration) {
 	network.up[i] = false
 	killedAt, name := network.now, network.views[i].Self.Name
 	seen := map[int]bool{}
@@ -116,12 +116,12 @@
 		for j, v := range network.views {
 			if m := v.known[name]; network.up[j] && !seen[j] && (m == nil || m.State >= Dead) {
 				seen[j] = true
-				all = append(all, network.now-killedAt)
+				times = append(times, network.now-killedAt)
 			}
 		}
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(times)
+	return times
 }
 
 func TestFailureIsDetectedWithinThreeSeconds(t *testing.T) {
--- a/internal/news/news_test.go
+++ b/internal/peerproto/update_test.go
@@ -1,15 +1,16 @@
-package news
+package peerproto
 
 import (
 	"testing"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 func TestDecodeReadsEncodedUpdatesAndRejectsOtherBytes(t *testing.T) {
-	backend := &brain.Backend{ID: 77}
-	backends := map[uint32]*brain.Backend{77: backend}
-	sent := brain.PeerUpdate{Backend: backend, ClassIndex: 2, Verdict: brain.VerdictBad, HasLoad: true, Util: 0.5, QueueLength: 3}
+	backend := &scheduler.Backend{ID: 77}
+	backends := map[uint32]*scheduler.Backend{77: backend}
+	sent := scheduler.PeerUpdate{Backend: backend, ClassIndex: 2, Verdict: scheduler.VerdictBad, HasLoad: true, Util: 0.5,
+		QueueLength: 3}
 	raw := Encode(sent)
 	if got, err := Decode(raw, backends); err != nil || got != sent {
 		t.Errorf("decoded %+v, %v", got, err)
@@ -27,10 +28,10 @@
 // Without a load report the last two bytes hold the share of the latency target, which older dispatchers must ignore.
 // Older dispatchers may send an outdated load report in those bytes, which must not be read as a share.
 func TestUpdatesWithoutALoadReportHoldTheShareOfTheTarget(t *testing.T) {
-	backend := &brain.Backend{ID: 77}
-	backends := map[uint32]*brain.Backend{77: backend}
+	backend := &scheduler.Backend{ID: 77}
+	backends := map[uint32]*scheduler.Backend{77: backend}
 	for _, share := range []float64{0.005, 0.5, 1} {
-		raw := Encode(brain.PeerUpdate{Backend: backend, Verdict: brain.VerdictGood, TargetShare: share})
+		raw := Encode(scheduler.PeerUpdate{Backend: backend, Verdict: scheduler.VerdictGood, TargetShare: share})
 		if got, err := Decode(raw, backends); err != nil || got.TargetShare != share || got.HasLoad {
 			t.Errorf("share %g: decoded %+v, %v", share, got, err)
 		}
@@ -38,7 +39,8 @@
 			t.Errorf("share %g: an older dispatcher takes %x for a load report", share, raw)
 		}
 	}
-	if got, err := Decode([]byte{0, 0, 0, 77, 2, 2, 100, 30}, backends); err != nil || got.TargetShare != 0 || got.HasLoad {
+	if got, err := Decode([]byte{0, 0, 0, 77, 2, 2, 100, 30}, backends); err != nil || got.TargetShare != 0 ||
+		got.HasLoad {
 		t.Errorf("from an older dispatcher: %+v, %v", got, err)
 	}
 	if got, _ := Decode([]byte{0, 0, 0, 77, 2, 2, 255, 255}, backends); got.TargetShare != 1 {
--- a/internal/platform/run.go
+++ b/internal/platform/run.go
@@ -13,14 +13,14 @@
 
 	"golang.org/x/sync/errgroup"
 
-	"sloetrestle/brain"
-	"sloetrestle/internal/boxlist"
 	"sloetrestle/internal/chat"
+	"sloetrestle/internal/connpool"
 	"sloetrestle/internal/dispatch"
+	"sloetrestle/internal/endpointlist"
 	"sloetrestle/internal/endpoints"
 	"sloetrestle/internal/monitor"
-	"sloetrestle/internal/reach"
 	"sloetrestle/internal/system"
+	"sloetrestle/scheduler"
 )
 
 const (
@@ -34,7 +34,7 @@
 // node is one dispatcher with its listeners, its connections to backends and its background goroutines.
 type node struct {
 	config         Config
-	settings       brain.Settings
+	settings       scheduler.Settings
 	log            *slog.Logger
 	lifetime       context.Context // of attempts, which continue during a graceful shutdown
 	cancel         context.CancelFunc
@@ -48,7 +48,7 @@
 	peers          *dispatch.Peers // does not listen if the configuration has no address for it
 	follower       *endpoints.Follower
 	monitor        *monitor.Monitor
-	pulse          *stallDetector
+	stalls         *stallDetector
 }
 
 // Run serves until the context ends, then answers all admitted requests and returns. On every signal from reloads it
@@ -68,25 +68,26 @@
 
 // newNode opens the listeners and sets up a dispatcher with the last-known endpoints of its configuration.
 func newNode(ctx context.Context, config Config, sys system.System, log *slog.Logger) (*node, error) {
-	shares, settings := config.resources(), brain.FlattenSettings(config.Settings)
+	shares, settings := config.resources(), scheduler.FlattenSettings(config.Settings)
 	began := time.Now()
 	since := func() time.Duration { return time.Since(began) }
 	dispatcher := &node{config: config, settings: settings, log: log, acceptingDone: make(chan struct{})}
 	dispatcher.lifetime, dispatcher.cancel = context.WithCancel(ctx)
-	dispatcher.pulse = newStallDetector(time.Now())
-	dispatcher.monitor = monitor.New(monitorTerms(settings), since, log)
-	pools := &reach.Manager{
-		DialTimeout: max(settings.Duration("policyLimits.dialTimeoutUs"), 10*time.Millisecond), MaxConnsPerBackend: shares.attempts, Now: since,
+	dispatcher.stalls = newStallDetector(time.Now())
+	dispatcher.monitor = monitor.New(monitorBounds(settings), since, log)
+	pools := &connpool.Manager{
+		DialTimeout:        max(settings.Duration("policyLimits.dialTimeoutUs"), 10*time.Millisecond),
+		MaxConnsPerBackend: shares.attempts, Now: since,
 		Context: dispatcher.lifetime, Group: &dispatcher.transportTasks, Dial: sys.Dial, SkipVerify: true,
 	}
 	dispatcher.transport = &transport{
 		loadFields: settings.Names("report.fields"), pools: pools, lifetime: dispatcher.lifetime,
 		tasks: &dispatcher.transportTasks, log: log, notable: &notableLog{log: log}, monitor: dispatcher.monitor,
-		pulse: dispatcher.pulse, traffic: map[string]*backendTraffic{},
-		poolOf: map[*dispatch.Backend]*reach.Pool{}, releaser: releaser{callSlots: make(chan struct{}, shares.releases)},
+		stalls: dispatcher.stalls, traffic: map[string]*backendTraffic{},
+		poolOf: map[*dispatch.Backend]*connpool.Pool{}, releaser: releaser{callSlots: make(chan struct{}, shares.releases)},
 		clock: since, attemptSlots: make(chan struct{}, shares.attempts),
 	}
-	places := dispatch.Resolver{
+	resolver := dispatch.Resolver{
 		ZoneNumber: func(name string) int { return zoneNumber(settings, name) },
 		KindNumber: func(name string) int { return settings.Index("kinds", name) },
 	}
@@ -105,7 +106,7 @@
 	}
 	dispatcher.transport.sendToPeer = dispatcher.peers.SendUpdate
 	if dispatcher.loop, err = dispatch.NewLoop(
-		settings, config.randomSeed(), places, dispatcher.transport, since, config.Name, log,
+		settings, config.randomSeed(), resolver, dispatcher.transport, since, config.Name, log,
 	); err != nil {
 		listener.Close()
 		if dispatcher.peers.Conn != nil {
@@ -117,7 +118,7 @@
 	observer := &discoveryObserver{dispatcher.monitor, map[string]bool{}}
 	dispatcher.follower = &endpoints.Follower{
 		Log: log, Monotonic: since, WallClock: sys.Wall, Dial: sys.Dial,
-		OnUpdate: func(listed []boxlist.Endpoint, full bool) {
+		OnUpdate: func(listed []endpointlist.Endpoint, full bool) {
 			observer.listed(listed, full)
 			dispatcher.loop.Post(func() { dispatcher.loop.UpdateBackends(listed, full) })
 		},
@@ -129,7 +130,7 @@
 	}
 	dispatcher.follower.SetAddress(config.Discovery)
 	dispatcher.limiter = newLimiter(listener, int(float64(shares.clients)/(1+closingShare)), log)
-	dispatcher.frontend = newFrontend(dispatcher.loop, settings, shares.bodies, dispatcher.monitor, dispatcher.pulse, log)
+	dispatcher.frontend = newFrontend(dispatcher.loop, settings, shares.bodies, dispatcher.monitor, dispatcher.stalls, log)
 	dispatcher.frontend.nearConnLimit = dispatcher.limiter.NearLimit
 	dispatcher.frontend.hasBackends = func() bool {
 		if !dispatcher.follower.Synced() && since() < discoveryWait {
@@ -145,7 +146,7 @@
 // zoneNumber returns the number of a zone: its index in the settings or, for a zone that they do not name, a number
 // that none of the named zones has. Backends deduplicate requests per zone, so an unnamed zone must not be taken for
 // a named one.
-func zoneNumber(settings brain.Settings, name string) int {
+func zoneNumber(settings scheduler.Settings, name string) int {
 	if i := settings.Index("dcs", name); i >= 0 || name == "" {
 		return max(i, 0)
 	}
@@ -156,14 +157,16 @@
 	n.transportTasks.Go(n.transport.pools.Run)
 	n.tasks.Go(func() error { return n.loop.Run(n.lifetime) })
 	n.tasks.Go(func() error { return n.follower.Run(n.lifetime) })
-	n.tasks.Go(func() error { n.pulse.run(n.lifetime); return nil })
+	n.tasks.Go(func() error { n.stalls.run(n.lifetime); return nil })
 	n.tasks.Go(func() error { n.watchReloads(n.lifetime, reloads, load); return nil })
 	if n.peers.Conn != nil {
 		n.tasks.Go(func() error { return n.peers.Listen(n.lifetime, n.loop) })
 	}
 	server := &http.Server{
-		Handler: n.frontend, ReadHeaderTimeout: headTimeout, IdleTimeout: clientIdleTimeout, MaxHeaderBytes: chat.MaxHeadBytes,
-		ConnState: n.limiter.connStateChanged, ConnContext: withConn, ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
+		Handler: n.frontend, ReadHeaderTimeout: headTimeout, IdleTimeout: clientIdleTimeout,
+		MaxHeaderBytes: chat.MaxHeadBytes,
+		ConnState:      n.limiter.connStateChanged, ConnContext: withConn,
+		ErrorLog: slog.NewLogLogger(n.log.Handler(), slog.LevelDebug),
 	}
 	failed := make(chan error, 1)
 	n.tasks.Go(func() error {
@@ -201,17 +204,21 @@
 	n.loop.Call(n.lifetime, func() {
 		tally := n.loop.Counters
 		turn, wait, timer := n.loop.Lag.TakePeriod()
-		n.log.Info("state", "taken", tally.Accepted, "again", frontend.Resubmitted.Load(), "rest", frontend.Continuations.Load(),
+		n.log.Info("state", "taken", tally.Accepted, "again", frontend.Resubmitted.Load(),
+			"rest", frontend.Continuations.Load(),
 			"moved", frontend.MovedStreams.Load(), "satisfied", tally.Served, "declined", tally.Rejected,
 			"forfeited", tally.Failed, "left", tally.Disconnected, "overdue", tally.Overdue, "trips", tally.Attempts,
 			"outcomes", fmt.Sprint(tally.Outcomes), "prefills", fmt.Sprint(tally.Prefills), "began", tally.FirstTokens,
 			"in_time", tally.OnTime, "held_ms", tally.QueueTime.Milliseconds(), "first_ms", tally.FirstTokenTime.Milliseconds(),
-			"believes", fmt.Sprintf("%+v", n.loop.Estimates()), "open", frontend.openRequests.Load(), "bodies", frontend.bodyBytes.Load(),
+			"believes", fmt.Sprintf("%+v", n.loop.Estimates()), "open", frontend.openRequests.Load(),
+			"bodies", frontend.bodyBytes.Load(),
 			"clients", limiter.count(), "pushed", limiter.Evicted.Load(), "waited", limiter.CapacityWaits.Load(),
-			"accept_failed", limiter.AcceptErrors.Load(), "shut", limiter.ClosedUnread.Load(), "refused", frontend.refusalCounts(),
+			"accept_failed", limiter.AcceptErrors.Load(), "shut", limiter.ClosedUnread.Load(),
+			"refused", frontend.refusalCounts(),
 			"released", transport.Delivered.Load(), "unheard", transport.Undelivered.Load(), "stale", transport.Stale.Load(),
 			"local", transport.LocalFailures.Load(), "unarrived", transport.Unacknowledged.Load(),
-			"spoilt", transport.Malformed.Load(), "strange", transport.BadRequest.Load(), "watch_lost", n.follower.WatchFailures(),
+			"spoilt", transport.Malformed.Load(), "strange", transport.BadRequest.Load(),
+			"watch_lost", n.follower.WatchFailures(),
 			"strangers", n.peers.Dropped.Load(), "broken", n.monitor.Counts(), "due", transport.Due.Load(),
 			"too_late", frontend.LateAnswers.Load(),
 			"turn_ms", turn.Milliseconds(), "queued_ms", wait.Milliseconds(), "timer_ms", timer.Milliseconds(),
@@ -232,7 +239,8 @@
 		} else if backend != nil {
 			n.log.Debug("backend", "name", name, "role", backend.Role, "standing", backend.State, "streams", backend.Streams,
 				"writes", traffic.decodes, "unread", backend.PrefillBacklog, "reads", traffic.prefills, "tokens", backend.KVTokens,
-				"room", backend.TokenLimit, "util", backend.Util, "queue", backend.QueueLength, "said", traffic.load, "sent", traffic.sent)
+				"room", backend.TokenLimit, "util", backend.Util, "queue", backend.QueueLength, "said", traffic.load,
+				"sent", traffic.sent)
 		}
 	}
 }
--- a/internal/begins/table.go
+++ b/internal/prefixtable/table.go
@@ -1,7 +1,7 @@
-// Package begins finds the longest prefix of a prompt that other sessions have sent too, for clients that do not name
+// Package prefixtable finds the longest prefix of a prompt that other sessions have sent too, for clients that do not name
 // a shared prefix themselves. It hashes prompts in blocks, remembers a bounded number of them for a limited time, and
 // does no I/O. Start with Table.SharedPrefix.
-package begins
+package prefixtable
 
 import (
 	"encoding/binary"
@@ -17,7 +17,7 @@
 	maxBlocks = 64
 	// generationBlocks bounds each of the two generations; a full table takes a few MiB.
 	generationBlocks = 1 << 16
-	// generationTime is how long a generation is the current one. It is kept for one generation more, then dropped.
+	// generationTime is how long a generation is the current one. It stays for one generation more, then is dropped.
 	generationTime = 60 * time.Second
 	// bytesPerToken is a rule of thumb for English text.
 	bytesPerToken = 4
--- a/internal/storm/storm.go
+++ b/internal/retrythrottle/throttle.go
@@ -1,14 +1,14 @@
-// Package storm throttles client retries for one dispatcher, in front of its scheduler. It detects when retries pile
+// Package retrythrottle throttles client retries for one dispatcher, in front of its scheduler. It detects when retries pile
 // up, limits how many are admitted, and gives each rejected request a time to come back. It does no I/O, with time and
 // randomness handed in; it shares no state with other dispatchers, never chooses a backend, and admits every first try.
 // Begin with RetryThrottle.
-package storm
+package retrythrottle
 
 import (
 	"math"
 	"time"
 
-	"sloetrestle/brain"
+	"sloetrestle/scheduler"
 )
 
 const (
@@ -62,19 +62,24 @@
 	reattemptBurstSeconds = 10.0
 	minReattemptsPerSec   = 1.0
 
-	// Capacity is the rate lately served; while nothing is rejected it may be more than that.
-	rateGrowth = 1.1 // factor for each second without a rejection
+	// Capacity is the rate lately served; while few requests are rejected or failed it may be more than that.
+	rateGrowth = 1.1 // factor for each second with at most maxUnservedShare
 	minRate    = 0.5 // requests per second that are assumed to be possible
+
+	maxUnservedShare    = 0.05 // rejected and failed requests, relative to served ones, up to which the rate grows
+	rateApproachSeconds = 3.0  // time after which an update sets the rate to the served one; an earlier update, in part
+	maxGrowthSeconds    = 5.0  // that one update lets the rate grow for, however long ago the last one was
+	maxRateFactor       = 3.0  // the rate grows to at most this multiple of the served rate
 )
 
 // RetryThrottle admits or rejects the retries that arrive at one dispatcher.
 type RetryThrottle struct {
 	maxWait    time.Duration // the longest wait that clients follow
-	rng        *brain.PCG
-	firstTries brain.RollingSum // tries that are not retries
-	retries    brain.RollingSum
-	served     brain.RollingSum
-	unserved   brain.RollingSum // rejected or failed
+	rng        *scheduler.PCG
+	firstTries scheduler.RollingSum // tries that are not retries
+	retries    scheduler.RollingSum
+	served     scheduler.RollingSum
+	unserved   scheduler.RollingSum // rejected or failed
 	active     bool
 
 	rate          float64 // requests per second that can be served
@@ -87,9 +92,9 @@
 	used          map[usedTicket]bool
 	usedOrder     []usedTicket // the keys of used in the order of their use
 	sweptSlot     int64
-	peerTickets   bucket           // admits tickets of other dispatchers
-	reattempts    bucket           // admits reattempts
-	firstAttempts brain.RollingSum // first attempts of their requests
+	peerTickets   bucket               // admits tickets of other dispatchers
+	reattempts    bucket               // admits reattempts
+	firstAttempts scheduler.RollingSum // first attempts of their requests
 
 	Counters Counters
 }
@@ -113,7 +118,7 @@
 
 type tenant struct {
 	budget bucket
-	served brain.RollingSum
+	served scheduler.RollingSum
 }
 
 type usedTicket struct {
@@ -147,17 +152,17 @@
 // New returns a RetryThrottle for a number of tenants. maxWait is the longest wait that clients follow.
 func New(maxWait time.Duration, tenants int, seed uint64, signer TicketSigner) *RetryThrottle {
 	throttle := &RetryThrottle{
-		maxWait: maxWait, rng: brain.NewPCG(seed),
-		firstTries: brain.RollingSum{BucketWidth: bucketWidth}, retries: brain.RollingSum{BucketWidth: bucketWidth},
-		served: brain.RollingSum{BucketWidth: bucketWidth}, unserved: brain.RollingSum{BucketWidth: bucketWidth},
-		firstAttempts: brain.RollingSum{BucketWidth: bucketWidth},
+		maxWait: maxWait, rng: scheduler.NewPCG(seed),
+		firstTries: scheduler.RollingSum{BucketWidth: bucketWidth}, retries: scheduler.RollingSum{BucketWidth: bucketWidth},
+		served: scheduler.RollingSum{BucketWidth: bucketWidth}, unserved: scheduler.RollingSum{BucketWidth: bucketWidth},
+		firstAttempts: scheduler.RollingSum{BucketWidth: bucketWidth},
 		booked:        map[int64]float64{}, unbooked: map[int64]float64{}, signer: signer, used: map[usedTicket]bool{},
 		bookingShare: 1, reattempts: bucket{tokens: reattemptBurstSeconds * minReattemptsPerSec},
 	}
 	for range max(tenants, 1) {
 		// A random fill keeps the budgets of dispatchers that start together from filling in step.
 		throttle.tenants = append(throttle.tenants,
-			&tenant{served: brain.RollingSum{BucketWidth: bucketWidth}, budget: bucket{tokens: throttle.rng.Float()}})
+			&tenant{served: scheduler.RollingSum{BucketWidth: bucketWidth}, budget: bucket{tokens: throttle.rng.Float()}})
 	}
 	return throttle
 }
@@ -285,8 +290,10 @@
 	}
 }
 
-// ServiceRate estimates how many requests per second this dispatcher can have served. While some are rejected or failed
-// it follows the served rate; else it grows from there.
+// ServiceRate updates and returns the estimate of how many requests per second this dispatcher and its backends could
+// serve. While rejected or failed requests are more than maxUnservedShare of the served ones, the estimate approaches
+// the served rate; otherwise it grows by rateGrowth per second, up to maxRateFactor times the served rate. It is at
+// least minRate. The first call starts from the served rate, and takes the time since 0 as that since the last update.
 func (t *RetryThrottle) ServiceRate(now time.Duration) float64 {
 	served := max(t.served.PerSecond(now), minRate)
 	if t.rateUpdatedAt == 0 {
@@ -294,12 +301,12 @@
 	}
 	elapsed := (now - t.rateUpdatedAt).Seconds()
 	t.rateUpdatedAt = now
-	if t.unserved.PerSecond(now) > 0.05*served {
+	if t.unserved.PerSecond(now) > maxUnservedShare*served {
 		// Approach the served rate over some seconds.
-		t.rate += (served - t.rate) * min(elapsed/3, 1)
+		t.rate += (served - t.rate) * min(elapsed/rateApproachSeconds, 1)
 	} else {
-		t.rate = max(t.rate, served) * math.Pow(rateGrowth, min(elapsed, 5))
-		t.rate = min(t.rate, 3*served)
+		t.rate = max(t.rate, served) * math.Pow(rateGrowth, min(elapsed, maxGrowthSeconds))
+		t.rate = min(t.rate, maxRateFactor*served)
 	}
 	return max(t.rate, minRate)
 }
@@ -339,7 +346,7 @@
 	t.booked[pick]++
 	t.Counters.Booked++
 	// The serial mixes in a random number, so that a dispatcher that restarts under its old name repeats none.
-	return after, t.signer.Sign(now+after, brain.Mix(uint64(t.Counters.Booked), uint64(t.rng.Float()*(1<<52))))
+	return after, t.signer.Sign(now+after, scheduler.Mix(uint64(t.Counters.Booked), uint64(t.rng.Float()*(1<<52))))
 }
 
 // sweep forgets slots before the given one, and used tickets that are too old to be redeemed again.
--- a/internal/soak/dispatcher.go
+++ b/internal/soak/dispatcher.go
@@ -14,91 +14,93 @@
 	"syscall"
 	"time"
 
-	"sloetrestle/internal/hosts"
 	"sloetrestle/internal/system"
+	"sloetrestle/internal/testbackends"
 )
 
-// dispatcher is one dispatcher, process after process.
+// dispatcher is one dispatcher under test. Its processes run one after another at the same addresses.
 type dispatcher struct {
-	run     *run
-	number  int
-	listen  string
-	peer    string
-	file    string
-	control net.Listener
-	writing sync.Mutex // held while the configuration is written
+	run          *run
+	number       int
+	listen       string
+	peer         string
+	configFile   string
+	shimListener net.Listener
+	configMu     sync.Mutex // held while the configuration is written
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	life   *life
-	shims  net.Conn // of the present process
-	ready  bool
-	lives  int
-	exited chan struct{}
+	mu      sync.Mutex
+	cmd     *exec.Cmd
+	process *process
+	shims   net.Conn // connection to the shims of the current process
+	ready   bool
+	starts  int // number of processes started so far
+	exited  chan struct{}
 }
 
 const (
-	readyMost = 10 * time.Second
-	frontLag  = 300 * time.Millisecond // for which the front still opens connections to one that stops
-	awayTime  = 200 * time.Millisecond // between two processes
-	burstSize = 6                      // reloads in a burst
+	readyLimit   = 10 * time.Second
+	routingLag   = 300 * time.Millisecond // for which new connections still go to a process that is stopping
+	restartDelay = 200 * time.Millisecond // between the end of a process and the start of the next
+	burstSize    = 6                      // reloads in a burst
 )
 
-// Ports of dispatchers are below those that the system gives to outgoing connections: one of these may else take a dispatcher's while
-// it restarts.
+// Dispatchers listen on ports below the ephemeral range. An outgoing connection could otherwise take the port of a
+// dispatcher while it restarts.
 const (
-	portLeast = 20_000
-	portMost  = 32_000
+	minPort   = 20_000
+	maxPort   = 32_000
 	portTries = 200
 )
 
-// addresses hands out addresses that nobody listens at, each once.
-type addresses struct{ given map[int]bool }
+// portAllocator returns loopback addresses with a free port, each once.
+type portAllocator struct{ used map[int]bool }
 
-func (a *addresses) free() (at string, err error) {
+func (a *portAllocator) free() (address string, err error) {
 	for range portTries {
-		port := portLeast + rand.IntN(portMost-portLeast)
-		if a.given[port] {
+		port := minPort + rand.IntN(maxPort-minPort)
+		if a.used[port] {
 			continue
 		}
-		at = fmt.Sprintf("127.0.0.1:%d", port)
-		l, listening := net.Listen("tcp", at)
-		if err = listening; err == nil {
-			l.Close()
-			a.given[port] = true
-			return at, nil
+		address = fmt.Sprintf("127.0.0.1:%d", port)
+		listener, listenErr := net.Listen("tcp", address)
+		if err = listenErr; err == nil {
+			listener.Close()
+			a.used[port] = true
+			return address, nil
 		}
 	}
 	return "", err
 }
 
-// configure writes the configuration, whole or only the first half of it.
+// configure writes the configuration file, or only its first half.
 func (d *dispatcher) configure(discovery string, half bool) error {
 	var settings map[string]any
-	if err := json.Unmarshal([]byte(hosts.Settings), &settings); err != nil {
+	if err := json.Unmarshal([]byte(testbackends.Settings), &settings); err != nil {
 		return err
 	}
 	settings["siblings"], settings["slotNo"] = float64(d.run.options.Processes), float64(d.number)
 	settings["policyLimits"].(map[string]any)["peers"] = true
 	for i, c := range d.run.variant.classes {
-		stated := settings["requestClasses"].([]any)[i].(map[string]any)
-		stated["giveUpUs"], stated["effect"] = float64(c.deadline.Microseconds()), c.effect()
-		if c.window > 0 {
-			stated["windowUs"], stated["group"] = float64(c.window.Microseconds()), "all"
+		entry := settings["requestClasses"].([]any)[i].(map[string]any)
+		entry["giveUpUs"], entry["effect"] = float64(c.deadline.Microseconds()), c.effect()
+		if c.dedupWindow > 0 {
+			entry["windowUs"], entry["group"] = float64(c.dedupWindow.Microseconds()), "all"
 		}
 	}
-	settings["familyInfo"].(map[string]any)["pinLimitUs"] = float64(d.run.variant.hold.Microseconds())
+	settings["familyInfo"].(map[string]any)["pinLimitUs"] = float64(d.run.variant.cacheTimeout.Microseconds())
 	var peers []string
-	for _, o := range d.run.dispatchers {
-		peers = append(peers, o.peer)
+	for _, other := range d.run.dispatchers {
+		peers = append(peers, other.peer)
 	}
 	agent := d.run.discovery.agents[d.number]
 	agent.mu.Lock()
-	known := json.RawMessage(agent.list())
+	known := json.RawMessage(agent.fullList())
 	agent.mu.Unlock()
 	raw, err := json.Marshal(map[string]any{
-		"name": fmt.Sprintf("n%d", d.number), "listen": d.listen, "discovery": discovery, "seed": fmt.Sprintf("%x", d.run.options.Seed+uint64(d.number)),
-		"limits": map[string]any{"cores": 1, "memory_mb": 96, "sockets": 512}, "peer_listen": d.peer, "peers": peers, "known": known, "settings": settings,
+		"name": fmt.Sprintf("n%d", d.number), "listen": d.listen, "discovery": discovery,
+		"seed":        fmt.Sprintf("%x", d.run.options.Seed+uint64(d.number)),
+		"limits":      map[string]any{"cores": 1, "memory_mb": 96, "sockets": 512},
+		"peer_listen": d.peer, "peers": peers, "known": known, "settings": settings,
 	})
 	if err != nil {
 		return err
@@ -106,33 +108,34 @@
 	if half {
 		raw = raw[:len(raw)/2]
 	}
-	d.writing.Lock()
-	defer d.writing.Unlock()
-	return os.WriteFile(d.file, raw, 0o600)
+	d.configMu.Lock()
+	defer d.configMu.Unlock()
+	return os.WriteFile(d.configFile, raw, 0o600)
 }
 
-// start starts a process and waits until it is ready.
+// start starts a process and waits until it is ready, has exited, or the wait times out.
 func (d *dispatcher) start(ctx context.Context) error {
-	o, record := d.run.options, d.run.record
-	log, err := os.Create(filepath.Join(d.run.dir, fmt.Sprintf("n%d-%d.log", d.number, d.lives)))
+	options, record := d.run.options, d.run.record
+	log, err := os.Create(filepath.Join(d.run.dir, fmt.Sprintf("n%d-%d.log", d.number, d.starts)))
 	if err != nil {
 		return err
 	}
-	cmd := exec.Command(o.Command[0], o.Command[1:]...)
-	cmd.Env = append(append(os.Environ(), o.Env...), "BALANCER_CONFIG="+d.file, ControlVariable+"="+d.control.Addr().String())
+	cmd := exec.Command(options.Command[0], options.Command[1:]...)
+	cmd.Env = append(append(os.Environ(), options.Env...),
+		"BALANCER_CONFIG="+d.configFile, ControlVariable+"="+d.shimListener.Addr().String())
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	l := &life{dispatcher: d.number, began: record.now()}
+	started := &process{dispatcher: d.number, started: record.now()}
 	if err := cmd.Start(); err != nil {
 		log.Close()
 		return err
 	}
 	exited := make(chan struct{})
 	d.mu.Lock()
-	d.cmd, d.life, d.exited, d.ready = cmd, l, exited, false
-	d.lives++
+	d.cmd, d.process, d.exited, d.ready = cmd, started, exited, false
+	d.starts++
 	d.mu.Unlock()
-	record.with(func() { record.lives = append(record.lives, l) })
+	record.with(func() { record.processes = append(record.processes, started) })
 	d.run.group.Go(func() error {
 		defer log.Close()
 		defer close(exited)
@@ -141,21 +144,21 @@
 		d.ready = false
 		d.mu.Unlock()
 		record.with(func() {
-			l.ended = record.now()
-			if err != nil && !l.killed || l.told == 0 && !l.killed {
-				l.crashed = fmt.Sprintf("it ended by itself: %v", err)
+			started.ended = record.now()
+			if err != nil && !started.killed || started.terminatedAt == 0 && !started.killed {
+				started.crashed = fmt.Sprintf("it ended by itself: %v", err)
 			}
 		})
 		return nil
 	})
-	d.run.group.Go(func() error { d.takeShims(); return nil })
-	return d.awaitReady(ctx, l, exited)
+	d.run.group.Go(func() error { d.acceptShims(); return nil })
+	return d.awaitReady(ctx, started, exited)
 }
 
-// takeShims takes the connection of the process's shims.
-func (d *dispatcher) takeShims() {
-	d.control.(*net.TCPListener).SetDeadline(time.Now().Add(readyMost))
-	c, err := d.control.Accept()
+// acceptShims accepts the connection of the shims of a new process.
+func (d *dispatcher) acceptShims() {
+	d.shimListener.(*net.TCPListener).SetDeadline(time.Now().Add(readyLimit))
+	conn, err := d.shimListener.Accept()
 	if err != nil {
 		return
 	}
@@ -163,12 +166,12 @@
 	if d.shims != nil {
 		d.shims.Close()
 	}
-	d.shims = c
+	d.shims = conn
 	d.mu.Unlock()
 }
 
-// order tells the shims of the present process.
-func (d *dispatcher) order(o Order) {
+// sendOrder sends an order to the shims of the current process.
+func (d *dispatcher) sendOrder(o Order) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if raw, err := json.Marshal(o); err == nil && d.shims != nil {
@@ -176,9 +179,10 @@
 	}
 }
 
-func (d *dispatcher) awaitReady(ctx context.Context, l *life, exited <-chan struct{}) error {
+// awaitReady polls the readiness endpoint until the process is ready or has exited, for at most twice readyLimit.
+func (d *dispatcher) awaitReady(ctx context.Context, target *process, exited <-chan struct{}) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(2 * readyMost); time.Now().Before(end); {
+	for end := time.Now().Add(2 * readyLimit); time.Now().Before(end); {
 		select {
 		case <-exited:
 			return nil
@@ -187,9 +191,9 @@
 		if resp, err := client.Get("http://" + d.listen + "/ready"); err == nil {
 			resp.Body.Close()
 			if resp.StatusCode == http.StatusOK {
-				d.run.record.with(func() { l.ready = d.run.record.now() })
+				d.run.record.with(func() { target.ready = d.run.record.now() })
 				d.mu.Lock()
-				d.ready = d.life == l
+				d.ready = d.process == target
 				d.mu.Unlock()
 				return nil
 			}
@@ -201,120 +205,122 @@
 	return nil
 }
 
-// signal sends a signal to the present process.
-func (d *dispatcher) signal(s syscall.Signal) {
+// signal sends a signal to the current process.
+func (d *dispatcher) signal(sig syscall.Signal) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.cmd != nil {
-		d.cmd.Process.Signal(s)
+		d.cmd.Process.Signal(sig)
 	}
 }
 
-// terminate has a process end as the platform does at a planned restart, and starts the next one.
-func (d *dispatcher) terminate(ctx context.Context, f Fault) {
+// terminate stops a process as the platform does at a planned restart (SIGTERM, then SIGKILL) and starts the next
+// one.
+func (d *dispatcher) terminate(ctx context.Context, fault Fault) {
 	d.mu.Lock()
-	l, exited := d.life, d.exited
+	target, exited := d.process, d.exited
 	d.mu.Unlock()
-	if l.told > 0 || !d.up() {
-		return // it ends already
+	if target.terminatedAt > 0 || !d.acceptsConnections() {
+		return // it is stopping already
 	}
-	d.run.record.with(func() { l.told = d.run.record.now() })
+	d.run.record.with(func() { target.terminatedAt = d.run.record.now() })
 	d.signal(syscall.SIGTERM)
 	began := time.Now()
-	switch f.Kind {
+	switch fault.Kind {
 	case TerminateTwice:
 		system.Sleep(ctx, 100*time.Millisecond)
 		d.signal(syscall.SIGTERM)
 	case TerminateReload:
-		system.Sleep(ctx, f.Length)
-		d.moveDiscovery(ctx, l, f)
+		system.Sleep(ctx, fault.Length)
+		d.moveDiscovery(ctx, target, fault)
 		d.signal(syscall.SIGTERM)
 	}
-	system.Sleep(context.WithoutCancel(ctx), frontLag-time.Since(began))
+	system.Sleep(context.WithoutCancel(ctx), routingLag-time.Since(began))
 	d.mu.Lock()
 	d.ready = false
 	d.mu.Unlock()
 	select {
 	case <-exited:
 	case <-time.After(d.run.variant.killAfter() - time.Since(began)):
-		d.kill(l, exited)
+		d.kill(target, exited)
 	}
-	if system.Sleep(ctx, awayTime) {
+	if system.Sleep(ctx, restartDelay) {
 		d.start(ctx)
 	}
 }
 
-// up tells whether the front deals connections to it.
-func (d *dispatcher) up() bool {
+// acceptsConnections reports whether clients may open connections to the dispatcher.
+func (d *dispatcher) acceptsConnections() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.ready
 }
 
-// kill ends a process outright.
-func (d *dispatcher) kill(l *life, exited <-chan struct{}) {
-	d.run.record.with(func() { l.killed = true })
+// kill sends SIGKILL to a process and waits for its exit.
+func (d *dispatcher) kill(target *process, exited <-chan struct{}) {
+	d.run.record.with(func() { target.killed = true })
 	d.signal(syscall.SIGKILL)
 	<-exited
 }
 
-// crash kills the present process and starts the next one.
+// crash kills the current process and starts the next one.
 func (d *dispatcher) crash(ctx context.Context) {
 	d.mu.Lock()
-	l, exited, ready := d.life, d.exited, d.ready
+	target, exited, ready := d.process, d.exited, d.ready
 	d.mu.Unlock()
-	if !ready || l.told > 0 {
+	if !ready || target.terminatedAt > 0 {
 		return
 	}
-	d.kill(l, exited)
-	if system.Sleep(ctx, awayTime) {
+	d.kill(target, exited)
+	if system.Sleep(ctx, restartDelay) {
 		d.start(ctx)
 	}
 }
 
-// stop has the process stand still for a while.
-func (d *dispatcher) stop(ctx context.Context, length time.Duration) {
-	if !d.up() {
+// suspend stops the process by SIGSTOP and resumes it by SIGCONT after the given time.
+func (d *dispatcher) suspend(ctx context.Context, length time.Duration) {
+	if !d.acceptsConnections() {
 		return
 	}
 	d.mu.Lock()
-	l := d.life
+	target := d.process
 	d.mu.Unlock()
 	from := d.run.record.now()
 	d.signal(syscall.SIGSTOP)
 	system.Sleep(context.WithoutCancel(ctx), length)
-	// Whoever has waited for the process may be judged the moment it goes on.
-	d.run.record.with(func() { l.stops = append(l.stops, span{from, d.run.record.now()}) })
+	// Record the span before SIGCONT: what the process delayed may be checked as soon as it resumes.
+	d.run.record.with(func() { target.stopped = append(target.stopped, span{from, d.run.record.now()}) })
 	d.signal(syscall.SIGCONT)
 }
 
-// reload moves discovery and tells the process.
-func (d *dispatcher) reload(ctx context.Context, f Fault) {
-	if !d.up() {
+// reload moves discovery to its other address and reloads the configuration, several times for some kinds.
+func (d *dispatcher) reload(ctx context.Context, fault Fault) {
+	if !d.acceptsConnections() {
 		return
 	}
-	moves := map[Kind]int{ReloadTwice: 2, ReloadBurst: burstSize}[f.Kind]
+	moves := map[Kind]int{ReloadTwice: 2, ReloadBurst: burstSize}[fault.Kind]
 	for range max(moves, 1) {
 		d.mu.Lock()
-		l := d.life
+		target := d.process
 		d.mu.Unlock()
-		d.moveDiscovery(ctx, l, f)
-		system.Sleep(ctx, f.Length)
+		d.moveDiscovery(ctx, target, fault)
+		system.Sleep(ctx, fault.Length)
 	}
 }
 
-// moveDiscovery has discovery listen elsewhere, and a process be told of that.
-func (d *dispatcher) moveDiscovery(ctx context.Context, l *life, f Fault) {
+// moveDiscovery moves discovery to its other address, writes that to the configuration file and sends SIGHUP. With
+// ReloadTorn the signal comes while only half of the file is written, and none follows when it is whole.
+func (d *dispatcher) moveDiscovery(ctx context.Context, target *process, fault Fault) {
 	to := d.run.discovery.agents[d.number].move()
 	from := d.run.record.now()
-	if f.Kind == ReloadTorn {
+	if fault.Kind == ReloadTorn {
 		d.configure(to, true)
 		d.signal(syscall.SIGHUP)
-		system.Sleep(ctx, f.Length)
+		system.Sleep(ctx, fault.Length)
 	}
 	d.configure(to, false)
-	if f.Kind != ReloadTorn {
+	if fault.Kind != ReloadTorn {
 		d.signal(syscall.SIGHUP)
 	}
-	d.run.record.with(func() { l.moves = append(l.moves, span{from, d.run.record.now()}) })
+	d.run.record.with(func() { target.moves = append(target.moves, span{from, d.run.record.now()}) })
 }
--- a/internal/soak/openloop.go
+++ b/internal/soak/openloop.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	openMost   = 4000 // requests of open-loop clients that may be open
-	poolMost   = 256  // connections at rest that open-loop clients keep
-	crowdPause = 50 * time.Millisecond
+	maxOpenRequests    = 4000 // concurrent requests of open-loop clients; more are skipped
+	maxIdleConns       = 256  // idle connections that open-loop clients keep
+	idleReconnectDelay = 50 * time.Millisecond
 )
 
-// pool keeps connections between the requests of open-loop clients, which use them for as long as they stay open.
-type pool struct {
+// connPool keeps idle connections of open-loop clients, which reuse them for as long as they stay open.
+type connPool struct {
 	mu    sync.Mutex
 	conns []*clientConn
 }
 
-func (p *pool) take() *clientConn {
+func (p *connPool) take() *clientConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.conns) == 0 {
@@ -34,51 +34,52 @@
 	return c
 }
 
-func (p *pool) put(c *clientConn) {
+func (p *connPool) put(c *clientConn) {
 	if c == nil {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.conns) >= poolMost {
+	if len(p.conns) >= maxIdleConns {
 		c.close()
 		return
 	}
 	p.conns = append(p.conns, c)
 }
 
-// openLoop sends requests at a rate, whatever becomes of the earlier ones: clients that wait for their answers ask a slow dispatcher less.
+// openLoop sends requests at a given rate (per second), independently of earlier answers. Clients that wait for
+// their answers would send less to a slow dispatcher.
 func (c *clients) openLoop(ctx context.Context, rng *rand.Rand, rate float64) {
 	var open sync.WaitGroup
-	rests := &pool{}
-	places := make(chan struct{}, openMost)
+	idle := &connPool{}
+	slots := make(chan struct{}, maxOpenRequests)
 	next := time.Now()
 	for {
 		next = next.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
 		if !system.Sleep(ctx, time.Until(next)) {
 			break
 		}
-		c.run.late.saw(time.Since(next))
+		c.run.lateness.observe(time.Since(next))
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			continue
 		}
-		one := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
+		requestRand := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
 		open.Go(func() {
-			defer func() { <-places }()
-			rests.put(c.ask(ctx, one, rests.take(), plain))
+			defer func() { <-slots }()
+			idle.put(c.sendRequest(ctx, requestRand, idle.take(), plain))
 		})
 	}
 	open.Wait()
-	for conn := rests.take(); conn != nil; conn = rests.take() {
+	for conn := idle.take(); conn != nil; conn = idle.take() {
 		conn.close()
 	}
 }
 
-// idle is a client that opens a connection, says nothing, and opens the next one when that is closed.
+// idle runs a client that opens a connection, sends nothing, and opens the next one when that is closed.
 func (c *clients) idle(ctx context.Context, d *dispatcher) {
-	for system.Sleep(ctx, crowdPause) {
+	for system.Sleep(ctx, idleReconnectDelay) {
 		conn, err := net.DialTimeout("tcp", d.listen, time.Second)
 		if err != nil {
 			continue
