--- a/cmd/benchlink/parity_test.go
+++ b/cmd/benchlink/parity_test.go
@@ -206,7 +206,8 @@
 	rng := rand.New(rand.NewPCG(seed, 1))
 	submitted := map[uint64]*dispatch.ClientRequest{}
 	codes := map[scheduler.Outcome]uint16{
-		scheduler.Served: 200, scheduler.Prefilled: 210, scheduler.Failed: 500, scheduler.Rejected: 503, scheduler.TimedOut: 504,
+		scheduler.Served: 200, scheduler.Prefilled: 210, scheduler.Failed: 500, scheduler.Rejected: 503,
+		scheduler.TimedOut:    504,
 		scheduler.Unreachable: 502, scheduler.ConnectionLost: 598,
 	}
 	end := func(id uint64, attempt *dispatch.Attempt, outcome scheduler.Outcome, note int) {
@@ -228,7 +229,10 @@
 		r.f32(32, load[1])
 		sim.handle(r, nil)
 		delete(recorded.inFlight, id)
-		loop.RunTurn(func() { loop.AttemptEnded(attempt, scheduler.Result{Outcome: outcome, Detail: note, LoadReport: load}) })
+		loop.RunTurn(func() {
+			loop.AttemptEnded(attempt, scheduler.Result{Outcome: outcome, Detail: note,
+				LoadReport: load})
+		})
 	}
 	tick()
 	list(func(int) int { return 1 })
--- a/cmd/sloetrestle/experiment.go
+++ b/cmd/sloetrestle/experiment.go
@@ -91,7 +91,8 @@
 			table := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 4, 2, ' ', 0)
 			fmt.Fprintf(table, "alike\t%s\tagainst\t%s\t\tdifference\tbeyond the noise\n", by, figure)
 			for _, d := range diffs {
-				fmt.Fprintf(table, "%s\t%s\t%s\t%.3f\t%.3f\t%+.3f\t%v\n", d.Setting, d.Value, d.Reference, d.Medians[1], d.Medians[0],
+				fmt.Fprintf(table, "%s\t%s\t%s\t%.3f\t%.3f\t%+.3f\t%v\n", d.Setting, d.Value, d.Reference, d.Medians[1],
+					d.Medians[0],
 					d.Medians[1]-d.Medians[0], d.Significant)
 			}
 			return table.Flush()
--- a/internal/baseline/baseline.go
+++ b/internal/baseline/baseline.go
@@ -140,8 +140,9 @@
 }
 
 func (p *Policy) send(request *scheduler.Request, backend *scheduler.Backend, stage scheduler.Stage) {
-	attempt := &scheduler.Attempt{Request: request, Backend: backend, Number: len(request.Attempts), SentAt: p.runtime.Now(),
-		Stage: stage}
+	attempt := &scheduler.Attempt{Request: request, Backend: backend, Number: len(request.Attempts),
+		SentAt: p.runtime.Now(),
+		Stage:  stage}
 	if stage != scheduler.StageDecode {
 		attempt.PrefillTokens = request.PromptTokens
 	}
--- a/internal/day/backends.go
+++ b/internal/day/backends.go
@@ -38,7 +38,8 @@
 			TimePer1000ContextTokens: cmp.Or(engineConfig.StepPer1000Context.Std(), 40*time.Microsecond),
 			TimePerMillionPairs:      cmp.Or(engineConfig.StepPerMillionPairs.Std(), 800*time.Microsecond),
 			PrefillTokensPerSecond:   group.PrefillTokensPerSecond,
-			KVCacheTTL:               kvCacheLifetime, SlowStartShare: d.Rules.SlowStartShare, SlowStartRamp: d.Rules.SlowStartRamp.Std(),
+			KVCacheTTL:               kvCacheLifetime, SlowStartShare: d.Rules.SlowStartShare,
+			SlowStartRamp: d.Rules.SlowStartRamp.Std(),
 			ModelLoadTime: engineConfig.ModelLoadTime.Std(),
 		}
 		engineSpec.Blocks = max(kind.MemoryTokens/engineSpec.BlockTokens, 1)
--- a/internal/dispatch/backends.go
+++ b/internal/dispatch/backends.go
@@ -119,7 +119,8 @@
 // listing applies one entry of the list to a backend and returns it in the scheduler's form.
 func (l *Loop) listing(backend *Backend, entry endpointlist.Endpoint) scheduler.Endpoint {
 	state := map[string]scheduler.BackendState{
-		endpointlist.Ready: scheduler.Ready, endpointlist.Draining: scheduler.Draining, endpointlist.Removed: scheduler.Removed,
+		endpointlist.Ready: scheduler.Ready, endpointlist.Draining: scheduler.Draining,
+		endpointlist.Removed: scheduler.Removed,
 	}[entry.State]
 	if state == scheduler.Removed {
 		l.remove(backend)
--- a/internal/dispatch/http_transport.go
+++ b/internal/dispatch/http_transport.go
@@ -278,7 +278,8 @@
 }
 
 // sendReleases sends a backend's releases until none is queued.
-func (c *HTTPTransport) sendReleases(backend *Backend, queue *releaseQueue, pool *connpool.Pool, removed <-chan struct{}) {
+func (c *HTTPTransport) sendReleases(backend *Backend, queue *releaseQueue, pool *connpool.Pool,
+	removed <-chan struct{}) {
 	wait := releaseRetryMin
 	for {
 		c.mu.Lock()
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -246,7 +246,8 @@
 			listEntry("x", "nonesuch", "ready"),
 		}, true)
 	})
-	if removed.SchedulerState.State != scheduler.Removed || loop.backends["w1"].SchedulerState.State != scheduler.Draining ||
+	if removed.SchedulerState.State != scheduler.Removed ||
+		loop.backends["w1"].SchedulerState.State != scheduler.Draining ||
 		loop.backends["x"] != nil {
 		t.Errorf("w2 %d, w1 %d, x %v",
 			removed.SchedulerState.State, loop.backends["w1"].SchedulerState.State, loop.backends["x"])
--- a/internal/endpoints/endpoints_test.go
+++ b/internal/endpoints/endpoints_test.go
@@ -209,7 +209,8 @@
 		return fmt.Sprintf(`{"rev":%d,"all":false,"targets":[{"uid":"a","endpoint":%q,"state":%q,"capacity_hint":1}]}`,
 			revision, backend.Address, state)
 	}
-	agent.WriteRaw(testbackends.EncodeChunk("\n") + testbackends.EncodeChunk(message(10, "terminating")+message(11, "in_service")+"\n"))
+	agent.WriteRaw(testbackends.EncodeChunk("\n") +
+		testbackends.EncodeChunk(message(10, "terminating")+message(11, "in_service")+"\n"))
 	follower.waitForState(t, "a", endpointlist.Ready)
 	for _, c := range []byte(testbackends.EncodeChunk("\n  " + message(12, "terminating"))) {
 		agent.WriteRaw(string(c))
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -75,7 +75,8 @@
 		t.Fatalf("%d runs are stored, %v", len(before), err)
 	}
 	logged := 0
-	if err := Execute(context.Background(), store, plan, "v", day.RunOptions{}, func(string, ...any) { logged++ }); err != nil {
+	if err := Execute(context.Background(), store, plan, "v", day.RunOptions{},
+		func(string, ...any) { logged++ }); err != nil {
 		t.Fatal(err)
 	}
 	after, _ := store.Runs("t")
--- a/internal/experiment/store.go
+++ b/internal/experiment/store.go
@@ -202,7 +202,8 @@
 		run.OnTimeShare, run.Tries = out.OnTimeShare, out.TriesPerSecond
 		for _, fault := range scenario.Faults {
 			if fault.Kind == "crash" { // no recovery within the run counts as the whole rest of it
-				seconds, ok := checker.RecoverySeconds(out.OnTimeShare, out.Submitted, fault.Start.Std(), (fault.Start + fault.Duration).Std())
+				seconds, ok := checker.RecoverySeconds(out.OnTimeShare, out.Submitted, fault.Start.Std(),
+					(fault.Start + fault.Duration).Std())
 				if !ok {
 					seconds = (scenario.Header.Duration - fault.Start - fault.Duration).Std().Seconds()
 				}
--- a/internal/fakes/discovery.go
+++ b/internal/fakes/discovery.go
@@ -166,7 +166,8 @@
 	}
 	if !full {
 		return &endpointlist.Update{
-			Version: uint64(version + 1), Base: uint64(version), Endpoints: []endpointlist.Endpoint{d.changes[version].entry(now)},
+			Version: uint64(version + 1), Base: uint64(version),
+			Endpoints: []endpointlist.Endpoint{d.changes[version].entry(now)},
 		}
 	}
 	last := map[string]int{}
@@ -221,7 +222,8 @@
 
 // recordNotified records of which changes a dispatcher has been notified. A backend that a full list omits counts
 // as removed.
-func (d *Discovery) recordNotified(dispatcher string, push *endpointlist.Update, known map[string]bool) map[string]bool {
+func (d *Discovery) recordNotified(dispatcher string, push *endpointlist.Update,
+	known map[string]bool) map[string]bool {
 	if known == nil {
 		known = map[string]bool{}
 	}
--- a/internal/faultmatrix/cluster_test.go
+++ b/internal/faultmatrix/cluster_test.go
@@ -75,7 +75,8 @@
 }
 
 func (c *call) record(what, word string) {
-	c.backend.cluster.recording.Record(record.Event{Kind: what, Detail: word, Backend: c.backend.name, Try: c.params.DedupKey,
+	c.backend.cluster.recording.Record(record.Event{Kind: what, Detail: word, Backend: c.backend.name,
+		Try:   c.params.DedupKey,
 		Class: c.params.Class, RequestKey: c.params.RequestKey(), Phase: c.params.Phase, Attempt: c.params.Attempt})
 }
 
--- a/internal/fleet/attempt.go
+++ b/internal/fleet/attempt.go
@@ -303,7 +303,8 @@
 			t.end("dropped")
 			return
 		}
-		sim.addRecord(record.Event{Kind: record.KVCacheHeld, Backend: b.spec.Name, RequestKey: t.baseRecord.RequestKey, Try: t.baseRecord.Try,
+		sim.addRecord(record.Event{Kind: record.KVCacheHeld, Backend: b.spec.Name,
+			RequestKey: t.baseRecord.RequestKey, Try: t.baseRecord.Try,
 			Class: t.baseRecord.Class})
 		t.end(kserve.OutcomePrefilled)
 		t.respond(scheduler.Result{Outcome: scheduler.Prefilled, Detail: cachedTokens})
--- a/internal/fleet/backend.go
+++ b/internal/fleet/backend.go
@@ -81,7 +81,8 @@
 		b.sim.addRecord(record.Event{Kind: record.KVCacheReleased, Backend: b.spec.Name, RequestKey: key, Detail: reason})
 	}
 	b.attempts, b.releasedUpTo = map[*attempt]bool{}, map[string]int{}
-	b.sim.addRecord(record.Event{Kind: record.ProcessStarted, Backend: b.spec.Name, StartID: b.incarnation, SlowStart: slowStart})
+	b.sim.addRecord(record.Event{Kind: record.ProcessStarted, Backend: b.spec.Name, StartID: b.incarnation,
+		SlowStart: slowStart})
 }
 
 func (b *backend) kill(reason string) {
--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -46,24 +46,25 @@
 				})
 		}
 		var tenantBudget *budget.LocalBudget
-		tenantBudget = budget.NewLocalBudget(limits, loop.Epoch, dispatcherCount, endlessMonth(sim.now), func(ask budget.LeaseRequest) {
-			sim.after(networkDelay, func() {
-				keeperDispatcher := sim.dispatchers[owner]
-				if !keeperDispatcher.running || keeperDispatcher.accounting == nil {
-					return
-				}
-				keeperDispatcher.runInLoop(func() {
-					keeperDispatcher.accounting.OwnedBudgets[ask.Name].HandleRequest(sim.now, endlessMonth(sim.now), ask,
-						func(loan budget.LeaseReply) {
-							sim.after(networkDelay, func() {
-								if d.loop == loop && d.running {
-									d.runInLoop(func() { tenantBudget.HandleReply(sim.now, loan) })
-								}
+		tenantBudget = budget.NewLocalBudget(limits, loop.Epoch, dispatcherCount, endlessMonth(sim.now),
+			func(ask budget.LeaseRequest) {
+				sim.after(networkDelay, func() {
+					keeperDispatcher := sim.dispatchers[owner]
+					if !keeperDispatcher.running || keeperDispatcher.accounting == nil {
+						return
+					}
+					keeperDispatcher.runInLoop(func() {
+						keeperDispatcher.accounting.OwnedBudgets[ask.Name].HandleRequest(sim.now, endlessMonth(sim.now), ask,
+							func(loan budget.LeaseReply) {
+								sim.after(networkDelay, func() {
+									if d.loop == loop && d.running {
+										d.runInLoop(func() { tenantBudget.HandleReply(sim.now, loan) })
+									}
+								})
 							})
-						})
+					})
 				})
 			})
-		})
 		accounting.Budgets = append(accounting.Budgets, tenantBudget)
 		sim.budgets = append(sim.budgets, tenantBudget)
 	}
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -51,7 +51,8 @@
 		retryAdvice = "follows"
 	}
 	c.addRecord(record.RequestSent, retryAdvice, func(l *record.Event) {
-		l.DeadlineUs, l.LatencyTargetUs, l.Tokens = timeout.Microseconds(), request.LatencyTarget.Microseconds(), request.PromptTokens
+		l.DeadlineUs, l.LatencyTargetUs, l.Tokens = timeout.Microseconds(), request.LatencyTarget.Microseconds(),
+			request.PromptTokens
 	})
 	if !d.running {
 		c.loseConnection("unreached: the dispatcher is down")
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -52,7 +52,8 @@
 	byName[missed.Name] = missed
 	endpoints := slices.DeleteFunc(sortedByName(byName),
 		func(endpoint endpointlist.Endpoint) bool { return endpoint.State == endpointlist.Removed })
-	d.sim.addRecord(record.Event{Kind: record.EndpointNotified, Dispatcher: d.name, Backend: missed.Name, Detail: missed.State,
+	d.sim.addRecord(record.Event{Kind: record.EndpointNotified, Dispatcher: d.name, Backend: missed.Name,
+		Detail:  missed.State,
 		StartID: missed.Incarnation})
 	d.updateEndpoints(endpoints, true)
 }
@@ -64,7 +65,8 @@
 	for _, endpoint := range endpoints {
 		d.lastKnown[endpoint.Name] = endpoint
 		if !full {
-			d.sim.addRecord(record.Event{Kind: record.EndpointNotified, Dispatcher: d.name, Backend: endpoint.Name, Detail: endpoint.State,
+			d.sim.addRecord(record.Event{Kind: record.EndpointNotified, Dispatcher: d.name, Backend: endpoint.Name,
+				Detail:  endpoint.State,
 				StartID: endpoint.Incarnation})
 		}
 	}
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -24,7 +24,8 @@
 // Faults of single addresses have no meaning without sockets.
 func (sim *simulation) inject(fault day.Fault) {
 	sim.addRecord(record.Event{Kind: record.Note, Detail: fault.Kind + " begins"})
-	affected, length, noticeDelay := sim.affectedBackends(fault), fault.Duration.Std(), sim.scenario.Discovery.NoticeDelay.Std()
+	affected, length, noticeDelay := sim.affectedBackends(fault), fault.Duration.Std(),
+		sim.scenario.Discovery.NoticeDelay.Std()
 	each := func(do func(*backend)) {
 		for _, b := range affected {
 			do(b)
--- a/internal/fleet/fault_test.go
+++ b/internal/fleet/fault_test.go
@@ -13,7 +13,10 @@
 // in the records.
 func TestFaultsTakeEffectInVirtualTime(t *testing.T) {
 	for kind, tookEffect := range map[string]func(l record.Event) bool{
-		"crash_after_read": func(l record.Event) bool { return l.Kind == record.ProcessEnded && l.Detail == "crashed after reading" },
+		"crash_after_read": func(l record.Event) bool {
+			return l.Kind == record.ProcessEnded &&
+				l.Detail == "crashed after reading"
+		},
 		"reset_running": func(l record.Event) bool {
 			return l.Kind == record.AttemptEnded && l.Phase != "read" && l.Detail == "broke"
 		},
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -144,7 +144,8 @@
 func (sim *simulation) addRecord(l record.Event) {
 	l.TimeUs = sim.now.Microseconds()
 	sim.records = append(sim.records, l)
-	fmt.Fprintf(sim.digest, "%d %s %s %s %s %s %d %s\n", l.TimeUs, l.Kind, l.Backend, l.Try, l.Detail, l.RequestKey, l.Attempt, l.Dispatcher)
+	fmt.Fprintf(sim.digest, "%d %s %s %s %s %s %d %s\n", l.TimeUs, l.Kind, l.Backend, l.Try, l.Detail,
+		l.RequestKey, l.Attempt, l.Dispatcher)
 	if sim.onRecord != nil {
 		sim.onRecord(l)
 	}
--- a/internal/fleet/release_test.go
+++ b/internal/fleet/release_test.go
@@ -176,7 +176,8 @@
 		t.Fatal(err)
 	}
 	t.Logf("%d dispatchers, seed %d, %s: %.3f, thirds %.3f %.3f %.3f, %.2f attempts per request, slow starts at %.0f%%",
-		scenario.Header.Dispatchers, scenario.Header.Seed, policy, got.all.share(), got.thirds[0].share(), got.thirds[1].share(),
+		scenario.Header.Dispatchers, scenario.Header.Seed, policy, got.all.share(), got.thirds[0].share(),
+		got.thirds[1].share(),
 		got.thirds[2].share(),
 		out.AttemptsPerRequest, 100*out.PeakSlowStartLoad)
 	return got, out
--- a/internal/fleet/retry_throttling_test.go
+++ b/internal/fleet/retry_throttling_test.go
@@ -101,7 +101,8 @@
 	if throttled.ValueShare < unthrottled.ValueShare+0.01 || throttled.Tries > unthrottled.Tries/2 ||
 		throttled.Followers < unthrottled.Others+0.05 {
 		t.Errorf("throttled: service %.3f, %d tries, %.3f of those that honour it served; not throttled: %.3f, %d, %.3f",
-			throttled.ValueShare, throttled.Tries, throttled.Followers, unthrottled.ValueShare, unthrottled.Tries, unthrottled.Others)
+			throttled.ValueShare, throttled.Tries, throttled.Followers, unthrottled.ValueShare, unthrottled.Tries,
+			unthrottled.Others)
 	}
 }
 
@@ -124,7 +125,8 @@
 // One tenant sends four times its load and its clients retry at once: the other tenant's requests are served as before.
 func TestRetryStormOfOneTenantSparesTheOther(t *testing.T) {
 	scenario := outageScenario(t)
-	scenario.Header.RequestsPerSecond, scenario.Clients.FollowAdviceShare, scenario.Clients.RetryWait = 80, 0, setup.Duration(100e6)
+	scenario.Header.RequestsPerSecond, scenario.Clients.FollowAdviceShare, scenario.Clients.RetryWait = 80, 0,
+		setup.Duration(100e6)
 	scenario.Tenants = []setup.Tenant{{Name: "web-app", Share: 0.6, RequestsPerSecond: 60},
 		{Name: "ranger-office", Share: 0.4, RequestsPerSecond: 60}}
 	scenario.Faults = []day.Fault{{Kind: "burst", Start: setup.Duration(10e9), Duration: setup.Duration(20e9), Factor: 3,
@@ -144,7 +146,8 @@
 				submitted[l.Request] = l
 				total[tenantOf[l.Request]]++
 			}
-			if a, ok := submitted[l.Request]; ok && l.Kind == record.FirstToken && !served[l.Request] && l.TimeUs-a.TimeUs <= a.LatencyTargetUs {
+			if a, ok := submitted[l.Request]; ok && l.Kind == record.FirstToken && !served[l.Request] &&
+				l.TimeUs-a.TimeUs <= a.LatencyTargetUs {
 				served[l.Request] = true
 				onTime[tenantOf[l.Request]]++
 			}
--- a/internal/peerproto/update.go
+++ b/internal/peerproto/update.go
@@ -1,4 +1,5 @@
-// Package peerproto encodes and decodes the peer protocol: eight bytes in which a dispatcher tells its peers how an attempt
+// Package peerproto encodes and decodes the peer protocol: eight bytes in which a dispatcher tells its peers how an
+// attempt
 // ended, the same between processes and in the simulator. It does not send or receive. Start with Encode.
 package peerproto
 
--- a/internal/platform/attempt_test.go
+++ b/internal/platform/attempt_test.go
@@ -71,7 +71,8 @@
 		t.Errorf("%d attempts to a draining backend", n)
 	}
 	cluster.node.loop.Call(context.Background(), func() {
-		if b := cluster.node.loop.Estimates(); b.InSlowStart != 0 || cluster.node.loop.Counters.Outcomes[scheduler.NotSent] != 1 {
+		if b := cluster.node.loop.Estimates(); b.InSlowStart != 0 ||
+			cluster.node.loop.Counters.Outcomes[scheduler.NotSent] != 1 {
 			t.Errorf("an attempt that was not sent counts against its backend: %+v, outcomes %v",
 				b, cluster.node.loop.Counters.Outcomes)
 		}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,5 +1,6 @@
 // Package platform runs one dispatcher in the users' platform: it reads the platform's configuration, accepts client
-// requests, sends attempts to backends and follows service discovery. Scheduling decisions are made by package scheduler
+// requests, sends attempts to backends and follows service discovery. Scheduling decisions are made by package
+// scheduler
 // behind the event loop of package dispatch, and the wire protocols are those of packages chat and endpoints. Begin
 // with Run.
 package platform
--- a/internal/platform/node_test.go
+++ b/internal/platform/node_test.go
@@ -229,7 +229,8 @@
 func TestRequestAndResponsePassThroughByteForByte(t *testing.T) {
 	cluster := startCluster(t, nil)
 	got := cluster.send(cluster.request("hut-booking"))
-	if got.status != 200 || got.body != testbackends.TextEvent("a")+testbackends.TextEvent("b")+testbackends.UsageEvent+testbackends.DoneEvent ||
+	if got.status != 200 || got.body != testbackends.TextEvent("a")+testbackends.TextEvent("b")+
+		testbackends.UsageEvent+testbackends.DoneEvent ||
 		!got.complete {
 		t.Errorf("%+v", got)
 	}
@@ -310,13 +311,15 @@
 		{"incomplete head", malformed("HTTP/1.1 200 OK\r\nX-"), 502},
 		{"malformed chunk", malformed(testbackends.StreamHead + "zz\r\n"), 502},
 		{"chunk of 3 GB", malformed(testbackends.StreamHead + "c0000000\r\n" + testbackends.TextEvent("a")), 502},
-		{"length instead of chunks", malformed("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" + testbackends.TextEvent("a")), 502},
+		{"length instead of chunks", malformed("HTTP/1.1 200 OK\r\nContent-Length: 40\r\n\r\n" +
+			testbackends.TextEvent("a")), 502},
 		{"1xx first", func(exchange *testbackends.Exchange) bool {
 			exchange.WriteRaw("HTTP/1.1 103 Early Hints\r\n\r\n")
 			return exchange.Serve()
 		}, 200},
 		{"second response behind the first", func(exchange *testbackends.Exchange) bool {
-			return exchange.Serve() && exchange.WriteRaw(testbackends.StreamHead+testbackends.EncodeChunk(testbackends.TextEvent("z")))
+			return exchange.Serve() && exchange.WriteRaw(testbackends.StreamHead+
+				testbackends.EncodeChunk(testbackends.TextEvent("z")))
 		}, 200},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -339,7 +342,9 @@
 // An idempotent request is retried although its first attempt may have run, unlike a non-idempotent one.
 func TestIdempotentRequestSurvivesAMalformedResponse(t *testing.T) {
 	cluster := startCluster(t, nil)
-	cluster.onFirstDecode(func(e *testbackends.Exchange) bool { return e.WriteRaw("HTTP/1.1 200 OK\r\n\x01\x02\r\n") && false })
+	cluster.onFirstDecode(func(e *testbackends.Exchange) bool {
+		return e.WriteRaw("HTTP/1.1 200 OK\r\n\x01\x02\r\n") && false
+	})
 	if got := cluster.send(cluster.request("trail-info")); got.status != 200 || !got.complete {
 		t.Errorf("%+v", got)
 	}
@@ -350,7 +355,8 @@
 // does not take the response for complete.
 func TestBrokenStreamIsNotEndedAsComplete(t *testing.T) {
 	for name, tail := range map[string]string{
-		"between chunks": "", "in a chunk": "20\r\ndata", "in a chunk's size": "zz\r\n", "early last chunk": testbackends.LastChunk,
+		"between chunks": "", "in a chunk": "20\r\ndata", "in a chunk's size": "zz\r\n",
+		"early last chunk": testbackends.LastChunk,
 	} {
 		t.Run(name, func(t *testing.T) {
 			cluster := startCluster(t, nil)
@@ -372,7 +378,8 @@
 	cluster := startCluster(t, func(cluster *testCluster, config *Config) {
 		config.Settings["familyInfo"].(map[string]any)["pinLimitUs"] = 300_000.0
 		cluster.site.HoldLimit = 500 * time.Millisecond
-		cluster.site.AddBackend("r2", testbackends.DecodeKind).State = "terminating" // it accepts no requests, but release calls
+		// it accepts no requests, but release calls
+		cluster.site.AddBackend("r2", testbackends.DecodeKind).State = "terminating"
 	})
 	cluster.prefill.Handler = func(e *testbackends.Exchange) bool {
 		if e.Method == "POST" {
--- a/internal/platform/shutdown_test.go
+++ b/internal/platform/shutdown_test.go
@@ -180,7 +180,8 @@
 	sent, finish := make(chan bool), make(chan bool)
 	final := strings.Replace(testbackends.TextEvent("z"), "null", `"stop"`, 1)
 	cluster.onDecode(func(e *testbackends.Exchange) bool {
-		e.WriteRaw(testbackends.StreamHead + testbackends.EncodeChunk(testbackends.TextEvent("a")) + testbackends.EncodeChunk(final))
+		e.WriteRaw(testbackends.StreamHead + testbackends.EncodeChunk(testbackends.TextEvent("a")) +
+			testbackends.EncodeChunk(final))
 		sent <- true
 		<-finish
 		return e.WriteRaw(testbackends.EncodeChunk(testbackends.UsageEvent+testbackends.DoneEvent) + testbackends.LastChunk)
@@ -245,7 +246,8 @@
 		for {
 			select {
 			case <-finish:
-				return exchange.WriteRaw(testbackends.EncodeChunk(testbackends.UsageEvent+testbackends.DoneEvent) + testbackends.LastChunk)
+				return exchange.WriteRaw(testbackends.EncodeChunk(testbackends.UsageEvent+testbackends.DoneEvent) +
+					testbackends.LastChunk)
 			case <-time.After(20 * time.Millisecond):
 				exchange.WriteRaw(testbackends.EncodeChunk(testbackends.TextEvent("a")))
 			}
--- a/internal/prefixtable/table.go
+++ b/internal/prefixtable/table.go
@@ -1,4 +1,5 @@
-// Package prefixtable finds the longest prefix of a prompt that other sessions have sent too, for clients that do not name
+// Package prefixtable finds the longest prefix of a prompt that other sessions have sent too, for clients that do not
+// name
 // a shared prefix themselves. It hashes prompts in blocks, remembers a bounded number of them for a limited time, and
 // does no I/O. Start with Table.SharedPrefix.
 package prefixtable
--- a/internal/retrythrottle/throttle.go
+++ b/internal/retrythrottle/throttle.go
@@ -1,4 +1,5 @@
-// Package retrythrottle throttles client retries for one dispatcher, in front of its scheduler. It detects when retries pile
+// Package retrythrottle throttles client retries for one dispatcher, in front of its scheduler. It detects when
+// retries pile
 // up, limits how many are admitted, and gives each rejected request a time to come back. It does no I/O, with time and
 // randomness handed in; it shares no state with other dispatchers, never chooses a backend, and admits every first try.
 // Begin with RetryThrottle.
--- a/internal/timerqueue/queue.go
+++ b/internal/timerqueue/queue.go
@@ -1,4 +1,5 @@
-// Package timerqueue is a queue of timers for event loops that advance a clock of their own. It starts no goroutines and
+// Package timerqueue is a queue of timers for event loops that advance a clock of their own. It starts no goroutines
+// and
 // never reads the system's clock; its callers say what time it is. Start with Queue.
 package timerqueue
 
