--- a/internal/addresses/addresses.go
+++ b/internal/addresses/addresses.go
@@ -293,8 +293,8 @@
 	return &Race{tracker: t, pending: t.Order(now), deadline: deadline, nextStart: now}
 }
 
-// Next returns the address to try now, if there is one, and otherwise how long to wait before the next call. Over
-// means that the race is won, out of time, or has nothing left to wait for.
+// Next returns as start the address to try now, if there is one, and otherwise how long to wait before the next call.
+// Over means that the race is won, out of time, or has nothing left to wait for.
 func (r *Race) Next(now time.Duration) (start *Address, wait time.Duration, over bool) {
 	r.pending = slices.DeleteFunc(r.pending, func(addr *Address) bool { return addr.Removed })
 	switch {
--- a/internal/peerproto/update.go
+++ b/internal/peerproto/update.go
@@ -44,7 +44,8 @@
 
 // Decode decodes a peer update, in the layout that Encode describes, and looks up its backend by ID. Backend is nil if
 // this dispatcher does not know it. An error means that raw is not eight bytes long or holds a verdict above
-// VerdictUnreachable, the highest one. A share of the latency target above 1 counts as 1; utilisation is not limited.
+// VerdictUnreachable, the highest one. A share of the latency target above 1 counts as 1. Utilisation may
+// exceed 1, up to what its byte holds.
 func Decode(raw []byte, backends map[uint32]*scheduler.Backend) (scheduler.PeerUpdate, error) {
 	if len(raw) != encodedBytes || raw[verdictByte]>>1 > byte(scheduler.VerdictUnreachable) {
 		return scheduler.PeerUpdate{}, fmt.Errorf("%d bytes are not a peer update: %x", len(raw), raw[:min(len(raw), 16)])
--- a/internal/retrythrottle/throttle.go
+++ b/internal/retrythrottle/throttle.go
@@ -293,8 +293,9 @@
 
 // ServiceRate updates and returns the estimate of how many requests per second this dispatcher and its backends could
 // serve. While rejected or failed requests are more than maxUnservedShare of the served ones, the estimate approaches
-// the served rate; otherwise it grows by rateGrowth per second, up to maxRateFactor times the served rate. It is at
-// least minRate. The first call starts from the served rate, and takes the time since 0 as that since the last update.
+// the served rate. Otherwise it grows from the higher of the two by the factor rateGrowth per second since the last
+// call, for maxGrowthSeconds at most, up to maxRateFactor times the served rate. It is at least minRate. The first call
+// starts from the served rate and counts the time since the start of the clock as that since the last call.
 func (t *RetryThrottle) ServiceRate(now time.Duration) float64 {
 	served := max(t.served.PerSecond(now), minRate)
 	if t.rateUpdatedAt == 0 {
