--- a/internal/fleet/budgets.go
+++ b/internal/fleet/budgets.go
@@ -74,7 +74,7 @@
 
 const commitTime = 22 * time.Millisecond // half the group-commit delay and one disk sync
 
-// testMonth returns a month that outlasts every scenario.
+// endlessMonth returns a month that outlasts every scenario.
 func endlessMonth(now time.Duration) budget.Month {
 	return budget.Month{Number: 1, Remaining: 24*time.Hour - now}
 }
